--- a/adapter/src/frame.rs
+++ b/adapter/src/frame.rs
@@ -39,19 +39,24 @@
     }
 
     pub fn array<const N: usize>(self, at: usize) -> [u8; N] {
-        self.0[at..at + N].try_into().expect("the field tables stay inside a record")
+        self.0[at..at + N]
+            .try_into()
+            .expect("the field tables stay inside a record")
     }
 }
 
 impl Batch {
     pub fn events(&self) -> impl Iterator<Item = Fields<'_>> {
-        self.body[4..4 + self.records * EVENT].chunks_exact(EVENT).map(Fields)
+        self.body[4..4 + self.records * EVENT]
+            .chunks_exact(EVENT)
+            .map(Fields)
     }
 
     fn tail(&self, at: u32, bytes: Option<usize>, what: &str) -> Result<&[u8], String> {
         let tail = &self.body[4 + self.records * EVENT..];
         let end = bytes.and_then(|bytes| bytes.checked_add(at as usize));
-        end.and_then(|end| tail.get(at as usize..end)).ok_or_else(|| format!("{what} reaches past the tail"))
+        end.and_then(|end| tail.get(at as usize..end))
+            .ok_or_else(|| format!("{what} reaches past the tail"))
     }
 
     pub fn text(&self, at: u32, bytes: u32, what: &str) -> Result<&[u8], String> {
@@ -60,7 +65,10 @@
 
     pub fn entries(&self, at: u32, count: u32) -> Result<impl Iterator<Item = Fields<'_>>, String> {
         let bytes = (count as usize).checked_mul(ENTRY);
-        Ok(self.tail(at, bytes, "list of entries")?.chunks_exact(ENTRY).map(Fields))
+        Ok(self
+            .tail(at, bytes, "list of entries")?
+            .chunks_exact(ENTRY)
+            .map(Fields))
     }
 }
 
@@ -71,7 +79,11 @@
     while have < header.len() {
         match input.read(&mut header[have..]) {
             Ok(0) if have == 0 => return Ok(None),
-            Ok(0) => return Err(format!("input ends inside a batch header, after {have} bytes")),
+            Ok(0) => {
+                return Err(format!(
+                    "input ends inside a batch header, after {have} bytes"
+                ));
+            }
             Ok(more) => have += more,
             Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
             Err(fault) => return Err(format!("input: {fault}")),
@@ -81,18 +93,36 @@
     let (number, clock, length) = (fields.u32(0), fields.u64(4), fields.u32(12) as usize);
     // Grown as bytes come, so that a false length can't claim memory that is never filled.
     let mut body = Vec::new();
-    input.take(length as u64).read_to_end(&mut body).map_err(|fault| format!("input: {fault}"))?;
+    input
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(|fault| format!("input: {fault}"))?;
     if body.len() < length {
-        return Err(format!("batch {number}: cut off after {} of {length} bytes", body.len()));
+        return Err(format!(
+            "batch {number}: cut off after {} of {length} bytes",
+            body.len()
+        ));
     }
     if length < 4 {
-        return Err(format!("batch {number}: length {length} has no room for the record count"));
+        return Err(format!(
+            "batch {number}: length {length} has no room for the record count"
+        ));
     }
     let records = Fields(&body).u32(0) as usize;
-    if records.checked_mul(EVENT).is_none_or(|bytes| bytes > length - 4) {
-        return Err(format!("batch {number}: {records} records do not fit in {length} bytes"));
-    }
-    Ok(Some(Batch { number, clock, records, body }))
+    if records
+        .checked_mul(EVENT)
+        .is_none_or(|bytes| bytes > length - 4)
+    {
+        return Err(format!(
+            "batch {number}: {records} records do not fit in {length} bytes"
+        ));
+    }
+    Ok(Some(Batch {
+        number,
+        clock,
+        records,
+        body,
+    }))
 }
 
 #[derive(Default)]
@@ -109,7 +139,12 @@
 
 impl Action {
     pub fn new(code: u16, relay: u16) -> Action {
-        Action { bytes: [0; ACTION], used: 0 }.with(&code.to_le_bytes()).with(&relay.to_le_bytes())
+        Action {
+            bytes: [0; ACTION],
+            used: 0,
+        }
+        .with(&code.to_le_bytes())
+        .with(&relay.to_le_bytes())
     }
 
     pub fn with(mut self, field: &[u8]) -> Action {
@@ -133,7 +168,12 @@
     pub fn bytes(&self, batch: u32) -> Vec<u8> {
         let length = 4 + self.records.len() + self.tail.len();
         let count = (self.records.len() / ACTION) as u32;
-        let header = [batch.to_le_bytes(), (length as u32).to_le_bytes(), count.to_le_bytes()].concat();
+        let header = [
+            batch.to_le_bytes(),
+            (length as u32).to_le_bytes(),
+            count.to_le_bytes(),
+        ]
+        .concat();
         [header, self.records.clone(), self.tail.clone()].concat()
     }
 }
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -1,5 +1,6 @@
-//! The instances of one process: each turns its events straight into calls on its relay, and what the relay
-//! asks for straight into records. Ids of the wire become small indices here; instances share nothing.
+//! The instances of one process: each turns its events straight into calls on its relay, and what
+//! the relay asks for straight into records. Ids of the wire become small indices here; instances
+//! share nothing.
 use crate::frame::{Action, Batch, Fields, Reply};
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -23,7 +24,8 @@
     listeners: usize,
 }
 
-/// What stands for what on this instance's wire. Looked up only, never walked, so hash order can't show.
+/// What stands for what on this instance's wire. Looked up only, never walked, so hash order can't
+/// show.
 #[derive(Default)]
 struct Names {
     sessions: HashMap<u64, SessionId>,
@@ -46,12 +48,16 @@
         for (at, event) in batch.events().enumerate() {
             let number = event.u16(2);
             // A fault in the decisions stops the day with its text instead of a dead process.
-            let done = catch_unwind(AssertUnwindSafe(|| self.take(batch, event, number, now, &mut reply)));
+            let done = catch_unwind(AssertUnwindSafe(|| {
+                self.take(batch, event, number, now, &mut reply)
+            }));
             match done {
                 Ok(done) => done.map_err(|fault| format!("record {at}: {fault}"))?,
                 Err(panic) => {
                     let text = panic.downcast_ref::<String>().map(String::as_str);
-                    let text = text.or_else(|| panic.downcast_ref::<&str>().copied()).unwrap_or("fault");
+                    let text = text
+                        .or_else(|| panic.downcast_ref::<&str>().copied())
+                        .unwrap_or("fault");
                     reply.push_text(Action::new(1120, number), text);
                     self.instances.remove(&number);
                 }
@@ -71,17 +77,38 @@
         match event.u16(0) {
             1000 => {
                 let text = batch.text(event.u32(12), event.u32(16), "settings")?;
-                let Site { deployment, places, .. } = facts::read(text)?;
+                let Site {
+                    deployment, places, ..
+                } = facts::read(text)?;
                 let mut names = Names::default();
                 let listeners = deployment.routes.len();
-                let mut door = Door { number, names: &mut names, reply };
+                let mut door = Door {
+                    number,
+                    names: &mut names,
+                    reply,
+                };
                 let relay = Relay::new(deployment, event.u64(4), now, &mut door);
-                self.instances.insert(number, Instance { relay, names, places, listeners });
+                self.instances.insert(
+                    number,
+                    Instance {
+                        relay,
+                        names,
+                        places,
+                        listeners,
+                    },
+                );
                 Ok(())
             }
-            1090 => self.instances.remove(&number).map(|_| ()).ok_or_else(|| not_started(number)),
+            1090 => self
+                .instances
+                .remove(&number)
+                .map(|_| ())
+                .ok_or_else(|| not_started(number)),
             code => {
-                let instance = self.instances.get_mut(&number).ok_or_else(|| not_started(number))?;
+                let instance = self
+                    .instances
+                    .get_mut(&number)
+                    .ok_or_else(|| not_started(number))?;
                 instance.take(batch, code, event, number, now, reply)
             }
         }
@@ -102,7 +129,12 @@
         now: Moment,
         reply: &mut Reply,
     ) -> Result<(), String> {
-        let Instance { relay, names, places, listeners } = self;
+        let Instance {
+            relay,
+            names,
+            places,
+            listeners,
+        } = self;
         let known = |names: &Names, at: usize| names.sessions.get(&event.u64(at)).copied();
         match code {
             1010 => {
@@ -111,7 +143,14 @@
                     1 => ListScope::Whole,
                     2 => ListScope::Cached,
                     3 => {
-                        relay.list_failed(now, &mut Door { number, names, reply });
+                        relay.list_failed(
+                            now,
+                            &mut Door {
+                                number,
+                                names,
+                                reply,
+                            },
+                        );
                         return Ok(());
                     }
                     other => return Err(format!("list of unknown scope {other}")),
@@ -130,28 +169,74 @@
                     group: present(event.u64(32)),
                 };
                 let session = names.session(event.u64(4));
-                relay.arrived(now, session, arrival, &mut Door { number, names, reply });
+                relay.arrived(
+                    now,
+                    session,
+                    arrival,
+                    &mut Door {
+                        number,
+                        names,
+                        reply,
+                    },
+                );
             }
             1030 => {
                 if let Some(session) = known(names, 4) {
                     let dial = u32::from(event.u16(12));
-                    relay.ready(now, session, dial, &mut Door { number, names, reply });
+                    relay.ready(
+                        now,
+                        session,
+                        dial,
+                        &mut Door {
+                            number,
+                            names,
+                            reply,
+                        },
+                    );
                 }
             }
             1040 => {
                 let verdict = verdict(event.u16(16))?;
                 if let Some(session) = known(names, 4) {
                     let (dial, over) = (u32::from(event.u16(24)), event.u8(26) != 0);
-                    let ending = Ending { dial, verdict, over, report: report(places, event, 27) };
-                    relay.ended(now, session, ending, &mut Door { number, names, reply });
+                    let ending = Ending {
+                        dial,
+                        verdict,
+                        over,
+                        report: report(places, event, 27),
+                    };
+                    relay.ended(
+                        now,
+                        session,
+                        ending,
+                        &mut Door {
+                            number,
+                            names,
+                            reply,
+                        },
+                    );
                 }
             }
             1050 => {
                 if let Some(session) = known(names, 4) {
-                    relay.left(session, &mut Door { number, names, reply });
+                    relay.left(
+                        session,
+                        &mut Door {
+                            number,
+                            names,
+                            reply,
+                        },
+                    );
                 }
             }
-            1060 => relay.woken(now, &mut Door { number, names, reply }),
+            1060 => relay.woken(
+                now,
+                &mut Door {
+                    number,
+                    names,
+                    reply,
+                },
+            ),
             1070 => {
                 let verdict = verdict(event.u16(10))?;
                 if let Some(&backend) = names.backends.get(&event.array::<6>(4)) {
@@ -169,7 +254,17 @@
                 };
                 let backend = names.backend(event.array(12));
                 let session = names.session(event.u64(4));
-                relay.inherit(now, session, backend, arrival, &mut Door { number, names, reply });
+                relay.inherit(
+                    now,
+                    session,
+                    backend,
+                    arrival,
+                    &mut Door {
+                        number,
+                        names,
+                        reply,
+                    },
+                );
             }
             1110 => {
                 if let Some(session) = known(names, 4) {
@@ -178,7 +273,16 @@
                         1 => relay.load_noted(session, value),
                         2 => {
                             let delay = Span::from_ms(1) * value;
-                            relay.delay_noted(now, session, delay, &mut Door { number, names, reply });
+                            relay.delay_noted(
+                                now,
+                                session,
+                                delay,
+                                &mut Door {
+                                    number,
+                                    names,
+                                    reply,
+                                },
+                            );
                         }
                         other => return Err(format!("note of unknown sort {other}")),
                     }
@@ -222,7 +326,10 @@
         let value = f64::from(event.f32(at + 1 + 4 * place.filter(|&place| place < told)?));
         value.is_finite().then_some(value.max(0.0))
     };
-    Report { connections: value(places.connections), load: value(places.load) }
+    Report {
+        connections: value(places.connections),
+        load: value(places.load),
+    }
 }
 
 impl Names {
@@ -274,16 +381,24 @@
 
 impl Front for Door<'_> {
     fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span) {
-        let action = self.session(1050, session).with(&self.names.addresses[backend.index()]);
+        let action = self
+            .session(1050, session)
+            .with(&self.names.addresses[backend.index()]);
         self.reply.push(action.with(&short(give_up_after)));
     }
 
     fn withdraw(&mut self, session: SessionId, dial: u32) {
-        self.reply.push(self.session(1040, session).with(&(dial as u16).to_le_bytes()));
+        self.reply.push(
+            self.session(1040, session)
+                .with(&(dial as u16).to_le_bytes()),
+        );
     }
 
     fn refuse(&mut self, session: SessionId, retry_after: Option<Span>) {
-        self.reply.push(self.session(1080, session).with(&short(retry_after.unwrap_or_default())));
+        self.reply.push(
+            self.session(1080, session)
+                .with(&short(retry_after.unwrap_or_default())),
+        );
     }
 
     fn tear_down(&mut self, session: SessionId) {
@@ -296,7 +411,8 @@
 
     fn probe(&mut self, backend: BackendId) {
         let address = self.names.addresses[backend.index()];
-        self.reply.push(Action::new(1000, self.number).with(&address));
+        self.reply
+            .push(Action::new(1000, self.number).with(&address));
     }
 
     fn wake(&mut self, at: Moment) {
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs the decisions on a simulator's wire: batches on standard input, one reply for each on standard
-//! output.
+//! Runs the decisions on a simulator's wire: batches on standard input, one reply for each on
+//! standard output.
 mod frame;
 mod instance;
 
@@ -27,9 +27,13 @@
             return ExitCode::from(2);
         }
     }
-    // A fault in the decisions goes to the wire as text; the default hook would only repeat it here.
+    // A fault in the decisions goes to the wire as text; the default hook would only repeat it
+    // here.
     std::panic::set_hook(Box::new(|_| {}));
-    match serve(std::io::stdin().lock(), BufWriter::new(std::io::stdout().lock())) {
+    match serve(
+        std::io::stdin().lock(),
+        BufWriter::new(std::io::stdout().lock()),
+    ) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("thistlecroft-adapter: {fault}");
@@ -41,8 +45,13 @@
 fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
     let mut host = instance::Host::default();
     while let Some(batch) = frame::read_batch(&mut input)? {
-        let reply = host.answer(&batch).map_err(|fault| format!("batch {}: {fault}", batch.number))?;
-        output.write_all(&reply).and_then(|()| output.flush()).map_err(|fault| format!("output: {fault}"))?;
+        let reply = host
+            .answer(&batch)
+            .map_err(|fault| format!("batch {}: {fault}", batch.number))?;
+        output
+            .write_all(&reply)
+            .and_then(|()| output.flush())
+            .map_err(|fault| format!("output: {fault}"))?;
     }
     Ok(())
 }
--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -18,11 +18,13 @@
 
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<char> = hex.chars().filter(|c| !c.is_whitespace()).collect();
-    digits.chunks(2).map(|pair| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap()).collect()
+    digits
+        .chunks(2)
+        .map(|pair| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap())
+        .collect()
 }
 
-const LISTENERS: &str =
-    r#"[{"deadlineUs": 1200000, "handshakeTargetUs": 300000, "effect": "retryable", "utility": 1.0}]"#;
+const LISTENERS: &str = r#"[{"deadlineUs": 1200000, "handshakeTargetUs": 300000, "effect": "retryable", "utility": 1.0}]"#;
 
 const SETTINGS: &str = r#"{"az": 0, "zones": ["a"], "balancers": 1, "me": 0, "tickUs": 2000, "unheardOf": [1],
  "discovery": "automatic",
@@ -41,7 +43,12 @@
     list.extend(size.to_le_bytes());
     list.extend(1u32.to_le_bytes());
     let entry = bytes("0a124a07 5b1b 00 0000 0000 00 0000803f 0000000000000000");
-    batch(1, 1_000, &[begin, list], &[SETTINGS.as_bytes(), &entry].concat())
+    batch(
+        1,
+        1_000,
+        &[begin, list],
+        &[SETTINGS.as_bytes(), &entry].concat(),
+    )
 }
 
 /// Session c4913a5d0d690f00 with 240 ms to its dial timeout, no key and no group.
@@ -61,8 +68,10 @@
         let length = u32::from_le_bytes(output[at + 4..at + 8].try_into().unwrap()) as usize;
         let count = u32::from_le_bytes(output[at + 8..at + 12].try_into().unwrap()) as usize;
         let body = &output[at + 12..at + 12 + count * 24];
-        records =
-            body.chunks(24).map(|record| record.iter().map(|byte| format!("{byte:02x}")).collect()).collect();
+        records = body
+            .chunks(24)
+            .map(|record| record.iter().map(|byte| format!("{byte:02x}")).collect())
+            .collect();
         at += 8 + length;
     }
     records
@@ -75,14 +84,26 @@
     let cases: [(&[&str], Vec<&str>); 5] = [
         // A single dial left of three waits for the target, cut to the time that is left.
         (&[INBOUND], vec![dialled]),
-        (&[INBOUND, "5604 0300 c4913a5d0d690f00 0000 0a124a07 5b1b 01 0000003f"], vec![dialled]),
+        (
+            &[
+                INBOUND,
+                "5604 0300 c4913a5d0d690f00 0000 0a124a07 5b1b 01 0000003f",
+            ],
+            vec![dialled],
+        ),
         // The client leaves: dial 0 is withdrawn.
         (
             &[INBOUND, "1a04 0300 c4913a5d0d690f00"],
             vec![dialled, "10040300c4913a5d0d690f00000000000000000000000000"],
         ),
         // An id that is not held, and a peer's message.
-        (&["1a04 0300 192b6f0ecce10200", "3804 0300 0200 00000000 00000000"], vec![]),
+        (
+            &[
+                "1a04 0300 192b6f0ecce10200",
+                "3804 0300 0200 00000000 00000000",
+            ],
+            vec![],
+        ),
         // A connection that stands: its verdict ends it without a word.
         (
             &[
@@ -95,7 +116,10 @@
     ];
     for (records, expected) in cases {
         let records: Vec<Vec<u8>> = records.iter().map(|hex| bytes(hex)).collect();
-        assert_eq!(last_records(&[start(), batch(2, 2_000, &records, &[])].concat()), expected);
+        assert_eq!(
+            last_records(&[start(), batch(2, 2_000, &records, &[])].concat()),
+            expected
+        );
     }
 }
 
@@ -103,11 +127,22 @@
 fn refusals_carry_their_advice_and_stops_forget_all() {
     let full = bytes("1004 0300 c4913a5d0d690f00 44480000 2e01 0a124a07 5b1b 0000 00 00");
     let records = last_records(&[start(), batch(2, 2_000, &[bytes(INBOUND), full], &[])].concat());
-    // One second at most, so refused at once where that is more than is left, or held for a further dial.
-    let refused = records.iter().find(|record| record.starts_with("38040300c4913a5d0d690f00"));
-    assert!(refused.is_some() || records.iter().any(|record| record.starts_with("fc030300")), "{records:?}");
+    // One second at most, so refused at once where that is more than is left, or held for a further
+    // dial.
+    let refused = records
+        .iter()
+        .find(|record| record.starts_with("38040300c4913a5d0d690f00"));
+    assert!(
+        refused.is_some() || records.iter().any(|record| record.starts_with("fc030300")),
+        "{records:?}"
+    );
     let stop = bytes("4204 0300");
-    let again = [start(), batch(2, 2_000, std::slice::from_ref(&stop), &[]), start()].concat();
+    let again = [
+        start(),
+        batch(2, 2_000, std::slice::from_ref(&stop), &[]),
+        start(),
+    ]
+    .concat();
     assert!(replies(&again).is_ok());
     let after_stop = [start(), batch(2, 2_000, &[stop, bytes(INBOUND)], &[])].concat();
     assert!(replies(&after_stop).unwrap_err().contains("not started"));
@@ -116,7 +151,10 @@
 #[test]
 fn an_empty_batch_gets_the_empty_reply_of_the_page() {
     let input = bytes("01000000 5a5c800000000000 04000000 00000000");
-    assert_eq!(replies(&input).unwrap(), bytes("01000000 04000000 00000000"));
+    assert_eq!(
+        replies(&input).unwrap(),
+        bytes("01000000 04000000 00000000")
+    );
     assert_eq!(replies(&[]).unwrap(), Vec::<u8>::new());
 }
 
@@ -130,24 +168,64 @@
     };
     let cases = [
         ("header cut off", bytes("0100"), "inside a batch header"),
-        ("body cut off", bytes("01000000 5a5c800000000000 ffffff7f 00000000"), "cut off"),
-        ("no record count", bytes("01000000 5a5c800000000000 02000000 0000"), "no room"),
-        ("too many records", bytes("01000000 5a5c800000000000 04000000 ffffffff"), "do not fit"),
+        (
+            "body cut off",
+            bytes("01000000 5a5c800000000000 ffffff7f 00000000"),
+            "cut off",
+        ),
+        (
+            "no record count",
+            bytes("01000000 5a5c800000000000 02000000 0000"),
+            "no room",
+        ),
+        (
+            "too many records",
+            bytes("01000000 5a5c800000000000 04000000 ffffffff"),
+            "do not fit",
+        ),
         ("unknown code", with("0f27 0300"), "unknown event code 9999"),
         (
             "unknown outcome",
             with("1004 0300 c4913a5d0d690f00 44480000 0900 0a124a07 5b1b"),
             "unknown outcome 9",
         ),
-        ("unknown listener", with("fc03 0300 c4913a5d0d690f00 0700"), "listener 7 of 1"),
-        ("list past the tail", with("f203 0300 00 2900000000000000 00000000 ffffffff"), "past the tail"),
+        (
+            "unknown listener",
+            with("fc03 0300 c4913a5d0d690f00 0700"),
+            "listener 7 of 1",
+        ),
+        (
+            "list past the tail",
+            with("f203 0300 00 2900000000000000 00000000 ffffffff"),
+            "past the tail",
+        ),
         ("unknown scope", with("f203 0300 09"), "unknown scope 9"),
-        ("not started", batch(1, 0, &[bytes(INBOUND)], &[]), "instance 3, which is not started"),
+        (
+            "not started",
+            batch(1, 0, &[bytes(INBOUND)], &[]),
+            "instance 3, which is not started",
+        ),
         ("settings no JSON", settings("{"), "settings"),
-        ("settings without a key", settings("{\"az\": 0}"), "missing field"),
-        ("no relays", settings(&SETTINGS.replace("\"balancers\": 1", "\"balancers\": 0")), "relay 0 of 0"),
-        ("relay out of range", settings(&SETTINGS.replace("\"me\": 0", "\"me\": 1")), "relay 1 of 1"),
-        ("no listeners", settings(&SETTINGS.replace(LISTENERS, "[]")), "no listeners"),
+        (
+            "settings without a key",
+            settings("{\"az\": 0}"),
+            "missing field",
+        ),
+        (
+            "no relays",
+            settings(&SETTINGS.replace("\"balancers\": 1", "\"balancers\": 0")),
+            "relay 0 of 0",
+        ),
+        (
+            "relay out of range",
+            settings(&SETTINGS.replace("\"me\": 0", "\"me\": 1")),
+            "relay 1 of 1",
+        ),
+        (
+            "no listeners",
+            settings(&SETTINGS.replace(LISTENERS, "[]")),
+            "no listeners",
+        ),
     ];
     for (name, input, expected) in cases {
         let fault = replies(&input).unwrap_err();
@@ -157,7 +235,8 @@
 
 #[test]
 fn a_fault_in_the_decisions_becomes_a_record() {
-    // An entry whose backend number no list can hold can't be made on the wire, so the guard itself is tried.
+    // An entry whose backend number no list can hold can't be made on the wire, so the guard itself
+    // is tried.
     let mut host = instance::Host::default();
     let frame = frame::read_batch(&mut &start()[..]).unwrap().unwrap();
     assert!(host.answer(&frame).is_ok());
--- a/charter/src/keys.rs
+++ b/charter/src/keys.rs
@@ -1,5 +1,6 @@
-//! Every key of the file: what it is called, what it holds, what it means, and what holds without it. The reader, the
-//! reference page and the search for the nearest known key all go by these tables.
+//! Every key of the file: what it is called, what it holds, what it means, and what holds without
+//! it. The reader, the reference page and the search for the nearest known key all go by these
+//! tables.
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
@@ -66,7 +67,12 @@
 }
 
 const fn key(name: &'static str, kind: Kind, about: &'static str, unstated: &'static str) -> Key {
-    Key { name, kind, about, unstated }
+    Key {
+        name,
+        kind,
+        about,
+        unstated,
+    }
 }
 
 pub const TOP: Section = Section {
@@ -79,7 +85,12 @@
             "Routes, tried in the order of the file; the first that matches counts.",
             "none",
         ),
-        key("peers", Kind::Table, "Relays that know of one another; see below.", "this relay is alone"),
+        key(
+            "peers",
+            Kind::Table,
+            "Relays that know of one another; see below.",
+            "this relay is alone",
+        ),
     ],
 };
 
@@ -87,10 +98,30 @@
     header: "[peers]",
     about: "Who the other relays are. Only where the settings allow talk between instances; see `peers.md`.",
     keys: &[
-        key("fleet", Kind::Name, "The fleet's name; datagrams of another one are refused.", "must be stated"),
-        key("listen", Kind::Address, "Datagrams are received here (UDP).", "must be stated"),
-        key("advertise", Kind::Address, "Others reach this relay here.", "`listen`"),
-        key("key_file", Kind::Text, "A file that holds the fleet's key, 16 bytes or more.", "must be stated"),
+        key(
+            "fleet",
+            Kind::Name,
+            "The fleet's name; datagrams of another one are refused.",
+            "must be stated",
+        ),
+        key(
+            "listen",
+            Kind::Address,
+            "Datagrams are received here (UDP).",
+            "must be stated",
+        ),
+        key(
+            "advertise",
+            Kind::Address,
+            "Others reach this relay here.",
+            "`listen`",
+        ),
+        key(
+            "key_file",
+            Kind::Text,
+            "A file that holds the fleet's key, 16 bytes or more.",
+            "must be stated",
+        ),
         key(
             "seeds",
             Kind::Addresses,
@@ -103,16 +134,36 @@
             "One other relay is probed in each, 50ms to 10s; all times of membership follow it.",
             "1s",
         ),
-        key("rate", Kind::Count, "Bytes a second that this relay sends at most, 4096 or more.", "32768"),
+        key(
+            "rate",
+            Kind::Count,
+            "Bytes a second that this relay sends at most, 4096 or more.",
+            "32768",
+        ),
         key(
             "voters",
             Kind::Names,
             "The relays that grant leases, by their names; 7 at most.",
             "none: there are no leases",
         ),
-        key("voters_before", Kind::Names, "While voters are changed: those until now.", "none"),
-        key("generation", Kind::Count, "One more with each change of the voters.", "1"),
-        key("lease", Kind::Span, "A lease's time, 500ms to 1m, the same at all relays.", "10s"),
+        key(
+            "voters_before",
+            Kind::Names,
+            "While voters are changed: those until now.",
+            "none",
+        ),
+        key(
+            "generation",
+            Kind::Count,
+            "One more with each change of the voters.",
+            "1",
+        ),
+        key(
+            "lease",
+            Kind::Span,
+            "A lease's time, 500ms to 1m, the same at all relays.",
+            "10s",
+        ),
     ],
 };
 
@@ -120,8 +171,18 @@
     header: "[[route]]",
     about: "Figures for the sessions that it matches. What a route does not state holds for them as for all others.",
     keys: &[
-        key("name", Kind::Name, "What logs and reports call it; each once.", "must be stated"),
-        key("match", Kind::Table, "Which sessions it is for; see below.", "all"),
+        key(
+            "name",
+            Kind::Name,
+            "What logs and reports call it; each once.",
+            "must be stated",
+        ),
+        key(
+            "match",
+            Kind::Table,
+            "Which sessions it is for; see below.",
+            "all",
+        ),
         key(
             "handshake_target",
             Kind::Span,
@@ -140,7 +201,12 @@
             "A connection that is not up by then has failed.",
             "the settings' dialTimeoutUs",
         ),
-        key("dials", Kind::Count, "Dials at most for a session.", "the settings' maxDials"),
+        key(
+            "dials",
+            Kind::Count,
+            "Dials at most for a session.",
+            "the settings' maxDials",
+        ),
         key(
             "patience",
             Kind::Factor,
@@ -178,7 +244,12 @@
             "Further dials at most, as a part of the sessions, over the last hundred of them; a ration of the settings binds beside it.",
             "no limit",
         ),
-        key("at_once", Kind::Count, "Sessions at once in this relay; more are refused.", "no limit"),
+        key(
+            "at_once",
+            Kind::Count,
+            "Sessions at once in this relay; more are refused.",
+            "no limit",
+        ),
         key(
             "second_copy",
             Kind::Table,
@@ -192,10 +263,30 @@
     header: "[route.match]",
     about: "All that is stated must hold. The place of a matching language is here, as a key `when`; it does not exist yet.",
     keys: &[
-        key("listener", Kind::Names, "The session's listener is one of these.", "any"),
-        key("zone", Kind::Names, "The relay stands in one of these zones.", "any"),
-        key("key_prefix", Kind::Hex, "The client's key begins so.", "any"),
-        key("group", Kind::HexList, "The session's group is one of these.", "any, or none"),
+        key(
+            "listener",
+            Kind::Names,
+            "The session's listener is one of these.",
+            "any",
+        ),
+        key(
+            "zone",
+            Kind::Names,
+            "The relay stands in one of these zones.",
+            "any",
+        ),
+        key(
+            "key_prefix",
+            Kind::Hex,
+            "The client's key begins so.",
+            "any",
+        ),
+        key(
+            "group",
+            Kind::HexList,
+            "The session's group is one of these.",
+            "any, or none",
+        ),
     ],
 };
 
@@ -209,9 +300,24 @@
             "It goes out when the first has taken longer than this part of the route's recent set-ups took...",
             "0.95",
         ),
-        key("least", Kind::Span, "...but not sooner than this...", "20ms"),
-        key("most", Kind::Span, "...and not later than this.", "the handshake target"),
-        key("share", Kind::Part, "Second dials at most, as a part of the sessions.", "0.05"),
+        key(
+            "least",
+            Kind::Span,
+            "...but not sooner than this...",
+            "20ms",
+        ),
+        key(
+            "most",
+            Kind::Span,
+            "...and not later than this.",
+            "the handshake target",
+        ),
+        key(
+            "share",
+            Kind::Part,
+            "Second dials at most, as a part of the sessions.",
+            "0.05",
+        ),
     ],
 };
 
@@ -220,5 +326,7 @@
 /// The known key that is most like another, if any is much like it.
 pub fn nearest<'a>(names: impl Iterator<Item = &'a str>, meant: &str) -> Option<&'a str> {
     let near = names.map(|name| (strsim::jaro_winkler(name, meant), name));
-    near.filter(|(like, _)| *like > 0.7).max_by(|one, two| one.0.total_cmp(&two.0)).map(|(_, name)| name)
+    near.filter(|(like, _)| *like > 0.7)
+        .max_by(|one, two| one.0.total_cmp(&two.0))
+        .map(|(_, name)| name)
 }
--- a/charter/src/lib.rs
+++ b/charter/src/lib.rs
@@ -1,7 +1,7 @@
-//! The charter: an operator's own file beside the platform's settings. Its text is read by the keys that `keys` lists,
-//! which are also its reference page (`page`); what it says is checked against the rules (`rules`) and worked out into
-//! rows for the decisions and for the relay's front (`routing`). Every fault of a file is found at once, each with its
-//! line, column and key. No I/O.
+//! The charter: an operator's own file beside the platform's settings. Its text is read by the keys
+//! that `keys` lists, which are also its reference page (`page`); what it says is checked against
+//! the rules (`rules`) and worked out into rows for the decisions and for the relay's front
+//! (`routing`). Every fault of a file is found at once, each with its line, column and key. No I/O.
 pub mod keys;
 pub mod page;
 pub mod peers;
@@ -10,7 +10,9 @@
 mod text;
 
 pub use peers::Peering;
-pub use routing::{Circumstances, FrontRow, Lanes, ListenerFacts, OTHERWISE, Origin, Routing, Told};
+pub use routing::{
+    Circumstances, FrontRow, Lanes, ListenerFacts, OTHERWISE, Origin, Routing, Told,
+};
 pub use text::{Fault, Matching, PeersText, RouteText, SecondText, Stated};
 
 /// A file as read, not yet held against a deployment.
@@ -32,7 +34,10 @@
     /// # Errors
     /// All that is wrong with it there.
     pub fn peering(&self, of: &Circumstances) -> Result<Option<Peering>, Vec<Fault>> {
-        self.peers.as_ref().map(|text| peers::peering(text, of)).transpose()
+        self.peers
+            .as_ref()
+            .map(|text| peers::peering(text, of))
+            .transpose()
     }
 
     /// Rows for a deployment.
--- a/charter/src/page.rs
+++ b/charter/src/page.rs
@@ -8,15 +8,25 @@
          `charter.md`.\n",
     );
     for section in SECTIONS {
-        let header = if section.header.is_empty() { "The file" } else { section.header };
+        let header = if section.header.is_empty() {
+            "The file"
+        } else {
+            section.header
+        };
         let _ = write!(
             page,
             "\n## {header}\n\n{}\n\n| key | holds | meaning | not stated |\n| --- | --- | --- | --- |\n",
             section.about
         );
         for key in section.keys {
-            let _ =
-                writeln!(page, "| `{}` | {} | {} | {} |", key.name, key.kind.says(), key.about, key.unstated);
+            let _ = writeln!(
+                page,
+                "| `{}` | {} | {} | {} |",
+                key.name,
+                key.kind.says(),
+                key.about,
+                key.unstated
+            );
         }
     }
     page
--- a/charter/src/peers.rs
+++ b/charter/src/peers.rs
@@ -39,35 +39,72 @@
     }
     let advertise = text.advertise.as_ref().unwrap_or(&text.listen);
     if advertise.value.ip().is_unspecified() || advertise.value.port() == 0 {
-        let why = format!("others can't reach {}: `advertise` has to say where they can", advertise.value);
+        let why = format!(
+            "others can't reach {}: `advertise` has to say where they can",
+            advertise.value
+        );
         blame(&advertise.place, "peers.advertise", why);
     }
-    let spans = [("period", &text.period, PERIODS), ("lease", &text.lease, LEASES)];
+    let spans = [
+        ("period", &text.period, PERIODS),
+        ("lease", &text.lease, LEASES),
+    ];
     for (key, stated, (least, most)) in spans {
-        if let Some(stated) = stated.as_ref().filter(|one| one.value < least || one.value > most) {
-            let why = format!("{} is not between {} and {}", say(stated.value), say(least), say(most));
+        if let Some(stated) = stated
+            .as_ref()
+            .filter(|one| one.value < least || one.value > most)
+        {
+            let why = format!(
+                "{} is not between {} and {}",
+                say(stated.value),
+                say(least),
+                say(most)
+            );
             blame(&stated.place, &format!("peers.{key}"), why);
         }
     }
     if let Some(rate) = text.rate.as_ref().filter(|rate| rate.value < LEAST_RATE) {
-        let why = format!("{} bytes a second are too few, {LEAST_RATE} at least", rate.value);
+        let why = format!(
+            "{} bytes a second are too few, {LEAST_RATE} at least",
+            rate.value
+        );
         blame(&rate.place, "peers.rate", why);
     }
-    if let Some(seeds) = text.seeds.as_ref().filter(|seeds| seeds.value.len() > MOST_SEEDS) {
+    if let Some(seeds) = text
+        .seeds
+        .as_ref()
+        .filter(|seeds| seeds.value.len() > MOST_SEEDS)
+    {
         blame(&seeds.place, "peers.seeds", format!("{MOST_SEEDS} at most"));
     }
-    for (key, stated) in [("voters", &text.voters), ("voters_before", &text.voters_before)] {
+    for (key, stated) in [
+        ("voters", &text.voters),
+        ("voters_before", &text.voters_before),
+    ] {
         let Some(stated) = stated else { continue };
-        let twice = (1..stated.value.len()).find(|at| stated.value[..*at].contains(&stated.value[*at]));
+        let twice =
+            (1..stated.value.len()).find(|at| stated.value[..*at].contains(&stated.value[*at]));
         if let Some(at) = twice {
-            blame(&stated.place, &format!("peers.{key}"), format!("{} stands twice", stated.value[at]));
+            blame(
+                &stated.place,
+                &format!("peers.{key}"),
+                format!("{} stands twice", stated.value[at]),
+            );
         }
         if stated.value.len() > MOST_VOTERS {
-            blame(&stated.place, &format!("peers.{key}"), format!("{MOST_VOTERS} at most"));
+            blame(
+                &stated.place,
+                &format!("peers.{key}"),
+                format!("{MOST_VOTERS} at most"),
+            );
         }
     }
     let generation = text.generation.as_ref().map_or(1, |stated| stated.value);
-    if let Some(before) = text.voters_before.as_ref().filter(|_| generation < 2 || text.voters.is_none()) {
+    if let Some(before) = text
+        .voters_before
+        .as_ref()
+        .filter(|_| generation < 2 || text.voters.is_none())
+    {
         let why = "it goes with `voters` and a `generation` above 1".to_string();
         blame(&before.place, "peers.voters_before", why);
     }
@@ -75,14 +112,19 @@
         return Err(faults);
     }
     let names = |stated: &Option<Stated<Vec<String>>>| {
-        stated.as_ref().map_or(Vec::new(), |stated| stated.value.clone())
+        stated
+            .as_ref()
+            .map_or(Vec::new(), |stated| stated.value.clone())
     };
     Ok(Peering {
         fleet: text.fleet.value.clone(),
         listen: text.listen.value,
         advertise: advertise.value,
         key_file: text.key_file.value.clone(),
-        seeds: text.seeds.as_ref().map_or(Vec::new(), |stated| stated.value.clone()),
+        seeds: text
+            .seeds
+            .as_ref()
+            .map_or(Vec::new(), |stated| stated.value.clone()),
         period: text.period.as_ref().map_or(PERIOD, |stated| stated.value),
         rate: text.rate.as_ref().map_or(RATE, |stated| stated.value),
         voters: names(&text.voters),
--- a/charter/src/routing.rs
+++ b/charter/src/routing.rs
@@ -1,4 +1,5 @@
-//! Routes worked out for a deployment: which row a session goes by, and what every row holds and where it has that from.
+//! Routes worked out for a deployment: which row a session goes by, and what every row holds and
+//! where it has that from.
 use crate::Charter;
 use crate::text::{RouteText, SecondText, Stated};
 use std::collections::BTreeMap;
@@ -57,8 +58,8 @@
     pub origin: Origin,
 }
 
-/// Numbers of routes by their names, the same from one reading of the file to the next, so that what is counted of a
-/// route goes on.
+/// Numbers of routes by their names, the same from one reading of the file to the next, so that
+/// what is counted of a route goes on.
 #[derive(Clone, Debug, Default)]
 pub struct Lanes(BTreeMap<String, u32>);
 
@@ -96,8 +97,12 @@
     }
 
     pub(crate) fn new(charter: &Charter, of: &Circumstances, lanes: &mut Lanes) -> Routing {
-        let mut routing =
-            Routing { rows: Vec::new(), fronts: Vec::new(), tried: Vec::new(), told: Vec::new() };
+        let mut routing = Routing {
+            rows: Vec::new(),
+            fronts: Vec::new(),
+            tried: Vec::new(),
+            told: Vec::new(),
+        };
         for listener in &of.listeners {
             let otherwise = routing.add(None, listener, 0);
             routing.tried.push((Vec::new(), otherwise));
@@ -109,9 +114,21 @@
                     continue;
                 }
                 let row = routing.add(Some(route), listener, lane);
-                let key_prefix = route.matching.key_prefix.as_ref().map(|stated| stated.value);
-                let groups = route.matching.group.as_ref().map_or(Vec::new(), |stated| stated.value.clone());
-                routing.tried[place].0.push(Tried { key_prefix, groups, row });
+                let key_prefix = route
+                    .matching
+                    .key_prefix
+                    .as_ref()
+                    .map(|stated| stated.value);
+                let groups = route
+                    .matching
+                    .group
+                    .as_ref()
+                    .map_or(Vec::new(), |stated| stated.value.clone());
+                routing.tried[place].0.push(Tried {
+                    key_prefix,
+                    groups,
+                    row,
+                });
             }
         }
         routing
@@ -152,16 +169,24 @@
     pub fn changes(&self, later: &Routing) -> Vec<String> {
         let of = |routing: &Routing| -> BTreeMap<(String, String, &'static str), String> {
             let rows = routing.told.iter();
-            rows.map(|told| ((told.route.clone(), told.listener.clone(), told.key), told.value.clone()))
-                .collect()
+            rows.map(|told| {
+                (
+                    (told.route.clone(), told.listener.clone(), told.key),
+                    told.value.clone(),
+                )
+            })
+            .collect()
         };
         let (before, after) = (of(self), of(later));
-        let routes = |of: &BTreeMap<(String, String, &'static str), String>| -> Vec<(String, String)> {
-            let mut all: Vec<_> =
-                of.keys().map(|(route, listener, _)| (route.clone(), listener.clone())).collect();
-            all.dedup();
-            all
-        };
+        let routes =
+            |of: &BTreeMap<(String, String, &'static str), String>| -> Vec<(String, String)> {
+                let mut all: Vec<_> = of
+                    .keys()
+                    .map(|(route, listener, _)| (route.clone(), listener.clone()))
+                    .collect();
+                all.dedup();
+                all
+            };
         let (old, new) = (routes(&before), routes(&after));
         let mut lines: Vec<String> = Vec::new();
         for (route, listener) in &new {
@@ -187,7 +212,9 @@
 /// If a route is for sessions of a listener at this relay at all.
 pub(crate) fn takes(route: &RouteText, listener: &str, of: &Circumstances) -> bool {
     let named = |stated: &Option<Stated<Vec<String>>>, name: &str| {
-        stated.as_ref().is_none_or(|stated| stated.value.iter().any(|one| one == name))
+        stated
+            .as_ref()
+            .is_none_or(|stated| stated.value.iter().any(|one| one == name))
     };
     let own = of.zones.get(of.zone).map_or("", String::as_str);
     named(&route.matching.listener, listener) && named(&route.matching.zone, own)
@@ -224,26 +251,49 @@
     let name = route.map_or(OTHERWISE, |route| &route.name);
     let mut tell = |key, value: String, origin| {
         let (route, listener) = (name.to_string(), listener.name.clone());
-        told.push(Told { route, listener, key, value, origin });
+        told.push(Told {
+            route,
+            listener,
+            key,
+            value,
+            origin,
+        });
     };
     macro_rules! stated {
         ($key:ident, $otherwise:expr, $from:expr, $say:expr) => {{
             let own = route.and_then(|route| route.$key.as_ref());
             let value = own.map_or($otherwise, |own| own.value);
-            tell(stringify!($key), $say(value), own.map_or($from, |own| Origin::File(own.place.line)));
+            tell(
+                stringify!($key),
+                $say(value),
+                own.map_or($from, |own| Origin::File(own.place.line)),
+            );
             value
         }};
         ($key:ident, none, $say:expr) => {{
             let own = route.and_then(|route| route.$key.as_ref());
             let origin = own.map_or(Origin::BuiltIn, |own| Origin::File(own.place.line));
-            tell(stringify!($key), own.map_or("none".to_string(), |own| $say(own.value)), origin);
+            tell(
+                stringify!($key),
+                own.map_or("none".to_string(), |own| $say(own.value)),
+                origin,
+            );
             own.map(|own| own.value)
         }};
     }
     let figure = |value: f64| value.to_string();
     let count = |value: u32| value.to_string();
-    tell("effect", effect_name(base.effect).to_string(), Origin::Settings);
-    let handshake_target = stated!(handshake_target, base.handshake_target, Origin::Settings, say);
+    tell(
+        "effect",
+        effect_name(base.effect).to_string(),
+        Origin::Settings,
+    );
+    let handshake_target = stated!(
+        handshake_target,
+        base.handshake_target,
+        Origin::Settings,
+        say
+    );
     let dial_timeout = stated!(dial_timeout, none, say);
     let connect_time = stated!(connect_time, base.connect_timeout, Origin::Settings, say);
     let max_dials = stated!(dials, base.max_dials, Origin::Settings, count);
@@ -259,9 +309,16 @@
     let copy = second.map(|second| second_copy(&second.value, handshake_target));
     let text = copy.map_or("none".to_string(), |copy| {
         let (least, most) = (say(copy.least), say(copy.most));
-        format!("after quantile {} of set-ups, {least} to {most}, share {}", copy.quantile, copy.share)
+        format!(
+            "after quantile {} of set-ups, {least} to {most}, share {}",
+            copy.quantile, copy.share
+        )
     });
-    tell("second_copy", text, second.map_or(Origin::BuiltIn, |second| Origin::File(second.place.line)));
+    tell(
+        "second_copy",
+        text,
+        second.map_or(Origin::BuiltIn, |second| Origin::File(second.place.line)),
+    );
     let row = Route {
         lane,
         handshake_target,
@@ -277,14 +334,24 @@
         second: copy,
         ..*base
     };
-    (row, FrontRow { dial_timeout, connect_time, idle }, told)
+    (
+        row,
+        FrontRow {
+            dial_timeout,
+            connect_time,
+            idle,
+        },
+        told,
+    )
 }
 
 pub(crate) fn second_copy(text: &SecondText, target: Span) -> SecondCopy {
-    let part =
-        |stated: &Option<Stated<f64>>, otherwise| stated.as_ref().map_or(otherwise, |stated| stated.value);
-    let span =
-        |stated: &Option<Stated<Span>>, otherwise| stated.as_ref().map_or(otherwise, |stated| stated.value);
+    let part = |stated: &Option<Stated<f64>>, otherwise| {
+        stated.as_ref().map_or(otherwise, |stated| stated.value)
+    };
+    let span = |stated: &Option<Stated<Span>>, otherwise| {
+        stated.as_ref().map_or(otherwise, |stated| stated.value)
+    };
     SecondCopy {
         quantile: part(&text.quantile, SECOND_QUANTILE),
         least: span(&text.least, SECOND_LEAST),
--- a/charter/src/rules.rs
+++ b/charter/src/rules.rs
@@ -1,6 +1,6 @@
-//! What a charter may not say: a table of checks, each on one route and one listener that it takes, and the few that look
-//! at all routes together. A check complains only of what the file states, never of the settings alone; where values
-//! conflict only together it names them all.
+//! What a charter may not say: a table of checks, each on one route and one listener that it takes,
+//! and the few that look at all routes together. A check complains only of what the file states,
+//! never of the settings alone; where values conflict only together it names them all.
 use crate::Charter;
 use crate::keys::nearest;
 use crate::routing::{
@@ -27,7 +27,9 @@
 
 /// How long a session of this case may take for its answer.
 fn answer_due(case: &Case) -> Span {
-    case.front.dial_timeout.map_or(case.listener.wait, |own| own.min(case.listener.wait))
+    case.front
+        .dial_timeout
+        .map_or(case.listener.wait, |own| own.min(case.listener.wait))
 }
 
 const CHECKS: &[fn(&Case) -> Option<Complaint>] = &[
@@ -57,9 +59,15 @@
         })
     },
     |case| {
-        let (dials, each, due) = (case.row.max_dials, case.row.connect_timeout, answer_due(case));
+        let (dials, each, due) = (
+            case.row.max_dials,
+            case.row.connect_timeout,
+            answer_due(case),
+        );
         let route = case.route;
-        let stated = place(&route.dials).or(place(&route.connect_time)).or(place(&route.dial_timeout))?;
+        let stated = place(&route.dials)
+            .or(place(&route.connect_time))
+            .or(place(&route.dial_timeout))?;
         (each * f64::from(dials) > due).then(|| {
             let name = &case.listener.name;
             let why = format!(
@@ -73,7 +81,15 @@
     |case| {
         let stated = place(&case.route.base).or(place(&case.route.cap))?;
         (case.row.base > case.row.cap).then(|| {
-            ("base", Some(stated), format!("base {} is above cap {}", say(case.row.base), say(case.row.cap)))
+            (
+                "base",
+                Some(stated),
+                format!(
+                    "base {} is above cap {}",
+                    say(case.row.base),
+                    say(case.row.cap)
+                ),
+            )
         })
     },
     |case| {
@@ -89,7 +105,9 @@
         })
     },
     |case| {
-        let Effect::Referenced { window, .. } = case.row.effect else { return None };
+        let Effect::Referenced { window, .. } = case.row.effect else {
+            return None;
+        };
         let stated = place(&case.route.dials).or(place(&case.route.handshake_target))?;
         let last = case.row.handshake_target * f64::from(case.row.max_dials.saturating_sub(1));
         (last >= window).then(|| {
@@ -134,15 +152,24 @@
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
-        (case.row.max_dials < 2)
-            .then(|| ("second_copy", Some(own.place.clone()), "dials is 1: there is no second".to_string()))
+        (case.row.max_dials < 2).then(|| {
+            (
+                "second_copy",
+                Some(own.place.clone()),
+                "dials is 1: there is no second".to_string(),
+            )
+        })
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
         let copy = second_copy(&own.value, case.row.handshake_target);
         (copy.least > copy.most).then(|| {
             let why = format!("least {} is above most {}", say(copy.least), say(copy.most));
-            ("second_copy.least", place(&own.value.least).or(Some(own.place.clone())), why)
+            (
+                "second_copy.least",
+                place(&own.value.least).or(Some(own.place.clone())),
+                why,
+            )
         })
     },
     |case| {
@@ -156,7 +183,11 @@
                 case.listener.name,
                 say(due)
             );
-            ("second_copy.least", place(&own.value.least).or(Some(own.place.clone())), why)
+            (
+                "second_copy.least",
+                place(&own.value.least).or(Some(own.place.clone())),
+                why,
+            )
         })
     },
 ];
@@ -172,7 +203,13 @@
                 continue;
             }
             let (row, front, _) = effective(Some(route), listener, 0);
-            let case = Case { route, listener, row, front, of };
+            let case = Case {
+                route,
+                listener,
+                row,
+                front,
+                of,
+            };
             for check in CHECKS {
                 if let Some((key, at, why)) = check(&case) {
                     let at = at.unwrap_or_else(|| route.place.clone());
@@ -185,38 +222,62 @@
     together(charter, of, &mut faults);
     faults.sort();
     faults.dedup();
-    if faults.is_empty() { Ok(()) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(())
+    } else {
+        Err(faults)
+    }
 }
 
 fn names(route: &RouteText, of: &Circumstances, faults: &mut Vec<Fault>) {
-    let listeners: Vec<&str> = of.listeners.iter().map(|listener| listener.name.as_str()).collect();
+    let listeners: Vec<&str> = of
+        .listeners
+        .iter()
+        .map(|listener| listener.name.as_str())
+        .collect();
     let zones: Vec<&str> = of.zones.iter().map(String::as_str).collect();
-    let known = [("listener", &route.matching.listener, listeners), ("zone", &route.matching.zone, zones)];
+    let known = [
+        ("listener", &route.matching.listener, listeners),
+        ("zone", &route.matching.zone, zones),
+    ];
     for (key, stated, known) in known {
         let Some(stated) = stated else { continue };
-        for name in stated.value.iter().filter(|name| !known.contains(&name.as_str())) {
+        for name in stated
+            .value
+            .iter()
+            .filter(|name| !known.contains(&name.as_str()))
+        {
             let like = match nearest(known.iter().copied(), name) {
                 Some(like) => format!("; is it \"{like}\"?"),
                 None => format!("; there are {}", known.join(", ")),
             };
             let why = format!("there is no {key} \"{name}\"{like}");
-            faults.push(stated.place.fault(&format!("route {}.match.{key}", route.name), why));
+            faults.push(
+                stated
+                    .place
+                    .fault(&format!("route {}.match.{key}", route.name), why),
+            );
         }
     }
 }
 
 /// If all that one matches another before it has taken.
 fn takes_all_of(first: &RouteText, second: &RouteText, of: &Circumstances) -> bool {
-    let within =
-        |wide: &Option<Stated<Vec<String>>>, narrow: &Option<Stated<Vec<String>>>, all: &[&str]| match wide {
-            None => true,
-            Some(wide) => {
-                let all: Vec<String> = all.iter().map(ToString::to_string).collect();
-                let narrow = narrow.as_ref().map_or(&all, |narrow| &narrow.value);
-                narrow.iter().all(|name| wide.value.contains(name))
-            }
-        };
-    let listeners: Vec<&str> = of.listeners.iter().map(|listener| listener.name.as_str()).collect();
+    let within = |wide: &Option<Stated<Vec<String>>>,
+                  narrow: &Option<Stated<Vec<String>>>,
+                  all: &[&str]| match wide {
+        None => true,
+        Some(wide) => {
+            let all: Vec<String> = all.iter().map(ToString::to_string).collect();
+            let narrow = narrow.as_ref().map_or(&all, |narrow| &narrow.value);
+            narrow.iter().all(|name| wide.value.contains(name))
+        }
+    };
+    let listeners: Vec<&str> = of
+        .listeners
+        .iter()
+        .map(|listener| listener.name.as_str())
+        .collect();
     let zones: Vec<&str> = of.zones.iter().map(String::as_str).collect();
     let (wide, narrow) = (&first.matching, &second.matching);
     let prefix = match (&wide.key_prefix, &narrow.key_prefix) {
@@ -240,13 +301,19 @@
 
 fn shadowed(charter: &Charter, of: &Circumstances, faults: &mut Vec<Fault>) {
     for (number, route) in charter.routes.iter().enumerate() {
-        let before = charter.routes[..number].iter().find(|before| takes_all_of(before, route, of));
+        let before = charter.routes[..number]
+            .iter()
+            .find(|before| takes_all_of(before, route, of));
         if let Some(before) = before {
             let why = format!(
                 "it can never match: route {} of line {}, tried before it, takes all that it would",
                 before.name, before.place.line
             );
-            faults.push(route.place.fault(&format!("route {}.match", route.name), why));
+            faults.push(
+                route
+                    .place
+                    .fault(&format!("route {}.match", route.name), why),
+            );
         }
     }
 }
@@ -255,14 +322,22 @@
 const EACH: usize = 2;
 
 fn together(charter: &Charter, of: &Circumstances, faults: &mut Vec<Fault>) {
-    let stated: Vec<(&RouteText, &Stated<u32>)> =
-        charter.routes.iter().filter_map(|route| Some((route, route.at_once.as_ref()?))).collect();
-    let sum: usize = stated.iter().map(|(_, stated)| stated.value as usize * EACH).sum();
+    let stated: Vec<(&RouteText, &Stated<u32>)> = charter
+        .routes
+        .iter()
+        .filter_map(|route| Some((route, route.at_once.as_ref()?)))
+        .collect();
+    let sum: usize = stated
+        .iter()
+        .map(|(_, stated)| stated.value as usize * EACH)
+        .sum();
     if sum > of.descriptors
         && let Some((last, at)) = stated.last()
     {
-        let all: Vec<String> =
-            stated.iter().map(|(route, stated)| format!("{} {}", route.name, stated.value)).collect();
+        let all: Vec<String> = stated
+            .iter()
+            .map(|(route, stated)| format!("{} {}", route.name, stated.value))
+            .collect();
         let why = format!(
             "together ({}) they take {sum} descriptors, two a session; there are {} for sessions",
             all.join(", "),
--- a/charter/src/text.rs
+++ b/charter/src/text.rs
@@ -21,7 +21,11 @@
 
 impl fmt::Display for Fault {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(out, "{}:{}:{}: {}: {}", self.file, self.line, self.column, self.key, self.why)
+        write!(
+            out,
+            "{}:{}:{}: {}: {}",
+            self.file, self.line, self.column, self.key, self.why
+        )
     }
 }
 
@@ -42,7 +46,13 @@
 
 impl Place {
     pub fn fault(&self, key: &str, why: String) -> Fault {
-        Fault { file: self.file.clone(), line: self.line, column: self.column, key: key.into(), why }
+        Fault {
+            file: self.file.clone(),
+            line: self.line,
+            column: self.column,
+            key: key.into(),
+            why,
+        }
     }
 }
 
@@ -127,11 +137,17 @@
 }
 
 pub fn parse(file: &str, text: &str) -> Result<Charter, Vec<Fault>> {
-    let mut reader = Reader { file, text, faults: Vec::new() };
+    let mut reader = Reader {
+        file,
+        text,
+        faults: Vec::new(),
+    };
     let (table, errors) = DeTable::parse_recoverable(text);
     for error in &errors {
         let place = reader.place(error.span().unwrap_or(0..0));
-        reader.faults.push(place.fault("syntax", error.message().replace('\n', " ")));
+        reader
+            .faults
+            .push(place.fault("syntax", error.message().replace('\n', " ")));
     }
     let mut charter = Charter::default();
     if errors.is_empty() {
@@ -149,15 +165,29 @@
     let mut faults = reader.faults;
     faults.sort();
     faults.dedup();
-    if faults.is_empty() { Ok(charter) } else { Err(faults) }
+    if faults.is_empty() {
+        Ok(charter)
+    } else {
+        Err(faults)
+    }
 }
 
 impl Reader<'_> {
     fn place(&self, at: Range<usize>) -> Place {
         let before = &self.text[..at.start.min(self.text.len())];
         let line = before.matches('\n').count() + 1;
-        let column = before.rsplit('\n').next().unwrap_or_default().chars().count() + 1;
-        Place { file: self.file.into(), line, column }
+        let column = before
+            .rsplit('\n')
+            .next()
+            .unwrap_or_default()
+            .chars()
+            .count()
+            + 1;
+        Place {
+            file: self.file.into(),
+            line,
+            column,
+        }
     }
 
     fn fault(&mut self, at: Range<usize>, key: &str, why: String) {
@@ -169,20 +199,32 @@
         let DeValue::Array(rows) = value.get_ref() else {
             // What is no table at all has its fault by then.
             if let DeValue::Table(_) = value.get_ref() {
-                self.fault(value.span(), "route", "routes are tables headed [[route]]".into());
+                self.fault(
+                    value.span(),
+                    "route",
+                    "routes are tables headed [[route]]".into(),
+                );
             }
             return;
         };
         for row in rows.iter() {
             let DeValue::Table(table) = row.get_ref() else {
-                self.fault(row.span(), "route", "routes are tables headed [[route]]".into());
+                self.fault(
+                    row.span(),
+                    "route",
+                    "routes are tables headed [[route]]".into(),
+                );
                 continue;
             };
             let named = charter.routes.len();
             if let Some(route) = self.route(table, row.span(), named) {
                 if let Some(other) = charter.routes.iter().find(|other| other.name == route.name) {
                     let why = format!("the route of line {} has the same name", other.place.line);
-                    self.faults.push(route.place.fault(&format!("route {}.name", route.name), why));
+                    self.faults.push(
+                        route
+                            .place
+                            .fault(&format!("route {}.name", route.name), why),
+                    );
                 }
                 charter.routes.push(route);
             }
@@ -204,10 +246,16 @@
         }
         let one = |stated: Stated<Vec<String>>| {
             let value = stated.value.into_iter().next().unwrap_or_default();
-            Stated { value, place: stated.place }
+            Stated {
+                value,
+                place: stated.place,
+            }
         };
         let first = |stated: Stated<Vec<SocketAddr>>| {
-            Some(Stated { value: *stated.value.first()?, place: stated.place })
+            Some(Stated {
+                value: *stated.value.first()?,
+                place: stated.place,
+            })
         };
         Some(PeersText {
             fleet: read.names("fleet").map(one)?,
@@ -226,11 +274,19 @@
     }
 
     fn route(&mut self, table: &DeTable, at: Range<usize>, number: usize) -> Option<RouteText> {
-        let name = table.iter().find(|(key, _)| key.get_ref() == "name").and_then(|(_, value)| {
-            let DeValue::String(name) = value.get_ref() else { return None };
-            Some(name.to_string())
-        });
-        let called = format!("route {}", name.clone().unwrap_or_else(|| (number + 1).to_string()));
+        let name = table
+            .iter()
+            .find(|(key, _)| key.get_ref() == "name")
+            .and_then(|(_, value)| {
+                let DeValue::String(name) = value.get_ref() else {
+                    return None;
+                };
+                Some(name.to_string())
+            });
+        let called = format!(
+            "route {}",
+            name.clone().unwrap_or_else(|| (number + 1).to_string())
+        );
         let mut read = self.table(table, at.clone(), &ROUTE, &called);
         let Some(name) = name else {
             self.fault(at, &called, "name: it must be stated".into());
@@ -238,7 +294,9 @@
         };
         let inner = |key: &str| {
             let found = table.iter().find(|(name, _)| name.get_ref() == key)?;
-            let DeValue::Table(table) = found.1.get_ref() else { return None };
+            let DeValue::Table(table) = found.1.get_ref() else {
+                return None;
+            };
             Some((table, found.1.span()))
         };
         let mut matching = Matching::default();
@@ -259,7 +317,10 @@
                 most: read.span("most"),
                 share: read.number("share"),
             };
-            Stated { value, place: read.place }
+            Stated {
+                value,
+                place: read.place,
+            }
         });
         Some(RouteText {
             name,
@@ -282,8 +343,17 @@
     }
 
     /// All values of a table that are as their keys have them; what is not is a fault.
-    fn table(&mut self, table: &DeTable, at: Range<usize>, section: &'static Section, called: &str) -> Read {
-        let mut read = Read { values: BTreeMap::new(), place: self.place(at) };
+    fn table(
+        &mut self,
+        table: &DeTable,
+        at: Range<usize>,
+        section: &'static Section,
+        called: &str,
+    ) -> Read {
+        let mut read = Read {
+            values: BTreeMap::new(),
+            place: self.place(at),
+        };
         for (name, value) in table.iter() {
             let full = if called.is_empty() {
                 name.get_ref().to_string()
@@ -301,7 +371,8 @@
             };
             match value_of(key, value.get_ref()) {
                 Some(found) => {
-                    read.values.insert(key.name, (found, self.place(value.span())));
+                    read.values
+                        .insert(key.name, (found, self.place(value.span())));
                 }
                 None => self.fault(value.span(), &full, format!("it holds {}", key.kind.says())),
             }
@@ -316,9 +387,10 @@
         _ => None,
     };
     let list = |value: &DeValue| match value {
-        DeValue::Array(rows) if !rows.is_empty() => {
-            rows.iter().map(|row| text(row.get_ref())).collect::<Option<Vec<_>>>()
-        }
+        DeValue::Array(rows) if !rows.is_empty() => rows
+            .iter()
+            .map(|row| text(row.get_ref()))
+            .collect::<Option<Vec<_>>>(),
         _ => text(value).map(|one| vec![one]),
     };
     let number = |value: &DeValue| match value {
@@ -327,10 +399,15 @@
         _ => None,
     };
     let named = |name: &String| {
-        !name.is_empty() && name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
+        !name.is_empty()
+            && name
+                .bytes()
+                .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
     };
     let digits = |text: &str| {
-        (!text.is_empty() && text.len() <= 16).then(|| u64::from_str_radix(text, 16).ok()).flatten()
+        (!text.is_empty() && text.len() <= 16)
+            .then(|| u64::from_str_radix(text, 16).ok())
+            .flatten()
     };
     Some(match key.kind {
         Kind::Name => Value::Names(vec![text(value).filter(|name| named(name))?]),
@@ -346,22 +423,31 @@
             _ => return None,
         },
         Kind::Part => Value::Number(number(value).filter(|part| (0.0..=1.0).contains(part))?),
-        Kind::Factor => Value::Number(number(value).filter(|factor| *factor > 0.0 && factor.is_finite())?),
+        Kind::Factor => {
+            Value::Number(number(value).filter(|factor| *factor > 0.0 && factor.is_finite())?)
+        }
         Kind::Hex => {
-            let text = text(value).filter(|text| text.bytes().all(|byte| byte.is_ascii_hexdigit()))?;
+            let text =
+                text(value).filter(|text| text.bytes().all(|byte| byte.is_ascii_hexdigit()))?;
             Value::Hex(digits(&text)?, text.len() as u32)
         }
         Kind::HexList => {
             let all = list(value)?;
-            let sound =
-                |text: &String| (text.len() == 16 && !text.starts_with('+')).then(|| digits(text)).flatten();
+            let sound = |text: &String| {
+                (text.len() == 16 && !text.starts_with('+'))
+                    .then(|| digits(text))
+                    .flatten()
+            };
             Value::HexList(all.iter().map(sound).collect::<Option<Vec<u64>>>()?)
         }
         Kind::Text => Value::Names(vec![text(value).filter(|text| !text.is_empty())?]),
         Kind::Address => Value::Addresses(vec![text(value)?.parse().ok()?]),
-        Kind::Addresses => {
-            Value::Addresses(list(value)?.iter().map(|one| one.parse().ok()).collect::<Option<_>>()?)
-        }
+        Kind::Addresses => Value::Addresses(
+            list(value)?
+                .iter()
+                .map(|one| one.parse().ok())
+                .collect::<Option<_>>()?,
+        ),
         Kind::Table => match value {
             DeValue::Table(_) | DeValue::Array(_) => Value::Table,
             _ => return None,
@@ -379,33 +465,72 @@
     }
 
     fn names(&mut self, name: &str) -> Option<Stated<Vec<String>>> {
-        self.take(name, |value| if let Value::Names(names) = value { Some(names) } else { None })
+        self.take(name, |value| {
+            if let Value::Names(names) = value {
+                Some(names)
+            } else {
+                None
+            }
+        })
     }
 
     fn span(&mut self, name: &str) -> Option<Stated<Span>> {
-        self.take(name, |value| if let Value::Span(span) = value { Some(span) } else { None })
+        self.take(name, |value| {
+            if let Value::Span(span) = value {
+                Some(span)
+            } else {
+                None
+            }
+        })
     }
 
     fn count(&mut self, name: &str) -> Option<Stated<u32>> {
-        self.take(name, |value| if let Value::Count(count) = value { Some(count) } else { None })
+        self.take(name, |value| {
+            if let Value::Count(count) = value {
+                Some(count)
+            } else {
+                None
+            }
+        })
     }
 
     fn number(&mut self, name: &str) -> Option<Stated<f64>> {
-        self.take(name, |value| if let Value::Number(number) = value { Some(number) } else { None })
+        self.take(name, |value| {
+            if let Value::Number(number) = value {
+                Some(number)
+            } else {
+                None
+            }
+        })
     }
 
     fn addresses(&mut self, name: &str) -> Option<Stated<Vec<SocketAddr>>> {
-        self.take(name, |value| if let Value::Addresses(list) = value { Some(list) } else { None })
+        self.take(name, |value| {
+            if let Value::Addresses(list) = value {
+                Some(list)
+            } else {
+                None
+            }
+        })
     }
 
     fn hex(&mut self, name: &str) -> Option<Stated<(u64, u32)>> {
-        self.take(
-            name,
-            |value| if let Value::Hex(digits, count) = value { Some((digits, count)) } else { None },
-        )
+        self.take(name, |value| {
+            if let Value::Hex(digits, count) = value {
+                Some((digits, count))
+            } else {
+                None
+            }
+        })
     }
 
     fn hex_list(&mut self, name: &str) -> Option<Stated<Vec<u64>>> {
-        self.take(name, |value| if let Value::HexList(list) = value { Some(list) } else { None })
+        self.take(name, |value| {
+            if let Value::HexList(list) = value {
+                Some(list)
+            } else {
+                None
+            }
+        })
     }
 }
--- a/charter/tests/charter.rs
+++ b/charter/tests/charter.rs
@@ -1,7 +1,9 @@
 //! What a charter may say, what it may not, and what comes of it.
 use thistlecroft::deployment::{Effect, Route, Scope};
 use thistlecroft::units::Span;
-use thistlecroft_charter::{Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin, Routing, page};
+use thistlecroft_charter::{
+    Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin, Routing, page,
+};
 
 fn ms(ms: u64) -> Span {
     Span::from_ms(ms)
@@ -24,7 +26,10 @@
             ..Route::default()
         },
     };
-    let referenced = Effect::Referenced { scope: Scope::All, window: ms(500) };
+    let referenced = Effect::Referenced {
+        scope: Scope::All,
+        window: ms(500),
+    };
     Circumstances {
         listeners: vec![
             listener("hold", 1_200, Effect::Repeatable),
@@ -58,21 +63,54 @@
         ("[[rout]]\n", &[(1, 3, "rout", "is it `route`?")]),
         ("route = 3", &[(1, 9, "route", "a table")]),
         ("[[route]]\n", &[(1, 1, "route 1", "it must be stated")]),
-        ("[[route]]\nname = \"a b\"", &[(2, 8, "route a b.name", "letters, digits")]),
+        (
+            "[[route]]\nname = \"a b\"",
+            &[(2, 8, "route a b.name", "letters, digits")],
+        ),
         (
             "[[route]]\nname = \"a\"\n[[route]]\nname = \"a\"",
             &[(3, 1, "route a.name", "line 1 has the same name")],
         ),
-        ("[[route]]\nname = \"a\"\ndial = 3", &[(3, 1, "route a.dial", "is it `dials`?")]),
-        ("[[route]]\nname = \"a\"\nzzz = 3", &[(3, 1, "route a.zzz", "there is no such key")]),
-        ("[[route]]\nname = \"a\"\ndials = 0", &[(3, 9, "route a.dials", "a whole number, 1 or more")]),
-        ("[[route]]\nname = \"a\"\ndials = 1.5", &[(3, 9, "route a.dials", "a whole number")]),
-        ("[[route]]\nname = \"a\"\nbase = 250", &[(3, 8, "route a.base", "\"250ms\"")]),
-        ("[[route]]\nname = \"a\"\nbase = \"0s\"", &[(3, 8, "route a.base", "a span")]),
-        ("[[route]]\nname = \"a\"\nbase = \"99999h\"", &[(3, 8, "route a.base", "a span")]),
-        ("[[route]]\nname = \"a\"\nretry_share = 1.5", &[(3, 15, "route a.retry_share", "from 0 to 1")]),
-        ("[[route]]\nname = \"a\"\npatience = 0", &[(3, 12, "route a.patience", "above 0")]),
-        ("[[route]]\nname = \"a\"\nmatch = 3", &[(3, 9, "route a.match", "a table")]),
+        (
+            "[[route]]\nname = \"a\"\ndial = 3",
+            &[(3, 1, "route a.dial", "is it `dials`?")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\nzzz = 3",
+            &[(3, 1, "route a.zzz", "there is no such key")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\ndials = 0",
+            &[(3, 9, "route a.dials", "a whole number, 1 or more")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\ndials = 1.5",
+            &[(3, 9, "route a.dials", "a whole number")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\nbase = 250",
+            &[(3, 8, "route a.base", "\"250ms\"")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\nbase = \"0s\"",
+            &[(3, 8, "route a.base", "a span")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\nbase = \"99999h\"",
+            &[(3, 8, "route a.base", "a span")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\nretry_share = 1.5",
+            &[(3, 15, "route a.retry_share", "from 0 to 1")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\npatience = 0",
+            &[(3, 12, "route a.patience", "above 0")],
+        ),
+        (
+            "[[route]]\nname = \"a\"\nmatch = 3",
+            &[(3, 9, "route a.match", "a table")],
+        ),
         (
             "[[route]]\nname = \"a\"\n[route.match]\nkey_prefix = \"7g\"\ngroup = \"7f\"\nlistener = []",
             &[
@@ -111,7 +149,12 @@
     let hold = "listener = \"hold\"";
     // Lines of a route, what it matches, the key that is blamed, and the reason.
     let cases = [
-        ("dial_timeout = \"5s\"", hold, "dial_timeout", "5s is longer than clients of hold wait (1200ms)"),
+        (
+            "dial_timeout = \"5s\"",
+            hold,
+            "dial_timeout",
+            "5s is longer than clients of hold wait (1200ms)",
+        ),
         (
             "handshake_target = \"2s\"",
             hold,
@@ -131,52 +174,131 @@
             "dials 4 x connect_time 400ms is past the dial timeout of hold, 1200ms",
         ),
         ("base = \"40s\"", hold, "base", "base 40s is above cap 30s"),
-        ("cap = \"500ms\"", hold, "base", "base 1s is above cap 500ms"),
-        ("retry_after = \"3s\"", hold, "retry_after", "longer than the settings let clients stay away (2s)"),
-        ("dials = 3", "listener = \"book\"", "dials", "when the mark of book is forgotten (500ms)"),
-        ("idle = \"4s\"", hold, "idle", "idle 4s is no longer than cool_down 5s"),
-        ("second_copy = {}", "listener = \"pay\"", "second_copy", "pay is once-only: two dials at once"),
-        ("second_copy = {}", "listener = \"book\"", "second_copy", "book is referenced: two dials at once"),
-        ("second_copy = {}\ndials = 1", hold, "second_copy", "dials is 1"),
-        ("second_copy = { least = \"400ms\" }", hold, "second_copy.least", "least 400ms is above most 300ms"),
+        (
+            "cap = \"500ms\"",
+            hold,
+            "base",
+            "base 1s is above cap 500ms",
+        ),
+        (
+            "retry_after = \"3s\"",
+            hold,
+            "retry_after",
+            "longer than the settings let clients stay away (2s)",
+        ),
+        (
+            "dials = 3",
+            "listener = \"book\"",
+            "dials",
+            "when the mark of book is forgotten (500ms)",
+        ),
+        (
+            "idle = \"4s\"",
+            hold,
+            "idle",
+            "idle 4s is no longer than cool_down 5s",
+        ),
+        (
+            "second_copy = {}",
+            "listener = \"pay\"",
+            "second_copy",
+            "pay is once-only: two dials at once",
+        ),
+        (
+            "second_copy = {}",
+            "listener = \"book\"",
+            "second_copy",
+            "book is referenced: two dials at once",
+        ),
+        (
+            "second_copy = {}\ndials = 1",
+            hold,
+            "second_copy",
+            "dials is 1",
+        ),
+        (
+            "second_copy = { least = \"400ms\" }",
+            hold,
+            "second_copy.least",
+            "least 400ms is above most 300ms",
+        ),
         (
             "second_copy = { least = \"2s\", most = \"3s\" }",
             hold,
             "second_copy.least",
             "hold is answered by then (1200ms)",
         ),
-        ("at_once = 101", hold, "at_once", "they take 202 descriptors, two a session; there are 200"),
-        ("", "listener = \"holds\"", "match.listener", "there is no listener \"holds\"; is it \"hold\"?"),
-        ("", "zone = \"abuja\"", "match.zone", "there is no zone \"abuja\""),
+        (
+            "at_once = 101",
+            hold,
+            "at_once",
+            "they take 202 descriptors, two a session; there are 200",
+        ),
+        (
+            "",
+            "listener = \"holds\"",
+            "match.listener",
+            "there is no listener \"holds\"; is it \"hold\"?",
+        ),
+        (
+            "",
+            "zone = \"abuja\"",
+            "match.zone",
+            "there is no zone \"abuja\"",
+        ),
     ];
     for (lines, matching, key, why) in cases {
         let text = route("a", matching, lines);
         let faults = read(&text, &of()).expect_err(&text);
-        let found = faults.iter().find(|fault| fault.key == format!("route a.{key}"));
+        let found = faults
+            .iter()
+            .find(|fault| fault.key == format!("route a.{key}"));
         let found = found.unwrap_or_else(|| panic!("{text}: {faults:?}"));
         assert!(found.why.contains(why), "{text}: {found}");
     }
-    let single = Circumstances { two_dials: false, ..of() };
+    let single = Circumstances {
+        two_dials: false,
+        ..of()
+    };
     let text = route("a", hold, "second_copy = {}");
-    assert!(read(&text, &single).unwrap_err()[0].why.contains("one dial at a time"));
+    assert!(
+        read(&text, &single).unwrap_err()[0]
+            .why
+            .contains("one dial at a time")
+    );
     assert!(read(&text, &of()).is_ok());
     // What the settings say by themselves is nobody's fault here, and nothing at all is a charter.
     assert!(read("", &of()).is_ok());
     // Together: each fits, all don't; and the one that can never match.
     let two = route("a", hold, "at_once = 60") + &route("b", "listener = \"view\"", "at_once = 60");
     let faults = read(&two, &of()).unwrap_err();
-    assert!(faults[0].why.contains("a 60, b 60") && faults[0].key == "route b.at_once", "{faults:?}");
+    assert!(
+        faults[0].why.contains("a 60, b 60") && faults[0].key == "route b.at_once",
+        "{faults:?}"
+    );
     let shadowed = [
         ("", "key_prefix = \"7f\""),
-        ("listener = [\"hold\", \"view\"]", "listener = \"view\"\ngroup = \"5c0f6e1a2b3d4c59\""),
+        (
+            "listener = [\"hold\", \"view\"]",
+            "listener = \"view\"\ngroup = \"5c0f6e1a2b3d4c59\"",
+        ),
         ("key_prefix = \"7f\"", "key_prefix = \"7f3\""),
-        ("listener = [\"hold\", \"view\", \"pay\", \"book\"]", "key_prefix = \"a\""),
-        ("group = [\"5c0f6e1a2b3d4c59\", \"0000000000000001\"]", "group = \"0000000000000001\""),
+        (
+            "listener = [\"hold\", \"view\", \"pay\", \"book\"]",
+            "key_prefix = \"a\"",
+        ),
+        (
+            "group = [\"5c0f6e1a2b3d4c59\", \"0000000000000001\"]",
+            "group = \"0000000000000001\"",
+        ),
     ];
     for (first, second) in shadowed {
         let text = route("a", first, "") + &route("b", second, "");
         let faults = read(&text, &of()).expect_err(&text);
-        assert!(faults[0].why.contains("route a of line 1, tried before it"), "{text}: {faults:?}");
+        assert!(
+            faults[0].why.contains("route a of line 1, tried before it"),
+            "{text}: {faults:?}"
+        );
         // The other way round both have their use.
         let text = route("b", second, "") + &route("a", first, "");
         assert!(read(&text, &of()).is_ok(), "{text}");
@@ -185,12 +307,26 @@
 
 #[test]
 fn the_first_route_that_matches_counts_and_the_rest_is_as_the_settings_have_it() {
-    let text = route("partner", "key_prefix = \"7f3\"\nlistener = \"view\"", "dials = 2\nidle = \"1m\"")
-        + &route("kiln", "group = \"5c0f6e1a2b3d4c59\"", "connect_time = \"20ms\"")
-        + &route("elsewhere", "zone = \"ikeja\"", "dials = 1")
-        + &route("look", "listener = [\"view\", \"hold\"]", "dial_timeout = \"1s\"\ncap = \"9s\"");
+    let text = route(
+        "partner",
+        "key_prefix = \"7f3\"\nlistener = \"view\"",
+        "dials = 2\nidle = \"1m\"",
+    ) + &route(
+        "kiln",
+        "group = \"5c0f6e1a2b3d4c59\"",
+        "connect_time = \"20ms\"",
+    ) + &route("elsewhere", "zone = \"ikeja\"", "dials = 1")
+        + &route(
+            "look",
+            "listener = [\"view\", \"hold\"]",
+            "dial_timeout = \"1s\"\ncap = \"9s\"",
+        );
     let routing = read(&text, &of()).unwrap();
-    let (prefixed, other, kiln) = (0x7f3a_9c21_e0b4_d655, 0x6f3a_9c21_e0b4_d655, 0x5c0f_6e1a_2b3d_4c59);
+    let (prefixed, other, kiln) = (
+        0x7f3a_9c21_e0b4_d655,
+        0x6f3a_9c21_e0b4_d655,
+        0x5c0f_6e1a_2b3d_4c59,
+    );
     // Listener, key and group; dials, connect time, dial timeout and cap.
     let cases = [
         (1, prefixed, None, (2, 50, None, 30_000)),
@@ -211,30 +347,64 @@
             front.dial_timeout.map(|span| span.us() / 1_000),
             route.cap.us() / 1_000,
         );
-        assert_eq!(found, expected, "listener {listener}, key {key:x}, group {group:?}");
+        assert_eq!(
+            found, expected,
+            "listener {listener}, key {key:x}, group {group:?}"
+        );
         assert_eq!(route.effect, of().listeners[listener].row.effect);
     }
     // Without a charter every listener has the row at its own place.
     let plain = Routing::plain(&of());
-    assert_eq!((0..4).map(|listener| plain.find(listener, 1, None)).collect::<Vec<_>>(), [0, 1, 2, 3]);
+    assert_eq!(
+        (0..4)
+            .map(|listener| plain.find(listener, 1, None))
+            .collect::<Vec<_>>(),
+        [0, 1, 2, 3]
+    );
     assert_eq!(plain.rows().len(), 4);
-    let told = routing.told().iter().find(|told| told.route == "partner" && told.key == "dials").unwrap();
-    assert_eq!((told.value.as_str(), told.origin, told.listener.as_str()), ("2", Origin::File(3), "view"));
+    let told = routing
+        .told()
+        .iter()
+        .find(|told| told.route == "partner" && told.key == "dials")
+        .unwrap();
+    assert_eq!(
+        (told.value.as_str(), told.origin, told.listener.as_str()),
+        ("2", Origin::File(3), "view")
+    );
     let origins = |key| {
-        routing.told().iter().filter(|told| told.key == key).map(|told| told.origin).collect::<Vec<_>>()
+        routing
+            .told()
+            .iter()
+            .filter(|told| told.key == key)
+            .map(|told| told.origin)
+            .collect::<Vec<_>>()
     };
-    assert!(origins("cool_down").iter().all(|origin| *origin == Origin::BuiltIn));
-    assert!(origins("handshake_target").iter().all(|origin| *origin == Origin::Settings));
+    assert!(
+        origins("cool_down")
+            .iter()
+            .all(|origin| *origin == Origin::BuiltIn)
+    );
+    assert!(
+        origins("handshake_target")
+            .iter()
+            .all(|origin| *origin == Origin::Settings)
+    );
 }
 
 #[test]
 fn a_later_file_says_what_it_changes_and_keeps_its_lanes() {
     let mut lanes = Lanes::default();
-    let mut against =
-        |text: &str| Charter::parse("c.toml", text).unwrap().against(&of(), &mut lanes).unwrap();
+    let mut against = |text: &str| {
+        Charter::parse("c.toml", text)
+            .unwrap()
+            .against(&of(), &mut lanes)
+            .unwrap()
+    };
     let hold = "listener = \"hold\"";
     let old = against(&(route("a", hold, "dials = 2") + &route("b", "listener = \"view\"", "")));
-    let new = against(&(route("c", "listener = \"pay\"", "") + &route("a", hold, "dials = 3\nat_once = 5")));
+    let new = against(
+        &(route("c", "listener = \"pay\"", "") + &route("a", hold, "dials = 3\nat_once = 5")),
+    );
     assert_eq!(
         old.changes(&new),
         [
@@ -246,7 +416,11 @@
     );
     assert!(new.changes(&new).is_empty());
     let lane = |routing: &Routing, listener| routing.rows()[routing.find(listener, 1, None)].lane;
-    assert_eq!(lane(&old, 0), lane(&new, 0), "counted on under the same name");
+    assert_eq!(
+        lane(&old, 0),
+        lane(&new, 0),
+        "counted on under the same name"
+    );
     assert!(lane(&new, 2) != lane(&old, 1) && lane(&new, 1) == 0);
 }
 
@@ -254,11 +428,18 @@
 fn the_reference_page_is_the_readers_own_and_the_example_is_sound() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let written = std::fs::read_to_string(root.join("docs/operate/charter-reference.md")).unwrap();
-    assert_eq!(written, page::reference(), "write it anew: thistlecroft charter reference");
+    assert_eq!(
+        written,
+        page::reference(),
+        "write it anew: thistlecroft charter reference"
+    );
     let example = std::fs::read_to_string(root.join("deploy/charter.example.toml")).unwrap();
     let mut circumstances = of();
     for (listener, name) in
-        circumstances.listeners.iter_mut().zip(["slot-hold", "slot-view", "pay", "queue-view"])
+        circumstances
+            .listeners
+            .iter_mut()
+            .zip(["slot-hold", "slot-view", "pay", "queue-view"])
     {
         (listener.name, listener.row.effect) = (name.into(), Effect::Repeatable);
     }
@@ -268,7 +449,10 @@
     let (before, shown) = example.split_once("second one:\n#\n").unwrap();
     let all = before.to_string() + "\n" + &shown.replace("# ", "");
     let routing = read(&all, &circumstances).unwrap();
-    assert!(routing.rows()[routing.find(1, 1, None)].second.is_some(), "{all}");
+    assert!(
+        routing.rows()[routing.find(1, 1, None)].second.is_some(),
+        "{all}"
+    );
 }
 
 #[test]
@@ -280,42 +464,105 @@
         Charter::parse("c.toml", text).and_then(|charter| charter.peering(of))
     };
     let plain = peering(&table(""), &of()).unwrap().unwrap();
-    assert_eq!((plain.period, plain.lease, plain.rate), (ms(1_000), ms(10_000), 32_768));
+    assert_eq!(
+        (plain.period, plain.lease, plain.rate),
+        (ms(1_000), ms(10_000), 32_768)
+    );
     assert_eq!((plain.advertise, plain.generation), (plain.listen, 1));
     assert_eq!(peering("", &of()), Ok(None));
     // A line that is added, and the fault as line, key and a part of why.
     let cases = [
         ("seeds = \"x\"", 5, "peers.seeds", "an address with a port"),
-        ("seeds = [\"10.0.0.1\"]", 5, "peers.seeds", "an address with a port"),
-        ("period = \"10ms\"", 5, "peers.period", "not between 50ms and 10s"),
-        ("lease = \"2m\"", 5, "peers.lease", "not between 500ms and 60s"),
+        (
+            "seeds = [\"10.0.0.1\"]",
+            5,
+            "peers.seeds",
+            "an address with a port",
+        ),
+        (
+            "period = \"10ms\"",
+            5,
+            "peers.period",
+            "not between 50ms and 10s",
+        ),
+        (
+            "lease = \"2m\"",
+            5,
+            "peers.lease",
+            "not between 500ms and 60s",
+        ),
         ("rate = 100", 5, "peers.rate", "4096 at least"),
-        ("voters = [\"a\", \"b\", \"a\"]", 5, "peers.voters", "a stands twice"),
-        ("voters = [\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\",\"h\"]", 5, "peers.voters", "7 at most"),
-        ("voters_before = [\"a\"]", 5, "peers.voters_before", "a `generation` above 1"),
-        ("advertise = \"0.0.0.0:7946\"", 5, "peers.advertise", "others can't reach"),
-        ("advertise = \"10.0.0.1:0\"", 5, "peers.advertise", "others can't reach"),
+        (
+            "voters = [\"a\", \"b\", \"a\"]",
+            5,
+            "peers.voters",
+            "a stands twice",
+        ),
+        (
+            "voters = [\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\",\"h\"]",
+            5,
+            "peers.voters",
+            "7 at most",
+        ),
+        (
+            "voters_before = [\"a\"]",
+            5,
+            "peers.voters_before",
+            "a `generation` above 1",
+        ),
+        (
+            "advertise = \"0.0.0.0:7946\"",
+            5,
+            "peers.advertise",
+            "others can't reach",
+        ),
+        (
+            "advertise = \"10.0.0.1:0\"",
+            5,
+            "peers.advertise",
+            "others can't reach",
+        ),
         ("voter = [\"a\"]", 5, "peers.voter", "is it `voters`?"),
-        ("key_files = \"k\"", 5, "peers.key_files", "is it `key_file`?"),
+        (
+            "key_files = \"k\"",
+            5,
+            "peers.key_files",
+            "is it `key_file`?",
+        ),
     ];
     for (line, number, key, why) in cases {
         let faults = peering(&table(line), &of()).expect_err(line);
         assert_eq!(faults.len(), 1, "{line}: {faults:?}");
-        assert_eq!((faults[0].line, faults[0].key.as_str()), (number, key), "{line}: {}", faults[0]);
+        assert_eq!(
+            (faults[0].line, faults[0].key.as_str()),
+            (number, key),
+            "{line}: {}",
+            faults[0]
+        );
         assert!(faults[0].why.contains(why), "{line}: {}", faults[0]);
     }
     let missing = peering("[peers]\nfleet = \"a\"", &of()).unwrap_err();
     assert_eq!(missing.len(), 2, "{missing:?}");
-    assert!(peering("[[peers]]\n", &of()).unwrap_err()[0].why.contains("one table"));
-    let barred = Circumstances { peers: false, ..of() };
+    assert!(
+        peering("[[peers]]\n", &of()).unwrap_err()[0]
+            .why
+            .contains("one table")
+    );
+    let barred = Circumstances {
+        peers: false,
+        ..of()
+    };
     let fault = read(&table(""), &barred).unwrap_err();
     assert!(fault[0].why.contains("permissions.peers"), "{fault:?}");
 }
 
 #[test]
 fn the_shipped_charter_for_peers_is_sound() {
-    let charter =
-        Charter::parse("charter.peers.toml", include_str!("../../deploy/charter.peers.toml")).unwrap();
+    let charter = Charter::parse(
+        "charter.peers.toml",
+        include_str!("../../deploy/charter.peers.toml"),
+    )
+    .unwrap();
     let peering = charter.peering(&of()).unwrap().unwrap();
     assert_eq!((peering.voters.len(), peering.seeds.len()), (3, 3));
 }
--- a/command/src/checks.rs
+++ b/command/src/checks.rs
@@ -2,7 +2,9 @@
 use crate::End;
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
-use thistlecroft_charter::{Charter, Circumstances, Fault, Lanes, OTHERWISE, Origin, Routing, page};
+use thistlecroft_charter::{
+    Charter, Circumstances, Fault, Lanes, OTHERWISE, Origin, Routing, page,
+};
 use thistlecroft_lab::scale::Budget;
 use thistlecroft_lab::scenario::Scenario;
 use thistlecroft_relay::{circumstances, read_file};
@@ -17,8 +19,8 @@
     /// Print every value in force and where it is from.
     #[arg(long)]
     effective: bool,
-    /// Two files of a kind, the one in force and a later one: print what a running relay takes up on SIGHUP, and what
-    /// needs a restart.
+    /// Two files of a kind, the one in force and a later one: print what a running relay takes up
+    /// on SIGHUP, and what needs a restart.
     #[arg(long)]
     against: bool,
 }
@@ -70,7 +72,10 @@
         return Ok(Sound::Budget(budget));
     }
     let charter = Charter::parse(&name, &text).map_err(lines)?;
-    let routing = of.map(|of| charter.against(of, lanes)).transpose().map_err(lines)?;
+    let routing = of
+        .map(|of| charter.against(of, lanes))
+        .transpose()
+        .map_err(lines)?;
     Ok(Sound::Charter(Box::new(charter), routing))
 }
 
@@ -109,11 +114,17 @@
     match read {
         Sound::Configuration(posting) => {
             let listeners = posting.site.listeners.join(", ");
-            format!("a relay's configuration: {} at {}, listeners {listeners}", posting.name, posting.listen)
+            format!(
+                "a relay's configuration: {} at {}, listeners {listeners}",
+                posting.name, posting.listen
+            )
         }
         Sound::Scenario(scenario) => {
             let (boxes, relays) = (scenario.fleet.boxes, scenario.relays.count);
-            format!("a scenario: {relays} relays, {boxes} boxes, {} faults", scenario.faults.len())
+            format!(
+                "a scenario: {relays} relays, {boxes} boxes, {} faults",
+                scenario.faults.len()
+            )
         }
         Sound::Charter(charter, routing) => {
             let held = match routing {
@@ -127,15 +138,21 @@
 }
 
 fn effective(read: &Sound) -> Result<(), End> {
-    let Sound::Charter(_, routing) = read else { return Ok(()) };
+    let Sound::Charter(_, routing) = read else {
+        return Ok(());
+    };
     let routing = routing.as_ref();
-    let routing =
-        routing.ok_or_else(|| End::Wrong("--effective needs --config: what holds depends on it".into()))?;
+    let routing = routing
+        .ok_or_else(|| End::Wrong("--effective needs --config: what holds depends on it".into()))?;
     let mut last = (String::new(), String::new());
     for told in routing.told() {
         let place = (told.route.clone(), told.listener.clone());
         if place != last {
-            let route = if told.route == OTHERWISE { "sessions that no route matches" } else { &told.route };
+            let route = if told.route == OTHERWISE {
+                "sessions that no route matches"
+            } else {
+                &told.route
+            };
             println!("  {route}, listener {}", told.listener);
             last = place;
         }
@@ -161,18 +178,28 @@
             println!("needs a restart: nothing");
             Ok(())
         }
-        [Sound::Charter(..), Sound::Charter(..)] => {
-            Err(End::Wrong("--against needs --config for charters: what they change depends on it".into()))
-        }
+        [Sound::Charter(..), Sound::Charter(..)] => Err(End::Wrong(
+            "--against needs --config for charters: what they change depends on it".into(),
+        )),
         [Sound::Configuration(old), Sound::Configuration(new)] => {
             let differs = old.origin.differs(&new.origin);
             let moves = old.discovery != new.discovery;
-            let moves = if moves { new.discovery.to_string() } else { "nothing".into() };
+            let moves = if moves {
+                new.discovery.to_string()
+            } else {
+                "nothing".into()
+            };
             println!("taken up on SIGHUP: discovery: {moves}");
-            let differs = if differs.is_empty() { "nothing".into() } else { differs.join(", ") };
+            let differs = if differs.is_empty() {
+                "nothing".into()
+            } else {
+                differs.join(", ")
+            };
             println!("needs a restart: {differs}");
             Ok(())
         }
-        _ => Err(End::Wrong("--against compares two charters, or two configurations".into())),
+        _ => Err(End::Wrong(
+            "--against compares two charters, or two configurations".into(),
+        )),
     }
 }
--- a/command/src/demo.rs
+++ b/command/src/demo.rs
@@ -13,7 +13,12 @@
 pub fn run(seed: u64, plain: bool) -> Result<(), End> {
     let text = shipped::text("demo").expect("shipped with the command");
     let scenario = Scenario::parse("demo", text).map_err(|fault| End::Failed(fault.to_string()))?;
-    let way = Way { name: "relays".into(), baseline: None, relay: own_relay()?, chartered: true };
+    let way = Way {
+        name: "relays".into(),
+        baseline: None,
+        relay: own_relay()?,
+        chartered: true,
+    };
     let stop = interrupted();
     let folder = std::env::temp_dir().join(format!("thistlecroft-demo-{}", std::process::id()));
     let draws = std::io::stdout().is_terminal() && !plain;
@@ -38,7 +43,10 @@
     println!("{}", summary.line());
     if !kept {
         println!("{}", summary.page());
-        return Err(End::Failed(format!("a rule was broken; what was seen is in {}", folder.display())));
+        return Err(End::Failed(format!(
+            "a rule was broken; what was seen is in {}",
+            folder.display()
+        )));
     }
     if stop.load(Ordering::Relaxed) {
         return Err(End::Interrupted("interrupted".into()));
@@ -58,8 +66,11 @@
         look.moved
     );
     if !whole {
-        let news =
-            if look.news.is_empty() { String::new() } else { format!("  << {}", look.news.join(", ")) };
+        let news = if look.news.is_empty() {
+            String::new()
+        } else {
+            format!("  << {}", look.news.join(", "))
+        };
         return text + &news + "\n";
     }
     text.push('\n');
@@ -67,7 +78,10 @@
         let (bar, state) = match of {
             Some((load, state)) => {
                 let full = ((load * BAR as f64).round() as usize).min(BAR);
-                (format!("{}{}", "#".repeat(full), ".".repeat(BAR - full)), format!("{load:5.2} {state}"))
+                (
+                    format!("{}{}", "#".repeat(full), ".".repeat(BAR - full)),
+                    format!("{load:5.2} {state}"),
+                )
             }
             None => (" ".repeat(BAR), "  not running".into()),
         };
--- a/command/src/experiments.rs
+++ b/command/src/experiments.rs
@@ -61,14 +61,16 @@
     },
     /// Print a scenario that comes with the command, to begin one's own with.
     Show { scenario: String },
-    /// Measure fleets of hollow relays: what control sends and costs, how fast they agree and own, and a budget kept.
+    /// Measure fleets of hollow relays: what control sends and costs, how fast they agree and own,
+    /// and a budget kept.
     Scale(Box<ScaleArgs>),
     /// Run `scale` at several sizes and seeds, and put a straight line through each figure.
     Slope(Box<SlopeArgs>),
     /// A process of hollow relays, for `scale`: speaks on standard input and output.
     #[command(hide = true)]
     Hollow,
-    /// Measure how fast relays know of one another and what it costs: over simulated links, and as processes here.
+    /// Measure how fast relays know of one another and what it costs: over simulated links, and as
+    /// processes here.
     Peers {
         /// Sizes over simulated links.
         #[arg(long, value_delimiter = ',', default_value = "12,48,200")]
@@ -110,10 +112,12 @@
 
 /// This program with these arguments.
 pub fn own_program(arguments: &[&str]) -> Result<Vec<String>, End> {
-    let own =
-        std::env::current_exe().map_err(|fault| End::Failed(format!("this program's own path: {fault}")))?;
+    let own = std::env::current_exe()
+        .map_err(|fault| End::Failed(format!("this program's own path: {fault}")))?;
     let own = own.to_string_lossy().into_owned();
-    Ok(std::iter::once(own).chain(arguments.iter().map(|one| (*one).to_string())).collect())
+    Ok(std::iter::once(own)
+        .chain(arguments.iter().map(|one| (*one).to_string()))
+        .collect())
 }
 
 /// This program as a relay.
@@ -126,7 +130,9 @@
         return Scenario::parse(name, text).map_err(|fault| End::Failed(fault.to_string()));
     }
     if !Path::new(name).exists() && !name.contains(['/', '.']) {
-        return Err(End::Wrong(format!("{name}: neither a file nor one of `thistlecroft lab list`")));
+        return Err(End::Wrong(format!(
+            "{name}: neither a file nor one of `thistlecroft lab list`"
+        )));
     }
     Scenario::read(name).map_err(End::Wrong)
 }
@@ -145,19 +151,26 @@
         Verb::Show { scenario } => {
             let text = shipped::text(&scenario)
                 .or_else(|| shipped::budget(&scenario))
-                .ok_or_else(|| End::Wrong(format!("{scenario}: not one of `thistlecroft lab list`")))?;
+                .ok_or_else(|| {
+                    End::Wrong(format!("{scenario}: not one of `thistlecroft lab list`"))
+                })?;
             print!("{text}");
             Ok(())
         }
         Verb::Compare { first, second } => {
-            let (one, two) =
-                (compare::read(&first).map_err(End::Wrong)?, compare::read(&second).map_err(End::Wrong)?);
+            let (one, two) = (
+                compare::read(&first).map_err(End::Wrong)?,
+                compare::read(&second).map_err(End::Wrong)?,
+            );
             let names = (first.to_string_lossy(), second.to_string_lossy());
             println!("{}", compare::table((&names.0, &one), (&names.1, &two)));
             Ok(())
         }
         Verb::Count { folder, span } => {
-            print!("{}", Counts::read(&folder, span).map_err(End::Wrong)?.table());
+            print!(
+                "{}",
+                Counts::read(&folder, span).map_err(End::Wrong)?.table()
+            );
             Ok(())
         }
         Verb::Report { folder } => report(&folder),
@@ -165,16 +178,31 @@
         Verb::Slope(args) => slope(&args),
         Verb::Hollow => thistlecroft_lab::scale::work().map_err(End::Failed),
         Verb::Saturate { out } => saturation(&out),
-        Verb::Run { scenario: name, seed, seeds, out, relay, ways, baseline, quiet } => {
+        Verb::Run {
+            scenario: name,
+            seed,
+            seeds,
+            out,
+            relay,
+            ways,
+            baseline,
+            quiet,
+        } => {
             let scenario = scenario(&name)?;
             let relay = match relay {
                 Some(program) => vec![program],
                 None => own_relay()?,
             };
             let mut all = Way::all(&scenario, &relay);
-            if let Some(name) = ways.iter().find(|name| !all.iter().any(|way| way.name == **name)) {
+            if let Some(name) = ways
+                .iter()
+                .find(|name| !all.iter().any(|way| way.name == **name))
+            {
                 let known: Vec<&str> = all.iter().map(|way| way.name.as_str()).collect();
-                return Err(End::Wrong(format!("no way \"{name}\"; there are {}", known.join(", "))));
+                return Err(End::Wrong(format!(
+                    "no way \"{name}\"; there are {}",
+                    known.join(", ")
+                )));
             }
             if !ways.is_empty() {
                 all.retain(|way| ways.contains(&way.name));
@@ -193,21 +221,42 @@
                 }];
             }
             let first = seed.unwrap_or(scenario.seed);
-            let runs = all.iter().flat_map(|way| (first..first + seeds).map(move |seed| (way, seed)));
+            let runs = all
+                .iter()
+                .flat_map(|way| (first..first + seeds).map(move |seed| (way, seed)));
             experiment(&scenario, &out, runs.collect(), quiet)
         }
-        Verb::Peers { simulated, processes, loss, period, seeds, out } => {
+        Verb::Peers {
+            simulated,
+            processes,
+            loss,
+            period,
+            seeds,
+            out,
+        } => {
             let period = Span::written(&period).filter(|span| span.us() >= 50_000);
-            let period = period.ok_or_else(|| End::Wrong("--period: a span of 50ms or more".into()))?;
+            let period =
+                period.ok_or_else(|| End::Wrong("--period: a span of 50ms or more".into()))?;
             if loss.iter().any(|loss| !(0.0..=0.9).contains(loss)) {
                 return Err(End::Wrong("--loss: parts between 0 and 0.9".into()));
             }
-            if simulated.iter().chain(&processes).any(|size| !(2..=2_000).contains(size)) {
+            if simulated
+                .iter()
+                .chain(&processes)
+                .any(|size| !(2..=2_000).contains(size))
+            {
                 return Err(End::Wrong("sizes are between 2 and 2000".into()));
             }
             let of = |size: usize| {
                 let loss = loss.iter().copied();
-                loss.flat_map(move |loss| (1..=seeds).map(move |seed| Trial { size, loss, seed, period }))
+                loss.flat_map(move |loss| {
+                    (1..=seeds).map(move |seed| Trial {
+                        size,
+                        loss,
+                        seed,
+                        period,
+                    })
+                })
             };
             let trials: Vec<Trial> = simulated.iter().flat_map(|size| of(*size)).collect();
             let mut all = peers::simulated_all(&trials);
@@ -222,11 +271,19 @@
     }
 }
 
-fn experiment(scenario: &Scenario, out: &Path, runs: Vec<(&Way, u64)>, quiet: bool) -> Result<(), End> {
+fn experiment(
+    scenario: &Scenario,
+    out: &Path,
+    runs: Vec<(&Way, u64)>,
+    quiet: bool,
+) -> Result<(), End> {
     let stop = interrupted();
     let mut summaries: Vec<Summary> = Vec::new();
     for (way, seed) in runs {
-        let folder = out.join(&scenario.name).join(&way.name).join(format!("seed-{seed}"));
+        let folder = out
+            .join(&scenario.name)
+            .join(&way.name)
+            .join(format!("seed-{seed}"));
         let mut progress = |look: &Look| {
             if !quiet {
                 eprintln!("{}", progress(look));
@@ -235,24 +292,39 @@
         if !quiet {
             eprintln!("{} / {} / seed {seed}", scenario.name, way.name);
         }
-        let done = run_once(scenario, way, seed, &folder, &stop, &mut progress).map_err(End::Failed)?;
-        println!("{}\n  report      {}", done.summary.page(), folder.join("report.html").display());
+        let done =
+            run_once(scenario, way, seed, &folder, &stop, &mut progress).map_err(End::Failed)?;
+        println!(
+            "{}\n  report      {}",
+            done.summary.page(),
+            folder.join("report.html").display()
+        );
         summaries.push(done.summary);
         if stop.load(Ordering::Relaxed) {
-            return Err(End::Interrupted(format!("interrupted; what was seen is in {}", out.display())));
+            return Err(End::Interrupted(format!(
+                "interrupted; what was seen is in {}",
+                out.display()
+            )));
         }
     }
     // A baseline keeps no rules and is no failure.
     let broken = summaries.iter().filter(|summary| !summary.kept()).count();
     if broken > 0 {
-        Err(End::Failed(format!("{broken} of {} runs broke a rule", summaries.len())))
+        Err(End::Failed(format!(
+            "{broken} of {} runs broke a rule",
+            summaries.len()
+        )))
     } else {
         Ok(())
     }
 }
 
 fn progress(look: &Look) -> String {
-    let news = if look.news.is_empty() { String::new() } else { format!("  << {}", look.news.join(", ")) };
+    let news = if look.news.is_empty() {
+        String::new()
+    } else {
+        format!("  << {}", look.news.join(", "))
+    };
     format!(
         "{:5.0} of {:.0} s  standing {:>5}  up {:>6}  busy {:>5}  failed {:>4}  moved {:>5}{news}",
         look.at.secs(),
@@ -270,12 +342,19 @@
     let mut rows = String::new();
     for summary in &summaries {
         println!("{}", summary.page());
-        let path = format!("{}/{}/seed-{}/report.html", summary.scenario, summary.way, summary.seed);
-        let path = [path.as_str(), &path[path.find('/').map_or(0, |at| at + 1)..], "report.html"]
-            .into_iter()
-            .find(|path| folder.join(path).exists())
-            .unwrap_or("report.html")
-            .to_string();
+        let path = format!(
+            "{}/{}/seed-{}/report.html",
+            summary.scenario, summary.way, summary.seed
+        );
+        let path = [
+            path.as_str(),
+            &path[path.find('/').map_or(0, |at| at + 1)..],
+            "report.html",
+        ]
+        .into_iter()
+        .find(|path| folder.join(path).exists())
+        .unwrap_or("report.html")
+        .to_string();
         rows += &format!(
             "<tr><td><a href=\"{path}\">{} / {} / {}</a><td>{}<td>{:.3}<td>{:.1}<td>{:.1}\n",
             summary.scenario,
@@ -293,7 +372,8 @@
          <th>utility served<th>set-up p99, ms<th>line p99, ms\n{rows}</table></html>\n"
     );
     let path = folder.join("index.html");
-    std::fs::write(&path, page).map_err(|fault| End::Failed(format!("{}: {fault}", path.display())))?;
+    std::fs::write(&path, page)
+        .map_err(|fault| End::Failed(format!("{}: {fault}", path.display())))?;
     println!("{} runs; {}", summaries.len(), path.display());
     Ok(())
 }
@@ -306,12 +386,19 @@
             summary.up as f64 / 4.0,
             summary.tool_late.p99,
             summary.tool_busy * 100.0,
-            if summary.tool_was_late { "  too late" } else { "" }
+            if summary.tool_was_late {
+                "  too late"
+            } else {
+                ""
+            }
         );
     };
     let rows = saturate(out, &stop, &mut told).map_err(End::Failed)?;
-    let best =
-        rows.iter().filter(|(_, summary)| !summary.tool_was_late).map(|(rate, _)| *rate).fold(0.0, f64::max);
+    let best = rows
+        .iter()
+        .filter(|(_, summary)| !summary.tool_was_late)
+        .map(|(rate, _)| *rate)
+        .fold(0.0, f64::max);
     println!("in time up to {best:.0} set-ups a second, without a relay between");
     Ok(())
 }
--- a/command/src/logs.rs
+++ b/command/src/logs.rs
@@ -25,16 +25,25 @@
 /// One that serves says more than one that experiments, whose own output is its results.
 pub fn init(format: LogFormat, serves: bool) {
     let level = if serves { "info" } else { "warn" };
-    let mut builder = env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level));
+    let mut builder =
+        env_logger::Builder::from_env(env_logger::Env::default().default_filter_or(level));
     if format == LogFormat::Json {
         builder.format(|out, record| {
             let mut fields = Fields(serde_json::Map::new());
-            let since =
-                std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap_or_default();
-            fields.0.insert("unix_ms".into(), (since.as_millis() as u64).into());
-            fields.0.insert("level".into(), record.level().as_str().to_lowercase().into());
+            let since = std::time::SystemTime::now()
+                .duration_since(std::time::UNIX_EPOCH)
+                .unwrap_or_default();
+            fields
+                .0
+                .insert("unix_ms".into(), (since.as_millis() as u64).into());
+            fields.0.insert(
+                "level".into(),
+                record.level().as_str().to_lowercase().into(),
+            );
             fields.0.insert("target".into(), record.target().into());
-            fields.0.insert("message".into(), record.args().to_string().into());
+            fields
+                .0
+                .insert("message".into(), record.args().to_string().into());
             // A field that can't be read is left out; the line is still one.
             let _ = record.key_values().visit(&mut fields);
             serde_json::to_writer(&mut *out, &fields.0)?;
--- a/command/src/main.rs
+++ b/command/src/main.rs
@@ -1,5 +1,5 @@
-//! The command `thistlecroft`. Exit codes: 0 all well; 1 a rule was broken, a relay failed, or what was asked for could
-//! not be done; 2 the command line or a file is wrong; 130 interrupted.
+//! The command `thistlecroft`. Exit codes: 0 all well; 1 a rule was broken, a relay failed, or what
+//! was asked for could not be done; 2 the command line or a file is wrong; 130 interrupted.
 mod checks;
 mod demo;
 mod experiments;
@@ -81,7 +81,12 @@
         Verb::Peers(asked) => peers::run(&asked),
         Verb::Lab(verb) => experiments::run(verb),
         Verb::Completions { shell } => {
-            clap_complete::generate(shell, &mut Line::command(), "thistlecroft", &mut std::io::stdout());
+            clap_complete::generate(
+                shell,
+                &mut Line::command(),
+                "thistlecroft",
+                &mut std::io::stdout(),
+            );
             Ok(())
         }
     };
--- a/command/src/peers.rs
+++ b/command/src/peers.rs
@@ -31,18 +31,27 @@
         return Err(End::Wrong("--every: between 0.05 and 3600 seconds".into()));
     }
     loop {
-        let views: Vec<(SocketAddr, Result<Value, String>)> =
-            asked.doors.iter().map(|door| (*door, view(*door))).collect();
+        let views: Vec<(SocketAddr, Result<Value, String>)> = asked
+            .doors
+            .iter()
+            .map(|door| (*door, view(*door)))
+            .collect();
         let silent = views.iter().filter(|(_, view)| view.is_err()).count();
         if asked.json {
-            views.iter().filter_map(|(_, view)| view.as_ref().ok()).for_each(|view| println!("{view}"));
+            views
+                .iter()
+                .filter_map(|(_, view)| view.as_ref().ok())
+                .for_each(|view| println!("{view}"));
         } else {
             print!("{}", page(&views));
         }
         if !asked.watch {
             return match silent {
                 0 => Ok(()),
-                _ => Err(End::Failed(format!("{silent} of {} relays did not say", views.len()))),
+                _ => Err(End::Failed(format!(
+                    "{silent} of {} relays did not say",
+                    views.len()
+                ))),
             };
         }
         println!();
@@ -75,7 +84,12 @@
             }
         };
         let me = text(view, "me");
-        verdicts.entry(me).or_default().entry("here").or_default().insert(me);
+        verdicts
+            .entry(me)
+            .or_default()
+            .entry("here")
+            .or_default()
+            .insert(me);
         let counts = &view["counts"];
         page += &format!(
             "{me}: health {}, {} unheard, {} facts, {} bytes sent, {} refused as foreign, {} held back{}\n",
@@ -89,8 +103,15 @@
         );
         for peer in view["peers"].as_array().into_iter().flatten() {
             let (id, standing) = (text(peer, "id"), text(peer, "standing"));
-            verdicts.entry(id).or_default().entry(standing).or_default().insert(me);
-            let heard = peer["heard_ms"].as_u64().map_or("never".into(), |ms| format!("{ms} ms ago"));
+            verdicts
+                .entry(id)
+                .or_default()
+                .entry(standing)
+                .or_default()
+                .insert(me);
+            let heard = peer["heard_ms"]
+                .as_u64()
+                .map_or("never".into(), |ms| format!("{ms} ms ago"));
             let since = peer["since_ms"].as_u64().unwrap_or_default() as f64 / 1e3;
             page += &format!(
                 "  {id:<28} {standing:<10} for {since:>8.1} s  heard {heard:<14} at {}\n",
@@ -101,9 +122,15 @@
     for (id, by_standing) in verdicts {
         if by_standing.len() > 1 {
             let each = by_standing.iter().map(|(standing, by)| {
-                format!("{standing} for {}", by.iter().copied().collect::<Vec<_>>().join(", "))
+                format!(
+                    "{standing} for {}",
+                    by.iter().copied().collect::<Vec<_>>().join(", ")
+                )
             });
-            page += &format!("views differ: {id} is {}\n", each.collect::<Vec<_>>().join("; "));
+            page += &format!(
+                "views differ: {id} is {}\n",
+                each.collect::<Vec<_>>().join("; ")
+            );
         }
     }
     page
@@ -114,9 +141,22 @@
         return String::new();
     }
     let held = leases["held"].as_array().into_iter().flatten();
-    let held: Vec<String> =
-        held.map(|one| format!("{} by epoch {}", text(one, "subject"), one["epoch"])).collect();
-    let held = if held.is_empty() { "nothing".into() } else { held.join(", ") };
-    let changing = if leases["settled"] == true { "" } else { ", change of voters not settled" };
-    format!("; voter: {}, generation {}{changing}, holds {held}", text(leases, "vote"), leases["generation"])
+    let held: Vec<String> = held
+        .map(|one| format!("{} by epoch {}", text(one, "subject"), one["epoch"]))
+        .collect();
+    let held = if held.is_empty() {
+        "nothing".into()
+    } else {
+        held.join(", ")
+    };
+    let changing = if leases["settled"] == true {
+        ""
+    } else {
+        ", change of voters not settled"
+    };
+    format!(
+        "; voter: {}, generation {}{changing}, holds {held}",
+        text(leases, "vote"),
+        leases["generation"]
+    )
 }
--- a/command/src/scale.rs
+++ b/command/src/scale.rs
@@ -96,7 +96,9 @@
         };
         ScaleConfig {
             relays: self.relays,
-            subjects: self.subjects.unwrap_or(self.relays.saturating_mul(SUBJECTS_EACH)),
+            subjects: self
+                .subjects
+                .unwrap_or(self.relays.saturating_mul(SUBJECTS_EACH)),
             voters: self.voters,
             period_ms: self.period,
             term_ms: self.term,
@@ -117,17 +119,25 @@
     }
 
     fn budget(&self) -> Result<Option<Budget>, End> {
-        let Some(name) = &self.budget else { return Ok(None) };
+        let Some(name) = &self.budget else {
+            return Ok(None);
+        };
         let text = match shipped::budget(name) {
             Some(text) => text.to_string(),
-            None => std::fs::read_to_string(name).map_err(|fault| End::Wrong(format!("{name}: {fault}")))?,
+            None => std::fs::read_to_string(name)
+                .map_err(|fault| End::Wrong(format!("{name}: {fault}")))?,
         };
-        Budget::parse(&text).map(Some).map_err(|fault| End::Wrong(format!("{name}: {fault}")))
+        Budget::parse(&text)
+            .map(Some)
+            .map_err(|fault| End::Wrong(format!("{name}: {fault}")))
     }
 }
 
 fn programs() -> Result<Programs, End> {
-    Ok(Programs { hollow: own_program(&["lab", "hollow"])?, relay: own_relay()? })
+    Ok(Programs {
+        hollow: own_program(&["lab", "hollow"])?,
+        relay: own_relay()?,
+    })
 }
 
 pub fn scale(args: &ScaleArgs) -> Result<(), End> {
@@ -149,7 +159,9 @@
     }
     match violations.len() {
         0 => Ok(()),
-        some => Err(End::Failed(format!("{some} limits of the budget were not kept"))),
+        some => Err(End::Failed(format!(
+            "{some} limits of the budget were not kept"
+        ))),
     }
 }
 
@@ -178,7 +190,9 @@
 
 pub fn slope(args: &SlopeArgs) -> Result<(), End> {
     if args.at.len() < 2 || args.seeds == 0 {
-        return Err(End::Wrong("--at: two sizes or more; --seeds: one or more".into()));
+        return Err(End::Wrong(
+            "--at: two sizes or more; --seeds: one or more".into(),
+        ));
     }
     let (config, quiet) = (args.scale.config(), args.scale.quiet);
     let variable = match args.over {
@@ -191,9 +205,19 @@
             eprintln!("{line}");
         }
     };
-    let all =
-        sweep(&config, variable, &args.at, args.seeds, &programs()?, &mut progress).map_err(End::Failed)?;
-    print!("{}", slope_table(&config, variable, args.seeds, &slopes(&all)));
+    let all = sweep(
+        &config,
+        variable,
+        &args.at,
+        args.seeds,
+        &programs()?,
+        &mut progress,
+    )
+    .map_err(End::Failed)?;
+    print!(
+        "{}",
+        slope_table(&config, variable, args.seeds, &slopes(&all))
+    );
     Ok(())
 }
 
--- a/command/src/shipped.rs
+++ b/command/src/shipped.rs
@@ -21,9 +21,15 @@
 )];
 
 pub fn budget(name: &str) -> Option<&'static str> {
-    BUDGETS.iter().find(|(known, ..)| *known == name).map(|(.., text)| *text)
+    BUDGETS
+        .iter()
+        .find(|(known, ..)| *known == name)
+        .map(|(.., text)| *text)
 }
 
 pub fn text(name: &str) -> Option<&'static str> {
-    SCENARIOS.iter().find(|(known, _)| *known == name).map(|(_, text)| *text)
+    SCENARIOS
+        .iter()
+        .find(|(known, _)| *known == name)
+        .map(|(_, text)| *text)
 }
--- a/command/tests/command.rs
+++ b/command/tests/command.rs
@@ -21,7 +21,10 @@
 
 /// A folder of a test's own.
 fn folder(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("thistlecroft-command-{}-{name}", std::process::id()));
+    let path = std::env::temp_dir().join(format!(
+        "thistlecroft-command-{}-{name}",
+        std::process::id()
+    ));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
@@ -95,19 +98,29 @@
     serde_json::from_slice(&std::fs::read(run.join("summary.json")).unwrap()).unwrap()
 }
 
-/// When first tries were due after the beginning of the plan, in milliseconds, and for which listener.
+/// When first tries were due after the beginning of the plan, in milliseconds, and for which
+/// listener.
 fn first_tries(run: &Path) -> Vec<(i64, u64)> {
     let lines = std::fs::read_to_string(run.join("events.jsonl")).unwrap();
-    let events: Vec<serde_json::Value> =
-        lines.lines().map(|line| serde_json::from_str(line).expect(line)).collect();
-    let begun =
-        events.iter().find(|event| event["text"] == "the plan begins").unwrap()["ms"].as_f64().unwrap();
+    let events: Vec<serde_json::Value> = lines
+        .lines()
+        .map(|line| serde_json::from_str(line).expect(line))
+        .collect();
+    let begun = events
+        .iter()
+        .find(|event| event["text"] == "the plan begins")
+        .unwrap()["ms"]
+        .as_f64()
+        .unwrap();
     let mut tries: Vec<(i64, u64)> = events
         .iter()
         .filter(|event| event["event"] == "asked" && event["again"] == false)
         .map(|event| {
             let due = event["due"].as_f64().unwrap() - begun;
-            ((due * 1e3).round() as i64 / 1_000, event["listener"].as_u64().unwrap())
+            (
+                (due * 1e3).round() as i64 / 1_000,
+                event["listener"].as_u64().unwrap(),
+            )
         })
         .collect();
     tries.sort_unstable();
@@ -122,8 +135,16 @@
     let last = said.lines().last().unwrap();
     assert!(done.status.success(), "{said}{}", text(&done.stderr));
     let words: Vec<&str> = last.split([' ', ',']).collect();
-    assert!(matches!(words[..], ["answered", one, "of", two, "", "rules", "kept"] if one == two), "{last}");
-    assert!(["silent", "drain", "join"].iter().all(|what| said.contains(what)), "{said}");
+    assert!(
+        matches!(words[..], ["answered", one, "of", two, "", "rules", "kept"] if one == two),
+        "{last}"
+    );
+    assert!(
+        ["silent", "drain", "join"]
+            .iter()
+            .all(|what| said.contains(what)),
+        "{said}"
+    );
 }
 
 #[test]
@@ -134,32 +155,65 @@
     let (one, two) = (out("one"), out("two"));
     for to in [&one, &two] {
         let done = run(&["lab", "run", &file, "--seed", "5", "--out", to]);
-        assert!(done.status.success(), "{}{}", text(&done.stdout), text(&done.stderr));
+        assert!(
+            done.status.success(),
+            "{}{}",
+            text(&done.stdout),
+            text(&done.stderr)
+        );
         assert!(text(&done.stderr).contains("standing"), "progress is shown");
     }
     let of = |to: &str, way: &str| Path::new(to).join("small").join(way).join("seed-5");
     let relays = summary(&of(&one, "relays"));
-    assert_eq!((relays["complete"].as_bool(), relays["crashes"].as_u64()), (Some(true), Some(0)));
+    assert_eq!(
+        (relays["complete"].as_bool(), relays["crashes"].as_u64()),
+        (Some(true), Some(0))
+    );
     assert!(relays["sessions"].as_u64().unwrap() > 80, "{relays}");
     assert_eq!(relays["rude_answered"], 20);
     let page = std::fs::read_to_string(of(&one, "relays").join("report.html")).unwrap();
     assert_eq!(page.matches("<svg").count(), 5);
     assert!(page.contains("relay-killed") && page.contains("rules kept"));
-    // The same clients at the same times, whatever each run met: a relay's death makes some of them come anew.
-    let (first, second) = (first_tries(&of(&one, "least")), first_tries(&of(&two, "least")));
+    // The same clients at the same times, whatever each run met: a relay's death makes some of them
+    // come anew.
+    let (first, second) = (
+        first_tries(&of(&one, "least")),
+        first_tries(&of(&two, "least")),
+    );
     let common = first.iter().filter(|tried| second.contains(tried)).count();
-    // On a busy machine more of them come anew (129 of 140 were common); of two seeds next to none are.
-    assert!(common * 100 >= first.len() * 80, "{common} of {} and {}", first.len(), second.len());
+    // On a busy machine more of them come anew (129 of 140 were common); of two seeds next to none
+    // are.
+    assert!(
+        common * 100 >= first.len() * 80,
+        "{common} of {} and {}",
+        first.len(),
+        second.len()
+    );
 
-    let compared = run(&["lab", "compare", &format!("{one}/small/relays"), &format!("{one}/small/least")]);
+    let compared = run(&[
+        "lab",
+        "compare",
+        &format!("{one}/small/relays"),
+        &format!("{one}/small/least"),
+    ]);
     let table = text(&compared.stdout);
     assert!(
-        compared.status.success() && table.contains("utility served") && table.contains("one run only"),
+        compared.status.success()
+            && table.contains("utility served")
+            && table.contains("one run only"),
         "{table}"
     );
     let reported = run(&["lab", "report", &one]);
-    assert!(text(&reported.stdout).contains("2 runs"), "{}", text(&reported.stdout));
-    assert!(std::fs::read_to_string(folder.join("one/index.html")).unwrap().contains("seed-5/report.html"));
+    assert!(
+        text(&reported.stdout).contains("2 runs"),
+        "{}",
+        text(&reported.stdout)
+    );
+    assert!(
+        std::fs::read_to_string(folder.join("one/index.html"))
+            .unwrap()
+            .contains("seed-5/report.html")
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
@@ -178,34 +232,86 @@
         (&["check", &config], 2, "config.json: EOF"),
         (&["check", "nowhere.toml"], 2, "nowhere.toml: No such file"),
         (&["serve", "--config", &config], 1, "config.json: EOF"),
-        (&["lab", "run", &bad, "--out", &out], 2, "bad.toml:5: fleet.boxes: "),
-        (&["lab", "run", "steadily", "--out", &out], 2, "neither a file nor one of"),
+        (
+            &["lab", "run", &bad, "--out", &out],
+            2,
+            "bad.toml:5: fleet.boxes: ",
+        ),
+        (
+            &["lab", "run", "steadily", "--out", &out],
+            2,
+            "neither a file nor one of",
+        ),
         (
             &["lab", "run", &good, "--way", "fast", "--out", &out],
             2,
             "no way \"fast\"; there are relays, least",
         ),
         (
-            &["lab", "run", &good, "--way", "relays", "--relay", "/bin/false", "--out", &out],
+            &[
+                "lab",
+                "run",
+                &good,
+                "--way",
+                "relays",
+                "--relay",
+                "/bin/false",
+                "--out",
+                &out,
+            ],
             1,
             "it ended at once",
         ),
         (
-            &["lab", "run", &good, "--way", "relays", "--relay", "/nowhere", "--out", &out],
+            &[
+                "lab", "run", &good, "--way", "relays", "--relay", "/nowhere", "--out", &out,
+            ],
             1,
             "can't be started",
         ),
-        (&["lab", "compare", &out, "/nowhere"], 2, "out: no summary.json"),
+        (
+            &["lab", "compare", &out, "/nowhere"],
+            2,
+            "out: no summary.json",
+        ),
         (&["lab", "show", "steady"], 0, ""),
         (&["lab", "show", "budget-target"], 0, ""),
-        (&["lab", "scale", "--relays", "1"], 2, "--relays: 1 is not between 2 and"),
-        (&["lab", "scale", "--subjects", "200000"], 2, "--subjects: 200000 is not between"),
-        (&["lab", "scale", "--fault", "region"], 2, "--fault region: over simulated links only"),
-        (&["lab", "scale", "--loss", "0.1"], 2, "--loss: over simulated links only"),
-        (&["lab", "scale", "--budget", "/nowhere.toml"], 2, "/nowhere.toml: No such file"),
+        (
+            &["lab", "scale", "--relays", "1"],
+            2,
+            "--relays: 1 is not between 2 and",
+        ),
+        (
+            &["lab", "scale", "--subjects", "200000"],
+            2,
+            "--subjects: 200000 is not between",
+        ),
+        (
+            &["lab", "scale", "--fault", "region"],
+            2,
+            "--fault region: over simulated links only",
+        ),
+        (
+            &["lab", "scale", "--loss", "0.1"],
+            2,
+            "--loss: over simulated links only",
+        ),
+        (
+            &["lab", "scale", "--budget", "/nowhere.toml"],
+            2,
+            "/nowhere.toml: No such file",
+        ),
         (&["lab", "scale", "--budget", &bad], 2, "bad.toml: line "),
-        (&["lab", "scale", "--relays", "300", "--each-process", "1"], 1, "303 processes; 200 at most"),
-        (&["lab", "slope", "--at", "10"], 2, "--at: two sizes or more"),
+        (
+            &["lab", "scale", "--relays", "300", "--each-process", "1"],
+            1,
+            "303 processes; 200 at most",
+        ),
+        (
+            &["lab", "slope", "--at", "10"],
+            2,
+            "--at: two sizes or more",
+        ),
         (&["completions", "bash"], 0, ""),
         (&["--version"], 0, ""),
     ];
@@ -214,7 +320,10 @@
         let said = text(&done.stderr);
         assert_eq!(done.status.code(), Some(*code), "{arguments:?}: {said}");
         assert!(said.contains(expected), "{arguments:?}: {said}");
-        let plain = said.lines().filter(|line| line.starts_with("thistlecroft: ")).count();
+        let plain = said
+            .lines()
+            .filter(|line| line.starts_with("thistlecroft: "))
+            .count();
         assert_eq!(plain, usize::from(*code != 0), "{arguments:?}: {said}");
     }
     std::fs::remove_dir_all(folder).unwrap();
@@ -230,7 +339,12 @@
         let name = path.file_stem().unwrap().to_string_lossy().into_owned();
         let done = run(&["check", &path.to_string_lossy()]);
         assert!(done.status.success(), "{}", text(&done.stderr));
-        assert!(listed.lines().any(|line| line.starts_with(&format!("{name} "))), "{name} is not listed");
+        assert!(
+            listed
+                .lines()
+                .any(|line| line.starts_with(&format!("{name} "))),
+            "{name} is not listed"
+        );
         count += 1;
     }
     assert!(count >= 12, "{count}");
@@ -248,14 +362,25 @@
     let done = Command::new("sh").args(["-c", &line]).output().unwrap();
     let said = text(&done.stderr);
     assert_eq!(done.status.code(), Some(1), "{said}");
-    assert!(said.contains("descriptors are needed and the limit is 200"), "{said}");
+    assert!(
+        said.contains("descriptors are needed and the limit is 200"),
+        "{said}"
+    );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
 /// Processes whose parent this is.
 fn children(of: u32) -> Vec<u32> {
     let stat = |pid: u32| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok();
-    let parent = |pid: u32| stat(pid)?.rsplit_once(')')?.1.split_whitespace().nth(1)?.parse::<u32>().ok();
+    let parent = |pid: u32| {
+        stat(pid)?
+            .rsplit_once(')')?
+            .1
+            .split_whitespace()
+            .nth(1)?
+            .parse::<u32>()
+            .ok()
+    };
     let all = std::fs::read_dir("/proc").unwrap();
     let pids = all.filter_map(|entry| entry.ok()?.file_name().to_string_lossy().parse().ok());
     pids.filter(|&pid| parent(pid) == Some(of)).collect()
@@ -271,10 +396,15 @@
 
 fn started(arguments: &[&str]) -> (Child, std::io::Lines<BufReader<std::process::ChildStderr>>) {
     // Its own group, as at a terminal.
-    let mut child = command().args(arguments).stderr(Stdio::piped()).process_group(0).spawn().unwrap();
+    let mut child = command()
+        .args(arguments)
+        .stderr(Stdio::piped())
+        .process_group(0)
+        .spawn()
+        .unwrap();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-    // A wait for a line that never comes ends with the child; by a handle of its own, since its number may by then be
-    // another's.
+    // A wait for a line that never comes ends with the child; by a handle of its own, since its
+    // number may by then be another's.
     let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
     let handle = rustix::process::pidfd_open(pid, rustix::process::PidfdFlags::empty()).unwrap();
     std::thread::spawn(move || {
@@ -287,12 +417,25 @@
 #[test]
 fn an_interrupt_ends_all_children_and_keeps_what_was_seen() {
     let folder = folder("interrupt");
-    let file = scenario(&folder, &SMALL.replace("length = \"4s\"", "length = \"60s\""));
+    let file = scenario(
+        &folder,
+        &SMALL.replace("length = \"4s\"", "length = \"60s\""),
+    );
     let out = folder.join("out").to_string_lossy().into_owned();
     // Interrupted, and killed outright: then nothing can be kept, but relays end all the same.
-    for (signal, code) in [(rustix::process::Signal::INT, Some(130)), (rustix::process::Signal::KILL, None)] {
-        let (mut child, mut lines) = started(&["lab", "run", &file, "--way", "relays", "--out", &out]);
-        assert!(lines.by_ref().map_while(Result::ok).any(|line| line.contains(" of 60 s")), "it runs");
+    for (signal, code) in [
+        (rustix::process::Signal::INT, Some(130)),
+        (rustix::process::Signal::KILL, None),
+    ] {
+        let (mut child, mut lines) =
+            started(&["lab", "run", &file, "--way", "relays", "--out", &out]);
+        assert!(
+            lines
+                .by_ref()
+                .map_while(Result::ok)
+                .any(|line| line.contains(" of 60 s")),
+            "it runs"
+        );
         let relays = children(child.id());
         assert_eq!(relays.len(), 2);
         let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
@@ -321,21 +464,42 @@
     let config = folder.join("config.json");
     let text = thistlecroft_fleet_text(&taken.to_string());
     std::fs::write(&config, text).unwrap();
-    let (mut child, lines) =
-        started(&["serve", "--log-format", "json", "--config", &config.to_string_lossy()]);
+    let (mut child, lines) = started(&[
+        "serve",
+        "--log-format",
+        "json",
+        "--config",
+        &config.to_string_lossy(),
+    ]);
     let lines: Vec<String> = lines.map_while(Result::ok).collect();
     assert_eq!(child.wait().unwrap().code(), Some(1));
     // The address is taken: the last line is the plain one.
-    assert!(lines.last().unwrap().starts_with("thistlecroft: "), "{lines:?}");
-    // At an address of its own: a process that another test is just starting may hold the one above for a moment.
+    assert!(
+        lines.last().unwrap().starts_with("thistlecroft: "),
+        "{lines:?}"
+    );
+    // At an address of its own: a process that another test is just starting may hold the one above
+    // for a moment.
     let free = thistlecroft_fleet::post::free_address(901).unwrap();
     std::fs::write(&config, thistlecroft_fleet_text(&free.to_string())).unwrap();
-    let (mut child, mut lines) =
-        started(&["serve", "--log-format", "json", "--config", &config.to_string_lossy()]);
+    let (mut child, mut lines) = started(&[
+        "serve",
+        "--log-format",
+        "json",
+        "--config",
+        &config.to_string_lossy(),
+    ]);
     let first = lines.next().unwrap().unwrap();
     let object: serde_json::Value = serde_json::from_str(&first).expect(&first);
-    assert_eq!((object["level"].as_str(), object["unix_ms"].is_u64()), (Some("info"), true), "{first}");
-    assert!(object["message"].as_str().unwrap().contains("serves at"), "{first}");
+    assert_eq!(
+        (object["level"].as_str(), object["unix_ms"].is_u64()),
+        (Some("info"), true),
+        "{first}"
+    );
+    assert!(
+        object["message"].as_str().unwrap().contains("serves at"),
+        "{first}"
+    );
     let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
     let rest: Vec<String> = lines.map_while(Result::ok).collect();
@@ -361,12 +525,21 @@
         std::fs::write(&path, text).unwrap();
         path.to_string_lossy().into_owned()
     };
-    let route =
-        |lines: &str| format!("[[route]]\nname = \"v\"\n{lines}\n[route.match]\nlistener = \"view\"\n");
-    let (old, new) =
-        (file("old.toml", &route("dials = 2")), file("new.toml", &route("dials = 3\nidle = \"1m\"")));
-    let bad = file("bad.toml", &route("dials = 0\nbse = \"1s\"\ndial_timeout = \"9s\""));
-    let late = file("late.toml", &route("dial_timeout = \"9s\"\nsecond_copy = {}"));
+    let route = |lines: &str| {
+        format!("[[route]]\nname = \"v\"\n{lines}\n[route.match]\nlistener = \"view\"\n")
+    };
+    let (old, new) = (
+        file("old.toml", &route("dials = 2")),
+        file("new.toml", &route("dials = 3\nidle = \"1m\"")),
+    );
+    let bad = file(
+        "bad.toml",
+        &route("dials = 0\nbse = \"1s\"\ndial_timeout = \"9s\""),
+    );
+    let late = file(
+        "late.toml",
+        &route("dial_timeout = \"9s\"\nsecond_copy = {}"),
+    );
     let asked = |arguments: &[&str]| {
         let done = run(&[&["check"], arguments].concat());
         (done.status.code(), text(&done.stdout), text(&done.stderr))
@@ -391,7 +564,10 @@
     );
     let (code, _, said) = asked(&[&bad]);
     assert_eq!((code, said.lines().count()), (Some(2), 2), "{said}");
-    assert!(said.contains("bad.toml:3:9: route v.dials") && said.contains("is it `base`?"), "{said}");
+    assert!(
+        said.contains("bad.toml:3:9: route v.dials") && said.contains("is it `base`?"),
+        "{said}"
+    );
     let (code, _, said) = asked(&[&late, "--config", &config]);
     assert_eq!((code, said.lines().count()), (Some(2), 2), "{said}");
     assert!(
@@ -402,20 +578,31 @@
     assert_eq!(code, Some(0), "{said}");
     let refused = run(&["serve", "--config", &config, "--charter", &late]);
     assert_eq!(refused.status.code(), Some(1));
-    assert_eq!(text(&refused.stderr).lines().count(), 2, "{}", text(&refused.stderr));
+    assert_eq!(
+        text(&refused.stderr).lines().count(),
+        2,
+        "{}",
+        text(&refused.stderr)
+    );
 
     // Taken up while it runs; a bad one changes nothing, and what both say alike is not logged.
     let (mut child, mut lines) = started(&["serve", "--config", &config, "--charter", &old]);
     let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
     let mut logged = |part: &str| {
         let mut heard = Vec::new();
-        let mut lines = lines.by_ref().map_while(Result::ok).inspect(|line| heard.push(line.clone()));
+        let mut lines = lines
+            .by_ref()
+            .map_while(Result::ok)
+            .inspect(|line| heard.push(line.clone()));
         let found = lines.find(|line| line.contains(part));
         found.unwrap_or_else(|| panic!("no {part}: {heard:?}"))
     };
     logged("serves at");
     for (text, expected) in [
-        (&new, "charter, generation 2: v.dials for view: 2 -> 3; v.idle for view: none -> 60s"),
+        (
+            &new,
+            "charter, generation 2: v.dials for view: 2 -> 3; v.idle for view: none -> 60s",
+        ),
         (&late, "the charter read before stays"),
         (&old, "charter, generation 3"),
     ] {
@@ -482,18 +669,32 @@
 fn peers_are_shown_and_who_does_not_say_is_a_line_and_a_code() {
     let done = run(&["peers", "127.0.0.1:9"]);
     assert_eq!(done.status.code(), Some(1));
-    assert!(text(&done.stdout).starts_with("127.0.0.1:9: "), "{}", text(&done.stdout));
-    assert!(text(&done.stderr).contains("1 of 1 relays did not say"), "{}", text(&done.stderr));
-    for wrong in
-        [["peers", "nobody"].as_slice(), &["peers"], &["peers", "127.0.0.1:9", "--watch", "--every", "0"]]
-    {
+    assert!(
+        text(&done.stdout).starts_with("127.0.0.1:9: "),
+        "{}",
+        text(&done.stdout)
+    );
+    assert!(
+        text(&done.stderr).contains("1 of 1 relays did not say"),
+        "{}",
+        text(&done.stderr)
+    );
+    for wrong in [
+        ["peers", "nobody"].as_slice(),
+        &["peers"],
+        &["peers", "127.0.0.1:9", "--watch", "--every", "0"],
+    ] {
         assert_eq!(run(wrong).status.code(), Some(2), "{wrong:?}");
     }
     // A relay that is alone: its door says so.
     let folder = folder("peers");
     let (listen, door) = ("127.0.0.9:0", "127.0.0.10:0");
-    let [listen, door] =
-        [listen, door].map(|at| std::net::TcpListener::bind(at).unwrap().local_addr().unwrap());
+    let [listen, door] = [listen, door].map(|at| {
+        std::net::TcpListener::bind(at)
+            .unwrap()
+            .local_addr()
+            .unwrap()
+    });
     let config = thistlecroft_fleet_text(&listen.to_string());
     let mut config: serde_json::Value = serde_json::from_str(&config).unwrap();
     config["admin_addr"] = door.to_string().into();
@@ -501,14 +702,20 @@
     let (path, key) = (folder.join("config.json"), folder.join("key"));
     std::fs::write(&path, config.to_string()).unwrap();
     std::fs::write(&key, "sixteen bytes or more\n").unwrap();
-    let udp = std::net::UdpSocket::bind("127.0.0.9:0").unwrap().local_addr().unwrap();
+    let udp = std::net::UdpSocket::bind("127.0.0.9:0")
+        .unwrap()
+        .local_addr()
+        .unwrap();
     let charter = folder.join("charter.toml");
     let table = format!(
         "[peers]\nfleet = \"t\"\nlisten = \"{udp}\"\nkey_file = \"{}\"\nvoters = \"r0\"\n",
         key.display()
     );
     std::fs::write(&charter, table).unwrap();
-    let (config, charter) = (path.to_string_lossy().into_owned(), charter.to_string_lossy().into_owned());
+    let (config, charter) = (
+        path.to_string_lossy().into_owned(),
+        charter.to_string_lossy().into_owned(),
+    );
     let sound = run(&["check", "--config", &config, &charter]);
     assert_eq!(sound.status.code(), Some(0), "{}", text(&sound.stderr));
     let (mut child, lines) = started(&["serve", "--config", &config, "--charter", &charter]);
@@ -518,46 +725,94 @@
     while !shown().contains("r0/") {
         assert!(Instant::now() < until, "{}", shown());
     }
-    assert!(shown().contains("voter: silent, generation 1, holds nothing"), "{}", shown());
+    assert!(
+        shown().contains("voter: silent, generation 1, holds nothing"),
+        "{}",
+        shown()
+    );
     let json = run(&["peers", "--json", &door.to_string()]);
     let view: serde_json::Value = serde_json::from_str(text(&json.stdout).trim()).unwrap();
-    assert_eq!((view["name"].as_str(), view["unheard"].as_u64()), (Some("r0"), Some(0)));
-    rustix::process::kill_process(rustix::process::Pid::from_child(&child), rustix::process::Signal::TERM)
-        .unwrap();
+    assert_eq!(
+        (view["name"].as_str(), view["unheard"].as_u64()),
+        (Some("r0"), Some(0))
+    );
+    rustix::process::kill_process(
+        rustix::process::Pid::from_child(&child),
+        rustix::process::Signal::TERM,
+    )
+    .unwrap();
     assert!(child.wait().unwrap().success());
     // Where talk between instances is not allowed it is refused by `check` with one line.
-    let barred = std::fs::read_to_string(&config).unwrap().replace("\"peers\":true", "\"peers\":false");
+    let barred = std::fs::read_to_string(&config)
+        .unwrap()
+        .replace("\"peers\":true", "\"peers\":false");
     std::fs::write(&path, barred).unwrap();
     let refused = run(&["check", "--config", &config, &charter]);
     let said = text(&refused.stderr);
-    assert_eq!((refused.status.code(), said.lines().count()), (Some(2), 1), "{said}");
+    assert_eq!(
+        (refused.status.code(), said.lines().count()),
+        (Some(2), 1),
+        "{said}"
+    );
     assert!(said.contains("permissions.peers"), "{said}");
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Hollow relays as processes: a rack is lost, all subjects are owned again, and a budget that is too small is named.
+/// Hollow relays as processes: a rack is lost, all subjects are owned again, and a budget that is
+/// too small is named.
 #[test]
 fn a_fleet_of_hollow_relays_is_measured_and_held_to_a_budget() {
     let folder = folder("scale");
     let (budget, out) = (folder.join("budget.toml"), folder.join("out"));
-    std::fs::write(&budget, "[budget]\nrelay_sent_bytes_s = 1\ntwo_owners = 0\nnot_owned = 0\n").unwrap();
-    let (budget, out) = (budget.to_string_lossy().into_owned(), out.to_string_lossy().into_owned());
-    let sizes = ["--relays", "16", "--subjects", "400", "--rack", "3", "--each-process", "8"];
-    let times = ["--period", "200", "--term", "2000", "--calm", "2", "--fault", "rack"];
-    let mut arguments = vec!["lab", "scale", "--quiet", "--budget", &budget, "--out", &out];
+    std::fs::write(
+        &budget,
+        "[budget]\nrelay_sent_bytes_s = 1\ntwo_owners = 0\nnot_owned = 0\n",
+    )
+    .unwrap();
+    let (budget, out) = (
+        budget.to_string_lossy().into_owned(),
+        out.to_string_lossy().into_owned(),
+    );
+    let sizes = [
+        "--relays",
+        "16",
+        "--subjects",
+        "400",
+        "--rack",
+        "3",
+        "--each-process",
+        "8",
+    ];
+    let times = [
+        "--period", "200", "--term", "2000", "--calm", "2", "--fault", "rack",
+    ];
+    let mut arguments = vec![
+        "lab", "scale", "--quiet", "--budget", &budget, "--out", &out,
+    ];
     arguments.extend(sizes.iter().chain(&times));
     let done = run(&arguments);
     let (table, said) = (text(&done.stdout), text(&done.stderr));
     assert_eq!(done.status.code(), Some(1), "{table}{said}");
-    assert!(said.contains("1 limits of the budget were not kept"), "{said}");
-    assert!(table.contains("over budget: relay_sent_bytes_s: "), "{table}");
+    assert!(
+        said.contains("1 limits of the budget were not kept"),
+        "{said}"
+    );
+    assert!(
+        table.contains("over budget: relay_sent_bytes_s: "),
+        "{table}"
+    );
     assert!(
         table.contains("owned at the end 400 of 400") && table.contains("two owners at once 0"),
         "{table}"
     );
     let json = std::fs::read_to_string(Path::new(&out).join("scale.json")).unwrap();
     let outcome: serde_json::Value = serde_json::from_str(&json).unwrap();
-    assert!(outcome["phases"][3]["converged"]["owned_s"].as_f64().is_some_and(|owned| owned > 0.5), "{json}");
+    assert!(
+        outcome["phases"][3]["converged"]["owned_s"]
+            .as_f64()
+            .is_some_and(|owned| owned > 0.5),
+        "{json}"
+    );
     assert!(outcome["holdings"].as_u64() > Some(400), "{json}");
     std::fs::remove_dir_all(folder).unwrap();
 }
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -1,5 +1,6 @@
-//! What the decisions cost: CPU for a session that comes, stands and leaves, and for a housekeeping turn, by the number of
-//! backends. `cargo run --release --example cost`; figures are in docs/results.md.
+//! What the decisions cost: CPU for a session that comes, stands and leaves, and for a housekeeping
+//! turn, by the number of backends. `cargo run --release --example cost`; figures are in
+//! docs/results.md.
 #[path = "../tests/helper/mod.rs"]
 mod helper;
 
@@ -44,16 +45,26 @@
     let (start_share, factor) = (0.31, 3.0);
     let deployment = Deployment {
         relays: 100,
-        cold: ColdStart { start_share, warm_up: ms(9_000), factor, window: ms(3_000) },
+        cold: ColdStart {
+            start_share,
+            warm_up: ms(9_000),
+            factor,
+            window: ms(3_000),
+        },
         ..deployment(Effect::Repeatable)
     };
     let (mut now, mut desk) = (Moment::from_us(100_000_000), Desk::default());
     let mut relay = Relay::new(deployment, 7, now, &mut desk);
     let up_since = cold.then_some(now);
-    let list: Vec<_> = (0..backends).map(|id| row(id, Standing::Ready, up_since)).collect();
+    let list: Vec<_> = (0..backends)
+        .map(|id| row(id, Standing::Ready, up_since))
+        .collect();
     relay.listed(ListScope::Whole, &list);
     for id in 0..backends {
-        let report = Report { connections: Some(10.0), load: Some(0.3) };
+        let report = Report {
+            connections: Some(10.0),
+            load: Some(0.3),
+        };
         relay.probed(now, BackendId(id), Verdict::Ok, report);
     }
     let (sessions, turns) = (2_000u32, 1_000u32);
@@ -64,7 +75,12 @@
         relay.arrived(now, SessionId(id), of, &mut desk);
         if desk.0.take().is_some() {
             relay.ready(now, SessionId(id), 0, &mut desk);
-            let ending = Ending { dial: 0, verdict: Verdict::Ok, over: true, report: Report::default() };
+            let ending = Ending {
+                dial: 0,
+                verdict: Verdict::Ok,
+                over: true,
+                report: Report::default(),
+            };
             relay.ended(now, SessionId(id), ending, &mut desk);
         }
     }
@@ -74,5 +90,8 @@
         now = now + ms(500);
         relay.woken(now, &mut desk);
     }
-    (session, began.elapsed().as_secs_f64() * 1e6 / f64::from(turns))
+    (
+        session,
+        began.elapsed().as_secs_f64() * 1e6 / f64::from(turns),
+    )
 }
--- a/facts/src/lib.rs
+++ b/facts/src/lib.rs
@@ -1,20 +1,20 @@
-//! The settings text that a simulator or a start configuration holds, read into a deployment. Keys that are
-//! not read are passed over.
+//! The settings text that a simulator or a start configuration holds, read into a deployment. Keys
+//! that are not read are passed over.
 use serde::Deserialize;
 use thistlecroft::balance::{BASE, CAP, COOL_DOWN, PATIENCE};
 use thistlecroft::deployment::{ColdStart, Deployment, Effect, Ration, Route, Scope};
 use thistlecroft::ids::ZoneId;
 use thistlecroft::units::Span;
 
-// A process told to stop is killed no sooner than this after its longest dial timeout, which counts for at
-// most so much.
+// A process told to stop is killed no sooner than this after its longest dial timeout, which counts
+// for at most so much.
 const LONGEST_WAIT_AT_STOP: Span = Span::from_ms(3_000);
 const AFTER_WAIT_AT_STOP: Span = Span::from_ms(700);
 /// Where the settings give a drain no grace; longer than that of any deployment so far.
 const GRACE: Span = Span::from_ms(3_200);
 
-/// What the fields of a load report that are read are called, by the settings or by backends; the first that
-/// is told counts.
+/// What the fields of a load report that are read are called, by the settings or by backends; the
+/// first that is told counts.
 pub const CONNECTIONS: &[&str] = &["rif", "inflight"];
 pub const LOAD: &[&str] = &["x0", "busy", "util"];
 
@@ -42,20 +42,26 @@
     pub grace: Span,
     /// Relays may talk with one another.
     pub peers: bool,
-    /// What backends note of a connection is not its load but the milliseconds that its messages take.
+    /// What backends note of a connection is not its load but the milliseconds that its messages
+    /// take.
     pub notes_tell_delay: bool,
 }
 
 impl ReportPlaces {
     /// A listed weight as the decisions take it: one where it does not tell of loads.
     pub fn weight(&self, told: f64) -> f64 {
-        if self.weights_live && told.is_finite() && told > 0.0 { told } else { 1.0 }
+        if self.weights_live && told.is_finite() && told > 0.0 {
+            told
+        } else {
+            1.0
+        }
     }
 }
 
 impl Site {
-    /// What holds while `later` takes the place of this one: the listeners of both, and for one that both have the
-    /// stricter of either, since the rules of the one bind until those of the other do.
+    /// What holds while `later` takes the place of this one: the listeners of both, and for one
+    /// that both have the stricter of either, since the rules of the one bind until those of the
+    /// other do.
     pub fn until(&self, later: &Site) -> Site {
         let mut both = later.clone();
         let row = |site: &Site, place: usize| (site.deployment.routes[place], site.waits[place]);
@@ -93,9 +99,16 @@
     match (one, other) {
         (Effect::Repeatable, effect) | (effect, Effect::Repeatable) => effect,
         (Effect::OnceOnly, _) | (_, Effect::OnceOnly) => Effect::OnceOnly,
-        (Effect::Referenced { scope, window }, Effect::Referenced { scope: other, window: least }) => {
-            Effect::Referenced { scope: scope.max(other), window: window.min(least) }
-        }
+        (
+            Effect::Referenced { scope, window },
+            Effect::Referenced {
+                scope: other,
+                window: least,
+            },
+        ) => Effect::Referenced {
+            scope: scope.max(other),
+            window: window.min(least),
+        },
     }
 }
 
@@ -178,7 +191,8 @@
 }
 
 impl Invariants {
-    /// The ration of dials, where its figures and its window are stated; what is left out of the figures is zero.
+    /// The ration of dials, where its figures and its window are stated; what is left out of the
+    /// figures is zero.
     fn ration(&self) -> Result<Option<Ration>, String> {
         let stated = [
             ("extraFree", self.extra_free),
@@ -187,7 +201,9 @@
         ];
         for (name, figure) in stated {
             if let Some(figure) = figure.filter(|figure| !figure.is_finite() || *figure < 0.0) {
-                return Err(format!("settings: invariants.{name}: {figure} is below zero"));
+                return Err(format!(
+                    "settings: invariants.{name}: {figure} is below zero"
+                ));
             }
         }
         let (free, share) = (self.extra_free, self.repeat_ratio);
@@ -200,7 +216,11 @@
         };
         let window = Span::from_us(window as u64);
         let any = free.or(share).is_some();
-        Ok(any.then(|| Ration { free: free.unwrap_or(0.0), share: share.unwrap_or(0.0), window }))
+        Ok(any.then(|| Ration {
+            free: free.unwrap_or(0.0),
+            share: share.unwrap_or(0.0),
+            window,
+        }))
     }
 }
 
@@ -246,15 +266,23 @@
 }
 
 pub fn read(text: &[u8]) -> Result<Site, String> {
-    let facts: Facts = serde_json::from_slice(text).map_err(|fault| format!("settings: {fault}"))?;
+    let facts: Facts =
+        serde_json::from_slice(text).map_err(|fault| format!("settings: {fault}"))?;
     if facts.listeners.is_empty() {
         return Err("settings: no listeners".into());
     }
     for (place, row) in facts.listeners.iter().enumerate() {
         if row.deadline_us == 0 {
-            return Err(format!("settings: listener \"{}\": deadlineUs is zero", row.name));
+            return Err(format!(
+                "settings: listener \"{}\": deadlineUs is zero",
+                row.name
+            ));
         }
-        if !row.name.is_empty() && facts.listeners[..place].iter().any(|other| other.name == row.name) {
+        if !row.name.is_empty()
+            && facts.listeners[..place]
+                .iter()
+                .any(|other| other.name == row.name)
+        {
             return Err(format!("settings: listener \"{}\" stands twice", row.name));
         }
     }
@@ -262,10 +290,15 @@
         return Err("settings: maxDials is zero".into());
     }
     if facts.me >= facts.balancers {
-        return Err(format!("settings: relay {} of {}", facts.me, facts.balancers));
+        return Err(format!(
+            "settings: relay {} of {}",
+            facts.me, facts.balancers
+        ));
     }
     let place = |names: &[&str]| {
-        names.iter().find_map(|name| facts.report.fields.iter().position(|field| field == name))
+        names
+            .iter()
+            .find_map(|name| facts.report.fields.iter().position(|field| field == name))
     };
     let places = ReportPlaces {
         connections: place(CONNECTIONS),
@@ -279,9 +312,18 @@
         _ => false,
     };
     let tells_loads = places.load.is_some() && !untold;
-    let targets = facts.extra.message_aim_us.iter().take(facts.listeners.len());
+    let targets = facts
+        .extra
+        .message_aim_us
+        .iter()
+        .take(facts.listeners.len());
     let shortest = targets.map(|&us| us as u64).min().unwrap_or_default();
-    let longest = facts.listeners.iter().map(|row| row.deadline_us).max().unwrap_or_default();
+    let longest = facts
+        .listeners
+        .iter()
+        .map(|row| row.deadline_us)
+        .max()
+        .unwrap_or_default();
     let routes = facts.listeners.iter().map(|row| Route {
         handshake_target: Span::from_us(row.handshake_target_us),
         effect: effect_of(row),
@@ -311,7 +353,8 @@
             window: Span::from_us(rules.fall_us),
         },
         ration: rules.ration()?,
-        ask_within: (facts.discovery == Discovery::Subscribe).then_some(Span::from_us(rules.ask_within_us)),
+        ask_within: (facts.discovery == Discovery::Subscribe)
+            .then_some(Span::from_us(rules.ask_within_us)),
         connect_timeout: Span::from_us(facts.permissions.dial_timeout_us),
         may_withdraw: facts.permissions.may_cancel,
         two_dials: facts.permissions.parallel_tries,
@@ -324,7 +367,11 @@
         groups: facts.extra.groups,
         stop_within: Span::from_us(longest).min(LONGEST_WAIT_AT_STOP) + AFTER_WAIT_AT_STOP,
     };
-    let waits = facts.listeners.iter().map(|row| Span::from_us(row.deadline_us)).collect();
+    let waits = facts
+        .listeners
+        .iter()
+        .map(|row| Span::from_us(row.deadline_us))
+        .collect();
     let listeners = facts.listeners.into_iter().map(|row| row.name).collect();
     let idle = Span::from_us(facts.permissions.conn_idle_us);
     let grace = rules.drain_grace_us.map_or(GRACE, Span::from_us);
@@ -353,7 +400,10 @@
                 Some(ScopeName::Cell) => Scope::Cell,
                 Some(ScopeName::All) | None => Scope::All,
             };
-            Effect::Referenced { scope, window: Span::from_us(row.dedup_window_us) }
+            Effect::Referenced {
+                scope,
+                window: Span::from_us(row.dedup_window_us),
+            }
         }
     }
 }
@@ -397,8 +447,13 @@
             (text(&[("a", SAFE)], "3")[..200].to_string(), "EOF"),
         ];
         for (text, expected) in cases {
-            let fault = read(text.as_bytes()).err().unwrap_or_else(|| panic!("taken: {text}"));
-            assert!(fault.contains(expected) && fault.lines().count() == 1, "{fault}");
+            let fault = read(text.as_bytes())
+                .err()
+                .unwrap_or_else(|| panic!("taken: {text}"));
+            assert!(
+                fault.contains(expected) && fault.lines().count() == 1,
+                "{fault}"
+            );
         }
     }
 
@@ -414,23 +469,37 @@
             (r#""fields":["x0"]"#, false, true),
         ];
         for (report, probes, told) in cases {
-            let settings =
-                text(&[("a", SAFE)], "3").replace("\"probes\":true", &format!("\"probes\":{probes}"));
+            let settings = text(&[("a", SAFE)], "3")
+                .replace("\"probes\":true", &format!("\"probes\":{probes}"));
             let settings = settings.replacen('{', &format!("{{\"report\":{{{report}}},"), 1);
-            let site = read(settings.as_bytes()).unwrap_or_else(|fault| panic!("{report}: {fault}"));
+            let site =
+                read(settings.as_bytes()).unwrap_or_else(|fault| panic!("{report}: {fault}"));
             assert_eq!(site.deployment.tells_loads, told, "{report} {probes}");
         }
     }
 
     #[test]
     fn a_ration_of_dials_is_read_whole_or_refused() {
-        let with =
-            |more: &str| text(&[("a", SAFE)], "3").replace("\"fallUs\":3", &format!("\"fallUs\":3{more}"));
-        let ration = |free, share, us| Some(Ration { free, share, window: Span::from_us(us) });
+        let with = |more: &str| {
+            text(&[("a", SAFE)], "3").replace("\"fallUs\":3", &format!("\"fallUs\":3{more}"))
+        };
+        let ration = |free, share, us| {
+            Some(Ration {
+                free,
+                share,
+                window: Span::from_us(us),
+            })
+        };
         let taken = [
             ("", None),
-            (r#","extraFree":3.0,"repeatRatio":0.15,"extraWindowUs":5000000"#, ration(3.0, 0.15, 5_000_000)),
-            (r#","repeatRatio":0.15,"extraWindowUs":5000000"#, ration(0.0, 0.15, 5_000_000)),
+            (
+                r#","extraFree":3.0,"repeatRatio":0.15,"extraWindowUs":5000000"#,
+                ration(3.0, 0.15, 5_000_000),
+            ),
+            (
+                r#","repeatRatio":0.15,"extraWindowUs":5000000"#,
+                ration(0.0, 0.15, 5_000_000),
+            ),
             (r#","extraFree":2,"extraWindowUs":9"#, ration(2.0, 0.0, 9)),
             (r#","extraWindowUs":5000000"#, None),
         ];
@@ -442,31 +511,51 @@
         assert_eq!([both(0, 1), both(1, 0)], [taken[1].1; 2]);
         assert_eq!([both(1, 3), both(3, 1)], [ration(2.0, 0.0, 5_000_000); 2]);
         for (more, expected) in taken {
-            let site = read(with(more).as_bytes()).unwrap_or_else(|fault| panic!("{more}: {fault}"));
+            let site =
+                read(with(more).as_bytes()).unwrap_or_else(|fault| panic!("{more}: {fault}"));
             assert_eq!(site.deployment.ration, expected, "{more}");
         }
         let refused = [
             (r#","extraFree":-1,"extraWindowUs":5"#, "extraFree: -1"),
-            (r#","repeatRatio":-0.5,"extraWindowUs":5"#, "repeatRatio: -0.5"),
-            (r#","repeatRatio":0.5,"extraWindowUs":-5"#, "extraWindowUs: -5"),
+            (
+                r#","repeatRatio":-0.5,"extraWindowUs":5"#,
+                "repeatRatio: -0.5",
+            ),
+            (
+                r#","repeatRatio":0.5,"extraWindowUs":-5"#,
+                "extraWindowUs: -5",
+            ),
             (r#","repeatRatio":0.5"#, "repeatRatio without a window"),
-            (r#","repeatRatio":0.5,"extraWindowUs":0"#, "repeatRatio without a window"),
+            (
+                r#","repeatRatio":0.5,"extraWindowUs":0"#,
+                "repeatRatio without a window",
+            ),
             (r#","extraFree":1"#, "extraFree without a window"),
             (r#","repeatRatio":"much","extraWindowUs":5"#, "much"),
         ];
         for (more, expected) in refused {
-            let fault = read(with(more).as_bytes()).err().unwrap_or_else(|| panic!("taken: {more}"));
-            assert!(fault.contains(expected) && fault.lines().count() == 1, "{fault}");
+            let fault = read(with(more).as_bytes())
+                .err()
+                .unwrap_or_else(|| panic!("taken: {more}"));
+            assert!(
+                fault.contains(expected) && fault.lines().count() == 1,
+                "{fault}"
+            );
         }
     }
 
     #[test]
     fn until_the_later_ones_bind_the_stricter_of_both_holds() {
         let dedup = |scope: &str, window: u32| {
-            format!(r#""deadlineUs":9,"effect":"dedup","dedupScope":"{scope}","dedupWindowUs":{window}"#)
+            format!(
+                r#""deadlineUs":9,"effect":"dedup","dedupScope":"{scope}","dedupWindowUs":{window}"#
+            )
         };
         let once = SAFE.replace("retryable", "fragile");
-        let of = |scope, window| Effect::Referenced { scope, window: Span::from_us(window) };
+        let of = |scope, window| Effect::Referenced {
+            scope,
+            window: Span::from_us(window),
+        };
         // The row of a listener before and after, and what holds between.
         let cases = [
             (SAFE.to_string(), once.clone(), Effect::OnceOnly),
@@ -483,7 +572,10 @@
             assert_eq!(both.listeners, ["a", "new", "gone"]);
             let rows = &both.deployment.routes;
             assert_eq!(rows[0].effect, expected, "{before} {after}");
-            assert_eq!(rows.iter().map(|row| row.max_dials).collect::<Vec<_>>(), [2, 3, 2]);
+            assert_eq!(
+                rows.iter().map(|row| row.max_dials).collect::<Vec<_>>(),
+                [2, 3, 2]
+            );
             assert_eq!(both.waits.len(), 3);
         }
     }
--- a/fleet/src/clock.rs
+++ b/fleet/src/clock.rs
@@ -10,8 +10,13 @@
 
 impl Stopwatch {
     pub fn start() -> Stopwatch {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Stopwatch { began: Instant::now(), unix_ms: unix.as_millis() as u64 }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Stopwatch {
+            began: Instant::now(),
+            unix_ms: unix.as_millis() as u64,
+        }
     }
 
     pub fn now(&self) -> Moment {
--- a/fleet/src/crowd.rs
+++ b/fleet/src/crowd.rs
@@ -1,6 +1,7 @@
-//! Clients by the thousand on one thread. Each comes when it is due whatever the others met (open loop), waits for its
-//! answer, sends a line each beat and checks that it comes back once and in order, and comes again when it is refused,
-//! moved or cut off. Times count from when a client was due, not from when this thread got round to it.
+//! Clients by the thousand on one thread. Each comes when it is due whatever the others met (open
+//! loop), waits for its answer, sends a line each beat and checks that it comes back once and in
+//! order, and comes again when it is refused, moved or cut off. Times count from when a client was
+//! due, not from when this thread got round to it.
 use crate::clock::Stopwatch;
 use crate::stage::{Play, Stage, Works};
 use crate::tape::{Answer, RelayNo, Sighting, Tag, Tape};
@@ -369,7 +370,11 @@
 
     fn away(&mut self, id: usize, span: Span, works: &mut Works<Alarm>) {
         self.hang_up(id);
-        if self.finishing || self.clients[id].life_ends.is_some_and(|ends| works.now + span >= ends) {
+        if self.finishing
+            || self.clients[id]
+                .life_ends
+                .is_some_and(|ends| works.now + span >= ends)
+        {
             return self.gone(id, works);
         }
         let serial = self.turn(id, Part::Away);
@@ -378,7 +383,9 @@
     }
 
     fn deal(&mut self, id: usize) -> Option<usize> {
-        let open: Vec<usize> = (0..self.doors.len()).filter(|&door| self.doors[door].open).collect();
+        let open: Vec<usize> = (0..self.doors.len())
+            .filter(|&door| self.doors[door].open)
+            .collect();
         if open.is_empty() {
             return None;
         }
@@ -388,7 +395,10 @@
                 open[self.dealt % open.len()]
             }
             Dealing::Random => open[self.clients[id].chance.below(open.len() as u64) as usize],
-            Dealing::LeastOwn => *open.iter().min_by_key(|&&door| self.own[door]).expect("not empty"),
+            Dealing::LeastOwn => *open
+                .iter()
+                .min_by_key(|&&door| self.own[door])
+                .expect("not empty"),
         })
     }
 
@@ -396,11 +406,16 @@
         let client = &mut self.clients[id];
         if client.rude.is_none() {
             // Rude ones come all at once, which is nobody's lateness.
-            let _ = self.sums.late.record(works.clock.now().since(client.due).us().clamp(1, LONGEST));
+            let _ = self
+                .sums
+                .late
+                .record(works.clock.now().since(client.due).us().clamp(1, LONGEST));
         }
         client.connections += 1;
         client.tag = Tag(scattered(client.connections));
-        let Some(door) = self.deal(id) else { return self.never_taken(id, works) };
+        let Some(door) = self.deal(id) else {
+            return self.never_taken(id, works);
+        };
         self.clients[id].door = door;
         match Wire::connect(self.doors[door].at, &works.poller, id) {
             Ok(mut wire) => {
@@ -426,7 +441,10 @@
 
     /// The front finds out by itself in a while; the client tries the next door.
     fn never_taken(&mut self, id: usize, works: &mut Works<Alarm>) {
-        let relay = self.doors.get(self.clients[id].door).and_then(|door| door.relay);
+        let relay = self
+            .doors
+            .get(self.clients[id].door)
+            .and_then(|door| door.relay);
         works.note(Sighting::NeverTaken { relay });
         let client = &mut self.clients[id];
         client.doors_tried += 1;
@@ -493,7 +511,14 @@
         let client = &self.clients[id];
         let (session, due, again) = (client.tag, client.due, client.again);
         let relay = self.doors[client.door].relay;
-        works.note(Sighting::Asked { session, relay, listener, wait, due, again });
+        works.note(Sighting::Asked {
+            session,
+            relay,
+            listener,
+            wait,
+            due,
+            again,
+        });
         works.set(works.now + wait + SLACK + PATIENCE, Alarm::Late(id, serial));
         if let (Some(after), false) = (leaves, client.has_stood) {
             works.set(works.now + after, Alarm::Leave(id, serial));
@@ -501,7 +526,11 @@
     }
 
     fn lines(&mut self, id: usize, works: &mut Works<Alarm>) {
-        while let Some(line) = self.clients.get_mut(id).and_then(|client| client.wire.as_mut()?.line()) {
+        while let Some(line) = self
+            .clients
+            .get_mut(id)
+            .and_then(|client| client.wire.as_mut()?.line())
+        {
             let client = &self.clients[id];
             let session = client.tag;
             if let Some(rude) = client.rude {
@@ -522,7 +551,10 @@
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         match word {
             "UP" => {
-                works.note(Sighting::Answered { session, answer: Answer::Up });
+                works.note(Sighting::Answered {
+                    session,
+                    answer: Answer::Up,
+                });
                 let (life, beat) = (self.arrival(id).life, self.traffic.beat);
                 let sums = self.kind(id);
                 sums.up += 1;
@@ -544,12 +576,18 @@
             }
             "BUSY" => {
                 let told = rest.trim().parse().ok().map(Span::from_ms);
-                works.note(Sighting::Answered { session, answer: Answer::Busy(told) });
+                works.note(Sighting::Answered {
+                    session,
+                    answer: Answer::Busy(told),
+                });
                 self.kind(id).busy += 1;
                 self.turned_down(id, told, works);
             }
             _ => {
-                works.note(Sighting::Answered { session, answer: Answer::Failed });
+                works.note(Sighting::Answered {
+                    session,
+                    answer: Answer::Failed,
+                });
                 self.kind(id).failed += 1;
                 self.turned_down(id, None, works);
             }
@@ -563,7 +601,9 @@
         let heeds = self.arrival(id).heeds;
         let client = &mut self.clients[id];
         client.retries = true;
-        let wait = told.filter(|_| heeds).unwrap_or(back_off * (0.5 + client.chance.float()));
+        let wait = told
+            .filter(|_| heeds)
+            .unwrap_or(back_off * (0.5 + client.chance.float()));
         client.due = works.now + wait;
         works.set(works.now + Span::from_ms(500), Alarm::Closed(id, serial));
     }
@@ -603,7 +643,9 @@
             }
             _ => {
                 let expected = self.clients[id].out.front().copied();
-                match expected.filter(|(number, _)| line == format!("M {:016x} {number}", session.0)) {
+                match expected
+                    .filter(|(number, _)| line == format!("M {:016x} {number}", session.0))
+                {
                     Some((_, at)) => self.line_right(id, at, works),
                     None => {
                         works.note(Sighting::LineWrong { session });
@@ -620,7 +662,9 @@
         let (session, waited) = (client.tag, works.now.since(at));
         let target = self.traffic.kinds[usize::from(self.arrival(id).kind)].message_target;
         // A line speaks for the beat that it begins, or for what is left of the client's life.
-        let left = self.clients[id].life_ends.map_or(Span::ZERO, |ends| ends.since(at));
+        let left = self.clients[id]
+            .life_ends
+            .map_or(Span::ZERO, |ends| ends.since(at));
         let before = std::mem::take(&mut self.clients[id].before);
         let spoken_for = (before + self.traffic.beat.min(left)).secs();
         let sums = self.kind(id);
@@ -695,7 +739,9 @@
         for number in 0..count {
             let id = standing[number * standing.len() / count];
             let client = &mut self.clients[id];
-            works.note(Sighting::Ended { session: client.tag });
+            works.note(Sighting::Ended {
+                session: client.tag,
+            });
             if let Some(wire) = &client.wire {
                 wire.break_off();
             }
@@ -711,7 +757,8 @@
         }
         for _ in 0..count {
             self.sums.rude += 1;
-            // Other than all arrivals' and than those of other threads, whose first arrival is another.
+            // Other than all arrivals' and than those of other threads, whose first arrival is
+            // another.
             let number = (1 << 43) + (self.arrivals[0].0 << 30) + self.sums.rude;
             let seed = self.chance.below(u64::MAX);
             let client = Client::new(0, number, works.now, seed, Some(rude));
@@ -743,7 +790,10 @@
         };
         wire.freeze(true);
         match said {
-            Ok(()) => works.set(works.now + Span::from_ms(20), Alarm::Beat(id, client.serial)),
+            Ok(()) => works.set(
+                works.now + Span::from_ms(20),
+                Alarm::Beat(id, client.serial),
+            ),
             Err(_) => {
                 self.sums.rude_answered += 1;
                 self.gone(id, works);
@@ -767,7 +817,9 @@
     }
 
     fn current(&self, id: usize, serial: u64) -> bool {
-        self.clients.get(id).is_some_and(|client| client.serial == serial)
+        self.clients
+            .get(id)
+            .is_some_and(|client| client.serial == serial)
     }
 }
 
@@ -780,7 +832,9 @@
     type Sums = CrowdSums;
 
     fn event(&mut self, id: usize, writable: bool, works: &mut Works<Alarm>) {
-        let Some(client) = self.clients.get_mut(id) else { return };
+        let Some(client) = self.clients.get_mut(id) else {
+            return;
+        };
         let stage = client.stage;
         let Some(wire) = &mut client.wire else { return };
         if stage == Part::Connecting {
@@ -811,13 +865,17 @@
                 if self.clients[id].stage == Part::Connecting {
                     return self.never_taken(id, works);
                 }
-                works.note(Sighting::Unanswered { session: self.clients[id].tag });
+                works.note(Sighting::Unanswered {
+                    session: self.clients[id].tag,
+                });
                 self.kind(id).unanswered += 1;
                 self.turned_down(id, None, works);
                 self.come_again(id, works);
             }
             Alarm::Leave(id, serial) if self.current(id, serial) => {
-                works.note(Sighting::LeftEarly { session: self.clients[id].tag });
+                works.note(Sighting::LeftEarly {
+                    session: self.clients[id].tag,
+                });
                 if let Some(wire) = &self.clients[id].wire {
                     wire.break_off();
                 }
@@ -833,7 +891,9 @@
             Alarm::Closed(id, serial) if self.current(id, serial) => match self.clients[id].stage {
                 Part::Told => self.come_again(id, works),
                 _ => {
-                    works.note(Sighting::Ended { session: self.clients[id].tag });
+                    works.note(Sighting::Ended {
+                        session: self.clients[id].tag,
+                    });
                     self.gone(id, works);
                 }
             },
--- a/fleet/src/link.rs
+++ b/fleet/src/link.rs
@@ -6,7 +6,8 @@
     /// The part that is lost.
     pub loss: f64,
     pub delay: Span,
-    /// Added, drawn evenly from nothing up to this; greater than the time between two datagrams, it reorders them.
+    /// Added, drawn evenly from nothing up to this; greater than the time between two datagrams, it
+    /// reorders them.
     pub spread: Span,
     /// The part that comes twice.
     pub doubled: f64,
@@ -15,8 +16,13 @@
 }
 
 impl LinkFault {
-    pub const CUT: LinkFault =
-        LinkFault { loss: 1.0, delay: Span::ZERO, spread: Span::ZERO, doubled: 0.0, rate: 0 };
+    pub const CUT: LinkFault = LinkFault {
+        loss: 1.0,
+        delay: Span::ZERO,
+        spread: Span::ZERO,
+        doubled: 0.0,
+        rate: 0,
+    };
 
     /// After how long it arrives, once, twice or never.
     pub fn passes(&self, chance: &mut Chance) -> Vec<Span> {
--- a/fleet/src/listing.rs
+++ b/fleet/src/listing.rs
@@ -25,7 +25,8 @@
 pub struct Listing {
     generation: u64,
     rows: BTreeMap<BoxNo, (u64, Row)>,
-    /// Changes before this version are not known any more: who asks with an older or a higher one has the whole.
+    /// Changes before this version are not known any more: who asks with an older or a higher one
+    /// has the whole.
     known_from: u64,
 }
 
@@ -47,11 +48,13 @@
     pub fn forget_versions(&mut self) {
         self.generation = 1;
         self.known_from = 1;
-        self.rows.retain(|_, (_, row)| row.lifecycle != Lifecycle::Gone);
+        self.rows
+            .retain(|_, (_, row)| row.lifecycle != Lifecycle::Gone);
         self.rows.values_mut().for_each(|(version, _)| *version = 1);
     }
 
-    /// The text for one who holds that version: what changed since, or the whole; and the rows that it names.
+    /// The text for one who holds that version: what changed since, or the whole; and the rows that
+    /// it names.
     pub fn text_since(&self, held: Option<u64>) -> (String, Vec<(BoxNo, Lifecycle)>) {
         let held = held.filter(|held| (self.known_from..=self.generation).contains(held));
         let told: Vec<(&BoxNo, &Row)> = self
@@ -62,9 +65,13 @@
             .map(|(at, (_, row))| (at, row))
             .collect();
         let instances: Vec<_> = told.iter().map(|(at, row)| object(**at, row)).collect();
-        let text = json!({"generation": self.generation, "reset": held.is_none(), "instances": instances})
-            .to_string();
-        (text, told.iter().map(|(at, row)| (**at, row.lifecycle)).collect())
+        let text =
+            json!({"generation": self.generation, "reset": held.is_none(), "instances": instances})
+                .to_string();
+        (
+            text,
+            told.iter().map(|(at, row)| (**at, row.lifecycle)).collect(),
+        )
     }
 }
 
@@ -112,12 +119,22 @@
         ];
         for (held, reset, rows) in cases {
             let (text, told) = list.text_since(held);
-            let told: Vec<_> = told.iter().map(|(at, lifecycle)| (at.0, *lifecycle)).collect();
+            let told: Vec<_> = told
+                .iter()
+                .map(|(at, lifecycle)| (at.0, *lifecycle))
+                .collect();
             assert_eq!(told, rows, "{held:?}");
-            assert!(text.contains(&format!("\"reset\":{reset}")), "{held:?}: {text}");
+            assert!(
+                text.contains(&format!("\"reset\":{reset}")),
+                "{held:?}: {text}"
+            );
         }
         list.forget_versions();
-        assert_eq!(list.text_since(Some(3)).1.len(), 1, "the whole, since its versions are others now");
+        assert_eq!(
+            list.text_since(Some(3)).1.len(),
+            1,
+            "the whole, since its versions are others now"
+        );
         assert_eq!(list.text_since(Some(1)).1.len(), 0);
     }
 }
--- a/fleet/src/model.rs
+++ b/fleet/src/model.rs
@@ -1,5 +1,5 @@
-//! What a box can do and what is asked of it, and the store that every set-up calls. No I/O: the yard tells it
-//! what happens and when.
+//! What a box can do and what is asked of it, and the store that every set-up calls. No I/O: the
+//! yard tells it what happens and when.
 use std::collections::{BTreeMap, VecDeque};
 use thistlecroft::units::{Moment, Span};
 
@@ -68,7 +68,9 @@
 
     /// What it can do, as a part of its capacity.
     pub fn share(&self, now: Moment) -> f64 {
-        let Some(since) = self.cold_since else { return 1.0 };
+        let Some(since) = self.cold_since else {
+            return 1.0;
+        };
         let cold = &self.make.cold;
         let part = (now.since(since).secs() / cold.warm_up.secs().max(1e-6)).min(1.0);
         cold.start_share + (1.0 - cold.start_share) * part
@@ -88,8 +90,9 @@
         asked * self.slowness / (self.make.capacity * self.share(now)).max(1e-9)
     }
 
-    /// A dial came, whatever is made of it; true if that pushed the box over. The largest one within the window is
-    /// let pass, since a single connection may be larger than the budget of a small box.
+    /// A dial came, whatever is made of it; true if that pushed the box over. The largest one
+    /// within the window is let pass, since a single connection may be larger than the budget of a
+    /// small box.
     pub fn sent(&mut self, now: Moment, load: f64) -> bool {
         let cold = self.make.cold;
         let share = self.share(now);
@@ -97,7 +100,11 @@
             return false;
         }
         self.sent.push_back((now, load));
-        while self.sent.front().is_some_and(|&(at, _)| now.since(at) > cold.window) {
+        while self
+            .sent
+            .front()
+            .is_some_and(|&(at, _)| now.since(at) > cold.window)
+        {
             self.sent.pop_front();
         }
         let sum: f64 = self.sent.iter().map(|&(_, load)| load).sum();
@@ -152,7 +159,8 @@
     }
 }
 
-/// What every set-up calls: so many calls in work at once, each for so long; the others wait their turn.
+/// What every set-up calls: so many calls in work at once, each for so long; the others wait their
+/// turn.
 pub struct Store {
     each: Span,
     free_at: Vec<Moment>,
@@ -161,7 +169,10 @@
 impl Store {
     /// `lanes` at least one.
     pub fn new(lanes: usize, each: Span) -> Store {
-        Store { each, free_at: vec![Moment::default(); lanes.max(1)] }
+        Store {
+            each,
+            free_at: vec![Moment::default(); lanes.max(1)],
+        }
     }
 
     /// When a call made now is answered.
@@ -196,8 +207,9 @@
 
     #[test]
     fn a_cold_box_falls_when_pushed_and_only_then() {
-        // Connections of load 1, their distance in milliseconds, cold or not, and whether it falls: at its start it
-        // can do 0.6 a second, and 5.4 within three seconds is the most that it bears.
+        // Connections of load 1, their distance in milliseconds, cold or not, and whether it falls:
+        // at its start it can do 0.6 a second, and 5.4 within three seconds is the most that it
+        // bears.
         let cases = [
             (6, 100, true, false),
             (8, 100, true, true),
--- a/fleet/src/net.rs
+++ b/fleet/src/net.rs
@@ -1,5 +1,6 @@
-//! The network between relays, for their datagrams: one address a relay at which the others reach it, and a fault for each
-//! directed pair. A relay's datagrams come from its own socket, so that who speaks to whom is seen here.
+//! The network between relays, for their datagrams: one address a relay at which the others reach
+//! it, and a fault for each directed pair. A relay's datagrams come from its own socket, so that
+//! who speaks to whom is seen here.
 use crate::clock::Stopwatch;
 use crate::link::LinkFault;
 use crate::stage::{Play, Stage, Works};
@@ -75,17 +76,28 @@
             let ip = Ipv4Addr::new(127, 70 + (std::process::id() % 50) as u8, high, low);
             let (public, own) = (UdpSocket::bind((ip, 0))?, UdpSocket::bind((ip, 0))?);
             public.set_nonblocking(true)?;
-            ways.push(Way { public: public.local_addr()?, own: own.local_addr()? });
+            ways.push(Way {
+                public: public.local_addr()?,
+                own: own.local_addr()?,
+            });
             sockets.push(public);
             held.push(own);
         }
         drop(held);
-        let by_source = ways.iter().enumerate().map(|(number, way)| (way.own, number)).collect();
+        let by_source = ways
+            .iter()
+            .enumerate()
+            .map(|(number, way)| (way.own, number))
+            .collect();
         let of = ways.clone();
         let stage = Stage::open("net", clock, tape, move |works| {
             for (number, socket) in sockets.iter().enumerate() {
                 // SAFETY: the sockets live as long as the play, and the poller is dropped with it.
-                unsafe { works.poller.add_with_mode(socket, Event::readable(number), PollMode::Level)? };
+                unsafe {
+                    works
+                        .poller
+                        .add_with_mode(socket, Event::readable(number), PollMode::Level)?
+                };
             }
             Ok(Net {
                 sockets,
@@ -129,8 +141,10 @@
     fn event(&mut self, to: usize, _writable: bool, works: &mut Works<Delivery>) {
         let mut bytes = [0; 2_048];
         for _ in 0..DATAGRAMS {
-            let Some((length, source)) =
-                self.sockets.get(to).and_then(|socket| socket.recv_from(&mut bytes).ok())
+            let Some((length, source)) = self
+                .sockets
+                .get(to)
+                .and_then(|socket| socket.recv_from(&mut bytes).ok())
             else {
                 return;
             };
@@ -140,12 +154,24 @@
                 self.sums.strange += 1;
                 continue;
             };
-            let fault = self.link_faults.get(&(from, to)).copied().unwrap_or_default();
+            let fault = self
+                .link_faults
+                .get(&(from, to))
+                .copied()
+                .unwrap_or_default();
             let allowed = self.allows((from, to), fault.rate, length, works.now);
-            let passes = if allowed { fault.passes(&mut self.chance) } else { Vec::new() };
+            let passes = if allowed {
+                fault.passes(&mut self.chance)
+            } else {
+                Vec::new()
+            };
             self.sums.lost += u64::from(passes.is_empty());
             for after in passes {
-                let one = Delivery { from, to, bytes: bytes[..length].to_vec() };
+                let one = Delivery {
+                    from,
+                    to,
+                    bytes: bytes[..length].to_vec(),
+                };
                 if after == Span::ZERO {
                     self.deliver(&one);
                 } else {
@@ -168,7 +194,12 @@
                 Some(fault) => drop(self.link_faults.insert(link, fault)),
                 None => drop(self.link_faults.remove(&link)),
             }
-            works.note(Sighting::Link { from, to, name, on: fault.is_some() });
+            works.note(Sighting::Link {
+                from,
+                to,
+                name,
+                on: fault.is_some(),
+            });
         }
         true
     }
