--- a/fleet/src/post.rs
+++ b/fleet/src/post.rs
@@ -1,4 +1,5 @@
-//! Relays as processes: their configuration, their start, their signals, what they cost, and their end.
+//! Relays as processes: their configuration, their start, their signals, what they cost, and their
+//! end.
 use crate::clock::duration;
 use crate::net::Way;
 use crate::station::{Station, call};
@@ -66,13 +67,24 @@
 impl PeersTerms {
     /// The charter's table for the relay of that way, in a fleet of these.
     pub fn table(&self, own: &Way, fleet: &[Way]) -> String {
-        let quoted =
-            |all: Vec<String>| all.iter().map(|one| format!("\"{one}\"")).collect::<Vec<_>>().join(", ");
+        let quoted = |all: Vec<String>| {
+            all.iter()
+                .map(|one| format!("\"{one}\""))
+                .collect::<Vec<_>>()
+                .join(", ")
+        };
         let first = || fleet.iter().take(self.voters.max(1));
         let seeds = quoted(first().map(|way| way.public.to_string()).collect());
-        let voters =
-            quoted((0..self.voters.min(fleet.len())).map(|number| format!("relay-{number}")).collect());
-        let voters = if self.voters == 0 { String::new() } else { format!("voters = [{voters}]\n") };
+        let voters = quoted(
+            (0..self.voters.min(fleet.len()))
+                .map(|number| format!("relay-{number}"))
+                .collect(),
+        );
+        let voters = if self.voters == 0 {
+            String::new()
+        } else {
+            format!("voters = [{voters}]\n")
+        };
         format!(
             "\n[peers]\nfleet = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{seeds}]\n{voters}period = \"{}us\"\nlease = \"{}us\"\n",
             own.own,
@@ -126,7 +138,11 @@
                 "effect": effect, "dedupScope": scope, "dedupWindowUs": window.us(), "utility": row.utility})
         })
         .collect();
-    let targets: Vec<u64> = terms.listeners.iter().map(|row| row.message_target.us()).collect();
+    let targets: Vec<u64> = terms
+        .listeners
+        .iter()
+        .map(|row| row.message_target.us())
+        .collect();
     let mut text = json!({
         "name": orders.name, "listen": orders.listen.to_string(), "discovery": orders.discovery.to_string(),
         "seed": format!("{:016x}", orders.seed),
@@ -163,12 +179,18 @@
 }
 
 impl Post {
-    /// Starts a program as a relay and waits until it is ready. `program` is the command and its arguments;
-    /// configuration and log are written into `folder`.
+    /// Starts a program as a relay and waits until it is ready. `program` is the command and its
+    /// arguments; configuration and log are written into `folder`.
     ///
     /// # Errors
-    /// One line: the program is not to be started, or ended, or did not answer; with the last line of its log.
-    pub fn start(program: &[String], terms: &Terms, orders: &Orders, folder: &Path) -> Result<Post, String> {
+    /// One line: the program is not to be started, or ended, or did not answer; with the last line
+    /// of its log.
+    pub fn start(
+        program: &[String],
+        terms: &Terms,
+        orders: &Orders,
+        folder: &Path,
+    ) -> Result<Post, String> {
         let mut post = Post::spawn(program, terms, orders, folder)?;
         post.wait_ready()?;
         Ok(post)
@@ -178,14 +200,25 @@
     ///
     /// # Errors
     /// One line: the program is not to be started.
-    pub fn spawn(program: &[String], terms: &Terms, orders: &Orders, folder: &Path) -> Result<Post, String> {
+    pub fn spawn(
+        program: &[String],
+        terms: &Terms,
+        orders: &Orders,
+        folder: &Path,
+    ) -> Result<Post, String> {
         let config = folder.join(format!("{}.json", orders.name));
         let log = folder.join(format!("{}.log", orders.name));
         let charter = folder.join(format!("{}.charter.toml", orders.name));
         let failed = |fault: std::io::Error| format!("{}: {fault}", folder.display());
         std::fs::write(&config, configuration(terms, orders)).map_err(failed)?;
-        let out = std::fs::File::options().create(true).append(true).open(&log).map_err(failed)?;
-        let [name, arguments @ ..] = program else { return Err("no program to start as a relay".into()) };
+        let out = std::fs::File::options()
+            .create(true)
+            .append(true)
+            .open(&log)
+            .map_err(failed)?;
+        let [name, arguments @ ..] = program else {
+            return Err("no program to start as a relay".into());
+        };
         let mut command = Command::new(name);
         command
             .args(arguments)
@@ -203,15 +236,26 @@
                 .env("TMPDIR", station.folder());
         }
         die_with_us(&mut command);
-        let child = command.spawn().map_err(|fault| format!("{name} can't be started: {fault}"))?;
+        let child = command
+            .spawn()
+            .map_err(|fault| format!("{name} can't be started: {fault}"))?;
         let name = orders.name.clone();
-        Ok(Post { child, name, at: orders.listen, admin: orders.admin, config, charter, log })
+        Ok(Post {
+            child,
+            name,
+            at: orders.listen,
+            admin: orders.admin,
+            config,
+            charter,
+            log,
+        })
     }
 
     /// # Errors
     /// One line: it ended, or is not ready in time; with the last line of its log.
     pub fn wait_ready(&mut self) -> Result<(), String> {
-        self.becomes_ready().map_err(|why| format!("{} at {}: {why}", self.name, self.at))
+        self.becomes_ready()
+            .map_err(|why| format!("{} at {}: {why}", self.name, self.at))
     }
 
     fn becomes_ready(&mut self) -> Result<(), String> {
@@ -297,17 +341,35 @@
     }
 }
 
-/// CPU time of a process's living threads so far, and bytes of memory resident; none where it has ended.
+/// CPU time of a process's living threads so far, and bytes of memory resident; none where it has
+/// ended.
 pub fn cost_of(process: u32) -> Option<(Span, u64)> {
     let folder = PathBuf::from(format!("/proc/{process}"));
     let nanoseconds = |thread: std::fs::DirEntry| -> Option<u64> {
-        std::fs::read_to_string(thread.path().join("schedstat")).ok()?.split(' ').next()?.parse().ok()
+        std::fs::read_to_string(thread.path().join("schedstat"))
+            .ok()?
+            .split(' ')
+            .next()?
+            .parse()
+            .ok()
     };
-    let threads = std::fs::read_dir(folder.join("task")).ok()?.filter_map(Result::ok);
+    let threads = std::fs::read_dir(folder.join("task"))
+        .ok()?
+        .filter_map(Result::ok);
     let cpu: u64 = threads.filter_map(nanoseconds).sum();
-    let pages: u64 = std::fs::read_to_string(folder.join("statm")).ok()?.split(' ').nth(1)?.parse().ok()?;
+    let pages: u64 = std::fs::read_to_string(folder.join("statm"))
+        .ok()?
+        .split(' ')
+        .nth(1)?
+        .parse()
+        .ok()?;
     // Of a process that has ended and not been waited for there is neither.
-    (cpu > 0).then(|| (Span::from_us(cpu / 1_000), pages * rustix::param::page_size() as u64))
+    (cpu > 0).then(|| {
+        (
+            Span::from_us(cpu / 1_000),
+            pages * rustix::param::page_size() as u64,
+        )
+    })
 }
 
 impl Drop for Post {
@@ -331,7 +393,8 @@
     // SAFETY: the one call between fork and exec is a system call that allocates nothing.
     unsafe {
         command.pre_exec(|| {
-            rustix::process::set_parent_process_death_signal(Some(Signal::KILL)).map_err(std::io::Error::from)
+            rustix::process::set_parent_process_death_signal(Some(Signal::KILL))
+                .map_err(std::io::Error::from)
         });
     }
 }
@@ -359,13 +422,17 @@
     std::net::TcpListener::bind((at, 0))?.local_addr()
 }
 
-/// Raises this process's limit of descriptors, and with it that of the relays it starts, to what it needs.
+/// Raises this process's limit of descriptors, and with it that of the relays it starts, to what it
+/// needs.
 ///
 /// # Errors
 /// One line that names the limit and what is needed.
 pub fn need_descriptors(needed: u64) -> Result<u64, String> {
     let limit = getrlimit(Resource::Nofile);
-    let (soft, hard) = (limit.current.unwrap_or(u64::MAX), limit.maximum.unwrap_or(u64::MAX));
+    let (soft, hard) = (
+        limit.current.unwrap_or(u64::MAX),
+        limit.maximum.unwrap_or(u64::MAX),
+    );
     if soft >= needed {
         return Ok(soft);
     }
@@ -374,7 +441,10 @@
             "{needed} descriptors are needed and the limit is {hard} (ulimit -Hn): raise it, or run fewer clients"
         ));
     }
-    let raised = rustix::process::Rlimit { current: Some(needed), maximum: limit.maximum };
+    let raised = rustix::process::Rlimit {
+        current: Some(needed),
+        maximum: limit.maximum,
+    };
     setrlimit(Resource::Nofile, raised)
         .map_err(|fault| format!("the limit of descriptors stays at {soft}: {fault}"))?;
     Ok(needed)
--- a/fleet/src/referee.rs
+++ b/fleet/src/referee.rs
@@ -1,6 +1,6 @@
-//! Reads what boxes and clients saw, and says of each of the four rules whether it was kept, with the shortest story
-//! of its first break. No I/O. What nobody can have seen is not judged: a box that stands still notes late, and a
-//! relay that was killed owes no answer for what it held.
+//! Reads what boxes and clients saw, and says of each of the four rules whether it was kept, with
+//! the shortest story of its first break. No I/O. What nobody can have seen is not judged: a box
+//! that stands still notes late, and a relay that was killed owes no answer for what it held.
 use crate::tape::{Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag};
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{Effect, Scope};
@@ -8,7 +8,8 @@
 
 /// Each time limit is so much longer on sockets.
 const SLACK: Span = Span::from_ms(50);
-/// Sightings of two threads, or of two sockets in one turn, may stand in the wrong order by so much.
+/// Sightings of two threads, or of two sockets in one turn, may stand in the wrong order by so
+/// much.
 const BLUR: Span = Span::from_ms(50);
 /// A line may be kept for so long, and the end of a box's side for as long.
 const SECOND: Span = Span::from_ms(1_000);
@@ -87,8 +88,9 @@
             return "rules kept".into();
         }
         let broken = (1..).zip(self.breaks).filter(|(_, count)| *count > 0);
-        let broken: Vec<String> =
-            broken.map(|(rule, count)| format!("rule {rule} broken {count} times")).collect();
+        let broken: Vec<String> = broken
+            .map(|(rule, count)| format!("rule {rule} broken {count} times"))
+            .collect();
         broken.join(", ")
     }
 }
@@ -136,7 +138,9 @@
 
     /// If it was so at any time between the two.
     fn meets(&self, from: Moment, to: Moment) -> bool {
-        self.0.iter().any(|&(began, ended)| began <= to && ended.is_none_or(|ended| ended >= from))
+        self.0
+            .iter()
+            .any(|&(began, ended)| began <= to && ended.is_none_or(|ended| ended >= from))
     }
 }
 
@@ -145,7 +149,8 @@
     still: Times,
     /// Anything is wrong with it, or it is not running.
     ailing: Times,
-    /// From when on nothing new may come, by relay; what all are deemed told counts for those not told.
+    /// From when on nothing new may come, by relay; what all are deemed told counts for those not
+    /// told.
     told: BTreeMap<RelayNo, Moment>,
     shut: Option<Moment>,
     /// Since when a relay's operators have it out, whatever the list says.
@@ -194,7 +199,13 @@
     fn first_look(&mut self) {
         for Entry { at, seen } in self.entries {
             match seen {
-                Sighting::Asked { session, relay, listener, wait, .. } => {
+                Sighting::Asked {
+                    session,
+                    relay,
+                    listener,
+                    wait,
+                    ..
+                } => {
                     self.has_relays |= relay.is_some();
                     let story = SessionStory {
                         asked: *at,
@@ -216,24 +227,42 @@
                         story.box_ended = Some(*at);
                     }
                 }
-                Sighting::BoxHeld { session, waited, .. } => {
+                Sighting::BoxHeld {
+                    session, waited, ..
+                } => {
                     if let Some(story) = self.sessions.get_mut(session) {
                         story.box_held = story.box_held.max(*waited);
                     }
                 }
                 Sighting::Still { at: of, on } => {
                     let still = &mut self.boxes.entry(*of).or_default().still;
-                    if *on { still.begin(*at) } else { still.end(*at) }
+                    if *on {
+                        still.begin(*at)
+                    } else {
+                        still.end(*at)
+                    }
                 }
                 Sighting::Ailment { at: of, on, .. } => {
                     let ailing = &mut self.boxes.entry(*of).or_default().ailing;
-                    if *on { ailing.begin(*at) } else { ailing.end(*at) }
+                    if *on {
+                        ailing.begin(*at)
+                    } else {
+                        ailing.end(*at)
+                    }
+                }
+                Sighting::BoxStopped { at: of } => {
+                    self.boxes.entry(*of).or_default().ailing.begin(*at)
+                }
+                Sighting::BoxStarted { at: of, .. } => {
+                    self.boxes.entry(*of).or_default().ailing.end(*at)
                 }
-                Sighting::BoxStopped { at: of } => self.boxes.entry(*of).or_default().ailing.begin(*at),
-                Sighting::BoxStarted { at: of, .. } => self.boxes.entry(*of).or_default().ailing.end(*at),
                 Sighting::RelayStill { relay, on } => {
                     let still = self.stopped.entry(*relay).or_default();
-                    if *on { still.begin(*at) } else { still.end(*at) }
+                    if *on {
+                        still.begin(*at)
+                    } else {
+                        still.end(*at)
+                    }
                 }
                 Sighting::RelayKilled { relay } => self.killed.entry(*relay).or_default().push(*at),
                 Sighting::ToolLate { by } => self.late.push((*at, *by)),
@@ -244,7 +273,10 @@
 
     /// How late what was noted between the two may have been seen.
     fn lateness(&self, from: Moment, to: Moment) -> Span {
-        let near = self.late.iter().filter(|(at, by)| *at + *by >= from && *at <= to + *by);
+        let near = self
+            .late
+            .iter()
+            .filter(|(at, by)| *at + *by >= from && *at <= to + *by);
         near.map(|(_, by)| *by).max().unwrap_or(Span::ZERO)
     }
 
@@ -258,26 +290,51 @@
         if self.stood_still(relay, from, to) {
             return true;
         }
-        let Some(times) = relay.and_then(|relay| self.killed.get(&relay)) else { return false };
-        times.iter().any(|at| *at + BLUR >= from && *at <= to + BLUR)
+        let Some(times) = relay.and_then(|relay| self.killed.get(&relay)) else {
+            return false;
+        };
+        times
+            .iter()
+            .any(|at| *at + BLUR >= from && *at <= to + BLUR)
     }
 
-    fn broken(&mut self, rule: usize, at: Moment, what: String, session: Option<Tag>, of: Option<BoxNo>) {
+    fn broken(
+        &mut self,
+        rule: usize,
+        at: Moment,
+        what: String,
+        session: Option<Tag>,
+        of: Option<BoxNo>,
+    ) {
         self.ruling.breaks[rule - 1] += 1;
-        if self.ruling.first[rule - 1].as_ref().is_some_and(|first| first.at <= at) {
+        if self.ruling.first[rule - 1]
+            .as_ref()
+            .is_some_and(|first| first.at <= at)
+        {
             return;
         }
         let about = |entry: &&Entry| match session {
             Some(session) => {
-                session_of(&entry.seen) == Some(session) || of.is_some_and(|of| is_news(&entry.seen, of))
+                session_of(&entry.seen) == Some(session)
+                    || of.is_some_and(|of| is_news(&entry.seen, of))
             }
             None => of.is_some_and(|of| is_news(&entry.seen, of) || is_dial(&entry.seen, of)),
         };
         let story: Vec<String> = self.entries.iter().filter(about).map(tell).collect();
         // Of a long story its end, in which it broke.
-        let until = self.entries.iter().filter(about).filter(|entry| entry.at <= at + SECOND).count();
+        let until = self
+            .entries
+            .iter()
+            .filter(about)
+            .filter(|entry| entry.at <= at + SECOND)
+            .count();
         let story = story[until.saturating_sub(STORY)..until].to_vec();
-        self.ruling.first[rule - 1] = Some(Break { rule, at, what, story });
+        self.ruling.first[rule - 1] = Some(Break {
+            rule,
+            at,
+            what,
+            story,
+        });
     }
 
     fn read(&mut self, entry: &Entry) {
@@ -285,10 +342,18 @@
         match &entry.seen {
             Sighting::Answered { session, answer } => self.answered(at, *session, *answer),
             Sighting::SaidMore { session } => {
-                self.broken(1, at, "more was said after the final answer".into(), Some(*session), None);
+                self.broken(
+                    1,
+                    at,
+                    "more was said after the final answer".into(),
+                    Some(*session),
+                    None,
+                );
             }
             Sighting::Unanswered { session } | Sighting::Dropped { session } => {
-                let Some(story) = self.sessions.get_mut(session) else { return };
+                let Some(story) = self.sessions.get_mut(session) else {
+                    return;
+                };
                 story.ends = Some(at);
                 let (from, relay) = (story.asked, story.relay);
                 if relay.is_some() && !self.was_killed(relay, from, at) {
@@ -322,10 +387,16 @@
                     None,
                 );
             }
-            Sighting::DialCame { at: of, session, first } => self.dial_came(at, *of, *session, *first),
-            Sighting::DialReplied { at: of, session, reply } => {
-                self.dial_over(at, *of, *session, Some(*reply))
-            }
+            Sighting::DialCame {
+                at: of,
+                session,
+                first,
+            } => self.dial_came(at, *of, *session, *first),
+            Sighting::DialReplied {
+                at: of,
+                session,
+                reply,
+            } => self.dial_over(at, *of, *session, Some(*reply)),
             Sighting::DialGone { at: of, session } => self.dial_over(at, *of, *session, None),
             Sighting::BoxDrains { at: of } | Sighting::BoxStopped { at: of } => {
                 self.boxes.entry(*of).or_default().shut.get_or_insert(at);
@@ -334,7 +405,11 @@
                 let story = self.boxes.entry(*of).or_default();
                 (story.shut, story.told) = (None, BTreeMap::new());
             }
-            Sighting::Told { relay, at: of, lifecycle: Lifecycle::Draining | Lifecycle::Gone } => {
+            Sighting::Told {
+                relay,
+                at: of,
+                lifecycle: Lifecycle::Draining | Lifecycle::Gone,
+            } => {
                 let story = self.boxes.entry(*of).or_default();
                 // Of a box that runs again by now the news is old.
                 if story.shut.is_some() {
@@ -350,20 +425,34 @@
                 }
             }
             Sighting::BoxFell { at: of } => {
-                self.broken(4, at, format!("box {} was pushed over while cold", of.0), None, Some(*of));
+                self.broken(
+                    4,
+                    at,
+                    format!("box {} was pushed over while cold", of.0),
+                    None,
+                    Some(*of),
+                );
             }
             Sighting::BoxLoad { pushed, .. } => {
                 self.ruling.worst_push = self.ruling.worst_push.max(*pushed);
             }
             Sighting::Mark { text } if text.starts_with("SYNTAX") && self.has_relays => {
-                self.broken(1, at, format!("a box met a line that no client sent: {text}"), None, None);
+                self.broken(
+                    1,
+                    at,
+                    format!("a box met a line that no client sent: {text}"),
+                    None,
+                    None,
+                );
             }
             _ => {}
         }
     }
 
     fn answered(&mut self, at: Moment, session: Tag, answer: Answer) {
-        let Some(story) = self.sessions.get(&session) else { return };
+        let Some(story) = self.sessions.get(&session) else {
+            return;
+        };
         let (asked, wait, relay) = (story.asked, story.wait, story.relay);
         if story.answer.is_some() {
             return self.broken(1, at, "it was answered twice".into(), Some(session), None);
@@ -377,14 +466,18 @@
         let due = asked + wait + SLACK;
         let late = self.lateness(asked, at);
         if relay.is_some() && at > due + late && !self.stood_still(relay, asked, at) {
-            let what =
-                format!("its answer came {} ms after its wait was over", at.since(asked + wait).us() / 1_000);
+            let what = format!(
+                "its answer came {} ms after its wait was over",
+                at.since(asked + wait).us() / 1_000
+            );
             self.broken(1, at, what, Some(session), None);
         }
     }
 
     fn cut_off(&mut self, at: Moment, session: Tag) {
-        let Some(story) = self.sessions.get_mut(&session) else { return };
+        let Some(story) = self.sessions.get_mut(&session) else {
+            return;
+        };
         story.ends = Some(at);
         let (relay, ended) = (story.relay, story.box_ended);
         let of = story
@@ -400,14 +493,26 @@
             return;
         }
         let since = at - SILENT;
-        if of.is_some_and(|of| self.boxes.get(&of).is_some_and(|story| story.ailing.meets(since, at))) {
+        if of.is_some_and(|of| {
+            self.boxes
+                .get(&of)
+                .is_some_and(|story| story.ailing.meets(since, at))
+        }) {
             return;
         }
-        self.broken(1, at, "it was cut off without MOVE while its box answered".into(), Some(session), of);
+        self.broken(
+            1,
+            at,
+            "it was cut off without MOVE while its box answered".into(),
+            Some(session),
+            of,
+        );
     }
 
     fn line_late(&mut self, at: Moment, session: Tag, waited: Span) {
-        let Some(story) = self.sessions.get(&session) else { return };
+        let Some(story) = self.sessions.get(&session) else {
+            return;
+        };
         let from = at - waited;
         let ailing = |dial: &DialStory| {
             self.boxes
@@ -420,13 +525,18 @@
         if stood || story.relay.is_none() || of_box || waited <= SECOND + SLACK + late {
             return;
         }
-        let what = format!("a line took {} ms, its box had answered before", waited.us() / 1_000);
+        let what = format!(
+            "a line took {} ms, its box had answered before",
+            waited.us() / 1_000
+        );
         self.broken(1, at, what, Some(session), None);
     }
 
     fn dial_came(&mut self, at: Moment, of: BoxNo, session: Tag, first: Moment) {
         self.ruling.dials += 1;
-        let Some(story) = self.sessions.get(&session) else { return };
+        let Some(story) = self.sessions.get(&session) else {
+            return;
+        };
         let relay = story.relay;
         let here = self.boxes.entry(of).or_default();
         let blurred = here.still.meets(at - BLUR, at);
@@ -448,18 +558,33 @@
             && first > told + grace + SLACK + late
         {
             let after = first.since(told).us() / 1_000;
-            let what = format!("box {} was dialled {after} ms after its drain was told", of.0);
+            let what = format!(
+                "box {} was dialled {after} ms after its drain was told",
+                of.0
+            );
             self.broken(3, at, what, Some(session), Some(of));
         }
         if let Some(story) = self.sessions.get_mut(&session) {
-            story.dials.push(DialStory { at: of, came: at, first, over: None, blurred });
+            story.dials.push(DialStory {
+                at: of,
+                came: at,
+                first,
+                over: None,
+                blurred,
+            });
         }
     }
 
     fn dial_over(&mut self, at: Moment, of: BoxNo, session: Tag, reply: Option<Reply>) {
         let still = self.boxes.get(&of);
-        let Some(story) = self.sessions.get_mut(&session) else { return };
-        let open = story.dials.iter_mut().rev().find(|dial| dial.at == of && dial.over.is_none());
+        let Some(story) = self.sessions.get_mut(&session) else {
+            return;
+        };
+        let open = story
+            .dials
+            .iter_mut()
+            .rev()
+            .find(|dial| dial.at == of && dial.over.is_none());
         if let Some(dial) = open {
             dial.over = Some((at, reply));
             dial.blurred |= still.is_some_and(|story| story.still.meets(dial.came, at));
@@ -488,7 +613,13 @@
                 && story.ends.is_none()
                 && self.end > end_of_wait + SECOND
             {
-                self.broken(1, end_of_wait, "it was never answered".into(), Some(tag), None);
+                self.broken(
+                    1,
+                    end_of_wait,
+                    "it was never answered".into(),
+                    Some(tag),
+                    None,
+                );
             }
             self.kept_back(tag, &story);
             self.orphaned(tag, &story);
@@ -506,9 +637,16 @@
         count.sessions += 1;
         count.most = count.most.max(story.dials.len());
         for pair in story.dials.windows(2) {
-            let over = pair[0].over.filter(|(_, reply)| *reply != Some(Reply::Up)).map(|(over, _)| over);
+            let over = pair[0]
+                .over
+                .filter(|(_, reply)| *reply != Some(Reply::Up))
+                .map(|(over, _)| over);
             let at_once = over.is_none_or(|over| over > pair[1].came);
-            *(if at_once { &mut count.second } else { &mut count.further }) += 1;
+            *(if at_once {
+                &mut count.second
+            } else {
+                &mut count.further
+            }) += 1;
         }
         if let Some((at, _)) = story.answer {
             count.longest = count.longest.max(at.since(story.asked));
@@ -516,60 +654,98 @@
     }
 
     fn kept_back(&mut self, tag: Tag, story: &SessionStory) {
-        let Some((at, Answer::Busy(_) | Answer::Failed)) = story.answer else { return };
-        let nothing_out = story.dials.iter().map(|dial| dial.over.map_or(at, |(over, _)| over)).max();
+        let Some((at, Answer::Busy(_) | Answer::Failed)) = story.answer else {
+            return;
+        };
+        let nothing_out = story
+            .dials
+            .iter()
+            .map(|dial| dial.over.map_or(at, |(over, _)| over))
+            .max();
         let since = nothing_out.unwrap_or(story.asked);
-        let blurred = story.dials.iter().any(|dial| dial.blurred) || self.stood_still(story.relay, since, at);
+        let blurred =
+            story.dials.iter().any(|dial| dial.blurred) || self.stood_still(story.relay, since, at);
         if at + NEAR >= story.asked + story.wait && at.since(since) > NOTHING_OUT && !blurred {
-            let what =
-                format!("its answer was kept back for {} ms with no dial out", at.since(since).us() / 1_000);
+            let what = format!(
+                "its answer was kept back for {} ms with no dial out",
+                at.since(since).us() / 1_000
+            );
             self.broken(1, at, what, Some(tag), None);
         }
     }
 
     /// One that its box has ended must be ended or moved within a second.
     fn orphaned(&mut self, tag: Tag, story: &SessionStory) {
-        let (Some(ended), Some((_, Answer::Up))) = (story.box_ended, story.answer) else { return };
+        let (Some(ended), Some((_, Answer::Up))) = (story.box_ended, story.answer) else {
+            return;
+        };
         let over = story.ends.unwrap_or(self.end);
         let late = self.lateness(ended, over);
         if over > ended + SECOND + SLACK + late && !self.was_killed(story.relay, ended, over) {
-            self.broken(1, over, "its box had ended it a second before and more".into(), Some(tag), None);
+            self.broken(
+                1,
+                over,
+                "its box had ended it a second before and more".into(),
+                Some(tag),
+                None,
+            );
         }
     }
 
     fn dials_at_once(&mut self, tag: Tag, story: &SessionStory) {
-        if self.law.hedged.get(story.listener).copied().unwrap_or(false) {
+        if self
+            .law
+            .hedged
+            .get(story.listener)
+            .copied()
+            .unwrap_or(false)
+        {
             return;
         }
         for pair in story.dials.windows(2) {
             let [one, two] = pair else { continue };
             let late = self.lateness(one.came, two.came);
-            let over = one.over.filter(|(_, reply)| *reply != Some(Reply::Up)).map(|(over, _)| over);
-            if one.blurred || two.blurred || over.is_some_and(|over| over <= two.came + BLUR + late) {
+            let over = one
+                .over
+                .filter(|(_, reply)| *reply != Some(Reply::Up))
+                .map(|(over, _)| over);
+            if one.blurred || two.blurred || over.is_some_and(|over| over <= two.came + BLUR + late)
+            {
                 continue;
             }
-            let what = format!("boxes {} and {} had a dial of it at once", one.at.0, two.at.0);
+            let what = format!(
+                "boxes {} and {} had a dial of it at once",
+                one.at.0, two.at.0
+            );
             self.broken(2, two.came, what, Some(tag), None);
         }
     }
 
     fn effects(&mut self, tag: Tag, story: &SessionStory) {
         let ran = |dial: &&DialStory| !matches!(dial.over, Some((_, Some(Reply::Busy))));
-        let Some(first) = story.dials.iter().find(ran) else { return };
+        let Some(first) = story.dials.iter().find(ran) else {
+            return;
+        };
         let refused = matches!(story.answer, Some((_, Answer::Busy(_))));
         let further = story.dials.iter().filter(|dial| dial.came > first.came);
         let place = |of: BoxNo| self.law.places.get(usize::from(of.0));
         let found = match self.law.effects.get(story.listener) {
             Some(Effect::OnceOnly) => {
-                let again =
-                    further.clone().next().map(|dial| (dial.came, "a once-only session was dialled again"));
-                again.or(refused.then_some((first.came, "a once-only session that may have run was refused")))
+                let again = further
+                    .clone()
+                    .next()
+                    .map(|dial| (dial.came, "a once-only session was dialled again"));
+                again.or(refused.then_some((
+                    first.came,
+                    "a once-only session that may have run was refused",
+                )))
             }
             Some(Effect::Referenced { scope, window }) => {
                 let outside = |dial: &&DialStory| match scope {
                     Scope::All => false,
                     Scope::Zone => {
-                        place(dial.at).map(|place| &place.0) != place(first.at).map(|place| &place.0)
+                        place(dial.at).map(|place| &place.0)
+                            != place(first.at).map(|place| &place.0)
                     }
                     Scope::Cell => place(dial.at) != place(first.at),
                 };
@@ -640,11 +816,22 @@
 /// A sighting as a line of a story.
 pub fn tell(entry: &Entry) -> String {
     let ms = |span: &Span| span.us() / 1_000;
-    let relay =
-        |relay: &Option<RelayNo>| relay.map_or("a box itself".into(), |relay| format!("relay {}", relay.0));
+    let relay = |relay: &Option<RelayNo>| {
+        relay.map_or("a box itself".into(), |relay| format!("relay {}", relay.0))
+    };
     let text = match &entry.seen {
-        Sighting::Asked { session, relay: of, wait, .. } => {
-            format!("client {:016x} asks {} and waits {} ms", session.0, relay(of), ms(wait))
+        Sighting::Asked {
+            session,
+            relay: of,
+            wait,
+            ..
+        } => {
+            format!(
+                "client {:016x} asks {} and waits {} ms",
+                session.0,
+                relay(of),
+                ms(wait)
+            )
         }
         Sighting::Answered { answer, .. } => match answer {
             Answer::Up => "the client hears UP".into(),
@@ -674,7 +861,9 @@
         ),
         Sighting::DialGone { at, .. } => format!("box {} sees the dial given up", at.0),
         Sighting::BoxEnded { at, .. } => format!("box {} ends the connection", at.0),
-        Sighting::BoxHeld { at, waited, .. } => format!("box {} keeps a line for {} ms", at.0, ms(waited)),
+        Sighting::BoxHeld { at, waited, .. } => {
+            format!("box {} keeps a line for {} ms", at.0, ms(waited))
+        }
         Sighting::BoxStarted { at, cold } => {
             format!("box {} starts{}", at.0, if *cold { ", cold" } else { "" })
         }
@@ -682,19 +871,36 @@
         Sighting::BoxStopped { at } => format!("box {} stops", at.0),
         Sighting::BoxFell { at } => format!("box {} falls over", at.0),
         Sighting::Still { at, on } => {
-            format!("box {} {}", at.0, if *on { "stands still" } else { "goes on" })
+            format!(
+                "box {} {}",
+                at.0,
+                if *on { "stands still" } else { "goes on" }
+            )
         }
         Sighting::Ailment { at, name, on } => {
             format!("box {}: {name}{}", at.0, if *on { "" } else { " is over" })
         }
-        Sighting::Told { relay, at, lifecycle } => {
+        Sighting::Told {
+            relay,
+            at,
+            lifecycle,
+        } => {
             format!("relay {} is told: box {} {lifecycle:?}", relay.0, at.0)
         }
         Sighting::ByHand { relay, at, out } => {
-            format!("relay {}: box {} is {} by hand", relay.0, at.0, if *out { "out" } else { "wanted back" })
+            format!(
+                "relay {}: box {} is {} by hand",
+                relay.0,
+                at.0,
+                if *out { "out" } else { "wanted back" }
+            )
         }
         Sighting::Agent { relay, fault, on } => {
-            format!("relay {}: {fault}{}", relay.0, if *on { "" } else { " is over" })
+            format!(
+                "relay {}: {fault}{}",
+                relay.0,
+                if *on { "" } else { " is over" }
+            )
         }
         Sighting::RelayStarted { relay } => format!("relay {} starts", relay.0),
         Sighting::RelayToldToStop { relay } => format!("relay {} is told to stop", relay.0),
@@ -706,13 +912,30 @@
         Sighting::BoxLoad { at, load, .. } => format!("box {} has a load of {load:.2}", at.0),
         Sighting::RelayCost { relay, .. } => format!("relay {} is measured", relay.0),
         Sighting::RelayStill { relay, on } => {
-            format!("relay {} {}", relay.0, if *on { "stands still" } else { "goes on" })
+            format!(
+                "relay {} {}",
+                relay.0,
+                if *on { "stands still" } else { "goes on" }
+            )
         }
         Sighting::Link { from, to, name, on } => {
-            format!("link {} to {}: {name}{}", from.0, to.0, if *on { "" } else { " is over" })
-        }
-        Sighting::LeaseSaid { relay, subject, epoch, .. } => {
-            format!("relay {} says that it holds {subject} by epoch {epoch}", relay.0)
+            format!(
+                "link {} to {}: {name}{}",
+                from.0,
+                to.0,
+                if *on { "" } else { " is over" }
+            )
+        }
+        Sighting::LeaseSaid {
+            relay,
+            subject,
+            epoch,
+            ..
+        } => {
+            format!(
+                "relay {} says that it holds {subject} by epoch {epoch}",
+                relay.0
+            )
         }
         Sighting::Sees { relay, here } => format!("relay {} sees {} here", relay.0, here.len()),
     };
--- a/fleet/src/rig.rs
+++ b/fleet/src/rig.rs
@@ -1,5 +1,5 @@
-//! Relays as processes that know of one another, for tests: started, cut off, healed, paused, killed and started again, and
-//! waited for until a stated condition holds, within a bound.
+//! Relays as processes that know of one another, for tests: started, cut off, healed, paused,
+//! killed and started again, and waited for until a stated condition holds, within a bound.
 use crate::clock::{Stopwatch, duration};
 use crate::link::LinkFault;
 use crate::model::{Cold, Make};
@@ -35,7 +35,8 @@
 }
 
 impl Plan {
-    /// One box and so many small relays of that program that may talk, of which the first so many vote.
+    /// One box and so many small relays of that program that may talk, of which the first so many
+    /// vote.
     pub fn small(
         program: Vec<String>,
         relays: usize,
@@ -51,9 +52,20 @@
             window: ms(3_000),
             turnover: ms(10_000),
         };
-        let make = Make { capacity: 100.0, most: 100, setup: ms(2), group_fee: 0.0, cold };
+        let make = Make {
+            capacity: 100.0,
+            most: 100,
+            setup: ms(2),
+            group_fee: 0.0,
+            cold,
+        };
         let ground = Ground {
-            boxes: vec![BoxPlan { make, zone: "a".into(), cell: 0, present: true }],
+            boxes: vec![BoxPlan {
+                make,
+                zone: "a".into(),
+                cell: 0,
+                present: true,
+            }],
             relays,
             notice: (ms(100), ms(200)),
             store: None,
@@ -87,7 +99,16 @@
             two_dials: false,
             peers: true,
         };
-        Plan { program, terms, ground, period, lease, voters, seed: 7, folder }
+        Plan {
+            program,
+            terms,
+            ground,
+            period,
+            lease,
+            voters,
+            seed: 7,
+            folder,
+        }
     }
 }
 
@@ -121,11 +142,32 @@
         std::fs::create_dir_all(&plan.folder).map_err(said)?;
         let key_file = plan.folder.join("peers.key");
         std::fs::write(&key_file, "a key for the rig alone\n").map_err(said)?;
-        let peers = PeersTerms { period: plan.period, lease: plan.lease, voters: plan.voters, key_file };
-        let addresses = |from: usize| (from..from + count).map(free_address).collect::<Result<Vec<_>, _>>();
+        let peers = PeersTerms {
+            period: plan.period,
+            lease: plan.lease,
+            voters: plan.voters,
+            key_file,
+        };
+        let addresses = |from: usize| {
+            (from..from + count)
+                .map(free_address)
+                .collect::<Result<Vec<_>, _>>()
+        };
         let (listens, doors) = (addresses(0).map_err(said)?, addresses(count).map_err(said)?);
         let posts = (0..count).map(|_| None).collect();
-        Ok(Rig { clock, tape, reel, yard, net, plan, peers, posts, doors, listens, starts: 0 })
+        Ok(Rig {
+            clock,
+            tape,
+            reel,
+            yard,
+            net,
+            plan,
+            peers,
+            posts,
+            doors,
+            listens,
+            starts: 0,
+        })
     }
 
     fn note(&self, seen: Sighting) {
@@ -142,8 +184,12 @@
             self.spawn(number, charter)?;
         }
         for &number in numbers {
-            self.posts[number].as_mut().map_or(Ok(()), Post::wait_ready)?;
-            self.note(Sighting::RelayStarted { relay: RelayNo(number as u16) });
+            self.posts[number]
+                .as_mut()
+                .map_or(Ok(()), Post::wait_ready)?;
+            self.note(Sighting::RelayStarted {
+                relay: RelayNo(number as u16),
+            });
         }
         Ok(())
     }
@@ -166,7 +212,9 @@
             self.posts[number] = None;
         }
         ready?;
-        self.note(Sighting::RelayStarted { relay: RelayNo(number as u16) });
+        self.note(Sighting::RelayStarted {
+            relay: RelayNo(number as u16),
+        });
         Ok(())
     }
 
@@ -179,13 +227,22 @@
             zone: 0,
             listen: self.listens[number],
             discovery: self.yard.agents[number],
-            seed: scattered(self.plan.seed.wrapping_add(self.starts * 1_000 + number as u64)),
+            seed: scattered(
+                self.plan
+                    .seed
+                    .wrapping_add(self.starts * 1_000 + number as u64),
+            ),
             known: None,
             charter: Some(charter),
             admin: Some(self.doors[number]),
             station: None,
         };
-        let post = Post::spawn(&self.plan.program, &self.plan.terms, &orders, &self.plan.folder)?;
+        let post = Post::spawn(
+            &self.plan.program,
+            &self.plan.terms,
+            &orders,
+            &self.plan.folder,
+        )?;
         self.posts[number] = Some(post);
         Ok(())
     }
@@ -198,36 +255,53 @@
     /// # Errors
     /// Where the file can't be written.
     pub fn recharter(&self, number: usize, text: &str) -> std::io::Result<()> {
-        self.posts[number].as_ref().map_or(Ok(()), |post| post.recharter(text))
+        self.posts[number]
+            .as_ref()
+            .map_or(Ok(()), |post| post.recharter(text))
     }
 
     pub fn kill(&mut self, number: usize) {
         if let Some(mut post) = self.posts[number].take() {
-            self.note(Sighting::RelayKilled { relay: RelayNo(number as u16) });
+            self.note(Sighting::RelayKilled {
+                relay: RelayNo(number as u16),
+            });
             post.kill();
         }
     }
 
     pub fn pause(&mut self, number: usize, on: bool) {
-        let Some(post) = &self.posts[number] else { return };
-        self.note(Sighting::RelayStill { relay: RelayNo(number as u16), on });
+        let Some(post) = &self.posts[number] else {
+            return;
+        };
+        self.note(Sighting::RelayStill {
+            relay: RelayNo(number as u16),
+            on,
+        });
         post.still(on);
     }
 
     /// Told to stop; if it ended well within that time.
     pub fn stop(&mut self, number: usize, within: Span) -> bool {
-        let Some(mut post) = self.posts[number].take() else { return false };
-        self.note(Sighting::RelayToldToStop { relay: RelayNo(number as u16) });
+        let Some(mut post) = self.posts[number].take() else {
+            return false;
+        };
+        self.note(Sighting::RelayToldToStop {
+            relay: RelayNo(number as u16),
+        });
         post.tell_to_stop();
         let ended = post.wait(within).is_some_and(|status| status.success());
-        self.note(Sighting::RelayStopped { relay: RelayNo(number as u16) });
+        self.note(Sighting::RelayStopped {
+            relay: RelayNo(number as u16),
+        });
         ended
     }
 
     /// Each directed pair between these and those, one direction only.
     pub fn fault_links(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
         let no = |number: usize| RelayNo(number as u16);
-        let pairs = from.iter().flat_map(|one| to.iter().map(move |other| (no(*one), no(*other))));
+        let pairs = from
+            .iter()
+            .flat_map(|one| to.iter().map(move |other| (no(*one), no(*other))));
         let links = pairs.filter(|(one, other)| one != other).collect();
         self.net.stage.cue(Cue::LinkFault(links, fault, "bent"));
     }
@@ -248,7 +322,13 @@
     }
 
     pub fn witness(&self, number: usize, lease: Option<&'static str>) -> Witness {
-        Witness::open(RelayNo(number as u16), self.doors[number], lease, self.clock, self.tape.clone())
+        Witness::open(
+            RelayNo(number as u16),
+            self.doors[number],
+            lease,
+            self.clock,
+            self.tape.clone(),
+        )
     }
 
     /// What a relay's door answers; none where nobody does.
@@ -289,15 +369,22 @@
 
     /// CPU time so far.
     pub fn cpu(&self, number: usize) -> Option<Span> {
-        self.posts[number].as_ref().and_then(Post::cost).map(|(cpu, _)| cpu)
+        self.posts[number]
+            .as_ref()
+            .and_then(Post::cost)
+            .map(|(cpu, _)| cpu)
     }
 
     /// Bytes of memory resident.
     pub fn memory(&self, number: usize) -> Option<u64> {
-        self.posts[number].as_ref().and_then(Post::cost).map(|(_, memory)| memory)
+        self.posts[number]
+            .as_ref()
+            .and_then(Post::cost)
+            .map(|(_, memory)| memory)
     }
 
     pub fn log(&self, number: usize) -> String {
-        std::fs::read_to_string(self.plan.folder.join(format!("relay-{number}.log"))).unwrap_or_default()
+        std::fs::read_to_string(self.plan.folder.join(format!("relay-{number}.log")))
+            .unwrap_or_default()
     }
 }
--- a/fleet/src/simulated_network.rs
+++ b/fleet/src/simulated_network.rs
@@ -1,5 +1,6 @@
-//! Membership and leases of many processes over simulated links: the same code as on sockets, on a clock that is stepped.
-//! Each directed pair has its own link fault; each process its own clock, off by a part; processes pause, die and start. No I/O.
+//! Membership and leases of many processes over simulated links: the same code as on sockets, on a
+//! clock that is stepped. Each directed pair has its own link fault; each process its own clock,
+//! off by a part; processes pause, die and start. No I/O.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use thistlecroft::units::{Chance, Moment, Span};
@@ -39,7 +40,10 @@
 
     /// If it sees exactly these here.
     pub fn sees(&self, names: &BTreeSet<String>) -> bool {
-        let here = self.node.members().filter(|view| view.state == MemberState::Alive);
+        let here = self
+            .node
+            .members()
+            .filter(|view| view.state == MemberState::Alive);
         let mut here: BTreeSet<String> = here.map(|view| view.id.name.to_string()).collect();
         here.insert(self.name.clone());
         here == *names
@@ -47,7 +51,11 @@
 }
 
 enum Flight {
-    Datagram { from: usize, to: usize, bytes: Vec<u8> },
+    Datagram {
+        from: usize,
+        to: usize,
+        bytes: Vec<u8>,
+    },
     Wake(usize),
 }
 
@@ -72,7 +80,12 @@
 
 impl SimulatedNetwork {
     /// `seeds`: the first so many processes are named to all as seeds.
-    pub fn new(terms: Terms, lease_config: Option<LeaseConfig>, seeds: usize, seed: u64) -> SimulatedNetwork {
+    pub fn new(
+        terms: Terms,
+        lease_config: Option<LeaseConfig>,
+        seeds: usize,
+        seed: u64,
+    ) -> SimulatedNetwork {
         SimulatedNetwork {
             now: Moment::default(),
             hosts: Vec::new(),
@@ -91,10 +104,13 @@
         }
     }
 
-    /// Bytes a second, in all and for attaching subjects, of processes that are started from now on.
+    /// Bytes a second, in all and for attaching subjects, of processes that are started from now
+    /// on.
     pub fn set_rates(&mut self, rate: u32, update_rate: u32) {
         self.terms.rate = rate;
-        self.lease_config.iter_mut().for_each(|config| config.update_rate = update_rate);
+        self.lease_config
+            .iter_mut()
+            .for_each(|config| config.update_rate = update_rate);
     }
 
     /// Starts a process; its number. `speed`: its clock's.
@@ -115,13 +131,18 @@
     fn process(&self, name: &str, number: usize, speed: f64) -> Host {
         // Drawn from the network's own course, which is the same for the same seed and acts.
         let mut chance = self.chance.clone();
-        let draw = chance.below(u64::MAX) ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
+        let draw = chance.below(u64::MAX)
+            ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15)
+            ^ number as u64;
         let offset = Span::from_us(1_000_000 + draw % 5_000_000);
         let me = Identity::new(name, draw | 1);
         let own = Moment::from_us(offset.us() + (self.now.us() as f64 * speed) as u64);
         let seeds = (0..self.seeds).map(address).collect();
         let node = Node::new(me.clone(), address(number), seeds, &self.terms, draw, own);
-        let leases = self.lease_config.clone().map(|config| Leases::new(me, config, own));
+        let leases = self
+            .lease_config
+            .clone()
+            .map(|config| Leases::new(me, config, own));
         Host {
             name: name.into(),
             node,
@@ -174,7 +195,11 @@
     }
 
     /// Until that is so, looked at each tenth of a period; when it was, or none within the span.
-    pub fn run_until(&mut self, within: Span, so: impl Fn(&SimulatedNetwork) -> bool) -> Option<Span> {
+    pub fn run_until(
+        &mut self,
+        within: Span,
+        so: impl Fn(&SimulatedNetwork) -> bool,
+    ) -> Option<Span> {
         let (began, step) = (self.now, self.terms.pace.period * 0.1);
         while !so(self) {
             if self.now.since(began) >= within {
@@ -193,7 +218,11 @@
     }
 
     fn step(&mut self, until: Moment) -> bool {
-        let Some(entry) = self.flights.first_entry().filter(|entry| entry.key().0 <= until) else {
+        let Some(entry) = self
+            .flights
+            .first_entry()
+            .filter(|entry| entry.key().0 <= until)
+        else {
             return false;
         };
         self.now = self.now.max(entry.key().0);
@@ -264,7 +293,11 @@
         for event in host.node.take_events() {
             match event {
                 Event::MemberChanged { id, state } => host.turns.push((now, id, state)),
-                Event::Message { from, channel, bytes } => {
+                Event::Message {
+                    from,
+                    channel,
+                    bytes,
+                } => {
                     if let Some(leases) = &mut host.leases {
                         leases.receive(&from, channel, &bytes, own);
                     }
@@ -275,16 +308,27 @@
         if let Some(leases) = &mut host.leases {
             for outgoing in leases.take_outgoing() {
                 for id in outgoing.to.processes(&host.node) {
-                    host.node.send_message(&id, outgoing.channel, outgoing.bytes.clone(), own);
+                    host.node
+                        .send_message(&id, outgoing.channel, outgoing.bytes.clone(), own);
                 }
             }
         }
         for (to, bytes) in host.node.take_datagrams() {
-            let Some(to) = self.number_of(to) else { continue };
-            let link_fault = self.links.get(&(number, to)).copied().unwrap_or(self.link_fault);
+            let Some(to) = self.number_of(to) else {
+                continue;
+            };
+            let link_fault = self
+                .links
+                .get(&(number, to))
+                .copied()
+                .unwrap_or(self.link_fault);
             for after in link_fault.passes(&mut self.chance) {
                 self.serial += 1;
-                let flight = Flight::Datagram { from: number, to, bytes: bytes.clone() };
+                let flight = Flight::Datagram {
+                    from: number,
+                    to,
+                    bytes: bytes.clone(),
+                };
                 self.flights.insert((now + after, self.serial), flight);
             }
         }
--- a/fleet/src/stage.rs
+++ b/fleet/src/stage.rs
@@ -1,4 +1,5 @@
-//! The loop that every thread of the stand-ins runs: sockets, alarms, and cues from the one who directs.
+//! The loop that every thread of the stand-ins runs: sockets, alarms, and cues from the one who
+//! directs.
 use crate::clock::{Stopwatch, duration};
 use crate::tape::{Sighting, Tape};
 use polling::{Events, Poller};
@@ -72,33 +73,56 @@
         let (cues, heard) = channel();
         let (opened, is_open) = channel();
         let own = poller.clone();
-        let thread = std::thread::Builder::new().name(name.to_string()).spawn(move || {
-            let (alarms, now) = (BTreeMap::new(), clock.now());
-            let (worst_turn, worked) = (Span::ZERO, Span::ZERO);
-            let mut works = Works { now, clock, poller: own, tape, alarms, serial: 0, worst_turn, worked };
-            match open(&mut works) {
-                Ok(mut play) => {
-                    let _ = opened.send(Ok(()));
-                    run(&mut play, &mut works, &heard);
-                    Some(play.sums(&works))
-                }
-                Err(fault) => {
-                    let _ = opened.send(Err(fault));
-                    None
+        let thread = std::thread::Builder::new()
+            .name(name.to_string())
+            .spawn(move || {
+                let (alarms, now) = (BTreeMap::new(), clock.now());
+                let (worst_turn, worked) = (Span::ZERO, Span::ZERO);
+                let mut works = Works {
+                    now,
+                    clock,
+                    poller: own,
+                    tape,
+                    alarms,
+                    serial: 0,
+                    worst_turn,
+                    worked,
+                };
+                match open(&mut works) {
+                    Ok(mut play) => {
+                        let _ = opened.send(Ok(()));
+                        run(&mut play, &mut works, &heard);
+                        Some(play.sums(&works))
+                    }
+                    Err(fault) => {
+                        let _ = opened.send(Err(fault));
+                        None
+                    }
                 }
-            }
-        })?;
-        let opened = is_open.recv().unwrap_or_else(|_| Err(io::Error::other("the thread ended at once")));
+            })?;
+        let opened = is_open
+            .recv()
+            .unwrap_or_else(|_| Err(io::Error::other("the thread ended at once")));
         let thread = match opened {
             Ok(()) => std::thread::Builder::new()
                 .name(format!("{name}-end"))
-                .spawn(move || thread.join().ok().flatten().expect("a stand-in's loop has a fault"))?,
+                .spawn(move || {
+                    thread
+                        .join()
+                        .ok()
+                        .flatten()
+                        .expect("a stand-in's loop has a fault")
+                })?,
             Err(fault) => {
                 let _ = thread.join();
                 return Err(fault);
             }
         };
-        Ok(Stage { cues: Some(cues), poller, thread: Some(thread) })
+        Ok(Stage {
+            cues: Some(cues),
+            poller,
+            thread: Some(thread),
+        })
     }
 
     /// Carried out soon, in the order given.
@@ -143,7 +167,8 @@
             }
         }
         let first = works.alarms.first_key_value().map(|((at, _), _)| *at);
-        let wait = first.map(|at| duration(at.since(works.clock.now())) + Duration::from_micros(20));
+        let wait =
+            first.map(|at| duration(at.since(works.clock.now())) + Duration::from_micros(20));
         events.clear();
         if let Err(fault) = works.poller.wait(&mut events, wait)
             && fault.kind() != io::ErrorKind::Interrupted
@@ -158,7 +183,11 @@
             works.now = works.clock.now();
         }
         for _ in 0..ALARMS {
-            let Some(entry) = works.alarms.first_entry().filter(|entry| entry.key().0 <= works.now) else {
+            let Some(entry) = works
+                .alarms
+                .first_entry()
+                .filter(|entry| entry.key().0 <= works.now)
+            else {
                 break;
             };
             let alarm = entry.remove();
--- a/fleet/src/station.rs
+++ b/fleet/src/station.rs
@@ -1,5 +1,6 @@
-//! What the platform holds for one relay that its operators replace beside itself: the clients' listening socket, which
-//! every process inherits, and the folder that its processes share. And a caller at the operators' door.
+//! What the platform holds for one relay that its operators replace beside itself: the clients'
+//! listening socket, which every process inherits, and the folder that its processes share. And a
+//! caller at the operators' door.
 use crate::clock::duration;
 use rustix::io::{FdFlags, fcntl_setfd};
 use std::io::{Error, ErrorKind, Read, Result, Write};
@@ -25,7 +26,10 @@
         // Every process started from here inherits it.
         fcntl_setfd(&listener, FdFlags::empty())?;
         std::fs::create_dir_all(folder)?;
-        Ok(Station { listener, folder: folder.canonicalize()? })
+        Ok(Station {
+            listener,
+            folder: folder.canonicalize()?,
+        })
     }
 
     /// # Errors
@@ -55,6 +59,9 @@
     stream.read_to_string(&mut said)?;
     match said.strip_suffix("\r\n") {
         Some(answer) if !answer.contains('\n') => Ok(answer.to_string()),
-        _ => Err(Error::new(ErrorKind::InvalidData, format!("no line: {said:?}"))),
+        _ => Err(Error::new(
+            ErrorKind::InvalidData,
+            format!("no line: {said:?}"),
+        )),
     }
 }
--- a/fleet/src/tape.rs
+++ b/fleet/src/tape.rs
@@ -1,4 +1,5 @@
-//! What boxes, discovery, clients and the run itself saw, in the order of its happening as far as threads allow.
+//! What boxes, discovery, clients and the run itself saw, in the order of its happening as far as
+//! threads allow.
 use serde::{Serialize, Serializer};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
@@ -67,7 +68,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Sighting {
-    /// The last byte of a first line was written; the client waits for so long. A baseline has no relay.
+    /// The last byte of a first line was written; the client waits for so long. A baseline has no
+    /// relay.
     Asked {
         session: Tag,
         relay: Option<RelayNo>,
@@ -174,7 +176,8 @@
         name: &'static str,
         on: bool,
     },
-    /// Load over capacity, connections held, what it can do of its capacity, and how much of the cold budget is used.
+    /// Load over capacity, connections held, what it can do of its capacity, and how much of the
+    /// cold budget is used.
     BoxLoad {
         at: BoxNo,
         load: f64,
@@ -271,7 +274,13 @@
 
 pub fn tape() -> (Tape, Reel) {
     let (tell, told) = channel();
-    (Tape(tell), Reel { told, entries: Vec::new() })
+    (
+        Tape(tell),
+        Reel {
+            told,
+            entries: Vec::new(),
+        },
+    )
 }
 
 impl Tape {
@@ -297,7 +306,9 @@
 
     /// Waits until an entry is such, from the first one on; false if none came within that time.
     pub fn wait_for(&mut self, within: Duration, such: impl Fn(&Sighting) -> bool) -> bool {
-        self.wait_until(within, |entries| entries.iter().any(|entry| such(&entry.seen)))
+        self.wait_until(within, |entries| {
+            entries.iter().any(|entry| such(&entry.seen))
+        })
     }
 
     pub fn wait_until(&mut self, within: Duration, done: impl Fn(&[Entry]) -> bool) -> bool {
--- a/fleet/src/together.rs
+++ b/fleet/src/together.rs
@@ -1,5 +1,6 @@
-//! What all relays together may do, judged from boxes, clients and those who asked at the relays' doors; never from what the
-//! relays log of themselves. Beside the four rules, which each keeps alone. No I/O.
+//! What all relays together may do, judged from boxes, clients and those who asked at the relays'
+//! doors; never from what the relays log of themselves. Beside the four rules, which each keeps
+//! alone. No I/O.
 use crate::tape::{BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::units::{Moment, Span};
@@ -79,14 +80,27 @@
     until: Moment,
 }
 
-/// When it looked lies between its asking and its answer: it held from the answer, at the latest, until what it said was left
-/// from the asking, at the least, whatever becomes of the relay meanwhile: whoever was told may act. Where these leave nothing,
-/// nothing is known.
+/// When it looked lies between its asking and its answer: it held from the answer, at the latest,
+/// until what it said was left from the asking, at the least, whatever becomes of the relay
+/// meanwhile: whoever was told may act. Where these leave nothing, nothing is known.
 fn leases(entries: &[Entry]) -> Vec<Breach> {
     let mut by_subject: BTreeMap<&str, Vec<Said>> = BTreeMap::new();
     for Entry { at, seen } in entries {
-        if let Sighting::LeaseSaid { relay, subject, epoch, asked, until } = seen {
-            let said = Said { relay: *relay, epoch: *epoch, asked: *asked, heard: *at, until: *until };
+        if let Sighting::LeaseSaid {
+            relay,
+            subject,
+            epoch,
+            asked,
+            until,
+        } = seen
+        {
+            let said = Said {
+                relay: *relay,
+                epoch: *epoch,
+                asked: *asked,
+                heard: *at,
+                until: *until,
+            };
             by_subject.entry(subject).or_default().push(said);
         }
     }
@@ -98,12 +112,22 @@
         let mut owners: BTreeMap<u64, RelayNo> = BTreeMap::new();
         let mut highest: Vec<(Moment, u64)> = Vec::new();
         for said in &all {
-            let breach = |rule, what| Breach { rule, at: said.heard, what };
+            let breach = |rule, what| Breach {
+                rule,
+                at: said.heard,
+                what,
+            };
             let beside = last.iter().find(|(relay, (from, until))| {
-                **relay != said.relay && *from < said.until && said.heard < *until && said.heard < said.until
+                **relay != said.relay
+                    && *from < said.until
+                    && said.heard < *until
+                    && said.heard < said.until
             });
             if let Some((other, _)) = beside {
-                let what = format!("relays {} and {} hold \"{subject}\" at once", other.0, said.relay.0);
+                let what = format!(
+                    "relays {} and {} hold \"{subject}\" at once",
+                    other.0, said.relay.0
+                );
                 found.push(breach(Rule::OneHolder, what));
             }
             let owner = *owners.entry(said.epoch).or_insert(said.relay);
@@ -116,13 +140,19 @@
             }
             let before = highest.iter().rev().find(|(heard, _)| *heard < said.asked);
             if let Some((_, before)) = before.filter(|(_, before)| *before > said.epoch) {
-                let what = format!("\"{subject}\" is held by epoch {} after {before}", said.epoch);
+                let what = format!(
+                    "\"{subject}\" is held by epoch {} after {before}",
+                    said.epoch
+                );
                 found.push(breach(Rule::EpochsGrow, what));
             }
             let top = highest.last().map_or(0, |(_, top)| *top).max(said.epoch);
             highest.push((said.heard, top));
             if said.heard < said.until {
-                let (from, until) = last.get(&said.relay).copied().unwrap_or((said.heard, said.until));
+                let (from, until) = last
+                    .get(&said.relay)
+                    .copied()
+                    .unwrap_or((said.heard, said.until));
                 let joins = said.heard <= until;
                 let from = if joins { from } else { said.heard };
                 last.insert(said.relay, (from, until.max(said.until)));
@@ -140,15 +170,27 @@
     let mut found = Vec::new();
     for Entry { at, seen } in entries {
         match seen {
-            Sighting::Asked { session, relay: Some(relay), .. } => {
+            Sighting::Asked {
+                session,
+                relay: Some(relay),
+                ..
+            } => {
                 relay_of.insert(*session, *relay);
                 // One that took a client after its kill is another process.
                 killed.remove(relay);
             }
             Sighting::RelayKilled { relay } => drop(killed.insert(*relay, *at)),
-            Sighting::DialCame { session, at: of, first } => {
-                let Some(relay) = relay_of.get(session) else { continue };
-                let Some(dead) = killed.get(relay).filter(|dead| *first > **dead + BLUR) else { continue };
+            Sighting::DialCame {
+                session,
+                at: of,
+                first,
+            } => {
+                let Some(relay) = relay_of.get(session) else {
+                    continue;
+                };
+                let Some(dead) = killed.get(relay).filter(|dead| *first > **dead + BLUR) else {
+                    continue;
+                };
                 let count = taken.entry(*session).or_default();
                 *count += 1;
                 let after = first.since(*dead).us() / 1_000;
@@ -157,18 +199,34 @@
                     of.0, relay.0
                 );
                 if !pact.takes_over {
-                    found.push(Breach { rule: Rule::OneRelayASession, at: *at, what });
+                    found.push(Breach {
+                        rule: Rule::OneRelayASession,
+                        at: *at,
+                        what,
+                    });
                 } else if *count > 1 {
-                    found.push(Breach { rule: Rule::TakenOverOnce, at: *at, what: format!("{what}, again") });
+                    found.push(Breach {
+                        rule: Rule::TakenOverOnce,
+                        at: *at,
+                        what: format!("{what}, again"),
+                    });
                 }
             }
-            Sighting::DialReplied { session, at: of, reply: Reply::Up } => {
+            Sighting::DialReplied {
+                session,
+                at: of,
+                reply: Reply::Up,
+            } => {
                 let boxes = up.entry(*session).or_default();
                 boxes.insert(*of);
                 if boxes.len() > 1 {
                     let numbers: Vec<String> = boxes.iter().map(|of| of.0.to_string()).collect();
                     let what = format!("boxes {} hold one session", numbers.join(" and "));
-                    found.push(Breach { rule: Rule::OneBoxASession, at: *at, what });
+                    found.push(Breach {
+                        rule: Rule::OneBoxASession,
+                        at: *at,
+                        what,
+                    });
                 }
             }
             Sighting::DialGone { session, at: of } | Sighting::BoxEnded { session, at: of } => {
@@ -196,14 +254,23 @@
             && at.since(since) > allowed
         {
             let what = format!("{} sessions are up, {most} may be", standing.len());
-            found.push(Breach { rule: Rule::SumAtOnce, at: *at, what });
+            found.push(Breach {
+                rule: Rule::SumAtOnce,
+                at: *at,
+                what,
+            });
             over = Some(*at);
         }
         match seen {
-            Sighting::Answered { session, answer: crate::tape::Answer::Up } => {
+            Sighting::Answered {
+                session,
+                answer: crate::tape::Answer::Up,
+            } => {
                 standing.insert(*session);
             }
-            Sighting::Moved { session } | Sighting::Ended { session } | Sighting::CutOff { session } => {
+            Sighting::Moved { session }
+            | Sighting::Ended { session }
+            | Sighting::CutOff { session } => {
                 standing.remove(session);
             }
             Sighting::DialCame { first, .. } => dials.push(*first),
@@ -220,7 +287,11 @@
             let count = place + 1 - from;
             if count > most {
                 let what = format!("{count} dials in a second, {most} may be");
-                found.push(Breach { rule: Rule::SumASecond, at: *at, what });
+                found.push(Breach {
+                    rule: Rule::SumASecond,
+                    at: *at,
+                    what,
+                });
             }
         }
     }
@@ -228,20 +299,31 @@
 }
 
 fn bans(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
-    let Some(within) = pact.bans_within else { return Vec::new() };
+    let Some(within) = pact.bans_within else {
+        return Vec::new();
+    };
     let mut out: BTreeMap<BoxNo, Moment> = BTreeMap::new();
     let mut found = Vec::new();
     for Entry { at, seen } in entries {
         match seen {
-            Sighting::ByHand { at: of, out: true, .. } => drop(out.entry(*of).or_insert(*at)),
-            Sighting::ByHand { at: of, out: false, .. } => drop(out.remove(of)),
+            Sighting::ByHand {
+                at: of, out: true, ..
+            } => drop(out.entry(*of).or_insert(*at)),
+            Sighting::ByHand {
+                at: of, out: false, ..
+            } => drop(out.remove(of)),
             Sighting::DialCame { at: of, first, .. } => {
-                let Some(since) = out.get(of).filter(|since| *first > **since + within + BLUR) else {
+                let Some(since) = out.get(of).filter(|since| *first > **since + within + BLUR)
+                else {
                     continue;
                 };
                 let after = first.since(*since).us() / 1_000;
                 let what = format!("box {} is dialled {after} ms after its ban", of.0);
-                found.push(Breach { rule: Rule::BansEverywhere, at: *at, what });
+                found.push(Breach {
+                    rule: Rule::BansEverywhere,
+                    at: *at,
+                    what,
+                });
             }
             _ => {}
         }
@@ -259,12 +341,17 @@
     for Entry { at, seen } in entries {
         match seen {
             Sighting::RelayStarted { relay } => drop(running.insert(*relay)),
-            Sighting::RelayKilled { relay } | Sighting::RelayStopped { relay } => drop(running.remove(relay)),
+            Sighting::RelayKilled { relay } | Sighting::RelayStopped { relay } => {
+                drop(running.remove(relay))
+            }
             Sighting::Sees { relay, here } => drop(sees.insert(*relay, (*at, here))),
             _ => {}
         }
     }
-    let all: BTreeSet<String> = running.iter().map(|relay| format!("relay-{}", relay.0)).collect();
+    let all: BTreeSet<String> = running
+        .iter()
+        .map(|relay| format!("relay-{}", relay.0))
+        .collect();
     let wrong = running.iter().filter_map(|relay| {
         let (at, here) = sees.get(relay).copied()?;
         let here: BTreeSet<String> = here.iter().cloned().collect();
@@ -275,7 +362,11 @@
                 here.intersection(&all).count(),
                 all.len()
             );
-            Breach { rule: Rule::ViewsAgree, at, what }
+            Breach {
+                rule: Rule::ViewsAgree,
+                at,
+                what,
+            }
         })
     });
     wrong.collect()
--- a/fleet/src/traffic.rs
+++ b/fleet/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Who comes when, and with what: worked out beforehand from a seed, so that the same seed gives the same clients
-//! whatever the relays do. No I/O.
+//! Who comes when, and with what: worked out beforehand from a seed, so that the same seed gives
+//! the same clients whatever the relays do. No I/O.
 use thistlecroft::units::{Chance, Moment, Span};
 
 /// Clients of one listener.
@@ -64,9 +64,17 @@
     let mut chance = Chance::from_seed(seed);
     let mut due = Vec::new();
     // Thinning: drawn at the highest rate, kept by the rate of the moment.
-    let highest = traffic.rate.iter().map(|&(_, rate)| rate).fold(0.0, f64::max);
+    let highest = traffic
+        .rate
+        .iter()
+        .map(|&(_, rate)| rate)
+        .fold(0.0, f64::max);
     let mut at = Moment::default();
-    let between = if highest > 0.0 { Span::from_ms(1_000) * (1.0 / highest) } else { until.since(at) };
+    let between = if highest > 0.0 {
+        Span::from_ms(1_000) * (1.0 / highest)
+    } else {
+        until.since(at)
+    };
     loop {
         at = at + exponential(&mut chance, between).max(Span::from_us(1));
         if at >= until || highest <= 0.0 {
@@ -81,7 +89,9 @@
     }
     due.retain(|&at| at < until);
     due.sort();
-    due.into_iter().map(|due| arrival(traffic, due, &mut chance)).collect()
+    due.into_iter()
+        .map(|due| arrival(traffic, due, &mut chance))
+        .collect()
 }
 
 fn arrival(traffic: &Traffic, due: Moment, chance: &mut Chance) -> Arrival {
@@ -91,7 +101,11 @@
         drawn -= kind.share;
         drawn < 0.0
     };
-    let place = traffic.kinds.iter().position(past).unwrap_or(traffic.kinds.len() - 1);
+    let place = traffic
+        .kinds
+        .iter()
+        .position(past)
+        .unwrap_or(traffic.kinds.len() - 1);
     let kind = &traffic.kinds[place];
     let (low, high) = kind.load;
     // Some keys come far oftener than others.
@@ -153,7 +167,10 @@
         };
         Traffic {
             kinds: vec![kind("one", 3.0), kind("two", 1.0)],
-            rate: vec![(Moment::default(), 0.0), (Moment::from_us(10_000_000), 200.0)],
+            rate: vec![
+                (Moment::default(), 0.0),
+                (Moment::from_us(10_000_000), 200.0),
+            ],
             rushes: vec![(Moment::from_us(12_000_000), 500, Span::from_ms(1_000))],
             keys: 1_000,
             groups: Some(50),
@@ -175,11 +192,13 @@
         // A ramp of ten seconds, ten at its height, and the rush.
         assert!((3_300..3_700).contains(&clients.len()), "{}", clients.len());
         assert!(clients.windows(2).all(|pair| pair[0].due <= pair[1].due));
-        let ones = clients.iter().filter(|client| client.kind == 0).count() as f64 / clients.len() as f64;
+        let ones =
+            clients.iter().filter(|client| client.kind == 0).count() as f64 / clients.len() as f64;
         assert!((0.70..0.80).contains(&ones), "{ones}");
         let in_rush = |client: &&Arrival| (12_000_000..13_000_000).contains(&client.due.us());
         assert!((640..760).contains(&clients.iter().filter(in_rush).count()));
-        let mean = clients.iter().map(|client| client.life.secs()).sum::<f64>() / clients.len() as f64;
+        let mean =
+            clients.iter().map(|client| client.life.secs()).sum::<f64>() / clients.len() as f64;
         assert!((18.0..22.0).contains(&mean), "{mean}");
     }
 }
--- a/fleet/src/wire.rs
+++ b/fleet/src/wire.rs
@@ -30,16 +30,28 @@
         stream.set_nodelay(true)?;
         let poller = poller.clone();
         let (input, output) = (Vec::new(), Vec::new());
-        Ok(Wire { stream, poller, key, wants: None, input, output, ended: false, frozen: false })
+        Ok(Wire {
+            stream,
+            poller,
+            key,
+            wants: None,
+            input,
+            output,
+            ended: false,
+            frozen: false,
+        })
     }
 
     /// Begins a connection; it is up, or has failed, once it turns writable.
     pub fn connect(to: SocketAddr, poller: &Arc<Poller>, key: usize) -> io::Result<Wire> {
         let domain = socket2::Domain::for_address(to);
-        let socket = socket2::Socket::new(domain, socket2::Type::STREAM, Some(socket2::Protocol::TCP))?;
+        let socket =
+            socket2::Socket::new(domain, socket2::Type::STREAM, Some(socket2::Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
-            Err(fault) if fault.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {
+            Err(fault)
+                if fault.raw_os_error() != Some(rustix::io::Errno::INPROGRESS.raw_os_error()) =>
+            {
                 Err(fault)
             }
             _ => Wire::new(socket.into(), poller, key),
@@ -54,23 +66,30 @@
         }
     }
 
-    /// What the poller is to wait for: reading while the other side may still send, writing while bytes wait or
-    /// where that tells that the connection is up.
+    /// What the poller is to wait for: reading while the other side may still send, writing while
+    /// bytes wait or where that tells that the connection is up.
     pub fn settle(&mut self, connecting: bool) {
-        let wants = (!self.ended && !connecting, connecting || !self.output.is_empty());
+        let wants = (
+            !self.ended && !connecting,
+            connecting || !self.output.is_empty(),
+        );
         let wants = (wants != (false, false) && !self.frozen).then_some(wants);
         if wants == self.wants {
             return;
         }
-        // SAFETY: the descriptor is open as long as the stream, and deleted from the poller when this is dropped.
+        // SAFETY: the descriptor is open as long as the stream, and deleted from the poller when
+        // this is dropped.
         let fd = unsafe { BorrowedFd::borrow_raw(self.stream.as_raw_fd()) };
         let event = |(reading, writing)| Event::new(self.key, reading, writing);
         let done = match (self.wants, wants) {
             // SAFETY: as above.
             (None, Some(wants)) => unsafe {
-                self.poller.add_with_mode(self.stream.as_raw_fd(), event(wants), PollMode::Level)
+                self.poller
+                    .add_with_mode(self.stream.as_raw_fd(), event(wants), PollMode::Level)
             },
-            (_, Some(wants)) => self.poller.modify_with_mode(fd, event(wants), PollMode::Level),
+            (_, Some(wants)) => self
+                .poller
+                .modify_with_mode(fd, event(wants), PollMode::Level),
             (_, None) => self.poller.delete(fd),
         };
         match done {
@@ -111,7 +130,9 @@
     /// The next whole line without its ending.
     pub fn line(&mut self) -> Option<String> {
         let end = self.input.iter().position(|&byte| byte == b'\n')?;
-        let line = String::from_utf8_lossy(&self.input[..end]).trim_end_matches('\r').to_string();
+        let line = String::from_utf8_lossy(&self.input[..end])
+            .trim_end_matches('\r')
+            .to_string();
         self.input.drain(..=end);
         if self.input.is_empty() {
             // A standing connection holds no memory between its lines.
@@ -174,7 +195,9 @@
     fn drop(&mut self) {
         if self.wants.is_some() {
             // SAFETY: the stream is closed after this.
-            let _ = self.poller.delete(unsafe { BorrowedFd::borrow_raw(self.stream.as_raw_fd()) });
+            let _ = self
+                .poller
+                .delete(unsafe { BorrowedFd::borrow_raw(self.stream.as_raw_fd()) });
         }
     }
 }
--- a/fleet/src/witness.rs
+++ b/fleet/src/witness.rs
@@ -1,5 +1,5 @@
-//! One who asks a relay again and again what it thinks of the others and whether it holds a lease, from a thread of its own:
-//! a relay that stands still keeps only its own witness waiting.
+//! One who asks a relay again and again what it thinks of the others and whether it holds a lease,
+//! from a thread of its own: a relay that stands still keeps only its own witness waiting.
 use crate::clock::Stopwatch;
 use crate::station::call;
 use crate::tape::{RelayNo, Sighting, Tape};
@@ -43,7 +43,13 @@
                     if let Some((epoch, left)) = held {
                         tape.note(
                             clock.now(),
-                            Sighting::LeaseSaid { relay, subject, epoch, asked, until: asked + left },
+                            Sighting::LeaseSaid {
+                                relay,
+                                subject,
+                                epoch,
+                                asked,
+                                until: asked + left,
+                            },
                         );
                     }
                 }
@@ -56,7 +62,10 @@
                 std::thread::park_timeout(EVERY);
             }
         });
-        Witness { over, thread: Some(thread) }
+        Witness {
+            over,
+            thread: Some(thread),
+        }
     }
 }
 
@@ -80,7 +89,10 @@
 /// The names that a relay sees here, its own among them, in order.
 pub fn seen_here(said: &str) -> Option<Vec<String>> {
     let view: serde_json::Value = serde_json::from_str(said.strip_prefix("200 ")?).ok()?;
-    let here = view["peers"].as_array()?.iter().filter(|peer| peer["standing"] == "here");
+    let here = view["peers"]
+        .as_array()?
+        .iter()
+        .filter(|peer| peer["standing"] == "here");
     let mut here: Vec<String> = here
         .filter_map(|peer| peer["name"].as_str())
         .chain(view["name"].as_str())
--- a/fleet/src/yard.rs
+++ b/fleet/src/yard.rs
@@ -1,5 +1,5 @@
-//! Boxes, their set-up store and discovery's agents, on one thread. Boxes speak the platform's protocol whole;
-//! what they are made to suffer is an `Ailment`, with a name that scenarios use.
+//! Boxes, their set-up store and discovery's agents, on one thread. Boxes speak the platform's
+//! protocol whole; what they are made to suffer is an `Ailment`, with a name that scenarios use.
 use crate::clock::Stopwatch;
 use crate::listing::{Listing, Row};
 use crate::model::{Make, Store, Workload};
@@ -29,7 +29,8 @@
 /// What may be wrong with a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Ailment {
-    /// The machine is gone from the network: nothing comes up, what is open is silent. It comes back cold.
+    /// The machine is gone from the network: nothing comes up, what is open is silent. It comes
+    /// back cold.
     Vanished,
     /// The process stands still and then goes on: nothing is read or written, connections come up.
     Frozen,
@@ -114,11 +115,13 @@
     pub relays: usize,
     /// A change is told so late, drawn for each relay and change.
     pub notice: (Span, Span),
-    /// Calls that the set-up store has in work at once, and how long each takes; none: set-ups call nothing.
+    /// Calls that the set-up store has in work at once, and how long each takes; none: set-ups call
+    /// nothing.
     pub store: Option<(usize, Span)>,
     /// How often reports are refreshed and loads noted.
     pub report_every: Span,
-    /// Boxes tell each connection's load, at first and when it changes: with each report one of a box's does.
+    /// Boxes tell each connection's load, at first and when it changes: with each report one of a
+    /// box's does.
     pub tells_load: bool,
     pub seed: u64,
 }
@@ -254,7 +257,8 @@
 const BOX_DOOR: usize = 1 << 40;
 const AGENT_DOOR: usize = 1 << 41;
 
-/// Addresses of the loopback range that no connection's own end takes, and other than those of runs beside this.
+/// Addresses of the loopback range that no connection's own end takes, and other than those of runs
+/// beside this.
 fn loopback(kind: u8, number: usize) -> Ipv4Addr {
     let [.., high, low] = (number as u32 + 1).to_be_bytes();
     let process = 64 + (std::process::id() % 64) as u8;
@@ -264,7 +268,9 @@
 fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into()).map_err(|fault| io::Error::new(fault.kind(), format!("{at}: {fault}")))?;
+    socket
+        .bind(&at.into())
+        .map_err(|fault| io::Error::new(fault.kind(), format!("{at}: {fault}")))?;
     socket.listen(BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
@@ -276,17 +282,27 @@
     pub fn open(ground: Ground, clock: Stopwatch, tape: Tape) -> io::Result<Opened> {
         let door = |kind, number| -> io::Result<Door> {
             let listener = listen((loopback(kind, number), 0).into())?;
-            Ok(Door { at: listener.local_addr()?, listener: Some(listener) })
+            Ok(Door {
+                at: listener.local_addr()?,
+                listener: Some(listener),
+            })
         };
-        let doors: Vec<Door> =
-            (0..ground.boxes.len()).map(|number| door(0, number)).collect::<io::Result<_>>()?;
-        let agent_doors: Vec<Door> =
-            (0..ground.relays).map(|number| door(1, number)).collect::<io::Result<_>>()?;
+        let doors: Vec<Door> = (0..ground.boxes.len())
+            .map(|number| door(0, number))
+            .collect::<io::Result<_>>()?;
+        let agent_doors: Vec<Door> = (0..ground.relays)
+            .map(|number| door(1, number))
+            .collect::<io::Result<_>>()?;
         let boxes = doors.iter().map(|door| door.at).collect();
         let agents = agent_doors.iter().map(|door| door.at).collect();
-        let stage =
-            Stage::open("yard", clock, tape, move |works| Yard::set_up(ground, doors, agent_doors, works))?;
-        Ok(Opened { stage, boxes, agents })
+        let stage = Stage::open("yard", clock, tape, move |works| {
+            Yard::set_up(ground, doors, agent_doors, works)
+        })?;
+        Ok(Opened {
+            stage,
+            boxes,
+            agents,
+        })
     }
 
     fn set_up(
@@ -301,7 +317,10 @@
             if plan.present {
                 watch_door(door.listener.as_ref(), BOX_DOOR | number as usize, works)?;
                 list.put(BoxNo(number), row(&plan, door.at, Lifecycle::Ready, 0));
-                works.note(Sighting::BoxStarted { at: BoxNo(number), cold: false });
+                works.note(Sighting::BoxStarted {
+                    at: BoxNo(number),
+                    cold: false,
+                });
             } else {
                 door.listener = None;
             }
@@ -322,7 +341,12 @@
         let mut agents = Vec::new();
         for (number, door) in agent_doors.into_iter().enumerate() {
             watch_door(door.listener.as_ref(), AGENT_DOOR | number, works)?;
-            agents.push(Agent { door, list: list.clone(), fault: None, missed: Vec::new() });
+            agents.push(Agent {
+                door,
+                list: list.clone(),
+                fault: None,
+                missed: Vec::new(),
+            });
         }
         works.set(works.now + AGENT_BEAT, Alarm::Beat);
         works.set(works.now + ground.report_every, Alarm::Report);
@@ -352,7 +376,11 @@
         match Wire::new(stream, &works.poller, entry.key()) {
             Ok(mut wire) => {
                 wire.settle(false);
-                entry.insert(Conn { wire, role, serial: self.serial });
+                entry.insert(Conn {
+                    wire,
+                    role,
+                    serial: self.serial,
+                });
             }
             Err(fault) => log::warn!("yard: {fault}"),
         }
@@ -364,18 +392,30 @@
             true => (&self.boxes[number].door, self.boxes[number].still),
             false => (&self.agents[number].door, false),
         };
-        let Some(listener) = &door.listener else { return };
+        let Some(listener) = &door.listener else {
+            return;
+        };
         // SAFETY: the listener lives; it is deleted from the poller before it is closed.
         let fd = unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) };
-        let _ = works.poller.modify_with_mode(fd, Event::new(key, on && !still, false), PollMode::Level);
+        let _ = works.poller.modify_with_mode(
+            fd,
+            Event::new(key, on && !still, false),
+            PollMode::Level,
+        );
     }
 
     fn accept(&mut self, key: usize, works: &mut Works<Alarm>) {
         for _ in 0..ACCEPTS {
             let number = key & 0xffff;
             let to_box = key & BOX_DOOR != 0;
-            let door = if to_box { &self.boxes[number].door } else { &self.agents[number].door };
-            let Some(listener) = &door.listener else { return };
+            let door = if to_box {
+                &self.boxes[number].door
+            } else {
+                &self.agents[number].door
+            };
+            let Some(listener) = &door.listener else {
+                return;
+            };
             let stream = match listener.accept() {
                 Ok((stream, _)) => stream,
                 Err(fault) if fault.kind() == io::ErrorKind::WouldBlock => return,
@@ -392,7 +432,12 @@
             };
             if !to_box {
                 let relay = RelayNo(number as u16);
-                let watching = Watching { relay, follows: false, held: None, asked: false };
+                let watching = Watching {
+                    relay,
+                    follows: false,
+                    held: None,
+                    asked: false,
+                };
                 self.add(stream, Role::Agent(watching), works);
                 continue;
             }
@@ -433,8 +478,12 @@
     }
 
     fn box_event(&mut self, id: usize, works: &mut Works<Alarm>) {
-        let Some(conn) = self.conns.get_mut(id) else { return };
-        let Role::Box(speech) = &mut conn.role else { return };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return;
+        };
+        let Role::Box(speech) = &mut conn.role else {
+            return;
+        };
         let broke = conn.wire.read().and_then(|_| conn.wire.flush()).is_err();
         if speech.first.is_none() && conn.wire.has_bytes() {
             speech.first = Some(works.now);
@@ -444,8 +493,12 @@
             let Some(line) = conn.wire.line() else { break };
             self.box_line(id, line, works);
         }
-        let Some(conn) = self.conns.get_mut(id) else { return };
-        let Role::Box(speech) = &conn.role else { return };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return;
+        };
+        let Role::Box(speech) = &conn.role else {
+            return;
+        };
         if broke || conn.wire.ended {
             let (at, session) = (speech.at, speech.session);
             match speech.heard {
@@ -473,8 +526,12 @@
 
     /// Says this, ends the sending, and waits for the other side's end where it has not come.
     fn last_word(&mut self, id: usize, text: &str, works: &mut Works<Alarm>) {
-        let Some(conn) = self.conns.get_mut(id) else { return };
-        let Role::Box(speech) = &mut conn.role else { return };
+        let Some(conn) = self.conns.get_mut(id) else {
+            return;
+        };
+        let Role::Box(speech) = &mut conn.role else {
+            return;
+        };
         let stood = speech.heard == Heard::Standing;
         speech.heard = Heard::Over;
         let (at, load, group) = (speech.at, speech.load, speech.group);
@@ -491,7 +548,9 @@
 
     fn box_line(&mut self, id: usize, line: String, works: &mut Works<Alarm>) {
         let conn = &mut self.conns[id];
-        let Role::Box(speech) = &mut conn.role else { return };
+        let Role::Box(speech) = &mut conn.role else {
+            return;
+        };
         match speech.heard {
             Heard::Over => {}
             Heard::Dialled => self.last_word(id, "ERR\r\n", works),
@@ -504,7 +563,9 @@
                     let this = &self.boxes[usize::from(at.0)];
                     let answer = match (this.ailment, line.as_str()) {
                         (Some(Ailment::Mute), _) => return,
-                        (Some(Ailment::Failing(part)), _) if self.chance.float() < part => "ERR\r\n".into(),
+                        (Some(Ailment::Failing(part)), _) if self.chance.float() < part => {
+                            "ERR\r\n".into()
+                        }
                         (_, "PING") => "PONG\r\n".into(),
                         _ => format!("PONG {}\r\n", this.report),
                     };
@@ -518,7 +579,9 @@
                         self.dial_came(id, at, works);
                     }
                     None => {
-                        works.note(Sighting::Mark { text: format!("SYNTAX box {} met {line:?}", at.0) });
+                        works.note(Sighting::Mark {
+                            text: format!("SYNTAX box {} met {line:?}", at.0),
+                        });
                         self.last_word(id, "SYNTAX\r\n", works);
                     }
                 }
@@ -529,9 +592,15 @@
     fn dial_came(&mut self, id: usize, at: BoxNo, works: &mut Works<Alarm>) {
         let conn = &self.conns[id];
         let (key, serial) = (id, conn.serial);
-        let Role::Box(speech) = &conn.role else { return };
+        let Role::Box(speech) = &conn.role else {
+            return;
+        };
         let (session, load) = (speech.session, speech.load);
-        works.note(Sighting::DialCame { at, session, first: speech.first.unwrap_or(works.now) });
+        works.note(Sighting::DialCame {
+            at,
+            session,
+            first: speech.first.unwrap_or(works.now),
+        });
         if self.this(at).work.sent(works.now, load) {
             works.note(Sighting::BoxFell { at });
             return self.stop(at, None, works);
@@ -569,15 +638,28 @@
 
     fn up(&mut self, id: usize, works: &mut Works<Alarm>) {
         let conn = &mut self.conns[id];
-        let Role::Box(speech) = &mut conn.role else { return };
+        let Role::Box(speech) = &mut conn.role else {
+            return;
+        };
         if speech.heard != Heard::Dialled {
             return;
         }
         speech.heard = Heard::Standing;
         let (at, session, load, group) = (speech.at, speech.session, speech.load, speech.group);
-        works.note(Sighting::DialReplied { at, session, reply: Reply::Up });
-        let note = if self.tells_load { format!("LOAD {load:.3}\r\n") } else { String::new() };
-        let broke = conn.wire.say(format!("UP r{:x}\r\n{note}", session.0).as_bytes()).is_err();
+        works.note(Sighting::DialReplied {
+            at,
+            session,
+            reply: Reply::Up,
+        });
+        let note = if self.tells_load {
+            format!("LOAD {load:.3}\r\n")
+        } else {
+            String::new()
+        };
+        let broke = conn
+            .wire
+            .say(format!("UP r{:x}\r\n{note}", session.0).as_bytes())
+            .is_err();
         conn.wire.settle(false);
         self.this(at).work.take(works.now, load, group);
         let drops = self.this(at).ailment == Some(Ailment::DropsYoung);
@@ -591,14 +673,20 @@
 
     fn echo(&mut self, id: usize, line: String, works: &mut Works<Alarm>) {
         let conn = &mut self.conns[id];
-        let Role::Box(speech) = &mut conn.role else { return };
+        let Role::Box(speech) = &mut conn.role else {
+            return;
+        };
         let this = &mut self.boxes[usize::from(speech.at.0)];
         let delay = this.work.delay(works.now);
         let due = speech.free_at.max(works.now + delay);
         speech.free_at = due;
         if due > works.now + HELD {
             let waited = due.since(works.now);
-            works.note(Sighting::BoxHeld { at: speech.at, session: speech.session, waited });
+            works.note(Sighting::BoxHeld {
+                at: speech.at,
+                session: speech.session,
+                waited,
+            });
         }
         if due <= works.now && speech.echoes.is_empty() {
             let _ = conn.wire.say(format!("{line}\r\n").as_bytes());
@@ -610,8 +698,14 @@
 
     fn echo_due(&mut self, id: usize, works: &mut Works<Alarm>) {
         let conn = &mut self.conns[id];
-        let Role::Box(speech) = &mut conn.role else { return };
-        while speech.echoes.front().is_some_and(|(due, _)| *due <= works.now) {
+        let Role::Box(speech) = &mut conn.role else {
+            return;
+        };
+        while speech
+            .echoes
+            .front()
+            .is_some_and(|(due, _)| *due <= works.now)
+        {
             if let Some((_, line)) = speech.echoes.pop_front() {
                 let _ = conn.wire.say(format!("{line}\r\n").as_bytes());
             }
@@ -627,7 +721,11 @@
             Role::Plug(plugged) => *plugged == at,
             Role::Agent(_) => false,
         };
-        self.conns.iter().filter(|(_, conn)| ours(conn)).map(|(id, _)| id).collect()
+        self.conns
+            .iter()
+            .filter(|(_, conn)| ours(conn))
+            .map(|(id, _)| id)
+            .collect()
     }
 
     /// Stands still, or goes on: then all that it would have done in the meantime is done.
@@ -649,7 +747,9 @@
         }
         if !still {
             let now = works.now;
-            std::mem::take(&mut self.this(at).waiting).into_iter().for_each(|alarm| works.set(now, alarm));
+            std::mem::take(&mut self.this(at).waiting)
+                .into_iter()
+                .for_each(|alarm| works.set(now, alarm));
         }
     }
 
@@ -661,7 +761,10 @@
         for id in self.of(at) {
             if let Role::Box(speech) = &self.conns[id].role {
                 match speech.heard {
-                    Heard::Standing => works.note(Sighting::BoxEnded { at, session: speech.session }),
+                    Heard::Standing => works.note(Sighting::BoxEnded {
+                        at,
+                        session: speech.session,
+                    }),
                     Heard::Dialled => works.note(Sighting::DialReplied {
                         at,
                         session: speech.session,
@@ -682,7 +785,9 @@
         let life = this.life;
         if let Some(listener) = this.door.listener.take() {
             // SAFETY: the listener is closed after this.
-            let _ = works.poller.delete(unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) });
+            let _ = works
+                .poller
+                .delete(unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) });
         }
         works.note(Sighting::BoxStopped { at });
         self.list(at, Lifecycle::Gone, works);
@@ -699,7 +804,8 @@
         let this = self.this(at);
         match listen(this.door.at) {
             Ok(listener) => {
-                if let Err(fault) = watch_door(Some(&listener), BOX_DOOR | usize::from(at.0), works) {
+                if let Err(fault) = watch_door(Some(&listener), BOX_DOOR | usize::from(at.0), works)
+                {
                     log::warn!("box {}: {fault}", at.0);
                 }
                 let this = self.this(at);
@@ -731,7 +837,11 @@
             self.serial += 1;
             let entry = self.conns.vacant_entry();
             if let Ok(wire) = Wire::connect(to, &works.poller, entry.key()) {
-                entry.insert(Conn { wire, role: Role::Plug(at), serial: self.serial });
+                entry.insert(Conn {
+                    wire,
+                    role: Role::Plug(at),
+                    serial: self.serial,
+                });
             }
         }
     }
@@ -741,7 +851,11 @@
             return;
         }
         self.heal(at, works);
-        works.note(Sighting::Ailment { at, name: ailment.name(), on: true });
+        works.note(Sighting::Ailment {
+            at,
+            name: ailment.name(),
+            on: true,
+        });
         let this = self.this(at);
         this.ailment = Some(ailment);
         this.life += 1;
@@ -765,9 +879,15 @@
 
     fn heal(&mut self, at: BoxNo, works: &mut Works<Alarm>) {
         let this = self.this(at);
-        let Some(ailment) = this.ailment.take() else { return };
+        let Some(ailment) = this.ailment.take() else {
+            return;
+        };
         this.life += 1;
-        works.note(Sighting::Ailment { at, name: ailment.name(), on: false });
+        works.note(Sighting::Ailment {
+            at,
+            name: ailment.name(),
+            on: false,
+        });
         match ailment {
             // The machine was away, and comes back without what it held.
             Ailment::Vanished => {
@@ -794,7 +914,10 @@
         let life = this.life;
         works.note(Sighting::BoxDrains { at });
         self.list(at, Lifecycle::Draining, works);
-        works.set(works.now + over * 0.5, Alarm::SendAway(at, life, over * 0.4));
+        works.set(
+            works.now + over * 0.5,
+            Alarm::SendAway(at, life, over * 0.4),
+        );
         works.set(works.now + over, Alarm::Stop(at, life));
     }
 
@@ -806,7 +929,10 @@
         let Some(id) = standing.next() else { return };
         let others = standing.count();
         if let Role::Box(speech) = &self.conns[id].role {
-            works.note(Sighting::BoxEnded { at, session: speech.session });
+            works.note(Sighting::BoxEnded {
+                at,
+                session: speech.session,
+            });
         }
         self.last_word(id, "MOVE\r\n", works);
         let step = left * (1.0 / (others + 1) as f64);
@@ -821,7 +947,10 @@
         let (least, most) = self.notice;
         for relay in 0..self.agents.len() {
             let after = least + (most - least) * self.chance.float();
-            works.set(works.now + after, Alarm::Notice(RelayNo(relay as u16), at, row.clone()));
+            works.set(
+                works.now + after,
+                Alarm::Notice(RelayNo(relay as u16), at, row.clone()),
+            );
         }
     }
 
@@ -839,15 +968,24 @@
     fn tell(&mut self, relay: RelayNo, works: &mut Works<Alarm>) {
         let list = &self.agents[usize::from(relay.0)].list;
         for (_, conn) in &mut self.conns {
-            let Role::Agent(watching) = &mut conn.role else { continue };
-            if watching.relay != relay || !watching.follows || watching.held == Some(list.generation()) {
+            let Role::Agent(watching) = &mut conn.role else {
+                continue;
+            };
+            if watching.relay != relay
+                || !watching.follows
+                || watching.held == Some(list.generation())
+            {
                 continue;
             }
             let (text, told) = list.text_since(watching.held);
             watching.held = Some(list.generation());
             if conn.wire.say(chunk(&text).as_bytes()).is_ok() && conn.wire.is_flushed() {
                 for (at, lifecycle) in told {
-                    works.note(Sighting::Told { relay, at, lifecycle });
+                    works.note(Sighting::Told {
+                        relay,
+                        at,
+                        lifecycle,
+                    });
                 }
             }
             conn.wire.settle(false);
@@ -856,7 +994,9 @@
 
     fn agent_event(&mut self, id: usize, works: &mut Works<Alarm>) {
         let conn = &mut self.conns[id];
-        let Role::Agent(watching) = &mut conn.role else { return };
+        let Role::Agent(watching) = &mut conn.role else {
+            return;
+        };
         let broke = conn.wire.read().and_then(|_| conn.wire.flush()).is_err();
         let agent = &self.agents[usize::from(watching.relay.0)];
         if broke || conn.wire.ended {
@@ -869,10 +1009,14 @@
         if watching.asked || matches!(agent.fault, Some(AgentFault::Silent)) {
             return conn.wire.settle(false);
         }
-        let Some((path, length)) = request(conn.wire.bytes()) else { return conn.wire.settle(false) };
+        let Some((path, length)) = request(conn.wire.bytes()) else {
+            return conn.wire.settle(false);
+        };
         conn.wire.drop_bytes(length);
         let Some(follow) = asked_for(&path) else {
-            let _ = conn.wire.say(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
+            let _ = conn
+                .wire
+                .say(b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n");
             return conn.wire.settle(false);
         };
         let relay = watching.relay;
@@ -890,21 +1034,40 @@
             None => {
                 let (text, told) = agent.list.text_since(None);
                 let head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ";
-                let _ = conn.wire.say(format!("{head}{}\r\n\r\n{text}", text.len()).as_bytes());
+                let _ = conn
+                    .wire
+                    .say(format!("{head}{}\r\n\r\n{text}", text.len()).as_bytes());
                 conn.wire.settle(false);
-                told.into_iter()
-                    .for_each(|(at, lifecycle)| works.note(Sighting::Told { relay, at, lifecycle }));
+                told.into_iter().for_each(|(at, lifecycle)| {
+                    works.note(Sighting::Told {
+                        relay,
+                        at,
+                        lifecycle,
+                    })
+                });
             }
         }
     }
 
-    fn agent_fault(&mut self, relay: RelayNo, fault: AgentFault, on: bool, works: &mut Works<Alarm>) {
-        works.note(Sighting::Agent { relay, fault: fault.name(), on });
+    fn agent_fault(
+        &mut self,
+        relay: RelayNo,
+        fault: AgentFault,
+        on: bool,
+        works: &mut Works<Alarm>,
+    ) {
+        works.note(Sighting::Agent {
+            relay,
+            fault: fault.name(),
+            on,
+        });
         let agent = &mut self.agents[usize::from(relay.0)];
         let watches: Vec<usize> = self
             .conns
             .iter()
-            .filter(|(_, conn)| matches!(&conn.role, Role::Agent(watching) if watching.relay == relay))
+            .filter(
+                |(_, conn)| matches!(&conn.role, Role::Agent(watching) if watching.relay == relay),
+            )
             .map(|(id, _)| id)
             .collect();
         match fault {
@@ -914,7 +1077,9 @@
             AgentFault::Restart => agent.list.forget_versions(),
             AgentFault::Malformed => {
                 for &id in &watches {
-                    let _ = self.conns[id].wire.say(chunk("{\"generation\": many").as_bytes());
+                    let _ = self.conns[id]
+                        .wire
+                        .say(chunk("{\"generation\": many").as_bytes());
                 }
             }
         }
@@ -938,7 +1103,9 @@
 
     fn beat(&mut self, works: &mut Works<Alarm>) {
         for (_, conn) in &mut self.conns {
-            let Role::Agent(watching) = &conn.role else { continue };
+            let Role::Agent(watching) = &conn.role else {
+                continue;
+            };
             let silent = matches!(
                 self.agents[usize::from(watching.relay.0)].fault,
                 Some(AgentFault::Silent | AgentFault::Down)
@@ -959,7 +1126,13 @@
             let (load, held) = (this.work.load(works.now), this.work.held());
             this.report = format!("inflight={held},x0={load:.3}");
             let (share, pushed) = (this.work.share(works.now), this.work.worst_push);
-            works.note(Sighting::BoxLoad { at: BoxNo(number), load, held, share, pushed });
+            works.note(Sighting::BoxLoad {
+                at: BoxNo(number),
+                load,
+                held,
+                share,
+                pushed,
+            });
         }
         if self.tells_load {
             self.change_loads(works);
@@ -967,12 +1140,15 @@
         works.set(works.now + self.report_every, Alarm::Report);
     }
 
-    /// The load of one standing connection of each box changes, which the box tells among its lines.
+    /// The load of one standing connection of each box changes, which the box tells among its
+    /// lines.
     fn change_loads(&mut self, works: &mut Works<Alarm>) {
         let mut last = vec![None; self.boxes.len()];
         let mut seen = vec![0_u64; self.boxes.len()];
         for (id, conn) in &self.conns {
-            let Role::Box(speech) = &conn.role else { continue };
+            let Role::Box(speech) = &conn.role else {
+                continue;
+            };
             let at = usize::from(speech.at.0);
             if speech.heard == Heard::Standing && !self.boxes[at].still {
                 seen[at] += 1;
@@ -985,12 +1161,16 @@
         for id in last.into_iter().flatten() {
             let factor = 0.7 + 0.6 * self.chance.float();
             let conn = &mut self.conns[id];
-            let Role::Box(speech) = &mut conn.role else { continue };
+            let Role::Box(speech) = &mut conn.role else {
+                continue;
+            };
             let work = &mut self.boxes[usize::from(speech.at.0)].work;
             work.leave(works.now, speech.load, speech.group);
             speech.load = (speech.load * factor).clamp(0.01, 100.0);
             work.take(works.now, speech.load, speech.group);
-            let _ = conn.wire.say(format!("LOAD {:.3}\r\n", speech.load).as_bytes());
+            let _ = conn
+                .wire
+                .say(format!("LOAD {:.3}\r\n", speech.load).as_bytes());
             conn.wire.settle(false);
         }
     }
@@ -998,7 +1178,9 @@
     /// The box that an alarm is about, where that stands still and the alarm has to wait.
     fn held_up(&self, id: usize, serial: u64) -> Option<Result<(), BoxNo>> {
         let conn = self.conns.get(id).filter(|conn| conn.serial == serial)?;
-        let Role::Box(speech) = &conn.role else { return None };
+        let Role::Box(speech) = &conn.role else {
+            return None;
+        };
         let still = self.boxes[usize::from(speech.at.0)].still;
         Some(if still { Err(speech.at) } else { Ok(()) })
     }
@@ -1034,7 +1216,9 @@
             },
             Alarm::Still(at, life, still) => {
                 let this = self.this(at);
-                if let (Some(Ailment::Pausing(every, pause)), true) = (this.ailment, this.life == life) {
+                if let (Some(Ailment::Pausing(every, pause)), true) =
+                    (this.ailment, this.life == life)
+                {
                     self.set_still(at, still, works);
                     let next = if still { pause } else { every - pause };
                     works.set(works.now + next, Alarm::Still(at, life, !still));
@@ -1076,18 +1260,33 @@
     }
 
     fn sums(self, works: &Works<Alarm>) -> YardSums {
-        YardSums { worst_turn: works.worst_turn, worked: works.worked }
+        YardSums {
+            worst_turn: works.worst_turn,
+            worked: works.worked,
+        }
     }
 }
 
 fn watch_door(listener: Option<&TcpListener>, key: usize, works: &Works<Alarm>) -> io::Result<()> {
-    let Some(listener) = listener else { return Ok(()) };
+    let Some(listener) = listener else {
+        return Ok(());
+    };
     // SAFETY: deleted from the poller before the listener is closed, or closed with the poller.
-    unsafe { works.poller.add_with_mode(listener, Event::readable(key), PollMode::Level) }
+    unsafe {
+        works
+            .poller
+            .add_with_mode(listener, Event::readable(key), PollMode::Level)
+    }
 }
 
 fn row(plan: &BoxPlan, at: SocketAddr, lifecycle: Lifecycle, started_ms: u64) -> Row {
-    Row { at, zone: plan.zone.clone(), cell: plan.cell, lifecycle, started_ms }
+    Row {
+        at,
+        zone: plan.zone.clone(),
+        cell: plan.cell,
+        lifecycle,
+        started_ms,
+    }
 }
 
 /// The session, its load and its group, of a first line that a client might have sent.
@@ -1096,8 +1295,14 @@
         return None;
     }
     let words: Vec<&str> = line.split(' ').collect();
-    let ["OPEN", id, key, items] = words[..] else { return None };
-    let number = |text: &str| (text.len() == 16).then(|| u64::from_str_radix(text, 16).ok()).flatten();
+    let ["OPEN", id, key, items] = words[..] else {
+        return None;
+    };
+    let number = |text: &str| {
+        (text.len() == 16)
+            .then(|| u64::from_str_radix(text, 16).ok())
+            .flatten()
+    };
     number(key)?;
     let (mut load, mut group, mut waits) = (1.0, None, false);
     for item in items.split(',') {
@@ -1112,7 +1317,8 @@
     waits.then_some((Tag(number(id)?), load, group))
 }
 
-const HEAD: &str = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
@@ -1128,12 +1334,19 @@
     }
 }
 
-/// None where the path is not the list's; else none for the whole list, or the version that a watch begins with.
+/// None where the path is not the list's; else none for the whole list, or the version that a watch
+/// begins with.
 fn asked_for(path: &str) -> Option<Option<Option<u64>>> {
     let (path, query) = path.split_once('?').unwrap_or((path, ""));
     if path != "/api/targets" {
         return None;
     }
-    let value = |name: &str| query.split('&').find_map(|item| item.strip_prefix(name)?.strip_prefix('='));
-    Some((value("follow") == Some("1")).then(|| value("since").and_then(|since| since.parse().ok())))
+    let value = |name: &str| {
+        query
+            .split('&')
+            .find_map(|item| item.strip_prefix(name)?.strip_prefix('='))
+    };
+    Some(
+        (value("follow") == Some("1")).then(|| value("since").and_then(|since| since.parse().ok())),
+    )
 }
--- a/fleet/tests/helper/mod.rs
+++ b/fleet/tests/helper/mod.rs
@@ -1,4 +1,5 @@
-//! A little relay of a thread a connection, right but for one thing, and a run of it among the stand-ins.
+//! A little relay of a thread a connection, right but for one thing, and a run of it among the
+//! stand-ins.
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -52,11 +53,26 @@
 }
 
 /// Runs until the run is over.
-fn little_relay(wrong: Wrong, agent: SocketAddr, boxes: Vec<SocketAddr>) -> (SocketAddr, Arc<Little>) {
+fn little_relay(
+    wrong: Wrong,
+    agent: SocketAddr,
+    boxes: Vec<SocketAddr>,
+) -> (SocketAddr, Arc<Little>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
-    let (next, over, list) = (AtomicUsize::new(0), AtomicBool::new(false), Mutex::default());
-    let little = Arc::new(Little { wrong, agent, boxes, next, over, list });
+    let (next, over, list) = (
+        AtomicUsize::new(0),
+        AtomicBool::new(false),
+        Mutex::default(),
+    );
+    let little = Arc::new(Little {
+        wrong,
+        agent,
+        boxes,
+        next,
+        over,
+        list,
+    });
     let (reads, serves) = (little.clone(), little.clone());
     reads.read_list();
     thread::spawn(move || {
@@ -76,12 +92,17 @@
 
 impl Little {
     fn read_list(&self) {
-        let Ok(mut stream) = TcpStream::connect(self.agent) else { return };
-        stream.set_read_timeout(Some(Duration::from_millis(300))).unwrap();
+        let Ok(mut stream) = TcpStream::connect(self.agent) else {
+            return;
+        };
+        stream
+            .set_read_timeout(Some(Duration::from_millis(300)))
+            .unwrap();
         let asked = stream.write_all(b"GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n");
         let mut lines = BufReader::new(stream);
         let mut text = String::new();
-        // The list is one line behind the head; the connection stays open, so that the time-out ends the last read.
+        // The list is one line behind the head; the connection stays open, so that the time-out
+        // ends the last read.
         while asked.is_ok() && !text.contains("instances") {
             text.clear();
             if lines.read_line(&mut text).is_err() {
@@ -93,7 +114,9 @@
                 break;
             }
         }
-        let Ok(list) = serde_json::from_str::<serde_json::Value>(&text) else { return };
+        let Ok(list) = serde_json::from_str::<serde_json::Value>(&text) else {
+            return;
+        };
         let mut rows = BTreeMap::new();
         for row in list["instances"].as_array().unwrap() {
             let at = row["hostPort"].as_str().unwrap().parse().unwrap();
@@ -107,13 +130,17 @@
         let list = self.list.lock().unwrap();
         let listed: Vec<usize> = match self.wrong {
             Wrong::IgnoresDrains => (0..self.boxes.len()).collect(),
-            _ => {
-                list.iter().filter(|(_, lifecycle)| *lifecycle == "Ready").map(|(place, _)| *place).collect()
-            }
+            _ => list
+                .iter()
+                .filter(|(_, lifecycle)| *lifecycle == "Ready")
+                .map(|(place, _)| *place)
+                .collect(),
         };
         match self.wrong {
             Wrong::AllToTheNewest => listed.last().copied(),
-            _ => listed.get(self.next.fetch_add(1, Ordering::Relaxed) % listed.len().max(1)).copied(),
+            _ => listed
+                .get(self.next.fetch_add(1, Ordering::Relaxed) % listed.len().max(1))
+                .copied(),
         }
     }
 
@@ -126,8 +153,11 @@
         if first == "PING\r\n" {
             return out.write_all(b"PONG\r\n");
         }
-        // A client that left before it spoke; a panic over it would hold all others up while its trace is written.
-        let Some((_, rest)) = first.split_once(",d=") else { return Ok(()) };
+        // A client that left before it spoke; a panic over it would hold all others up while its
+        // trace is written.
+        let Some((_, rest)) = first.split_once(",d=") else {
+            return Ok(());
+        };
         let wait = rest.split(',').next().unwrap().parse().unwrap();
         let wait = Duration::from_millis(wait);
         match self.wrong {
@@ -147,14 +177,22 @@
             }
             _ => {}
         }
-        // One that failed is dialled again elsewhere, as often as the wait allows; a right relay of once-only or
-        // referenced sessions does not.
-        let again =
-            matches!(self.wrong, Wrong::DialsOnceOnlyAgain | Wrong::RepeatsElsewhere | Wrong::RepeatsLate);
+        // One that failed is dialled again elsewhere, as often as the wait allows; a right relay of
+        // once-only or referenced sessions does not.
+        let again = matches!(
+            self.wrong,
+            Wrong::DialsOnceOnlyAgain | Wrong::RepeatsElsewhere | Wrong::RepeatsLate
+        );
         let mut tries = if again { 2 } else { 1 };
         let (mut dial, mut words) = loop {
-            let Some(place) = self.pick() else { return out.write_all(b"BUSY\r\n") };
-            let line = if self.wrong == Wrong::OwnLine { "OPEN me please\r\n" } else { &first };
+            let Some(place) = self.pick() else {
+                return out.write_all(b"BUSY\r\n");
+            };
+            let line = if self.wrong == Wrong::OwnLine {
+                "OPEN me please\r\n"
+            } else {
+                &first
+            };
             let Ok(mut dial) = TcpStream::connect(self.boxes[place]) else {
                 return out.write_all(b"BUSY\r\n");
             };
@@ -185,7 +223,8 @@
             }
         };
         dial.set_read_timeout(None)?;
-        let (wrong, mut to_client, closes) = (self.wrong, out.try_clone()?, lines.get_ref().try_clone()?);
+        let (wrong, mut to_client, closes) =
+            (self.wrong, out.try_clone()?, lines.get_ref().try_clone()?);
         let began = Instant::now();
         let down = thread::spawn(move || {
             let mut line = String::new();
@@ -253,7 +292,13 @@
             window: Span::from_ms(3_000),
             turnover: Span::from_ms(9_000),
         };
-        let make = Make { capacity: 40.0, most: 200, setup: Span::from_ms(1), group_fee: 0.0, cold };
+        let make = Make {
+            capacity: 40.0,
+            most: 200,
+            setup: Span::from_ms(1),
+            group_fee: 0.0,
+            cold,
+        };
         let plan = |number: usize| BoxPlan {
             make,
             zone: self.zones[number % self.zones.len()].into(),
@@ -261,7 +306,10 @@
             present: true,
         };
         let boxes: Vec<BoxPlan> = (0..self.boxes).map(plan).collect();
-        let places = boxes.iter().map(|plan| (plan.zone.clone(), plan.cell)).collect();
+        let places = boxes
+            .iter()
+            .map(|plan| (plan.zone.clone(), plan.cell))
+            .collect();
         let ground = Ground {
             boxes,
             relays: self.relays,
@@ -301,11 +349,22 @@
         let mut littles = Vec::new();
         for (number, agent) in yard.agents.iter().enumerate() {
             let (at, little) = little_relay(self.wrong, *agent, yard.boxes.clone());
-            doors.push(Doorway { at, relay: Some(RelayNo(number as u16)), open: true });
+            doors.push(Doorway {
+                at,
+                relay: Some(RelayNo(number as u16)),
+                open: true,
+            });
             littles.push(little);
         }
         let arrivals = (1..).zip(arrivals(&traffic, until, 3)).collect();
-        let bill = Bill { traffic, arrivals, until, doors, dealing: Dealing::Even, seed: 2 };
+        let bill = Bill {
+            traffic,
+            arrivals,
+            until,
+            doors,
+            dealing: Dealing::Even,
+            seed: 2,
+        };
         let crowd = Crowd::open(bill, clock, tape.clone()).unwrap();
         let mut cues = self.cues.clone();
         cues.sort_by_key(|(at, _)| *at);
@@ -319,9 +378,16 @@
         assert!(reel.wait_for(LONG, idle), "clients stay");
         crowd.close();
         yard.stage.close();
-        littles.iter().for_each(|little| little.over.store(true, Ordering::Relaxed));
+        littles
+            .iter()
+            .for_each(|little| little.over.store(true, Ordering::Relaxed));
         let entries = reel.into_sorted();
-        let law = Law { effects: vec![self.effect], hedged: vec![false], grace: Span::from_ms(500), places };
+        let law = Law {
+            effects: vec![self.effect],
+            hedged: vec![false],
+            grace: Span::from_ms(500),
+            places,
+        };
         (judge(&entries, &law), entries)
     }
 }
--- a/fleet/tests/referee.rs
+++ b/fleet/tests/referee.rs
@@ -1,5 +1,5 @@
-//! The referee is shown a relay that is wrong in one way each, and must name the rule that this breaks; and the same
-//! relay, right, among the same faults, of which it must say nothing.
+//! The referee is shown a relay that is wrong in one way each, and must name the rule that this
+//! breaks; and the same relay, right, among the same faults, of which it must say nothing.
 mod helper;
 use helper::{ALL, Scene, Wrong};
 use std::io::{BufRead, BufReader, Write};
@@ -8,7 +8,9 @@
 use thistlecroft::units::{Moment, Span};
 use thistlecroft_fleet::clock::Stopwatch;
 use thistlecroft_fleet::referee::{Law, judge};
-use thistlecroft_fleet::tape::{Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag, tape};
+use thistlecroft_fleet::tape::{
+    Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag, tape,
+};
 use thistlecroft_fleet::together::{Pact, Rule, judge_together};
 use thistlecroft_fleet::witness::Witness;
 use thistlecroft_fleet::yard::{AgentFault, Ailment, Cue};
@@ -20,16 +22,31 @@
 }
 
 fn breaks(rule: usize, what: &'static str, wrong: Wrong) -> Case {
-    Case { scene: Scene::of(wrong), broken: Some((rule, what)) }
+    Case {
+        scene: Scene::of(wrong),
+        broken: Some((rule, what)),
+    }
 }
 
 fn once_only(wrong: Wrong) -> Scene {
-    Scene { effect: Effect::OnceOnly, cues: ail(Ailment::Failing(0.5)), ..Scene::of(wrong) }
+    Scene {
+        effect: Effect::OnceOnly,
+        cues: ail(Ailment::Failing(0.5)),
+        ..Scene::of(wrong)
+    }
 }
 
 fn referenced(wrong: Wrong, scope: Scope, window_ms: u64) -> Scene {
-    let effect = Effect::Referenced { scope, window: Span::from_ms(window_ms) };
-    Scene { effect, zones: &["a", "b"], cues: ail(Ailment::Failing(0.5)), ..Scene::of(wrong) }
+    let effect = Effect::Referenced {
+        scope,
+        window: Span::from_ms(window_ms),
+    };
+    Scene {
+        effect,
+        zones: &["a", "b"],
+        cues: ail(Ailment::Failing(0.5)),
+        ..Scene::of(wrong)
+    }
 }
 
 fn ail(ailment: Ailment) -> Vec<(u64, Cue)> {
@@ -56,7 +73,13 @@
 fn all_sorts() -> Vec<(u64, Cue)> {
     vec![
         (0, Cue::Ail(BoxNo(0), Ailment::Failing(0.3))),
-        (0, Cue::Ail(BoxNo(1), Ailment::Pausing(Span::from_ms(600), Span::from_ms(150)))),
+        (
+            0,
+            Cue::Ail(
+                BoxNo(1),
+                Ailment::Pausing(Span::from_ms(600), Span::from_ms(150)),
+            ),
+        ),
         (400, Cue::Heal(BoxNo(0))),
         (500, Cue::Ail(BoxNo(0), Ailment::ResetsAfter)),
         (700, Cue::Ail(BoxNo(0), Ailment::ResetsBefore)),
@@ -71,13 +94,30 @@
 
 #[test]
 fn each_break_is_caught_and_nothing_else() {
-    let unheard =
-        |wrong| Scene { cues: drains_unheard(), length_ms: 8_500, a_second: 8.0, ..Scene::of(wrong) };
-    let rush = |wrong, relays, a_second| Scene { cues: returns(), relays, a_second, ..Scene::of(wrong) };
+    let unheard = |wrong| Scene {
+        cues: drains_unheard(),
+        length_ms: 8_500,
+        a_second: 8.0,
+        ..Scene::of(wrong)
+    };
+    let rush = |wrong, relays, a_second| Scene {
+        cues: returns(),
+        relays,
+        a_second,
+        ..Scene::of(wrong)
+    };
     let cases = vec![
         breaks(1, "it had no answer within its wait", Wrong::NeverAnswers),
-        breaks(1, "its connection ended without an answer", Wrong::EndsUnanswered),
-        breaks(1, "more was said after the final answer", Wrong::AnswersTwice),
+        breaks(
+            1,
+            "its connection ended without an answer",
+            Wrong::EndsUnanswered,
+        ),
+        breaks(
+            1,
+            "more was said after the final answer",
+            Wrong::AnswersTwice,
+        ),
         breaks(1, "after its wait was over", Wrong::AnswersLate),
         breaks(1, "kept back", Wrong::KeepsBack),
         breaks(1, "cut off without MOVE", Wrong::CutsOff),
@@ -92,8 +132,14 @@
             broken: Some((1, "its box had ended it")),
         },
         breaks(2, "had a dial of it at once", Wrong::TwoAtOnce),
-        Case { scene: once_only(Wrong::DialsOnceOnlyAgain), broken: Some((2, "was dialled again")) },
-        Case { scene: once_only(Wrong::RefusesOnceOnly), broken: Some((2, "may have run was refused")) },
+        Case {
+            scene: once_only(Wrong::DialsOnceOnlyAgain),
+            broken: Some((2, "was dialled again")),
+        },
+        Case {
+            scene: once_only(Wrong::RefusesOnceOnly),
+            broken: Some((2, "may have run was refused")),
+        },
         Case {
             scene: referenced(Wrong::RepeatsElsewhere, Scope::Zone, 60_000),
             broken: Some((2, "where its mark is not known")),
@@ -103,20 +149,59 @@
             broken: Some((2, "after its mark was forgotten")),
         },
         Case {
-            scene: Scene { cues: drains(), ..Scene::of(Wrong::IgnoresDrains) },
+            scene: Scene {
+                cues: drains(),
+                ..Scene::of(Wrong::IgnoresDrains)
+            },
             broken: Some((3, "after its drain was told")),
         },
-        Case { scene: unheard(Wrong::IgnoresDrains), broken: Some((3, "after its drain was told")) },
-        Case { scene: rush(Wrong::AllToTheNewest, 1, 20.0), broken: Some((4, "was pushed over while cold")) },
-        Case { scene: rush(Wrong::AllToTheNewest, 3, 20.0), broken: Some((4, "was pushed over while cold")) },
+        Case {
+            scene: unheard(Wrong::IgnoresDrains),
+            broken: Some((3, "after its drain was told")),
+        },
+        Case {
+            scene: rush(Wrong::AllToTheNewest, 1, 20.0),
+            broken: Some((4, "was pushed over while cold")),
+        },
+        Case {
+            scene: rush(Wrong::AllToTheNewest, 3, 20.0),
+            broken: Some((4, "was pushed over while cold")),
+        },
         // The right one, among all that the wrong ones met.
-        Case { scene: Scene::of(Wrong::Nothing), broken: None },
-        Case { scene: once_only(Wrong::Nothing), broken: None },
-        Case { scene: referenced(Wrong::Nothing, Scope::Zone, 100), broken: None },
-        Case { scene: referenced(Wrong::RepeatsElsewhere, Scope::All, 60_000), broken: None },
-        Case { scene: Scene { cues: drains(), ..Scene::of(Wrong::Nothing) }, broken: None },
-        Case { scene: rush(Wrong::Nothing, 2, 10.0), broken: None },
-        Case { scene: Scene { cues: all_sorts(), ..Scene::of(Wrong::Nothing) }, broken: None },
+        Case {
+            scene: Scene::of(Wrong::Nothing),
+            broken: None,
+        },
+        Case {
+            scene: once_only(Wrong::Nothing),
+            broken: None,
+        },
+        Case {
+            scene: referenced(Wrong::Nothing, Scope::Zone, 100),
+            broken: None,
+        },
+        Case {
+            scene: referenced(Wrong::RepeatsElsewhere, Scope::All, 60_000),
+            broken: None,
+        },
+        Case {
+            scene: Scene {
+                cues: drains(),
+                ..Scene::of(Wrong::Nothing)
+            },
+            broken: None,
+        },
+        Case {
+            scene: rush(Wrong::Nothing, 2, 10.0),
+            broken: None,
+        },
+        Case {
+            scene: Scene {
+                cues: all_sorts(),
+                ..Scene::of(Wrong::Nothing)
+            },
+            broken: None,
+        },
     ];
     let runs: Vec<_> = cases
         .into_iter()
@@ -124,8 +209,11 @@
             thread::spawn(move || {
                 let (ruling, _) = case.scene.run();
                 let name = format!("{:?} with {:?}: ", case.scene.wrong, case.scene.effect);
-                let story =
-                    |rule: usize| ruling.first[rule].as_ref().map(|first| (&first.what, &first.story));
+                let story = |rule: usize| {
+                    ruling.first[rule]
+                        .as_ref()
+                        .map(|first| (&first.what, &first.story))
+                };
                 let found: Vec<_> = (0..4).filter_map(story).collect();
                 match case.broken {
                     None if ruling.kept() && ruling.sessions > 10 => Ok(()),
@@ -136,19 +224,24 @@
                             .enumerate()
                             .all(|(at, count)| (*count > 0) == (at + 1 == rule))
                             && story(rule - 1).is_some_and(|(found, story)| {
-                                found.contains(what) && (!story.is_empty() || what.contains("no client"))
+                                found.contains(what)
+                                    && (!story.is_empty() || what.contains("no client"))
                             }) =>
                     {
                         Ok(())
                     }
-                    expected => {
-                        Err(format!("{name}expected {expected:?}, {} sessions: {found:#?}", ruling.sessions))
-                    }
+                    expected => Err(format!(
+                        "{name}expected {expected:?}, {} sessions: {found:#?}",
+                        ruling.sessions
+                    )),
                 }
             })
         })
         .collect();
-    let faults: Vec<String> = runs.into_iter().filter_map(|run| run.join().unwrap().err()).collect();
+    let faults: Vec<String> = runs
+        .into_iter()
+        .filter_map(|run| run.join().unwrap().err())
+        .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
 }
 
@@ -156,15 +249,35 @@
 fn a_box_out_by_hand_gets_nothing_new_after_the_grace() {
     let (relay, at, session) = (RelayNo(0), BoxNo(1), Tag(7));
     let by_hand = |relay, out| Sighting::ByHand { relay, at, out };
-    let again = Sighting::Told { relay, at, lifecycle: Lifecycle::Ready };
-    // What came before the dial, when that came, and whether it breaks the drain's rule. The grace is two seconds.
+    let again = Sighting::Told {
+        relay,
+        at,
+        lifecycle: Lifecycle::Ready,
+    };
+    // What came before the dial, when that came, and whether it breaks the drain's rule. The grace
+    // is two seconds.
     let cases = [
         (vec![(0, by_hand(relay, true))], 1_900, false),
         (vec![(0, by_hand(relay, true))], 2_500, true),
         (vec![(0, by_hand(RelayNo(1), true))], 2_500, false),
-        (vec![(0, by_hand(relay, true)), (2_000, by_hand(relay, false))], 2_500, false),
-        (vec![(0, by_hand(relay, true)), (1_500, by_hand(relay, true))], 2_500, true),
-        (vec![(0, by_hand(relay, true)), (1_000, Sighting::BoxStarted { at, cold: true })], 2_500, true),
+        (
+            vec![(0, by_hand(relay, true)), (2_000, by_hand(relay, false))],
+            2_500,
+            false,
+        ),
+        (
+            vec![(0, by_hand(relay, true)), (1_500, by_hand(relay, true))],
+            2_500,
+            true,
+        ),
+        (
+            vec![
+                (0, by_hand(relay, true)),
+                (1_000, Sighting::BoxStarted { at, cold: true }),
+            ],
+            2_500,
+            true,
+        ),
         (vec![(0, by_hand(relay, true)), (1_000, again)], 2_500, true),
     ];
     for (before, came, broken) in cases {
@@ -172,14 +285,49 @@
         let mut seen = vec![(0, Sighting::RelayStarted { relay })];
         seen.extend(before);
         seen.extend([
-            (came - 5, Sighting::Asked { session, relay: Some(relay), listener: 0, wait, due, again: false }),
-            (came, Sighting::DialCame { at, session, first: Moment::from_us(came * 1_000) }),
-            (came + 1, Sighting::DialReplied { at, session, reply: Reply::Up }),
-            (came + 2, Sighting::Answered { session, answer: Answer::Up }),
+            (
+                came - 5,
+                Sighting::Asked {
+                    session,
+                    relay: Some(relay),
+                    listener: 0,
+                    wait,
+                    due,
+                    again: false,
+                },
+            ),
+            (
+                came,
+                Sighting::DialCame {
+                    at,
+                    session,
+                    first: Moment::from_us(came * 1_000),
+                },
+            ),
+            (
+                came + 1,
+                Sighting::DialReplied {
+                    at,
+                    session,
+                    reply: Reply::Up,
+                },
+            ),
+            (
+                came + 2,
+                Sighting::Answered {
+                    session,
+                    answer: Answer::Up,
+                },
+            ),
             (came + 50, Sighting::Ended { session }),
         ]);
-        let entries: Vec<Entry> =
-            seen.into_iter().map(|(ms, seen)| Entry { at: Moment::from_us(ms * 1_000), seen }).collect();
+        let entries: Vec<Entry> = seen
+            .into_iter()
+            .map(|(ms, seen)| Entry {
+                at: Moment::from_us(ms * 1_000),
+                seen,
+            })
+            .collect();
         let law = Law {
             effects: vec![Effect::Repeatable],
             hedged: vec![false],
@@ -191,35 +339,84 @@
     }
 }
 
-/// Of relays that are each right by themselves and wrong together; and of one that gives a session to two boxes.
+/// Of relays that are each right by themselves and wrong together; and of one that gives a session
+/// to two boxes.
 #[test]
 fn little_relays_that_are_right_alone_are_found_wrong_together() {
-    let scene = Scene { relays: 2, a_second: 30.0, ..Scene::of(Wrong::Nothing) };
+    let scene = Scene {
+        relays: 2,
+        a_second: 30.0,
+        ..Scene::of(Wrong::Nothing)
+    };
     let (ruling, mut entries) = scene.run();
     assert!(ruling.kept(), "{}", ruling.line());
     let found = |entries: &[Entry], pact: &Pact| -> Vec<Rule> {
-        let mut rules: Vec<Rule> = judge_together(entries, pact).iter().map(|breach| breach.rule).collect();
+        let mut rules: Vec<Rule> = judge_together(entries, pact)
+            .iter()
+            .map(|breach| breach.rule)
+            .collect();
         rules.dedup();
         rules
     };
     let within = Some(Span::from_ms(300));
-    assert_eq!(found(&entries, &Pact { bans_within: within, ..Pact::default() }), []);
+    assert_eq!(
+        found(
+            &entries,
+            &Pact {
+                bans_within: within,
+                ..Pact::default()
+            }
+        ),
+        []
+    );
     // Each would let so many in by itself.
-    let at_once = Pact { at_once: Some((10, Span::from_ms(200))), ..Pact::default() };
+    let at_once = Pact {
+        at_once: Some((10, Span::from_ms(200))),
+        ..Pact::default()
+    };
     assert_eq!(found(&entries, &at_once), [Rule::SumAtOnce]);
-    assert_eq!(found(&entries, &Pact { dials_a_second: Some(15), ..Pact::default() }), [Rule::SumASecond]);
+    assert_eq!(
+        found(
+            &entries,
+            &Pact {
+                dials_a_second: Some(15),
+                ..Pact::default()
+            }
+        ),
+        [Rule::SumASecond]
+    );
     // One of them was told that a box is out; to the other it is as it was.
     let half = entries[entries.len() / 2].at;
-    entries.push(Entry { at: half, seen: Sighting::ByHand { relay: RelayNo(0), at: BoxNo(1), out: true } });
+    entries.push(Entry {
+        at: half,
+        seen: Sighting::ByHand {
+            relay: RelayNo(0),
+            at: BoxNo(1),
+            out: true,
+        },
+    });
     entries.sort_by_key(|entry| entry.at);
-    assert_eq!(found(&entries, &Pact { bans_within: within, ..Pact::default() }), [Rule::BansEverywhere]);
+    assert_eq!(
+        found(
+            &entries,
+            &Pact {
+                bans_within: within,
+                ..Pact::default()
+            }
+        ),
+        [Rule::BansEverywhere]
+    );
     let (_, entries) = Scene::of(Wrong::TwoAtOnce).run();
     assert!(found(&entries, &Pact::default()).contains(&Rule::OneBoxASession));
 }
 
 /// A door that answers by a script: its first answers in turn, the last one for ever.
 /// After `late` askings: the other door has surely been asked before.
-fn door(late: usize, leases: &'static [&'static str], here: &'static [&'static str]) -> std::net::SocketAddr {
+fn door(
+    late: usize,
+    leases: &'static [&'static str],
+    here: &'static [&'static str],
+) -> std::net::SocketAddr {
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let at = listener.local_addr().unwrap();
     thread::spawn(move || {
@@ -234,8 +431,9 @@
                     false => "400 held by another".to_string(),
                 }
             } else {
-                let peers =
-                    here[1..].iter().map(|name| format!("{{\"name\":\"{name}\",\"standing\":\"here\"}}"));
+                let peers = here[1..]
+                    .iter()
+                    .map(|name| format!("{{\"name\":\"{name}\",\"standing\":\"here\"}}"));
                 let peers = peers.collect::<Vec<_>>().join(",");
                 format!("200 {{\"name\":\"{}\",\"peers\":[{peers}]}}", here[0])
             };
@@ -255,53 +453,97 @@
     let cases: &[(&str, [Door; 2], Option<Rule>)] = &[
         (
             "both hold",
-            [(0, &["200 held 1 900"], BOTH), (0, &["200 held 2 900"], OTHERS)],
+            [
+                (0, &["200 held 1 900"], BOTH),
+                (0, &["200 held 2 900"], OTHERS),
+            ],
             Some(Rule::OneHolder),
         ),
         (
             "one holds for as long as it said, the other begins in that time",
-            [(0, &["200 held 1 5000", NO], BOTH), (LATE, &["200 held 2 900"], OTHERS)],
+            [
+                (0, &["200 held 1 5000", NO], BOTH),
+                (LATE, &["200 held 2 900"], OTHERS),
+            ],
             Some(Rule::OneHolder),
         ),
         (
             "the same epoch later",
-            [(0, &["200 held 7 1", NO], BOTH), (LATE, &["200 held 7 1"], OTHERS)],
+            [
+                (0, &["200 held 7 1", NO], BOTH),
+                (LATE, &["200 held 7 1"], OTHERS),
+            ],
             Some(Rule::EpochsGrow),
         ),
         (
             "a lower epoch later",
-            [(0, &["200 held 7 1", NO], BOTH), (LATE, &["200 held 6 1"], OTHERS)],
+            [
+                (0, &["200 held 7 1", NO], BOTH),
+                (LATE, &["200 held 6 1"], OTHERS),
+            ],
             Some(Rule::EpochsGrow),
         ),
-        ("one does not see the other", [(0, &[NO], BOTH), (0, &[NO], &["relay-1"])], Some(Rule::ViewsAgree)),
+        (
+            "one does not see the other",
+            [(0, &[NO], BOTH), (0, &[NO], &["relay-1"])],
+            Some(Rule::ViewsAgree),
+        ),
         (
             "one sees who is not there",
-            [(0, &[NO], &["relay-0", "relay-1", "relay-2"]), (0, &[NO], OTHERS)],
+            [
+                (0, &[NO], &["relay-0", "relay-1", "relay-2"]),
+                (0, &[NO], OTHERS),
+            ],
             Some(Rule::ViewsAgree),
         ),
-        ("one after the other", [(0, &["200 held 1 1", NO], BOTH), (LATE, &["200 held 2 1"], OTHERS)], None),
+        (
+            "one after the other",
+            [
+                (0, &["200 held 1 1", NO], BOTH),
+                (LATE, &["200 held 2 1"], OTHERS),
+            ],
+            None,
+        ),
     ];
     for (what, doors, rule) in cases {
         let (tape, mut reel) = tape();
         let clock = Stopwatch::start();
         let mut witnesses = Vec::new();
         for (number, (late, leases, here)) in (0..).zip(doors) {
-            tape.note(clock.now(), Sighting::RelayStarted { relay: RelayNo(number) });
+            tape.note(
+                clock.now(),
+                Sighting::RelayStarted {
+                    relay: RelayNo(number),
+                },
+            );
             let at = door(*late, leases, here);
-            witnesses.push(Witness::open(RelayNo(number), at, Some("turn"), clock, tape.clone()));
+            witnesses.push(Witness::open(
+                RelayNo(number),
+                at,
+                Some("turn"),
+                clock,
+                tape.clone(),
+            ));
         }
         // Both views have come three times, and so have many sayings before them.
         let seen = |entries: &[Entry], relay: u16| {
-            let sees =
-                |entry: &&Entry| matches!(&entry.seen, Sighting::Sees { relay: of, .. } if of.0 == relay);
+            let sees = |entry: &&Entry| matches!(&entry.seen, Sighting::Sees { relay: of, .. } if of.0 == relay);
             entries.iter().filter(sees).count() >= 3
         };
         let long = std::time::Duration::from_secs(20);
-        assert!(reel.wait_until(long, |entries| seen(entries, 0) && seen(entries, 1)), "{what}");
+        assert!(
+            reel.wait_until(long, |entries| seen(entries, 0) && seen(entries, 1)),
+            "{what}"
+        );
         drop(witnesses);
-        let pact = Pact { agree: true, ..Pact::default() };
-        let found: Vec<Rule> =
-            judge_together(&reel.into_sorted(), &pact).iter().map(|one| one.rule).collect();
+        let pact = Pact {
+            agree: true,
+            ..Pact::default()
+        };
+        let found: Vec<Rule> = judge_together(&reel.into_sorted(), &pact)
+            .iter()
+            .map(|one| one.rule)
+            .collect();
         match rule {
             Some(rule) => assert!(found.contains(rule), "{what}: {found:?}"),
             None => assert_eq!(found, [], "{what}"),
--- a/fleet/tests/together.rs
+++ b/fleet/tests/together.rs
@@ -1,4 +1,5 @@
-//! The judge of what relays do together: it names each way of being wrong together, and says nothing of a right fleet.
+//! The judge of what relays do together: it names each way of being wrong together, and says
+//! nothing of a right fleet.
 use thistlecroft::units::{Moment, Span};
 use thistlecroft_fleet::tape::{Answer, BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
 use thistlecroft_fleet::together::{Pact, Rule, judge_together};
@@ -14,45 +15,112 @@
 /// Asked then, answered 10 ms later, held for so long from the asking.
 fn held(ms: u64, relay: u16, epoch: u64, lasts: u64) -> Entry {
     let (asked, until) = (at(ms), at(ms + lasts));
-    seen(ms + 10, Sighting::LeaseSaid { relay: RelayNo(relay), subject: "turn", epoch, asked, until })
+    seen(
+        ms + 10,
+        Sighting::LeaseSaid {
+            relay: RelayNo(relay),
+            subject: "turn",
+            epoch,
+            asked,
+            until,
+        },
+    )
 }
 
 fn asked(ms: u64, session: u64, relay: u16) -> Entry {
     let (relay, wait) = (Some(RelayNo(relay)), Span::from_ms(2_000));
-    seen(ms, Sighting::Asked { session: Tag(session), relay, listener: 0, wait, due: at(ms), again: false })
+    seen(
+        ms,
+        Sighting::Asked {
+            session: Tag(session),
+            relay,
+            listener: 0,
+            wait,
+            due: at(ms),
+            again: false,
+        },
+    )
 }
 
 fn dial(ms: u64, session: u64, of: u16) -> Entry {
-    seen(ms, Sighting::DialCame { at: BoxNo(of), session: Tag(session), first: at(ms) })
+    seen(
+        ms,
+        Sighting::DialCame {
+            at: BoxNo(of),
+            session: Tag(session),
+            first: at(ms),
+        },
+    )
 }
 
 fn replied(ms: u64, session: u64, of: u16) -> Entry {
-    seen(ms, Sighting::DialReplied { at: BoxNo(of), session: Tag(session), reply: Reply::Up })
+    seen(
+        ms,
+        Sighting::DialReplied {
+            at: BoxNo(of),
+            session: Tag(session),
+            reply: Reply::Up,
+        },
+    )
 }
 
 fn up(ms: u64, session: u64) -> Entry {
-    seen(ms, Sighting::Answered { session: Tag(session), answer: Answer::Up })
+    seen(
+        ms,
+        Sighting::Answered {
+            session: Tag(session),
+            answer: Answer::Up,
+        },
+    )
 }
 
 fn ended(ms: u64, session: u64) -> Entry {
-    seen(ms, Sighting::Ended { session: Tag(session) })
+    seen(
+        ms,
+        Sighting::Ended {
+            session: Tag(session),
+        },
+    )
 }
 
 fn killed(ms: u64, relay: u16) -> Entry {
-    seen(ms, Sighting::RelayKilled { relay: RelayNo(relay) })
+    seen(
+        ms,
+        Sighting::RelayKilled {
+            relay: RelayNo(relay),
+        },
+    )
 }
 
 fn banned(ms: u64, relay: u16, of: u16, out: bool) -> Entry {
-    seen(ms, Sighting::ByHand { relay: RelayNo(relay), at: BoxNo(of), out })
+    seen(
+        ms,
+        Sighting::ByHand {
+            relay: RelayNo(relay),
+            at: BoxNo(of),
+            out,
+        },
+    )
 }
 
 fn started(ms: u64, relay: u16) -> Entry {
-    seen(ms, Sighting::RelayStarted { relay: RelayNo(relay) })
+    seen(
+        ms,
+        Sighting::RelayStarted {
+            relay: RelayNo(relay),
+        },
+    )
 }
 
 fn sees(ms: u64, relay: u16, here: &[u16]) -> Entry {
     let here = here.iter().map(|one| format!("relay-{one}")).collect();
-    seen(ms, Sighting::Sees { relay: RelayNo(relay), here })
+    seen(
+        ms,
+        Sighting::Sees {
+            relay: RelayNo(relay),
+            here,
+        },
+    )
 }
 
 fn pact() -> Pact {
@@ -68,10 +136,18 @@
 #[test]
 fn each_way_of_being_wrong_together_is_named() {
     let cases: Vec<(&str, Vec<Entry>, Rule)> = vec![
-        ("two hold one lease", vec![held(0, 0, 1, 1_000), held(500, 1, 2, 1_000)], Rule::OneHolder),
+        (
+            "two hold one lease",
+            vec![held(0, 0, 1, 1_000), held(500, 1, 2, 1_000)],
+            Rule::OneHolder,
+        ),
         (
             "one that stood still goes on by its old lease",
-            vec![held(0, 0, 1, 1_000), held(1_500, 1, 2, 1_000), held(1_900, 0, 1, 1_000)],
+            vec![
+                held(0, 0, 1, 1_000),
+                held(1_500, 1, 2, 1_000),
+                held(1_900, 0, 1, 1_000),
+            ],
             Rule::OneHolder,
         ),
         (
@@ -88,8 +164,16 @@
             ],
             Rule::OneHolder,
         ),
-        ("one epoch for two holders", vec![held(0, 0, 4, 1_000), held(2_000, 1, 4, 1_000)], Rule::EpochsGrow),
-        ("an epoch that falls", vec![held(0, 0, 4, 1_000), held(2_000, 1, 3, 1_000)], Rule::EpochsGrow),
+        (
+            "one epoch for two holders",
+            vec![held(0, 0, 4, 1_000), held(2_000, 1, 4, 1_000)],
+            Rule::EpochsGrow,
+        ),
+        (
+            "an epoch that falls",
+            vec![held(0, 0, 4, 1_000), held(2_000, 1, 3, 1_000)],
+            Rule::EpochsGrow,
+        ),
         (
             "a session of a dead relay is acted on",
             vec![asked(0, 1, 0), killed(100, 0), dial(400, 1, 2)],
@@ -97,7 +181,13 @@
         ),
         (
             "two boxes hold one session",
-            vec![asked(0, 1, 0), dial(10, 1, 0), replied(20, 1, 0), dial(30, 1, 1), replied(40, 1, 1)],
+            vec![
+                asked(0, 1, 0),
+                dial(10, 1, 0),
+                replied(20, 1, 0),
+                dial(30, 1, 1),
+                replied(40, 1, 1),
+            ],
             Rule::OneBoxASession,
         ),
         (
@@ -107,7 +197,12 @@
         ),
         (
             "more dials in a second over all",
-            vec![dial(0, 1, 0), dial(300, 2, 0), dial(600, 3, 0), dial(999, 4, 0)],
+            vec![
+                dial(0, 1, 0),
+                dial(300, 2, 0),
+                dial(600, 3, 0),
+                dial(999, 4, 0),
+            ],
             Rule::SumASecond,
         ),
         (
@@ -117,22 +212,43 @@
         ),
         (
             "one relay does not see another that runs",
-            vec![started(0, 0), started(0, 1), sees(900, 0, &[0, 1]), sees(900, 1, &[1])],
+            vec![
+                started(0, 0),
+                started(0, 1),
+                sees(900, 0, &[0, 1]),
+                sees(900, 1, &[1]),
+            ],
             Rule::ViewsAgree,
         ),
         (
             "a dead relay is still seen here",
-            vec![started(0, 0), started(0, 1), killed(100, 1), sees(900, 0, &[0, 1])],
+            vec![
+                started(0, 0),
+                started(0, 1),
+                killed(100, 1),
+                sees(900, 0, &[0, 1]),
+            ],
             Rule::ViewsAgree,
         ),
     ];
     for (what, mut entries, rule) in cases {
         entries.sort_by_key(|entry| entry.at);
-        let found: Vec<Rule> = judge_together(&entries, &pact()).iter().map(|breach| breach.rule).collect();
+        let found: Vec<Rule> = judge_together(&entries, &pact())
+            .iter()
+            .map(|breach| breach.rule)
+            .collect();
         assert_eq!(found.first(), Some(&rule), "{what}: {found:?}");
     }
-    let twice = vec![asked(0, 1, 0), killed(100, 0), dial(400, 1, 2), dial(900, 1, 3)];
-    let takes_over = Pact { takes_over: true, ..pact() };
+    let twice = vec![
+        asked(0, 1, 0),
+        killed(100, 0),
+        dial(400, 1, 2),
+        dial(900, 1, 3),
+    ];
+    let takes_over = Pact {
+        takes_over: true,
+        ..pact()
+    };
     let found = judge_together(&twice, &takes_over);
     assert_eq!(
         found.iter().map(|one| one.rule).collect::<Vec<_>>(),
@@ -144,7 +260,14 @@
 #[test]
 fn a_right_fleet_is_told_nothing() {
     let cases: Vec<(&str, Vec<Entry>)> = vec![
-        ("one after the other", vec![held(0, 0, 1, 1_000), held(300, 0, 1, 1_000), held(1_400, 1, 2, 1_000)]),
+        (
+            "one after the other",
+            vec![
+                held(0, 0, 1, 1_000),
+                held(300, 0, 1, 1_000),
+                held(1_400, 1, 2, 1_000),
+            ],
+        ),
         // It was stopped between looking and saying: what it said is over when it is heard.
         (
             "said late",
@@ -163,28 +286,61 @@
                 held(4_900, 1, 2, 1_000),
             ],
         ),
-        ("over the sum for less than may be", vec![up(0, 1), up(10, 2), up(20, 3), ended(400, 1)]),
-        ("a second's dials", vec![dial(0, 1, 0), dial(300, 2, 0), dial(600, 3, 0), dial(1_000, 4, 0)]),
+        (
+            "over the sum for less than may be",
+            vec![up(0, 1), up(10, 2), up(20, 3), ended(400, 1)],
+        ),
+        (
+            "a second's dials",
+            vec![
+                dial(0, 1, 0),
+                dial(300, 2, 0),
+                dial(600, 3, 0),
+                dial(1_000, 4, 0),
+            ],
+        ),
         (
             "the ban has come in time, and is taken back",
-            vec![banned(0, 0, 5, true), dial(1_000, 1, 5), banned(2_000, 0, 5, false), dial(3_500, 2, 5)],
+            vec![
+                banned(0, 0, 5, true),
+                dial(1_000, 1, 5),
+                banned(2_000, 0, 5, false),
+                dial(3_500, 2, 5),
+            ],
         ),
         (
             "a relay that was killed serves again",
-            vec![asked(0, 1, 0), killed(100, 0), asked(900, 2, 0), dial(1_000, 2, 1)],
+            vec![
+                asked(0, 1, 0),
+                killed(100, 0),
+                asked(900, 2, 0),
+                dial(1_000, 2, 1),
+            ],
         ),
         (
             "moved to another box",
             vec![
                 asked(0, 1, 0),
                 replied(20, 1, 0),
-                seen(30, Sighting::BoxEnded { at: BoxNo(0), session: Tag(1) }),
+                seen(
+                    30,
+                    Sighting::BoxEnded {
+                        at: BoxNo(0),
+                        session: Tag(1),
+                    },
+                ),
                 replied(50, 1, 1),
             ],
         ),
         (
             "all see all that run",
-            vec![started(0, 0), started(0, 1), killed(100, 1), sees(50, 1, &[0, 1]), sees(900, 0, &[0])],
+            vec![
+                started(0, 0),
+                started(0, 1),
+                killed(100, 1),
+                sees(50, 1, &[0, 1]),
+                sees(900, 0, &[0]),
+            ],
         ),
     ];
     for (what, mut entries) in cases {
--- a/lab/src/compare.rs
+++ b/lab/src/compare.rs
@@ -26,11 +26,15 @@
 
 /// Name, whether more is better, and the figure.
 const FIGURES: &[Figure] = &[
-    ("rules broken", false, |summary| summary.rules.iter().sum::<usize>() as f64),
+    ("rules broken", false, |summary| {
+        summary.rules.iter().sum::<usize>() as f64
+    }),
     ("utility served", true, |summary| summary.served),
     ("answers up", true, |summary| summary.up as f64),
     ("answers busy", false, |summary| summary.busy as f64),
-    ("answers failed or none", false, |summary| (summary.failed + summary.unanswered) as f64),
+    ("answers failed or none", false, |summary| {
+        (summary.failed + summary.unanswered) as f64
+    }),
     ("cut off", false, |summary| summary.cut_off as f64),
     ("moved", false, |summary| summary.moved as f64),
     ("gave up", false, |summary| summary.lost as f64),
@@ -43,9 +47,15 @@
     ("dials a session", false, |summary| summary.dials_a_session),
     ("spread of load", false, |summary| summary.load_spread),
     ("cold budget used", false, |summary| summary.cold_push),
-    ("relays' CPU, s", false, |summary| summary.relays.iter().map(|relay| relay.cpu_s).sum()),
+    ("relays' CPU, s", false, |summary| {
+        summary.relays.iter().map(|relay| relay.cpu_s).sum()
+    }),
     ("most memory, MB", false, |summary| {
-        summary.relays.iter().map(|relay| relay.most_resident_mb).fold(0.0, f64::max)
+        summary
+            .relays
+            .iter()
+            .map(|relay| relay.most_resident_mb)
+            .fold(0.0, f64::max)
     }),
 ];
 
@@ -72,7 +82,11 @@
     if apart.abs() <= 2.0 * (error(one) + error(two)).sqrt() {
         return Verdict::Scatter;
     }
-    if (apart > 0.0) == more_is_better { Verdict::Better } else { Verdict::Worse }
+    if (apart > 0.0) == more_is_better {
+        Verdict::Better
+    } else {
+        Verdict::Worse
+    }
 }
 
 /// How the second does against the first.
@@ -80,10 +94,17 @@
     FIGURES
         .iter()
         .map(|(name, more, figure)| {
-            let (first, second): (Vec<f64>, Vec<f64>) =
-                (one.iter().map(figure).collect(), two.iter().map(figure).collect());
+            let (first, second): (Vec<f64>, Vec<f64>) = (
+                one.iter().map(figure).collect(),
+                two.iter().map(figure).collect(),
+            );
             let verdict = verdict(&first, &second, *more);
-            Compared { name, one: mean(&first), two: mean(&second), verdict }
+            Compared {
+                name,
+                one: mean(&first),
+                two: mean(&second),
+                verdict,
+            }
         })
         .collect()
 }
@@ -91,11 +112,24 @@
 /// As a table of text.
 pub fn table(one: (&str, &[Summary]), two: (&str, &[Summary])) -> String {
     let mut lines = vec![
-        format!("{} runs of {} against {} of {}", one.1.len(), one.0, two.1.len(), two.0),
-        format!("{:<24} {:>12} {:>12} {:>8}  second against first", "", "first", "second", "ratio"),
+        format!(
+            "{} runs of {} against {} of {}",
+            one.1.len(),
+            one.0,
+            two.1.len(),
+            two.0
+        ),
+        format!(
+            "{:<24} {:>12} {:>12} {:>8}  second against first",
+            "", "first", "second", "ratio"
+        ),
     ];
     for row in compare(one.1, two.1) {
-        let ratio = if row.one == 0.0 { "-".into() } else { format!("{:.3}", row.two / row.one) };
+        let ratio = if row.one == 0.0 {
+            "-".into()
+        } else {
+            format!("{:.3}", row.two / row.one)
+        };
         let verdict = match row.verdict {
             Verdict::Scatter => "within the runs' scatter",
             Verdict::Better => "better",
@@ -103,13 +137,28 @@
             Verdict::Unknown => "one run only: scatter unknown",
             Verdict::Same => "the same",
         };
-        lines.push(format!("{:<24} {:>12.3} {:>12.3} {ratio:>8}  {verdict}", row.name, row.one, row.two));
+        lines.push(format!(
+            "{:<24} {:>12.3} {:>12.3} {ratio:>8}  {verdict}",
+            row.name, row.one, row.two
+        ));
     }
-    let late = one.1.iter().chain(two.1).filter(|summary| summary.tool_was_late).count();
+    let late = one
+        .1
+        .iter()
+        .chain(two.1)
+        .filter(|summary| summary.tool_was_late)
+        .count();
     if late > 0 {
-        lines.push(format!("{late} of the runs were late themselves: their delays say little"));
+        lines.push(format!(
+            "{late} of the runs were late themselves: their delays say little"
+        ));
     }
-    let part = one.1.iter().chain(two.1).filter(|summary| !summary.complete).count();
+    let part = one
+        .1
+        .iter()
+        .chain(two.1)
+        .filter(|summary| !summary.complete)
+        .count();
     if part > 0 {
         lines.push(format!("{part} of the runs were interrupted"));
     }
@@ -124,7 +173,10 @@
     let mut found = Vec::new();
     look_in(folder, 3, &mut found)?;
     if found.is_empty() {
-        return Err(format!("{}: no summary.json in it or below", folder.display()));
+        return Err(format!(
+            "{}: no summary.json in it or below",
+            folder.display()
+        ));
     }
     Ok(found)
 }
@@ -134,17 +186,24 @@
     let own = folder.join("summary.json");
     if own.exists() {
         let text = std::fs::read(&own).map_err(failed)?;
-        let summary = serde_json::from_slice(&text).map_err(|fault| format!("{}: {fault}", own.display()))?;
+        let summary =
+            serde_json::from_slice(&text).map_err(|fault| format!("{}: {fault}", own.display()))?;
         found.push(summary);
         return Ok(());
     }
     if deep == 0 {
         return Ok(());
     }
-    let mut below: Vec<_> =
-        std::fs::read_dir(folder).map_err(failed)?.filter_map(Result::ok).map(|entry| entry.path()).collect();
+    let mut below: Vec<_> = std::fs::read_dir(folder)
+        .map_err(failed)?
+        .filter_map(Result::ok)
+        .map(|entry| entry.path())
+        .collect();
     below.sort();
-    below.iter().filter(|path| path.is_dir()).try_for_each(|path| look_in(path, deep - 1, found))
+    below
+        .iter()
+        .filter(|path| path.is_dir())
+        .try_for_each(|path| look_in(path, deep - 1, found))
 }
 
 #[cfg(test)]
--- a/lab/src/count.rs
+++ b/lab/src/count.rs
@@ -1,5 +1,6 @@
-//! Counts over the logs of a whole fleet, a file a relay at level debug: what all relays did together in each span, and
-//! what each box told of itself and was dialled. What one relay's log shows as harmless is seen here by its sum.
+//! Counts over the logs of a whole fleet, a file a relay at level debug: what all relays did
+//! together in each span, and what each box told of itself and was dialled. What one relay's log
+//! shows as harmless is seen here by its sum.
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
 
@@ -24,7 +25,10 @@
 impl Counts {
     /// Spans are of so many seconds.
     pub fn new(span_s: f64) -> Counts {
-        Counts { span_s, ..Counts::default() }
+        Counts {
+            span_s,
+            ..Counts::default()
+        }
     }
 
     /// Reads every `.log` of a folder.
@@ -42,12 +46,19 @@
             paths.push(entry.map_err(told)?.path());
         }
         paths.sort();
-        for path in paths.iter().filter(|path| path.extension().is_some_and(|ending| ending == "log")) {
-            let text = std::fs::read(path).map_err(|fault| format!("{}: {fault}", path.display()))?;
+        for path in paths
+            .iter()
+            .filter(|path| path.extension().is_some_and(|ending| ending == "log"))
+        {
+            let text =
+                std::fs::read(path).map_err(|fault| format!("{}: {fault}", path.display()))?;
             counts.add(&String::from_utf8_lossy(&text));
         }
         if counts.events.is_empty() {
-            return Err(format!("{}: no line to count; relays must log at debug", folder.display()));
+            return Err(format!(
+                "{}: no line to count; relays must log at debug",
+                folder.display()
+            ));
         }
         Ok(counts)
     }
@@ -56,24 +67,41 @@
     pub fn add(&mut self, log: &str) {
         self.relays += 1;
         for line in log.lines() {
-            let Some((at_s, said)) = moment_of(line) else { continue };
+            let Some((at_s, said)) = moment_of(line) else {
+                continue;
+            };
             let mut words = said.split(' ');
-            let Some(name) = words.next().filter(|name| EVENTS.contains(name)) else { continue };
-            let values: BTreeMap<&str, &str> = words.filter_map(|word| word.split_once('=')).collect();
+            let Some(name) = words.next().filter(|name| EVENTS.contains(name)) else {
+                continue;
+            };
+            let values: BTreeMap<&str, &str> =
+                words.filter_map(|word| word.split_once('=')).collect();
             let value = |key: &str| values.get(key).copied().unwrap_or_default();
             let span = (at_s / self.span_s) as u64;
             let number = |key: &str| value(key).parse::<f64>().ok().filter(|value| *value >= 0.0);
             let label = match name {
                 "ended" => format!("ended:{}", value("verdict")),
                 "probed" if value("verdict") != "Ok" => format!("probed:{}", value("verdict")),
-                "probed" if number("load").is_none() && number("held").is_none() => "probed:nothing".into(),
+                "probed" if number("load").is_none() && number("held").is_none() => {
+                    "probed:nothing".into()
+                }
                 _ => name.to_string(),
             };
-            *self.events.entry(span).or_default().entry(label).or_default() += 1;
+            *self
+                .events
+                .entry(span)
+                .or_default()
+                .entry(label)
+                .or_default() += 1;
             if value("box").is_empty() {
                 continue;
             }
-            let met = self.boxes.entry(value("box").to_string()).or_default().entry(span).or_default();
+            let met = self
+                .boxes
+                .entry(value("box").to_string())
+                .or_default()
+                .entry(span)
+                .or_default();
             met.dials += u32::from(name == "dial");
             if let ("probed", Some(load)) = (name, number("load")) {
                 met.reports += 1;
@@ -83,11 +111,17 @@
         }
     }
 
-    /// Two tables: events by span, and for each box its mean load, the connections it told and the dials, by span.
+    /// Two tables: events by span, and for each box its mean load, the connections it told and the
+    /// dials, by span.
     pub fn table(&self) -> String {
         let labels: BTreeSet<&String> = self.events.values().flat_map(|row| row.keys()).collect();
-        let mut out = format!("{} relays, spans of {} s\n\n| from s |", self.relays, self.span_s);
-        labels.iter().for_each(|label| out += &format!(" {label} |"));
+        let mut out = format!(
+            "{} relays, spans of {} s\n\n| from s |",
+            self.relays, self.span_s
+        );
+        labels
+            .iter()
+            .for_each(|label| out += &format!(" {label} |"));
         out += &format!("\n|{}", " --- |".repeat(labels.len() + 1));
         for (span, row) in &self.events {
             out += &format!("\n| {} |", *span as f64 * self.span_s);
@@ -96,7 +130,9 @@
             }
         }
         out += "\n\n| box: load / connections + dials |";
-        self.events.keys().for_each(|span| out += &format!(" {} |", *span as f64 * self.span_s));
+        self.events
+            .keys()
+            .for_each(|span| out += &format!(" {} |", *span as f64 * self.span_s));
         out += &format!("\n|{}", " --- |".repeat(self.events.len() + 1));
         for (name, row) in &self.boxes {
             out += &format!("\n| {name} |");
@@ -105,7 +141,12 @@
                 let reports = f64::from(met.reports);
                 out += &match met.reports {
                     0 => format!(" - +{} |", met.dials),
-                    _ => format!(" {:.2}/{:.0} +{} |", met.load / reports, met.held / reports, met.dials),
+                    _ => format!(
+                        " {:.2}/{:.0} +{} |",
+                        met.load / reports,
+                        met.held / reports,
+                        met.dials
+                    ),
                 };
             }
         }
@@ -131,7 +172,8 @@
     "withdraw",
 ];
 
-/// Seconds, from before the stamp where a collector wrote them there, else of the stamp's day; and what was said.
+/// Seconds, from before the stamp where a collector wrote them there, else of the stamp's day; and
+/// what was said.
 fn moment_of(line: &str) -> Option<(f64, &str)> {
     let (before, rest) = line.split_once('[')?;
     let (stamp, said) = rest.split_once("] ")?;
@@ -139,7 +181,11 @@
         return Some((at_s, said));
     }
     let clock = stamp.split_once('T')?.1.get(..8)?;
-    let parts: Vec<f64> = clock.split(':').map(str::parse).collect::<Result<_, _>>().ok()?;
+    let parts: Vec<f64> = clock
+        .split(':')
+        .map(str::parse)
+        .collect::<Result<_, _>>()
+        .ok()?;
     Some((parts.iter().fold(0.0, |sum, part| sum * 60.0 + part), said))
 }
 
@@ -178,9 +224,14 @@
 
     #[test]
     fn a_folder_with_nothing_to_count_is_one_line() {
-        let folder = std::env::temp_dir().join(format!("thistlecroft-count-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("thistlecroft-count-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
-        std::fs::write(folder.join("n0.log"), "[2026-12-01T01:02:03Z INFO x] serves\n").unwrap();
+        std::fs::write(
+            folder.join("n0.log"),
+            "[2026-12-01T01:02:03Z INFO x] serves\n",
+        )
+        .unwrap();
         for (path, span_s, expected) in [
             (folder.as_path(), 1.0, "no line to count"),
             (folder.as_path(), 0.0, "longer than no time"),
--- a/lab/src/lib.rs
+++ b/lab/src/lib.rs
@@ -1,6 +1,6 @@
-//! Experiments with relays: a scenario is read (`scenario`), worked out from its seed (`plan`), run among the stand-ins
-//! of `fleet` (`run`), summed up (`summary`), drawn (`report`) and put beside others (`compare`); logs of a whole
-//! fleet are counted together (`count`).
+//! Experiments with relays: a scenario is read (`scenario`), worked out from its seed (`plan`), run
+//! among the stand-ins of `fleet` (`run`), summed up (`summary`), drawn (`report`) and put beside
+//! others (`compare`); logs of a whole fleet are counted together (`count`).
 pub mod compare;
 pub mod count;
 pub mod peers;
--- a/lab/src/peers.rs
+++ b/lab/src/peers.rs
@@ -1,5 +1,5 @@
-//! What knowing of one another costs and how fast it is: the same code over simulated links by the hundred, and as processes
-//! of this machine.
+//! What knowing of one another costs and how fast it is: the same code over simulated links by the
+//! hundred, and as processes of this machine.
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -31,7 +31,8 @@
     pub bound: f64,
     /// From a fact's saying until all know it.
     pub fact: Option<f64>,
-    /// Of processes that were well, an hour of the whole fleet (at a period of a second): suspicions, and verdicts of gone.
+    /// Of processes that were well, an hour of the whole fleet (at a period of a second):
+    /// suspicions, and verdicts of gone.
     pub suspicions: f64,
     pub false_gone: f64,
     /// A relay, while nothing happens, a period.
@@ -45,29 +46,55 @@
 }
 
 pub fn simulated(trial: Trial) -> Found {
-    let Trial { size, loss, seed, period } = trial;
+    let Trial {
+        size,
+        loss,
+        seed,
+        period,
+    } = trial;
     let pace = Pace { period };
-    let terms = Terms { fleet: "network".into(), secret: vec![7; 16], pace, rate: 32_768 };
+    let terms = Terms {
+        fleet: "network".into(),
+        secret: vec![7; 16],
+        pace,
+        rate: 32_768,
+    };
     let mut network = SimulatedNetwork::new(terms, None, 3, seed);
     for number in 0..size {
         network.start(&format!("r{number}"), 1.0);
     }
-    let mut found =
-        Found { bound: pace.gone_within(size, 0).us() as f64 / period.us() as f64, ..Found::default() };
-    found.join = in_periods(network.run_until(period * 400.0, SimulatedNetwork::agree), period);
+    let mut found = Found {
+        bound: pace.gone_within(size, 0).us() as f64 / period.us() as f64,
+        ..Found::default()
+    };
+    found.join = in_periods(
+        network.run_until(period * 400.0, SimulatedNetwork::agree),
+        period,
+    );
     network.link_fault.loss = loss;
     // Quiet: what it costs, and who is suspected though well.
     network.run_for(period * 60.0);
     let sent = |network: &SimulatedNetwork| {
-        network.hosts.iter().map(|host| host.node.counts.sent_bytes).sum::<u64>()
+        network
+            .hosts
+            .iter()
+            .map(|host| host.node.counts.sent_bytes)
+            .sum::<u64>()
     };
     let turns = |network: &SimulatedNetwork, to: MemberState| {
-        let turns = network.hosts.iter().map(|host| host.turns.iter().filter(|turn| turn.2 == to).count());
+        let turns = network
+            .hosts
+            .iter()
+            .map(|host| host.turns.iter().filter(|turn| turn.2 == to).count());
         turns.sum::<usize>() as f64
     };
     // As many periods of relays in all at each size, at least.
     let quiet = (24_000.0 / size as f64).clamp(60.0, 600.0);
-    let before = (sent(&network), turns(&network, MemberState::Suspect), turns(&network, MemberState::Dead));
+    let before = (
+        sent(&network),
+        turns(&network, MemberState::Suspect),
+        turns(&network, MemberState::Dead),
+    );
     network.run_for(period * quiet);
     found.bytes = (sent(&network) - before.0) as f64 / quiet / size as f64;
     found.suspicions = (turns(&network, MemberState::Suspect) - before.1) / quiet * 3_600.0;
@@ -76,8 +103,13 @@
         host.node.announce(Kind::Note, b"subject", b"value", now);
     });
     let known = |network: &SimulatedNetwork| {
-        let knows =
-            |host: &Host| host.node.facts().of_kind(Kind::Note, host.clock(network.now)).next().is_some();
+        let knows = |host: &Host| {
+            host.node
+                .facts()
+                .of_kind(Kind::Note, host.clock(network.now))
+                .next()
+                .is_some()
+        };
         network.hosts.iter().all(knows)
     };
     found.fact = in_periods(network.run_until(period * 200.0, known), period);
@@ -85,8 +117,9 @@
     network.kill(size - 1);
     let gone = |host: &Host| host.node.state_of(&dead) == Some(MemberState::Dead);
     let first = network.run_until(period * 400.0, |network| network.hosts.iter().any(gone));
-    let rest =
-        network.run_until(period * 400.0, |network| network.hosts.iter().filter(|host| host.alive).all(gone));
+    let rest = network.run_until(period * 400.0, |network| {
+        network.hosts.iter().filter(|host| host.alive).all(gone)
+    });
     found.first = in_periods(first, period);
     found.gone = in_periods(first.zip(rest).map(|(first, rest)| first + rest), period);
     found
@@ -115,7 +148,12 @@
 /// # Errors
 /// One line: what could not be set up.
 pub fn processes(trial: Trial, program: &[String], folder: &Path) -> Result<Found, String> {
-    let Trial { size, loss, seed, period } = trial;
+    let Trial {
+        size,
+        loss,
+        seed,
+        period,
+    } = trial;
     let pace = Pace { period };
     let folder = folder.join(format!("peers-{size}"));
     let lease = Span::from_ms(2_000);
@@ -128,17 +166,33 @@
         let views = all.iter().filter_map(|one| rig.view(*one));
         views.filter_map(|view| view["counts"][name].as_u64()).sum()
     };
-    let mut found =
-        Found { bound: pace.gone_within(size, 0).us() as f64 / period.us() as f64, ..Found::default() };
+    let mut found = Found {
+        bound: pace.gone_within(size, 0).us() as f64 / period.us() as f64,
+        ..Found::default()
+    };
     found.join = in_periods(rig.wait(period * 400.0, |rig| rig.agree(&all)), period);
-    rig.fault_links(&all, &all, (loss > 0.0).then(|| LinkFault { loss, ..LinkFault::default() }));
-    let cpu = |rig: &Rig| all.iter().filter_map(|one| rig.cpu(*one)).fold(Span::ZERO, |sum, one| sum + one);
+    rig.fault_links(
+        &all,
+        &all,
+        (loss > 0.0).then(|| LinkFault {
+            loss,
+            ..LinkFault::default()
+        }),
+    );
+    let cpu = |rig: &Rig| {
+        all.iter()
+            .filter_map(|one| rig.cpu(*one))
+            .fold(Span::ZERO, |sum, one| sum + one)
+    };
     let quiet = Span::from_ms(10_000);
     // News of the start has gone round by then, and voters are no longer silent.
     std::thread::sleep(thistlecroft_fleet::clock::duration(period * 30.0));
     // Counted by probes, which come one a period: the views themselves are asked outside of it.
-    let (probes, bytes, suspected) =
-        (count(&rig, "probes"), count(&rig, "sent_bytes"), count(&rig, "suspected"));
+    let (probes, bytes, suspected) = (
+        count(&rig, "probes"),
+        count(&rig, "sent_bytes"),
+        count(&rig, "suspected"),
+    );
     let spent = cpu(&rig);
     std::thread::sleep(thistlecroft_fleet::clock::duration(quiet));
     found.cpu_us = Some((cpu(&rig) - spent).us() as f64 / quiet.secs() / size as f64);
@@ -147,7 +201,10 @@
     found.suspicions = (count(&rig, "suspected") - suspected) as f64 / periods.max(1.0) * 3_600.0;
     rig.ask(size / 2, "NOTE subject value");
     let fact = rig.wait(period * 200.0, |rig| {
-        all.iter().all(|one| rig.ask(*one, "NOTES").is_some_and(|said| said.contains("\"value\"")))
+        all.iter().all(|one| {
+            rig.ask(*one, "NOTES")
+                .is_some_and(|said| said.contains("\"value\""))
+        })
     });
     found.fact = in_periods(fact, period);
     rig.kill(size - 1);
@@ -157,7 +214,9 @@
         let view = rig.view(one);
         let peers = view.as_ref().and_then(|view| view["peers"].as_array());
         peers.is_some_and(|peers| {
-            peers.iter().any(|peer| peer["name"] == dead.as_str() && peer["standing"] == "gone")
+            peers
+                .iter()
+                .any(|peer| peer["name"] == dead.as_str() && peer["standing"] == "gone")
         })
     };
     let first = rig.wait(period * 400.0, |rig| rest.iter().any(|one| gone(rig, *one)));
@@ -172,8 +231,10 @@
     let mut page = String::from(
         "relays  loss  all see all    fact known     first gone     all gone       bound  suspicions/h  false gone/h  bytes a period  CPU us/s\n",
     );
-    let sizes: BTreeSet<(usize, u64)> =
-        all.iter().map(|(trial, _)| (trial.size, (trial.loss * 1e3) as u64)).collect();
+    let sizes: BTreeSet<(usize, u64)> = all
+        .iter()
+        .map(|(trial, _)| (trial.size, (trial.loss * 1e3) as u64))
+        .collect();
     for (size, loss) in sizes {
         let of: Vec<&Found> = all
             .iter()
@@ -184,14 +245,24 @@
             let mut times = Histogram::<u64>::new(3).expect("three digits");
             let missing = of.iter().filter(|one| one.is_none()).count();
             for one in of.iter().flatten() {
-                times.record((one * 100.0) as u64).expect("it grows as needed");
+                times
+                    .record((one * 100.0) as u64)
+                    .expect("it grows as needed");
             }
-            let missing = if missing > 0 { format!(" -{missing}") } else { String::new() };
-            let (middle, most) = (times.value_at_quantile(0.5) as f64 / 100.0, times.max() as f64 / 100.0);
+            let missing = if missing > 0 {
+                format!(" -{missing}")
+            } else {
+                String::new()
+            };
+            let (middle, most) = (
+                times.value_at_quantile(0.5) as f64 / 100.0,
+                times.max() as f64 / 100.0,
+            );
             format!("{:<14}", format!("{middle:.1} / {most:.1}{missing}"))
         };
-        let mean =
-            |what: fn(&Found) -> f64| of.iter().map(|one| what(one)).sum::<f64>() / of.len().max(1) as f64;
+        let mean = |what: fn(&Found) -> f64| {
+            of.iter().map(|one| what(one)).sum::<f64>() / of.len().max(1) as f64
+        };
         let cpu = of.iter().filter_map(|one| one.cpu_us).collect::<Vec<_>>();
         let cpu = match cpu.len() {
             0 => "-".into(),
