--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -1,5 +1,5 @@
-//! A scenario worked out from its seed: who comes when, and what happens when. The same scenario and seed give the
-//! same plan, whatever is run under it. No I/O.
+//! A scenario worked out from its seed: who comes when, and what happens when. The same scenario
+//! and seed give the same plan, whatever is run under it. No I/O.
 use crate::scenario::{Baseline, EffectText, FaultText, Rate, Scenario, ScopeText, Which, Word};
 use thistlecroft::deployment::{Effect, Scope};
 use thistlecroft::units::{Chance, Moment, Span};
@@ -88,7 +88,11 @@
             if fault.what == "rush" {
                 let over = fault.over.map_or(Span::from_ms(1_000), |over| over.0);
                 rushes.push((from, fault.clients.unwrap_or_default(), over));
-                marks.push(Marked { what: fault.what.clone(), from, to: Some(from + over) });
+                marks.push(Marked {
+                    what: fault.what.clone(),
+                    from,
+                    to: Some(from + over),
+                });
                 continue;
             }
             let (some, to) = acts_of(fault, scenario, &mut chance);
@@ -105,20 +109,41 @@
         let arrivals = arrivals(&traffic, until, seed);
         let ground = ground_of(scenario, seed);
         let law = Law {
-            effects: scenario.listeners.iter().map(|row| effect(row.get_ref())).collect(),
+            effects: scenario
+                .listeners
+                .iter()
+                .map(|row| effect(row.get_ref()))
+                .collect(),
             hedged: vec![scenario.relays.two_dials; scenario.listeners.len()],
             grace: scenario.fleet.grace.0,
-            places: ground.boxes.iter().map(|plan| (plan.zone.clone(), plan.cell)).collect(),
+            places: ground
+                .boxes
+                .iter()
+                .map(|plan| (plan.zone.clone(), plan.cell))
+                .collect(),
         };
         let together = &scenario.together;
         let pact = Pact {
-            at_once: together.at_once.map(|most| (most, together.over_for.map_or(Span::ZERO, |over| over.0))),
+            at_once: together
+                .at_once
+                .map(|most| (most, together.over_for.map_or(Span::ZERO, |over| over.0))),
             dials_a_second: together.dials_a_second,
             bans_within: together.bans_within.map(|within| within.0),
             takes_over: false,
             agree: together.agree,
         };
-        Plan { seed, traffic, arrivals, acts, marks, ground, terms: terms_of(scenario), law, pact, until }
+        Plan {
+            seed,
+            traffic,
+            arrivals,
+            acts,
+            marks,
+            ground,
+            terms: terms_of(scenario),
+            law,
+            pact,
+            until,
+        }
     }
 }
 
@@ -132,26 +157,36 @@
                 ScopeText::Zone => Scope::Zone,
                 ScopeText::Cell => Scope::Cell,
             };
-            Effect::Referenced { scope, window: row.window.0 }
+            Effect::Referenced {
+                scope,
+                window: row.window.0,
+            }
         }
     }
 }
 
 fn traffic_of(scenario: &Scenario, rushes: Vec<(Moment, usize, Span)>) -> Traffic {
     let text = &scenario.traffic;
-    let kinds = scenario.listeners.iter().map(|row| row.get_ref()).map(|row| Kind {
-        name: row.name.clone(),
-        share: row.share,
-        wait: row.wait.0,
-        handshake_target: row.handshake_target.0,
-        message_target: row.message_target.0,
-        load: (row.load[0], row.load[1]),
-        life: row.life.0,
-        utility: row.utility,
-    });
+    let kinds = scenario
+        .listeners
+        .iter()
+        .map(|row| row.get_ref())
+        .map(|row| Kind {
+            name: row.name.clone(),
+            share: row.share,
+            wait: row.wait.0,
+            handshake_target: row.handshake_target.0,
+            message_target: row.message_target.0,
+            load: (row.load[0], row.load[1]),
+            life: row.life.0,
+            utility: row.utility,
+        });
     let rate = match &text.rate {
         Rate::Even(rate) => vec![(BEGIN, *rate)],
-        Rate::Steps(steps) => steps.iter().map(|(at, rate)| (BEGIN + at.0, *rate)).collect(),
+        Rate::Steps(steps) => steps
+            .iter()
+            .map(|(at, rate)| (BEGIN + at.0, *rate))
+            .collect(),
     };
     Traffic {
         kinds: kinds.collect(),
@@ -175,7 +210,9 @@
         warm_up: fleet.warm_up.0,
         factor: fleet.cold_factor,
         window: fleet.cold_window.0,
-        turnover: fleet.turnover.map_or_else(|| turnover(scenario), |turnover| turnover.0),
+        turnover: fleet
+            .turnover
+            .map_or_else(|| turnover(scenario), |turnover| turnover.0),
     };
     let make = Make {
         capacity: fleet.capacity,
@@ -204,20 +241,26 @@
 fn turnover(scenario: &Scenario) -> Span {
     let rows = || scenario.listeners.iter().map(|row| row.get_ref());
     let shares: f64 = rows().map(|row| row.share).sum();
-    let mean = rows().map(|row| row.life.0 * (row.share / shares)).fold(Span::ZERO, |sum, part| sum + part);
+    let mean = rows()
+        .map(|row| row.life.0 * (row.share / shares))
+        .fold(Span::ZERO, |sum, part| sum + part);
     mean.max(scenario.fleet.warm_up.0)
 }
 
 fn terms_of(scenario: &Scenario) -> Terms {
     let (fleet, relays) = (&scenario.fleet, &scenario.relays);
-    let listeners = scenario.listeners.iter().map(|row| row.get_ref()).map(|row| ListenerTerms {
-        name: row.name.clone(),
-        wait: row.wait.0,
-        handshake_target: row.handshake_target.0,
-        message_target: row.message_target.0,
-        effect: effect(row),
-        utility: row.utility,
-    });
+    let listeners = scenario
+        .listeners
+        .iter()
+        .map(|row| row.get_ref())
+        .map(|row| ListenerTerms {
+            name: row.name.clone(),
+            wait: row.wait.0,
+            handshake_target: row.handshake_target.0,
+            message_target: row.message_target.0,
+            effect: effect(row),
+            utility: row.utility,
+        });
     Terms {
         zones: fleet.zones.clone(),
         listeners: listeners.collect(),
@@ -285,7 +328,11 @@
 pub fn check_fault(fault: &FaultText, scenario: &Scenario) -> Result<(), String> {
     let Some((_, needs)) = FAULTS.iter().find(|(what, _)| *what == fault.what) else {
         let known: Vec<&str> = FAULTS.iter().map(|(what, _)| *what).collect();
-        return Err(format!("what: there is no \"{}\"; there are {}", fault.what, known.join(", ")));
+        return Err(format!(
+            "what: there is no \"{}\"; there are {}",
+            fault.what,
+            known.join(", ")
+        ));
     };
     let has = |key: &str| match key {
         "boxes" => fault.boxes.is_some(),
@@ -305,9 +352,10 @@
     }
     let within = |which: &Option<Which>, name: &str, most: usize| match which {
         Some(Which::These(these)) => match these.iter().find(|number| **number >= most) {
-            Some(number) => {
-                Err(format!("{name}: there is no {number}, they are counted from 0 to {}", most - 1))
-            }
+            Some(number) => Err(format!(
+                "{name}: there is no {number}, they are counted from 0 to {}",
+                most - 1
+            )),
             None => Ok(()),
         },
         Some(Which::Count(count)) if *count > most => Err(format!("{name}: there are only {most}")),
@@ -317,7 +365,8 @@
     within(&fault.relays, "relays", scenario.relays.count)?;
     within(&fault.from, "from", scenario.relays.count)?;
     within(&fault.to, "to", scenario.relays.count)?;
-    if matches!(fault.what.as_str(), "link" | "link-flaps" | "partition") && !scenario.relays.peers {
+    if matches!(fault.what.as_str(), "link" | "link-flaps" | "partition") && !scenario.relays.peers
+    {
         return Err("what: the relays do not know of one another (relays.peers)".into());
     }
     for (name, part) in [("loss", fault.loss), ("doubled", fault.doubled)] {
@@ -331,7 +380,10 @@
     if fault.part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
         return Err("part: between 0 and 1".into());
     }
-    if fault.times.is_some_and(|times| times.is_nan() || times < 1.0) {
+    if fault
+        .times
+        .is_some_and(|times| times.is_nan() || times < 1.0)
+    {
         return Err("times: 1 or more".into());
     }
     if let (Some(every), Some(pause)) = (fault.every, fault.pause)
@@ -374,13 +426,23 @@
     all
 }
 
-fn acts_of(fault: &FaultText, scenario: &Scenario, chance: &mut Chance) -> (Vec<Timed>, Option<Moment>) {
+fn acts_of(
+    fault: &FaultText,
+    scenario: &Scenario,
+    chance: &mut Chance,
+) -> (Vec<Timed>, Option<Moment>) {
     let from = BEGIN + fault.at.0;
     let to = fault.lasts.map(|lasts| from + lasts.0);
     let boxes = drawn(&fault.boxes, scenario.fleet.boxes, chance);
-    let boxes: Vec<BoxNo> = boxes.into_iter().map(|number| BoxNo(number as u16)).collect();
+    let boxes: Vec<BoxNo> = boxes
+        .into_iter()
+        .map(|number| BoxNo(number as u16))
+        .collect();
     let relays = drawn(&fault.relays, scenario.relays.count, chance);
-    let relays: Vec<RelayNo> = relays.into_iter().map(|number| RelayNo(number as u16)).collect();
+    let relays: Vec<RelayNo> = relays
+        .into_iter()
+        .map(|number| RelayNo(number as u16))
+        .collect();
     let over = fault.over.map_or(Span::ZERO, |over| over.0);
     let back = fault.back.map(|back| back.0);
     let span = |time: Option<crate::spans::Time>| time.map_or(Span::ZERO, |time| time.0);
@@ -450,19 +512,34 @@
             (None, "relay-joins") => {
                 // One after the other, if they have time.
                 let place = relays.iter().position(|one| *one == relay).unwrap_or(0) as f64;
-                add(from + over * (place / relays.len() as f64), Act::Start(relay));
+                add(
+                    from + over * (place / relays.len() as f64),
+                    Act::Start(relay),
+                );
             }
             (None, "relay-leaves") => {
                 let place = relays.iter().position(|one| *one == relay).unwrap_or(0) as f64;
-                add(from + over * (place / relays.len() as f64), Act::Leave(relay));
+                add(
+                    from + over * (place / relays.len() as f64),
+                    Act::Leave(relay),
+                );
             }
             (None, "relay-killed") => add(from, Act::Kill(relay, back)),
-            (None, "relay-replaced") => add(from, Act::Stop(relay, Some(back.unwrap_or(Span::ZERO)))),
+            (None, "relay-replaced") => {
+                add(from, Act::Stop(relay, Some(back.unwrap_or(Span::ZERO))))
+            }
             _ => {
                 let every = span(fault.every).max(Span::from_ms(1));
                 let mut at = from;
                 while to.is_some_and(|to| at < to) {
-                    add(at, if fault.what == "reload" { Act::HangUp(relay) } else { Act::Recharter(relay) });
+                    add(
+                        at,
+                        if fault.what == "reload" {
+                            Act::HangUp(relay)
+                        } else {
+                            Act::Recharter(relay)
+                        },
+                    );
                     at = at + every;
                 }
             }
@@ -479,8 +556,14 @@
     (acts, to)
 }
 
-/// What is between relays: each directed pair of those named, or both directions between these and all others.
-fn link_acts(fault: &FaultText, scenario: &Scenario, these: &[RelayNo], chance: &mut Chance) -> Vec<Timed> {
+/// What is between relays: each directed pair of those named, or both directions between these and
+/// all others.
+fn link_acts(
+    fault: &FaultText,
+    scenario: &Scenario,
+    these: &[RelayNo],
+    chance: &mut Chance,
+) -> Vec<Timed> {
     let count = scenario.relays.count;
     let begins = BEGIN + fault.at.0;
     let ends = fault.lasts.map(|lasts| begins + lasts.0);
@@ -488,20 +571,33 @@
     let mut add = |at: Moment, act: Act| acts.push(Timed { at, act });
     match fault.what.as_str() {
         "partition" => {
-            let others = || (0..count).map(|one| RelayNo(one as u16)).filter(|one| !these.contains(one));
+            let others = || {
+                (0..count)
+                    .map(|one| RelayNo(one as u16))
+                    .filter(|one| !these.contains(one))
+            };
             let both = |one: RelayNo| others().flat_map(move |other| [(one, other), (other, one)]);
             let links: Vec<(RelayNo, RelayNo)> = these.iter().copied().flat_map(both).collect();
-            add(begins, Act::Link(links.clone(), Some(LinkFault::CUT), "cut"));
-            ends.iter().for_each(|ends| add(*ends, Act::Link(links.clone(), None, "cut")));
+            add(
+                begins,
+                Act::Link(links.clone(), Some(LinkFault::CUT), "cut"),
+            );
+            ends.iter()
+                .for_each(|ends| add(*ends, Act::Link(links.clone(), None, "cut")));
         }
         "link" | "link-flaps" => {
             let mut some = |which| {
                 let all = drawn(which, count, chance);
-                all.into_iter().map(|number| RelayNo(number as u16)).collect::<Vec<_>>()
+                all.into_iter()
+                    .map(|number| RelayNo(number as u16))
+                    .collect::<Vec<_>>()
             };
             let (from, to) = (some(&fault.from), some(&fault.to));
-            let pairs = from.iter().flat_map(|one| to.iter().map(move |other| (*one, *other)));
-            let links: Vec<(RelayNo, RelayNo)> = pairs.filter(|(one, other)| one != other).collect();
+            let pairs = from
+                .iter()
+                .flat_map(|one| to.iter().map(move |other| (*one, *other)));
+            let links: Vec<(RelayNo, RelayNo)> =
+                pairs.filter(|(one, other)| one != other).collect();
             let span = |time: Option<crate::spans::Time>| time.map_or(Span::ZERO, |time| time.0);
             let bent = fault.delay.is_some()
                 || fault.spread.is_some()
@@ -514,10 +610,15 @@
                 doubled: fault.doubled.unwrap_or(0.0),
                 rate: fault.rate.unwrap_or(0),
             };
-            let name = if link_fault == LinkFault::CUT { "cut" } else { "bent" };
+            let name = if link_fault == LinkFault::CUT {
+                "cut"
+            } else {
+                "bent"
+            };
             if fault.what == "link" {
                 add(begins, Act::Link(links.clone(), Some(link_fault), name));
-                ends.iter().for_each(|ends| add(*ends, Act::Link(links.clone(), None, name)));
+                ends.iter()
+                    .for_each(|ends| add(*ends, Act::Link(links.clone(), None, name)));
             } else {
                 let (every, pause) = (span(fault.every), span(fault.pause));
                 let mut at = begins;
@@ -577,33 +678,151 @@
     fn what_is_wrong_is_named_with_its_line_and_key() {
         // What is replaced by what, the line, the key, and a part of the reason.
         let cases = [
-            ("length = \"10s\"", "length = \"10\"", 3, "length", "no span of time"),
-            ("length = \"10s\"", "length = 10", 3, "length", "expected a string"),
-            ("length = \"10s\"", "lenght = \"10s\"", 3, "lenght", "unknown field"),
+            (
+                "length = \"10s\"",
+                "length = \"10\"",
+                3,
+                "length",
+                "no span of time",
+            ),
+            (
+                "length = \"10s\"",
+                "length = 10",
+                3,
+                "length",
+                "expected a string",
+            ),
+            (
+                "length = \"10s\"",
+                "lenght = \"10s\"",
+                3,
+                "lenght",
+                "unknown field",
+            ),
             ("length = \"10s\"", "length = \"10s", 3, "length", ""),
-            ("length = \"10s\"\n", "", 1, "the whole", "missing field `length`"),
-            ("boxes = 6", "boxes = 0", 5, "fleet.boxes", "between 1 and 5000"),
+            (
+                "length = \"10s\"\n",
+                "",
+                1,
+                "the whole",
+                "missing field `length`",
+            ),
+            (
+                "boxes = 6",
+                "boxes = 0",
+                5,
+                "fleet.boxes",
+                "between 1 and 5000",
+            ),
             ("boxes = 6", "boxes = -1", 5, "fleet.boxes", "invalid value"),
-            ("boxes = 6", "boxes = 6\nzones = []", 6, "fleet.zones", "at least one"),
-            ("boxes = 6", "boxes = 6\nlater = 6", 6, "fleet.later", "from the start"),
-            ("[\"5s\", 50.0]", "[\"0s\", 50.0]", 7, "traffic.rate", "times must rise"),
-            ("[\"5s\", 50.0]", "[\"5s\", -1.0]", 7, "traffic.rate", "between 0 and"),
-            ("[[\"0s\", 5.0], [\"5s\", 50.0]]", "\"many\"", 7, "traffic.rate", "pairs"),
-            ("name = \"view\"", "name = \"a view\"", 8, "listener", "name: letters"),
-            ("wait = \"1s\"", "wait = \"100ms\"", 8, "listener", "wait: between the handshake target"),
-            ("wait = \"1s\"", "wait = \"1s\"\neffect = \"twice\"", 11, "listener.effect", "unknown variant"),
-            ("what = \"slow\"", "what = \"slwo\"", 14, "fault", "there is no \"slwo\"; there are silent"),
+            (
+                "boxes = 6",
+                "boxes = 6\nzones = []",
+                6,
+                "fleet.zones",
+                "at least one",
+            ),
+            (
+                "boxes = 6",
+                "boxes = 6\nlater = 6",
+                6,
+                "fleet.later",
+                "from the start",
+            ),
+            (
+                "[\"5s\", 50.0]",
+                "[\"0s\", 50.0]",
+                7,
+                "traffic.rate",
+                "times must rise",
+            ),
+            (
+                "[\"5s\", 50.0]",
+                "[\"5s\", -1.0]",
+                7,
+                "traffic.rate",
+                "between 0 and",
+            ),
+            (
+                "[[\"0s\", 5.0], [\"5s\", 50.0]]",
+                "\"many\"",
+                7,
+                "traffic.rate",
+                "pairs",
+            ),
+            (
+                "name = \"view\"",
+                "name = \"a view\"",
+                8,
+                "listener",
+                "name: letters",
+            ),
+            (
+                "wait = \"1s\"",
+                "wait = \"100ms\"",
+                8,
+                "listener",
+                "wait: between the handshake target",
+            ),
+            (
+                "wait = \"1s\"",
+                "wait = \"1s\"\neffect = \"twice\"",
+                11,
+                "listener.effect",
+                "unknown variant",
+            ),
+            (
+                "what = \"slow\"",
+                "what = \"slwo\"",
+                14,
+                "fault",
+                "there is no \"slwo\"; there are silent",
+            ),
             ("times = 4.0\n", "", 14, "fault", "times: \"slow\" needs it"),
-            ("times = 4.0", "times = 0.5", 14, "fault", "times: 1 or more"),
-            ("boxes = \"half\"", "boxes = [6]", 14, "fault", "boxes: there is no 6"),
-            ("boxes = \"half\"", "boxes = 7", 14, "fault", "boxes: there are only 6"),
-            ("boxes = \"half\"", "boxes = \"most\"", 17, "fault.boxes", "numbers such as"),
-            ("at = \"2s\"", "at = \"11s\"", 14, "fault", "at: the run is over"),
+            (
+                "times = 4.0",
+                "times = 0.5",
+                14,
+                "fault",
+                "times: 1 or more",
+            ),
+            (
+                "boxes = \"half\"",
+                "boxes = [6]",
+                14,
+                "fault",
+                "boxes: there is no 6",
+            ),
+            (
+                "boxes = \"half\"",
+                "boxes = 7",
+                14,
+                "fault",
+                "boxes: there are only 6",
+            ),
+            (
+                "boxes = \"half\"",
+                "boxes = \"most\"",
+                17,
+                "fault.boxes",
+                "numbers such as",
+            ),
+            (
+                "at = \"2s\"",
+                "at = \"11s\"",
+                14,
+                "fault",
+                "at: the run is over",
+            ),
         ];
         for (from, to, line, key, why) in cases {
             assert!(GOOD.contains(from), "{from}");
             let fault = Scenario::parse("bad.toml", &GOOD.replacen(from, to, 1)).expect_err(to);
-            assert_eq!((fault.line, fault.key.as_str()), (line, key), "{to}: {fault}");
+            assert_eq!(
+                (fault.line, fault.key.as_str()),
+                (line, key),
+                "{to}: {fault}"
+            );
             assert!(fault.why.contains(why), "{to}: {fault}");
             assert_eq!(fault.to_string().lines().count(), 1, "{fault}");
         }
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -1,4 +1,5 @@
-//! A run's page: its figures and four plots, to be read in a minute and opened without anything beside it.
+//! A run's page: its figures and four plots, to be read in a minute and opened without anything
+//! beside it.
 use crate::plan::Marked;
 use crate::run::begun;
 use crate::summary::{Summary, rounds};
@@ -49,14 +50,22 @@
     Y: Ranged<ValueType = f64>,
 {
     let labels = &mut chart.configure_series_labels();
-    let labels = labels.position(at).background_style(WHITE.mix(0.8)).label_font(("sans-serif", 12));
+    let labels = labels
+        .position(at)
+        .background_style(WHITE.mix(0.8))
+        .label_font(("sans-serif", 12));
     labels.draw().map_err(failed)
 }
 
 fn chart(frame: &Frame, lines: &[Line]) -> Result<String, String> {
     let mut svg = String::new();
-    let most =
-        lines.iter().flat_map(|line| &line.points).map(|&(_, y)| y).fold(0.0, f64::max).max(1e-3) * 1.1;
+    let most = lines
+        .iter()
+        .flat_map(|line| &line.points)
+        .map(|&(_, y)| y)
+        .fold(0.0, f64::max)
+        .max(1e-3)
+        * 1.1;
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
@@ -74,7 +83,9 @@
             // Three rows, so that names of faults close together can be read.
             let height = most * (0.97 - 0.08 * (number % 3) as f64);
             let style = ("sans-serif", 11).into_font().color(&HUES[1]);
-            chart.draw_series([Text::new(what.clone(), (*from, height), style)]).map_err(failed)?;
+            chart
+                .draw_series([Text::new(what.clone(), (*from, height), style)])
+                .map_err(failed)?;
         }
         chart
             .configure_mesh()
@@ -85,15 +96,19 @@
             .draw()
             .map_err(failed)?;
         for line in lines {
-            let style =
-                if line.faint { line.hue.mix(0.35).stroke_width(1) } else { line.hue.stroke_width(2) };
-            let drawn =
-                chart.draw_series(LineSeries::new(line.points.iter().copied(), style)).map_err(failed)?;
+            let style = if line.faint {
+                line.hue.mix(0.35).stroke_width(1)
+            } else {
+                line.hue.stroke_width(2)
+            };
+            let drawn = chart
+                .draw_series(LineSeries::new(line.points.iter().copied(), style))
+                .map_err(failed)?;
             if !line.faint {
                 let hue = line.hue;
-                drawn
-                    .label(line.name.clone())
-                    .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], hue.stroke_width(2)));
+                drawn.label(line.name.clone()).legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 16, y)], hue.stroke_width(2))
+                });
             }
         }
         legend(&mut chart, SeriesLabelPosition::UpperRight)?;
@@ -107,23 +122,44 @@
     let mut svg = String::new();
     let mut lines = Vec::new();
     for (place, kind) in crowd.kinds.iter().enumerate() {
-        for (what, of, dashed) in [("set-up", &kind.set_up, false), ("lines", &kind.lines, true)] {
+        for (what, of, dashed) in [
+            ("set-up", &kind.set_up, false),
+            ("lines", &kind.lines, true),
+        ] {
             if of.is_empty() {
                 continue;
             }
             let points: Vec<(f64, f64)> = (0..=60)
                 .map(|step| 10f64.powf(f64::from(step) / 20.0))
-                .map(|rarity| (rarity, of.value_at_quantile(1.0 - 1.0 / rarity) as f64 / 1e3))
+                .map(|rarity| {
+                    (
+                        rarity,
+                        of.value_at_quantile(1.0 - 1.0 / rarity) as f64 / 1e3,
+                    )
+                })
                 .collect();
-            lines.push((format!("{} {what}", kind.name), HUES[place % HUES.len()], dashed, points));
+            lines.push((
+                format!("{} {what}", kind.name),
+                HUES[place % HUES.len()],
+                dashed,
+                points,
+            ));
         }
     }
-    let most = lines.iter().flat_map(|(.., points)| points).map(|&(_, y)| y).fold(1.0, f64::max) * 1.5;
+    let most = lines
+        .iter()
+        .flat_map(|(.., points)| points)
+        .map(|&(_, y)| y)
+        .fold(1.0, f64::max)
+        * 1.5;
     {
         let area = SVGBackend::with_string(&mut svg, SIZE).into_drawing_area();
         area.fill(&WHITE).map_err(failed)?;
         let mut chart = ChartBuilder::on(&area)
-            .caption("Delay of set-ups (from when a client was due) and of lines", ("sans-serif", 17))
+            .caption(
+                "Delay of set-ups (from when a client was due) and of lines",
+                ("sans-serif", 17),
+            )
             .margin(8)
             .x_label_area_size(34)
             .y_label_area_size(58)
@@ -142,7 +178,9 @@
                 .draw_series(LineSeries::new(points, hue.stroke_width(width)))
                 .map_err(failed)?
                 .label(name)
-                .legend(move |(x, y)| PathElement::new([(x, y), (x + 16, y)], hue.stroke_width(width)));
+                .legend(move |(x, y)| {
+                    PathElement::new([(x, y), (x + 16, y)], hue.stroke_width(width))
+                });
         }
         legend(&mut chart, SeriesLabelPosition::UpperLeft)?;
         area.present().map_err(failed)?;
@@ -159,8 +197,13 @@
     let mut mean = Vec::new();
     for (at, round) in rounds(entries) {
         let at = seconds(at);
-        round.iter().for_each(|(of, load, _)| boxes.entry(of.0).or_default().push((at, *load)));
-        mean.push((at, round.iter().map(|(_, load, _)| load).sum::<f64>() / round.len() as f64));
+        round
+            .iter()
+            .for_each(|(of, load, _)| boxes.entry(of.0).or_default().push((at, *load)));
+        mean.push((
+            at,
+            round.iter().map(|(_, load, _)| load).sum::<f64>() / round.len() as f64,
+        ));
     }
     let each = boxes.into_iter().map(|(number, points)| Line {
         name: String::new(),
@@ -168,7 +211,12 @@
         points,
         faint: true,
     });
-    let mean = Line { name: "mean of all".into(), hue: BLACK, points: mean, faint: false };
+    let mean = Line {
+        name: "mean of all".into(),
+        hue: BLACK,
+        points: mean,
+        faint: false,
+    };
     each.chain([mean]).collect()
 }
 
@@ -177,9 +225,17 @@
     let mut counts = vec![[0_u32; 5]; steps];
     for entry in entries {
         let kind = match entry.seen {
-            Sighting::Answered { answer: Answer::Up, .. } => 0,
-            Sighting::Answered { answer: Answer::Busy(_), .. } => 1,
-            Sighting::Answered { answer: Answer::Failed, .. }
+            Sighting::Answered {
+                answer: Answer::Up, ..
+            } => 0,
+            Sighting::Answered {
+                answer: Answer::Busy(_),
+                ..
+            } => 1,
+            Sighting::Answered {
+                answer: Answer::Failed,
+                ..
+            }
             | Sighting::Unanswered { .. }
             | Sighting::Dropped { .. } => 2,
             Sighting::Moved { .. } => 3,
@@ -197,7 +253,12 @@
         points: counts
             .iter()
             .enumerate()
-            .map(|(step, row)| (step as f64 * STEP.secs(), f64::from(row[kind]) / STEP.secs()))
+            .map(|(step, row)| {
+                (
+                    step as f64 * STEP.secs(),
+                    f64::from(row[kind]) / STEP.secs(),
+                )
+            })
             .collect(),
         faint: false,
     };
@@ -209,15 +270,28 @@
     let (mut cpu_of, mut memory_of): (BTreeMap<RelayNo, Vec<_>>, BTreeMap<RelayNo, Vec<_>>) =
         Default::default();
     for entry in entries {
-        let Sighting::RelayCost { relay, cpu, resident } = entry.seen else { continue };
+        let Sighting::RelayCost {
+            relay,
+            cpu,
+            resident,
+        } = entry.seen
+        else {
+            continue;
+        };
         let (at, cpu) = (seconds(entry.at), cpu.secs());
         if let Some((before, used)) = last.insert(relay, (at, cpu))
             && cpu >= used
             && at > before
         {
-            cpu_of.entry(relay).or_default().push((at, (cpu - used) / (at - before) * 100.0));
+            cpu_of
+                .entry(relay)
+                .or_default()
+                .push((at, (cpu - used) / (at - before) * 100.0));
         }
-        memory_of.entry(relay).or_default().push((at, resident as f64 / f64::from(1 << 20)));
+        memory_of
+            .entry(relay)
+            .or_default()
+            .push((at, resident as f64 / f64::from(1 << 20)));
     }
     let lines = |of: BTreeMap<RelayNo, Vec<(f64, f64)>>| {
         of.into_iter()
@@ -254,18 +328,36 @@
         .collect();
     let mut crowd = crowds.first().ok_or("no clients")?.clone();
     crowds[1..].iter().for_each(|other| crowd.add(other));
-    let frame = |title, unit| Frame { title, unit, until: end, marks: &marks };
+    let frame = |title, unit| Frame {
+        title,
+        unit,
+        until: end,
+        marks: &marks,
+    };
     let (cpu, memory) = cost_lines(entries);
     let mut plots = vec![
-        chart(&frame("Answers over time", "a second"), &answer_lines(entries, until))?,
-        chart(&frame("Load of each box over its capacity", "load"), &box_lines(entries))?,
+        chart(
+            &frame("Answers over time", "a second"),
+            &answer_lines(entries, until),
+        )?,
+        chart(
+            &frame("Load of each box over its capacity", "load"),
+            &box_lines(entries),
+        )?,
         distribution(&crowd)?,
     ];
     if !cpu.is_empty() {
         plots.push(chart(&frame("CPU of each relay", "% of a core"), &cpu)?);
-        plots.push(chart(&frame("Resident memory of each relay", "MB"), &memory)?);
+        plots.push(chart(
+            &frame("Resident memory of each relay", "MB"),
+            &memory,
+        )?);
     }
-    let escaped = |text: &str| text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;");
+    let escaped = |text: &str| {
+        text.replace('&', "&amp;")
+            .replace('<', "&lt;")
+            .replace('>', "&gt;")
+    };
     let hue = if summary.kept() { "#2c7a2c" } else { "#b22222" };
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title>\
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -1,4 +1,5 @@
-//! A run: stand-ins are set up, relays started, the plan carried out at its times, and what was seen judged.
+//! A run: stand-ins are set up, relays started, the plan carried out at its times, and what was
+//! seen judged.
 use crate::plan::{Act, BEGIN, Plan, dealing};
 use crate::report;
 use crate::scenario::{Baseline, Scenario};
@@ -20,7 +21,9 @@
 use thistlecroft_fleet::referee::judge;
 use thistlecroft_fleet::stage::Stage;
 use thistlecroft_fleet::station::{Station, call};
-use thistlecroft_fleet::tape::{Answer, BoxNo, Entry, Lifecycle, Reel, RelayNo, Sighting, Tape, tape};
+use thistlecroft_fleet::tape::{
+    Answer, BoxNo, Entry, Lifecycle, Reel, RelayNo, Sighting, Tape, tape,
+};
 use thistlecroft_fleet::together::judge_together;
 use thistlecroft_fleet::traffic::scattered;
 use thistlecroft_fleet::witness::Witness;
@@ -32,7 +35,8 @@
 const LOOK: Span = Span::from_ms(1_000);
 /// At a planned restart connections go on coming for so long.
 const COME_ON: Span = Span::from_ms(300);
-/// A relay told to stop is killed this long after the longest wait, which counts for at most so much.
+/// A relay told to stop is killed this long after the longest wait, which counts for at most so
+/// much.
 const AFTER_WAIT: Span = Span::from_ms(1_000);
 const LONGEST_WAIT: Span = Span::from_ms(3_000);
 /// Waited for clients to leave at the end, besides the longest wait.
@@ -55,7 +59,12 @@
 impl Way {
     /// The scenario's own and its variants, with this program as the relay where they name none.
     pub fn all(scenario: &Scenario, relay: &[String]) -> Vec<Way> {
-        let own = Way { name: "relays".into(), baseline: None, relay: relay.to_vec(), chartered: true };
+        let own = Way {
+            name: "relays".into(),
+            baseline: None,
+            relay: relay.to_vec(),
+            chartered: true,
+        };
         let variants = scenario.variants.iter().map(|variant| {
             let variant = variant.get_ref();
             let program = variant.relay.as_deref().unwrap_or(relay);
@@ -103,7 +112,8 @@
     /// Which of the charters it has.
     charter: usize,
     program: Vec<String>,
-    /// Processes of it that are on their way out while another serves, and until when they may take.
+    /// Processes of it that are on their way out while another serves, and until when they may
+    /// take.
     elders: Vec<(Post, Moment)>,
     /// What its charter says of peers.
     peers: String,
@@ -134,7 +144,8 @@
     Start(usize),
 }
 
-/// Carries a scenario out once; results are in `folder`, which is made. `stop` ends it early, its results kept and marked.
+/// Carries a scenario out once; results are in `folder`, which is made. `stop` ends it early, its
+/// results kept and marked.
 ///
 /// # Errors
 /// One line: what could not be set up.
@@ -160,7 +171,9 @@
         baseline: way.baseline.is_some(),
         seed,
         complete,
-        length: entries.last().map_or(Span::ZERO, |last| last.at.since(Moment::default())),
+        length: entries
+            .last()
+            .map_or(Span::ZERO, |last| last.at.since(Moment::default())),
         crashes,
         entries: &entries,
         ruling: &ruling,
@@ -175,7 +188,10 @@
     std::fs::write(folder.join("summary.json"), text).map_err(failed)?;
     let page = report::page(&summary, &entries, &plan.marks, &crowds)?;
     std::fs::write(folder.join("report.html"), page).map_err(failed)?;
-    Ok(Outcome { summary, folder: folder.to_path_buf() })
+    Ok(Outcome {
+        summary,
+        folder: folder.to_path_buf(),
+    })
 }
 
 fn write_events(entries: &[Entry], path: &Path) -> std::io::Result<()> {
@@ -187,7 +203,8 @@
     out.flush()
 }
 
-/// What this process and its relays must be able to hold: each client has an end here, and so has its box.
+/// What this process and its relays must be able to hold: each client has an end here, and so has
+/// its box.
 fn descriptors(plan: &Plan, way: &Way) -> u64 {
     let mut changes: Vec<(Moment, i64)> = Vec::new();
     for arrival in &plan.arrivals {
@@ -205,8 +222,13 @@
         Act::Crowd(CrowdCue::Rude(_, count)) => count as u64,
         _ => 0,
     });
-    let here = most.unsigned_abs() * 2 + rude.sum::<u64>() + plan.ground.boxes.len() as u64 * 4 + OWN;
-    if way.baseline.is_some() { here } else { here.max(plan.terms.sockets) }
+    let here =
+        most.unsigned_abs() * 2 + rude.sum::<u64>() + plan.ground.boxes.len() as u64 * 4 + OWN;
+    if way.baseline.is_some() {
+        here
+    } else {
+        here.max(plan.terms.sockets)
+    }
 }
 
 impl<'a> Director<'a> {
@@ -230,7 +252,8 @@
         let key_file = folder.join("peers.key");
         if net.is_some() {
             let failed = |fault: std::io::Error| format!("{}: {fault}", key_file.display());
-            std::fs::write(&key_file, format!("key of the run {:016x}\n", plan.seed)).map_err(failed)?;
+            std::fs::write(&key_file, format!("key of the run {:016x}\n", plan.seed))
+                .map_err(failed)?;
         }
         let terms = PeersTerms {
             period: relays.period.0,
@@ -240,25 +263,32 @@
         };
         if way.baseline.is_none() {
             for number in 0..plan.ground.relays {
-                let listen =
-                    free_address(number).map_err(|fault| format!("no address for a relay: {fault}"))?;
+                let listen = free_address(number)
+                    .map_err(|fault| format!("no address for a relay: {fault}"))?;
                 let known = scenario.relays.know_list.then(|| known_list(plan, &yard));
                 let (listen, admin, station) = match scenario.relays.operators {
                     true => operated(number, listen, folder)
                         .map_err(|fault| format!("relay {number}: {fault}"))?,
                     false => (listen, None, None),
                 };
-                let peers =
-                    net.as_ref().map_or(String::new(), |net| terms.table(&net.ways[number], &net.ways));
+                let peers = net.as_ref().map_or(String::new(), |net| {
+                    terms.table(&net.ways[number], &net.ways)
+                });
                 let admin = match net {
-                    Some(_) if admin.is_none() => {
-                        Some(free_address(plan.ground.relays + number).map_err(|fault| fault.to_string())?)
-                    }
+                    Some(_) if admin.is_none() => Some(
+                        free_address(plan.ground.relays + number)
+                            .map_err(|fault| fault.to_string())?,
+                    ),
                     _ => admin,
                 };
-                let charter = scenario.relays.charters.first().filter(|_| way.chartered).cloned();
-                let charter =
-                    (charter.is_some() || net.is_some()).then(|| charter.unwrap_or_default() + &peers);
+                let charter = scenario
+                    .relays
+                    .charters
+                    .first()
+                    .filter(|_| way.chartered)
+                    .cloned();
+                let charter = (charter.is_some() || net.is_some())
+                    .then(|| charter.unwrap_or_default() + &peers);
                 let orders = Orders {
                     name: format!("relay-{number}"),
                     number,
@@ -273,10 +303,16 @@
                     station,
                 };
                 let present = number < relays.count - relays.later;
-                let post =
-                    present.then(|| Post::start(&way.relay, &plan.terms, &orders, folder)).transpose()?;
+                let post = present
+                    .then(|| Post::start(&way.relay, &plan.terms, &orders, folder))
+                    .transpose()?;
                 if present {
-                    tape.note(clock.now(), Sighting::RelayStarted { relay: RelayNo(number as u16) });
+                    tape.note(
+                        clock.now(),
+                        Sighting::RelayStarted {
+                            relay: RelayNo(number as u16),
+                        },
+                    );
                 }
                 let program = way.relay.clone();
                 let (stops_by, back_after) = (None, None);
@@ -307,7 +343,11 @@
                 .boxes
                 .iter()
                 .zip(&plan.ground.boxes)
-                .map(|(at, of)| Doorway { at: *at, relay: None, open: of.present })
+                .map(|(at, of)| Doorway {
+                    at: *at,
+                    relay: None,
+                    open: of.present,
+                })
                 .collect(),
         };
         // Starting relays took its time; who is due then is not late by that.
@@ -315,14 +355,16 @@
         let threads = scenario.traffic.threads;
         let mut crowds = Vec::new();
         for thread in 0..threads {
-            let arrivals =
-                plan.arrivals.iter().enumerate().filter(|(number, _)| number % threads == thread).map(
-                    |(number, arrival)| {
-                        let mut arrival = arrival.clone();
-                        arrival.due = begun + (arrival.due.since(Moment::default()));
-                        (number as u64 + 1, arrival)
-                    },
-                );
+            let arrivals = plan
+                .arrivals
+                .iter()
+                .enumerate()
+                .filter(|(number, _)| number % threads == thread)
+                .map(|(number, arrival)| {
+                    let mut arrival = arrival.clone();
+                    arrival.due = begun + (arrival.due.since(Moment::default()));
+                    (number as u64 + 1, arrival)
+                });
             let bill = Bill {
                 traffic: plan.traffic.clone(),
                 arrivals: arrivals.collect(),
@@ -337,7 +379,12 @@
         tape.note(begun, Sighting::Mark { text: BEGUN.into() });
         let look = Look {
             length: plan.until.since(Moment::default()),
-            boxes: plan.ground.boxes.iter().map(|of| of.present.then_some((0.0, ""))).collect(),
+            boxes: plan
+                .ground
+                .boxes
+                .iter()
+                .map(|of| of.present.then_some((0.0, "")))
+                .collect(),
             ..Look::default()
         };
         let later = BTreeMap::new();
@@ -346,7 +393,13 @@
         let witnesses = witnessed
             .filter_map(|(number, stand)| {
                 let door = stand.orders.admin?;
-                Some(Witness::open(RelayNo(number), door, lease, clock, tape.clone()))
+                Some(Witness::open(
+                    RelayNo(number),
+                    door,
+                    lease,
+                    clock,
+                    tape.clone(),
+                ))
             })
             .collect();
         Ok(Director {
@@ -375,7 +428,8 @@
 
     fn set(&mut self, after: Span, later: Later) {
         self.serial += 1;
-        self.later.insert((self.clock.now() + after, self.serial), later);
+        self.later
+            .insert((self.clock.now() + after, self.serial), later);
     }
 
     /// Until the plan is over; false where it was stopped before.
@@ -425,7 +479,8 @@
                 let threads = self.crowds.len();
                 for (place, crowd) in self.crowds.iter().enumerate() {
                     // Each thread has its part of the clients.
-                    let part = |count: usize| count / threads + usize::from(place < count % threads);
+                    let part =
+                        |count: usize| count / threads + usize::from(place < count % threads);
                     crowd.cue(match cue {
                         CrowdCue::Drop(count, over) => CrowdCue::Drop(part(*count), *over),
                         CrowdCue::Rude(rude, count) => CrowdCue::Rude(*rude, part(*count)),
@@ -435,8 +490,12 @@
             }
             Act::Kill(relay, back) => {
                 let number = usize::from(relay.0);
-                let Some(stand) = self.stands.get_mut(number) else { return };
-                let Some(mut post) = stand.post.take() else { return };
+                let Some(stand) = self.stands.get_mut(number) else {
+                    return;
+                };
+                let Some(mut post) = stand.post.take() else {
+                    return;
+                };
                 self.note(Sighting::RelayKilled { relay: *relay });
                 post.kill();
                 let notice = self.scenario.relays.front_notice.0;
@@ -450,7 +509,9 @@
             Act::Stop(relay, back) => {
                 let number = usize::from(relay.0);
                 let by = self.stops_by();
-                let Some(stand) = self.stands.get_mut(number) else { return };
+                let Some(stand) = self.stands.get_mut(number) else {
+                    return;
+                };
                 let Some(post) = &stand.post else { return };
                 post.tell_to_stop();
                 (stand.stops_by, stand.back_after) = (Some(by), *back);
@@ -459,7 +520,9 @@
             }
             Act::Recharter(relay) => {
                 let charters = &self.scenario.relays.charters;
-                let Some(stand) = self.stands.get_mut(usize::from(relay.0)) else { return };
+                let Some(stand) = self.stands.get_mut(usize::from(relay.0)) else {
+                    return;
+                };
                 if stand.orders.charter.is_none() {
                     return;
                 }
@@ -467,30 +530,52 @@
                 let text = charters[stand.charter].clone() + &stand.peers;
                 stand.orders.charter = Some(text.clone());
                 if let Some(Err(fault)) = stand.post.as_ref().map(|post| post.recharter(&text)) {
-                    self.note(Sighting::Mark { text: format!("a charter can't be written: {fault}") });
+                    self.note(Sighting::Mark {
+                        text: format!("a charter can't be written: {fault}"),
+                    });
                 }
             }
             Act::Upgrade(relay) => self.upgrade(*relay),
             Act::Ban(relay, at, out) => self.ban(*relay, *at, *out),
             Act::Still(relay, on) => {
                 let number = usize::from(relay.0);
-                let Some(post) = self.stands.get(number).and_then(|stand| stand.post.as_ref()) else {
+                let Some(post) = self
+                    .stands
+                    .get(number)
+                    .and_then(|stand| stand.post.as_ref())
+                else {
                     return;
                 };
                 // Noted before it stands and after it goes on, so that no act of its is outside.
                 if *on {
-                    self.note(Sighting::RelayStill { relay: *relay, on: true });
+                    self.note(Sighting::RelayStill {
+                        relay: *relay,
+                        on: true,
+                    });
                     post.still(true);
-                    self.set(self.scenario.relays.front_notice.0, Later::Door(number, false));
+                    self.set(
+                        self.scenario.relays.front_notice.0,
+                        Later::Door(number, false),
+                    );
                 } else {
                     post.still(false);
-                    self.note(Sighting::RelayStill { relay: *relay, on: false });
-                    self.set(self.scenario.relays.front_notice.0, Later::Door(number, true));
+                    self.note(Sighting::RelayStill {
+                        relay: *relay,
+                        on: false,
+                    });
+                    self.set(
+                        self.scenario.relays.front_notice.0,
+                        Later::Door(number, true),
+                    );
                 }
             }
             Act::Start(relay) => {
                 let number = usize::from(relay.0);
-                if self.stands.get(number).is_some_and(|stand| stand.post.is_none()) {
+                if self
+                    .stands
+                    .get(number)
+                    .is_some_and(|stand| stand.post.is_none())
+                {
                     self.start(number);
                 }
             }
@@ -499,12 +584,15 @@
             }
             Act::Link(links, fault, name) => {
                 if let Some(net) = &self.net {
-                    net.stage.cue(NetCue::LinkFault(links.clone(), *fault, name));
+                    net.stage
+                        .cue(NetCue::LinkFault(links.clone(), *fault, name));
                 }
             }
             Act::HangUp(relay) => {
-                if let Some(post) =
-                    self.stands.get(usize::from(relay.0)).and_then(|stand| stand.post.as_ref())
+                if let Some(post) = self
+                    .stands
+                    .get(usize::from(relay.0))
+                    .and_then(|stand| stand.post.as_ref())
                 {
                     post.hang_up();
                 }
@@ -513,7 +601,14 @@
     }
 
     fn stops_by(&self) -> Moment {
-        let longest = self.plan.traffic.kinds.iter().map(|kind| kind.wait).max().unwrap_or_default();
+        let longest = self
+            .plan
+            .traffic
+            .kinds
+            .iter()
+            .map(|kind| kind.wait)
+            .max()
+            .unwrap_or_default();
         self.clock.now() + longest.min(LONGEST_WAIT) + AFTER_WAIT
     }
 
@@ -531,7 +626,8 @@
         stand.starts += 1;
         stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
         // The old one keeps its door until it ends.
-        let admin = free_address(self.plan.ground.relays + number).map_err(|fault| fault.to_string());
+        let admin =
+            free_address(self.plan.ground.relays + number).map_err(|fault| fault.to_string());
         let next = admin.and_then(|admin| {
             stand.orders.admin = Some(admin);
             Post::start(&stand.program, &self.plan.terms, &stand.orders, self.folder)
@@ -542,7 +638,8 @@
                 if let (Some(_), Some(door)) = (&self.net, post.admin) {
                     let lease = (self.scenario.relays.voters > 0).then_some("turn");
                     let (clock, tape) = (self.clock, self.tape.clone());
-                    self.witnesses.push(Witness::open(relay, door, lease, clock, tape));
+                    self.witnesses
+                        .push(Witness::open(relay, door, lease, clock, tape));
                 }
                 let stand = &mut self.stands[number];
                 if let Some(elder) = stand.post.replace(post) {
@@ -557,8 +654,13 @@
     }
 
     fn ban(&mut self, relay: RelayNo, at: BoxNo, out: bool) {
-        let post = self.stands.get(usize::from(relay.0)).and_then(|stand| stand.post.as_ref());
-        let Some(admin) = post.and_then(|post| post.admin) else { return };
+        let post = self
+            .stands
+            .get(usize::from(relay.0))
+            .and_then(|stand| stand.post.as_ref());
+        let Some(admin) = post.and_then(|post| post.admin) else {
+            return;
+        };
         let word = if out { "DISABLE" } else { "ENABLE" };
         // The rule holds until the call back is made, and from the yes on.
         if !out {
@@ -570,41 +672,59 @@
                     self.note(Sighting::ByHand { relay, at, out });
                 }
             }
-            Ok(said) => self.crashed(format!("relay {} says no to {word} of box {}: {said}", relay.0, at.0)),
-            Err(fault) => self.crashed(format!("relay {} does not answer {word}: {fault}", relay.0)),
+            Ok(said) => self.crashed(format!(
+                "relay {} says no to {word} of box {}: {said}",
+                relay.0, at.0
+            )),
+            Err(fault) => {
+                self.crashed(format!("relay {} does not answer {word}: {fault}", relay.0))
+            }
         }
     }
 
     /// What earlier acts lead to, and relays that end.
     fn carry_on(&mut self, now: Moment) {
-        while let Some(entry) = self.later.first_entry().filter(|entry| entry.key().0 <= now) {
+        while let Some(entry) = self
+            .later
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        {
             match entry.remove() {
-                Later::Door(door, open) => {
-                    self.crowds.iter().for_each(|crowd| crowd.cue(CrowdCue::Door(door, open)))
-                }
+                Later::Door(door, open) => self
+                    .crowds
+                    .iter()
+                    .for_each(|crowd| crowd.cue(CrowdCue::Door(door, open))),
                 Later::Start(number) => self.start(number),
             }
         }
         for number in 0..self.stands.len() {
             let relay = RelayNo(number as u16);
             let mut faults = Vec::new();
-            self.stands[number].elders.retain_mut(|(post, by)| match post.ended() {
-                None if now < *by => true,
-                None => {
-                    post.kill();
-                    faults.push(format!("relay {number} did not stop in time beside its successor"));
-                    false
-                }
-                Some(status) => {
-                    if !status.success() {
-                        faults.push(format!("relay {number} crashed beside its successor: {status}"));
+            self.stands[number]
+                .elders
+                .retain_mut(|(post, by)| match post.ended() {
+                    None if now < *by => true,
+                    None => {
+                        post.kill();
+                        faults.push(format!(
+                            "relay {number} did not stop in time beside its successor"
+                        ));
+                        false
                     }
-                    false
-                }
-            });
+                    Some(status) => {
+                        if !status.success() {
+                            faults.push(format!(
+                                "relay {number} crashed beside its successor: {status}"
+                            ));
+                        }
+                        false
+                    }
+                });
             faults.into_iter().for_each(|text| self.crashed(text));
             let stand = &mut self.stands[number];
-            let Some(post) = &mut stand.post else { continue };
+            let Some(post) = &mut stand.post else {
+                continue;
+            };
             match (post.ended(), stand.stops_by) {
                 (None, None) => {}
                 (None, Some(by)) if now < by => {}
@@ -613,7 +733,9 @@
                     post.kill();
                     (stand.post, stand.stops_by) = (None, None);
                     self.crashes += 1;
-                    self.note(Sighting::Mark { text: format!("relay {number} did not stop in time") });
+                    self.note(Sighting::Mark {
+                        text: format!("relay {number} did not stop in time"),
+                    });
                 }
                 (Some(status), told) => {
                     (stand.post, stand.stops_by) = (None, None);
@@ -625,7 +747,9 @@
                         }
                     } else {
                         self.crashes += 1;
-                        self.note(Sighting::Mark { text: format!("relay {number} crashed: {status}") });
+                        self.note(Sighting::Mark {
+                            text: format!("relay {number} crashed: {status}"),
+                        });
                     }
                 }
             }
@@ -637,14 +761,22 @@
         stand.starts += 1;
         // A bad charter ends a start; one that runs goes on by the one before.
         if stand.orders.charter.is_some() {
-            let first = self.scenario.relays.charters.first().cloned().unwrap_or_default();
+            let first = self
+                .scenario
+                .relays
+                .charters
+                .first()
+                .cloned()
+                .unwrap_or_default();
             (stand.charter, stand.orders.charter) = (0, Some(first + &stand.peers));
         }
         stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
         match Post::start(&stand.program, &self.plan.terms, &stand.orders, self.folder) {
             Ok(post) => {
                 stand.post = Some(post);
-                self.note(Sighting::RelayStarted { relay: RelayNo(number as u16) });
+                self.note(Sighting::RelayStarted {
+                    relay: RelayNo(number as u16),
+                });
                 self.set(Span::ZERO, Later::Door(number, true));
             }
             Err(why) => {
@@ -657,7 +789,11 @@
     fn measure(&mut self) {
         for (number, stand) in (0..).zip(&self.stands) {
             if let Some((cpu, resident)) = stand.post.as_ref().and_then(Post::cost) {
-                self.note(Sighting::RelayCost { relay: RelayNo(number), cpu, resident });
+                self.note(Sighting::RelayCost {
+                    relay: RelayNo(number),
+                    cpu,
+                    resident,
+                });
             }
         }
         self.reel.gather();
@@ -674,9 +810,17 @@
                 }
             };
             match &entry.seen {
-                Sighting::Answered { answer: Answer::Up, .. } => look.up += 1,
-                Sighting::Answered { answer: Answer::Busy(_), .. } => look.busy += 1,
-                Sighting::Answered { answer: Answer::Failed, .. } => look.failed += 1,
+                Sighting::Answered {
+                    answer: Answer::Up, ..
+                } => look.up += 1,
+                Sighting::Answered {
+                    answer: Answer::Busy(_),
+                    ..
+                } => look.busy += 1,
+                Sighting::Answered {
+                    answer: Answer::Failed,
+                    ..
+                } => look.failed += 1,
                 Sighting::Moved { .. } => look.moved += 1,
                 Sighting::BoxStopped { at } => look.boxes[usize::from(at.0)] = None,
                 Sighting::BoxStarted { at, cold } => state(*at, if *cold { "cold" } else { "" }),
@@ -692,37 +836,64 @@
         }
         self.seen = self.reel.entries.len();
         let rounds = crate::summary::rounds(&self.reel.entries[self.seen.saturating_sub(20_000)..]);
-        self.look.standing =
-            rounds.values().next_back().map_or(0, |round| round.iter().map(|(.., held)| held).sum());
-        self.look.relays = self.stands.iter().filter(|stand| stand.post.is_some()).count();
+        self.look.standing = rounds
+            .values()
+            .next_back()
+            .map_or(0, |round| round.iter().map(|(.., held)| held).sum());
+        self.look.relays = self
+            .stands
+            .iter()
+            .filter(|stand| stand.post.is_some())
+            .count();
     }
 
     /// Clients leave, relays are told to stop, and what was seen is handed over.
     fn close(
         mut self,
-    ) -> (Vec<Entry>, Vec<thistlecroft_fleet::crowd::CrowdSums>, thistlecroft_fleet::yard::YardSums, usize)
-    {
-        self.crowds.iter().for_each(|crowd| crowd.cue(CrowdCue::Finish));
+    ) -> (
+        Vec<Entry>,
+        Vec<thistlecroft_fleet::crowd::CrowdSums>,
+        thistlecroft_fleet::yard::YardSums,
+        usize,
+    ) {
+        self.crowds
+            .iter()
+            .for_each(|crowd| crowd.cue(CrowdCue::Finish));
         // They ask no more before relays are told to stop.
         self.witnesses.clear();
-        let longest = self.plan.traffic.kinds.iter().map(|kind| kind.wait).max().unwrap_or_default();
+        let longest = self
+            .plan
+            .traffic
+            .kinds
+            .iter()
+            .map(|kind| kind.wait)
+            .max()
+            .unwrap_or_default();
         let all = self.crowds.len();
         let idle = |entry: &&Entry| matches!(&entry.seen, Sighting::Mark { text } if text == IDLE);
-        let gone = self.reel.wait_until(duration(longest) + LEAVING, |entries| {
-            entries.iter().rev().filter(idle).count() == all
-        });
+        let gone = self
+            .reel
+            .wait_until(duration(longest) + LEAVING, |entries| {
+                entries.iter().rev().filter(idle).count() == all
+            });
         if !gone {
-            self.note(Sighting::Mark { text: "clients stayed to the end".into() });
+            self.note(Sighting::Mark {
+                text: "clients stayed to the end".into(),
+            });
         }
         for stand in &self.stands {
             stand.post.iter().for_each(Post::tell_to_stop);
         }
         for number in 0..self.stands.len() {
-            let Some(post) = &mut self.stands[number].post else { continue };
+            let Some(post) = &mut self.stands[number].post else {
+                continue;
+            };
             let status = post.wait(longest.min(LONGEST_WAIT) + AFTER_WAIT);
             if !status.is_some_and(|status| status.success()) {
                 self.crashes += 1;
-                self.note(Sighting::Mark { text: format!("relay {number} did not stop well at the end") });
+                self.note(Sighting::Mark {
+                    text: format!("relay {number} did not stop well at the end"),
+                });
             }
         }
         let crowds = self.crowds.into_iter().map(Stage::close).collect();
--- a/lab/src/saturate.rs
+++ b/lab/src/saturate.rs
@@ -1,5 +1,5 @@
-//! At what rate the stand-ins themselves are the bottleneck: clients dial boxes without a relay between, faster and
-//! faster.
+//! At what rate the stand-ins themselves are the bottleneck: clients dial boxes without a relay
+//! between, faster and faster.
 use crate::run::{Way, run};
 use crate::scenario::{Baseline, Rate, Scenario};
 use crate::summary::Summary;
@@ -40,13 +40,24 @@
     told: &mut dyn FnMut(f64, &Summary),
 ) -> Result<Vec<(f64, Summary)>, String> {
     let mut scenario = Scenario::parse("saturate", TEXT).map_err(|fault| fault.to_string())?;
-    let way =
-        Way { name: "direct".into(), baseline: Some(Baseline::Direct), relay: Vec::new(), chartered: false };
+    let way = Way {
+        name: "direct".into(),
+        baseline: Some(Baseline::Direct),
+        relay: Vec::new(),
+        chartered: false,
+    };
     let mut rows = Vec::new();
     let mut rate = FIRST;
     for step in 0..STEPS {
         scenario.traffic.rate = Rate::Even(rate);
-        let done = run(&scenario, &way, 1, &folder.join(format!("step-{step}")), stop, &mut |_| {})?;
+        let done = run(
+            &scenario,
+            &way,
+            1,
+            &folder.join(format!("step-{step}")),
+            stop,
+            &mut |_| {},
+        )?;
         told(rate, &done.summary);
         let over = done.summary.tool_was_late || !done.summary.complete;
         rows.push((rate, done.summary));
--- a/lab/src/scale/assignment.rs
+++ b/lab/src/scale/assignment.rs
@@ -1,5 +1,5 @@
-//! Which relay is to own a subject: a stand-in for the part above leases that assigns shards. Every relay works it out from
-//! the members that it sees; only the lease decides who owns.
+//! Which relay is to own a subject: a stand-in for the part above leases that assigns shards. Every
+//! relay works it out from the members that it sees; only the lease decides who owns.
 use super::config::Layout;
 use std::collections::BTreeSet;
 use thistlecroft::units::{Moment, Span};
@@ -34,15 +34,26 @@
 }
 
 pub fn subject_number(name: &[u8]) -> Option<usize> {
-    std::str::from_utf8(name).ok()?.strip_prefix("shard-")?.parse().ok()
+    std::str::from_utf8(name)
+        .ok()?
+        .strip_prefix("shard-")?
+        .parse()
+        .ok()
 }
 
 impl Assignment {
     pub fn new(layout: Layout, subjects: usize, member: usize) -> Assignment {
-        Assignment { layout, subjects, member, seen: BTreeSet::new(), owned: BTreeSet::new() }
+        Assignment {
+            layout,
+            subjects,
+            member,
+            seen: BTreeSet::new(),
+            owned: BTreeSet::new(),
+        }
     }
 
-    /// The relay that is tried for a subject: the first in turn, so that relays own equally many, then by a hash.
+    /// The relay that is tried for a subject: the first in turn, so that relays own equally many,
+    /// then by a hash.
     fn candidate(&self, subject: usize, attempt: u64) -> usize {
         let relays = self.layout.relays;
         let relay = match attempt {
@@ -53,12 +64,18 @@
     }
 
     fn owner(&self, subject: usize, seen: &BTreeSet<usize>) -> Option<usize> {
-        (0..TRIES).map(|attempt| self.candidate(subject, attempt)).find(|member| seen.contains(member))
+        (0..TRIES)
+            .map(|attempt| self.candidate(subject, attempt))
+            .find(|member| seen.contains(member))
     }
 
     /// Subjects whose first candidate is that relay.
     fn first_of(&self, member: usize) -> impl Iterator<Item = usize> + use<> {
-        let (first, relays, subjects) = (member - self.layout.voters, self.layout.relays, self.subjects);
+        let (first, relays, subjects) = (
+            member - self.layout.voters,
+            self.layout.relays,
+            self.subjects,
+        );
         (first..subjects).step_by(relays)
     }
 
@@ -75,8 +92,12 @@
         if self.member < self.layout.voters {
             return;
         }
-        let live = node.members().filter(|view| view.state <= MemberState::Suspect);
-        let mut seen: BTreeSet<usize> = live.filter_map(|view| self.layout.member(&view.id.name)).collect();
+        let live = node
+            .members()
+            .filter(|view| view.state <= MemberState::Suspect);
+        let mut seen: BTreeSet<usize> = live
+            .filter_map(|view| self.layout.member(&view.id.name))
+            .collect();
         seen.insert(self.member);
         if seen == self.seen {
             return;
--- a/lab/src/scale/budget.rs
+++ b/lab/src/scale/budget.rs
@@ -35,7 +35,11 @@
 
 impl std::fmt::Display for Violation {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(out, "{}: {} measured, {} allowed", self.limit, self.measured, self.allowed)
+        write!(
+            out,
+            "{}: {} measured, {} allowed",
+            self.limit, self.measured, self.allowed
+        )
     }
 }
 
@@ -56,7 +60,9 @@
     pub fn parse(text: &str) -> Result<Budget, String> {
         let file: Result<BudgetFile, toml::de::Error> = toml::from_str(text);
         file.map(|file| file.budget).map_err(|fault| {
-            let line = fault.span().map_or(0, |span| text[..span.start].lines().count());
+            let line = fault
+                .span()
+                .map_or(0, |span| text[..span.start].lines().count());
             format!("line {line}: {}", fault.message())
         })
     }
@@ -85,15 +91,28 @@
     pub fn check(&self, outcome: &Outcome) -> Vec<Violation> {
         let mut check = Check::default();
         if let Some(calm) = outcome.phase("calm") {
-            check.most("relay_sent_bytes_s", Some(calm.relay.sent_of_worst), self.relay_sent_bytes_s);
+            check.most(
+                "relay_sent_bytes_s",
+                Some(calm.relay.sent_of_worst),
+                self.relay_sent_bytes_s,
+            );
             check.most(
                 "relay_received_bytes_s",
                 Some(calm.relay.received_of_worst),
                 self.relay_received_bytes_s,
             );
-            check.most("voter_sent_bytes_s", Some(calm.voter.sent_of_worst), self.voter_sent_bytes_s);
+            check.most(
+                "voter_sent_bytes_s",
+                Some(calm.voter.sent_of_worst),
+                self.voter_sent_bytes_s,
+            );
         }
-        let second = |phase: &Phase| phase.relay.sent_worst_second.max(phase.relay.received_worst_second);
+        let second = |phase: &Phase| {
+            phase
+                .relay
+                .sent_worst_second
+                .max(phase.relay.received_worst_second)
+        };
         let worst = outcome.phases.iter().map(second).max().unwrap_or(0);
         check.most(
             "relay_worst_second_bytes",
@@ -102,25 +121,63 @@
         );
         // A simulated run has no costs of a process.
         if let Some(relay) = outcome.relay {
-            check.most("relay_cpu_percent", Some(relay.cpu_percent), self.relay_cpu_percent);
-            check.most("relay_memory_mb", Some(relay.memory_mb), self.relay_memory_mb);
+            check.most(
+                "relay_cpu_percent",
+                Some(relay.cpu_percent),
+                self.relay_cpu_percent,
+            );
+            check.most(
+                "relay_memory_mb",
+                Some(relay.memory_mb),
+                self.relay_memory_mb,
+            );
         }
         if let Some(voter) = outcome.voter {
-            check.most("voter_cpu_percent", Some(voter.cpu_percent), self.voter_cpu_percent);
-            check.most("voter_memory_mb", Some(voter.memory_mb), self.voter_memory_mb);
+            check.most(
+                "voter_cpu_percent",
+                Some(voter.cpu_percent),
+                self.voter_cpu_percent,
+            );
+            check.most(
+                "voter_memory_mb",
+                Some(voter.memory_mb),
+                self.voter_memory_mb,
+            );
         }
         let limits = [
-            ("start", "start_members_s", self.start_members_s, "start_owned_s", self.start_owned_s),
-            ("fault", "fault_members_s", self.fault_members_s, "fault_owned_s", self.fault_owned_s),
+            (
+                "start",
+                "start_members_s",
+                self.start_members_s,
+                "start_owned_s",
+                self.start_owned_s,
+            ),
+            (
+                "fault",
+                "fault_members_s",
+                self.fault_members_s,
+                "fault_owned_s",
+                self.fault_owned_s,
+            ),
         ];
         for (phase, members, members_limit, owned, owned_limit) in limits {
-            let Some(converged) = outcome.phase(phase).and_then(|phase| phase.converged) else { continue };
+            let Some(converged) = outcome.phase(phase).and_then(|phase| phase.converged) else {
+                continue;
+            };
             check.most(members, converged.members_s, members_limit);
             check.most(owned, converged.owned_s, owned_limit);
         }
-        check.most("two_owners", Some(outcome.two_owners as f64), self.two_owners.map(|one| one as f64));
+        check.most(
+            "two_owners",
+            Some(outcome.two_owners as f64),
+            self.two_owners.map(|one| one as f64),
+        );
         let not_owned = outcome.config.subjects.saturating_sub(outcome.owned_at_end);
-        check.most("not_owned", Some(not_owned as f64), self.not_owned.map(|one| one as f64));
+        check.most(
+            "not_owned",
+            Some(not_owned as f64),
+            self.not_owned.map(|one| one as f64),
+        );
         check.violations
     }
 }
@@ -138,6 +195,10 @@
             return;
         }
         let measured = measured.map_or("never".into(), |measured| format!("{measured:.2}"));
-        self.violations.push(Violation { limit, measured, allowed: allowed.to_string() });
+        self.violations.push(Violation {
+            limit,
+            measured,
+            allowed: allowed.to_string(),
+        });
     }
 }
--- a/lab/src/scale/config.rs
+++ b/lab/src/scale/config.rs
@@ -83,7 +83,11 @@
     }
 
     pub fn role(&self, member: usize) -> Role {
-        if member < self.voters { Role::Voter } else { Role::Relay }
+        if member < self.voters {
+            Role::Voter
+        } else {
+            Role::Relay
+        }
     }
 
     pub fn name(&self, member: usize) -> String {
@@ -130,7 +134,12 @@
 
 impl ScaleConfig {
     pub fn layout(&self) -> Layout {
-        Layout { voters: self.voters, relays: self.relays, zones: self.zones, rack: self.rack }
+        Layout {
+            voters: self.voters,
+            relays: self.relays,
+            zones: self.zones,
+            rack: self.rack,
+        }
     }
 
     pub fn period(&self) -> Span {
@@ -152,16 +161,28 @@
         Terms {
             fleet: "scale".into(),
             secret: b"a key for scale tests alone".to_vec(),
-            pace: Pace { period: self.period() },
+            pace: Pace {
+                period: self.period(),
+            },
             rate: self.rate_of(role),
         }
     }
 
     pub fn lease_config(&self, role: Role) -> LeaseConfig {
         let layout = self.layout();
-        let voters = (0..self.voters).map(|member| layout.name(member).as_str().into()).collect();
-        let electorate = Electorate { generation: 1, voters, before: Vec::new() };
-        LeaseConfig { electorate, term: self.term(), update_rate: self.rate_of(role) / UPDATE_SHARE }
+        let voters = (0..self.voters)
+            .map(|member| layout.name(member).as_str().into())
+            .collect();
+        let electorate = Electorate {
+            generation: 1,
+            voters,
+            before: Vec::new(),
+        };
+        LeaseConfig {
+            electorate,
+            term: self.term(),
+            update_rate: self.rate_of(role) / UPDATE_SHARE,
+        }
     }
 
     /// # Errors
@@ -169,7 +190,13 @@
     pub fn validate(&self) -> Result<(), String> {
         let within = |name: &str, value: usize, least: usize, most: usize| {
             let fits = (least..=most).contains(&value);
-            if fits { Ok(()) } else { Err(format!("--{name}: {value} is not between {least} and {most}")) }
+            if fits {
+                Ok(())
+            } else {
+                Err(format!(
+                    "--{name}: {value} is not between {least} and {most}"
+                ))
+            }
         };
         within("relays", self.relays, 2, MAX_RELAYS)?;
         within("subjects", self.subjects, 0, MAX_VOTER_SUBJECTS)?;
@@ -210,7 +237,9 @@
     pub fn check_machine(&self) -> Result<(), String> {
         let processes = self.processes();
         if processes > MAX_PROCESSES {
-            return Err(format!("{processes} processes; {MAX_PROCESSES} at most, so give --each-process"));
+            return Err(format!(
+                "{processes} processes; {MAX_PROCESSES} at most, so give --each-process"
+            ));
         }
         let needed = (self.relays + self.voters) as u64 * BYTES_EACH;
         let half = memory_total().map_or(u64::MAX, |total| total / 2);
@@ -230,5 +259,9 @@
 fn memory_total() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
-    line.split_whitespace().nth(1)?.parse::<u64>().ok().map(|kib| kib * 1_024)
+    line.split_whitespace()
+        .nth(1)?
+        .parse::<u64>()
+        .ok()
+        .map(|kib| kib * 1_024)
 }
--- a/lab/src/scale/meter.rs
+++ b/lab/src/scale/meter.rs
@@ -28,9 +28,10 @@
 impl Meter {
     /// A second has gone by.
     pub fn second(&mut self, counts: &Counts) {
-        let sent = bytes(counts.sent_bytes, counts.sent) - bytes(self.before.sent_bytes, self.before.sent);
-        let received =
-            bytes(counts.heard_bytes, counts.heard) - bytes(self.before.heard_bytes, self.before.heard);
+        let sent =
+            bytes(counts.sent_bytes, counts.sent) - bytes(self.before.sent_bytes, self.before.sent);
+        let received = bytes(counts.heard_bytes, counts.heard)
+            - bytes(self.before.heard_bytes, self.before.heard);
         let phase = &mut self.phase;
         (phase.sent, phase.received) = (phase.sent + sent, phase.received + received);
         phase.worst_sent = phase.worst_sent.max(sent);
@@ -67,11 +68,18 @@
 impl RoleTraffic {
     pub fn of(all: &[(Role, Traffic)], role: Role) -> RoleTraffic {
         let mut sum = RoleTraffic::default();
-        let own = || all.iter().filter(|(one, _)| *one == role).map(|(_, traffic)| traffic);
+        let own = || {
+            all.iter()
+                .filter(|(one, _)| *one == role)
+                .map(|(_, traffic)| traffic)
+        };
         let count = own().count().max(1) as f64;
         for traffic in own() {
             let seconds = traffic.seconds.max(1) as f64;
-            let (sent, received) = (traffic.sent as f64 / seconds, traffic.received as f64 / seconds);
+            let (sent, received) = (
+                traffic.sent as f64 / seconds,
+                traffic.received as f64 / seconds,
+            );
             sum.sent_mean += sent / count;
             sum.received_mean += received / count;
             sum.sent_of_worst = sum.sent_of_worst.max(sent);
--- a/lab/src/scale/mod.rs
+++ b/lab/src/scale/mod.rs
@@ -1,7 +1,7 @@
-//! Scale tests: fleets of hollow relays, each the membership and the leases of a relay and nothing else, over simulated
-//! links or as UDP sockets of some processes on loopback. Measures what a relay and a voter send, receive and cost in calm
-//! and in the worst second, how long a fleet takes to agree and to own its subjects after a fault, and whether two ever own
-//! one subject at once.
+//! Scale tests: fleets of hollow relays, each the membership and the leases of a relay and nothing
+//! else, over simulated links or as UDP sockets of some processes on loopback. Measures what a
+//! relay and a voter send, receive and cost in calm and in the worst second, how long a fleet takes
+//! to agree and to own its subjects after a fault, and whether two ever own one subject at once.
 mod assignment;
 mod budget;
 mod config;
@@ -40,7 +40,11 @@
 ///
 /// # Errors
 /// One line: what could not be set up.
-pub fn run(config: &ScaleConfig, programs: &Programs, progress: Progress<'_>) -> Result<Outcome, String> {
+pub fn run(
+    config: &ScaleConfig,
+    programs: &Programs,
+    progress: Progress<'_>,
+) -> Result<Outcome, String> {
     config.validate()?;
     if config.simulated {
         Ok(simulated::run(config, progress))
--- a/lab/src/scale/outcome.rs
+++ b/lab/src/scale/outcome.rs
@@ -25,9 +25,23 @@
 }
 
 impl Phase {
-    pub fn new(name: &str, seconds: f64, all: &[(Role, Traffic)], converged: Option<Convergence>) -> Phase {
-        let (relay, voter) = (RoleTraffic::of(all, Role::Relay), RoleTraffic::of(all, Role::Voter));
-        Phase { name: name.into(), seconds, relay, voter, converged }
+    pub fn new(
+        name: &str,
+        seconds: f64,
+        all: &[(Role, Traffic)],
+        converged: Option<Convergence>,
+    ) -> Phase {
+        let (relay, voter) = (
+            RoleTraffic::of(all, Role::Relay),
+            RoleTraffic::of(all, Role::Voter),
+        );
+        Phase {
+            name: name.into(),
+            seconds,
+            relay,
+            voter,
+            converged,
+        }
     }
 }
 
@@ -53,7 +67,8 @@
     pub epochs_not_grown: usize,
     pub holdings: usize,
     pub owned_at_end: usize,
-    /// By how much a hollow process was behind its timers at worst: above a tenth of a period the machine is too slow.
+    /// By how much a hollow process was behind its timers at worst: above a tenth of a period the
+    /// machine is too slow.
     pub late_ms: Option<f64>,
     pub took_s: f64,
 }
@@ -70,11 +85,20 @@
     pub fn table(&self) -> String {
         let mut page = String::new();
         let config = &self.config;
-        let way = if config.simulated { "simulated links" } else { "UDP on loopback" };
+        let way = if config.simulated {
+            "simulated links"
+        } else {
+            "UDP on loopback"
+        };
         let _ = writeln!(
             page,
             "{} relays, {} voters, {} subjects, {way}; period {} ms, term {} ms, seed {}",
-            config.relays, config.voters, config.subjects, config.period_ms, config.term_ms, config.seed
+            config.relays,
+            config.voters,
+            config.subjects,
+            config.period_ms,
+            config.term_ms,
+            config.seed
         );
         let _ = writeln!(
             page,
@@ -144,10 +168,17 @@
         let _ = writeln!(
             page,
             "owned at the end {} of {}; {} holdings seen, two owners at once {}, epochs that did not grow {}",
-            self.owned_at_end, config.subjects, self.holdings, self.two_owners, self.epochs_not_grown
+            self.owned_at_end,
+            config.subjects,
+            self.holdings,
+            self.two_owners,
+            self.epochs_not_grown
         );
         if let Some(late) = self.late_ms {
-            let _ = writeln!(page, "a hollow process was behind its timers by {late:.0} ms at worst");
+            let _ = writeln!(
+                page,
+                "a hollow process was behind its timers by {late:.0} ms at worst"
+            );
         }
         let _ = writeln!(
             page,
--- a/lab/src/scale/processes.rs
+++ b/lab/src/scale/processes.rs
@@ -1,5 +1,5 @@
-//! A run over processes of hollow relays on loopback, in real time: starts them, injects the fault, waits for the fleet to
-//! agree and measures. All are ended when it returns.
+//! A run over processes of hollow relays on loopback, in real time: starts them, injects the fault,
+//! waits for the fleet to agree and measures. All are ended when it returns.
 use super::config::{Fault, Layout, Role, SEEDS, ScaleConfig};
 use super::meter::Traffic;
 use super::outcome::{Convergence, Cost, Outcome, Phase};
@@ -16,7 +16,8 @@
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(20);
 const LOOK: Duration = Duration::from_millis(50);
-/// The longest that a state is waited for, in periods, and what is known of the last change goes round in.
+/// The longest that a state is waited for, in periods, and what is known of the last change goes
+/// round in.
 const PATIENCE: f64 = 240.0;
 const SETTLE: f64 = 20.0;
 /// And so many more for each member.
@@ -60,14 +61,20 @@
     real: Option<RealRelays>,
 }
 
-pub fn run(config: &ScaleConfig, programs: &Programs, progress: Progress<'_>) -> Result<Outcome, String> {
+pub fn run(
+    config: &ScaleConfig,
+    programs: &Programs,
+    progress: Progress<'_>,
+) -> Result<Outcome, String> {
     let began = Instant::now();
     let mut fleet = Fleet::start(config, programs)?;
     let size = fleet.layout.size() + config.real;
     let started = fleet.converge(size, progress)?;
     fleet.measure("start", Some(started))?;
     fleet.pass(
-        Duration::from_millis((config.period_ms as f64 * (SETTLE + SETTLE_EACH * size as f64)) as u64),
+        Duration::from_millis(
+            (config.period_ms as f64 * (SETTLE + SETTLE_EACH * size as f64)) as u64,
+        ),
         progress,
     )?;
     fleet.measure("settle", None)?;
@@ -81,12 +88,28 @@
         let after = fleet.converge(size - fleet.lost.len(), progress)?;
         fleet.measure("fault", Some(after))?;
     }
-    let late_ms = fleet.workers.iter().map(|worker| worker.status.late_us).max().unwrap_or(0) as f64 / 1e3;
+    let late_ms = fleet
+        .workers
+        .iter()
+        .map(|worker| worker.status.late_us)
+        .max()
+        .unwrap_or(0) as f64
+        / 1e3;
     let owned_at_end = fleet.workers.iter().map(|worker| worker.status.owned).sum();
-    let worst = |role: usize| fleet.costs.iter().map(|one| one.cpu_percent[role]).fold(0.0, f64::max);
+    let worst = |role: usize| {
+        fleet
+            .costs
+            .iter()
+            .map(|one| one.cpu_percent[role])
+            .fold(0.0, f64::max)
+    };
     let cost = |role: usize| {
         let (cpu_percent, memory_mb) = (calm.cpu_percent[role], calm.memory_mb[role]);
-        Cost { cpu_percent, worst_cpu_percent: worst(role), memory_mb }
+        Cost {
+            cpu_percent,
+            worst_cpu_percent: worst(role),
+            memory_mb,
+        }
     };
     let (voter, relay) = (cost(0), cost(1));
     let holdings = fleet.stop()?;
@@ -112,22 +135,38 @@
     to: &Sender<(usize, Answer)>,
 ) -> Result<Worker, String> {
     let said = |fault: std::io::Error| format!("a process of hollow relays: {fault}");
-    let (name, arguments) = program.split_first().ok_or("no program to run as hollow relays")?;
+    let (name, arguments) = program
+        .split_first()
+        .ok_or("no program to run as hollow relays")?;
     let mut command = std::process::Command::new(name);
-    command.args(arguments).stdin(Stdio::piped()).stdout(Stdio::piped());
+    command
+        .args(arguments)
+        .stdin(Stdio::piped())
+        .stdout(Stdio::piped());
     let mut child = command.spawn().map_err(said)?;
     let (input, output) = (child.stdin.take(), child.stdout.take());
-    let (Some(input), Some(output)) = (input, output) else { return Err("no pipes to a process".into()) };
+    let (Some(input), Some(output)) = (input, output) else {
+        return Err("no pipes to a process".into());
+    };
     let to = to.clone();
     std::thread::spawn(move || {
         for line in BufReader::new(output).lines().map_while(Result::ok) {
-            let Ok(answer) = serde_json::from_str(&line) else { break };
+            let Ok(answer) = serde_json::from_str(&line) else {
+                break;
+            };
             if to.send((number, answer)).is_err() {
                 break;
             }
         }
     });
-    Ok(Worker { child, input, members, status: Status::default(), empty: 0, cpu: Duration::ZERO })
+    Ok(Worker {
+        child,
+        input,
+        members,
+        status: Status::default(),
+        empty: 0,
+        cpu: Duration::ZERO,
+    })
 }
 
 impl<'a> Fleet<'a> {
@@ -144,7 +183,17 @@
         let (phases, costs, lost) = (Vec::new(), Vec::new(), Vec::new());
         let phase_began = Instant::now();
         let real = None;
-        let mut fleet = Fleet { config, layout, workers, answers, phase_began, phases, costs, lost, real };
+        let mut fleet = Fleet {
+            config,
+            layout,
+            workers,
+            answers,
+            phase_began,
+            phases,
+            costs,
+            lost,
+            real,
+        };
         let addresses = fleet.bind()?;
         fleet.note_costs();
         for worker in &mut fleet.workers {
@@ -152,7 +201,9 @@
         }
         fleet.phase_began = Instant::now();
         let seeds: Vec<SocketAddr> = addresses.into_iter().take(SEEDS).collect();
-        fleet.tell_all(&Command::Start { seeds: seeds.clone() })?;
+        fleet.tell_all(&Command::Start {
+            seeds: seeds.clone(),
+        })?;
         if config.real > 0 {
             fleet.real = Some(RealRelays::start(config, &seeds, &programs.relay)?);
         }
@@ -180,7 +231,8 @@
     fn tell(&mut self, number: usize, command: &Command) -> Result<(), String> {
         let line = serde_json::to_string(command).map_err(|fault| fault.to_string())?;
         let input = &mut self.workers[number].input;
-        writeln!(input, "{line}").map_err(|fault| format!("process {number} of hollow relays: {fault}"))
+        writeln!(input, "{line}")
+            .map_err(|fault| format!("process {number} of hollow relays: {fault}"))
     }
 
     fn tell_all(&mut self, command: &Command) -> Result<(), String> {
@@ -195,9 +247,15 @@
             let left = until.saturating_duration_since(Instant::now());
             match self.answers.recv_timeout(left) {
                 Ok((number, Answer::Status(status))) => self.workers[number].status = status,
-                Ok((number, Answer::Failed { why })) => return Err(format!("process {number}: {why}")),
+                Ok((number, Answer::Failed { why })) => {
+                    return Err(format!("process {number}: {why}"));
+                }
                 Ok((number, answer)) => missing -= usize::from(take(number, answer)),
-                Err(_) => return Err(format!("{missing} processes of hollow relays do not answer")),
+                Err(_) => {
+                    return Err(format!(
+                        "{missing} processes of hollow relays do not answer"
+                    ));
+                }
             }
         }
         Ok(())
@@ -209,10 +267,14 @@
             let left = until.saturating_duration_since(Instant::now());
             match self.answers.recv_timeout(left) {
                 Ok((number, Answer::Status(status))) => self.workers[number].status = status,
-                Ok((number, Answer::Failed { why })) => return Err(format!("process {number}: {why}")),
+                Ok((number, Answer::Failed { why })) => {
+                    return Err(format!("process {number}: {why}"));
+                }
                 Ok(_) => {}
                 Err(RecvTimeoutError::Timeout) => return Ok(()),
-                Err(RecvTimeoutError::Disconnected) => return Err("all processes have ended".into()),
+                Err(RecvTimeoutError::Disconnected) => {
+                    return Err("all processes have ended".into());
+                }
             }
         }
     }
@@ -222,7 +284,12 @@
     }
 
     fn agree(&self, size: usize) -> bool {
-        let playing = || self.workers.iter().map(|worker| worker.status).filter(|status| status.living > 0);
+        let playing = || {
+            self.workers
+                .iter()
+                .map(|worker| worker.status)
+                .filter(|status| status.living > 0)
+        };
         let living: usize = playing().map(|status| status.living).sum();
         living + self.config.real == size
             && playing().all(|status| status.sees_least == size && status.sees_most == size)
@@ -254,8 +321,11 @@
             };
             if told.elapsed() > Duration::from_secs(5) {
                 told = Instant::now();
-                let least =
-                    self.workers.iter().filter(|one| one.status.living > 0).map(|one| one.status.sees_least);
+                let least = self
+                    .workers
+                    .iter()
+                    .filter(|one| one.status.living > 0)
+                    .map(|one| one.status.sees_least);
                 let least = least.min().unwrap_or(0);
                 progress(&format!(
                     "{passed:.0} s: each sees {least} or more of {size}, {} owned",
@@ -270,10 +340,15 @@
     }
 
     fn kill(&mut self, members: Vec<usize>) -> Result<(), String> {
-        self.tell_all(&Command::Kill { members: members.clone() })?;
+        self.tell_all(&Command::Kill {
+            members: members.clone(),
+        })?;
         for worker in &mut self.workers {
             if worker.members.iter().all(|member| members.contains(member)) {
-                worker.status = Status { late_us: worker.status.late_us, ..Status::default() };
+                worker.status = Status {
+                    late_us: worker.status.late_us,
+                    ..Status::default()
+                };
             }
         }
         self.lost = members;
@@ -288,7 +363,11 @@
         let (mut all, layout): (Vec<(Role, Traffic)>, Layout) = (Vec::new(), self.layout);
         self.collect(|_, answer| match answer {
             Answer::Measured { traffic } => {
-                all.extend(traffic.into_iter().map(|(member, traffic)| (layout.role(member), traffic)));
+                all.extend(
+                    traffic
+                        .into_iter()
+                        .map(|(member, traffic)| (layout.role(member), traffic)),
+                );
                 true
             }
             _ => false,
@@ -313,15 +392,24 @@
         let mut cost = PhaseCost::default();
         let (mut cpu, mut memory, mut relays) = (0.0, 0.0, 0);
         for worker in &self.workers {
-            let Some((spent, resident)) = cost_of(worker.child.id()) else { continue };
-            let spent =
-                Duration::from_micros(spent.us()).saturating_sub(worker.cpu).as_secs_f64() / seconds * 100.0;
+            let Some((spent, resident)) = cost_of(worker.child.id()) else {
+                continue;
+            };
+            let spent = Duration::from_micros(spent.us())
+                .saturating_sub(worker.cpu)
+                .as_secs_f64()
+                / seconds
+                * 100.0;
             let resident = resident.saturating_sub(worker.empty) as f64 / 1e6;
             if self.layout.role(worker.members[0]) == Role::Voter {
                 cost.cpu_percent[0] = f64::max(cost.cpu_percent[0], spent);
                 cost.memory_mb[0] = f64::max(cost.memory_mb[0], resident);
             } else {
-                (cpu, memory, relays) = (cpu + spent, memory + resident, relays + worker.members.len());
+                (cpu, memory, relays) = (
+                    cpu + spent,
+                    memory + resident,
+                    relays + worker.members.len(),
+                );
             }
         }
         let relays = relays.max(1) as f64;
--- a/lab/src/scale/protocol.rs
+++ b/lab/src/scale/protocol.rs
@@ -1,4 +1,5 @@
-//! What the run and its processes of hollow relays say to each other: a line of JSON each, on standard input and output.
+//! What the run and its processes of hollow relays say to each other: a line of JSON each, on
+//! standard input and output.
 use super::config::ScaleConfig;
 use super::meter::Traffic;
 use super::witness::Holding;
@@ -37,7 +38,8 @@
 /// Told a few times a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// Members that live here; and how many each takes for alive or suspected, itself with them, least and most.
+    /// Members that live here; and how many each takes for alive or suspected, itself with them,
+    /// least and most.
     pub living: usize,
     pub sees_least: usize,
     pub sees_most: usize,
--- a/lab/src/scale/real.rs
+++ b/lab/src/scale/real.rs
@@ -1,5 +1,6 @@
-//! Real relays in a fleet of hollow ones: processes of the relay with a stand-in for the platform round them, that know the
-//! same fleet. If what they send is not what hollow ones send, hollow ones prove nothing.
+//! Real relays in a fleet of hollow ones: processes of the relay with a stand-in for the platform
+//! round them, that know the same fleet. If what they send is not what hollow ones send, hollow
+//! ones prove nothing.
 use super::config::{Role, ScaleConfig};
 use serde::Serialize;
 use std::net::SocketAddr;
@@ -9,7 +10,8 @@
 use thistlecroft_fleet::rig::{Plan, Rig};
 use thistlecroft_peers::Counts;
 
-/// Addresses of real relays are taken from this place of the loopback range on, beside those of the rig.
+/// Addresses of real relays are taken from this place of the loopback range on, beside those of the
+/// rig.
 const FIRST_ADDRESS: usize = 200;
 const HEADER_BYTES: u64 = 28;
 
@@ -47,19 +49,26 @@
         seeds: &[SocketAddr],
         program: &[String],
     ) -> Result<RealRelays, String> {
-        let folder = std::env::temp_dir().join(format!("thistlecroft-scale-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("thistlecroft-scale-{}", std::process::id()));
         let times = (config.period(), config.term());
         let mut plan = Plan::small(program.to_vec(), config.real, 0, times, folder.clone());
         plan.terms.probes = false;
         let mut rig = Rig::open(plan)?;
         let key = folder.join("scale.key");
-        std::fs::write(&key, &config.peer_terms(Role::Relay).secret).map_err(|fault| fault.to_string())?;
+        std::fs::write(&key, &config.peer_terms(Role::Relay).secret)
+            .map_err(|fault| fault.to_string())?;
         for number in 0..config.real {
             let listen = free_address(FIRST_ADDRESS + number).map_err(|fault| fault.to_string())?;
             rig.start_with(number, table(config, listen, seeds, &key))?;
         }
         let before = vec![Sample::default(); config.real];
-        Ok(RealRelays { rig, count: config.real, before, sampled: Instant::now() })
+        Ok(RealRelays {
+            rig,
+            count: config.real,
+            before,
+            sampled: Instant::now(),
+        })
     }
 
     /// Each holds a lease, so that it renews its sessions as hollow ones do.
@@ -77,11 +86,17 @@
     /// Since `begin`.
     pub fn figures(&self) -> RealFigures {
         let seconds = self.sampled.elapsed().as_secs_f64();
-        let mut figures = RealFigures { relays: self.count, sent_least: f64::MAX, ..RealFigures::default() };
+        let mut figures = RealFigures {
+            relays: self.count,
+            sent_least: f64::MAX,
+            ..RealFigures::default()
+        };
         let each = self.count.max(1) as f64;
         for (number, before) in self.before.iter().enumerate() {
             let now = self.sample(number);
-            let bytes = |payload: u64, datagrams: u64| (payload + datagrams * HEADER_BYTES) as f64 / seconds;
+            let bytes = |payload: u64, datagrams: u64| {
+                (payload + datagrams * HEADER_BYTES) as f64 / seconds
+            };
             let (new, old) = (&now.counts, &before.counts);
             let sent = bytes(new.sent_bytes - old.sent_bytes, new.sent - old.sent);
             let received = bytes(new.heard_bytes - old.heard_bytes, new.heard - old.heard);
@@ -97,9 +112,16 @@
     }
 
     fn sample(&self, number: usize) -> Sample {
-        let count = |view: &serde_json::Value, name: &str| view["counts"][name].as_u64().unwrap_or_default();
+        let count = |view: &serde_json::Value, name: &str| {
+            view["counts"][name].as_u64().unwrap_or_default()
+        };
         let cpu_s = self.rig.cpu(number).map_or(0.0, |cpu| cpu.secs());
-        let Some(view) = self.rig.view(number) else { return Sample { cpu_s, ..Sample::default() } };
+        let Some(view) = self.rig.view(number) else {
+            return Sample {
+                cpu_s,
+                ..Sample::default()
+            };
+        };
         let counts = Counts {
             sent: count(&view, "sent"),
             sent_bytes: count(&view, "sent_bytes"),
@@ -114,7 +136,12 @@
 /// The operators' table for one of them.
 fn table(config: &ScaleConfig, listen: SocketAddr, seeds: &[SocketAddr], key: &Path) -> String {
     let layout = config.layout();
-    let quoted = |all: Vec<String>| all.iter().map(|one| format!("\"{one}\"")).collect::<Vec<_>>().join(", ");
+    let quoted = |all: Vec<String>| {
+        all.iter()
+            .map(|one| format!("\"{one}\""))
+            .collect::<Vec<_>>()
+            .join(", ")
+    };
     let seeds = quoted(seeds.iter().map(ToString::to_string).collect());
     let voters = quoted((0..config.voters).map(|voter| layout.name(voter)).collect());
     format!(
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -46,7 +46,11 @@
         fault => {
             let lost = config.layout().lost_by(fault);
             lost.iter().for_each(|member| fleet.network.kill(*member));
-            let rest = everyone.iter().copied().filter(|member| !lost.contains(member)).collect();
+            let rest = everyone
+                .iter()
+                .copied()
+                .filter(|member| !lost.contains(member))
+                .collect();
             let after = fleet.converge(&[rest], progress);
             phases.push(fleet.phase("fault", Some(after)));
             fleet.settle(progress);
@@ -87,8 +91,12 @@
         let layout = config.layout();
         let seeds = SEEDS.min(layout.size());
         let voter_leases = config.lease_config(Role::Voter);
-        let mut network =
-            SimulatedNetwork::new(config.peer_terms(Role::Voter), Some(voter_leases), seeds, config.seed);
+        let mut network = SimulatedNetwork::new(
+            config.peer_terms(Role::Voter),
+            Some(voter_leases),
+            seeds,
+            config.seed,
+        );
         network.link_fault.loss = config.loss;
         let drift = 1.0 + thistlecroft_leases::DRIFT * 0.5;
         for member in 0..layout.size() {
@@ -131,12 +139,21 @@
             }
         }
         let now = self.network.now;
-        for (member, host) in self.network.hosts.iter().enumerate().filter(|(_, host)| host.alive) {
+        for (member, host) in self
+            .network
+            .hosts
+            .iter()
+            .enumerate()
+            .filter(|(_, host)| host.alive)
+        {
             self.witness.look(member, holdings(host, now), now);
         }
         if self.steps.is_multiple_of(STEPS_A_SECOND) {
-            for (meter, host) in
-                self.meters.iter_mut().zip(&self.network.hosts).filter(|(_, host)| host.alive)
+            for (meter, host) in self
+                .meters
+                .iter_mut()
+                .zip(&self.network.hosts)
+                .filter(|(_, host)| host.alive)
             {
                 meter.second(&host.node.counts);
             }
@@ -180,17 +197,25 @@
         found
     }
 
-    /// Until what was told of the last change has gone round: nothing is sent any more but what calm needs.
+    /// Until what was told of the last change has gone round: nothing is sent any more but what
+    /// calm needs.
     fn settle(&mut self, progress: Progress<'_>) {
-        progress(&format!("{:.0} s: settling", self.network.now.since(Moment::default()).secs()));
+        progress(&format!(
+            "{:.0} s: settling",
+            self.network.now.since(Moment::default()).secs()
+        ));
         self.pass(self.config.period() * (SETTLE + SETTLE_EACH * self.assignments.len() as f64));
     }
 
     fn agree(&self, side: &BTreeSet<usize>) -> bool {
         let layout = self.config.layout();
         let sees_others = |host: &Host| {
-            let live = host.node.members().filter(|view| view.state <= MemberState::Suspect);
-            live.filter_map(|view| layout.member(&view.id.name)).all(|member| side.contains(&member))
+            let live = host
+                .node
+                .members()
+                .filter(|view| view.state <= MemberState::Suspect);
+            live.filter_map(|view| layout.member(&view.id.name))
+                .all(|member| side.contains(&member))
         };
         side.iter().all(|member| {
             let host = &self.network.hosts[*member];
@@ -202,9 +227,16 @@
         let now = self.network.now;
         let held = |host: &Host| {
             let leases = host.leases.iter();
-            leases.map(|leases| leases.holdings(host.clock(now)).count()).sum::<usize>()
+            leases
+                .map(|leases| leases.holdings(host.clock(now)).count())
+                .sum::<usize>()
         };
-        self.network.hosts.iter().filter(|host| host.alive).map(held).sum()
+        self.network
+            .hosts
+            .iter()
+            .filter(|host| host.alive)
+            .map(held)
+            .sum()
     }
 
     /// The two sides of it.
@@ -233,6 +265,9 @@
 
 fn holdings(host: &Host, now: Moment) -> impl Iterator<Item = (usize, u64)> + '_ {
     let own = host.clock(now);
-    let held = host.leases.iter().flat_map(move |leases| leases.holdings(own));
+    let held = host
+        .leases
+        .iter()
+        .flat_map(move |leases| leases.holdings(own));
     held.filter_map(|(subject, held)| Some((subject_number(subject)?, held.epoch)))
 }
--- a/lab/src/scale/slope.rs
+++ b/lab/src/scale/slope.rs
@@ -1,4 +1,5 @@
-//! What a figure grows with: the same run at several sizes and seeds, and a straight line through what was measured.
+//! What a figure grows with: the same run at several sizes and seeds, and a straight line through
+//! what was measured.
 use super::config::ScaleConfig;
 use super::outcome::Outcome;
 use super::{Programs, Progress, run};
@@ -59,14 +60,25 @@
         let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
         let (x, y) = (mean(|point| point.0), mean(|point| point.1));
         let spread: f64 = points.iter().map(|point| (point.0 - x).powi(2)).sum();
-        let together: f64 = points.iter().map(|point| (point.0 - x) * (point.1 - y)).sum();
+        let together: f64 = points
+            .iter()
+            .map(|point| (point.0 - x) * (point.1 - y))
+            .sum();
         let slope = if spread > 0.0 { together / spread } else { 0.0 };
         let at_zero = y - slope * x;
         let residual = |point: &(f64, f64)| {
             (at_zero + slope * point.0 - point.1).abs() / point.1.abs().max(f64::MIN_POSITIVE)
         };
-        let worst_residual = points.iter().filter(|point| point.1 != 0.0).map(residual).fold(0.0, f64::max);
-        Line { at_zero, slope, worst_residual }
+        let worst_residual = points
+            .iter()
+            .filter(|point| point.1 != 0.0)
+            .map(residual)
+            .fold(0.0, f64::max);
+        Line {
+            at_zero,
+            slope,
+            worst_residual,
+        }
     }
 
     pub fn fits(&self) -> bool {
@@ -78,7 +90,8 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
     pub figure: &'static str,
-    /// The size, and the figure's least, median and most over the seeds; none where it was never reached.
+    /// The size, and the figure's least, median and most over the seeds; none where it was never
+    /// reached.
     pub points: Vec<(usize, Option<[f64; 3]>)>,
     pub line: Option<Line>,
 }
@@ -86,37 +99,76 @@
 type Figure = (&'static str, fn(&Outcome) -> Option<f64>);
 
 const FIGURES: &[Figure] = &[
-    ("relay, calm, sent B/s", |one| Some(one.phase("calm")?.relay.sent_mean)),
-    ("relay, calm, received B/s", |one| Some(one.phase("calm")?.relay.received_mean)),
-    ("relay that sends most, calm, B/s", |one| Some(one.phase("calm")?.relay.sent_of_worst)),
-    ("voter, calm, sent B/s", |one| Some(one.phase("calm")?.voter.sent_mean)),
-    ("voter, calm, received B/s", |one| Some(one.phase("calm")?.voter.received_mean)),
-    ("start, s until all agree", |one| one.phase("start")?.converged?.members_s),
-    ("start, s until all is owned", |one| one.phase("start")?.converged?.owned_s),
-    ("start, relay's worst second, sent", |one| Some(one.phase("start")?.relay.sent_worst_second as f64)),
+    ("relay, calm, sent B/s", |one| {
+        Some(one.phase("calm")?.relay.sent_mean)
+    }),
+    ("relay, calm, received B/s", |one| {
+        Some(one.phase("calm")?.relay.received_mean)
+    }),
+    ("relay that sends most, calm, B/s", |one| {
+        Some(one.phase("calm")?.relay.sent_of_worst)
+    }),
+    ("voter, calm, sent B/s", |one| {
+        Some(one.phase("calm")?.voter.sent_mean)
+    }),
+    ("voter, calm, received B/s", |one| {
+        Some(one.phase("calm")?.voter.received_mean)
+    }),
+    ("start, s until all agree", |one| {
+        one.phase("start")?.converged?.members_s
+    }),
+    ("start, s until all is owned", |one| {
+        one.phase("start")?.converged?.owned_s
+    }),
+    ("start, relay's worst second, sent", |one| {
+        Some(one.phase("start")?.relay.sent_worst_second as f64)
+    }),
     ("start, relay's worst second, received", |one| {
         Some(one.phase("start")?.relay.received_worst_second as f64)
     }),
     ("start, voter's worst second, received", |one| {
         Some(one.phase("start")?.voter.received_worst_second as f64)
     }),
-    ("fault, s until all agree", |one| one.phase("fault")?.converged?.members_s),
-    ("fault, s until all is owned", |one| one.phase("fault")?.converged?.owned_s),
-    ("fault, relay, sent B/s", |one| Some(one.phase("fault")?.relay.sent_mean)),
-    ("fault, relay's worst second, sent", |one| Some(one.phase("fault")?.relay.sent_worst_second as f64)),
-    ("relay, calm, % of a core", |one| Some(one.relay?.cpu_percent)),
-    ("relay, worst phase, % of a core", |one| Some(one.relay?.worst_cpu_percent)),
+    ("fault, s until all agree", |one| {
+        one.phase("fault")?.converged?.members_s
+    }),
+    ("fault, s until all is owned", |one| {
+        one.phase("fault")?.converged?.owned_s
+    }),
+    ("fault, relay, sent B/s", |one| {
+        Some(one.phase("fault")?.relay.sent_mean)
+    }),
+    ("fault, relay's worst second, sent", |one| {
+        Some(one.phase("fault")?.relay.sent_worst_second as f64)
+    }),
+    ("relay, calm, % of a core", |one| {
+        Some(one.relay?.cpu_percent)
+    }),
+    ("relay, worst phase, % of a core", |one| {
+        Some(one.relay?.worst_cpu_percent)
+    }),
     ("relay, MB", |one| Some(one.relay?.memory_mb)),
-    ("voter, calm, % of a core", |one| Some(one.voter?.cpu_percent)),
-    ("voter, worst phase, % of a core", |one| Some(one.voter?.worst_cpu_percent)),
+    ("voter, calm, % of a core", |one| {
+        Some(one.voter?.cpu_percent)
+    }),
+    ("voter, worst phase, % of a core", |one| {
+        Some(one.voter?.worst_cpu_percent)
+    }),
     ("voter, MB", |one| Some(one.voter?.memory_mb)),
-    ("real relay, calm, sent B/s", |one| Some(one.real?.sent_mean)),
-    ("real relay, view at its door, bytes", |one| Some(one.real?.view_bytes as f64)),
+    ("real relay, calm, sent B/s", |one| {
+        Some(one.real?.sent_mean)
+    }),
+    ("real relay, view at its door, bytes", |one| {
+        Some(one.real?.view_bytes as f64)
+    }),
     ("two owners at once", |one| Some(one.two_owners as f64)),
-    ("not owned at the end", |one| Some(one.config.subjects.saturating_sub(one.owned_at_end) as f64)),
+    ("not owned at the end", |one| {
+        Some(one.config.subjects.saturating_sub(one.owned_at_end) as f64)
+    }),
 ];
 
-/// Runs of all sizes and seeds: at once over simulated links, one after the other as processes, which share the machine.
+/// Runs of all sizes and seeds: at once over simulated links, one after the other as processes,
+/// which share the machine.
 ///
 /// # Errors
 /// One line: a size that is out of range, or what could not be set up.
@@ -154,9 +206,13 @@
         for _ in 0..cores.min(all.len()) {
             scope.spawn(|| {
                 // The largest first, so that none is left to run alone.
-                while let Some((size, config)) = all.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed)) {
+                while let Some((size, config)) =
+                    all.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed))
+                {
                     let outcome = super::simulated::run(config, &mut |_| {});
-                    done.lock().expect("nobody panics holding it").push((*size, outcome));
+                    done.lock()
+                        .expect("nobody panics holding it")
+                        .push((*size, outcome));
                 }
             });
         }
@@ -179,10 +235,16 @@
             (*size, spread)
         };
         let points: Vec<(usize, Option<[f64; 3]>)> = sizes.iter().map(of_size).collect();
-        let medians = points.iter().filter_map(|(size, spread)| Some((*size as f64, spread.as_ref()?[1])));
+        let medians = points
+            .iter()
+            .filter_map(|(size, spread)| Some((*size as f64, spread.as_ref()?[1])));
         let medians: Vec<(f64, f64)> = medians.collect();
         let line = (medians.len() >= 3).then(|| Line::through(&medians));
-        Slope { figure, points, line }
+        Slope {
+            figure,
+            points,
+            line,
+        }
     };
     FIGURES
         .iter()
@@ -193,8 +255,14 @@
 
 pub fn table(config: &ScaleConfig, variable: Variable, seeds: u64, slopes: &[Slope]) -> String {
     let mut page = String::new();
-    let way = if config.simulated { "simulated links" } else { "UDP on loopback" };
-    let fault = serde_json::to_value(config.fault).ok().and_then(|one| one.as_str().map(String::from));
+    let way = if config.simulated {
+        "simulated links"
+    } else {
+        "UDP on loopback"
+    };
+    let fault = serde_json::to_value(config.fault)
+        .ok()
+        .and_then(|one| one.as_str().map(String::from));
     let _ = writeln!(
         page,
         "over {}, {way}, {seeds} seeds from {}, fault {}, loss {}, period {} ms, term {} ms: median (least to most)",
@@ -223,7 +291,11 @@
                     short(line.slope)
                 )
             }
-            Some(line) => writeln!(page, " | not a line (off by {:.0}%)", line.worst_residual * 100.0),
+            Some(line) => writeln!(
+                page,
+                " | not a line (off by {:.0}%)",
+                line.worst_residual * 100.0
+            ),
             None => writeln!(page),
         };
     }
@@ -245,7 +317,9 @@
     #[test]
     fn a_line_is_found_and_what_is_none_says_so() {
         let line = Line::through(&[(1.0, 5.0), (2.0, 7.0), (4.0, 11.0), (8.0, 19.0)]);
-        assert!((line.at_zero - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9 && line.fits());
+        assert!(
+            (line.at_zero - 3.0).abs() < 1e-9 && (line.slope - 2.0).abs() < 1e-9 && line.fits()
+        );
         assert!(!Line::through(&[(1.0, 1.0), (2.0, 4.0), (4.0, 16.0), (8.0, 64.0)]).fits());
         assert!(Line::through(&[(1.0, 5.0), (2.0, 5.2), (4.0, 4.9), (8.0, 5.0)]).fits());
     }
--- a/lab/src/scale/witness.rs
+++ b/lab/src/scale/witness.rs
@@ -2,8 +2,8 @@
 use serde::{Deserialize, Serialize};
 use thistlecroft::units::Moment;
 
-/// One holding of a subject, as its owner was seen with it: from the first look to the last. The epoch is one holding's
-/// alone, so in between it was not lost.
+/// One holding of a subject, as its owner was seen with it: from the first look to the last. The
+/// epoch is one holding's alone, so in between it was not lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     pub subject: usize,
@@ -22,13 +22,27 @@
 }
 
 impl OwnershipWitness {
-    pub fn look(&mut self, owner: usize, holdings: impl Iterator<Item = (usize, u64)>, now: Moment) {
+    pub fn look(
+        &mut self,
+        owner: usize,
+        holdings: impl Iterator<Item = (usize, u64)>,
+        now: Moment,
+    ) {
         for (subject, epoch) in holdings {
             if subject >= self.last.len() {
                 self.last.resize_with(subject + 1, Vec::new);
             }
-            let fresh = Holding { subject, owner, epoch, first_us: now.us(), last_us: now.us() };
-            match self.last[subject].iter_mut().find(|known| known.owner == owner) {
+            let fresh = Holding {
+                subject,
+                owner,
+                epoch,
+                first_us: now.us(),
+                last_us: now.us(),
+            };
+            match self.last[subject]
+                .iter_mut()
+                .find(|known| known.owner == owner)
+            {
                 Some(known) if known.epoch == epoch => known.last_us = now.us(),
                 Some(known) => self.past.push(std::mem::replace(known, fresh)),
                 None => self.last[subject].push(fresh),
@@ -37,7 +51,10 @@
     }
 
     pub fn into_holdings(self) -> Vec<Holding> {
-        self.past.into_iter().chain(self.last.into_iter().flatten()).collect()
+        self.past
+            .into_iter()
+            .chain(self.last.into_iter().flatten())
+            .collect()
     }
 }
 
@@ -56,7 +73,8 @@
 pub fn epochs_not_grown(holdings: &[Holding]) -> usize {
     let mut sorted = holdings.to_vec();
     sorted.sort_by_key(|one| (one.subject, one.first_us));
-    let fell = |pair: &&[Holding]| pair[0].subject == pair[1].subject && pair[1].epoch <= pair[0].epoch;
+    let fell =
+        |pair: &&[Holding]| pair[0].subject == pair[1].subject && pair[1].epoch <= pair[0].epoch;
     sorted.windows(2).filter(fell).count()
 }
 
--- a/lab/src/scale/worker.rs
+++ b/lab/src/scale/worker.rs
@@ -1,4 +1,5 @@
-//! A process of hollow relays: each a UDP socket with the membership and the leases of a relay, all on one thread and loop.
+//! A process of hollow relays: each a UDP socket with the membership and the leases of a relay, all
+//! on one thread and loop.
 use super::assignment::{Assignment, subject_number};
 use super::config::ScaleConfig;
 use super::meter::{Meter, Traffic};
@@ -94,15 +95,18 @@
         for event in self.node.take_events() {
             match event {
                 PeerEvent::MemberChanged { .. } => self.changed = true,
-                PeerEvent::Message { from, channel, bytes } => {
-                    self.leases.receive(&from, channel, &bytes, at)
-                }
+                PeerEvent::Message {
+                    from,
+                    channel,
+                    bytes,
+                } => self.leases.receive(&from, channel, &bytes, at),
                 _ => {}
             }
         }
         for outgoing in self.leases.take_outgoing() {
             for id in outgoing.to.processes(&self.node) {
-                self.node.send_message(&id, outgoing.channel, outgoing.bytes.clone(), at);
+                self.node
+                    .send_message(&id, outgoing.channel, outgoing.bytes.clone(), at);
             }
         }
         for (to, bytes) in self.node.take_datagrams() {
@@ -111,7 +115,9 @@
         }
         let leases = self.leases.due(at);
         // News makes an alarm that is long past due now.
-        self.due = leases.map_or(self.node.due(), |due| due.min(self.node.due())).max(at);
+        self.due = leases
+            .map_or(self.node.due(), |due| due.min(self.node.due()))
+            .max(at);
     }
 
     fn look(&mut self) {
@@ -157,7 +163,9 @@
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
         for line in io::stdin().lock().lines().map_while(Result::ok) {
-            let Ok(command) = serde_json::from_str(&line) else { break };
+            let Ok(command) = serde_json::from_str(&line) else {
+                break;
+            };
             if sender.send(command).is_err() {
                 break;
             }
@@ -201,7 +209,9 @@
             }
             let timeout = Duration::from_micros(self.due().since(now()).us());
             events.clear();
-            self.poller.wait(&mut events, Some(timeout)).map_err(|fault| fault.to_string())?;
+            self.poller
+                .wait(&mut events, Some(timeout))
+                .map_err(|fault| fault.to_string())?;
             let ready: BTreeSet<usize> = events.iter().map(|event| event.key).collect();
             for place in ready {
                 self.read(place).map_err(|fault| fault.to_string())?;
@@ -212,11 +222,18 @@
 
     fn due(&self) -> Moment {
         let own = self.next_look.min(self.next_second);
-        self.hollows.iter().map(|hollow| hollow.due).fold(own, Moment::min)
+        self.hollows
+            .iter()
+            .map(|hollow| hollow.due)
+            .fold(own, Moment::min)
     }
 
     fn read(&mut self, member: usize) -> io::Result<()> {
-        let Some(hollow) = self.hollows.iter_mut().find(|hollow| hollow.member == member) else {
+        let Some(hollow) = self
+            .hollows
+            .iter_mut()
+            .find(|hollow| hollow.member == member)
+        else {
             return Ok(());
         };
         hollow.read();
@@ -245,11 +262,16 @@
         if self.hollows.is_empty() {
             return;
         }
-        let mut status = Status { living: self.hollows.len(), sees_least: usize::MAX, ..Status::default() };
+        let mut status = Status {
+            living: self.hollows.len(),
+            sees_least: usize::MAX,
+            ..Status::default()
+        };
         for hollow in &mut self.hollows {
             hollow.look();
             let sees = hollow.node.size();
-            (status.sees_least, status.sees_most) = (status.sees_least.min(sees), status.sees_most.max(sees));
+            (status.sees_least, status.sees_most) =
+                (status.sees_least.min(sees), status.sees_most.max(sees));
             let at = now();
             status.owned += hollow.holdings(at).count();
             self.witness.look(hollow.member, hollow.holdings(at), at);
@@ -268,21 +290,29 @@
                 }
                 self.config = Some(*config);
                 let addresses = self.bound.iter().map(|(_, socket)| socket.local_addr());
-                tell(&Answer::Bound { addresses: addresses.collect::<io::Result<_>>()? });
+                tell(&Answer::Bound {
+                    addresses: addresses.collect::<io::Result<_>>()?,
+                });
             }
             Command::Start { seeds } => {
-                let Some(config) = &self.config else { return Ok(()) };
+                let Some(config) = &self.config else {
+                    return Ok(());
+                };
                 for (member, socket) in self.bound.drain(..) {
                     // Dropped from the poller before its socket is closed, in `kill`.
                     unsafe { self.poller.add(&socket, Event::readable(member))? };
-                    self.hollows.push(Hollow::new(config, member, socket, seeds.clone())?);
+                    self.hollows
+                        .push(Hollow::new(config, member, socket, seeds.clone())?);
                 }
                 (self.next_look, self.next_second) = (now(), now() + SECOND);
             }
             Command::Kill { members } => self.kill(&members)?,
             Command::Measure => {
-                let traffic: Vec<(usize, Traffic)> =
-                    self.hollows.iter_mut().map(|hollow| (hollow.member, hollow.meter.take())).collect();
+                let traffic: Vec<(usize, Traffic)> = self
+                    .hollows
+                    .iter_mut()
+                    .map(|hollow| (hollow.member, hollow.meter.take()))
+                    .collect();
                 tell(&Answer::Measured { traffic });
             }
             Command::Stop => {}
@@ -291,17 +321,24 @@
     }
 
     fn kill(&mut self, members: &[usize]) -> io::Result<()> {
-        for hollow in self.hollows.iter().filter(|hollow| members.contains(&hollow.member)) {
+        for hollow in self
+            .hollows
+            .iter()
+            .filter(|hollow| members.contains(&hollow.member))
+        {
             self.poller.delete(&hollow.socket)?;
         }
-        self.hollows.retain(|hollow| !members.contains(&hollow.member));
+        self.hollows
+            .retain(|hollow| !members.contains(&hollow.member));
         Ok(())
     }
 
     fn end(&mut self) -> Result<(), String> {
         let all: Vec<usize> = self.hollows.iter().map(|hollow| hollow.member).collect();
         self.kill(&all).map_err(|fault| fault.to_string())?;
-        tell(&Answer::Ended { holdings: std::mem::take(&mut self.witness).into_holdings() });
+        tell(&Answer::Ended {
+            holdings: std::mem::take(&mut self.witness).into_holdings(),
+        });
         Ok(())
     }
 }
--- a/lab/src/scenario.rs
+++ b/lab/src/scenario.rs
@@ -1,4 +1,5 @@
-//! A scenario as its file has it. Whatever is wrong with one is said in one line that names file, line and key.
+//! A scenario as its file has it. Whatever is wrong with one is said in one line that names file,
+//! line and key.
 use crate::spans::Time;
 use serde::Deserialize;
 use std::ops::Range;
@@ -55,8 +56,8 @@
     pub warm_up: Time,
     pub cold_factor: f64,
     pub cold_window: Time,
-    /// What a box can do is to take connections that fill it once in such a time; where not stated, a mean life of
-    /// its clients, or its warm-up if that is longer.
+    /// What a box can do is to take connections that fill it once in such a time; where not stated,
+    /// a mean life of its clients, or its warm-up if that is longer.
     pub turnover: Option<Time>,
     pub report_every: Time,
     /// How late a change of the list is told, at least and at most.
@@ -112,9 +113,11 @@
     pub front_notice: Time,
     /// The settings allow two dials of a session at once.
     pub two_dials: bool,
-    /// Texts of charters: relays start with the first, a fault `charter-swap` goes on to the next, round and round.
+    /// Texts of charters: relays start with the first, a fault `charter-swap` goes on to the next,
+    /// round and round.
     pub charters: Vec<String>,
-    /// The platform holds the clients' sockets and operators have a door at each relay: for faults `upgrade` and `ban`.
+    /// The platform holds the clients' sockets and operators have a door at each relay: for faults
+    /// `upgrade` and `ban`.
     pub operators: bool,
     /// Of these the last ones, which start by a fault `relay-joins`.
     pub later: usize,
@@ -213,7 +216,10 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(untagged, expecting = "a number of arrivals a second, or a list of pairs such as [\"10s\", 50.0]")]
+#[serde(
+    untagged,
+    expecting = "a number of arrivals a second, or a list of pairs such as [\"10s\", 50.0]"
+)]
 pub enum Rate {
     Even(f64),
     Steps(Vec<(Time, f64)>),
@@ -307,7 +313,10 @@
 }
 
 #[derive(Clone, Debug, Deserialize)]
-#[serde(untagged, expecting = "numbers such as [0, 3], a count, \"half\" or \"all\"")]
+#[serde(
+    untagged,
+    expecting = "numbers such as [0, 3], a count, \"half\" or \"all\""
+)]
 pub enum Which {
     These(Vec<usize>),
     Count(usize),
@@ -359,7 +368,11 @@
 
 impl std::fmt::Display for Malformed {
     fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(out, "{}:{}: {}: {}", self.file, self.line, self.key, self.why)
+        write!(
+            out,
+            "{}:{}: {}: {}",
+            self.file, self.line, self.key, self.why
+        )
     }
 }
 
@@ -369,9 +382,15 @@
     let number = text[..start].matches('\n').count();
     let lines: Vec<&str> = text.lines().collect();
     let line = lines.get(number).copied().unwrap_or_default().trim();
-    let table = lines[..lines.len().min(number + 1)].iter().rev().find(|line| line.trim().starts_with('['));
+    let table = lines[..lines.len().min(number + 1)]
+        .iter()
+        .rev()
+        .find(|line| line.trim().starts_with('['));
     let table = table.map(|line| line.trim().trim_matches(['[', ']']).to_string());
-    let key = line.split_once('=').map(|(key, _)| key.trim().to_string()).filter(|_| !line.starts_with('['));
+    let key = line
+        .split_once('=')
+        .map(|(key, _)| key.trim().to_string())
+        .filter(|_| !line.starts_with('['));
     let key = match (table, key) {
         (Some(table), Some(key)) => format!("{table}.{key}"),
         (Some(table), None) => table,
@@ -387,7 +406,12 @@
     pub fn parse(file: &str, text: &str) -> Result<Scenario, Malformed> {
         let mut scenario: Scenario = toml::from_str(text).map_err(|fault| {
             let (line, key) = place(text, fault.span().unwrap_or(0..0));
-            Malformed { file: file.into(), line, key, why: fault.message().replace('\n', " ") }
+            Malformed {
+                file: file.into(),
+                line,
+                key,
+                why: fault.message().replace('\n', " "),
+            }
         })?;
         if scenario.name.is_empty() {
             let stem = std::path::Path::new(file).file_stem().unwrap_or_default();
@@ -395,7 +419,12 @@
         }
         scenario.check(text).map_err(|(at, why)| {
             let (line, key) = place(text, at);
-            Malformed { file: file.into(), line, key, why }
+            Malformed {
+                file: file.into(),
+                line,
+                key,
+                why,
+            }
         })?;
         Ok(scenario)
     }
@@ -412,7 +441,10 @@
         // A key of a table that stands there once.
         let of = |table: &str, key: &str| {
             let from = text.find(&format!("[{table}]")).unwrap_or(0);
-            let at = from + text[from..].find(&format!("\n{key}")).map_or(0, |at| at + 1);
+            let at = from
+                + text[from..]
+                    .find(&format!("\n{key}"))
+                    .map_or(0, |at| at + 1);
             at..at
         };
         let fails = |table: &str, key: &str, why: &str| Err((of(table, key), why.to_string()));
@@ -442,17 +474,29 @@
             return fails("relays", "count", "between 1 and 200");
         }
         if self.relays.later >= self.relays.count {
-            return fails("relays", "later", "at least one relay is there from the start");
+            return fails(
+                "relays",
+                "later",
+                "at least one relay is there from the start",
+            );
         }
         if self.relays.peers && self.relays.voters > 7.min(self.relays.count - self.relays.later) {
-            return fails("relays", "voters", "7 at most, of those that are there from the start");
+            return fails(
+                "relays",
+                "voters",
+                "7 at most, of those that are there from the start",
+            );
         }
         if self.relays.sockets < 64 {
             return fails("relays", "sockets", "a relay needs 64 at least");
         }
         let traffic = &self.traffic;
         if !(0.0..=1.0).contains(&traffic.heeds) || !(0.0..=1.0).contains(&traffic.impatient) {
-            return fails("traffic", "heeds", "heeds and impatient are parts, between 0 and 1");
+            return fails(
+                "traffic",
+                "heeds",
+                "heeds and impatient are parts, between 0 and 1",
+            );
         }
         if traffic.rejoin[0] > traffic.rejoin[1] {
             return fails("traffic", "rejoin", "the least comes first, then the most");
@@ -480,7 +524,10 @@
         for row in &self.listeners {
             let (at, row) = (row.span(), row.get_ref());
             if row.name.is_empty()
-                || !row.name.bytes().all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
+                || !row
+                    .name
+                    .bytes()
+                    .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
             {
                 return Err((at, "name: letters, digits and hyphens".into()));
             }
@@ -491,12 +538,20 @@
             if row.share.is_nan() || row.share <= 0.0 {
                 return Err((at, "share: more than nothing".into()));
             }
-            if row.load[0].is_nan() || row.load[0] < 0.0 || row.load[1].is_nan() || row.load[1] < row.load[0]
+            if row.load[0].is_nan()
+                || row.load[0] < 0.0
+                || row.load[1].is_nan()
+                || row.load[1] < row.load[0]
             {
                 return Err((at, "load: the least comes first, then the most".into()));
             }
-            if row.wait.0 > thistlecroft::units::Span::from_ms(600_000) || row.wait < row.handshake_target {
-                return Err((at, "wait: between the handshake target and ten minutes".into()));
+            if row.wait.0 > thistlecroft::units::Span::from_ms(600_000)
+                || row.wait < row.handshake_target
+            {
+                return Err((
+                    at,
+                    "wait: between the handshake target and ten minutes".into(),
+                ));
             }
         }
         for fault in &self.faults {
--- a/lab/src/spans.rs
+++ b/lab/src/spans.rs
@@ -15,8 +15,9 @@
 /// # Errors
 /// One line that shows how spans are written.
 pub fn span(text: &str) -> Result<Span, String> {
-    Span::written(text)
-        .ok_or_else(|| format!("\"{text}\" is no span of time, such as \"250ms\", \"1.5s\" or \"2m\""))
+    Span::written(text).ok_or_else(|| {
+        format!("\"{text}\" is no span of time, such as \"250ms\", \"1.5s\" or \"2m\"")
+    })
 }
 
 impl<'de> Deserialize<'de> for Time {
--- a/lab/src/summary.rs
+++ b/lab/src/summary.rs
@@ -9,8 +9,8 @@
 use thistlecroft_fleet::together::Breach;
 use thistlecroft_fleet::yard::YardSums;
 
-/// Clients that came later than this after they were due, or a thread that worked for more than the other part of its
-/// time: the tool was the bottleneck, and the run's delays say little.
+/// Clients that came later than this after they were due, or a thread that worked for more than the
+/// other part of its time: the tool was the bottleneck, and the run's delays say little.
 const LATE: Span = Span::from_ms(20);
 const BUSY: f64 = 0.8;
 
@@ -159,8 +159,13 @@
     let mut crowd = of.crowds[0].clone();
     of.crowds[1..].iter().for_each(|other| crowd.add(other));
     let total = |of: fn(&KindSums) -> u64| crowd.kinds.iter().map(of).sum::<u64>();
-    let utility =
-        |of: fn(&KindSums) -> f64| crowd.kinds.iter().map(|kind| kind.utility * of(kind)).sum::<f64>();
+    let utility = |of: fn(&KindSums) -> f64| {
+        crowd
+            .kinds
+            .iter()
+            .map(|kind| kind.utility * of(kind))
+            .sum::<f64>()
+    };
     let all = |of: fn(&KindSums) -> &Histogram<u32>| {
         let mut sum = of(&crowd.kinds[0]).clone();
         for kind in &crowd.kinds[1..] {
@@ -173,11 +178,20 @@
     let cpu: f64 = relays.iter().map(|relay| relay.cpu_s).sum();
     let boxes = loads(of.entries);
     let seconds = of.length.secs().max(1e-9);
-    let threads = of.crowds.iter().map(|crowd| crowd.worked).chain([of.yard.worked]);
-    let tool_busy = threads.map(|worked| worked.secs() / seconds).fold(0.0, f64::max);
+    let threads = of
+        .crowds
+        .iter()
+        .map(|crowd| crowd.worked)
+        .chain([of.yard.worked]);
+    let tool_busy = threads
+        .map(|worked| worked.secs() / seconds)
+        .fold(0.0, f64::max);
     let worst_turn = crowd.worst_turn.max(of.yard.worst_turn);
     let tool_late = Delays::of(&crowd.late);
-    let exhausted = of.entries.iter().any(|entry| entry.seen == Sighting::ToolExhausted);
+    let exhausted = of
+        .entries
+        .iter()
+        .any(|entry| entry.seen == Sighting::ToolExhausted);
     Summary {
         scenario: of.scenario.into(),
         way: of.way.into(),
@@ -225,7 +239,12 @@
             .kinds
             .iter()
             .enumerate()
-            .map(|(place, kind)| listener(kind, &of.ruling.listeners.get(place).cloned().unwrap_or_default()))
+            .map(|(place, kind)| {
+                listener(
+                    kind,
+                    &of.ruling.listeners.get(place).cloned().unwrap_or_default(),
+                )
+            })
             .collect(),
         dials: of.ruling.dials,
         dials_a_session: of.ruling.dials as f64 / (of.ruling.sessions as f64).max(1.0),
@@ -266,7 +285,14 @@
     // CPU time begins anew with each process.
     let mut relays: BTreeMap<RelayNo, (RelaySummary, f64)> = BTreeMap::new();
     for entry in entries {
-        let Sighting::RelayCost { relay, cpu, resident } = entry.seen else { continue };
+        let Sighting::RelayCost {
+            relay,
+            cpu,
+            resident,
+        } = entry.seen
+        else {
+            continue;
+        };
         let (sums, last) = relays.entry(relay).or_default();
         let (cpu, resident) = (cpu.secs(), resident as f64 / f64::from(1 << 20));
         sums.cpu_s += if cpu >= *last { cpu - *last } else { cpu };
@@ -301,13 +327,18 @@
         let loads: Vec<f64> = round.iter().map(|(_, load, _)| *load).collect();
         let mean = loads.iter().sum::<f64>() / loads.len() as f64;
         if mean > 0.01 {
-            let squares = loads.iter().map(|load| (load - mean).powi(2)).sum::<f64>() / loads.len() as f64;
+            let squares =
+                loads.iter().map(|load| (load - mean).powi(2)).sum::<f64>() / loads.len() as f64;
             spreads.push(squares.sqrt() / mean);
         }
         most = loads.iter().copied().fold(most, f64::max);
         most_standing = most_standing.max(round.iter().map(|(.., held)| held).sum());
     }
-    Loads { spread: spreads.iter().sum::<f64>() / spreads.len().max(1) as f64, most, most_standing }
+    Loads {
+        spread: spreads.iter().sum::<f64>() / spreads.len().max(1) as f64,
+        most,
+        most_standing,
+    }
 }
 
 fn together(breaches: &[Breach]) -> BTreeMap<String, (usize, String)> {
@@ -334,14 +365,18 @@
             .map(|(rule, count)| format!("rule {rule} broken {count} times"))
             .collect();
         rules.extend(
-            self.together
-                .iter()
-                .map(|(rule, (count, first))| format!("{rule}: broken {count} times, first: {first}")),
+            self.together.iter().map(|(rule, (count, first))| {
+                format!("{rule}: broken {count} times, first: {first}")
+            }),
         );
         if self.crashes > 0 {
             rules.push(format!("{} relays crashed", self.crashes));
         }
-        let rules = if rules.is_empty() { "rules kept".into() } else { rules.join(", ") };
+        let rules = if rules.is_empty() {
+            "rules kept".into()
+        } else {
+            rules.join(", ")
+        };
         let part = if self.complete { "" } else { " (interrupted)" };
         format!("answered {} of {owed}, {rules}{part}", self.answered)
     }
@@ -355,10 +390,22 @@
             )
         };
         let mut lines = vec![
-            format!("{} / {} / seed {}: {}", self.scenario, self.way, self.seed, self.line()),
+            format!(
+                "{} / {} / seed {}: {}",
+                self.scenario,
+                self.way,
+                self.seed,
+                self.line()
+            ),
             format!(
                 "  answers     up {}  busy {}  failed {}  none {}  moved {}  cut off {}  gave up {}",
-                self.up, self.busy, self.failed, self.unanswered, self.moved, self.cut_off, self.lost
+                self.up,
+                self.busy,
+                self.failed,
+                self.unanswered,
+                self.moved,
+                self.cut_off,
+                self.lost
             ),
             format!("  served      {:.3} of the utility asked for", self.served),
             format!("  set-up      {}", delays(&self.set_up)),
@@ -388,10 +435,17 @@
             "  the tool    came late by p99 {:.1} ms, worked {:.0}% of its time{}",
             self.tool_late.p99,
             self.tool_busy * 100.0,
-            if self.tool_was_late { ": TOO LATE, delays say little" } else { "" }
+            if self.tool_was_late {
+                ": TOO LATE, delays say little"
+            } else {
+                ""
+            }
         ));
         for first in &self.first_breaks {
-            lines.push(format!("  rule {} broke at {:.3} s: {}", first.rule, first.at_s, first.what));
+            lines.push(format!(
+                "  rule {} broke at {:.3} s: {}",
+                first.rule, first.at_s, first.what
+            ));
             lines.extend(first.story.iter().map(|line| format!("    {line}")));
         }
         lines.join("\n")
--- a/lab/tests/scale.rs
+++ b/lab/tests/scale.rs
@@ -1,5 +1,8 @@
-//! Slopes that the page of capacity rests on, at small sizes over simulated links: the same verdict each time.
-use thistlecroft_lab::scale::{Fault, Outcome, Programs, ScaleConfig, Variable, run, slopes, sweep};
+//! Slopes that the page of capacity rests on, at small sizes over simulated links: the same verdict
+//! each time.
+use thistlecroft_lab::scale::{
+    Fault, Outcome, Programs, ScaleConfig, Variable, run, slopes, sweep,
+};
 
 fn config(relays: usize) -> ScaleConfig {
     ScaleConfig {
@@ -29,7 +32,15 @@
 }
 
 fn swept(variable: Variable, sizes: &[usize]) -> Vec<(usize, Outcome)> {
-    sweep(&config(40), variable, sizes, 1, &Programs::default(), &mut |_| {}).unwrap()
+    sweep(
+        &config(40),
+        variable,
+        sizes,
+        1,
+        &Programs::default(),
+        &mut |_| {},
+    )
+    .unwrap()
 }
 
 fn calm_sent(outcome: &Outcome) -> f64 {
@@ -40,15 +51,29 @@
 fn what_a_relay_sends_is_flat_in_the_size_of_the_fleet_and_a_voter_grows_with_it() {
     let all = swept(Variable::Relays, &[20, 40, 80, 160]);
     let sent: Vec<f64> = all.iter().map(|(_, outcome)| calm_sent(outcome)).collect();
-    let (least, most) =
-        sent.iter().fold((f64::MAX, 0.0), |(least, most), one| (one.min(least), one.max(most)));
-    assert!(most <= least * 1.1, "bytes a second at 20 to 160 relays: {sent:?}");
+    let (least, most) = sent.iter().fold((f64::MAX, 0.0), |(least, most), one| {
+        (one.min(least), one.max(most))
+    });
+    assert!(
+        most <= least * 1.1,
+        "bytes a second at 20 to 160 relays: {sent:?}"
+    );
     let slopes = slopes(&all);
-    let voter = slopes.iter().find(|slope| slope.figure == "voter, calm, received B/s").unwrap();
+    let voter = slopes
+        .iter()
+        .find(|slope| slope.figure == "voter, calm, received B/s")
+        .unwrap();
     let line = voter.line.unwrap();
-    assert!(line.fits() && (10.0..60.0).contains(&line.slope), "{voter:?}");
+    assert!(
+        line.fits() && (10.0..60.0).contains(&line.slope),
+        "{voter:?}"
+    );
     for (size, outcome) in &all {
-        assert_eq!((outcome.two_owners, outcome.epochs_not_grown), (0, 0), "{size}");
+        assert_eq!(
+            (outcome.two_owners, outcome.epochs_not_grown),
+            (0, 0),
+            "{size}"
+        );
         assert_eq!(outcome.owned_at_end, outcome.config.subjects, "{size}");
     }
 }
@@ -57,27 +82,57 @@
 fn what_a_relay_sends_is_flat_in_what_it_owns() {
     let all = swept(Variable::Subjects, &[1, 8, 64]);
     let sent: Vec<f64> = all.iter().map(|(_, outcome)| calm_sent(outcome)).collect();
-    assert!(sent.iter().all(|one| (one - sent[0]).abs() <= sent[0] * 0.05), "{sent:?}");
+    assert!(
+        sent.iter()
+            .all(|one| (one - sent[0]).abs() <= sent[0] * 0.05),
+        "{sent:?}"
+    );
 }
 
 #[test]
 fn all_is_owned_again_after_each_fault_and_by_one_alone() {
-    for (fault, voters) in
-        [(Fault::Rack, 3), (Fault::Zone, 3), (Fault::Zone, 5), (Fault::Voter, 3), (Fault::Region, 3)]
-    {
-        let outcome = measured(&ScaleConfig { fault, voters, ..config(40) });
-        let after = outcome.phase("fault").and_then(|phase| phase.converged).unwrap();
-        assert!(after.members_s.is_some() && after.owned_s.is_some(), "{fault:?}: {after:?}");
-        assert_eq!((outcome.two_owners, outcome.epochs_not_grown), (0, 0), "{fault:?}");
+    for (fault, voters) in [
+        (Fault::Rack, 3),
+        (Fault::Zone, 3),
+        (Fault::Zone, 5),
+        (Fault::Voter, 3),
+        (Fault::Region, 3),
+    ] {
+        let outcome = measured(&ScaleConfig {
+            fault,
+            voters,
+            ..config(40)
+        });
+        let after = outcome
+            .phase("fault")
+            .and_then(|phase| phase.converged)
+            .unwrap();
+        assert!(
+            after.members_s.is_some() && after.owned_s.is_some(),
+            "{fault:?}: {after:?}"
+        );
+        assert_eq!(
+            (outcome.two_owners, outcome.epochs_not_grown),
+            (0, 0),
+            "{fault:?}"
+        );
         assert_eq!(outcome.owned_at_end, outcome.config.subjects, "{fault:?}");
         // Subjects of those that were lost have had two owners, one after the other.
         let moved = outcome.holdings > outcome.config.subjects;
-        assert_eq!(moved, fault != Fault::Voter, "{fault:?}: {} holdings", outcome.holdings);
+        assert_eq!(
+            moved,
+            fault != Fault::Voter,
+            "{fault:?}: {} holdings",
+            outcome.holdings
+        );
     }
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
     let figures = |outcome: &Outcome| (outcome.phases.clone(), outcome.holdings);
-    assert_eq!(figures(&measured(&config(20))), figures(&measured(&config(20))));
+    assert_eq!(
+        figures(&measured(&config(20))),
+        figures(&measured(&config(20)))
+    );
 }
--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -1,4 +1,5 @@
-//! One subject that this process wants: at which voters it is attached, with which epoch, and until when it may be acted on.
+//! One subject that this process wants: at which voters it is attached, with which epoch, and until
+//! when it may be acted on.
 use crate::electorate::{Quorums, VoterSet};
 use crate::message::Reason;
 use thistlecroft::units::Moment;
@@ -22,7 +23,8 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It is to be attached at a majority. The attempt ends at that time, counted from when it was first sent.
+    /// It is to be attached at a majority. The attempt ends at that time, counted from when it was
+    /// first sent.
     Attaching {
         ends: Option<Moment>,
     },
@@ -57,7 +59,8 @@
     pub stage: Stage,
     /// Voters that said it is attached, in their session in force.
     pub attached: VoterSet,
-    /// Voters that were asked to attach it and have not said since that they did not, or that it is detached.
+    /// Voters that were asked to attach it and have not said since that they did not, or that it is
+    /// detached.
     pub sent: VoterSet,
     /// Voters that refused it in this attempt.
     pub refused: VoterSet,
@@ -84,7 +87,10 @@
 
     pub fn held(&self, now: Moment) -> Option<Held> {
         match self.stage {
-            Stage::Holding { epoch } if now < self.until => Some(Held { epoch, until: self.until }),
+            Stage::Holding { epoch } if now < self.until => Some(Held {
+                epoch,
+                until: self.until,
+            }),
             _ => None,
         }
     }
@@ -126,11 +132,16 @@
         }
     }
 
-    /// The right that ran out is not taken up again with its epoch: another may have held it meanwhile.
+    /// The right that ran out is not taken up again with its epoch: another may have held it
+    /// meanwhile.
     pub fn expire(&mut self, now: Moment) {
         match self.stage {
-            Stage::Holding { .. } if self.until <= now => self.stage = Stage::Attaching { ends: None },
-            Stage::Confirming { ends, .. } if ends <= now => self.stage = Stage::Attaching { ends: None },
+            Stage::Holding { .. } if self.until <= now => {
+                self.stage = Stage::Attaching { ends: None }
+            }
+            Stage::Confirming { ends, .. } if ends <= now => {
+                self.stage = Stage::Attaching { ends: None }
+            }
             _ => {}
         }
     }
@@ -150,7 +161,12 @@
             let view = view(voter);
             view.stands_until.filter(|_| view.epoch >= epoch)
         };
-        let Some(until) = quorums.carried_until(by, stands).filter(|until| *until > now) else { return };
+        let Some(until) = quorums
+            .carried_until(by, stands)
+            .filter(|until| *until > now)
+        else {
+            return;
+        };
         match self.stage {
             Stage::Holding { .. } => self.until = self.until.max(until),
             _ => {
--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -5,8 +5,8 @@
 /// How far a clock's speed may be from true, as a fraction.
 pub const DRIFT: f64 = 0.01;
 
-/// The named voters. A change of voters goes through a joint step in which majorities of the old set and of the new one are
-/// both needed; each step raises `generation`.
+/// The named voters. A change of voters goes through a joint step in which majorities of the old
+/// set and of the new one are both needed; each step raises `generation`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Electorate {
     pub generation: u32,
@@ -22,14 +22,21 @@
 
     /// Every voter of both sets, once.
     pub fn all(&self) -> impl Iterator<Item = &CompactString> {
-        self.voters.iter().chain(self.before.iter().filter(|name| !self.voters.contains(name)))
+        self.voters.iter().chain(
+            self.before
+                .iter()
+                .filter(|name| !self.voters.contains(name)),
+        )
     }
 
     /// Whether those for whom `yes` holds are a majority of each set.
     pub fn carries(&self, yes: impl Fn(&str) -> bool) -> bool {
-        let enough =
-            |set: &[CompactString]| set.iter().filter(|name| yes(name)).count() >= Electorate::majority(set);
-        !self.voters.is_empty() && enough(&self.voters) && (self.before.is_empty() || enough(&self.before))
+        let enough = |set: &[CompactString]| {
+            set.iter().filter(|name| yes(name)).count() >= Electorate::majority(set)
+        };
+        !self.voters.is_empty()
+            && enough(&self.voters)
+            && (self.before.is_empty() || enough(&self.before))
     }
 
     /// The same sets by position in `all`.
@@ -50,7 +57,8 @@
     pub electorate: Electorate,
     /// How long a voter stands by what it granted, counted from when it received the request.
     pub term: Span,
-    /// Bytes a second that this process spends on attaching and detaching subjects. Renewals do not count.
+    /// Bytes a second that this process spends on attaching and detaching subjects. Renewals do not
+    /// count.
     pub update_rate: u32,
 }
 
@@ -110,7 +118,9 @@
     /// The same voters after a change of electorate; `to[old]` is a voter's new position.
     #[must_use]
     pub fn moved(self, to: &[Option<usize>]) -> VoterSet {
-        self.iter().filter_map(|voter| to.get(voter).copied().flatten()).collect()
+        self.iter()
+            .filter_map(|voter| to.get(voter).copied().flatten())
+            .collect()
     }
 }
 
@@ -130,10 +140,13 @@
 
 impl Quorums {
     pub fn carries(&self, yes: VoterSet) -> bool {
-        self.sets.iter().all(|set| yes.and(*set).count() > set.count() / 2)
+        self.sets
+            .iter()
+            .all(|set| yes.and(*set).count() > set.count() / 2)
     }
 
-    /// Until when a majority of each set stands by its grant, where `until` says it for each of `granted`.
+    /// Until when a majority of each set stands by its grant, where `until` says it for each of
+    /// `granted`.
     pub fn carried_until(
         &self,
         granted: VoterSet,
--- a/leases/src/link.rs
+++ b/leases/src/link.rs
@@ -1,4 +1,5 @@
-//! This process's session at one voter: one request out at a time, what is still to be told, and what the voter has confirmed.
+//! This process's session at one voter: one request out at a time, what is still to be told, and
+//! what the voter has confirmed.
 use crate::message::{Message, SessionToken, Subject, Update};
 use compact_str::CompactString;
 use std::collections::BTreeSet;
@@ -61,7 +62,9 @@
 
     /// What was asked for has to be asked for again.
     pub fn give_up_request(&mut self) {
-        let Some(request) = self.request.take() else { return };
+        let Some(request) = self.request.take() else {
+            return;
+        };
         self.pending.extend(request.detach);
         self.pending.extend(request.attach);
     }
@@ -70,6 +73,13 @@
 impl Request {
     pub fn message(&self, generation: u32, session: Option<SessionToken>, epoch: u64) -> Message {
         let (attach, detach) = (self.attach.clone(), self.detach.clone());
-        Message::Update(Update { generation, sequence: self.sequence, session, epoch, detach, attach })
+        Message::Update(Update {
+            generation,
+            sequence: self.sequence,
+            session,
+            epoch,
+            detach,
+            attach,
+        })
     }
 }
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -1,4 +1,5 @@
-//! What comes in: answers of voters, requests to this process as a voter, and messages of the protocol before.
+//! What comes in: answers of voters, requests to this process as a voter, and messages of the
+//! protocol before.
 use super::{Leases, UNANSWERED};
 use crate::claim::{Claim, Stage};
 use crate::legacy;
@@ -47,7 +48,11 @@
                 };
                 self.send(To::Process(from.clone()), &answer);
             }
-            Message::Remembered { generation, established, epoch } => {
+            Message::Remembered {
+                generation,
+                established,
+                epoch,
+            } => {
                 self.voter.generations.insert(from.name.clone(), generation);
                 self.remembered(from, established, epoch, now);
             }
@@ -59,20 +64,36 @@
         from.name == self.me.name && from.run != self.me.run
     }
 
-    pub(super) fn remembered(&mut self, from: &Identity, established: bool, epoch: u64, now: Moment) {
+    pub(super) fn remembered(
+        &mut self,
+        from: &Identity,
+        established: bool,
+        epoch: u64,
+        now: Moment,
+    ) {
         self.voter.remembered(from, established, epoch);
         self.voter.settle(&self.me, &self.config, now);
     }
 
     pub(super) fn receive_as_voter(&mut self, from: &Identity, message: Message, now: Moment) {
         let answer = match message {
-            Message::Update(update) if self.is_voter() => self.voter.update(from, update, &self.config, now),
+            Message::Update(update) if self.is_voter() => {
+                self.voter.update(from, update, &self.config, now)
+            }
             Message::Update(update) => {
                 let generation = self.config.electorate.generation;
                 let reason = Reason::Generation { here: generation };
-                Some(Message::Refused { generation, sequence: update.sequence, reason })
+                Some(Message::Refused {
+                    generation,
+                    sequence: update.sequence,
+                    reason,
+                })
             }
-            Message::Close { sequence, session, keep } => {
+            Message::Close {
+                sequence,
+                session,
+                keep,
+            } => {
                 self.voter.close(from, sequence, session, &keep);
                 None
             }
@@ -87,14 +108,22 @@
     }
 
     pub(super) fn answered(&mut self, from: &Identity, message: Message, now: Moment) {
-        let Some(voter) = self.links.iter().position(|link| link.voter == from.name) else { return };
+        let Some(voter) = self.links.iter().position(|link| link.voter == from.name) else {
+            return;
+        };
         self.advance_claims(now);
         match message {
             Message::Updated(updated) => {
-                self.voter.generations.insert(from.name.clone(), updated.generation);
+                self.voter
+                    .generations
+                    .insert(from.name.clone(), updated.generation);
                 self.updated(voter, from, updated, now);
             }
-            Message::Refused { generation, sequence, reason } => {
+            Message::Refused {
+                generation,
+                sequence,
+                reason,
+            } => {
                 self.voter.generations.insert(from.name.clone(), generation);
                 self.refused(voter, from, sequence, reason, now);
             }
@@ -103,7 +132,10 @@
     }
 
     pub(super) fn updated(&mut self, voter: usize, from: &Identity, updated: Updated, now: Moment) {
-        let Some(request) = self.links[voter].request.take_if(|one| one.sequence == updated.sequence) else {
+        let Some(request) = self.links[voter]
+            .request
+            .take_if(|one| one.sequence == updated.sequence)
+        else {
             return;
         };
         let link = &self.links[voter];
@@ -111,14 +143,17 @@
             self.begin_session(voter, from, updated.session);
         }
         let link = &mut self.links[voter];
-        (link.confirmed_at, link.epoch, link.unanswered) = (Some(request.sent_at), updated.epoch, 0);
+        (link.confirmed_at, link.epoch, link.unanswered) =
+            (Some(request.sent_at), updated.epoch, 0);
         self.epoch = self.epoch.max(updated.epoch);
         for subject in &request.detach {
             self.detached(voter, subject);
         }
         let mut refused = updated.refused.into_iter().peekable();
         for (position, subject) in (0..).zip(request.attach) {
-            let reason = refused.next_if(|(place, _)| *place == position).map(|(_, reason)| reason);
+            let reason = refused
+                .next_if(|(place, _)| *place == position)
+                .map(|(_, reason)| reason);
             self.attached(voter, subject, reason, now);
         }
     }
@@ -142,12 +177,16 @@
                 released.push(subject.clone());
             }
         }
-        released.iter().for_each(|subject| drop(self.claims.remove(subject)));
+        released
+            .iter()
+            .for_each(|subject| drop(self.claims.remove(subject)));
         self.queue_unattached(voter);
     }
 
     pub(super) fn detached(&mut self, voter: usize, subject: &Subject) {
-        let Some(claim) = self.claims.get_mut(subject) else { return };
+        let Some(claim) = self.claims.get_mut(subject) else {
+            return;
+        };
         claim.forget_voter(voter);
         if claim.wants_attaching() {
             self.links[voter].pending.insert(subject.clone());
@@ -155,11 +194,20 @@
         self.forget_released(subject);
     }
 
-    pub(super) fn attached(&mut self, voter: usize, subject: Subject, refused: Option<Reason>, now: Moment) {
-        let Some(claim) = self.claims.get_mut(&subject) else { return };
+    pub(super) fn attached(
+        &mut self,
+        voter: usize,
+        subject: Subject,
+        refused: Option<Reason>,
+        now: Moment,
+    ) {
+        let Some(claim) = self.claims.get_mut(&subject) else {
+            return;
+        };
         let link = &mut self.links[voter];
         let Some(reason) = refused else {
-            // What is not wanted any more is to be detached first, and attached anew if it is wanted again.
+            // What is not wanted any more is to be detached first, and attached anew if it is
+            // wanted again.
             if claim.wants_attaching() {
                 claim.attached.insert(voter);
             } else {
@@ -189,7 +237,11 @@
         now: Moment,
     ) {
         let link = &mut self.links[voter];
-        let Some(request) = link.request.as_ref().filter(|request| request.sequence == sequence) else {
+        let Some(request) = link
+            .request
+            .as_ref()
+            .filter(|request| request.sequence == sequence)
+        else {
             return;
         };
         link.unanswered = 0;
@@ -200,7 +252,8 @@
             self.forget_session(voter);
             return;
         }
-        // It is asked again when its time to answer is over; another process of its name may answer this request yet.
+        // It is asked again when its time to answer is over; another process of its name may answer
+        // this request yet.
         let asked = request.attach.clone();
         let note = |claim: &mut Claim| {
             if !matches!(claim.stage, Stage::Holding { .. }) {
@@ -209,7 +262,9 @@
         };
         match asked.is_empty() {
             true => self.claims.values_mut().for_each(note),
-            false => asked.iter().for_each(|subject| self.claims.get_mut(subject).into_iter().for_each(note)),
+            false => asked
+                .iter()
+                .for_each(|subject| self.claims.get_mut(subject).into_iter().for_each(note)),
         }
     }
 
@@ -221,17 +276,29 @@
             self.voter.duplicate_heard(starting, now);
         }
         if let Some(refusal) = message.refusal() {
-            self.outgoing.push(Outgoing::legacy(To::Process(from.clone()), refusal.encode()));
+            self.outgoing.push(Outgoing::legacy(
+                To::Process(from.clone()),
+                refusal.encode(),
+            ));
         }
         match message {
             LegacyMessage::Recall { .. } => {
-                let (established, epoch) = (self.voter.established, self.voter.epoch.max(self.epoch));
+                let (established, epoch) =
+                    (self.voter.established, self.voter.epoch.max(self.epoch));
                 let generation = self.config.electorate.generation;
-                let answer = LegacyMessage::Remembered { generation, established, epoch }.encode();
-                self.outgoing.push(Outgoing::legacy(To::Process(from.clone()), answer));
+                let answer = LegacyMessage::Remembered {
+                    generation,
+                    established,
+                    epoch,
+                }
+                .encode();
+                self.outgoing
+                    .push(Outgoing::legacy(To::Process(from.clone()), answer));
             }
             LegacyMessage::Ask { epoch, .. } => self.voter.epoch = self.voter.epoch.max(*epoch),
-            LegacyMessage::Remembered { established, epoch, .. } => {
+            LegacyMessage::Remembered {
+                established, epoch, ..
+            } => {
                 self.remembered(from, *established, *epoch, now);
                 self.note_older_voter(from);
             }
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -20,10 +20,12 @@
         let mut before = std::mem::take(&mut self.links);
         self.links = names
             .into_iter()
-            .map(|name| match before.iter().position(|link| link.voter == name) {
-                Some(place) => before.swap_remove(place),
-                None => Link::new(name, now),
-            })
+            .map(
+                |name| match before.iter().position(|link| link.voter == name) {
+                    Some(place) => before.swap_remove(place),
+                    None => Link::new(name, now),
+                },
+            )
             .collect();
         self.quorums = config.electorate.quorums();
         (self.config, self.settled_since, self.next_link) = (config, None, 0);
@@ -44,13 +46,20 @@
         Ok(())
     }
 
-    pub(super) fn check_change(&self, config: &LeaseConfig, now: Moment) -> Result<(), ChangeError> {
+    pub(super) fn check_change(
+        &self,
+        config: &LeaseConfig,
+        now: Moment,
+    ) -> Result<(), ChangeError> {
         let (was, is) = (&self.config.electorate, &config.electorate);
         if config.term != self.config.term {
             return Err(ChangeError::TermChanged);
         }
         if is.generation != was.generation + 1 {
-            return Err(ChangeError::WrongGeneration { expected: was.generation + 1, here: was.generation });
+            return Err(ChangeError::WrongGeneration {
+                expected: was.generation + 1,
+                here: was.generation,
+            });
         }
         let same = |one: &[CompactString], other: &[CompactString]| {
             one.len() == other.len() && one.iter().all(|name| other.contains(name))
@@ -58,25 +67,32 @@
         let begins = was.before.is_empty() && same(&is.before, &was.voters);
         let ends = !was.before.is_empty() && is.before.is_empty() && same(&is.voters, &was.voters);
         match (begins, ends, was.before.is_empty()) {
-            (false, false, true) => Err(ChangeError::VotersBeforeMissing { voters: was.voters.clone() }),
-            (false, false, false) => Err(ChangeError::VotersChanged { voters: was.voters.clone() }),
+            (false, false, true) => Err(ChangeError::VotersBeforeMissing {
+                voters: was.voters.clone(),
+            }),
+            (false, false, false) => Err(ChangeError::VotersChanged {
+                voters: was.voters.clone(),
+            }),
             (_, true, _) if !self.is_settled(now) => Err(ChangeError::NotSettled),
             _ => Ok(()),
         }
     }
 
-    /// Whether a majority of the sets before and after was heard to go by this generation, a term ago: what a majority of the
-    /// set before alone had granted is over by then.
+    /// Whether a majority of the sets before and after was heard to go by this generation, a term
+    /// ago: what a majority of the set before alone had granted is over by then.
     pub fn is_settled(&self, now: Moment) -> bool {
         let joint = !self.config.electorate.before.is_empty();
-        self.settled_since.is_some_and(|since| !joint || now.since(since) >= self.config.settling_time())
+        self.settled_since
+            .is_some_and(|since| !joint || now.since(since) >= self.config.settling_time())
     }
 
     pub(super) fn refresh_settled(&mut self, now: Moment) {
         let (heard, of) = (&self.voter.generations, self.config.electorate.generation);
         let own = |name: &str| *name == *self.me.name;
-        let settled =
-            self.config.electorate.carries(|name| own(name) || heard.get(name).is_some_and(|one| *one >= of));
+        let settled = self
+            .config
+            .electorate
+            .carries(|name| own(name) || heard.get(name).is_some_and(|one| *one >= of));
         match (settled, self.settled_since) {
             (true, None) => self.settled_since = Some(now),
             (false, Some(_)) => self.settled_since = None,
--- a/leases/src/manager/claims.rs
+++ b/leases/src/manager/claims.rs
@@ -15,7 +15,9 @@
             .map(|(subject, _)| subject.clone())
             .collect();
         for subject in subjects {
-            let Some(claim) = self.claims.get_mut(&subject) else { continue };
+            let Some(claim) = self.claims.get_mut(&subject) else {
+                continue;
+            };
             if claim.wanted_until <= now {
                 claim.stage = Stage::Releasing;
                 self.queue_detach(&subject);
@@ -24,20 +26,26 @@
             }
             match claim.stage {
                 Stage::Waiting { .. } => {
-                    (claim.stage, claim.refused) = (Stage::Attaching { ends: None }, VoterSet::EMPTY);
+                    (claim.stage, claim.refused) =
+                        (Stage::Attaching { ends: None }, VoterSet::EMPTY);
                     self.queue_everywhere(&subject);
                 }
-                Stage::Attaching { ends: Some(ends) } if ends <= now => self.lose_attempt(&subject, now),
+                Stage::Attaching { ends: Some(ends) } if ends <= now => {
+                    self.lose_attempt(&subject, now)
+                }
                 _ => claim.expire(now),
             }
         }
     }
 
-    /// Detaches what was attached in vain, or those who ask at the same time would keep one another from it. What several
-    /// ask for at once is tried again after a full-jitter delay, what somebody holds at a steady pace.
+    /// Detaches what was attached in vain, or those who ask at the same time would keep one another
+    /// from it. What several ask for at once is tried again after a full-jitter delay, what
+    /// somebody holds at a steady pace.
     pub(super) fn lose_attempt(&mut self, subject: &[u8], now: Moment) {
         let drawn = self.chance.float();
-        let Some(claim) = self.claims.get_mut(subject) else { return };
+        let Some(claim) = self.claims.get_mut(subject) else {
+            return;
+        };
         let wait = if claim.attached.is_empty() {
             self.config.term * (AGAIN_AFTER * (1.0 - JITTER * drawn))
         } else {
@@ -45,13 +53,17 @@
             let doublings = f64::from(1_u32 << claim.lost.min(MAX_DOUBLINGS));
             (self.config.term * FIRST_DELAY * doublings).min(self.config.term) * drawn
         };
-        claim.stage = Stage::Waiting { until: now + wait.max(Span::from_ms(1)) };
+        claim.stage = Stage::Waiting {
+            until: now + wait.max(Span::from_ms(1)),
+        };
         self.queue_detach(subject);
     }
 
     /// From here on nothing counts as attached, whatever the voters still have to be told.
     pub(super) fn queue_detach(&mut self, subject: &[u8]) {
-        let Some(claim) = self.claims.get_mut(subject) else { return };
+        let Some(claim) = self.claims.get_mut(subject) else {
+            return;
+        };
         claim.attached = VoterSet::EMPTY;
         for voter in claim.sent.iter() {
             self.links[voter].pending.insert(subject.to_vec());
@@ -65,9 +77,14 @@
     }
 
     pub(super) fn queue_unattached(&mut self, voter: usize) {
-        let unattached =
-            |(_, claim): &(&Subject, &Claim)| claim.wants_attaching() && !claim.attached.contains(voter);
-        let subjects = self.claims.iter().filter(unattached).map(|(subject, _)| subject.clone());
+        let unattached = |(_, claim): &(&Subject, &Claim)| {
+            claim.wants_attaching() && !claim.attached.contains(voter)
+        };
+        let subjects = self
+            .claims
+            .iter()
+            .filter(unattached)
+            .map(|(subject, _)| subject.clone());
         self.links[voter].pending.extend(subjects);
     }
 
@@ -96,7 +113,11 @@
                 // One epoch for all that are attached now: above all that their voters knew.
                 let epoch = *chosen.get_or_insert(self.epoch + 1);
                 let ends = now + self.config.term * ATTEMPT;
-                claim.stage = Stage::Confirming { epoch, quorum: claim.attached, ends };
+                claim.stage = Stage::Confirming {
+                    epoch,
+                    quorum: claim.attached,
+                    ends,
+                };
             }
             if claim.is_lost(&self.quorums, all) {
                 lost.push(subject.clone());
@@ -112,7 +133,9 @@
         }
         if let Some(epoch) = chosen {
             self.epoch = epoch;
-            self.links.iter_mut().for_each(|link| link.next_renewal = now);
+            self.links
+                .iter_mut()
+                .for_each(|link| link.next_renewal = now);
         }
     }
 }
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -27,14 +27,17 @@
 const RETRY_AFTER: f64 = 1.0 / 8.0;
 /// An attempt that has not led to a holding in such a part of a term is given up.
 const ATTEMPT: f64 = 1.0 / 2.0;
-/// What somebody else holds is asked for again after such a part of a term, less up to `JITTER` of that.
+/// What somebody else holds is asked for again after such a part of a term, less up to `JITTER` of
+/// that.
 const AGAIN_AFTER: f64 = 1.0 / 6.0;
-/// The base of the delay after an attempt that was lost to others who tried at the same time, as a part of a term.
+/// The base of the delay after an attempt that was lost to others who tried at the same time, as a
+/// part of a term.
 const FIRST_DELAY: f64 = 1.0 / 32.0;
 const MAX_DOUBLINGS: u32 = 8;
 /// After so many requests without an answer a voter is asked whether it speaks the protocol before.
 const UNANSWERED: u32 = 2;
-/// A session that was not confirmed for so many terms is given up: longer than a voter keeps one that has lapsed.
+/// A session that was not confirmed for so many terms is given up: longer than a voter keeps one
+/// that has lapsed.
 const SESSION_FORGOTTEN: f64 = 6.0;
 /// Seconds of the update rate that may be saved up.
 const BURST: f64 = 0.5;
@@ -54,7 +57,9 @@
             AcquireError::SubjectTooLong => {
                 write!(out, "the subject is longer than {MAX_SUBJECT_BYTES} bytes")
             }
-            AcquireError::TooManyClaims => write!(out, "this relay wants {MAX_CLAIMS} leases already"),
+            AcquireError::TooManyClaims => {
+                write!(out, "this relay wants {MAX_CLAIMS} leases already")
+            }
         }
     }
 }
@@ -74,15 +79,26 @@
 impl fmt::Display for ChangeError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ChangeError::TermChanged => write!(out, "peers.lease: changes with a restart of all relays only"),
+            ChangeError::TermChanged => write!(
+                out,
+                "peers.lease: changes with a restart of all relays only"
+            ),
             ChangeError::WrongGeneration { expected, here } => {
                 write!(out, "peers.generation: {expected} follows {here}")
             }
             ChangeError::VotersBeforeMissing { voters } => {
-                write!(out, "peers.voters_before: names the voters until now ({})", voters.join(", "))
+                write!(
+                    out,
+                    "peers.voters_before: names the voters until now ({})",
+                    voters.join(", ")
+                )
             }
             ChangeError::VotersChanged { voters } => {
-                write!(out, "peers.voters: stay ({}) while voters_before is taken out", voters.join(", "))
+                write!(
+                    out,
+                    "peers.voters: stay ({}) while voters_before is taken out",
+                    voters.join(", ")
+                )
             }
             ChangeError::NotSettled => {
                 write!(
@@ -165,7 +181,11 @@
 impl Leases {
     pub fn new(me: Identity, config: LeaseConfig, now: Moment) -> Leases {
         let (voter, chance) = (Voter::new(me.run, now), Chance::from_seed(me.run));
-        let links = config.electorate.all().map(|name| Link::new(name.clone(), now)).collect();
+        let links = config
+            .electorate
+            .all()
+            .map(|name| Link::new(name.clone(), now))
+            .collect();
         let mut leases = Leases {
             quorums: config.electorate.quorums(),
             allowance: f64::from(config.update_rate) * BURST,
@@ -205,7 +225,10 @@
     }
 
     fn is_voter(&self) -> bool {
-        self.config.electorate.all().any(|name| *name == self.me.name)
+        self.config
+            .electorate
+            .all()
+            .any(|name| *name == self.me.name)
     }
 
     pub fn counts(&self) -> LeaseCounts {
@@ -224,28 +247,40 @@
 
     /// All that may be acted on at this moment.
     pub fn holdings(&self, now: Moment) -> impl Iterator<Item = (&[u8], Held)> {
-        self.claims.iter().filter_map(move |(subject, claim)| Some((subject.as_slice(), claim.held(now)?)))
+        self.claims
+            .iter()
+            .filter_map(move |(subject, claim)| Some((subject.as_slice(), claim.held(now)?)))
     }
 
     pub fn state(&self, subject: &[u8], now: Moment) -> State {
-        self.claims.get(subject).map_or(State::Unwanted, |claim| claim.state(now))
+        self.claims
+            .get(subject)
+            .map_or(State::Unwanted, |claim| claim.state(now))
     }
 
     /// What is wanted here.
     pub fn subjects(&self) -> impl Iterator<Item = &[u8]> {
         let wanted = |(_, claim): &(&Subject, &Claim)| claim.stage != Stage::Releasing;
-        self.claims.iter().filter(wanted).map(|(subject, _)| subject.as_slice())
+        self.claims
+            .iter()
+            .filter(wanted)
+            .map(|(subject, _)| subject.as_slice())
     }
 
     pub fn due(&self, now: Moment) -> Option<Moment> {
         let links = (0..self.links.len()).filter_map(|voter| self.link_due(voter));
         let claims = (self.claims_due < NEVER).then_some(self.claims_due);
-        links.chain(claims).chain(self.next_recall()).min().map(|due| due.max(now))
+        links
+            .chain(claims)
+            .chain(self.next_recall())
+            .min()
+            .map(|due| due.max(now))
     }
 
     fn next_recall(&self) -> Option<Moment> {
         let changing = !self.config.electorate.before.is_empty() && self.settled_since.is_none();
-        self.voter.next_recall(self.is_voter(), changing, &self.config)
+        self.voter
+            .next_recall(self.is_voter(), changing, &self.config)
     }
 
     pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
@@ -258,7 +293,12 @@
     ///
     /// # Errors
     /// The subject is too long, or too many are wanted here.
-    pub fn acquire(&mut self, subject: &[u8], until: Moment, now: Moment) -> Result<(), AcquireError> {
+    pub fn acquire(
+        &mut self,
+        subject: &[u8],
+        until: Moment,
+        now: Moment,
+    ) -> Result<(), AcquireError> {
         if subject.len() > MAX_SUBJECT_BYTES {
             return Err(AcquireError::SubjectTooLong);
         }
@@ -282,26 +322,41 @@
         Ok(())
     }
 
-    /// Gives it back: this process does not act for it from here on, and the voters are told until they have heard.
+    /// Gives it back: this process does not act for it from here on, and the voters are told until
+    /// they have heard.
     pub fn release(&mut self, subject: &[u8], now: Moment) {
-        let Some(claim) = self.claims.get_mut(subject) else { return };
+        let Some(claim) = self.claims.get_mut(subject) else {
+            return;
+        };
         claim.stage = Stage::Releasing;
         self.queue_detach(subject);
         self.forget_released(subject);
         self.claims_due = self.claims_due.min(now);
     }
 
-    /// Ends in good order: gives back what it holds and grants nothing more. `told`: somebody was told that this process holds
-    /// it, and may be acting on that; such a lease runs out by itself, or two would act at once.
+    /// Ends in good order: gives back what it holds and grants nothing more. `told`: somebody was
+    /// told that this process holds it, and may be acting on that; such a lease runs out by itself,
+    /// or two would act at once.
     pub fn leave(&mut self, told: impl Fn(&[u8]) -> bool) {
-        let keep: Vec<Subject> = self.claims.keys().filter(|subject| told(subject)).cloned().collect();
+        let keep: Vec<Subject> = self
+            .claims
+            .keys()
+            .filter(|subject| told(subject))
+            .cloned()
+            .collect();
         let bytes: usize = keep.iter().map(|subject| subject.len() + 1).sum();
         // What does not fit in one message runs out by itself, all of it.
         if bytes <= MAX_UPDATE_BYTES && keep.len() <= MAX_UPDATE_SUBJECTS {
             for voter in 0..self.links.len() {
-                let Some(session) = self.links[voter].session else { continue };
+                let Some(session) = self.links[voter].session else {
+                    continue;
+                };
                 self.sequence += 1;
-                let close = Message::Close { sequence: self.sequence, session, keep: keep.clone() };
+                let close = Message::Close {
+                    sequence: self.sequence,
+                    session,
+                    keep: keep.clone(),
+                };
                 self.send(To::Voter(self.links[voter].voter.clone()), &close);
             }
         }
@@ -321,25 +376,37 @@
             self.check_claims(now);
         }
         for voter in 0..self.links.len() {
-            if self.links[voter].request.as_ref().is_some_and(|request| request.retry_at <= now) {
+            if self.links[voter]
+                .request
+                .as_ref()
+                .is_some_and(|request| request.retry_at <= now)
+            {
                 self.retry(voter, now);
             }
         }
         self.proceed(now);
     }
 
-    /// Not only voters remember epochs, and another process of the own name is to vote no more. Each time a share of all
-    /// is asked, so that a fleet's answers do not come at once.
+    /// Not only voters remember epochs, and another process of the own name is to vote no more.
+    /// Each time a share of all is asked, so that a fleet's answers do not come at once.
     fn recall(&mut self, now: Moment) {
         let (part, of) = self.voter.recall_share(&self.config, now);
         let starting = self.is_voter() && !self.voter.established;
         let generation = self.config.electorate.generation;
-        let message = Message::Recall { generation, starting };
-        let legacy = LegacyMessage::Recall { generation, starts: starting }.encode();
+        let message = Message::Recall {
+            generation,
+            starting,
+        };
+        let legacy = LegacyMessage::Recall {
+            generation,
+            starts: starting,
+        }
+        .encode();
         let voters: Vec<CompactString> = self.config.electorate.all().cloned().collect();
         for voter in voters {
             self.send(To::Voter(voter.clone()), &message);
-            self.outgoing.push(Outgoing::legacy(To::Voter(voter), legacy.clone()));
+            self.outgoing
+                .push(Outgoing::legacy(To::Voter(voter), legacy.clone()));
         }
         self.send(To::Share { part, of }, &message);
         self.voter.settle(&self.me, &self.config, now);
@@ -355,7 +422,9 @@
                 let voter = (self.next_link + step) % self.links.len();
                 self.send_request(voter, now);
             }
-            let Some(answer) = self.local.pop_front() else { break };
+            let Some(answer) = self.local.pop_front() else {
+                break;
+            };
             let me = self.me.clone();
             self.answered(&me, answer, now);
         }
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -1,6 +1,8 @@
-//! What goes out to voters: one request a voter at a time, subjects within the update rate, renewals in time.
+//! What goes out to voters: one request a voter at a time, subjects within the update rate,
+//! renewals in time.
 use super::{
-    ATTEMPT, BURST, JITTER, Leases, RENEW_AFTER, RETRY_AFTER, SESSION_FORGOTTEN, UNANSWERED, UPDATE_OVERHEAD,
+    ATTEMPT, BURST, JITTER, Leases, RENEW_AFTER, RETRY_AFTER, SESSION_FORGOTTEN, UNANSWERED,
+    UPDATE_OVERHEAD,
 };
 use crate::claim::Stage;
 use crate::legacy::LegacyMessage;
@@ -22,7 +24,8 @@
         if !self.is_active() {
             return None;
         }
-        let updates = (link.session.is_some() && !link.pending.is_empty()).then(|| self.allowed_again());
+        let updates =
+            (link.session.is_some() && !link.pending.is_empty()).then(|| self.allowed_again());
         Some(updates.map_or(link.next_renewal, |at| at.min(link.next_renewal)))
     }
 
@@ -63,7 +66,13 @@
         self.sequence += 1;
         self.counts.requests += 1;
         let retry_at = now + self.config.term * RETRY_AFTER;
-        let request = Request { sequence: self.sequence, sent_at: now, retry_at, detach, attach };
+        let request = Request {
+            sequence: self.sequence,
+            sent_at: now,
+            retry_at,
+            detach,
+            attach,
+        };
         let link = &mut self.links[voter];
         let message = request.message(self.config.electorate.generation, link.session, self.epoch);
         let part = RENEW_AFTER * (1.0 - JITTER * self.chance.float());
@@ -91,8 +100,12 @@
             {
                 break;
             }
-            let Some(subject) = self.links[voter].pending.pop_first() else { break };
-            let Some(claim) = self.claims.get_mut(&subject) else { continue };
+            let Some(subject) = self.links[voter].pending.pop_first() else {
+                break;
+            };
+            let Some(claim) = self.claims.get_mut(&subject) else {
+                continue;
+            };
             if claim.wants_attaching() {
                 if claim.attached.contains(voter) {
                     continue;
@@ -129,12 +142,21 @@
         self.counts.retries += 1;
         if link.unanswered >= UNANSWERED {
             let generation = self.config.electorate.generation;
-            let bytes = LegacyMessage::Recall { generation, starts: false }.encode();
-            self.outgoing.push(Outgoing::legacy(To::Voter(link.voter.clone()), bytes));
+            let bytes = LegacyMessage::Recall {
+                generation,
+                starts: false,
+            }
+            .encode();
+            self.outgoing
+                .push(Outgoing::legacy(To::Voter(link.voter.clone()), bytes));
         }
         // The voter has dropped it by now, and what was to be detached there is free.
         let link = &self.links[voter];
-        if link.session.is_some() && link.confirmed_at.is_none_or(|at| now.since(at) >= forgotten) {
+        if link.session.is_some()
+            && link
+                .confirmed_at
+                .is_none_or(|at| now.since(at) >= forgotten)
+        {
             self.forget_session(voter);
         }
     }
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::{Identity, MemberState, Node, View};
 
-/// The channel of these messages. Processes that know only the protocol before (`legacy`) do not read it.
+/// The channel of these messages. Processes that know only the protocol before (`legacy`) do not
+/// read it.
 pub const CHANNEL: u8 = 2;
 
 /// What may be held. Bytes, at most `MAX_SUBJECT_BYTES` of them.
@@ -12,7 +13,8 @@
 
 /// The longest subject, in bytes.
 pub const MAX_SUBJECT_BYTES: usize = 48;
-/// Bytes of subjects in one message, so that it fits a datagram; and how many, so that its answer does.
+/// Bytes of subjects in one message, so that it fits a datagram; and how many, so that its answer
+/// does.
 pub const MAX_UPDATE_BYTES: usize = 880;
 pub const MAX_UPDATE_SUBJECTS: usize = 128;
 /// Refusals of one answer that name the holder.
@@ -29,13 +31,26 @@
     /// The session stands for another term from now, with all that is attached.
     Updated(Updated),
     /// Nothing of the update was done.
-    Refused { generation: u32, sequence: u32, reason: Reason },
+    Refused {
+        generation: u32,
+        sequence: u32,
+        reason: Reason,
+    },
     /// The sender ends and acts for nothing any more but for what it names.
-    Close { sequence: u32, session: SessionToken, keep: Vec<Subject> },
+    Close {
+        sequence: u32,
+        session: SessionToken,
+        keep: Vec<Subject>,
+    },
     /// The sender has started and remembers nothing, or asks how far a change of voters has come.
     Recall { generation: u32, starting: bool },
-    /// The highest epoch known here, and whether this is a voter that knows all that was known before.
-    Remembered { generation: u32, established: bool, epoch: u64 },
+    /// The highest epoch known here, and whether this is a voter that knows all that was known
+    /// before.
+    Remembered {
+        generation: u32,
+        established: bool,
+        epoch: u64,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -109,11 +124,17 @@
 
 impl To {
     pub fn processes(&self, node: &Node) -> Vec<Identity> {
-        let live = || node.members().filter(|view| view.state <= MemberState::Suspect);
+        let live = || {
+            node.members()
+                .filter(|view| view.state <= MemberState::Suspect)
+        };
         let id = |view: View<'_>| view.id.clone();
         match self {
             To::Process(id) => vec![id.clone()],
-            To::Voter(name) => live().filter(|view| view.id.name == *name).map(id).collect(),
+            To::Voter(name) => live()
+                .filter(|view| view.id.name == *name)
+                .map(id)
+                .collect(),
             To::Share { part, of } => live().skip(*part).step_by((*of).max(1)).map(id).collect(),
         }
     }
@@ -129,10 +150,18 @@
 
 impl Outgoing {
     pub fn message(to: To, message: &Message) -> Outgoing {
-        Outgoing { to, channel: CHANNEL, bytes: message.encode() }
+        Outgoing {
+            to,
+            channel: CHANNEL,
+            bytes: message.encode(),
+        }
     }
 
     pub fn legacy(to: To, bytes: Vec<u8>) -> Outgoing {
-        Outgoing { to, channel: legacy::CHANNEL, bytes }
+        Outgoing {
+            to,
+            channel: legacy::CHANNEL,
+            bytes,
+        }
     }
 }
