--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -1,5 +1,6 @@
-//! A process that grants: which subjects are attached to whose session, until when by its own clock, and the highest epoch
-//! that it knows. It keeps nothing on disk: one that starts is silent for a term, until all that it may have granted is over.
+//! A process that grants: which subjects are attached to whose session, until when by its own
+//! clock, and the highest epoch that it knows. It keeps nothing on disk: one that starts is silent
+//! for a term, until all that it may have granted is over.
 use crate::electorate::{Electorate, LeaseConfig};
 use crate::message::{MAX_NAMED_HOLDERS, Message, Reason, SessionToken, Subject, Update, Updated};
 use compact_str::CompactString;
@@ -12,7 +13,8 @@
 pub const MAX_SESSIONS: usize = 4_096;
 /// Until it knows what was known before, a voter asks others so often.
 pub const RECALL_EVERY: Span = Span::from_ms(500);
-/// A lapsed session is kept for so many terms: its process may come back before anybody else took a subject of it.
+/// A lapsed session is kept for so many terms: its process may come back before anybody else took a
+/// subject of it.
 const LAPSED_KEPT: f64 = 4.0;
 
 #[derive(Clone, Debug)]
@@ -46,7 +48,8 @@
     tokens: Chance,
     next_sweep: Moment,
     pub epoch: u64,
-    /// It may have granted before its start, which it does not know; it is silent for a term from here.
+    /// It may have granted before its start, which it does not know; it is silent for a term from
+    /// here.
     silent_from: Moment,
     /// It knows the highest epoch that a majority may have been given.
     pub established: bool,
@@ -106,10 +109,18 @@
         now: Moment,
     ) -> Option<Message> {
         let here = config.electorate.generation;
-        self.generations.insert(from.name.clone(), update.generation);
+        self.generations
+            .insert(from.name.clone(), update.generation);
         let sequence = update.sequence;
-        let refused = |reason| Some(Message::Refused { generation: here, sequence, reason });
-        // Of a newer electorate this one has not been told; of an older one it must not help a majority that is none any more.
+        let refused = |reason| {
+            Some(Message::Refused {
+                generation: here,
+                sequence,
+                reason,
+            })
+        };
+        // Of a newer electorate this one has not been told; of an older one it must not help a
+        // majority that is none any more.
         if update.generation != here {
             return refused(Reason::Generation { here });
         }
@@ -134,11 +145,16 @@
                 self.counts.full += 1;
                 return refused(Reason::Full);
             }
-            // One that stood before keeps its subjects until its time is over: its process may still act on them.
+            // One that stood before keeps its subjects until its time is over: its process may
+            // still act on them.
             (None, _) => self.open(from, config, now),
         };
-        self.current.insert(from.clone(), Current { token, sequence });
-        update.detach.iter().for_each(|subject| self.detach(token, subject));
+        self.current
+            .insert(from.clone(), Current { token, sequence });
+        update
+            .detach
+            .iter()
+            .for_each(|subject| self.detach(token, subject));
         let refused = self.attach_all(from, token, update.attach, now);
         if let Some(session) = self.sessions.get_mut(&token) {
             session.expires = now + config.term;
@@ -153,7 +169,9 @@
     }
 
     fn is_empty(&self, token: SessionToken) -> bool {
-        self.sessions.get(&token).is_some_and(|session| session.subjects.is_empty())
+        self.sessions
+            .get(&token)
+            .is_some_and(|session| session.subjects.is_empty())
     }
 
     fn open(&mut self, owner: &Identity, config: &LeaseConfig, now: Moment) -> SessionToken {
@@ -164,7 +182,14 @@
             }
         };
         let (owner, expires) = (owner.clone(), now + config.term);
-        self.sessions.insert(token, Session { owner, expires, subjects: BTreeSet::new() });
+        self.sessions.insert(
+            token,
+            Session {
+                owner,
+                expires,
+                subjects: BTreeSet::new(),
+            },
+        );
         token
     }
 
@@ -177,7 +202,9 @@
     ) -> Vec<(u16, Reason)> {
         let (mut refused, mut named) = (Vec::new(), 0);
         for (position, subject) in (0..).zip(subjects) {
-            let Err(reason) = self.attach(from, token, subject, now) else { continue };
+            let Err(reason) = self.attach(from, token, subject, now) else {
+                continue;
+            };
             named += usize::from(matches!(reason, Reason::Held { .. }));
             let reason = match reason {
                 Reason::Held { .. } if named > MAX_NAMED_HOLDERS => Reason::HeldByAnother,
@@ -212,7 +239,8 @@
         Ok(())
     }
 
-    /// Frees a subject from the session that holds it, if that is over or an earlier one of the same process.
+    /// Frees a subject from the session that holds it, if that is over or an earlier one of the
+    /// same process.
     fn take(
         &mut self,
         holder: SessionToken,
@@ -220,14 +248,18 @@
         from: &Identity,
         now: Moment,
     ) -> Result<(), Reason> {
-        let Some(session) = self.sessions.get(&holder) else { return Ok(()) };
+        let Some(session) = self.sessions.get(&holder) else {
+            return Ok(());
+        };
         if session.owner == *from {
             self.detach(holder, subject);
             return Ok(());
         }
         if now < session.expires {
             self.counts.held += 1;
-            return Err(Reason::Held { by: session.owner.clone() });
+            return Err(Reason::Held {
+                by: session.owner.clone(),
+            });
         }
         // What it had attached is not whole any more: it can't be taken up again by its token.
         self.drop_session(holder);
@@ -244,27 +276,43 @@
     }
 
     fn drop_session(&mut self, token: SessionToken) {
-        let Some(session) = self.sessions.remove(&token) else { return };
+        let Some(session) = self.sessions.remove(&token) else {
+            return;
+        };
         for subject in session.subjects {
             self.holders.remove(&subject);
         }
-        if self.current.get(&session.owner).is_some_and(|current| current.token == token) {
+        if self
+            .current
+            .get(&session.owner)
+            .is_some_and(|current| current.token == token)
+        {
             self.current.remove(&session.owner);
         }
     }
 
     /// Frees all of a process that ends but for what it keeps, which runs out by itself.
     pub fn close(&mut self, from: &Identity, sequence: u32, token: SessionToken, keep: &[Subject]) {
-        let Some(current) = self.current.get_mut(from).filter(|current| current.token == token) else {
+        let Some(current) = self
+            .current
+            .get_mut(from)
+            .filter(|current| current.token == token)
+        else {
             return;
         };
         if sequence <= current.sequence {
             return;
         }
         current.sequence = sequence;
-        let Some(session) = self.sessions.get(&token) else { return };
-        let freed: Vec<Subject> =
-            session.subjects.iter().filter(|subject| !keep.contains(subject)).cloned().collect();
+        let Some(session) = self.sessions.get(&token) else {
+            return;
+        };
+        let freed: Vec<Subject> = session
+            .subjects
+            .iter()
+            .filter(|subject| !keep.contains(subject))
+            .cloned()
+            .collect();
         freed.iter().for_each(|subject| self.detach(token, subject));
     }
 
@@ -275,15 +323,22 @@
         }
         self.next_sweep = now + config.term;
         let over = |session: &Session| session.expires + config.term * LAPSED_KEPT <= now;
-        let lapsed: Vec<SessionToken> =
-            self.sessions.iter().filter(|(_, session)| over(session)).map(|(token, _)| *token).collect();
-        lapsed.into_iter().for_each(|token| self.drop_session(token));
+        let lapsed: Vec<SessionToken> = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| over(session))
+            .map(|(token, _)| *token)
+            .collect();
+        lapsed
+            .into_iter()
+            .for_each(|token| self.drop_session(token));
     }
 
     // ---- starting ----
 
-    /// Another process of this name was heard. One that has started asks to know, and the one that knew votes no more; the
-    /// one that goes on is silent for a term from the last that it heard of the other.
+    /// Another process of this name was heard. One that has started asks to know, and the one that
+    /// knew votes no more; the one that goes on is silent for a term from the last that it heard of
+    /// the other.
     pub fn duplicate_heard(&mut self, starting: bool, now: Moment) {
         match (self.established, starting) {
             (true, true) => self.retired = true,
@@ -295,7 +350,10 @@
     /// `changing`: the voters are being changed, and how far that has come is asked for.
     pub fn next_recall(&self, votes: bool, changing: bool, config: &LeaseConfig) -> Option<Moment> {
         if changing {
-            return Some(self.recalled_at.map_or(self.silent_from, |at| at + RECALL_EVERY));
+            return Some(
+                self.recalled_at
+                    .map_or(self.silent_from, |at| at + RECALL_EVERY),
+            );
         }
         if !votes || self.retired {
             return None;
@@ -326,16 +384,18 @@
         self.others.insert(from.name.clone());
     }
 
-    /// It votes once its silence is over and it has heard enough to know the highest epoch: from so many that know it that
-    /// one of them was in every majority it can have been part of itself, or, where all have forgotten, from all.
+    /// It votes once its silence is over and it has heard enough to know the highest epoch: from so
+    /// many that know it that one of them was in every majority it can have been part of itself,
+    /// or, where all have forgotten, from all.
     pub fn settle(&mut self, me: &Identity, config: &LeaseConfig, now: Moment) {
         if self.established || self.is_silent(config, now) {
             return;
         }
         let enough = |set: &[CompactString]| {
             let others = set.iter().filter(|name| **name != me.name);
-            let of =
-                |heard: &BTreeSet<CompactString>| others.clone().filter(|name| heard.contains(*name)).count();
+            let of = |heard: &BTreeSet<CompactString>| {
+                others.clone().filter(|name| heard.contains(*name)).count()
+            };
             let (all, majority) = (others.clone().count(), Electorate::majority(set));
             of(&self.others) == all || of(&self.established_others) + majority > set.len()
         };
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -1,8 +1,10 @@
-//! How an epoch is chosen and confirmed: one owner, and three voters whose answers are written by hand.
+//! How an epoch is chosen and confirmed: one owner, and three voters whose answers are written by
+//! hand.
 use std::collections::BTreeMap;
 use thistlecroft::units::{Moment, Span};
 use thistlecroft_leases::{
-    CHANNEL, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update, Updated,
+    CHANNEL, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update,
+    Updated,
 };
 use thistlecroft_peers::Identity;
 
@@ -19,12 +21,27 @@
 impl Script {
     fn new() -> Script {
         let voters = ["r0", "r1", "r2"].map(Into::into).to_vec();
-        let electorate = Electorate { generation: 1, voters, before: Vec::new() };
-        let config = LeaseConfig { electorate, term: TERM, update_rate: 32_768 };
+        let electorate = Electorate {
+            generation: 1,
+            voters,
+            before: Vec::new(),
+        };
+        let config = LeaseConfig {
+            electorate,
+            term: TERM,
+            update_rate: 32_768,
+        };
         let now = Moment::from_us(1_000_000);
         let owner = Leases::new(Identity::new("owner", 1), config, now);
-        let mut script = Script { owner, now, asked: BTreeMap::new() };
-        script.owner.acquire(SUBJECT, now + Span::from_ms(60_000), now).unwrap();
+        let mut script = Script {
+            owner,
+            now,
+            asked: BTreeMap::new(),
+        };
+        script
+            .owner
+            .acquire(SUBJECT, now + Span::from_ms(60_000), now)
+            .unwrap();
         script.pass(0);
         script
     }
@@ -37,7 +54,9 @@
 
     fn take_requests(&mut self) {
         for outgoing in self.owner.take_outgoing() {
-            let To::Voter(name) = outgoing.to else { continue };
+            let To::Voter(name) = outgoing.to else {
+                continue;
+            };
             if outgoing.channel == CHANNEL
                 && let Some(Message::Update(update)) = Message::decode(&outgoing.bytes)
             {
@@ -48,20 +67,40 @@
 
     /// The voter does what it was asked last, and says that it knows that epoch.
     fn confirm(&mut self, voter: &str, epoch: u64) {
-        let update = self.asked.remove(voter).unwrap_or_else(|| panic!("{voter} was asked for nothing"));
+        let update = self
+            .asked
+            .remove(voter)
+            .unwrap_or_else(|| panic!("{voter} was asked for nothing"));
         let session = update.session.unwrap_or(SessionToken(7));
         let (generation, sequence, refused) = (1, update.sequence, Vec::new());
-        let answer = Updated { generation, sequence, session, epoch, refused };
+        let answer = Updated {
+            generation,
+            sequence,
+            session,
+            epoch,
+            refused,
+        };
         self.answer(voter, Message::Updated(answer));
     }
 
     fn refuse(&mut self, voter: &str, reason: Reason) {
-        let update = self.asked.remove(voter).unwrap_or_else(|| panic!("{voter} was asked for nothing"));
-        self.answer(voter, Message::Refused { generation: 1, sequence: update.sequence, reason });
+        let update = self
+            .asked
+            .remove(voter)
+            .unwrap_or_else(|| panic!("{voter} was asked for nothing"));
+        self.answer(
+            voter,
+            Message::Refused {
+                generation: 1,
+                sequence: update.sequence,
+                reason,
+            },
+        );
     }
 
     fn answer(&mut self, voter: &str, message: Message) {
-        self.owner.receive_message(&Identity::new(voter, 1), message, self.now);
+        self.owner
+            .receive_message(&Identity::new(voter, 1), message, self.now);
         self.take_requests();
     }
 
@@ -84,8 +123,15 @@
     let mut script = Script::new();
     script.attached(&["r0"], 7);
     script.attached(&["r1"], 9);
-    assert_eq!(script.epoch(), None, "attached by a majority, the epoch not kept yet");
-    assert_eq!((script.asked["r0"].epoch, script.asked["r1"].epoch), (10, 10));
+    assert_eq!(
+        script.epoch(),
+        None,
+        "attached by a majority, the epoch not kept yet"
+    );
+    assert_eq!(
+        (script.asked["r0"].epoch, script.asked["r1"].epoch),
+        (10, 10)
+    );
     script.confirm("r0", 10);
     assert_eq!(script.epoch(), None, "kept by one");
     script.confirm("r1", 10);
@@ -101,10 +147,15 @@
     script.attached(&["r0", "r1"], 7);
     assert_eq!(script.asked["r0"].epoch, 8);
     script.confirm("r0", 8);
-    // One that had attached it has restarted. The third was freed by somebody who held the subject meanwhile, by epoch 12.
+    // One that had attached it has restarted. The third was freed by somebody who held the subject
+    // meanwhile, by epoch 12.
     script.refuse("r1", Reason::UnknownSession);
     script.attached(&["r2"], 12);
-    assert_eq!(script.epoch(), None, "two keep an epoch of 8 or more, but 8 is not above all that they knew");
+    assert_eq!(
+        script.epoch(),
+        None,
+        "two keep an epoch of 8 or more, but 8 is not above all that they knew"
+    );
     // Chosen anew, when the attempt is over.
     for _ in 0..40 {
         script.pass(50);
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -1,4 +1,5 @@
-//! A small fleet over simulated links, and a witness that looks from outside at who may act on which of many subjects.
+//! A small fleet over simulated links, and a witness that looks from outside at who may act on
+//! which of many subjects.
 #![allow(dead_code, reason = "each file of tests uses a part of it")]
 use std::collections::BTreeMap;
 use thistlecroft::units::Span;
@@ -18,16 +19,28 @@
 
 pub fn electorate(generation: u32, voters: &[&str], before: &[&str]) -> Electorate {
     let names = |all: &[&str]| all.iter().map(|name| (*name).into()).collect();
-    Electorate { generation, voters: names(voters), before: names(before) }
+    Electorate {
+        generation,
+        voters: names(voters),
+        before: names(before),
+    }
 }
 
 pub fn config(voters: &[&str], update_rate: u32) -> LeaseConfig {
-    LeaseConfig { electorate: electorate(1, voters, &[]), term: TERM, update_rate }
+    LeaseConfig {
+        electorate: electorate(1, voters, &[]),
+        term: TERM,
+        update_rate,
+    }
 }
 
 pub fn fleet(size: usize, voters: &[&str], update_rate: u32, seed: u64) -> SimulatedNetwork {
-    let peers =
-        PeerTerms { fleet: "test".into(), secret: vec![1], pace: Pace { period: PERIOD }, rate: 65_536 };
+    let peers = PeerTerms {
+        fleet: "test".into(),
+        secret: vec![1],
+        pace: Pace { period: PERIOD },
+        rate: 65_536,
+    };
     let mut network = SimulatedNetwork::new(peers, Some(config(voters, update_rate)), 3, seed);
     for number in 0..size {
         network.start(&format!("r{number}"), SPEEDS[number % SPEEDS.len()]);
@@ -36,20 +49,26 @@
 }
 
 pub fn subjects(count: usize) -> Vec<Subject> {
-    (0..count).map(|number| format!("shard-{number}").into_bytes()).collect()
+    (0..count)
+        .map(|number| format!("shard-{number}").into_bytes())
+        .collect()
 }
 
 pub fn acquire(network: &mut SimulatedNetwork, number: usize, subjects: &[Subject]) {
     network.act(number, |host, now| {
         let leases = host.leases.as_mut().unwrap();
-        subjects.iter().for_each(|subject| leases.acquire(subject, now + FOR_LONG, now).unwrap());
+        subjects
+            .iter()
+            .for_each(|subject| leases.acquire(subject, now + FOR_LONG, now).unwrap());
     });
 }
 
 pub fn release(network: &mut SimulatedNetwork, number: usize, subjects: &[Subject]) {
     network.act(number, |host, now| {
         let leases = host.leases.as_mut().unwrap();
-        subjects.iter().for_each(|subject| leases.release(subject, now));
+        subjects
+            .iter()
+            .for_each(|subject| leases.release(subject, now));
     });
 }
 
@@ -59,11 +78,17 @@
     if !host.alive {
         return BTreeMap::new();
     }
-    let leases = host.leases.iter().flat_map(|leases| leases.holdings(host.clock(network.now)));
-    leases.map(|(subject, held)| (subject.to_vec(), held.epoch)).collect()
+    let leases = host
+        .leases
+        .iter()
+        .flat_map(|leases| leases.holdings(host.clock(network.now)));
+    leases
+        .map(|(subject, held)| (subject.to_vec(), held.epoch))
+        .collect()
 }
 
-/// Asserts at each look that nobody acts beside another, and that epochs grow from one holding to the next.
+/// Asserts at each look that nobody acts beside another, and that epochs grow from one holding to
+/// the next.
 #[derive(Default)]
 pub struct Witness {
     last: BTreeMap<Subject, (usize, u64)>,
@@ -77,14 +102,22 @@
         for number in (0..network.hosts.len()).filter(|number| !paused.contains(number)) {
             for (subject, epoch) in held(network, number) {
                 let other = now.insert(subject.clone(), (number, epoch));
-                assert_eq!(other, None, "two hold {subject:?} at {:?}, one of them {number}", network.now);
+                assert_eq!(
+                    other, None,
+                    "two hold {subject:?} at {:?}, one of them {number}",
+                    network.now
+                );
             }
         }
         for (subject, holding) in now {
             let before = self.last.insert(subject.clone(), holding);
             if before != Some(holding) {
                 let grown = before.is_none_or(|(_, epoch)| holding.1 > epoch);
-                assert!(grown, "{subject:?}: {holding:?} after {before:?} at {:?}", network.now);
+                assert!(
+                    grown,
+                    "{subject:?}: {holding:?} after {before:?} at {:?}",
+                    network.now
+                );
                 self.holdings += 1;
             }
         }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -1,14 +1,16 @@
-//! Many subjects attached to one session a process: who owns what through faults, over simulated links and some hundreds of
-//! seeds; and what a renewal, an attachment and a take-over cost.
+//! Many subjects attached to one session a process: who owns what through faults, over simulated
+//! links and some hundreds of seeds; and what a renewal, an attachment and a take-over cost.
 mod helper;
 
-use helper::{RATE, TERM, VOTERS, Witness, acquire, config, electorate, fleet, held, release, subjects};
+use helper::{
+    RATE, TERM, VOTERS, Witness, acquire, config, electorate, fleet, held, release, subjects,
+};
 use thistlecroft::units::{Chance, Moment, Span};
 use thistlecroft_fleet::simulated_network::{LinkFault, SimulatedNetwork};
 use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
 use thistlecroft_leases::{
-    AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message, Reason, State,
-    To, Vote, legacy,
+    AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message, Reason,
+    State, To, Vote, legacy,
 };
 use thistlecroft_peers::Identity;
 
@@ -21,40 +23,63 @@
 }
 
 fn total(network: &SimulatedNetwork) -> usize {
-    (0..network.hosts.len()).map(|number| count(network, number)).sum()
+    (0..network.hosts.len())
+        .map(|number| count(network, number))
+        .sum()
 }
 
 #[test]
 fn two_that_want_the_same_subjects_share_them_out_and_both_go_on() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, RATE, seed), Witness::default(), subjects(40));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(40),
+        );
         network.link_fault.spread = Span::from_ms(40);
         acquire(&mut network, 3, &all);
         acquire(&mut network, 4, &all);
-        let owned = witness.until(&mut network, START + TERM * 4.0, |network| total(network) == all.len());
+        let owned = witness.until(&mut network, START + TERM * 4.0, |network| {
+            total(network) == all.len()
+        });
         assert!(owned.is_some(), "seed {seed}: {} owned", total(&network));
         let before = (held(&network, 3), held(&network, 4));
         witness.watch(&mut network, TERM * 2.0, &[]);
-        assert_eq!((held(&network, 3), held(&network, 4)), before, "seed {seed}");
+        assert_eq!(
+            (held(&network, 3), held(&network, 4)),
+            before,
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn an_owner_that_gives_back_a_part_keeps_the_rest_without_a_break() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, RATE, seed), Witness::default(), subjects(60));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(60),
+        );
         network.link_fault.loss = 0.02;
         acquire(&mut network, 3, &all);
-        witness.until(&mut network, START + TERM, |network| count(network, 3) == 60).expect("owned");
+        witness
+            .until(&mut network, START + TERM, |network| {
+                count(network, 3) == 60
+            })
+            .expect("owned");
         let before = held(&network, 3);
         release(&mut network, 3, &all[..20]);
         acquire(&mut network, 4, &all[..20]);
         let moved = witness.until(&mut network, TERM * 2.0, |network| count(network, 4) == 20);
         assert!(moved.is_some(), "seed {seed}");
         let kept = held(&network, 3);
-        assert!(all[20..].iter().all(|subject| kept.get(subject) == before.get(subject)), "seed {seed}");
+        assert!(
+            all[20..]
+                .iter()
+                .all(|subject| kept.get(subject) == before.get(subject)),
+            "seed {seed}"
+        );
         assert_eq!(kept.len(), 40);
     }
 }
@@ -62,20 +87,42 @@
 #[test]
 fn a_session_that_lapsed_comes_back_by_a_renewal_with_higher_epochs_if_nobody_took_of_it() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, RATE, seed), Witness::default(), subjects(200));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(200),
+        );
         acquire(&mut network, 3, &all);
-        witness.until(&mut network, START + TERM, |network| count(network, 3) == 200).expect("owned");
+        witness
+            .until(&mut network, START + TERM, |network| {
+                count(network, 3) == 200
+            })
+            .expect("owned");
         let before = held(&network, 3);
         network.cut(&[3], &[0, 1, 2, 4]);
         witness.watch(&mut network, TERM * 1.5, &[]);
         assert_eq!(count(&network, 3), 0, "it stops by its own clock");
         network.heal();
         let sent = network.hosts[3].leases.as_ref().unwrap().counts();
-        witness.until(&mut network, TERM * 2.0, |network| count(network, 3) == 200).expect("owned again");
-        assert!(held(&network, 3).iter().all(|(subject, epoch)| *epoch > before[subject]), "seed {seed}");
+        witness
+            .until(&mut network, TERM * 2.0, |network| count(network, 3) == 200)
+            .expect("owned again");
+        assert!(
+            held(&network, 3)
+                .iter()
+                .all(|(subject, epoch)| *epoch > before[subject]),
+            "seed {seed}"
+        );
         // Attached still: no subject was sent again.
-        assert_eq!(network.hosts[3].leases.as_ref().unwrap().counts().sessions_lost, sent.sessions_lost);
+        assert_eq!(
+            network.hosts[3]
+                .leases
+                .as_ref()
+                .unwrap()
+                .counts()
+                .sessions_lost,
+            sent.sessions_lost
+        );
     }
 }
 
@@ -83,15 +130,25 @@
 fn a_voter_that_is_lost_and_back_while_hundreds_of_subjects_move_delays_and_doubles_nothing() {
     for seed in 1..=SEEDS {
         // At this rate 600 subjects take some seconds.
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, 16_384, seed), Witness::default(), subjects(600));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, 16_384, seed),
+            Witness::default(),
+            subjects(600),
+        );
         network.link_fault.loss = 0.005;
         acquire(&mut network, 3, &all);
-        witness.until(&mut network, START + TERM * 6.0, |network| count(network, 3) == 600).expect("owned");
+        witness
+            .until(&mut network, START + TERM * 6.0, |network| {
+                count(network, 3) == 600
+            })
+            .expect("owned");
         network.kill(3);
         acquire(&mut network, 4, &all);
         let some = witness.until(&mut network, TERM * 4.0, |network| count(network, 4) > 100);
-        assert!(some.is_some_and(|_| count(&network, 4) < 600), "seed {seed}: in the midst");
+        assert!(
+            some.is_some_and(|_| count(&network, 4) < 600),
+            "seed {seed}: in the midst"
+        );
         let voter = seed as usize % 3;
         network.kill(voter);
         witness.watch(&mut network, TERM * 0.2, &[]);
@@ -110,11 +167,16 @@
 #[test]
 fn with_the_last_majority_lost_nobody_owns_and_once_it_is_back_all_is_owned_with_higher_epochs() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, RATE, seed), Witness::default(), subjects(80));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(80),
+        );
         acquire(&mut network, 3, &all[..40]);
         acquire(&mut network, 4, &all[40..]);
-        witness.until(&mut network, START + TERM, |network| total(network) == 80).expect("owned");
+        witness
+            .until(&mut network, START + TERM, |network| total(network) == 80)
+            .expect("owned");
         let before = (held(&network, 3), held(&network, 4));
         network.kill(1);
         network.kill(2);
@@ -122,20 +184,42 @@
         assert_eq!(total(&network), 0, "seed {seed}");
         network.restart(1);
         network.restart(2);
-        witness.until(&mut network, START + TERM * 2.0, |network| total(network) == 80).expect("owned again");
-        assert!(held(&network, 3).iter().all(|(subject, epoch)| *epoch > before.0[subject]), "seed {seed}");
-        assert!(held(&network, 4).iter().all(|(subject, epoch)| *epoch > before.1[subject]), "seed {seed}");
+        witness
+            .until(&mut network, START + TERM * 2.0, |network| {
+                total(network) == 80
+            })
+            .expect("owned again");
+        assert!(
+            held(&network, 3)
+                .iter()
+                .all(|(subject, epoch)| *epoch > before.0[subject]),
+            "seed {seed}"
+        );
+        assert!(
+            held(&network, 4)
+                .iter()
+                .all(|(subject, epoch)| *epoch > before.1[subject]),
+            "seed {seed}"
+        );
     }
 }
 
 #[test]
 fn a_renewal_keeps_nothing_alive_that_its_voter_has_forgotten() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, RATE, seed), Witness::default(), subjects(30));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(30),
+        );
         acquire(&mut network, 3, &all);
-        witness.until(&mut network, START + TERM, |network| count(network, 3) == 30).expect("owned");
-        // One voter does not hear the owner any more; the others forget, one after the other, and hear it all the time.
+        witness
+            .until(&mut network, START + TERM, |network| {
+                count(network, 3) == 30
+            })
+            .expect("owned");
+        // One voter does not hear the owner any more; the others forget, one after the other, and
+        // hear it all the time.
         network.cut(&[3], &[2]);
         acquire(&mut network, 4, &all);
         for voter in [0, 1] {
@@ -150,12 +234,21 @@
 }
 
 /// Faults, releases and wishes drawn at random.
-fn shake(network: &mut SimulatedNetwork, witness: &mut Witness, chance: &mut Chance, all: &[Vec<u8>]) {
+fn shake(
+    network: &mut SimulatedNetwork,
+    witness: &mut Witness,
+    chance: &mut Chance,
+    all: &[Vec<u8>],
+) {
     let number = chance.below(5) as usize;
     let some = chance.below(all.len() as u64) as usize;
     let mut paused = Vec::new();
     match chance.below(8) {
-        0 => drop(network.links.insert((number, chance.below(5) as usize), LinkFault::CUT)),
+        0 => drop(
+            network
+                .links
+                .insert((number, chance.below(5) as usize), LinkFault::CUT),
+        ),
         1 => {
             network.pause(number);
             paused.push(number);
@@ -186,50 +279,91 @@
 fn faults_releases_and_wishes_drawn_at_random_never_give_two_owners() {
     let mut holdings = 0;
     for seed in 1..=300 {
-        let (mut network, mut witness, all) =
-            (fleet(5, &VOTERS, RATE, seed), Witness::default(), subjects(6));
+        let (mut network, mut witness, all) = (
+            fleet(5, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(6),
+        );
         let mut chance = Chance::from_seed(seed * 7_919);
-        network.link_fault =
-            LinkFault { loss: 0.05, doubled: 0.05, spread: Span::from_ms(150), ..network.link_fault };
+        network.link_fault = LinkFault {
+            loss: 0.05,
+            doubled: 0.05,
+            spread: Span::from_ms(150),
+            ..network.link_fault
+        };
         (0..5).for_each(|number| acquire(&mut network, number, &all[number..]));
         witness.watch(&mut network, START, &[]);
         for _ in 0..16 {
             shake(&mut network, &mut witness, &mut chance, &all);
         }
         network.heal();
-        network.link_fault = LinkFault { delay: Span::from_us(200), ..LinkFault::default() };
+        network.link_fault = LinkFault {
+            delay: Span::from_us(200),
+            ..LinkFault::default()
+        };
         (0..5).for_each(|number| acquire(&mut network, number, &all));
-        let owned = witness.until(&mut network, TERM * 8.0, |network| total(network) == all.len());
-        assert!(owned.is_some(), "seed {seed}: {} owned once all is well", total(&network));
+        let owned = witness.until(&mut network, TERM * 8.0, |network| {
+            total(network) == all.len()
+        });
+        assert!(
+            owned.is_some(),
+            "seed {seed}: {} owned once all is well",
+            total(&network)
+        );
         holdings += witness.holdings;
     }
-    assert!(holdings > 6 * 300 * 2, "they changed hands {holdings} times");
+    assert!(
+        holdings > 6 * 300 * 2,
+        "they changed hands {holdings} times"
+    );
 }
 
 #[test]
 fn the_last_step_of_a_change_of_voters_waits_until_what_the_old_ones_granted_is_over() {
     for seed in 1..=20 {
-        let (mut network, mut witness, all) =
-            (fleet(6, &VOTERS, RATE, seed), Witness::default(), subjects(10));
+        let (mut network, mut witness, all) = (
+            fleet(6, &VOTERS, RATE, seed),
+            Witness::default(),
+            subjects(10),
+        );
         acquire(&mut network, 5, &all);
-        witness.until(&mut network, START + TERM, |network| count(network, 5) == 10).expect("owned");
+        witness
+            .until(&mut network, START + TERM, |network| {
+                count(network, 5) == 10
+            })
+            .expect("owned");
         let next = ["r2", "r3", "r4"];
-        let joint = LeaseConfig { electorate: electorate(2, &next, &VOTERS), ..config(&VOTERS, RATE) };
-        let last = LeaseConfig { electorate: electorate(3, &next, &[]), ..config(&VOTERS, RATE) };
+        let joint = LeaseConfig {
+            electorate: electorate(2, &next, &VOTERS),
+            ..config(&VOTERS, RATE)
+        };
+        let last = LeaseConfig {
+            electorate: electorate(3, &next, &[]),
+            ..config(&VOTERS, RATE)
+        };
         let change = |network: &mut SimulatedNetwork, number: usize, to: &LeaseConfig| {
             let mut done = Ok(());
-            network.act(number, |host, now| done = host.leases.as_mut().unwrap().change(to.clone(), now));
+            network.act(number, |host, now| {
+                done = host.leases.as_mut().unwrap().change(to.clone(), now)
+            });
             done
         };
         // The owner is told of nothing and hears nobody; all others go on as fast as they are let.
         network.cut(&[5], &[0, 1, 2, 3, 4]);
         (0..5).for_each(|number| change(&mut network, number, &joint).unwrap());
         witness.watch(&mut network, TERM * 0.4, &[]);
-        assert_eq!(change(&mut network, 3, &last), Err(ChangeError::NotSettled), "seed {seed}");
+        assert_eq!(
+            change(&mut network, 3, &last),
+            Err(ChangeError::NotSettled),
+            "seed {seed}"
+        );
         acquire(&mut network, 4, &all);
         let began = network.now;
         while !(0..5).all(|number| change(&mut network, number, &last).is_ok()) {
-            assert!(network.now.since(began) < TERM * 3.0, "seed {seed}: never settled");
+            assert!(
+                network.now.since(began) < TERM * 3.0,
+                "seed {seed}: never settled"
+            );
             witness.watch(&mut network, TERM * 0.02, &[]);
         }
         witness
@@ -242,7 +376,10 @@
 fn spent(network: &mut SimulatedNetwork, number: usize, span: Span) -> (u64, u64) {
     let look = |network: &SimulatedNetwork| {
         let host = &network.hosts[number];
-        (host.node.counts.sent_bytes, host.leases.as_ref().unwrap().counts().requests)
+        (
+            host.node.counts.sent_bytes,
+            host.leases.as_ref().unwrap().counts().requests,
+        )
     };
     let before = look(network);
     network.run_for(span);
@@ -255,14 +392,19 @@
     let cost = |owned: usize| {
         let mut network = fleet(5, &VOTERS, 1_000_000, 1);
         acquire(&mut network, 4, &subjects(owned));
-        network.run_until(START + TERM * 4.0, |network| count(network, 4) == owned).expect("owned");
+        network
+            .run_until(START + TERM * 4.0, |network| count(network, 4) == owned)
+            .expect("owned");
         network.run_for(TERM * 8.0);
         spent(&mut network, 4, TERM * 10.0)
     };
     let (bytes, requests) = cost(1);
     for owned in [8, 64, 512, 4_096] {
         let (more, asked) = cost(owned);
-        assert!(more.abs_diff(bytes) * 20 <= bytes, "{owned} owned: {more} bytes, one: {bytes}");
+        assert!(
+            more.abs_diff(bytes) * 20 <= bytes,
+            "{owned} owned: {more} bytes, one: {bytes}"
+        );
         assert!(
             asked.abs_diff(requests) * 10 <= requests,
             "{owned} owned: {asked} requests, one: {requests}"
@@ -286,12 +428,16 @@
             assert!(bytes <= most, "{bytes} bytes in a second at {rate}");
             assert!(network.now.since(began) < Span::from_ms(120_000), "{rate}");
         }
-        // Three voters, each subject with its length: so many bytes at that rate, and a tenth for the rest.
+        // Three voters, each subject with its length: so many bytes at that rate, and a tenth for
+        // the rest.
         let bytes = 3.0 * all.iter().map(|subject| subject.len() + 1).sum::<usize>() as f64;
         let messages = 3.0 * (SUBJECTS as f64 / 80.0).ceil();
         let expected = (bytes + messages * 150.0) / f64::from(rate);
         let took = network.now.since(began).secs();
-        assert!(took <= expected * 1.2 + 2.0, "{rate}: {took} s, {expected} by the formula");
+        assert!(
+            took <= expected * 1.2 + 2.0,
+            "{rate}: {took} s, {expected} by the formula"
+        );
     }
 }
 
@@ -306,7 +452,13 @@
         over = leases.acquire(b"one more", now + TERM, now);
         long = leases.acquire(&[b'x'; MAX_SUBJECT_BYTES + 1], now + TERM, now);
     });
-    assert_eq!((over, long), (Err(AcquireError::TooManyClaims), Err(AcquireError::SubjectTooLong)));
+    assert_eq!(
+        (over, long),
+        (
+            Err(AcquireError::TooManyClaims),
+            Err(AcquireError::SubjectTooLong)
+        )
+    );
     let fault = AcquireError::TooManyClaims.to_string();
     assert!(fault.contains("8192"), "{fault}");
 }
@@ -329,12 +481,25 @@
     let each = MAX_CLAIMS;
     for relay in 0..=MAX_VOTER_SUBJECTS / each {
         let from = Identity::new(&format!("a{relay}"), 1);
-        let empty =
-            Update { generation: 1, sequence: 1, session: None, epoch: 0, detach: vec![], attach: vec![] };
+        let empty = Update {
+            generation: 1,
+            sequence: 1,
+            session: None,
+            epoch: 0,
+            detach: vec![],
+            attach: vec![],
+        };
         let session = Some(answer(&mut voter, &from, empty.clone()).session);
-        let attach: Vec<Vec<u8>> = (0..each).map(|number| format!("{relay}-{number}").into_bytes()).collect();
+        let attach: Vec<Vec<u8>> = (0..each)
+            .map(|number| format!("{relay}-{number}").into_bytes())
+            .collect();
         for (sequence, attach) in (2..).zip(attach.chunks(128)) {
-            let update = Update { sequence, session, attach: attach.to_vec(), ..empty.clone() };
+            let update = Update {
+                sequence,
+                session,
+                attach: attach.to_vec(),
+                ..empty.clone()
+            };
             let refused = answer(&mut voter, &from, update).refused;
             let full = relay == MAX_VOTER_SUBJECTS / each;
             assert_eq!(refused.len(), if full { 128 } else { 0 }, "relay {relay}");
@@ -342,7 +507,10 @@
         }
     }
     let counts = voter.counts();
-    assert_eq!((counts.voter_subjects, counts.voter_full), (MAX_VOTER_SUBJECTS, each as u64));
+    assert_eq!(
+        (counts.voter_subjects, counts.voter_full),
+        (MAX_VOTER_SUBJECTS, each as u64)
+    );
 }
 
 #[test]
@@ -356,26 +524,59 @@
         let own = out
             .into_iter()
             .filter(|one| one.channel == legacy::CHANNEL && one.to == To::Process(from.clone()));
-        own.filter_map(|one| LegacyMessage::decode(&one.bytes)).collect::<Vec<_>>()
+        own.filter_map(|one| LegacyMessage::decode(&one.bytes))
+            .collect::<Vec<_>>()
     };
     // It starts: an older process of its name is told in its own words, and is to vote no more.
     voter.tick(at(0));
-    let told = voter.take_outgoing().into_iter().filter(|one| one.channel == legacy::CHANNEL);
-    let recall = LegacyMessage::Recall { generation: 1, starts: true };
-    assert!(told.filter_map(|one| LegacyMessage::decode(&one.bytes)).any(|message| message == recall));
+    let told = voter
+        .take_outgoing()
+        .into_iter()
+        .filter(|one| one.channel == legacy::CHANNEL);
+    let recall = LegacyMessage::Recall {
+        generation: 1,
+        starts: true,
+    };
+    assert!(
+        told.filter_map(|one| LegacyMessage::decode(&one.bytes))
+            .any(|message| message == recall)
+    );
     // While that one answers this one is silent, and takes its epoch over.
-    let remembered = LegacyMessage::Remembered { generation: 1, established: true, epoch: 41 };
+    let remembered = LegacyMessage::Remembered {
+        generation: 1,
+        established: true,
+        epoch: 41,
+    };
     legacy_answers(&mut voter, &twin, &remembered, 1_500);
     voter.tick(at(2_100));
     assert_eq!(voter.vote(at(2_100)), Vote::Silent);
     voter.tick(at(3_500));
     assert_eq!(voter.vote(at(3_500)), Vote::Votes);
     voter.take_outgoing();
-    let ask = LegacyMessage::Ask { generation: 1, subject: b"turn".to_vec(), round: 7, epoch: 50 };
+    let ask = LegacyMessage::Ask {
+        generation: 1,
+        subject: b"turn".to_vec(),
+        round: 7,
+        epoch: 50,
+    };
     let answers = legacy_answers(&mut voter, &older, &ask, 3_600);
-    let why = LegacyReason::Generation { here: NO_GENERATION };
-    assert_eq!(answers, [LegacyMessage::Refuse { subject: b"turn".to_vec(), round: 7, why }]);
-    let promise = LegacyMessage::Promise { generation: 1, subject: b"turn".to_vec(), round: 7, epoch: 1 };
+    let why = LegacyReason::Generation {
+        here: NO_GENERATION,
+    };
+    assert_eq!(
+        answers,
+        [LegacyMessage::Refuse {
+            subject: b"turn".to_vec(),
+            round: 7,
+            why
+        }]
+    );
+    let promise = LegacyMessage::Promise {
+        generation: 1,
+        subject: b"turn".to_vec(),
+        round: 7,
+        epoch: 1,
+    };
     assert_eq!(legacy_answers(&mut voter, &older, &promise, 3_600), []);
     assert_eq!(voter.counts().older_protocol, 3);
     assert_eq!(voter.state(b"turn", at(3_600)), State::Unwanted);
@@ -386,11 +587,15 @@
     for ms in (0..2_000).step_by(50) {
         relay.tick(at(ms));
         for outgoing in relay.take_outgoing() {
-            let asked = (outgoing.channel == legacy::CHANNEL).then(|| LegacyMessage::decode(&outgoing.bytes));
+            let asked = (outgoing.channel == legacy::CHANNEL)
+                .then(|| LegacyMessage::decode(&outgoing.bytes));
             if let Some(Some(LegacyMessage::Recall { .. })) = asked {
                 relay.receive(&older_voter, legacy::CHANNEL, &remembered.encode(), at(ms));
             }
         }
     }
-    assert_eq!(relay.state(b"turn", at(2_000)), State::Wanted(Some(Reason::OlderProtocol)));
+    assert_eq!(
+        relay.state(b"turn", at(2_000)),
+        State::Wanted(Some(Reason::OlderProtocol))
+    );
 }
--- a/peers/src/chunks.rs
+++ b/peers/src/chunks.rs
@@ -1,4 +1,5 @@
-//! All that is known, in pieces of a datagram each. Every piece can be taken in alone; one that does not come is asked for.
+//! All that is known, in pieces of a datagram each. Every piece can be taken in alone; one that
+//! does not come is asked for.
 use crate::facts::FactRow;
 use crate::identity::{Identity, Row};
 use std::collections::{BTreeMap, BTreeSet};
@@ -51,7 +52,10 @@
     /// One that was sent to that process, and of how many.
     pub fn again(&self, to: &Identity, exchange: u32, number: u16) -> Option<(&Content, u16)> {
         let sent = self.sent.get(&exchange).filter(|sent| sent.to == *to)?;
-        Some((sent.pieces.get(usize::from(number))?, sent.pieces.len() as u16))
+        Some((
+            sent.pieces.get(usize::from(number))?,
+            sent.pieces.len() as u16,
+        ))
     }
 
     /// A piece has come; true with the first of its exchange.
@@ -71,7 +75,14 @@
                 self.coming.pop_first();
             }
             let missing = (0..of).collect();
-            self.coming.insert(key.clone(), Coming { missing, ask_at: now + wait, asked: 0 });
+            self.coming.insert(
+                key.clone(),
+                Coming {
+                    missing,
+                    ask_at: now + wait,
+                    asked: 0,
+                },
+            );
         }
         if let Some(coming) = self.coming.get_mut(&key) {
             coming.missing.remove(&number);
@@ -80,8 +91,8 @@
         first
     }
 
-    /// Whom to ask for what again. An exchange that is whole, or was asked for often enough, is kept for a while as known,
-    /// so that a late piece does not begin it anew.
+    /// Whom to ask for what again. An exchange that is whole, or was asked for often enough, is
+    /// kept for a while as known, so that a late piece does not begin it anew.
     pub fn ask(&mut self, wait: Span, now: Moment) -> Vec<(Identity, u32, Vec<u16>)> {
         let mut all = Vec::new();
         self.coming.retain(|(from, exchange), coming| {
@@ -92,7 +103,11 @@
                 return now.since(coming.ask_at) < wait * 8.0;
             }
             (coming.asked, coming.ask_at) = (coming.asked + 1, now + wait);
-            all.push((from.clone(), *exchange, coming.missing.iter().copied().take(NAMED).collect()));
+            all.push((
+                from.clone(),
+                *exchange,
+                coming.missing.iter().copied().take(NAMED).collect(),
+            ));
             true
         });
         all
@@ -100,6 +115,10 @@
 
     pub fn due(&self) -> Option<Moment> {
         let wants = |coming: &&Coming| !coming.missing.is_empty() && coming.asked < ASKED;
-        self.coming.values().filter(wants).map(|coming| coming.ask_at).min()
+        self.coming
+            .values()
+            .filter(wants)
+            .map(|coming| coming.ask_at)
+            .min()
     }
 }
--- a/peers/src/facts.rs
+++ b/peers/src/facts.rs
@@ -1,6 +1,7 @@
-//! What relays tell each other: rows `(kind, subject, owner, epoch, value, age)`. Merging commutes, associates and repeats
-//! harmlessly: of one key the greater `(epoch, value)` stays, and of one row the greater age, which every way it came
-//! bounds from below. Which keys a full table keeps depends on the keys alone, so that bounded tables merge alike too.
+//! What relays tell each other: rows `(kind, subject, owner, epoch, value, age)`. Merging commutes,
+//! associates and repeats harmlessly: of one key the greater `(epoch, value)` stays, and of one row
+//! the greater age, which every way it came bounds from below. Which keys a full table keeps
+//! depends on the keys alone, so that bounded tables merge alike too.
 use crate::identity::Identity;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -24,7 +25,14 @@
 }
 
 impl Kind {
-    pub const ALL: [Kind; 6] = [Kind::Ban, Kind::Ejection, Kind::Start, Kind::Share, Kind::Work, Kind::Note];
+    pub const ALL: [Kind; 6] = [
+        Kind::Ban,
+        Kind::Ejection,
+        Kind::Start,
+        Kind::Share,
+        Kind::Work,
+        Kind::Note,
+    ];
 
     /// A row that its owner has not said again for so long is forgotten, in periods.
     fn life(self) -> f64 {
@@ -91,8 +99,8 @@
 pub struct Facts {
     rows: BTreeMap<Key, Held>,
     period: Span,
-    /// Own sayings so far: an epoch is never used twice, also not for what was withdrawn and is said again, which others may
-    /// still hold.
+    /// Own sayings so far: an epoch is never used twice, also not for what was withdrawn and is
+    /// said again, which others may still hold.
     said: u64,
     /// Rows that did not fit.
     pub refused: u64,
@@ -100,7 +108,12 @@
 
 impl Facts {
     pub fn new(period: Span) -> Facts {
-        Facts { rows: BTreeMap::new(), period, said: 0, refused: 0 }
+        Facts {
+            rows: BTreeMap::new(),
+            period,
+            said: 0,
+            refused: 0,
+        }
     }
 
     fn life(&self, kind: Kind) -> Span {
@@ -114,7 +127,11 @@
             return false;
         }
         let said = now - age;
-        let key = Key { kind: row.kind, subject: row.subject.clone(), owner: row.owner.clone() };
+        let key = Key {
+            kind: row.kind,
+            subject: row.subject.clone(),
+            owner: row.owner.clone(),
+        };
         if let Some(held) = self.rows.get_mut(&key) {
             let (old, new) = ((held.epoch, &held.value), (row.epoch, &row.value));
             if new < old {
@@ -124,10 +141,21 @@
                 held.said = held.said.min(said);
                 return false;
             }
-            *held = Held { epoch: row.epoch, value: row.value.clone(), said };
+            *held = Held {
+                epoch: row.epoch,
+                value: row.value.clone(),
+                said,
+            };
             return true;
         }
-        self.rows.insert(key.clone(), Held { epoch: row.epoch, value: row.value.clone(), said });
+        self.rows.insert(
+            key.clone(),
+            Held {
+                epoch: row.epoch,
+                value: row.value.clone(),
+                said,
+            },
+        );
         if self.rows.len() > MOST_ROWS {
             // The last in the order of keys, whichever came first.
             self.refused += 1;
@@ -145,11 +173,21 @@
         value: &[u8],
         now: Moment,
     ) -> bool {
-        let key = Key { kind, subject: subject.to_vec(), owner: owner.clone() };
+        let key = Key {
+            kind,
+            subject: subject.to_vec(),
+            owner: owner.clone(),
+        };
         let fresh = !self.rows.contains_key(&key);
         let epoch = self.said + 1;
-        let row =
-            FactRow { kind, subject: key.subject, owner: key.owner, epoch, value: value.to_vec(), age_ms: 0 };
+        let row = FactRow {
+            kind,
+            subject: key.subject,
+            owner: key.owner,
+            epoch,
+            value: value.to_vec(),
+            age_ms: 0,
+        };
         let own = self.rows.keys().filter(|key| key.owner == *owner).count();
         if !row.is_sound() || fresh && own >= MOST_OWN {
             self.refused += 1;
@@ -164,7 +202,11 @@
         let old = |(key, held): &(&Key, &Held)| {
             key.owner == *owner && now.since(held.said) >= self.life(key.kind) * (1.0 / 3.0)
         };
-        self.rows.iter().filter(old).map(|(key, _)| key.clone()).collect()
+        self.rows
+            .iter()
+            .filter(old)
+            .map(|(key, _)| key.clone())
+            .collect()
     }
 
     /// Said again, with nothing changed but epoch and age.
@@ -177,13 +219,22 @@
 
     /// Not said any more by its owner: forgotten here now, and elsewhere by age.
     pub fn withdraw(&mut self, owner: &Identity, kind: Kind, subject: &[u8]) -> bool {
-        let key = Key { kind, subject: subject.to_vec(), owner: owner.clone() };
+        let key = Key {
+            kind,
+            subject: subject.to_vec(),
+            owner: owner.clone(),
+        };
         self.rows.remove(&key).is_some()
     }
 
     pub fn forget(&mut self, now: Moment) -> Vec<Key> {
         let over = |(key, held): &(&Key, &Held)| now.since(held.said) >= self.life(key.kind);
-        let gone: Vec<Key> = self.rows.iter().filter(over).map(|(key, _)| key.clone()).collect();
+        let gone: Vec<Key> = self
+            .rows
+            .iter()
+            .filter(over)
+            .map(|(key, _)| key.clone())
+            .collect();
         gone.iter().for_each(|key| drop(self.rows.remove(key)));
         gone
     }
@@ -205,13 +256,16 @@
     }
 
     pub fn of_kind(&self, kind: Kind, now: Moment) -> impl Iterator<Item = Fact<'_>> {
-        self.rows.iter().filter(move |(key, _)| key.kind == kind).map(move |(key, held)| Fact {
-            subject: &key.subject,
-            owner: &key.owner,
-            epoch: held.epoch,
-            value: &held.value,
-            age: now.since(held.said),
-        })
+        self.rows
+            .iter()
+            .filter(move |(key, _)| key.kind == kind)
+            .map(move |(key, held)| Fact {
+                subject: &key.subject,
+                owner: &key.owner,
+                epoch: held.epoch,
+                value: &held.value,
+                age: now.since(held.said),
+            })
     }
 
     pub fn len(&self) -> usize {
@@ -226,8 +280,14 @@
     pub(crate) fn digest(&self) -> u64 {
         self.rows.iter().fold(0, |sum, (key, held)| {
             let mut hasher = blake3::Hasher::new();
-            hasher.update(&[key.kind as u8]).update(&key.subject).update(key.owner.name.as_bytes());
-            hasher.update(&key.owner.run.to_le_bytes()).update(&held.epoch.to_le_bytes()).update(&held.value);
+            hasher
+                .update(&[key.kind as u8])
+                .update(&key.subject)
+                .update(key.owner.name.as_bytes());
+            hasher
+                .update(&key.owner.run.to_le_bytes())
+                .update(&held.epoch.to_le_bytes())
+                .update(&held.value);
             sum ^ crate::first_eight(hasher.finalize().as_bytes())
         })
     }
--- a/peers/src/gossip.rs
+++ b/peers/src/gossip.rs
@@ -1,4 +1,5 @@
-//! What is new and how often it was passed on: the least often first, each some times the logarithm of the fleet's size.
+//! What is new and how often it was passed on: the least often first, each some times the logarithm
+//! of the fleet's size.
 use crate::facts::Key;
 use crate::identity::Identity;
 use std::collections::{BTreeMap, BTreeSet};
@@ -60,7 +61,9 @@
 
     pub fn sent(&mut self, all: &[About], size: usize) {
         for about in all {
-            let Some(&(count, _)) = self.places.get(about) else { continue };
+            let Some(&(count, _)) = self.places.get(about) else {
+                continue;
+            };
             self.remove(about);
             if count + 1 < times(size) {
                 self.put(count + 1, about.clone());
--- a/peers/src/identity.rs
+++ b/peers/src/identity.rs
@@ -1,4 +1,5 @@
-//! Who is meant. A process, not a machine: each start draws a run number, so that two processes of one name are told apart.
+//! Who is meant. A process, not a machine: each start draws a run number, so that two processes of
+//! one name are told apart.
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -16,7 +17,10 @@
 
 impl Identity {
     pub fn new(name: &str, run: u64) -> Identity {
-        Identity { name: name.into(), run }
+        Identity {
+            name: name.into(),
+            run,
+        }
     }
 }
 
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -1,9 +1,11 @@
-//! Relays that know of one another. Membership by SWIM with Lifeguard's additions, and a table of shared facts, as a machine
-//! that takes datagrams and time and gives datagrams and events: no socket, clock or random source is here, and the same
-//! code runs on sockets, in simulated links by the hundred, and under an explorer.
+//! Relays that know of one another. Membership by SWIM with Lifeguard's additions, and a table of
+//! shared facts, as a machine that takes datagrams and time and gives datagrams and events: no
+//! socket, clock or random source is here, and the same code runs on sockets, in simulated links by
+//! the hundred, and under an explorer.
 //!
-//! What it says of a process is an opinion: fast, sometimes wrong, different on either side of a split. It gives nobody the
-//! right to act in another's place; that is a lease (`thistlecroft-leases`).
+//! What it says of a process is an opinion: fast, sometimes wrong, different on either side of a
+//! split. It gives nobody the right to act in another's place; that is a lease
+//! (`thistlecroft-leases`).
 mod chunks;
 pub mod facts;
 pub mod gossip;
@@ -42,7 +44,8 @@
         self.period * 0.4
     }
 
-    /// A suspicion's least and most time in a fleet of that size: with three more accusers, and with none.
+    /// A suspicion's least and most time in a fleet of that size: with three more accusers, and
+    /// with none.
     pub fn suspicion(&self, size: usize) -> (Span, Span) {
         let least = self.period * (SUSPICION * (size.max(10) as f64).log10());
         (least, least * SUSPICION_MOST)
@@ -53,19 +56,23 @@
         self.period * 600.0
     }
 
-    /// Bound on the time until a relay that has stopped for good is *gone* for one that goes on, where no datagram is lost:
-    /// its turn to be probed comes within two rounds, the probe takes a period, the suspicion its most; each stretched by
-    /// the observer's own health.
+    /// Bound on the time until a relay that has stopped for good is *gone* for one that goes on,
+    /// where no datagram is lost: its turn to be probed comes within two rounds, the probe takes a
+    /// period, the suspicion its most; each stretched by the observer's own health.
     pub fn gone_within(&self, size: usize, health: u32) -> Span {
         let round = self.period * (2.0 * size as f64 + 1.0);
         round * f64::from(health + 1) + self.suspicion(size).1 + self.period
     }
 }
 
-/// Periods of a suspicion at ten relays and below, and how many times that without further accusers.
+/// Periods of a suspicion at ten relays and below, and how many times that without further
+/// accusers.
 const SUSPICION: f64 = 4.0;
 const SUSPICION_MOST: f64 = 3.0;
 
 pub(crate) fn first_eight(bytes: &[u8]) -> u64 {
-    bytes.iter().take(8).fold(0, |sum, byte| sum << 8 | u64::from(*byte))
+    bytes
+        .iter()
+        .take(8)
+        .fold(0, |sum, byte| sum << 8 | u64::from(*byte))
 }
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -1,5 +1,5 @@
-//! Who is here, suspected, gone: opinions merged as SWIM has it, with Lifeguard's suspicions, whose time shortens the more
-//! accuse.
+//! Who is here, suspected, gone: opinions merged as SWIM has it, with Lifeguard's suspicions, whose
+//! time shortens the more accuse.
 use crate::Pace;
 use crate::identity::{Identity, MemberState, Row};
 use crate::wire::ReplayWindow;
@@ -69,7 +69,9 @@
 
     /// A datagram of it has come; false for one that came before.
     pub fn heard(&mut self, id: &Identity, serial: u64, now: Moment) -> bool {
-        let Some(member) = self.members.get_mut(id) else { return true };
+        let Some(member) = self.members.get_mut(id) else {
+            return true;
+        };
         let fresh = member.window.accept(serial);
         if fresh {
             member.heard = Some(now);
@@ -83,19 +85,31 @@
 
     /// Those that may be counted on to answer, or may yet.
     pub fn live(&self) -> impl Iterator<Item = (&Identity, &Member)> {
-        self.members.iter().filter(|(_, member)| member.state <= MemberState::Suspect)
+        self.members
+            .iter()
+            .filter(|(_, member)| member.state <= MemberState::Suspect)
     }
 
     pub fn row(&self, id: &Identity) -> Option<Row> {
         let member = self.members.get(id)?;
-        let accuser = member.suspicion.as_ref().and_then(|one| one.accusers.first().cloned());
+        let accuser = member
+            .suspicion
+            .as_ref()
+            .and_then(|one| one.accusers.first().cloned());
         let (at, incarnation, state) = (member.at, member.incarnation, member.state);
-        Some(Row { id: id.clone(), at, incarnation, state, accuser })
+        Some(Row {
+            id: id.clone(),
+            at,
+            incarnation,
+            state,
+            accuser,
+        })
     }
 
     /// An opinion about another process. The one function in which a member changes its state.
     pub fn merge(&mut self, row: &Row, pace: &Pace, now: Moment) -> Merged {
-        let live = |member: Option<&Member>| member.is_some_and(|one| one.state <= MemberState::Suspect);
+        let live =
+            |member: Option<&Member>| member.is_some_and(|one| one.state <= MemberState::Suspect);
         let was = live(self.members.get(&row.id));
         let merged = self.merged(row, self.live + 1, pace, now);
         let member = self.members.get(&row.id);
@@ -125,13 +139,18 @@
             self.members.insert(row.id.clone(), member);
             return Merged::StateChanged;
         };
-        let (old, new) = ((member.incarnation, member.state), (row.incarnation, row.state));
-        // Who has left does not come back, whatever is still under way; who was thought gone may, by saying so.
+        let (old, new) = (
+            (member.incarnation, member.state),
+            (row.incarnation, row.state),
+        );
+        // Who has left does not come back, whatever is still under way; who was thought gone may,
+        // by saying so.
         if member.state == MemberState::Left {
             return Merged::Unchanged;
         }
         if row.state == MemberState::Left {
-            (member.incarnation, member.state) = (row.incarnation.max(member.incarnation), MemberState::Left);
+            (member.incarnation, member.state) =
+                (row.incarnation.max(member.incarnation), MemberState::Left);
             (member.since, member.suspicion) = (now, None);
             return Merged::StateChanged;
         }
@@ -160,7 +179,11 @@
         if turned {
             (member.state, member.since) = (row.state, now);
         }
-        if turned { Merged::StateChanged } else { Merged::Updated }
+        if turned {
+            Merged::StateChanged
+        } else {
+            Merged::Updated
+        }
     }
 
     /// Whose time to answer for itself is over.
@@ -170,7 +193,11 @@
     }
 
     pub fn next_overdue(&self) -> Option<Moment> {
-        self.suspects.iter().filter_map(|id| self.suspicion(id)).map(Suspicion::until).min()
+        self.suspects
+            .iter()
+            .filter_map(|id| self.suspicion(id))
+            .map(Suspicion::until)
+            .min()
     }
 
     fn suspicion(&self, id: &Identity) -> Option<&Suspicion> {
@@ -180,14 +207,22 @@
     /// This process stood still for so long, in which it could not have heard a refutation.
     pub fn put_off(&mut self, by: Span) {
         for member in self.members.values_mut() {
-            member.suspicion.iter_mut().for_each(|one| one.began = one.began + by);
+            member
+                .suspicion
+                .iter_mut()
+                .for_each(|one| one.began = one.began + by);
         }
     }
 
     /// Rows of the dead are kept so that what is still under way does not bring them back.
     pub fn reap(&mut self, kept: Span, now: Moment) -> Vec<Identity> {
-        let over = |member: &Member| member.state >= MemberState::Dead && now.since(member.since) >= kept;
-        let gone = self.members.iter().filter(|(_, member)| over(member)).map(|(id, _)| id.clone());
+        let over =
+            |member: &Member| member.state >= MemberState::Dead && now.since(member.since) >= kept;
+        let gone = self
+            .members
+            .iter()
+            .filter(|(_, member)| over(member))
+            .map(|(id, _)| id.clone());
         let gone: Vec<Identity> = gone.collect();
         gone.iter().for_each(|id| drop(self.members.remove(id)));
         gone
@@ -196,5 +231,10 @@
 
 fn suspicion(row: &Row, size: usize, pace: &Pace, now: Moment) -> Suspicion {
     let (least, most) = pace.suspicion(size);
-    Suspicion { began: now, accusers: row.accuser.iter().cloned().collect(), least, most }
+    Suspicion {
+        began: now,
+        accusers: row.accuser.iter().cloned().collect(),
+        least,
+        most,
+    }
 }
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One process among its peers: datagrams and time in, datagrams and events out. Each `wake` and each `hear` does bounded
-//! work but for a fleet's size, and nothing here waits.
+//! One process among its peers: datagrams and time in, datagrams and events out. Each `wake` and
+//! each `hear` does bounded work but for a fleet's size, and nothing here waits.
 mod probing;
 mod sending;
 mod sync;
@@ -22,7 +22,8 @@
 /// News goes to so many at once, so many times a period.
 const GOSSIP_TO: usize = 3;
 const GOSSIP_EVERY: f64 = 0.5;
-/// In periods: all that is known is compared with one other; a seed or one of the gone is looked for again.
+/// In periods: all that is known is compared with one other; a seed or one of the gone is looked
+/// for again.
 const SYNC_EVERY: f64 = 20.0;
 const SEEK_EVERY: f64 = 5.0;
 /// Pings made for others at once.
@@ -42,9 +43,17 @@
     /// This process was suspected, or taken for gone, and says that it is here.
     Refuted { incarnation: u32 },
     /// A fact is new or changed, or was forgotten.
-    Fact { kind: Kind, subject: Vec<u8>, owner: Identity },
+    Fact {
+        kind: Kind,
+        subject: Vec<u8>,
+        owner: Identity,
+    },
     /// Bytes for a part above membership.
-    Message { from: Identity, channel: u8, bytes: Vec<u8> },
+    Message {
+        from: Identity,
+        channel: u8,
+        bytes: Vec<u8>,
+    },
     /// Datagrams of another format come from there: said once an address and format.
     OtherFormat { from: SocketAddr, format: u8 },
     /// This process stood still for so long.
@@ -58,7 +67,8 @@
     pub sent_bytes: u64,
     pub heard: u64,
     pub heard_bytes: u64,
-    /// Refused: of a size that none has, of another format, foreign or changed, not to be understood, seen before.
+    /// Refused: of a size that none has, of another format, foreign or changed, not to be
+    /// understood, seen before.
     pub odd_size: u64,
     pub other_format: u64,
     pub foreign: u64,
@@ -141,7 +151,8 @@
 }
 
 impl Node {
-    /// `at`: where others reach it. `seeds`: where some of the fleet may be found; its own address among them is passed over.
+    /// `at`: where others reach it. `seeds`: where some of the fleet may be found; its own address
+    /// among them is passed over.
     pub fn new(
         me: Identity,
         at: SocketAddr,
@@ -221,10 +232,13 @@
         self.members.get(id).map(|member| member.state)
     }
 
-    /// Relays that could not be heard lately, as a fact's reader is told: suspected or gone, and not known by a newer run.
+    /// Relays that could not be heard lately, as a fact's reader is told: suspected or gone, and
+    /// not known by a newer run.
     pub fn unreachable(&self) -> usize {
         let here = |name: &str| {
-            self.members.members().any(|(id, one)| id.name == name && one.state == MemberState::Alive)
+            self.members
+                .members()
+                .any(|(id, one)| id.name == name && one.state == MemberState::Alive)
         };
         let missing = |(id, member): &(&Identity, &Member)| {
             matches!(member.state, MemberState::Suspect | MemberState::Dead)
@@ -245,10 +259,16 @@
             due = due.min(self.next_gossip);
         }
         if let Some(probe) = &self.probe {
-            due = due.min(if probe.asked { probe.ends } else { probe.asks_others });
+            due = due.min(if probe.asked {
+                probe.ends
+            } else {
+                probe.asks_others
+            });
         }
         let indirect_probes = self.indirect_probes.values().map(|indirect| indirect.until);
-        let rest = indirect_probes.chain(self.members.next_overdue()).chain(self.chunks.due());
+        let rest = indirect_probes
+            .chain(self.members.next_overdue())
+            .chain(self.chunks.due());
         rest.fold(due, Moment::min)
     }
 
@@ -266,19 +286,33 @@
     pub fn announce(&mut self, kind: Kind, subject: &[u8], value: &[u8], now: Moment) -> bool {
         let said = self.facts.announce(&self.me, kind, subject, value, now);
         if said {
-            self.gossip.add(About::Fact(Key { kind, subject: subject.to_vec(), owner: self.me.clone() }));
+            self.gossip.add(About::Fact(Key {
+                kind,
+                subject: subject.to_vec(),
+                owner: self.me.clone(),
+            }));
         }
         said
     }
 
-    /// Says it no more: forgotten here at once, by others when it has not been said again for its kind's time.
+    /// Says it no more: forgotten here at once, by others when it has not been said again for its
+    /// kind's time.
     pub fn withdraw(&mut self, kind: Kind, subject: &[u8]) {
         self.facts.withdraw(&self.me, kind, subject);
     }
 
-    /// Bytes to one process for the parts above; false where it is not known, or the rate is used up.
-    pub fn send_message(&mut self, to: &Identity, channel: u8, bytes: Vec<u8>, now: Moment) -> bool {
-        let Some(at) = self.members.get(to).map(|member| member.at) else { return false };
+    /// Bytes to one process for the parts above; false where it is not known, or the rate is used
+    /// up.
+    pub fn send_message(
+        &mut self,
+        to: &Identity,
+        channel: u8,
+        bytes: Vec<u8>,
+        now: Moment,
+    ) -> bool {
+        let Some(at) = self.members.get(to).map(|member| member.at) else {
+            return false;
+        };
         self.send(at, Some(to), Body::Message { channel, bytes }, true, now)
     }
 
@@ -343,7 +377,10 @@
         if self.left {
             return;
         }
-        let leaves = datagram.rows.iter().any(|row| row.id == from && row.state == MemberState::Left);
+        let leaves = datagram
+            .rows
+            .iter()
+            .any(|row| row.id == from && row.state == MemberState::Left);
         if !leaves {
             self.merge(&own, now);
         }
@@ -365,9 +402,14 @@
             Rejection::Malformed => self.counts.malformed += 1,
             Rejection::Format(format) => {
                 self.counts.other_format += 1;
-                if self.formats.len() < MAX_INDIRECT_PROBES && !self.formats.contains(&(source, format)) {
+                if self.formats.len() < MAX_INDIRECT_PROBES
+                    && !self.formats.contains(&(source, format))
+                {
                     self.formats.push((source, format));
-                    self.events.push(Event::OtherFormat { from: source, format });
+                    self.events.push(Event::OtherFormat {
+                        from: source,
+                        format,
+                    });
                 }
             }
         }
@@ -381,7 +423,11 @@
             Body::Ping { probe, .. } => {
                 self.send(at, Some(from), Body::NotMe { probe }, true, now);
             }
-            Body::PingFor { probe, target, at: of } => self.indirect(probe, target, of, from, at, now),
+            Body::PingFor {
+                probe,
+                target,
+                at: of,
+            } => self.indirect(probe, target, of, from, at, now),
             Body::Ack { probe } => self.acked(probe, now),
             Body::Nack { probe } => {
                 if let Some(own) = self.probe.as_mut().filter(|own| own.number == probe) {
@@ -398,7 +444,12 @@
                     self.send_all(at, from, true, now);
                 }
             }
-            Body::Chunk { exchange, number, of, back } => {
+            Body::Chunk {
+                exchange,
+                number,
+                of,
+                back,
+            } => {
                 let wait = self.pace.period;
                 let first = self.chunks.came(from, exchange, number, of, wait, now);
                 if first && back {
@@ -407,15 +458,26 @@
             }
             Body::Missing { exchange, numbers } => {
                 for number in numbers {
-                    let Some((content, of)) = self.chunks.again(from, exchange, number) else { continue };
+                    let Some((content, of)) = self.chunks.again(from, exchange, number) else {
+                        continue;
+                    };
                     let content = content.clone();
-                    let body = Body::Chunk { exchange, number, of, back: false };
+                    let body = Body::Chunk {
+                        exchange,
+                        number,
+                        of,
+                        back: false,
+                    };
                     let datagram = self.datagram(body, content.rows, content.facts);
                     self.put(at, &datagram, false, now);
                 }
             }
             Body::Message { channel, bytes } => {
-                self.events.push(Event::Message { from: from.clone(), channel, bytes });
+                self.events.push(Event::Message {
+                    from: from.clone(),
+                    channel,
+                    bytes,
+                });
             }
         }
     }
@@ -430,7 +492,10 @@
             Merged::StateChanged => {
                 self.counts.suspected += u64::from(row.state == MemberState::Suspect);
                 self.gossip.add(About::Member(row.id.clone()));
-                self.events.push(Event::MemberChanged { id: row.id.clone(), state: row.state });
+                self.events.push(Event::MemberChanged {
+                    id: row.id.clone(),
+                    state: row.state,
+                });
             }
         }
     }
@@ -443,7 +508,9 @@
         self.incarnation = row.incarnation + 1;
         self.counts.refuted += 1;
         change_health(&mut self.health, 1);
-        self.events.push(Event::Refuted { incarnation: self.incarnation });
+        self.events.push(Event::Refuted {
+            incarnation: self.incarnation,
+        });
         self.gossip.add(About::Member(self.me.clone()));
         self.next_gossip = now;
     }
@@ -454,13 +521,22 @@
             return;
         }
         let (kind, subject, owner) = (fact.kind, fact.subject.clone(), fact.owner.clone());
-        self.gossip.add(About::Fact(Key { kind, subject: subject.clone(), owner: owner.clone() }));
-        self.events.push(Event::Fact { kind, subject, owner });
+        self.gossip.add(About::Fact(Key {
+            kind,
+            subject: subject.clone(),
+            owner: owner.clone(),
+        }));
+        self.events.push(Event::Fact {
+            kind,
+            subject,
+            owner,
+        });
     }
 
     // ---- what time brings ----
 
-    /// All that is due. Called later than it asked for, it blames nobody: what came meanwhile was not heard.
+    /// All that is due. Called later than it asked for, it blames nobody: what came meanwhile was
+    /// not heard.
     pub fn tick(&mut self, now: Moment) {
         let late = now.since(self.due().max(self.woken));
         if late > self.pace.period * 0.5 {
@@ -472,7 +548,9 @@
         }
         self.probing(now);
         for id in self.members.overdue(now) {
-            let Some(mut row) = self.members.row(&id) else { continue };
+            let Some(mut row) = self.members.row(&id) else {
+                continue;
+            };
             (row.state, row.accuser) = (MemberState::Dead, Some(self.me.clone()));
             self.merge(&row, now);
         }
@@ -485,12 +563,24 @@
         for id in over {
             if let Some(indirect) = self.indirect_probes.remove(&id) {
                 let probe = indirect.probe;
-                self.send(indirect.at, Some(&indirect.of), Body::Nack { probe }, true, now);
+                self.send(
+                    indirect.at,
+                    Some(&indirect.of),
+                    Body::Nack { probe },
+                    true,
+                    now,
+                );
             }
         }
         for (from, exchange, numbers) in self.chunks.ask(self.pace.period, now) {
             if let Some(at) = self.members.get(&from).map(|member| member.at) {
-                self.send(at, Some(&from), Body::Missing { exchange, numbers }, false, now);
+                self.send(
+                    at,
+                    Some(&from),
+                    Body::Missing { exchange, numbers },
+                    false,
+                    now,
+                );
             }
         }
         self.seek(now);
@@ -502,7 +592,9 @@
                 if self.gossip.is_empty() {
                     break;
                 }
-                let Some(at) = self.members.get(&id).map(|member| member.at) else { continue };
+                let Some(at) = self.members.get(&id).map(|member| member.at) else {
+                    continue;
+                };
                 self.send(at, Some(&id), Body::Gossip, false, now);
             }
         }
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -1,4 +1,5 @@
-//! Probes: each period one other is pinged, by others where it does not answer itself, and suspected where nobody reaches it.
+//! Probes: each period one other is pinged, by others where it does not answer itself, and
+//! suspected where nobody reaches it.
 use super::{HELPERS, IndirectProbe, MAX_INDIRECT_PROBES, Node, Probe, change_health};
 use crate::identity::{Identity, MemberState, Row};
 use crate::members::Member;
@@ -21,8 +22,19 @@
         }
         self.numbers = self.numbers.wrapping_add(1);
         let until = now + self.pace.answer_within();
-        self.indirect_probes.insert(self.numbers, IndirectProbe { of: from.clone(), at, probe, until });
-        let body = Body::Ping { probe: self.numbers, to: target.clone() };
+        self.indirect_probes.insert(
+            self.numbers,
+            IndirectProbe {
+                of: from.clone(),
+                at,
+                probe,
+                until,
+            },
+        );
+        let body = Body::Ping {
+            probe: self.numbers,
+            to: target.clone(),
+        };
         self.send(of, Some(&target), body, true, now);
     }
 
@@ -33,7 +45,9 @@
             return;
         }
         // From the target itself or from one who was asked: either saw it answer.
-        let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else { return };
+        let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else {
+            return;
+        };
         if !probe.answered {
             probe.answered = true;
             change_health(&mut self.health, -1);
@@ -46,12 +60,20 @@
             (Some(probe), _) if probe.number == number => probe.target.clone(),
             _ => return,
         };
-        let Some(member) = self.members.get(&target) else { return };
+        let Some(member) = self.members.get(&target) else {
+            return;
+        };
         if member.at != at || target == *from || member.state >= MemberState::Dead {
             return;
         }
         let (incarnation, state) = (member.incarnation, MemberState::Left);
-        let row = Row { id: target, at, incarnation, state, accuser: None };
+        let row = Row {
+            id: target,
+            at,
+            incarnation,
+            state,
+            accuser: None,
+        };
         self.merge(&row, now);
         self.probe = None;
     }
@@ -69,7 +91,9 @@
         if self.probe.is_none() && now >= self.next_probe {
             let stretch = f64::from(self.health + 1);
             self.next_probe = now + self.pace.period * stretch;
-            let Some(target) = self.next_of_round() else { return };
+            let Some(target) = self.next_of_round() else {
+                return;
+            };
             self.numbers = self.numbers.wrapping_add(1);
             let number = self.numbers;
             self.probe = Some(Probe {
@@ -83,15 +107,30 @@
                 answered: false,
             });
             self.counts.probes += 1;
-            let Some(at) = self.members.get(&target).map(|member| member.at) else { return };
-            self.send(at, Some(&target), Body::Ping { probe: number, to: target.clone() }, true, now);
+            let Some(at) = self.members.get(&target).map(|member| member.at) else {
+                return;
+            };
+            self.send(
+                at,
+                Some(&target),
+                Body::Ping {
+                    probe: number,
+                    to: target.clone(),
+                },
+                true,
+                now,
+            );
         }
     }
 
     pub(super) fn next_of_round(&mut self) -> Option<Identity> {
         for _ in 0..2 {
             while let Some(id) = self.round.pop() {
-                if self.members.get(&id).is_some_and(|member| member.state <= MemberState::Suspect) {
+                if self
+                    .members
+                    .get(&id)
+                    .is_some_and(|member| member.state <= MemberState::Suspect)
+                {
                     return Some(id);
                 }
             }
@@ -108,26 +147,38 @@
         let Some(probe) = &mut self.probe else { return };
         probe.asked = true;
         let (number, target) = (probe.number, probe.target.clone());
-        let Some(of) = self.members.get(&target).map(|member| member.at) else { return };
+        let Some(of) = self.members.get(&target).map(|member| member.at) else {
+            return;
+        };
         let helpers = self.some(HELPERS, MemberState::Alive, Some(&target));
         if let Some(probe) = &mut self.probe {
             probe.helpers = helpers.len() as u32;
         }
         for id in helpers {
-            let Some(at) = self.members.get(&id).map(|member| member.at) else { continue };
-            let body = Body::PingFor { probe: number, target: target.clone(), at: of };
+            let Some(at) = self.members.get(&id).map(|member| member.at) else {
+                continue;
+            };
+            let body = Body::PingFor {
+                probe: number,
+                target: target.clone(),
+                at: of,
+            };
             self.send(at, Some(&id), body, true, now);
         }
     }
 
     pub(super) fn probe_failed(&mut self, now: Moment) {
-        let Some(probe) = self.probe.take() else { return };
+        let Some(probe) = self.probe.take() else {
+            return;
+        };
         self.counts.probes_failed += 1;
         // Those who were asked and did not even say no: it may be this one that is not heard.
         let unsaid = probe.helpers.saturating_sub(probe.nacks);
         let step = if probe.helpers == 0 { 1 } else { unsaid as i32 };
         change_health(&mut self.health, step);
-        let Some(member) = self.members.get(&probe.target) else { return };
+        let Some(member) = self.members.get(&probe.target) else {
+            return;
+        };
         if member.state > MemberState::Suspect {
             return;
         }
@@ -142,12 +193,25 @@
     }
 
     /// Some of those that stand so at the worst, drawn anew each time.
-    pub(super) fn some(&mut self, count: usize, worst: MemberState, but: Option<&Identity>) -> Vec<Identity> {
+    pub(super) fn some(
+        &mut self,
+        count: usize,
+        worst: MemberState,
+        but: Option<&Identity>,
+    ) -> Vec<Identity> {
         let fits = |(id, member): &(&Identity, &Member)| member.state <= worst && Some(*id) != but;
-        let mut all: Vec<&Identity> = self.members.members().filter(fits).map(|(id, _)| id).collect();
+        let mut all: Vec<&Identity> = self
+            .members
+            .members()
+            .filter(fits)
+            .map(|(id, _)| id)
+            .collect();
         let mut some = Vec::new();
         while some.len() < count && !all.is_empty() {
-            some.push(all.swap_remove(self.chance.below(all.len() as u64) as usize).clone());
+            some.push(
+                all.swap_remove(self.chance.below(all.len() as u64) as usize)
+                    .clone(),
+            );
         }
         some
     }
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -10,11 +10,21 @@
 impl Node {
     pub(super) fn datagram(&mut self, body: Body, rows: Vec<Row>, facts: Vec<FactRow>) -> Datagram {
         self.serial += 1;
-        let (from, at, incarnation, serial) = (self.me.clone(), self.at, self.incarnation, self.serial);
-        Datagram { from, at, incarnation, serial, body, rows, facts }
+        let (from, at, incarnation, serial) =
+            (self.me.clone(), self.at, self.incarnation, self.serial);
+        Datagram {
+            from,
+            at,
+            incarnation,
+            serial,
+            body,
+            rows,
+            facts,
+        }
     }
 
-    /// With what news fits. The receiver first hears what is thought of itself, so that it can say otherwise.
+    /// With what news fits. The receiver first hears what is thought of itself, so that it can say
+    /// otherwise.
     pub(super) fn send(
         &mut self,
         at: SocketAddr,
@@ -30,8 +40,9 @@
         };
         let mut room = ROOM.saturating_sub(carried);
         let (mut rows, mut facts, mut passed) = (Vec::new(), Vec::new(), Vec::new());
-        let of_receiver =
-            to.and_then(|id| self.members.row(id)).filter(|row| row.state != MemberState::Alive);
+        let of_receiver = to
+            .and_then(|id| self.members.row(id))
+            .filter(|row| row.state != MemberState::Alive);
         if let Some(row) = of_receiver {
             room = room.saturating_sub(row_cost(&row));
             rows.push(row);
@@ -43,7 +54,11 @@
             for about in self.gossip.iter() {
                 let cost = match about {
                     About::Member(id) => {
-                        let row = if *id == self.me { Some(self.own_row()) } else { self.members.row(id) };
+                        let row = if *id == self.me {
+                            Some(self.own_row())
+                        } else {
+                            self.members.row(id)
+                        };
                         let Some(row) = row else { continue };
                         let cost = row_cost(&row);
                         if cost <= room {
@@ -52,7 +67,9 @@
                         cost
                     }
                     About::Fact(key) => {
-                        let Some(row) = self.facts.row(key, now) else { continue };
+                        let Some(row) = self.facts.row(key, now) else {
+                            continue;
+                        };
                         let cost = fact_cost(&row);
                         if cost <= room {
                             facts.push(row);
@@ -82,7 +99,13 @@
         self.allowed_at = now;
     }
 
-    pub(super) fn put(&mut self, at: SocketAddr, datagram: &Datagram, urgent: bool, now: Moment) -> bool {
+    pub(super) fn put(
+        &mut self,
+        at: SocketAddr,
+        datagram: &Datagram,
+        urgent: bool,
+        now: Moment,
+    ) -> bool {
         if self.left {
             return false;
         }
@@ -91,7 +114,11 @@
             return false;
         };
         self.allow(now);
-        let kept = if urgent { 0.0 } else { f64::from(self.rate) * RESERVED };
+        let kept = if urgent {
+            0.0
+        } else {
+            f64::from(self.rate) * RESERVED
+        };
         if self.allowance < bytes.len() as f64 + kept {
             self.counts.held_back += 1;
             return false;
--- a/peers/src/wire.rs
+++ b/peers/src/wire.rs
@@ -1,4 +1,5 @@
-//! Datagrams: what is in one, how it is written (a byte for the format, `postcard`, a keyed hash) and what is refused.
+//! Datagrams: what is in one, how it is written (a byte for the format, `postcard`, a keyed hash)
+//! and what is refused.
 use crate::facts::FactRow;
 use crate::identity::{Identity, LONGEST_NAME, Row};
 use serde::{Deserialize, Serialize};
@@ -97,7 +98,9 @@
         let mut all = fleet.as_bytes().to_vec();
         all.push(0);
         all.extend_from_slice(secret);
-        Seal { key: blake3::derive_key("thistlecroft peers, datagrams", &all) }
+        Seal {
+            key: blake3::derive_key("thistlecroft peers, datagrams", &all),
+        }
     }
 
     fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
@@ -129,9 +132,15 @@
         if text[0] != FORMAT {
             return Err(Rejection::Format(text[0]));
         }
-        // In constant time, as the crate compares whole hashes: how much was right is not told by how long it took.
+        // In constant time, as the crate compares whole hashes: how much was right is not told by
+        // how long it took.
         let (own, said) = (self.tag(text), tag);
-        if own.iter().zip(said).fold(0, |differs, (one, other)| differs | (one ^ other)) != 0 {
+        if own
+            .iter()
+            .zip(said)
+            .fold(0, |differs, (one, other)| differs | (one ^ other))
+            != 0
+        {
             return Err(Rejection::Foreign);
         }
         match postcard::take_from_bytes::<Datagram>(&text[1..]) {
@@ -145,8 +154,14 @@
     fn is_sound(&self) -> bool {
         let named = |id: &Identity| !id.name.is_empty() && id.name.len() <= LONGEST_NAME;
         named(&self.from)
-            && self.rows.iter().all(|row| named(&row.id) && row.accuser.as_ref().is_none_or(named))
-            && self.facts.iter().all(|fact| named(&fact.owner) && fact.is_sound())
+            && self
+                .rows
+                .iter()
+                .all(|row| named(&row.id) && row.accuser.as_ref().is_none_or(named))
+            && self
+                .facts
+                .iter()
+                .all(|fact| named(&fact.owner) && fact.is_sound())
     }
 }
 
--- a/peers/tests/facts.rs
+++ b/peers/tests/facts.rs
@@ -1,4 +1,5 @@
-//! Merging facts commutes, associates and repeats harmlessly, over random schedules; bounded tables too.
+//! Merging facts commutes, associates and repeats harmlessly, over random schedules; bounded tables
+//! too.
 use proptest::prelude::*;
 use thistlecroft::units::{Moment, Span};
 use thistlecroft_peers::Identity;
@@ -7,16 +8,22 @@
 const NOW: Moment = Moment::from_us(1_000_000_000);
 
 fn row() -> impl Strategy<Value = FactRow> {
-    (0..6_usize, 0..3_u8, 0..3_u64, 0..4_u64, 0..3_u8, 0..9_000_u32).prop_map(
-        |(kind, subject, run, epoch, value, age_ms)| FactRow {
+    (
+        0..6_usize,
+        0..3_u8,
+        0..3_u64,
+        0..4_u64,
+        0..3_u8,
+        0..9_000_u32,
+    )
+        .prop_map(|(kind, subject, run, epoch, value, age_ms)| FactRow {
             kind: Kind::ALL[kind],
             subject: vec![subject],
             owner: Identity::new("r", run),
             epoch,
             value: vec![value],
             age_ms,
-        },
-    )
+        })
 }
 
 fn taken<'a>(rows: impl Iterator<Item = &'a FactRow>) -> Vec<FactRow> {
@@ -71,19 +78,28 @@
         facts.announce(&me, Kind::Note, &7_u32.to_be_bytes(), b"again", NOW),
         "of its own it may change any"
     );
-    assert!(!facts.announce(&me, Kind::Note, &[0; 49], b"", NOW), "too long");
+    assert!(
+        !facts.announce(&me, Kind::Note, &[0; 49], b"", NOW),
+        "too long"
+    );
     assert_eq!(facts.refused, 2);
 }
 
 #[test]
 fn what_is_said_again_after_it_was_withdrawn_is_newer_for_those_who_still_hold_it() {
-    let (mut own, mut other) = (Facts::new(Span::from_ms(1_000)), Facts::new(Span::from_ms(1_000)));
+    let (mut own, mut other) = (
+        Facts::new(Span::from_ms(1_000)),
+        Facts::new(Span::from_ms(1_000)),
+    );
     let me = Identity::new("me", 1);
     let pass = |own: &Facts, other: &mut Facts| {
         let key = own.keys().next().unwrap().clone();
         other.merge(&own.row(&key, NOW).unwrap(), NOW)
     };
-    assert!(own.announce(&me, Kind::Ban, b"b", b"out", NOW) && own.announce(&me, Kind::Ban, b"b", b"z", NOW));
+    assert!(
+        own.announce(&me, Kind::Ban, b"b", b"out", NOW)
+            && own.announce(&me, Kind::Ban, b"b", b"z", NOW)
+    );
     assert!(pass(&own, &mut other));
     assert!(own.withdraw(&me, Kind::Ban, b"b"));
     assert!(own.announce(&me, Kind::Ban, b"b", b"a", NOW));
@@ -97,11 +113,29 @@
     let me = Identity::new("me", 1);
     assert!(facts.announce(&me, Kind::Ejection, b"b", b"x", NOW));
     let at = |secs: u64| NOW + Span::from_ms(secs * 1_000);
-    assert_eq!(facts.of_kind(Kind::Ejection, at(7)).next().unwrap().age, Span::from_ms(7_000));
+    assert_eq!(
+        facts.of_kind(Kind::Ejection, at(7)).next().unwrap().age,
+        Span::from_ms(7_000)
+    );
     assert!(facts.stale_of(&me, at(19)).is_empty());
-    assert_eq!(facts.stale_of(&me, at(20)).len(), 1, "said again after a third of its life");
+    assert_eq!(
+        facts.stale_of(&me, at(20)).len(),
+        1,
+        "said again after a third of its life"
+    );
     assert!(facts.forget(at(59)).is_empty());
-    let late = facts.row(&facts.keys().next().unwrap().clone(), at(59)).unwrap();
+    let late = facts
+        .row(&facts.keys().next().unwrap().clone(), at(59))
+        .unwrap();
     assert_eq!(facts.forget(at(60)).len(), 1);
-    assert!(!facts.merge(&FactRow { age_ms: 60_000, ..late }, at(60)), "what is too old does not come back");
+    assert!(
+        !facts.merge(
+            &FactRow {
+                age_ms: 60_000,
+                ..late
+            },
+            at(60)
+        ),
+        "what is too old does not come back"
+    );
 }
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -1,4 +1,5 @@
-//! Membership over simulated links: deaths, cuts, pauses, losses, growth, and what the bounds say of them.
+//! Membership over simulated links: deaths, cuts, pauses, losses, growth, and what the bounds say
+//! of them.
 use std::collections::BTreeSet;
 use thistlecroft::units::{Moment, Span};
 use thistlecroft_fleet::simulated_network::{Host, LinkFault, SimulatedNetwork};
@@ -10,7 +11,12 @@
 
 fn terms() -> Terms {
     let pace = Pace { period: PERIOD };
-    Terms { fleet: "test".into(), secret: b"of the test".to_vec(), pace, rate: 32_768 }
+    Terms {
+        fleet: "test".into(),
+        secret: b"of the test".to_vec(),
+        pace,
+        rate: 32_768,
+    }
 }
 
 fn network(count: usize, seed: u64) -> SimulatedNetwork {
@@ -23,14 +29,19 @@
 
 fn together(count: usize, seed: u64) -> SimulatedNetwork {
     let mut network = network(count, seed);
-    network.run_until(PERIOD * 40.0, SimulatedNetwork::agree).expect("all see all");
+    network
+        .run_until(PERIOD * 40.0, SimulatedNetwork::agree)
+        .expect("all see all");
     network
 }
 
 /// All that one process was seen as by the others, in order.
 fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
     let turns = network.hosts.iter().flat_map(|host| &host.turns);
-    turns.filter(|(_, id, _)| id.name == name).map(|(.., standing)| *standing).collect()
+    turns
+        .filter(|(_, id, _)| id.name == name)
+        .map(|(.., standing)| *standing)
+        .collect()
 }
 
 #[test]
@@ -48,13 +59,25 @@
         network.kill(1);
         let bound = terms().pace.gone_within(count, 0);
         let dead = network.hosts[1].node.me().clone();
-        let gone = |host: &Host| !host.alive || host.node.state_of(&dead) == Some(MemberState::Dead);
+        let gone =
+            |host: &Host| !host.alive || host.node.state_of(&dead) == Some(MemberState::Dead);
         let took = network.run_until(bound, |network| network.hosts.iter().all(gone));
         assert!(took.is_some(), "{count} relays, {bound:?}");
         let seen = seen_as(&network, "r1");
-        assert!(seen.contains(&MemberState::Suspect) && seen.contains(&MemberState::Dead), "{seen:?}");
-        let others = network.hosts.iter().filter(|host| host.alive).flat_map(|host| &host.turns);
-        assert!(others.filter(|(_, id, _)| id.name != "r1").all(|(.., to)| *to == MemberState::Alive));
+        assert!(
+            seen.contains(&MemberState::Suspect) && seen.contains(&MemberState::Dead),
+            "{seen:?}"
+        );
+        let others = network
+            .hosts
+            .iter()
+            .filter(|host| host.alive)
+            .flat_map(|host| &host.turns);
+        assert!(
+            others
+                .filter(|(_, id, _)| id.name != "r1")
+                .all(|(.., to)| *to == MemberState::Alive)
+        );
     }
 }
 
@@ -88,7 +111,11 @@
             },
             &[],
         ),
-        ("two on either side, one reaches both", |network| network.cut(&[0, 1], &[3, 4]), &[]),
+        (
+            "two on either side, one reaches both",
+            |network| network.cut(&[0, 1], &[3, 4]),
+            &[],
+        ),
         (
             "a tenth lost, 100 ms late",
             |network| {
@@ -111,16 +138,26 @@
                 .map(|number| format!("r{number}"))
                 .filter(|name| !gone.contains(&name.as_str()))
                 .collect();
-            let rest = network.hosts.iter().filter(|host| left.contains(&host.name));
+            let rest = network
+                .hosts
+                .iter()
+                .filter(|host| left.contains(&host.name));
             // A suspicion that is answered in time is no verdict.
             for host in rest {
-                let views = host.node.members().filter(|view| view.state >= MemberState::Dead);
+                let views = host
+                    .node
+                    .members()
+                    .filter(|view| view.state >= MemberState::Dead);
                 let found: Vec<&str> = views.map(|view| view.id.name.as_str()).collect();
                 assert_eq!(&found, gone, "{what}, seed {seed}, seen by {}", host.name);
             }
             // Others reach whom one does not: nobody is even suspected.
             if gone.is_empty() && network.link_fault.loss == 0.0 {
-                let suspected = network.hosts.iter().map(|host| host.node.counts.suspected).sum::<u64>();
+                let suspected = network
+                    .hosts
+                    .iter()
+                    .map(|host| host.node.counts.suspected)
+                    .sum::<u64>();
                 assert_eq!(suspected, 0, "{what}, seed {seed}");
             }
         }
@@ -136,10 +173,17 @@
         network.resume(2);
         let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::agree);
         assert!(took.is_some(), "{still:?}");
-        assert_eq!(seen_as(&network, "r2").contains(&MemberState::Dead), gone, "{still:?}");
+        assert_eq!(
+            seen_as(&network, "r2").contains(&MemberState::Dead),
+            gone,
+            "{still:?}"
+        );
         // Nobody else was ever taken for gone by it, or by anybody.
         for name in ["r0", "r1", "r3", "r4", "r5"] {
-            assert!(!seen_as(&network, name).contains(&MemberState::Dead), "{name}, {still:?}");
+            assert!(
+                !seen_as(&network, name).contains(&MemberState::Dead),
+                "{name}, {still:?}"
+            );
         }
         assert!(!gone || network.hosts[2].node.incarnation() > 0);
     }
@@ -150,9 +194,12 @@
     let mut network = together(6, 12);
     network.cut(&[4], &[0, 1, 2, 3, 5]);
     let accused = network.hosts[4].node.me().clone();
-    let suspects =
-        |network: &SimulatedNetwork| network.hosts[2].node.state_of(&accused) == Some(MemberState::Suspect);
-    network.run_until(PERIOD * 20.0, suspects).expect("suspected");
+    let suspects = |network: &SimulatedNetwork| {
+        network.hosts[2].node.state_of(&accused) == Some(MemberState::Suspect)
+    };
+    network
+        .run_until(PERIOD * 20.0, suspects)
+        .expect("suspected");
     network.pause(2);
     // The others hear that it is well; this one does not, and nothing waits for it.
     network.heal();
@@ -161,9 +208,16 @@
     network.heal();
     network.resume(2);
     let turns = network.hosts[2].turns.len();
-    network.run_until(PERIOD * 60.0, SimulatedNetwork::agree).expect("all see all");
+    network
+        .run_until(PERIOD * 60.0, SimulatedNetwork::agree)
+        .expect("all see all");
     let later = &network.hosts[2].turns[turns.saturating_sub(1)..];
-    assert!(later.iter().all(|(_, id, to)| *id != accused || *to != MemberState::Dead), "{later:?}");
+    assert!(
+        later
+            .iter()
+            .all(|(_, id, to)| *id != accused || *to != MemberState::Dead),
+        "{later:?}"
+    );
 }
 
 #[test]
@@ -173,15 +227,24 @@
     network.kill(1);
     network.run_for(PERIOD);
     network.restart(1);
-    let took =
-        network.run_until(terms().pace.gone_within(5, 0), |network| {
-            network.agree()
-                && network.hosts.iter().filter(|host| host.name != "r1").all(|host| {
-                    host.node.state_of(&old).is_some_and(|standing| standing >= MemberState::Dead)
+    let took = network.run_until(terms().pace.gone_within(5, 0), |network| {
+        network.agree()
+            && network
+                .hosts
+                .iter()
+                .filter(|host| host.name != "r1")
+                .all(|host| {
+                    host.node
+                        .state_of(&old)
+                        .is_some_and(|standing| standing >= MemberState::Dead)
                 })
-        });
+    });
     assert!(took.is_some());
-    assert_eq!(network.hosts[0].node.unreachable(), 0, "a newer run of its name is here");
+    assert_eq!(
+        network.hosts[0].node.unreachable(),
+        0,
+        "a newer run of its name is here"
+    );
 }
 
 #[test]
@@ -207,7 +270,9 @@
     let mut network = together(12, 6);
     network.act(4, |host, now| host.node.leave(now));
     network.kill(4);
-    let took = network.run_until(PERIOD * 10.0, SimulatedNetwork::agree).expect("told, not found out");
+    let took = network
+        .run_until(PERIOD * 10.0, SimulatedNetwork::agree)
+        .expect("told, not found out");
     assert!(took <= PERIOD * 10.0);
     assert!(!seen_as(&network, "r4").contains(&MemberState::Suspect));
     network.run_for(PERIOD * 40.0);
@@ -220,12 +285,26 @@
     let mut node = Node::new(Identity::new("me", 1), at, Vec::new(), &terms(), 1, now);
     let seal = Seal::new(b"of the test", "test");
     let you = Identity::new("you", 2);
-    let row = |incarnation, state| Row { id: you.clone(), at, incarnation, state, accuser: None };
+    let row = |incarnation, state| Row {
+        id: you.clone(),
+        at,
+        incarnation,
+        state,
+        accuser: None,
+    };
     let mut serial = 10;
     let mut hear = |node: &mut Node, from: &Identity, rows: Vec<Row>| {
         serial += 1;
         let (from, body) = (from.clone(), Body::Gossip);
-        let datagram = Datagram { from, at, incarnation: 0, serial, body, rows, facts: Vec::new() };
+        let datagram = Datagram {
+            from,
+            at,
+            incarnation: 0,
+            serial,
+            body,
+            rows,
+            facts: Vec::new(),
+        };
         node.receive(&seal.close(&datagram).unwrap(), at, now);
     };
     hear(&mut node, &you, Vec::new());
@@ -254,38 +333,59 @@
 fn a_fact_reaches_all_and_a_lost_one_by_comparing() {
     let mut network = together(24, 7);
     network.link_fault.loss = 0.2;
-    network.act(3, |host, now| assert!(host.node.announce(Kind::Ban, b"box-1", b"out", now)));
+    network.act(3, |host, now| {
+        assert!(host.node.announce(Kind::Ban, b"box-1", b"out", now))
+    });
     let known = |network: &SimulatedNetwork| {
         let has = |host: &Host| {
-            host.node.facts().of_kind(Kind::Ban, host.clock(network.now)).any(|fact| fact.value == b"out")
+            host.node
+                .facts()
+                .of_kind(Kind::Ban, host.clock(network.now))
+                .any(|fact| fact.value == b"out")
         };
         network.hosts.iter().all(has)
     };
     let took = network.run_until(PERIOD * 20.0, known).expect("all know");
     // One who was cut off all that while has it by an exchange; its age is at least what passed.
     network.cut(&[20], &(0..20).chain(21..24).collect::<Vec<_>>());
-    network.act(3, |host, now| assert!(host.node.announce(Kind::Note, b"n", b"later", now)));
+    network.act(3, |host, now| {
+        assert!(host.node.announce(Kind::Note, b"n", b"later", now))
+    });
     network.run_for(PERIOD * 30.0);
     network.heal();
     let has = |network: &SimulatedNetwork| {
         let host = &network.hosts[20];
-        host.node.facts().of_kind(Kind::Note, host.clock(network.now)).any(|fact| fact.age >= PERIOD * 30.0)
+        host.node
+            .facts()
+            .of_kind(Kind::Note, host.clock(network.now))
+            .any(|fact| fact.age >= PERIOD * 30.0)
     };
-    assert!(network.run_until(PERIOD * 60.0, has).is_some(), "after {took:?}");
+    assert!(
+        network.run_until(PERIOD * 60.0, has).is_some(),
+        "after {took:?}"
+    );
 }
 
 #[test]
 fn what_is_said_no_more_is_forgotten_everywhere_and_what_is_said_stays() {
     let mut network = together(5, 8);
-    network.act(0, |host, now| assert!(host.node.announce(Kind::Ejection, b"b", b"1", now)));
-    network.act(1, |host, now| assert!(host.node.announce(Kind::Ejection, b"c", b"2", now)));
+    network.act(0, |host, now| {
+        assert!(host.node.announce(Kind::Ejection, b"b", b"1", now))
+    });
+    network.act(1, |host, now| {
+        assert!(host.node.announce(Kind::Ejection, b"c", b"2", now))
+    });
     network.run_for(PERIOD * 10.0);
     network.act(0, |host, _| host.node.withdraw(Kind::Ejection, b"b"));
     network.run_for(PERIOD * 200.0);
     for host in &network.hosts {
         let now = host.clock(network.now);
-        let subjects: Vec<&[u8]> =
-            host.node.facts().of_kind(Kind::Ejection, now).map(|fact| fact.subject).collect();
+        let subjects: Vec<&[u8]> = host
+            .node
+            .facts()
+            .of_kind(Kind::Ejection, now)
+            .map(|fact| fact.subject)
+            .collect();
         assert_eq!(subjects, [b"c"], "{}", host.name);
     }
 }
@@ -296,37 +396,68 @@
     for number in 0..200_u32 {
         let subject = format!("a subject of some length, {number}");
         let value = [7; 90];
-        network.act(0, |host, now| assert!(host.node.announce(Kind::Share, subject.as_bytes(), &value, now)));
+        network.act(0, |host, now| {
+            assert!(
+                host.node
+                    .announce(Kind::Share, subject.as_bytes(), &value, now)
+            )
+        });
     }
     network.link_fault.loss = 0.3;
     let late = network.start("late", 1.0);
     let whole = |network: &SimulatedNetwork| network.hosts[late].node.facts().len() == 200;
-    assert!(network.run_until(PERIOD * 150.0, whole).is_some(), "{}", network.hosts[late].node.facts().len());
+    assert!(
+        network.run_until(PERIOD * 150.0, whole).is_some(),
+        "{}",
+        network.hosts[late].node.facts().len()
+    );
 }
 
 #[test]
 fn a_relay_never_sends_more_than_its_rate() {
-    let mut network = SimulatedNetwork::new(Terms { rate: 4_096, ..terms() }, None, 3, 11);
+    let mut network = SimulatedNetwork::new(
+        Terms {
+            rate: 4_096,
+            ..terms()
+        },
+        None,
+        3,
+        11,
+    );
     for number in 0..24 {
         network.start(&format!("r{number}"), 1.0);
     }
     let mut most = 0;
     for _ in 0..20 {
-        let before: Vec<u64> = network.hosts.iter().map(|host| host.node.counts.sent_bytes).collect();
+        let before: Vec<u64> = network
+            .hosts
+            .iter()
+            .map(|host| host.node.counts.sent_bytes)
+            .collect();
         for number in 0..24 {
             let text = format!("{:?}", network.now);
             network.act(number, |host, now| {
-                host.node.announce(Kind::Note, text.as_bytes(), &[1; 90], now);
+                host.node
+                    .announce(Kind::Note, text.as_bytes(), &[1; 90], now);
             });
         }
         network.run_for(Span::from_ms(1_000));
-        let sent =
-            network.hosts.iter().zip(before).map(|(host, before)| host.node.counts.sent_bytes - before);
+        let sent = network
+            .hosts
+            .iter()
+            .zip(before)
+            .map(|(host, before)| host.node.counts.sent_bytes - before);
         most = most.max(sent.max().unwrap_or_default());
     }
     // What was saved up in a second comes on top once.
     assert!(most <= 2 * 4_096, "{most} bytes in a second");
-    assert!(network.hosts.iter().any(|host| host.node.counts.held_back > 0), "the cap was met");
+    assert!(
+        network
+            .hosts
+            .iter()
+            .any(|host| host.node.counts.held_back > 0),
+        "the cap was met"
+    );
 }
 
 #[test]
@@ -348,24 +479,41 @@
     flipped[5] ^= 1;
     let mut older = good.clone();
     older[0] = 0;
-    let unnamed = Datagram { from: Identity::new("", 2), ..datagram.clone() };
+    let unnamed = Datagram {
+        from: Identity::new("", 2),
+        ..datagram.clone()
+    };
     type Count = fn(&Node) -> u64;
     let cases: &[(&str, Vec<u8>, Count)] = &[
         ("nothing", Vec::new(), |node| node.counts.odd_size),
         ("too long", vec![1; MOST + 1], |node| node.counts.odd_size),
-        ("cut off", good[..good.len() - 1].to_vec(), |node| node.counts.foreign),
+        ("cut off", good[..good.len() - 1].to_vec(), |node| {
+            node.counts.foreign
+        }),
         ("changed", flipped, |node| node.counts.foreign),
         ("an older format", older, |node| node.counts.other_format),
-        ("another fleet", Seal::new(b"of the test", "other").close(&datagram).unwrap(), |node| {
-            node.counts.foreign
+        (
+            "another fleet",
+            Seal::new(b"of the test", "other").close(&datagram).unwrap(),
+            |node| node.counts.foreign,
+        ),
+        (
+            "another key",
+            Seal::new(b"other", "test").close(&datagram).unwrap(),
+            |node| node.counts.foreign,
+        ),
+        ("no name", seal.close(&unnamed).unwrap(), |node| {
+            node.counts.malformed
         }),
-        ("another key", Seal::new(b"other", "test").close(&datagram).unwrap(), |node| node.counts.foreign),
-        ("no name", seal.close(&unnamed).unwrap(), |node| node.counts.malformed),
     ];
     for (what, bytes, count) in cases {
         let mut node = node(&terms());
         node.receive(bytes, at, now);
-        assert_eq!((count(&node), node.counts.heard, node.members().count()), (1, 0, 0), "{what}");
+        assert_eq!(
+            (count(&node), node.counts.heard, node.members().count()),
+            (1, 0, 0),
+            "{what}"
+        );
         assert!(node.take_datagrams().is_empty(), "{what}");
     }
     let mut node = node(&terms());
--- a/relay/src/admin.rs
+++ b/relay/src/admin.rs
@@ -1,4 +1,5 @@
-//! What operators may ask of a running relay, and how they are answered: one line to a call, one line back. No I/O.
+//! What operators may ask of a running relay, and how they are answered: one line to a call, one
+//! line back. No I/O.
 
 const NO_SUCH: &str = "no such call: READY, DISABLE ID, ENABLE ID, PEERS, LEASE SUBJECT, RELEASE SUBJECT, NOTE SUBJECT VALUE or NOTES";
 
@@ -31,10 +32,14 @@
     Bad(&'static str),
 }
 
-/// `ended`: no more bytes will come. A call whose line has no end may have been cut off in the middle of an id, so it is
-/// none.
+/// `ended`: no more bytes will come. A call whose line has no end may have been cut off in the
+/// middle of an id, so it is none.
 pub fn hear(bytes: &[u8], ended: bool) -> Heard {
-    let Some(at) = bytes.iter().position(|&byte| byte == b'\n').filter(|&at| at < LONGEST) else {
+    let Some(at) = bytes
+        .iter()
+        .position(|&byte| byte == b'\n')
+        .filter(|&at| at < LONGEST)
+    else {
         return match (bytes.len() >= LONGEST, ended) {
             (true, _) => Heard::Bad("a line too long"),
             (false, true) if bytes.is_empty() => Heard::Bad("no call"),
@@ -43,9 +48,13 @@
         };
     };
     let line = bytes[..at].strip_suffix(b"\r").unwrap_or(&bytes[..at]);
-    let Ok(line) = std::str::from_utf8(line) else { return Heard::Bad("not UTF-8") };
+    let Ok(line) = std::str::from_utf8(line) else {
+        return Heard::Bad("not UTF-8");
+    };
     let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let Some(word) = words.next() else { return Heard::Bad("no call") };
+    let Some(word) = words.next() else {
+        return Heard::Bad("no call");
+    };
     let id = words.next();
     match (word, id, words.next()) {
         ("NOTE", Some(subject), Some(value)) if words.next().is_none() => {
@@ -84,7 +93,9 @@
         match self {
             Readiness { stopping: true, .. } => Err("stopping"),
             Readiness { listed: false, .. } => Err("no list of backends yet"),
-            Readiness { accepting: false, .. } => Err("no clients are taken yet"),
+            Readiness {
+                accepting: false, ..
+            } => Err("no clients are taken yet"),
             _ => Ok(()),
         }
     }
@@ -122,13 +133,25 @@
             (b" \r\n", false, Heard::Bad("no call")),
             (b"ENABLE\n", false, Heard::Bad("which backend?")),
             (b"ENABLE a b\n", false, Heard::Bad("too many words")),
-            (b"READY now\n", false, Heard::Bad("READY takes no more words")),
+            (
+                b"READY now\n",
+                false,
+                Heard::Bad("READY takes no more words"),
+            ),
             (b"ready\n", false, Heard::Bad(NO_SUCH)),
             (b"PEERS\n", false, Heard::Call(Call::Peers)),
             (b"NOTES x\n", false, Heard::Bad(NO_SUCH)),
-            (b"LEASE turn\n", false, Heard::Call(Call::Lease("turn".into()))),
+            (
+                b"LEASE turn\n",
+                false,
+                Heard::Call(Call::Lease("turn".into())),
+            ),
             (b"RELEASE\n", false, Heard::Bad("which lease?")),
-            (b"NOTE a b\n", false, Heard::Call(Call::Note("a".into(), "b".into()))),
+            (
+                b"NOTE a b\n",
+                false,
+                Heard::Call(Call::Note("a".into(), "b".into())),
+            ),
             (b"NOTE a\n", false, Heard::Bad("a subject and a value")),
             (b"NOTE a b c\n", false, Heard::Bad("too many words")),
             (b"GET / HTTP/1.1\r\n", false, Heard::Bad("too many words")),
@@ -137,11 +160,20 @@
             (&long[1..], false, Heard::More),
         ];
         for (bytes, ended, expected) in cases {
-            assert_eq!(&hear(bytes, *ended), expected, "{:?}", String::from_utf8_lossy(bytes));
+            assert_eq!(
+                &hear(bytes, *ended),
+                expected,
+                "{:?}",
+                String::from_utf8_lossy(bytes)
+            );
         }
         for number in 0..8 {
             let [stopping, listed, accepting] = [1, 2, 4].map(|bit| number & bit > 0);
-            let ready = Readiness { stopping, listed, accepting };
+            let ready = Readiness {
+                stopping,
+                listed,
+                accepting,
+            };
             assert_eq!(ready.told().is_ok(), number == 6, "{ready:?}");
         }
         for pieces in 1..b"DISABLE s-1\r\n".len() {
--- a/relay/src/backends.rs
+++ b/relay/src/backends.rs
@@ -45,27 +45,59 @@
 
 impl Dial {
     pub fn begin(session: u32, plan: Plan, works: &mut Works) -> Result<Dial, Fault> {
-        let failed = |cause| Fault { reach: Reach::Nothing, cause };
+        let failed = |cause| Fault {
+            reach: Reach::Nothing,
+            cause,
+        };
         let address = plan.address.ok_or(failed(Cause::Broken))?;
-        let sock = works.sockets.connect(Owner::Dial(session), address).map_err(|fault| {
-            // Refused at once is the backend's doing; no descriptor or port left is ours.
-            let theirs = fault.kind() == std::io::ErrorKind::ConnectionRefused;
-            failed(if theirs { Cause::Broken } else { Cause::Ours })
-        })?;
-        let (connect_by, give_up_at) = (works.now + plan.connect_within, works.now + plan.give_up_after);
+        let sock = works
+            .sockets
+            .connect(Owner::Dial(session), address)
+            .map_err(|fault| {
+                // Refused at once is the backend's doing; no descriptor or port left is ours.
+                let theirs = fault.kind() == std::io::ErrorKind::ConnectionRefused;
+                failed(if theirs { Cause::Broken } else { Cause::Ours })
+            })?;
+        let (connect_by, give_up_at) = (
+            works.now + plan.connect_within,
+            works.now + plan.give_up_after,
+        );
         let alarm = Alarm::Dial(session, plan.serial);
         works.alarms.set(connect_by.min(give_up_at), alarm);
         works.alarms.set(give_up_at, alarm);
         let mut line = Words::default();
         line.add(&plan.line);
-        let Plan { number, serial, backend, .. } = plan;
-        Ok(Dial { number, serial, backend, sock, stage: Stage::Connecting, line, connect_by, give_up_at })
+        let Plan {
+            number,
+            serial,
+            backend,
+            ..
+        } = plan;
+        Ok(Dial {
+            number,
+            serial,
+            backend,
+            sock,
+            stage: Stage::Connecting,
+            line,
+            connect_by,
+            give_up_at,
+        })
     }
 
     /// One that another process of this relay made.
     pub fn standing(backend: BackendId, sock: Sock, now: Moment) -> Dial {
         let (stage, line) = (Stage::Standing, Words::default());
-        Dial { number: 0, serial: 0, backend, sock, stage, line, connect_by: now, give_up_at: now }
+        Dial {
+            number: 0,
+            serial: 0,
+            backend,
+            sock,
+            stage,
+            line,
+            connect_by: now,
+            give_up_at: now,
+        }
     }
 
     pub fn failed(&self, cause: Cause) -> Fault {
@@ -120,8 +152,8 @@
     Idle,
 }
 
-/// One connection for probes. It is used again while it stays open: a new one costs the backend several
-/// times what the answer does.
+/// One connection for probes. It is used again while it stays open: a new one costs the backend
+/// several times what the answer does.
 struct Probe {
     sock: Sock,
     state: ProbeState,
@@ -143,7 +175,12 @@
 
 impl Probes {
     pub fn new(connect_timeout: Span, idle: Span) -> Probes {
-        Probes { open: BTreeMap::new(), serial: 0, within: connect_timeout * 2.0, idle }
+        Probes {
+            open: BTreeMap::new(),
+            serial: 0,
+            within: connect_timeout * 2.0,
+            idle,
+        }
     }
 
     /// Other times, for the probes from now on.
@@ -167,34 +204,60 @@
             let Ok(mut sock) = works.sockets.connect(Owner::Probe(id.0), address) else {
                 works.counters.probes += 1;
                 works.counters.probes_failed += 1;
-                works.news.push_back(News::Probed(id, Verdict::Unreachable, Report::default()));
+                works
+                    .news
+                    .push_back(News::Probed(id, Verdict::Unreachable, Report::default()));
                 return;
             };
             sock.want(true, true);
             let mut words = Words::default();
             words.add(protocol::ASK_LOAD);
             let (state, answer, asked) = (ProbeState::Connecting, Flow::default(), works.now);
-            self.open.insert(id, Probe { sock, state, words, answer, serial, asked, again: false });
+            self.open.insert(
+                id,
+                Probe {
+                    sock,
+                    state,
+                    words,
+                    answer,
+                    serial,
+                    asked,
+                    again: false,
+                },
+            );
         }
         works.counters.probes += 1;
-        works.alarms.set(works.now + self.within, Alarm::Probe(id, serial));
+        works
+            .alarms
+            .set(works.now + self.within, Alarm::Probe(id, serial));
     }
 
-    pub fn event(&mut self, id: BackendId, key: usize, address: Option<SocketAddr>, works: &mut Works) {
-        let Some(probe) = self.open.get_mut(&id).filter(|probe| probe.sock.is(key)) else { return };
+    pub fn event(
+        &mut self,
+        id: BackendId,
+        key: usize,
+        address: Option<SocketAddr>,
+        works: &mut Works,
+    ) {
+        let Some(probe) = self.open.get_mut(&id).filter(|probe| probe.sock.is(key)) else {
+            return;
+        };
         match probe.go_on(works) {
             Ok(None) => {}
             Ok(Some((verdict, report))) => {
                 probe.state = ProbeState::Idle;
                 probe.sock.want(true, false);
-                works.alarms.set(works.now + self.idle, Alarm::Probe(id, probe.serial));
+                works
+                    .alarms
+                    .set(works.now + self.idle, Alarm::Probe(id, probe.serial));
                 if verdict != Verdict::Ok {
                     works.counters.probes_failed += 1;
                 }
                 works.news.push_back(News::Probed(id, verdict, report));
             }
             Err(Verdict::Reset) if probe.again && !probe.answer.has_bytes() => {
-                // Closed as idle in the moment in which it was used again: that tells nothing of its backend.
+                // Closed as idle in the moment in which it was used again: that tells nothing of
+                // its backend.
                 self.open.remove(&id);
                 self.ask(id, address, works);
             }
@@ -203,16 +266,22 @@
     }
 
     fn end(&mut self, id: BackendId, verdict: Verdict, works: &mut Works) {
-        let Some(mut probe) = self.open.remove(&id) else { return };
+        let Some(mut probe) = self.open.remove(&id) else {
+            return;
+        };
         probe.answer.clear(&mut works.pool);
         if !matches!(probe.state, ProbeState::Idle) {
             works.counters.probes_failed += 1;
-            works.news.push_back(News::Probed(id, verdict, Report::default()));
+            works
+                .news
+                .push_back(News::Probed(id, verdict, Report::default()));
         }
     }
 
     pub fn alarm(&mut self, id: BackendId, serial: u32, works: &mut Works) {
-        let Some(probe) = self.open.get(&id).filter(|probe| probe.serial == serial) else { return };
+        let Some(probe) = self.open.get(&id).filter(|probe| probe.serial == serial) else {
+            return;
+        };
         let waited = works.now.since(probe.asked);
         match probe.state {
             ProbeState::Idle if waited < self.idle => {}
@@ -231,10 +300,18 @@
                 Err(_) => return Err(Verdict::Unreachable),
             }
         }
-        if self.words.waits() && self.words.give(&mut self.sock).map_err(|_| Verdict::Reset)? {
+        if self.words.waits()
+            && self
+                .words
+                .give(&mut self.sock)
+                .map_err(|_| Verdict::Reset)?
+        {
             self.sock.want(true, false);
         }
-        let took = self.answer.take(&mut self.sock, &mut works.pool).map_err(|_| Verdict::Reset)?;
+        let took = self
+            .answer
+            .take(&mut self.sock, &mut works.pool)
+            .map_err(|_| Verdict::Reset)?;
         let line = match self.answer.next_line() {
             Ok(Some(line)) => Some(protocol::probe_line(line)),
             Ok(None) if took == Took::End => return Err(Verdict::Reset),
--- a/relay/src/bans.rs
+++ b/relay/src/bans.rs
@@ -1,5 +1,5 @@
-//! The set of backends that operators have taken out, as it is kept for the next process: a small text with a version, a
-//! serial number and a check over all of it. No I/O.
+//! The set of backends that operators have taken out, as it is kept for the next process: a small
+//! text with a version, a serial number and a check over all of it. No I/O.
 use crate::discovery::hash;
 use std::collections::BTreeSet;
 
@@ -16,7 +16,11 @@
 impl Bans {
     /// True where it changed anything: a ban is a set, and twice out is once out.
     pub fn change(&mut self, id: &str, out: bool) -> bool {
-        let changed = if out { self.out.insert(id.to_string()) } else { self.out.remove(id) };
+        let changed = if out {
+            self.out.insert(id.to_string())
+        } else {
+            self.out.remove(id)
+        };
         self.serial += u64::from(changed);
         changed
     }
@@ -38,7 +42,10 @@
         if !text.starts_with(&format!("{HEAD}\n")) {
             return Err("not a list of bans of this version");
         }
-        let body = text.len().checked_sub("check 0000000000000000\n".len()).ok_or("cut short")?;
+        let body = text
+            .len()
+            .checked_sub("check 0000000000000000\n".len())
+            .ok_or("cut short")?;
         let (body, check) = text.split_at_checked(body).ok_or("cut short")?;
         if check != format!("check {:016x}\n", hash(body.as_bytes())) {
             return Err("its check does not agree");
@@ -48,7 +55,9 @@
             match line.split_once(' ') {
                 Some(("relay", name)) if name == relay => {}
                 Some(("relay", _)) => return Err("of another relay"),
-                Some(("serial", number)) => bans.serial = number.parse().map_err(|_| "a bad serial")?,
+                Some(("serial", number)) => {
+                    bans.serial = number.parse().map_err(|_| "a bad serial")?
+                }
                 Some(("out", id)) => drop(bans.out.insert(id.to_string())),
                 _ => return Err("a line that is none of its own"),
             }
@@ -86,7 +95,10 @@
         bans.change("s-5be2a07c", true);
         let sound = bans.text("n3");
         for length in 0..sound.len() {
-            assert!(Bans::read(&sound[..length], "n3").is_err(), "cut at {length}");
+            assert!(
+                Bans::read(&sound[..length], "n3").is_err(),
+                "cut at {length}"
+            );
         }
         for place in 0..sound.len() {
             let mut bytes = sound.clone().into_bytes();
@@ -95,7 +107,12 @@
             assert!(Bans::read(&text, "n3").is_err(), "another sign at {place}");
         }
         let version = HEAD.replace('1', "2");
-        let cases = [sound.replace(HEAD, &version), sound.clone() + "out b\n", bans.text("n4"), "{}".into()];
+        let cases = [
+            sound.replace(HEAD, &version),
+            sound.clone() + "out b\n",
+            bans.text("n4"),
+            "{}".into(),
+        ];
         for text in cases {
             assert!(Bans::read(&text, "n3").is_err(), "{text}");
         }
--- a/relay/src/buffers.rs
+++ b/relay/src/buffers.rs
@@ -1,5 +1,5 @@
-//! Buffers of one size from a pool. A connection holds one only while bytes wait in it, so that standing
-//! connections cost no memory beyond their sockets.
+//! Buffers of one size from a pool. A connection holds one only while bytes wait in it, so that
+//! standing connections cost no memory beyond their sockets.
 
 pub const SIZE: usize = 8 * 1024;
 
@@ -12,7 +12,10 @@
 
 impl Pool {
     pub fn new(most: usize) -> Pool {
-        Pool { spare: Vec::new(), left: most }
+        Pool {
+            spare: Vec::new(),
+            left: most,
+        }
     }
 
     /// None where the limit is reached: whoever asks stops reading until one comes back.
--- a/relay/src/callers.rs
+++ b/relay/src/callers.rs
@@ -1,5 +1,5 @@
-//! The operators' door: few callers at a time, each with one line and one answer. Whoever says nothing holds a place only
-//! while no other wants it.
+//! The operators' door: few callers at a time, each with one line and one answer. Whoever says
+//! nothing holds a place only while no other wants it.
 use crate::admin::{self, Call, Heard, LONGEST};
 use crate::lines::Words;
 use crate::sockets::{Door, Owner, Sock};
@@ -16,7 +16,8 @@
 const ACCEPTS: usize = 32;
 /// A caller that has not said a whole line by then is sent away.
 const PATIENCE: Span = Span::from_ms(5_000);
-/// After its answer a caller has so long to end its side: closed with bytes unread the answer could be lost.
+/// After its answer a caller has so long to end its side: closed with bytes unread the answer could
+/// be lost.
 const PARTING: Span = Span::from_ms(500);
 
 struct Caller {
@@ -48,27 +49,44 @@
 impl Callers {
     pub fn new(mut door: Door) -> Callers {
         door.want(true);
-        Callers { door, map: BTreeMap::new(), next: 0, calls: Vec::new() }
+        Callers {
+            door,
+            map: BTreeMap::new(),
+            next: 0,
+            calls: Vec::new(),
+        }
     }
 
     pub fn accept(&mut self, works: &mut Works) {
         for _ in 0..ACCEPTS {
             let id = self.next;
-            match self.door.accept().and_then(|stream| works.sockets.adopt(Owner::Caller(id), stream)) {
+            match self
+                .door
+                .accept()
+                .and_then(|stream| works.sockets.adopt(Owner::Caller(id), stream))
+            {
                 Ok(sock) => {
                     self.make_room(works);
                     self.next = self.next.wrapping_add(1);
-                    let caller =
-                        Caller { sock, heard: Vec::new(), words: Words::default(), stage: Stage::Calling };
+                    let caller = Caller {
+                        sock,
+                        heard: Vec::new(),
+                        words: Words::default(),
+                        stage: Stage::Calling,
+                    };
                     self.map.insert(id, caller);
                     works.alarms.set(works.now + PATIENCE, Alarm::Caller(id));
                     self.read(id, works);
                 }
                 Err(fault) if fault.kind() == ErrorKind::WouldBlock => return,
                 Err(fault)
-                    if matches!(fault.kind(), ErrorKind::ConnectionAborted | ErrorKind::Interrupted) => {}
+                    if matches!(
+                        fault.kind(),
+                        ErrorKind::ConnectionAborted | ErrorKind::Interrupted
+                    ) => {}
                 Err(fault) => {
-                    // Readable again at the next turn; the clients' door pauses for the same reason.
+                    // Readable again at the next turn; the clients' door pauses for the same
+                    // reason.
                     log::debug!("the operators' door: {fault}");
                     return;
                 }
@@ -76,7 +94,8 @@
         }
     }
 
-    /// The caller that has had its answer longest goes first, then the one that has said nothing whole for longest.
+    /// The caller that has had its answer longest goes first, then the one that has said nothing
+    /// whole for longest.
     fn make_room(&mut self, works: &mut Works) {
         if self.map.len() < PLACES {
             return;
@@ -87,7 +106,10 @@
             Stage::Calling => 2,
             Stage::Asked => 3,
         };
-        let first = self.map.iter().min_by_key(|(id, caller)| (place(caller.stage), **id));
+        let first = self
+            .map
+            .iter()
+            .min_by_key(|(id, caller)| (place(caller.stage), **id));
         let Some((&id, _)) = first else { return };
         self.answer(id, Err("too many callers"), works);
         self.map.remove(&id);
@@ -102,15 +124,25 @@
     }
 
     pub fn alarm(&mut self, id: u32, works: &mut Works) {
-        if self.map.get(&id).is_some_and(|caller| caller.stage == Stage::Calling) {
+        if self
+            .map
+            .get(&id)
+            .is_some_and(|caller| caller.stage == Stage::Calling)
+        {
             self.answer(id, Err("no call came"), works);
-        } else if self.map.get(&id).is_some_and(|caller| caller.stage != Stage::Asked) {
+        } else if self
+            .map
+            .get(&id)
+            .is_some_and(|caller| caller.stage != Stage::Asked)
+        {
             self.map.remove(&id);
         }
     }
 
     fn read(&mut self, id: u32, works: &mut Works) {
-        let Some(caller) = self.map.get_mut(&id) else { return };
+        let Some(caller) = self.map.get_mut(&id) else {
+            return;
+        };
         let mut piece = [0; LONGEST];
         let ended = match caller.sock.read(&mut piece) {
             Ok(0) => true,
@@ -120,7 +152,11 @@
                 }
                 false
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => false,
+            Err(fault)
+                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            {
+                false
+            }
             Err(_) => return drop(self.map.remove(&id)),
         };
         match caller.stage {
@@ -141,7 +177,11 @@
     }
 
     pub fn answer(&mut self, id: u32, done: Result<&str, &str>, works: &mut Works) {
-        let Some(caller) = self.map.get_mut(&id).filter(|caller| caller.stage <= Stage::Asked) else {
+        let Some(caller) = self
+            .map
+            .get_mut(&id)
+            .filter(|caller| caller.stage <= Stage::Asked)
+        else {
             return;
         };
         caller.words.add(&admin::answer(done));
@@ -153,7 +193,11 @@
     }
 
     fn write(&mut self, id: u32, works: &mut Works) {
-        let Some(caller) = self.map.get_mut(&id).filter(|caller| caller.stage == Stage::Answered) else {
+        let Some(caller) = self
+            .map
+            .get_mut(&id)
+            .filter(|caller| caller.stage == Stage::Answered)
+        else {
             return;
         };
         match caller.words.give(&mut caller.sock) {
@@ -171,6 +215,9 @@
 
     /// Nobody who has called waits for the answer.
     pub fn is_quiet(&self) -> bool {
-        !self.map.values().any(|caller| matches!(caller.stage, Stage::Asked | Stage::Answered))
+        !self
+            .map
+            .values()
+            .any(|caller| matches!(caller.stage, Stage::Asked | Stage::Answered))
     }
 }
--- a/relay/src/clients.rs
+++ b/relay/src/clients.rs
@@ -1,4 +1,5 @@
-//! Sessions: each owns its client's socket and the dial that is out for it, and is in one named stage.
+//! Sessions: each owns its client's socket and the dial that is out for it, and is in one named
+//! stage.
 use crate::backends::{Dial, Plan, Stage as DialStage};
 use crate::buffers::Pool;
 use crate::counters::Counters;
@@ -28,19 +29,20 @@
 pub const RESERVE: usize = 40;
 /// And these few more serve to tell clients that there is no room.
 const TELLING: usize = 8;
-/// From its connecting, for all that a client says before its `OPEN` is read whole: an answer or an end is
-/// owed within three seconds, and a connection that says nothing holds a descriptor that others need. With 2.7 s
-/// nobody more was served on crowded days (docs/results.md).
+/// From its connecting, for all that a client says before its `OPEN` is read whole: an answer or an
+/// end is owed within three seconds, and a connection that says nothing holds a descriptor that
+/// others need. With 2.7 s nobody more was served on crowded days (docs/results.md).
 const FIRST_LINE: Span = Span::from_ms(2_000);
 /// One accepted late has at least this, to be read at all.
 const FIRST_LINE_LEAST: Span = Span::from_ms(200);
-/// While descriptors lack, a connection that says nothing makes room after this; a usual client's first line
-/// is there long before.
+/// While descriptors lack, a connection that says nothing makes room after this; a usual client's
+/// first line is there long before.
 const SHED_AFTER: Span = Span::from_ms(20);
-/// After our last word a client is given this long to end its side; the protocol allows a second in all.
+/// After our last word a client is given this long to end its side; the protocol allows a second in
+/// all.
 const PARTING: Span = Span::from_ms(400);
-/// The same while it still sends, which is dropped: closed with bytes unread, the connection would be reset
-/// and the last word with it lost.
+/// The same while it still sends, which is dropped: closed with bytes unread, the connection would
+/// be reset and the last word with it lost.
 const DROPPING: Span = Span::from_ms(3_000);
 /// Dropped at one go: a megabyte a turn, so that sixty of them pass in time, and no more.
 const DROPS: usize = 16;
@@ -50,7 +52,8 @@
 const CLIENT_ENDED: Span = Span::from_ms(2_000);
 /// A line unanswered for so long is noted as delayed while it is, and again after each such span.
 const OVERDUE: Span = Span::from_ms(250);
-/// Connections from before the start are tried again after this, and given up after the other: lost after 40 s.
+/// Connections from before the start are tried again after this, and given up after the other: lost
+/// after 40 s.
 const INHERITED_AGAIN: Span = Span::from_ms(200);
 const INHERITED_WITHIN: Span = Span::from_ms(38_000);
 /// The same where the list does not know the backend: it may be about to come, once.
@@ -148,11 +151,11 @@
     generations: BTreeMap<u32, usize>,
     /// Descriptors that sessions may take together.
     most_sockets: usize,
-    /// Ids of sessions that are open: a backend turns a second one of the same id away, and the blame would
-    /// fall on it.
+    /// Ids of sessions that are open: a backend turns a second one of the same id away, and the
+    /// blame would fall on it.
     claimed: BTreeSet<u64>,
-    /// Sessions that hold a descriptor for nothing: first those that have had their last word, then the others, the
-    /// longest silent first.
+    /// Sessions that hold a descriptor for nothing: first those that have had their last word, then
+    /// the others, the longest silent first.
     idle: BTreeSet<Idle>,
 }
 
@@ -193,9 +196,27 @@
         let most_sockets = sockets.saturating_sub(RESERVE);
         let (claimed, idle) = (BTreeSet::new(), BTreeSet::new());
         let (generation, generations) = (1, BTreeMap::new());
-        let terms = Terms { names, routing, generation, generations, most_sockets, claimed, idle };
+        let terms = Terms {
+            names,
+            routing,
+            generation,
+            generations,
+            most_sockets,
+            claimed,
+            idle,
+        };
         let (map, entry, offers) = (BTreeMap::new(), Entry::Shut, VecDeque::new());
-        Sessions { map, next: 0, door, entry, behind_since: None, full: false, offers, on_way: 0, terms }
+        Sessions {
+            map,
+            next: 0,
+            door,
+            entry,
+            behind_since: None,
+            full: false,
+            offers,
+            on_way: 0,
+            terms,
+        }
     }
 
     pub fn open_door(&mut self) {
@@ -238,13 +259,16 @@
 
     /// How many sessions go by which reading of the file, for people.
     pub fn generations(&self) -> String {
-        let each =
-            self.terms.generations.iter().map(|(number, count)| format!("{count} by generation {number}"));
+        let each = self
+            .terms
+            .generations
+            .iter()
+            .map(|(number, count)| format!("{count} by generation {number}"));
         each.collect::<Vec<_>>().join(", ")
     }
 
-    /// Takes connections in, each with what it has said already, so that one that means to be served is never
-    /// among those that make room.
+    /// Takes connections in, each with what it has said already, so that one that means to be
+    /// served is never among those that make room.
     pub fn accept(&mut self, book: &Book, works: &mut Works) {
         if self.entry == Entry::Shut {
             return;
@@ -259,23 +283,32 @@
                 return self.pause_accepting(works);
             }
             let id = self.next;
-            match self.door.accept().and_then(|stream| works.sockets.adopt(Owner::Client(id), stream)) {
+            match self
+                .door
+                .accept()
+                .and_then(|stream| works.sockets.adopt(Owner::Client(id), stream))
+            {
                 Ok(mut client) => {
                     works.counters.connections += 1;
                     client.want(true, false);
                     let since = self.behind_since.unwrap_or(works.now);
                     self.map.insert(id, Session::new(id, client, since, works));
                     self.next = self.next.wrapping_add(1);
-                    self.step(id, works, |session, terms, works| session.client_event(terms, book, works));
+                    self.step(id, works, |session, terms, works| {
+                        session.client_event(terms, book, works)
+                    });
                 }
                 Err(fault) => match fault.kind() {
                     ErrorKind::WouldBlock => {
                         self.behind_since = None;
                         return;
                     }
-                    ErrorKind::ConnectionAborted | ErrorKind::Interrupted | ErrorKind::ConnectionReset => {}
+                    ErrorKind::ConnectionAborted
+                    | ErrorKind::Interrupted
+                    | ErrorKind::ConnectionReset => {}
                     _ => {
-                        // No descriptor or memory left: the clients stay in the backlog for a moment.
+                        // No descriptor or memory left: the clients stay in the backlog for a
+                        // moment.
                         works.counters.accept_failures += 1;
                         log::debug!("accept: {fault}");
                         return self.pause_accepting(works);
@@ -297,9 +330,10 @@
         self.door.want(self.entry == Entry::Open);
     }
 
-    /// Ends the connection that is needed least: one that has had its last word, else the one that has been silent for
-    /// longest, if for so long; true where that made room. What a silent one has said by now is read first: a line that
-    /// came since the turn began is a session taken, and owed its answer.
+    /// Ends the connection that is needed least: one that has had its last word, else the one that
+    /// has been silent for longest, if for so long; true where that made room. What a silent one
+    /// has said by now is read first: a line that came since the turn began is a session taken, and
+    /// owed its answer.
     fn shed(&mut self, silent: Span, book: &Book, works: &mut Works) -> bool {
         while let Some(&first) = self.terms.idle.first() {
             let (waits, heard, id) = first;
@@ -313,10 +347,12 @@
                 let fate = session.client_event(terms, book, works);
                 match session.stage {
                     // Half a line, whose rest may be on its way: told so that it can't be missed.
-                    Stage::Opening if session.up.waits() => session.part(&protocol::refusal(None), works),
+                    Stage::Opening if session.up.waits() => {
+                        session.part(&protocol::refusal(None), works)
+                    }
                     Stage::Opening => {
-                        // Accepted just now it may speak at this very moment: then this is its answer, though the
-                        // break that follows leaves no time for more.
+                        // Accepted just now it may speak at this very moment: then this is its
+                        // answer, though the break that follows leaves no time for more.
                         if works.now.since(heard) < SHED_AFTER {
                             session.words.add(&protocol::refusal(None));
                             let _ = session.words.give(&mut session.client);
@@ -338,15 +374,18 @@
         false
     }
 
-    /// Runs one step of a session, for an event, an alarm or an order; whatever comes of it, what is waited for
-    /// is settled in this one place. A fault in the code costs the session that met it, not the process.
+    /// Runs one step of a session, for an event, an alarm or an order; whatever comes of it, what
+    /// is waited for is settled in this one place. A fault in the code costs the session that met
+    /// it, not the process.
     fn step(
         &mut self,
         id: u32,
         works: &mut Works,
         step: impl FnOnce(&mut Session, &mut Terms, &mut Works) -> Fate,
     ) {
-        let Some(session) = self.map.get_mut(&id) else { return };
+        let Some(session) = self.map.get_mut(&id) else {
+            return;
+        };
         let was_idle = session.idle_since();
         let done = catch_unwind(AssertUnwindSafe(|| step(session, &mut self.terms, works)));
         let fate = done.unwrap_or_else(|_| {
@@ -382,30 +421,47 @@
 
     pub fn client_event(&mut self, id: u32, key: usize, book: &Book, works: &mut Works) {
         self.step(id, works, |session, terms, works| {
-            if session.client.is(key) { session.client_event(terms, book, works) } else { Goes }
+            if session.client.is(key) {
+                session.client_event(terms, book, works)
+            } else {
+                Goes
+            }
         });
     }
 
     pub fn dial_event(&mut self, id: u32, key: usize, book: &Book, works: &mut Works) {
         self.step(id, works, |session, terms, works| {
-            if session.lead(|dial| dial.sock.is(key)) { session.dial_event(terms, book, works) } else { Goes }
+            if session.lead(|dial| dial.sock.is(key)) {
+                session.dial_event(terms, book, works)
+            } else {
+                Goes
+            }
         });
     }
 
-    /// A list or an operator has taken backends out: what is on its way there and has sent nothing yet ends, since it could
-    /// come up after the grace. Asked once the turn's own dials are under way.
+    /// A list or an operator has taken backends out: what is on its way there and has sent nothing
+    /// yet ends, since it could come up after the grace. Asked once the turn's own dials are under
+    /// way.
     pub fn recall(&mut self, book: &Book, works: &mut Works) {
         let there = |dial: &Dial| dial.is_unsent() && book.is_out(dial.backend);
         let any = |session: &Session| {
             let other = session.other.as_ref().map(|other| &other.dial);
             session.stage == Stage::Placing && session.dial.iter().chain(other).any(there)
         };
-        let ids: Vec<u32> = self.map.iter().filter(|(_, session)| any(session)).map(|(&id, _)| id).collect();
+        let ids: Vec<u32> = self
+            .map
+            .iter()
+            .filter(|(_, session)| any(session))
+            .map(|(&id, _)| id)
+            .collect();
         for id in ids {
             self.step(id, works, |session, _, works| {
                 let mut fate = Goes;
                 while fate == Goes && session.lead(there) {
-                    let fault = session.dial.as_ref().map(|dial| dial.failed(Cause::Withdrawn));
+                    let fault = session
+                        .dial
+                        .as_ref()
+                        .map(|dial| dial.failed(Cause::Withdrawn));
                     fate = fault.map_or(Over, |fault| session.dial_ended(fault, works));
                 }
                 fate
@@ -416,7 +472,12 @@
     pub fn dial_alarm(&mut self, id: u32, serial: u32, works: &mut Works) {
         self.step(id, works, |session, _, works| {
             let late = session.lead(|dial| dial.serial == serial && dial.overdue(works.now));
-            match session.dial.as_ref().filter(|_| late).map(|dial| dial.failed(Cause::TimedOut)) {
+            match session
+                .dial
+                .as_ref()
+                .filter(|_| late)
+                .map(|dial| dial.failed(Cause::TimedOut))
+            {
                 Some(fault) => session.dial_ended(fault, works),
                 None => Goes,
             }
@@ -439,7 +500,9 @@
     }
 
     pub fn again_alarm(&mut self, id: u32, book: &Book, works: &mut Works) {
-        self.step(id, works, |session, terms, works| session.inherit(terms, book, works));
+        self.step(id, works, |session, terms, works| {
+            session.inherit(terms, book, works)
+        });
     }
 
     /// Sessions that stopped for want of a buffer read on.
@@ -448,7 +511,9 @@
             if !works.pool.has_some() {
                 return;
             }
-            let Some(id) = works.starved.pop_front() else { return };
+            let Some(id) = works.starved.pop_front() else {
+                return;
+            };
             self.step(id, works, |session, _, _| {
                 session.starved = false;
                 Goes
@@ -473,12 +538,18 @@
             if self.on_way >= OFFERS {
                 break;
             }
-            let Some(id) = self.offers.pop_front() else { break };
-            let Some(session) = self.map.get_mut(&id) else { continue };
+            let Some(id) = self.offers.pop_front() else {
+                break;
+            };
+            let Some(session) = self.map.get_mut(&id) else {
+                continue;
+            };
             match session.heritable() {
                 Some(true) if session.offer(heir, book)? => {
                     self.on_way += 1;
-                    works.alarms.set(works.now + OFFERED_WITHIN, Alarm::Offered(id));
+                    works
+                        .alarms
+                        .set(works.now + OFFERED_WITHIN, Alarm::Offered(id));
                 }
                 Some(_) => self.offers.push_back(id),
                 None => {}
@@ -492,7 +563,11 @@
 
     /// The next process holds it: this one lets go, without a word to either side.
     pub fn handed(&mut self, id: u32, heir: &Line, works: &mut Works) -> std::io::Result<()> {
-        if self.map.get(&id).is_none_or(|session| session.stage != Stage::Handing) {
+        if self
+            .map
+            .get(&id)
+            .is_none_or(|session| session.stage != Stage::Handing)
+        {
             return Ok(());
         }
         if !heir.say(&Word::Yours { serial: id }, &[], &[])? {
@@ -509,7 +584,10 @@
 
     /// It stays after all; true where it had been on its way.
     pub fn keep(&mut self, id: u32, works: &mut Works) -> bool {
-        let offered = self.map.get(&id).is_some_and(|session| session.stage == Stage::Handing);
+        let offered = self
+            .map
+            .get(&id)
+            .is_some_and(|session| session.stage == Stage::Handing);
         if offered {
             self.on_way -= 1;
             self.step(id, works, |session, _, works| session.keep(works));
@@ -520,15 +598,18 @@
     /// There is no next process any more.
     pub fn keep_all(&mut self, works: &mut Works) {
         self.offers.clear();
-        let offered = self.map.iter().filter(|(_, session)| session.stage == Stage::Handing);
+        let offered = self
+            .map
+            .iter()
+            .filter(|(_, session)| session.stage == Stage::Handing);
         let offered: Vec<u32> = offered.map(|(&id, _)| id).collect();
         for id in offered {
             self.keep(id, works);
         }
     }
 
-    /// If two more descriptors fit in. What the other process holds does not count: what comes from there is less
-    /// over there.
+    /// If two more descriptors fit in. What the other process holds does not count: what comes from
+    /// there is less over there.
     pub fn has_room(&self, works: &Works) -> bool {
         works.sockets.own() + 2 <= self.terms.most_sockets
     }
@@ -551,9 +632,19 @@
         let down = Flow::holding(down, of.down.1, &mut works.pool).ok_or_else(no_buffer)?;
         self.next = self.next.wrapping_add(1);
         let mut session = Session::new(id, client, works.now, works);
-        // A listener that these settings don't have any more: all that its row is asked for is how to move it.
-        let listener = self.terms.names.listeners.iter().position(|name| *name == of.listener).unwrap_or(0);
-        let row = self.terms.routing.find(listener, of.key.unwrap_or_default(), of.group);
+        // A listener that these settings don't have any more: all that its row is asked for is how
+        // to move it.
+        let listener = self
+            .terms
+            .names
+            .listeners
+            .iter()
+            .position(|name| *name == of.listener)
+            .unwrap_or(0);
+        let row = self
+            .terms
+            .routing
+            .find(listener, of.key.unwrap_or_default(), of.group);
         let front = self.terms.routing.front(row);
         let arrival = Arrival {
             route: RouteId(row as u16),
@@ -571,12 +662,19 @@
         session.told_delay = Span::from_us(of.told_delay_us);
         session.claimed = self.terms.claimed.insert(of.id).then_some(of.id);
         let (key, group, load) = (of.key, of.group, of.load);
-        session.about =
-            Some(Box::new(About { listener: of.listener.clone(), key, group, load, sent_away: false }));
+        session.about = Some(Box::new(About {
+            listener: of.listener.clone(),
+            key,
+            group,
+            load,
+            sent_away: false,
+        }));
         session.watch(works);
         self.map.insert(id, session);
         works.counters.adopted += 1;
-        works.news.push_back(News::Inherited(SessionId(id), at, arrival));
+        works
+            .news
+            .push_back(News::Inherited(SessionId(id), at, arrival));
         if let Some(load) = load {
             works.news.push_back(News::Load(SessionId(id), load));
         }
@@ -595,7 +693,9 @@
         works: &mut Works,
     ) {
         // Connections that only wait never keep a dial from its descriptor.
-        while works.sockets.open() >= self.terms.most_sockets && self.shed(Span::ZERO, book, works) {}
+        while works.sockets.open() >= self.terms.most_sockets && self.shed(Span::ZERO, book, works)
+        {
+        }
         self.step(id.0, works, |session, terms, works| {
             let number = session.dials;
             session.dials += 1;
@@ -622,15 +722,31 @@
     }
 
     pub fn refuse(&mut self, id: SessionId, retry_after: Option<Span>, works: &mut Works) {
-        self.answer(id, &protocol::refusal(retry_after), |counters| &mut counters.refused, works);
+        self.answer(
+            id,
+            &protocol::refusal(retry_after),
+            |counters| &mut counters.refused,
+            works,
+        );
     }
 
     pub fn tear_down(&mut self, id: SessionId, works: &mut Works) {
-        self.answer(id, protocol::FAILED, |counters| &mut counters.torn_down, works);
+        self.answer(
+            id,
+            protocol::FAILED,
+            |counters| &mut counters.torn_down,
+            works,
+        );
     }
 
     /// The final answer of a session that was not accepted; one that has its answer gets no second.
-    fn answer(&mut self, id: SessionId, word: &str, count: fn(&mut Counters) -> &mut u64, works: &mut Works) {
+    fn answer(
+        &mut self,
+        id: SessionId,
+        word: &str,
+        count: fn(&mut Counters) -> &mut u64,
+        works: &mut Works,
+    ) {
         self.step(id.0, works, |session, _, works| {
             if session.stage != Stage::Placing {
                 return Goes;
@@ -641,13 +757,15 @@
     }
 
     pub fn send_away(&mut self, id: SessionId, works: &mut Works) {
-        self.step(id.0, works, |session, _, works| match (session.stage, &mut session.about) {
-            (Stage::Standing, _) => session.send_away(works),
-            (Stage::Handing, Some(about)) => {
-                about.sent_away = true;
-                Goes
+        self.step(id.0, works, |session, _, works| {
+            match (session.stage, &mut session.about) {
+                (Stage::Standing, _) => session.send_away(works),
+                (Stage::Handing, Some(about)) => {
+                    about.sent_away = true;
+                    Goes
+                }
+                _ => Goes,
             }
-            _ => Goes,
         });
     }
 
@@ -657,7 +775,9 @@
 
     #[cfg(test)]
     pub fn fail(&mut self, id: u32, works: &mut Works) {
-        self.step(id, works, |_, _, _| panic!("a fault in a step, for the test"));
+        self.step(id, works, |_, _, _| {
+            panic!("a fault in a step, for the test")
+        });
     }
 }
 
@@ -668,7 +788,9 @@
     }
 
     fn forget(&mut self, generation: u32) {
-        let Some(count) = self.generations.get_mut(&generation) else { return };
+        let Some(count) = self.generations.get_mut(&generation) else {
+            return;
+        };
         *count -= 1;
         if *count == 0 {
             self.generations.remove(&generation);
@@ -718,7 +840,8 @@
 
     /// Its place among those that hold a descriptor for nothing.
     fn idle_since(&self) -> Option<Idle> {
-        let idle = matches!(self.stage, Stage::Opening | Stage::Leaving | Stage::Parted) && !self.stood;
+        let idle =
+            matches!(self.stage, Stage::Opening | Stage::Leaving | Stage::Parted) && !self.stood;
         idle.then_some((self.stage != Stage::Parted, self.heard, self.id))
     }
 
@@ -728,7 +851,8 @@
             Stage::Opening | Stage::Placing | Stage::Inheriting => Some(false),
             Stage::Standing => {
                 let ends = self.end_told || self.up.ended || self.down.ended || self.said.is_some();
-                (!ends && self.close_by.is_none()).then_some(!self.words.waits() && self.other.is_none())
+                (!ends && self.close_by.is_none())
+                    .then_some(!self.words.waits() && self.other.is_none())
             }
             Stage::Handing | Stage::Leaving | Stage::Parted => None,
         }
@@ -777,7 +901,9 @@
     fn watch(&mut self, works: &mut Works) {
         if !self.watched && self.asked.is_some() {
             self.watched = true;
-            works.alarms.set(works.now + OVERDUE, Alarm::Overdue(self.id));
+            works
+                .alarms
+                .set(works.now + OVERDUE, Alarm::Overdue(self.id));
         }
     }
 
@@ -794,11 +920,15 @@
     fn settle(&mut self) {
         if self.stage == Stage::Handing {
             self.client.want(false, false);
-            return self.dial.iter_mut().for_each(|dial| dial.sock.want(false, false));
+            return self
+                .dial
+                .iter_mut()
+                .for_each(|dial| dial.sock.want(false, false));
         }
         let passing = matches!(self.stage, Stage::Standing | Stage::Leaving);
         let to_client = passing && self.down.waits() || self.words.waits();
-        // While it waits nothing of its is kept, so that no lack of buffers can hide that it leaves.
+        // While it waits nothing of its is kept, so that no lack of buffers can hide that it
+        // leaves.
         let reads = self.is_waiting() || !self.starved;
         self.client.want(self.up.has_room() && reads, to_client);
         if let Some(dial) = &mut self.dial {
@@ -807,13 +937,17 @@
                 DialStage::Waiting => false,
                 DialStage::Standing => self.up.waits() && !self.up_shut,
             };
-            dial.sock.want(self.down.has_room() && !self.starved, to_backend);
+            dial.sock
+                .want(self.down.has_room() && !self.starved, to_backend);
         }
         if let Some(other) = &mut self.other {
             let sending = matches!(other.dial.stage, DialStage::Connecting | DialStage::Sending);
             // Once the first is up, the other only waits to be given up.
             let reading = self.stage == Stage::Placing && other.down.has_room() && !self.starved;
-            other.dial.sock.want(reading, sending && self.stage == Stage::Placing);
+            other
+                .dial
+                .sock
+                .want(reading, sending && self.stage == Stage::Placing);
         }
     }
 
@@ -822,8 +956,12 @@
         if self.dial.as_ref().is_some_and(&such) {
             return true;
         }
-        let Some(other) = self.other.as_mut().filter(|other| such(&other.dial)) else { return false };
-        let Some(dial) = self.dial.as_mut().filter(|_| self.stage == Stage::Placing) else { return false };
+        let Some(other) = self.other.as_mut().filter(|other| such(&other.dial)) else {
+            return false;
+        };
+        let Some(dial) = self.dial.as_mut().filter(|_| self.stage == Stage::Placing) else {
+            return false;
+        };
         std::mem::swap(dial, &mut other.dial);
         std::mem::swap(&mut self.down, &mut other.down);
         true
@@ -836,7 +974,9 @@
     }
 
     fn idle_alarm(&mut self, works: &mut Works) -> Fate {
-        let Some(idle) = self.front.and_then(|front| front.idle) else { return Goes };
+        let Some(idle) = self.front.and_then(|front| front.idle) else {
+            return Goes;
+        };
         if self.stage != Stage::Standing {
             return Goes;
         }
@@ -900,8 +1040,9 @@
         matches!(self.stage, Stage::Placing | Stage::Inheriting)
     }
 
-    /// A client that was to wait: it may have left, or says what it should not. Passed on once it is up, another command
-    /// would have the backend close, and kept, sixty megabytes would have no end.
+    /// A client that was to wait: it may have left, or says what it should not. Passed on once it
+    /// is up, another command would have the backend close, and kept, sixty megabytes would have no
+    /// end.
     fn look_at_client(&mut self, works: &mut Works) -> Fate {
         match self.client.read(&mut [0]) {
             Ok(0) => {
@@ -912,7 +1053,9 @@
                 self.client_left(works);
                 self.bad_line("more than one line before the answer", works)
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Err(fault)
+                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            {
                 self.pass_down(works)
             }
             Err(_) => self.client_broke(works),
@@ -965,7 +1108,13 @@
                     let arrival = &mut open.arrival;
                     let listener = terms.names.listeners[usize::from(arrival.route.0)].clone();
                     let (key, group) = (arrival.key, open.group);
-                    self.about = Some(Box::new(About { listener, key, group, load: None, sent_away: false }));
+                    self.about = Some(Box::new(About {
+                        listener,
+                        key,
+                        group,
+                        load: None,
+                        sent_away: false,
+                    }));
                     let row = terms.routing.find(
                         usize::from(arrival.route.0),
                         arrival.key.unwrap_or_default(),
@@ -984,7 +1133,9 @@
                     }
                     works.counters.sessions += 1;
                     self.stage = Stage::Placing;
-                    works.news.push_back(News::Arrived(self.session_id(), arrival));
+                    works
+                        .news
+                        .push_back(News::Arrived(self.session_id(), arrival));
                 }
                 Err(why) => return self.bad_line(why, works),
             }
@@ -1024,8 +1175,8 @@
             Stage::Opening if self.up.waits() => self.bad_line("cut off", works),
             Stage::Opening if self.words.waits() => self.part("", works),
             Stage::Opening | Stage::Parted => Over,
-            // It may have gone, or only have no more to send: the last word is owed in the second case and
-            // harmless in the first.
+            // It may have gone, or only have no more to send: the last word is owed in the second
+            // case and harmless in the first.
             Stage::Placing | Stage::Inheriting => {
                 self.client_left(works);
                 self.part(protocol::FAILED, works)
@@ -1061,7 +1212,11 @@
         }
         if let Some(mut other) = self.other.take() {
             other.down.clear(&mut works.pool);
-            self.tell_dial_end(other.dial.number, other.dial.failed(Cause::Withdrawn), works);
+            self.tell_dial_end(
+                other.dial.number,
+                other.dial.failed(Cause::Withdrawn),
+                works,
+            );
         }
         if let Some(dial) = self.dial.take() {
             self.down.clear(&mut works.pool);
@@ -1079,7 +1234,14 @@
         match self.stage {
             Stage::Opening if self.up.has_bytes() => self.bad_line("slow", works),
             Stage::Standing => {
-                self.tell_end(if self.up.ended { Verdict::Ok } else { Verdict::Reset }, works);
+                self.tell_end(
+                    if self.up.ended {
+                        Verdict::Ok
+                    } else {
+                        Verdict::Reset
+                    },
+                    works,
+                );
                 Over
             }
             Stage::Placing | Stage::Inheriting | Stage::Handing => Goes,
@@ -1087,8 +1249,8 @@
         }
     }
 
-    /// What a client still sends behind our last word. Each piece gives it a little longer to read that word,
-    /// up to a limit from when the word was said.
+    /// What a client still sends behind our last word. Each piece gives it a little longer to read
+    /// that word, up to a limit from when the word was said.
     fn drop_rest(&mut self, works: &mut Works) -> Fate {
         let mut piece = [0; DROP];
         for _ in 0..DROPS {
@@ -1105,11 +1267,15 @@
 
     fn overdue(&mut self, works: &mut Works) {
         self.watched = false;
-        let (Some(asked), Stage::Standing) = (self.asked, self.stage) else { return };
+        let (Some(asked), Stage::Standing) = (self.asked, self.stage) else {
+            return;
+        };
         let waited = works.now.since(asked);
         let next = if waited >= OVERDUE {
             if !self.end_told {
-                works.news.push_back(News::Overdue(self.session_id(), waited));
+                works
+                    .news
+                    .push_back(News::Overdue(self.session_id(), waited));
             }
             works.now + OVERDUE
         } else {
@@ -1192,8 +1358,16 @@
         if self.stage != Stage::Inheriting || self.dial.is_some() {
             return Goes;
         }
-        let at = self.open.as_ref().and_then(|open| open.at.as_deref()).and_then(|name| book.named(name));
-        let within = if at.is_some() { INHERITED_WITHIN } else { UNKNOWN_WITHIN };
+        let at = self
+            .open
+            .as_ref()
+            .and_then(|open| open.at.as_deref())
+            .and_then(|name| book.named(name));
+        let within = if at.is_some() {
+            INHERITED_WITHIN
+        } else {
+            UNKNOWN_WITHIN
+        };
         let left = within - works.now.since(self.began);
         if left == Span::ZERO {
             works.counters.torn_down += 1;
@@ -1202,7 +1376,9 @@
         match at {
             Some(backend) => self.dial(0, backend, left, terms, book, works),
             None => {
-                works.alarms.set(works.now + INHERITED_AGAIN, Alarm::Again(self.id));
+                works
+                    .alarms
+                    .set(works.now + INHERITED_AGAIN, Alarm::Again(self.id));
                 Goes
             }
         }
@@ -1218,14 +1394,24 @@
         works: &mut Works,
     ) -> Fate {
         if self.stage == Stage::Placing {
-            // Its end may stand behind hundreds of events that this turn does not come to: nothing begins for it.
+            // Its end may stand behind hundreds of events that this turn does not come to: nothing
+            // begins for it.
             let fate = self.look_at_client(works);
             if fate == Over || !self.is_waiting() {
-                self.tell_dial_end(number, Fault { reach: Reach::Nothing, cause: Cause::Ours }, works);
+                self.tell_dial_end(
+                    number,
+                    Fault {
+                        reach: Reach::Nothing,
+                        cause: Cause::Ours,
+                    },
+                    works,
+                );
                 return fate;
             }
         }
-        let Some(open) = self.open.as_ref().filter(|_| self.other.is_none()) else { return Goes };
+        let Some(open) = self.open.as_ref().filter(|_| self.other.is_none()) else {
+            return Goes;
+        };
         self.serial += 1;
         let plan = Plan {
             number,
@@ -1239,12 +1425,22 @@
         works.counters.dials += 1;
         if works.sockets.open() >= terms.most_sockets {
             // Many first lines in one turn all find room before the first of their dials takes any.
-            return self.dial_failed(number, Fault { reach: Reach::Nothing, cause: Cause::Ours }, works);
+            return self.dial_failed(
+                number,
+                Fault {
+                    reach: Reach::Nothing,
+                    cause: Cause::Ours,
+                },
+                works,
+            );
         }
         match Dial::begin(self.id, plan, works) {
             Ok(dial) if self.dial.is_some() => {
                 works.counters.second_dials += 1;
-                self.other = Some(Box::new(Other { dial, down: Flow::default() }));
+                self.other = Some(Box::new(Other {
+                    dial,
+                    down: Flow::default(),
+                }));
                 Goes
             }
             Ok(dial) => {
@@ -1256,7 +1452,9 @@
     }
 
     fn dial_ended(&mut self, fault: Fault, works: &mut Works) -> Fate {
-        let Some(dial) = self.dial.take() else { return Goes };
+        let Some(dial) = self.dial.take() else {
+            return Goes;
+        };
         self.down.clear(&mut works.pool);
         self.down = Flow::default();
         if let Some(other) = self.other.take() {
@@ -1268,7 +1466,9 @@
     fn dial_failed(&mut self, number: u32, fault: Fault, works: &mut Works) -> Fate {
         if self.stage == Stage::Inheriting {
             log::debug!("inherited connection {}: {fault:?}", self.id);
-            works.alarms.set(works.now + INHERITED_AGAIN, Alarm::Again(self.id));
+            works
+                .alarms
+                .set(works.now + INHERITED_AGAIN, Alarm::Again(self.id));
             return Goes;
         }
         self.tell_dial_end(number, fault, works);
@@ -1288,13 +1488,20 @@
             Verdict::Withdrawn => &mut counter.dials_withdrawn,
             Verdict::NeverSent => &mut counter.dials_never_sent,
         } += 1;
-        let ending = Ending { dial: number, verdict, over: false, report: fault.report() };
+        let ending = Ending {
+            dial: number,
+            verdict,
+            over: false,
+            report: fault.report(),
+        };
         works.news.push_back(News::Ended(self.session_id(), ending));
     }
 
     /// The end of a connection that stood, told once.
     fn tell_end(&mut self, verdict: Verdict, works: &mut Works) {
-        let Some(dial) = self.dial.as_ref().filter(|_| !self.end_told) else { return };
+        let Some(dial) = self.dial.as_ref().filter(|_| !self.end_told) else {
+            return;
+        };
         self.end_told = true;
         let (verdict, report) = self.said.unwrap_or((verdict, Report::default()));
         if verdict == Verdict::Ok {
@@ -1302,18 +1509,25 @@
         } else if verdict == Verdict::Reset {
             works.counters.ended_broken += 1;
         }
-        let ending = Ending { dial: dial.number, verdict, over: true, report };
+        let ending = Ending {
+            dial: dial.number,
+            verdict,
+            over: true,
+            report,
+        };
         works.news.push_back(News::Ended(self.session_id(), ending));
     }
 
     fn dial_event(&mut self, terms: &Terms, book: &Book, works: &mut Works) -> Fate {
         if self.is_waiting() && self.dial.as_ref().is_some_and(Dial::is_unsent) {
-            // Its client may have left in this very turn, or long before a late one; then nothing is sent on.
+            // Its client may have left in this very turn, or long before a late one; then nothing
+            // is sent on.
             let fate = self.look_at_client(works);
             if fate == Over || !self.is_waiting() {
                 return fate;
             }
-            // As late as this only where the loop itself was kept: its alarm is met behind it in this turn.
+            // As late as this only where the loop itself was kept: its alarm is met behind it in
+            // this turn.
             let stale = |dial: &&Dial| book.is_out(dial.backend) || dial.overdue(works.now);
             if let Some(dial) = self.dial.as_ref().filter(stale)
                 && self.stage == Stage::Placing
@@ -1322,7 +1536,9 @@
                 return self.dial_ended(fault, works);
             }
         }
-        let Some(dial) = self.dial.as_mut().filter(|_| self.stage != Stage::Handing) else { return Goes };
+        let Some(dial) = self.dial.as_mut().filter(|_| self.stage != Stage::Handing) else {
+            return Goes;
+        };
         if let Err(fault) = dial.advance() {
             return self.dial_ended(fault, works);
         }
@@ -1335,7 +1551,11 @@
                 Err(_) => return self.backend_broke(works),
             }
         }
-        if self.stage == Stage::Standing { self.pass_up(works) } else { Goes }
+        if self.stage == Stage::Standing {
+            self.pass_up(works)
+        } else {
+            Goes
+        }
     }
 
     fn backend_lines(&mut self, terms: &Terms, works: &mut Works) -> Fate {
@@ -1351,10 +1571,14 @@
                     None => return self.send_away(works),
                     Some(Said::Load(ms)) if terms.names.notes_tell_delay => {
                         self.told_delay = Span::from_ms(1) * ms;
-                        works.news.push_back(News::Delay(self.session_id(), self.told_delay));
+                        works
+                            .news
+                            .push_back(News::Delay(self.session_id(), self.told_delay));
                     }
                     Some(Said::Load(load)) => {
-                        self.about.iter_mut().for_each(|about| about.load = Some(load));
+                        self.about
+                            .iter_mut()
+                            .for_each(|about| about.load = Some(load));
                         works.news.push_back(News::Load(self.session_id(), load));
                     }
                     Some(Said::Last(verdict, report)) => self.said = Some((verdict, report)),
@@ -1371,12 +1595,18 @@
                 return Goes;
             }
         }
-        if self.stage == Stage::Standing { self.pass_down(works) } else { Goes }
+        if self.stage == Stage::Standing {
+            self.pass_down(works)
+        } else {
+            Goes
+        }
     }
 
     /// What a backend answers a dial; true where that ended it.
     fn first_said(&mut self, said: Option<Said>, works: &mut Works) -> bool {
-        let Some(dial) = &mut self.dial else { return true };
+        let Some(dial) = &mut self.dial else {
+            return true;
+        };
         let cause = match said {
             Some(Said::Up) if dial.stage == DialStage::Waiting => {
                 dial.stage = DialStage::Standing;
@@ -1414,7 +1644,14 @@
             let fault = self.dial.as_ref().map(|dial| dial.failed(Cause::Broken));
             return fault.map_or(Goes, |fault| self.dial_ended(fault, works));
         }
-        self.tell_end(if self.up.ended { Verdict::Ok } else { Verdict::Reset }, works);
+        self.tell_end(
+            if self.up.ended {
+                Verdict::Ok
+            } else {
+                Verdict::Reset
+            },
+            works,
+        );
         self.close_within(BACKEND_ENDED, works);
         self.pass_down(works)
     }
@@ -1429,8 +1666,8 @@
             return self.backend_end(works);
         }
         self.tell_end(Verdict::Reset, works);
-        // Lines that came before the break pass before it; where they can't at once, an end has to do, since a
-        // break would throw them away.
+        // Lines that came before the break pass before it; where they can't at once, an end has to
+        // do, since a break would throw them away.
         if !matches!(self.down.give(&mut self.client, &mut works.pool), Ok(false)) {
             self.client.break_off();
             return Over;
@@ -1439,7 +1676,9 @@
     }
 
     fn pass_up(&mut self, works: &mut Works) -> Fate {
-        let Some(dial) = self.dial.as_mut().filter(|_| !self.up_shut) else { return Goes };
+        let Some(dial) = self.dial.as_mut().filter(|_| !self.up_shut) else {
+            return Goes;
+        };
         match self.up.give(&mut dial.sock, &mut works.pool) {
             Ok(true) if self.up.ended => {
                 dial.sock.finish_sending();
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The watch on the list of backends: HTTP/1.1 with a chunked answer that stays open, and what its lines say.
+//! The watch on the list of backends: HTTP/1.1 with a chunked answer that stays open, and what its
+//! lines say.
 use crate::front::News;
 use crate::lines::Words;
 use crate::pacing::{CALLED_WITHIN, How, NEXT_CALLED_WITHIN, Pacing};
@@ -14,15 +15,17 @@
 use thistlecroft::units::{Chance, Moment, Span};
 use thistlecroft_facts::ReportPlaces;
 
-/// An empty line comes every two seconds. What the agent has counts as told, so a watch that died without a
-/// word must be found out before the grace of a drain has passed.
+/// An empty line comes every two seconds. What the agent has counts as told, so a watch that died
+/// without a word must be found out before the grace of a drain has passed.
 const SILENCE: Span = Span::from_ms(2_500);
-/// A new address has less: its list counts as told four seconds after the signal, and it answers at once.
+/// A new address has less: its list counts as told four seconds after the signal, and it answers at
+/// once.
 const SILENCE_OF_NEXT: Span = Span::from_ms(800);
 /// A good watch that broke is asked for anew at once, but no more often than this.
 const QUICK_EVERY: Span = Span::from_ms(2_000);
-/// An agent that is there answers at once. A call that it has not answered after this part of a drain's grace may hang
-/// from the time when it was away, and what it has by now counts as told: another is made beside it.
+/// An agent that is there answers at once. A call that it has not answered after this part of a
+/// drain's grace may hang from the time when it was away, and what it has by now counts as told:
+/// another is made beside it.
 const UNANSWERED: f64 = 0.25;
 const UNANSWERED_LEAST: Span = Span::from_ms(20);
 /// Against a line that never ends: thousands of backends fit in less.
@@ -49,7 +52,8 @@
     started_at_ms: Option<u64>,
 }
 
-/// Which backend is which, by the id that is the same at every relay, and where each is to be found.
+/// Which backend is which, by the id that is the same at every relay, and where each is to be
+/// found.
 pub struct Book {
     by_name: HashMap<String, BackendId>,
     names: Vec<String>,
@@ -65,7 +69,15 @@
 impl Book {
     pub fn new(zones: Vec<String>, places: ReportPlaces) -> Book {
         let (names, addresses, leaving, banned) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        Book { by_name: HashMap::new(), names, addresses, leaving, banned, zones, places }
+        Book {
+            by_name: HashMap::new(),
+            names,
+            addresses,
+            leaving,
+            banned,
+            zones,
+            places,
+        }
     }
 
     /// Nothing new may go there.
@@ -124,10 +136,12 @@
         // All are read before any is noted, so that a bad list changes nothing.
         let mut read = Vec::with_capacity(entries.len());
         for entry in entries {
-            let address: SocketAddr = entry
-                .host_port
-                .parse()
-                .map_err(|_| format!("{}: \"{}\" is no address", entry.instance_id, entry.host_port))?;
+            let address: SocketAddr = entry.host_port.parse().map_err(|_| {
+                format!(
+                    "{}: \"{}\" is no address",
+                    entry.instance_id, entry.host_port
+                )
+            })?;
             let standing = match entry.lifecycle.as_str() {
                 "Ready" => Standing::Ready,
                 "Terminating" => Standing::Draining,
@@ -142,12 +156,17 @@
             .collect())
     }
 
-    /// The same number for a name as long as the process lives, whatever later settings call their zones.
+    /// The same number for a name as long as the process lives, whatever later settings call their
+    /// zones.
     pub fn zone(&mut self, name: &str) -> ZoneId {
-        let place = self.zones.iter().position(|zone| *zone == name).unwrap_or_else(|| {
-            self.zones.push(name.to_string());
-            self.zones.len() - 1
-        });
+        let place = self
+            .zones
+            .iter()
+            .position(|zone| *zone == name)
+            .unwrap_or_else(|| {
+                self.zones.push(name.to_string());
+                self.zones.len() - 1
+            });
         ZoneId(place as u16)
     }
 
@@ -177,13 +196,13 @@
 
 /// FNV-1a: the same number for a name at every relay and in every release.
 pub fn hash(bytes: &[u8]) -> u64 {
-    bytes
-        .iter()
-        .fold(0xcbf2_9ce4_8422_2325, |sum, &byte| (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    bytes.iter().fold(0xcbf2_9ce4_8422_2325, |sum, &byte| {
+        (sum ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3)
+    })
 }
 
-/// What has come of the lists' text. A list may stand on one line or be indented over many, so its end is told by its
-/// braces; between two there are empty lines, within one there is none.
+/// What has come of the lists' text. A list may stand on one line or be indented over many, so its
+/// end is told by its braces; between two there are empty lines, within one there is none.
 #[derive(Default)]
 struct Text {
     bytes: Vec<u8>,
@@ -204,7 +223,9 @@
             let was_blank = self.blank;
             self.blank = byte == b'\n' || was_blank && byte.is_ascii_whitespace();
             match byte {
-                b'\n' if self.in_string || self.depth > 0 && was_blank => return Err("a list cut off".into()),
+                b'\n' if self.in_string || self.depth > 0 && was_blank => {
+                    return Err("a list cut off".into());
+                }
                 _ if self.escaped => self.escaped = false,
                 b'\\' if self.in_string => self.escaped = true,
                 b'"' if self.depth > 0 => self.in_string = !self.in_string,
@@ -259,13 +280,13 @@
     /// As it came from the socket, then as text without the chunks.
     raw: Vec<u8>,
     text: Text,
-    /// When a whole list, an empty line or an answer's head came last, else when it was begun: a line that trickles tells
-    /// nothing and would hide that all else has stopped.
+    /// When a whole list, an empty line or an answer's head came last, else when it was begun: a
+    /// line that trickles tells nothing and would hide that all else has stopped.
     heard: Moment,
     /// Given up after so long without a word.
     patience: Span,
-    /// Only the alarm set last counts: were each to start an attempt, which sets one more, a discovery that
-    /// stays down would be asked ever faster until the loop did nothing else.
+    /// Only the alarm set last counts: were each to start an attempt, which sets one more, a
+    /// discovery that stays down would be asked ever faster until the loop did nothing else.
     wake_at: Moment,
     pacing: Pacing,
 }
@@ -278,7 +299,10 @@
 
 impl Fault {
     fn new(how: How, why: impl ToString) -> Fault {
-        Fault { how, why: why.to_string() }
+        Fault {
+            how,
+            why: why.to_string(),
+        }
     }
 }
 
@@ -302,8 +326,9 @@
     Next,
 }
 
-/// The watch on the list. While the relay is told another address, the old conversation goes on until the new
-/// one has told its list: the new one may be dead, and drains must be heard of meanwhile.
+/// The watch on the list. While the relay is told another address, the old conversation goes on
+/// until the new one has told its list: the new one may be dead, and drains must be heard of
+/// meanwhile.
 pub struct Watch {
     current: Call,
     next: Option<Call>,
@@ -320,7 +345,15 @@
     pub fn new(at: SocketAddr, seed: u64, book: Book, grace: Span, now: Moment) -> Watch {
         let chance = Chance::from_seed(seed ^ 0x64_6973_636f);
         let (current, quick_again) = (Call::new(at, SILENCE, now), now);
-        Watch { current, next: None, generation: None, quick_again, grace, chance, book }
+        Watch {
+            current,
+            next: None,
+            generation: None,
+            quick_again,
+            grace,
+            chance,
+            book,
+        }
     }
 
     /// Another grace for drains, as later settings have it.
@@ -340,7 +373,9 @@
 
     /// The next call is a second one to the same address, beside one that hangs.
     fn is_beside(&self) -> bool {
-        self.next.as_ref().is_some_and(|next| next.at == self.current.at)
+        self.next
+            .as_ref()
+            .is_some_and(|next| next.at == self.current.at)
     }
 
     /// The list as it was last had: it may be old, so the first watch asks for the whole.
@@ -397,28 +432,40 @@
 
     /// The version that such a call goes on from.
     fn held(&self, which: Which) -> Option<u64> {
-        self.generation.filter(|_| which == Which::Current || self.is_beside())
+        self.generation
+            .filter(|_| which == Which::Current || self.is_beside())
     }
 
-    /// The last list stays in force. Only here is it decided when the next call is made: two clocks that each began one
-    /// asked a busy discovery twice as often.
+    /// The last list stays in force. Only here is it decided when the next call is made: two clocks
+    /// that each began one asked a busy discovery twice as often.
     fn fail(&mut self, which: Which, works: &mut Works, Fault { how, why }: Fault) {
         let mut pacing = self.call(which).pacing;
         // Told once: while discovery is down every attempt ends here.
         let once = which == Which::Current || !self.is_beside();
-        let level = if pacing.is_first() && once { log::Level::Warn } else { log::Level::Debug };
+        let level = if pacing.is_first() && once {
+            log::Level::Warn
+        } else {
+            log::Level::Debug
+        };
         let good = matches!(self.call(which).state, State::Following(..)) && how != How::Absent;
         let quick = good && works.now >= self.quick_again;
         if quick {
             self.quick_again = works.now + QUICK_EVERY;
         }
-        let within =
-            if which == Which::Next && !self.is_beside() { NEXT_CALLED_WITHIN } else { CALLED_WITHIN };
+        let within = if which == Which::Next && !self.is_beside() {
+            NEXT_CALLED_WITHIN
+        } else {
+            CALLED_WITHIN
+        };
         let left = within - works.now.since(self.call(which).heard);
         let how = if quick { How::Lost } else { how };
         let wait = pacing.pause(how, self.answer_due(), left, &mut self.chance);
         let call = self.call(which);
-        log::log!(level, "discovery at {}: {why}; the last list stays", call.at);
+        log::log!(
+            level,
+            "discovery at {}: {why}; the last list stays",
+            call.at
+        );
         call.state = State::Resting;
         call.pacing = pacing;
         call.wake(works.now + wait, works);
@@ -445,7 +492,8 @@
         self.call_beside(works);
     }
 
-    /// While the one call hangs unanswered another is made, and again: the first that is answered is the watch.
+    /// While the one call hangs unanswered another is made, and again: the first that is answered
+    /// is the watch.
     fn call_beside(&mut self, works: &mut Works) {
         let hangs = matches!(self.current.state, State::Connecting(..) | State::Asked(_));
         let due = self.answer_due();
@@ -466,7 +514,10 @@
         if self.is_beside() && matches!(self.call(which).state, State::Following(..)) {
             // Of two calls to the same the one that is answered goes on.
             if let (Which::Next, Some(next)) = (which, self.next.take()) {
-                self.current = Call { patience: SILENCE, ..next };
+                self.current = Call {
+                    patience: SILENCE,
+                    ..next
+                };
                 which = Which::Current;
                 self.current.wake(works.now + SILENCE, works);
             }
@@ -489,12 +540,16 @@
 
     /// True where it made the next conversation the current one.
     fn take_line(&mut self, which: Which, line: &[u8], works: &mut Works) -> Result<bool, String> {
-        let list: ListText = serde_json::from_slice(line).map_err(|fault| format!("a bad list: {fault}"))?;
+        let list: ListText =
+            serde_json::from_slice(line).map_err(|fault| format!("a bad list: {fault}"))?;
         let held = self.held(which);
         if !list.reset && held.is_some_and(|held| list.generation <= held) {
             return Ok(false);
         }
-        let rows = self.book.listings(&list.instances).map_err(|fault| format!("a bad list: {fault}"))?;
+        let rows = self
+            .book
+            .listings(&list.instances)
+            .map_err(|fault| format!("a bad list: {fault}"))?;
         if list.reset {
             self.book.only(&rows)
         } else {
@@ -503,7 +558,10 @@
         let moved = self.next.take_if(|_| which == Which::Next);
         let has_moved = moved.is_some();
         if let Some(next) = moved {
-            self.current = Call { patience: SILENCE, ..next };
+            self.current = Call {
+                patience: SILENCE,
+                ..next
+            };
         }
         if has_moved || self.generation.is_none() {
             log::info!("discovery at {}: {} backends", self.current.at, rows.len());
@@ -511,7 +569,11 @@
         self.generation = Some(list.generation);
         self.current.pacing.listed();
         works.counters.lists += 1;
-        let scope = if list.reset { ListScope::Whole } else { ListScope::Changes };
+        let scope = if list.reset {
+            ListScope::Whole
+        } else {
+            ListScope::Changes
+        };
         works.news.push_back(News::Listed(scope, rows));
         Ok(has_moved)
     }
@@ -521,12 +583,23 @@
     fn new(at: SocketAddr, patience: Span, now: Moment) -> Call {
         let (raw, text) = (Vec::new(), Text::default());
         let (heard, wake_at, pacing) = (now, now, Pacing::default());
-        Call { at, state: State::Resting, raw, text, heard, patience, wake_at, pacing }
+        Call {
+            at,
+            state: State::Resting,
+            raw,
+            text,
+            heard,
+            patience,
+            wake_at,
+            pacing,
+        }
     }
 
     fn owns(&self, key: usize) -> bool {
         match &self.state {
-            State::Connecting(sock, _) | State::Asked(sock) | State::Following(sock, _) => sock.is(key),
+            State::Connecting(sock, _) | State::Asked(sock) | State::Following(sock, _) => {
+                sock.is(key)
+            }
             State::Resting => false,
         }
     }
@@ -556,11 +629,14 @@
 
     /// Goes on as far as the socket allows; whole lines of the list's text go to `lines`.
     fn event(&mut self, lines: &mut Vec<Vec<u8>>, works: &mut Works) -> Result<(), Fault> {
-        let State::Connecting(sock, words) = &mut self.state else { return self.read(lines, works) };
+        let State::Connecting(sock, words) = &mut self.state else {
+            return self.read(lines, works);
+        };
         let told = |fault: std::io::Error| Fault::new(How::Absent, fault);
         if sock.is_up().map_err(told)?
             && words.give(sock).map_err(told)?
-            && let State::Connecting(mut sock, _) = std::mem::replace(&mut self.state, State::Resting)
+            && let State::Connecting(mut sock, _) =
+                std::mem::replace(&mut self.state, State::Resting)
         {
             sock.want(true, false);
             self.state = State::Asked(sock);
@@ -569,12 +645,16 @@
     }
 
     fn read(&mut self, lines: &mut Vec<Vec<u8>>, works: &mut Works) -> Result<(), Fault> {
-        let (State::Asked(sock) | State::Following(sock, _)) = &mut self.state else { return Ok(()) };
+        let (State::Asked(sock) | State::Following(sock, _)) = &mut self.state else {
+            return Ok(());
+        };
         let mut piece = [0; 16 * 1024];
         match sock.read(&mut piece) {
             Ok(0) => return Err(Fault::new(How::TurnedAway, "the watch ended")),
             Ok(more) => self.raw.extend_from_slice(&piece[..more]),
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Err(fault)
+                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            {
                 return Ok(());
             }
             Err(fault) => return Err(Fault::new(How::TurnedAway, fault)),
@@ -611,7 +691,11 @@
             header.name.eq_ignore_ascii_case("transfer-encoding")
                 && header.value.to_ascii_lowercase().ends_with(b"chunked")
         });
-        let body = if chunked { Body::Chunked(0) } else { Body::Plain };
+        let body = if chunked {
+            Body::Chunked(0)
+        } else {
+            Body::Plain
+        };
         self.raw.drain(..length);
         if let State::Asked(sock) = std::mem::replace(&mut self.state, State::Resting) {
             self.state = State::Following(sock, body);
@@ -621,7 +705,9 @@
 
     /// Moves what has come of the body from `raw` to `text`.
     fn unchunk(&mut self) -> Result<(), String> {
-        let State::Following(_, body) = &mut self.state else { return Ok(()) };
+        let State::Following(_, body) = &mut self.state else {
+            return Ok(());
+        };
         let Body::Chunked(left) = body else {
             self.text.bytes.append(&mut self.raw);
             return Ok(());
