--- a/relay/src/estate.rs
+++ b/relay/src/estate.rs
@@ -1,5 +1,5 @@
-//! What goes from a process of a relay to the next, as it is written on the way: one packet each, a line of JSON with a
-//! version, then raw bytes. No I/O.
+//! What goes from a process of a relay to the next, as it is written on the way: one packet each, a
+//! line of JSON with a version, then raw bytes. No I/O.
 use serde::{Deserialize, Serialize};
 use thistlecroft::front::{Memory, Report, Sight};
 use thistlecroft::ids::BackendId;
@@ -18,17 +18,20 @@
     pub key: Option<u64>,
     pub group: Option<u64>,
     pub backend: String,
-    /// When a line last passed, and the first client's line without one back, Unix time in microseconds.
+    /// When a line last passed, and the first client's line without one back, Unix time in
+    /// microseconds.
     pub heard_us: u64,
     pub asked_us: Option<u64>,
     pub told_delay_us: u64,
     pub load: Option<f64>,
-    /// Bytes that wait on their way to the backend and to the client, and how many of them are whole lines.
+    /// Bytes that wait on their way to the backend and to the client, and how many of them are
+    /// whole lines.
     pub up: (usize, usize),
     pub down: (usize, usize),
 }
 
-/// What a relay knows of one backend, by the id that is the same in both processes. Times are Unix microseconds.
+/// What a relay knows of one backend, by the id that is the same in both processes. Times are Unix
+/// microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct SightText {
     pub backend: String,
@@ -49,7 +52,8 @@
 }
 
 impl MemoryText {
-    /// As many as are told at once, so that each part fits into a packet however many backends there are.
+    /// As many as are told at once, so that each part fits into a packet however many backends
+    /// there are.
     const PART: usize = 128;
 
     /// The same in parts, each of which can be taken in alone; one at least.
@@ -57,7 +61,10 @@
         let mut parts = Vec::new();
         while self.sights.len() > MemoryText::PART {
             let rest = self.sights.split_off(MemoryText::PART);
-            parts.push(MemoryText { sights: std::mem::replace(&mut self.sights, rest), ..self });
+            parts.push(MemoryText {
+                sights: std::mem::replace(&mut self.sights, rest),
+                ..self
+            });
         }
         parts.push(self);
         parts
@@ -66,7 +73,9 @@
     pub fn of<'a>(memory: &Memory, name: impl Fn(BackendId) -> &'a str) -> MemoryText {
         let sight = |&(id, sight): &(BackendId, Sight)| SightText {
             backend: name(id).to_string(),
-            heard: sight.heard.map(|(at, report)| (at.us(), report.connections, report.load)),
+            heard: sight
+                .heard
+                .map(|(at, report)| (at.us(), report.connections, report.load)),
             weight_heard: sight.weight_heard,
             strikes: sight.strikes,
             ejections: sight.ejections,
@@ -86,9 +95,9 @@
             (
                 id(&sight.backend),
                 Sight {
-                    heard: sight
-                        .heard
-                        .map(|(at, connections, load)| (Moment::from_us(at), Report { connections, load })),
+                    heard: sight.heard.map(|(at, connections, load)| {
+                        (Moment::from_us(at), Report { connections, load })
+                    }),
                     weight_heard: sight.weight_heard,
                     strikes: sight.strikes,
                     ejections: sight.ejections,
@@ -98,7 +107,12 @@
             )
         });
         let set_up = Span::from_us(self.set_up_us);
-        Memory { sights: sights.collect(), set_up, stood: self.stood, left_alone: self.left_alone }
+        Memory {
+            sights: sights.collect(),
+            set_up,
+            stood: self.stood,
+            left_alone: self.left_alone,
+        }
     }
 }
 
@@ -126,7 +140,8 @@
     Declined {
         serial: u32,
     },
-    /// The old one has let go of it. Without this word the new one lets go: no connection ever has two readers.
+    /// The old one has let go of it. Without this word the new one lets go: no connection ever has
+    /// two readers.
     Yours {
         serial: u32,
     },
@@ -136,14 +151,19 @@
 pub fn packet(word: &Word, bytes: &[&[u8]]) -> Vec<u8> {
     let mut packet = serde_json::to_vec(word).expect("a word is text, numbers and names");
     packet.push(b'\n');
-    bytes.iter().for_each(|bytes| packet.extend_from_slice(bytes));
+    bytes
+        .iter()
+        .for_each(|bytes| packet.extend_from_slice(bytes));
     packet
 }
 
 /// # Errors
 /// What is wrong with it.
 pub fn word(packet: &[u8]) -> Result<(Word, &[u8], &[u8]), String> {
-    let at = packet.iter().position(|&byte| byte == b'\n').ok_or("a packet without a line")?;
+    let at = packet
+        .iter()
+        .position(|&byte| byte == b'\n')
+        .ok_or("a packet without a line")?;
     let word: Word = serde_json::from_slice(&packet[..at]).map_err(|fault| fault.to_string())?;
     let rest = &packet[at + 1..];
     let (up, down) = match &word {
@@ -190,11 +210,19 @@
             owed: 11,
             cold_turn: Some((5, 1)),
         });
-        let memory = MemoryText { sights: sights.to_vec(), set_up_us: 12, stood: 1.5, left_alone: 2.5 };
+        let memory = MemoryText {
+            sights: sights.to_vec(),
+            set_up_us: 12,
+            stood: 1.5,
+            left_alone: 2.5,
+        };
         let back = memory.memory(|_| BackendId(4));
         assert_eq!(MemoryText::of(&back, |_| "b"), memory);
         let words = [
-            Word::Hello { version: VERSION, relay: "n3".into() },
+            Word::Hello {
+                version: VERSION,
+                relay: "n3".into(),
+            },
             Word::Memory(memory),
             Word::Leaving,
             Word::Holds { sockets: 300 },
@@ -216,8 +244,15 @@
         for length in 0..sound.len() {
             assert!(word(&sound[..length]).is_err(), "cut at {length}");
         }
-        let huge = Estate { up: (usize::MAX, 0), down: (usize::MAX, 0), ..estate() };
-        let more = Estate { up: (6, 7), ..estate() };
+        let huge = Estate {
+            up: (usize::MAX, 0),
+            down: (usize::MAX, 0),
+            ..estate()
+        };
+        let more = Estate {
+            up: (6, 7),
+            ..estate()
+        };
         for bad in [huge, more] {
             assert!(word(&packet(&Word::Session(bad), &[b"a\r\nb\n\n"])).is_err());
         }
--- a/relay/src/front.rs
+++ b/relay/src/front.rs
@@ -1,5 +1,5 @@
-//! The seam to the decisions: what a turn gathered is handed in at one go, and what they ask for is only
-//! written down, to be carried out after.
+//! The seam to the decisions: what a turn gathered is handed in at one go, and what they ask for is
+//! only written down, to be carried out after.
 use crate::timers::{Alarm, Alarms};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use thistlecroft::balance::Relay;
@@ -50,7 +50,8 @@
 
 impl Front for Desk<'_> {
     fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span) {
-        self.orders.push(Order::Dial(session, backend, give_up_after));
+        self.orders
+            .push(Order::Dial(session, backend, give_up_after));
     }
     fn withdraw(&mut self, session: SessionId, dial: u32) {
         self.orders.push(Order::Withdraw(session, dial));
@@ -77,11 +78,19 @@
     fn release(&mut self, _: SessionId) {}
 }
 
-/// Hands one piece of news in. A panic costs the session it is about, not the process: the session's id comes
-/// back, to be answered without the decisions.
-pub fn hand_in(relay: &mut Relay, news: News, now: Moment, desk: &mut Desk) -> Result<(), Option<SessionId>> {
+/// Hands one piece of news in. A panic costs the session it is about, not the process: the
+/// session's id comes back, to be answered without the decisions.
+pub fn hand_in(
+    relay: &mut Relay,
+    news: News,
+    now: Moment,
+    desk: &mut Desk,
+) -> Result<(), Option<SessionId>> {
     let about = match &news {
-        News::Arrived(id, _) | News::Inherited(id, ..) | News::Ready(id, _) | News::Ended(id, _) => Some(*id),
+        News::Arrived(id, _)
+        | News::Inherited(id, ..)
+        | News::Ready(id, _)
+        | News::Ended(id, _) => Some(*id),
         News::Left(id) | News::Load(id, _) | News::Delay(id, _) | News::Overdue(id, _) => Some(*id),
         _ => None,
     };
--- a/relay/src/hand.rs
+++ b/relay/src/hand.rs
@@ -1,5 +1,5 @@
-//! What operators do by hand: their calls answered, and the backends they took out made known to the decisions and kept for
-//! the next process.
+//! What operators do by hand: their calls answered, and the backends they took out made known to
+//! the decisions and kept for the next process.
 use crate::admin::{Call, Readiness};
 use crate::callers::Callers;
 use crate::discovery::Book;
@@ -13,7 +13,8 @@
 
 /// What another process of this relay wrote is known here after so long.
 const LOOK_EVERY: Span = Span::from_ms(50);
-/// The list of bans is held by another process for the time of one write; one that holds it for longer hangs.
+/// The list of bans is held by another process for the time of one write; one that holds it for
+/// longer hangs.
 const LOCKED: Span = Span::from_ms(500);
 const LOCKED_AGAIN: Span = Span::from_ms(5);
 
@@ -32,8 +33,19 @@
 }
 
 impl Hand {
-    pub fn new(callers: Option<Callers>, shelf: Option<Shelf>, book: &mut Book, works: &mut Works) -> Hand {
-        let mut hand = Hand { callers, shelf, out: BTreeSet::new(), look_at: works.now, locked: None };
+    pub fn new(
+        callers: Option<Callers>,
+        shelf: Option<Shelf>,
+        book: &mut Book,
+        works: &mut Works,
+    ) -> Hand {
+        let mut hand = Hand {
+            callers,
+            shelf,
+            out: BTreeSet::new(),
+            look_at: works.now,
+            locked: None,
+        };
         hand.look(book, works);
         hand
     }
@@ -65,12 +77,19 @@
         book: &mut Book,
         works: &mut Works,
     ) -> Vec<Answer> {
-        let Some(callers) = &mut self.callers else { return Vec::new() };
+        let Some(callers) = &mut self.callers else {
+            return Vec::new();
+        };
         let calls = std::mem::take(&mut callers.calls);
         let (mut answers, mut waiting) = (Vec::new(), Vec::new());
         for (caller, call) in calls {
             let done = match &call {
-                Call::Ready => Some(readiness.told().map(|()| "ready".into()).map_err(str::to_string)),
+                Call::Ready => Some(
+                    readiness
+                        .told()
+                        .map(|()| "ready".into())
+                        .map_err(str::to_string),
+                ),
                 // While one waits all behind it do: their order is the operators'.
                 _ if !waiting.is_empty() => None,
                 Call::Disable(id) => self.change(id, true, book, works),
@@ -114,12 +133,20 @@
                         return None;
                     }
                     self.locked = None;
-                    return Some(Err("another process holds the list of bans: nothing changed".into()));
+                    return Some(Err(
+                        "another process holds the list of bans: nothing changed".into(),
+                    ));
+                }
+                Err(Fault::Other(fault)) => {
+                    return Some(Err(format!("the ban can't be kept: {fault}")));
                 }
-                Err(Fault::Other(fault)) => return Some(Err(format!("the ban can't be kept: {fault}"))),
             }
         }
-        let changed = if out { self.out.insert(id.to_string()) } else { self.out.remove(id) };
+        let changed = if out {
+            self.out.insert(id.to_string())
+        } else {
+            self.out.remove(id)
+        };
         if changed {
             log::info!("{id} is {} by hand", if out { "out" } else { "back" });
             book.ban(backend, out);
@@ -136,7 +163,9 @@
 
     /// Written after the decisions have been told.
     pub fn answer(&mut self, answers: Vec<Answer>, works: &mut Works) {
-        let Some(callers) = &mut self.callers else { return };
+        let Some(callers) = &mut self.callers else {
+            return;
+        };
         for (caller, done) in answers {
             callers.answer(caller, done.as_deref().map_err(String::as_str), works);
         }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,4 +1,5 @@
-//! The relay on sockets, for a process of its own or inside another: read a `Posting`, start a `Service`, run it.
+//! The relay on sockets, for a process of its own or inside another: read a `Posting`, start a
+//! `Service`, run it.
 mod admin;
 mod backends;
 mod bans;
@@ -26,17 +27,22 @@
 pub use service::{Service, Signals};
 pub use start::{Posting, circumstances, read, read_file};
 
-/// Serves by a configuration, and a charter if there is one, until told to stop: what a main program does.
+/// Serves by a configuration, and a charter if there is one, until told to stop: what a main
+/// program does.
 ///
 /// # Errors
 /// A line for each fault of a file, or one: the address is taken, or the poller failed.
 pub fn serve(path: &str, charter: Option<&str>) -> Result<(), Vec<String>> {
     let signals = Signals::caught().map_err(|fault| vec![fault.to_string()])?;
-    let mut posting = read_file(path).and_then(Posting::placed).map_err(|fault| vec![fault])?;
+    let mut posting = read_file(path)
+        .and_then(Posting::placed)
+        .map_err(|fault| vec![fault])?;
     if let Some(charter) = charter {
         posting = posting.chartered(charter)?;
     }
-    Service::start(posting, signals).and_then(Service::run).map_err(|fault| vec![fault.to_string()])
+    Service::start(posting, signals)
+        .and_then(Service::run)
+        .map_err(|fault| vec![fault.to_string()])
 }
 
 /// The variable that names a charter.
--- a/relay/src/lines.rs
+++ b/relay/src/lines.rs
@@ -1,5 +1,5 @@
-//! Lines of text that wait on their way through: read in pieces split anywhere, passed on whole, so that a
-//! word of our own can always go between two of them.
+//! Lines of text that wait on their way through: read in pieces split anywhere, passed on whole, so
+//! that a word of our own can always go between two of them.
 use crate::buffers::{Buffer, Pool, SIZE};
 use std::io::{ErrorKind, Read, Result, Write};
 
@@ -21,8 +21,8 @@
     Starved,
 }
 
-/// One direction of a connection. Bytes between `start` and `whole` are lines seen; those up to `end` are the
-/// beginning of a line.
+/// One direction of a connection. Bytes between `start` and `whole` are lines seen; those up to
+/// `end` are the beginning of a line.
 #[derive(Default)]
 pub struct Flow {
     buffer: Option<Buffer>,
@@ -39,7 +39,9 @@
         if self.buffer.is_none() {
             self.buffer = pool.take();
         }
-        let Some(buffer) = self.buffer.as_mut() else { return Ok(Took::Starved) };
+        let Some(buffer) = self.buffer.as_mut() else {
+            return Ok(Took::Starved);
+        };
         if self.start > 0 {
             buffer.copy_within(self.start..self.end, 0);
             self.whole -= self.start;
@@ -58,7 +60,9 @@
                 self.end += more;
                 Ok(Took::Bytes(more))
             }
-            Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Err(fault)
+                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            {
                 Ok(Took::Nothing)
             }
             Err(fault) => Err(fault),
@@ -69,7 +73,10 @@
 
     /// Bytes that wait, and how many of them are lines seen.
     pub fn held(&self) -> (&[u8], usize) {
-        let bytes = self.buffer.as_ref().map_or(&[][..], |buffer| &buffer[self.start..self.end]);
+        let bytes = self
+            .buffer
+            .as_ref()
+            .map_or(&[][..], |buffer| &buffer[self.start..self.end]);
         (bytes, self.whole - self.start)
     }
 
@@ -80,15 +87,27 @@
         }
         let mut buffer = pool.take()?;
         buffer.get_mut(..bytes.len())?.copy_from_slice(bytes);
-        Some(Flow { buffer: Some(buffer), start: 0, whole, end: bytes.len(), ended: false })
+        Some(Flow {
+            buffer: Some(buffer),
+            start: 0,
+            whole,
+            end: bytes.len(),
+            ended: false,
+        })
     }
 
     /// The next whole line, without its ending.
     pub fn next_line(&mut self) -> std::result::Result<Option<&[u8]>, TooLong> {
-        let Some(buffer) = self.buffer.as_ref() else { return Ok(None) };
+        let Some(buffer) = self.buffer.as_ref() else {
+            return Ok(None);
+        };
         let rest = &buffer[self.whole..self.end];
         let Some(at) = rest.iter().position(|&byte| byte == b'\n') else {
-            return if rest.len() >= LINE { Err(TooLong) } else { Ok(None) };
+            return if rest.len() >= LINE {
+                Err(TooLong)
+            } else {
+                Ok(None)
+            };
         };
         if at >= LINE {
             return Err(TooLong);
@@ -158,7 +177,9 @@
     match to.write(bytes) {
         Ok(0) => Err(ErrorKind::WriteZero.into()),
         Ok(some) => Ok(some),
-        Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => Ok(0),
+        Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
+            Ok(0)
+        }
         Err(fault) => Err(fault),
     }
 }
--- a/relay/src/pacing.rs
+++ b/relay/src/pacing.rs
@@ -4,17 +4,19 @@
 /// Nobody is there: an attempt costs it nothing, and drains are missed meanwhile.
 const FIRST_PAUSE: Span = Span::from_ms(50);
 const LONGEST_PAUSE: Span = Span::from_ms(800);
-/// It is there and has no time. Each call that it takes in and can't serve in time is work lost, so that callers who
-/// come back sooner than it can serve them all keep it from serving any.
+/// It is there and has no time. Each call that it takes in and can't serve in time is work lost, so
+/// that callers who come back sooner than it can serve them all keep it from serving any.
 const FIRST_SPREAD: Span = Span::from_ms(2_000);
-/// From the beginning of one call to that of the next, at most, whatever has become of it: what discovery has counts as
-/// told six seconds after it can be reached again. A second is left for the answer.
+/// From the beginning of one call to that of the next, at most, whatever has become of it: what
+/// discovery has counts as told six seconds after it can be reached again. A second is left for the
+/// answer.
 pub const CALLED_WITHIN: Span = Span::from_ms(5_000);
 /// The same for an address that SIGHUP has named, whose list counts as told after four.
 pub const NEXT_CALLED_WITHIN: Span = Span::from_ms(3_000);
 
-/// The least pause of callers that were turned away twice or more, as a part of the longest: the mean is what keeps a fleet
-/// from calling faster than discovery can serve, and only the least can raise it.
+/// The least pause of callers that were turned away twice or more, as a part of the longest: the
+/// mean is what keeps a fleet from calling faster than discovery can serve, and only the least can
+/// raise it.
 const SPACED: f64 = 0.6;
 
 /// How a call came to nothing.
@@ -46,12 +48,14 @@
         self.absent == 0 && self.turned_away == 0
     }
 
-    /// The span to the next call: nearly even while nobody is there, and then no longer than `most`, since what the agent
-    /// has at its return counts as told; jitter over a doubling one where it has no time. A call that took long leaves
-    /// less: `left` is what is left of the time within which the next one begins.
+    /// The span to the next call: nearly even while nobody is there, and then no longer than
+    /// `most`, since what the agent has at its return counts as told; jitter over a doubling one
+    /// where it has no time. A call that took long leaves less: `left` is what is left of the time
+    /// within which the next one begins.
     pub fn pause(&mut self, how: How, most: Span, left: Span, chance: &mut Chance) -> Span {
-        let double =
-            |first: Span, count: u32, longest: Span| (first * f64::from(1u32 << count.min(16))).min(longest);
+        let double = |first: Span, count: u32, longest: Span| {
+            (first * f64::from(1u32 << count.min(16))).min(longest)
+        };
         match how {
             How::Absent => {
                 let pause = double(FIRST_PAUSE, self.absent, LONGEST_PAUSE).min(most);
@@ -65,7 +69,8 @@
                 self.turned_away = self.turned_away.saturating_add(1);
                 spread * (least + (1.0 - least) * chance.float())
             }
-            // It may well be there still, and have told of a drain since: once, before it counts as without time.
+            // It may well be there still, and have told of a drain since: once, before it counts as
+            // without time.
             How::Lost => FIRST_PAUSE.min(most) * (0.5 + 0.5 * chance.float()),
         }
     }
@@ -78,9 +83,10 @@
 
     const TIME_OUT: Span = Span::from_ms(2_000);
 
-    /// Watches that all broke at once call a discovery that turns all away for some seconds, at once, and then serves so
-    /// many calls a second in turn, also those whose caller has given up meanwhile. Seconds after its return when each
-    /// relay held a list, in order, within thirty; and how often it was called.
+    /// Watches that all broke at once call a discovery that turns all away for some seconds, at
+    /// once, and then serves so many calls a second in turn, also those whose caller has given up
+    /// meanwhile. Seconds after its return when each relay held a list, in order, within thirty;
+    /// and how often it was called.
     fn play(down: f64, relays: u64, a_second: f64, pause: &mut Pause) -> (Vec<f64>, u32) {
         let (mut calls, mut back, mut count) = (BTreeSet::new(), Vec::new(), 0);
         let mut chances: Vec<Chance> = (0..relays).map(Chance::from_seed).collect();
@@ -88,7 +94,10 @@
             calls.insert((pause(id, Span::ZERO, chance).us(), id));
         }
         let mut free_at = 0.0f64;
-        while let Some((at, id)) = calls.pop_first().filter(|(at, _)| *at as f64 / 1e6 < down + 30.0) {
+        while let Some((at, id)) = calls
+            .pop_first()
+            .filter(|(at, _)| *at as f64 / 1e6 < down + 30.0)
+        {
             count += 1;
             let now = at as f64 / 1e6;
             let mut spent = Span::ZERO;
@@ -109,8 +118,8 @@
 
     #[test]
     fn a_fleet_that_lost_its_watches_gets_them_back() {
-        // Relays, seconds in which discovery can serve them all; how many in ten hold a list within six seconds of its
-        // return, and within twelve.
+        // Relays, seconds in which discovery can serve them all; how many in ten hold a list within
+        // six seconds of its return, and within twelve.
         let cases = [
             (2, 1.0, 10, 10),
             (100, 3.0, 10, 10),
@@ -119,7 +128,8 @@
             (1_000, 3.0, 10, 10),
             (350, 4.0, 9, 10),
             (350, 6.0, 3, 10),
-            // More than it can take from callers that may not wait for longer: the first in its queue are served.
+            // More than it can take from callers that may not wait for longer: the first in its
+            // queue are served.
             (350, 8.0, 3, 3),
         ];
         for down in [0.0, 3.0, 20.0] {
@@ -127,38 +137,58 @@
                 let mut each = vec![Pacing::default(); relays as usize];
                 let a_second = relays as f64 / all_in;
                 let (back, calls) = play(down, relays, a_second, &mut |id, spent, chance| {
-                    each[id].pause(How::TurnedAway, LONGEST_PAUSE, CALLED_WITHIN - spent, chance)
+                    each[id].pause(
+                        How::TurnedAway,
+                        LONGEST_PAUSE,
+                        CALLED_WITHIN - spent,
+                        chance,
+                    )
                 });
-                let within = |most: f64| back.iter().filter(|at| **at <= most).count() * 10 / relays as usize;
+                let within = |most: f64| {
+                    back.iter().filter(|at| **at <= most).count() * 10 / relays as usize
+                };
                 let (by_six, by_twelve) = (within(6.0), within(12.0));
                 assert!(
                     by_six >= soon && by_twelve >= later,
                     "{down} {relays} {all_in}: {by_six} {by_twelve}"
                 );
-                assert!(f64::from(calls) <= relays as f64 * (4.0 + (down + 30.0) / 3.0), "{relays}: {calls}");
+                assert!(
+                    f64::from(calls) <= relays as f64 * (4.0 + (down + 30.0) / 3.0),
+                    "{relays}: {calls}"
+                );
             }
         }
         // The check can fail: pauses that end at 0.8 s keep all but the first few out for good.
-        let short = |_: usize, _: Span, chance: &mut Chance| LONGEST_PAUSE * (0.5 + 0.5 * chance.float());
+        let short =
+            |_: usize, _: Span, chance: &mut Chance| LONGEST_PAUSE * (0.5 + 0.5 * chance.float());
         let (back, calls) = play(0.0, 100, 20.0, &mut { short });
-        assert!(back.len() < 50 && calls > 500, "{} back, {calls} calls", back.len());
+        assert!(
+            back.len() < 50 && calls > 500,
+            "{} back, {calls} calls",
+            back.len()
+        );
     }
 
     /// However many calls came to nothing before, in whatever order, and however long each took.
     #[test]
     fn the_next_call_begins_within_the_bound_after_any_sequence_of_failures() {
         let kinds = [How::Absent, How::TurnedAway, How::Lost];
-        for (within, patience) in
-            [(CALLED_WITHIN, Span::from_ms(2_500)), (NEXT_CALLED_WITHIN, Span::from_ms(800))]
-        {
+        for (within, patience) in [
+            (CALLED_WITHIN, Span::from_ms(2_500)),
+            (NEXT_CALLED_WITHIN, Span::from_ms(800)),
+        ] {
             for sequence in 0..3usize.pow(7) {
-                let (mut pacing, mut chance) = (Pacing::default(), Chance::from_seed(sequence as u64));
+                let (mut pacing, mut chance) =
+                    (Pacing::default(), Chance::from_seed(sequence as u64));
                 // The seven, and the last of them a hundred times.
                 for place in 0..107u32 {
                     let how = kinds[sequence / 3usize.pow(place.min(6)) % 3];
                     let spent = patience * chance.float();
                     let pause = pacing.pause(how, LONGEST_PAUSE, within - spent, &mut chance);
-                    assert!(spent + pause <= within, "{sequence} {place}: {spent:?} {pause:?}");
+                    assert!(
+                        spent + pause <= within,
+                        "{sequence} {place}: {spent:?} {pause:?}"
+                    );
                 }
             }
         }
@@ -177,9 +207,16 @@
                 let mut bound = first;
                 for place in 0..70 {
                     // Those that were turned away once are spread evenly.
-                    let least = if how == How::TurnedAway && place == 0 { 0.0 } else { least };
+                    let least = if how == How::TurnedAway && place == 0 {
+                        0.0
+                    } else {
+                        least
+                    };
                     let pause = pacing.pause(how, LONGEST_PAUSE, CALLED_WITHIN, &mut chance);
-                    assert!(pause >= bound * least && pause <= bound, "{how:?}: {pause:?} of {bound:?}");
+                    assert!(
+                        pause >= bound * least && pause <= bound,
+                        "{how:?}: {pause:?} of {bound:?}"
+                    );
                     bound = (bound * 2.0).min(longest);
                 }
                 assert!(!pacing.is_first());
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -1,5 +1,5 @@
-//! The other relays: datagrams and timers for `thistlecroft-peers` and `thistlecroft-leases`, which decide. One socket, on the
-//! one loop; a bounded number of datagrams in a turn.
+//! The other relays: datagrams and timers for `thistlecroft-peers` and `thistlecroft-leases`, which
+//! decide. One socket, on the one loop; a bounded number of datagrams in a turn.
 use crate::admin::Call;
 use crate::sockets::{Owner, Sockets, Watched};
 use crate::timers::{Alarm, Clock};
@@ -26,7 +26,8 @@
     link: Link,
     /// The one before, still read for a while: others learn of the change by and by.
     former: Option<(Link, Moment)>,
-    /// The address is the process's before, and is taken as soon as that has ended: seeds lead there.
+    /// The address is the process's before, and is taken as soon as that has ended: seeds lead
+    /// there.
     wanted_at: Option<Moment>,
     node: Node,
     leases: Option<Leases>,
@@ -34,7 +35,8 @@
     /// The next alarm that is set.
     alarm: Option<Moment>,
     send_failures: u64,
-    /// A lease is looked at by the moment of its saying: in a turn in which the process stood still the turn's own is too early.
+    /// A lease is looked at by the moment of its saying: in a turn in which the process stood still
+    /// the turn's own is too early.
     clock: Clock,
     /// Until when somebody at the door was told that a lease is held here.
     told: BTreeMap<Vec<u8>, Moment>,
@@ -73,7 +75,10 @@
             Err(fault) if beside && fault.kind() == ErrorKind::AddrInUse => {
                 let link = Link::open(SocketAddr::new(peering.listen.ip(), 0), sockets)?;
                 let at = SocketAddr::new(peering.advertise.ip(), link.socket.local_addr()?.port());
-                log::info!("peers: {} is the process's before, {at} until it has ended", peering.listen);
+                log::info!(
+                    "peers: {} is the process's before, {at} until it has ended",
+                    peering.listen
+                );
                 (link, at, Some(now + peering.period))
             }
             Err(fault) => return Err(fault),
@@ -81,21 +86,42 @@
         // Drawn anew at each start, whatever the seed: that is how two processes are told apart.
         let mut run = [0; 16];
         getrandom::fill(&mut run).map_err(io::Error::other)?;
-        let [run, seed] = [0, 8].map(|at| u64::from_le_bytes(run[at..at + 8].try_into().expect("eight")));
+        let [run, seed] =
+            [0, 8].map(|at| u64::from_le_bytes(run[at..at + 8].try_into().expect("eight")));
         let me = Identity::new(name, run);
         let terms = Terms {
             fleet: peering.fleet.clone(),
             secret: key.to_vec(),
-            pace: Pace { period: peering.period },
+            pace: Pace {
+                period: peering.period,
+            },
             rate: peering.rate,
         };
-        let node = Node::new(me.clone(), advertise, peering.seeds.clone(), &terms, seed, now);
-        let leases =
-            (!peering.voters.is_empty()).then(|| Leases::new(me.clone(), lease_config(peering), now));
+        let node = Node::new(
+            me.clone(),
+            advertise,
+            peering.seeds.clone(),
+            &terms,
+            seed,
+            now,
+        );
+        let leases = (!peering.voters.is_empty())
+            .then(|| Leases::new(me.clone(), lease_config(peering), now));
         log::info!("peers: {me} of fleet {} at {advertise}", peering.fleet);
         let (peering, former, alarm, send_failures) = (peering.clone(), None, None, 0);
         let told = BTreeMap::new();
-        Ok(Peers { link, former, wanted_at, node, leases, peering, alarm, send_failures, clock, told })
+        Ok(Peers {
+            link,
+            former,
+            wanted_at,
+            node,
+            leases,
+            peering,
+            alarm,
+            send_failures,
+            clock,
+            told,
+        })
     }
 
     /// # Errors
@@ -104,9 +130,15 @@
         if let Some(leases) = &mut self.leases
             && !peering.voters.is_empty()
         {
-            leases.change(lease_config(peering), self.clock.now()).map_err(|fault| fault.to_string())?;
+            leases
+                .change(lease_config(peering), self.clock.now())
+                .map_err(|fault| fault.to_string())?;
         }
-        let voters = (peering.voters.clone(), peering.voters_before.clone(), peering.generation);
+        let voters = (
+            peering.voters.clone(),
+            peering.voters_before.clone(),
+            peering.generation,
+        );
         let mut known = self.peering.clone();
         (known.voters, known.voters_before, known.generation) = voters;
         let switched = self.leases.is_some() == peering.voters.is_empty();
@@ -172,8 +204,8 @@
 
     /// What they have to say goes out, and the next alarm is set.
     fn turn(&mut self, works: &mut Works) {
-        // Read after what came was: a voter's promise dated from a turn in which the process stood still, for an asking that came
-        // meanwhile, would end before the holder's right does.
+        // Read after what came was: a voter's promise dated from a turn in which the process stood
+        // still, for an asking that came meanwhile, would end before the holder's right does.
         let now = self.clock.now();
         for event in self.node.take_events() {
             self.told(event, now);
@@ -181,8 +213,16 @@
         self.send_leases(now);
         self.send();
         let due = self.leases.as_ref().and_then(|leases| leases.due(now));
-        let own = [due, self.wanted_at, self.former.as_ref().map(|(_, until)| *until)];
-        let due = own.into_iter().flatten().fold(self.node.due(), Moment::min).max(now + Span::from_ms(1));
+        let own = [
+            due,
+            self.wanted_at,
+            self.former.as_ref().map(|(_, until)| *until),
+        ];
+        let due = own
+            .into_iter()
+            .flatten()
+            .fold(self.node.due(), Moment::min)
+            .max(now + Span::from_ms(1));
         if self.alarm.is_none_or(|at| due < at) {
             self.alarm = Some(due);
             works.alarms.set(due, Alarm::Peers);
@@ -190,10 +230,13 @@
     }
 
     fn send_leases(&mut self, now: Moment) {
-        let Some(leases) = &mut self.leases else { return };
+        let Some(leases) = &mut self.leases else {
+            return;
+        };
         for outgoing in leases.take_outgoing() {
             for id in outgoing.to.processes(&self.node) {
-                self.node.send_message(&id, outgoing.channel, outgoing.bytes.clone(), now);
+                self.node
+                    .send_message(&id, outgoing.channel, outgoing.bytes.clone(), now);
             }
         }
     }
@@ -209,7 +252,9 @@
         match event {
             Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.word()),
             Event::Refuted { incarnation } => {
-                log::info!("peers: others thought this relay gone or going; says otherwise ({incarnation})");
+                log::info!(
+                    "peers: others thought this relay gone or going; says otherwise ({incarnation})"
+                );
             }
             Event::OtherFormat { from, format } => {
                 log::warn!("peers: datagrams of format {format} from {from} are not read");
@@ -217,7 +262,11 @@
             Event::StoodStill { by } => {
                 log::warn!("peers: this process stood still for {} ms", by.us() / 1_000);
             }
-            Event::Message { from, channel, bytes } => {
+            Event::Message {
+                from,
+                channel,
+                bytes,
+            } => {
                 if let Some(leases) = &mut self.leases {
                     leases.receive(&from, channel, &bytes, now);
                 }
@@ -226,7 +275,8 @@
         }
     }
 
-    /// Gives back what it holds and has told nobody of, and says that it leaves; nothing is sent after.
+    /// Gives back what it holds and has told nobody of, and says that it leaves; nothing is sent
+    /// after.
     pub fn leave(&mut self, now: Moment) {
         if let Some(leases) = &mut self.leases {
             leases.leave(|subject| self.told.get(subject).is_some_and(|until| *until > now));
@@ -238,13 +288,17 @@
         (self.former, self.wanted_at) = (None, None);
     }
 
-    /// The answer to an operator's call. A lease is looked at here and now, at the act of saying it.
+    /// The answer to an operator's call. A lease is looked at here and now, at the act of saying
+    /// it.
     pub fn answer(&mut self, call: &Call, works: &mut Works) -> Result<String, String> {
         let now = works.now;
         let done = match call {
             Call::Peers => Ok(self.view(now).to_string()),
             Call::Note(subject, value) => {
-                match self.node.announce(Kind::Note, subject.as_bytes(), value.as_bytes(), now) {
+                match self
+                    .node
+                    .announce(Kind::Note, subject.as_bytes(), value.as_bytes(), now)
+                {
                     true => Ok("told".into()),
                     false => Err("too long, or too many notes of this relay".into()),
                 }
@@ -269,13 +323,19 @@
         let term = self.peering.lease;
         let leases = self.leases.as_mut().ok_or(NO_VOTERS)?;
         let until = now + term * ASKED_AFTER;
-        leases.acquire(subject.as_bytes(), until, now).map_err(|fault| fault.to_string())?;
+        leases
+            .acquire(subject.as_bytes(), until, now)
+            .map_err(|fault| fault.to_string())?;
         match leases.state(subject.as_bytes(), now) {
             State::Held(held) => {
                 // Only what may still bind is kept: as many as may be wanted at once, at most.
                 self.told.retain(|_, until| *until > now);
                 self.told.insert(subject.as_bytes().to_vec(), held.until);
-                Ok(format!("held {} {}", held.epoch, held.until.since(now).us() / 1_000))
+                Ok(format!(
+                    "held {} {}",
+                    held.epoch,
+                    held.until.since(now).us() / 1_000
+                ))
             }
             State::Wanted(Some(reason)) => Err(refusal(&reason)),
             State::Wanted(None) | State::Unwanted => Err("asked for".into()),
@@ -304,8 +364,10 @@
             let (electorate, of) = (&leases.config().electorate, leases.counts());
             let held = leases.subjects().filter_map(|subject| {
                 let held = leases.held(subject, now)?;
-                Some(json!({"subject": String::from_utf8_lossy(subject), "epoch": held.epoch,
-                    "left_ms": held.until.since(now).us() / 1_000}))
+                Some(
+                    json!({"subject": String::from_utf8_lossy(subject), "epoch": held.epoch,
+                    "left_ms": held.until.since(now).us() / 1_000}),
+                )
             });
             json!({"vote": leases.vote(now).word(), "generation": electorate.generation,
                 "settled": leases.is_settled(now), "held": held.collect::<Vec<_>>(), "counts": {
@@ -326,7 +388,12 @@
     }
 
     pub fn log(&self) {
-        let stand = |standing| self.node.members().filter(|view| view.state == standing).count();
+        let stand = |standing| {
+            self.node
+                .members()
+                .filter(|view| view.state == standing)
+                .count()
+        };
         log::info!(
             "peers: {} here, {} suspected, {} gone; health {}; {:?}",
             stand(MemberState::Alive),
@@ -350,7 +417,11 @@
         voters: names(&peering.voters),
         before: names(&peering.voters_before),
     };
-    LeaseConfig { electorate, term: peering.lease, update_rate: peering.rate / UPDATE_SHARE }
+    LeaseConfig {
+        electorate,
+        term: peering.lease,
+        update_rate: peering.rate / UPDATE_SHARE,
+    }
 }
 
 fn refusal(reason: &Reason) -> String {
--- a/relay/src/protocol.rs
+++ b/relay/src/protocol.rs
@@ -1,4 +1,5 @@
-//! The line protocol: what a line of text means, and what our own lines look like. Knows no sockets.
+//! The line protocol: what a line of text means, and what our own lines look like. Knows no
+//! sockets.
 use thistlecroft::front::{Arrival, Report, Verdict};
 use thistlecroft::ids::RouteId;
 use thistlecroft::units::Span;
@@ -9,8 +10,8 @@
 pub const ALIVE: &str = "PONG";
 pub const ASK_LOAD: &str = "STATS";
 
-/// Taken off the wait that a client names: a late turn of the loop must still answer before the client gives
-/// up. The only such margin; the decisions count from what is left.
+/// Taken off the wait that a client names: a late turn of the loop must still answer before the
+/// client gives up. The only such margin; the decisions count from what is left.
 const MARGIN: Span = Span::from_ms(15);
 
 /// The first line of a client.
@@ -55,31 +56,42 @@
         return Ok(First::Ping);
     }
     let words: Vec<&str> = line.split(' ').collect();
-    let ["OPEN", id, key, list] = words[..] else { return Err("neither PING nor OPEN with three words") };
+    let ["OPEN", id, key, list] = words[..] else {
+        return Err("neither PING nor OPEN with three words");
+    };
     let id = number(id).ok_or("an id that is no number of sixteen digits")?;
     let key = number(key).ok_or("a key that is no number of sixteen digits")?;
     let (mut listener, mut wait, mut group, mut at) = (None, None, None, None);
     let mut place = line.len() - list.len();
     let mut named: Vec<&str> = Vec::new();
     for item in list.split(',') {
-        let (name, value) = item.split_once('=').ok_or("an item that is no name and value")?;
+        let (name, value) = item
+            .split_once('=')
+            .ok_or("an item that is no name and value")?;
         if named.contains(&name) {
             return Err("a name twice");
         }
-        if name.is_empty() || !value.bytes().all(|byte| byte.is_ascii_graphic()) || value.is_empty() {
+        if name.is_empty() || !value.bytes().all(|byte| byte.is_ascii_graphic()) || value.is_empty()
+        {
             return Err("an empty name, or a value that is no word");
         }
         named.push(name);
         match name {
             "c" => listener = names.listeners.iter().position(|name| name == value),
             "d" => {
-                let ms = digits(value).filter(|&ms| ms <= LONGEST_WAIT).ok_or("d is no time to wait")?;
+                let ms = digits(value)
+                    .filter(|&ms| ms <= LONGEST_WAIT)
+                    .ok_or("d is no time to wait")?;
                 let from = place + "d=".len();
                 wait = Some((Span::from_ms(ms), from, from + value.len()));
             }
             "g" => group = Some(number(value).ok_or("g is no number of sixteen digits")?),
             "h" => {
-                value.parse().ok().filter(|h: &f64| h.is_finite() && *h >= 0.0).ok_or("h is no load")?;
+                value
+                    .parse()
+                    .ok()
+                    .filter(|h: &f64| h.is_finite() && *h >= 0.0)
+                    .ok_or("h is no load")?;
             }
             "r" | "again" => {
                 digits(value).ok_or("a mark that is no number")?;
@@ -110,18 +122,22 @@
 /// More milliseconds than 32 bits hold in microseconds no client waits.
 const LONGEST_WAIT: u64 = u32::MAX as u64 / 1_000;
 
-/// Ids, keys and groups are sixteen hexadecimal digits. Backends close on what they can't read, which would
-/// look as if they had failed, so nothing else gets there.
+/// Ids, keys and groups are sixteen hexadecimal digits. Backends close on what they can't read,
+/// which would look as if they had failed, so nothing else gets there.
 fn number(text: &str) -> Option<u64> {
     let sound = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
     sound.then(|| u64::from_str_radix(text, 16).ok()).flatten()
 }
 
 fn digits(text: &str) -> Option<u64> {
-    text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
+    text.bytes()
+        .all(|byte| byte.is_ascii_digit())
+        .then(|| text.parse().ok())
+        .flatten()
 }
 
-/// A refusal, with the time to stay away where one is told; rounded up, so that nobody comes too soon.
+/// A refusal, with the time to stay away where one is told; rounded up, so that nobody comes too
+/// soon.
 pub fn refusal(retry_after: Option<Span>) -> String {
     match retry_after {
         Some(wait) => format!("BUSY {}", wait.us().div_ceil(1_000)),
@@ -144,9 +160,12 @@
     let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
     match word {
         "UP" => Said::Up,
-        "LOAD" => {
-            rest.trim().parse().ok().filter(|load: &f64| load.is_finite()).map_or(Said::Other, Said::Load)
-        }
+        "LOAD" => rest
+            .trim()
+            .parse()
+            .ok()
+            .filter(|load: &f64| load.is_finite())
+            .map_or(Said::Other, Said::Load),
         "BYE" => Said::Last(Verdict::Ok, report(rest)),
         "MOVE" => Said::Last(Verdict::Withdrawn, report(rest)),
         "ERR" => Said::Last(Verdict::Error, report(rest)),
@@ -167,11 +186,25 @@
 fn report(text: &str) -> Report {
     let told = |names: &[&str]| {
         let field = |name: &&str| {
-            text.split(',').find_map(|field| field.trim().strip_prefix(name)?.strip_prefix('=')?.parse().ok())
+            text.split(',').find_map(|field| {
+                field
+                    .trim()
+                    .strip_prefix(name)?
+                    .strip_prefix('=')?
+                    .parse()
+                    .ok()
+            })
         };
-        names.iter().find_map(field).filter(|value: &f64| value.is_finite()).map(|value| value.max(0.0))
+        names
+            .iter()
+            .find_map(field)
+            .filter(|value: &f64| value.is_finite())
+            .map(|value| value.max(0.0))
     };
-    Report { connections: told(CONNECTIONS), load: told(LOAD) }
+    Report {
+        connections: told(CONNECTIONS),
+        load: told(LOAD),
+    }
 }
 
 /// How far a dial had come when it ended: what it proves depends on that.
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -1,5 +1,5 @@
-//! The loop: each turn gathers what is ready, hands it to the decisions in one go, and carries out what they
-//! ask for. One thread; no part of a turn waits.
+//! The loop: each turn gathers what is ready, hands it to the decisions in one go, and carries out
+//! what they ask for. One thread; no part of a turn waits.
 use crate::admin::Readiness;
 use crate::backends::Probes;
 use crate::buffers::{Pool, SIZE};
@@ -48,8 +48,9 @@
 /// Taken off the time to stop, so that the process has ended before it is killed.
 const STOP_MARGIN: Span = Span::from_ms(150);
 
-/// Beside another process that serves, clients are taken once discovery has told its list; after this also on the list
-/// known at start, and after the other with none: the process before may be about to end.
+/// Beside another process that serves, clients are taken once discovery has told its list; after
+/// this also on the list known at start, and after the other with none: the process before may be
+/// about to end.
 const LIST_KNOWN: Span = Span::from_ms(1_500);
 const LIST_LACKING: Span = Span::from_ms(5_000);
 
@@ -118,12 +119,17 @@
 pub struct Signals([UnixStream; 3]);
 
 impl Signals {
-    /// First of all, before any file is read: until they are caught the system's default for each of them ends the process.
+    /// First of all, before any file is read: until they are caught the system's default for each
+    /// of them ends the process.
     ///
     /// # Errors
     /// The system refuses a pipe or a handler.
     pub fn caught() -> io::Result<Signals> {
-        Ok(Signals([signal_pipe(&[SIGTERM, SIGINT])?, signal_pipe(&[SIGUSR1])?, signal_pipe(&[SIGHUP])?]))
+        Ok(Signals([
+            signal_pipe(&[SIGTERM, SIGINT])?,
+            signal_pipe(&[SIGUSR1])?,
+            signal_pipe(&[SIGHUP])?,
+        ]))
     }
 }
 
@@ -137,27 +143,45 @@
         let (deployment, names) = (site.deployment.clone(), names(&site));
         let (connect_timeout, stop_within) = (deployment.connect_timeout, deployment.stop_within);
         let routing = posting.charter.routing;
-        let deployment = Deployment { routes: routing.rows().to_vec(), ..deployment };
+        let deployment = Deployment {
+            routes: routing.rows().to_vec(),
+            ..deployment
+        };
         let at = |address, fault: io::Error| io::Error::other(format!("{address}: {fault}"));
         let passed = posting.passed.is_some();
         let door = match posting.passed {
             Some(listener) => sockets.door(Owner::Door, listener)?,
-            None => sockets.listen(Owner::Door, posting.listen).map_err(|fault| at(posting.listen, fault))?,
+            None => sockets
+                .listen(Owner::Door, posting.listen)
+                .map_err(|fault| at(posting.listen, fault))?,
         };
-        let admin = posting.admin.map(|to| sockets.listen(Owner::Admin, to).map_err(|fault| at(to, fault)));
+        let admin = posting.admin.map(|to| {
+            sockets
+                .listen(Owner::Admin, to)
+                .map_err(|fault| at(to, fault))
+        });
         let callers = admin.transpose()?.map(Callers::new);
         let clients_sockets = posting.sockets - callers.as_ref().map_or(0, |_| callers::RESERVE);
         let peers = match posting.charter.peering {
             Some((peering, key)) => Some(
-                Peers::start(&posting.name, &peering, &key, passed, &mut sockets, clock)
-                    .map_err(|fault| io::Error::other(format!("peers: {}: {fault}", peering.listen)))?,
+                Peers::start(&posting.name, &peering, &key, passed, &mut sockets, clock).map_err(
+                    |fault| io::Error::other(format!("peers: {}: {fault}", peering.listen)),
+                )?,
             ),
             None => None,
         };
         let clients_sockets = clients_sockets - usize::from(peers.is_some());
         let pool = Pool::new((posting.memory_mb << 20) / BUFFER_PART / SIZE);
         let (alarms, news, counters) = (Alarms::default(), VecDeque::new(), Counters::default());
-        let mut works = Works { now, sockets, pool, alarms, news, counters, starved: VecDeque::new() };
+        let mut works = Works {
+            now,
+            sockets,
+            pool,
+            alarms,
+            news,
+            counters,
+            starved: VecDeque::new(),
+        };
         let book = Book::new(site.zones.clone(), site.places);
         let mut watch = Watch::new(posting.discovery, posting.seed, book, site.grace, now);
         if let Some(known) = &posting.known {
@@ -174,13 +198,20 @@
         let shelf = shelf.map(|folder| Shelf::new(&folder, &posting.name));
         let hand = Hand::new(callers, shelf, &mut watch.book, &mut works);
         let mut orders = Vec::new();
-        let mut desk = Desk { orders: &mut orders, alarms: &mut works.alarms };
+        let mut desk = Desk {
+            orders: &mut orders,
+            alarms: &mut works.alarms,
+        };
         let relay = Relay::new(deployment, posting.seed, now, &mut desk);
         watch.open(&mut works);
         for signal in &signals {
             // SAFETY: both live as long as the poller, in this struct.
             unsafe {
-                poller.add_with_mode(signal, Event::readable(key_of(Owner::Signals, 0)), PollMode::Level)?
+                poller.add_with_mode(
+                    signal,
+                    Event::readable(key_of(Owner::Signals, 0)),
+                    PollMode::Level,
+                )?
             };
         }
         log::info!("{} serves at {}", posting.name, posting.listen);
@@ -216,8 +247,9 @@
         Ok(service)
     }
 
-    /// Takes clients as soon as they can be served. Without a process beside it there is nobody else to serve them; but what
-    /// the agent has counts as told from the first moment, so that its answer is waited for, if it has one.
+    /// Takes clients as soon as they can be served. Without a process beside it there is nobody
+    /// else to serve them; but what the agent has counts as told from the first moment, so that its
+    /// answer is waited for, if it has one.
     fn open_door(&mut self) {
         let since = self.works.now.since(self.started);
         let can = match self.watch.listed() {
@@ -269,7 +301,9 @@
                 }
             }
             for _ in 0..ALARMS {
-                let Some(alarm) = self.works.alarms.due(self.works.now) else { break };
+                let Some(alarm) = self.works.alarms.due(self.works.now) else {
+                    break;
+                };
                 self.guarded(|service| service.alarm(alarm));
             }
             if !self.works.starved.is_empty() {
@@ -278,7 +312,8 @@
         }
     }
 
-    /// A fault in the code outside of any session, over the watch or a probe, is no end of the process either.
+    /// A fault in the code outside of any session, over the watch or a probe, is no end of the
+    /// process either.
     fn guarded(&mut self, part: impl FnOnce(&mut Service)) {
         if catch_unwind(AssertUnwindSafe(|| part(self))).is_err() {
             self.works.counters.panics += 1;
@@ -294,24 +329,47 @@
                 self.watch.event(key, works);
                 self.open_door();
             }
-            Some(Owner::Admin) => self.hand.callers.iter_mut().for_each(|callers| callers.accept(works)),
+            Some(Owner::Admin) => self
+                .hand
+                .callers
+                .iter_mut()
+                .for_each(|callers| callers.accept(works)),
             Some(Owner::Post) => {
-                let heir = self.succession.post.as_mut().and_then(|post| post.accept(&mut works.sockets));
+                let heir = self
+                    .succession
+                    .post
+                    .as_mut()
+                    .and_then(|post| post.accept(&mut works.sockets));
                 if heir.is_some() {
                     self.lose_heir("another one has come");
                     (self.succession.heir, self.succession.told) = (heir, 0);
                 }
             }
-            Some(Owner::Heir) if self.succession.heir.as_ref().is_some_and(|heir| heir.is(key)) => {
+            Some(Owner::Heir)
+                if self
+                    .succession
+                    .heir
+                    .as_ref()
+                    .is_some_and(|heir| heir.is(key)) =>
+            {
                 self.hear_heir();
             }
-            Some(Owner::Elder) if self.succession.elder.as_ref().is_some_and(|elder| elder.is(key)) => {
+            Some(Owner::Elder)
+                if self
+                    .succession
+                    .elder
+                    .as_ref()
+                    .is_some_and(|elder| elder.is(key)) =>
+            {
                 self.hear_elder();
             }
             Some(Owner::Heir | Owner::Elder) => {}
             Some(Owner::Peers) => self.peers.iter_mut().for_each(|peers| peers.event(works)),
             Some(Owner::Caller(id)) => {
-                self.hand.callers.iter_mut().for_each(|callers| callers.event(id, key, works));
+                self.hand
+                    .callers
+                    .iter_mut()
+                    .for_each(|callers| callers.event(id, key, works));
             }
             Some(Owner::Client(id)) => self.sessions.client_event(id, key, &self.watch.book, works),
             Some(Owner::Dial(id)) => self.sessions.dial_event(id, key, &self.watch.book, works),
@@ -335,7 +393,11 @@
             Alarm::Overdue(id) => self.sessions.overdue_alarm(id, works),
             Alarm::Idle(id) => self.sessions.idle_alarm(id, works),
             Alarm::Again(id) => self.sessions.again_alarm(id, &self.watch.book, works),
-            Alarm::Caller(id) => self.hand.callers.iter_mut().for_each(|callers| callers.alarm(id, works)),
+            Alarm::Caller(id) => self
+                .hand
+                .callers
+                .iter_mut()
+                .for_each(|callers| callers.alarm(id, works)),
             Alarm::Shelf => {
                 self.hand.look(&mut self.watch.book, works);
                 self.tell_holds(1);
@@ -354,7 +416,9 @@
     }
 
     fn wake_peers(&mut self) {
-        self.peers.iter_mut().for_each(|peers| peers.wake(&mut self.works));
+        self.peers
+            .iter_mut()
+            .for_each(|peers| peers.wake(&mut self.works));
     }
 
     fn signalled(&mut self) {
@@ -372,7 +436,9 @@
             log::info!("told to stop, {} sessions", self.sessions.len());
             self.stopping = Some(self.works.now);
             self.works.news.push_back(News::Stopping);
-            self.peers.iter_mut().for_each(|peers| peers.leave(self.works.now));
+            self.peers
+                .iter_mut()
+                .for_each(|peers| peers.leave(self.works.now));
             if self.passed {
                 self.sessions.shut_door();
                 self.leave();
@@ -380,8 +446,13 @@
                 // Those on their way may come before the first list; nobody else would answer them.
                 self.sessions.open_door();
             }
-            self.works.alarms.set(self.works.now + ACCEPT_ON, Alarm::Stop);
-            self.works.alarms.set(self.works.now + (self.stop_within - STOP_MARGIN), Alarm::Stop);
+            self.works
+                .alarms
+                .set(self.works.now + ACCEPT_ON, Alarm::Stop);
+            self.works.alarms.set(
+                self.works.now + (self.stop_within - STOP_MARGIN),
+                Alarm::Stop,
+            );
         }
         if matches!(self.signals[REREAD_BYTE].read(&mut bytes), Ok(1..)) {
             self.reread();
@@ -392,7 +463,9 @@
 
     /// What is known and what stands goes to the next process, if there is one.
     fn leave(&mut self) {
-        let Some(heir) = &self.succession.heir else { return };
+        let Some(heir) = &self.succession.heir else {
+            return;
+        };
         let said = tell_memory(&self.relay, &self.watch.book, heir);
         match said.and_then(|_| heir.say(&Word::Leaving, &[], &[])) {
             Ok(true) => self.sessions.leave_to_heir(&mut self.works),
@@ -401,11 +474,16 @@
         }
     }
 
-    /// Both channels hear of it when it has changed by so much: told later, each would take what the other had
-    /// just taken.
+    /// Both channels hear of it when it has changed by so much: told later, each would take what
+    /// the other had just taken.
     fn tell_holds(&mut self, least: usize) {
         let (sockets, told) = (self.works.sockets.own(), self.succession.told);
-        let mut lines = self.succession.elder.iter().chain(&self.succession.heir).peekable();
+        let mut lines = self
+            .succession
+            .elder
+            .iter()
+            .chain(&self.succession.heir)
+            .peekable();
         if lines.peek().is_some() && sockets.abs_diff(told) >= least {
             self.succession.told = sockets;
             lines.for_each(|line| drop(line.say(&Word::Holds { sockets }, &[], &[])));
@@ -413,7 +491,9 @@
     }
 
     fn offer(&mut self) {
-        let Some(heir) = &self.succession.heir else { return };
+        let Some(heir) = &self.succession.heir else {
+            return;
+        };
         if let Err(fault) = self.sessions.offer(heir, &self.watch.book, &mut self.works) {
             self.lose_heir(&fault.to_string());
         }
@@ -429,14 +509,19 @@
 
     fn hear_heir(&mut self) {
         for _ in 0..PACKETS {
-            let Some(heir) = &self.succession.heir else { return };
+            let Some(heir) = &self.succession.heir else {
+                return;
+            };
             let word = match heir.hear() {
                 Heard::Nothing => break,
                 Heard::Gone(why) => return self.lose_heir(&why),
                 Heard::Word(word, ..) => *word,
             };
             let done = match word {
-                Word::Hello { version: VERSION, relay } if relay == self.succession.relay => {
+                Word::Hello {
+                    version: VERSION,
+                    relay,
+                } if relay == self.succession.relay => {
                     if self.stopping.is_some() {
                         return self.leave();
                     }
@@ -462,7 +547,9 @@
 
     fn hear_elder(&mut self) {
         for _ in 0..PACKETS {
-            let Some(elder) = &self.succession.elder else { return };
+            let Some(elder) = &self.succession.elder else {
+                return;
+            };
             let (book, works) = (&mut self.watch.book, &mut self.works);
             let (word, up, down, sockets) = match elder.hear() {
                 Heard::Nothing => return,
@@ -479,7 +566,9 @@
             };
             match word {
                 Word::Memory(text) => {
-                    works.news.push_back(News::Recalled(text.memory(|name| book.enter(name))));
+                    works
+                        .news
+                        .push_back(News::Recalled(text.memory(|name| book.enter(name))));
                 }
                 Word::Holds { sockets } => works.sockets.set_beside(sockets),
                 Word::Leaving => {
@@ -495,7 +584,12 @@
                     let takes = self.stopping.is_none() && self.sessions.has_room(works);
                     let word = match offered.filter(|_| takes) {
                         Some(sockets) => {
-                            let offered = Offered { estate, up, down, sockets };
+                            let offered = Offered {
+                                estate,
+                                up,
+                                down,
+                                sockets,
+                            };
                             self.succession.offered.insert(serial, offered);
                             Word::Took { serial }
                         }
@@ -510,7 +604,8 @@
                     if let Some(one) = self.succession.offered.remove(&serial) {
                         let waiting = (&one.up[..], &one.down[..]);
                         if let Err(fault) =
-                            self.sessions.adopt(&one.estate, one.sockets, waiting, book, works)
+                            self.sessions
+                                .adopt(&one.estate, one.sockets, waiting, book, works)
                         {
                             log::warn!("a connection of the process before is lost: {fault}");
                         }
@@ -523,10 +618,15 @@
 
     // ---- other settings ----
 
-    /// Discovery's address, the settings and the charter can change while the process runs. A bad file changes nothing of
-    /// what it is about; settings and charter have to agree, and are taken up together or not at all.
+    /// Discovery's address, the settings and the charter can change while the process runs. A bad
+    /// file changes nothing of what it is about; settings and charter have to agree, and are taken
+    /// up together or not at all.
     fn reread(&mut self) {
-        let path = self.origin.path.as_deref().ok_or_else(|| "the configuration is in no file".to_string());
+        let path = self
+            .origin
+            .path
+            .as_deref()
+            .ok_or_else(|| "the configuration is in no file".to_string());
         let site = match path.and_then(read_file) {
             Ok(later) => {
                 let differs = self.origin.differs(&later.origin);
@@ -539,11 +639,16 @@
             Err(fault) => {
                 log::warn!("{fault}; what was read before stays");
                 // The charter may have changed all the same.
-                self.coming.as_ref().map_or_else(|| self.site.clone(), |(site, _)| site.clone())
+                self.coming
+                    .as_ref()
+                    .map_or_else(|| self.site.clone(), |(site, _)| site.clone())
             }
         };
         if let Err(faults) = self.take_up(site) {
-            log::warn!("{}; the charter read before stays, and so do the settings", faults.join("; "));
+            log::warn!(
+                "{}; the charter read before stays, and so do the settings",
+                faults.join("; ")
+            );
         }
     }
 
@@ -551,14 +656,22 @@
     fn take_up(&mut self, site: Site) -> Result<(), Vec<String>> {
         let charter = self.bound.charter()?;
         let both = self.site.until(&site);
-        let later = self.bound.routing(&charter, &circumstances(&site, self.sockets))?;
-        let between = self.bound.routing(&charter, &circumstances(&both, self.sockets))?;
-        // Refused as a whole where the step from one set of voters to the next is none that is allowed.
+        let later = self
+            .bound
+            .routing(&charter, &circumstances(&site, self.sockets))?;
+        let between = self
+            .bound
+            .routing(&charter, &circumstances(&both, self.sockets))?;
+        // Refused as a whole where the step from one set of voters to the next is none that is
+        // allowed.
         let peering = charter.peering(&circumstances(&site, self.sockets));
-        let peering = peering.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
+        let peering =
+            peering.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
         match (&mut self.peers, peering) {
             (None, None) => {}
-            (Some(peers), Some(peering)) => peers.resettle(&peering).map_err(|fault| vec![fault])?,
+            (Some(peers), Some(peering)) => {
+                peers.resettle(&peering).map_err(|fault| vec![fault])?
+            }
             _ => log::warn!("changes of peers need a restart"),
         }
         self.settle(both, between);
@@ -582,12 +695,18 @@
         let own = site.zones.get(usize::from(site.deployment.zone.0)).cloned();
         let zone = own.map_or(site.deployment.zone, |name| self.watch.book.zone(&name));
         let routes = routing.rows().to_vec();
-        let deployment = Deployment { routes, zone, ..site.deployment.clone() };
+        let deployment = Deployment {
+            routes,
+            zone,
+            ..site.deployment.clone()
+        };
         self.watch.book.read_by(site.places);
         self.probes.resettle(deployment.connect_timeout, site.idle);
         self.watch.resettle(site.grace);
         self.stop_within = deployment.stop_within;
-        self.works.news.push_back(News::Resettled(Box::new(deployment)));
+        self.works
+            .news
+            .push_back(News::Resettled(Box::new(deployment)));
         self.sessions.reroute(names(&site), routing);
         let generation = self.sessions.generation();
         if !changes.is_empty() {
@@ -597,7 +716,9 @@
     }
 
     fn is_over(&self) -> bool {
-        let Some(since) = self.stopping.map(|at| self.works.now.since(at)) else { return false };
+        let Some(since) = self.stopping.map(|at| self.works.now.since(at)) else {
+            return false;
+        };
         let accepts_on = !self.passed && since < ACCEPT_ON;
         let is_quiet = self.sessions.is_empty() && self.hand.callers.iter().all(Callers::is_quiet);
         !accepts_on && is_quiet || since >= self.stop_within - STOP_MARGIN
@@ -607,12 +728,20 @@
     fn hand_over(&mut self) {
         let now = self.works.now;
         let readiness = self.readiness();
-        let answers = self.hand.answers(readiness, &mut self.peers, &mut self.watch.book, &mut self.works);
+        let answers = self.hand.answers(
+            readiness,
+            &mut self.peers,
+            &mut self.watch.book,
+            &mut self.works,
+        );
         let (mut failed, mut taken_out) = (Vec::new(), false);
         while let Some(news) = self.works.news.pop_front() {
             trace::news(&news, &self.watch.book);
             taken_out |= matches!(news, News::Listed(..) | News::Banned(_, true));
-            let mut desk = Desk { orders: &mut self.orders, alarms: &mut self.works.alarms };
+            let mut desk = Desk {
+                orders: &mut self.orders,
+                alarms: &mut self.works.alarms,
+            };
             if let Err(about) = hand_in(&mut self.relay, news, now, &mut desk) {
                 self.works.counters.panics += 1;
                 log::error!("the decisions failed over {about:?}");
@@ -625,7 +754,8 @@
             trace::order(&order, &self.watch.book);
             match order {
                 Order::Dial(id, backend, wait) => {
-                    self.sessions.dial(id, backend, wait, &self.watch.book, works)
+                    self.sessions
+                        .dial(id, backend, wait, &self.watch.book, works)
                 }
                 Order::Withdraw(id, dial) => self.sessions.withdraw(id, dial, works),
                 Order::Refuse(id, wait) => self.sessions.refuse(id, wait, works),
@@ -645,8 +775,9 @@
     }
 }
 
-/// When in its turn an event is met: operators first, so that they are answered whatever the load; then what the agent
-/// tells, before a dial that came up in the same turn goes where nothing new may go.
+/// When in its turn an event is met: operators first, so that they are answered whatever the load;
+/// then what the agent tells, before a dial that came up in the same turn goes where nothing new
+/// may go.
 fn place_of(key: usize) -> usize {
     match owner_of(key) {
         Some(Owner::Admin | Owner::Caller(_)) => 0,
@@ -661,13 +792,21 @@
     fn begin(folder: &Path, relay: &str, sockets: &mut Sockets) -> Succession {
         // Found before this one takes its place.
         let elder = succession::elder(folder, sockets);
-        let hello = Word::Hello { version: VERSION, relay: relay.to_string() };
+        let hello = Word::Hello {
+            version: VERSION,
+            relay: relay.to_string(),
+        };
         let elder = elder.filter(|elder| matches!(elder.say(&hello, &[], &[]), Ok(true)));
         let post = Post::open(folder, sockets);
         if let Err(fault) = &post {
             log::warn!("the next process will not be handed anything: {fault}");
         }
-        Succession { relay: relay.to_string(), post: post.ok(), elder, ..Succession::default() }
+        Succession {
+            relay: relay.to_string(),
+            post: post.ok(),
+            elder,
+            ..Succession::default()
+        }
     }
 }
 
@@ -682,7 +821,9 @@
 /// What finds no room on the way is lost alone: the next process learns it anew.
 fn tell_memory(relay: &Relay, book: &Book, heir: &Line) -> io::Result<()> {
     let parts = MemoryText::of(&relay.memory(), |id| book.name(id)).parts();
-    parts.into_iter().try_for_each(|part| heir.say(&Word::Memory(part), &[], &[]).map(drop))
+    parts
+        .into_iter()
+        .try_for_each(|part| heir.say(&Word::Memory(part), &[], &[]).map(drop))
 }
 
 /// The end of a pipe that turns readable when one of these signals comes.
--- a/relay/src/shelf.rs
+++ b/relay/src/shelf.rs
@@ -1,5 +1,6 @@
-//! Where the list of bans is kept between processes of one relay: a file in `$TMPDIR`, replaced as a whole under a lock. A
-//! process that dies in the middle of a write leaves the list as it was, and its lock is free.
+//! Where the list of bans is kept between processes of one relay: a file in `$TMPDIR`, replaced as
+//! a whole under a lock. A process that dies in the middle of a write leaves the list as it was,
+//! and its lock is free.
 use crate::bans::Bans;
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -50,7 +51,9 @@
 
     /// Reads what another process has written since; true where that changed anything.
     pub fn refresh(&mut self) -> bool {
-        let Ok(about) = std::fs::metadata(&self.list) else { return false };
+        let Ok(about) = std::fs::metadata(&self.list) else {
+            return false;
+        };
         let seen = Some((about.ino(), about.mtime(), about.mtime_nsec(), about.size()));
         if seen == self.seen {
             return false;
@@ -73,7 +76,10 @@
     /// # Errors
     /// Nothing has changed.
     pub fn change(&mut self, id: &str, out: bool) -> Result<(), Fault> {
-        let lock = OpenOptions::new().create(true).append(true).open(&self.lock)?;
+        let lock = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(&self.lock)?;
         match lock.try_lock() {
             Ok(()) => {}
             Err(std::fs::TryLockError::WouldBlock) => return Err(Fault::Locked),
@@ -98,7 +104,8 @@
     use super::*;
 
     fn folder(name: &str) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("thistlecroft-shelf-{}-{name}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("thistlecroft-shelf-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
         folder
@@ -108,7 +115,10 @@
     fn two_processes_keep_one_list() {
         let folder = folder("two");
         let (mut old, mut new) = (Shelf::new(&folder, "n3"), Shelf::new(&folder, "n3"));
-        assert!(!old.refresh() && old.bans().out.is_empty(), "a missing list is an empty one");
+        assert!(
+            !old.refresh() && old.bans().out.is_empty(),
+            "a missing list is an empty one"
+        );
         old.change("a", true).unwrap();
         assert!(new.refresh() && !new.refresh());
         new.change("b", true).unwrap();
@@ -118,7 +128,10 @@
         assert_eq!(new.bans(), old.bans());
         assert_eq!(new.bans().out.iter().collect::<Vec<_>>(), ["b"]);
         // While one is at it the other is told so, and nothing changes.
-        let lock = OpenOptions::new().append(true).open(folder.join("thistlecroft-bans.lock")).unwrap();
+        let lock = OpenOptions::new()
+            .append(true)
+            .open(folder.join("thistlecroft-bans.lock"))
+            .unwrap();
         lock.lock().unwrap();
         assert!(matches!(old.change("c", true), Err(Fault::Locked)));
         assert_eq!(old.bans(), new.bans());
@@ -129,8 +142,11 @@
 
     #[test]
     fn a_torn_or_foreign_list_is_a_clean_start_and_the_next_change_mends_it() {
-        for (name, text) in [("torn", "thistlecroft bans 1\nrelay n3\nser"), ("foreign", "{}"), ("empty", "")]
-        {
+        for (name, text) in [
+            ("torn", "thistlecroft bans 1\nrelay n3\nser"),
+            ("foreign", "{}"),
+            ("empty", ""),
+        ] {
             let folder = folder(name);
             std::fs::write(folder.join("thistlecroft-bans"), text).unwrap();
             std::fs::write(folder.join("thistlecroft-bans.fresh"), "half of a li").unwrap();
@@ -144,6 +160,9 @@
         }
         let mut nowhere = Shelf::new(std::path::Path::new("/nowhere/at/all"), "n3");
         assert!(!nowhere.refresh());
-        assert!(matches!(nowhere.change("a", true), Err(Fault::Other(_))) && nowhere.bans().out.is_empty());
+        assert!(
+            matches!(nowhere.change("a", true), Err(Fault::Other(_)))
+                && nowhere.bans().out.is_empty()
+        );
     }
 }
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -1,4 +1,5 @@
-//! Sockets as the loop knows them: one owner each, a key that is never used twice, and what is waited for.
+//! Sockets as the loop knows them: one owner each, a key that is never used twice, and what is
+//! waited for.
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::cell::Cell;
@@ -10,7 +11,8 @@
 /// Deeper than any rush between two turns; the system cuts it to its own limit.
 const BACKLOG: i32 = 4096;
 
-/// Whose socket an event is about. The serial tells a closed socket's late event from its successor's.
+/// Whose socket an event is about. The serial tells a closed socket's late event from its
+/// successor's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Owner {
     Door,
@@ -22,7 +24,8 @@
     /// The operators' door, and a caller there.
     Admin,
     Caller(u32),
-    /// Where the next process of this relay finds this one; the channel to it, and to the one before.
+    /// Where the next process of this relay finds this one; the channel to it, and to the one
+    /// before.
     Post,
     Heir,
     Elder,
@@ -96,7 +99,12 @@
 
 impl Sockets {
     pub fn new(poller: Rc<Poller>) -> Sockets {
-        Sockets { poller, open: Rc::default(), beside: 0, serial: 0 }
+        Sockets {
+            poller,
+            open: Rc::default(),
+            beside: 0,
+            serial: 0,
+        }
     }
 
     /// Of this process and the other one, for the limit that is both's.
@@ -116,14 +124,23 @@
         self.serial = self.serial.wrapping_add(1);
         self.open.set(self.open.get() + 1);
         let key = key_of(owner, self.serial);
-        Watched { poller: self.poller.clone(), open: self.open.clone(), fd, key, wants: None }
+        Watched {
+            poller: self.poller.clone(),
+            open: self.open.clone(),
+            fd,
+            key,
+            wants: None,
+        }
     }
 
     pub fn adopt(&mut self, owner: Owner, stream: TcpStream) -> Result<Sock> {
         stream.set_nonblocking(true)?;
         // Lines are short and waited for.
         stream.set_nodelay(true)?;
-        Ok(Sock { watched: self.watched(owner, stream.as_raw_fd()), stream })
+        Ok(Sock {
+            watched: self.watched(owner, stream.as_raw_fd()),
+            stream,
+        })
     }
 
     /// Begins a connection; whether it comes up is told by the socket's turning writable.
@@ -145,11 +162,15 @@
         self.door(owner, socket.into())
     }
 
-    /// Takes over a listening socket, which other processes may hold as well: they share its queue and its
-    /// being non-blocking. It is closed at the end and never shut down, which would end it for all.
+    /// Takes over a listening socket, which other processes may hold as well: they share its queue
+    /// and its being non-blocking. It is closed at the end and never shut down, which would end it
+    /// for all.
     pub fn door(&mut self, owner: Owner, listener: TcpListener) -> Result<Door> {
         listener.set_nonblocking(true)?;
-        Ok(Door { watched: self.watched(owner, listener.as_raw_fd()), listener })
+        Ok(Door {
+            watched: self.watched(owner, listener.as_raw_fd()),
+            listener,
+        })
     }
 }
 
@@ -170,9 +191,12 @@
         let event = Event::new(self.key, reading, writing);
         let done = match (self.wants, wants) {
             // SAFETY: as above; deleted on drop, which field order puts before the stream's.
-            (None, Some(_)) => unsafe { self.poller.add_with_mode(self.fd, event, PollMode::Level) },
+            (None, Some(_)) => unsafe {
+                self.poller.add_with_mode(self.fd, event, PollMode::Level)
+            },
             (Some(_), Some(_)) => self.poller.modify_with_mode(fd, event, PollMode::Level),
-            // Taken out altogether: a reset would otherwise be reported without end while nothing is wanted.
+            // Taken out altogether: a reset would otherwise be reported without end while nothing
+            // is wanted.
             _ => self.poller.delete(fd),
         };
         match done {
--- a/relay/src/start.rs
+++ b/relay/src/start.rs
@@ -50,8 +50,11 @@
     /// # Errors
     /// A line for each thing that is wrong with the text by itself.
     pub fn charter(&self) -> Result<Charter, Vec<String>> {
-        let Some(path) = &self.path else { return Ok(Charter::default()) };
-        let text = std::fs::read_to_string(path).map_err(|fault| vec![format!("{path}: {fault}")])?;
+        let Some(path) = &self.path else {
+            return Ok(Charter::default());
+        };
+        let text =
+            std::fs::read_to_string(path).map_err(|fault| vec![format!("{path}: {fault}")])?;
         Charter::parse(path, &text).map_err(lines)
     }
 
@@ -59,7 +62,11 @@
     ///
     /// # Errors
     /// A line for each thing that does not agree.
-    pub fn routing(&mut self, charter: &Charter, of: &Circumstances) -> Result<Routing, Vec<String>> {
+    pub fn routing(
+        &mut self,
+        charter: &Charter,
+        of: &Circumstances,
+    ) -> Result<Routing, Vec<String>> {
         charter.against(of, &mut self.lanes).map_err(lines)
     }
 }
@@ -68,7 +75,8 @@
     faults.iter().map(ToString::to_string).collect()
 }
 
-/// The variables that say what the configuration may leave out, and where the platform holds the clients' socket.
+/// The variables that say what the configuration may leave out, and where the platform holds the
+/// clients' socket.
 const ADMIN: &str = "ROUTER_ADMIN_ADDR";
 const PASSED: &str = "ROUTER_PASSED_SOCKET";
 
@@ -87,9 +95,14 @@
             self.passed = Some(passed(&text).map_err(|why| format!("{PASSED}: \"{text}\" {why}"))?);
         }
         if self.admin.is_some() && self.sockets < FEWEST_SOCKETS + callers::RESERVE {
-            return Err(format!("limits: {} sockets are too few for an operators' door", self.sockets));
+            return Err(format!(
+                "limits: {} sockets are too few for an operators' door",
+                self.sockets
+            ));
         }
-        self.folder = std::env::var_os("TMPDIR").map(PathBuf::from).filter(|folder| folder.is_absolute());
+        self.folder = std::env::var_os("TMPDIR")
+            .map(PathBuf::from)
+            .filter(|folder| folder.is_absolute());
         Ok(self)
     }
 
@@ -103,7 +116,10 @@
         let of = circumstances(&self.site, self.sockets);
         let peering = charter.peering(&of).map_err(lines)?;
         let with_key = |peering: Peering| key(&peering.key_file).map(|key| (peering, key));
-        self.charter.peering = peering.map(with_key).transpose().map_err(|fault| vec![fault])?;
+        self.charter.peering = peering
+            .map(with_key)
+            .transpose()
+            .map_err(|fault| vec![fault])?;
         self.charter.routing = self.charter.bound.routing(&charter, &of)?;
         Ok(self)
     }
@@ -115,7 +131,10 @@
     let text = std::fs::read(path).map_err(|fault| named(&fault))?;
     let key = text.trim_ascii().to_vec();
     if key.len() < LEAST_KEY {
-        return Err(named(&format!("{} bytes are too few for a key, {LEAST_KEY} needed", key.len())));
+        return Err(named(&format!(
+            "{} bytes are too few for a key, {LEAST_KEY} needed",
+            key.len()
+        )));
     }
     Ok(key)
 }
@@ -128,7 +147,11 @@
     let listeners = site.listeners.iter().zip(rows);
     Circumstances {
         listeners: listeners
-            .map(|(name, (row, wait))| ListenerFacts { name: name.clone(), wait: *wait, row: *row })
+            .map(|(name, (row, wait))| ListenerFacts {
+                name: name.clone(),
+                wait: *wait,
+                row: *row,
+            })
             .collect(),
         zones: site.zones.clone(),
         zone: usize::from(site.deployment.zone.0),
@@ -147,9 +170,15 @@
 }
 
 impl Origin {
-    /// Keys of a later text that this process can't take up. The list known at start is none: discovery tells it.
+    /// Keys of a later text that this process can't take up. The list known at start is none:
+    /// discovery tells it.
     pub fn differs(&self, later: &Origin) -> Vec<String> {
-        let names = self.keys.keys().chain(later.keys.keys().filter(|name| !self.keys.contains_key(*name)));
+        let names = self.keys.keys().chain(
+            later
+                .keys
+                .keys()
+                .filter(|name| !self.keys.contains_key(*name)),
+        );
         let differs = |name: &&String| self.keys.get(*name) != later.keys.get(*name);
         names
             .filter(|name| !matches!(name.as_str(), "discovery" | "known" | "settings"))
@@ -160,12 +189,19 @@
 }
 
 fn address(name: &str, value: &str) -> Result<SocketAddr, String> {
-    value.parse().map_err(|_| format!("{name}: \"{value}\" is no address with a port"))
+    value
+        .parse()
+        .map_err(|_| format!("{name}: \"{value}\" is no address with a port"))
 }
 
-/// A listening socket that this process was started with. Held by other processes too, it is taken over once.
+/// A listening socket that this process was started with. Held by other processes too, it is taken
+/// over once.
 fn passed(text: &str) -> Result<TcpListener, &'static str> {
-    let number: RawFd = text.parse().ok().filter(|&fd| fd > 2).ok_or("is no descriptor")?;
+    let number: RawFd = text
+        .parse()
+        .ok()
+        .filter(|&fd| fd > 2)
+        .ok_or("is no descriptor")?;
     // SAFETY: only asked about here; one that is not open is answered with an error.
     let borrowed = unsafe { BorrowedFd::borrow_raw(number) };
     let socket = SockRef::from(&borrowed);
@@ -206,20 +242,34 @@
 }
 
 pub fn read(text: &[u8]) -> Result<Posting, String> {
-    let keys: serde_json::Map<_, _> = serde_json::from_slice(text).map_err(|fault| fault.to_string())?;
+    let keys: serde_json::Map<_, _> =
+        serde_json::from_slice(text).map_err(|fault| fault.to_string())?;
     let text: Text = serde_json::from_slice(text).map_err(|fault| fault.to_string())?;
-    let seed = u64::from_str_radix(&text.seed, 16)
-        .map_err(|_| format!("seed: \"{}\" is no hexadecimal number of 64 bits", text.seed))?;
+    let seed = u64::from_str_radix(&text.seed, 16).map_err(|_| {
+        format!(
+            "seed: \"{}\" is no hexadecimal number of 64 bits",
+            text.seed
+        )
+    })?;
     if text.limits.sockets < FEWEST_SOCKETS {
-        return Err(format!("limits: {} sockets are too few, {FEWEST_SOCKETS} needed", text.limits.sockets));
+        return Err(format!(
+            "limits: {} sockets are too few, {FEWEST_SOCKETS} needed",
+            text.limits.sockets
+        ));
     }
     if text.limits.memory_mb.is_nan() || text.limits.memory_mb < 8.0 {
-        return Err(format!("limits: {} MB of memory are too little, 8 needed", text.limits.memory_mb));
+        return Err(format!(
+            "limits: {} MB of memory are too little, 8 needed",
+            text.limits.memory_mb
+        ));
     }
     let site = facts::read(text.settings.to_string().as_bytes())?;
     let of = circumstances(&site, text.limits.sockets);
     let routing = Routing::plain(&of);
-    let bound = Bound { path: None, lanes: Lanes::default() };
+    let bound = Bound {
+        path: None,
+        lanes: Lanes::default(),
+    };
     Ok(Posting {
         listen: address("listen", &text.listen)?,
         discovery: address("discovery", &text.discovery)?,
@@ -230,8 +280,16 @@
         known: text.known,
         site,
         origin: Origin { path: None, keys },
-        charter: Chartered { routing, bound, peering: None },
-        admin: text.admin_addr.as_deref().map(|text| address("admin_addr", text)).transpose()?,
+        charter: Chartered {
+            routing,
+            bound,
+            peering: None,
+        },
+        admin: text
+            .admin_addr
+            .as_deref()
+            .map(|text| address("admin_addr", text))
+            .transpose()?,
         passed: None,
         folder: None,
     })
--- a/relay/src/succession.rs
+++ b/relay/src/succession.rs
@@ -1,10 +1,11 @@
-//! The channel between the process that ends and the one that goes on: packets over a Unix socket in the folder that both
-//! share, descriptors beside them. What is said is in `estate.rs`, what is done about it in `service.rs`.
+//! The channel between the process that ends and the one that goes on: packets over a Unix socket
+//! in the folder that both share, descriptors beside them. What is said is in `estate.rs`, what is
+//! done about it in `service.rs`.
 use crate::estate::{self, Word};
 use crate::sockets::{Owner, Sockets, Watched};
 use rustix::net::{
-    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
-    SendFlags,
+    RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
+    SendAncillaryMessage, SendFlags,
 };
 use socket2::{Domain, SockAddr, Socket, Type};
 use std::io::{self, ErrorKind, IoSlice, IoSliceMut};
@@ -44,7 +45,9 @@
 /// The process that serves from this folder, if one does.
 pub fn elder(folder: &Path, sockets: &mut Sockets) -> Option<Line> {
     let socket = socket().ok()?;
-    socket.connect(&SockAddr::unix(folder.join(NAME)).ok()?).ok()?;
+    socket
+        .connect(&SockAddr::unix(folder.join(NAME)).ok()?)
+        .ok()?;
     Some(Line::new(socket, Owner::Elder, sockets))
 }
 
@@ -63,7 +66,10 @@
         std::fs::rename(&fresh, folder.join(NAME))?;
         let mut watched = sockets.watched(Owner::Post, socket.as_raw_fd());
         watched.want(true, false);
-        Ok(Post { _watched: watched, socket })
+        Ok(Post {
+            _watched: watched,
+            socket,
+        })
     }
 
     pub fn accept(&mut self, sockets: &mut Sockets) -> Option<Line> {
@@ -88,14 +94,24 @@
     ///
     /// # Errors
     /// The other process is gone.
-    pub fn say(&self, word: &Word, bytes: &[&[u8]], descriptors: &[BorrowedFd]) -> io::Result<bool> {
+    pub fn say(
+        &self,
+        word: &Word,
+        bytes: &[&[u8]],
+        descriptors: &[BorrowedFd],
+    ) -> io::Result<bool> {
         let packet = estate::packet(word, bytes);
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut beside = SendAncillaryBuffer::new(&mut space);
         if !descriptors.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(descriptors)) {
             return Err(io::Error::other("too many descriptors"));
         }
-        match rustix::net::sendmsg(&self.socket, &[IoSlice::new(&packet)], &mut beside, SendFlags::NOSIGNAL) {
+        match rustix::net::sendmsg(
+            &self.socket,
+            &[IoSlice::new(&packet)],
+            &mut beside,
+            SendFlags::NOSIGNAL,
+        ) {
             Ok(_) => Ok(true),
             Err(rustix::io::Errno::AGAIN | rustix::io::Errno::INTR) => Ok(false),
             Err(fault) => Err(fault.into()),
@@ -112,8 +128,8 @@
             rustix::net::recvmsg(self.socket.as_fd(), into, &mut beside, flags)
         };
         let got = match take() {
-            // It ended with a word of ours unread, which is told first and once: what it said before still waits, and
-            // connections that it has let go of among it.
+            // It ended with a word of ours unread, which is told first and once: what it said
+            // before still waits, and connections that it has let go of among it.
             Err(rustix::io::Errno::CONNRESET) => take(),
             got => got,
         };
@@ -134,7 +150,9 @@
             }
         }
         match estate::word(&bytes[..length]) {
-            Ok((word, up, down)) => Heard::Word(Box::new(word), up.to_vec(), down.to_vec(), descriptors),
+            Ok((word, up, down)) => {
+                Heard::Word(Box::new(word), up.to_vec(), down.to_vec(), descriptors)
+            }
             Err(why) => Heard::Gone(why),
         }
     }
@@ -148,10 +166,12 @@
     use thistlecroft::ids::BackendId;
     use thistlecroft::units::{Moment, Span};
 
-    /// A sight of one backend takes some 150 bytes: 450 of them no longer fitted into a packet, and the line was lost.
+    /// A sight of one backend takes some 150 bytes: 450 of them no longer fitted into a packet, and
+    /// the line was lost.
     #[test]
     fn what_is_known_of_a_thousand_backends_comes_across_whole() {
-        let folder = std::env::temp_dir().join(format!("thistlecroft-parts-{}", std::process::id()));
+        let folder =
+            std::env::temp_dir().join(format!("thistlecroft-parts-{}", std::process::id()));
         std::fs::create_dir_all(&folder).unwrap();
         let poller = std::rc::Rc::new(polling::Poller::new().unwrap());
         let mut sockets = Sockets::new(poller);
@@ -159,22 +179,43 @@
         let new = elder(&folder, &mut sockets).unwrap();
         let old = post.accept(&mut sockets).unwrap();
         let at = Moment::from_us(1_764_000_000_123_456);
-        let report = Report { connections: Some(1_234.5), load: Some(0.123_456_789) };
-        let sight = Sight { heard: Some((at, report)), weight_heard: 0.987_654, ..Sight::default() };
+        let report = Report {
+            connections: Some(1_234.5),
+            load: Some(0.123_456_789),
+        };
+        let sight = Sight {
+            heard: Some((at, report)),
+            weight_heard: 0.987_654,
+            ..Sight::default()
+        };
         for backends in [0, 1, 128, 1_024] {
             let sights = (0..backends).map(|id| (BackendId(id), sight)).collect();
-            let all = Memory { sights, set_up: Span::from_ms(12), stood: 1.5, left_alone: 2.5 };
-            let names: Vec<String> = (0..backends).map(|id| format!("backend-in-zone-a-{id:08x}")).collect();
+            let all = Memory {
+                sights,
+                set_up: Span::from_ms(12),
+                stood: 1.5,
+                left_alone: 2.5,
+            };
+            let names: Vec<String> = (0..backends)
+                .map(|id| format!("backend-in-zone-a-{id:08x}"))
+                .collect();
             let text = MemoryText::of(&all, |id| &names[id.0 as usize]);
             let mut heard = Vec::new();
             for part in text.clone().parts() {
-                assert!(old.say(&Word::Memory(part), &[], &[]).unwrap(), "{backends}: no room on the way");
+                assert!(
+                    old.say(&Word::Memory(part), &[], &[]).unwrap(),
+                    "{backends}: no room on the way"
+                );
             }
             while let Heard::Word(word, ..) = new.hear() {
-                let Word::Memory(part) = *word else { panic!("{backends}: another word") };
+                let Word::Memory(part) = *word else {
+                    panic!("{backends}: another word")
+                };
                 heard.extend(
-                    part.memory(|name| BackendId(names.iter().position(|one| one == name).unwrap() as u32))
-                        .sights,
+                    part.memory(|name| {
+                        BackendId(names.iter().position(|one| one == name).unwrap() as u32)
+                    })
+                    .sights,
                 );
             }
             assert_eq!(heard, all.sights, "{backends}");
@@ -200,7 +241,9 @@
             }
             drop(old);
             for expected in 0..3 {
-                let Heard::Word(word, ..) = new.hear() else { panic!("{unread} unread: {expected} is lost") };
+                let Heard::Word(word, ..) = new.hear() else {
+                    panic!("{unread} unread: {expected} is lost")
+                };
                 assert_eq!(*word, Word::Yours { serial: expected });
             }
             assert!(matches!(new.hear(), Heard::Gone(_)));
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -17,21 +17,39 @@
 use thistlecroft_charter::{Circumstances, ListenerFacts, Routing};
 
 fn names(groups: bool) -> Names {
-    Names { listeners: vec!["chat".into(), "feed".into()], groups, notes_tell_delay: false }
+    Names {
+        listeners: vec!["chat".into(), "feed".into()],
+        groups,
+        notes_tell_delay: false,
+    }
 }
 
 #[test]
 fn an_open_line_is_read_and_goes_on_with_another_wait() {
     // Items in any order, unknown ones kept; with groups and without.
     let cases = [
-        ("c=chat,d=2000,g=00000000000000c5", 0, 1_985, Some(0xc5), "c=chat,d=70,g=00000000000000c5"),
+        (
+            "c=chat,d=2000,g=00000000000000c5",
+            0,
+            1_985,
+            Some(0xc5),
+            "c=chat,d=70,g=00000000000000c5",
+        ),
         ("d=15,c=feed", 1, 0, None, "d=70,c=feed"),
-        ("h=3,c=feed,r=1,d=1,again=1", 1, 0, None, "h=3,c=feed,r=1,d=70,again=1"),
+        (
+            "h=3,c=feed,r=1,d=1,again=1",
+            1,
+            0,
+            None,
+            "h=3,c=feed,r=1,d=70,again=1",
+        ),
     ];
     for (items, listener, left, group, onward) in cases {
         for groups in [true, false] {
             let line = format!("{START}{items}");
-            let Ok(First::Open(open)) = first_line(line.as_bytes(), &names(groups)) else { panic!("{line}") };
+            let Ok(First::Open(open)) = first_line(line.as_bytes(), &names(groups)) else {
+                panic!("{line}")
+            };
             assert_eq!(open.arrival.route, RouteId(listener), "{line}");
             assert_eq!(open.arrival.dial_timeout, Span::from_ms(left), "{line}");
             assert_eq!(open.arrival.group, group.filter(|_| groups), "{line}");
@@ -40,7 +58,9 @@
         }
     }
     let line = format!("{START}c=chat,d=4294967,at=s-5be");
-    let Ok(First::Open(open)) = first_line(line.as_bytes(), &names(true)) else { panic!() };
+    let Ok(First::Open(open)) = first_line(line.as_bytes(), &names(true)) else {
+        panic!()
+    };
     assert_eq!(open.at.as_deref(), Some("s-5be"));
 }
 
@@ -49,7 +69,11 @@
 #[test]
 fn an_open_line_that_a_backend_might_not_read_is_no_first_line() {
     // What stands for the id, the key and the items. Backends close on what they can't read.
-    let good = ("9b1f03aa5c7e2d41", "7f3a9c21e0b4d655", "c=chat,d=2000,g=5c0f6e1a2b3d4c59");
+    let good = (
+        "9b1f03aa5c7e2d41",
+        "7f3a9c21e0b4d655",
+        "c=chat,d=2000,g=5c0f6e1a2b3d4c59",
+    );
     let line = |(id, key, items): (&str, &str, &str)| format!("OPEN {id} {key} {items}");
     assert!(first_line(line(good).as_bytes(), &names(true)).is_ok());
     let words = [
@@ -63,7 +87,10 @@
     ];
     for word in words {
         for bad in [(word, good.1, good.2), (good.0, word, good.2)] {
-            assert!(first_line(line(bad).as_bytes(), &names(true)).is_err(), "{bad:?}");
+            assert!(
+                first_line(line(bad).as_bytes(), &names(true)).is_err(),
+                "{bad:?}"
+            );
         }
     }
     let items = [
@@ -93,7 +120,10 @@
     ];
     for items in items {
         let bad = (good.0, good.1, items);
-        assert!(first_line(line(bad).as_bytes(), &names(true)).is_err(), "{items}");
+        assert!(
+            first_line(line(bad).as_bytes(), &names(true)).is_err(),
+            "{items}"
+        );
     }
 }
 
@@ -114,10 +144,18 @@
         (Reach::Sent, BadLine, Verdict::Error),
         // An answer to a line that was not all sent yet: it may have run all the same.
         (Reach::Connected, BadLine, Verdict::Error),
-        (Reach::Sent, Cause::Said(Verdict::Full, Report::default()), Verdict::Full),
+        (
+            Reach::Sent,
+            Cause::Said(Verdict::Full, Report::default()),
+            Verdict::Full,
+        ),
     ];
     for (reach, cause, expected) in cases {
-        assert_eq!(Fault { reach, cause }.verdict(), expected, "{reach:?} {cause:?}");
+        assert_eq!(
+            Fault { reach, cause }.verdict(),
+            expected,
+            "{reach:?} {cause:?}"
+        );
     }
 }
 
@@ -128,10 +166,19 @@
         _ => None,
     };
     let cases = [
-        ("BYE inflight=7,queue=2,util=0.61", Some((Verdict::Ok, Some(7.0), Some(0.61)))),
-        ("BUSY rif=3,x0=0.5,busy=0.9", Some((Verdict::Full, Some(3.0), Some(0.5)))),
+        (
+            "BYE inflight=7,queue=2,util=0.61",
+            Some((Verdict::Ok, Some(7.0), Some(0.61))),
+        ),
+        (
+            "BUSY rif=3,x0=0.5,busy=0.9",
+            Some((Verdict::Full, Some(3.0), Some(0.5))),
+        ),
         ("ERR", Some((Verdict::Error, None, None))),
-        ("ERR inflight=NaN,x0=-1", Some((Verdict::Error, None, Some(0.0)))),
+        (
+            "ERR inflight=NaN,x0=-1",
+            Some((Verdict::Error, None, Some(0.0))),
+        ),
         ("MOVE", Some((Verdict::Withdrawn, None, None))),
         ("BYELAW", None),
         ("UP x", None),
@@ -156,7 +203,10 @@
         let mut out = Vec::new();
         for mut piece in text.chunks(size) {
             let length = piece.len();
-            assert_eq!(flow.take(&mut piece, &mut pool).unwrap(), Took::Bytes(length));
+            assert_eq!(
+                flow.take(&mut piece, &mut pool).unwrap(),
+                Took::Bytes(length)
+            );
             while let Some(line) = flow.next_line().unwrap() {
                 lines.push(line.to_vec());
             }
@@ -180,17 +230,32 @@
         let line: Vec<u8> = [vec![b'x'; length - 1], vec![b'\n']].concat();
         let (mut flow, mut pool) = (Flow::default(), Pool::new(1));
         flow.take(&mut &line[..], &mut pool).unwrap();
-        assert_eq!(flow.next_line().map(|line| line.is_some()), if passes { Ok(true) } else { Err(TooLong) });
+        assert_eq!(
+            flow.next_line().map(|line| line.is_some()),
+            if passes { Ok(true) } else { Err(TooLong) }
+        );
         let mut other = Flow::default();
-        assert_eq!(other.take(&mut &b"x\n"[..], &mut pool).unwrap(), Took::Starved);
+        assert_eq!(
+            other.take(&mut &b"x\n"[..], &mut pool).unwrap(),
+            Took::Starved
+        );
         flow.clear(&mut pool);
-        assert_eq!(other.take(&mut &b"x\n"[..], &mut pool).unwrap(), Took::Bytes(2));
+        assert_eq!(
+            other.take(&mut &b"x\n"[..], &mut pool).unwrap(),
+            Took::Bytes(2)
+        );
     }
 }
 
 #[test]
 fn a_closed_sockets_key_is_not_its_successors() {
-    for owner in [Owner::Door, Owner::Watch, Owner::Client(7), Owner::Dial(7), Owner::Probe(u32::MAX)] {
+    for owner in [
+        Owner::Door,
+        Owner::Watch,
+        Owner::Client(7),
+        Owner::Dial(7),
+        Owner::Probe(u32::MAX),
+    ] {
         assert_eq!(owner_of(key_of(owner, 1)), Some(owner));
         assert_ne!(key_of(owner, 1), key_of(owner, 2));
     }
@@ -209,14 +274,20 @@
         counters: Default::default(),
         starved: Default::default(),
     };
-    let at = std::net::SocketAddr::from(([127, 60, 0, 1], 20_000 + (std::process::id() % 40_000) as u16));
+    let at = std::net::SocketAddr::from((
+        [127, 60, 0, 1],
+        20_000 + (std::process::id() % 40_000) as u16,
+    ));
     let door = works.sockets.listen(Owner::Door, at).unwrap();
     let book = Book::new(Vec::new(), Default::default());
-    let listeners = names(false).listeners.into_iter().map(|name| ListenerFacts {
-        name,
-        wait: Span::from_ms(1_000),
-        row: thistlecroft::deployment::Route::default(),
-    });
+    let listeners = names(false)
+        .listeners
+        .into_iter()
+        .map(|name| ListenerFacts {
+            name,
+            wait: Span::from_ms(1_000),
+            row: thistlecroft::deployment::Route::default(),
+        });
     let of = Circumstances {
         listeners: listeners.collect(),
         zones: Vec::new(),
@@ -233,8 +304,12 @@
         sessions.accept(&book, &mut works);
     }
     for (id, client) in (0..).zip(&mut clients) {
-        client.write_all(format!("OPEN {id:016x} 000000000000000b c=chat,d=1000\r\n").as_bytes()).unwrap();
-        client.set_read_timeout(Some(std::time::Duration::from_secs(10))).unwrap();
+        client
+            .write_all(format!("OPEN {id:016x} 000000000000000b c=chat,d=1000\r\n").as_bytes())
+            .unwrap();
+        client
+            .set_read_timeout(Some(std::time::Duration::from_secs(10)))
+            .unwrap();
         // The door has the first serial.
         while works.counters.sessions <= u64::from(id) {
             sessions.client_event(id, key_of(Owner::Client(id), id + 2), &book, &mut works);
--- a/relay/src/timers.rs
+++ b/relay/src/timers.rs
@@ -4,8 +4,8 @@
 use thistlecroft::ids::BackendId;
 use thistlecroft::units::{Moment, Span};
 
-/// Runs evenly from its start, so that a step of the system's clock moves no time limit; anchored once to
-/// Unix time, in which the list tells when backends started.
+/// Runs evenly from its start, so that a step of the system's clock moves no time limit; anchored
+/// once to Unix time, in which the list tells when backends started.
 #[derive(Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -14,8 +14,13 @@
 
 impl Clock {
     pub fn start() -> Clock {
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        Clock { started: Instant::now(), anchor: Moment::from_us(unix.as_micros() as u64) }
+        let unix = SystemTime::now()
+            .duration_since(UNIX_EPOCH)
+            .unwrap_or_default();
+        Clock {
+            started: Instant::now(),
+            anchor: Moment::from_us(unix.as_micros() as u64),
+        }
     }
 
     pub fn now(&self) -> Moment {
@@ -74,6 +79,8 @@
 
     /// How long until the next one; a little more than due, so that no turn comes just too early.
     pub fn wait(&self, now: Moment) -> Option<Duration> {
-        self.set.first().map(|(at, _)| Duration::from_micros(at.since(now).us() + 50))
+        self.set
+            .first()
+            .map(|(at, _)| Duration::from_micros(at.since(now).us() + 50))
     }
 }
--- a/relay/tests/helper/mod.rs
+++ b/relay/tests/helper/mod.rs
@@ -1,5 +1,5 @@
-//! Starts the program and speaks to it over loopback, with small stand-ins for backends and discovery. Every
-//! wait ends by itself; what is waited for is an event, never a span.
+//! Starts the program and speaks to it over loopback, with small stand-ins for backends and
+//! discovery. Every wait ends by itself; what is waited for is an event, never a span.
 #![allow(dead_code, reason = "each file of tests uses a part of it")]
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -108,16 +108,21 @@
             }
         };
         let _ = tell.send(end.into());
-        return if end == "end" { out.write_all(b"BYE inflight=1\r\n") } else { Ok(()) };
+        return if end == "end" {
+            out.write_all(b"BYE inflight=1\r\n")
+        } else {
+            Ok(())
+        };
     }
 }
 
 pub fn next(met: &Met) -> String {
-    met.recv_timeout(LONG).expect("the backend met nothing more")
+    met.recv_timeout(LONG)
+        .expect("the backend met nothing more")
 }
 
-/// One that accepts and never says a word is `None`; else each watch gets the next script of pieces, and then
-/// stays open or ends.
+/// One that accepts and never says a word is `None`; else each watch gets the next script of
+/// pieces, and then stays open or ends.
 pub struct Script {
     pub pieces: Vec<String>,
     pub ends: bool,
@@ -171,7 +176,10 @@
             .replace('\n', "")
         })
         .collect();
-    format!(r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#, rows.join(","))
+    format!(
+        r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
+        rows.join(",")
+    )
 }
 
 /// An address at which nobody listens, and which no connection's own end can take in the meantime.
@@ -203,7 +211,13 @@
   "mayCancel": true, "probes": PROBES, "retryAfter": true},
  "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
-pub fn config(at: SocketAddr, discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> String {
+pub fn config(
+    at: SocketAddr,
+    discovery: SocketAddr,
+    sockets: usize,
+    known: &str,
+    probes: bool,
+) -> String {
     let settings = SETTINGS.replace("PROBES", if probes { "true" } else { "false" });
     format!(
         r#"{{"name":"r0","listen":"{at}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -213,7 +227,11 @@
 
 /// Replaced as a whole, so that nobody reads half of it.
 pub fn write_config(text: &str) -> std::path::PathBuf {
-    let name = format!("thistlecroft-{}-{:?}.json", std::process::id(), thread::current().id());
+    let name = format!(
+        "thistlecroft-{}-{:?}.json",
+        std::process::id(),
+        thread::current().id()
+    );
     let path = std::env::temp_dir().join(name);
     let fresh = path.with_extension("fresh");
     std::fs::write(&fresh, text).unwrap();
@@ -224,7 +242,13 @@
 pub fn start_with(text: &str, descriptors: usize) -> Child {
     let path = write_config(text);
     Command::new("sh")
-        .args(["-c", &format!("ulimit -n {descriptors}; exec {}", env!("CARGO_BIN_EXE_thistlecroft-relay"))])
+        .args([
+            "-c",
+            &format!(
+                "ulimit -n {descriptors}; exec {}",
+                env!("CARGO_BIN_EXE_thistlecroft-relay")
+            ),
+        ])
         .env("ROUTER_CONFIG", &path)
         .env("RUST_LOG", "info")
         .stderr(Stdio::piped())
@@ -244,7 +268,11 @@
     probes: bool,
 ) -> Relay {
     let at = nobody();
-    started_within(descriptors, at, config(at, discovery, sockets, known, probes))
+    started_within(
+        descriptors,
+        at,
+        config(at, discovery, sockets, known, probes),
+    )
 }
 
 pub fn started(at: SocketAddr, text: String) -> Relay {
@@ -255,29 +283,49 @@
     let mut child = start_with(&text, descriptors);
     let (tell, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-    thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| tell.send(line)));
-    let relay = Relay { child, at, log, text };
+    thread::spawn(move || {
+        lines
+            .map_while(Result::ok)
+            .try_for_each(|line| tell.send(line))
+    });
+    let relay = Relay {
+        child,
+        at,
+        log,
+        text,
+    };
     relay.logged("serves at");
     relay
 }
 
 /// A relay that knows these backends and whose discovery is dead.
 pub fn relay_with(backends: &[SocketAddr]) -> Relay {
-    let names: Vec<String> = (0..backends.len()).map(|number| format!("b{number}")).collect();
-    let rows: Vec<_> = names.iter().zip(backends).map(|(name, at)| (name.as_str(), *at, "Ready")).collect();
+    let names: Vec<String> = (0..backends.len())
+        .map(|number| format!("b{number}"))
+        .collect();
+    let rows: Vec<_> = names
+        .iter()
+        .zip(backends)
+        .map(|(name, at)| (name.as_str(), *at, "Ready"))
+        .collect();
     start(nobody(), 1_000, &list(1, true, &rows), false)
 }
 
 impl Relay {
     /// Reads the log up to a line that holds this.
     pub fn logged(&self, text: &str) -> String {
-        let lines =
-            std::iter::repeat_with(|| self.log.recv_timeout(LONG).expect("the log holds no such line"));
+        let lines = std::iter::repeat_with(|| {
+            self.log
+                .recv_timeout(LONG)
+                .expect("the log holds no such line")
+        });
         lines.take(10_000).find(|line| line.contains(text)).unwrap()
     }
 
     pub fn signal(&self, name: &str) {
-        let done = Command::new("kill").args([format!("-{name}"), self.child.id().to_string()]).status();
+        let done = Command::new("kill")
+            .args([format!("-{name}"), self.child.id().to_string()])
+            .status();
         assert!(done.unwrap().success());
     }
 
@@ -292,12 +340,16 @@
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
-        Client { lines: BufReader::new(stream) }
+        Client {
+            lines: BufReader::new(stream),
+        }
     }
 
     pub fn open(&self, listener: &str, wait: u32) -> Client {
         let mut client = self.client();
-        client.say(&open_line(&format!("c={listener},d={wait},g=5c0f6e1a2b3d4c59")));
+        client.say(&open_line(&format!(
+            "c={listener},d={wait},g=5c0f6e1a2b3d4c59"
+        )));
         client
     }
 }
@@ -305,12 +357,18 @@
 /// With an id that is new, as each connection's is.
 pub fn open_line(items: &str) -> String {
     static LAST: AtomicU16 = AtomicU16::new(0);
-    format!("OPEN {:016x} 7f3a9c21e0b4d655 {items}\r\n", LAST.fetch_add(1, Ordering::Relaxed))
+    format!(
+        "OPEN {:016x} 7f3a9c21e0b4d655 {items}\r\n",
+        LAST.fetch_add(1, Ordering::Relaxed)
+    )
 }
 
 /// A counter, from the line in the log that has them all.
 pub fn counted(line: &str, name: &str) -> u32 {
-    let figure = line.split(&format!(" {name}=")).nth(1).and_then(|rest| rest.split(' ').next());
+    let figure = line
+        .split(&format!(" {name}="))
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next());
     figure.unwrap().parse().unwrap()
 }
 
--- a/relay/tests/moments.rs
+++ b/relay/tests/moments.rs
@@ -1,5 +1,6 @@
-//! Rare moments: what comes between two lines of the code. Each order is made to happen, by waiting for a state that shows
-//! outside and acting then: the relay is one loop, so what comes while it is stopped is met in one turn.
+//! Rare moments: what comes between two lines of the code. Each order is made to happen, by waiting
+//! for a state that shows outside and acting then: the relay is one loop, so what comes while it is
+//! stopped is met in one turn.
 mod helper;
 
 use helper::*;
@@ -35,7 +36,8 @@
 /// Nothing has come on it, its end neither.
 fn is_quiet(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
-    let quiet = matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
+    let quiet =
+        matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
     stream.set_nonblocking(false).unwrap();
     quiet
 }
@@ -49,23 +51,30 @@
     }
 }
 
-/// What the system knows at the end `here` of a connection: if it stands, and if something waits to be read. On a busy
-/// machine even loopback brings things late.
+/// What the system knows at the end `here` of a connection: if it stands, and if something waits to
+/// be read. On a busy machine even loopback brings things late.
 fn at_end(here: SocketAddr, there: SocketAddr) -> (bool, bool) {
     let hex = |at: SocketAddr| match at.ip() {
-        std::net::IpAddr::V4(ip) => format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), at.port()),
+        std::net::IpAddr::V4(ip) => {
+            format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), at.port())
+        }
         std::net::IpAddr::V6(_) => unreachable!("tests use IPv4"),
     };
     let ends = format!(" {} {} 01 ", hex(here), hex(there));
     let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
-    let queues = table.split(&ends).nth(1).and_then(|rest| rest.split(' ').next());
+    let queues = table
+        .split(&ends)
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next());
     let unread = queues.is_some_and(|queues| !queues.ends_with(":00000000"));
     (queues.is_some(), unread)
 }
 
 /// Ends with a reset in place of an end.
 fn breaks_off(stream: &TcpStream) {
-    SockRef::from(stream).set_linger(Some(Duration::ZERO)).unwrap();
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
 }
 
 /// A backend at which connections come up late: its queue is full until somebody takes them in.
@@ -78,19 +87,29 @@
 impl Late {
     fn new() -> Late {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
-        socket.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
         socket.listen(0).unwrap();
         let listener = TcpListener::from(socket);
         let at = listener.local_addr().unwrap();
         let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
         let fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
         assert!((1..64).contains(&fillers.len()), "the queue fills");
-        Late { listener, at, fillers }
+        Late {
+            listener,
+            at,
+            fillers,
+        }
     }
 
     /// Takes all in that fill the queue, and then the one that waited.
     fn comes_up(&mut self) -> TcpStream {
-        let ours: Vec<SocketAddr> = self.fillers.iter().map(|one| one.local_addr().unwrap()).collect();
+        let ours: Vec<SocketAddr> = self
+            .fillers
+            .iter()
+            .map(|one| one.local_addr().unwrap())
+            .collect();
         loop {
             let stream = accepted(&self.listener);
             if !ours.contains(&stream.peer_addr().unwrap()) && is_quiet(&stream) {
@@ -109,14 +128,18 @@
 impl Agent {
     fn new() -> Agent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        Agent { at: listener.local_addr().unwrap(), listener }
+        Agent {
+            at: listener.local_addr().unwrap(),
+            listener,
+        }
     }
 
     /// The next call, and what it asks for.
     fn call(&self) -> (TcpStream, String) {
         loop {
             let stream = accepted(&self.listener);
-            let (mut lines, mut first, mut line) = (BufReader::new(&stream), String::new(), String::new());
+            let (mut lines, mut first, mut line) =
+                (BufReader::new(&stream), String::new(), String::new());
             let mut came = lines.read_line(&mut first).unwrap();
             while came > 0 && line != "\r\n" {
                 line.clear();
@@ -141,7 +164,12 @@
         let path = format!("/proc/{}/stat", self.child.id());
         in_time("the stop", || {
             let text = std::fs::read_to_string(&path).unwrap();
-            text.rsplit(')').next().unwrap().trim_start().starts_with('T').then_some(())
+            text.rsplit(')')
+                .next()
+                .unwrap()
+                .trim_start()
+                .starts_with('T')
+                .then_some(())
         });
     }
 
@@ -166,7 +194,10 @@
 }
 
 const LATE: (&str, &str) = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 4000000");
-const GRACE: (&str, &str) = ("\"askWithinUs\": 1", "\"askWithinUs\": 1, \"drainGraceUs\": 4000000");
+const GRACE: (&str, &str) = (
+    "\"askWithinUs\": 1",
+    "\"askWithinUs\": 1, \"drainGraceUs\": 4000000",
+);
 const THREE: (&str, &str) = ("\"maxDials\": 1", "\"maxDials\": 3");
 
 // ---- clients ----
@@ -187,7 +218,9 @@
                 breaks_off(client.lines.get_ref());
             }
             drop(client);
-            in_time("the relay's end of it knows", || (!at_end(relay.at, from).0).then_some(()));
+            in_time("the relay's end of it knows", || {
+                (!at_end(relay.at, from).0).then_some(())
+            });
         };
         let mut client = Some(client);
         if !after {
@@ -207,7 +240,13 @@
     let ((echo, _echo_met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
     let relay = start_changed(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
     let (watch, _) = agent.call();
-    says(&watch, &format!("{HEAD}{}", chunk(&list(1, true, &[("echo", echo, "Ready")]))));
+    says(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(1, true, &[("echo", echo, "Ready")]))
+        ),
+    );
     relay.counts("lists", 1);
     // Each that stands and has said half a line holds a buffer for as long as it likes.
     let mut holding = Vec::new();
@@ -221,14 +260,17 @@
     relay.counts("lists", 2);
     let client = relay.open("safe", 7_000);
     while !next(&mute_met).starts_with("OPEN") {}
-    holding.iter_mut().for_each(|client| client.say("half a line"));
+    holding
+        .iter_mut()
+        .for_each(|client| client.say("half a line"));
     relay.counts("starved", 1);
     client.ends_sending();
     relay.counts("clients_left", 1);
     relay.counts("dials_withdrawn", 1);
 }
 
-/// More ends than one turn comes to, beside the alarms of all that wait: not even a connection begins for one that left.
+/// More ends than one turn comes to, beside the alarms of all that wait: not even a connection
+/// begins for one that left.
 #[test]
 fn nothing_begins_for_a_client_that_left_behind_hundreds_of_others() {
     const CLIENTS: u32 = 900;
@@ -243,8 +285,16 @@
         }
     });
     let at = nobody();
-    let text = config(at, nobody(), 4_000, &list(1, true, &[("busy", busy, "Ready")]), false);
-    let text = text.replace("\"maxDials\": 1", "\"maxDials\": 9").replace("\"pull\"", "\"piggyback\"");
+    let text = config(
+        at,
+        nobody(),
+        4_000,
+        &list(1, true, &[("busy", busy, "Ready")]),
+        false,
+    );
+    let text = text
+        .replace("\"maxDials\": 1", "\"maxDials\": 9")
+        .replace("\"pull\"", "\"piggyback\"");
     let relay = started_within(4_000, at, text);
     let mut clients = Vec::new();
     for key in 1..=CLIENTS {
@@ -267,7 +317,11 @@
     relay.counts("clients_left", CLIENTS * 9 / 10);
     relay.counts("dials_never_sent", 1);
     let after = begun.load(Ordering::SeqCst);
-    assert_eq!(after - before, 0, "connections begun for clients that had left");
+    assert_eq!(
+        after - before,
+        0,
+        "connections begun for clients that had left"
+    );
 }
 
 #[test]
@@ -281,7 +335,9 @@
     let began = Instant::now();
     relay.stops();
     let dial = late.comes_up();
-    in_time("the time to come up is over", || (began.elapsed() > Duration::from_millis(1_600)).then_some(()));
+    in_time("the time to come up is over", || {
+        (began.elapsed() > Duration::from_millis(1_600)).then_some(())
+    });
     relay.signal("CONT");
     assert_eq!(all_of(&dial), "");
     // Never sent, so nothing is said against trying again, for a once-only session neither.
@@ -307,9 +363,19 @@
         let (two, two_met) = backend(Play::Echo);
         let door = nobody();
         let with_door = format!("\"name\":\"r0\",\"admin_addr\":\"{door}\"");
-        let relay = start_changed(agent.at, "null", &[LATE, THREE, ("\"name\":\"r0\"", &with_door)]);
+        let relay = start_changed(
+            agent.at,
+            "null",
+            &[LATE, THREE, ("\"name\":\"r0\"", &with_door)],
+        );
         let (watch, _) = agent.call();
-        says(&watch, &format!("{HEAD}{}", chunk(&list(1, true, &[("late", late.at, "Ready")]))));
+        says(
+            &watch,
+            &format!(
+                "{HEAD}{}",
+                chunk(&list(1, true, &[("late", late.at, "Ready")]))
+            ),
+        );
         relay.counts("lists", 1);
         let mut client = relay.open("once", 9_000);
         relay.counts("dials", 1);
@@ -364,16 +430,30 @@
         (Play::Mute, true),
     ];
     for (scope, anywhere) in [("all", true), ("zone", false), ("cell", false)] {
-        let effect = format!("\"effect\": \"dedup\", \"dedupScope\": \"{scope}\", \"dedupWindowUs\": 700000");
+        let effect = format!(
+            "\"effect\": \"dedup\", \"dedupScope\": \"{scope}\", \"dedupWindowUs\": 700000"
+        );
         for (play, may_have_run) in plays {
             let (address, _met) = backend(play);
             let known = list(1, true, &[("b", address, "Ready")]);
             let relay = start_changed(nobody(), &known, &[("\"effect\": \"fragile\"", &effect)]);
             let mut client = relay.open("once", 400);
-            let word = if anywhere || !may_have_run { "BUSY" } else { "ERR" };
+            let word = if anywhere || !may_have_run {
+                "BUSY"
+            } else {
+                "ERR"
+            };
             let heard = client.hears();
-            assert_eq!(heard.split(' ').next(), Some(word), "{scope} {play:?}: {heard}");
-            assert_eq!(client.hears(), "end", "{scope} {play:?}: one answer and no more");
+            assert_eq!(
+                heard.split(' ').next(),
+                Some(word),
+                "{scope} {play:?}: {heard}"
+            );
+            assert_eq!(
+                client.hears(),
+                "end",
+                "{scope} {play:?}: one answer and no more"
+            );
         }
     }
 }
@@ -382,7 +462,11 @@
 fn a_probe_on_a_connection_closed_as_it_is_used_again_is_asked_on_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let known = list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
-    let relay = start_changed(nobody(), &known, &[("\"probes\": false", "\"probes\": true")]);
+    let relay = start_changed(
+        nobody(),
+        &known,
+        &[("\"probes\": false", "\"probes\": true")],
+    );
     let asks = |stream: &TcpStream| {
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
@@ -400,7 +484,11 @@
         stream = accepted(&listener);
         asks(&stream);
         relay.signal("USR1");
-        assert_eq!(counted(&relay.logged(" probes_failed="), "probes_failed"), 0, "reset {reset}");
+        assert_eq!(
+            counted(&relay.logged(" probes_failed="), "probes_failed"),
+            0,
+            "reset {reset}"
+        );
     }
     // A new one that ends without an answer is its backend's doing.
     drop(stream);
@@ -415,7 +503,10 @@
     let ((old, old_met), (new, new_met)) = (backend(Play::Echo), backend(Play::Echo));
     let known = list(1, true, &[("old", old, "Ready")]);
     // Long enough for any machine; an agent that says nothing at all is not waited for any longer.
-    let grace = ("\"askWithinUs\": 1", "\"askWithinUs\": 1, \"drainGraceUs\": 40000000");
+    let grace = (
+        "\"askWithinUs\": 1",
+        "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
+    );
     let relay = start_changed(agent.at, &known, &[grace]);
     let (watch, _) = agent.call();
     let mut client = relay.open("safe", 9_000);
@@ -428,21 +519,29 @@
     says(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
     assert_eq!(client.hears(), "UP receipt");
     assert!(next(&new_met).starts_with("OPEN"));
-    assert!(old_met.try_iter().next().is_none(), "nothing came to the one that drains");
+    assert!(
+        old_met.try_iter().next().is_none(),
+        "nothing came to the one that drains"
+    );
 }
 
 #[test]
 fn told_to_stop_while_its_configuration_is_read_it_ends_well() {
     // The file is a pipe: the one who writes has it open once the program reads.
     let path = std::env::temp_dir().join(format!("thistlecroft-{}-pipe.json", std::process::id()));
-    let made = std::process::Command::new("mkfifo").arg(&path).status().unwrap();
+    let made = std::process::Command::new("mkfifo")
+        .arg(&path)
+        .status()
+        .unwrap();
     assert!(made.success());
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
         .env("ROUTER_CONFIG", &path)
         .spawn()
         .unwrap();
     let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
-    let kill = std::process::Command::new("kill").args(["-TERM", &child.id().to_string()]).status();
+    let kill = std::process::Command::new("kill")
+        .args(["-TERM", &child.id().to_string()])
+        .status();
     assert!(kill.unwrap().success());
     let _ = file.write_all(config(nobody(), nobody(), 1_000, "null", false).as_bytes());
     drop(file);
@@ -465,7 +564,12 @@
 
 #[test]
 fn told_to_stop_at_a_bad_moment_all_are_answered_and_it_ends_well_in_time() {
-    for told in [Told::Twice, Told::BeforeAnyList, Told::AfterSettings, Told::InOneTurn] {
+    for told in [
+        Told::Twice,
+        Told::BeforeAnyList,
+        Told::AfterSettings,
+        Told::InOneTurn,
+    ] {
         let agent = Agent::new();
         let ((echo, _met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
         let known = list(1, true, &[("mute", mute, "Ready")]);
@@ -483,7 +587,9 @@
             relay.counts("lists", 1);
         }
         let mut inside = (told == Told::AfterSettings).then(|| relay.open("safe", 1_500));
-        inside.iter_mut().for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+        inside
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
         if told == Told::AfterSettings {
             relay.told("\"maxDials\": 1", "\"maxDials\": 2");
         }
@@ -503,13 +609,29 @@
         }
         // A dial that may have run is not refused; one never sent is.
         let answer = hangs.hears();
-        assert!(answer.starts_with(if lists { "ERR" } else { "BUSY" }), "{told:?}: {answer}");
-        for client in inside.iter_mut().chain(lists.then_some([&mut half, &mut late]).into_iter().flatten()) {
-            assert_eq!([client.hears(), client.hears()], ["MOVE", "end"], "{told:?}");
+        assert!(
+            answer.starts_with(if lists { "ERR" } else { "BUSY" }),
+            "{told:?}: {answer}"
+        );
+        for client in inside.iter_mut().chain(
+            lists
+                .then_some([&mut half, &mut late])
+                .into_iter()
+                .flatten(),
+        ) {
+            assert_eq!(
+                [client.hears(), client.hears()],
+                ["MOVE", "end"],
+                "{told:?}"
+            );
         }
         drop((inside, half, late, hangs));
         assert!(end_of(&mut relay.child).success(), "{told:?}");
-        assert!(began.elapsed() < Duration::from_millis(2_200), "{told:?}: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(2_200),
+            "{told:?}: {:?}",
+            began.elapsed()
+        );
     }
 }
 
@@ -554,7 +676,10 @@
     // The order of the listeners, the effect and the deadline of each are others, and one is new.
     let mut later = relay.text.clone();
     let swaps = [
-        ("\"name\": \"safe\", \"deadlineUs\": 1500000", "\"name\": \"new\", \"deadlineUs\": 700000"),
+        (
+            "\"name\": \"safe\", \"deadlineUs\": 1500000",
+            "\"name\": \"new\", \"deadlineUs\": 700000",
+        ),
         ("\"name\": \"once\"", "\"name\": \"safe\""),
         (
             "\"effect\": \"fragile\", \"utility\": 1.0}",
@@ -568,12 +693,16 @@
     write_config(&later);
     relay.signal("HUP");
     relay.logged("generation 2");
-    // While both may bind the stricter holds, so that each is torn down: the one that waits as it came, the others anew.
+    // While both may bind the stricter holds, so that each is torn down: the one that waits as it
+    // came, the others anew.
     let mut others = [relay.open("once", 400), relay.open("safe", 400)];
     for client in &mut others {
         assert_eq!(client.hears(), "ERR");
     }
-    assert!(relay.open("new", 300).hears().starts_with("BUSY"), "repeatable in the settings that know it");
+    assert!(
+        relay.open("new", 300).hears().starts_with("BUSY"),
+        "repeatable in the settings that know it"
+    );
     assert_eq!([waits.hears(), waits.hears()], ["ERR", "end"]);
     relay.signal("TERM");
     assert!(end_of(&mut relay.child).success());
@@ -581,12 +710,19 @@
 
 // ---- watches ----
 
-/// A relay that follows its agent's watch and has version 7, with one backend that nobody is sent to.
+/// A relay that follows its agent's watch and has version 7, with one backend that nobody is sent
+/// to.
 fn watching() -> (Agent, Relay, TcpStream) {
     let agent = Agent::new();
     let relay = start_changed(agent.at, "null", &[]);
     let (watch, _) = agent.call();
-    says(&watch, &format!("{HEAD}{}", chunk(&list(7, true, &[("one", nobody(), "Ready")]))));
+    says(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(7, true, &[("one", nobody(), "Ready")]))
+        ),
+    );
     relay.counts("lists", 1);
     (agent, relay, watch)
 }
@@ -598,7 +734,10 @@
     let (two, two_met) = backend(Play::Echo);
     let relay = start_changed(agent.at, "null", &[GRACE]);
     let (watch, _) = agent.call();
-    says(&watch, &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))));
+    says(
+        &watch,
+        &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))),
+    );
     relay.counts("lists", 1);
     // It goes away: the watch breaks, and a call hangs.
     breaks_off(&watch);
@@ -607,7 +746,10 @@
     assert!(line.contains("since=7 "), "{line}");
     let (back, line) = agent.call();
     assert!(line.contains("since=7 "), "{line}");
-    assert!(is_quiet(&hanging), "the one that hangs is not given up for it");
+    assert!(
+        is_quiet(&hanging),
+        "the one that hangs is not given up for it"
+    );
     // Back again, it answers whoever calls now.
     let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
     says(&back, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
@@ -621,7 +763,10 @@
     drop(back);
     let (hanging, _) = agent.call();
     let (beside, _) = agent.call();
-    says(&hanging, &format!("{HEAD}{}", chunk(&list(9, false, &rows))));
+    says(
+        &hanging,
+        &format!("{HEAD}{}", chunk(&list(9, false, &rows))),
+    );
     relay.counts("lists", 3);
     assert_eq!(all_of(&beside), "", "one watch is left");
 }
@@ -633,7 +778,11 @@
     breaks_off(&watch);
     drop(watch);
     let (watch, _) = agent.call();
-    assert!(broken.elapsed() < Duration::from_millis(600), "{:?}", broken.elapsed());
+    assert!(
+        broken.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        broken.elapsed()
+    );
     // One that breaks as often as it is answered is called no faster than any that has no time.
     says(&watch, &format!("{HEAD}{}", chunk("")));
     breaks_off(&watch);
@@ -654,15 +803,26 @@
     Silent,
 }
 
-/// Whatever a row of calls met, what discovery has when it can be reached again is the relay's within six seconds.
+/// Whatever a row of calls met, what discovery has when it can be reached again is the relay's
+/// within six seconds.
 #[test]
 fn what_discovery_has_at_its_return_is_known_in_time_whatever_calls_met_before() {
     use Away::*;
     let kinds = [Refused, Reset, Unavailable, HalfAList, NoList, Silent];
-    let all = kinds.iter().chain(&kinds[1..5]).map(|&away| std::thread::spawn(move || returns(away)));
+    let all = kinds
+        .iter()
+        .chain(&kinds[1..5])
+        .map(|&away| std::thread::spawn(move || returns(away)));
     // All are awaited before one may fail, since each ends its own relay.
-    let ended: Vec<_> = all.collect::<Vec<_>>().into_iter().map(std::thread::JoinHandle::join).collect();
-    assert!(ended.iter().all(Result::is_ok), "a relay did not know in time");
+    let ended: Vec<_> = all
+        .collect::<Vec<_>>()
+        .into_iter()
+        .map(std::thread::JoinHandle::join)
+        .collect();
+    assert!(
+        ended.iter().all(Result::is_ok),
+        "a relay did not know in time"
+    );
 }
 
 fn returns(away: Away) {
@@ -674,7 +834,14 @@
     let (watch, _) = agent.call();
     says(
         &watch,
-        &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]))),
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(
+                7,
+                true,
+                &[("one", one, "Ready"), ("two", two, "Ready")]
+            ))
+        ),
     );
     relay.counts("lists", 1);
     let mut refused = (away == Refused).then(|| std::mem::replace(&mut agent, Agent::new()));
@@ -682,7 +849,8 @@
     drop(refused.take());
     breaks_off(&watch);
     drop(watch);
-    // The first of a watch that had been good comes at once; from the fourth on pauses are the longest.
+    // The first of a watch that had been good comes at once; from the fourth on pauses are the
+    // longest.
     let mut hanging = Vec::new();
     for _ in 0..4 {
         if away == Refused {
@@ -701,7 +869,10 @@
     }
     if away == Refused {
         relay.counts("list_failures", 8);
-        agent = Agent { listener: TcpListener::bind(at).unwrap(), at };
+        agent = Agent {
+            listener: TcpListener::bind(at).unwrap(),
+            at,
+        };
     }
     // From here on it has the drain, and answers whoever calls.
     let back = Instant::now();
@@ -709,13 +880,20 @@
     let (watch, _) = agent.call();
     says(&watch, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
     relay.counts("lists", 2);
-    assert!(back.elapsed() < Duration::from_millis(5_500), "{away:?}: {:?}", back.elapsed());
+    assert!(
+        back.elapsed() < Duration::from_millis(5_500),
+        "{away:?}: {:?}",
+        back.elapsed()
+    );
     let mut clients: Vec<_> = (0..6).map(|_| relay.open("safe", 1_000)).collect();
     for client in &mut clients {
         assert_eq!(client.hears(), "UP receipt", "{away:?}");
         assert!(next(&two_met).starts_with("OPEN"), "{away:?}");
     }
-    assert!(one_met.try_recv().is_err(), "{away:?}: sent to a backend that drains");
+    assert!(
+        one_met.try_recv().is_err(),
+        "{away:?}: sent to a backend that drains"
+    );
 }
 
 /// Clients that say nothing take every descriptor that they can get, while discovery is away.
@@ -724,7 +902,16 @@
     let (known, known_met) = backend(Play::Echo);
     let (told, told_met) = backend(Play::Echo);
     let (at, gone) = (nobody(), Agent::new().at);
-    let relay = started(at, config(at, gone, 100, &list(1, true, &[("known", known, "Ready")]), false));
+    let relay = started(
+        at,
+        config(
+            at,
+            gone,
+            100,
+            &list(1, true, &[("known", known, "Ready")]),
+            false,
+        ),
+    );
     relay.counts("list_failures", 2);
     let open = || {
         let path = format!("/proc/{}/fd", relay.child.id());
@@ -742,9 +929,18 @@
     assert!(next(&known_met).starts_with("OPEN"));
     relay.told("\"cores\":1.0", "\"cores\":1.5");
     relay.logged("limits");
-    let agent = Agent { listener: TcpListener::bind(gone).unwrap(), at: gone };
+    let agent = Agent {
+        listener: TcpListener::bind(gone).unwrap(),
+        at: gone,
+    };
     let (watch, _) = agent.call();
-    says(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &[("told", told, "Ready")]))));
+    says(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(2, true, &[("told", told, "Ready")]))
+        ),
+    );
     relay.counts("lists", 1);
     idle.extend((0..100).map(|_| relay.client()));
     let mut client = relay.open("safe", 7_000);
@@ -755,18 +951,26 @@
     assert!(open() <= 100, "{} descriptors", open());
 }
 
-/// Twenty that start at once, with a list of 1,024 backends: nine in ten answer `PING` within ten seconds, whatever their
-/// discovery does.
+/// Twenty that start at once, with a list of 1,024 backends: nine in ten answer `PING` within ten
+/// seconds, whatever their discovery does.
 #[test]
 fn nine_in_ten_of_twenty_started_at_once_are_ready_in_time() {
-    let rows: Vec<(String, SocketAddr)> =
-        (0..1_024).map(|id| (format!("backend-{id:08x}"), nobody())).collect();
-    let rows: Vec<_> = rows.iter().map(|(name, at)| (name.as_str(), *at, "Ready")).collect();
+    let rows: Vec<(String, SocketAddr)> = (0..1_024)
+        .map(|id| (format!("backend-{id:08x}"), nobody()))
+        .collect();
+    let rows: Vec<_> = rows
+        .iter()
+        .map(|(name, at)| (name.as_str(), *at, "Ready"))
+        .collect();
     let known = list(1, true, &rows);
     // One that answers all, one that takes calls and is silent, one where nobody is.
     let up = TcpListener::bind("127.0.0.1:0").unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let all = [up.local_addr().unwrap(), silent.local_addr().unwrap(), nobody()];
+    let all = [
+        up.local_addr().unwrap(),
+        silent.local_addr().unwrap(),
+        nobody(),
+    ];
     let answer = format!("{HEAD}{}", chunk(&list(2, true, &rows)));
     std::thread::spawn(move || {
         for stream in up.incoming() {
@@ -795,18 +999,36 @@
             })
         };
         let relays: Vec<_> = (0..20).map(|_| one(known.clone())).collect();
-        let ended: Vec<_> = relays.into_iter().map(std::thread::JoinHandle::join).collect();
-        let mut times: Vec<Duration> = ended.into_iter().filter_map(|one| one.ok().flatten()).collect();
+        let ended: Vec<_> = relays
+            .into_iter()
+            .map(std::thread::JoinHandle::join)
+            .collect();
+        let mut times: Vec<Duration> = ended
+            .into_iter()
+            .filter_map(|one| one.ok().flatten())
+            .collect();
         times.sort();
-        println!("{discovery}: {:?} {:?} {:?}", times.get(9), times.get(17), times.last());
-        assert!(times.len() >= 18 && times[17] < Duration::from_secs(10), "{discovery}: {times:?}");
+        println!(
+            "{discovery}: {:?} {:?} {:?}",
+            times.get(9),
+            times.get(17),
+            times.last()
+        );
+        assert!(
+            times.len() >= 18 && times[17] < Duration::from_secs(10),
+            "{discovery}: {times:?}"
+        );
     }
 }
 
 #[test]
 fn lists_may_be_indented_and_spoilt_ones_cost_their_call_alone() {
     let (one, _met) = backend(Play::Echo);
-    let whole = list(7, true, &[("one", one, "Ready"), ("a \\\"{[\\\\", one, "Terminating")]);
+    let whole = list(
+        7,
+        true,
+        &[("one", one, "Ready"), ("a \\\"{[\\\\", one, "Terminating")],
+    );
     let value: serde_json::Value = serde_json::from_str(&whole).unwrap();
     let indented = serde_json::to_string_pretty(&value).unwrap();
     let crossed = indented.replace('\n', "\r\n\t");
@@ -822,10 +1044,16 @@
         ("not in chunks", (format!("{plain_head}{crossed}"), true)),
         ("cut off in a word", bad(cut("stanceId"))),
         ("cut off between two words", bad(cut("\"hostPort"))),
-        ("cut off by an empty line", bad(format!("{{\"generation\":\n{}", "\n"))),
+        (
+            "cut off by an empty line",
+            bad(format!("{{\"generation\":\n{}", "\n")),
+        ),
         ("no list", bad("what".into())),
         ("a list of another kind", bad("[7]".into())),
-        ("a row that can't be read", bad(whole.replace("Ready", "Steady"))),
+        (
+            "a row that can't be read",
+            bad(whole.replace("Ready", "Steady")),
+        ),
     ];
     for (name, (text, taken)) in cases {
         let agent = Agent::new();
@@ -843,7 +1071,10 @@
         } else {
             relay.counts("list_failures", 1);
             let mut client = relay.open("safe", 1_000);
-            assert!(client.hears().starts_with("BUSY"), "{name}: nothing of it counts");
+            assert!(
+                client.hears().starts_with("BUSY"),
+                "{name}: nothing of it counts"
+            );
             let (watch, _) = agent.call();
             says(&watch, &format!("{HEAD}{}", chunk(&whole)));
             relay.counts("lists", 1);
@@ -858,10 +1089,15 @@
     let out = watch.try_clone().unwrap();
     let trickle = std::thread::spawn(move || {
         let until = Instant::now() + LONG;
-        let mut bytes = "{\"generation\":8,\"instances\":[".chars().chain(std::iter::repeat(' '));
+        let mut bytes = "{\"generation\":8,\"instances\":["
+            .chars()
+            .chain(std::iter::repeat(' '));
         while Instant::now() < until {
             let byte = bytes.next().unwrap();
-            if (&out).write_all(format!("1\r\n{byte}\r\n").as_bytes()).is_err() {
+            if (&out)
+                .write_all(format!("1\r\n{byte}\r\n").as_bytes())
+                .is_err()
+            {
                 return true;
             }
             std::thread::sleep(Duration::from_millis(20));
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -1,5 +1,5 @@
-//! The relay as operators meet it: their door, bans, and a second process beside the first on a socket that the platform
-//! holds.
+//! The relay as operators meet it: their door, bans, and a second process beside the first on a
+//! socket that the platform holds.
 mod helper;
 
 use helper::*;
@@ -18,7 +18,8 @@
 /// Between two looks at what is waited for.
 const LOOK: Duration = Duration::from_millis(5);
 
-/// What the platform holds for one relay: the clients' socket, the folder that its processes share, its discovery.
+/// What the platform holds for one relay: the clients' socket, the folder that its processes share,
+/// its discovery.
 struct Station {
     listener: TcpListener,
     folder: PathBuf,
@@ -38,10 +39,19 @@
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         // Every process that is started inherits it, as on the platform.
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
-        let folder = std::env::temp_dir().join(format!("thistlecroft-station-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!(
+            "thistlecroft-station-{}-{name}",
+            std::process::id()
+        ));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        Station { listener, folder, discovery, limits: 1_000, known: known.into() }
+        Station {
+            listener,
+            folder,
+            discovery,
+            limits: 1_000,
+            known: known.into(),
+        }
     }
 
     /// With backends that the list known at start names `b0`, `b1` and so on, and a dead discovery.
@@ -50,8 +60,13 @@
     }
 
     fn text(&self, admin: SocketAddr) -> String {
-        let text =
-            config(self.listener.local_addr().unwrap(), self.discovery, self.limits, &self.known, false);
+        let text = config(
+            self.listener.local_addr().unwrap(),
+            self.discovery,
+            self.limits,
+            &self.known,
+            false,
+        );
         text.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1)
     }
 
@@ -63,7 +78,10 @@
         std::fs::write(&path, &text).unwrap();
         let mut child = Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
             .env("ROUTER_CONFIG", &path)
-            .env("ROUTER_PASSED_SOCKET", self.listener.as_raw_fd().to_string())
+            .env(
+                "ROUTER_PASSED_SOCKET",
+                self.listener.as_raw_fd().to_string(),
+            )
             .env("TMPDIR", &self.folder)
             .env("RUST_LOG", "info")
             .stderr(Stdio::piped())
@@ -71,8 +89,17 @@
             .unwrap();
         let (tell, log) = channel();
         let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        thread::spawn(move || lines.map_while(Result::ok).try_for_each(|line| tell.send(line)));
-        let relay = Relay { child, at: self.listener.local_addr().unwrap(), log, text };
+        thread::spawn(move || {
+            lines
+                .map_while(Result::ok)
+                .try_for_each(|line| tell.send(line))
+        });
+        let relay = Relay {
+            child,
+            at: self.listener.local_addr().unwrap(),
+            log,
+            text,
+        };
         relay.logged("serves at");
         Process { relay, admin }
     }
@@ -85,8 +112,14 @@
 }
 
 fn known(backends: &[SocketAddr]) -> String {
-    let names: Vec<String> = (0..backends.len()).map(|number| format!("b{number}")).collect();
-    let rows: Vec<_> = names.iter().zip(backends).map(|(name, at)| (name.as_str(), *at, "Ready")).collect();
+    let names: Vec<String> = (0..backends.len())
+        .map(|number| format!("b{number}"))
+        .collect();
+    let rows: Vec<_> = names
+        .iter()
+        .zip(backends)
+        .map(|(name, at)| (name.as_str(), *at, "Ready"))
+        .collect();
     list(1, true, &rows)
 }
 
@@ -129,7 +162,8 @@
         let until = Instant::now() + LONG;
         while !self.call(b"READY\n").starts_with("200") {
             assert!(Instant::now() < until, "never ready");
-            // Asked without a pause, tens of thousands of closed connections would hold up whatever runs next.
+            // Asked without a pause, tens of thousands of closed connections would hold up whatever
+            // runs next.
             thread::sleep(LOOK);
         }
     }
@@ -143,7 +177,10 @@
 fn answer(stream: &mut TcpStream) -> String {
     let mut said = String::new();
     stream.read_to_string(&mut said).unwrap();
-    assert!(said.ends_with("\r\n") && said.lines().count() == 1, "one line: {said:?}");
+    assert!(
+        said.ends_with("\r\n") && said.lines().count() == 1,
+        "one line: {said:?}"
+    );
     said
 }
 
@@ -167,11 +204,18 @@
         (&long, "400 a line too long"),
     ];
     for (bytes, expected) in cases {
-        assert_eq!(process.call(bytes).trim_end(), *expected, "{:?}", String::from_utf8_lossy(bytes));
+        assert_eq!(
+            process.call(bytes).trim_end(),
+            *expected,
+            "{:?}",
+            String::from_utf8_lossy(bytes)
+        );
     }
     // Byte by byte, and cut off before the line's end.
     let mut slow = process.caller();
-    b"DISABLE b0\r\n".iter().for_each(|byte| slow.write_all(&[*byte]).unwrap());
+    b"DISABLE b0\r\n"
+        .iter()
+        .for_each(|byte| slow.write_all(&[*byte]).unwrap());
     assert_eq!(answer(&mut slow).trim_end(), "200 out");
     let mut cut = process.caller();
     cut.write_all(b"ENABLE b0").unwrap();
@@ -184,7 +228,10 @@
     let station = Station::with("silent-callers", &[nobody()]);
     let process = station.started();
     let mut silent: Vec<TcpStream> = (0..200).map(|_| process.caller()).collect();
-    silent.iter_mut().step_by(2).for_each(|stream| stream.write_all(b"DISAB").unwrap());
+    silent
+        .iter_mut()
+        .step_by(2)
+        .for_each(|stream| stream.write_all(b"DISAB").unwrap());
     (0..20).for_each(|_| process.says_yes("READY"));
     // Most had to make room, and were told so; the descriptors of those that stay are few.
     let mut gone = 0;
@@ -199,7 +246,14 @@
 fn a_banned_backend_gets_nothing_until_the_call_back() {
     let ((first, met), (second, other)) = (backend(Play::Echo), backend(Play::Echo));
     let (at, watched) = discovery(vec![Script {
-        pieces: vec![HEAD.into(), chunk(&list(2, true, &[("b0", first, "Ready"), ("b1", second, "Ready")]))],
+        pieces: vec![
+            HEAD.into(),
+            chunk(&list(
+                2,
+                true,
+                &[("b0", first, "Ready"), ("b1", second, "Ready")],
+            )),
+        ],
         ends: false,
     }]);
     let station = Station::new("ban", at, "null");
@@ -207,9 +261,20 @@
     next(&watched);
     process.says_yes("DISABLE b0");
     let mut clients: Vec<_> = (0..20).map(|_| process.relay.open("safe", 1_000)).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-    assert_eq!(other.try_iter().filter(|line| line.starts_with("OPEN")).count(), 20);
-    assert!(met.try_recv().is_err(), "nothing new at the one that is out");
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+    assert_eq!(
+        other
+            .try_iter()
+            .filter(|line| line.starts_with("OPEN"))
+            .count(),
+        20
+    );
+    assert!(
+        met.try_recv().is_err(),
+        "nothing new at the one that is out"
+    );
     // Out twice, back once; then it is the only one there is.
     process.says_yes("DISABLE b0");
     process.says_yes("ENABLE b0");
@@ -231,7 +296,9 @@
     let status = end_of(&mut old.relay.child);
     assert!(status.success(), "{status}");
     let mut clients: Vec<_> = (0..10).map(|_| new.relay.open("safe", 1_000)).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
     assert!(met.try_recv().is_err() && other.try_iter().count() >= 10);
     new.says_yes("ENABLE b0");
     new.says_yes("DISABLE b1");
@@ -251,7 +318,9 @@
     let station = Station::with("handed", &[address]);
     let mut process = station.started();
     let mut clients: Vec<_> = (0..40).map(|_| process.relay.open("safe", 1_000)).collect();
-    clients.iter_mut().for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+    clients
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
     // Half a line waits on its way when the process changes.
     clients[0].say("begun ");
     for round in 0..3 {
@@ -268,9 +337,17 @@
     clients[0].say("and ended\r\n");
     assert_eq!(clients[0].hears(), "begun and ended");
     // One dial each, and none was moved.
-    assert_eq!(met.try_iter().filter(|line| line.starts_with("OPEN")).count(), 40);
+    assert_eq!(
+        met.try_iter()
+            .filter(|line| line.starts_with("OPEN"))
+            .count(),
+        40
+    );
     clients[1].ends_sending();
-    assert_eq!((clients[1].hears().as_str(), clients[1].hears().as_str()), ("BYE inflight=1", "end"));
+    assert_eq!(
+        (clients[1].hears().as_str(), clients[1].hears().as_str()),
+        ("BYE inflight=1", "end")
+    );
 }
 
 #[test]
@@ -281,20 +358,28 @@
     station.limits = limit;
     let old = station.started();
     let mut standing: Vec<_> = (0..40).map(|_| old.relay.open("safe", 1_000)).collect();
-    standing.iter_mut().for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+    standing
+        .iter_mut()
+        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
     let new = station.started();
     let held = |process: &Process| {
         let folder = format!("/proc/{}/fd", process.relay.child.id());
         std::fs::read_dir(folder).unwrap().count()
     };
-    // Both take clients from the one socket; everybody is answered, and the limit holds for the two together.
+    // Both take clients from the one socket; everybody is answered, and the limit holds for the two
+    // together.
     let mut later = Vec::new();
     for _ in 0..60 {
         let mut client = new.relay.open("safe", 1_000);
         let said = client.hears();
         assert!(said == "UP receipt" || said.starts_with("BUSY"), "{said}");
         later.push(client);
-        assert!(held(&old) + held(&new) <= limit, "{} and {}", held(&old), held(&new));
+        assert!(
+            held(&old) + held(&new) <= limit,
+            "{} and {}",
+            held(&old),
+            held(&new)
+        );
     }
     assert!(held(&old) + held(&new) > limit / 2);
     // What the old one held goes over where alone it would be told that there is no room.
@@ -318,7 +403,8 @@
             socket.connect(&SockAddr::unix(&place).unwrap()).unwrap();
             socket
         };
-        let hello = |relay: &str| format!("{{\"Hello\":{{\"version\":1,\"relay\":\"{relay}\"}}}}\n");
+        let hello =
+            |relay: &str| format!("{{\"Hello\":{{\"version\":1,\"relay\":\"{relay}\"}}}}\n");
         // Each ends or keeps silent at another point of the way.
         let mut beside = None;
         match name {
@@ -332,7 +418,11 @@
             _ => {}
         }
         process.relay.signal("TERM");
-        assert_eq!((client.hears().as_str(), client.hears().as_str()), ("MOVE", "end"), "{name}");
+        assert_eq!(
+            (client.hears().as_str(), client.hears().as_str()),
+            ("MOVE", "end"),
+            "{name}"
+        );
         drop(beside);
     }
 }
@@ -348,7 +438,10 @@
     let until = |listener: &str, word: &str| {
         let began = Instant::now();
         while answered(listener) != word {
-            assert!(began.elapsed() < LONG, "{listener} is never answered {word}");
+            assert!(
+                began.elapsed() < LONG,
+                "{listener} is never answered {word}"
+            );
             thread::sleep(LOOK);
         }
         began.elapsed()
@@ -357,11 +450,17 @@
     assert_eq!(standing.hears(), "UP receipt");
     assert_eq!(answered("pay"), "ERR");
     // A class is added: served at once, and the others still are.
-    relay.told("}],\n \"invariants\"", &format!("}}{PAY},\n \"invariants\""));
+    relay.told(
+        "}],\n \"invariants\"",
+        &format!("}}{PAY},\n \"invariants\""),
+    );
     until("pay", "UP receipt");
     assert_eq!(answered("safe"), "UP receipt");
     // Files that are broken change nothing, of this or of what went before.
-    let with = relay.text.replace("}],\n \"invariants\"", &format!("}}{PAY},\n \"invariants\""));
+    let with = relay.text.replace(
+        "}],\n \"invariants\"",
+        &format!("}}{PAY},\n \"invariants\""),
+    );
     let broken = [
         String::new(),
         with[..with.len() - 40].to_string(),
@@ -371,7 +470,8 @@
         ),
         with.replace("1500000", "-5").replace("safe", "other"),
         with.replace("1500000", "0").replace("safe", "other"),
-        with.replace("\"maxDials\": 1", "\"maxDials\": 0").replace("safe", "other"),
+        with.replace("\"maxDials\": 1", "\"maxDials\": 0")
+            .replace("safe", "other"),
         with.replace("\"pay\"", "\"safe\""),
     ];
     for text in &broken {
@@ -381,7 +481,8 @@
         assert_eq!(answered("pay"), "UP receipt", "{text}");
         assert_eq!(answered("other"), "ERR");
     }
-    // A class is dropped, and two files in a row: clients under way are served for a while, and then it is unknown.
+    // A class is dropped, and two files in a row: clients under way are served for a while, and
+    // then it is unknown.
     write_config(&with);
     relay.signal("HUP");
     let without = with.replace("\"name\": \"once\"", "\"name\": \"twice\"");
@@ -430,7 +531,10 @@
             .output()
             .unwrap();
         let said = String::from_utf8(done.stderr).unwrap();
-        assert!(!done.status.success() && said.lines().count() == 1, "{descriptor}: {said}");
+        assert!(
+            !done.status.success() && said.lines().count() == 1,
+            "{descriptor}: {said}"
+        );
         assert!(said.contains(expected), "{descriptor}: {said}");
     }
 }
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -1,5 +1,5 @@
-//! Several processes of the relay that know of one another, and faults between them: cuts, pauses, kills, restarts, strangers.
-//! Bounds are the stated ones; what is waited for is a condition.
+//! Several processes of the relay that know of one another, and faults between them: cuts, pauses,
+//! kills, restarts, strangers. Bounds are the stated ones; what is waited for is a condition.
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::path::PathBuf;
@@ -21,7 +21,8 @@
 }
 
 fn folder(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!("thistlecroft-peers-{}-{name}", std::process::id()));
+    let path =
+        std::env::temp_dir().join(format!("thistlecroft-peers-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
@@ -39,24 +40,37 @@
     let all: Vec<usize> = (0..started).collect();
     // At once, so that seeds are themselves starting.
     rig.start_all(&all).unwrap();
-    rig.wait(PERIOD * 40.0 + BUSY, |rig| rig.agree(&all)).expect("all see all");
+    rig.wait(PERIOD * 40.0 + BUSY, |rig| rig.agree(&all))
+        .expect("all see all");
     rig
 }
 
 fn number(view: &serde_json::Value, path: &[&str]) -> u64 {
-    path.iter().fold(view, |at, key| &at[key]).as_u64().unwrap_or_default()
+    path.iter()
+        .fold(view, |at, key| &at[key])
+        .as_u64()
+        .unwrap_or_default()
 }
 
 fn count(rig: &Rig, relay: usize, name: &str) -> u64 {
-    rig.view(relay).map_or(0, |view| number(&view, &["counts", name]))
+    rig.view(relay)
+        .map_or(0, |view| number(&view, &["counts", name]))
 }
 
-/// Each of these has probed so often more than now: whatever it was to find out it has had the time to.
+/// Each of these has probed so often more than now: whatever it was to find out it has had the time
+/// to.
 fn probed(rig: &Rig, these: &[usize], more: u64) {
-    let of = |rig: &Rig| -> Vec<u64> { these.iter().map(|one| count(rig, *one, "probes")).collect() };
+    let of =
+        |rig: &Rig| -> Vec<u64> { these.iter().map(|one| count(rig, *one, "probes")).collect() };
     let before = of(rig);
-    let done = |rig: &Rig| of(rig).iter().zip(&before).all(|(now, before)| *now >= before + more);
-    rig.wait(PERIOD * (3.0 * more as f64) + BUSY, done).expect("they probe");
+    let done = |rig: &Rig| {
+        of(rig)
+            .iter()
+            .zip(&before)
+            .all(|(now, before)| *now >= before + more)
+    };
+    rig.wait(PERIOD * (3.0 * more as f64) + BUSY, done)
+        .expect("they probe");
 }
 
 #[test]
@@ -65,24 +79,29 @@
     let run = |rig: &Rig| rig.view(1).map(|view| view["me"].to_string());
     let first = run(&rig);
     rig.kill(1);
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 2, 3, 4])).expect("gone for all");
+    rig.wait(gone_within(5), |rig| rig.agree(&[0, 2, 3, 4]))
+        .expect("gone for all");
     assert_eq!(number(&rig.view(0).unwrap(), &["unheard"]), 1);
     rig.start(1).unwrap();
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4])).expect("here again");
+    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+        .expect("here again");
     assert_ne!(run(&rig), first);
     assert_eq!(number(&rig.view(0).unwrap(), &["unheard"]), 0);
     // And once more, back before anybody can have noticed.
     rig.kill(2);
     rig.start(2).unwrap();
-    let settled = |rig: &Rig| rig.agree(&[0, 1, 2, 3, 4]) && number(&rig.view(0).unwrap(), &["unheard"]) == 0;
-    rig.wait(gone_within(5), settled).expect("two runs of one name are told apart");
+    let settled =
+        |rig: &Rig| rig.agree(&[0, 1, 2, 3, 4]) && number(&rig.view(0).unwrap(), &["unheard"]) == 0;
+    rig.wait(gone_within(5), settled)
+        .expect("two runs of one name are told apart");
 }
 
 #[test]
 fn who_is_told_to_stop_leaves_at_once_and_nobody_suspects_it() {
     let mut rig = rig("leaves", 5, 5);
     assert!(rig.stop(4, BUSY));
-    rig.wait(PERIOD * 10.0 + BUSY, |rig| rig.agree(&[0, 1, 2, 3])).expect("told");
+    rig.wait(PERIOD * 10.0 + BUSY, |rig| rig.agree(&[0, 1, 2, 3]))
+        .expect("told");
     let suspected: u64 = (0..4).map(|one| count(&rig, one, "suspected")).sum();
     assert_eq!(suspected, 0);
 }
@@ -93,16 +112,23 @@
     let others = [1, 2, 3, 4];
     for (from, to) in [([0].as_slice(), others.as_slice()), (&others, &[0])] {
         rig.fault_links(from, to, Some(LinkFault::CUT));
-        rig.wait(gone_within(5), |rig| rig.agree(&others)).expect("gone for the rest");
+        rig.wait(gone_within(5), |rig| rig.agree(&others))
+            .expect("gone for the rest");
         rig.heal();
-        rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4])).expect("healed");
+        rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+            .expect("healed");
     }
     rig.cut(&[0, 1], &[3, 4]);
     probed(&rig, &[0, 1, 2, 3, 4], 40);
-    let gone = |rig: &Rig, one: usize| rig.view(one).is_some_and(|view| number(&view, &["unheard"]) > 0);
-    rig.wait(BUSY, |rig| (0..5).all(|one| !gone(rig, one))).expect("2 reaches both");
+    let gone = |rig: &Rig, one: usize| {
+        rig.view(one)
+            .is_some_and(|view| number(&view, &["unheard"]) > 0)
+    };
+    rig.wait(BUSY, |rig| (0..5).all(|one| !gone(rig, one)))
+        .expect("2 reaches both");
     rig.heal();
-    rig.wait(BUSY, |rig| rig.agree(&[0, 1, 2, 3, 4])).expect("all see all");
+    rig.wait(BUSY, |rig| rig.agree(&[0, 1, 2, 3, 4]))
+        .expect("all see all");
 }
 
 #[test]
@@ -111,13 +137,16 @@
     // The seeds are on one side; the other has only itself.
     rig.cut(&[0, 1, 2, 6], &[3, 4, 5, 7]);
     rig.start(6).unwrap();
-    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 6])).expect("one side, grown");
-    rig.wait(gone_within(6), |rig| rig.agree(&[3, 4, 5])).expect("the other");
+    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 6]))
+        .expect("one side, grown");
+    rig.wait(gone_within(6), |rig| rig.agree(&[3, 4, 5]))
+        .expect("the other");
     rig.start(7).unwrap();
     probed(&rig, &[0, 3], 30);
     rig.heal();
     let all: Vec<usize> = (0..8).collect();
-    rig.wait(gone_within(8), |rig| rig.agree(&all)).expect("together again");
+    rig.wait(gone_within(8), |rig| rig.agree(&all))
+        .expect("together again");
 }
 
 #[test]
@@ -128,7 +157,13 @@
     rig.fault_links(
         &all,
         &all,
-        Some(LinkFault { loss: 0.1, delay: ms(20), spread: ms(20), doubled: 0.1, rate: 0 }),
+        Some(LinkFault {
+            loss: 0.1,
+            delay: ms(20),
+            spread: ms(20),
+            doubled: 0.1,
+            rate: 0,
+        }),
     );
     assert_eq!(rig.ask(3, "NOTE release 1.4").as_deref(), Some("200 told"));
     let told = |rig: &Rig| {
@@ -142,8 +177,15 @@
     rig.heal();
     rig.wait(BUSY, |rig| rig.agree(&all)).expect("all see all");
     for one in all {
-        assert!(count(&rig, one, "repeated") > 0, "relay {one} had datagrams twice");
-        assert_eq!(number(&rig.view(one).unwrap(), &["unheard"]), 0, "relay {one}");
+        assert!(
+            count(&rig, one, "repeated") > 0,
+            "relay {one} had datagrams twice"
+        );
+        assert_eq!(
+            number(&rig.view(one).unwrap(), &["unheard"]),
+            0,
+            "relay {one}"
+        );
     }
 }
 
@@ -151,21 +193,29 @@
 fn a_paused_holder_never_acts_beside_its_successor() {
     let mut rig = rig("paused", 5, 5);
     // Two that do not vote want it, so that a majority stays whoever is paused.
-    let holds =
-        |rig: &Rig, one: usize| rig.ask(one, "LEASE turn").is_some_and(|said| said.starts_with("200 held"));
-    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 3)).expect("held");
+    let holds = |rig: &Rig, one: usize| {
+        rig.ask(one, "LEASE turn")
+            .is_some_and(|said| said.starts_with("200 held"))
+    };
+    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 3))
+        .expect("held");
     let witnesses: Vec<_> = [3, 4].map(|one| rig.witness(one, Some("turn"))).into();
     rig.pause(3, true);
-    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 4)).expect("the other has it");
+    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 4))
+        .expect("the other has it");
     // It is gone for the rest by then or soon; its own view and lease are as they were.
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 4])).expect("gone for the rest");
+    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 4]))
+        .expect("gone for the rest");
     rig.pause(3, false);
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4])).expect("back");
+    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+        .expect("back");
     probed(&rig, &[3, 4], 10);
     drop(witnesses);
-    // The holder leaves in good order, and the one that was paused has it without waiting for a term.
+    // The holder leaves in good order, and the one that was paused has it without waiting for a
+    // term.
     assert!(rig.stop(4, BUSY));
-    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 3)).expect("held again");
+    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 3))
+        .expect("held again");
     let entries = rig.reel.into_sorted();
     let by = |relay: u16| {
         let says = |seen: &Sighting| matches!(seen, Sighting::LeaseSaid { relay: of, .. } if of.0 == relay);
@@ -180,58 +230,83 @@
     let mut rig = rig("majority", 5, 5);
     let said = |rig: &Rig, one: usize| rig.ask(one, "LEASE turn").unwrap_or_default();
     let held = |rig: &Rig, one: usize| said(rig, one).starts_with("200 held");
-    rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 0)).expect("held");
+    rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 0))
+        .expect("held");
     // One voter with the holder, two on the other side.
     rig.cut(&[0, 3], &[1, 2, 4]);
-    rig.wait(LEASE * 4.0 + BUSY, |rig| !held(rig, 0)).expect("it stops by its own clock");
-    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 4)).expect("the majority has it");
+    rig.wait(LEASE * 4.0 + BUSY, |rig| !held(rig, 0))
+        .expect("it stops by its own clock");
+    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 4))
+        .expect("the majority has it");
     for _ in 0..5 {
         assert!(!held(&rig, 0) && !held(&rig, 3));
         probed(&rig, &[0, 3], 2);
     }
     rig.heal();
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4])).expect("healed");
-    let epoch =
-        |rig: &Rig, one: usize| said(rig, one).split(' ').nth(2).and_then(|word| word.parse::<u64>().ok());
+    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+        .expect("healed");
+    let epoch = |rig: &Rig, one: usize| {
+        said(rig, one)
+            .split(' ')
+            .nth(2)
+            .and_then(|word| word.parse::<u64>().ok())
+    };
     rig.wait(BUSY, |rig| epoch(rig, 4).is_some()).expect("held");
     let before = epoch(&rig, 4).unwrap();
     assert_eq!(rig.ask(4, "RELEASE turn").as_deref(), Some("200 released"));
-    // Two of three voters forget at once: nothing is granted until the silence is over, and no epoch comes back.
+    // Two of three voters forget at once: nothing is granted until the silence is over, and no
+    // epoch comes back.
     (0..2).for_each(|one| rig.kill(one));
     (0..2).for_each(|one| rig.start(one).unwrap());
     assert!(!held(&rig, 3));
-    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 3)).expect("held after the silence");
+    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 3))
+        .expect("held after the silence");
     assert!(epoch(&rig, 3).unwrap() > before);
 }
 
 #[test]
 fn voters_change_by_two_steps_of_the_charter_and_no_other_way() {
     let rig = rig("voters", 5, 5);
-    let held =
-        |rig: &Rig, one: usize| rig.ask(one, "LEASE turn").is_some_and(|said| said.starts_with("200 held"));
-    rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 4)).expect("held");
+    let held = |rig: &Rig, one: usize| {
+        rig.ask(one, "LEASE turn")
+            .is_some_and(|said| said.starts_with("200 held"))
+    };
+    rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 4))
+        .expect("held");
     let old = "voters = [\"relay-0\", \"relay-1\", \"relay-2\"]";
     let new = "voters = [\"relay-2\", \"relay-3\", \"relay-4\"]";
     let with = |rig: &Rig, number: usize, lines: &str| rig.charter(number).replace(old, lines);
-    let generation = |rig: &Rig, one: usize| number(&rig.view(one).unwrap(), &["leases", "generation"]);
+    let generation =
+        |rig: &Rig, one: usize| number(&rig.view(one).unwrap(), &["leases", "generation"]);
     // Straight to the new set: refused with a line, and nothing of it taken.
-    rig.recharter(0, &with(&rig, 0, &format!("{new}\ngeneration = 2"))).unwrap();
-    rig.wait(BUSY, |rig| rig.log(0).contains("voters_before: names the voters until now")).expect("refused");
+    rig.recharter(0, &with(&rig, 0, &format!("{new}\ngeneration = 2")))
+        .unwrap();
+    rig.wait(BUSY, |rig| {
+        rig.log(0)
+            .contains("voters_before: names the voters until now")
+    })
+    .expect("refused");
     assert_eq!(generation(&rig, 0), 1);
-    let joint = format!("{new}\nvoters_before = [\"relay-0\", \"relay-1\", \"relay-2\"]\ngeneration = 2");
+    let joint =
+        format!("{new}\nvoters_before = [\"relay-0\", \"relay-1\", \"relay-2\"]\ngeneration = 2");
     for one in 0..5 {
         rig.recharter(one, &with(&rig, one, &joint)).unwrap();
     }
-    rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 2)).expect("taken up");
+    rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 2))
+        .expect("taken up");
     let settled = |rig: &Rig, one: usize| rig.view(one).unwrap()["leases"]["settled"] == true;
-    rig.wait(BUSY, |rig| (0..5).all(|one| settled(rig, one))).expect("settled");
+    rig.wait(BUSY, |rig| (0..5).all(|one| settled(rig, one)))
+        .expect("settled");
     for one in 0..5 {
-        rig.recharter(one, &with(&rig, one, &format!("{new}\ngeneration = 3"))).unwrap();
+        rig.recharter(one, &with(&rig, one, &format!("{new}\ngeneration = 3")))
+            .unwrap();
     }
-    rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 3)).expect("taken up");
+    rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 3))
+        .expect("taken up");
     let mut rig = rig;
     (0..2).for_each(|one| rig.kill(one));
-    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 4)).expect("the voters before are not needed");
+    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 4))
+        .expect("the voters before are not needed");
 }
 
 #[test]
@@ -247,14 +322,19 @@
         one("other_format") == 1 && one("foreign") == 1 && one("odd_size") == 2
     };
     rig.wait(BUSY, counted).expect("each counted by its kind");
-    rig.wait(BUSY, |rig| rig.log(0).contains("datagrams of format 0")).expect("and said");
+    rig.wait(BUSY, |rig| rig.log(0).contains("datagrams of format 0"))
+        .expect("and said");
     // Another fleet at the address of one that has left.
     assert!(rig.stop(4, BUSY));
-    let other = rig.charter(4).replace("fleet = \"rig\"", "fleet = \"other\"");
+    let other = rig
+        .charter(4)
+        .replace("fleet = \"rig\"", "fleet = \"other\"");
     rig.start_with(4, other).unwrap();
-    rig.wait(BUSY, |rig| (0..4).any(|one| count(rig, one, "foreign") > 1)).expect("it asks the seeds");
+    rig.wait(BUSY, |rig| (0..4).any(|one| count(rig, one, "foreign") > 1))
+        .expect("it asks the seeds");
     probed(&rig, &[0, 1, 2, 3], 10);
-    rig.wait(BUSY, |rig| rig.agree(&[0, 1, 2, 3])).expect("the others are together");
+    rig.wait(BUSY, |rig| rig.agree(&[0, 1, 2, 3]))
+        .expect("the others are together");
     assert!(rig.sees(4, &[4]));
 }
 
@@ -267,64 +347,104 @@
     let mut rig = rig_with("faults", 2, 1, true);
     let taken = UdpSocket::bind(rig.net.ways[0].own).unwrap();
     let fault = rig.start(0).unwrap_err();
-    assert!(fault.contains("peers:") && fault.contains("in use"), "{fault}");
+    assert!(
+        fault.contains("peers:") && fault.contains("in use"),
+        "{fault}"
+    );
     drop(taken);
     let without_key = rig.charter(0).replace("peers.key", "no.key");
     let fault = rig.start_with(0, without_key).unwrap_err();
     assert!(fault.contains("peers.key_file"), "{fault}");
     // Switched off it says so, and has no socket for it.
     rig.start_with(1, "\n".into()).unwrap();
-    assert!(rig.ask(1, "PEERS").unwrap().starts_with("400 peers are not switched on"));
+    assert!(
+        rig.ask(1, "PEERS")
+            .unwrap()
+            .starts_with("400 peers are not switched on")
+    );
     UdpSocket::bind(rig.net.ways[1].own).expect("nobody listens there");
 }
 
 /// Subjects that many witnesses ask for at one relay each.
-const SHARDS: [&str; 6] = ["shard-0", "shard-1", "shard-2", "shard-3", "shard-4", "shard-5"];
+const SHARDS: [&str; 6] = [
+    "shard-0", "shard-1", "shard-2", "shard-3", "shard-4", "shard-5",
+];
 
 /// Asks for a lease as a witness does: what is said is noted and judged with all the rest.
 fn holds(rig: &Rig, relay: usize, subject: &'static str) -> bool {
     let asked = rig.clock.now();
-    let Some((epoch, left)) = rig.ask(relay, &format!("LEASE {subject}")).as_deref().and_then(held) else {
+    let Some((epoch, left)) = rig
+        .ask(relay, &format!("LEASE {subject}"))
+        .as_deref()
+        .and_then(held)
+    else {
         return false;
     };
     let (relay, until) = (RelayNo(relay as u16), asked + left);
-    rig.tape.note(rig.clock.now(), Sighting::LeaseSaid { relay, subject, epoch, asked, until });
+    rig.tape.note(
+        rig.clock.now(),
+        Sighting::LeaseSaid {
+            relay,
+            subject,
+            epoch,
+            asked,
+            until,
+        },
+    );
     true
 }
 
 fn holds_all(rig: &Rig, relay: usize) -> bool {
-    SHARDS.iter().filter(|subject| holds(rig, relay, subject)).count() == SHARDS.len()
+    SHARDS
+        .iter()
+        .filter(|subject| holds(rig, relay, subject))
+        .count()
+        == SHARDS.len()
 }
 
 #[test]
 fn many_leases_pass_on_as_their_owner_is_killed_and_a_voter_with_it_and_never_have_two_owners() {
     let mut rig = rig("take-over", 6, 6);
-    let witnesses: Vec<_> =
-        SHARDS.iter().flat_map(|subject| [3, 4].map(|relay| rig.witness(relay, Some(subject)))).collect();
-    let shared = |rig: &Rig| SHARDS.iter().all(|subject| holds(rig, 3, subject) || holds(rig, 4, subject));
-    rig.wait(LEASE * 6.0 + BUSY, shared).expect("each has an owner");
+    let witnesses: Vec<_> = SHARDS
+        .iter()
+        .flat_map(|subject| [3, 4].map(|relay| rig.witness(relay, Some(subject))))
+        .collect();
+    let shared = |rig: &Rig| {
+        SHARDS
+            .iter()
+            .all(|subject| holds(rig, 3, subject) || holds(rig, 4, subject))
+    };
+    rig.wait(LEASE * 6.0 + BUSY, shared)
+        .expect("each has an owner");
     rig.kill(3);
     // While the other asks for all, a voter is killed and starts again, and forgets.
     rig.kill(0);
     rig.start(0).unwrap();
-    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 4)).expect("taken over");
+    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 4))
+        .expect("taken over");
     // The next owner stands still past its term, and comes back.
     rig.pause(4, true);
-    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 5)).expect("taken over again");
+    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 5))
+        .expect("taken over again");
     rig.pause(4, false);
-    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 4, 5])).expect("here again");
+    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 4, 5]))
+        .expect("here again");
     assert!(holds_all(&rig, 5), "who took over goes on");
     // The fleet is split with two voters on the other side.
     rig.cut(&[0, 5], &[1, 2, 4]);
-    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 4)).expect("the side with a majority has them");
+    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 4))
+        .expect("the side with a majority has them");
     rig.heal();
-    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 4, 5])).expect("healed");
+    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 4, 5]))
+        .expect("healed");
     drop(witnesses);
     let entries = rig.reel.into_sorted();
     // Each of the two that took over was heard to hold all of them.
     let said_by = |relay: u16| {
         let own = entries.iter().filter_map(|entry| match &entry.seen {
-            Sighting::LeaseSaid { relay: of, subject, .. } if of.0 == relay => Some(subject.to_string()),
+            Sighting::LeaseSaid {
+                relay: of, subject, ..
+            } if of.0 == relay => Some(subject.to_string()),
             _ => None,
         });
         own.collect::<BTreeSet<String>>().len()
--- a/relay/tests/scenarios.rs
+++ b/relay/tests/scenarios.rs
@@ -1,4 +1,5 @@
-//! The program among the stand-ins of `fleet`, with the failures that it is meant for; the referee judges.
+//! The program among the stand-ins of `fleet`, with the failures that it is meant for; the referee
+//! judges.
 use std::sync::atomic::AtomicBool;
 use std::sync::{Mutex, PoisonError};
 use std::thread;
@@ -38,7 +39,8 @@
 fn the_rules_are_kept_through_failures() {
     let cases = vec![
         Case {
-            // Those who say nothing are sent away for those who speak; nobody who spoke loses his answer by that.
+            // Those who say nothing are sent away for those who speak; nobody who spoke loses his
+            // answer by that.
             name: "descriptors",
             text: r#"
 [relays]
@@ -182,7 +184,9 @@
 boxes = 4
 for = "3s"
 "#,
-            shows: |summary| summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0,
+            shows: |summary| {
+                summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0
+            },
         },
         Case {
             name: "cold",
@@ -210,7 +214,8 @@
 #[test]
 fn the_rules_are_kept_while_operators_are_at_it() {
     judged(vec![Case {
-        // Replaced beside themselves and with boxes out by hand, over a rush: nobody who stands is moved by it.
+        // Replaced beside themselves and with boxes out by hand, over a rush: nobody who stands is
+        // moved by it.
         name: "operators",
         text: r#"
 [relays]
@@ -247,10 +252,18 @@
     // One after the other: side by side the machine is so busy that clients are late by themselves.
     static ALONE: Mutex<()> = Mutex::new(());
     let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
-    let folder =
-        std::env::temp_dir().join(format!("thistlecroft-scenarios-{}-{}", std::process::id(), cases[0].name));
+    let folder = std::env::temp_dir().join(format!(
+        "thistlecroft-scenarios-{}-{}",
+        std::process::id(),
+        cases[0].name
+    ));
     let relay = vec![env!("CARGO_BIN_EXE_thistlecroft-relay").into()];
-    let way = Way { name: "relays".into(), baseline: None, relay, chartered: true };
+    let way = Way {
+        name: "relays".into(),
+        baseline: None,
+        relay,
+        chartered: true,
+    };
     let runs: Vec<_> = cases
         .into_iter()
         .map(|case| {
@@ -259,13 +272,26 @@
                 let (own, common) = (case.text, COMMON);
                 // Tables of the test's own come behind the common keys.
                 let scenario = Scenario::parse(case.name, &format!("{common}{own}")).unwrap();
-                let done = run(&scenario, &way, 1, &folder, &AtomicBool::new(false), &mut |_| {}).unwrap();
+                let done = run(
+                    &scenario,
+                    &way,
+                    1,
+                    &folder,
+                    &AtomicBool::new(false),
+                    &mut |_| {},
+                )
+                .unwrap();
                 let shown = (case.shows)(&done.summary);
-                (done.summary.kept() && shown).then_some(()).ok_or_else(|| done.summary.page())
+                (done.summary.kept() && shown)
+                    .then_some(())
+                    .ok_or_else(|| done.summary.page())
             })
         })
         .collect();
-    let faults: Vec<String> = runs.into_iter().filter_map(|run| run.join().unwrap().err()).collect();
+    let faults: Vec<String> = runs
+        .into_iter()
+        .filter_map(|run| run.join().unwrap().err())
+        .collect();
     assert!(faults.is_empty(), "{}", faults.join("\n"));
     std::fs::remove_dir_all(folder).unwrap();
 }
