--- a/relay/tests/sockets.rs
+++ b/relay/tests/sockets.rs
@@ -12,7 +12,8 @@
 
 #[test]
 fn each_first_word_of_a_backend_has_its_answer() {
-    // What the backend does, and the client's answer where a session may run again and where it may not.
+    // What the backend does, and the client's answer where a session may run again and where it may
+    // not.
     let cases = [
         (Play::Echo, "UP receipt", "UP receipt"),
         (Play::Split, "UP receipt", "UP receipt"),
@@ -27,9 +28,16 @@
     ];
     for (play, again, once) in cases {
         let (address, met) = backend(play);
-        // Loads come with the ends: where none are told, one that turned a dial away would be left alone meanwhile.
+        // Loads come with the ends: where none are told, one that turned a dial away would be left
+        // alone meanwhile.
         let at = nobody();
-        let text = config(at, nobody(), 1_000, &list(1, true, &[("b0", address, "Ready")]), false);
+        let text = config(
+            at,
+            nobody(),
+            1_000,
+            &list(1, true, &[("b0", address, "Ready")]),
+            false,
+        );
         let relay = started(at, text.replace("\"pull\"", "\"piggyback\""));
         for (listener, expected) in [("safe", again), ("once", once)] {
             let (asked, mut client) = (Instant::now(), relay.open(listener, 400));
@@ -39,15 +47,30 @@
                 "{play:?} {listener}: {:?}",
                 asked.elapsed()
             );
-            assert_eq!(heard.split(' ').next(), expected.split(' ').next(), "{play:?} {listener}: {heard}");
+            assert_eq!(
+                heard.split(' ').next(),
+                expected.split(' ').next(),
+                "{play:?} {listener}: {heard}"
+            );
             // The line goes on as it came, but for the wait that is left.
-            let line = std::iter::repeat_with(|| next(&met)).find(|line| line.starts_with("OPEN")).unwrap();
-            let wait = line.split_once(&format!(" 7f3a9c21e0b4d655 c={listener},d=")).map(|(_, rest)| rest);
+            let line = std::iter::repeat_with(|| next(&met))
+                .find(|line| line.starts_with("OPEN"))
+                .unwrap();
+            let wait = line
+                .split_once(&format!(" 7f3a9c21e0b4d655 c={listener},d="))
+                .map(|(_, rest)| rest);
             let wait = wait.and_then(|rest| rest.strip_suffix(",g=5c0f6e1a2b3d4c59\r\n"));
             let wait = wait.expect("another line was sent");
-            assert!((200..=400).contains(&wait.parse::<u32>().unwrap()), "{play:?}: {line}");
+            assert!(
+                (200..=400).contains(&wait.parse::<u32>().unwrap()),
+                "{play:?}: {line}"
+            );
             if !expected.starts_with("UP") {
-                assert_eq!(client.hears(), "end", "{play:?} {listener}: one answer and no more");
+                assert_eq!(
+                    client.hears(),
+                    "end",
+                    "{play:?} {listener}: one answer and no more"
+                );
             }
         }
     }
@@ -61,7 +84,10 @@
     let relay = relay_with(&[]);
     let cases: &[(&[&str], &[&str])] = &[
         (&["PING\r\n"], &["PONG"]),
-        (&["PI", "NG", "\r", "\nPING\r\nPING\r\n"], &["PONG", "PONG", "PONG"]),
+        (
+            &["PI", "NG", "\r", "\nPING\r\nPING\r\n"],
+            &["PONG", "PONG", "PONG"],
+        ),
         (&["PING\r\nhello\r\n"], &["PONG", "ERR", "end"]),
         (&["hello\r\n"], &["ERR", "end"]),
         (&["\r\n"], &["ERR", "end"]),
@@ -92,20 +118,58 @@
     owner.say(&good);
     assert_eq!(owner.hears(), "UP receipt");
     let (id, huge) = (good.split(' ').nth(1).unwrap(), "x".repeat(60_000_000));
-    let several = (0..300).map(|_| open_line("c=safe,d=1000")).collect::<String>();
+    let several = (0..300)
+        .map(|_| open_line("c=safe,d=1000"))
+        .collect::<String>();
     let cases = [
         ("nothing", String::new(), &["end"][..]),
-        ("a question and then nothing", "PING\r\n".into(), &["PONG", "end"]),
+        (
+            "a question and then nothing",
+            "PING\r\n".into(),
+            &["PONG", "end"],
+        ),
         ("half a line", "OPEN 1 2 c=sa".into(), &["ERR", "end"]),
-        ("another's id", format!("OPEN {id} 0000000000000001 c=safe,d=1000\r\n"), &["ERR", "end"]),
-        ("no id", "OPEN 7f3a9c21e0b4d655 c=safe,d=1000\r\n".into(), &["ERR", "end"]),
-        ("a name twice", open_line("c=safe,d=1000,c=safe"), &["ERR", "end"]),
-        ("a wait that is none", open_line("c=safe,d=-1"), &["ERR", "end"]),
-        ("an unknown listener", open_line("c=safer,d=1000"), &["ERR", "end"]),
-        ("an unknown backend", open_line("c=safe,d=1000,at=b7"), &["ERR", "end"]),
+        (
+            "another's id",
+            format!("OPEN {id} 0000000000000001 c=safe,d=1000\r\n"),
+            &["ERR", "end"],
+        ),
+        (
+            "no id",
+            "OPEN 7f3a9c21e0b4d655 c=safe,d=1000\r\n".into(),
+            &["ERR", "end"],
+        ),
+        (
+            "a name twice",
+            open_line("c=safe,d=1000,c=safe"),
+            &["ERR", "end"],
+        ),
+        (
+            "a wait that is none",
+            open_line("c=safe,d=-1"),
+            &["ERR", "end"],
+        ),
+        (
+            "an unknown listener",
+            open_line("c=safer,d=1000"),
+            &["ERR", "end"],
+        ),
+        (
+            "an unknown backend",
+            open_line("c=safe,d=1000,at=b7"),
+            &["ERR", "end"],
+        ),
         ("hundreds at once", several, &["ERR", "end"]),
-        ("a value of 60 MB", open_line(&format!("c=safe,d=1000,x={huge}")), &["ERR", "end"]),
-        ("60 MB behind a bad line", format!("what\r\n{huge}"), &["ERR", "end"]),
+        (
+            "a value of 60 MB",
+            open_line(&format!("c=safe,d=1000,x={huge}")),
+            &["ERR", "end"],
+        ),
+        (
+            "60 MB behind a bad line",
+            format!("what\r\n{huge}"),
+            &["ERR", "end"],
+        ),
     ];
     for (name, text, expected) in cases {
         let (began, mut client) = (Instant::now(), relay.client());
@@ -114,13 +178,23 @@
         for word in expected {
             assert_eq!(client.hears(), *word, "{name}");
         }
-        assert!(began.elapsed() < Duration::from_secs(3), "{name}: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_secs(3),
+            "{name}: {:?}",
+            began.elapsed()
+        );
         // All was read, so nothing could destroy the answer.
-        writer.join().unwrap().unwrap_or_else(|fault| panic!("{name}: {fault}"));
+        writer
+            .join()
+            .unwrap()
+            .unwrap_or_else(|fault| panic!("{name}: {fault}"));
         owner.say("still here\r\n");
         assert_eq!(owner.hears(), "still here", "{name}");
     }
-    let firsts = met.try_iter().filter(|line| line.starts_with("OPEN")).count();
+    let firsts = met
+        .try_iter()
+        .filter(|line| line.starts_with("OPEN"))
+        .count();
     assert_eq!(firsts, 1, "only the owner's came to the backend");
 }
 
@@ -128,31 +202,52 @@
 fn a_client_that_does_not_wait_for_its_answer_has_an_error_and_costs_its_backend_nothing() {
     let (address, met) = backend(Play::Mute);
     let relay = relay_with(&[address]);
-    for more in [open_line("c=safe,d=1000"), "x".repeat(10_000), "M 1 2\r\n".repeat(300)] {
+    for more in [
+        open_line("c=safe,d=1000"),
+        "x".repeat(10_000),
+        "M 1 2\r\n".repeat(300),
+    ] {
         let mut client = relay.client();
         client.say(&open_line("c=once,d=3000"));
         while !next(&met).starts_with("OPEN") {}
         let began = Instant::now();
         client.say(&more);
         assert_eq!([client.hears(), client.hears()], ["ERR", "end"]);
-        assert!(began.elapsed() < Duration::from_millis(300), "{:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(300),
+            "{:?}",
+            began.elapsed()
+        );
     }
     relay.signal("USR1");
     let line = relay.logged("dials_withdrawn=");
-    assert!(line.contains("dials_withdrawn=3 ") && line.contains("bad_lines=3 "), "{line}");
+    assert!(
+        line.contains("dials_withdrawn=3 ") && line.contains("bad_lines=3 "),
+        "{line}"
+    );
 }
 
 #[test]
 fn connections_that_say_nothing_make_room_for_those_that_mean_to_be_served() {
     let (address, _met) = backend(Play::Echo);
-    // Room for 24 descriptors of sessions; the silent ones come by hundreds, and again as they are sent away.
-    let relay = start(nobody(), 64, &list(1, true, &[("b", address, "Ready")]), false);
+    // Room for 24 descriptors of sessions; the silent ones come by hundreds, and again as they are
+    // sent away.
+    let relay = start(
+        nobody(),
+        64,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
     let mut silent: Vec<Client> = (0..200).map(|_| relay.client()).collect();
     for round in 0..8 {
         let began = Instant::now();
         let mut client = relay.open("safe", 1_500);
         assert_eq!(client.hears(), "UP receipt", "{round}");
-        assert!(began.elapsed() < Duration::from_millis(1_500), "{round}: {:?}", began.elapsed());
+        assert!(
+            began.elapsed() < Duration::from_millis(1_500),
+            "{round}: {:?}",
+            began.elapsed()
+        );
         client.say("through\r\n");
         assert_eq!(client.hears(), "through", "{round}");
         silent.extend((0..20).map(|_| relay.client()));
@@ -178,10 +273,22 @@
     assert_eq!([client.hears(), client.hears()], ["one", "two"]);
     client.say("ree\r\nlast without an ending");
     client.ends_sending();
-    assert_eq!([client.hears(), client.hears()], ["three", "last without an endingBYE inflight=1"]);
+    assert_eq!(
+        [client.hears(), client.hears()],
+        ["three", "last without an endingBYE inflight=1"]
+    );
     assert_eq!(client.hears(), "end");
     let passed: Vec<String> = (0..5).map(|_| next(&met)).collect();
-    assert_eq!(passed, ["one\r\n", "two\r\n", "three\r\n", "last without an ending", "end"]);
+    assert_eq!(
+        passed,
+        [
+            "one\r\n",
+            "two\r\n",
+            "three\r\n",
+            "last without an ending",
+            "end"
+        ]
+    );
 
     // A client that breaks off breaks its backend's connection off.
     let mut breaks = relay.open("safe", 1_000);
@@ -197,7 +304,10 @@
 #[test]
 fn a_backends_end_comes_across_with_its_last_lines() {
     let cases = [
-        (Play::UpThen("a\r\nBYE\r\n"), &["UP receipt", "a", "BYE", "end"][..]),
+        (
+            Play::UpThen("a\r\nBYE\r\n"),
+            &["UP receipt", "a", "BYE", "end"][..],
+        ),
         (Play::UpThen("MOVE\r\n"), &["UP receipt", "MOVE", "end"]),
         (Play::UpThen("half"), &["UP receipt", "half", "end"]),
     ];
@@ -240,15 +350,24 @@
     let asked = Instant::now();
     client.say("anybody\r\n");
     assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
-    assert!(asked.elapsed() < Duration::from_secs(5), "{:?}", asked.elapsed());
+    assert!(
+        asked.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        asked.elapsed()
+    );
 }
 
 #[test]
 fn a_backend_that_tells_of_late_messages_is_relieved() {
-    // At this load alone it would not be: the note decides, and a relay that took it for the load of a
-    // connection never sent anybody away.
+    // At this load alone it would not be: the note decides, and a relay that took it for the load
+    // of a connection never sent anybody away.
     let (address, _met) = backend(Play::Late);
-    let relay = start(nobody(), 1_000, &list(1, true, &[("b", address, "Ready")]), true);
+    let relay = start(
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        true,
+    );
     let mut clients: Vec<Client> = (0..10).map(|_| relay.client()).collect();
     for client in &mut clients {
         client.say(&open_line("c=safe,d=1000,at=b"));
@@ -257,7 +376,8 @@
     for mut client in clients {
         let moved = moved.clone();
         thread::spawn(move || {
-            let last = std::iter::repeat_with(|| client.hears()).find(|line| !line.starts_with(['U', 'L']));
+            let last = std::iter::repeat_with(|| client.hears())
+                .find(|line| !line.starts_with(['U', 'L']));
             if last.as_deref() == Some("MOVE") {
                 let _ = moved.send(());
             }
@@ -299,7 +419,11 @@
     }
     assert!(end_of(&mut relay.child).success());
     // The longest dial timeout, 1.5 s, and 0.7 s more; and as much again for a busy machine.
-    assert!(began.elapsed() < Duration::from_millis(2_900), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(2_900),
+        "{:?}",
+        began.elapsed()
+    );
     relay.logged("sent_away=8");
 
     let mut relay = relay_with(&[mute]);
@@ -311,7 +435,11 @@
     assert!(waiting[0].hears().starts_with("BUSY"));
     assert_eq!(waiting[1].hears(), "ERR");
     assert!(end_of(&mut relay.child).success());
-    assert!(began.elapsed() < Duration::from_millis(2_900), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_millis(2_900),
+        "{:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
@@ -322,20 +450,40 @@
     let drains = list(8, false, &[("one", one, "Terminating")]);
     // Split anywhere: within the head, a size line and a row.
     let all = format!("{HEAD}{}{}", chunk(&whole), chunk(""));
-    let pieces: Vec<String> =
-        all.as_bytes().chunks(7).map(|piece| String::from_utf8_lossy(piece).into()).collect();
+    let pieces: Vec<String> = all
+        .as_bytes()
+        .chunks(7)
+        .map(|piece| String::from_utf8_lossy(piece).into())
+        .collect();
     let scripts = vec![
-        Script { pieces: vec!["no HTTP at all\r\n\r\n".into()], ends: true },
+        Script {
+            pieces: vec!["no HTTP at all\r\n\r\n".into()],
+            ends: true,
+        },
         Script { pieces, ends: true },
-        Script { pieces: vec![HEAD.into(), chunk("{\"generation\": nonsense")], ends: false },
-        Script { pieces: vec![HEAD.into(), chunk(&drains)], ends: false },
+        Script {
+            pieces: vec![HEAD.into(), chunk("{\"generation\": nonsense")],
+            ends: false,
+        },
+        Script {
+            pieces: vec![HEAD.into(), chunk(&drains)],
+            ends: false,
+        },
     ];
     let (at, asked) = discovery(scripts);
     let relay = start(at, 1_000, &list(3, true, &[("one", one, "Ready")]), true);
-    let expected = ["follow=1 ", "follow=1 ", "follow=1&since=7 ", "follow=1&since=7 "];
+    let expected = [
+        "follow=1 ",
+        "follow=1 ",
+        "follow=1&since=7 ",
+        "follow=1&since=7 ",
+    ];
     for query in expected {
         let line = next(&asked);
-        assert!(line.starts_with(&format!("GET /api/targets?{query}")), "{line}");
+        assert!(
+            line.starts_with(&format!("GET /api/targets?{query}")),
+            "{line}"
+        );
     }
     // A silent watch is given up and asked for again, with what is now held.
     assert!(next(&asked).contains("since=8 "));
@@ -344,7 +492,11 @@
         let mut client = relay.open("safe", 1_000);
         assert_eq!(client.hears(), "UP receipt");
     }
-    let opened = |met: &Met| met.try_iter().filter(|line| line.starts_with("OPEN")).count();
+    let opened = |met: &Met| {
+        met.try_iter()
+            .filter(|line| line.starts_with("OPEN"))
+            .count()
+    };
     assert_eq!((opened(&one_met), opened(&two_met)), (0, 8));
 }
 
@@ -352,12 +504,21 @@
 fn a_new_discovery_address_is_taken_up_and_the_old_one_heard_until_then() {
     let (one, one_met) = backend(Play::Echo);
     let (two, two_met) = backend(Play::Echo);
-    let open = |pieces: Vec<String>| vec![Script { pieces, ends: false }];
+    let open = |pieces: Vec<String>| {
+        vec![Script {
+            pieces,
+            ends: false,
+        }]
+    };
     let list_of = |version, which, at| chunk(&list(version, true, &[(which, at, "Ready")]));
     // The first goes on with empty lines for a second and then tells of a drain.
     let mut pieces = vec![HEAD.to_string(), list_of(70, "one", one)];
     pieces.extend((0..500).map(|_| chunk("")));
-    pieces.push(chunk(&list(71, false, &[("one", one, "Terminating"), ("two", two, "Ready")])));
+    pieces.push(chunk(&list(
+        71,
+        false,
+        &[("one", one, "Terminating"), ("two", two, "Ready")],
+    )));
     let (first, first_asked) = discovery(open(pieces));
     let (silent, silent_asked) = discovery(Vec::new());
     // Its versions are lower, and it does not know of two.
@@ -368,7 +529,10 @@
     let mut goes_to = |met: &Met| {
         let until = Instant::now() + LONG;
         while !met.try_iter().any(|line| line.starts_with("OPEN")) {
-            assert!(Instant::now() < until, "nothing came to the backend that was listed last");
+            assert!(
+                Instant::now() < until,
+                "nothing came to the backend that was listed last"
+            );
             let mut client = relay.open("safe", 1_000);
             if client.hears() == "UP receipt" && standing.len() < 3 {
                 standing.push(client);
@@ -384,7 +548,11 @@
     relay.told(&first.to_string(), &last.to_string());
     assert!(next(&last_asked).contains("follow=1 "));
     relay.logged(&format!("discovery at {last}: 1 backends"));
-    assert!(began.elapsed() < Duration::from_secs(3), "{:?}", began.elapsed());
+    assert!(
+        began.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        began.elapsed()
+    );
     one_met.try_iter().count();
     goes_to(&one_met);
     for client in &mut standing {
@@ -396,13 +564,26 @@
 #[test]
 fn a_file_read_again_changes_only_what_it_can() {
     let (address, _met) = backend(Play::Echo);
-    let relay = start(nobody(), 1_000, &list(1, true, &[("b", address, "Ready")]), false);
+    let relay = start(
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
     let cases = [
         ("\"name\"", "", "what was read before stays"),
-        ("\"seed\":\"8c", "\"seed\":\"xy", "what was read before stays"),
-        ("\"memory_mb\":64", "\"memory_mb\":96", "changes of limits need a restart"),
+        (
+            "\"seed\":\"8c",
+            "\"seed\":\"xy",
+            "what was read before stays",
+        ),
+        (
+            "\"memory_mb\":64",
+            "\"memory_mb\":96",
+            "changes of limits need a restart",
+        ),
         ("\"r0\"", "\"r1\"", "changes of name need a restart"),
     ];
     for (from, to, expected) in cases {
@@ -415,12 +596,19 @@
 
 #[test]
 fn a_discovery_that_stays_down_is_not_asked_ever_faster() {
-    let scripts = (0..10_000).map(|_| Script { pieces: Vec::new(), ends: true }).collect();
+    let scripts = (0..10_000)
+        .map(|_| Script {
+            pieces: Vec::new(),
+            ends: true,
+        })
+        .collect();
     let (at, asked) = discovery(scripts);
     let relay = start(at, 1_000, "null", false);
     let until = Instant::now() + Duration::from_secs(7);
     let left = || until.saturating_duration_since(Instant::now());
-    let count = std::iter::repeat_with(|| asked.recv_timeout(left())).take_while(Result::is_ok).count();
+    let count = std::iter::repeat_with(|| asked.recv_timeout(left()))
+        .take_while(Result::is_ok)
+        .count();
     // It takes each call and breaks it off: full jitter over 2, 4, 8 s.
     assert!((2..=12).contains(&count), "{count}");
     drop(relay);
@@ -432,13 +620,34 @@
     let dead = nobody();
     let ready = |id, at| (id, at, "Ready");
     let cached: Vec<(String, SocketAddr)> = (0..10).map(|id| (format!("old{id}"), dead)).collect();
-    let cached: Vec<_> = cached.iter().map(|(id, at)| ready(id.as_str(), *at)).collect();
+    let cached: Vec<_> = cached
+        .iter()
+        .map(|(id, at)| ready(id.as_str(), *at))
+        .collect();
     // What is known at start, the lists that come, and how many of them count.
     let first = list(7, true, &[ready("one", here)]);
     let cases = [
-        ("an older one", "null", vec![first.clone(), list(5, false, &[("one", here, "Gone")])], 1, "UP"),
-        ("a repeated one", "null", vec![first.clone(), list(7, false, &[("one", here, "Gone")])], 1, "UP"),
-        ("an empty one", "null", vec![first.clone(), list(8, true, &[])], 2, "BUSY"),
+        (
+            "an older one",
+            "null",
+            vec![first.clone(), list(5, false, &[("one", here, "Gone")])],
+            1,
+            "UP",
+        ),
+        (
+            "a repeated one",
+            "null",
+            vec![first.clone(), list(7, false, &[("one", here, "Gone")])],
+            1,
+            "UP",
+        ),
+        (
+            "an empty one",
+            "null",
+            vec![first.clone(), list(8, true, &[])],
+            2,
+            "BUSY",
+        ),
         (
             "the last one gone",
             "null",
@@ -450,7 +659,11 @@
             "a shrunken one",
             "null",
             vec![
-                list(7, true, &[ready("one", here), ready("b", dead), ready("c", dead)]),
+                list(
+                    7,
+                    true,
+                    &[ready("one", here), ready("b", dead), ready("c", dead)],
+                ),
                 list(8, true, &[ready("one", here)]),
             ],
             2,
@@ -459,18 +672,30 @@
         (
             "a known id elsewhere",
             "null",
-            vec![list(7, true, &[ready("one", dead)]), list(8, false, &[ready("one", here)])],
+            vec![
+                list(7, true, &[ready("one", dead)]),
+                list(8, false, &[ready("one", here)]),
+            ],
             2,
             "UP",
         ),
-        ("a cached one of boxes that are gone", &list(3, true, &cached), vec![first.clone()], 1, "UP"),
+        (
+            "a cached one of boxes that are gone",
+            &list(3, true, &cached),
+            vec![first.clone()],
+            1,
+            "UP",
+        ),
     ];
     for (name, known, lists, counting, expected) in cases {
         let mut pieces = vec![HEAD.to_string()];
         pieces.extend(lists.iter().map(|text| chunk(text)));
         // Once this one counts all before it have been read.
         pieces.push(chunk(&list(9, false, &[("last", dead, "Terminating")])));
-        let (at, _asked) = discovery(vec![Script { pieces, ends: false }]);
+        let (at, _asked) = discovery(vec![Script {
+            pieces,
+            ends: false,
+        }]);
         let relay = start(at, 1_000, known, false);
         let until = Instant::now() + LONG;
         loop {
@@ -479,7 +704,10 @@
             if count == counting + 1 {
                 break;
             }
-            assert!(count <= counting && Instant::now() < until, "{name}: {count} lists");
+            assert!(
+                count <= counting && Instant::now() < until,
+                "{name}: {count} lists"
+            );
         }
         let mut client = relay.open("safe", 1_000);
         let answer = client.hears();
@@ -492,17 +720,30 @@
     // Whether it answers, and the calls within 4 s.
     for (answers, expected) in [(false, 5..=20), (true, 1..=5)] {
         let answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string();
-        let busy = (0..100).map(|_| Script { pieces: vec![answer.clone()], ends: true }).collect();
+        let busy = (0..100)
+            .map(|_| Script {
+                pieces: vec![answer.clone()],
+                ends: true,
+            })
+            .collect();
         let (at, asked) = discovery(busy);
         let relay = start(if answers { at } else { nobody() }, 1_000, "null", false);
         let until = Instant::now() + Duration::from_secs(4);
         let left = || until.saturating_duration_since(Instant::now());
-        let met = std::iter::repeat_with(|| asked.recv_timeout(left())).take_while(Result::is_ok).count();
+        let met = std::iter::repeat_with(|| asked.recv_timeout(left()))
+            .take_while(Result::is_ok)
+            .count();
         relay.signal("USR1");
         let line = relay.logged("list_failures=");
-        let count = line.split("list_failures=").nth(1).and_then(|rest| rest.split(' ').next());
+        let count = line
+            .split("list_failures=")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next());
         let failures: usize = count.and_then(|count| count.parse().ok()).unwrap();
-        assert!(expected.contains(&failures), "answers {answers}: {failures} failures");
+        assert!(
+            expected.contains(&failures),
+            "answers {answers}: {failures} failures"
+        );
         assert!(!answers || met >= failures, "{met} met");
     }
 }
@@ -510,7 +751,12 @@
 #[test]
 fn probes_use_one_connection_again() {
     let (address, met) = backend(Play::Echo);
-    let relay = start(nobody(), 1_000, &list(1, true, &[("b", address, "Ready")]), true);
+    let relay = start(
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        true,
+    );
     assert_eq!([next(&met), next(&met)], ["STATS\r\n", "STATS\r\n"]);
     relay.signal("USR1");
     let line = relay.logged("probes=");
@@ -521,7 +767,12 @@
 #[test]
 fn without_descriptors_clients_are_told_so_and_served_again_later() {
     let (address, _met) = backend(Play::Echo);
-    let relay = start(nobody(), 64, &list(1, true, &[("b", address, "Ready")]), false);
+    let relay = start(
+        nobody(),
+        64,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
     let mut served = Vec::new();
     let mut told = 0;
     for _ in 0..30 {
@@ -532,7 +783,11 @@
             other => panic!("{other}"),
         }
     }
-    assert!(told > 0 && served.len() >= 5, "{told} told, {} served", served.len());
+    assert!(
+        told > 0 && served.len() >= 5,
+        "{told} told, {} served",
+        served.len()
+    );
     served[0].say("still here\r\n");
     assert_eq!(served[0].hears(), "still here");
     for client in &mut served {
@@ -542,7 +797,11 @@
     assert_eq!(relay.open("safe", 2_000).hears(), "UP receipt");
     relay.signal("USR1");
     let line = relay.logged("turned_away=");
-    assert_eq!(counted(&line, "turned_away") + counted(&line, "refused"), told, "{line}");
+    assert_eq!(
+        counted(&line, "turned_away") + counted(&line, "refused"),
+        told,
+        "{line}"
+    );
     assert!(line.contains("accept_failures=0 "), "{line}");
 }
 
@@ -550,7 +809,13 @@
 fn when_the_system_has_no_descriptor_left_nothing_ends_and_nothing_spins() {
     let (address, _met) = backend(Play::Echo);
     // The configuration promises more than the system gives.
-    let relay = start_within(40, nobody(), 1_000, &list(1, true, &[("b", address, "Ready")]), false);
+    let relay = start_within(
+        40,
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
     let mut clients = vec![relay.open("safe", 2_000)];
     assert_eq!(clients[0].hears(), "UP receipt");
     clients.extend((0..60).map(|_| relay.open("safe", 2_000)));
@@ -579,18 +844,39 @@
     let good = config(nobody(), nobody(), 1_000, "null", false);
     let cases = [
         ("no JSON", "{".to_string(), "EOF"),
-        ("no seed", good.replace("\"seed\"", "\"seeds\""), "missing field `seed`"),
+        (
+            "no seed",
+            good.replace("\"seed\"", "\"seeds\""),
+            "missing field `seed`",
+        ),
         ("seed", good.replace("8c1f30d27a5be964", "xyz"), "seed"),
-        ("sockets", good.replace("\"sockets\":1000", "\"sockets\":10"), "sockets"),
-        ("memory", good.replace("\"memory_mb\":64", "\"memory_mb\":1"), "memory"),
-        ("listen", good.replace("\"listen\":\"127.", "\"listen\":\"here."), "listen"),
+        (
+            "sockets",
+            good.replace("\"sockets\":1000", "\"sockets\":10"),
+            "sockets",
+        ),
+        (
+            "memory",
+            good.replace("\"memory_mb\":64", "\"memory_mb\":1"),
+            "memory",
+        ),
+        (
+            "listen",
+            good.replace("\"listen\":\"127.", "\"listen\":\"here."),
+            "listen",
+        ),
         ("settings", good.replace("\"maxDials\": 1,", ""), "maxDials"),
     ];
     for (name, text, expected) in cases {
         let mut child = start_with(&text, 256);
         let status = end_of(&mut child);
         let mut told = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut told).unwrap();
+        child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut told)
+            .unwrap();
         assert!(!status.success(), "{name}");
         assert_eq!(told.lines().count(), 1, "{name}: {told}");
         assert!(told.contains(expected), "{name}: {told}");
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -1,10 +1,12 @@
-//! All decisions of a relay. A front (`front.rs`) calls the methods of `Relay` as things happen, each with
-//! the present moment and itself; `Relay` answers by calling the front's `Front` before it returns. A call
-//! may be late or repeated; a session or backend unknown by then is passed over. `docs/design.md` says which
-//! part follows the design and under what condition each departure acts. Order of reading: open settings,
-//! state by lifetime, events, dialling, picking.
+//! All decisions of a relay. A front (`front.rs`) calls the methods of `Relay` as things happen,
+//! each with the present moment and itself; `Relay` answers by calling the front's `Front` before
+//! it returns. A call may be late or repeated; a session or backend unknown by then is passed over.
+//! `docs/design.md` says which part follows the design and under what condition each departure
+//! acts. Order of reading: open settings, state by lifetime, events, dialling, picking.
 use crate::deployment::{Deployment, Effect, Route, Scope};
-use crate::front::{Arrival, Ending, Front, ListScope, Listing, Memory, Report, Sight, Standing, Verdict};
+use crate::front::{
+    Arrival, Ending, Front, ListScope, Listing, Memory, Report, Sight, Standing, Verdict,
+};
 use crate::ids::{BackendId, RouteId, SessionId, mixed};
 use crate::keys::{Client, Keys};
 use crate::lanes::{Extra, Lanes};
@@ -78,7 +80,8 @@
     /// How many sessions of each group were met of late, and of all groups.
     met: BTreeMap<u64, f64>,
     met_all: f64,
-    /// How long connections stood here, all together, and how many of them left by themselves, of late.
+    /// How long connections stood here, all together, and how many of them left by themselves, of
+    /// late.
     stood: f64,
     left_alone: f64,
     /// Sessions met within about a window of the cold rule.
@@ -91,7 +94,10 @@
 
 impl Relay {
     pub fn new(deployment: Deployment, seed: u64, now: Moment, front: &mut dyn Front) -> Relay {
-        let mut relay = Relay { chance: Chance::from_seed(seed), ..Relay::default() };
+        let mut relay = Relay {
+            chance: Chance::from_seed(seed),
+            ..Relay::default()
+        };
         relay.resettle(deployment);
         if relay.deployment.ask_within.is_some() {
             front.subscribe();
@@ -117,12 +123,19 @@
         if scope != ListScope::Changes {
             // Missing from a complete list means removed, without a line that says so.
             let named: BTreeSet<BackendId> = rows.iter().map(|row| row.backend).collect();
-            for (_, backend) in self.backends.iter_mut().filter(|(at, _)| !named.contains(at)) {
+            for (_, backend) in self
+                .backends
+                .iter_mut()
+                .filter(|(at, _)| !named.contains(at))
+            {
                 backend.listing.standing = Standing::Gone;
             }
         }
         for row in rows {
-            let backend = self.backends.entry(row.backend).or_insert_with(|| Backend::new(*row));
+            let backend = self
+                .backends
+                .entry(row.backend)
+                .or_insert_with(|| Backend::new(*row));
             if backend.listing.up_since != row.up_since {
                 backend.renew(*row);
             }
@@ -133,16 +146,19 @@
         }
     }
 
-    /// A call to discovery failed or the subscription broke. Full jitter keeps relays from meeting, well
-    /// within the span after which they would be deemed to know what they never heard.
+    /// A call to discovery failed or the subscription broke. Full jitter keeps relays from meeting,
+    /// well within the span after which they would be deemed to know what they never heard.
     pub fn list_failed(&mut self, now: Moment, front: &mut dyn Front) {
-        let Some(within) = self.deployment.ask_within else { return };
+        let Some(within) = self.deployment.ask_within else {
+            return;
+        };
         let wait = self.jitter(self.failed_calls, BASE, CAP).min(within * 0.5);
         self.failed_calls += 1;
         self.plan(now + wait, Errand::Subscribe, front);
     }
 
-    /// An operator takes a backend out, or puts it back, restarted: nothing that was known of it holds.
+    /// An operator takes a backend out, or puts it back, restarted: nothing that was known of it
+    /// holds.
     pub fn ban(&mut self, now: Moment, id: BackendId, out: bool) {
         if out {
             self.banned.entry(id).or_insert(now);
@@ -156,24 +172,54 @@
 
     /// What the next process of this relay is to know.
     pub fn memory(&self) -> Memory {
-        let sights = self.backends.iter().map(|(&id, at)| (id, at.sight)).collect();
-        Memory { sights, set_up: self.set_up, stood: self.stood, left_alone: self.left_alone }
+        let sights = self
+            .backends
+            .iter()
+            .map(|(&id, at)| (id, at.sight))
+            .collect();
+        Memory {
+            sights,
+            set_up: self.set_up,
+            stood: self.stood,
+            left_alone: self.left_alone,
+        }
     }
 
-    /// What the process before knew. `beside`: it still serves, and turns at cold backends are its alone.
+    /// What the process before knew. `beside`: it still serves, and turns at cold backends are its
+    /// alone.
     pub fn recall(&mut self, memory: &Memory, beside: bool) {
         self.beside = beside;
         if beside {
             self.lanes.beside(None);
         }
-        (self.set_up, self.stood, self.left_alone) = (memory.set_up, memory.stood, memory.left_alone);
+        (self.set_up, self.stood, self.left_alone) =
+            (memory.set_up, memory.stood, memory.left_alone);
         for (id, told) in &memory.sights {
-            let Some(Backend { sight, .. }) = self.backends.get_mut(id) else { continue };
+            let Some(Backend { sight, .. }) = self.backends.get_mut(id) else {
+                continue;
+            };
             let newer = sight.heard.map(|(at, _)| at) >= told.heard.map(|(at, _)| at);
-            let Sight { heard, weight_heard, .. } = if newer { *sight } else { *told };
-            let (strikes, ejections) = (sight.strikes.max(told.strikes), sight.ejections.max(told.ejections));
-            let (owed, cold_turn) = (sight.owed.max(told.owed), sight.cold_turn.max(told.cold_turn));
-            *sight = Sight { heard, weight_heard, strikes, ejections, owed, cold_turn };
+            let Sight {
+                heard,
+                weight_heard,
+                ..
+            } = if newer { *sight } else { *told };
+            let (strikes, ejections) = (
+                sight.strikes.max(told.strikes),
+                sight.ejections.max(told.ejections),
+            );
+            let (owed, cold_turn) = (
+                sight.owed.max(told.owed),
+                sight.cold_turn.max(told.cold_turn),
+            );
+            *sight = Sight {
+                heard,
+                weight_heard,
+                strikes,
+                ejections,
+                owed,
+                cold_turn,
+            };
         }
     }
 
@@ -186,17 +232,35 @@
     // ---- sessions ----
 
     pub fn arrived(&mut self, now: Moment, id: SessionId, arrival: Arrival, front: &mut dyn Front) {
-        self.lanes.taken(now, &self.routes[usize::from(arrival.route.0)]);
-        if self.enter(now, id, arrival) { self.dial(now, id, front) } else { self.refuse(now, id, front) }
+        self.lanes
+            .taken(now, &self.routes[usize::from(arrival.route.0)]);
+        if self.enter(now, id, arrival) {
+            self.dial(now, id, front)
+        } else {
+            self.refuse(now, id, front)
+        }
     }
 
     /// A connection that already runs through this relay as it starts.
-    pub fn inherit(&mut self, now: Moment, id: SessionId, at: BackendId, of: Arrival, front: &mut dyn Front) {
+    pub fn inherit(
+        &mut self,
+        now: Moment,
+        id: SessionId,
+        at: BackendId,
+        of: Arrival,
+        front: &mut dyn Front,
+    ) {
         self.enter(now, id, of);
         // It has stood for longer; a fresh cool-down would shield an overload at start from relief.
         let long_ago = now - self.sessions[&id].row.cool_down;
-        self.sessions.entry(id).and_modify(|session| session.dials = 1);
-        let dial = Dial { number: 0, backend: at, sent: long_ago };
+        self.sessions
+            .entry(id)
+            .and_modify(|session| session.dials = 1);
+        let dial = Dial {
+            number: 0,
+            backend: at,
+            sent: long_ago,
+        };
         self.save_for_probes(now, front);
         self.turn(id, State::Ready(dial, long_ago), front);
     }
@@ -220,8 +284,12 @@
 
     pub fn ready(&mut self, now: Moment, id: SessionId, number: u32, front: &mut dyn Front) {
         self.lead(id, number);
-        let Some(session) = self.sessions.get(&id) else { return };
-        let State::Dialling(dial) = session.state else { return };
+        let Some(session) = self.sessions.get(&id) else {
+            return;
+        };
+        let State::Dialling(dial) = session.state else {
+            return;
+        };
         if dial.number != number {
             return;
         }
@@ -230,7 +298,8 @@
         if let Some(key) = key {
             self.client(key, now).clears_at = Some(now + row.cool_down);
         }
-        let clear = |at: &mut Backend| (at.sight.strikes, at.sight.ejections, at.sight.owed) = (0, 0, 0);
+        let clear =
+            |at: &mut Backend| (at.sight.strikes, at.sight.ejections, at.sight.owed) = (0, 0, 0);
         self.backends.entry(dial.backend).and_modify(clear);
         self.learn_set_up(now.since(dial.sent));
         self.lanes.took(&row, now.since(dial.sent));
@@ -240,7 +309,9 @@
 
     /// Of two dials that are out the one of that number becomes the one of the session's state.
     fn lead(&mut self, id: SessionId, number: u32) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if let (State::Dialling(dial), Some(second)) = (session.state, session.second)
             && second.number == number
         {
@@ -250,18 +321,30 @@
 
     pub fn ended(&mut self, now: Moment, id: SessionId, ending: Ending, front: &mut dyn Front) {
         self.lead(id, ending.dial);
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let Ending { dial: number, verdict, over, report } = ending;
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let Ending {
+            dial: number,
+            verdict,
+            over,
+            report,
+        } = ending;
         let answered = over || verdict == Verdict::Ok;
         match session.state {
             State::Dialling(dial) if dial.number == number => {
-                session.ran = session.ran.or(verdict.may_have_run().then_some((dial.backend, dial.sent)));
+                session.ran = session
+                    .ran
+                    .or(verdict.may_have_run().then_some((dial.backend, dial.sent)));
                 session.last_tried = Some(dial.backend);
                 if verdict == Verdict::NeverSent && number > 0 {
                     self.lanes.give_back(dial.sent);
                 }
                 self.heard(now, dial.backend, report);
-                if !matches!(verdict, Verdict::Ok | Verdict::Withdrawn | Verdict::NeverSent) {
+                if !matches!(
+                    verdict,
+                    Verdict::Ok | Verdict::Withdrawn | Verdict::NeverSent
+                ) {
                     self.strike(dial.backend, verdict);
                 }
                 if verdict == Verdict::Full {
@@ -282,7 +365,8 @@
                 if verdict == Verdict::Reset && now.since(since) < cool_down {
                     self.count_failure(now, id);
                 } else if let Some(key) = key {
-                    // Looked up first: that clears the count if the connection has stood long enough.
+                    // Looked up first: that clears the count if the connection has stood long
+                    // enough.
                     self.client(key, now).clears_at = None;
                 }
                 self.broke(now, dial.backend, verdict == Verdict::Reset);
@@ -296,10 +380,13 @@
         self.turn(id, State::Over, front);
     }
 
-    /// A standing connection ended. Where all of several broke at once the backend went down with them and is
-    /// cold when it is back, whether or not a list ever tells; one that lived through it says otherwise.
+    /// A standing connection ended. Where all of several broke at once the backend went down with
+    /// them and is cold when it is back, whether or not a list ever tells; one that lived through
+    /// it says otherwise.
     fn broke(&mut self, now: Moment, id: BackendId, reset: bool) {
-        let Some(backend) = self.backends.get_mut(&id).filter(|_| reset) else { return };
+        let Some(backend) = self.backends.get_mut(&id).filter(|_| reset) else {
+            return;
+        };
         if now.since(backend.broken.0) > HOUSEKEEPING {
             backend.broken = (now, 0);
         }
@@ -312,19 +399,26 @@
         }
     }
 
-    /// A backend dropped what stood there or turned a dial away, the one word of no room where no load is
-    /// told: it is left alone for the design's delay, by its own count, times the relays, as each tries it.
+    /// A backend dropped what stood there or turned a dial away, the one word of no room where no
+    /// load is told: it is left alone for the design's delay, by its own count, times the relays,
+    /// as each tries it.
     fn overloaded(&mut self, now: Moment, id: BackendId) {
         let wait = BASE * f64::from(self.deployment.relays);
-        let Some(&(count, until)) = self.backends.get(&id).map(|at| &at.overloaded) else { return };
+        let Some(&(count, until)) = self.backends.get(&id).map(|at| &at.overloaded) else {
+            return;
+        };
         let count = if now < until + COOL_DOWN { count } else { 0 };
         let until = until.max(now + self.jitter(count, wait, CAP));
-        self.backends.entry(id).and_modify(|at| at.overloaded = (count + 1, until));
+        self.backends
+            .entry(id)
+            .and_modify(|at| at.overloaded = (count + 1, until));
     }
 
     /// The client has left, or the front has ended the session.
     pub fn left(&mut self, id: SessionId, front: &mut dyn Front) {
-        let Some(&Session { state, .. }) = self.sessions.get(&id) else { return };
+        let Some(&Session { state, .. }) = self.sessions.get(&id) else {
+            return;
+        };
         if let (State::Dialling(dial), true) = (state, self.deployment.may_withdraw) {
             front.withdraw(id, dial.number);
         }
@@ -337,7 +431,9 @@
     }
 
     fn drop_second(&mut self, id: SessionId, front: &mut dyn Front) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         let group = session.arrival.group;
         if let Some(second) = session.second.take() {
             front.withdraw(id, second.number);
@@ -346,11 +442,12 @@
     }
 
     fn due(&self, session: &Session) -> Moment {
-        self.until.map_or(session.due, |until| until.min(session.due))
+        self.until
+            .map_or(session.due, |until| until.min(session.due))
     }
 
-    /// The process is to end. Clients go in even steps, late ones, since the next relay may just have been
-    /// stopped itself. No dial may last beyond them.
+    /// The process is to end. Clients go in even steps, late ones, since the next relay may just
+    /// have been stopped itself. No dial may last beyond them.
     pub fn stopping(&mut self, now: Moment, front: &mut dyn Front) {
         let tenth = self.deployment.stop_within * 0.1;
         self.until = Some(now + tenth * 8.0);
@@ -360,8 +457,15 @@
     }
 
     fn leave(&mut self, now: Moment, steps: usize, front: &mut dyn Front) {
-        let states: Vec<_> = self.sessions.iter().map(|(&id, one)| (id, one.state)).collect();
-        let standing = states.iter().filter(|(_, state)| matches!(state, State::Ready(..))).count();
+        let states: Vec<_> = self
+            .sessions
+            .iter()
+            .map(|(&id, one)| (id, one.state))
+            .collect();
+        let standing = states
+            .iter()
+            .filter(|(_, state)| matches!(state, State::Ready(..)))
+            .count();
         let mut part = standing.div_ceil(steps);
         for (id, state) in states {
             match state {
@@ -388,32 +492,54 @@
         self.heard(now, id, report);
         if let Some(backend) = self.backends.get_mut(&id) {
             backend.sight.owed = backend.sight.owed.saturating_sub(1);
-            backend.sight.strikes = if backend.sight.owed > 0 { backend.sight.strikes } else { 0 };
+            backend.sight.strikes = if backend.sight.owed > 0 {
+                backend.sight.strikes
+            } else {
+                0
+            };
         }
     }
 
     pub fn load_noted(&mut self, id: SessionId, load: f64) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         if session.load.replace(load).is_none() {
             let usual = self.usual.entry(session.arrival.route).or_insert(load);
             *usual += (load - *usual) * LEARNT;
         }
     }
 
-    /// The load from which none of a route is placed: the sooner the less it is worth for the load it usually
-    /// asks for, beside the best route, so that room goes to whoever makes most of it.
+    /// The load from which none of a route is placed: the sooner the less it is worth for the load
+    /// it usually asks for, beside the best route, so that room goes to whoever makes most of it.
     fn full(&self, route: RouteId) -> f64 {
-        let utility = |at: &RouteId| self.routes.get(usize::from(at.0)).map_or(0.0, |row| row.utility);
+        let utility = |at: &RouteId| {
+            self.routes
+                .get(usize::from(at.0))
+                .map_or(0.0, |row| row.utility)
+        };
         let worth = |(at, usual): (&RouteId, &f64)| utility(at) / usual.max(1e-9);
-        let best = self.usual.iter().map(worth).fold(f64::MIN_POSITIVE, f64::max);
+        let best = self
+            .usual
+            .iter()
+            .map(worth)
+            .fold(f64::MIN_POSITIVE, f64::max);
         let own = self.usual.get_key_value(&route).map_or(best, worth);
         FULL - YIELDS * (1.0 - (own / best).cbrt())
     }
 
     pub fn delay_noted(&mut self, now: Moment, id: SessionId, delay: Span, front: &mut dyn Front) {
-        let Some(&Session { state: State::Ready(dial, _), .. }) = self.sessions.get(&id) else { return };
+        let Some(&Session {
+            state: State::Ready(dial, _),
+            ..
+        }) = self.sessions.get(&id)
+        else {
+            return;
+        };
         let (shortest, may_probe) = (self.deployment.shortest_target, self.deployment.may_probe);
-        let Some(backend) = self.backends.get_mut(&dial.backend) else { return };
+        let Some(backend) = self.backends.get_mut(&dial.backend) else {
+            return;
+        };
         backend.message_delay = Some((now, delay));
         if delay > shortest * NOTED {
             backend.late_since.get_or_insert(now);
@@ -421,23 +547,44 @@
             (backend.late_since, backend.untrue) = (None, false);
         }
         // Its last report may be seconds old, and relief waits for a fresh one.
-        let stale = backend.sight.heard.is_none_or(|(at, _)| now.since(at) >= REPORT_LAG);
-        let ready = backend.listing.standing == Standing::Ready && !self.banned.contains_key(&dial.backend);
+        let stale = backend
+            .sight
+            .heard
+            .is_none_or(|(at, _)| now.since(at) >= REPORT_LAG);
+        let ready =
+            backend.listing.standing == Standing::Ready && !self.banned.contains_key(&dial.backend);
         if may_probe && stale && ready && backend.late_for(shortest, now) {
             front.probe(dial.backend);
         }
     }
 
-    /// No line has come back for so long, on sockets: a backend that vanished or hangs ends nothing.
+    /// No line has come back for so long, on sockets: a backend that vanished or hangs ends
+    /// nothing.
     pub fn overdue(&mut self, now: Moment, id: SessionId, waited: Span, front: &mut dyn Front) {
         self.delay_noted(now, id, waited, front);
-        let Some(&Session { state: State::Ready(dial, _), .. }) = self.sessions.get(&id) else { return };
-        if self.backends.get(&dial.backend).is_some_and(|at| at.sight.owed > 0) {
-            // Two signs that agree. Whoever else stands there would find out only by a line of his own.
-            let there =
-                |one: &Session| matches!(one.state, State::Ready(at, _) if at.backend == dial.backend);
-            let all = self.sessions.iter().filter(|(_, one)| there(one)).map(|(&id, _)| id);
-            all.collect::<Vec<_>>().into_iter().for_each(|id| self.send_away(id, front));
+        let Some(&Session {
+            state: State::Ready(dial, _),
+            ..
+        }) = self.sessions.get(&id)
+        else {
+            return;
+        };
+        if self
+            .backends
+            .get(&dial.backend)
+            .is_some_and(|at| at.sight.owed > 0)
+        {
+            // Two signs that agree. Whoever else stands there would find out only by a line of his
+            // own.
+            let there = |one: &Session| matches!(one.state, State::Ready(at, _) if at.backend == dial.backend);
+            let all = self
+                .sessions
+                .iter()
+                .filter(|(_, one)| there(one))
+                .map(|(&id, _)| id);
+            all.collect::<Vec<_>>()
+                .into_iter()
+                .for_each(|id| self.send_away(id, front));
         } else if waited >= SILENT {
             self.strike(dial.backend, Verdict::Timeout);
             self.send_away(id, front);
@@ -451,7 +598,8 @@
                 Errand::Probe if at != self.next_probe => {} // a sooner one was planned since
                 Errand::Probe => self.probe(now, front),
                 Errand::Housekeeping => {
-                    self.stood = self.stood * KEPT + self.sessions.len() as f64 * HOUSEKEEPING.secs();
+                    self.stood =
+                        self.stood * KEPT + self.sessions.len() as f64 * HOUSEKEEPING.secs();
                     self.left_alone *= KEPT;
                     let window = self.deployment.cold.window.max(HOUSEKEEPING);
                     self.lately *= 1.0 - HOUSEKEEPING.secs() / window.secs();
@@ -480,8 +628,13 @@
 
     /// Every change of a session's state.
     fn turn(&mut self, id: SessionId, next: State, front: &mut dyn Front) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let (was, group) = (std::mem::replace(&mut session.state, next), session.arrival.group);
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let (was, group) = (
+            std::mem::replace(&mut session.state, next),
+            session.arrival.group,
+        );
         if matches!(was, State::Held) {
             self.lanes.promise(&session.row, false);
         }
@@ -502,11 +655,21 @@
 
     /// One more connection of a group at a backend, or one less.
     fn hold(&mut self, at: BackendId, group: Option<u64>, more: bool) {
-        let Some(backend) = self.backends.get_mut(&at) else { return };
-        backend.open = if more { backend.open + 1 } else { backend.open.saturating_sub(1) };
+        let Some(backend) = self.backends.get_mut(&at) else {
+            return;
+        };
+        backend.open = if more {
+            backend.open + 1
+        } else {
+            backend.open.saturating_sub(1)
+        };
         if let Some(group) = group {
             let members = backend.groups.entry(group).or_default();
-            *members = if more { *members + 1 } else { members.saturating_sub(1) };
+            *members = if more {
+                *members + 1
+            } else {
+                members.saturating_sub(1)
+            };
             if *members == 0 {
                 backend.groups.remove(&group);
             }
@@ -514,69 +677,115 @@
     }
 
     fn dial(&mut self, now: Moment, id: SessionId, front: &mut dyn Front) {
-        let Some(Session { state: State::New | State::Held, .. }) = self.sessions.get(&id) else { return };
+        let Some(Session {
+            state: State::New | State::Held,
+            ..
+        }) = self.sessions.get(&id)
+        else {
+            return;
+        };
         self.turn(id, State::New, front); // what was promised is paid by the dial itself
         let Some(backend) = self.pick(now, id) else {
             self.plan_probe(now, HASTE, front);
             return self.refuse(now, id, front);
         };
-        let (row, first) = (self.sessions[&id].row.clone(), self.sessions[&id].dials == 0);
+        let (row, first) = (
+            self.sessions[&id].row.clone(),
+            self.sessions[&id].dials == 0,
+        );
         // Its alarm may have come late, and it may leave as late as its connection may come up.
-        let past = !self.allowed(&self.sessions[&id], |_, span, at| now + row.connect_timeout < at + span);
+        let past = !self.allowed(&self.sessions[&id], |_, span, at| {
+            now + row.connect_timeout < at + span
+        });
         if past || !first && !self.lanes.pay(now, &row, Extra::Further) {
             return self.refuse(now, id, front);
         }
-        let Some(dial) = self.send(now, id, backend, front) else { return self.finish(id, None, front) };
+        let Some(dial) = self.send(now, id, backend, front) else {
+            return self.finish(id, None, front);
+        };
         self.turn(id, State::Dialling(dial), front);
         let two = self.deployment.two_dials && self.deployment.may_withdraw; // the one that loses is given up
         let allowed = two && row.effect == Effect::Repeatable;
-        if let Some(long) = self.lanes.long(&row).filter(|_| allowed && dial.number + 1 < row.max_dials) {
+        if let Some(long) = self
+            .lanes
+            .long(&row)
+            .filter(|_| allowed && dial.number + 1 < row.max_dials)
+        {
             self.plan(now + long, Errand::Second(id, dial.number), front);
         }
     }
 
     /// A dial goes out; None where no time is left for it.
-    fn send(&mut self, now: Moment, id: SessionId, at: BackendId, front: &mut dyn Front) -> Option<Dial> {
+    fn send(
+        &mut self,
+        now: Moment,
+        id: SessionId,
+        at: BackendId,
+        front: &mut dyn Front,
+    ) -> Option<Dial> {
         let session = &self.sessions[&id];
-        let left = self.due(session).since(now + self.deployment.tick + self.deployment.tick);
+        let left = self
+            .due(session)
+            .since(now + self.deployment.tick + self.deployment.tick);
         let last = session.dials + 1 >= session.row.max_dials;
-        let patience = session.row.handshake_target.max(self.set_up * session.row.patience);
+        let patience = session
+            .row
+            .handshake_target
+            .max(self.set_up * session.row.patience);
         let give_up = if last { left } else { left.min(patience) };
         if give_up == Span::ZERO {
             return None;
         }
         let number = session.dials;
-        self.sessions.entry(id).and_modify(|session| session.dials += 1);
+        self.sessions
+            .entry(id)
+            .and_modify(|session| session.dials += 1);
         let turn = self.cold_turn(now, at);
         if let Some(backend) = self.backends.get_mut(&at) {
             backend.placed.push_back(now);
             backend.sight.cold_turn = turn.map(|(turn, used)| (turn, used + 1));
         }
         front.dial(id, at, give_up);
-        Some(Dial { number, backend: at, sent: now })
+        Some(Dial {
+            number,
+            backend: at,
+            sent: now,
+        })
     }
 
-    /// The first dial is slower than most: a second one, to another backend that is warm, as far as the
-    /// route's share of them goes. The first to be ready wins.
+    /// The first dial is slower than most: a second one, to another backend that is warm, as far as
+    /// the route's share of them goes. The first to be ready wins.
     fn second(&mut self, now: Moment, id: SessionId, number: u32, front: &mut dyn Front) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
-        let (State::Dialling(dial), None) = (session.state, session.second) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let (State::Dialling(dial), None) = (session.state, session.second) else {
+            return;
+        };
         let (row, group) = (session.row.clone(), session.arrival.group);
         if dial.number != number {
             return;
         }
         session.last_tried = Some(dial.backend);
-        let other = self.pick(now, id).filter(|&at| at != dial.backend && self.cold_turn(now, at).is_none());
+        let other = self
+            .pick(now, id)
+            .filter(|&at| at != dial.backend && self.cold_turn(now, at).is_none());
         let other = other.filter(|_| self.lanes.pay(now, &row, Extra::Second));
         let second = other.and_then(|at| self.send(now, id, at, front));
-        second.into_iter().for_each(|second| self.hold(second.backend, group, true));
-        self.sessions.entry(id).and_modify(|session| session.second = second);
+        second
+            .into_iter()
+            .for_each(|second| self.hold(second.backend, group, true));
+        self.sessions
+            .entry(id)
+            .and_modify(|session| session.second = second);
     }
 
-    /// A set-up has failed: the other dial goes on where one is out; else another after the design's delay,
-    /// or an answer at once.
+    /// A set-up has failed: the other dial goes on where one is out; else another after the
+    /// design's delay, or an answer at once.
     fn further(&mut self, now: Moment, id: SessionId, front: &mut dyn Front) {
-        let Some(session) = self.sessions.get_mut(&id) else { return };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
         let group = session.arrival.group;
         if let Some(other) = session.second.take() {
             self.hold(other.backend, group, false);
@@ -596,22 +805,29 @@
         }
     }
 
-    /// If the limits on further dials have one for this session: of the first half everyone, of the second
-    /// the more the greater its utility and the more of its time is left.
+    /// If the limits on further dials have one for this session: of the first half everyone, of the
+    /// second the more the greater its utility and the more of its time is left.
     fn is_granted(&mut self, now: Moment, id: SessionId) -> bool {
         let session = &self.sessions[&id];
         let (row, left) = (session.row.clone(), self.due(session).since(now));
-        let most = self.routes.iter().fold(row.utility, |most, row| most.max(row.utility));
-        let worth =
-            row.utility / most.max(f64::MIN_POSITIVE) * left.secs() / session.arrival.dial_timeout.secs();
-        self.lanes.room(now, &row, Extra::Further).is_none_or(|room| {
-            let reach = room.most * (0.5 + 0.5 * worth);
-            room.spent + 1.0 <= room.most && (room.spent < room.most * 0.5 || room.spent + 1.0 <= reach)
-        })
-    }
-
-    /// If a session may be repeated, by us or by its client: once it may have run, a once-only one never,
-    /// and a referenced one as its group, its window and the first dial that may have run have it.
+        let most = self
+            .routes
+            .iter()
+            .fold(row.utility, |most, row| most.max(row.utility));
+        let worth = row.utility / most.max(f64::MIN_POSITIVE) * left.secs()
+            / session.arrival.dial_timeout.secs();
+        self.lanes
+            .room(now, &row, Extra::Further)
+            .is_none_or(|room| {
+                let reach = room.most * (0.5 + 0.5 * worth);
+                room.spent + 1.0 <= room.most
+                    && (room.spent < room.most * 0.5 || room.spent + 1.0 <= reach)
+            })
+    }
+
+    /// If a session may be repeated, by us or by its client: once it may have run, a once-only one
+    /// never, and a referenced one as its group, its window and the first dial that may have run
+    /// have it.
     fn allowed(&self, session: &Session, referenced: impl Fn(Scope, Span, Moment) -> bool) -> bool {
         match (session.row.effect, session.ran) {
             (Effect::Repeatable, _) | (_, None) => true,
@@ -625,21 +841,26 @@
         self.finish(id, Some(wait), front);
     }
 
-    /// The final answer: a refusal where trying again is known to be harmless, a teardown otherwise.
+    /// The final answer: a refusal where trying again is known to be harmless, a teardown
+    /// otherwise.
     fn finish(&mut self, id: SessionId, wait: Option<Span>, front: &mut dyn Front) {
         let session = &self.sessions[&id];
         let harmless = self.allowed(session, |scope, _, _| scope == Scope::All);
         match wait {
             Some(wait) if harmless => {
                 let told = self.deployment.tells_retry_after.then_some(wait);
-                front.refuse(id, told.map(|wait| wait.min(session.row.longest_retry_after)));
+                front.refuse(
+                    id,
+                    told.map(|wait| wait.min(session.row.longest_retry_after)),
+                );
             }
             _ => front.tear_down(id),
         }
         self.turn(id, State::Over, front);
     }
 
-    /// Where set-ups slow down everywhere, giving up early only sends the same work again to what is crowded.
+    /// Where set-ups slow down everywhere, giving up early only sends the same work again to what
+    /// is crowded.
     fn learn_set_up(&mut self, took: Span) {
         self.set_up = self.set_up * 0.5 + took * 0.5;
     }
@@ -648,9 +869,12 @@
         cap.min(base * f64::from(1u32 << count.min(16))) * self.chance.float()
     }
 
-    /// Counts a failure of the session's client; the answer is the design's delay before a further try.
+    /// Counts a failure of the session's client; the answer is the design's delay before a further
+    /// try.
     fn count_failure(&mut self, now: Moment, id: SessionId) -> Span {
-        let Some(session) = self.sessions.get_mut(&id) else { return Span::ZERO };
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return Span::ZERO;
+        };
         let row = session.row.clone();
         let failures = match session.arrival.key {
             Some(key) => {
@@ -677,53 +901,84 @@
 
     fn heard(&mut self, now: Moment, id: BackendId, report: Report) {
         let told = report.connections.or(report.load).is_some();
-        let Some(backend) = self.backends.get_mut(&id).filter(|_| told) else { return };
+        let Some(backend) = self.backends.get_mut(&id).filter(|_| told) else {
+            return;
+        };
         backend.sight.heard = Some((now, report));
         // A report may be older than the lateness; one that is not and tells of room is not true.
         let late = backend.late_for(self.deployment.shortest_target * NOTED, now);
-        if late && backend.late_since.is_some_and(|at| now.since(at) > REPORT_LAG * 2.0) {
+        if late
+            && backend
+                .late_since
+                .is_some_and(|at| now.since(at) > REPORT_LAG * 2.0)
+        {
             backend.untrue = report.load.is_some_and(|load| load < HOT);
         }
         // Nor is one that tells of more than a backend can do while own messages there are in time.
         let in_time = self.deployment.notes && backend.open > 0 && !late;
-        backend.loud = if in_time && report.load > Some(1.0) { backend.loud + 1 } else { 0 };
+        backend.loud = if in_time && report.load > Some(1.0) {
+            backend.loud + 1
+        } else {
+            0
+        };
         if backend.loud >= STRIKES {
-            backend.sight.heard = Some((now, Report { load: Some(HOT), ..report }));
+            backend.sight.heard = Some((
+                now,
+                Report {
+                    load: Some(HOT),
+                    ..report
+                },
+            ));
         }
         backend.sight.weight_heard = backend.listing.weight;
         backend.placed.retain(|&at| at + REPORT_LAG > now);
     }
 
-    /// A backend that fails in a row takes no part until it has answered, more often each time: one that
-    /// hangs or fails fast still answers probes and looks the least loaded of all.
+    /// A backend that fails in a row takes no part until it has answered, more often each time: one
+    /// that hangs or fails fast still answers probes and looks the least loaded of all.
     fn strike(&mut self, id: BackendId, verdict: Verdict) {
         let ready = self.ready_ones().count();
-        let out = self.ready_ones().filter(|(_, backend)| backend.sight.owed > 0).count();
-        let Some(backend) = self.backends.get_mut(&id) else { return };
+        let out = self
+            .ready_ones()
+            .filter(|(_, backend)| backend.sight.owed > 0)
+            .count();
+        let Some(backend) = self.backends.get_mut(&id) else {
+            return;
+        };
         backend.sight.strikes += 1;
-        // Failures all over the fleet have a cause that no backend can be blamed for, ours or one they share.
+        // Failures all over the fleet have a cause that no backend can be blamed for, ours or one
+        // they share.
         let blamed = (out + 1) * MOST_OUT < ready.max(MOST_OUT + 1);
-        let Sight { strikes, ejections, owed, .. } = &mut backend.sight;
+        let Sight {
+            strikes,
+            ejections,
+            owed,
+            ..
+        } = &mut backend.sight;
         if verdict != Verdict::Full && *strikes >= STRIKES && (*owed > 0 || blamed) {
             *ejections += u32::from(*owed == 0);
             *owed = OWED << (*ejections).clamp(1, 4) >> 1;
         }
     }
 
-    /// Each session pays for so many probes: those of hundreds of relays would cost more than service earns.
+    /// Each session pays for so many probes: those of hundreds of relays would cost more than
+    /// service earns.
     fn save_for_probes(&mut self, now: Moment, front: &mut dyn Front) {
         let each = PROBES_WORTH / self.deployment.probe_price.max(f64::MIN_POSITIVE);
-        let most = self.ready_ones().count().max(1) as f64 * (SPENT_OVER.secs() / HEAR_EVERY.secs());
+        let most =
+            self.ready_ones().count().max(1) as f64 * (SPENT_OVER.secs() / HEAR_EVERY.secs());
         self.probes_due = (self.probes_due + each).min(most);
         self.plan_probe(now, 1.0, front);
     }
 
-    /// The next probe, sooner than planned where sessions have paid since: a relay just started stood by one
-    /// report for five seconds while dozens came, and refused them on it.
+    /// The next probe, sooner than planned where sessions have paid since: a relay just started
+    /// stood by one report for five seconds while dozens came, and refused them on it.
     fn plan_probe(&mut self, now: Moment, haste: f64, front: &mut dyn Front) {
         let most = HEAR_EVERY * (1.0 / self.ready_ones().count().max(1) as f64);
         let paid = SPENT_OVER * (1.0 / self.probes_due.max(f64::MIN_POSITIVE));
-        let every = (paid.max(most) * haste).min(PROBE_AT_LEAST).max(self.deployment.tick);
+        let every = (paid.max(most) * haste)
+            .min(PROBE_AT_LEAST)
+            .max(self.deployment.tick);
         let at = (self.probed + every).max(now);
         if at < self.next_probe || self.probed == now {
             self.next_probe = at;
@@ -744,21 +999,28 @@
         self.probes_due = (self.probes_due - 1.0).max(0.0);
     }
 
-    /// Backends driven past what they can do serve none of their messages in time: this relay sends away its
-    /// part of what is too much, least utility for its load first, a small step a report.
+    /// Backends driven past what they can do serve none of their messages in time: this relay sends
+    /// away its part of what is too much, least utility for its load first, a small step a report.
     fn relieve(&mut self, now: Moment, front: &mut dyn Front) {
         let shortest = self.deployment.shortest_target;
         let mut over: BTreeMap<BackendId, f64> = BTreeMap::new();
         let pool = self.pool(now);
         for (&at, backend) in &mut self.backends {
             let behind = backend.late_for(shortest, now);
-            // Nothing that is sent there comes through; but without room elsewhere a move is a refusal.
+            // Nothing that is sent there comes through; but without room elsewhere a move is a
+            // refusal.
             let lost = behind && backend.sight.strikes > 0 && pool.load < FULL;
             let report = backend.sight.heard.filter(|&(heard, _)| {
                 heard >= backend.relieved + REPORT_LAG && now.since(heard) < REPORT_LAG
             });
-            let late = if behind { backend.late(now, shortest, pool.wanes).min(FULL) } else { 0.0 };
-            let load = report.and_then(|(_, report)| report.load).map(|load| load.max(late));
+            let late = if behind {
+                backend.late(now, shortest, pool.wanes).min(FULL)
+            } else {
+                0.0
+            };
+            let load = report
+                .and_then(|(_, report)| report.load)
+                .map(|load| load.max(late));
             let limit = if behind { HOT } else { FULL };
             if let Some(load) = load.filter(|&load| load > limit && !lost) {
                 backend.relieved = now;
@@ -770,8 +1032,12 @@
         let mut excess: BTreeMap<BackendId, f64> = BTreeMap::new();
         let mut movable: Vec<(f64, SessionId, BackendId, f64)> = Vec::new();
         for (&id, session) in &self.sessions {
-            let State::Ready(dial, since) = session.state else { continue };
-            let Some(part) = over.get(&dial.backend) else { continue };
+            let State::Ready(dial, since) = session.state else {
+                continue;
+            };
+            let Some(part) = over.get(&dial.backend) else {
+                continue;
+            };
             let load = session.load.unwrap_or(1.0).max(f64::MIN_POSITIVE);
             *excess.entry(dial.backend).or_default() += part * load;
             if now.since(since) >= SETTLED {
@@ -780,8 +1046,8 @@
         }
         movable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
         for (_, id, at, load) in movable {
-            // What is left below one connection is settled by chance: rounded, hundreds of relays that hold
-            // one connection each would all send it away at once, or none would.
+            // What is left below one connection is settled by chance: rounded, hundreds of relays
+            // that hold one connection each would all send it away at once, or none would.
             let left = excess.entry(at).or_default();
             let chance = *left / load;
             *left -= load;
@@ -791,8 +1057,8 @@
         }
     }
 
-    /// Where crossing costs more than a move, connections that cross come back one at a time while their
-    /// zone has room; more at once would fill it on old reports.
+    /// Where crossing costs more than a move, connections that cross come back one at a time while
+    /// their zone has room; more at once would fill it on old reports.
     fn bring_home(&mut self, now: Moment, front: &mut dyn Front) {
         let (home, held) = (self.deployment.zone, self.sessions.len());
         if held < HELD_FOR_HOME || self.deployment.crossing_price <= self.deployment.move_price {
@@ -800,13 +1066,19 @@
         }
         let mut crossing: Vec<SessionId> = Vec::new();
         for (&id, session) in &self.sessions {
-            let State::Ready(dial, since) = session.state else { continue };
+            let State::Ready(dial, since) = session.state else {
+                continue;
+            };
             let at = self.backends.get(&dial.backend);
-            if now.since(since) >= session.row.cool_down && at.is_some_and(|at| at.listing.zone != home) {
+            if now.since(since) >= session.row.cool_down
+                && at.is_some_and(|at| at.listing.zone != home)
+            {
                 crossing.push(id);
             }
         }
-        let Some(&id) = self.any_of(&crossing) else { return };
+        let Some(&id) = self.any_of(&crossing) else {
+            return;
+        };
         let Some(at) = self.pick(now, id) else { return };
         if self.backends[&at].listing.zone == home && self.load(now, at, self.pool(now)) < ROOMY {
             self.send_away(id, front);
@@ -834,17 +1106,32 @@
     /// Where a session goes: the less loaded of two entries of the pool.
     fn pick(&mut self, now: Moment, id: SessionId) -> Option<BackendId> {
         let session = &self.sessions[&id];
-        let (Arrival { group, route, .. }, last, ran) = (session.arrival, session.last_tried, session.ran);
+        let (Arrival { group, route, .. }, last, ran) =
+            (session.arrival, session.last_tried, session.ran);
         let (effect, pool) = (session.row.effect, self.pool(now));
         let first = ran.map(|(first, _)| self.backends[&first].listing);
         let mut able: Vec<BackendId> = Vec::new();
         for (at, Backend { listing, .. }) in self.ready_ones() {
             let in_scope = match (effect, first) {
-                (Effect::Referenced { scope: Scope::Zone, .. }, Some(first)) => first.zone == listing.zone,
-                (Effect::Referenced { scope: Scope::Cell, .. }, Some(first)) => first.cell == listing.cell,
+                (
+                    Effect::Referenced {
+                        scope: Scope::Zone, ..
+                    },
+                    Some(first),
+                ) => first.zone == listing.zone,
+                (
+                    Effect::Referenced {
+                        scope: Scope::Cell, ..
+                    },
+                    Some(first),
+                ) => first.cell == listing.cell,
                 _ => true,
             };
-            if in_scope && self.cold_turn(now, at).is_none_or(|turn| self.turn_is_open(now, at, turn, pool)) {
+            if in_scope
+                && self
+                    .cold_turn(now, at)
+                    .is_none_or(|turn| self.turn_is_open(now, at, turn, pool))
+            {
                 able.push(at);
             }
         }
@@ -856,17 +1143,20 @@
             able.retain(|&at| Some(at) != last);
         }
         let group = group.filter(|_| self.deployment.groups);
-        // Nothing is heard and nobody may be asked: a group has what its part of a full fleet would take.
+        // Nothing is heard and nobody may be asked: a group has what its part of a full fleet would
+        // take.
         let silent = pool.empty && self.deployment.tells_loads && !self.deployment.may_probe;
         let (blind, assumed) = (silent && group.is_some(), Pool { load: 1.0, ..pool });
-        let takes = group.map_or(0.0, |group| self.takes(group, if blind { assumed } else { pool }));
+        let takes = group.map_or(0.0, |group| {
+            self.takes(group, if blind { assumed } else { pool })
+        });
         if let Some(group) = group {
             able.sort_by_cached_key(|&at| mixed(self.backends[&at].listing.mark, group));
         }
         let is_cold = |at: &BackendId| self.cold_turn(now, *at).is_some();
         if !self.deployment.tells_loads {
-            // Groups that went on from one backend to the next would fill a fleet with what they cost: each
-            // keeps to its first, and is refused while that has no room.
+            // Groups that went on from one backend to the next would fill a fleet with what they
+            // cost: each keeps to its first, and is refused while that has no room.
             let home = group.and_then(|_| able.iter().copied().find(|at| !is_cold(at)));
             able.retain(|at| home.is_none_or(|home| *at == home || is_cold(at)));
             able.retain(|at| self.backends[at].overloaded.1 <= now);
@@ -876,21 +1166,27 @@
         let full = self.full(route);
         let weigh = |(place, at): (usize, BackendId)| {
             let backend = &self.backends[&at];
-            // Of hundreds of relays one knows next to nothing of where a group is held: most likely with the
-            // first of its order, and with as many more as its part of all sessions takes.
+            // Of hundreds of relays one knows next to nothing of where a group is held: most likely
+            // with the first of its order, and with as many more as its part of all sessions takes.
             let held = place == 0 || group.is_none_or(|group| backend.groups.contains_key(&group));
-            let opening = if pool.tells_share { OPENING } else { OPENING_COUNT };
+            let opening = if pool.tells_share {
+                OPENING
+            } else {
+                OPENING_COUNT
+            };
             let opening = if held { 0.0 } else { opening };
             let (told, place) = (loads[place], place as f64);
-            let far = self.deployment.crossing_price > 0.0 && backend.listing.zone != self.deployment.zone;
+            let far = self.deployment.crossing_price > 0.0
+                && backend.listing.zone != self.deployment.zone;
             let load = told + opening * place / (place + takes).max(1.0);
-            // An open turn is room, whatever is guessed of one not heard of; so are all such where none may
-            // be asked: the few that told there failed or dropped somebody.
+            // An open turn is room, whatever is guessed of one not heard of; so are all such where
+            // none may be asked: the few that told there failed or dropped somebody.
             let asked = self.deployment.may_probe && !is_cold(&at);
             let room = backend.report(now).is_none() && !asked;
-            // A backend driven past what it can do serves nobody, and clients it drops come back at once:
-            // what finds no room anywhere is refused instead. Where little room is left a group gets no new
-            // backend on a guess; but while the fleet has room, to refuse it would be one.
+            // A backend driven past what it can do serves nobody, and clients it drops come back at
+            // once: what finds no room anywhere is refused instead. Where little room is left a
+            // group gets no new backend on a guess; but while the fleet has room, to refuse it
+            // would be one.
             let rank = match pool.tells_share {
                 true if load >= HOT && (room || told + opening < full) => 3,
                 true if load >= HOT && (told >= full || fleet >= HOT) => return None,
@@ -904,7 +1200,11 @@
         let mut list: Vec<Entry> = able.into_iter().enumerate().filter_map(weigh).collect();
         let best = list.iter().map(|entry| entry.rank).min()?;
         list.retain(|entry| entry.rank == best);
-        list.truncate(if blind { 1 + takes as usize } else { usize::MAX });
+        list.truncate(if blind {
+            1 + takes as usize
+        } else {
+            usize::MAX
+        });
         let pair = match group {
             Some(_) if !blind => (*list.first()?, *list.get(1).unwrap_or(&list[0])),
             _ => {
@@ -913,11 +1213,15 @@
                 (first, self.any_of(&list).copied().unwrap_or(first))
             }
         };
-        Some(if pair.1.load < pair.0.load { pair.1.at } else { pair.0.at })
+        Some(if pair.1.load < pair.0.load {
+            pair.1.at
+        } else {
+            pair.0.at
+        })
     }
 
-    /// How many backends the members of a group fill, by its part of the sessions met and the load of the
-    /// fleet.
+    /// How many backends the members of a group fill, by its part of the sessions met and the load
+    /// of the fleet.
     fn takes(&self, group: u64, pool: Pool) -> f64 {
         let share = self.met.get(&group).unwrap_or(&0.0) / (self.met_all + MET_DOUBT);
         share * pool.load * self.ready_ones().count() as f64 / HOT
@@ -925,11 +1229,14 @@
 
     /// What the pool tells of the fleet, from entries that are not too old.
     fn pool(&self, now: Moment) -> Pool {
-        let (mut heard, mut load, mut weighted, mut count, mut tells_share) = (0.0, 0.0, 0.0, 0.0, false);
+        let (mut heard, mut load, mut weighted, mut count, mut tells_share) =
+            (0.0, 0.0, 0.0, 0.0, false);
         let is_cold = |&(at, _): &(BackendId, &Backend)| self.cold_turn(now, at).is_some();
         let cold = self.ready_ones().filter(is_cold).count() as f64;
         for (_, backend) in self.ready_ones() {
-            let (Some(report), Some(told)) = (backend.report(now), backend.told(now)) else { continue };
+            let (Some(report), Some(told)) = (backend.report(now), backend.told(now)) else {
+                continue;
+            };
             heard += 1.0;
             load += told;
             weighted += told * backend.listing.weight;
@@ -938,60 +1245,113 @@
         }
         // Not the cold: with them the rate would halve just as half the fleet is replaced.
         let holds = |&(&at, one): &(&BackendId, &Backend)| {
-            (one.open > 0 || one.listing.standing == Standing::Ready) && self.cold_turn(now, at).is_none()
+            (one.open > 0 || one.listing.standing == Standing::Ready)
+                && self.cold_turn(now, at).is_none()
         };
-        let warm: Vec<u32> = self.backends.iter().filter(holds).map(|(_, one)| one.open).collect();
-        let held = f64::from(warm.iter().sum::<u32>() * self.deployment.relays) / warm.len().max(1) as f64;
+        let warm: Vec<u32> = self
+            .backends
+            .iter()
+            .filter(holds)
+            .map(|(_, one)| one.open)
+            .collect();
+        let held =
+            f64::from(warm.iter().sum::<u32>() * self.deployment.relays) / warm.len().max(1) as f64;
         if heard == 0.0 {
             // Where nothing tells of loads a warm backend can do at least what each holds now.
-            return Pool { empty: true, counted: true, each: 1.0 / held, cold, ..Pool::default() };
+            return Pool {
+                empty: true,
+                counted: true,
+                each: 1.0 / held,
+                cold,
+                ..Pool::default()
+            };
         }
         let counted = count > 0.0;
         count = if counted { count } else { held * heard };
-        // A relay that has just started holds few and would take each for a large part of a backend.
+        // A relay that has just started holds few and would take each for a large part of a
+        // backend.
         let each = load / f64::max(count, heard);
-        let each = if tells_share { each.min(EACH_MOST) } else { each };
+        let each = if tells_share {
+            each.min(EACH_MOST)
+        } else {
+            each
+        };
         let (load, mean, wanes) = (load / heard, weighted / heard, self.leave_rate(true));
-        Pool { load, mean, each, counted, cold, tells_share, wanes, empty: false }
+        Pool {
+            load,
+            mean,
+            each,
+            counted,
+            cold,
+            tells_share,
+            wanes,
+            empty: false,
+        }
     }
 
-    /// What a backend counts for: its report and what this relay placed there since. Relays that share
-    /// nothing draw the same pair for a group at the same time, so own placements stand for those of all.
+    /// What a backend counts for: its report and what this relay placed there since. Relays that
+    /// share nothing draw the same pair for a group at the same time, so own placements stand for
+    /// those of all.
     fn load(&self, now: Moment, id: BackendId, pool: Pool) -> f64 {
         let backend = &self.backends[&id];
         if pool.empty {
             return f64::from(backend.open);
         }
         let later = backend.placed.len() as f64 * f64::from(self.deployment.relays) * pool.each;
-        let told = backend.told(now).unwrap_or(pool.mean / backend.listing.weight);
+        let told = backend
+            .told(now)
+            .unwrap_or(pool.mean / backend.listing.weight);
         let late = backend.late(now, self.deployment.shortest_target, pool.wanes);
-        if pool.tells_share { told.max(late) + later } else { told + later }
+        if pool.tells_share {
+            told.max(late) + later
+        } else {
+            told + later
+        }
     }
 
     // ---- cold backends ----
 
-    /// The turn that runs at a cold backend and this relay's use of it so far; None where warm. All relays
-    /// see the same start of the same backend, so its age cuts time into turns without a word between them.
+    /// The turn that runs at a cold backend and this relay's use of it so far; None where warm. All
+    /// relays see the same start of the same backend, so its age cuts time into turns without a
+    /// word between them.
     fn cold_turn(&self, now: Moment, id: BackendId) -> Option<(u64, u32)> {
         let (backend, cold) = (&self.backends[&id], &self.deployment.cold);
         let age = now.since(backend.up_since()?);
         let turn = age.us() / cold.window.us().max(1);
-        let used = backend.sight.cold_turn.filter(|&(at, _)| at == turn).map_or(0, |(_, used)| used);
+        let used = backend
+            .sight
+            .cold_turn
+            .filter(|&(at, _)| at == turn)
+            .map_or(0, |(_, used)| used);
         (age < cold.warm_up).then_some((turn, used))
     }
 
     /// If this relay may use a cold backend in the turn that runs.
-    fn turn_is_open(&self, now: Moment, id: BackendId, (turn, used): (u64, u32), pool: Pool) -> bool {
+    fn turn_is_open(
+        &self,
+        now: Moment,
+        id: BackendId,
+        (turn, used): (u64, u32),
+        pool: Pool,
+    ) -> bool {
         let (listing, cold) = (self.backends[&id].listing, &self.deployment.cold);
-        let age = self.backends[&id].up_since().map_or(cold.warm_up, |at| now.since(at));
+        let age = self.backends[&id]
+            .up_since()
+            .map_or(cold.warm_up, |at| now.since(at));
         let share = cold.start_share + (1.0 - cold.start_share) * age.secs() / cold.warm_up.secs();
-        // Any window overlaps two turns: half for either. What groups cost lowers an estimate by loads by
-        // more, and the rule does not count it. As many relays have the turn as the budget holds; where each
-        // meets fewer sessions than there are cold backends, more, as they go to others of them.
-        let part = if self.deployment.groups && self.deployment.tells_loads { 1.25 } else { 0.5 };
+        // Any window overlaps two turns: half for either. What groups cost lowers an estimate by
+        // loads by more, and the rule does not count it. As many relays have the turn as the budget
+        // holds; where each meets fewer sessions than there are cold backends, more, as they go to
+        // others of them.
+        let part = if self.deployment.groups && self.deployment.tells_loads {
+            1.25
+        } else {
+            0.5
+        };
         let budget = part * cold.factor * share * self.warm_rate(pool) * cold.window.secs();
         let relays = u64::from(self.deployment.relays);
-        // Where none tells loads an open turn goes before all else: unused only where no session comes in it.
+        // Where none tells loads an open turn goes before all else: unused only where no session
+        // comes in it.
         let unused = if self.deployment.tells_loads {
             pool.cold / self.lately.max(1.0)
         } else {
@@ -1000,17 +1360,25 @@
         let spread = unused.clamp(1.0, SPREAD);
         let slots = ((budget.max(1.0) * spread) as u64).clamp(1, relays);
         let each = (budget / relays as f64).max(1.0);
-        let place =
-            (u64::from(self.deployment.me) + relays - (turn * slots + listing.mark) % relays) % relays;
+        let place = (u64::from(self.deployment.me) + relays
+            - (turn * slots + listing.mark) % relays)
+            % relays;
         place < slots && f64::from(used) < each.floor() && !self.beside
     }
 
-    /// New connections a second that would fill a warm backend of middling size: as many as it holds when
-    /// full times the rate at which they leave, or that fills it over its warm-up if that is less. One
-    /// departure is taken as seen at first: by a rate of none all relays that hold few but one keep off.
+    /// New connections a second that would fill a warm backend of middling size: as many as it
+    /// holds when full times the rate at which they leave, or that fills it over its warm-up if
+    /// that is less. One departure is taken as seen at first: by a rate of none all relays that
+    /// hold few but one keep off.
     fn warm_rate(&self, pool: Pool) -> f64 {
-        let leave = self.leave_rate(pool.counted).min(1.0 / self.deployment.cold.warm_up.secs());
-        if pool.each <= 0.0 { 0.0 } else { leave / pool.each }
+        let leave = self
+            .leave_rate(pool.counted)
+            .min(1.0 / self.deployment.cold.warm_up.secs());
+        if pool.each <= 0.0 {
+            0.0
+        } else {
+            leave / pool.each
+        }
     }
 
     /// The part of the connections that leave by themselves within a second.
@@ -1022,46 +1390,76 @@
 
 impl Backend {
     fn new(listing: Listing) -> Backend {
-        Backend { listing, sight: Sight { weight_heard: 1.0, ..Sight::default() }, ..Backend::default() }
+        Backend {
+            listing,
+            sight: Sight {
+                weight_heard: 1.0,
+                ..Sight::default()
+            },
+            ..Backend::default()
+        }
     }
 
     /// Another process under the same id: what was known of the last one misleads.
     fn renew(&mut self, listing: Listing) {
         let groups = std::mem::take(&mut self.groups);
-        *self = Backend { open: self.open, groups, returned: self.returned, ..Backend::new(listing) };
+        *self = Backend {
+            open: self.open,
+            groups,
+            returned: self.returned,
+            ..Backend::new(listing)
+        };
     }
 
     /// When it started, as the list says; put back by hand, no sooner than it was taken out.
     fn up_since(&self) -> Option<Moment> {
         let listed = self.listing.up_since;
-        self.returned.filter(|&(out, _)| listed.is_none_or(|at| at < out)).map(|(_, back)| back).or(listed)
+        self.returned
+            .filter(|&(out, _)| listed.is_none_or(|at| at < out))
+            .map(|(_, back)| back)
+            .or(listed)
     }
 
     fn report(&self, now: Moment) -> Option<Report> {
         // Where the list tells of loads it says more than a report that is no longer fresh.
-        let age = if self.listing.weight == 1.0 { POOL_AGE } else { POOL_AGE_LISTED };
-        self.sight.heard.filter(|(at, _)| now.since(*at) < age).map(|(_, report)| report)
+        let age = if self.listing.weight == 1.0 {
+            POOL_AGE
+        } else {
+            POOL_AGE_LISTED
+        };
+        self.sight
+            .heard
+            .filter(|(at, _)| now.since(*at) < age)
+            .map(|(_, report)| report)
     }
 
-    /// Its reported load as of now. Where the list lowers a weight with the connections held, it tells what
-    /// came and went since the report; not more than twofold, since at a relay's start the list may be far
-    /// behind.
+    /// Its reported load as of now. Where the list lowers a weight with the connections held, it
+    /// tells what came and went since the report; not more than twofold, since at a relay's start
+    /// the list may be far behind.
     fn told(&self, now: Moment) -> Option<f64> {
         let change = (self.sight.weight_heard / self.listing.weight).clamp(0.5, 2.0);
-        self.report(now).and_then(|report| report.load.or(report.connections)).map(|told| told * change)
+        self.report(now)
+            .and_then(|report| report.load.or(report.connections))
+            .map(|told| told * change)
     }
 
     /// What late messages show of its load, whatever it reports. It wanes as connections leave.
     fn late(&self, now: Moment, target: Span, wanes: f64) -> f64 {
         let holds = |at: Moment| self.untrue || now.since(at) < NOTE_AGE;
-        let Some((at, delay)) = self.message_delay.filter(|&(at, _)| target > Span::ZERO && holds(at)) else {
+        let Some((at, delay)) = self
+            .message_delay
+            .filter(|&(at, _)| target > Span::ZERO && holds(at))
+        else {
             return 0.0;
         };
-        (HOT * delay.secs() / (target.secs() * NOTED)).min(1.0) * (-wanes * now.since(at).secs()).exp()
+        (HOT * delay.secs() / (target.secs() * NOTED)).min(1.0)
+            * (-wanes * now.since(at).secs()).exp()
     }
 
     fn late_for(&self, target: Span, now: Moment) -> bool {
-        let recent = self.message_delay.filter(|(at, _)| now.since(*at) < NOTE_AGE);
+        let recent = self
+            .message_delay
+            .filter(|(at, _)| now.since(*at) < NOTE_AGE);
         target > Span::ZERO && recent.is_some_and(|(_, delay)| delay > target)
     }
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,4 +1,5 @@
-//! What a relay reads at start: the deployment it serves, and the table of routes that its sessions go by.
+//! What a relay reads at start: the deployment it serves, and the table of routes that its sessions
+//! go by.
 use crate::ids::ZoneId;
 use crate::units::Span;
 
@@ -14,7 +15,8 @@
 pub enum Effect {
     #[default]
     Repeatable,
-    /// A repeat is dropped by the backends of `scope` for `window` after the first dial that may have run.
+    /// A repeat is dropped by the backends of `scope` for `window` after the first dial that may
+    /// have run.
     Referenced {
         scope: Scope,
         window: Span,
@@ -22,8 +24,8 @@
     OnceOnly,
 }
 
-/// A row of the table of routes: one for each listener, and more of them where an operator's file has them. A session
-/// keeps the row it began with.
+/// A row of the table of routes: one for each listener, and more of them where an operator's file
+/// has them. A session keeps the row it began with.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Route {
     /// Rows of one number share what is counted and learnt; 0 where nothing is.
@@ -62,7 +64,8 @@
     pub share: f64,
 }
 
-/// Dials of one relay beyond each session's first: in any window so many, and this part of the sessions taken in it.
+/// Dials of one relay beyond each session's first: in any window so many, and this part of the
+/// sessions taken in it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Ration {
     pub free: f64,
@@ -86,7 +89,8 @@
     pub zone: ZoneId,
     pub tick: Span,
     pub routes: Vec<Route>,
-    /// How long a message may take on a connection that stands, of all listeners; zero where none is told.
+    /// How long a message may take on a connection that stands, of all listeners; zero where none
+    /// is told.
     pub shortest_target: Span,
     /// Messages that take long are noted.
     pub notes: bool,
--- a/src/front.rs
+++ b/src/front.rs
@@ -71,7 +71,10 @@
 
 impl Verdict {
     pub fn may_have_run(self) -> bool {
-        !matches!(self, Verdict::Full | Verdict::Unreachable | Verdict::NeverSent)
+        !matches!(
+            self,
+            Verdict::Full | Verdict::Unreachable | Verdict::NeverSent
+        )
     }
 }
 
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,5 +1,5 @@
-//! The table of client keys: bounded, aged, and as quick when it is full as when it is empty. What a row says is the
-//! decisions' affair.
+//! The table of client keys: bounded, aged, and as quick when it is full as when it is empty. What
+//! a row says is the decisions' affair.
 use crate::units::{Moment, Span};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -45,7 +45,9 @@
 
     /// Rows that nobody has touched for too long go.
     pub fn forget_old(&mut self, now: Moment) {
-        while let Some(&(touched, key)) = self.by_age.first().filter(|(at, _)| now.since(*at) >= AGE) {
+        while let Some(&(touched, key)) =
+            self.by_age.first().filter(|(at, _)| now.since(*at) >= AGE)
+        {
             self.by_age.remove(&(touched, key));
             self.rows.remove(&key);
         }
--- a/src/lanes.rs
+++ b/src/lanes.rs
@@ -1,19 +1,21 @@
-//! What is counted against limits: sessions at once; dials beyond each session's first, as a ration of the whole relay over
-//! a window of time and as shares of an operator's routes over their last sessions; and the time after which a set-up
-//! counts as long. Rows of one lane share it, also when the file was read again in between. Who gets what is left is
-//! the decisions' affair.
+//! What is counted against limits: sessions at once; dials beyond each session's first, as a ration
+//! of the whole relay over a window of time and as shares of an operator's routes over their last
+//! sessions; and the time after which a set-up counts as long. Rows of one lane share it, also when
+//! the file was read again in between. Who gets what is left is the decisions' affair.
 use crate::deployment::{Ration, Route};
 use crate::units::{Moment, Span};
 use std::collections::{BTreeMap, VecDeque};
 
-/// The sessions over which a route's share is counted, at least: a quiet hour must not pay for a storm.
+/// The sessions over which a route's share is counted, at least: a quiet hour must not pay for a
+/// storm.
 const LAST: f64 = 100.0;
 /// And at most.
 const MOST_LAST: f64 = 1e6;
 /// Set-ups of late, by which a second copy is timed.
 const SET_UPS: usize = 100;
-/// Places kept apart of either count. What comes while so many lie within a window is put with the newest, so that
-/// sessions pass out of the window early and dials late: fewer dials than allowed, never more.
+/// Places kept apart of either count. What comes while so many lie within a window is put with the
+/// newest, so that sessions pass out of the window early and dials late: fewer dials than allowed,
+/// never more.
 const PLACES: usize = 4_096;
 
 /// Events of a window by their place in it, in microseconds or in sessions; the oldest first.
@@ -73,16 +75,27 @@
     fn add(&mut self, at: u64, late: bool) {
         self.all += 1;
         let full = self.rows.len() >= PLACES;
-        match self.rows.back_mut().filter(|(newest, _)| full || *newest == at) {
-            Some((newest, count)) => (*newest, *count) = (if late { at } else { *newest }, *count + 1),
+        match self
+            .rows
+            .back_mut()
+            .filter(|(newest, _)| full || *newest == at)
+        {
+            Some((newest, count)) => {
+                (*newest, *count) = (if late { at } else { *newest }, *count + 1)
+            }
             None => self.rows.push_back((at, 1)),
         }
     }
 
-    /// What passed out of the window or was put together with others stays: a later one is not to go in its place.
+    /// What passed out of the window or was put together with others stays: a later one is not to
+    /// go in its place.
     fn take_back(&mut self, at: u64) {
         let place = self.rows.partition_point(|&(place, _)| place < at);
-        if let Some((_, count)) = self.rows.get_mut(place).filter(|row| row.0 == at && row.1 > 0) {
+        if let Some((_, count)) = self
+            .rows
+            .get_mut(place)
+            .filter(|row| row.0 == at && row.1 > 0)
+        {
             *count -= 1;
             self.all -= 1;
         }
@@ -103,7 +116,8 @@
         self.pass(now, window);
     }
 
-    /// On the window's edge a dial still counts and a session no more: right whichever way the edge is read.
+    /// On the window's edge a dial still counts and a session no more: right whichever way the edge
+    /// is read.
     fn pass(&mut self, now: u64, window: u64) {
         self.sessions.drop_before((now + 1).saturating_sub(window));
         self.dials.drop_before(now.saturating_sub(window));
@@ -112,18 +126,26 @@
     fn allowance(&mut self, now: u64, window: u64, free: f64, share: f64) -> Allowance {
         self.pass(now, window);
         let spent = f64::from(self.dials.all + self.promised);
-        Allowance { spent, most: free + share * f64::from(self.sessions.all) }
+        Allowance {
+            spent,
+            most: free + share * f64::from(self.sessions.all),
+        }
     }
 }
 
 impl Lane {
     fn tally(&mut self, extra: Extra) -> &mut Tally {
-        if extra == Extra::Further { &mut self.further } else { &mut self.second }
+        if extra == Extra::Further {
+            &mut self.further
+        } else {
+            &mut self.second
+        }
     }
 
     fn allowance(&mut self, extra: Extra, share: f64) -> Allowance {
         let taken = self.taken;
-        self.tally(extra).allowance(taken, sessions(share), 0.0, share)
+        self.tally(extra)
+            .allowance(taken, sessions(share), 0.0, share)
     }
 }
 
@@ -133,14 +155,15 @@
         self.ration = ration;
     }
 
-    /// To the rules another process and this one are one relay: what is free is the other's, also for the window after
-    /// its end.
+    /// To the rules another process and this one are one relay: what is free is the other's, also
+    /// for the window after its end.
     pub fn beside(&mut self, ended: Option<Moment>) {
         let window = self.ration.map_or(Span::ZERO, |ration| ration.window);
         self.free_from = ended.map_or(Moment::from_us(u64::MAX), |at| at + window);
     }
 
-    /// A session is taken, which pays for further dials; one that this process only took over does not.
+    /// A session is taken, which pays for further dials; one that this process only took over does
+    /// not.
     pub fn taken(&mut self, now: Moment, row: &Route) {
         if let Some(ration) = self.ration {
             self.all.taken(now.us(), ration.window.us());
@@ -164,40 +187,64 @@
 
     /// The session has ended.
     pub fn leave(&mut self, row: &Route) {
-        self.lanes.entry(row.lane).and_modify(|lane| lane.held = lane.held.saturating_sub(1));
+        self.lanes
+            .entry(row.lane)
+            .and_modify(|lane| lane.held = lane.held.saturating_sub(1));
     }
 
-    /// What there is for a dial beyond the first, by whichever of its limits has least left; none without a limit.
+    /// What there is for a dial beyond the first, by whichever of its limits has least left; none
+    /// without a limit.
     pub fn room(&mut self, now: Moment, row: &Route, extra: Extra) -> Option<Allowance> {
         let all = self.ration.map(|ration| {
-            let free = if now >= self.free_from { ration.free } else { 0.0 };
-            self.all.allowance(now.us(), ration.window.us(), free, ration.share)
+            let free = if now >= self.free_from {
+                ration.free
+            } else {
+                0.0
+            };
+            self.all
+                .allowance(now.us(), ration.window.us(), free, ration.share)
         });
         let lane = share(row, extra).map(|share| match self.lanes.get_mut(&row.lane) {
             Some(lane) => lane.allowance(extra, share),
-            None => Allowance { spent: 0.0, most: 0.0 },
+            None => Allowance {
+                spent: 0.0,
+                most: 0.0,
+            },
         });
         let left = |one: &Allowance| one.most - one.spent;
-        all.into_iter().chain(lane).min_by(|a, b| left(a).total_cmp(&left(b)))
+        all.into_iter()
+            .chain(lane)
+            .min_by(|a, b| left(a).total_cmp(&left(b)))
     }
 
     /// A further dial was granted that goes out later, or is not to go out any more.
     pub fn promise(&mut self, row: &Route, more: bool) {
         let lane = self.lanes.entry(row.lane).or_default();
         for promised in [&mut self.all.promised, &mut lane.further.promised] {
-            *promised = if more { *promised + 1 } else { promised.saturating_sub(1) };
+            *promised = if more {
+                *promised + 1
+            } else {
+                promised.saturating_sub(1)
+            };
         }
     }
 
     /// A dial beyond the first goes out, if there is room; then it counts.
     pub fn pay(&mut self, now: Moment, row: &Route, extra: Extra) -> bool {
-        if self.room(now, row, extra).is_some_and(|room| room.spent + 1.0 > room.most) {
+        if self
+            .room(now, row, extra)
+            .is_some_and(|room| room.spent + 1.0 > room.most)
+        {
             return false;
         }
         if self.ration.is_some() {
             self.all.dials.add(now.us(), true);
         }
-        if let Some(lane) = self.lanes.get_mut(&row.lane).filter(|_| share(row, extra).is_some()) {
+        if let Some(lane) = self
+            .lanes
+            .get_mut(&row.lane)
+            .filter(|_| share(row, extra).is_some())
+        {
             let taken = lane.taken;
             lane.tally(extra).dials.add(taken, true);
         }
@@ -210,13 +257,19 @@
     }
 
     pub fn took(&mut self, row: &Route, set_up: Span) {
-        if let Some(lane) = self.lanes.get_mut(&row.lane).filter(|_| row.second.is_some()) {
+        if let Some(lane) = self
+            .lanes
+            .get_mut(&row.lane)
+            .filter(|_| row.second.is_some())
+        {
             lane.set_ups.push_back(set_up);
-            lane.set_ups.drain(..lane.set_ups.len().saturating_sub(SET_UPS));
+            lane.set_ups
+                .drain(..lane.set_ups.len().saturating_sub(SET_UPS));
         }
     }
 
-    /// How long a set-up takes that is slower than most of late; none where the route has no second copies.
+    /// How long a set-up takes that is slower than most of late; none where the route has no second
+    /// copies.
     pub fn long(&self, row: &Route) -> Option<Span> {
         let (copy, lane) = (row.second?, self.lanes.get(&row.lane)?);
         let mut set_ups: Vec<Span> = lane.set_ups.iter().copied().collect();
@@ -227,7 +280,8 @@
     }
 }
 
-/// The last sessions over which a share is counted: as many as it takes for one dial, within reason.
+/// The last sessions over which a share is counted: as many as it takes for one dial, within
+/// reason.
 fn sessions(share: f64) -> u64 {
     (1.0 / share).ceil().clamp(LAST, MOST_LAST) as u64
 }
@@ -250,21 +304,43 @@
 
     fn row(lane: u32, most: Option<u32>, share: Option<f64>) -> Route {
         let (least, longest) = (Span::from_ms(20), Span::from_ms(200));
-        let second = share.map(|share| SecondCopy { quantile: 0.9, least, most: longest, share });
-        Route { lane, most, further_share: share, second, ..Route::default() }
+        let second = share.map(|share| SecondCopy {
+            quantile: 0.9,
+            least,
+            most: longest,
+            share,
+        });
+        Route {
+            lane,
+            most,
+            further_share: share,
+            second,
+            ..Route::default()
+        }
     }
 
     #[test]
     fn a_lane_holds_so_many_and_rows_of_one_lane_share_it() {
-        let (mut lanes, wide, narrow) = (Lanes::default(), row(1, Some(3), None), row(1, Some(2), None));
-        assert!([&wide, &wide, &wide].into_iter().all(|row| lanes.enter(row)));
+        let (mut lanes, wide, narrow) = (
+            Lanes::default(),
+            row(1, Some(3), None),
+            row(1, Some(2), None),
+        );
+        assert!(
+            [&wide, &wide, &wide]
+                .into_iter()
+                .all(|row| lanes.enter(row))
+        );
         // The limit was lowered below what is held: none comes in before enough have left.
         assert!(!lanes.enter(&narrow));
         for (leave, room) in [(2, false), (2, true)] {
             (0..leave).for_each(|_| lanes.leave(&wide));
             assert_eq!(lanes.enter(&narrow), room, "after {leave} more left");
         }
-        assert!(lanes.enter(&row(2, Some(1), None)), "another lane has its own");
+        assert!(
+            lanes.enter(&row(2, Some(1), None)),
+            "another lane has its own"
+        );
     }
 
     #[test]
@@ -284,7 +360,9 @@
             }
             // What a quiet time saved is bounded.
             (0..10_000).for_each(|_| lanes.taken(NOW, &row));
-            let burst = (0..10_000).filter(|_| lanes.pay(NOW, &row, Extra::Further)).count() as f64;
+            let burst = (0..10_000)
+                .filter(|_| lanes.pay(NOW, &row, Extra::Further))
+                .count() as f64;
             assert!(burst <= (share * 100.0).max(1.0), "{burst}");
         }
         let (mut lanes, plain) = (Lanes::default(), row(0, None, None));
@@ -309,7 +387,11 @@
 
     #[test]
     fn the_ration_holds_at_the_windows_edge() {
-        let ration = Ration { free: 1.0, share: 0.5, window: Span::from_ms(5_000) };
+        let ration = Ration {
+            free: 1.0,
+            share: 0.5,
+            window: Span::from_ms(5_000),
+        };
         let at = |ms: u64| Moment::from_us(ms * 1_000);
         // When two sessions came, when dials went out, and if another may.
         let cases: [(u64, &[u64], u64, bool); 8] = [
@@ -327,19 +409,31 @@
             let (mut lanes, row) = (Lanes::default(), Route::default());
             lanes.limit(Some(ration));
             (0..2).for_each(|_| lanes.taken(at(come), &row));
-            dials.iter().for_each(|&ms| assert!(lanes.pay(at(ms), &row, Extra::Further)));
-            assert_eq!(lanes.pay(at(when), &row, Extra::Further), may, "{come} {dials:?} {when}");
+            dials
+                .iter()
+                .for_each(|&ms| assert!(lanes.pay(at(ms), &row, Extra::Further)));
+            assert_eq!(
+                lanes.pay(at(when), &row, Extra::Further),
+                may,
+                "{come} {dials:?} {when}"
+            );
         }
     }
 
     /// Against a plain list of all that happened, read for each window that ends in a dial.
     #[test]
     fn no_window_holds_more_than_a_plain_count_allows() {
-        for (seed, gap_us, free, share, window) in
-            [(1, 4_000, 3.0, 0.15, 5_000), (2, 90_000, 0.0, 0.3, 5_000), (3, 400, 3.0, 0.15, 5_000)]
-        {
+        for (seed, gap_us, free, share, window) in [
+            (1, 4_000, 3.0, 0.15, 5_000),
+            (2, 90_000, 0.0, 0.3, 5_000),
+            (3, 400, 3.0, 0.15, 5_000),
+        ] {
             let (mut lanes, row) = (Lanes::default(), Route::default());
-            let ration = Ration { free, share, window: Span::from_ms(window) };
+            let ration = Ration {
+                free,
+                share,
+                window: Span::from_ms(window),
+            };
             lanes.limit(Some(ration));
             let (mut chance, mut now) = (Chance::from_seed(seed), 7);
             let (mut sessions, mut dials): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
@@ -354,17 +448,31 @@
                 if step % 3_000 < 1_500 && lanes.pay(Moment::from_us(now), &row, Extra::Further) {
                     dials.push(now);
                     let from = now.saturating_sub(window * 1_000);
-                    first_session +=
-                        sessions[first_session..].iter().take_while(|&&at| at <= from && from > 0).count();
-                    first_dial += dials[first_dial..].iter().take_while(|&&at| at < from).count();
+                    first_session += sessions[first_session..]
+                        .iter()
+                        .take_while(|&&at| at <= from && from > 0)
+                        .count();
+                    first_dial += dials[first_dial..]
+                        .iter()
+                        .take_while(|&&at| at < from)
+                        .count();
                     let most = free + share * (sessions.len() - first_session) as f64;
                     let left = most - (dials.len() - first_dial) as f64;
                     assert!(left >= 0.0, "seed {seed}: {left} left at {now}");
                     least_left = least_left.min(left);
                 }
             }
-            assert!(least_left < 1.0 && dials.len() > 300, "seed {seed}: {} dials", dials.len());
-            let kept = lanes.all.sessions.rows.len().max(lanes.all.dials.rows.len());
+            assert!(
+                least_left < 1.0 && dials.len() > 300,
+                "seed {seed}: {} dials",
+                dials.len()
+            );
+            let kept = lanes
+                .all
+                .sessions
+                .rows
+                .len()
+                .max(lanes.all.dials.rows.len());
             assert!(kept <= PLACES, "{kept} places");
         }
     }
@@ -374,7 +482,11 @@
         let (mut lanes, row, ration) = (
             Lanes::default(),
             Route::default(),
-            Ration { free: 2.0, share: 0.0, window: Span::from_ms(5_000) },
+            Ration {
+                free: 2.0,
+                share: 0.0,
+                window: Span::from_ms(5_000),
+            },
         );
         lanes.limit(Some(ration));
         lanes.promise(&row, true);
@@ -393,7 +505,10 @@
         );
         let later = NOW + Span::from_ms(6_000);
         lanes.beside(None);
-        assert!(!lanes.pay(later, &row, Extra::Further), "what is free is the other process's");
+        assert!(
+            !lanes.pay(later, &row, Extra::Further),
+            "what is free is the other process's"
+        );
         lanes.beside(Some(later));
         for (after, may) in [(4_999, false), (5_000, true)] {
             assert_eq!(
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,5 +1,6 @@
-//! Decisions of a balancer for long-lived connections. `balance` decides, within what `lanes` says that routes and the
-//! settings' ration allow, and remembers clients in `keys`; the other files hold types only.
+//! Decisions of a balancer for long-lived connections. `balance` decides, within what `lanes` says
+//! that routes and the settings' ration allow, and remembers clients in `keys`; the other files
+//! hold types only.
 pub mod balance;
 pub mod deployment;
 pub mod front;
--- a/src/session.rs
+++ b/src/session.rs
@@ -1,5 +1,6 @@
-//! What the decisions keep: one session with its states and what belongs to it as long as it lasts, one backend, what
-//! reports of late say of the fleet, and what is to be done at a moment to come. Types only.
+//! What the decisions keep: one session with its states and what belongs to it as long as it lasts,
+//! one backend, what reports of late say of the fleet, and what is to be done at a moment to come.
+//! Types only.
 use crate::deployment::Route;
 use crate::front::{Arrival, Listing, Sight};
 use crate::ids::{BackendId, SessionId};
@@ -83,7 +84,8 @@
     pub relieved: Moment,
     /// Since when standing connections have been breaking, and how many.
     pub broken: (Moment, u32),
-    /// It has dropped or turned away what it could not hold: how often in a row, and until when it is left alone.
+    /// It has dropped or turned away what it could not hold: how often in a row, and until when it
+    /// is left alone.
     pub overloaded: (u32, Moment),
 }
 
@@ -113,6 +115,17 @@
     pub fn new(arrival: Arrival, row: Arc<Route>, now: Moment) -> Session {
         let (state, due) = (State::New, now + arrival.dial_timeout);
         let (ran, last_tried, second, load) = (None, None, None, None);
-        Session { arrival, row, due, state, dials: 0, own_failures: 0, ran, last_tried, second, load }
+        Session {
+            arrival,
+            row,
+            due,
+            state,
+            dials: 0,
+            own_failures: 0,
+            ran,
+            last_tried,
+            second,
+            load,
+        }
     }
 }
--- a/src/units.rs
+++ b/src/units.rs
@@ -1,4 +1,5 @@
-//! Points in time and spans, in whole microseconds; two types so that one can't stand for the other. And chance.
+//! Points in time and spans, in whole microseconds; two types so that one can't stand for the
+//! other. And chance.
 use std::ops::{Add, AddAssign, Mul, Sub};
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -37,9 +38,11 @@
         self.0
     }
 
-    /// As people write it, a figure and its unit: `10us`, `250ms`, `1.5s`, `2m`, `1h`. None where it is not written so.
+    /// As people write it, a figure and its unit: `10us`, `250ms`, `1.5s`, `2m`, `1h`. None where
+    /// it is not written so.
     pub fn written(text: &str) -> Option<Span> {
-        let (figure, unit) = text.split_at(text.find(|sign: char| !sign.is_ascii_digit() && sign != '.')?);
+        let (figure, unit) =
+            text.split_at(text.find(|sign: char| !sign.is_ascii_digit() && sign != '.')?);
         let us = match unit {
             "us" => 1.0,
             "ms" => 1e3,
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -17,7 +17,9 @@
 fn places(bench: &mut Bench, from: u32, count: u32) -> Vec<u32> {
     let ids = from..from + count;
     ids.filter_map(|id| {
-        let at = bench.arrive(id, arrival(u64::from(id), 0, ms(1_000))).map(|(at, _)| at);
+        let at = bench
+            .arrive(id, arrival(u64::from(id), 0, ms(1_000)))
+            .map(|(at, _)| at);
         bench.end(id, 0, Verdict::Withdrawn, true);
         bench.pass(ms(200));
         at
@@ -32,15 +34,30 @@
     type Meanwhile = fn(&mut Bench);
     let cases: [(&str, Meanwhile); 7] = [
         ("nothing", |_| {}),
-        ("named ready", |bench| bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)])),
-        ("a whole list", |bench| bench.relay.listed(ListScope::Whole, &rows(3))),
-        ("a cached list", |bench| bench.relay.listed(ListScope::Cached, &rows(3))),
+        ("named ready", |bench| {
+            bench
+                .relay
+                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)])
+        }),
+        ("a whole list", |bench| {
+            bench.relay.listed(ListScope::Whole, &rows(3))
+        }),
+        ("a cached list", |bench| {
+            bench.relay.listed(ListScope::Cached, &rows(3))
+        }),
         ("gone and back", |bench| {
-            bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Gone, None)]);
-            bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
+            bench
+                .relay
+                .listed(ListScope::Changes, &[row(OUT, Standing::Gone, None)]);
+            bench
+                .relay
+                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
         }),
         ("another start", |bench| {
-            bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, Some(bench.now))]);
+            bench.relay.listed(
+                ListScope::Changes,
+                &[row(OUT, Standing::Ready, Some(bench.now))],
+            );
         }),
         ("out a second time", |bench| ban(bench, true)),
     ];
@@ -49,25 +66,36 @@
         ban(&mut bench, true);
         meanwhile(&mut bench);
         assert!(!places(&mut bench, 1, 60).contains(&OUT), "{name}");
-        assert!(!bench.book.asked.contains(&Asked::Probe(OUT)), "{name}: it is not probed either");
+        assert!(
+            !bench.book.asked.contains(&Asked::Probe(OUT)),
+            "{name}: it is not probed either"
+        );
         // One call back undoes whatever number of calls out.
         ban(&mut bench, false);
-        bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, later)]);
+        bench
+            .relay
+            .listed(ListScope::Changes, &[row(OUT, Standing::Ready, later)]);
         assert!(places(&mut bench, 100, 60).contains(&OUT), "{name}");
     }
     // Both have to be lifted, a ban and a drain, in whatever order.
     for ban_first in [true, false] {
         let mut bench = bench();
         ban(&mut bench, true);
-        bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Draining, None)]);
+        bench
+            .relay
+            .listed(ListScope::Changes, &[row(OUT, Standing::Draining, None)]);
         if ban_first {
             ban(&mut bench, false);
         } else {
-            bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
+            bench
+                .relay
+                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
         }
         assert!(!places(&mut bench, 1, 60).contains(&OUT));
         ban(&mut bench, false);
-        bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
+        bench
+            .relay
+            .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
         assert!(places(&mut bench, 100, 60).contains(&OUT));
     }
 }
@@ -76,7 +104,9 @@
 fn a_dial_that_is_out_ends_and_its_retry_goes_elsewhere() {
     for id in 1..30 {
         let mut bench = Bench::new(deployment(Effect::Repeatable), &rows(3));
-        let (at, _) = bench.arrive(id, arrival(u64::from(id), 0, ms(20_000))).unwrap();
+        let (at, _) = bench
+            .arrive(id, arrival(u64::from(id), 0, ms(20_000)))
+            .unwrap();
         bench.relay.ban(bench.now, BackendId(at), true);
         bench.end(id, 0, Verdict::Full, false);
         // The wait before the retry is drawn from a second.
@@ -95,10 +125,18 @@
 
 #[test]
 fn put_back_it_is_cold_and_its_failures_are_forgotten() {
-    // How it was listed before the ban, what the list says after it, and for how long it is cold from the call back.
-    let (before, during) = (Some(Moment::from_us(20_000_000)), Some(Moment::from_us(104_000_000)));
-    let cases =
-        [(None, None, 10_000), (before, None, 10_000), (None, during, 4_000), (before, during, 4_000)];
+    // How it was listed before the ban, what the list says after it, and for how long it is cold
+    // from the call back.
+    let (before, during) = (
+        Some(Moment::from_us(20_000_000)),
+        Some(Moment::from_us(104_000_000)),
+    );
+    let cases = [
+        (None, None, 10_000),
+        (before, None, 10_000),
+        (None, during, 4_000),
+        (before, during, 4_000),
+    ];
     for (listed, told, cold_for) in cases {
         let of = deployment(Effect::Repeatable);
         let mut bench = Bench::new(of, &[row(OUT, Standing::Ready, listed)]);
@@ -111,12 +149,19 @@
         bench.pass(ms(10_000));
         ban(&mut bench, false);
         if told.is_some() {
-            bench.relay.listed(ListScope::Changes, &[row(OUT, Standing::Ready, told)]);
+            bench
+                .relay
+                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, told)]);
         }
-        // Cold: one session a turn of two seconds, whatever stood there before. Not ejected: the first goes there.
+        // Cold: one session a turn of two seconds, whatever stood there before. Not ejected: the
+        // first goes there.
         let count = |bench: &mut Bench, from: u32| {
             (from..from + 8)
-                .filter(|&id| bench.arrive(id, arrival(u64::from(id), 0, ms(50))).is_some())
+                .filter(|&id| {
+                    bench
+                        .arrive(id, arrival(u64::from(id), 0, ms(50)))
+                        .is_some()
+                })
                 .count()
         };
         assert_eq!(count(&mut bench, 100), 1, "{listed:?} {told:?}");
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -12,7 +12,10 @@
 const ONCE: Effect = Effect::OnceOnly;
 
 fn referenced(scope: Scope) -> Effect {
-    Effect::Referenced { scope, window: Span::from_ms(5_000) }
+    Effect::Referenced {
+        scope,
+        window: Span::from_ms(5_000),
+    }
 }
 
 #[test]
@@ -35,7 +38,10 @@
         (ONCE, Verdict::NeverSent, refused),
     ];
     for (effect, verdict, may_refuse) in cases {
-        let mut bench = Bench::new(with_row(|row| row.max_dials = 1, deployment(effect)), &rows(4));
+        let mut bench = Bench::new(
+            with_row(|row| row.max_dials = 1, deployment(effect)),
+            &rows(4),
+        );
         bench.arrive(1, arrival(5, 0, ms(4_000)));
         bench.pass(ms(300));
         bench.end(1, 0, verdict, false);
@@ -43,14 +49,18 @@
         bench.pass(ms(10_000));
         let answers = bench.answers(1);
         assert_eq!(answers.len(), 1, "{effect:?} {verdict:?}: {answers:?}");
-        assert_eq!(matches!(answers[0], Asked::Refuse(..)), may_refuse, "{effect:?} {verdict:?}");
+        assert_eq!(
+            matches!(answers[0], Asked::Refuse(..)),
+            may_refuse,
+            "{effect:?} {verdict:?}"
+        );
     }
 }
 
 #[test]
 fn a_further_dial_goes_only_where_it_can_do_no_harm() {
-    // After the first dial's verdict: whether another dial may follow, and whether it must stay in the
-    // first's zone.
+    // After the first dial's verdict: whether another dial may follow, and whether it must stay in
+    // the first's zone.
     let cases = [
         (REPEATABLE, Verdict::Timeout, true, false),
         (ONCE, Verdict::Full, true, false),
@@ -63,18 +73,28 @@
         let mut zones_differed = false;
         for id in 1..40 {
             let mut bench = Bench::new(deployment(effect), &rows(6));
-            let (first, _) = bench.arrive(id, arrival(u64::from(id), u64::from(id), ms(60_000))).unwrap();
+            let (first, _) = bench
+                .arrive(id, arrival(u64::from(id), u64::from(id), ms(60_000)))
+                .unwrap();
             bench.pass(ms(100));
             bench.end(id, 0, verdict, false);
             bench.pass(ms(2_000));
             let dials = bench.dials(id);
             assert_eq!(dials.len() > 1, may_dial, "{effect:?} {verdict:?}");
-            assert_eq!(bench.answers(id).is_empty(), may_dial, "{effect:?} {verdict:?}");
+            assert_eq!(
+                bench.answers(id).is_empty(),
+                may_dial,
+                "{effect:?} {verdict:?}"
+            );
             if let Some((second, _)) = dials.get(1) {
                 zones_differed |= first % 2 != second % 2;
             }
         }
-        assert_eq!(zones_differed, may_dial && !same_zone, "{effect:?} {verdict:?}");
+        assert_eq!(
+            zones_differed,
+            may_dial && !same_zone,
+            "{effect:?} {verdict:?}"
+        );
     }
 }
 
@@ -85,12 +105,16 @@
     bench.pass(ms(6_000));
     bench.end(1, 0, Verdict::Timeout, false);
     bench.pass(ms(50_000));
-    assert_eq!((bench.dials(1).len(), bench.answers(1)), (1, vec![Asked::TearDown(1)]));
+    assert_eq!(
+        (bench.dials(1).len(), bench.answers(1)),
+        (1, vec![Asked::TearDown(1)])
+    );
 }
 
 #[test]
 fn a_referenced_session_leaves_again_within_its_window_however_late_its_alarm_or_connection() {
-    // The window, the time that a connection may take to come up, when the wait's alarm comes, and the dials.
+    // The window, the time that a connection may take to come up, when the wait's alarm comes, and
+    // the dials.
     let cases = [
         (5_000, 50, 0, 2),
         // Its alarm comes when the window is over, or nearly.
@@ -100,7 +124,10 @@
         (1_300, 400, 0, 1),
     ];
     for (window, connect, stalled, dials) in cases {
-        let effect = Effect::Referenced { scope: Scope::All, window: ms(window) };
+        let effect = Effect::Referenced {
+            scope: Scope::All,
+            window: ms(window),
+        };
         let change = |row: &mut Route| (row.connect_timeout, row.base) = (ms(connect), ms(100));
         let mut bench = Bench::new(with_row(change, deployment(effect)), &rows(8));
         bench.arrive(1, arrival(1, 0, ms(20_000)));
@@ -110,30 +137,45 @@
         bench.now = bench.now + ms(stalled);
         bench.pass(ms(1_000));
         assert_eq!(bench.dials(1).len(), dials, "{window} {connect} {stalled}");
-        assert_eq!(bench.answers(1).len(), 2 - dials, "{window} {connect} {stalled}");
+        assert_eq!(
+            bench.answers(1).len(),
+            2 - dials,
+            "{window} {connect} {stalled}"
+        );
     }
 }
 
 #[test]
 fn every_session_is_answered_once_and_in_time() {
     // Dial timeout, and the verdict that meets each dial once its time is up.
-    for (timeout, verdict) in [(1_200, Verdict::Timeout), (90, Verdict::Unreachable), (4_800, Verdict::Full)]
-    {
+    for (timeout, verdict) in [
+        (1_200, Verdict::Timeout),
+        (90, Verdict::Unreachable),
+        (4_800, Verdict::Full),
+    ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(3));
         let start = bench.now;
         bench.arrive(1, arrival(9, 0, ms(timeout)));
         for dial in 0..3 {
-            let Some(&(_, given)) = bench.dials(1).get(dial) else { break };
+            let Some(&(_, given)) = bench.dials(1).get(dial) else {
+                break;
+            };
             bench.pass(given);
             bench.end(1, dial as u32, verdict, false);
             bench.pass(Span::ZERO);
             while bench.answers(1).is_empty() && bench.dials(1).len() == dial + 1 {
                 bench.pass(ms(1));
-                assert!(bench.now.since(start) <= ms(timeout), "{timeout} {verdict:?} still open");
+                assert!(
+                    bench.now.since(start) <= ms(timeout),
+                    "{timeout} {verdict:?} still open"
+                );
             }
         }
         assert_eq!(bench.answers(1).len(), 1, "{timeout} {verdict:?}");
-        assert!(bench.now.since(start) <= ms(timeout), "{timeout} {verdict:?} late");
+        assert!(
+            bench.now.since(start) <= ms(timeout),
+            "{timeout} {verdict:?} late"
+        );
     }
 }
 
@@ -146,18 +188,41 @@
     bench.stand(1, 4);
     bench.relay.left(SessionId(77), &mut bench.book);
     bench.relay.load_noted(SessionId(77), 3.0);
-    bench.relay.delay_noted(bench.now, SessionId(77), ms(9), &mut bench.book);
-    bench.relay.probed(bench.now, BackendId(55), Verdict::Timeout, Default::default());
+    bench
+        .relay
+        .delay_noted(bench.now, SessionId(77), ms(9), &mut bench.book);
+    bench.relay.probed(
+        bench.now,
+        BackendId(55),
+        Verdict::Timeout,
+        Default::default(),
+    );
     assert!(bench.answers(1).is_empty());
-    // The client leaves while its dial is out: the dial is withdrawn and its verdict ends the matter
-    // silently.
+    // The client leaves while its dial is out: the dial is withdrawn and its verdict ends the
+    // matter silently.
     bench.relay.left(SessionId(1), &mut bench.book);
     bench.relay.left(SessionId(1), &mut bench.book);
     bench.end(1, 0, Verdict::Withdrawn, true);
     bench.end(1, 0, Verdict::Withdrawn, true);
     assert!(bench.answers(1).is_empty());
-    assert_eq!(bench.book.asked.iter().filter(|asked| **asked == Asked::Withdraw(1, 0)).count(), 1);
-    assert_eq!(bench.book.asked.iter().filter(|asked| **asked == Asked::Release(1)).count(), 1);
+    assert_eq!(
+        bench
+            .book
+            .asked
+            .iter()
+            .filter(|asked| **asked == Asked::Withdraw(1, 0))
+            .count(),
+        1
+    );
+    assert_eq!(
+        bench
+            .book
+            .asked
+            .iter()
+            .filter(|asked| **asked == Asked::Release(1))
+            .count(),
+        1
+    );
 }
 
 #[test]
@@ -165,17 +230,38 @@
     use Standing::{Draining, Gone, Ready};
     let line = |backend, standing| row(backend, standing, None);
     let cases: [(&str, ListScope, Vec<_>, &[u32]); 5] = [
-        ("drains", ListScope::Changes, vec![line(0, Draining)], &[1, 2]),
-        ("gone", ListScope::Changes, vec![line(1, Gone), line(2, Gone)], &[0]),
-        ("missing from a complete list", ListScope::Whole, vec![line(2, Ready)], &[2]),
-        ("back after draining", ListScope::Changes, vec![line(0, Draining), line(0, Ready)], &[0, 1, 2]),
+        (
+            "drains",
+            ListScope::Changes,
+            vec![line(0, Draining)],
+            &[1, 2],
+        ),
+        (
+            "gone",
+            ListScope::Changes,
+            vec![line(1, Gone), line(2, Gone)],
+            &[0],
+        ),
+        (
+            "missing from a complete list",
+            ListScope::Whole,
+            vec![line(2, Ready)],
+            &[2],
+        ),
+        (
+            "back after draining",
+            ListScope::Changes,
+            vec![line(0, Draining), line(0, Ready)],
+            &[0, 1, 2],
+        ),
         ("nothing left", ListScope::Whole, vec![], &[]),
     ];
     for (name, scope, list, expected) in cases {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(3));
         bench.relay.listed(scope, &list);
-        let dialled: BTreeSet<u32> =
-            (1..60).filter_map(|id| Some(bench.arrive(id, arrival(0, 0, ms(4_800)))?.0)).collect();
+        let dialled: BTreeSet<u32> = (1..60)
+            .filter_map(|id| Some(bench.arrive(id, arrival(0, 0, ms(4_800)))?.0))
+            .collect();
         assert_eq!(dialled, expected.iter().copied().collect(), "{name}");
         let answered = (1..60).filter(|&id| !bench.answers(id).is_empty()).count();
         assert_eq!(answered, if expected.is_empty() { 59 } else { 0 }, "{name}");
@@ -186,9 +272,19 @@
 fn discovery_that_failed_is_asked_again_in_time() {
     for failures in 1..8 {
         let within = ms(8_000);
-        let asked = Deployment { ask_within: Some(within), ..deployment(REPEATABLE) };
+        let asked = Deployment {
+            ask_within: Some(within),
+            ..deployment(REPEATABLE)
+        };
         let mut bench = Bench::new(asked, &rows(3));
-        let count = |bench: &Bench| bench.book.asked.iter().filter(|a| **a == Asked::Subscribe).count();
+        let count = |bench: &Bench| {
+            bench
+                .book
+                .asked
+                .iter()
+                .filter(|a| **a == Asked::Subscribe)
+                .count()
+        };
         for failure in 1..=failures {
             assert_eq!(count(&bench), failure);
             bench.relay.list_failed(bench.now, &mut bench.book);
@@ -200,13 +296,21 @@
 
 #[test]
 fn the_delay_grows_with_the_count_and_clears_after_a_cool_down() {
-    // How long a connection stands, whether its end is a reset, and the most that the next refusal may ask
-    // for.
-    let cases = [(4_000, true, 16_000), (4_000, false, 8_000), (6_000, true, 1_000), (6_000, false, 1_000)];
+    // How long a connection stands, whether its end is a reset, and the most that the next refusal
+    // may ask for.
+    let cases = [
+        (4_000, true, 16_000),
+        (4_000, false, 8_000),
+        (6_000, true, 1_000),
+        (6_000, false, 1_000),
+    ];
     for (stands, reset, most) in cases {
         let mut longest = Span::ZERO;
         for key in 1..200 {
-            let mut bench = Bench::new(with_row(|row| row.max_dials = 1, deployment(REPEATABLE)), &rows(1));
+            let mut bench = Bench::new(
+                with_row(|row| row.max_dials = 1, deployment(REPEATABLE)),
+                &rows(1),
+            );
             for id in 1..=3 {
                 bench.arrive(id, arrival(key, 0, ms(4_800)));
                 bench.end(id, 0, Verdict::Full, false);
@@ -217,7 +321,9 @@
             bench.end(4, 0, if reset { Verdict::Reset } else { Verdict::Ok }, true);
             bench.arrive(5, arrival(key, 0, ms(4_800)));
             bench.end(5, 0, Verdict::Full, false);
-            let [Asked::Refuse(_, Some(wait))] = bench.answers(5)[..] else { panic!("not refused") };
+            let [Asked::Refuse(_, Some(wait))] = bench.answers(5)[..] else {
+                panic!("not refused")
+            };
             longest = longest.max(wait);
         }
         assert!(longest <= ms(most), "{stands} {reset}: {longest:?}");
@@ -232,7 +338,8 @@
         (None, Some(0.4), true),
         (None, Some(0.95), false),
         (Some(500.0), Some(0.95), false),
-        // Connections alone don't say how much is too much: guards against refusing a whole deployment.
+        // Connections alone don't say how much is too much: guards against refusing a whole
+        // deployment.
         (Some(500.0), None, true),
         (None, None, true),
     ];
@@ -240,18 +347,24 @@
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(4));
         (0..4).for_each(|backend| bench.report(backend, connections, load));
         bench.arrive(1, arrival(1, 3, ms(4_800)));
-        assert_eq!(bench.answers(1).is_empty(), placed, "{connections:?} {load:?}");
+        assert_eq!(
+            bench.answers(1).is_empty(),
+            placed,
+            "{connections:?} {load:?}"
+        );
     }
 }
 
 #[test]
 fn the_less_loaded_of_two_takes_the_session() {
-    // Where a session without a group goes, and one of a group whose order begins with backend 1: opening a
-    // group elsewhere must pay.
+    // Where a session without a group goes, and one of a group whose order begins with backend 1:
+    // opening a group elsewhere must pay.
     for (loads, alone, grouped) in [([0.5, 0.1], 1, 1), ([0.1, 0.5], 0, 1), ([0.1, 0.95], 0, 0)] {
         for (group, expected) in [(0, alone), (4, grouped)] {
             let mut bench = Bench::new(deployment(REPEATABLE), &rows(2));
-            (0..2).for_each(|backend| bench.report(backend, Some(99.0), Some(loads[backend as usize])));
+            (0..2).for_each(|backend| {
+                bench.report(backend, Some(99.0), Some(loads[backend as usize]))
+            });
             let (backend, _) = bench.arrive(1, arrival(1, group, ms(4_800))).unwrap();
             assert_eq!(backend, expected, "{loads:?} group {group}");
         }
@@ -265,10 +378,22 @@
         for me in 0..3 {
             let mut list = rows(12);
             list.rotate_left(me as usize * 5);
-            let mut bench = Bench::new(Deployment { me, relays: 3, ..deployment(REPEATABLE) }, &list);
+            let mut bench = Bench::new(
+                Deployment {
+                    me,
+                    relays: 3,
+                    ..deployment(REPEATABLE)
+                },
+                &list,
+            );
             (0..12).for_each(|backend| bench.report(backend, None, Some(0.2)));
             for id in 1..4 {
-                homes.insert(bench.arrive(id, arrival(u64::from(id), group, ms(4_800))).unwrap().0);
+                homes.insert(
+                    bench
+                        .arrive(id, arrival(u64::from(id), group, ms(4_800)))
+                        .unwrap()
+                        .0,
+                );
             }
         }
         assert!(homes.len() <= 2, "group {group}: {homes:?}");
@@ -279,10 +404,22 @@
 fn the_own_zone_comes_first_where_crossing_costs() {
     // Zone 0 holds the even backends. The price, the load there, and whether a session may cross.
     for (price, load, crosses) in [(0.1, 0.2, false), (0.1, 0.7, true), (0.0, 0.2, true)] {
-        let mut bench = Bench::new(Deployment { crossing_price: price, ..deployment(REPEATABLE) }, &rows(6));
-        (0..6)
-            .for_each(|backend| bench.report(backend, None, Some(if backend % 2 == 0 { load } else { 0.2 })));
-        let crossed = (1..12).any(|id| bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap().0 % 2 == 1);
+        let mut bench = Bench::new(
+            Deployment {
+                crossing_price: price,
+                ..deployment(REPEATABLE)
+            },
+            &rows(6),
+        );
+        (0..6).for_each(|backend| {
+            bench.report(
+                backend,
+                None,
+                Some(if backend % 2 == 0 { load } else { 0.2 }),
+            )
+        });
+        let crossed =
+            (1..12).any(|id| bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap().0 % 2 == 1);
         assert_eq!(crossed, crosses, "{price} {load}");
     }
 }
@@ -291,7 +428,10 @@
 fn a_failing_backend_is_ejected_unless_half_the_fleet_fails() {
     // How many of six fail every dial, and whether they are still dialled afterwards.
     for (failing, still_dialled) in [(1, false), (2, false), (6, true)] {
-        let mut bench = Bench::new(with_row(|row| row.max_dials = 1, deployment(REPEATABLE)), &rows(6));
+        let mut bench = Bench::new(
+            with_row(|row| row.max_dials = 1, deployment(REPEATABLE)),
+            &rows(6),
+        );
         for id in 1..80 {
             let (backend, _) = bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap();
             if backend < failing {
@@ -300,25 +440,31 @@
                 bench.stand(id, 0);
             }
         }
-        let dialled = (80..140).any(|id| bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap().0 < failing);
+        let dialled =
+            (80..140).any(|id| bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap().0 < failing);
         assert_eq!(dialled, still_dialled, "{failing} failing");
         // No time brings it back, a probe that it answers does, here the fourth at the latest.
         bench.pass(ms(40_000));
-        let still = (80..140).any(|id| bench.arrive(200 + id, arrival(0, 0, ms(4_800))).unwrap().0 < failing);
+        let still = (80..140)
+            .any(|id| bench.arrive(200 + id, arrival(0, 0, ms(4_800))).unwrap().0 < failing);
         assert_eq!(still, still_dialled, "{failing} failing: 40 s of silence");
         for _ in 0..4 {
             (0..failing).for_each(|at| bench.report(at, Some(1.0), Some(0.1)));
             bench.pass(ms(100));
         }
-        let again = (140..220).any(|id| bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap().0 < failing);
+        let again =
+            (140..220).any(|id| bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap().0 < failing);
         assert!(again, "{failing} failing: tried again once it answers");
     }
 }
 
 #[test]
 fn dials_wait_longer_where_set_ups_are_slow_everywhere() {
-    for (took, verdict, longer) in [(20, None, false), (250, None, true), (300, Some(Verdict::Timeout), true)]
-    {
+    for (took, verdict, longer) in [
+        (20, None, false),
+        (250, None, true),
+        (300, Some(Verdict::Timeout), true),
+    ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(6));
         for id in 1..40 {
             bench.arrive(id, arrival(0, 0, ms(60_000)));
@@ -335,14 +481,15 @@
 
 #[test]
 fn overdriven_backends_are_relieved_of_their_excess() {
-    // Load, delay of a message, how long the connections have stood (None: handed over at start), how many go
-    // of ten.
+    // Load, delay of a message, how long the connections have stood (None: handed over at start),
+    // how many go of ten.
     let cases = [
         (0.75, 10, Some(9_000), 0..=0),
         (0.85, 10, Some(9_000), 2..=4),
         (1.2, 10, Some(9_000), 4..=6),
         (1.2, 10, Some(1_000), 0..=0),
-        // Guards against a rush that overdrives a backend and may not be undone for a whole cool-down.
+        // Guards against a rush that overdrives a backend and may not be undone for a whole
+        // cool-down.
         (1.2, 10, Some(2_200), 4..=6),
         // Guards against an overload at start that nobody may be moved from.
         (1.2, 10, None, 4..=6),
@@ -364,19 +511,30 @@
         }
         bench.pass(ms(stood.unwrap_or(0)));
         bench.report(0, Some(10.0), Some(load));
-        bench.relay.delay_noted(bench.now, SessionId(3), ms(delay), &mut bench.book);
+        bench
+            .relay
+            .delay_noted(bench.now, SessionId(3), ms(delay), &mut bench.book);
         bench.pass(ms(600));
-        assert!(expected.contains(&bench.sent_away()), "{load} {delay} {stood:?}: {}", bench.sent_away());
+        assert!(
+            expected.contains(&bench.sent_away()),
+            "{load} {delay} {stood:?}: {}",
+            bench.sent_away()
+        );
     }
 }
 
-/// Dials of all relays at one backend that has just started, as many sessions arriving everywhere as wanted.
-/// Before that each relay has held so many connections for that long, and one in ten has left by itself. Backends may
-/// tell of such a load, or of none.
+/// Dials of all relays at one backend that has just started, as many sessions arriving everywhere
+/// as wanted. Before that each relay has held so many connections for that long, and one in ten has
+/// left by itself. Backends may tell of such a load, or of none.
 fn cold_dials(relays: u32, held: u32, stood: Span, load: Option<f64>) -> Vec<(u64, u32)> {
     let mut sent = Vec::new();
     for me in 0..relays {
-        let alone = Deployment { me, relays, groups: false, ..deployment(REPEATABLE) };
+        let alone = Deployment {
+            me,
+            relays,
+            groups: false,
+            ..deployment(REPEATABLE)
+        };
         let mut bench = Bench::new(alone, &rows(4));
         (0..held).for_each(|id| bench.inherit(id, id % 4));
         bench.pass(stood);
@@ -386,7 +544,9 @@
             (0..4).for_each(|backend| bench.report(backend, Some(each), load));
         }
         let start = bench.now;
-        bench.relay.listed(ListScope::Changes, &[row(9, Standing::Ready, Some(start))]);
+        bench
+            .relay
+            .listed(ListScope::Changes, &[row(9, Standing::Ready, Some(start))]);
         for id in 0..500 {
             bench.pass(ms(20));
             if stood < ms(1_000) {
@@ -394,7 +554,10 @@
                 bench.inherit(50_000 + id, id % 4);
                 bench.end(50_000 + id, 0, Verdict::Ok, true);
             }
-            if bench.arrive(10_000 + id, arrival(0, 0, ms(4_800))).is_some_and(|(at, _)| at == 9) {
+            if bench
+                .arrive(10_000 + id, arrival(0, 0, ms(4_800)))
+                .is_some_and(|(at, _)| at == 9)
+            {
                 sent.push((bench.now.since(start).us(), me));
             }
             if load.is_none() {
@@ -410,9 +573,9 @@
 
 #[test]
 fn a_cold_backend_gets_a_budget_from_all_relays_together() {
-    // Relays, connections that each holds, and how many relays may share a turn. Where nothing is known of
-    // what a backend takes, a window holds one for each turn that it overlaps.
-    // Where connections leave faster than that, it takes none faster than fills it over its warm-up.
+    // Relays, connections that each holds, and how many relays may share a turn. Where nothing is
+    // known of what a backend takes, a window holds one for each turn that it overlaps. Where
+    // connections leave faster than that, it takes none faster than fills it over its warm-up.
     let long = ms(10_000);
     let told = Some(0.05);
     let cases = [
@@ -428,19 +591,38 @@
     ];
     for (relays, held, sharing, stood, load) in cases {
         let sent = cold_dials(relays, held, stood, load);
-        assert!(!sent.is_empty(), "{relays} {held}: the backend is used at all");
+        assert!(
+            !sent.is_empty(),
+            "{relays} {held}: the backend is used at all"
+        );
         // One departure is taken as seen by each at first, in three warm-ups.
         let left = f64::from(held.div_ceil(10) + 1) / (f64::from(held) * stood.secs() + 30.0);
-        let leave = if stood < ms(1_000) { 0.1 } else { left.min(0.1) };
+        let leave = if stood < ms(1_000) {
+            0.1
+        } else {
+            left.min(0.1)
+        };
         let warm_rate = f64::from(held * relays) / 4.0 / load.unwrap_or(1.0) * leave;
         for &(from, _) in &sent {
-            let window = sent.iter().filter(|(at, _)| (from..from + 2_000_000).contains(at)).count();
+            let window = sent
+                .iter()
+                .filter(|(at, _)| (from..from + 2_000_000).contains(at))
+                .count();
             let share = 0.25 + 0.75 * (from + 2_000_000) as f64 / 10_000_000.0;
             let most = (4.0 * share * warm_rate * 2.0).max(2.0);
-            assert!(window as f64 <= most, "{relays} {held}: {window} over {most} at {from}");
-            let turn: BTreeSet<u32> =
-                sent.iter().filter(|(at, _)| at / 2_000_000 == from / 2_000_000).map(|(_, me)| *me).collect();
-            assert!(turn.len() <= sharing, "{relays} {held}: relays {turn:?} in one turn");
+            assert!(
+                window as f64 <= most,
+                "{relays} {held}: {window} over {most} at {from}"
+            );
+            let turn: BTreeSet<u32> = sent
+                .iter()
+                .filter(|(at, _)| at / 2_000_000 == from / 2_000_000)
+                .map(|(_, me)| *me)
+                .collect();
+            assert!(
+                turn.len() <= sharing,
+                "{relays} {held}: relays {turn:?} in one turn"
+            );
         }
         if relays == 200 && held > 0 {
             let used: BTreeSet<u32> = sent.iter().map(|(_, me)| *me).collect();
@@ -451,40 +633,70 @@
 
 #[test]
 fn first_backends_of_groups_spread_over_the_fleet() {
-    // 200 relays that have heard nothing but one report send one session each, of so many groups: where
-    // nothing is busy a group is on one backend, whatever relay asks, and no backend is first for many of
-    // them.
+    // 200 relays that have heard nothing but one report send one session each, of so many groups:
+    // where nothing is busy a group is on one backend, whatever relay asks, and no backend is first
+    // for many of them.
     for groups in [60, 400] {
         let mut homes = vec![BTreeSet::new(); groups as usize];
         for me in 0..200 {
             let mut list = rows(60);
             list.rotate_left(me as usize % 60);
-            let mut bench = Bench::new(Deployment { me, relays: 200, ..deployment(REPEATABLE) }, &list);
+            let mut bench = Bench::new(
+                Deployment {
+                    me,
+                    relays: 200,
+                    ..deployment(REPEATABLE)
+                },
+                &list,
+            );
             bench.report(me % 60, Some(20.0), Some(0.3));
             for id in 0..2 {
                 let group = (me * 2 + id) % groups;
-                let at = bench.arrive(id, arrival(0, u64::from(group) + 1, ms(4_800))).unwrap().0;
+                let at = bench
+                    .arrive(id, arrival(0, u64::from(group) + 1, ms(4_800)))
+                    .unwrap()
+                    .0;
                 homes[group as usize].insert(at);
             }
         }
         assert!(homes.iter().all(|homes| homes.len() == 1), "{homes:?}");
         let mut firsts = [0; 60];
-        homes.iter().flatten().for_each(|&at| firsts[at as usize] += 1);
-        assert!(firsts.iter().all(|&first| first <= groups / 60 * 3 + 4), "{firsts:?}");
+        homes
+            .iter()
+            .flatten()
+            .for_each(|&at| firsts[at as usize] += 1);
+        assert!(
+            firsts.iter().all(|&first| first <= groups / 60 * 3 + 4),
+            "{firsts:?}"
+        );
     }
 }
 
 #[test]
 fn probes_are_paid_for_by_sessions() {
-    // Connections that a relay holds, the price of a probe, and how many probes it may send in 20 seconds:
-    // never fewer than one in five seconds, nor more than each backend every two.
-    for (held, price, probes) in
-        [(0, 0.002, 4..=5), (3, 0.002, 5..=13), (60, 0.002, 50..=300), (3, 0.0, 50..=300)]
-    {
-        let mut bench = Bench::new(Deployment { probe_price: price, ..deployment(REPEATABLE) }, &rows(30));
+    // Connections that a relay holds, the price of a probe, and how many probes it may send in 20
+    // seconds: never fewer than one in five seconds, nor more than each backend every two.
+    for (held, price, probes) in [
+        (0, 0.002, 4..=5),
+        (3, 0.002, 5..=13),
+        (60, 0.002, 50..=300),
+        (3, 0.0, 50..=300),
+    ] {
+        let mut bench = Bench::new(
+            Deployment {
+                probe_price: price,
+                ..deployment(REPEATABLE)
+            },
+            &rows(30),
+        );
         (0..held).for_each(|id| bench.inherit(id, id % 30));
         bench.pass(ms(20_000));
-        let sent = bench.book.asked.iter().filter(|asked| matches!(asked, Asked::Probe(_))).count();
+        let sent = bench
+            .book
+            .asked
+            .iter()
+            .filter(|asked| matches!(asked, Asked::Probe(_)))
+            .count();
         assert!(probes.contains(&sent), "{held} {price}: {sent}");
     }
 }
@@ -494,11 +706,22 @@
     // Where they stand, and how many of four hundred probes go there.
     // A relay with some at most of them asks all alike.
     let most: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7];
-    for (held, expected) in [(&[][..], 0..=0), (&[3], 190..=260), (&[0, 3, 5], 220..=310), (most, 235..=300)]
-    {
+    for (held, expected) in [
+        (&[][..], 0..=0),
+        (&[3], 190..=260),
+        (&[0, 3, 5], 220..=310),
+        (most, 235..=300),
+    ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(12));
         held.iter().for_each(|&at| bench.inherit(at, at));
-        while bench.book.asked.iter().filter(|asked| matches!(asked, Asked::Probe(_))).count() < 400 {
+        while bench
+            .book
+            .asked
+            .iter()
+            .filter(|asked| matches!(asked, Asked::Probe(_)))
+            .count()
+            < 400
+        {
             bench.pass(ms(500));
         }
         let there = |asked: &&Asked| matches!(asked, Asked::Probe(at) if held.contains(at));
@@ -511,7 +734,13 @@
 fn a_rush_at_a_relay_just_started_is_not_judged_by_one_old_report() {
     // Whether the sessions find room, and how many probes the next second must bring.
     for (load, probes) in [(0.1, 2), (0.9, 3)] {
-        let mut bench = Bench::new(Deployment { probe_price: 0.002, ..deployment(REPEATABLE) }, &rows(4));
+        let mut bench = Bench::new(
+            Deployment {
+                probe_price: 0.002,
+                ..deployment(REPEATABLE)
+            },
+            &rows(4),
+        );
         bench.pass(ms(300));
         for id in 0..12 {
             bench.arrive(id, arrival(u64::from(id), 0, ms(1_000)));
@@ -524,7 +753,10 @@
             bench.pass(ms(100));
         }
         let asked = &bench.book.asked[before..];
-        let sent = asked.iter().filter(|asked| matches!(asked, Asked::Probe(_))).count();
+        let sent = asked
+            .iter()
+            .filter(|asked| matches!(asked, Asked::Probe(_)))
+            .count();
         assert!((probes..=9).contains(&sent), "{load}: {sent}");
     }
 }
@@ -535,37 +767,66 @@
     for (connections, load, placed) in [(4.0, 0.4, 4), (8.0, 0.4, 8), (2.0, 0.75, 1)] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(1));
         bench.report(0, Some(connections), Some(load));
-        let served = |id: &u32| bench.arrive(*id, arrival(u64::from(*id) + 1, 0, ms(1_000))).is_some();
-        assert_eq!((0..20).filter(served).count(), placed, "{connections} {load}");
+        let served = |id: &u32| {
+            bench
+                .arrive(*id, arrival(u64::from(*id) + 1, 0, ms(1_000)))
+                .is_some()
+        };
+        assert_eq!(
+            (0..20).filter(served).count(),
+            placed,
+            "{connections} {load}"
+        );
     }
 }
 
 #[test]
 fn a_group_is_not_refused_on_a_guess_while_the_fleet_has_room() {
-    // The load of the group's first backend, that of the others, and whether a group new to all finds room.
+    // The load of the group's first backend, that of the others, and whether a group new to all
+    // finds room.
     let home = |bench: &mut Bench| bench.arrive(1, arrival(1, 7, ms(1_000))).unwrap().0;
-    for (first, others, served) in
-        [(0.85, 0.2, true), (0.85, 0.4, true), (0.85, 0.55, false), (0.1, 0.7, true)]
-    {
+    for (first, others, served) in [
+        (0.85, 0.2, true),
+        (0.85, 0.4, true),
+        (0.85, 0.55, false),
+        (0.1, 0.7, true),
+    ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(4));
         (0..4).for_each(|at| bench.report(at, Some(10.0), Some(0.1)));
         let home = home(&mut bench);
         bench.end(1, 0, Verdict::Withdrawn, true);
         bench.pass(ms(1_100));
-        (0..4).for_each(|at| bench.report(at, Some(10.0), Some(if at == home { first } else { others })));
-        assert_eq!(bench.arrive(9, arrival(9, 7, ms(1_000))).is_some(), served, "{first} {others}");
+        (0..4).for_each(|at| {
+            bench.report(
+                at,
+                Some(10.0),
+                Some(if at == home { first } else { others }),
+            )
+        });
+        assert_eq!(
+            bench.arrive(9, arrival(9, 7, ms(1_000))).is_some(),
+            served,
+            "{first} {others}"
+        );
     }
 }
 
 #[test]
 fn an_old_report_gives_way_to_listed_weights() {
-    // All weigh the same. Backend 1 was heard of 15 s ago, idle: where the list tells of loads it counts as
-    // the mean by now, like backend 2, and not as idle.
+    // All weigh the same. Backend 1 was heard of 15 s ago, idle: where the list tells of loads it
+    // counts as the mean by now, like backend 2, and not as idle.
     for (weight, idle_wins) in [(0.5, false), (1.0, true)] {
-        let weighed = |backend| Listing { weight, ..row(backend, Standing::Ready, None) };
+        let weighed = |backend| Listing {
+            weight,
+            ..row(backend, Standing::Ready, None)
+        };
         let mut to_idle = 0;
         for id in 1..40 {
-            let mut bench = Bench::seeded(deployment(REPEATABLE), id, &[weighed(0), weighed(1), weighed(2)]);
+            let mut bench = Bench::seeded(
+                deployment(REPEATABLE),
+                id,
+                &[weighed(0), weighed(1), weighed(2)],
+            );
             bench.report(1, Some(30.0), Some(0.01));
             bench.pass(ms(15_000));
             bench.report(0, Some(30.0), Some(0.3));
@@ -577,11 +838,20 @@
 
 #[test]
 fn crossing_connections_come_home_where_a_relay_holds_many() {
-    // Connections held (half of them cross), the price of crossing, the load of the own zone, and whether any
-    // go.
-    let cases = [(40, 0.1, 0.1, true), (40, 0.0, 0.1, false), (40, 0.1, 0.5, false), (6, 0.1, 0.1, false)];
+    // Connections held (half of them cross), the price of crossing, the load of the own zone, and
+    // whether any go.
+    let cases = [
+        (40, 0.1, 0.1, true),
+        (40, 0.0, 0.1, false),
+        (40, 0.1, 0.5, false),
+        (6, 0.1, 0.1, false),
+    ];
     for (held, price, load, some) in cases {
-        let priced = Deployment { crossing_price: price, move_price: 0.01, ..deployment(REPEATABLE) };
+        let priced = Deployment {
+            crossing_price: price,
+            move_price: 0.01,
+            ..deployment(REPEATABLE)
+        };
         let mut bench = Bench::new(priced, &rows(8));
         (0..held).for_each(|id| bench.inherit(id, id % 8));
         (0..8).for_each(|backend| bench.report(backend, Some(f64::from(held)), Some(load)));
@@ -594,11 +864,15 @@
 
 #[test]
 fn lone_connections_of_many_relays_are_relieved_by_chance() {
-    // Of 200 relays that hold one connection each at a backend with a third too much, rounding would send
-    // away all or none.
+    // Of 200 relays that hold one connection each at a backend with a third too much, rounding
+    // would send away all or none.
     let gone: usize = (0..200)
         .map(|me| {
-            let one = Deployment { me, relays: 200, ..deployment(REPEATABLE) };
+            let one = Deployment {
+                me,
+                relays: 200,
+                ..deployment(REPEATABLE)
+            };
             let mut bench = Bench::seeded(one, u64::from(me), &rows(1));
             bench.inherit(1, 0);
             bench.report(0, Some(200.0), Some(0.91));
@@ -611,11 +885,23 @@
 
 #[test]
 fn listed_weights_tell_of_backends_unheard_from() {
-    // The weight of backend 1, whose report is old news or missing, beside backend 0 at a load of 0.3.
-    for (heard, weight, expected) in [(false, 0.25, 0), (false, 4.0, 1), (true, 0.6, 0), (true, 2.0, 1)] {
+    // The weight of backend 1, whose report is old news or missing, beside backend 0 at a load of
+    // 0.3.
+    for (heard, weight, expected) in [
+        (false, 0.25, 0),
+        (false, 4.0, 1),
+        (true, 0.6, 0),
+        (true, 2.0, 1),
+    ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(2));
         (0..=u32::from(heard)).for_each(|backend| bench.report(backend, Some(30.0), Some(0.3)));
-        bench.relay.listed(ListScope::Changes, &[Listing { weight, ..row(1, Standing::Ready, None) }]);
+        bench.relay.listed(
+            ListScope::Changes,
+            &[Listing {
+                weight,
+                ..row(1, Standing::Ready, None)
+            }],
+        );
         let (backend, _) = bench.arrive(1, arrival(1, 0, ms(4_800))).unwrap();
         assert_eq!(backend, expected, "{heard} {weight}");
     }
@@ -625,7 +911,9 @@
 fn a_restart_under_the_same_id_is_cold_again() {
     let mut bench = Bench::new(deployment(REPEATABLE), &rows(1));
     let dialled = |bench: &mut Bench, from: u32| {
-        (from..from + 20).filter(|&id| bench.arrive(id, arrival(0, 0, ms(4_800))).is_some()).count()
+        (from..from + 20)
+            .filter(|&id| bench.arrive(id, arrival(0, 0, ms(4_800))).is_some())
+            .count()
     };
     assert_eq!(dialled(&mut bench, 0), 20);
     let restarted = row(0, Standing::Ready, Some(bench.now));
@@ -642,7 +930,16 @@
         for id in 0..200 {
             bench.arrive(id, arrival(u64::from(id % 9), u64::from(id % 4), ms(4_800)));
             bench.pass(ms(20));
-            bench.end(id, 0, if id % 3 == 0 { Verdict::Error } else { Verdict::Full }, false);
+            bench.end(
+                id,
+                0,
+                if id % 3 == 0 {
+                    Verdict::Error
+                } else {
+                    Verdict::Full
+                },
+                false,
+            );
         }
         bench.pass(ms(5_000));
         bench.book.asked
@@ -658,32 +955,62 @@
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(4));
         let (backend, _) = bench.arrive(1, arrival(1, 0, ms(1_000))).unwrap();
         bench.stand(1, 0);
-        bench.relay.overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
+        bench
+            .relay
+            .overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
         assert_eq!(bench.sent_away(), usize::from(moved), "{waited} ms");
         // Said again, late or of a session that is gone, it moves nobody twice.
-        bench.relay.overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
-        bench.relay.overdue(bench.now, SessionId(9), ms(waited), &mut bench.book);
+        bench
+            .relay
+            .overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
+        bench
+            .relay
+            .overdue(bench.now, SessionId(9), ms(waited), &mut bench.book);
         assert_eq!(bench.sent_away(), usize::from(moved), "{waited} ms");
         // One more failure in a row ejects it.
-        bench.relay.probed(bench.now, BackendId(backend), Verdict::Timeout, Default::default());
-        let again =
-            (10..30).any(|id| bench.arrive(id, arrival(u64::from(id), 0, ms(1_000))).unwrap().0 == backend);
+        bench.relay.probed(
+            bench.now,
+            BackendId(backend),
+            Verdict::Timeout,
+            Default::default(),
+        );
+        let again = (10..30).any(|id| {
+            bench
+                .arrive(id, arrival(u64::from(id), 0, ms(1_000)))
+                .unwrap()
+                .0
+                == backend
+        });
         assert_eq!(again, !moved, "{waited} ms");
     }
 }
 
 #[test]
 fn a_backend_that_is_out_and_silent_is_left_by_all_at_once() {
-    // Probes of it that failed, how long one line had none back, and how many of its three are sent away.
-    for (failed, waited, moved) in [(0, 250, 0), (1, 250, 0), (2, 250, 3), (0, 1_000, 1), (1, 1_000, 1)] {
+    // Probes of it that failed, how long one line had none back, and how many of its three are sent
+    // away.
+    for (failed, waited, moved) in [
+        (0, 250, 0),
+        (1, 250, 0),
+        (2, 250, 3),
+        (0, 1_000, 1),
+        (1, 1_000, 1),
+    ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(4));
         for id in 0..12 {
             bench.inherit(id, id % 4);
         }
         for _ in 0..failed {
-            bench.relay.probed(bench.now, BackendId(1), Verdict::Timeout, Default::default());
+            bench.relay.probed(
+                bench.now,
+                BackendId(1),
+                Verdict::Timeout,
+                Default::default(),
+            );
         }
-        bench.relay.overdue(bench.now, SessionId(5), ms(waited), &mut bench.book);
+        bench
+            .relay
+            .overdue(bench.now, SessionId(5), ms(waited), &mut bench.book);
         assert_eq!(bench.sent_away(), moved, "{failed} {waited}");
         let elsewhere = |asked: &Asked| matches!(asked, Asked::SendAway(id) if id % 4 != 1);
         assert!(!bench.book.asked.iter().any(elsewhere), "{failed} {waited}");
@@ -693,25 +1020,33 @@
 #[test]
 fn told_to_stop_all_is_over_in_time_and_step_by_step() {
     for (standing, within) in [(0, 3_700), (1, 3_700), (30, 3_700), (30, 1_900)] {
-        let deployment = Deployment { stop_within: ms(within), ..deployment(REPEATABLE) };
+        let deployment = Deployment {
+            stop_within: ms(within),
+            ..deployment(REPEATABLE)
+        };
         let mut bench = Bench::new(deployment, &rows(6));
         for id in 0..standing {
             bench.arrive(id, arrival(u64::from(id), 0, ms(1_000)));
             bench.stand(id, 0);
         }
-        // One waits on its dial for longer than there is, one is held for a further dial if it may be.
+        // One waits on its dial for longer than there is, one is held for a further dial if it may
+        // be.
         bench.arrive(100, arrival(100, 0, ms(60_000)));
         bench.arrive(101, arrival(101, 0, ms(60_000)));
         bench.end(101, 0, Verdict::Full, false);
         bench.relay.stopping(bench.now, &mut bench.book);
-        // Another relay may have just been stopped too: for the first part there may be nowhere to come again.
+        // Another relay may have just been stopped too: for the first part there may be nowhere to
+        // come again.
         bench.pass(ms(within * 2 / 5));
         assert_eq!(bench.sent_away(), 0);
         let (_, wait) = bench.arrive(200, arrival(200, 0, ms(60_000))).unwrap();
         assert!(wait < ms(within), "{wait:?}");
         bench.stand(200, 0);
         bench.pass(ms(within / 4));
-        assert!(bench.sent_away() <= standing as usize / 2 + 3, "not all at once");
+        assert!(
+            bench.sent_away() <= standing as usize / 2 + 3,
+            "not all at once"
+        );
         bench.pass(ms(within * 3 / 10));
         assert_eq!(bench.sent_away(), standing as usize + 1);
         assert!(bench.book.asked.contains(&Asked::Withdraw(100, 0)));
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! What only a fleet shows: many instances of the decisions on one stepped clock, and what the backends see together.
+//! What only a fleet shows: many instances of the decisions on one stepped clock, and what the
+//! backends see together.
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, row};
@@ -19,10 +20,29 @@
 
 impl Fleet {
     fn new(relays: u32, backends: u32, of: &Deployment) -> Fleet {
-        let list: Vec<_> = (0..backends).map(|id| row(id, Standing::Ready, None)).collect();
-        let one = |me| Bench::seeded(Deployment { me, relays, ..of.clone() }, u64::from(me) + 1, &list);
+        let list: Vec<_> = (0..backends)
+            .map(|id| row(id, Standing::Ready, None))
+            .collect();
+        let one = |me| {
+            Bench::seeded(
+                Deployment {
+                    me,
+                    relays,
+                    ..of.clone()
+                },
+                u64::from(me) + 1,
+                &list,
+            )
+        };
         let relays = (0..relays).map(one).collect();
-        Fleet { relays, chance: Chance::from_seed(5), sessions: 0, dials: Vec::new(), refused: 0, probes: 0 }
+        Fleet {
+            relays,
+            chance: Chance::from_seed(5),
+            sessions: 0,
+            dials: Vec::new(),
+            refused: 0,
+            probes: 0,
+        }
     }
 
     fn now(&self) -> Moment {
@@ -36,7 +56,13 @@
             relay.pass(span);
             let probed: Vec<u32> = relay.book.asked[before..]
                 .iter()
-                .filter_map(|asked| if let Asked::Probe(at) = asked { Some(*at) } else { None })
+                .filter_map(|asked| {
+                    if let Asked::Probe(at) = asked {
+                        Some(*at)
+                    } else {
+                        None
+                    }
+                })
                 .collect();
             self.probes += probed.len();
             for at in probed {
@@ -55,7 +81,11 @@
             self.dials.push((at, relay.now));
             relay.stand(id, 0);
         } else {
-            assert_eq!(relay.answers(id).len(), 1, "session {id} is answered at once");
+            assert_eq!(
+                relay.answers(id).len(),
+                1,
+                "session {id} is answered at once"
+            );
             self.refused += 1;
         }
     }
@@ -63,24 +93,38 @@
     /// For each dial its backend, when it was, and how many went there within this span from it.
     fn after_each(&self, span: Span) -> Vec<(u32, Moment, usize)> {
         let count = |at: u32, from: Moment| {
-            let within =
-                |(other, when): &&(u32, Moment)| *other == at && *when >= from && *when < from + span;
+            let within = |(other, when): &&(u32, Moment)| {
+                *other == at && *when >= from && *when < from + span
+            };
             self.dials.iter().filter(within).count()
         };
-        self.dials.iter().map(|&(at, from)| (at, from, count(at, from))).collect()
+        self.dials
+            .iter()
+            .map(|&(at, from)| (at, from, count(at, from)))
+            .collect()
     }
 }
 
-/// Seven of twelve backends are cold and the others full; most relays meet no session or one within a window. By turns for
-/// as many relays as the budget holds connections, 0.17 of it were used.
+/// Seven of twelve backends are cold and the others full; most relays meet no session or one within
+/// a window. By turns for as many relays as the budget holds connections, 0.17 of it were used.
 #[test]
 fn cold_backends_are_used_and_not_pushed_over_where_traffic_is_thin() {
-    let cold = ColdStart { start_share: 0.31, warm_up: ms(9_000), factor: 3.0, window: ms(3_000) };
-    for (relays, sessions_a_second, seed) in [(100, 20, 1), (100, 30, 2), (400, 30, 3), (10, 20, 4)] {
-        let of = Deployment { cold, ..deployment(Effect::Repeatable) };
+    let cold = ColdStart {
+        start_share: 0.31,
+        warm_up: ms(9_000),
+        factor: 3.0,
+        window: ms(3_000),
+    };
+    for (relays, sessions_a_second, seed) in [(100, 20, 1), (100, 30, 2), (400, 30, 3), (10, 20, 4)]
+    {
+        let of = Deployment {
+            cold,
+            ..deployment(Effect::Repeatable)
+        };
         let mut fleet = Fleet::new(relays, 12, &of);
         fleet.chance = Chance::from_seed(seed);
-        // A full backend holds 35 connections, of which each relay has its part, and one in fifty leaves each second.
+        // A full backend holds 35 connections, of which each relay has its part, and one in fifty
+        // leaves each second.
         let full = |at: u32| if at < 5 { (33.0, 0.95) } else { (0.0, 0.0) };
         let mut id = 1_000_000;
         for me in 0..relays as usize {
@@ -96,7 +140,9 @@
             fleet.relays[leaves].end(first, 0, Verdict::Ok, true);
         }
         let start = fleet.now();
-        let back: Vec<_> = (5..12).map(|at| row(at, Standing::Ready, Some(start))).collect();
+        let back: Vec<_> = (5..12)
+            .map(|at| row(at, Standing::Ready, Some(start)))
+            .collect();
         for relay in &mut fleet.relays {
             relay.relay.listed(ListScope::Changes, &back);
         }
@@ -112,28 +158,46 @@
         // What the rule allows over the warm-up, with connections that last fifty seconds.
         let allowed = 7.0 * 3.0 * 0.65 * 35.0 / 50.0 * 9.0;
         let used = fleet.dials.len() as f64 / allowed;
-        assert!(used > 0.3, "{relays} relays, {sessions_a_second} a second: {used:.2} used");
+        assert!(
+            used > 0.3,
+            "{relays} relays, {sessions_a_second} a second: {used:.2} used"
+        );
         for (at, from, count) in fleet.after_each(ms(3_000)) {
             // Filled no faster than over its warm-up, at its share half way through the window.
             let share = 0.31 + 0.69 * (from.since(start).secs() + 1.5) / 9.0;
             let limit = 3.0 * share * 35.0 / 9.0 * 3.0;
-            assert!((count as f64) < limit, "{relays} relays: backend {at} got {count} of {limit:.0}");
+            assert!(
+                (count as f64) < limit,
+                "{relays} relays: backend {at} got {count} of {limit:.0}"
+            );
         }
     }
 }
 
-/// All twelve backends start anew at once: whatever can't be placed is answered at once, and probes stay at their price.
+/// All twelve backends start anew at once: whatever can't be placed is answered at once, and probes
+/// stay at their price.
 #[test]
 fn where_all_backends_are_cold_all_sessions_are_answered_and_none_is_pushed_over() {
-    let cold = ColdStart { start_share: 0.31, warm_up: ms(9_000), factor: 3.0, window: ms(3_000) };
+    let cold = ColdStart {
+        start_share: 0.31,
+        warm_up: ms(9_000),
+        factor: 3.0,
+        window: ms(3_000),
+    };
     for relays in [2, 100, 400] {
         let mut fleet = Fleet::new(
             relays,
             12,
-            &Deployment { cold, probe_price: 0.0023, ..deployment(Effect::Repeatable) },
+            &Deployment {
+                cold,
+                probe_price: 0.0023,
+                ..deployment(Effect::Repeatable)
+            },
         );
         let start = fleet.now();
-        let list: Vec<_> = (0..12).map(|at| row(at, Standing::Ready, Some(start))).collect();
+        let list: Vec<_> = (0..12)
+            .map(|at| row(at, Standing::Ready, Some(start)))
+            .collect();
         for relay in &mut fleet.relays {
             relay.relay.listed(ListScope::Whole, &list);
         }
@@ -149,11 +213,19 @@
             // A full backend holds 33 of these connections.
             let share = 0.31 + 0.69 * (from.since(start).secs() + 1.5) / 9.0;
             let limit = 3.0 * share * 33.0 / 9.0 * 3.0;
-            assert!((count as f64) < limit, "{relays} relays: backend {at} got {count} of {limit:.0}");
+            assert!(
+                (count as f64) < limit,
+                "{relays} relays: backend {at} got {count} of {limit:.0}"
+            );
         }
-        // One in five seconds each at least; more only as sessions pay for them, about two a session.
+        // One in five seconds each at least; more only as sessions pay for them, about two a
+        // session.
         let most = relays as usize * 3 + 270 * 3;
         let least = relays as usize;
-        assert!((least..=most).contains(&fleet.probes), "{relays} relays: {} probes", fleet.probes);
+        assert!(
+            (least..=most).contains(&fleet.probes),
+            "{relays} relays: {} probes",
+            fleet.probes
+        );
     }
 }
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -26,7 +26,8 @@
 
 impl Front for Notebook {
     fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span) {
-        self.asked.push(Asked::Dial(session.0, backend.0, give_up_after));
+        self.asked
+            .push(Asked::Dial(session.0, backend.0, give_up_after));
     }
     fn withdraw(&mut self, session: SessionId, dial: u32) {
         self.asked.push(Asked::Withdraw(session.0, dial));
@@ -80,7 +81,12 @@
         routes: vec![row],
         shortest_target: ms(50),
         notes: true,
-        cold: ColdStart { start_share: 0.25, warm_up: ms(10_000), factor: 4.0, window: ms(2_000) },
+        cold: ColdStart {
+            start_share: 0.25,
+            warm_up: ms(10_000),
+            factor: 4.0,
+            window: ms(2_000),
+        },
         ration: None,
         ask_within: None,
         connect_timeout: ms(50),
@@ -105,7 +111,12 @@
 
 pub fn arrival(key: u64, group: u64, dial_timeout: Span) -> Arrival {
     let some = |value: u64| (value > 0).then_some(value);
-    Arrival { route: RouteId(0), key: some(key), group: some(group), dial_timeout }
+    Arrival {
+        route: RouteId(0),
+        key: some(key),
+        group: some(group),
+        dial_timeout,
+    }
 }
 
 pub fn row(backend: u32, standing: Standing, up_since: Option<Moment>) -> Listing {
@@ -123,7 +134,9 @@
 }
 
 pub fn rows(count: u32) -> Vec<Listing> {
-    (0..count).map(|backend| row(backend, Standing::Ready, None)).collect()
+    (0..count)
+        .map(|backend| row(backend, Standing::Ready, None))
+        .collect()
 }
 
 /// A relay with its notebook and the time it has reached.
@@ -147,7 +160,14 @@
 
     pub fn pass(&mut self, span: Span) {
         let until = self.now + span;
-        while let Some(next) = self.book.wakes.iter().copied().filter(|&at| at <= until).min() {
+        while let Some(next) = self
+            .book
+            .wakes
+            .iter()
+            .copied()
+            .filter(|&at| at <= until)
+            .min()
+        {
             self.book.wakes.retain(|&at| at > next);
             self.now = self.now.max(next);
             self.relay.woken(self.now, &mut self.book);
@@ -156,27 +176,37 @@
     }
 
     pub fn arrive(&mut self, id: u32, arrival: Arrival) -> Option<(u32, Span)> {
-        self.relay.arrived(self.now, SessionId(id), arrival, &mut self.book);
+        self.relay
+            .arrived(self.now, SessionId(id), arrival, &mut self.book);
         self.dials(id).last().copied()
     }
 
     pub fn inherit(&mut self, id: u32, backend: u32) {
         let (id, at) = (SessionId(id), BackendId(backend));
-        self.relay.inherit(self.now, id, at, arrival(0, 0, ms(0)), &mut self.book);
+        self.relay
+            .inherit(self.now, id, at, arrival(0, 0, ms(0)), &mut self.book);
     }
 
     pub fn stand(&mut self, id: u32, dial: u32) {
-        self.relay.ready(self.now, SessionId(id), dial, &mut self.book);
+        self.relay
+            .ready(self.now, SessionId(id), dial, &mut self.book);
     }
 
     pub fn end(&mut self, id: u32, dial: u32, verdict: Verdict, over: bool) {
-        let ending = Ending { dial, verdict, over, report: Report::default() };
-        self.relay.ended(self.now, SessionId(id), ending, &mut self.book);
+        let ending = Ending {
+            dial,
+            verdict,
+            over,
+            report: Report::default(),
+        };
+        self.relay
+            .ended(self.now, SessionId(id), ending, &mut self.book);
     }
 
     pub fn report(&mut self, backend: u32, connections: Option<f64>, load: Option<f64>) {
         let report = Report { connections, load };
-        self.relay.probed(self.now, BackendId(backend), Verdict::Ok, report);
+        self.relay
+            .probed(self.now, BackendId(backend), Verdict::Ok, report);
     }
 
     /// The backends that a session was dialled at, with the time given to each dial.
@@ -190,11 +220,16 @@
 
     /// What a session was finally told, as often as it was told.
     pub fn answers(&self, id: u32) -> Vec<Asked> {
-        let about = |asked: &&Asked| matches!(asked, Asked::Refuse(s, _) | Asked::TearDown(s) if *s == id);
+        let about =
+            |asked: &&Asked| matches!(asked, Asked::Refuse(s, _) | Asked::TearDown(s) if *s == id);
         self.book.asked.iter().filter(about).copied().collect()
     }
 
     pub fn sent_away(&self) -> usize {
-        self.book.asked.iter().filter(|asked| matches!(asked, Asked::SendAway(_))).count()
+        self.book
+            .asked
+            .iter()
+            .filter(|asked| matches!(asked, Asked::SendAway(_)))
+            .count()
     }
 }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -1,4 +1,5 @@
-//! Cold backends under the sum of all relays, in virtual time: uneven traffic, several starts together and apart, lists in time.
+//! Cold backends under the sum of all relays, in virtual time: uneven traffic, several starts
+//! together and apart, lists in time.
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, row};
@@ -20,12 +21,17 @@
     FACTOR * (START_SHARE + (1.0 - START_SHARE) * age / WARM_UP).min(1.0) * FULL / LIFE * WINDOW
 }
 
-/// The most that any window had, as a part of N and what chance may add to it, 2 x root of N + 2; and what was used of N
-/// over the warm-up.
+/// The most that any window had, as a part of N and what chance may add to it, 2 x root of N + 2;
+/// and what was used of N over the warm-up.
 fn ramp(relays: u32, seed: u64, tells_loads: bool, groups: bool) -> (f64, f64) {
     // Clients that are turned away come again: far more sessions than there is room.
     let a_second = 60.0;
-    let cold = ColdStart { start_share: START_SHARE, warm_up: ms(12_000), factor: FACTOR, window: ms(3_000) };
+    let cold = ColdStart {
+        start_share: START_SHARE,
+        warm_up: ms(12_000),
+        factor: FACTOR,
+        window: ms(3_000),
+    };
     let of = Deployment {
         cold,
         relays,
@@ -37,11 +43,19 @@
     };
     let list: Vec<_> = (0..10).map(|id| row(id, Standing::Ready, None)).collect();
     let mut fleet: Vec<Bench> = (0..relays)
-        .map(|me| Bench::seeded(Deployment { me, ..of.clone() }, seed * 1_000 + u64::from(me), &list))
+        .map(|me| {
+            Bench::seeded(
+                Deployment { me, ..of.clone() },
+                seed * 1_000 + u64::from(me),
+                &list,
+            )
+        })
         .collect();
     let mut chance = Chance::from_seed(seed);
     // Some relays get several times the mean.
-    let weights: Vec<f64> = (0..relays).map(|_| 0.3 + 3.0 * chance.float().powi(3)).collect();
+    let weights: Vec<f64> = (0..relays)
+        .map(|_| 0.3 + 3.0 * chance.float().powi(3))
+        .collect();
     let all: f64 = weights.iter().sum();
     let pick = |chance: &mut Chance| {
         let mut x = chance.float() * all;
@@ -73,11 +87,16 @@
         // Three start together at 8 s, two more apart.
         for (when, who) in [(160, 10..13), (200, 13..14), (240, 14..15)] {
             if step == when {
-                let rows: Vec<_> = who.clone().map(|at| row(at, Standing::Ready, Some(now))).collect();
+                let rows: Vec<_> = who
+                    .clone()
+                    .map(|at| row(at, Standing::Ready, Some(now)))
+                    .collect();
                 who.for_each(|at| {
                     starts.insert(at, now);
                 });
-                fleet.iter_mut().for_each(|one| one.relay.listed(ListScope::Changes, &rows));
+                fleet
+                    .iter_mut()
+                    .for_each(|one| one.relay.listed(ListScope::Changes, &rows));
             }
         }
         for one in &mut fleet {
@@ -85,7 +104,13 @@
             one.pass(ms(50));
             let probed: Vec<u32> = one.book.asked[before..]
                 .iter()
-                .filter_map(|a| if let Asked::Probe(at) = a { Some(*at) } else { None })
+                .filter_map(|a| {
+                    if let Asked::Probe(at) = a {
+                        Some(*at)
+                    } else {
+                        None
+                    }
+                })
                 .collect();
             for at in probed {
                 let held = open.iter().filter(|o| o.2 == at).count() as f64;
@@ -94,7 +119,8 @@
         }
         let t = fleet[0].now.since(start0).secs();
         let gone: Vec<_> = open.extract_if(.., |o| o.3 <= t).collect();
-        gone.into_iter().for_each(|(me, id, ..)| fleet[me].end(id, 0, Verdict::Ok, true));
+        gone.into_iter()
+            .for_each(|(me, id, ..)| fleet[me].end(id, 0, Verdict::Ok, true));
         due += a_second * 0.05;
         while due >= 1.0 {
             due -= 1.0;
@@ -119,34 +145,48 @@
     }
     let (mut worst, mut used) = (0.0f64, 0.0);
     for (&at, &start) in &starts {
-        let ages = dials.iter().filter(|dial| dial.0 == at).map(|dial| dial.1.since(start).secs());
+        let ages = dials
+            .iter()
+            .filter(|dial| dial.0 == at)
+            .map(|dial| dial.1.since(start).secs());
         let mine: Vec<f64> = ages.filter(|&age| age < WARM_UP).collect();
         for &from in &mine {
             let n = allowed(from + WINDOW / 2.0);
-            let count = mine.iter().filter(|&&age| age >= from && age < from + WINDOW).count() as f64;
+            let count = mine
+                .iter()
+                .filter(|&&age| age >= from && age < from + WINDOW)
+                .count() as f64;
             worst = worst.max(count / (n + 2.0 * n.sqrt() + 2.0));
         }
-        used += mine.len() as f64 / (allowed(WARM_UP / 2.0) * WARM_UP / WINDOW) / starts.len() as f64;
+        used +=
+            mine.len() as f64 / (allowed(WARM_UP / 2.0) * WARM_UP / WINDOW) / starts.len() as f64;
     }
     (worst, used)
 }
 
-/// Where loads are told and groups share work the turns are larger, for an estimate that group costs lower; these backends
-/// have none, and that case is not asked here.
+/// Where loads are told and groups share work the turns are larger, for an estimate that group
+/// costs lower; these backends have none, and that case is not asked here.
 #[test]
 fn no_window_holds_more_than_is_allowed_and_chance() {
     // Relays, seeds of each of three deployments; the least that is used of N on the mean.
     for (relays, seeds, least) in [(3, 25, 0.3), (20, 25, 0.4), (30, 18, 0.4), (350, 2, 0.3)] {
         for (tells_loads, groups) in [(false, true), (false, false), (true, false)] {
-            let seen: Vec<(f64, f64)> =
-                (1..=seeds).map(|seed| ramp(relays, seed, tells_loads, groups)).collect();
+            let seen: Vec<(f64, f64)> = (1..=seeds)
+                .map(|seed| ramp(relays, seed, tells_loads, groups))
+                .collect();
             let worst = seen.iter().map(|one| one.0).fold(0.0, f64::max);
             let used = seen.iter().map(|one| one.1).sum::<f64>() / seeds as f64;
             println!(
                 "{relays} relays, loads {tells_loads}, groups {groups}: worst {worst:.2}, used {used:.2}"
             );
-            assert!(worst <= 1.0, "{relays} {tells_loads} {groups}: {worst:.2} of what is allowed");
-            assert!((least..=1.0).contains(&used), "{relays} {tells_loads} {groups}: {used:.2} used");
+            assert!(
+                worst <= 1.0,
+                "{relays} {tells_loads} {groups}: {worst:.2} of what is allowed"
+            );
+            assert!(
+                (least..=1.0).contains(&used),
+                "{relays} {tells_loads} {groups}: {used:.2} used"
+            );
         }
     }
 }
