--- a/tests/release.rs
+++ b/tests/release.rs
@@ -1,5 +1,6 @@
-//! A release at a deployment where no backend tells of its load: many instances of the decisions on one stepped clock
-//! beside a model of backends that drop what they can't hold. Judged by what the clients are served.
+//! A release at a deployment where no backend tells of its load: many instances of the decisions on
+//! one stepped clock beside a model of backends that drop what they can't hold. Judged by what the
+//! clients are served.
 mod helper;
 
 use helper::{Bench, arrival, deployment, ms, row};
@@ -14,7 +15,8 @@
 /// What a backend does in a second, in mean connections; each group that it holds costs two more.
 const CAPACITY: f64 = 100.0;
 const GROUP_COST: f64 = 3.0;
-/// Work of a set-up, and the work piled up beyond which the heaviest connection is dropped: a second's.
+/// Work of a set-up, and the work piled up beyond which the heaviest connection is dropped: a
+/// second's.
 const SET_UP: f64 = 1.0;
 const BUFFER: f64 = CAPACITY;
 const WARM_UP: f64 = 24.0;
@@ -40,7 +42,9 @@
 impl Backend {
     /// The part of its capacity that it has now.
     fn share(&self, now: Moment) -> f64 {
-        self.up_since.map_or(1.0, |up| (0.2 + 0.8 * now.since(up).secs() / WARM_UP).min(1.0))
+        self.up_since.map_or(1.0, |up| {
+            (0.2 + 0.8 * now.since(up).secs() / WARM_UP).min(1.0)
+        })
     }
 }
 
@@ -54,7 +58,12 @@
 
 impl Release {
     fn new(relays: u32, old: u32, clients: usize, seed: u64) -> Release {
-        let cold = ColdStart { start_share: 0.2, warm_up: ms(24_000), factor: 3.0, window: ms(3_000) };
+        let cold = ColdStart {
+            start_share: 0.2,
+            warm_up: ms(24_000),
+            factor: 3.0,
+            window: ms(3_000),
+        };
         let of = Deployment {
             cold,
             may_probe: false,
@@ -63,8 +72,19 @@
             ..deployment(Effect::Repeatable)
         };
         let list: Vec<_> = (0..old).map(|id| row(id, Standing::Ready, None)).collect();
-        let one = |me| Bench::seeded(Deployment { me, ..of.clone() }, seed * 1_000 + u64::from(me), &list);
-        let ready = || Backend { standing: Standing::Ready, up_since: None, piled: 0.0, stops_at: None };
+        let one = |me| {
+            Bench::seeded(
+                Deployment { me, ..of.clone() },
+                seed * 1_000 + u64::from(me),
+                &list,
+            )
+        };
+        let ready = || Backend {
+            standing: Standing::Ready,
+            up_since: None,
+            piled: 0.0,
+            stops_at: None,
+        };
         let mut release = Release {
             relays: (0..relays).map(one).collect(),
             clients: Vec::new(),
@@ -72,7 +92,8 @@
             chance: Chance::from_seed(seed),
             sessions: 0,
         };
-        // Groups of one to twenty members; loads are uneven; before the release each group stands at one backend.
+        // Groups of one to twenty members; loads are uneven; before the release each group stands
+        // at one backend.
         let (mut group, mut left, mut at) = (0, 0, 0);
         for _ in 0..clients {
             if left == 0 {
@@ -81,13 +102,23 @@
             }
             left -= 1;
             let load = (0.2 + 0.5 / (0.05 + release.chance.float())).min(6.0) / 1.6;
-            let (me, id) = (release.chance.below(u64::from(relays)) as usize, release.sessions);
+            let (me, id) = (
+                release.chance.below(u64::from(relays)) as usize,
+                release.sessions,
+            );
             release.sessions += 1;
             let now = release.relays[me].now;
             let of = arrival(u64::from(id) + 1, group, ms(3_200));
             let relay = &mut release.relays[me];
-            relay.relay.inherit(now, SessionId(id), BackendId(at), of, &mut relay.book);
-            release.clients.push(Client { group, load, held: Some((me, id, at)), back_at: now });
+            relay
+                .relay
+                .inherit(now, SessionId(id), BackendId(at), of, &mut relay.book);
+            release.clients.push(Client {
+                group,
+                load,
+                held: Some((me, id, at)),
+                back_at: now,
+            });
         }
         release
     }
@@ -97,8 +128,10 @@
     }
 
     fn list(&mut self, ids: &[u32]) {
-        let rows: Vec<_> =
-            ids.iter().map(|&id| row(id, self.boxes[&id].standing, self.boxes[&id].up_since)).collect();
+        let rows: Vec<_> = ids
+            .iter()
+            .map(|&id| row(id, self.boxes[&id].standing, self.boxes[&id].up_since))
+            .collect();
         for relay in &mut self.relays {
             relay.relay.listed(ListScope::Changes, &rows);
         }
@@ -110,7 +143,12 @@
         for id in new.clone() {
             self.boxes.insert(
                 id,
-                Backend { standing: Standing::Ready, up_since: Some(now), piled: 0.0, stops_at: None },
+                Backend {
+                    standing: Standing::Ready,
+                    up_since: Some(now),
+                    piled: 0.0,
+                    stops_at: None,
+                },
             );
         }
         for id in old.clone() {
@@ -122,7 +160,9 @@
 
     /// A client is cut off and comes again soon, anywhere.
     fn cut(&mut self, client: usize) {
-        let Some((me, id, _)) = self.clients[client].held.take() else { return };
+        let Some((me, id, _)) = self.clients[client].held.take() else {
+            return;
+        };
         self.relays[me].end(id, 0, Verdict::Reset, true);
         self.clients[client].back_at = self.now() + ms(120 + self.chance.below(750));
     }
@@ -162,10 +202,14 @@
     }
 
     fn come(&mut self, client: usize) {
-        let (me, id) = (self.chance.below(self.relays.len() as u64) as usize, self.sessions);
+        let (me, id) = (
+            self.chance.below(self.relays.len() as u64) as usize,
+            self.sessions,
+        );
         self.sessions += 1;
         let (now, group) = (self.now(), self.clients[client].group);
-        let placed = self.relays[me].arrive(id, arrival(u64::from(client as u32) + 1, group, ms(3_200)));
+        let placed =
+            self.relays[me].arrive(id, arrival(u64::from(client as u32) + 1, group, ms(3_200)));
         self.clients[client].back_at = now + ms(120 + self.chance.below(750));
         let Some((at, _)) = placed else { return };
         let Some(there) = self.boxes.get_mut(&at) else {
@@ -183,16 +227,25 @@
         let (mut served, mut dropped) = (0.0, Vec::new());
         for (&id, at) in &mut self.boxes {
             let here = |one: &&Client| one.held.is_some_and(|(_, _, backend)| backend == id);
-            let groups: BTreeSet<u64> = self.clients.iter().filter(here).map(|one| one.group).collect();
+            let groups: BTreeSet<u64> = self
+                .clients
+                .iter()
+                .filter(here)
+                .map(|one| one.group)
+                .collect();
             let load: f64 = self.clients.iter().filter(here).map(|one| one.load).sum();
             let able = CAPACITY * at.share(now);
-            at.piled = (at.piled + (load + GROUP_COST * groups.len() as f64 - able) * STEP.secs()).max(0.0);
+            at.piled = (at.piled + (load + GROUP_COST * groups.len() as f64 - able) * STEP.secs())
+                .max(0.0);
             if at.piled < able * 0.1 {
                 served += self.clients.iter().filter(here).count() as f64;
             }
             if at.piled > BUFFER {
                 let held = self.clients.iter().enumerate().filter(|(_, one)| here(one));
-                dropped.extend(held.max_by(|a, b| a.1.load.total_cmp(&b.1.load)).map(|(client, _)| client));
+                dropped.extend(
+                    held.max_by(|a, b| a.1.load.total_cmp(&b.1.load))
+                        .map(|(client, _)| client),
+                );
             }
         }
         dropped.into_iter().for_each(|client| self.cut(client));
@@ -205,10 +258,11 @@
     }
 }
 
-/// Six in ten backends are replaced within seven seconds. Those that stay can hold most of what there is while groups stay
-/// together; spread over the fleet, or come again at once and again, they can't. The means of six fleets: 0.21 before, 0.30
-/// now; 0.17 where groups don't keep to one backend, 0.22 where open cold turns don't go first, 0.23 where the cold rate is
-/// reckoned over all that are ready.
+/// Six in ten backends are replaced within seven seconds. Those that stay can hold most of what
+/// there is while groups stay together; spread over the fleet, or come again at once and again,
+/// they can't. The means of six fleets: 0.21 before, 0.30 now; 0.17 where groups don't keep to one
+/// backend, 0.22 where open cold turns don't go first, 0.23 where the cold rate is reckoned over
+/// all that are ready.
 #[test]
 fn a_release_is_survived_where_no_backend_tells_of_its_load() {
     let mut lasts = 0.0;
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -7,22 +7,36 @@
 use thistlecroft::ids::{RouteId, SessionId};
 use thistlecroft::units::{Moment, Span};
 
-const COPY: SecondCopy =
-    SecondCopy { quantile: 0.9, least: Span::from_ms(20), most: Span::from_ms(100), share: 1.0 };
+const COPY: SecondCopy = SecondCopy {
+    quantile: 0.9,
+    least: Span::from_ms(20),
+    most: Span::from_ms(100),
+    share: 1.0,
+};
 
 fn doubled(effect: Effect) -> Deployment {
-    let deployment = Deployment { two_dials: true, groups: false, ..deployment(effect) };
+    let deployment = Deployment {
+        two_dials: true,
+        groups: false,
+        ..deployment(effect)
+    };
     with_row(|row| row.second = Some(COPY), deployment)
 }
 
 /// Final answers that a session was given.
 fn answers(bench: &Bench, id: u32) -> Vec<Asked> {
-    let of = |asked: &&Asked| matches!(asked, Asked::Refuse(at, _) | Asked::TearDown(at) if *at == id);
+    let of =
+        |asked: &&Asked| matches!(asked, Asked::Refuse(at, _) | Asked::TearDown(at) if *at == id);
     bench.book.asked.iter().filter(of).copied().collect()
 }
 
 fn asked(bench: &Bench, what: Asked) -> usize {
-    bench.book.asked.iter().filter(|asked| **asked == what).count()
+    bench
+        .book
+        .asked
+        .iter()
+        .filter(|asked| **asked == what)
+        .count()
 }
 
 #[test]
@@ -36,20 +50,60 @@
         Stops,
     }
     use Then::{Ends, Leaves, Stops, Up};
-    // What happens while two are out, which dials have to be withdrawn, and how many answers and releases there are by
-    // the end.
+    // What happens while two are out, which dials have to be withdrawn, and how many answers and
+    // releases there are by the end.
     let cases: &[(&[Then], &[u32], usize, usize)] = &[
-        (&[Up(0), Ends(1, Withdrawn), Ends(0, Verdict::Ok)], &[1], 0, 1),
-        (&[Up(1), Ends(0, Withdrawn), Ends(1, Verdict::Ok)], &[0], 0, 1),
-        (&[Up(1), Up(0), Ends(0, Withdrawn), Ends(1, Verdict::Ok)], &[0], 0, 1),
+        (
+            &[Up(0), Ends(1, Withdrawn), Ends(0, Verdict::Ok)],
+            &[1],
+            0,
+            1,
+        ),
+        (
+            &[Up(1), Ends(0, Withdrawn), Ends(1, Verdict::Ok)],
+            &[0],
+            0,
+            1,
+        ),
+        (
+            &[Up(1), Up(0), Ends(0, Withdrawn), Ends(1, Verdict::Ok)],
+            &[0],
+            0,
+            1,
+        ),
         (&[Ends(0, Error), Up(1), Ends(1, Verdict::Ok)], &[], 0, 1),
         (&[Ends(1, Full), Up(0), Ends(0, Verdict::Ok)], &[], 0, 1),
         (&[Ends(1, Reset), Ends(0, Timeout)], &[], 1, 1),
         (&[Ends(0, Reset), Ends(1, Timeout)], &[], 1, 1),
-        (&[Ends(0, Reset), Ends(0, Reset), Ends(1, Timeout), Ends(1, Timeout)], &[], 1, 1),
-        (&[Leaves, Ends(0, Withdrawn), Ends(1, Withdrawn)], &[0, 1], 0, 1),
-        (&[Leaves, Ends(1, Withdrawn), Ends(0, Withdrawn)], &[0, 1], 0, 1),
-        (&[Stops, Ends(0, Withdrawn), Ends(1, Withdrawn)], &[0, 1], 1, 1),
+        (
+            &[
+                Ends(0, Reset),
+                Ends(0, Reset),
+                Ends(1, Timeout),
+                Ends(1, Timeout),
+            ],
+            &[],
+            1,
+            1,
+        ),
+        (
+            &[Leaves, Ends(0, Withdrawn), Ends(1, Withdrawn)],
+            &[0, 1],
+            0,
+            1,
+        ),
+        (
+            &[Leaves, Ends(1, Withdrawn), Ends(0, Withdrawn)],
+            &[0, 1],
+            0,
+            1,
+        ),
+        (
+            &[Stops, Ends(0, Withdrawn), Ends(1, Withdrawn)],
+            &[0, 1],
+            1,
+            1,
+        ),
     ];
     for (course, withdrawn, answered, released) in cases {
         // Two dials are all that there are, so that a failure of both is the end.
@@ -75,7 +129,11 @@
         for dial in 0..2 {
             let expected = usize::from(withdrawn.contains(&dial));
             // Told to stop it says so with each step, which is passed over.
-            assert_eq!(asked(&bench, Asked::Withdraw(1, dial)).min(1), expected, "{course:?}: dial {dial}");
+            assert_eq!(
+                asked(&bench, Asked::Withdraw(1, dial)).min(1),
+                expected,
+                "{course:?}: dial {dial}"
+            );
         }
         assert_eq!(answers(&bench, 1).len(), *answered, "{course:?}");
         assert_eq!(asked(&bench, Asked::Release(1)), *released, "{course:?}");
@@ -86,12 +144,23 @@
 #[test]
 fn no_second_copy_goes_out_where_one_might_do_harm() {
     let cold = Some(Moment::from_us(99_000_000));
-    let referenced = Effect::Referenced { scope: Scope::All, window: ms(5_000) };
-    let one_dial = Deployment { two_dials: false, ..doubled(Effect::Repeatable) };
-    let kept = Deployment { may_withdraw: false, ..doubled(Effect::Repeatable) };
+    let referenced = Effect::Referenced {
+        scope: Scope::All,
+        window: ms(5_000),
+    };
+    let one_dial = Deployment {
+        two_dials: false,
+        ..doubled(Effect::Repeatable)
+    };
+    let kept = Deployment {
+        may_withdraw: false,
+        ..doubled(Effect::Repeatable)
+    };
     let last = with_row(|row| row.max_dials = 1, doubled(Effect::Repeatable));
-    let few =
-        with_row(|row| row.second = Some(SecondCopy { share: 0.0, ..COPY }), doubled(Effect::Repeatable));
+    let few = with_row(
+        |row| row.second = Some(SecondCopy { share: 0.0, ..COPY }),
+        doubled(Effect::Repeatable),
+    );
     let plain = with_row(|row| row.second = None, doubled(Effect::Repeatable));
     let able = || doubled(Effect::Repeatable);
     let two = |other: Listing| vec![row(0, Standing::Ready, None), other];
@@ -105,8 +174,18 @@
         ("no share of them left", few, rows(4), 1),
         ("a route without them", plain, rows(4), 1),
         ("one backend", able(), rows(1), 1),
-        ("the other is cold", able(), two(row(2, Standing::Ready, cold)), 1),
-        ("the other drains", able(), two(row(2, Standing::Draining, None)), 1),
+        (
+            "the other is cold",
+            able(),
+            two(row(2, Standing::Ready, cold)),
+            1,
+        ),
+        (
+            "the other drains",
+            able(),
+            two(row(2, Standing::Draining, None)),
+            1,
+        ),
     ];
     for (name, deployment, list, expected) in cases {
         let mut seen = 0;
@@ -136,9 +215,17 @@
 #[test]
 fn a_routes_share_of_further_dials_holds_while_everything_fails() {
     // The least and the most of 200 sessions that all fail, each allowed two further dials.
-    let cases = [(None, 201, 400), (Some(0.5), 51, 100), (Some(0.1), 10, 20), (Some(0.0), 0, 0)];
+    let cases = [
+        (None, 201, 400),
+        (Some(0.5), 51, 100),
+        (Some(0.1), 10, 20),
+        (Some(0.0), 0, 0),
+    ];
     for (share, least, most) in cases {
-        let deployment = with_row(|row| row.further_share = share, deployment(Effect::Repeatable));
+        let deployment = with_row(
+            |row| row.further_share = share,
+            deployment(Effect::Repeatable),
+        );
         let mut bench = Bench::new(deployment, &rows(30));
         let (mut further, mut unanswered) = (0, 0);
         for id in 0..200 {
@@ -159,7 +246,10 @@
 
 #[test]
 fn a_route_holds_so_many_at_once_and_a_session_keeps_the_row_it_began_with() {
-    let deployment = with_row(|row| (row.lane, row.most) = (1, Some(2)), deployment(Effect::Repeatable));
+    let deployment = with_row(
+        |row| (row.lane, row.most) = (1, Some(2)),
+        deployment(Effect::Repeatable),
+    );
     let wide = deployment.routes[0];
     let mut bench = Bench::new(deployment.clone(), &rows(4));
     for id in 0..4 {
@@ -167,12 +257,33 @@
         assert_eq!(answers(&bench, id).len(), usize::from(id >= 2), "{id}");
     }
     // The new table has fewer at once, one dial, and another listener's row before it.
-    let narrow = Route { most: Some(1), max_dials: 1, ..wide };
-    let routes = vec![Route { lane: 0, most: None, ..wide }, narrow];
-    bench.relay.resettle(Deployment { routes, ..deployment });
-    let with = |id: u32, route| Arrival { route: RouteId(route), ..arrival(u64::from(id) + 1, 0, ms(8_000)) };
+    let narrow = Route {
+        most: Some(1),
+        max_dials: 1,
+        ..wide
+    };
+    let routes = vec![
+        Route {
+            lane: 0,
+            most: None,
+            ..wide
+        },
+        narrow,
+    ];
+    bench.relay.resettle(Deployment {
+        routes,
+        ..deployment
+    });
+    let with = |id: u32, route| Arrival {
+        route: RouteId(route),
+        ..arrival(u64::from(id) + 1, 0, ms(8_000))
+    };
     bench.arrive(10, with(10, 1));
-    assert_eq!(answers(&bench, 10).len(), 1, "two of the old are still there");
+    assert_eq!(
+        answers(&bench, 10).len(),
+        1,
+        "two of the old are still there"
+    );
     bench.arrive(11, with(11, 0));
     assert_eq!(answers(&bench, 11).len(), 0);
     // One that came before may still be dialled three times.
@@ -186,7 +297,11 @@
         (0..3).for_each(|dial| bench.end(id, dial, Verdict::Withdrawn, false));
     }
     bench.arrive(12, with(12, 1));
-    assert_eq!((answers(&bench, 12).len(), bench.dials(12).len()), (0, 1), "room again");
+    assert_eq!(
+        (answers(&bench, 12).len(), bench.dials(12).len()),
+        (0, 1),
+        "room again"
+    );
     bench.end(12, 0, Verdict::Full, false);
     bench.pass(ms(3_000));
     assert_eq!(
@@ -199,7 +314,11 @@
 #[test]
 fn delays_and_cool_downs_are_the_rows_own() {
     // Base, cap, and the longest delay that a second failure may have.
-    for (base, cap, longest) in [(1_000, 30_000, 2_000), (100, 30_000, 200), (1_000, 500, 500)] {
+    for (base, cap, longest) in [
+        (1_000, 30_000, 2_000),
+        (100, 30_000, 200),
+        (1_000, 500, 500),
+    ] {
         let change = |row: &mut Route| (row.base, row.cap, row.max_dials) = (ms(base), ms(cap), 1);
         let mut bench = Bench::new(with_row(change, deployment(Effect::Repeatable)), &rows(40));
         let mut most = ms(0);
@@ -209,38 +328,59 @@
                 bench.arrive(id, arrival(u64::from(id / 2) + 1, 0, ms(4_000)));
                 bench.end(id, 0, Verdict::Full, false);
             }
-            let Some(Asked::Refuse(_, Some(wait))) = answers(&bench, id * 2 + 1).last().copied() else {
+            let Some(Asked::Refuse(_, Some(wait))) = answers(&bench, id * 2 + 1).last().copied()
+            else {
                 panic!()
             };
             most = most.max(wait);
         }
-        assert!(most <= ms(longest) && most > ms(longest / 2), "{base} {cap}: {most:?}");
+        assert!(
+            most <= ms(longest) && most > ms(longest / 2),
+            "{base} {cap}: {most:?}"
+        );
     }
     // A drop counts while it comes within the row's cool-down.
-    for (cool_down, stood, counts) in [(5_000, 4_000, true), (5_000, 6_000, false), (1_000, 4_000, false)] {
-        let change =
-            |row: &mut Route| (row.cool_down, row.cap, row.max_dials) = (ms(cool_down), ms(600_000), 1);
+    for (cool_down, stood, counts) in [
+        (5_000, 4_000, true),
+        (5_000, 6_000, false),
+        (1_000, 4_000, false),
+    ] {
+        let change = |row: &mut Route| {
+            (row.cool_down, row.cap, row.max_dials) = (ms(cool_down), ms(600_000), 1)
+        };
         let mut most = ms(0);
         for seed in 0..60 {
-            let mut bench = Bench::seeded(with_row(change, deployment(Effect::Repeatable)), seed, &rows(4));
+            let mut bench = Bench::seeded(
+                with_row(change, deployment(Effect::Repeatable)),
+                seed,
+                &rows(4),
+            );
             bench.arrive(1, arrival(7, 0, ms(4_000)));
             bench.stand(1, 0);
             bench.pass(ms(stood));
             bench.end(1, 0, Verdict::Reset, true);
             bench.relay.listed(ListScope::Whole, &[]);
             bench.arrive(2, arrival(7, 0, ms(4_000)));
-            let Some(Asked::Refuse(_, Some(wait))) = answers(&bench, 2).last().copied() else { panic!() };
+            let Some(Asked::Refuse(_, Some(wait))) = answers(&bench, 2).last().copied() else {
+                panic!()
+            };
             most = most.max(wait);
         }
         assert_eq!(most > ms(1_000), counts, "{cool_down} {stood}: {most:?}");
     }
 }
 
-/// Six free dials in a window, all sessions fail at once: who comes later finds less, the more utility the more.
+/// Six free dials in a window, all sessions fail at once: who comes later finds less, the more
+/// utility the more.
 #[test]
 fn the_first_half_of_a_ration_is_everyones_and_the_rest_goes_by_utility_and_time_left() {
-    let ration = Ration { free: 6.0, share: 0.0, window: ms(60_000) };
-    // Utility of the session, part of its time that is gone, how many dials were granted before, if one more is.
+    let ration = Ration {
+        free: 6.0,
+        share: 0.0,
+        window: ms(60_000),
+    };
+    // Utility of the session, part of its time that is gone, how many dials were granted before, if
+    // one more is.
     let cases = [
         (1.0, 0, 2, true),
         (1.0, 0, 3, false),
@@ -254,16 +394,44 @@
     ];
     for (utility, gone, before, granted) in cases {
         let deployment = deployment(Effect::Repeatable);
-        let row = Route { base: Span::ZERO, ..deployment.routes[0] };
-        let routes = vec![Route { utility: 5.0, ..row }, Route { utility, ..row }];
-        let mut bench = Bench::new(Deployment { ration: Some(ration), routes, ..deployment }, &rows(200));
+        let row = Route {
+            base: Span::ZERO,
+            ..deployment.routes[0]
+        };
+        let routes = vec![
+            Route {
+                utility: 5.0,
+                ..row
+            },
+            Route { utility, ..row },
+        ];
+        let mut bench = Bench::new(
+            Deployment {
+                ration: Some(ration),
+                routes,
+                ..deployment
+            },
+            &rows(200),
+        );
         for id in 0..before {
-            bench.arrive(id, Arrival { route: RouteId(0), ..arrival(u64::from(id) + 1, 0, ms(8_000)) });
+            bench.arrive(
+                id,
+                Arrival {
+                    route: RouteId(0),
+                    ..arrival(u64::from(id) + 1, 0, ms(8_000))
+                },
+            );
             bench.end(id, 0, Verdict::Full, false);
             bench.pass(Span::ZERO);
             assert_eq!(bench.dials(id).len(), 2, "the ones before: {before}");
         }
-        bench.arrive(90, Arrival { route: RouteId(1), ..arrival(90, 0, ms(8_000)) });
+        bench.arrive(
+            90,
+            Arrival {
+                route: RouteId(1),
+                ..arrival(90, 0, ms(8_000))
+            },
+        );
         bench.pass(ms(80 * gone));
         bench.end(90, 0, Verdict::Full, false);
         bench.pass(Span::ZERO);
@@ -278,9 +446,19 @@
 #[test]
 fn connections_that_were_taken_over_pay_for_no_dials() {
     for (inherited, arrived, most) in [(0, 4, 2), (40, 4, 2), (40, 0, 0)] {
-        let ration = Some(Ration { free: 0.0, share: 0.5, window: ms(5_000) });
+        let ration = Some(Ration {
+            free: 0.0,
+            share: 0.5,
+            window: ms(5_000),
+        });
         let deployment = with_row(|row| row.base = Span::ZERO, deployment(Effect::Repeatable));
-        let mut bench = Bench::new(Deployment { ration, ..deployment }, &rows(60));
+        let mut bench = Bench::new(
+            Deployment {
+                ration,
+                ..deployment
+            },
+            &rows(60),
+        );
         (0..inherited).for_each(|id| bench.inherit(1_000 + id, id % 60));
         let mut further = 0;
         for id in 0..arrived {
