--- a/fleet/src/together.rs
+++ b/fleet/src/together.rs
@@ -342,7 +342,7 @@
         match seen {
             Sighting::RelayStarted { relay } => drop(running.insert(*relay)),
             Sighting::RelayKilled { relay } | Sighting::RelayStopped { relay } => {
-                drop(running.remove(relay))
+                running.remove(relay);
             }
             Sighting::Sees { relay, here } => drop(sees.insert(*relay, (*at, here))),
             _ => {}
