--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -8,7 +8,7 @@
 use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Report, Standing, Verdict};
 use thistlecroft::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_facts::{self as facts, ReportPlaces, Site};
+use thistlecroft_settings::{self as facts, ReportPlaces, Site};
 
 type Address = [u8; 6];
 
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -13,7 +13,7 @@
 use thistlecroft::front::{ListScope, Listing, Standing};
 use thistlecroft::ids::{BackendId, CellId, ZoneId};
 use thistlecroft::units::{Chance, Moment, Span};
-use thistlecroft_facts::ReportPlaces;
+use thistlecroft_settings::ReportPlaces;
 
 /// An empty line comes every two seconds. What the agent has counts as told, so a watch that died
 /// without a word must be found out before the grace of a drain has passed.
--- a/relay/src/protocol.rs
+++ b/relay/src/protocol.rs
@@ -3,7 +3,7 @@
 use thistlecroft::front::{Arrival, Report, Verdict};
 use thistlecroft::ids::RouteId;
 use thistlecroft::units::Span;
-use thistlecroft_facts::{CONNECTIONS, LOAD};
+use thistlecroft_settings::{CONNECTIONS, LOAD};
 
 pub const FAILED: &str = "ERR";
 pub const MOVED: &str = "MOVE";
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -35,7 +35,7 @@
 use thistlecroft::ids::BackendId;
 use thistlecroft::units::{Moment, Span};
 use thistlecroft_charter::Routing;
-use thistlecroft_facts::Site;
+use thistlecroft_settings::Site;
 
 /// Events in one turn, so that timers are never far behind.
 const EVENTS: usize = 512;
--- a/relay/src/start.rs
+++ b/relay/src/start.rs
@@ -8,7 +8,7 @@
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 use std::path::PathBuf;
 use thistlecroft_charter::{Charter, Circumstances, Lanes, ListenerFacts, Peering, Routing};
-use thistlecroft_facts::{self as facts, Site};
+use thistlecroft_settings::{self as facts, Site};
 
 /// Everything a relay is told at its start.
 pub struct Posting {
