--- a/command/src/checks.rs
+++ b/command/src/checks.rs
@@ -2,11 +2,11 @@
 use crate::End;
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
-use thistlecroft_charter::{
-    Charter, Circumstances, Fault, Lanes, OTHERWISE, Origin, Routing, page,
-};
 use thistlecroft_lab::scale::Budget;
 use thistlecroft_lab::scenario::Scenario;
+use thistlecroft_operator_config::{
+    Charter, Circumstances, Fault, Lanes, OTHERWISE, Origin, Routing, page,
+};
 use thistlecroft_relay::{circumstances, read_file};
 
 #[derive(Args)]
--- a/charter/tests/charter.rs
+++ b/operator_config/tests/charter.rs
@@ -1,7 +1,7 @@
 //! What a charter may say, what it may not, and what comes of it.
 use thistlecroft::deployment::{Effect, Route, Scope};
 use thistlecroft::units::Span;
-use thistlecroft_charter::{
+use thistlecroft_operator_config::{
     Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin, Routing, page,
 };
 
--- a/relay/src/clients.rs
+++ b/relay/src/clients.rs
@@ -19,7 +19,7 @@
 use thistlecroft::front::{Arrival, Ending, Report, Verdict};
 use thistlecroft::ids::{BackendId, RouteId, SessionId};
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_charter::{FrontRow, Routing};
+use thistlecroft_operator_config::{FrontRow, Routing};
 
 /// Accepts in one turn, so that a rush of clients can't keep the standing ones waiting.
 const ACCEPTS: usize = 64;
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -10,8 +10,8 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::AsRawFd;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_charter::Peering;
 use thistlecroft_leases::{Electorate, LeaseConfig, Leases, Reason, State};
+use thistlecroft_operator_config::Peering;
 use thistlecroft_peers::wire::MOST;
 use thistlecroft_peers::{Event, Identity, Kind, MemberState, Node, Pace, Terms};
 
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -34,7 +34,7 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::ids::BackendId;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_charter::Routing;
+use thistlecroft_operator_config::Routing;
 use thistlecroft_settings::Site;
 
 /// Events in one turn, so that timers are never far behind.
--- a/relay/src/start.rs
+++ b/relay/src/start.rs
@@ -7,7 +7,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 use std::path::PathBuf;
-use thistlecroft_charter::{Charter, Circumstances, Lanes, ListenerFacts, Peering, Routing};
+use thistlecroft_operator_config::{
+    Charter, Circumstances, Lanes, ListenerFacts, Peering, Routing,
+};
 use thistlecroft_settings::{self as facts, Site};
 
 /// Everything a relay is told at its start.
@@ -71,7 +73,7 @@
     }
 }
 
-fn lines(faults: Vec<thistlecroft_charter::Fault>) -> Vec<String> {
+fn lines(faults: Vec<thistlecroft_operator_config::Fault>) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -14,7 +14,7 @@
 use thistlecroft::front::{Report, Verdict};
 use thistlecroft::ids::RouteId;
 use thistlecroft::units::Span;
-use thistlecroft_charter::{Circumstances, ListenerFacts, Routing};
+use thistlecroft_operator_config::{Circumstances, ListenerFacts, Routing};
 
 fn names(groups: bool) -> Names {
     Names {
