--- a/command/src/peers.rs
+++ b/command/src/peers.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 use thistlecroft::units::Span;
-use thistlecroft_fleet::station::call;
+use thistlecroft_testbed::station::call;
 
 #[derive(Args)]
 pub struct Asked {
--- a/lab/src/peers.rs
+++ b/lab/src/peers.rs
@@ -6,10 +6,10 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use thistlecroft::units::Span;
-use thistlecroft_fleet::link::LinkFault;
-use thistlecroft_fleet::rig::{Plan, Rig};
-use thistlecroft_fleet::simulated_network::{Host, SimulatedNetwork};
 use thistlecroft_peers::{Kind, MemberState, Pace, Terms};
+use thistlecroft_testbed::link::LinkFault;
+use thistlecroft_testbed::rig::{Plan, Rig};
+use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
 /// One size, under one loss, by one seed.
 #[derive(Clone, Copy, Debug)]
@@ -186,7 +186,7 @@
     };
     let quiet = Span::from_ms(10_000);
     // News of the start has gone round by then, and voters are no longer silent.
-    std::thread::sleep(thistlecroft_fleet::clock::duration(period * 30.0));
+    std::thread::sleep(thistlecroft_testbed::clock::duration(period * 30.0));
     // Counted by probes, which come one a period: the views themselves are asked outside of it.
     let (probes, bytes, suspected) = (
         count(&rig, "probes"),
@@ -194,7 +194,7 @@
         count(&rig, "suspected"),
     );
     let spent = cpu(&rig);
-    std::thread::sleep(thistlecroft_fleet::clock::duration(quiet));
+    std::thread::sleep(thistlecroft_testbed::clock::duration(quiet));
     found.cpu_us = Some((cpu(&rig) - spent).us() as f64 / quiet.secs() / size as f64);
     let periods = (count(&rig, "probes") - probes) as f64 / size as f64;
     found.bytes = (count(&rig, "sent_bytes") - bytes) as f64 / size as f64 / periods.max(1.0);
--- a/lab/src/plan.rs
+++ b/lab/src/plan.rs
@@ -3,15 +3,15 @@
 use crate::scenario::{Baseline, EffectText, FaultText, Rate, Scenario, ScopeText, Which, Word};
 use thistlecroft::deployment::{Effect, Scope};
 use thistlecroft::units::{Chance, Moment, Span};
-use thistlecroft_fleet::crowd::{Cue as CrowdCue, Dealing, Rude};
-use thistlecroft_fleet::link::LinkFault;
-use thistlecroft_fleet::model::{Cold, Make};
-use thistlecroft_fleet::post::{ListenerTerms, Terms};
-use thistlecroft_fleet::referee::Law;
-use thistlecroft_fleet::tape::{BoxNo, RelayNo};
-use thistlecroft_fleet::together::Pact;
-use thistlecroft_fleet::traffic::{Arrival, Kind, Traffic, arrivals};
-use thistlecroft_fleet::yard::{AgentFault, Ailment, BoxPlan, Cue as YardCue, Ground};
+use thistlecroft_testbed::crowd::{Cue as CrowdCue, Dealing, Rude};
+use thistlecroft_testbed::link::LinkFault;
+use thistlecroft_testbed::model::{Cold, Make};
+use thistlecroft_testbed::post::{ListenerTerms, Terms};
+use thistlecroft_testbed::referee::Law;
+use thistlecroft_testbed::tape::{BoxNo, RelayNo};
+use thistlecroft_testbed::together::Pact;
+use thistlecroft_testbed::traffic::{Arrival, Kind, Traffic, arrivals};
+use thistlecroft_testbed::yard::{AgentFault, Ailment, BoxPlan, Cue as YardCue, Ground};
 
 /// Something that the one who directs has done.
 #[derive(Clone, Debug)]
--- a/lab/src/report.rs
+++ b/lab/src/report.rs
@@ -7,8 +7,8 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::crowd::CrowdSums;
-use thistlecroft_fleet::tape::{Answer, Entry, RelayNo, Sighting};
+use thistlecroft_testbed::crowd::CrowdSums;
+use thistlecroft_testbed::tape::{Answer, Entry, RelayNo, Sighting};
 
 const SIZE: (u32, u32) = (960, 300);
 /// Answers are counted in steps of this.
--- a/lab/src/run.rs
+++ b/lab/src/run.rs
@@ -13,21 +13,21 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::clock::{Stopwatch, duration};
-use thistlecroft_fleet::crowd::{Bill, Crowd, Cue as CrowdCue, Doorway, IDLE};
-use thistlecroft_fleet::listing::{Listing, Row, name_of};
-use thistlecroft_fleet::net::{Cue as NetCue, Net, Opened as OpenedNet};
-use thistlecroft_fleet::post::{CALL, Orders, PeersTerms, Post, free_address, need_descriptors};
-use thistlecroft_fleet::referee::judge;
-use thistlecroft_fleet::stage::Stage;
-use thistlecroft_fleet::station::{Station, call};
-use thistlecroft_fleet::tape::{
+use thistlecroft_testbed::clock::{Stopwatch, duration};
+use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Doorway, IDLE};
+use thistlecroft_testbed::listing::{Listing, Row, name_of};
+use thistlecroft_testbed::net::{Cue as NetCue, Net, Opened as OpenedNet};
+use thistlecroft_testbed::post::{CALL, Orders, PeersTerms, Post, free_address, need_descriptors};
+use thistlecroft_testbed::referee::judge;
+use thistlecroft_testbed::stage::Stage;
+use thistlecroft_testbed::station::{Station, call};
+use thistlecroft_testbed::tape::{
     Answer, BoxNo, Entry, Lifecycle, Reel, RelayNo, Sighting, Tape, tape,
 };
-use thistlecroft_fleet::together::judge_together;
-use thistlecroft_fleet::traffic::scattered;
-use thistlecroft_fleet::witness::Witness;
-use thistlecroft_fleet::yard::{Opened, Yard};
+use thistlecroft_testbed::together::judge_together;
+use thistlecroft_testbed::traffic::scattered;
+use thistlecroft_testbed::witness::Witness;
+use thistlecroft_testbed::yard::{Opened, Yard};
 
 /// How often the plan is looked at, and relays are measured.
 const STEP: Duration = Duration::from_millis(10);
@@ -852,8 +852,8 @@
         mut self,
     ) -> (
         Vec<Entry>,
-        Vec<thistlecroft_fleet::crowd::CrowdSums>,
-        thistlecroft_fleet::yard::YardSums,
+        Vec<thistlecroft_testbed::crowd::CrowdSums>,
+        thistlecroft_testbed::yard::YardSums,
         usize,
     ) {
         self.crowds
--- a/lab/src/scale/real.rs
+++ b/lab/src/scale/real.rs
@@ -6,9 +6,9 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
-use thistlecroft_fleet::post::free_address;
-use thistlecroft_fleet::rig::{Plan, Rig};
 use thistlecroft_peers::Counts;
+use thistlecroft_testbed::post::free_address;
+use thistlecroft_testbed::rig::{Plan, Rig};
 
 /// Addresses of real relays are taken from this place of the loopback range on, beside those of the
 /// rig.
--- a/lab/src/scale/simulated.rs
+++ b/lab/src/scale/simulated.rs
@@ -8,8 +8,8 @@
 use std::collections::BTreeSet;
 use std::time::Instant;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::simulated_network::{Host, SimulatedNetwork};
 use thistlecroft_peers::MemberState;
+use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
 const STEP: Span = Span::from_ms(250);
 const STEPS_A_SECOND: u64 = 4;
--- a/lab/src/summary.rs
+++ b/lab/src/summary.rs
@@ -3,11 +3,11 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::crowd::{CrowdSums, KindSums};
-use thistlecroft_fleet::referee::{Dialled, Ruling};
-use thistlecroft_fleet::tape::{BoxNo, Entry, RelayNo, Sighting};
-use thistlecroft_fleet::together::Breach;
-use thistlecroft_fleet::yard::YardSums;
+use thistlecroft_testbed::crowd::{CrowdSums, KindSums};
+use thistlecroft_testbed::referee::{Dialled, Ruling};
+use thistlecroft_testbed::tape::{BoxNo, Entry, RelayNo, Sighting};
+use thistlecroft_testbed::together::Breach;
+use thistlecroft_testbed::yard::YardSums;
 
 /// Clients that came later than this after they were due, or a thread that worked for more than the
 /// other part of its time: the tool was the bottleneck, and the run's delays say little.
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -3,9 +3,9 @@
 #![allow(dead_code, reason = "each file of tests uses a part of it")]
 use std::collections::BTreeMap;
 use thistlecroft::units::Span;
-use thistlecroft_fleet::simulated_network::SimulatedNetwork;
 use thistlecroft_leases::{DRIFT, Electorate, LeaseConfig, Subject};
 use thistlecroft_peers::{Pace, Terms as PeerTerms};
+use thistlecroft_testbed::simulated_network::SimulatedNetwork;
 
 pub const PERIOD: Span = Span::from_ms(200);
 pub const TERM: Span = Span::from_ms(2_000);
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -6,13 +6,13 @@
     RATE, TERM, VOTERS, Witness, acquire, config, electorate, fleet, held, release, subjects,
 };
 use thistlecroft::units::{Chance, Moment, Span};
-use thistlecroft_fleet::simulated_network::{LinkFault, SimulatedNetwork};
 use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
 use thistlecroft_leases::{
     AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message, Reason,
     State, To, Vote, legacy,
 };
 use thistlecroft_peers::Identity;
+use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
 /// After a silence from a start, and the rounds that an attachment takes.
 const START: Span = Span::from_ms(3_000);
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -2,11 +2,11 @@
 //! holders at one true moment, epochs that only grow, and none for a side without a majority.
 use std::collections::BTreeMap;
 use thistlecroft::units::{Chance, Moment, Span};
-use thistlecroft_fleet::simulated_network::{LinkFault, SimulatedNetwork};
 use thistlecroft_leases::{
     DRIFT, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update,
 };
 use thistlecroft_peers::{Identity, Pace, Terms as PeerTerms};
+use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
 const PERIOD: Span = Span::from_ms(200);
 const TERM: Span = Span::from_ms(2_000);
@@ -58,7 +58,7 @@
 impl Witness {
     /// `paused` processes do not act; all others that think they may, do.
     fn look(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
-        let acts = |(number, host): (usize, &thistlecroft_fleet::simulated_network::Host)| {
+        let acts = |(number, host): (usize, &thistlecroft_testbed::simulated_network::Host)| {
             let held = host.leases.as_ref()?.held(TURN, host.clock(network.now))?;
             (host.alive && !paused.contains(&number)).then(|| (host.name.clone(), held.epoch))
         };
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -2,10 +2,10 @@
 //! of them.
 use std::collections::BTreeSet;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::simulated_network::{Host, LinkFault, SimulatedNetwork};
 use thistlecroft_peers::identity::Row;
 use thistlecroft_peers::wire::{Body, Datagram, MOST, Rejection, ReplayWindow, Seal};
 use thistlecroft_peers::{Identity, Kind, MemberState, Node, Pace, Terms};
+use thistlecroft_testbed::simulated_network::{Host, LinkFault, SimulatedNetwork};
 
 const PERIOD: Span = Span::from_ms(200);
 
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -4,12 +4,12 @@
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use thistlecroft::units::Span;
-use thistlecroft_fleet::link::LinkFault;
-use thistlecroft_fleet::rig::{Plan, Rig};
-use thistlecroft_fleet::tape::{RelayNo, Sighting};
-use thistlecroft_fleet::together::{Pact, judge_together};
-use thistlecroft_fleet::witness::held;
 use thistlecroft_peers::Pace;
+use thistlecroft_testbed::link::LinkFault;
+use thistlecroft_testbed::rig::{Plan, Rig};
+use thistlecroft_testbed::tape::{RelayNo, Sighting};
+use thistlecroft_testbed::together::{Pact, judge_together};
+use thistlecroft_testbed::witness::held;
 
 const PERIOD: Span = Span::from_ms(200);
 const LEASE: Span = Span::from_ms(1_500);
--- a/fleet/tests/helper/mod.rs
+++ b/testbed/tests/helper/mod.rs
@@ -9,13 +9,13 @@
 use std::time::{Duration, Instant};
 use thistlecroft::deployment::Effect;
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::clock::Stopwatch;
-use thistlecroft_fleet::crowd::{Bill, Crowd, Cue as CrowdCue, Dealing, Doorway, IDLE};
-use thistlecroft_fleet::model::{Cold, Make};
-use thistlecroft_fleet::referee::{Law, Ruling, judge};
-use thistlecroft_fleet::tape::{BoxNo, Entry, RelayNo, Sighting, tape};
-use thistlecroft_fleet::traffic::{Kind, Traffic, arrivals};
-use thistlecroft_fleet::yard::{BoxPlan, Cue, Ground, Yard};
+use thistlecroft_testbed::clock::Stopwatch;
+use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Dealing, Doorway, IDLE};
+use thistlecroft_testbed::model::{Cold, Make};
+use thistlecroft_testbed::referee::{Law, Ruling, judge};
+use thistlecroft_testbed::tape::{BoxNo, Entry, RelayNo, Sighting, tape};
+use thistlecroft_testbed::traffic::{Kind, Traffic, arrivals};
+use thistlecroft_testbed::yard::{BoxPlan, Cue, Ground, Yard};
 
 /// What the little relay does wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/fleet/tests/referee.rs
+++ b/testbed/tests/referee.rs
@@ -6,14 +6,14 @@
 use std::thread;
 use thistlecroft::deployment::{Effect, Scope};
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::clock::Stopwatch;
-use thistlecroft_fleet::referee::{Law, judge};
-use thistlecroft_fleet::tape::{
+use thistlecroft_testbed::clock::Stopwatch;
+use thistlecroft_testbed::referee::{Law, judge};
+use thistlecroft_testbed::tape::{
     Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag, tape,
 };
-use thistlecroft_fleet::together::{Pact, Rule, judge_together};
-use thistlecroft_fleet::witness::Witness;
-use thistlecroft_fleet::yard::{AgentFault, Ailment, Cue};
+use thistlecroft_testbed::together::{Pact, Rule, judge_together};
+use thistlecroft_testbed::witness::Witness;
+use thistlecroft_testbed::yard::{AgentFault, Ailment, Cue};
 
 /// The rule that has to be found broken, and what its first break is to be called.
 struct Case {
--- a/fleet/tests/together.rs
+++ b/testbed/tests/together.rs
@@ -1,8 +1,8 @@
 //! The judge of what relays do together: it names each way of being wrong together, and says
 //! nothing of a right fleet.
 use thistlecroft::units::{Moment, Span};
-use thistlecroft_fleet::tape::{Answer, BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
-use thistlecroft_fleet::together::{Pact, Rule, judge_together};
+use thistlecroft_testbed::tape::{Answer, BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
+use thistlecroft_testbed::together::{Pact, Rule, judge_together};
 
 fn at(ms: u64) -> Moment {
     Moment::from_us(ms * 1_000)
