--- a/command/src/checks.rs
+++ b/command/src/checks.rs
@@ -2,8 +2,8 @@
 use crate::End;
 use clap::{Args, Subcommand};
 use std::path::{Path, PathBuf};
-use thistlecroft_lab::scale::Budget;
-use thistlecroft_lab::scenario::Scenario;
+use thistlecroft_experiments::scale::Budget;
+use thistlecroft_experiments::scenario::Scenario;
 use thistlecroft_operator_config::{
     Charter, Circumstances, Fault, Lanes, OTHERWISE, Origin, Routing, page,
 };
--- a/command/src/demo.rs
+++ b/command/src/demo.rs
@@ -4,8 +4,8 @@
 use std::fmt::Write;
 use std::io::IsTerminal;
 use std::sync::atomic::Ordering;
-use thistlecroft_lab::run::{Look, Way, run as run_once};
-use thistlecroft_lab::scenario::Scenario;
+use thistlecroft_experiments::run::{Look, Way, run as run_once};
+use thistlecroft_experiments::scenario::Scenario;
 
 /// Characters of a full box's bar.
 const BAR: usize = 24;
--- a/command/src/experiments.rs
+++ b/command/src/experiments.rs
@@ -6,13 +6,13 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use thistlecroft::units::Span;
-use thistlecroft_lab::compare;
-use thistlecroft_lab::count::Counts;
-use thistlecroft_lab::peers::{self, Trial};
-use thistlecroft_lab::run::{Look, Way, run as run_once};
-use thistlecroft_lab::saturate::saturate;
-use thistlecroft_lab::scenario::{Baseline, Scenario};
-use thistlecroft_lab::summary::Summary;
+use thistlecroft_experiments::compare;
+use thistlecroft_experiments::count::Counts;
+use thistlecroft_experiments::peers::{self, Trial};
+use thistlecroft_experiments::run::{Look, Way, run as run_once};
+use thistlecroft_experiments::saturate::saturate;
+use thistlecroft_experiments::scenario::{Baseline, Scenario};
+use thistlecroft_experiments::summary::Summary;
 
 #[derive(Subcommand)]
 pub enum Verb {
@@ -176,7 +176,7 @@
         Verb::Report { folder } => report(&folder),
         Verb::Scale(args) => scale(&args),
         Verb::Slope(args) => slope(&args),
-        Verb::Hollow => thistlecroft_lab::scale::work().map_err(End::Failed),
+        Verb::Hollow => thistlecroft_experiments::scale::work().map_err(End::Failed),
         Verb::Saturate { out } => saturation(&out),
         Verb::Run {
             scenario: name,
--- a/command/src/scale.rs
+++ b/command/src/scale.rs
@@ -4,7 +4,7 @@
 use crate::shipped;
 use clap::{Args, ValueEnum};
 use std::path::{Path, PathBuf};
-use thistlecroft_lab::scale::{
+use thistlecroft_experiments::scale::{
     Budget, Fault, Outcome, Programs, ScaleConfig, Variable, run, slope_table, slopes, sweep,
 };
 
--- a/lab/tests/scale.rs
+++ b/experiments/tests/scale.rs
@@ -1,6 +1,6 @@
 //! Slopes that the page of capacity rests on, at small sizes over simulated links: the same verdict
 //! each time.
-use thistlecroft_lab::scale::{
+use thistlecroft_experiments::scale::{
     Fault, Outcome, Programs, ScaleConfig, Variable, run, slopes, sweep,
 };
 
--- a/relay/tests/scenarios.rs
+++ b/relay/tests/scenarios.rs
@@ -3,9 +3,9 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Mutex, PoisonError};
 use std::thread;
-use thistlecroft_lab::run::{Way, run};
-use thistlecroft_lab::scenario::Scenario;
-use thistlecroft_lab::summary::Summary;
+use thistlecroft_experiments::run::{Way, run};
+use thistlecroft_experiments::scenario::Scenario;
+use thistlecroft_experiments::summary::Summary;
 
 const COMMON: &str = r#"
 about = "for the test"
