--- a/command/tests/command.rs
+++ b/cli/tests/command.rs
@@ -21,10 +21,7 @@
 
 /// A folder of a test's own.
 fn folder(name: &str) -> PathBuf {
-    let path = std::env::temp_dir().join(format!(
-        "thistlecroft-command-{}-{name}",
-        std::process::id()
-    ));
+    let path = std::env::temp_dir().join(format!("thistlecroft-cli-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
