--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -7,7 +7,7 @@
 use thistlecroft::balance::Relay;
 use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Report, Standing, Verdict};
 use thistlecroft::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_settings::{self as facts, ReportPlaces, Site};
 
 type Address = [u8; 6];
@@ -44,7 +44,7 @@
 impl Host {
     pub fn answer(&mut self, batch: &Batch) -> Result<Vec<u8>, String> {
         let mut reply = Reply::default();
-        let now = Moment::from_us(batch.clock);
+        let now = Instant::from_micros(batch.clock);
         for (at, event) in batch.events().enumerate() {
             let number = event.u16(2);
             // A fault in the decisions stops the day with its text instead of a dead process.
@@ -71,7 +71,7 @@
         batch: &Batch,
         event: Fields,
         number: u16,
-        now: Moment,
+        now: Instant,
         reply: &mut Reply,
     ) -> Result<(), String> {
         match event.u16(0) {
@@ -126,7 +126,7 @@
         code: u16,
         event: Fields,
         number: u16,
-        now: Moment,
+        now: Instant,
         reply: &mut Reply,
     ) -> Result<(), String> {
         let Instance {
@@ -165,7 +165,7 @@
                 let arrival = Arrival {
                     route: listener(event.u16(12), *listeners)?,
                     key: present(event.u64(16)),
-                    dial_timeout: Span::from_us(u64::from(event.u32(24))),
+                    dial_timeout: Duration::from_micros(u64::from(event.u32(24))),
                     group: present(event.u64(32)),
                 };
                 let session = names.session(event.u64(4));
@@ -249,7 +249,7 @@
                 let arrival = Arrival {
                     route: listener(event.u16(30), *listeners)?,
                     key: present(event.u64(38)),
-                    dial_timeout: Span::from_us(u64::from(event.u32(34))),
+                    dial_timeout: Duration::from_micros(u64::from(event.u32(34))),
                     group: present(event.u64(18)),
                 };
                 let backend = names.backend(event.array(12));
@@ -272,7 +272,7 @@
                     match event.u8(20) {
                         1 => relay.load_noted(session, value),
                         2 => {
-                            let delay = Span::from_ms(1) * value;
+                            let delay = Duration::from_millis(1) * value;
                             relay.delay_noted(
                                 now,
                                 session,
@@ -364,7 +364,7 @@
                 other => return Err(format!("entry of unknown readiness {other}")),
             },
             weight: places.weight(f64::from(entry.f32(12))),
-            up_since: present(entry.u64(16)).map(Moment::from_us),
+            up_since: present(entry.u64(16)).map(Instant::from_micros),
         })
     }
 }
@@ -375,12 +375,14 @@
     }
 }
 
-fn short(span: Span) -> [u8; 4] {
-    u32::try_from(span.us()).unwrap_or(u32::MAX).to_le_bytes()
+fn short(span: Duration) -> [u8; 4] {
+    u32::try_from(span.as_micros())
+        .unwrap_or(u32::MAX)
+        .to_le_bytes()
 }
 
 impl Front for Door<'_> {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span) {
+    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
         let action = self
             .session(1050, session)
             .with(&self.names.addresses[backend.index()]);
@@ -394,7 +396,7 @@
         );
     }
 
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Span>) {
+    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>) {
         self.reply.push(
             self.session(1080, session)
                 .with(&short(retry_after.unwrap_or_default())),
@@ -415,9 +417,9 @@
             .push(Action::new(1000, self.number).with(&address));
     }
 
-    fn wake(&mut self, at: Moment) {
+    fn wake(&mut self, at: Instant) {
         let action = Action::new(1020, self.number).with(&0u64.to_le_bytes());
-        self.reply.push(action.with(&at.us().to_le_bytes()));
+        self.reply.push(action.with(&at.as_micros().to_le_bytes()));
     }
 
     fn subscribe(&mut self) {
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -57,7 +57,7 @@
 fn picture(look: &Look, whole: bool) -> String {
     let mut text = format!(
         "{:3.0} s  {} relays  standing {:>4}  accepted {:>5}  refused {:>4}  torn down {:>3}  moved {:>4}",
-        look.at.secs(),
+        look.at.as_secs_f64(),
         look.relays,
         look.standing,
         look.up,
--- a/cli/src/experiments.rs
+++ b/cli/src/experiments.rs
@@ -5,7 +5,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_experiments::compare;
 use thistlecroft_experiments::count::Counts;
 use thistlecroft_experiments::peers::{self, Trial};
@@ -234,7 +234,7 @@
             seeds,
             out,
         } => {
-            let period = Span::written(&period).filter(|span| span.us() >= 50_000);
+            let period = Duration::parse(&period).filter(|span| span.as_micros() >= 50_000);
             let period =
                 period.ok_or_else(|| End::Wrong("--period: a span of 50ms or more".into()))?;
             if loss.iter().any(|loss| !(0.0..=0.9).contains(loss)) {
@@ -327,8 +327,8 @@
     };
     format!(
         "{:5.0} of {:.0} s  standing {:>5}  up {:>6}  busy {:>5}  failed {:>4}  moved {:>5}{news}",
-        look.at.secs(),
-        look.length.secs(),
+        look.at.as_secs_f64(),
+        look.length.as_secs_f64(),
         look.standing,
         look.up,
         look.busy,
--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -4,8 +4,7 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use std::time::Duration;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_testbed::station::call;
 
 #[derive(Args)]
@@ -24,7 +23,7 @@
     json: bool,
 }
 
-const WAIT: Span = Span::from_ms(1_000);
+const WAIT: Duration = Duration::from_millis(1_000);
 
 pub fn run(asked: &Asked) -> Result<(), End> {
     if !(0.05..=3_600.0).contains(&asked.every) {
@@ -55,7 +54,7 @@
             };
         }
         println!();
-        std::thread::sleep(Duration::from_secs_f64(asked.every));
+        std::thread::sleep(std::time::Duration::from_secs_f64(asked.every));
     }
 }
 
--- a/cli/tests/command.rs
+++ b/cli/tests/command.rs
@@ -3,9 +3,9 @@
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Output, Stdio};
-use std::time::{Duration, Instant};
+use std::time::Instant;
 
-const LONG: Duration = Duration::from_secs(20);
+const LONG: std::time::Duration = std::time::Duration::from_secs(20);
 
 fn command() -> Command {
     Command::new(env!("CARGO_BIN_EXE_thistlecroft"))
@@ -387,7 +387,7 @@
     let end = Instant::now() + LONG;
     while !holds() {
         assert!(Instant::now() < end, "{what}");
-        std::thread::sleep(Duration::from_millis(5));
+        std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
@@ -619,28 +619,28 @@
 /// A relay's configuration, as the stand-ins write it.
 fn thistlecroft_fleet_text(listen: &str) -> String {
     use thistlecroft::deployment::Effect;
-    use thistlecroft::units::Span;
+    use thistlecroft::time::Duration;
     use thistlecroft_testbed::post::{ListenerTerms, Orders, Terms, configuration};
     let terms = Terms {
         zones: vec!["a".into()],
         listeners: vec![ListenerTerms {
             name: "view".into(),
-            wait: Span::from_ms(1_000),
-            handshake_target: Span::from_ms(300),
-            message_target: Span::from_ms(50),
+            wait: Duration::from_millis(1_000),
+            handshake_target: Duration::from_millis(300),
+            message_target: Duration::from_millis(50),
             effect: Effect::Repeatable,
             utility: 1.0,
         }],
-        connect_time: Span::from_ms(250),
+        connect_time: Duration::from_millis(250),
         most_dials: 3,
         longest_retry_after: None,
         probes: true,
         groups: false,
         tells_load: false,
         cold_start_share: 0.3,
-        warm_up: Span::from_ms(9_000),
+        warm_up: Duration::from_millis(9_000),
         cold_factor: 3.0,
-        cold_window: Span::from_ms(3_000),
+        cold_window: Duration::from_millis(3_000),
         memory_mb: 64,
         sockets: 256,
         two_dials: false,
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -5,26 +5,25 @@
 mod helper;
 
 use helper::{arrival, deployment, ms, row};
-use std::time::Instant;
 use thistlecroft::balance::Relay;
 use thistlecroft::deployment::{ColdStart, Deployment, Effect};
 use thistlecroft::front::{Ending, Front, ListScope, Report, Standing, Verdict};
 use thistlecroft::ids::{BackendId, SessionId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 #[derive(Default)]
 struct Desk(Option<BackendId>);
 
 impl Front for Desk {
-    fn dial(&mut self, _: SessionId, backend: BackendId, _: Span) {
+    fn dial(&mut self, _: SessionId, backend: BackendId, _: Duration) {
         self.0 = Some(backend);
     }
     fn withdraw(&mut self, _: SessionId, _: u32) {}
-    fn refuse(&mut self, _: SessionId, _: Option<Span>) {}
+    fn refuse(&mut self, _: SessionId, _: Option<Duration>) {}
     fn tear_down(&mut self, _: SessionId) {}
     fn send_away(&mut self, _: SessionId) {}
     fn probe(&mut self, _: BackendId) {}
-    fn wake(&mut self, _: Moment) {}
+    fn wake(&mut self, _: Instant) {}
     fn subscribe(&mut self) {}
     fn release(&mut self, _: SessionId) {}
 }
@@ -53,7 +52,7 @@
         },
         ..deployment(Effect::Repeatable)
     };
-    let (mut now, mut desk) = (Moment::from_us(100_000_000), Desk::default());
+    let (mut now, mut desk) = (Instant::from_micros(100_000_000), Desk::default());
     let mut relay = Relay::new(deployment, 7, now, &mut desk);
     let up_since = cold.then_some(now);
     let list: Vec<_> = (0..backends)
@@ -68,7 +67,7 @@
         relay.probed(now, BackendId(id), Verdict::Ok, report);
     }
     let (sessions, turns) = (2_000u32, 1_000u32);
-    let began = Instant::now();
+    let began = std::time::Instant::now();
     for id in 0..sessions {
         now = now + ms(2);
         let of = arrival(u64::from(id) + 1, u64::from(id % 50) + 1, ms(1_200));
@@ -85,7 +84,7 @@
         }
     }
     let session = began.elapsed().as_secs_f64() * 1e6 / f64::from(sessions);
-    let began = Instant::now();
+    let began = std::time::Instant::now();
     for _ in 0..turns {
         now = now + ms(500);
         relay.woken(now, &mut desk);
--- a/experiments/src/peers.rs
+++ b/experiments/src/peers.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_peers::{Kind, MemberState, Pace, Terms};
 use thistlecroft_testbed::link::LinkFault;
 use thistlecroft_testbed::rig::{Plan, Rig};
@@ -17,7 +17,7 @@
     pub size: usize,
     pub loss: f64,
     pub seed: u64,
-    pub period: Span,
+    pub period: Duration,
 }
 
 /// Spans are counted in periods.
@@ -41,8 +41,8 @@
     pub cpu_us: Option<f64>,
 }
 
-fn in_periods(span: Option<Span>, period: Span) -> Option<f64> {
-    span.map(|span| span.us() as f64 / period.us() as f64)
+fn in_periods(span: Option<Duration>, period: Duration) -> Option<f64> {
+    span.map(|span| span.as_micros() as f64 / period.as_micros() as f64)
 }
 
 pub fn simulated(trial: Trial) -> Found {
@@ -64,7 +64,7 @@
         network.start(&format!("r{number}"), 1.0);
     }
     let mut found = Found {
-        bound: pace.gone_within(size, 0).us() as f64 / period.us() as f64,
+        bound: pace.gone_within(size, 0).as_micros() as f64 / period.as_micros() as f64,
         ..Found::default()
     };
     found.join = in_periods(
@@ -156,7 +156,7 @@
     } = trial;
     let pace = Pace { period };
     let folder = folder.join(format!("peers-{size}"));
-    let lease = Span::from_ms(2_000);
+    let lease = Duration::from_millis(2_000);
     let mut plan = Plan::small(program.to_vec(), size, 3.min(size), (period, lease), folder);
     (plan.seed, plan.ground.seed, plan.terms.probes) = (seed, seed, false);
     let mut rig = Rig::open(plan)?;
@@ -167,7 +167,7 @@
         views.filter_map(|view| view["counts"][name].as_u64()).sum()
     };
     let mut found = Found {
-        bound: pace.gone_within(size, 0).us() as f64 / period.us() as f64,
+        bound: pace.gone_within(size, 0).as_micros() as f64 / period.as_micros() as f64,
         ..Found::default()
     };
     found.join = in_periods(rig.wait(period * 400.0, |rig| rig.agree(&all)), period);
@@ -182,9 +182,9 @@
     let cpu = |rig: &Rig| {
         all.iter()
             .filter_map(|one| rig.cpu(*one))
-            .fold(Span::ZERO, |sum, one| sum + one)
+            .fold(Duration::ZERO, |sum, one| sum + one)
     };
-    let quiet = Span::from_ms(10_000);
+    let quiet = Duration::from_millis(10_000);
     // News of the start has gone round by then, and voters are no longer silent.
     std::thread::sleep(thistlecroft_testbed::clock::duration(period * 30.0));
     // Counted by probes, which come one a period: the views themselves are asked outside of it.
@@ -195,7 +195,7 @@
     );
     let spent = cpu(&rig);
     std::thread::sleep(thistlecroft_testbed::clock::duration(quiet));
-    found.cpu_us = Some((cpu(&rig) - spent).us() as f64 / quiet.secs() / size as f64);
+    found.cpu_us = Some((cpu(&rig) - spent).as_micros() as f64 / quiet.as_secs_f64() / size as f64);
     let periods = (count(&rig, "probes") - probes) as f64 / size as f64;
     found.bytes = (count(&rig, "sent_bytes") - bytes) as f64 / size as f64 / periods.max(1.0);
     found.suspicions = (count(&rig, "suspected") - suspected) as f64 / periods.max(1.0) * 3_600.0;
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan.rs
@@ -2,7 +2,8 @@
 //! and seed give the same plan, whatever is run under it. No I/O.
 use crate::scenario::{Baseline, EffectText, FaultText, Rate, Scenario, ScopeText, Which, Word};
 use thistlecroft::deployment::{Effect, Scope};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::crowd::{Cue as CrowdCue, Dealing, Rude};
 use thistlecroft_testbed::link::LinkFault;
 use thistlecroft_testbed::model::{Cold, Make};
@@ -19,9 +20,9 @@
     Yard(YardCue),
     Crowd(CrowdCue),
     /// Killed outright, back after so long.
-    Kill(RelayNo, Option<Span>),
+    Kill(RelayNo, Option<Duration>),
     /// Told to stop, and the next one started after so long.
-    Stop(RelayNo, Option<Span>),
+    Stop(RelayNo, Option<Duration>),
     HangUp(RelayNo),
     /// The next of the scenario's charters.
     Recharter(RelayNo),
@@ -40,7 +41,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Timed {
-    pub at: Moment,
+    pub at: Instant,
     pub act: Act,
 }
 
@@ -48,8 +49,8 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Marked {
     pub what: String,
-    pub from: Moment,
-    pub to: Option<Moment>,
+    pub from: Instant,
+    pub to: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
@@ -63,11 +64,11 @@
     pub terms: Terms,
     pub law: Law,
     pub pact: Pact,
-    pub until: Moment,
+    pub until: Instant,
 }
 
 /// Clients come from here on, so that all is set up before.
-pub const BEGIN: Moment = Moment::from_us(500_000);
+pub const BEGIN: Instant = Instant::from_micros(500_000);
 
 pub fn dealing(baseline: Option<Baseline>) -> Dealing {
     match baseline {
@@ -79,14 +80,16 @@
 
 impl Plan {
     pub fn of(scenario: &Scenario, seed: u64) -> Plan {
-        let mut chance = Chance::from_seed(seed ^ 0x5ca1_ab1e);
+        let mut chance = Rng::from_seed(seed ^ 0x5ca1_ab1e);
         let until = BEGIN + scenario.length.0;
         let (mut acts, mut marks, mut rushes) = (Vec::new(), Vec::new(), Vec::new());
         for fault in &scenario.faults {
             let fault = fault.get_ref();
             let from = BEGIN + fault.at.0;
             if fault.what == "rush" {
-                let over = fault.over.map_or(Span::from_ms(1_000), |over| over.0);
+                let over = fault
+                    .over
+                    .map_or(Duration::from_millis(1_000), |over| over.0);
                 rushes.push((from, fault.clients.unwrap_or_default(), over));
                 marks.push(Marked {
                     what: fault.what.clone(),
@@ -124,9 +127,12 @@
         };
         let together = &scenario.together;
         let pact = Pact {
-            at_once: together
-                .at_once
-                .map(|most| (most, together.over_for.map_or(Span::ZERO, |over| over.0))),
+            at_once: together.at_once.map(|most| {
+                (
+                    most,
+                    together.over_for.map_or(Duration::ZERO, |over| over.0),
+                )
+            }),
             dials_a_second: together.dials_a_second,
             bans_within: together.bans_within.map(|within| within.0),
             takes_over: false,
@@ -165,7 +171,7 @@
     }
 }
 
-fn traffic_of(scenario: &Scenario, rushes: Vec<(Moment, usize, Span)>) -> Traffic {
+fn traffic_of(scenario: &Scenario, rushes: Vec<(Instant, usize, Duration)>) -> Traffic {
     let text = &scenario.traffic;
     let kinds = scenario
         .listeners
@@ -238,12 +244,12 @@
     }
 }
 
-fn turnover(scenario: &Scenario) -> Span {
+fn turnover(scenario: &Scenario) -> Duration {
     let rows = || scenario.listeners.iter().map(|row| row.get_ref());
     let shares: f64 = rows().map(|row| row.share).sum();
     let mean = rows()
         .map(|row| row.life.0 * (row.share / shares))
-        .fold(Span::ZERO, |sum, part| sum + part);
+        .fold(Duration::ZERO, |sum, part| sum + part);
     mean.max(scenario.fleet.warm_up.0)
 }
 
@@ -398,7 +404,7 @@
         return Err("what: the relays have no charters to swap".into());
     }
     if matches!(fault.what.as_str(), "reload" | "charter-swap")
-        && fault.every.is_some_and(|every| every.0.us() < 1_000)
+        && fault.every.is_some_and(|every| every.0.as_micros() < 1_000)
     {
         return Err("every: a millisecond at least".into());
     }
@@ -408,7 +414,7 @@
     Ok(())
 }
 
-fn drawn(which: &Option<Which>, of: usize, chance: &mut Chance) -> Vec<usize> {
+fn drawn(which: &Option<Which>, of: usize, chance: &mut Rng) -> Vec<usize> {
     let count = match which {
         None => return Vec::new(),
         Some(Which::These(these)) => return these.clone(),
@@ -429,8 +435,8 @@
 fn acts_of(
     fault: &FaultText,
     scenario: &Scenario,
-    chance: &mut Chance,
-) -> (Vec<Timed>, Option<Moment>) {
+    chance: &mut Rng,
+) -> (Vec<Timed>, Option<Instant>) {
     let from = BEGIN + fault.at.0;
     let to = fault.lasts.map(|lasts| from + lasts.0);
     let boxes = drawn(&fault.boxes, scenario.fleet.boxes, chance);
@@ -443,9 +449,9 @@
         .into_iter()
         .map(|number| RelayNo(number as u16))
         .collect();
-    let over = fault.over.map_or(Span::ZERO, |over| over.0);
+    let over = fault.over.map_or(Duration::ZERO, |over| over.0);
     let back = fault.back.map(|back| back.0);
-    let span = |time: Option<crate::spans::Time>| time.map_or(Span::ZERO, |time| time.0);
+    let span = |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
     let ailment = match fault.what.as_str() {
         "silent" => Some(Ailment::Vanished),
         "freeze" => Some(Ailment::Frozen),
@@ -469,7 +475,7 @@
         _ => None,
     };
     let mut acts = Vec::new();
-    let mut add = |at: Moment, act: Act| acts.push(Timed { at, act });
+    let mut add = |at: Instant, act: Act| acts.push(Timed { at, act });
     for &at in &boxes {
         match (ailment, fault.what.as_str()) {
             (Some(ailment), _) => {
@@ -526,10 +532,10 @@
             }
             (None, "relay-killed") => add(from, Act::Kill(relay, back)),
             (None, "relay-replaced") => {
-                add(from, Act::Stop(relay, Some(back.unwrap_or(Span::ZERO))))
+                add(from, Act::Stop(relay, Some(back.unwrap_or(Duration::ZERO))))
             }
             _ => {
-                let every = span(fault.every).max(Span::from_ms(1));
+                let every = span(fault.every).max(Duration::from_millis(1));
                 let mut at = from;
                 while to.is_some_and(|to| at < to) {
                     add(
@@ -546,7 +552,7 @@
         }
     }
     acts.extend(link_acts(fault, scenario, &relays, chance));
-    let mut add = |at: Moment, act: Act| acts.push(Timed { at, act });
+    let mut add = |at: Instant, act: Act| acts.push(Timed { at, act });
     let clients = fault.clients.unwrap_or_default();
     if fault.what == "clients-drop" {
         add(from, Act::Crowd(CrowdCue::Drop(clients, over)));
@@ -562,13 +568,13 @@
     fault: &FaultText,
     scenario: &Scenario,
     these: &[RelayNo],
-    chance: &mut Chance,
+    chance: &mut Rng,
 ) -> Vec<Timed> {
     let count = scenario.relays.count;
     let begins = BEGIN + fault.at.0;
     let ends = fault.lasts.map(|lasts| begins + lasts.0);
     let mut acts = Vec::new();
-    let mut add = |at: Moment, act: Act| acts.push(Timed { at, act });
+    let mut add = |at: Instant, act: Act| acts.push(Timed { at, act });
     match fault.what.as_str() {
         "partition" => {
             let others = || {
@@ -598,7 +604,8 @@
                 .flat_map(|one| to.iter().map(move |other| (*one, *other)));
             let links: Vec<(RelayNo, RelayNo)> =
                 pairs.filter(|(one, other)| one != other).collect();
-            let span = |time: Option<crate::spans::Time>| time.map_or(Span::ZERO, |time| time.0);
+            let span =
+                |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
             let bent = fault.delay.is_some()
                 || fault.spread.is_some()
                 || fault.doubled.is_some()
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -6,13 +6,13 @@
 use plotters::coord::ranged1d::Ranged;
 use plotters::prelude::*;
 use std::collections::BTreeMap;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::crowd::CrowdSums;
 use thistlecroft_testbed::tape::{Answer, Entry, RelayNo, Sighting};
 
 const SIZE: (u32, u32) = (960, 300);
 /// Answers are counted in steps of this.
-const STEP: Span = Span::from_ms(500);
+const STEP: Duration = Duration::from_millis(500);
 const HUES: [RGBColor; 6] = [
     RGBColor(31, 119, 180),
     RGBColor(214, 39, 40),
@@ -188,8 +188,8 @@
     Ok(svg)
 }
 
-fn seconds(at: Moment) -> f64 {
-    at.us() as f64 / 1e6
+fn seconds(at: Instant) -> f64 {
+    at.as_micros() as f64 / 1e6
 }
 
 fn box_lines(entries: &[Entry]) -> Vec<Line> {
@@ -220,8 +220,8 @@
     each.chain([mean]).collect()
 }
 
-fn answer_lines(entries: &[Entry], until: Moment) -> Vec<Line> {
-    let steps = (until.us() / STEP.us() + 1) as usize;
+fn answer_lines(entries: &[Entry], until: Instant) -> Vec<Line> {
+    let steps = (until.as_micros() / STEP.as_micros() + 1) as usize;
     let mut counts = vec![[0_u32; 5]; steps];
     for entry in entries {
         let kind = match entry.seen {
@@ -242,7 +242,7 @@
             Sighting::CutOff { .. } => 4,
             _ => continue,
         };
-        let step = ((entry.at.us() / STEP.us()) as usize).min(steps - 1);
+        let step = ((entry.at.as_micros() / STEP.as_micros()) as usize).min(steps - 1);
         counts[step][kind] += 1;
     }
     let names = ["up", "busy", "failed or none", "moved", "cut off"];
@@ -255,8 +255,8 @@
             .enumerate()
             .map(|(step, row)| {
                 (
-                    step as f64 * STEP.secs(),
-                    f64::from(row[kind]) / STEP.secs(),
+                    step as f64 * STEP.as_secs_f64(),
+                    f64::from(row[kind]) / STEP.as_secs_f64(),
                 )
             })
             .collect(),
@@ -278,7 +278,7 @@
         else {
             continue;
         };
-        let (at, cpu) = (seconds(entry.at), cpu.secs());
+        let (at, cpu) = (seconds(entry.at), cpu.as_secs_f64());
         if let Some((before, used)) = last.insert(relay, (at, cpu))
             && cpu >= used
             && at > before
@@ -316,8 +316,10 @@
     marks: &[Marked],
     crowds: &[CrowdSums],
 ) -> Result<String, String> {
-    let begun = begun(entries).since(Moment::default()).secs();
-    let until = entries.last().map_or(Moment::default(), |last| last.at);
+    let begun = begun(entries)
+        .duration_since(Instant::default())
+        .as_secs_f64();
+    let until = entries.last().map_or(Instant::default(), |last| last.at);
     let end = seconds(until).max(1.0);
     let marks: Vec<(String, f64, f64)> = marks
         .iter()
--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -11,8 +11,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use std::time::Duration;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::{Stopwatch, duration};
 use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Doorway, IDLE};
 use thistlecroft_testbed::listing::{Listing, Row, name_of};
@@ -30,17 +29,17 @@
 use thistlecroft_testbed::yard::{Opened, Yard};
 
 /// How often the plan is looked at, and relays are measured.
-const STEP: Duration = Duration::from_millis(10);
-const MEASURE: Span = Span::from_ms(500);
-const LOOK: Span = Span::from_ms(1_000);
+const STEP: std::time::Duration = std::time::Duration::from_millis(10);
+const MEASURE: Duration = Duration::from_millis(500);
+const LOOK: Duration = Duration::from_millis(1_000);
 /// At a planned restart connections go on coming for so long.
-const COME_ON: Span = Span::from_ms(300);
+const COME_ON: Duration = Duration::from_millis(300);
 /// A relay told to stop is killed this long after the longest wait, which counts for at most so
 /// much.
-const AFTER_WAIT: Span = Span::from_ms(1_000);
-const LONGEST_WAIT: Span = Span::from_ms(3_000);
+const AFTER_WAIT: Duration = Duration::from_millis(1_000);
+const LONGEST_WAIT: Duration = Duration::from_millis(3_000);
 /// Waited for clients to leave at the end, besides the longest wait.
-const LEAVING: Duration = Duration::from_secs(8);
+const LEAVING: std::time::Duration = std::time::Duration::from_secs(8);
 /// Descriptors of this process besides clients, boxes and their connections.
 const OWN: u64 = 300;
 
@@ -83,8 +82,8 @@
 /// What a run looks like while it goes on.
 #[derive(Clone, Debug, Default)]
 pub struct Look {
-    pub at: Span,
-    pub length: Span,
+    pub at: Duration,
+    pub length: Duration,
     pub up: usize,
     pub busy: usize,
     pub failed: usize,
@@ -106,15 +105,15 @@
     post: Option<Post>,
     orders: Orders,
     /// Until when it may take to stop.
-    stops_by: Option<Moment>,
-    back_after: Option<Span>,
+    stops_by: Option<Instant>,
+    back_after: Option<Duration>,
     starts: u64,
     /// Which of the charters it has.
     charter: usize,
     program: Vec<String>,
     /// Processes of it that are on their way out while another serves, and until when they may
     /// take.
-    elders: Vec<(Post, Moment)>,
+    elders: Vec<(Post, Instant)>,
     /// What its charter says of peers.
     peers: String,
 }
@@ -132,7 +131,7 @@
     net: Option<OpenedNet>,
     witnesses: Vec<Witness>,
     /// What comes of acts later than their own time.
-    later: BTreeMap<(Moment, usize), Later>,
+    later: BTreeMap<(Instant, usize), Later>,
     serial: usize,
     crashes: usize,
     seen: usize,
@@ -171,9 +170,9 @@
         baseline: way.baseline.is_some(),
         seed,
         complete,
-        length: entries
-            .last()
-            .map_or(Span::ZERO, |last| last.at.since(Moment::default())),
+        length: entries.last().map_or(Duration::ZERO, |last| {
+            last.at.duration_since(Instant::default())
+        }),
         crashes,
         entries: &entries,
         ruling: &ruling,
@@ -206,7 +205,7 @@
 /// What this process and its relays must be able to hold: each client has an end here, and so has
 /// its box.
 fn descriptors(plan: &Plan, way: &Way) -> u64 {
-    let mut changes: Vec<(Moment, i64)> = Vec::new();
+    let mut changes: Vec<(Instant, i64)> = Vec::new();
     for arrival in &plan.arrivals {
         // Set-ups that take much longer than this are few, or the run shows little anyway.
         let set_up = plan.traffic.kinds[usize::from(arrival.kind)].handshake_target;
@@ -362,13 +361,13 @@
                 .filter(|(number, _)| number % threads == thread)
                 .map(|(number, arrival)| {
                     let mut arrival = arrival.clone();
-                    arrival.due = begun + (arrival.due.since(Moment::default()));
+                    arrival.due = begun + (arrival.due.duration_since(Instant::default()));
                     (number as u64 + 1, arrival)
                 });
             let bill = Bill {
                 traffic: plan.traffic.clone(),
                 arrivals: arrivals.collect(),
-                until: begun + plan.until.since(Moment::default()),
+                until: begun + plan.until.duration_since(Instant::default()),
                 doors: doors.clone(),
                 dealing: dealing(way.baseline),
                 seed: plan.seed.wrapping_add(thread as u64),
@@ -378,7 +377,7 @@
         }
         tape.note(begun, Sighting::Mark { text: BEGUN.into() });
         let look = Look {
-            length: plan.until.since(Moment::default()),
+            length: plan.until.duration_since(Instant::default()),
             boxes: plan
                 .ground
                 .boxes
@@ -426,7 +425,7 @@
         self.tape.note(self.clock.now(), seen);
     }
 
-    fn set(&mut self, after: Span, later: Later) {
+    fn set(&mut self, after: Duration, later: Later) {
         self.serial += 1;
         self.later
             .insert((self.clock.now() + after, self.serial), later);
@@ -441,7 +440,7 @@
         let mut complete = true;
         loop {
             let now = self.clock.now();
-            let passed = Moment::default() + now.since(begun);
+            let passed = Instant::default() + now.duration_since(begun);
             if stop.load(Ordering::Relaxed) {
                 complete = false;
                 break;
@@ -456,13 +455,13 @@
                 self.act(&timed.act);
             }
             self.carry_on(now);
-            if now.since(measured) >= MEASURE {
+            if now.duration_since(measured) >= MEASURE {
                 measured = now;
                 self.measure();
             }
-            if now.since(looked) >= LOOK {
+            if now.duration_since(looked) >= LOOK {
                 looked = now;
-                self.take_look(passed.since(Moment::default()));
+                self.take_look(passed.duration_since(Instant::default()));
                 watch(&self.look);
                 self.look.news.clear();
             }
@@ -600,7 +599,7 @@
         }
     }
 
-    fn stops_by(&self) -> Moment {
+    fn stops_by(&self) -> Instant {
         let longest = self
             .plan
             .traffic
@@ -683,7 +682,7 @@
     }
 
     /// What earlier acts lead to, and relays that end.
-    fn carry_on(&mut self, now: Moment) {
+    fn carry_on(&mut self, now: Instant) {
         while let Some(entry) = self
             .later
             .first_entry()
@@ -777,7 +776,7 @@
                 self.note(Sighting::RelayStarted {
                     relay: RelayNo(number as u16),
                 });
-                self.set(Span::ZERO, Later::Door(number, true));
+                self.set(Duration::ZERO, Later::Door(number, true));
             }
             Err(why) => {
                 self.crashes += 1;
@@ -799,7 +798,7 @@
         self.reel.gather();
     }
 
-    fn take_look(&mut self, passed: Span) {
+    fn take_look(&mut self, passed: Duration) {
         self.look.at = passed;
         self.reel.gather();
         for entry in &self.reel.entries[self.seen..] {
@@ -932,7 +931,7 @@
 }
 
 /// The moment in a run at which a plan's moment came.
-pub fn begun(entries: &[Entry]) -> Moment {
+pub fn begun(entries: &[Entry]) -> Instant {
     let begins = |entry: &&Entry| matches!(&entry.seen, Sighting::Mark { text } if text == BEGUN);
     entries.iter().find(begins).map_or(BEGIN, |entry| entry.at)
 }
--- a/experiments/src/scale/assignment.rs
+++ b/experiments/src/scale/assignment.rs
@@ -2,12 +2,12 @@
 //! relay works it out from the members that it sees; only the lease decides who owns.
 use super::config::Layout;
 use std::collections::BTreeSet;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
 use thistlecroft_peers::{MemberState, Node};
 
 /// How long a subject is wanted once it is assigned here: until it is released.
-const FOR_LONG: Span = Span::from_ms(1_000 * 3_600 * 24);
+const FOR_LONG: Duration = Duration::from_millis(1_000 * 3_600 * 24);
 /// Relays tried for a subject in a row, beyond which nobody is to own it.
 const TRIES: u64 = 64;
 
@@ -88,7 +88,7 @@
     }
 
     /// Acquires and releases what has changed with the members that are seen.
-    pub fn apply(&mut self, node: &Node, leases: &mut Leases, now: Moment) {
+    pub fn apply(&mut self, node: &Node, leases: &mut Leases, now: Instant) {
         if self.member < self.layout.voters {
             return;
         }
--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -1,6 +1,6 @@
 //! What is run: sizes, times, the fault, and where each process of the fleet stands.
 use serde::{Deserialize, Serialize};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_leases::{Electorate, LeaseConfig, MAX_VOTER_SUBJECTS};
 use thistlecroft_peers::{Pace, Terms};
 
@@ -142,12 +142,12 @@
         }
     }
 
-    pub fn period(&self) -> Span {
-        Span::from_ms(self.period_ms)
+    pub fn period(&self) -> Duration {
+        Duration::from_millis(self.period_ms)
     }
 
-    pub fn term(&self) -> Span {
-        Span::from_ms(self.term_ms)
+    pub fn term(&self) -> Duration {
+        Duration::from_millis(self.term_ms)
     }
 
     pub fn rate_of(&self, role: Role) -> u32 {
--- a/experiments/src/scale/processes.rs
+++ b/experiments/src/scale/processes.rs
@@ -382,7 +382,7 @@
     fn note_costs(&mut self) {
         for worker in &mut self.workers {
             if let Some((cpu, _)) = cost_of(worker.child.id()) {
-                worker.cpu = Duration::from_micros(cpu.us());
+                worker.cpu = Duration::from_micros(cpu.as_micros());
             }
         }
     }
@@ -395,7 +395,7 @@
             let Some((spent, resident)) = cost_of(worker.child.id()) else {
                 continue;
             };
-            let spent = Duration::from_micros(spent.us())
+            let spent = Duration::from_micros(spent.as_micros())
                 .saturating_sub(worker.cpu)
                 .as_secs_f64()
                 / seconds
--- a/experiments/src/scale/real.rs
+++ b/experiments/src/scale/real.rs
@@ -115,7 +115,7 @@
         let count = |view: &serde_json::Value, name: &str| {
             view["counts"][name].as_u64().unwrap_or_default()
         };
-        let cpu_s = self.rig.cpu(number).map_or(0.0, |cpu| cpu.secs());
+        let cpu_s = self.rig.cpu(number).map_or(0.0, |cpu| cpu.as_secs_f64());
         let Some(view) = self.rig.view(number) else {
             return Sample {
                 cpu_s,
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -6,12 +6,11 @@
 use super::outcome::{Convergence, Outcome, Phase};
 use super::witness::{OwnershipWitness, epochs_not_grown, two_owners};
 use std::collections::BTreeSet;
-use std::time::Instant;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::MemberState;
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
-const STEP: Span = Span::from_ms(250);
+const STEP: Duration = Duration::from_millis(250);
 const STEPS_A_SECOND: u64 = 4;
 /// The longest that a state is waited for, in periods.
 const PATIENCE: f64 = 400.0;
@@ -20,7 +19,7 @@
 const SETTLE_EACH: f64 = 0.25;
 
 pub fn run(config: &ScaleConfig, progress: Progress<'_>) -> Outcome {
-    let began = Instant::now();
+    let began = std::time::Instant::now();
     let mut fleet = Fleet::start(config);
     let mut phases = Vec::new();
     let everyone: BTreeSet<usize> = (0..config.layout().size()).collect();
@@ -28,14 +27,14 @@
     phases.push(fleet.phase("start", Some(started)));
     fleet.settle(progress);
     phases.push(fleet.phase("settle", None));
-    fleet.pass(Span::from_ms(config.calm_s * 1_000));
+    fleet.pass(Duration::from_millis(config.calm_s * 1_000));
     phases.push(fleet.phase("calm", None));
     match config.fault {
         Fault::None => {}
         Fault::Region => {
             let sides = fleet.cut_region();
             let cut = fleet.converge(&sides, progress);
-            fleet.pass(Span::from_ms(config.cut_s * 1_000));
+            fleet.pass(Duration::from_millis(config.cut_s * 1_000));
             phases.push(fleet.phase("fault", Some(cut)));
             fleet.network.heal();
             let healed = fleet.converge(std::slice::from_ref(&everyone), progress);
@@ -83,7 +82,7 @@
     meters: Vec<Meter>,
     witness: OwnershipWitness,
     steps: u64,
-    phase_began: Moment,
+    phase_began: Instant,
 }
 
 impl<'a> Fleet<'a> {
@@ -119,7 +118,7 @@
             witness: OwnershipWitness::default(),
             network,
             steps: 0,
-            phase_began: Moment::default(),
+            phase_began: Instant::default(),
         }
     }
 
@@ -160,7 +159,7 @@
         }
     }
 
-    fn pass(&mut self, span: Span) {
+    fn pass(&mut self, span: Duration) {
         let until = self.network.now + span;
         while self.network.now < until {
             self.step();
@@ -174,19 +173,22 @@
         let patience = self.config.period() * PATIENCE;
         while found.members_s.is_none() || found.owned_s.is_none() {
             self.step();
-            let passed = self.network.now.since(began);
+            let passed = self.network.now.duration_since(began);
             if found.members_s.is_none() && sides.iter().all(|side| self.agree(side)) {
-                found.members_s = Some(passed.secs());
+                found.members_s = Some(passed.as_secs_f64());
             }
             if self.owned() == self.config.subjects {
-                found.owned_s = found.owned_s.or(Some(passed.secs()));
+                found.owned_s = found.owned_s.or(Some(passed.as_secs_f64()));
             } else {
                 found.owned_s = None;
             }
             if self.steps.is_multiple_of(STEPS_A_SECOND * 5) {
                 progress(&format!(
                     "{:.0} s: {} subjects owned",
-                    self.network.now.since(Moment::default()).secs(),
+                    self.network
+                        .now
+                        .duration_since(Instant::default())
+                        .as_secs_f64(),
                     self.owned()
                 ));
             }
@@ -202,7 +204,10 @@
     fn settle(&mut self, progress: Progress<'_>) {
         progress(&format!(
             "{:.0} s: settling",
-            self.network.now.since(Moment::default()).secs()
+            self.network
+                .now
+                .duration_since(Instant::default())
+                .as_secs_f64()
         ));
         self.pass(self.config.period() * (SETTLE + SETTLE_EACH * self.assignments.len() as f64));
     }
@@ -257,13 +262,17 @@
             .filter(|(member, _)| self.network.hosts[*member].alive)
             .map(|(member, meter)| (layout.role(member), meter.take()))
             .collect();
-        let seconds = self.network.now.since(self.phase_began).secs();
+        let seconds = self
+            .network
+            .now
+            .duration_since(self.phase_began)
+            .as_secs_f64();
         self.phase_began = self.network.now;
         Phase::new(name, seconds, &all, converged)
     }
 }
 
-fn holdings(host: &Host, now: Moment) -> impl Iterator<Item = (usize, u64)> + '_ {
+fn holdings(host: &Host, now: Instant) -> impl Iterator<Item = (usize, u64)> + '_ {
     let own = host.clock(now);
     let held = host
         .leases
--- a/experiments/src/scale/witness.rs
+++ b/experiments/src/scale/witness.rs
@@ -1,6 +1,6 @@
 //! Who was seen to own what and when, and whether two did at once.
 use serde::{Deserialize, Serialize};
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 /// One holding of a subject, as its owner was seen with it: from the first look to the last. The
 /// epoch is one holding's alone, so in between it was not lost.
@@ -26,7 +26,7 @@
         &mut self,
         owner: usize,
         holdings: impl Iterator<Item = (usize, u64)>,
-        now: Moment,
+        now: Instant,
     ) {
         for (subject, epoch) in holdings {
             if subject >= self.last.len() {
@@ -36,14 +36,14 @@
                 subject,
                 owner,
                 epoch,
-                first_us: now.us(),
-                last_us: now.us(),
+                first_us: now.as_micros(),
+                last_us: now.as_micros(),
             };
             match self.last[subject]
                 .iter_mut()
                 .find(|known| known.owner == owner)
             {
-                Some(known) if known.epoch == epoch => known.last_us = now.us(),
+                Some(known) if known.epoch == epoch => known.last_us = now.as_micros(),
                 Some(known) => self.past.push(std::mem::replace(known, fresh)),
                 None => self.last[subject].push(fresh),
             }
@@ -85,7 +85,11 @@
     fn witness(looks: &[(u64, usize, u64)]) -> Vec<Holding> {
         let mut witness = OwnershipWitness::default();
         for (at, owner, epoch) in looks {
-            witness.look(*owner, std::iter::once((7, *epoch)), Moment::from_us(*at));
+            witness.look(
+                *owner,
+                std::iter::once((7, *epoch)),
+                Instant::from_micros(*at),
+            );
         }
         witness.into_holdings()
     }
--- a/experiments/src/scale/worker.rs
+++ b/experiments/src/scale/worker.rs
@@ -12,8 +12,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, channel};
-use std::time::Duration;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
 use thistlecroft_peers::wire::MOST;
 use thistlecroft_peers::{Event as PeerEvent, Identity, Node};
@@ -21,13 +20,13 @@
 /// Datagrams of one socket read in a turn.
 const DATAGRAMS: usize = 64;
 /// Between two looks at what is owned and seen.
-const LOOK_EVERY: Span = Span::from_ms(250);
-const SECOND: Span = Span::from_ms(1_000);
+const LOOK_EVERY: Duration = Duration::from_millis(250);
+const SECOND: Duration = Duration::from_millis(1_000);
 
 /// One clock for all processes of the machine.
-fn now() -> Moment {
+fn now() -> Instant {
     let time = clock_gettime(ClockId::Monotonic);
-    Moment::from_us(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000)
+    Instant::from_micros(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000)
 }
 
 struct Hollow {
@@ -39,7 +38,7 @@
     meter: Meter,
     /// Members changed since the assignment was last worked out.
     changed: bool,
-    due: Moment,
+    due: Instant,
 }
 
 impl Hollow {
@@ -79,7 +78,7 @@
         self.turn();
     }
 
-    fn wake(&mut self, at: Moment) {
+    fn wake(&mut self, at: Instant) {
         if self.node.due() <= at {
             self.node.tick(at);
         }
@@ -128,7 +127,7 @@
         }
     }
 
-    fn holdings(&self, at: Moment) -> impl Iterator<Item = (usize, u64)> + '_ {
+    fn holdings(&self, at: Instant) -> impl Iterator<Item = (usize, u64)> + '_ {
         let held = self.leases.holdings(at);
         held.filter_map(|(subject, held)| Some((subject_number(subject)?, held.epoch)))
     }
@@ -147,7 +146,7 @@
         bound: Vec::new(),
         hollows: Vec::new(),
         witness: OwnershipWitness::default(),
-        late: Span::ZERO,
+        late: Duration::ZERO,
         next_look: now(),
         next_second: now(),
     };
@@ -190,9 +189,9 @@
     bound: Vec<(usize, UdpSocket)>,
     hollows: Vec<Hollow>,
     witness: OwnershipWitness,
-    late: Span,
-    next_look: Moment,
-    next_second: Moment,
+    late: Duration,
+    next_look: Instant,
+    next_second: Instant,
 }
 
 impl Worker {
@@ -207,7 +206,8 @@
                     Err(std::sync::mpsc::TryRecvError::Disconnected) => return Ok(()),
                 }
             }
-            let timeout = Duration::from_micros(self.due().since(now()).us());
+            let timeout =
+                std::time::Duration::from_micros(self.due().duration_since(now()).as_micros());
             events.clear();
             self.poller
                 .wait(&mut events, Some(timeout))
@@ -220,12 +220,12 @@
         }
     }
 
-    fn due(&self) -> Moment {
+    fn due(&self) -> Instant {
         let own = self.next_look.min(self.next_second);
         self.hollows
             .iter()
             .map(|hollow| hollow.due)
-            .fold(own, Moment::min)
+            .fold(own, Instant::min)
     }
 
     fn read(&mut self, member: usize) -> io::Result<()> {
@@ -243,7 +243,7 @@
     fn wake(&mut self) {
         let at = now();
         for hollow in self.hollows.iter_mut().filter(|hollow| hollow.due <= at) {
-            self.late = self.late.max(at.since(hollow.due));
+            self.late = self.late.max(at.duration_since(hollow.due));
             hollow.wake(now());
         }
         if self.next_second <= at {
@@ -276,7 +276,7 @@
             status.owned += hollow.holdings(at).count();
             self.witness.look(hollow.member, hollow.holdings(at), at);
         }
-        status.late_us = self.late.us();
+        status.late_us = self.late.as_micros();
         tell(&Answer::Status(status));
     }
 
--- a/experiments/src/scenario.rs
+++ b/experiments/src/scenario.rs
@@ -448,7 +448,7 @@
             at..at
         };
         let fails = |table: &str, key: &str, why: &str| Err((of(table, key), why.to_string()));
-        if self.length.0.secs() < 1.0 {
+        if self.length.0.as_secs_f64() < 1.0 {
             return fails("", "length", "a run lasts a second at least");
         }
         let fleet = &self.fleet;
@@ -501,7 +501,7 @@
         if traffic.rejoin[0] > traffic.rejoin[1] {
             return fails("traffic", "rejoin", "the least comes first, then the most");
         }
-        if traffic.beat.0.us() == 0 {
+        if traffic.beat.0.as_micros() == 0 {
             return fails("traffic", "beat", "more than nothing");
         }
         if traffic.threads == 0 || traffic.threads > 16 {
@@ -545,7 +545,7 @@
             {
                 return Err((at, "load: the least comes first, then the most".into()));
             }
-            if row.wait.0 > thistlecroft::units::Span::from_ms(600_000)
+            if row.wait.0 > thistlecroft::time::Duration::from_millis(600_000)
                 || row.wait < row.handshake_target
             {
                 return Err((
--- a/experiments/src/spans.rs
+++ b/experiments/src/spans.rs
@@ -1,21 +1,21 @@
 //! Spans as people write them: `250ms`, `1.5s`, `2m`.
 use serde::de::{Deserialize, Deserializer, Error};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// A span of a scenario.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Time(pub Span);
+pub struct Time(pub Duration);
 
 impl Time {
     pub const fn ms(ms: u64) -> Time {
-        Time(Span::from_ms(ms))
+        Time(Duration::from_millis(ms))
     }
 }
 
 /// # Errors
 /// One line that shows how spans are written.
-pub fn span(text: &str) -> Result<Span, String> {
-    Span::written(text).ok_or_else(|| {
+pub fn span(text: &str) -> Result<Duration, String> {
+    Duration::parse(text).ok_or_else(|| {
         format!("\"{text}\" is no span of time, such as \"250ms\", \"1.5s\" or \"2m\"")
     })
 }
@@ -47,7 +47,7 @@
             ("3 s", None),
         ];
         for (text, us) in cases {
-            assert_eq!(span(text).ok().map(Span::us), us, "{text}");
+            assert_eq!(span(text).ok().map(Duration::as_micros), us, "{text}");
         }
     }
 }
--- a/experiments/src/summary.rs
+++ b/experiments/src/summary.rs
@@ -2,7 +2,7 @@
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::crowd::{CrowdSums, KindSums};
 use thistlecroft_testbed::referee::{Dialled, Ruling};
 use thistlecroft_testbed::tape::{BoxNo, Entry, RelayNo, Sighting};
@@ -11,7 +11,7 @@
 
 /// Clients that came later than this after they were due, or a thread that worked for more than the
 /// other part of its time: the tool was the bottleneck, and the run's delays say little.
-const LATE: Span = Span::from_ms(20);
+const LATE: Duration = Duration::from_millis(20);
 const BUSY: f64 = 0.8;
 
 /// Milliseconds; all zero where nothing was measured.
@@ -144,7 +144,7 @@
     pub baseline: bool,
     pub seed: u64,
     pub complete: bool,
-    pub length: Span,
+    pub length: Duration,
     pub crashes: usize,
     pub entries: &'a [Entry],
     pub ruling: &'a Ruling,
@@ -177,14 +177,14 @@
     let relays = relay_costs(of.entries);
     let cpu: f64 = relays.iter().map(|relay| relay.cpu_s).sum();
     let boxes = loads(of.entries);
-    let seconds = of.length.secs().max(1e-9);
+    let seconds = of.length.as_secs_f64().max(1e-9);
     let threads = of
         .crowds
         .iter()
         .map(|crowd| crowd.worked)
         .chain([of.yard.worked]);
     let tool_busy = threads
-        .map(|worked| worked.secs() / seconds)
+        .map(|worked| worked.as_secs_f64() / seconds)
         .fold(0.0, f64::max);
     let worst_turn = crowd.worst_turn.max(of.yard.worst_turn);
     let tool_late = Delays::of(&crowd.late);
@@ -207,7 +207,7 @@
             .flatten()
             .map(|first| BreakText {
                 rule: first.rule,
-                at_s: first.at.us() as f64 / 1e6,
+                at_s: first.at.as_micros() as f64 / 1e6,
                 what: first.what.clone(),
                 story: first.story.clone(),
             })
@@ -255,8 +255,10 @@
         cold_push: of.ruling.worst_push,
         cpu_us_a_line: cpu * 1e6 / (lines.len() as f64).max(1.0),
         relays,
-        tool_worst_turn_ms: worst_turn.us() as f64 / 1e3,
-        tool_was_late: exhausted || tool_late.p99 > LATE.us() as f64 / 1e3 || tool_busy > BUSY,
+        tool_worst_turn_ms: worst_turn.as_micros() as f64 / 1e3,
+        tool_was_late: exhausted
+            || tool_late.p99 > LATE.as_micros() as f64 / 1e3
+            || tool_busy > BUSY,
         tool_late,
         tool_busy,
     }
@@ -268,7 +270,7 @@
         most_dials: dialled.most,
         further: part(dialled.further),
         second: part(dialled.second),
-        longest_answer_ms: dialled.longest.us() as f64 / 1e3,
+        longest_answer_ms: dialled.longest.as_micros() as f64 / 1e3,
         name: kind.name.clone(),
         arrivals: kind.arrivals,
         up: kind.up,
@@ -294,7 +296,7 @@
             continue;
         };
         let (sums, last) = relays.entry(relay).or_default();
-        let (cpu, resident) = (cpu.secs(), resident as f64 / f64::from(1 << 20));
+        let (cpu, resident) = (cpu.as_secs_f64(), resident as f64 / f64::from(1 << 20));
         sums.cpu_s += if cpu >= *last { cpu - *last } else { cpu };
         *last = cpu;
         sums.most_resident_mb = sums.most_resident_mb.max(resident);
@@ -310,8 +312,8 @@
 }
 
 /// A run's reports, those of one round together: all boxes are noted at the same moment.
-pub fn rounds(entries: &[Entry]) -> BTreeMap<Moment, Vec<(BoxNo, f64, usize)>> {
-    let mut rounds: BTreeMap<Moment, Vec<(BoxNo, f64, usize)>> = BTreeMap::new();
+pub fn rounds(entries: &[Entry]) -> BTreeMap<Instant, Vec<(BoxNo, f64, usize)>> {
+    let mut rounds: BTreeMap<Instant, Vec<(BoxNo, f64, usize)>> = BTreeMap::new();
     for entry in entries {
         if let Sighting::BoxLoad { at, load, held, .. } = entry.seen {
             rounds.entry(entry.at).or_default().push((at, load, held));
@@ -344,7 +346,7 @@
 fn together(breaches: &[Breach]) -> BTreeMap<String, (usize, String)> {
     let mut all: BTreeMap<String, (usize, String)> = BTreeMap::new();
     for breach in breaches {
-        let at = breach.at.us() as f64 / 1e6;
+        let at = breach.at.as_micros() as f64 / 1e6;
         let first = || (0, format!("at {at:.3} s {}", breach.what));
         all.entry(breach.rule.word().into()).or_insert_with(first).0 += 1;
     }
--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -2,7 +2,7 @@
 //! when it may be acted on.
 use crate::electorate::{Quorums, VoterSet};
 use crate::message::Reason;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 /// The right to act.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -10,7 +10,7 @@
     /// Grows with each new holding; whoever keeps state for a holder refuses an older one.
     pub epoch: u64,
     /// Not at or after this moment of the holder's clock.
-    pub until: Moment,
+    pub until: Instant,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -26,20 +26,20 @@
     /// It is to be attached at a majority. The attempt ends at that time, counted from when it was
     /// first sent.
     Attaching {
-        ends: Option<Moment>,
+        ends: Option<Instant>,
     },
     /// These have attached it; the epoch is chosen and has to be kept by a majority of them.
     Confirming {
         epoch: u64,
         quorum: VoterSet,
-        ends: Moment,
+        ends: Instant,
     },
     Holding {
         epoch: u64,
     },
     /// The attempt was lost: detached everywhere, and tried again at that time.
     Waiting {
-        until: Moment,
+        until: Instant,
     },
     /// It is wanted no more, and is forgotten once it is detached everywhere.
     Releasing,
@@ -49,7 +49,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoterView {
     /// Until when it stands by what is attached there.
-    pub stands_until: Option<Moment>,
+    pub stands_until: Option<Instant>,
     /// The highest epoch that it said it keeps, in the session in force.
     pub epoch: u64,
 }
@@ -66,13 +66,13 @@
     pub refused: VoterSet,
     /// Attempts lost in a row to others who tried at the same time.
     pub lost: u32,
-    pub until: Moment,
+    pub until: Instant,
     pub reason: Option<Reason>,
-    pub wanted_until: Moment,
+    pub wanted_until: Instant,
 }
 
 impl Claim {
-    pub fn new(wanted_until: Moment, now: Moment) -> Claim {
+    pub fn new(wanted_until: Instant, now: Instant) -> Claim {
         Claim {
             stage: Stage::Attaching { ends: None },
             attached: VoterSet::EMPTY,
@@ -85,7 +85,7 @@
         }
     }
 
-    pub fn held(&self, now: Moment) -> Option<Held> {
+    pub fn held(&self, now: Instant) -> Option<Held> {
         match self.stage {
             Stage::Holding { epoch } if now < self.until => Some(Held {
                 epoch,
@@ -95,7 +95,7 @@
         }
     }
 
-    pub fn state(&self, now: Moment) -> State {
+    pub fn state(&self, now: Instant) -> State {
         match (self.held(now), self.stage) {
             (Some(held), _) => State::Held(held),
             (None, Stage::Releasing) => State::Unwanted,
@@ -109,7 +109,7 @@
     }
 
     /// When something has to be done about it whatever comes.
-    pub fn due(&self) -> Moment {
+    pub fn due(&self) -> Instant {
         let own = match self.stage {
             Stage::Attaching { ends: Some(ends) } | Stage::Confirming { ends, .. } => ends,
             Stage::Waiting { until } => until,
@@ -117,7 +117,7 @@
             Stage::Attaching { ends: None } | Stage::Releasing => self.wanted_until,
         };
         match self.stage {
-            Stage::Releasing => Moment::from_us(u64::MAX),
+            Stage::Releasing => Instant::from_micros(u64::MAX),
             _ => own.min(self.wanted_until),
         }
     }
@@ -134,7 +134,7 @@
 
     /// The right that ran out is not taken up again with its epoch: another may have held it
     /// meanwhile.
-    pub fn expire(&mut self, now: Moment) {
+    pub fn expire(&mut self, now: Instant) {
         match self.stage {
             Stage::Holding { .. } if self.until <= now => {
                 self.stage = Stage::Attaching { ends: None }
@@ -151,7 +151,7 @@
     }
 
     /// Takes up what voters have confirmed; `view` says it for a voter by its position.
-    pub fn advance(&mut self, quorums: &Quorums, view: impl Fn(usize) -> VoterView, now: Moment) {
+    pub fn advance(&mut self, quorums: &Quorums, view: impl Fn(usize) -> VoterView, now: Instant) {
         let (epoch, by) = match self.stage {
             Stage::Confirming { epoch, quorum, .. } => (epoch, self.attached.and(quorum)),
             Stage::Holding { epoch } => (epoch, self.attached),
--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -1,6 +1,6 @@
 //! Who votes, and what counts as a majority.
 use compact_str::CompactString;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// How far a clock's speed may be from true, as a fraction.
 pub const DRIFT: f64 = 0.01;
@@ -56,7 +56,7 @@
 pub struct LeaseConfig {
     pub electorate: Electorate,
     /// How long a voter stands by what it granted, counted from when it received the request.
-    pub term: Span,
+    pub term: Duration,
     /// Bytes a second that this process spends on attaching and detaching subjects. Renewals do not
     /// count.
     pub update_rate: u32,
@@ -64,12 +64,12 @@
 
 impl LeaseConfig {
     /// How long a holder may act, counted from when it sent the request.
-    pub fn holding_time(&self) -> Span {
+    pub fn holding_time(&self) -> Duration {
         self.term * ((1.0 - DRIFT) / (1.0 + DRIFT))
     }
 
     /// After so long by this process's clock, what any voter granted before is over by its own.
-    pub fn settling_time(&self) -> Span {
+    pub fn settling_time(&self) -> Duration {
         self.term * ((1.0 + DRIFT) / (1.0 - DRIFT))
     }
 }
@@ -150,10 +150,10 @@
     pub fn carried_until(
         &self,
         granted: VoterSet,
-        until: impl Fn(usize) -> Option<Moment>,
-    ) -> Option<Moment> {
+        until: impl Fn(usize) -> Option<Instant>,
+    ) -> Option<Instant> {
         let of_set = |set: &VoterSet| {
-            let mut times: Vec<Moment> = granted.and(*set).iter().filter_map(&until).collect();
+            let mut times: Vec<Instant> = granted.and(*set).iter().filter_map(&until).collect();
             times.sort_unstable_by(|one, other| other.cmp(one));
             times.get(set.count() / 2).copied()
         };
--- a/leases/src/link.rs
+++ b/leases/src/link.rs
@@ -3,7 +3,7 @@
 use crate::message::{Message, SessionToken, Subject, Update};
 use compact_str::CompactString;
 use std::collections::BTreeSet;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
 /// A request that was not answered yet.
@@ -11,8 +11,8 @@
 pub(crate) struct Request {
     pub sequence: u32,
     /// When it was sent: what the answer confirms counts from here.
-    pub sent_at: Moment,
-    pub retry_at: Moment,
+    pub sent_at: Instant,
+    pub retry_at: Instant,
     pub detach: Vec<Subject>,
     pub attach: Vec<Subject>,
 }
@@ -31,15 +31,15 @@
     /// Requests of late that were not answered.
     pub unanswered: u32,
     /// The sending time of the last request that it confirmed.
-    pub confirmed_at: Option<Moment>,
+    pub confirmed_at: Option<Instant>,
     /// The highest epoch that it said it keeps.
     pub epoch: u64,
     /// It has to be told a new epoch, or that the session goes on.
-    pub next_renewal: Moment,
+    pub next_renewal: Instant,
 }
 
 impl Link {
-    pub fn new(voter: CompactString, now: Moment) -> Link {
+    pub fn new(voter: CompactString, now: Instant) -> Link {
         Link {
             voter,
             process: None,
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -6,12 +6,12 @@
 use crate::legacy::LegacyMessage;
 use crate::link::Link;
 use crate::message::{CHANNEL, Message, Outgoing, Reason, SessionToken, Subject, To, Updated};
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
 impl Leases {
     /// Bytes from another process on one of the channels of leases.
-    pub fn receive(&mut self, from: &Identity, channel: u8, bytes: &[u8], now: Moment) {
+    pub fn receive(&mut self, from: &Identity, channel: u8, bytes: &[u8], now: Instant) {
         match channel {
             CHANNEL => {
                 if let Some(message) = Message::decode(bytes) {
@@ -27,7 +27,7 @@
         }
     }
 
-    pub fn receive_message(&mut self, from: &Identity, message: Message, now: Moment) {
+    pub fn receive_message(&mut self, from: &Identity, message: Message, now: Instant) {
         // Two processes of one voter's name: what the one granted the other does not know.
         if self.is_duplicate(from) {
             let starting = matches!(message, Message::Recall { starting: true, .. });
@@ -69,13 +69,13 @@
         from: &Identity,
         established: bool,
         epoch: u64,
-        now: Moment,
+        now: Instant,
     ) {
         self.voter.remembered(from, established, epoch);
         self.voter.settle(&self.me, &self.config, now);
     }
 
-    pub(super) fn receive_as_voter(&mut self, from: &Identity, message: Message, now: Moment) {
+    pub(super) fn receive_as_voter(&mut self, from: &Identity, message: Message, now: Instant) {
         let answer = match message {
             Message::Update(update) if self.is_voter() => {
                 self.voter.update(from, update, &self.config, now)
@@ -107,7 +107,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, from: &Identity, message: Message, now: Moment) {
+    pub(super) fn answered(&mut self, from: &Identity, message: Message, now: Instant) {
         let Some(voter) = self.links.iter().position(|link| link.voter == from.name) else {
             return;
         };
@@ -131,7 +131,13 @@
         }
     }
 
-    pub(super) fn updated(&mut self, voter: usize, from: &Identity, updated: Updated, now: Moment) {
+    pub(super) fn updated(
+        &mut self,
+        voter: usize,
+        from: &Identity,
+        updated: Updated,
+        now: Instant,
+    ) {
         let Some(request) = self.links[voter]
             .request
             .take_if(|one| one.sequence == updated.sequence)
@@ -199,7 +205,7 @@
         voter: usize,
         subject: Subject,
         refused: Option<Reason>,
-        now: Moment,
+        now: Instant,
     ) {
         let Some(claim) = self.claims.get_mut(&subject) else {
             return;
@@ -234,7 +240,7 @@
         from: &Identity,
         sequence: u32,
         reason: Reason,
-        now: Moment,
+        now: Instant,
     ) {
         let link = &mut self.links[voter];
         let Some(request) = link
@@ -269,7 +275,12 @@
     }
 
     /// Nothing is granted in the protocol before, and nothing taken.
-    pub(super) fn receive_legacy(&mut self, from: &Identity, message: &LegacyMessage, now: Moment) {
+    pub(super) fn receive_legacy(
+        &mut self,
+        from: &Identity,
+        message: &LegacyMessage,
+        now: Instant,
+    ) {
         self.counts.older_protocol += 1;
         if self.is_duplicate(from) {
             let starting = matches!(message, LegacyMessage::Recall { starts: true, .. });
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -4,12 +4,12 @@
 use crate::electorate::LeaseConfig;
 use crate::link::Link;
 use compact_str::CompactString;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 impl Leases {
     /// # Errors
     /// Unless it is a step that can't leave two majorities that do not meet.
-    pub fn change(&mut self, config: LeaseConfig, now: Moment) -> Result<(), ChangeError> {
+    pub fn change(&mut self, config: LeaseConfig, now: Instant) -> Result<(), ChangeError> {
         if self.config == config {
             return Ok(());
         }
@@ -49,7 +49,7 @@
     pub(super) fn check_change(
         &self,
         config: &LeaseConfig,
-        now: Moment,
+        now: Instant,
     ) -> Result<(), ChangeError> {
         let (was, is) = (&self.config.electorate, &config.electorate);
         if config.term != self.config.term {
@@ -80,13 +80,13 @@
 
     /// Whether a majority of the sets before and after was heard to go by this generation, a term
     /// ago: what a majority of the set before alone had granted is over by then.
-    pub fn is_settled(&self, now: Moment) -> bool {
+    pub fn is_settled(&self, now: Instant) -> bool {
         let joint = !self.config.electorate.before.is_empty();
         self.settled_since
-            .is_some_and(|since| !joint || now.since(since) >= self.config.settling_time())
+            .is_some_and(|since| !joint || now.duration_since(since) >= self.config.settling_time())
     }
 
-    pub(super) fn refresh_settled(&mut self, now: Moment) {
+    pub(super) fn refresh_settled(&mut self, now: Instant) {
         let (heard, of) = (&self.voter.generations, self.config.electorate.generation);
         let own = |name: &str| *name == *self.me.name;
         let settled = self
--- a/leases/src/manager/claims.rs
+++ b/leases/src/manager/claims.rs
@@ -3,11 +3,11 @@
 use crate::claim::{Claim, Stage, VoterView};
 use crate::electorate::VoterSet;
 use crate::message::Subject;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 impl Leases {
     /// Looks at each claim: rights that ran out, attempts that are over, subjects wanted no more.
-    pub(super) fn check_claims(&mut self, now: Moment) {
+    pub(super) fn check_claims(&mut self, now: Instant) {
         let subjects: Vec<Subject> = self
             .claims
             .iter()
@@ -41,8 +41,8 @@
     /// Detaches what was attached in vain, or those who ask at the same time would keep one another
     /// from it. What several ask for at once is tried again after a full-jitter delay, what
     /// somebody holds at a steady pace.
-    pub(super) fn lose_attempt(&mut self, subject: &[u8], now: Moment) {
-        let drawn = self.chance.float();
+    pub(super) fn lose_attempt(&mut self, subject: &[u8], now: Instant) {
+        let drawn = self.chance.unit_f64();
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
         };
@@ -54,7 +54,7 @@
             (self.config.term * FIRST_DELAY * doublings).min(self.config.term) * drawn
         };
         claim.stage = Stage::Waiting {
-            until: now + wait.max(Span::from_ms(1)),
+            until: now + wait.max(Duration::from_millis(1)),
         };
         self.queue_detach(subject);
     }
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(super) fn advance_claims(&mut self, now: Moment) {
+    pub(super) fn advance_claims(&mut self, now: Instant) {
         let holding_time = self.config.holding_time();
         let views: Vec<VoterView> = self
             .links
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -15,7 +15,8 @@
 use compact_str::CompactString;
 use std::collections::{BTreeMap, VecDeque};
 use std::fmt;
-use thistlecroft::units::{Chance, Moment};
+use thistlecroft::random::Rng;
+use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
 /// Subjects that a process wants or still gives back at once.
@@ -164,23 +165,23 @@
     next_link: usize,
     /// Bytes of subjects that may be sent now, and as of when.
     allowance: f64,
-    allowed_at: Moment,
+    allowed_at: Instant,
     /// When a claim has to be looked at next.
-    claims_due: Moment,
+    claims_due: Instant,
     /// Since when a majority of both sets was heard to go by this generation.
-    settled_since: Option<Moment>,
+    settled_since: Option<Instant>,
     outgoing: Vec<Outgoing>,
     /// What this process as a voter answers itself.
     local: VecDeque<Message>,
-    chance: Chance,
+    chance: Rng,
     counts: LeaseCounts,
 }
 
-const NEVER: Moment = Moment::from_us(u64::MAX);
+const NEVER: Instant = Instant::from_micros(u64::MAX);
 
 impl Leases {
-    pub fn new(me: Identity, config: LeaseConfig, now: Moment) -> Leases {
-        let (voter, chance) = (Voter::new(me.run, now), Chance::from_seed(me.run));
+    pub fn new(me: Identity, config: LeaseConfig, now: Instant) -> Leases {
+        let (voter, chance) = (Voter::new(me.run, now), Rng::from_seed(me.run));
         let links = config
             .electorate
             .all()
@@ -215,7 +216,7 @@
         &self.config
     }
 
-    pub fn vote(&self, now: Moment) -> Vote {
+    pub fn vote(&self, now: Instant) -> Vote {
         match (self.is_voter(), self.voter.established, self.voter.retired) {
             (false, ..) => Vote::NoVoter,
             (_, _, true) => Vote::Retired,
@@ -241,18 +242,18 @@
     }
 
     /// The right to act at this very moment. To be asked at each act, with the time of the act.
-    pub fn held(&self, subject: &[u8], now: Moment) -> Option<Held> {
+    pub fn held(&self, subject: &[u8], now: Instant) -> Option<Held> {
         self.claims.get(subject)?.held(now)
     }
 
     /// All that may be acted on at this moment.
-    pub fn holdings(&self, now: Moment) -> impl Iterator<Item = (&[u8], Held)> {
+    pub fn holdings(&self, now: Instant) -> impl Iterator<Item = (&[u8], Held)> {
         self.claims
             .iter()
             .filter_map(move |(subject, claim)| Some((subject.as_slice(), claim.held(now)?)))
     }
 
-    pub fn state(&self, subject: &[u8], now: Moment) -> State {
+    pub fn state(&self, subject: &[u8], now: Instant) -> State {
         self.claims
             .get(subject)
             .map_or(State::Unwanted, |claim| claim.state(now))
@@ -267,7 +268,7 @@
             .map(|(subject, _)| subject.as_slice())
     }
 
-    pub fn due(&self, now: Moment) -> Option<Moment> {
+    pub fn due(&self, now: Instant) -> Option<Instant> {
         let links = (0..self.links.len()).filter_map(|voter| self.link_due(voter));
         let claims = (self.claims_due < NEVER).then_some(self.claims_due);
         links
@@ -277,7 +278,7 @@
             .map(|due| due.max(now))
     }
 
-    fn next_recall(&self) -> Option<Moment> {
+    fn next_recall(&self) -> Option<Instant> {
         let changing = !self.config.electorate.before.is_empty() && self.settled_since.is_none();
         self.voter
             .next_recall(self.is_voter(), changing, &self.config)
@@ -296,8 +297,8 @@
     pub fn acquire(
         &mut self,
         subject: &[u8],
-        until: Moment,
-        now: Moment,
+        until: Instant,
+        now: Instant,
     ) -> Result<(), AcquireError> {
         if subject.len() > MAX_SUBJECT_BYTES {
             return Err(AcquireError::SubjectTooLong);
@@ -324,7 +325,7 @@
 
     /// Gives it back: this process does not act for it from here on, and the voters are told until
     /// they have heard.
-    pub fn release(&mut self, subject: &[u8], now: Moment) {
+    pub fn release(&mut self, subject: &[u8], now: Instant) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
         };
@@ -368,7 +369,7 @@
     // ---- time ----
 
     /// All that is due.
-    pub fn tick(&mut self, now: Moment) {
+    pub fn tick(&mut self, now: Instant) {
         if self.next_recall().is_some_and(|at| at <= now) {
             self.recall(now);
         }
@@ -389,7 +390,7 @@
 
     /// Not only voters remember epochs, and another process of the own name is to vote no more.
     /// Each time a share of all is asked, so that a fleet's answers do not come at once.
-    fn recall(&mut self, now: Moment) {
+    fn recall(&mut self, now: Instant) {
         let (part, of) = self.voter.recall_share(&self.config, now);
         let starting = self.is_voter() && !self.voter.established;
         let generation = self.config.electorate.generation;
@@ -415,7 +416,7 @@
     // ---- what goes out ----
 
     /// Takes up what was confirmed, sends what is to be sent, and notes when to look again.
-    fn proceed(&mut self, now: Moment) {
+    fn proceed(&mut self, now: Instant) {
         loop {
             self.advance_claims(now);
             for step in 0..self.links.len() {
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -8,7 +8,7 @@
 use crate::legacy::LegacyMessage;
 use crate::link::Request;
 use crate::message::{MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, Outgoing, Subject, To};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 impl Leases {
     pub(super) fn is_active(&self) -> bool {
@@ -16,7 +16,7 @@
     }
 
     /// When the link has something to do; `None` while it waits for nothing.
-    pub(super) fn link_due(&self, voter: usize) -> Option<Moment> {
+    pub(super) fn link_due(&self, voter: usize) -> Option<Instant> {
         let link = &self.links[voter];
         if let Some(request) = &link.request {
             return Some(request.retry_at);
@@ -29,18 +29,18 @@
         Some(updates.map_or(link.next_renewal, |at| at.min(link.next_renewal)))
     }
 
-    pub(super) fn allowed_again(&self) -> Moment {
+    pub(super) fn allowed_again(&self) -> Instant {
         let missing = (-self.allowance).max(0.0) / f64::from(self.config.update_rate.max(1));
-        self.allowed_at + Span::from_us((missing * 1e6).ceil() as u64)
+        self.allowed_at + Duration::from_micros((missing * 1e6).ceil() as u64)
     }
 
-    pub(super) fn refill(&mut self, now: Moment) {
+    pub(super) fn refill(&mut self, now: Instant) {
         let rate = f64::from(self.config.update_rate);
-        let saved = self.allowance + rate * now.since(self.allowed_at).secs();
+        let saved = self.allowance + rate * now.duration_since(self.allowed_at).as_secs_f64();
         (self.allowance, self.allowed_at) = (saved.min(rate * BURST), now);
     }
 
-    pub(super) fn send_request(&mut self, voter: usize, now: Moment) {
+    pub(super) fn send_request(&mut self, voter: usize, now: Instant) {
         if self.links[voter].request.is_some() || !self.is_active() {
             return;
         }
@@ -75,7 +75,7 @@
         };
         let link = &mut self.links[voter];
         let message = request.message(self.config.electorate.generation, link.session, self.epoch);
-        let part = RENEW_AFTER * (1.0 - JITTER * self.chance.float());
+        let part = RENEW_AFTER * (1.0 - JITTER * self.chance.unit_f64());
         link.next_renewal = now + self.config.holding_time() * part;
         link.request = Some(request);
         let to = To::Voter(link.voter.clone());
@@ -89,7 +89,7 @@
     pub(super) fn take_pending(
         &mut self,
         voter: usize,
-        now: Moment,
+        now: Instant,
         detach: &mut Vec<Subject>,
         attach: &mut Vec<Subject>,
     ) -> usize {
@@ -134,7 +134,7 @@
         self.outgoing.push(Outgoing::message(to, message));
     }
 
-    pub(super) fn retry(&mut self, voter: usize, now: Moment) {
+    pub(super) fn retry(&mut self, voter: usize, now: Instant) {
         let forgotten = self.config.term * SESSION_FORGOTTEN;
         let link = &mut self.links[voter];
         link.give_up_request();
@@ -155,7 +155,7 @@
         if link.session.is_some()
             && link
                 .confirmed_at
-                .is_none_or(|at| now.since(at) >= forgotten)
+                .is_none_or(|at| now.duration_since(at) >= forgotten)
         {
             self.forget_session(voter);
         }
--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -5,14 +5,15 @@
 use crate::message::{MAX_NAMED_HOLDERS, Message, Reason, SessionToken, Subject, Update, Updated};
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::Identity;
 
 /// Subjects attached at once, and sessions.
 pub const MAX_VOTER_SUBJECTS: usize = 131_072;
 pub const MAX_SESSIONS: usize = 4_096;
 /// Until it knows what was known before, a voter asks others so often.
-pub const RECALL_EVERY: Span = Span::from_ms(500);
+pub const RECALL_EVERY: Duration = Duration::from_millis(500);
 /// A lapsed session is kept for so many terms: its process may come back before anybody else took a
 /// subject of it.
 const LAPSED_KEPT: f64 = 4.0;
@@ -21,7 +22,7 @@
 struct Session {
     owner: Identity,
     /// Not at or after this moment of the voter's clock.
-    expires: Moment,
+    expires: Instant,
     subjects: BTreeSet<Subject>,
 }
 
@@ -45,17 +46,17 @@
     sessions: BTreeMap<SessionToken, Session>,
     current: BTreeMap<Identity, Current>,
     holders: BTreeMap<Subject, SessionToken>,
-    tokens: Chance,
-    next_sweep: Moment,
+    tokens: Rng,
+    next_sweep: Instant,
     pub epoch: u64,
     /// It may have granted before its start, which it does not know; it is silent for a term from
     /// here.
-    silent_from: Moment,
+    silent_from: Instant,
     /// It knows the highest epoch that a majority may have been given.
     pub established: bool,
     /// Another process of this name votes in its place, or this one has ended.
     pub retired: bool,
-    recalled_at: Option<Moment>,
+    recalled_at: Option<Instant>,
     recalls: usize,
     established_others: BTreeSet<CompactString>,
     others: BTreeSet<CompactString>,
@@ -66,12 +67,12 @@
 
 impl Voter {
     /// `run`: the process's own number, from which its sessions' tokens are drawn.
-    pub fn new(run: u64, now: Moment) -> Voter {
+    pub fn new(run: u64, now: Instant) -> Voter {
         Voter {
             sessions: BTreeMap::new(),
             current: BTreeMap::new(),
             holders: BTreeMap::new(),
-            tokens: Chance::from_seed(run),
+            tokens: Rng::from_seed(run),
             next_sweep: now,
             epoch: 0,
             silent_from: now,
@@ -86,7 +87,7 @@
         }
     }
 
-    pub fn is_silent(&self, config: &LeaseConfig, now: Moment) -> bool {
+    pub fn is_silent(&self, config: &LeaseConfig, now: Instant) -> bool {
         now < self.silent_from + config.term
     }
 
@@ -106,7 +107,7 @@
         from: &Identity,
         update: Update,
         config: &LeaseConfig,
-        now: Moment,
+        now: Instant,
     ) -> Option<Message> {
         let here = config.electorate.generation;
         self.generations
@@ -174,7 +175,7 @@
             .is_some_and(|session| session.subjects.is_empty())
     }
 
-    fn open(&mut self, owner: &Identity, config: &LeaseConfig, now: Moment) -> SessionToken {
+    fn open(&mut self, owner: &Identity, config: &LeaseConfig, now: Instant) -> SessionToken {
         let token = loop {
             let token = SessionToken(self.tokens.below(u64::MAX));
             if !self.sessions.contains_key(&token) {
@@ -198,7 +199,7 @@
         from: &Identity,
         token: SessionToken,
         subjects: Vec<Subject>,
-        now: Moment,
+        now: Instant,
     ) -> Vec<(u16, Reason)> {
         let (mut refused, mut named) = (Vec::new(), 0);
         for (position, subject) in (0..).zip(subjects) {
@@ -220,7 +221,7 @@
         from: &Identity,
         token: SessionToken,
         subject: Subject,
-        now: Moment,
+        now: Instant,
     ) -> Result<(), Reason> {
         if let Some(holder) = self.holders.get(&subject).copied() {
             if holder == token {
@@ -246,7 +247,7 @@
         holder: SessionToken,
         subject: &Subject,
         from: &Identity,
-        now: Moment,
+        now: Instant,
     ) -> Result<(), Reason> {
         let Some(session) = self.sessions.get(&holder) else {
             return Ok(());
@@ -317,7 +318,7 @@
     }
 
     /// Drops sessions that lapsed long ago, now and then.
-    fn sweep(&mut self, config: &LeaseConfig, now: Moment) {
+    fn sweep(&mut self, config: &LeaseConfig, now: Instant) {
         if now < self.next_sweep {
             return;
         }
@@ -339,7 +340,7 @@
     /// Another process of this name was heard. One that has started asks to know, and the one that
     /// knew votes no more; the one that goes on is silent for a term from the last that it heard of
     /// the other.
-    pub fn duplicate_heard(&mut self, starting: bool, now: Moment) {
+    pub fn duplicate_heard(&mut self, starting: bool, now: Instant) {
         match (self.established, starting) {
             (true, true) => self.retired = true,
             (true, false) => {}
@@ -348,7 +349,12 @@
     }
 
     /// `changing`: the voters are being changed, and how far that has come is asked for.
-    pub fn next_recall(&self, votes: bool, changing: bool, config: &LeaseConfig) -> Option<Moment> {
+    pub fn next_recall(
+        &self,
+        votes: bool,
+        changing: bool,
+        config: &LeaseConfig,
+    ) -> Option<Instant> {
         if changing {
             return Some(
                 self.recalled_at
@@ -369,9 +375,9 @@
     }
 
     /// Which of the `of` shares of all processes is asked this time: each once in a term.
-    pub fn recall_share(&mut self, config: &LeaseConfig, now: Moment) -> (usize, usize) {
+    pub fn recall_share(&mut self, config: &LeaseConfig, now: Instant) -> (usize, usize) {
         self.recalled_at = Some(now);
-        let of = (config.term.us() / RECALL_EVERY.us()).max(1) as usize;
+        let of = (config.term.as_micros() / RECALL_EVERY.as_micros()).max(1) as usize;
         self.recalls += 1;
         ((self.recalls - 1) % of, of)
     }
@@ -387,7 +393,7 @@
     /// It votes once its silence is over and it has heard enough to know the highest epoch: from so
     /// many that know it that one of them was in every majority it can have been part of itself,
     /// or, where all have forgotten, from all.
-    pub fn settle(&mut self, me: &Identity, config: &LeaseConfig, now: Moment) {
+    pub fn settle(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
         if self.established || self.is_silent(config, now) {
             return;
         }
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -1,20 +1,20 @@
 //! How an epoch is chosen and confirmed: one owner, and three voters whose answers are written by
 //! hand.
 use std::collections::BTreeMap;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
     CHANNEL, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update,
     Updated,
 };
 use thistlecroft_peers::Identity;
 
-const TERM: Span = Span::from_ms(2_000);
+const TERM: Duration = Duration::from_millis(2_000);
 const SUBJECT: &[u8] = b"shard";
 
 /// The owner, and the last request that it sent to each voter.
 struct Script {
     owner: Leases,
-    now: Moment,
+    now: Instant,
     asked: BTreeMap<String, Update>,
 }
 
@@ -31,7 +31,7 @@
             term: TERM,
             update_rate: 32_768,
         };
-        let now = Moment::from_us(1_000_000);
+        let now = Instant::from_micros(1_000_000);
         let owner = Leases::new(Identity::new("owner", 1), config, now);
         let mut script = Script {
             owner,
@@ -40,14 +40,14 @@
         };
         script
             .owner
-            .acquire(SUBJECT, now + Span::from_ms(60_000), now)
+            .acquire(SUBJECT, now + Duration::from_millis(60_000), now)
             .unwrap();
         script.pass(0);
         script
     }
 
     fn pass(&mut self, ms: u64) {
-        self.now = self.now + Span::from_ms(ms);
+        self.now = self.now + Duration::from_millis(ms);
         self.owner.tick(self.now);
         self.take_requests();
     }
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -2,20 +2,20 @@
 //! which of many subjects.
 #![allow(dead_code, reason = "each file of tests uses a part of it")]
 use std::collections::BTreeMap;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_leases::{DRIFT, Electorate, LeaseConfig, Subject};
 use thistlecroft_peers::{Pace, Terms as PeerTerms};
 use thistlecroft_testbed::simulated_network::SimulatedNetwork;
 
-pub const PERIOD: Span = Span::from_ms(200);
-pub const TERM: Span = Span::from_ms(2_000);
+pub const PERIOD: Duration = Duration::from_millis(200);
+pub const TERM: Duration = Duration::from_millis(2_000);
 pub const RATE: u32 = 32_768;
 pub const VOTERS: [&str; 3] = ["r0", "r1", "r2"];
 /// Two processes whose clocks are both at an edge, and the rest between.
 const SPEEDS: [f64; 5] = [1.0 - DRIFT, 1.0 + DRIFT, 1.0, 1.0 - DRIFT, 1.0 + DRIFT];
-const FOR_LONG: Span = Span::from_ms(3_600_000);
+const FOR_LONG: Duration = Duration::from_millis(3_600_000);
 /// Between two looks of the witness.
-const LOOK: Span = Span::from_ms(10);
+const LOOK: Duration = Duration::from_millis(10);
 
 pub fn electorate(generation: u32, voters: &[&str], before: &[&str]) -> Electorate {
     let names = |all: &[&str]| all.iter().map(|name| (*name).into()).collect();
@@ -123,7 +123,7 @@
         }
     }
 
-    pub fn watch(&mut self, network: &mut SimulatedNetwork, span: Span, paused: &[usize]) {
+    pub fn watch(&mut self, network: &mut SimulatedNetwork, span: Duration, paused: &[usize]) {
         let until = network.now + span;
         while network.now < until {
             network.run_for(LOOK);
@@ -135,16 +135,16 @@
     pub fn until(
         &mut self,
         network: &mut SimulatedNetwork,
-        within: Span,
+        within: Duration,
         so: impl Fn(&SimulatedNetwork) -> bool,
-    ) -> Option<Span> {
+    ) -> Option<Duration> {
         let began = network.now;
         while !so(network) {
-            if network.now.since(began) >= within {
+            if network.now.duration_since(began) >= within {
                 return None;
             }
             self.watch(network, LOOK, &[]);
         }
-        Some(network.now.since(began))
+        Some(network.now.duration_since(began))
     }
 }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -5,7 +5,8 @@
 use helper::{
     RATE, TERM, VOTERS, Witness, acquire, config, electorate, fleet, held, release, subjects,
 };
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
 use thistlecroft_leases::{
     AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message, Reason,
@@ -15,7 +16,7 @@
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
 /// After a silence from a start, and the rounds that an attachment takes.
-const START: Span = Span::from_ms(3_000);
+const START: Duration = Duration::from_millis(3_000);
 const SEEDS: u64 = 100;
 
 fn count(network: &SimulatedNetwork, number: usize) -> usize {
@@ -36,7 +37,7 @@
             Witness::default(),
             subjects(40),
         );
-        network.link_fault.spread = Span::from_ms(40);
+        network.link_fault.spread = Duration::from_millis(40);
         acquire(&mut network, 3, &all);
         acquire(&mut network, 4, &all);
         let owned = witness.until(&mut network, START + TERM * 4.0, |network| {
@@ -234,12 +235,7 @@
 }
 
 /// Faults, releases and wishes drawn at random.
-fn shake(
-    network: &mut SimulatedNetwork,
-    witness: &mut Witness,
-    chance: &mut Chance,
-    all: &[Vec<u8>],
-) {
+fn shake(network: &mut SimulatedNetwork, witness: &mut Witness, chance: &mut Rng, all: &[Vec<u8>]) {
     let number = chance.below(5) as usize;
     let some = chance.below(all.len() as u64) as usize;
     let mut paused = Vec::new();
@@ -266,7 +262,7 @@
         6 => acquire(network, number, all),
         _ => network.heal(),
     }
-    let span = Span::from_ms(100 + chance.below(2_500));
+    let span = Duration::from_millis(100 + chance.below(2_500));
     witness.watch(network, span, &paused);
     if !paused.is_empty() {
         network.resume(number);
@@ -284,11 +280,11 @@
             Witness::default(),
             subjects(6),
         );
-        let mut chance = Chance::from_seed(seed * 7_919);
+        let mut chance = Rng::from_seed(seed * 7_919);
         network.link_fault = LinkFault {
             loss: 0.05,
             doubled: 0.05,
-            spread: Span::from_ms(150),
+            spread: Duration::from_millis(150),
             ..network.link_fault
         };
         (0..5).for_each(|number| acquire(&mut network, number, &all[number..]));
@@ -298,7 +294,7 @@
         }
         network.heal();
         network.link_fault = LinkFault {
-            delay: Span::from_us(200),
+            delay: Duration::from_micros(200),
             ..LinkFault::default()
         };
         (0..5).for_each(|number| acquire(&mut network, number, &all));
@@ -361,7 +357,7 @@
         let began = network.now;
         while !(0..5).all(|number| change(&mut network, number, &last).is_ok()) {
             assert!(
-                network.now.since(began) < TERM * 3.0,
+                network.now.duration_since(began) < TERM * 3.0,
                 "seed {seed}: never settled"
             );
             witness.watch(&mut network, TERM * 0.02, &[]);
@@ -373,7 +369,7 @@
 }
 
 /// Bytes that a process's leases send in so long, and requests.
-fn spent(network: &mut SimulatedNetwork, number: usize, span: Span) -> (u64, u64) {
+fn spent(network: &mut SimulatedNetwork, number: usize, span: Duration) -> (u64, u64) {
     let look = |network: &SimulatedNetwork| {
         let host = &network.hosts[number];
         (
@@ -422,18 +418,21 @@
         let began = network.now;
         let calm = 1_500;
         while count(&network, 4) < SUBJECTS {
-            let (bytes, _) = spent(&mut network, 4, Span::from_ms(1_000));
+            let (bytes, _) = spent(&mut network, 4, Duration::from_millis(1_000));
             // A burst of half a second, and one message that began below it.
             let most = u64::from(rate) * 3 / 2 + 1_200 + calm;
             assert!(bytes <= most, "{bytes} bytes in a second at {rate}");
-            assert!(network.now.since(began) < Span::from_ms(120_000), "{rate}");
+            assert!(
+                network.now.duration_since(began) < Duration::from_millis(120_000),
+                "{rate}"
+            );
         }
         // Three voters, each subject with its length: so many bytes at that rate, and a tenth for
         // the rest.
         let bytes = 3.0 * all.iter().map(|subject| subject.len() + 1).sum::<usize>() as f64;
         let messages = 3.0 * (SUBJECTS as f64 / 80.0).ceil();
         let expected = (bytes + messages * 150.0) / f64::from(rate);
-        let took = network.now.since(began).secs();
+        let took = network.now.duration_since(began).as_secs_f64();
         assert!(
             took <= expected * 1.2 + 2.0,
             "{rate}: {took} s, {expected} by the formula"
@@ -466,7 +465,7 @@
 #[test]
 fn a_voter_takes_131072_subjects_and_says_that_it_is_full() {
     use thistlecroft_leases::{MAX_VOTER_SUBJECTS, Update};
-    let at = |ms: u64| Moment::from_us(1_000_000 + ms * 1_000);
+    let at = |ms: u64| Instant::from_micros(1_000_000 + ms * 1_000);
     let mut voter = Leases::new(Identity::new("r0", 1), config(&["r0"], RATE), at(0));
     voter.tick(at(2_000));
     voter.take_outgoing();
@@ -515,7 +514,7 @@
 
 #[test]
 fn processes_of_the_protocol_before_are_refused_in_their_words_and_grant_nothing_here() {
-    let at = |ms: u64| Moment::from_us(1_000_000 + ms * 1_000);
+    let at = |ms: u64| Instant::from_micros(1_000_000 + ms * 1_000);
     let mut voter = Leases::new(Identity::new("r0", 2), config(&["r0"], RATE), at(0));
     let (older, twin) = (Identity::new("a", 1), Identity::new("r0", 1));
     let legacy_answers = |voter: &mut Leases, from: &Identity, message: &LegacyMessage, ms: u64| {
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -1,15 +1,16 @@
 //! Leases over simulated links, with clocks that run at the edges of what is allowed: never two
 //! holders at one true moment, epochs that only grow, and none for a side without a majority.
 use std::collections::BTreeMap;
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
     DRIFT, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update,
 };
 use thistlecroft_peers::{Identity, Pace, Terms as PeerTerms};
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
-const PERIOD: Span = Span::from_ms(200);
-const TERM: Span = Span::from_ms(2_000);
+const PERIOD: Duration = Duration::from_millis(200);
+const TERM: Duration = Duration::from_millis(2_000);
 const TURN: &[u8] = b"turn";
 /// Two processes whose clocks are both at an edge, and the rest between.
 const SPEEDS: [f64; 5] = [1.0 - DRIFT, 1.0 + DRIFT, 1.0, 1.0 - DRIFT, 1.0 + DRIFT];
@@ -76,10 +77,10 @@
         }
     }
 
-    fn watch(&mut self, network: &mut SimulatedNetwork, span: Span, paused: &[usize]) {
+    fn watch(&mut self, network: &mut SimulatedNetwork, span: Duration, paused: &[usize]) {
         let until = network.now + span;
         while network.now < until {
-            network.run_for(Span::from_ms(5));
+            network.run_for(Duration::from_millis(5));
             self.look(network, paused);
         }
     }
@@ -90,7 +91,7 @@
         network.act(number, |host, now| {
             if let Some(leases) = &mut host.leases {
                 leases
-                    .acquire(TURN, now + Span::from_ms(3_600_000), now)
+                    .acquire(TURN, now + Duration::from_millis(3_600_000), now)
                     .unwrap();
             }
         });
@@ -130,7 +131,7 @@
     type Lose = fn(&mut SimulatedNetwork, usize);
     // What becomes of the holder, and how long others wait at most: its promise, and what an ask
     // takes.
-    let cases: &[(&str, Lose, Span)] = &[
+    let cases: &[(&str, Lose, Duration)] = &[
         (
             "killed",
             |network, holder| network.kill(holder),
@@ -166,7 +167,7 @@
                     host.leases
                         .as_mut()
                         .unwrap()
-                        .acquire(TURN, now + Span::from_ms(3_600_000), now)
+                        .acquire(TURN, now + Duration::from_millis(3_600_000), now)
                         .unwrap();
                 });
             }
@@ -253,11 +254,11 @@
     for seed in 1..=12 {
         let mut network = network(5, &VOTERS, seed);
         let mut witness = Witness::default();
-        let mut chance = Chance::from_seed(seed * 77);
+        let mut chance = Rng::from_seed(seed * 77);
         network.link_fault = LinkFault {
             loss: 0.05,
             doubled: 0.05,
-            spread: Span::from_ms(150),
+            spread: Duration::from_millis(150),
             ..network.link_fault
         };
         all_want(&mut network);
@@ -283,13 +284,13 @@
                         let leases = host.leases.as_mut().unwrap();
                         leases.release(TURN, now);
                         leases
-                            .acquire(TURN, now + Span::from_ms(3_600_000), now)
+                            .acquire(TURN, now + Duration::from_millis(3_600_000), now)
                             .unwrap();
                     });
                 }
                 _ => network.heal(),
             }
-            let span = Span::from_ms(200 + chance.below(4_000));
+            let span = Duration::from_millis(200 + chance.below(4_000));
             witness.watch(&mut network, span, &paused);
             if !paused.is_empty() {
                 network.resume(number);
@@ -370,7 +371,7 @@
     let held = TERM * ((1.0 - DRIFT) / (1.0 + DRIFT));
     assert_eq!(config(&VOTERS).holding_time(), held);
     let (slow, fast) = (1.0 - DRIFT, 1.0 + DRIFT);
-    let true_end = |own: Span, speed: f64| own.us() as f64 / speed;
+    let true_end = |own: Duration, speed: f64| own.as_micros() as f64 / speed;
     assert!(true_end(held, slow) <= true_end(TERM, fast) + 1.0);
     // With twice the drift that is allowed it would not hold: the margin is no larger than what is
     // stated.
@@ -404,8 +405,8 @@
     }
 }
 
-fn at(ms: u64) -> Moment {
-    Moment::from_us(1_000_000 + ms * 1_000)
+fn at(ms: u64) -> Instant {
+    Instant::from_micros(1_000_000 + ms * 1_000)
 }
 
 fn update(
--- a/operator_config/src/keys.rs
+++ b/operator_config/src/keys.rs
@@ -9,7 +9,7 @@
     /// A list of names, or one.
     Names,
     /// Text such as `"250ms"`.
-    Span,
+    Duration,
     /// A whole number, 1 or more.
     Count,
     /// A number from 0 to 1.
@@ -35,7 +35,7 @@
         match self {
             Kind::Name => "text: letters, digits and hyphens",
             Kind::Names => "a name or a list of names",
-            Kind::Span => "a span of time such as \"250ms\", \"1.5s\" or \"2m\"",
+            Kind::Duration => "a span of time such as \"250ms\", \"1.5s\" or \"2m\"",
             Kind::Count => "a whole number, 1 or more",
             Kind::Part => "a number from 0 to 1",
             Kind::Factor => "a number above 0",
@@ -130,7 +130,7 @@
         ),
         key(
             "period",
-            Kind::Span,
+            Kind::Duration,
             "One other relay is probed in each, 50ms to 10s; all times of membership follow it.",
             "1s",
         ),
@@ -160,7 +160,7 @@
         ),
         key(
             "lease",
-            Kind::Span,
+            Kind::Duration,
             "A lease's time, 500ms to 1m, the same at all relays.",
             "10s",
         ),
@@ -185,19 +185,19 @@
         ),
         key(
             "handshake_target",
-            Kind::Span,
+            Kind::Duration,
             "A set-up within this earns the whole; a dial is given this long at least before another is thought of.",
             "the settings' of the listener",
         ),
         key(
             "dial_timeout",
-            Kind::Span,
+            Kind::Duration,
             "The answer is due after this, or when the client stops waiting if that is sooner.",
             "as long as the client waits",
         ),
         key(
             "connect_time",
-            Kind::Span,
+            Kind::Duration,
             "A connection that is not up by then has failed.",
             "the settings' dialTimeoutUs",
         ),
@@ -215,26 +215,26 @@
         ),
         key(
             "base",
-            Kind::Span,
+            Kind::Duration,
             "The delay before a further dial, and the time to stay away that a refusal tells, are drawn from 0 up to base x 2^failures of the client.",
             "1s",
         ),
-        key("cap", Kind::Span, "...and up to this at most.", "30s"),
+        key("cap", Kind::Duration, "...and up to this at most.", "30s"),
         key(
             "cool_down",
-            Kind::Span,
+            Kind::Duration,
             "A connection that stood so long clears its client's count of failures.",
             "5s",
         ),
         key(
             "retry_after",
-            Kind::Span,
+            Kind::Duration,
             "No refusal tells a client to stay away for longer.",
             "the settings' maxRetryAfterUs",
         ),
         key(
             "idle",
-            Kind::Span,
+            Kind::Duration,
             "A connection on which no line has passed for so long is told to move.",
             "never",
         ),
@@ -302,13 +302,13 @@
         ),
         key(
             "least",
-            Kind::Span,
+            Kind::Duration,
             "...but not sooner than this...",
             "20ms",
         ),
         key(
             "most",
-            Kind::Span,
+            Kind::Duration,
             "...and not later than this.",
             "the handshake target",
         ),
--- a/operator_config/src/peers.rs
+++ b/operator_config/src/peers.rs
@@ -3,7 +3,7 @@
 use crate::routing::say;
 use crate::text::{Fault, PeersText, Place, Stated};
 use std::net::SocketAddr;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// In force.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -13,22 +13,22 @@
     pub advertise: SocketAddr,
     pub key_file: String,
     pub seeds: Vec<SocketAddr>,
-    pub period: Span,
+    pub period: Duration,
     pub rate: u32,
     pub voters: Vec<String>,
     pub voters_before: Vec<String>,
     pub generation: u32,
-    pub lease: Span,
+    pub lease: Duration,
 }
 
-const PERIOD: Span = Span::from_ms(1_000);
-const LEASE: Span = Span::from_ms(10_000);
+const PERIOD: Duration = Duration::from_millis(1_000);
+const LEASE: Duration = Duration::from_millis(10_000);
 const RATE: u32 = 32_768;
 const MOST_SEEDS: usize = 32;
 const MOST_VOTERS: usize = 7;
 const LEAST_RATE: u32 = 4_096;
-const PERIODS: (Span, Span) = (Span::from_ms(50), Span::from_ms(10_000));
-const LEASES: (Span, Span) = (Span::from_ms(500), Span::from_ms(60_000));
+const PERIODS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(10_000));
+const LEASES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(60_000));
 
 pub(crate) fn peering(text: &PeersText, of: &Circumstances) -> Result<Peering, Vec<Fault>> {
     let mut faults = Vec::new();
--- a/operator_config/src/routing.rs
+++ b/operator_config/src/routing.rs
@@ -4,14 +4,14 @@
 use crate::text::{RouteText, SecondText, Stated};
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{Effect, Route, SecondCopy};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// A listener of the deployment, as the settings have it.
 #[derive(Clone, Debug)]
 pub struct ListenerFacts {
     pub name: String,
     /// How long its clients wait at most.
-    pub wait: Span,
+    pub wait: Duration,
     /// What holds for it without a charter.
     pub row: Route,
 }
@@ -34,9 +34,9 @@
 /// What a row holds for the relay's front.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FrontRow {
-    pub dial_timeout: Option<Span>,
-    pub connect_time: Span,
-    pub idle: Option<Span>,
+    pub dial_timeout: Option<Duration>,
+    pub connect_time: Duration,
+    pub idle: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -225,8 +225,8 @@
     key >> (64 - 4 * count) == digits
 }
 
-pub(crate) fn say(span: Span) -> String {
-    let us = span.us();
+pub(crate) fn say(span: Duration) -> String {
+    let us = span.as_micros();
     if us.is_multiple_of(1_000_000) {
         format!("{}s", us / 1_000_000)
     } else if us.is_multiple_of(1_000) {
@@ -237,7 +237,7 @@
 }
 
 const SECOND_QUANTILE: f64 = 0.95;
-const SECOND_LEAST: Span = Span::from_ms(20);
+const SECOND_LEAST: Duration = Duration::from_millis(20);
 const SECOND_SHARE: f64 = 0.05;
 
 /// The rows of one listener under one route, and what is to be told of them.
@@ -345,11 +345,11 @@
     )
 }
 
-pub(crate) fn second_copy(text: &SecondText, target: Span) -> SecondCopy {
+pub(crate) fn second_copy(text: &SecondText, target: Duration) -> SecondCopy {
     let part = |stated: &Option<Stated<f64>>, otherwise| {
         stated.as_ref().map_or(otherwise, |stated| stated.value)
     };
-    let span = |stated: &Option<Stated<Span>>, otherwise| {
+    let span = |stated: &Option<Stated<Duration>>, otherwise| {
         stated.as_ref().map_or(otherwise, |stated| stated.value)
     };
     SecondCopy {
--- a/operator_config/src/rules.rs
+++ b/operator_config/src/rules.rs
@@ -8,7 +8,7 @@
 };
 use crate::text::{Fault, Place, RouteText, Stated};
 use thistlecroft::deployment::{Effect, Route};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 struct Case<'a> {
     route: &'a RouteText,
@@ -26,7 +26,7 @@
 }
 
 /// How long a session of this case may take for its answer.
-fn answer_due(case: &Case) -> Span {
+fn answer_due(case: &Case) -> Duration {
     case.front
         .dial_timeout
         .map_or(case.listener.wait, |own| own.min(case.listener.wait))
--- a/operator_config/src/text.rs
+++ b/operator_config/src/text.rs
@@ -5,7 +5,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 use std::ops::Range;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
@@ -68,8 +68,8 @@
 #[derive(Clone, Debug, Default)]
 pub struct SecondText {
     pub quantile: Option<Stated<f64>>,
-    pub least: Option<Stated<Span>>,
-    pub most: Option<Stated<Span>>,
+    pub least: Option<Stated<Duration>>,
+    pub most: Option<Stated<Duration>>,
     pub share: Option<Stated<f64>>,
 }
 
@@ -79,16 +79,16 @@
     pub name: String,
     pub place: Place,
     pub matching: Matching,
-    pub handshake_target: Option<Stated<Span>>,
-    pub dial_timeout: Option<Stated<Span>>,
-    pub connect_time: Option<Stated<Span>>,
+    pub handshake_target: Option<Stated<Duration>>,
+    pub dial_timeout: Option<Stated<Duration>>,
+    pub connect_time: Option<Stated<Duration>>,
     pub dials: Option<Stated<u32>>,
     pub patience: Option<Stated<f64>>,
-    pub base: Option<Stated<Span>>,
-    pub cap: Option<Stated<Span>>,
-    pub cool_down: Option<Stated<Span>>,
-    pub retry_after: Option<Stated<Span>>,
-    pub idle: Option<Stated<Span>>,
+    pub base: Option<Stated<Duration>>,
+    pub cap: Option<Stated<Duration>>,
+    pub cool_down: Option<Stated<Duration>>,
+    pub retry_after: Option<Stated<Duration>>,
+    pub idle: Option<Stated<Duration>>,
     pub retry_share: Option<Stated<f64>>,
     pub at_once: Option<Stated<u32>>,
     pub second_copy: Option<Stated<SecondText>>,
@@ -103,19 +103,19 @@
     pub key_file: Stated<String>,
     pub advertise: Option<Stated<SocketAddr>>,
     pub seeds: Option<Stated<Vec<SocketAddr>>>,
-    pub period: Option<Stated<Span>>,
+    pub period: Option<Stated<Duration>>,
     pub rate: Option<Stated<u32>>,
     pub voters: Option<Stated<Vec<String>>>,
     pub voters_before: Option<Stated<Vec<String>>>,
     pub generation: Option<Stated<u32>>,
-    pub lease: Option<Stated<Span>>,
+    pub lease: Option<Stated<Duration>>,
 }
 
 /// A value as its key's kind has it.
 #[derive(Clone, Debug)]
 enum Value {
     Names(Vec<String>),
-    Span(Span),
+    Duration(Duration),
     Count(u32),
     Number(f64),
     Hex(u64, u32),
@@ -412,9 +412,9 @@
     Some(match key.kind {
         Kind::Name => Value::Names(vec![text(value).filter(|name| named(name))?]),
         Kind::Names => Value::Names(list(value).filter(|names| names.iter().all(named))?),
-        Kind::Span => {
-            let span = Span::written(&text(value)?)?;
-            Value::Span(Some(span).filter(|span| *span > Span::ZERO && *span <= LONGEST)?)
+        Kind::Duration => {
+            let span = Duration::parse(&text(value)?)?;
+            Value::Duration(Some(span).filter(|span| *span > Duration::ZERO && *span <= LONGEST)?)
         }
         Kind::Count => match value {
             DeValue::Integer(figure) => {
@@ -456,7 +456,7 @@
 }
 
 /// Longer than any wait that the protocol can state.
-const LONGEST: Span = Span::from_ms(86_400_000);
+const LONGEST: Duration = Duration::from_millis(86_400_000);
 
 impl Read {
     fn take<T>(&mut self, name: &str, of: impl Fn(Value) -> Option<T>) -> Option<Stated<T>> {
@@ -474,9 +474,9 @@
         })
     }
 
-    fn span(&mut self, name: &str) -> Option<Stated<Span>> {
+    fn span(&mut self, name: &str) -> Option<Stated<Duration>> {
         self.take(name, |value| {
-            if let Value::Span(span) = value {
+            if let Value::Duration(span) = value {
                 Some(span)
             } else {
                 None
--- a/operator_config/tests/charter.rs
+++ b/operator_config/tests/charter.rs
@@ -1,12 +1,12 @@
 //! What a charter may say, what it may not, and what comes of it.
 use thistlecroft::deployment::{Effect, Route, Scope};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_operator_config::{
     Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin, Routing, page,
 };
 
-fn ms(ms: u64) -> Span {
-    Span::from_ms(ms)
+fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
 }
 
 fn of() -> Circumstances {
@@ -343,9 +343,9 @@
         let (route, front) = (routing.rows()[row], routing.front(row));
         let found = (
             route.max_dials,
-            front.connect_time.us() / 1_000,
-            front.dial_timeout.map(|span| span.us() / 1_000),
-            route.cap.us() / 1_000,
+            front.connect_time.as_millis(),
+            front.dial_timeout.map(|span| span.as_millis()),
+            route.cap.as_millis(),
         );
         assert_eq!(
             found, expected,
--- a/peers/src/chunks.rs
+++ b/peers/src/chunks.rs
@@ -3,7 +3,7 @@
 use crate::facts::FactRow;
 use crate::identity::{Identity, Row};
 use std::collections::{BTreeMap, BTreeSet};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// Exchanges that are kept at once, each way; the oldest gives way.
 const KEPT: usize = 4;
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 struct Coming {
     missing: BTreeSet<u16>,
-    ask_at: Moment,
+    ask_at: Instant,
     asked: u32,
 }
 
@@ -65,8 +65,8 @@
         exchange: u32,
         number: u16,
         of: u16,
-        wait: Span,
-        now: Moment,
+        wait: Duration,
+        now: Instant,
     ) -> bool {
         let key = (from.clone(), exchange);
         let first = !self.coming.contains_key(&key);
@@ -93,14 +93,14 @@
 
     /// Whom to ask for what again. An exchange that is whole, or was asked for often enough, is
     /// kept for a while as known, so that a late piece does not begin it anew.
-    pub fn ask(&mut self, wait: Span, now: Moment) -> Vec<(Identity, u32, Vec<u16>)> {
+    pub fn ask(&mut self, wait: Duration, now: Instant) -> Vec<(Identity, u32, Vec<u16>)> {
         let mut all = Vec::new();
         self.coming.retain(|(from, exchange), coming| {
             if coming.ask_at > now {
                 return true;
             }
             if coming.missing.is_empty() || coming.asked >= ASKED {
-                return now.since(coming.ask_at) < wait * 8.0;
+                return now.duration_since(coming.ask_at) < wait * 8.0;
             }
             (coming.asked, coming.ask_at) = (coming.asked + 1, now + wait);
             all.push((
@@ -113,7 +113,7 @@
         all
     }
 
-    pub fn due(&self) -> Option<Moment> {
+    pub fn due(&self) -> Option<Instant> {
         let wants = |coming: &&Coming| !coming.missing.is_empty() && coming.asked < ASKED;
         self.coming
             .values()
--- a/peers/src/facts.rs
+++ b/peers/src/facts.rs
@@ -5,7 +5,7 @@
 use crate::identity::Identity;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// What rows may be about. The number is the wire's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -81,7 +81,7 @@
     epoch: u64,
     value: Vec<u8>,
     /// Not later than this it was said, by this relay's clock.
-    said: Moment,
+    said: Instant,
 }
 
 /// A fact as it is read.
@@ -92,13 +92,13 @@
     pub epoch: u64,
     pub value: &'a [u8],
     /// At least so long ago its owner said it: the times on the way are not counted.
-    pub age: Span,
+    pub age: Duration,
 }
 
 #[derive(Clone, Debug)]
 pub struct Facts {
     rows: BTreeMap<Key, Held>,
-    period: Span,
+    period: Duration,
     /// Own sayings so far: an epoch is never used twice, also not for what was withdrawn and is
     /// said again, which others may still hold.
     said: u64,
@@ -107,7 +107,7 @@
 }
 
 impl Facts {
-    pub fn new(period: Span) -> Facts {
+    pub fn new(period: Duration) -> Facts {
         Facts {
             rows: BTreeMap::new(),
             period,
@@ -116,13 +116,13 @@
         }
     }
 
-    fn life(&self, kind: Kind) -> Span {
+    fn life(&self, kind: Kind) -> Duration {
         self.period * kind.life()
     }
 
     /// Takes a row in; if that changed anything but an age.
-    pub fn merge(&mut self, row: &FactRow, now: Moment) -> bool {
-        let age = Span::from_ms(u64::from(row.age_ms));
+    pub fn merge(&mut self, row: &FactRow, now: Instant) -> bool {
+        let age = Duration::from_millis(u64::from(row.age_ms));
         if age >= self.life(row.kind) {
             return false;
         }
@@ -171,7 +171,7 @@
         kind: Kind,
         subject: &[u8],
         value: &[u8],
-        now: Moment,
+        now: Instant,
     ) -> bool {
         let key = Key {
             kind,
@@ -198,9 +198,10 @@
     }
 
     /// Rows of an owner that want saying again: a third of their life has passed.
-    pub fn stale_of(&self, owner: &Identity, now: Moment) -> Vec<Key> {
+    pub fn stale_of(&self, owner: &Identity, now: Instant) -> Vec<Key> {
         let old = |(key, held): &(&Key, &Held)| {
-            key.owner == *owner && now.since(held.said) >= self.life(key.kind) * (1.0 / 3.0)
+            key.owner == *owner
+                && now.duration_since(held.said) >= self.life(key.kind) * (1.0 / 3.0)
         };
         self.rows
             .iter()
@@ -210,7 +211,7 @@
     }
 
     /// Said again, with nothing changed but epoch and age.
-    pub fn refresh(&mut self, key: &Key, now: Moment) {
+    pub fn refresh(&mut self, key: &Key, now: Instant) {
         if let Some(held) = self.rows.get_mut(key) {
             self.said += 1;
             (held.epoch, held.said) = (self.said, now);
@@ -227,8 +228,9 @@
         self.rows.remove(&key).is_some()
     }
 
-    pub fn forget(&mut self, now: Moment) -> Vec<Key> {
-        let over = |(key, held): &(&Key, &Held)| now.since(held.said) >= self.life(key.kind);
+    pub fn forget(&mut self, now: Instant) -> Vec<Key> {
+        let over =
+            |(key, held): &(&Key, &Held)| now.duration_since(held.said) >= self.life(key.kind);
         let gone: Vec<Key> = self
             .rows
             .iter()
@@ -239,7 +241,7 @@
         gone
     }
 
-    pub fn row(&self, key: &Key, now: Moment) -> Option<FactRow> {
+    pub fn row(&self, key: &Key, now: Instant) -> Option<FactRow> {
         let held = self.rows.get(key)?;
         Some(FactRow {
             kind: key.kind,
@@ -247,7 +249,7 @@
             owner: key.owner.clone(),
             epoch: held.epoch,
             value: held.value.clone(),
-            age_ms: u32::try_from(now.since(held.said).us() / 1_000).unwrap_or(u32::MAX),
+            age_ms: u32::try_from(now.duration_since(held.said).as_millis()).unwrap_or(u32::MAX),
         })
     }
 
@@ -255,7 +257,7 @@
         self.rows.keys()
     }
 
-    pub fn of_kind(&self, kind: Kind, now: Moment) -> impl Iterator<Item = Fact<'_>> {
+    pub fn of_kind(&self, kind: Kind, now: Instant) -> impl Iterator<Item = Fact<'_>> {
         self.rows
             .iter()
             .filter(move |(key, _)| key.kind == kind)
@@ -264,7 +266,7 @@
                 owner: &key.owner,
                 epoch: held.epoch,
                 value: &held.value,
-                age: now.since(held.said),
+                age: now.duration_since(held.said),
             })
     }
 
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -18,7 +18,7 @@
 pub use identity::{Identity, MemberState};
 pub use node::{Counts, Event, Node, View};
 
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// What a fleet's relays have in common.
 #[derive(Clone, Debug)]
@@ -35,31 +35,31 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Pace {
     /// A relay probes one other in each.
-    pub period: Span,
+    pub period: Duration,
 }
 
 impl Pace {
     /// A probe asks others after so long, and has failed at the period's end.
-    pub fn answer_within(&self) -> Span {
+    pub fn answer_within(&self) -> Duration {
         self.period * 0.4
     }
 
     /// A suspicion's least and most time in a fleet of that size: with three more accusers, and
     /// with none.
-    pub fn suspicion(&self, size: usize) -> (Span, Span) {
+    pub fn suspicion(&self, size: usize) -> (Duration, Duration) {
         let least = self.period * (SUSPICION * (size.max(10) as f64).log10());
         (least, least * SUSPICION_MOST)
     }
 
     /// How long rows of the dead are kept.
-    pub fn dead_kept(&self) -> Span {
+    pub fn dead_kept(&self) -> Duration {
         self.period * 600.0
     }
 
     /// Bound on the time until a relay that has stopped for good is *gone* for one that goes on,
     /// where no datagram is lost: its turn to be probed comes within two rounds, the probe takes a
     /// period, the suspicion its most; each stretched by the observer's own health.
-    pub fn gone_within(&self, size: usize, health: u32) -> Span {
+    pub fn gone_within(&self, size: usize, health: u32) -> Duration {
         let round = self.period * (2.0 * size as f64 + 1.0);
         round * f64::from(health + 1) + self.suspicion(size).1 + self.period
     }
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -5,22 +5,22 @@
 use crate::wire::ReplayWindow;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// Accusers beside the first that shorten a suspicion to its least.
 const ENOUGH: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Suspicion {
-    began: Moment,
+    began: Instant,
     accusers: BTreeSet<Identity>,
-    least: Span,
-    most: Span,
+    least: Duration,
+    most: Duration,
 }
 
 impl Suspicion {
     /// `most` with one accuser, `least` with as many as are enough, by the logarithm in between.
-    pub fn until(&self) -> Moment {
+    pub fn until(&self) -> Instant {
         let others = self.accusers.len().saturating_sub(1) as f64;
         let part = (others + 1.0).ln() / (ENOUGH as f64 + 1.0).ln();
         self.began + (self.most - (self.most - self.least) * part).max(self.least)
@@ -33,9 +33,9 @@
     pub incarnation: u32,
     pub state: MemberState,
     /// Since when it stands so here.
-    pub since: Moment,
+    pub since: Instant,
     /// When it was last heard from directly.
-    pub heard: Option<Moment>,
+    pub heard: Option<Instant>,
     pub suspicion: Option<Suspicion>,
     pub window: ReplayWindow,
 }
@@ -68,7 +68,7 @@
     }
 
     /// A datagram of it has come; false for one that came before.
-    pub fn heard(&mut self, id: &Identity, serial: u64, now: Moment) -> bool {
+    pub fn heard(&mut self, id: &Identity, serial: u64, now: Instant) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return true;
         };
@@ -107,7 +107,7 @@
     }
 
     /// An opinion about another process. The one function in which a member changes its state.
-    pub fn merge(&mut self, row: &Row, pace: &Pace, now: Moment) -> Merged {
+    pub fn merge(&mut self, row: &Row, pace: &Pace, now: Instant) -> Merged {
         let live =
             |member: Option<&Member>| member.is_some_and(|one| one.state <= MemberState::Suspect);
         let was = live(self.members.get(&row.id));
@@ -122,7 +122,7 @@
         merged
     }
 
-    fn merged(&mut self, row: &Row, size: usize, pace: &Pace, now: Moment) -> Merged {
+    fn merged(&mut self, row: &Row, size: usize, pace: &Pace, now: Instant) -> Merged {
         let Some(member) = self.members.get_mut(&row.id) else {
             let mut member = Member {
                 at: row.at,
@@ -187,12 +187,12 @@
     }
 
     /// Whose time to answer for itself is over.
-    pub fn overdue(&self, now: Moment) -> Vec<Identity> {
+    pub fn overdue(&self, now: Instant) -> Vec<Identity> {
         let over = |id: &&Identity| self.suspicion(id).is_some_and(|one| one.until() <= now);
         self.suspects.iter().filter(over).cloned().collect()
     }
 
-    pub fn next_overdue(&self) -> Option<Moment> {
+    pub fn next_overdue(&self) -> Option<Instant> {
         self.suspects
             .iter()
             .filter_map(|id| self.suspicion(id))
@@ -205,7 +205,7 @@
     }
 
     /// This process stood still for so long, in which it could not have heard a refutation.
-    pub fn put_off(&mut self, by: Span) {
+    pub fn put_off(&mut self, by: Duration) {
         for member in self.members.values_mut() {
             member
                 .suspicion
@@ -215,9 +215,10 @@
     }
 
     /// Rows of the dead are kept so that what is still under way does not bring them back.
-    pub fn reap(&mut self, kept: Span, now: Moment) -> Vec<Identity> {
-        let over =
-            |member: &Member| member.state >= MemberState::Dead && now.since(member.since) >= kept;
+    pub fn reap(&mut self, kept: Duration, now: Instant) -> Vec<Identity> {
+        let over = |member: &Member| {
+            member.state >= MemberState::Dead && now.duration_since(member.since) >= kept
+        };
         let gone = self
             .members
             .iter()
@@ -229,7 +230,7 @@
     }
 }
 
-fn suspicion(row: &Row, size: usize, pace: &Pace, now: Moment) -> Suspicion {
+fn suspicion(row: &Row, size: usize, pace: &Pace, now: Instant) -> Suspicion {
     let (least, most) = pace.suspicion(size);
     Suspicion {
         began: now,
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -13,7 +13,8 @@
 use crate::{Pace, Terms};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
 /// The worst own health; every time that others are given is stretched by it plus one.
 const MAX_HEALTH: u32 = 8;
@@ -57,7 +58,7 @@
     /// Datagrams of another format come from there: said once an address and format.
     OtherFormat { from: SocketAddr, format: u8 },
     /// This process stood still for so long.
-    StoodStill { by: Span },
+    StoodStill { by: Duration },
 }
 
 /// What came and went since the start.
@@ -89,16 +90,16 @@
     pub at: SocketAddr,
     pub state: MemberState,
     pub incarnation: u32,
-    pub since: Moment,
-    pub heard: Option<Moment>,
+    pub since: Instant,
+    pub heard: Option<Instant>,
 }
 
 #[derive(Clone, Debug)]
 struct Probe {
     number: u32,
     target: Identity,
-    asks_others: Moment,
-    ends: Moment,
+    asks_others: Instant,
+    ends: Instant,
     helpers: u32,
     nacks: u32,
     asked: bool,
@@ -111,7 +112,7 @@
     of: Identity,
     at: SocketAddr,
     probe: u32,
-    until: Moment,
+    until: Instant,
 }
 
 #[derive(Clone, Debug)]
@@ -122,7 +123,7 @@
     seal: Seal,
     pace: Pace,
     rate: u32,
-    chance: Chance,
+    chance: Rng,
     incarnation: u32,
     serial: u64,
     health: u32,
@@ -136,14 +137,14 @@
     numbers: u32,
     /// Whom to probe in turn; dealt anew when all had theirs.
     round: Vec<Identity>,
-    next_probe: Moment,
-    next_gossip: Moment,
-    next_sync: Moment,
-    next_seek: Moment,
+    next_probe: Instant,
+    next_gossip: Instant,
+    next_sync: Instant,
+    next_seek: Instant,
     /// Bytes that may be sent now, and as of when.
     allowance: f64,
-    allowed_at: Moment,
-    woken: Moment,
+    allowed_at: Instant,
+    woken: Instant,
     formats: Vec<(SocketAddr, u8)>,
     out: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
@@ -159,11 +160,11 @@
         seeds: Vec<SocketAddr>,
         terms: &Terms,
         seed: u64,
-        now: Moment,
+        now: Instant,
     ) -> Node {
-        let mut chance = Chance::from_seed(seed);
+        let mut chance = Rng::from_seed(seed);
         // Relays started at once do not go on in step.
-        let first = now + terms.pace.period * chance.float();
+        let first = now + terms.pace.period * chance.unit_f64();
         Node {
             me,
             at,
@@ -253,7 +254,7 @@
         self.members.live_count() + 1
     }
 
-    pub fn due(&self) -> Moment {
+    pub fn due(&self) -> Instant {
         let mut due = self.next_probe.min(self.next_seek).min(self.next_sync);
         if !self.gossip.is_empty() {
             due = due.min(self.next_gossip);
@@ -269,7 +270,7 @@
         let rest = indirect_probes
             .chain(self.members.next_overdue())
             .chain(self.chunks.due());
-        rest.fold(due, Moment::min)
+        rest.fold(due, Instant::min)
     }
 
     pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
@@ -283,7 +284,7 @@
     // ---- what is said ----
 
     /// Tells the fleet something; false where there is no room for it.
-    pub fn announce(&mut self, kind: Kind, subject: &[u8], value: &[u8], now: Moment) -> bool {
+    pub fn announce(&mut self, kind: Kind, subject: &[u8], value: &[u8], now: Instant) -> bool {
         let said = self.facts.announce(&self.me, kind, subject, value, now);
         if said {
             self.gossip.add(About::Fact(Key {
@@ -308,7 +309,7 @@
         to: &Identity,
         channel: u8,
         bytes: Vec<u8>,
-        now: Moment,
+        now: Instant,
     ) -> bool {
         let Some(at) = self.members.get(to).map(|member| member.at) else {
             return false;
@@ -317,7 +318,7 @@
     }
 
     /// It is reached elsewhere from now on; others take that from a higher incarnation alone.
-    pub fn move_to(&mut self, at: SocketAddr, now: Moment) {
+    pub fn move_to(&mut self, at: SocketAddr, now: Instant) {
         self.at = at;
         self.seeds.retain(|seed| *seed != at);
         self.incarnation += 1;
@@ -326,7 +327,7 @@
     }
 
     /// Leaves in good order: all that are here are told, and nothing is sent after.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Instant) {
         if self.left {
             return;
         }
@@ -352,7 +353,7 @@
     // ---- what comes ----
 
     /// A datagram. What is none of this fleet's is counted and costs no more than its hash.
-    pub fn receive(&mut self, bytes: &[u8], source: SocketAddr, now: Moment) {
+    pub fn receive(&mut self, bytes: &[u8], source: SocketAddr, now: Instant) {
         let datagram = match self.seal.open(bytes) {
             Ok(datagram) => datagram,
             Err(rejection) => return self.count_rejection(rejection, source),
@@ -415,7 +416,7 @@
         }
     }
 
-    fn body(&mut self, body: Body, from: &Identity, at: SocketAddr, now: Moment) {
+    fn body(&mut self, body: Body, from: &Identity, at: SocketAddr, now: Instant) {
         match body {
             Body::Ping { probe, to } if to == self.me => {
                 self.send(at, Some(from), Body::Ack { probe }, true, now);
@@ -482,7 +483,7 @@
         }
     }
 
-    fn merge(&mut self, row: &Row, now: Moment) {
+    fn merge(&mut self, row: &Row, now: Instant) {
         if row.id == self.me {
             return self.about_me(row, now);
         }
@@ -501,7 +502,7 @@
     }
 
     /// Refutes what others think, by an incarnation above theirs.
-    fn about_me(&mut self, row: &Row, now: Moment) {
+    fn about_me(&mut self, row: &Row, now: Instant) {
         if row.state == MemberState::Alive || row.incarnation < self.incarnation || self.left {
             return;
         }
@@ -515,7 +516,7 @@
         self.next_gossip = now;
     }
 
-    fn merge_fact(&mut self, fact: &FactRow, now: Moment) {
+    fn merge_fact(&mut self, fact: &FactRow, now: Instant) {
         // Its own facts nobody knows better; one that was withdrawn is not taken back.
         if fact.owner == self.me || !self.facts.merge(fact, now) {
             return;
@@ -537,8 +538,8 @@
 
     /// All that is due. Called later than it asked for, it blames nobody: what came meanwhile was
     /// not heard.
-    pub fn tick(&mut self, now: Moment) {
-        let late = now.since(self.due().max(self.woken));
+    pub fn tick(&mut self, now: Instant) {
+        let late = now.duration_since(self.due().max(self.woken));
         if late > self.pace.period * 0.5 {
             self.stood_still(late, now);
         }
@@ -600,7 +601,7 @@
         }
     }
 
-    fn stood_still(&mut self, late: Span, now: Moment) {
+    fn stood_still(&mut self, late: Duration, now: Instant) {
         self.events.push(Event::StoodStill { by: late });
         change_health(&mut self.health, 1);
         self.members.put_off(late);
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -5,7 +5,7 @@
 use crate::members::Member;
 use crate::wire::Body;
 use std::net::SocketAddr;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 impl Node {
     pub(super) fn indirect(
@@ -15,7 +15,7 @@
         of: SocketAddr,
         from: &Identity,
         at: SocketAddr,
-        now: Moment,
+        now: Instant,
     ) {
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return;
@@ -38,7 +38,7 @@
         self.send(of, Some(&target), body, true, now);
     }
 
-    pub(super) fn acked(&mut self, number: u32, now: Moment) {
+    pub(super) fn acked(&mut self, number: u32, now: Instant) {
         if let Some(indirect) = self.indirect_probes.remove(&number) {
             let (at, probe) = (indirect.at, indirect.probe);
             self.send(at, Some(&indirect.of), Body::Ack { probe }, true, now);
@@ -55,7 +55,7 @@
     }
 
     /// The address leads to another process now: the one that was there has ended.
-    pub(super) fn not_me(&mut self, number: u32, from: &Identity, at: SocketAddr, now: Moment) {
+    pub(super) fn not_me(&mut self, number: u32, from: &Identity, at: SocketAddr, now: Instant) {
         let target = match (&self.probe, self.indirect_probes.get(&number)) {
             (Some(probe), _) if probe.number == number => probe.target.clone(),
             _ => return,
@@ -78,7 +78,7 @@
         self.probe = None;
     }
 
-    pub(super) fn probing(&mut self, now: Moment) {
+    pub(super) fn probing(&mut self, now: Instant) {
         if let Some(probe) = &self.probe {
             if probe.answered {
                 self.probe = None;
@@ -143,7 +143,7 @@
         None
     }
 
-    pub(super) fn ask_others(&mut self, now: Moment) {
+    pub(super) fn ask_others(&mut self, now: Instant) {
         let Some(probe) = &mut self.probe else { return };
         probe.asked = true;
         let (number, target) = (probe.number, probe.target.clone());
@@ -167,7 +167,7 @@
         }
     }
 
-    pub(super) fn probe_failed(&mut self, now: Moment) {
+    pub(super) fn probe_failed(&mut self, now: Instant) {
         let Some(probe) = self.probe.take() else {
             return;
         };
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -5,7 +5,7 @@
 use crate::identity::{Identity, MemberState, Row};
 use crate::wire::{Body, Datagram, MOST};
 use std::net::SocketAddr;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 impl Node {
     pub(super) fn datagram(&mut self, body: Body, rows: Vec<Row>, facts: Vec<FactRow>) -> Datagram {
@@ -31,7 +31,7 @@
         to: Option<&Identity>,
         body: Body,
         urgent: bool,
-        now: Moment,
+        now: Instant,
     ) -> bool {
         let carried = match &body {
             Body::Message { bytes, .. } => bytes.len(),
@@ -93,9 +93,10 @@
         gone
     }
 
-    pub(super) fn allow(&mut self, now: Moment) {
+    pub(super) fn allow(&mut self, now: Instant) {
         let rate = f64::from(self.rate);
-        self.allowance = (self.allowance + rate * now.since(self.allowed_at).secs()).min(rate);
+        self.allowance =
+            (self.allowance + rate * now.duration_since(self.allowed_at).as_secs_f64()).min(rate);
         self.allowed_at = now;
     }
 
@@ -104,7 +105,7 @@
         at: SocketAddr,
         datagram: &Datagram,
         urgent: bool,
-        now: Moment,
+        now: Instant,
     ) -> bool {
         if self.left {
             return false;
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -8,12 +8,12 @@
 use crate::wire::Body;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 impl Node {
     /// Looks for the fleet at its seeds until somebody is here, and after that for those it has
     /// lost: so two halves that took each other for gone find one another again.
-    pub(super) fn seek(&mut self, now: Moment) {
+    pub(super) fn seek(&mut self, now: Instant) {
         if now < self.next_seek {
             return;
         }
@@ -56,11 +56,11 @@
         }
     }
 
-    pub(super) fn housekeep(&mut self, now: Moment) {
+    pub(super) fn housekeep(&mut self, now: Instant) {
         if now < self.next_sync {
             return;
         }
-        self.next_sync = now + self.pace.period * (SYNC_EVERY * (0.5 + self.chance.float()));
+        self.next_sync = now + self.pace.period * (SYNC_EVERY * (0.5 + self.chance.unit_f64()));
         for id in self.members.reap(self.pace.dead_kept(), now) {
             self.gossip.remove(&About::Member(id));
         }
@@ -125,7 +125,7 @@
         }
     }
 
-    pub(super) fn send_all(&mut self, at: SocketAddr, to: &Identity, back: bool, now: Moment) {
+    pub(super) fn send_all(&mut self, at: SocketAddr, to: &Identity, back: bool, now: Instant) {
         let ids: Vec<Identity> = self.members.members().map(|(id, _)| id.clone()).collect();
         let keys: Vec<Key> = self.facts.keys().cloned().collect();
         let mut pieces = vec![Content::default()];
--- a/peers/tests/facts.rs
+++ b/peers/tests/facts.rs
@@ -1,11 +1,11 @@
 //! Merging facts commutes, associates and repeats harmlessly, over random schedules; bounded tables
 //! too.
 use proptest::prelude::*;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::Identity;
 use thistlecroft_peers::facts::{FactRow, Facts, Kind, MOST_OWN, MOST_ROWS};
 
-const NOW: Moment = Moment::from_us(1_000_000_000);
+const NOW: Instant = Instant::from_micros(1_000_000_000);
 
 fn row() -> impl Strategy<Value = FactRow> {
     (
@@ -27,7 +27,7 @@
 }
 
 fn taken<'a>(rows: impl Iterator<Item = &'a FactRow>) -> Vec<FactRow> {
-    let mut facts = Facts::new(Span::from_ms(1_000));
+    let mut facts = Facts::new(Duration::from_millis(1_000));
     for row in rows {
         facts.merge(row, NOW);
     }
@@ -41,7 +41,7 @@
     #[test]
     fn any_order_and_any_repeats_give_the_same_table(rows in prop::collection::vec(row(), 1..60), order in any::<u64>()) {
         let whole = taken(rows.iter());
-        let mut chance = thistlecroft::units::Chance::from_seed(order);
+        let mut chance = thistlecroft::random::Rng::from_seed(order);
         let mut other: Vec<&FactRow> = rows.iter().chain(rows.iter().filter(|row| row.epoch % 2 == 0)).collect();
         for place in (1..other.len()).rev() {
             other.swap(place, chance.below(place as u64 + 1) as usize);
@@ -68,7 +68,7 @@
     let forward = taken(rows.iter());
     assert_eq!(forward.len(), MOST_ROWS);
     assert_eq!(forward, taken(rows.iter().rev()));
-    let mut facts = Facts::new(Span::from_ms(1_000));
+    let mut facts = Facts::new(Duration::from_millis(1_000));
     let me = Identity::new("me", 1);
     for number in 0..MOST_OWN as u32 {
         assert!(facts.announce(&me, Kind::Note, &number.to_be_bytes(), b"", NOW));
@@ -88,8 +88,8 @@
 #[test]
 fn what_is_said_again_after_it_was_withdrawn_is_newer_for_those_who_still_hold_it() {
     let (mut own, mut other) = (
-        Facts::new(Span::from_ms(1_000)),
-        Facts::new(Span::from_ms(1_000)),
+        Facts::new(Duration::from_millis(1_000)),
+        Facts::new(Duration::from_millis(1_000)),
     );
     let me = Identity::new("me", 1);
     let pass = |own: &Facts, other: &mut Facts| {
@@ -109,13 +109,13 @@
 
 #[test]
 fn a_fact_is_read_with_its_age_and_forgotten_by_it() {
-    let mut facts = Facts::new(Span::from_ms(1_000));
+    let mut facts = Facts::new(Duration::from_millis(1_000));
     let me = Identity::new("me", 1);
     assert!(facts.announce(&me, Kind::Ejection, b"b", b"x", NOW));
-    let at = |secs: u64| NOW + Span::from_ms(secs * 1_000);
+    let at = |secs: u64| NOW + Duration::from_millis(secs * 1_000);
     assert_eq!(
         facts.of_kind(Kind::Ejection, at(7)).next().unwrap().age,
-        Span::from_ms(7_000)
+        Duration::from_millis(7_000)
     );
     assert!(facts.stale_of(&me, at(19)).is_empty());
     assert_eq!(
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -1,13 +1,13 @@
 //! Membership over simulated links: deaths, cuts, pauses, losses, growth, and what the bounds say
 //! of them.
 use std::collections::BTreeSet;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::identity::Row;
 use thistlecroft_peers::wire::{Body, Datagram, MOST, Rejection, ReplayWindow, Seal};
 use thistlecroft_peers::{Identity, Kind, MemberState, Node, Pace, Terms};
 use thistlecroft_testbed::simulated_network::{Host, LinkFault, SimulatedNetwork};
 
-const PERIOD: Span = Span::from_ms(200);
+const PERIOD: Duration = Duration::from_millis(200);
 
 fn terms() -> Terms {
     let pace = Pace { period: PERIOD };
@@ -121,8 +121,8 @@
             |network| {
                 network.link_fault = LinkFault {
                     loss: 0.1,
-                    delay: Span::from_ms(40),
-                    spread: Span::from_ms(20),
+                    delay: Duration::from_millis(40),
+                    spread: Duration::from_millis(20),
                     ..network.link_fault
                 };
             },
@@ -166,7 +166,10 @@
 
 #[test]
 fn a_process_that_stood_still_blames_nobody_and_is_back_after_its_own_refutation() {
-    for (still, gone) in [(Span::from_ms(1_000), false), (Span::from_ms(20_000), true)] {
+    for (still, gone) in [
+        (Duration::from_millis(1_000), false),
+        (Duration::from_millis(20_000), true),
+    ] {
         let mut network = together(6, 9);
         network.pause(2);
         network.run_for(still);
@@ -281,7 +284,10 @@
 
 #[test]
 fn what_is_still_under_way_of_one_that_left_does_not_bring_it_back() {
-    let (now, at) = (Moment::from_us(1_000_000), "127.0.0.1:9".parse().unwrap());
+    let (now, at) = (
+        Instant::from_micros(1_000_000),
+        "127.0.0.1:9".parse().unwrap(),
+    );
     let mut node = Node::new(Identity::new("me", 1), at, Vec::new(), &terms(), 1, now);
     let seal = Seal::new(b"of the test", "test");
     let you = Identity::new("you", 2);
@@ -441,7 +447,7 @@
                     .announce(Kind::Note, text.as_bytes(), &[1; 90], now);
             });
         }
-        network.run_for(Span::from_ms(1_000));
+        network.run_for(Duration::from_millis(1_000));
         let sent = network
             .hosts
             .iter()
@@ -462,7 +468,10 @@
 
 #[test]
 fn datagrams_of_strangers_are_counted_and_do_nothing_else() {
-    let (now, at) = (Moment::from_us(1_000_000), "127.0.0.1:9".parse().unwrap());
+    let (now, at) = (
+        Instant::from_micros(1_000_000),
+        "127.0.0.1:9".parse().unwrap(),
+    );
     let node = |terms: &Terms| Node::new(Identity::new("me", 1), at, Vec::new(), terms, 1, now);
     let seal = Seal::new(b"of the test", "test");
     let datagram = Datagram {
--- a/relay/src/backends.rs
+++ b/relay/src/backends.rs
@@ -9,7 +9,7 @@
 use std::net::SocketAddr;
 use thistlecroft::front::{Report, Verdict};
 use thistlecroft::ids::BackendId;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
@@ -29,8 +29,8 @@
     pub sock: Sock,
     pub stage: Stage,
     line: Words,
-    connect_by: Moment,
-    give_up_at: Moment,
+    connect_by: Instant,
+    give_up_at: Instant,
 }
 
 pub struct Plan {
@@ -39,8 +39,8 @@
     pub backend: BackendId,
     pub address: Option<SocketAddr>,
     pub line: String,
-    pub connect_within: Span,
-    pub give_up_after: Span,
+    pub connect_within: Duration,
+    pub give_up_after: Duration,
 }
 
 impl Dial {
@@ -86,7 +86,7 @@
     }
 
     /// One that another process of this relay made.
-    pub fn standing(backend: BackendId, sock: Sock, now: Moment) -> Dial {
+    pub fn standing(backend: BackendId, sock: Sock, now: Instant) -> Dial {
         let (stage, line) = (Stage::Standing, Words::default());
         Dial {
             number: 0,
@@ -137,7 +137,7 @@
         Ok(())
     }
 
-    pub fn overdue(&self, now: Moment) -> bool {
+    pub fn overdue(&self, now: Instant) -> bool {
         match self.stage {
             Stage::Connecting => now >= self.connect_by.min(self.give_up_at),
             Stage::Sending | Stage::Waiting => now >= self.give_up_at,
@@ -160,7 +160,7 @@
     words: Words,
     answer: Flow,
     serial: u32,
-    asked: Moment,
+    asked: Instant,
     /// It had answered before it was asked this.
     again: bool,
 }
@@ -169,12 +169,12 @@
     open: BTreeMap<BackendId, Probe>,
     serial: u32,
     /// Half for coming up, half for the answer.
-    within: Span,
-    idle: Span,
+    within: Duration,
+    idle: Duration,
 }
 
 impl Probes {
-    pub fn new(connect_timeout: Span, idle: Span) -> Probes {
+    pub fn new(connect_timeout: Duration, idle: Duration) -> Probes {
         Probes {
             open: BTreeMap::new(),
             serial: 0,
@@ -184,7 +184,7 @@
     }
 
     /// Other times, for the probes from now on.
-    pub fn resettle(&mut self, connect_timeout: Span, idle: Span) {
+    pub fn resettle(&mut self, connect_timeout: Duration, idle: Duration) {
         (self.within, self.idle) = (connect_timeout * 2.0, idle);
     }
 
@@ -282,7 +282,7 @@
         let Some(probe) = self.open.get(&id).filter(|probe| probe.serial == serial) else {
             return;
         };
-        let waited = works.now.since(probe.asked);
+        let waited = works.now.duration_since(probe.asked);
         match probe.state {
             ProbeState::Idle if waited < self.idle => {}
             ProbeState::Connecting => self.end(id, Verdict::Unreachable, works),
--- a/relay/src/callers.rs
+++ b/relay/src/callers.rs
@@ -7,7 +7,7 @@
 use crate::works::Works;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// Descriptors that the door may take, its own and the kept list's among them.
 pub const RESERVE: usize = 24;
@@ -15,10 +15,10 @@
 const PLACES: usize = 16;
 const ACCEPTS: usize = 32;
 /// A caller that has not said a whole line by then is sent away.
-const PATIENCE: Span = Span::from_ms(5_000);
+const PATIENCE: Duration = Duration::from_millis(5_000);
 /// After its answer a caller has so long to end its side: closed with bytes unread the answer could
 /// be lost.
-const PARTING: Span = Span::from_ms(500);
+const PARTING: Duration = Duration::from_millis(500);
 
 struct Caller {
     sock: Sock,
--- a/relay/src/clients.rs
+++ b/relay/src/clients.rs
@@ -18,13 +18,13 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use thistlecroft::front::{Arrival, Ending, Report, Verdict};
 use thistlecroft::ids::{BackendId, RouteId, SessionId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_operator_config::{FrontRow, Routing};
 
 /// Accepts in one turn, so that a rush of clients can't keep the standing ones waiting.
 const ACCEPTS: usize = 64;
 /// After an accept that failed for want of anything; trying at once would only spin.
-const ACCEPT_PAUSE: Span = Span::from_ms(20);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// Descriptors that sessions never take: discovery, probes, signals, the door, the poller, the log.
 pub const RESERVE: usize = 40;
 /// And these few more serve to tell clients that there is no room.
@@ -32,40 +32,40 @@
 /// From its connecting, for all that a client says before its `OPEN` is read whole: an answer or an
 /// end is owed within three seconds, and a connection that says nothing holds a descriptor that
 /// others need. With 2.7 s nobody more was served on crowded days (docs/results.md).
-const FIRST_LINE: Span = Span::from_ms(2_000);
+const FIRST_LINE: Duration = Duration::from_millis(2_000);
 /// One accepted late has at least this, to be read at all.
-const FIRST_LINE_LEAST: Span = Span::from_ms(200);
+const FIRST_LINE_LEAST: Duration = Duration::from_millis(200);
 /// While descriptors lack, a connection that says nothing makes room after this; a usual client's
 /// first line is there long before.
-const SHED_AFTER: Span = Span::from_ms(20);
+const SHED_AFTER: Duration = Duration::from_millis(20);
 /// After our last word a client is given this long to end its side; the protocol allows a second in
 /// all.
-const PARTING: Span = Span::from_ms(400);
+const PARTING: Duration = Duration::from_millis(400);
 /// The same while it still sends, which is dropped: closed with bytes unread, the connection would
 /// be reset and the last word with it lost.
-const DROPPING: Span = Span::from_ms(3_000);
+const DROPPING: Duration = Duration::from_millis(3_000);
 /// Dropped at one go: a megabyte a turn, so that sixty of them pass in time, and no more.
 const DROPS: usize = 16;
 const DROP: usize = 64 * 1024;
 /// After its backend has ended, or its client has; the protocol allows a second for the former.
-const BACKEND_ENDED: Span = Span::from_ms(700);
-const CLIENT_ENDED: Span = Span::from_ms(2_000);
+const BACKEND_ENDED: Duration = Duration::from_millis(700);
+const CLIENT_ENDED: Duration = Duration::from_millis(2_000);
 /// A line unanswered for so long is noted as delayed while it is, and again after each such span.
-const OVERDUE: Span = Span::from_ms(250);
+const OVERDUE: Duration = Duration::from_millis(250);
 /// Connections from before the start are tried again after this, and given up after the other: lost
 /// after 40 s.
-const INHERITED_AGAIN: Span = Span::from_ms(200);
-const INHERITED_WITHIN: Span = Span::from_ms(38_000);
+const INHERITED_AGAIN: Duration = Duration::from_millis(200);
+const INHERITED_WITHIN: Duration = Duration::from_millis(38_000);
 /// The same where the list does not know the backend: it may be about to come, once.
-const UNKNOWN_WITHIN: Span = Span::from_ms(2_000);
+const UNKNOWN_WITHIN: Duration = Duration::from_millis(2_000);
 
 /// Connections on their way to the next process at once: each is held twice for that time.
 const OFFERS: usize = 16;
 /// Looked at in one turn, for one that may go.
 const OFFER_LOOKS: usize = 64;
-const OFFER_AGAIN: Span = Span::from_ms(10);
+const OFFER_AGAIN: Duration = Duration::from_millis(10);
 /// Without an answer it is kept, and moved as if there were no next process.
-const OFFERED_WITHIN: Span = Span::from_ms(500);
+const OFFERED_WITHIN: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
@@ -111,24 +111,24 @@
     down: Flow,
     /// What the relay itself says to the client, behind the lines that wait in `down`.
     words: Words,
-    began: Moment,
+    began: Instant,
     /// When the client last said anything.
-    heard: Moment,
+    heard: Instant,
     /// Its id, as long as no other connection may have the same.
     claimed: Option<u64>,
     /// It has been up: cutting it off would lose what is still on its way.
     stood: bool,
     /// When the first client line without a line back came.
-    asked: Option<Moment>,
+    asked: Option<Instant>,
     watched: bool,
     /// How long its messages take as its backend told it last.
-    told_delay: Span,
+    told_delay: Duration,
     /// The backend's last word, and whether the decisions have been told of the end.
     said: Option<(Verdict, Report)>,
     end_told: bool,
     up_shut: bool,
     down_shut: bool,
-    close_by: Option<Moment>,
+    close_by: Option<Instant>,
     starved: bool,
 }
 
@@ -166,7 +166,7 @@
 }
 
 /// Not parted yet, silent since, and whose.
-type Idle = (bool, Moment, u32);
+type Idle = (bool, Instant, u32);
 
 pub struct Sessions {
     map: BTreeMap<u32, Session>,
@@ -174,7 +174,7 @@
     door: Door,
     entry: Entry,
     /// Since when connections may have waited to be accepted.
-    behind_since: Option<Moment>,
+    behind_since: Option<Instant>,
     /// Accepting pauses until a descriptor is free.
     full: bool,
     /// To be handed to the next process, and how many are on their way.
@@ -334,10 +334,10 @@
     /// has been silent for longest, if for so long; true where that made room. What a silent one
     /// has said by now is read first: a line that came since the turn began is a session taken, and
     /// owed its answer.
-    fn shed(&mut self, silent: Span, book: &Book, works: &mut Works) -> bool {
+    fn shed(&mut self, silent: Duration, book: &Book, works: &mut Works) -> bool {
         while let Some(&first) = self.terms.idle.first() {
             let (waits, heard, id) = first;
-            if waits && works.now.since(heard) < silent {
+            if waits && works.now.duration_since(heard) < silent {
                 return false;
             }
             self.step(id, works, |session, terms, works| {
@@ -353,7 +353,7 @@
                     Stage::Opening => {
                         // Accepted just now it may speak at this very moment: then this is its
                         // answer, though the break that follows leaves no time for more.
-                        if works.now.since(heard) < SHED_AFTER {
+                        if works.now.duration_since(heard) < SHED_AFTER {
                             session.words.add(&protocol::refusal(None));
                             let _ = session.words.give(&mut session.client);
                         }
@@ -650,16 +650,16 @@
             route: RouteId(row as u16),
             key: of.key,
             group: of.group.filter(|_| self.terms.names.groups),
-            dial_timeout: Span::ZERO,
+            dial_timeout: Duration::ZERO,
         };
         session.stage = Stage::Standing;
         session.dial = Some(Dial::standing(at, backend, works.now));
         (session.up, session.down, session.stood) = (up, down, true);
         (session.front, session.generation) = (Some(front), Some(self.terms.enter()));
         session.close_by = None;
-        session.heard = Moment::from_us(of.heard_us);
-        session.asked = of.asked_us.map(Moment::from_us);
-        session.told_delay = Span::from_us(of.told_delay_us);
+        session.heard = Instant::from_micros(of.heard_us);
+        session.asked = of.asked_us.map(Instant::from_micros);
+        session.told_delay = Duration::from_micros(of.told_delay_us);
         session.claimed = self.terms.claimed.insert(of.id).then_some(of.id);
         let (key, group, load) = (of.key, of.group, of.load);
         session.about = Some(Box::new(About {
@@ -688,14 +688,14 @@
         &mut self,
         id: SessionId,
         backend: BackendId,
-        give_up_after: Span,
+        give_up_after: Duration,
         book: &Book,
         works: &mut Works,
     ) {
         // Connections that only wait never keep a dial from its descriptor.
-        while works.sockets.open() >= self.terms.most_sockets && self.shed(Span::ZERO, book, works)
-        {
-        }
+        while works.sockets.open() >= self.terms.most_sockets
+            && self.shed(Duration::ZERO, book, works)
+        {}
         self.step(id.0, works, |session, terms, works| {
             let number = session.dials;
             session.dials += 1;
@@ -721,7 +721,7 @@
         });
     }
 
-    pub fn refuse(&mut self, id: SessionId, retry_after: Option<Span>, works: &mut Works) {
+    pub fn refuse(&mut self, id: SessionId, retry_after: Option<Duration>, works: &mut Works) {
         self.answer(
             id,
             &protocol::refusal(retry_after),
@@ -802,7 +802,7 @@
 }
 
 impl Session {
-    fn new(id: u32, client: Sock, since: Moment, works: &mut Works) -> Session {
+    fn new(id: u32, client: Sock, since: Instant, works: &mut Works) -> Session {
         let mut session = Session {
             id,
             stage: Stage::Opening,
@@ -824,7 +824,7 @@
             stood: false,
             asked: None,
             watched: false,
-            told_delay: Span::ZERO,
+            told_delay: Duration::ZERO,
             said: None,
             end_told: false,
             up_shut: false,
@@ -832,7 +832,7 @@
             close_by: None,
             starved: false,
         };
-        let left = FIRST_LINE - works.now.since(since);
+        let left = FIRST_LINE - works.now.duration_since(since);
         session.close_within(left.max(FIRST_LINE_LEAST), works);
         // Into the list of the idle by its first step, which follows.
         session
@@ -871,9 +871,9 @@
             key: about.key,
             group: about.group,
             backend: book.name(dial.backend).to_string(),
-            heard_us: self.heard.us(),
-            asked_us: self.asked.map(Moment::us),
-            told_delay_us: self.told_delay.us(),
+            heard_us: self.heard.as_micros(),
+            asked_us: self.asked.map(Instant::as_micros),
+            told_delay_us: self.told_delay.as_micros(),
             load: about.load,
             up: (up.len(), up_whole),
             down: (down.len(), down_whole),
@@ -911,7 +911,7 @@
         SessionId(self.id)
     }
 
-    fn close_within(&mut self, span: Span, works: &mut Works) {
+    fn close_within(&mut self, span: Duration, works: &mut Works) {
         self.close_by = Some(works.now + span);
         works.alarms.set(works.now + span, Alarm::Client(self.id));
     }
@@ -980,7 +980,7 @@
         if self.stage != Stage::Standing {
             return Goes;
         }
-        if works.now.since(self.heard) >= idle {
+        if works.now.duration_since(self.heard) >= idle {
             works.counters.idle += 1;
             return self.send_away(works);
         }
@@ -1261,7 +1261,10 @@
                 _ => {}
             }
         }
-        self.close_within(PARTING.min(DROPPING - works.now.since(self.began)), works);
+        self.close_within(
+            PARTING.min(DROPPING - works.now.duration_since(self.began)),
+            works,
+        );
         Goes
     }
 
@@ -1270,7 +1273,7 @@
         let (Some(asked), Stage::Standing) = (self.asked, self.stage) else {
             return;
         };
-        let waited = works.now.since(asked);
+        let waited = works.now.duration_since(asked);
         let next = if waited >= OVERDUE {
             if !self.end_told {
                 works
@@ -1368,8 +1371,8 @@
         } else {
             UNKNOWN_WITHIN
         };
-        let left = within - works.now.since(self.began);
-        if left == Span::ZERO {
+        let left = within - works.now.duration_since(self.began);
+        if left == Duration::ZERO {
             works.counters.torn_down += 1;
             return self.part(protocol::FAILED, works);
         }
@@ -1388,7 +1391,7 @@
         &mut self,
         number: u32,
         backend: BackendId,
-        give_up_after: Span,
+        give_up_after: Duration,
         terms: &Terms,
         book: &Book,
         works: &mut Works,
@@ -1419,7 +1422,9 @@
             backend,
             address: book.address(backend),
             line: open.line(give_up_after),
-            connect_within: self.front.map_or(Span::ZERO, |front| front.connect_time),
+            connect_within: self
+                .front
+                .map_or(Duration::ZERO, |front| front.connect_time),
             give_up_after,
         };
         works.counters.dials += 1;
@@ -1570,7 +1575,7 @@
                 match said {
                     None => return self.send_away(works),
                     Some(Said::Load(ms)) if terms.names.notes_tell_delay => {
-                        self.told_delay = Span::from_ms(1) * ms;
+                        self.told_delay = Duration::from_millis(1) * ms;
                         works
                             .news
                             .push_back(News::Delay(self.session_id(), self.told_delay));
@@ -1585,7 +1590,7 @@
                     Some(Said::Up | Said::Other) => {
                         if let Some(asked) = self.asked.take() {
                             // A quick line back must not hide that the backend's own work is late.
-                            let delay = works.now.since(asked).max(self.told_delay);
+                            let delay = works.now.duration_since(asked).max(self.told_delay);
                             works.news.push_back(News::Delay(self.session_id(), delay));
                         }
                     }
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -12,22 +12,23 @@
 use std::net::SocketAddr;
 use thistlecroft::front::{ListScope, Listing, Standing};
 use thistlecroft::ids::{BackendId, CellId, ZoneId};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_settings::ReportPlaces;
 
 /// An empty line comes every two seconds. What the agent has counts as told, so a watch that died
 /// without a word must be found out before the grace of a drain has passed.
-const SILENCE: Span = Span::from_ms(2_500);
+const SILENCE: Duration = Duration::from_millis(2_500);
 /// A new address has less: its list counts as told four seconds after the signal, and it answers at
 /// once.
-const SILENCE_OF_NEXT: Span = Span::from_ms(800);
+const SILENCE_OF_NEXT: Duration = Duration::from_millis(800);
 /// A good watch that broke is asked for anew at once, but no more often than this.
-const QUICK_EVERY: Span = Span::from_ms(2_000);
+const QUICK_EVERY: Duration = Duration::from_millis(2_000);
 /// An agent that is there answers at once. A call that it has not answered after this part of a
 /// drain's grace may hang from the time when it was away, and what it has by now counts as told:
 /// another is made beside it.
 const UNANSWERED: f64 = 0.25;
-const UNANSWERED_LEAST: Span = Span::from_ms(20);
+const UNANSWERED_LEAST: Duration = Duration::from_millis(20);
 /// Against a line that never ends: thousands of backends fit in less.
 const LONGEST_TEXT: usize = 16 << 20;
 
@@ -189,7 +190,7 @@
             up_since: entry
                 .started_at_ms
                 .filter(|&ms| ms > 0)
-                .map(|ms| Moment::from_us(ms.saturating_mul(1_000))),
+                .map(|ms| Instant::from_micros(ms.saturating_mul(1_000))),
         }
     }
 }
@@ -282,12 +283,12 @@
     text: Text,
     /// When a whole list, an empty line or an answer's head came last, else when it was begun: a
     /// line that trickles tells nothing and would hide that all else has stopped.
-    heard: Moment,
+    heard: Instant,
     /// Given up after so long without a word.
-    patience: Span,
+    patience: Duration,
     /// Only the alarm set last counts: were each to start an attempt, which sets one more, a
     /// discovery that stays down would be asked ever faster until the loop did nothing else.
-    wake_at: Moment,
+    wake_at: Instant,
     pacing: Pacing,
 }
 
@@ -335,15 +336,15 @@
     /// As the current discovery counts; another one's versions may be lower.
     generation: Option<u64>,
     /// Until when a good watch that breaks has to wait like any call.
-    quick_again: Moment,
-    grace: Span,
-    chance: Chance,
+    quick_again: Instant,
+    grace: Duration,
+    chance: Rng,
     pub book: Book,
 }
 
 impl Watch {
-    pub fn new(at: SocketAddr, seed: u64, book: Book, grace: Span, now: Moment) -> Watch {
-        let chance = Chance::from_seed(seed ^ 0x64_6973_636f);
+    pub fn new(at: SocketAddr, seed: u64, book: Book, grace: Duration, now: Instant) -> Watch {
+        let chance = Rng::from_seed(seed ^ 0x64_6973_636f);
         let (current, quick_again) = (Call::new(at, SILENCE, now), now);
         Watch {
             current,
@@ -357,7 +358,7 @@
     }
 
     /// Another grace for drains, as later settings have it.
-    pub fn resettle(&mut self, grace: Span) {
+    pub fn resettle(&mut self, grace: Duration) {
         self.grace = grace;
     }
 
@@ -367,7 +368,7 @@
     }
 
     /// An answer is due within this.
-    pub fn answer_due(&self) -> Span {
+    pub fn answer_due(&self) -> Duration {
         (self.grace * UNANSWERED).max(UNANSWERED_LEAST)
     }
 
@@ -457,7 +458,7 @@
         } else {
             CALLED_WITHIN
         };
-        let left = within - works.now.since(self.call(which).heard);
+        let left = within - works.now.duration_since(self.call(which).heard);
         let how = if quick { How::Lost } else { how };
         let wait = pacing.pause(how, self.answer_due(), left, &mut self.chance);
         let call = self.call(which);
@@ -483,7 +484,7 @@
             }
             match call.state {
                 State::Resting => self.begin(which, works),
-                _ if works.now.since(call.heard) >= call.patience => {
+                _ if works.now.duration_since(call.heard) >= call.patience => {
                     self.fail(which, works, Fault::new(How::Absent, "silent"));
                 }
                 _ => call.wake(call.heard + call.patience, works),
@@ -497,7 +498,7 @@
     fn call_beside(&mut self, works: &mut Works) {
         let hangs = matches!(self.current.state, State::Connecting(..) | State::Asked(_));
         let due = self.answer_due();
-        if self.next.is_none() && hangs && works.now.since(self.current.heard) >= due {
+        if self.next.is_none() && hangs && works.now.duration_since(self.current.heard) >= due {
             self.next = Some(Call::new(self.current.at, due, works.now));
             self.begin(Which::Next, works);
         }
@@ -580,7 +581,7 @@
 }
 
 impl Call {
-    fn new(at: SocketAddr, patience: Span, now: Moment) -> Call {
+    fn new(at: SocketAddr, patience: Duration, now: Instant) -> Call {
         let (raw, text) = (Vec::new(), Text::default());
         let (heard, wake_at, pacing) = (now, now, Pacing::default());
         Call {
@@ -605,7 +606,12 @@
     }
 
     /// Looked at when its answer is due, and when all patience with it is over.
-    fn begin(&mut self, since: Option<u64>, due: Span, works: &mut Works) -> std::io::Result<()> {
+    fn begin(
+        &mut self,
+        since: Option<u64>,
+        due: Duration,
+        works: &mut Works,
+    ) -> std::io::Result<()> {
         self.raw.clear();
         self.text = Text::default();
         self.heard = works.now;
@@ -622,7 +628,7 @@
         Ok(())
     }
 
-    fn wake(&mut self, at: Moment, works: &mut Works) {
+    fn wake(&mut self, at: Instant, works: &mut Works) {
         self.wake_at = at;
         works.alarms.set(at, Alarm::Watch);
     }
--- a/relay/src/estate.rs
+++ b/relay/src/estate.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 use thistlecroft::front::{Memory, Report, Sight};
 use thistlecroft::ids::BackendId;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// Of the words below; a process that speaks another moves its clients instead.
 pub const VERSION: u32 = 2;
@@ -75,7 +75,7 @@
             backend: name(id).to_string(),
             heard: sight
                 .heard
-                .map(|(at, report)| (at.us(), report.connections, report.load)),
+                .map(|(at, report)| (at.as_micros(), report.connections, report.load)),
             weight_heard: sight.weight_heard,
             strikes: sight.strikes,
             ejections: sight.ejections,
@@ -84,7 +84,7 @@
         };
         MemoryText {
             sights: memory.sights.iter().map(sight).collect(),
-            set_up_us: memory.set_up.us(),
+            set_up_us: memory.set_up.as_micros(),
             stood: memory.stood,
             left_alone: memory.left_alone,
         }
@@ -96,7 +96,7 @@
                 id(&sight.backend),
                 Sight {
                     heard: sight.heard.map(|(at, connections, load)| {
-                        (Moment::from_us(at), Report { connections, load })
+                        (Instant::from_micros(at), Report { connections, load })
                     }),
                     weight_heard: sight.weight_heard,
                     strikes: sight.strikes,
@@ -106,7 +106,7 @@
                 },
             )
         });
-        let set_up = Span::from_us(self.set_up_us);
+        let set_up = Duration::from_micros(self.set_up_us);
         Memory {
             sights: sights.collect(),
             set_up,
--- a/relay/src/front.rs
+++ b/relay/src/front.rs
@@ -6,7 +6,7 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Memory, Report, Verdict};
 use thistlecroft::ids::{BackendId, SessionId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// What a turn gathered, in the order in which it came.
 #[derive(Debug)]
@@ -19,8 +19,8 @@
     Left(SessionId),
     Probed(BackendId, Verdict, Report),
     Load(SessionId, f64),
-    Delay(SessionId, Span),
-    Overdue(SessionId, Span),
+    Delay(SessionId, Duration),
+    Overdue(SessionId, Duration),
     Resettled(Box<Deployment>),
     /// Taken out by hand, or put back.
     Banned(BackendId, bool),
@@ -33,9 +33,9 @@
 
 #[derive(Debug)]
 pub enum Order {
-    Dial(SessionId, BackendId, Span),
+    Dial(SessionId, BackendId, Duration),
     Withdraw(SessionId, u32),
-    Refuse(SessionId, Option<Span>),
+    Refuse(SessionId, Option<Duration>),
     TearDown(SessionId),
     SendAway(SessionId),
     Probe(BackendId),
@@ -49,14 +49,14 @@
 }
 
 impl Front for Desk<'_> {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span) {
+    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
         self.orders
             .push(Order::Dial(session, backend, give_up_after));
     }
     fn withdraw(&mut self, session: SessionId, dial: u32) {
         self.orders.push(Order::Withdraw(session, dial));
     }
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Span>) {
+    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>) {
         self.orders.push(Order::Refuse(session, retry_after));
     }
     fn tear_down(&mut self, session: SessionId) {
@@ -68,7 +68,7 @@
     fn probe(&mut self, backend: BackendId) {
         self.orders.push(Order::Probe(backend));
     }
-    fn wake(&mut self, at: Moment) {
+    fn wake(&mut self, at: Instant) {
         self.alarms.set(at, Alarm::Decisions);
     }
     fn subscribe(&mut self) {
@@ -83,7 +83,7 @@
 pub fn hand_in(
     relay: &mut Relay,
     news: News,
-    now: Moment,
+    now: Instant,
     desk: &mut Desk,
 ) -> Result<(), Option<SessionId>> {
     let about = match &news {
--- a/relay/src/hand.rs
+++ b/relay/src/hand.rs
@@ -9,14 +9,14 @@
 use crate::timers::Alarm;
 use crate::works::Works;
 use std::collections::BTreeSet;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// What another process of this relay wrote is known here after so long.
-const LOOK_EVERY: Span = Span::from_ms(50);
+const LOOK_EVERY: Duration = Duration::from_millis(50);
 /// The list of bans is held by another process for the time of one write; one that holds it for
 /// longer hangs.
-const LOCKED: Span = Span::from_ms(500);
-const LOCKED_AGAIN: Span = Span::from_ms(5);
+const LOCKED: Duration = Duration::from_millis(500);
+const LOCKED_AGAIN: Duration = Duration::from_millis(5);
 
 /// A call whose answer is worked out; it goes out once the decisions have been told.
 pub type Answer = (u32, Result<String, String>);
@@ -27,9 +27,9 @@
     /// As the decisions were told.
     out: BTreeSet<String>,
     /// Only one alarm for it is ever set, whoever else looks in between.
-    look_at: Moment,
+    look_at: Instant,
     /// Since when a change waits for the other process to let go of the list.
-    locked: Option<Moment>,
+    locked: Option<Instant>,
 }
 
 impl Hand {
@@ -129,7 +129,7 @@
                 Ok(()) => self.locked = None,
                 Err(Fault::Locked) => {
                     let since = *self.locked.get_or_insert(works.now);
-                    if works.now.since(since) < LOCKED {
+                    if works.now.duration_since(since) < LOCKED {
                         return None;
                     }
                     self.locked = None;
--- a/relay/src/pacing.rs
+++ b/relay/src/pacing.rs
@@ -1,18 +1,19 @@
 //! When discovery is called again. Pure: chance and what happened go in, a span comes out.
-use thistlecroft::units::{Chance, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::Duration;
 
 /// Nobody is there: an attempt costs it nothing, and drains are missed meanwhile.
-const FIRST_PAUSE: Span = Span::from_ms(50);
-const LONGEST_PAUSE: Span = Span::from_ms(800);
+const FIRST_PAUSE: Duration = Duration::from_millis(50);
+const LONGEST_PAUSE: Duration = Duration::from_millis(800);
 /// It is there and has no time. Each call that it takes in and can't serve in time is work lost, so
 /// that callers who come back sooner than it can serve them all keep it from serving any.
-const FIRST_SPREAD: Span = Span::from_ms(2_000);
+const FIRST_SPREAD: Duration = Duration::from_millis(2_000);
 /// From the beginning of one call to that of the next, at most, whatever has become of it: what
 /// discovery has counts as told six seconds after it can be reached again. A second is left for the
 /// answer.
-pub const CALLED_WITHIN: Span = Span::from_ms(5_000);
+pub const CALLED_WITHIN: Duration = Duration::from_millis(5_000);
 /// The same for an address that SIGHUP has named, whose list counts as told after four.
-pub const NEXT_CALLED_WITHIN: Span = Span::from_ms(3_000);
+pub const NEXT_CALLED_WITHIN: Duration = Duration::from_millis(3_000);
 
 /// The least pause of callers that were turned away twice or more, as a part of the longest: the
 /// mean is what keeps a fleet from calling faster than discovery can serve, and only the least can
@@ -52,26 +53,32 @@
     /// `most`, since what the agent has at its return counts as told; jitter over a doubling one
     /// where it has no time. A call that took long leaves less: `left` is what is left of the time
     /// within which the next one begins.
-    pub fn pause(&mut self, how: How, most: Span, left: Span, chance: &mut Chance) -> Span {
-        let double = |first: Span, count: u32, longest: Span| {
+    pub fn pause(
+        &mut self,
+        how: How,
+        most: Duration,
+        left: Duration,
+        chance: &mut Rng,
+    ) -> Duration {
+        let double = |first: Duration, count: u32, longest: Duration| {
             (first * f64::from(1u32 << count.min(16))).min(longest)
         };
         match how {
             How::Absent => {
                 let pause = double(FIRST_PAUSE, self.absent, LONGEST_PAUSE).min(most);
                 self.absent = self.absent.saturating_add(1);
-                pause.min(left) * (0.5 + 0.5 * chance.float())
+                pause.min(left) * (0.5 + 0.5 * chance.unit_f64())
             }
             How::TurnedAway => {
                 let spread = double(FIRST_SPREAD, self.turned_away, CALLED_WITHIN).min(left);
                 // Callers that met once are spread evenly; from then on each keeps its distance.
                 let least = if self.turned_away == 0 { 0.0 } else { SPACED };
                 self.turned_away = self.turned_away.saturating_add(1);
-                spread * (least + (1.0 - least) * chance.float())
+                spread * (least + (1.0 - least) * chance.unit_f64())
             }
             // It may well be there still, and have told of a drain since: once, before it counts as
             // without time.
-            How::Lost => FIRST_PAUSE.min(most) * (0.5 + 0.5 * chance.float()),
+            How::Lost => FIRST_PAUSE.min(most) * (0.5 + 0.5 * chance.unit_f64()),
         }
     }
 }
@@ -81,7 +88,7 @@
     use super::*;
     use std::collections::BTreeSet;
 
-    const TIME_OUT: Span = Span::from_ms(2_000);
+    const TIME_OUT: Duration = Duration::from_millis(2_000);
 
     /// Watches that all broke at once call a discovery that turns all away for some seconds, at
     /// once, and then serves so many calls a second in turn, also those whose caller has given up
@@ -89,9 +96,9 @@
     /// and how often it was called.
     fn play(down: f64, relays: u64, a_second: f64, pause: &mut Pause) -> (Vec<f64>, u32) {
         let (mut calls, mut back, mut count) = (BTreeSet::new(), Vec::new(), 0);
-        let mut chances: Vec<Chance> = (0..relays).map(Chance::from_seed).collect();
+        let mut chances: Vec<Rng> = (0..relays).map(Rng::from_seed).collect();
         for (id, chance) in chances.iter_mut().enumerate() {
-            calls.insert((pause(id, Span::ZERO, chance).us(), id));
+            calls.insert((pause(id, Duration::ZERO, chance).as_micros(), id));
         }
         let mut free_at = 0.0f64;
         while let Some((at, id)) = calls
@@ -100,21 +107,24 @@
         {
             count += 1;
             let now = at as f64 / 1e6;
-            let mut spent = Span::ZERO;
+            let mut spent = Duration::ZERO;
             if now >= down {
                 free_at = free_at.max(now) + 1.0 / a_second;
-                if free_at - now < TIME_OUT.secs() {
+                if free_at - now < TIME_OUT.as_secs_f64() {
                     back.push(free_at - down);
                     continue;
                 }
                 spent = TIME_OUT;
             }
-            calls.insert((at + (spent + pause(id, spent, &mut chances[id])).us(), id));
+            calls.insert((
+                at + (spent + pause(id, spent, &mut chances[id])).as_micros(),
+                id,
+            ));
         }
         (back, count)
     }
 
-    type Pause<'a> = dyn FnMut(usize, Span, &mut Chance) -> Span + 'a;
+    type Pause<'a> = dyn FnMut(usize, Duration, &mut Rng) -> Duration + 'a;
 
     #[test]
     fn a_fleet_that_lost_its_watches_gets_them_back() {
@@ -159,8 +169,9 @@
             }
         }
         // The check can fail: pauses that end at 0.8 s keep all but the first few out for good.
-        let short =
-            |_: usize, _: Span, chance: &mut Chance| LONGEST_PAUSE * (0.5 + 0.5 * chance.float());
+        let short = |_: usize, _: Duration, chance: &mut Rng| {
+            LONGEST_PAUSE * (0.5 + 0.5 * chance.unit_f64())
+        };
         let (back, calls) = play(0.0, 100, 20.0, &mut { short });
         assert!(
             back.len() < 50 && calls > 500,
@@ -174,16 +185,15 @@
     fn the_next_call_begins_within_the_bound_after_any_sequence_of_failures() {
         let kinds = [How::Absent, How::TurnedAway, How::Lost];
         for (within, patience) in [
-            (CALLED_WITHIN, Span::from_ms(2_500)),
-            (NEXT_CALLED_WITHIN, Span::from_ms(800)),
+            (CALLED_WITHIN, Duration::from_millis(2_500)),
+            (NEXT_CALLED_WITHIN, Duration::from_millis(800)),
         ] {
             for sequence in 0..3usize.pow(7) {
-                let (mut pacing, mut chance) =
-                    (Pacing::default(), Chance::from_seed(sequence as u64));
+                let (mut pacing, mut chance) = (Pacing::default(), Rng::from_seed(sequence as u64));
                 // The seven, and the last of them a hundred times.
                 for place in 0..107u32 {
                     let how = kinds[sequence / 3usize.pow(place.min(6)) % 3];
-                    let spent = patience * chance.float();
+                    let spent = patience * chance.unit_f64();
                     let pause = pacing.pause(how, LONGEST_PAUSE, within - spent, &mut chance);
                     assert!(
                         spent + pause <= within,
@@ -196,7 +206,7 @@
 
     #[test]
     fn pauses_double_to_a_bound_and_begin_anew_with_a_list() {
-        let mut chance = Chance::from_seed(7);
+        let mut chance = Rng::from_seed(7);
         for (how, first, longest, least) in [
             (How::Absent, FIRST_PAUSE, LONGEST_PAUSE, 0.5),
             (How::TurnedAway, FIRST_SPREAD, CALLED_WITHIN, SPACED),
@@ -221,7 +231,7 @@
                 }
                 assert!(!pacing.is_first());
                 // However long nobody was there, not longer than the caller can bear.
-                let short = Span::from_ms(60);
+                let short = Duration::from_millis(60);
                 assert!(pacing.pause(How::Absent, short, CALLED_WITHIN, &mut chance) <= short);
                 pacing.listed();
             }
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -9,7 +9,7 @@
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::AsRawFd;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{Electorate, LeaseConfig, Leases, Reason, State};
 use thistlecroft_operator_config::Peering;
 use thistlecroft_peers::wire::MOST;
@@ -25,21 +25,21 @@
 pub struct Peers {
     link: Link,
     /// The one before, still read for a while: others learn of the change by and by.
-    former: Option<(Link, Moment)>,
+    former: Option<(Link, Instant)>,
     /// The address is the process's before, and is taken as soon as that has ended: seeds lead
     /// there.
-    wanted_at: Option<Moment>,
+    wanted_at: Option<Instant>,
     node: Node,
     leases: Option<Leases>,
     peering: Peering,
     /// The next alarm that is set.
-    alarm: Option<Moment>,
+    alarm: Option<Instant>,
     send_failures: u64,
     /// A lease is looked at by the moment of its saying: in a turn in which the process stood still
     /// the turn's own is too early.
     clock: Clock,
     /// Until when somebody at the door was told that a lease is held here.
-    told: BTreeMap<Vec<u8>, Moment>,
+    told: BTreeMap<Vec<u8>, Instant>,
 }
 
 struct Link {
@@ -221,15 +221,15 @@
         let due = own
             .into_iter()
             .flatten()
-            .fold(self.node.due(), Moment::min)
-            .max(now + Span::from_ms(1));
+            .fold(self.node.due(), Instant::min)
+            .max(now + Duration::from_millis(1));
         if self.alarm.is_none_or(|at| due < at) {
             self.alarm = Some(due);
             works.alarms.set(due, Alarm::Peers);
         }
     }
 
-    fn send_leases(&mut self, now: Moment) {
+    fn send_leases(&mut self, now: Instant) {
         let Some(leases) = &mut self.leases else {
             return;
         };
@@ -248,7 +248,7 @@
         }
     }
 
-    fn told(&mut self, event: Event, now: Moment) {
+    fn told(&mut self, event: Event, now: Instant) {
         match event {
             Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.word()),
             Event::Refuted { incarnation } => {
@@ -260,7 +260,7 @@
                 log::warn!("peers: datagrams of format {format} from {from} are not read");
             }
             Event::StoodStill { by } => {
-                log::warn!("peers: this process stood still for {} ms", by.us() / 1_000);
+                log::warn!("peers: this process stood still for {} ms", by.as_millis());
             }
             Event::Message {
                 from,
@@ -277,7 +277,7 @@
 
     /// Gives back what it holds and has told nobody of, and says that it leaves; nothing is sent
     /// after.
-    pub fn leave(&mut self, now: Moment) {
+    pub fn leave(&mut self, now: Instant) {
         if let Some(leases) = &mut self.leases {
             leases.leave(|subject| self.told.get(subject).is_some_and(|until| *until > now));
         }
@@ -319,7 +319,7 @@
         done
     }
 
-    fn lease(&mut self, subject: &str, now: Moment) -> Result<String, String> {
+    fn lease(&mut self, subject: &str, now: Instant) -> Result<String, String> {
         let term = self.peering.lease;
         let leases = self.leases.as_mut().ok_or(NO_VOTERS)?;
         let until = now + term * ASKED_AFTER;
@@ -334,7 +334,7 @@
                 Ok(format!(
                     "held {} {}",
                     held.epoch,
-                    held.until.since(now).us() / 1_000
+                    held.until.duration_since(now).as_millis()
                 ))
             }
             State::Wanted(Some(reason)) => Err(refusal(&reason)),
@@ -342,18 +342,18 @@
         }
     }
 
-    fn notes(&self, now: Moment) -> serde_json::Value {
+    fn notes(&self, now: Instant) -> serde_json::Value {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
         let notes = self.node.facts().of_kind(Kind::Note, now).map(|fact| {
             json!({"subject": text(fact.subject), "value": text(fact.value), "owner": fact.owner.to_string(),
-                "epoch": fact.epoch, "age_ms": fact.age.us() / 1_000})
+                "epoch": fact.epoch, "age_ms": fact.age.as_millis()})
         });
         json!({"unheard": self.node.unreachable(), "notes": notes.collect::<Vec<_>>()})
     }
 
     /// One line for people and programs.
-    fn view(&self, now: Moment) -> serde_json::Value {
-        let ago = |at: Moment| now.since(at).us() / 1_000;
+    fn view(&self, now: Instant) -> serde_json::Value {
+        let ago = |at: Instant| now.duration_since(at).as_millis();
         let peers = self.node.members().map(|view| {
             json!({"id": view.id.to_string(), "name": view.id.name.as_str(), "at": view.at.to_string(),
                 "standing": view.state.word(), "incarnation": view.incarnation, "since_ms": ago(view.since),
@@ -366,7 +366,7 @@
                 let held = leases.held(subject, now)?;
                 Some(
                     json!({"subject": String::from_utf8_lossy(subject), "epoch": held.epoch,
-                    "left_ms": held.until.since(now).us() / 1_000}),
+                    "left_ms": held.until.duration_since(now).as_millis()}),
                 )
             });
             json!({"vote": leases.vote(now).word(), "generation": electorate.generation,
--- a/relay/src/protocol.rs
+++ b/relay/src/protocol.rs
@@ -2,7 +2,7 @@
 //! sockets.
 use thistlecroft::front::{Arrival, Report, Verdict};
 use thistlecroft::ids::RouteId;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_settings::{CONNECTIONS, LOAD};
 
 pub const FAILED: &str = "ERR";
@@ -12,7 +12,7 @@
 
 /// Taken off the wait that a client names: a late turn of the loop must still answer before the
 /// client gives up. The only such margin; the decisions count from what is left.
-const MARGIN: Span = Span::from_ms(15);
+const MARGIN: Duration = Duration::from_millis(15);
 
 /// The first line of a client.
 #[derive(Debug)]
@@ -36,8 +36,8 @@
 
 impl Open {
     /// The line for a backend: as it came, but for how long the relay will wait.
-    pub fn line(&self, wait: Span) -> String {
-        format!("{}{}{}", self.before, wait.us() / 1_000, self.behind)
+    pub fn line(&self, wait: Duration) -> String {
+        format!("{}{}{}", self.before, wait.as_millis(), self.behind)
     }
 }
 
@@ -83,7 +83,7 @@
                     .filter(|&ms| ms <= LONGEST_WAIT)
                     .ok_or("d is no time to wait")?;
                 let from = place + "d=".len();
-                wait = Some((Span::from_ms(ms), from, from + value.len()));
+                wait = Some((Duration::from_millis(ms), from, from + value.len()));
             }
             "g" => group = Some(number(value).ok_or("g is no number of sixteen digits")?),
             "h" => {
@@ -138,9 +138,9 @@
 
 /// A refusal, with the time to stay away where one is told; rounded up, so that nobody comes too
 /// soon.
-pub fn refusal(retry_after: Option<Span>) -> String {
+pub fn refusal(retry_after: Option<Duration>) -> String {
     match retry_after {
-        Some(wait) => format!("BUSY {}", wait.us().div_ceil(1_000)),
+        Some(wait) => format!("BUSY {}", wait.as_micros().div_ceil(1_000)),
         None => "BUSY".into(),
     }
 }
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -29,11 +29,10 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 use std::rc::Rc;
-use std::time::Duration;
 use thistlecroft::balance::Relay;
 use thistlecroft::deployment::Deployment;
 use thistlecroft::ids::BackendId;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_operator_config::Routing;
 use thistlecroft_settings::Site;
 
@@ -44,15 +43,15 @@
 /// The part of the memory limit that buffers may take.
 const BUFFER_PART: usize = 4;
 /// New connections go on coming for so long after the signal.
-const ACCEPT_ON: Span = Span::from_ms(600);
+const ACCEPT_ON: Duration = Duration::from_millis(600);
 /// Taken off the time to stop, so that the process has ended before it is killed.
-const STOP_MARGIN: Span = Span::from_ms(150);
+const STOP_MARGIN: Duration = Duration::from_millis(150);
 
 /// Beside another process that serves, clients are taken once discovery has told its list; after
 /// this also on the list known at start, and after the other with none: the process before may be
 /// about to end.
-const LIST_KNOWN: Span = Span::from_ms(1_500);
-const LIST_LACKING: Span = Span::from_ms(5_000);
+const LIST_KNOWN: Duration = Duration::from_millis(1_500);
+const LIST_LACKING: Duration = Duration::from_millis(5_000);
 
 /// The processes of this relay before and after this one.
 #[derive(Default)]
@@ -76,7 +75,7 @@
 }
 
 /// Clients come by new settings from so long after SIGHUP on, and rules bind from then on.
-const SETTINGS_BIND: Span = Span::from_ms(1_200);
+const SETTINGS_BIND: Duration = Duration::from_millis(1_200);
 /// Descriptors taken or given back since the other process was told, that are worth a word at once.
 const HOLDS_STEP: usize = 4;
 /// Packets of one channel in one turn.
@@ -94,19 +93,19 @@
     peers: Option<Peers>,
     succession: Succession,
     relay: Relay,
-    started: Moment,
+    started: Instant,
     /// The platform holds the clients' socket: another process may serve beside this one.
     passed: bool,
     orders: Vec<Order>,
-    stop_within: Span,
-    stopping: Option<Moment>,
+    stop_within: Duration,
+    stopping: Option<Instant>,
     signals: [UnixStream; 3],
     /// For what a later text would change.
     origin: Origin,
     /// What holds, and what will hold alone from then on.
     site: Site,
     coming: Option<(Site, Routing)>,
-    settles_at: Moment,
+    settles_at: Instant,
     sockets: usize,
     bound: Bound,
 }
@@ -251,7 +250,7 @@
     /// else to serve them; but what the agent has counts as told from the first moment, so that its
     /// answer is waited for, if it has one.
     fn open_door(&mut self) {
-        let since = self.works.now.since(self.started);
+        let since = self.works.now.duration_since(self.started);
         let can = match self.watch.listed() {
             Listed::Told => true,
             Listed::Known => since >= LIST_KNOWN,
@@ -288,7 +287,7 @@
             events.clear();
             let wait = match self.works.news.is_empty() {
                 true => self.works.alarms.wait(self.clock.now()),
-                false => Some(Duration::ZERO),
+                false => Some(std::time::Duration::ZERO),
             };
             match self.poller.wait(&mut events, wait) {
                 Err(fault) if fault.kind() != io::ErrorKind::Interrupted => return Err(fault),
@@ -716,7 +715,7 @@
     }
 
     fn is_over(&self) -> bool {
-        let Some(since) = self.stopping.map(|at| self.works.now.since(at)) else {
+        let Some(since) = self.stopping.map(|at| self.works.now.duration_since(at)) else {
             return false;
         };
         let accepts_on = !self.passed && since < ACCEPT_ON;
--- a/relay/src/succession.rs
+++ b/relay/src/succession.rs
@@ -164,7 +164,7 @@
     use crate::estate::MemoryText;
     use thistlecroft::front::{Memory, Report, Sight};
     use thistlecroft::ids::BackendId;
-    use thistlecroft::units::{Moment, Span};
+    use thistlecroft::time::{Duration, Instant};
 
     /// A sight of one backend takes some 150 bytes: 450 of them no longer fitted into a packet, and
     /// the line was lost.
@@ -178,7 +178,7 @@
         let mut post = Post::open(&folder, &mut sockets).unwrap();
         let new = elder(&folder, &mut sockets).unwrap();
         let old = post.accept(&mut sockets).unwrap();
-        let at = Moment::from_us(1_764_000_000_123_456);
+        let at = Instant::from_micros(1_764_000_000_123_456);
         let report = Report {
             connections: Some(1_234.5),
             load: Some(0.123_456_789),
@@ -192,7 +192,7 @@
             let sights = (0..backends).map(|id| (BackendId(id), sight)).collect();
             let all = Memory {
                 sights,
-                set_up: Span::from_ms(12),
+                set_up: Duration::from_millis(12),
                 stood: 1.5,
                 left_alone: 2.5,
             };
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -13,7 +13,7 @@
 use std::net::TcpStream;
 use thistlecroft::front::{Report, Verdict};
 use thistlecroft::ids::RouteId;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_operator_config::{Circumstances, ListenerFacts, Routing};
 
 fn names(groups: bool) -> Names {
@@ -51,10 +51,17 @@
                 panic!("{line}")
             };
             assert_eq!(open.arrival.route, RouteId(listener), "{line}");
-            assert_eq!(open.arrival.dial_timeout, Span::from_ms(left), "{line}");
+            assert_eq!(
+                open.arrival.dial_timeout,
+                Duration::from_millis(left),
+                "{line}"
+            );
             assert_eq!(open.arrival.group, group.filter(|_| groups), "{line}");
             assert_eq!((open.id, open.arrival.key), (0xa, Some(0xb)), "{line}");
-            assert_eq!(open.line(Span::from_us(70_900)), format!("{START}{onward}"));
+            assert_eq!(
+                open.line(Duration::from_micros(70_900)),
+                format!("{START}{onward}")
+            );
         }
     }
     let line = format!("{START}c=chat,d=4294967,at=s-5be");
@@ -191,7 +198,7 @@
     assert!(matches!(backend_line(b"UP"), Said::Up));
     assert_eq!(probe_line(b"PONG inflight=2").1.connections, Some(2.0));
     assert_eq!(probe_line(b"NO").0, Verdict::Error);
-    assert_eq!(refusal(Some(Span::from_us(1_001))), "BUSY 2");
+    assert_eq!(refusal(Some(Duration::from_micros(1_001))), "BUSY 2");
 }
 
 #[test]
@@ -285,7 +292,7 @@
         .into_iter()
         .map(|name| ListenerFacts {
             name,
-            wait: Span::from_ms(1_000),
+            wait: Duration::from_millis(1_000),
             row: thistlecroft::deployment::Route::default(),
         });
     let of = Circumstances {
--- a/relay/src/timers.rs
+++ b/relay/src/timers.rs
@@ -1,15 +1,15 @@
 //! One clock and the alarms set on it.
 use std::collections::BTreeSet;
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use std::time::{SystemTime, UNIX_EPOCH};
 use thistlecroft::ids::BackendId;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// Runs evenly from its start, so that a step of the system's clock moves no time limit; anchored
 /// once to Unix time, in which the list tells when backends started.
 #[derive(Clone, Copy)]
 pub struct Clock {
-    started: Instant,
-    anchor: Moment,
+    started: std::time::Instant,
+    anchor: Instant,
 }
 
 impl Clock {
@@ -18,13 +18,13 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Clock {
-            started: Instant::now(),
-            anchor: Moment::from_us(unix.as_micros() as u64),
+            started: std::time::Instant::now(),
+            anchor: Instant::from_micros(unix.as_micros() as u64),
         }
     }
 
-    pub fn now(&self) -> Moment {
-        self.anchor + Span::from_us(self.started.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Instant {
+        self.anchor + Duration::from_micros(self.started.elapsed().as_micros() as u64)
     }
 }
 
@@ -63,24 +63,24 @@
 
 #[derive(Default)]
 pub struct Alarms {
-    set: BTreeSet<(Moment, Alarm)>,
+    set: BTreeSet<(Instant, Alarm)>,
 }
 
 impl Alarms {
-    pub fn set(&mut self, at: Moment, alarm: Alarm) {
+    pub fn set(&mut self, at: Instant, alarm: Alarm) {
         self.set.insert((at, alarm));
     }
 
-    pub fn due(&mut self, now: Moment) -> Option<Alarm> {
+    pub fn due(&mut self, now: Instant) -> Option<Alarm> {
         let &(at, alarm) = self.set.first().filter(|(at, _)| *at <= now)?;
         self.set.remove(&(at, alarm));
         Some(alarm)
     }
 
     /// How long until the next one; a little more than due, so that no turn comes just too early.
-    pub fn wait(&self, now: Moment) -> Option<Duration> {
-        self.set
-            .first()
-            .map(|(at, _)| Duration::from_micros(at.since(now).us() + 50))
+    pub fn wait(&self, now: Instant) -> Option<std::time::Duration> {
+        self.set.first().map(|(at, _)| {
+            std::time::Duration::from_micros(at.duration_since(now).as_micros() + 50)
+        })
     }
 }
--- a/relay/src/trace.rs
+++ b/relay/src/trace.rs
@@ -73,7 +73,7 @@
                 "dial session={} box={} wait_ms={}",
                 id.0,
                 book.name(*at),
-                wait.us() / 1_000
+                wait.as_millis()
             );
         }
         Order::Withdraw(id, dial) => debug!("withdraw session={} dial={dial}", id.0),
@@ -81,7 +81,7 @@
             debug!(
                 "refuse session={} again_ms={}",
                 id.0,
-                wait.map_or(0, |wait| wait.us() / 1_000)
+                wait.map_or(0, |wait| wait.as_millis())
             );
         }
         Order::TearDown(id) => debug!("torn_down session={}", id.0),
--- a/relay/src/works.rs
+++ b/relay/src/works.rs
@@ -5,11 +5,11 @@
 use crate::sockets::Sockets;
 use crate::timers::Alarms;
 use std::collections::VecDeque;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 pub struct Works {
     /// The turn's moment: what a turn gathers has all happened at once.
-    pub now: Moment,
+    pub now: Instant,
     pub sockets: Sockets,
     pub pool: Pool,
     pub alarms: Alarms,
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::path::PathBuf;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 use thistlecroft_peers::Pace;
 use thistlecroft_testbed::link::LinkFault;
 use thistlecroft_testbed::rig::{Plan, Rig};
@@ -11,12 +11,12 @@
 use thistlecroft_testbed::together::{Pact, judge_together};
 use thistlecroft_testbed::witness::held;
 
-const PERIOD: Span = Span::from_ms(200);
-const LEASE: Span = Span::from_ms(1_500);
+const PERIOD: Duration = Duration::from_millis(200);
+const LEASE: Duration = Duration::from_millis(1_500);
 /// Beside a stated bound, for a machine that is busy with other things.
-const BUSY: Span = Span::from_ms(10_000);
+const BUSY: Duration = Duration::from_millis(10_000);
 
-fn gone_within(size: usize) -> Span {
+fn gone_within(size: usize) -> Duration {
     Pace { period: PERIOD }.gone_within(size, 1) + BUSY
 }
 
@@ -153,7 +153,7 @@
 fn with_a_tenth_lost_and_late_a_note_reaches_all_and_nobody_stays_gone() {
     let rig = rig("lossy", 6, 6);
     let all: Vec<usize> = (0..6).collect();
-    let ms = Span::from_ms;
+    let ms = Duration::from_millis;
     rig.fault_links(
         &all,
         &all,
