--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -4,14 +4,14 @@
 use thistlecroft::balance::{BASE, CAP, COOL_DOWN, PATIENCE};
 use thistlecroft::deployment::{ColdStart, Deployment, Effect, Ration, Route, Scope};
 use thistlecroft::ids::ZoneId;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 // A process told to stop is killed no sooner than this after its longest dial timeout, which counts
 // for at most so much.
-const LONGEST_WAIT_AT_STOP: Span = Span::from_ms(3_000);
-const AFTER_WAIT_AT_STOP: Span = Span::from_ms(700);
+const LONGEST_WAIT_AT_STOP: Duration = Duration::from_millis(3_000);
+const AFTER_WAIT_AT_STOP: Duration = Duration::from_millis(700);
 /// Where the settings give a drain no grace; longer than that of any deployment so far.
-const GRACE: Span = Span::from_ms(3_200);
+const GRACE: Duration = Duration::from_millis(3_200);
 
 /// What the fields of a load report that are read are called, by the settings or by backends; the
 /// first that is told counts.
@@ -35,11 +35,11 @@
     pub zones: Vec<String>,
     pub listeners: Vec<String>,
     /// How long clients of each listener wait.
-    pub waits: Vec<Span>,
+    pub waits: Vec<Duration>,
     /// Connections without work are closed by backends after this.
-    pub idle: Span,
+    pub idle: Duration,
     /// After a drain was told nothing new may go there from so long on.
-    pub grace: Span,
+    pub grace: Duration,
     /// Relays may talk with one another.
     pub peers: bool,
     /// What backends note of a connection is not its load but the milliseconds that its messages
@@ -214,7 +214,7 @@
                 None => Ok(None),
             };
         };
-        let window = Span::from_us(window as u64);
+        let window = Duration::from_micros(window as u64);
         let any = free.or(share).is_some();
         Ok(any.then(|| Ration {
             free: free.unwrap_or(0.0),
@@ -325,12 +325,12 @@
         .max()
         .unwrap_or_default();
     let routes = facts.listeners.iter().map(|row| Route {
-        handshake_target: Span::from_us(row.handshake_target_us),
+        handshake_target: Duration::from_micros(row.handshake_target_us),
         effect: effect_of(row),
         utility: row.utility,
-        connect_timeout: Span::from_us(facts.permissions.dial_timeout_us),
+        connect_timeout: Duration::from_micros(facts.permissions.dial_timeout_us),
         max_dials: facts.permissions.max_dials,
-        longest_retry_after: Span::from_us(facts.permissions.max_retry_after_us),
+        longest_retry_after: Duration::from_micros(facts.permissions.max_retry_after_us),
         patience: PATIENCE,
         base: BASE,
         cap: CAP,
@@ -342,20 +342,20 @@
         me: facts.me,
         relays: facts.balancers,
         zone: ZoneId(facts.az),
-        tick: Span::from_us(facts.tick_us),
+        tick: Duration::from_micros(facts.tick_us),
         routes: routes.collect(),
-        shortest_target: Span::from_us(shortest),
+        shortest_target: Duration::from_micros(shortest),
         notes: facts.extra.tells_delay,
         cold: ColdStart {
             start_share: rules.start_capacity,
-            warm_up: Span::from_us(rules.cold_us),
+            warm_up: Duration::from_micros(rules.cold_us),
             factor: rules.overload_factor,
-            window: Span::from_us(rules.fall_us),
+            window: Duration::from_micros(rules.fall_us),
         },
         ration: rules.ration()?,
         ask_within: (facts.discovery == Discovery::Subscribe)
-            .then_some(Span::from_us(rules.ask_within_us)),
-        connect_timeout: Span::from_us(facts.permissions.dial_timeout_us),
+            .then_some(Duration::from_micros(rules.ask_within_us)),
+        connect_timeout: Duration::from_micros(facts.permissions.dial_timeout_us),
         may_withdraw: facts.permissions.may_cancel,
         two_dials: facts.permissions.parallel_tries,
         may_probe: facts.permissions.probes,
@@ -365,16 +365,16 @@
         move_price: facts.prices.moves,
         probe_price: facts.prices.probe,
         groups: facts.extra.groups,
-        stop_within: Span::from_us(longest).min(LONGEST_WAIT_AT_STOP) + AFTER_WAIT_AT_STOP,
+        stop_within: Duration::from_micros(longest).min(LONGEST_WAIT_AT_STOP) + AFTER_WAIT_AT_STOP,
     };
     let waits = facts
         .listeners
         .iter()
-        .map(|row| Span::from_us(row.deadline_us))
+        .map(|row| Duration::from_micros(row.deadline_us))
         .collect();
     let listeners = facts.listeners.into_iter().map(|row| row.name).collect();
-    let idle = Span::from_us(facts.permissions.conn_idle_us);
-    let grace = rules.drain_grace_us.map_or(GRACE, Span::from_us);
+    let idle = Duration::from_micros(facts.permissions.conn_idle_us);
+    let grace = rules.drain_grace_us.map_or(GRACE, Duration::from_micros);
     let notes_tell_delay = facts.extra.tells_delay && !facts.extra.tells_load;
     let peers = facts.permissions.peers;
     Ok(Site {
@@ -402,7 +402,7 @@
             };
             Effect::Referenced {
                 scope,
-                window: Span::from_us(row.dedup_window_us),
+                window: Duration::from_micros(row.dedup_window_us),
             }
         }
     }
@@ -487,7 +487,7 @@
             Some(Ration {
                 free,
                 share,
-                window: Span::from_us(us),
+                window: Duration::from_micros(us),
             })
         };
         let taken = [
@@ -554,7 +554,7 @@
         let once = SAFE.replace("retryable", "fragile");
         let of = |scope, window| Effect::Referenced {
             scope,
-            window: Span::from_us(window),
+            window: Duration::from_micros(window),
         };
         // The row of a listener before and after, and what holds between.
         let cases = [
--- a/src/balance.rs
+++ b/src/balance.rs
@@ -10,27 +10,28 @@
 use crate::ids::{BackendId, RouteId, SessionId, mixed};
 use crate::keys::{Client, Keys};
 use crate::lanes::{Extra, Lanes};
+use crate::random::Rng;
 use crate::session::{Backend, Dial, Entry, Errand, Pool, Session, State};
-use crate::units::{Chance, Moment, Span};
+use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 // The design's open settings; the runs behind them are in docs/results.md.
 // Those of a row whose route states none.
-pub const BASE: Span = Span::from_ms(1_000); // first delay after a failure, before jitter
-pub const CAP: Span = Span::from_ms(30_000); // no client is told to stay away longer
-pub const COOL_DOWN: Span = Span::from_ms(5_000); // a connection that drops sooner was never of use
+pub const BASE: Duration = Duration::from_millis(1_000); // first delay after a failure, before jitter
+pub const CAP: Duration = Duration::from_millis(30_000); // no client is told to stay away longer
+pub const COOL_DOWN: Duration = Duration::from_millis(5_000); // a connection that drops sooner was never of use
 pub const PATIENCE: f64 = 4.0; // times the set-up time of late: a dial as slow as that is lost
 // Of all.
-const HEAR_EVERY: Span = Span::from_ms(2_000); // each backend, at most: reports are renewed about as often
-const PROBE_AT_LEAST: Span = Span::from_ms(5_000); // the design's slowest
+const HEAR_EVERY: Duration = Duration::from_millis(2_000); // each backend, at most: reports are renewed about as often
+const PROBE_AT_LEAST: Duration = Duration::from_millis(5_000); // the design's slowest
 const PROBES_WORTH: f64 = 0.005; // the part of the result that probes may cost
 const HASTE: f64 = 0.25; // of the time to the next probe, where a session is refused for want of room
-const SPENT_OVER: Span = Span::from_ms(10_000); // what sessions pay for probes, so that a rush is no burst
-const POOL_AGE: Span = Span::from_ms(30_000); // an older report counts as none
-const POOL_AGE_LISTED: Span = Span::from_ms(10_000); // the same where the list's weights tell of loads
+const SPENT_OVER: Duration = Duration::from_millis(10_000); // what sessions pay for probes, so that a rush is no burst
+const POOL_AGE: Duration = Duration::from_millis(30_000); // an older report counts as none
+const POOL_AGE_LISTED: Duration = Duration::from_millis(10_000); // the same where the list's weights tell of loads
 // Ours.
-const REPORT_LAG: Span = Span::from_ms(1_000); // reports may be so old when they come
+const REPORT_LAG: Duration = Duration::from_millis(1_000); // reports may be so old when they come
 const EACH_MOST: f64 = 0.1; // of a backend for one connection: a fresh relay knows few
 const OPENING: f64 = 0.5; // of a backend for a group new to it, against spilling groups over the fleet
 const OPENING_COUNT: f64 = 15.0; // the same in connections, where only those are told
@@ -42,40 +43,40 @@
 const YIELDS: f64 = 0.2; // of a backend, left free by what is worth least for its load
 const LEARNT: f64 = 0.05; // of a route's usual load by each session
 const DRAIN: f64 = 0.5; // load down to which, where work has piled up
-const SETTLED: Span = Span::from_ms(2_000); // relief moves nobody sooner: no report holds his load yet
+const SETTLED: Duration = Duration::from_millis(2_000); // relief moves nobody sooner: no report holds his load yet
 const STRIKES: u32 = 2; // failures in a row that eject: a single one may be chance
 const MOST_OUT: usize = 2; // one backend in so many may be ejected at a time
 const OWED: u32 = 2; // probes answered in a row bring a backend back; each time twice as many
 const TRIAL: u64 = 20; // sessions, of which one tries what is out where nothing may be probed
 const NOTED: f64 = 1.0 / 3.0; // of the shortest target: later messages are noted, and show a hot backend
-const NOTE_AGE: Span = Span::from_ms(2_000); // notes on late messages come once a second
-const SILENT: Span = Span::from_ms(1_000); // no line back for so long: a pause is over by then
+const NOTE_AGE: Duration = Duration::from_millis(2_000); // notes on late messages come once a second
+const SILENT: Duration = Duration::from_millis(1_000); // no line back for so long: a pause is over by then
 const STOOD_FIRST: f64 = 3.0; // warm-ups in which one departure is taken as seen at first
 const SPREAD: f64 = 3.0; // of the turns at cold backends: all that have one may use it after all
 const KEPT: f64 = 0.99; // of what is counted of late, each housekeeping
-const HOUSEKEEPING: Span = Span::from_ms(500); // often enough to act on a report while it is fresh
+const HOUSEKEEPING: Duration = Duration::from_millis(500); // often enough to act on a report while it is fresh
 
 /// One instance, from its start to its end.
 #[derive(Default)]
 pub struct Relay {
     deployment: Deployment,
-    chance: Chance,
+    chance: Rng,
     routes: Vec<Arc<Route>>,
     lanes: Lanes,
     sessions: BTreeMap<SessionId, Session>,
     /// No session waits for longer, once the process is to stop.
-    until: Option<Moment>,
+    until: Option<Instant>,
     clients: Keys,
     backends: BTreeMap<BackendId, Backend>,
     /// The process before still serves.
     beside: bool,
     /// Taken out by hand, since when: no list and no start puts them back.
-    banned: BTreeMap<BackendId, Moment>,
-    errands: BTreeSet<(Moment, Errand)>,
+    banned: BTreeMap<BackendId, Instant>,
+    errands: BTreeSet<(Instant, Errand)>,
     /// Probes that the sessions so far pay for and that are not yet sent.
     probes_due: f64,
-    probed: Moment,
-    next_probe: Moment,
+    probed: Instant,
+    next_probe: Instant,
     failed_calls: u32,
     /// How many sessions of each group were met of late, and of all groups.
     met: BTreeMap<u64, f64>,
@@ -87,24 +88,24 @@
     /// Sessions met within about a window of the cold rule.
     lately: f64,
     /// How long a set-up takes of late, over all backends.
-    set_up: Span,
+    set_up: Duration,
     /// The load that a session of each route usually asks for.
     usual: BTreeMap<RouteId, f64>,
 }
 
 impl Relay {
-    pub fn new(deployment: Deployment, seed: u64, now: Moment, front: &mut dyn Front) -> Relay {
+    pub fn new(deployment: Deployment, seed: u64, now: Instant, front: &mut dyn Front) -> Relay {
         let mut relay = Relay {
-            chance: Chance::from_seed(seed),
+            chance: Rng::from_seed(seed),
             ..Relay::default()
         };
         relay.resettle(deployment);
         if relay.deployment.ask_within.is_some() {
             front.subscribe();
         }
-        relay.next_probe = now + HEAR_EVERY * relay.chance.float() * 0.1;
+        relay.next_probe = now + HEAR_EVERY * relay.chance.unit_f64() * 0.1;
         relay.plan(relay.next_probe, Errand::Probe, front);
-        let phase = HOUSEKEEPING * relay.chance.float();
+        let phase = HOUSEKEEPING * relay.chance.unit_f64();
         relay.plan(now + phase, Errand::Housekeeping, front);
         relay
     }
@@ -148,7 +149,7 @@
 
     /// A call to discovery failed or the subscription broke. Full jitter keeps relays from meeting,
     /// well within the span after which they would be deemed to know what they never heard.
-    pub fn list_failed(&mut self, now: Moment, front: &mut dyn Front) {
+    pub fn list_failed(&mut self, now: Instant, front: &mut dyn Front) {
         let Some(within) = self.deployment.ask_within else {
             return;
         };
@@ -159,7 +160,7 @@
 
     /// An operator takes a backend out, or puts it back, restarted: nothing that was known of it
     /// holds.
-    pub fn ban(&mut self, now: Moment, id: BackendId, out: bool) {
+    pub fn ban(&mut self, now: Instant, id: BackendId, out: bool) {
         if out {
             self.banned.entry(id).or_insert(now);
         } else if let Some(since) = self.banned.remove(&id)
@@ -224,14 +225,20 @@
     }
 
     /// The process before has gone.
-    pub fn alone(&mut self, now: Moment) {
+    pub fn alone(&mut self, now: Instant) {
         self.beside = false;
         self.lanes.beside(Some(now));
     }
 
     // ---- sessions ----
 
-    pub fn arrived(&mut self, now: Moment, id: SessionId, arrival: Arrival, front: &mut dyn Front) {
+    pub fn arrived(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        arrival: Arrival,
+        front: &mut dyn Front,
+    ) {
         self.lanes
             .taken(now, &self.routes[usize::from(arrival.route.0)]);
         if self.enter(now, id, arrival) {
@@ -244,7 +251,7 @@
     /// A connection that already runs through this relay as it starts.
     pub fn inherit(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         at: BackendId,
         of: Arrival,
@@ -266,7 +273,7 @@
     }
 
     /// True where its route has room for one more.
-    fn enter(&mut self, now: Moment, id: SessionId, arrival: Arrival) -> bool {
+    fn enter(&mut self, now: Instant, id: SessionId, arrival: Arrival) -> bool {
         self.meet(arrival.group);
         self.lately += 1.0;
         let row = self.routes[usize::from(arrival.route.0)].clone();
@@ -282,7 +289,7 @@
         }
     }
 
-    pub fn ready(&mut self, now: Moment, id: SessionId, number: u32, front: &mut dyn Front) {
+    pub fn ready(&mut self, now: Instant, id: SessionId, number: u32, front: &mut dyn Front) {
         self.lead(id, number);
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -301,8 +308,8 @@
         let clear =
             |at: &mut Backend| (at.sight.strikes, at.sight.ejections, at.sight.owed) = (0, 0, 0);
         self.backends.entry(dial.backend).and_modify(clear);
-        self.learn_set_up(now.since(dial.sent));
-        self.lanes.took(&row, now.since(dial.sent));
+        self.learn_set_up(now.duration_since(dial.sent));
+        self.lanes.took(&row, now.duration_since(dial.sent));
         self.save_for_probes(now, front);
         self.turn(id, State::Ready(dial, now), front);
     }
@@ -319,7 +326,7 @@
         }
     }
 
-    pub fn ended(&mut self, now: Moment, id: SessionId, ending: Ending, front: &mut dyn Front) {
+    pub fn ended(&mut self, now: Instant, id: SessionId, ending: Ending, front: &mut dyn Front) {
         self.lead(id, ending.dial);
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -351,7 +358,7 @@
                     self.overloaded(now, dial.backend);
                 }
                 if verdict == Verdict::Timeout {
-                    self.learn_set_up(now.since(dial.sent) * 2.0);
+                    self.learn_set_up(now.duration_since(dial.sent) * 2.0);
                 }
                 if !answered {
                     return self.further(now, id, front);
@@ -362,7 +369,7 @@
                 let (key, cool_down) = (session.arrival.key, session.row.cool_down);
                 self.heard(now, dial.backend, report);
                 self.left_alone += f64::from(u8::from(verdict == Verdict::Ok));
-                if verdict == Verdict::Reset && now.since(since) < cool_down {
+                if verdict == Verdict::Reset && now.duration_since(since) < cool_down {
                     self.count_failure(now, id);
                 } else if let Some(key) = key {
                     // Looked up first: that clears the count if the connection has stood long
@@ -383,11 +390,11 @@
     /// A standing connection ended. Where all of several broke at once the backend went down with
     /// them and is cold when it is back, whether or not a list ever tells; one that lived through
     /// it says otherwise.
-    fn broke(&mut self, now: Moment, id: BackendId, reset: bool) {
+    fn broke(&mut self, now: Instant, id: BackendId, reset: bool) {
         let Some(backend) = self.backends.get_mut(&id).filter(|_| reset) else {
             return;
         };
-        if now.since(backend.broken.0) > HOUSEKEEPING {
+        if now.duration_since(backend.broken.0) > HOUSEKEEPING {
             backend.broken = (now, 0);
         }
         backend.broken.1 += 1;
@@ -402,7 +409,7 @@
     /// A backend dropped what stood there or turned a dial away, the one word of no room where no
     /// load is told: it is left alone for the design's delay, by its own count, times the relays,
     /// as each tries it.
-    fn overloaded(&mut self, now: Moment, id: BackendId) {
+    fn overloaded(&mut self, now: Instant, id: BackendId) {
         let wait = BASE * f64::from(self.deployment.relays);
         let Some(&(count, until)) = self.backends.get(&id).map(|at| &at.overloaded) else {
             return;
@@ -441,14 +448,14 @@
         }
     }
 
-    fn due(&self, session: &Session) -> Moment {
+    fn due(&self, session: &Session) -> Instant {
         self.until
             .map_or(session.due, |until| until.min(session.due))
     }
 
     /// The process is to end. Clients go in even steps, late ones, since the next relay may just
     /// have been stopped itself. No dial may last beyond them.
-    pub fn stopping(&mut self, now: Moment, front: &mut dyn Front) {
+    pub fn stopping(&mut self, now: Instant, front: &mut dyn Front) {
         let tenth = self.deployment.stop_within * 0.1;
         self.until = Some(now + tenth * 8.0);
         for step in 5..=9 {
@@ -456,7 +463,7 @@
         }
     }
 
-    fn leave(&mut self, now: Moment, steps: usize, front: &mut dyn Front) {
+    fn leave(&mut self, now: Instant, steps: usize, front: &mut dyn Front) {
         let states: Vec<_> = self
             .sessions
             .iter()
@@ -485,7 +492,7 @@
 
     // ---- sights of backends ----
 
-    pub fn probed(&mut self, now: Moment, id: BackendId, verdict: Verdict, report: Report) {
+    pub fn probed(&mut self, now: Instant, id: BackendId, verdict: Verdict, report: Report) {
         if verdict != Verdict::Ok {
             return self.strike(id, verdict);
         }
@@ -528,7 +535,13 @@
         FULL - YIELDS * (1.0 - (own / best).cbrt())
     }
 
-    pub fn delay_noted(&mut self, now: Moment, id: SessionId, delay: Span, front: &mut dyn Front) {
+    pub fn delay_noted(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        delay: Duration,
+        front: &mut dyn Front,
+    ) {
         let Some(&Session {
             state: State::Ready(dial, _),
             ..
@@ -550,7 +563,7 @@
         let stale = backend
             .sight
             .heard
-            .is_none_or(|(at, _)| now.since(at) >= REPORT_LAG);
+            .is_none_or(|(at, _)| now.duration_since(at) >= REPORT_LAG);
         let ready =
             backend.listing.standing == Standing::Ready && !self.banned.contains_key(&dial.backend);
         if may_probe && stale && ready && backend.late_for(shortest, now) {
@@ -560,7 +573,13 @@
 
     /// No line has come back for so long, on sockets: a backend that vanished or hangs ends
     /// nothing.
-    pub fn overdue(&mut self, now: Moment, id: SessionId, waited: Span, front: &mut dyn Front) {
+    pub fn overdue(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        waited: Duration,
+        front: &mut dyn Front,
+    ) {
         self.delay_noted(now, id, waited, front);
         let Some(&Session {
             state: State::Ready(dial, _),
@@ -591,7 +610,7 @@
         }
     }
 
-    pub fn woken(&mut self, now: Moment, front: &mut dyn Front) {
+    pub fn woken(&mut self, now: Instant, front: &mut dyn Front) {
         while let Some(&(at, errand)) = self.errands.first().filter(|(at, _)| *at <= now) {
             self.errands.pop_first();
             match errand {
@@ -599,10 +618,10 @@
                 Errand::Probe => self.probe(now, front),
                 Errand::Housekeeping => {
                     self.stood =
-                        self.stood * KEPT + self.sessions.len() as f64 * HOUSEKEEPING.secs();
+                        self.stood * KEPT + self.sessions.len() as f64 * HOUSEKEEPING.as_secs_f64();
                     self.left_alone *= KEPT;
                     let window = self.deployment.cold.window.max(HOUSEKEEPING);
-                    self.lately *= 1.0 - HOUSEKEEPING.secs() / window.secs();
+                    self.lately *= 1.0 - HOUSEKEEPING.as_secs_f64() / window.as_secs_f64();
                     self.met_all *= KEPT;
                     self.met.values_mut().for_each(|met| *met *= KEPT);
                     self.met.retain(|_, met| *met > 0.1);
@@ -619,7 +638,7 @@
         }
     }
 
-    fn plan(&mut self, at: Moment, errand: Errand, front: &mut dyn Front) {
+    fn plan(&mut self, at: Instant, errand: Errand, front: &mut dyn Front) {
         self.errands.insert((at, errand));
         front.wake(at);
     }
@@ -676,7 +695,7 @@
         }
     }
 
-    fn dial(&mut self, now: Moment, id: SessionId, front: &mut dyn Front) {
+    fn dial(&mut self, now: Instant, id: SessionId, front: &mut dyn Front) {
         let Some(Session {
             state: State::New | State::Held,
             ..
@@ -718,7 +737,7 @@
     /// A dial goes out; None where no time is left for it.
     fn send(
         &mut self,
-        now: Moment,
+        now: Instant,
         id: SessionId,
         at: BackendId,
         front: &mut dyn Front,
@@ -726,14 +745,14 @@
         let session = &self.sessions[&id];
         let left = self
             .due(session)
-            .since(now + self.deployment.tick + self.deployment.tick);
+            .duration_since(now + self.deployment.tick + self.deployment.tick);
         let last = session.dials + 1 >= session.row.max_dials;
         let patience = session
             .row
             .handshake_target
             .max(self.set_up * session.row.patience);
         let give_up = if last { left } else { left.min(patience) };
-        if give_up == Span::ZERO {
+        if give_up == Duration::ZERO {
             return None;
         }
         let number = session.dials;
@@ -755,7 +774,7 @@
 
     /// The first dial is slower than most: a second one, to another backend that is warm, as far as
     /// the route's share of them goes. The first to be ready wins.
-    fn second(&mut self, now: Moment, id: SessionId, number: u32, front: &mut dyn Front) {
+    fn second(&mut self, now: Instant, id: SessionId, number: u32, front: &mut dyn Front) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -782,7 +801,7 @@
 
     /// A set-up has failed: the other dial goes on where one is out; else another after the
     /// design's delay, or an answer at once.
-    fn further(&mut self, now: Moment, id: SessionId, front: &mut dyn Front) {
+    fn further(&mut self, now: Instant, id: SessionId, front: &mut dyn Front) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -807,15 +826,15 @@
 
     /// If the limits on further dials have one for this session: of the first half everyone, of the
     /// second the more the greater its utility and the more of its time is left.
-    fn is_granted(&mut self, now: Moment, id: SessionId) -> bool {
+    fn is_granted(&mut self, now: Instant, id: SessionId) -> bool {
         let session = &self.sessions[&id];
-        let (row, left) = (session.row.clone(), self.due(session).since(now));
+        let (row, left) = (session.row.clone(), self.due(session).duration_since(now));
         let most = self
             .routes
             .iter()
             .fold(row.utility, |most, row| most.max(row.utility));
-        let worth = row.utility / most.max(f64::MIN_POSITIVE) * left.secs()
-            / session.arrival.dial_timeout.secs();
+        let worth = row.utility / most.max(f64::MIN_POSITIVE) * left.as_secs_f64()
+            / session.arrival.dial_timeout.as_secs_f64();
         self.lanes
             .room(now, &row, Extra::Further)
             .is_none_or(|room| {
@@ -828,7 +847,11 @@
     /// If a session may be repeated, by us or by its client: once it may have run, a once-only one
     /// never, and a referenced one as its group, its window and the first dial that may have run
     /// have it.
-    fn allowed(&self, session: &Session, referenced: impl Fn(Scope, Span, Moment) -> bool) -> bool {
+    fn allowed(
+        &self,
+        session: &Session,
+        referenced: impl Fn(Scope, Duration, Instant) -> bool,
+    ) -> bool {
         match (session.row.effect, session.ran) {
             (Effect::Repeatable, _) | (_, None) => true,
             (Effect::Referenced { scope, window }, Some((_, at))) => referenced(scope, window, at),
@@ -836,14 +859,14 @@
         }
     }
 
-    fn refuse(&mut self, now: Moment, id: SessionId, front: &mut dyn Front) {
+    fn refuse(&mut self, now: Instant, id: SessionId, front: &mut dyn Front) {
         let wait = self.count_failure(now, id);
         self.finish(id, Some(wait), front);
     }
 
     /// The final answer: a refusal where trying again is known to be harmless, a teardown
     /// otherwise.
-    fn finish(&mut self, id: SessionId, wait: Option<Span>, front: &mut dyn Front) {
+    fn finish(&mut self, id: SessionId, wait: Option<Duration>, front: &mut dyn Front) {
         let session = &self.sessions[&id];
         let harmless = self.allowed(session, |scope, _, _| scope == Scope::All);
         match wait {
@@ -861,19 +884,19 @@
 
     /// Where set-ups slow down everywhere, giving up early only sends the same work again to what
     /// is crowded.
-    fn learn_set_up(&mut self, took: Span) {
+    fn learn_set_up(&mut self, took: Duration) {
         self.set_up = self.set_up * 0.5 + took * 0.5;
     }
 
-    fn jitter(&mut self, count: u32, base: Span, cap: Span) -> Span {
-        cap.min(base * f64::from(1u32 << count.min(16))) * self.chance.float()
+    fn jitter(&mut self, count: u32, base: Duration, cap: Duration) -> Duration {
+        cap.min(base * f64::from(1u32 << count.min(16))) * self.chance.unit_f64()
     }
 
     /// Counts a failure of the session's client; the answer is the design's delay before a further
     /// try.
-    fn count_failure(&mut self, now: Moment, id: SessionId) -> Span {
+    fn count_failure(&mut self, now: Instant, id: SessionId) -> Duration {
         let Some(session) = self.sessions.get_mut(&id) else {
-            return Span::ZERO;
+            return Duration::ZERO;
         };
         let row = session.row.clone();
         let failures = match session.arrival.key {
@@ -889,7 +912,7 @@
         self.jitter(before, row.base, row.cap)
     }
 
-    fn client(&mut self, key: u64, now: Moment) -> &mut Client {
+    fn client(&mut self, key: u64, now: Instant) -> &mut Client {
         let client = self.clients.touch(key, now);
         if client.clears_at.is_some_and(|at| at <= now) {
             *client = Client::default();
@@ -899,7 +922,7 @@
 
     // ---- health ----
 
-    fn heard(&mut self, now: Moment, id: BackendId, report: Report) {
+    fn heard(&mut self, now: Instant, id: BackendId, report: Report) {
         let told = report.connections.or(report.load).is_some();
         let Some(backend) = self.backends.get_mut(&id).filter(|_| told) else {
             return;
@@ -910,7 +933,7 @@
         if late
             && backend
                 .late_since
-                .is_some_and(|at| now.since(at) > REPORT_LAG * 2.0)
+                .is_some_and(|at| now.duration_since(at) > REPORT_LAG * 2.0)
         {
             backend.untrue = report.load.is_some_and(|load| load < HOT);
         }
@@ -963,17 +986,17 @@
 
     /// Each session pays for so many probes: those of hundreds of relays would cost more than
     /// service earns.
-    fn save_for_probes(&mut self, now: Moment, front: &mut dyn Front) {
+    fn save_for_probes(&mut self, now: Instant, front: &mut dyn Front) {
         let each = PROBES_WORTH / self.deployment.probe_price.max(f64::MIN_POSITIVE);
-        let most =
-            self.ready_ones().count().max(1) as f64 * (SPENT_OVER.secs() / HEAR_EVERY.secs());
+        let most = self.ready_ones().count().max(1) as f64
+            * (SPENT_OVER.as_secs_f64() / HEAR_EVERY.as_secs_f64());
         self.probes_due = (self.probes_due + each).min(most);
         self.plan_probe(now, 1.0, front);
     }
 
     /// The next probe, sooner than planned where sessions have paid since: a relay just started
     /// stood by one report for five seconds while dozens came, and refused them on it.
-    fn plan_probe(&mut self, now: Moment, haste: f64, front: &mut dyn Front) {
+    fn plan_probe(&mut self, now: Instant, haste: f64, front: &mut dyn Front) {
         let most = HEAR_EVERY * (1.0 / self.ready_ones().count().max(1) as f64);
         let paid = SPENT_OVER * (1.0 / self.probes_due.max(f64::MIN_POSITIVE));
         let every = (paid.max(most) * haste)
@@ -987,7 +1010,7 @@
     }
 
     /// Every second one asks where own connections stand, if at few: it would hear of those seldom.
-    fn probe(&mut self, now: Moment, front: &mut dyn Front) {
+    fn probe(&mut self, now: Instant, front: &mut dyn Front) {
         let held = self.ready_ones().filter(|(_, at)| at.open > 0).count();
         let own = held > 0 && held * 2 < self.ready_ones().count() && self.chance.below(2) == 0;
         let asked = self.ready_ones().filter(|(_, at)| !own || at.open > 0);
@@ -1001,7 +1024,7 @@
 
     /// Backends driven past what they can do serve none of their messages in time: this relay sends
     /// away its part of what is too much, least utility for its load first, a small step a report.
-    fn relieve(&mut self, now: Moment, front: &mut dyn Front) {
+    fn relieve(&mut self, now: Instant, front: &mut dyn Front) {
         let shortest = self.deployment.shortest_target;
         let mut over: BTreeMap<BackendId, f64> = BTreeMap::new();
         let pool = self.pool(now);
@@ -1011,7 +1034,7 @@
             // refusal.
             let lost = behind && backend.sight.strikes > 0 && pool.load < FULL;
             let report = backend.sight.heard.filter(|&(heard, _)| {
-                heard >= backend.relieved + REPORT_LAG && now.since(heard) < REPORT_LAG
+                heard >= backend.relieved + REPORT_LAG && now.duration_since(heard) < REPORT_LAG
             });
             let late = if behind {
                 backend.late(now, shortest, pool.wanes).min(FULL)
@@ -1040,7 +1063,7 @@
             };
             let load = session.load.unwrap_or(1.0).max(f64::MIN_POSITIVE);
             *excess.entry(dial.backend).or_default() += part * load;
-            if now.since(since) >= SETTLED {
+            if now.duration_since(since) >= SETTLED {
                 movable.push((session.row.utility / load, id, dial.backend, load));
             }
         }
@@ -1051,7 +1074,7 @@
             let left = excess.entry(at).or_default();
             let chance = *left / load;
             *left -= load;
-            if chance >= 1.0 || chance > 0.0 && self.chance.float() < chance {
+            if chance >= 1.0 || chance > 0.0 && self.chance.unit_f64() < chance {
                 self.send_away(id, front);
             }
         }
@@ -1059,7 +1082,7 @@
 
     /// Where crossing costs more than a move, connections that cross come back one at a time while
     /// their zone has room; more at once would fill it on old reports.
-    fn bring_home(&mut self, now: Moment, front: &mut dyn Front) {
+    fn bring_home(&mut self, now: Instant, front: &mut dyn Front) {
         let (home, held) = (self.deployment.zone, self.sessions.len());
         if held < HELD_FOR_HOME || self.deployment.crossing_price <= self.deployment.move_price {
             return;
@@ -1070,7 +1093,7 @@
                 continue;
             };
             let at = self.backends.get(&dial.backend);
-            if now.since(since) >= session.row.cool_down
+            if now.duration_since(since) >= session.row.cool_down
                 && at.is_some_and(|at| at.listing.zone != home)
             {
                 crossing.push(id);
@@ -1104,7 +1127,7 @@
     // ---- picking ----
 
     /// Where a session goes: the less loaded of two entries of the pool.
-    fn pick(&mut self, now: Moment, id: SessionId) -> Option<BackendId> {
+    fn pick(&mut self, now: Instant, id: SessionId) -> Option<BackendId> {
         let session = &self.sessions[&id];
         let (Arrival { group, route, .. }, last, ran) =
             (session.arrival, session.last_tried, session.ran);
@@ -1228,7 +1251,7 @@
     }
 
     /// What the pool tells of the fleet, from entries that are not too old.
-    fn pool(&self, now: Moment) -> Pool {
+    fn pool(&self, now: Instant) -> Pool {
         let (mut heard, mut load, mut weighted, mut count, mut tells_share) =
             (0.0, 0.0, 0.0, 0.0, false);
         let is_cold = |&(at, _): &(BackendId, &Backend)| self.cold_turn(now, at).is_some();
@@ -1292,7 +1315,7 @@
     /// What a backend counts for: its report and what this relay placed there since. Relays that
     /// share nothing draw the same pair for a group at the same time, so own placements stand for
     /// those of all.
-    fn load(&self, now: Moment, id: BackendId, pool: Pool) -> f64 {
+    fn load(&self, now: Instant, id: BackendId, pool: Pool) -> f64 {
         let backend = &self.backends[&id];
         if pool.empty {
             return f64::from(backend.open);
@@ -1314,10 +1337,10 @@
     /// The turn that runs at a cold backend and this relay's use of it so far; None where warm. All
     /// relays see the same start of the same backend, so its age cuts time into turns without a
     /// word between them.
-    fn cold_turn(&self, now: Moment, id: BackendId) -> Option<(u64, u32)> {
+    fn cold_turn(&self, now: Instant, id: BackendId) -> Option<(u64, u32)> {
         let (backend, cold) = (&self.backends[&id], &self.deployment.cold);
-        let age = now.since(backend.up_since()?);
-        let turn = age.us() / cold.window.us().max(1);
+        let age = now.duration_since(backend.up_since()?);
+        let turn = age.as_micros() / cold.window.as_micros().max(1);
         let used = backend
             .sight
             .cold_turn
@@ -1329,7 +1352,7 @@
     /// If this relay may use a cold backend in the turn that runs.
     fn turn_is_open(
         &self,
-        now: Moment,
+        now: Instant,
         id: BackendId,
         (turn, used): (u64, u32),
         pool: Pool,
@@ -1337,8 +1360,9 @@
         let (listing, cold) = (self.backends[&id].listing, &self.deployment.cold);
         let age = self.backends[&id]
             .up_since()
-            .map_or(cold.warm_up, |at| now.since(at));
-        let share = cold.start_share + (1.0 - cold.start_share) * age.secs() / cold.warm_up.secs();
+            .map_or(cold.warm_up, |at| now.duration_since(at));
+        let share = cold.start_share
+            + (1.0 - cold.start_share) * age.as_secs_f64() / cold.warm_up.as_secs_f64();
         // Any window overlaps two turns: half for either. What groups cost lowers an estimate by
         // loads by more, and the rule does not count it. As many relays have the turn as the budget
         // holds; where each meets fewer sessions than there are cold backends, more, as they go to
@@ -1348,7 +1372,7 @@
         } else {
             0.5
         };
-        let budget = part * cold.factor * share * self.warm_rate(pool) * cold.window.secs();
+        let budget = part * cold.factor * share * self.warm_rate(pool) * cold.window.as_secs_f64();
         let relays = u64::from(self.deployment.relays);
         // Where none tells loads an open turn goes before all else: unused only where no session
         // comes in it.
@@ -1373,7 +1397,7 @@
     fn warm_rate(&self, pool: Pool) -> f64 {
         let leave = self
             .leave_rate(pool.counted)
-            .min(1.0 / self.deployment.cold.warm_up.secs());
+            .min(1.0 / self.deployment.cold.warm_up.as_secs_f64());
         if pool.each <= 0.0 {
             0.0
         } else {
@@ -1383,7 +1407,7 @@
 
     /// The part of the connections that leave by themselves within a second.
     fn leave_rate(&self, one_seen: bool) -> f64 {
-        let first = STOOD_FIRST * self.deployment.cold.warm_up.secs();
+        let first = STOOD_FIRST * self.deployment.cold.warm_up.as_secs_f64();
         (self.left_alone + f64::from(u8::from(one_seen))) / (self.stood + first)
     }
 }
@@ -1412,7 +1436,7 @@
     }
 
     /// When it started, as the list says; put back by hand, no sooner than it was taken out.
-    fn up_since(&self) -> Option<Moment> {
+    fn up_since(&self) -> Option<Instant> {
         let listed = self.listing.up_since;
         self.returned
             .filter(|&(out, _)| listed.is_none_or(|at| at < out))
@@ -1420,7 +1444,7 @@
             .or(listed)
     }
 
-    fn report(&self, now: Moment) -> Option<Report> {
+    fn report(&self, now: Instant) -> Option<Report> {
         // Where the list tells of loads it says more than a report that is no longer fresh.
         let age = if self.listing.weight == 1.0 {
             POOL_AGE
@@ -1429,14 +1453,14 @@
         };
         self.sight
             .heard
-            .filter(|(at, _)| now.since(*at) < age)
+            .filter(|(at, _)| now.duration_since(*at) < age)
             .map(|(_, report)| report)
     }
 
     /// Its reported load as of now. Where the list lowers a weight with the connections held, it
     /// tells what came and went since the report; not more than twofold, since at a relay's start
     /// the list may be far behind.
-    fn told(&self, now: Moment) -> Option<f64> {
+    fn told(&self, now: Instant) -> Option<f64> {
         let change = (self.sight.weight_heard / self.listing.weight).clamp(0.5, 2.0);
         self.report(now)
             .and_then(|report| report.load.or(report.connections))
@@ -1444,22 +1468,22 @@
     }
 
     /// What late messages show of its load, whatever it reports. It wanes as connections leave.
-    fn late(&self, now: Moment, target: Span, wanes: f64) -> f64 {
-        let holds = |at: Moment| self.untrue || now.since(at) < NOTE_AGE;
+    fn late(&self, now: Instant, target: Duration, wanes: f64) -> f64 {
+        let holds = |at: Instant| self.untrue || now.duration_since(at) < NOTE_AGE;
         let Some((at, delay)) = self
             .message_delay
-            .filter(|&(at, _)| target > Span::ZERO && holds(at))
+            .filter(|&(at, _)| target > Duration::ZERO && holds(at))
         else {
             return 0.0;
         };
-        (HOT * delay.secs() / (target.secs() * NOTED)).min(1.0)
-            * (-wanes * now.since(at).secs()).exp()
+        (HOT * delay.as_secs_f64() / (target.as_secs_f64() * NOTED)).min(1.0)
+            * (-wanes * now.duration_since(at).as_secs_f64()).exp()
     }
 
-    fn late_for(&self, target: Span, now: Moment) -> bool {
+    fn late_for(&self, target: Duration, now: Instant) -> bool {
         let recent = self
             .message_delay
-            .filter(|(at, _)| now.since(*at) < NOTE_AGE);
-        target > Span::ZERO && recent.is_some_and(|(_, delay)| delay > target)
+            .filter(|(at, _)| now.duration_since(*at) < NOTE_AGE);
+        target > Duration::ZERO && recent.is_some_and(|(_, delay)| delay > target)
     }
 }
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,7 +1,7 @@
 //! What a relay reads at start: the deployment it serves, and the table of routes that its sessions
 //! go by.
 use crate::ids::ZoneId;
-use crate::units::Span;
+use crate::time::Duration;
 
 /// The narrower is the greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,7 +19,7 @@
     /// have run.
     Referenced {
         scope: Scope,
-        window: Span,
+        window: Duration,
     },
     OnceOnly,
 }
@@ -30,21 +30,21 @@
 pub struct Route {
     /// Rows of one number share what is counted and learnt; 0 where nothing is.
     pub lane: u32,
-    pub handshake_target: Span,
+    pub handshake_target: Duration,
     pub effect: Effect,
     pub utility: f64,
     /// A connection that is not up by then has failed.
-    pub connect_timeout: Span,
+    pub connect_timeout: Duration,
     pub max_dials: u32,
     /// A dial is given up after so many times the set-up time of late.
     pub patience: f64,
     /// The first delay after a failure, before jitter.
-    pub base: Span,
+    pub base: Duration,
     /// No delay is longer, before jitter.
-    pub cap: Span,
+    pub cap: Duration,
     /// A connection that drops sooner was never of use.
-    pub cool_down: Span,
-    pub longest_retry_after: Span,
+    pub cool_down: Duration,
+    pub longest_retry_after: Duration,
     /// Further dials at most, as a part of the sessions.
     pub further_share: Option<f64>,
     /// Sessions at once; more are refused.
@@ -58,8 +58,8 @@
     /// After this part of the recent set-ups were done...
     pub quantile: f64,
     /// ...between these.
-    pub least: Span,
-    pub most: Span,
+    pub least: Duration,
+    pub most: Duration,
     /// Second dials at most, as a part of the sessions.
     pub share: f64,
 }
@@ -70,16 +70,16 @@
 pub struct Ration {
     pub free: f64,
     pub share: f64,
-    pub window: Span,
+    pub window: Duration,
 }
 
 /// How a cold backend may be loaded by all relays together.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ColdStart {
     pub start_share: f64,
-    pub warm_up: Span,
+    pub warm_up: Duration,
     pub factor: f64,
-    pub window: Span,
+    pub window: Duration,
 }
 
 #[derive(Clone, Debug, Default)]
@@ -87,19 +87,19 @@
     pub me: u32,
     pub relays: u32,
     pub zone: ZoneId,
-    pub tick: Span,
+    pub tick: Duration,
     pub routes: Vec<Route>,
     /// How long a message may take on a connection that stands, of all listeners; zero where none
     /// is told.
-    pub shortest_target: Span,
+    pub shortest_target: Duration,
     /// Messages that take long are noted.
     pub notes: bool,
     pub cold: ColdStart,
     pub ration: Option<Ration>,
     /// The list comes only when asked for, and must be asked for within this span.
-    pub ask_within: Option<Span>,
+    pub ask_within: Option<Duration>,
     /// Of probes; sessions go by their rows.
-    pub connect_timeout: Span,
+    pub connect_timeout: Duration,
     pub may_withdraw: bool,
     /// A session may have two dials out at once.
     pub two_dials: bool,
@@ -113,5 +113,5 @@
     /// Connections of one group share work on the backend that holds them.
     pub groups: bool,
     /// Once told to stop, all sessions must be over within this span.
-    pub stop_within: Span,
+    pub stop_within: Duration,
 }
--- a/src/front.rs
+++ b/src/front.rs
@@ -1,18 +1,18 @@
 //! The seam between the decisions and a protocol: what a front hands in, and what it carries out.
 use crate::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
-use crate::units::{Moment, Span};
+use crate::time::{Duration, Instant};
 
 /// What the decisions ask of the protocol in front of them. Each call takes effect at once.
 pub trait Front {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span);
+    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration);
     fn withdraw(&mut self, session: SessionId, dial: u32);
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Span>);
+    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>);
     fn tear_down(&mut self, session: SessionId);
     /// Ends an established connection politely; its client comes again as a new session.
     fn send_away(&mut self, session: SessionId);
     fn probe(&mut self, backend: BackendId);
     /// Asks for one call of `Relay::woken` at this moment or soon after.
-    fn wake(&mut self, at: Moment);
+    fn wake(&mut self, at: Instant);
     fn subscribe(&mut self);
     /// Nothing more will be said about this session.
     fn release(&mut self, session: SessionId);
@@ -23,7 +23,7 @@
     pub route: RouteId,
     pub key: Option<u64>,
     pub group: Option<u64>,
-    pub dial_timeout: Span,
+    pub dial_timeout: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     /// Falls as connections held there grow; one where the list does not tell.
     pub weight: f64,
     /// None where it started long ago.
-    pub up_since: Option<Moment>,
+    pub up_since: Option<Instant>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -99,7 +99,7 @@
 /// What a relay has seen of one backend.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Sight {
-    pub heard: Option<(Moment, Report)>,
+    pub heard: Option<(Instant, Report)>,
     /// The listed weight when it was heard of.
     pub weight_heard: f64,
     pub strikes: u32,
@@ -114,7 +114,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Memory {
     pub sights: Vec<(BackendId, Sight)>,
-    pub set_up: Span,
+    pub set_up: Duration,
     /// Seconds that connections stood, and how many left by themselves, of late.
     pub stood: f64,
     pub left_alone: f64,
--- a/src/keys.rs
+++ b/src/keys.rs
@@ -1,31 +1,31 @@
 //! The table of client keys: bounded, aged, and as quick when it is full as when it is empty. What
 //! a row says is the decisions' affair.
-use crate::units::{Moment, Span};
+use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Against floods of new keys.
 const HELD: usize = 20_000;
 /// Several times the longest delay: an older count has no more to say.
-const AGE: Span = Span::from_ms(120_000);
+const AGE: Duration = Duration::from_millis(120_000);
 
 /// One client key, until it is old.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Client {
     pub failures: u32,
     /// When the connection that stands will have stood long enough to clear the count.
-    pub clears_at: Option<Moment>,
+    pub clears_at: Option<Instant>,
 }
 
 #[derive(Default)]
 pub struct Keys {
-    rows: BTreeMap<u64, (Moment, Client)>,
+    rows: BTreeMap<u64, (Instant, Client)>,
     /// The same by when they were last touched, the stalest first.
-    by_age: BTreeSet<(Moment, u64)>,
+    by_age: BTreeSet<(Instant, u64)>,
 }
 
 impl Keys {
     /// A key's row, touched now. In a full table the stalest makes room for a new one.
-    pub fn touch(&mut self, key: u64, now: Moment) -> &mut Client {
+    pub fn touch(&mut self, key: u64, now: Instant) -> &mut Client {
         match self.rows.get(&key) {
             Some(&(touched, _)) => {
                 self.by_age.remove(&(touched, key));
@@ -44,9 +44,11 @@
     }
 
     /// Rows that nobody has touched for too long go.
-    pub fn forget_old(&mut self, now: Moment) {
-        while let Some(&(touched, key)) =
-            self.by_age.first().filter(|(at, _)| now.since(*at) >= AGE)
+    pub fn forget_old(&mut self, now: Instant) {
+        while let Some(&(touched, key)) = self
+            .by_age
+            .first()
+            .filter(|(at, _)| now.duration_since(*at) >= AGE)
         {
             self.by_age.remove(&(touched, key));
             self.rows.remove(&key);
@@ -66,8 +68,8 @@
 mod tests {
     use super::*;
 
-    fn at(ms: u64) -> Moment {
-        Moment::from_us(ms * 1_000)
+    fn at(ms: u64) -> Instant {
+        Instant::from_micros(ms * 1_000)
     }
 
     #[test]
--- a/src/lanes.rs
+++ b/src/lanes.rs
@@ -3,7 +3,7 @@
 //! sessions; and the time after which a set-up counts as long. Rows of one lane share it, also when
 //! the file was read again in between. Who gets what is left is the decisions' affair.
 use crate::deployment::{Ration, Route};
-use crate::units::{Moment, Span};
+use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 
 /// The sessions over which a route's share is counted, at least: a quiet hour must not pay for a
@@ -47,7 +47,7 @@
     ration: Option<Ration>,
     all: Tally,
     /// Another process of this relay may have spent what is free of any window that began before.
-    free_from: Moment,
+    free_from: Instant,
     lanes: BTreeMap<u32, Lane>,
 }
 
@@ -58,7 +58,7 @@
     taken: u64,
     further: Tally,
     second: Tally,
-    set_ups: VecDeque<Span>,
+    set_ups: VecDeque<Duration>,
 }
 
 /// What a dial beyond the first is.
@@ -157,16 +157,16 @@
 
     /// To the rules another process and this one are one relay: what is free is the other's, also
     /// for the window after its end.
-    pub fn beside(&mut self, ended: Option<Moment>) {
-        let window = self.ration.map_or(Span::ZERO, |ration| ration.window);
-        self.free_from = ended.map_or(Moment::from_us(u64::MAX), |at| at + window);
+    pub fn beside(&mut self, ended: Option<Instant>) {
+        let window = self.ration.map_or(Duration::ZERO, |ration| ration.window);
+        self.free_from = ended.map_or(Instant::from_micros(u64::MAX), |at| at + window);
     }
 
     /// A session is taken, which pays for further dials; one that this process only took over does
     /// not.
-    pub fn taken(&mut self, now: Moment, row: &Route) {
+    pub fn taken(&mut self, now: Instant, row: &Route) {
         if let Some(ration) = self.ration {
-            self.all.taken(now.us(), ration.window.us());
+            self.all.taken(now.as_micros(), ration.window.as_micros());
         }
         let lane = self.lanes.entry(row.lane).or_default();
         lane.taken += 1;
@@ -194,15 +194,19 @@
 
     /// What there is for a dial beyond the first, by whichever of its limits has least left; none
     /// without a limit.
-    pub fn room(&mut self, now: Moment, row: &Route, extra: Extra) -> Option<Allowance> {
+    pub fn room(&mut self, now: Instant, row: &Route, extra: Extra) -> Option<Allowance> {
         let all = self.ration.map(|ration| {
             let free = if now >= self.free_from {
                 ration.free
             } else {
                 0.0
             };
-            self.all
-                .allowance(now.us(), ration.window.us(), free, ration.share)
+            self.all.allowance(
+                now.as_micros(),
+                ration.window.as_micros(),
+                free,
+                ration.share,
+            )
         });
         let lane = share(row, extra).map(|share| match self.lanes.get_mut(&row.lane) {
             Some(lane) => lane.allowance(extra, share),
@@ -230,7 +234,7 @@
     }
 
     /// A dial beyond the first goes out, if there is room; then it counts.
-    pub fn pay(&mut self, now: Moment, row: &Route, extra: Extra) -> bool {
+    pub fn pay(&mut self, now: Instant, row: &Route, extra: Extra) -> bool {
         if self
             .room(now, row, extra)
             .is_some_and(|room| room.spent + 1.0 > room.most)
@@ -238,7 +242,7 @@
             return false;
         }
         if self.ration.is_some() {
-            self.all.dials.add(now.us(), true);
+            self.all.dials.add(now.as_micros(), true);
         }
         if let Some(lane) = self
             .lanes
@@ -252,11 +256,11 @@
     }
 
     /// A dial that was paid for at that moment was never sent, and does not count.
-    pub fn give_back(&mut self, paid: Moment) {
-        self.all.dials.take_back(paid.us());
+    pub fn give_back(&mut self, paid: Instant) {
+        self.all.dials.take_back(paid.as_micros());
     }
 
-    pub fn took(&mut self, row: &Route, set_up: Span) {
+    pub fn took(&mut self, row: &Route, set_up: Duration) {
         if let Some(lane) = self
             .lanes
             .get_mut(&row.lane)
@@ -270,9 +274,9 @@
 
     /// How long a set-up takes that is slower than most of late; none where the route has no second
     /// copies.
-    pub fn long(&self, row: &Route) -> Option<Span> {
+    pub fn long(&self, row: &Route) -> Option<Duration> {
         let (copy, lane) = (row.second?, self.lanes.get(&row.lane)?);
-        let mut set_ups: Vec<Span> = lane.set_ups.iter().copied().collect();
+        let mut set_ups: Vec<Duration> = lane.set_ups.iter().copied().collect();
         set_ups.sort_unstable();
         let place = (set_ups.len() as f64 * copy.quantile) as usize;
         let long = set_ups.get(place).or(set_ups.last());
@@ -298,12 +302,12 @@
 mod tests {
     use super::*;
     use crate::deployment::SecondCopy;
-    use crate::units::Chance;
+    use crate::random::Rng;
 
-    const NOW: Moment = Moment::from_us(1_000);
+    const NOW: Instant = Instant::from_micros(1_000);
 
     fn row(lane: u32, most: Option<u32>, share: Option<f64>) -> Route {
-        let (least, longest) = (Span::from_ms(20), Span::from_ms(200));
+        let (least, longest) = (Duration::from_millis(20), Duration::from_millis(200));
         let second = share.map(|share| SecondCopy {
             quantile: 0.9,
             least,
@@ -374,13 +378,13 @@
     fn what_is_long_follows_the_set_ups_between_its_bounds() {
         let (mut lanes, row) = (Lanes::default(), row(1, None, Some(0.1)));
         lanes.taken(NOW, &row);
-        let long = |lanes: &Lanes| lanes.long(&row).map(|long| long.us() / 1_000);
+        let long = |lanes: &Lanes| lanes.long(&row).map(|long| long.as_millis());
         assert_eq!(long(&lanes), Some(200), "nothing is known yet");
         for (took, expected) in [(5, 20), (50, 50), (900, 200), (30, 30)] {
-            (0..100).for_each(|_| lanes.took(&row, Span::from_ms(took)));
+            (0..100).for_each(|_| lanes.took(&row, Duration::from_millis(took)));
             assert_eq!(long(&lanes), Some(expected), "all took {took} ms");
         }
-        (0..12).for_each(|_| lanes.took(&row, Span::from_ms(100)));
+        (0..12).for_each(|_| lanes.took(&row, Duration::from_millis(100)));
         assert_eq!(long(&lanes), Some(100), "more than a tenth take so long");
         assert_eq!(lanes.long(&Route::default()), None);
     }
@@ -390,9 +394,9 @@
         let ration = Ration {
             free: 1.0,
             share: 0.5,
-            window: Span::from_ms(5_000),
+            window: Duration::from_millis(5_000),
         };
-        let at = |ms: u64| Moment::from_us(ms * 1_000);
+        let at = |ms: u64| Instant::from_micros(ms * 1_000);
         // When two sessions came, when dials went out, and if another may.
         let cases: [(u64, &[u64], u64, bool); 8] = [
             (0, &[], 0, true),
@@ -432,20 +436,22 @@
             let ration = Ration {
                 free,
                 share,
-                window: Span::from_ms(window),
+                window: Duration::from_millis(window),
             };
             lanes.limit(Some(ration));
-            let (mut chance, mut now) = (Chance::from_seed(seed), 7);
+            let (mut chance, mut now) = (Rng::from_seed(seed), 7);
             let (mut sessions, mut dials): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
             let (mut first_session, mut first_dial, mut least_left) = (0, 0, f64::MAX);
             for step in 0..40_000 {
                 now += chance.below(gap_us);
                 // Storms, in which each session asks again and again, and quiet times.
                 if chance.below(4) > 0 {
-                    lanes.taken(Moment::from_us(now), &row);
+                    lanes.taken(Instant::from_micros(now), &row);
                     sessions.push(now);
                 }
-                if step % 3_000 < 1_500 && lanes.pay(Moment::from_us(now), &row, Extra::Further) {
+                if step % 3_000 < 1_500
+                    && lanes.pay(Instant::from_micros(now), &row, Extra::Further)
+                {
                     dials.push(now);
                     let from = now.saturating_sub(window * 1_000);
                     first_session += sessions[first_session..]
@@ -485,7 +491,7 @@
             Ration {
                 free: 2.0,
                 share: 0.0,
-                window: Span::from_ms(5_000),
+                window: Duration::from_millis(5_000),
             },
         );
         lanes.limit(Some(ration));
@@ -498,12 +504,12 @@
         assert!(lanes.pay(NOW, &row, Extra::Further) && !lanes.pay(NOW, &row, Extra::Second));
         lanes.give_back(NOW);
         assert!(lanes.pay(NOW, &row, Extra::Second), "one was never sent");
-        lanes.give_back(NOW - Span::from_us(1));
+        lanes.give_back(NOW - Duration::from_micros(1));
         assert!(
             !lanes.pay(NOW, &row, Extra::Further),
             "one that has passed out gives nothing of the others back"
         );
-        let later = NOW + Span::from_ms(6_000);
+        let later = NOW + Duration::from_millis(6_000);
         lanes.beside(None);
         assert!(
             !lanes.pay(later, &row, Extra::Further),
@@ -512,7 +518,7 @@
         lanes.beside(Some(later));
         for (after, may) in [(4_999, false), (5_000, true)] {
             assert_eq!(
-                lanes.pay(later + Span::from_ms(after), &row, Extra::Further),
+                lanes.pay(later + Duration::from_millis(after), &row, Extra::Further),
                 may,
                 "{after} ms after its end"
             );
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -7,5 +7,6 @@
 pub mod ids;
 pub mod keys;
 pub mod lanes;
+pub mod random;
 mod session;
-pub mod units;
+pub mod time;
--- a/src/session.rs
+++ b/src/session.rs
@@ -4,7 +4,7 @@
 use crate::deployment::Route;
 use crate::front::{Arrival, Listing, Sight};
 use crate::ids::{BackendId, SessionId};
-use crate::units::{Moment, Span};
+use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 
@@ -13,7 +13,7 @@
 pub(crate) struct Dial {
     pub number: u32,
     pub backend: BackendId,
-    pub sent: Moment,
+    pub sent: Instant,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -22,7 +22,7 @@
     New,
     Held,
     Dialling(Dial),
-    Ready(Dial, Moment),
+    Ready(Dial, Instant),
     /// The client has its answer or has left; only the verdict of a dial is waited for.
     Settled,
     Over,
@@ -32,12 +32,12 @@
 pub(crate) struct Session {
     pub arrival: Arrival,
     pub row: Arc<Route>,
-    pub due: Moment,
+    pub due: Instant,
     pub state: State,
     pub dials: u32,
     pub own_failures: u32,
     /// The first dial that may have run, where and when.
-    pub ran: Option<(BackendId, Moment)>,
+    pub ran: Option<(BackendId, Instant)>,
     pub last_tried: Option<BackendId>,
     /// A second dial that is out beside the one of its state.
     pub second: Option<Dial>,
@@ -72,21 +72,21 @@
     pub groups: BTreeMap<u64, u32>,
     pub sight: Sight,
     /// Own placements that its report may not hold yet.
-    pub placed: VecDeque<Moment>,
-    pub message_delay: Option<(Moment, Span)>,
+    pub placed: VecDeque<Instant>,
+    pub message_delay: Option<(Instant, Duration)>,
     /// Since when its messages have been late, and if its reports have told of room meanwhile.
-    pub late_since: Option<Moment>,
+    pub late_since: Option<Instant>,
     pub untrue: bool,
     /// Reports in a row of more than it can do, while messages were in time.
     pub loud: u32,
     /// When it was last taken out by hand and when it was put back.
-    pub returned: Option<(Moment, Moment)>,
-    pub relieved: Moment,
+    pub returned: Option<(Instant, Instant)>,
+    pub relieved: Instant,
     /// Since when standing connections have been breaking, and how many.
-    pub broken: (Moment, u32),
+    pub broken: (Instant, u32),
     /// It has dropped or turned away what it could not hold: how often in a row, and until when it
     /// is left alone.
-    pub overloaded: (u32, Moment),
+    pub overloaded: (u32, Instant),
 }
 
 /// A backend that a session may go to.
@@ -112,7 +112,7 @@
 }
 
 impl Session {
-    pub fn new(arrival: Arrival, row: Arc<Route>, now: Moment) -> Session {
+    pub fn new(arrival: Arrival, row: Arc<Route>, now: Instant) -> Session {
         let (state, due) = (State::New, now + arrival.dial_timeout);
         let (ran, last_tried, second, load) = (None, None, None, None);
         Session {
--- a/testbed/src/clock.rs
+++ b/testbed/src/clock.rs
@@ -1,10 +1,10 @@
 //! One clock for all threads of a run: moments are microseconds since the run began.
-use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
-use thistlecroft::units::{Moment, Span};
+use std::time::{SystemTime, UNIX_EPOCH};
+use thistlecroft::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug)]
 pub struct Stopwatch {
-    began: Instant,
+    began: std::time::Instant,
     unix_ms: u64,
 }
 
@@ -14,25 +14,25 @@
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         Stopwatch {
-            began: Instant::now(),
+            began: std::time::Instant::now(),
             unix_ms: unix.as_millis() as u64,
         }
     }
 
-    pub fn now(&self) -> Moment {
-        Moment::from_us(self.began.elapsed().as_micros() as u64)
+    pub fn now(&self) -> Instant {
+        Instant::from_micros(self.began.elapsed().as_micros() as u64)
     }
 
     /// Unix time in milliseconds, in which the list tells when a box started.
-    pub fn unix_ms(&self, at: Moment) -> u64 {
-        self.unix_ms + at.us() / 1_000
+    pub fn unix_ms(&self, at: Instant) -> u64 {
+        self.unix_ms + at.as_millis()
     }
 }
 
-pub fn duration(span: Span) -> Duration {
-    Duration::from_micros(span.us())
+pub fn duration(span: Duration) -> std::time::Duration {
+    std::time::Duration::from_micros(span.as_micros())
 }
 
-pub fn span(duration: Duration) -> Span {
-    Span::from_us(duration.as_micros() as u64)
+pub fn span(duration: std::time::Duration) -> Duration {
+    Duration::from_micros(duration.as_micros() as u64)
 }
--- a/testbed/src/crowd.rs
+++ b/testbed/src/crowd.rs
@@ -12,15 +12,16 @@
 use std::collections::VecDeque;
 use std::io;
 use std::net::SocketAddr;
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
 /// Each time limit of the rules is so much longer on sockets.
-pub const SLACK: Span = Span::from_ms(50);
+pub const SLACK: Duration = Duration::from_millis(50);
 /// Beyond the limit, so that a late turn of this thread blames nobody.
-const PATIENCE: Span = Span::from_ms(300);
+const PATIENCE: Duration = Duration::from_millis(300);
 /// Waited for the other side's end after a last word.
-const LAST: Span = Span::from_ms(2_500);
-const STROLL: Span = Span::from_ms(100);
+const LAST: Duration = Duration::from_millis(2_500);
+const STROLL: Duration = Duration::from_millis(100);
 /// Refused by this many doors in a row, a client goes home.
 const DOORS_TRIED: u32 = 60;
 /// Set-up and line delays up to this are told apart; longer ones count as this.
@@ -76,7 +77,7 @@
     /// The front takes in or leaves out a door.
     Door(usize, bool),
     /// So many standing clients break off and come again, spread over the time.
-    Drop(usize, Span),
+    Drop(usize, Duration),
     Rude(Rude, usize),
     /// Nobody comes any more, and those who stand leave.
     Finish,
@@ -106,22 +107,22 @@
     door: usize,
     doors_tried: u32,
     tries: u32,
-    due: Moment,
-    asked: Moment,
-    life_ends: Option<Moment>,
+    due: Instant,
+    asked: Instant,
+    life_ends: Option<Instant>,
     again: bool,
     retries: bool,
     has_stood: bool,
     next_line: u64,
     /// Stood before its first line, which speaks for that too.
-    before: Span,
-    out: VecDeque<(u64, Moment)>,
-    chance: Chance,
+    before: Duration,
+    out: VecDeque<(u64, Instant)>,
+    chance: Rng,
     rude: Option<Rude>,
 }
 
 impl Client {
-    fn new(place: usize, number: u64, due: Moment, seed: u64, rude: Option<Rude>) -> Client {
+    fn new(place: usize, number: u64, due: Instant, seed: u64, rude: Option<Rude>) -> Client {
         Client {
             place,
             stage: Part::Away,
@@ -140,9 +141,9 @@
             retries: false,
             has_stood: false,
             next_line: 0,
-            before: Span::ZERO,
+            before: Duration::ZERO,
             out: VecDeque::new(),
-            chance: Chance::from_seed(seed),
+            chance: Rng::from_seed(seed),
             rude,
         }
     }
@@ -191,8 +192,8 @@
     pub rude: u64,
     /// Rude ones that heard a word or an end.
     pub rude_answered: u64,
-    pub worst_turn: Span,
-    pub worked: Span,
+    pub worst_turn: Duration,
+    pub worked: Duration,
 }
 
 fn histogram() -> Histogram<u32> {
@@ -231,12 +232,12 @@
     /// With their numbers among all arrivals of the run.
     arrivals: Vec<(u64, Arrival)>,
     next: usize,
-    until: Moment,
+    until: Instant,
     doors: Vec<Doorway>,
     own: Vec<usize>,
     dealing: Dealing,
     dealt: usize,
-    chance: Chance,
+    chance: Rng,
     clients: Slab<Client>,
     serial: u64,
     finishing: bool,
@@ -252,7 +253,7 @@
     pub traffic: Traffic,
     pub arrivals: Vec<(u64, Arrival)>,
     /// The run's end, for the seconds asked.
-    pub until: Moment,
+    pub until: Instant,
     pub doors: Vec<Doorway>,
     pub dealing: Dealing,
     pub seed: u64,
@@ -285,8 +286,8 @@
                 wrong_lines: 0,
                 rude: 0,
                 rude_answered: 0,
-                worst_turn: Span::ZERO,
-                worked: Span::ZERO,
+                worst_turn: Duration::ZERO,
+                worked: Duration::ZERO,
             };
             if let Some((_, first)) = bill.arrivals.first() {
                 works.set(first.due, Alarm::Arrive);
@@ -300,7 +301,7 @@
                 doors: bill.doors,
                 dealing: bill.dealing,
                 dealt: 0,
-                chance: Chance::from_seed(bill.seed),
+                chance: Rng::from_seed(bill.seed),
                 clients: Slab::new(),
                 serial: 0,
                 finishing: false,
@@ -323,7 +324,10 @@
             let (number, seed, due) = (*number, arrival.seed, arrival.due);
             let sums = &mut self.sums.kinds[usize::from(arrival.kind)];
             sums.arrivals += 1;
-            sums.asked_s += arrival.life.min(self.until.since(due)).secs();
+            sums.asked_s += arrival
+                .life
+                .min(self.until.duration_since(due))
+                .as_secs_f64();
             let client = Client::new(self.next, number, due, seed, None);
             self.next += 1;
             let id = self.clients.insert(client);
@@ -368,7 +372,7 @@
         }
     }
 
-    fn away(&mut self, id: usize, span: Span, works: &mut Works<Alarm>) {
+    fn away(&mut self, id: usize, span: Duration, works: &mut Works<Alarm>) {
         self.hang_up(id);
         if self.finishing
             || self.clients[id]
@@ -406,10 +410,14 @@
         let client = &mut self.clients[id];
         if client.rude.is_none() {
             // Rude ones come all at once, which is nobody's lateness.
-            let _ = self
-                .sums
-                .late
-                .record(works.clock.now().since(client.due).us().clamp(1, LONGEST));
+            let _ = self.sums.late.record(
+                works
+                    .clock
+                    .now()
+                    .duration_since(client.due)
+                    .as_micros()
+                    .clamp(1, LONGEST),
+            );
         }
         client.connections += 1;
         client.tag = Tag(scattered(client.connections));
@@ -425,7 +433,7 @@
                 let serial = self.turn(id, Part::Connecting);
                 let wait = match self.clients[id].rude {
                     None => self.traffic.kinds[usize::from(self.arrival(id).kind)].wait,
-                    Some(_) => Span::from_ms(10_000),
+                    Some(_) => Duration::from_millis(10_000),
                 };
                 works.set(works.now + wait, Alarm::Late(id, serial));
             }
@@ -466,7 +474,7 @@
             client.tag.0,
             arrival.key,
             kind.name,
-            kind.wait.us() / 1_000
+            kind.wait.as_millis()
         );
         if let Some(group) = arrival.group {
             line += &format!(",g={group:016x}");
@@ -560,7 +568,7 @@
                 sums.up += 1;
                 let client = &mut self.clients[id];
                 if !client.has_stood {
-                    let took = works.now.since(client.due).us();
+                    let took = works.now.duration_since(client.due).as_micros();
                     let _ = self.kind(id).set_up.record(took.clamp(1, LONGEST));
                 }
                 let client = &mut self.clients[id];
@@ -569,13 +577,13 @@
                 client.life_ends.get_or_insert(works.now + life);
                 client.out.clear();
                 // Beats of many clients must not fall together.
-                let first = beat * client.chance.float();
+                let first = beat * client.chance.unit_f64();
                 client.before = first;
                 let serial = self.turn(id, Part::Standing);
                 works.set(works.now + first, Alarm::Beat(id, serial));
             }
             "BUSY" => {
-                let told = rest.trim().parse().ok().map(Span::from_ms);
+                let told = rest.trim().parse().ok().map(Duration::from_millis);
                 works.note(Sighting::Answered {
                     session,
                     answer: Answer::Busy(told),
@@ -595,7 +603,7 @@
     }
 
     /// Waits for the end of the connection, then comes again if it does at all.
-    fn turned_down(&mut self, id: usize, told: Option<Span>, works: &mut Works<Alarm>) {
+    fn turned_down(&mut self, id: usize, told: Option<Duration>, works: &mut Works<Alarm>) {
         let serial = self.turn(id, Part::Told);
         let back_off = self.traffic.back_off;
         let heeds = self.arrival(id).heeds;
@@ -603,9 +611,12 @@
         client.retries = true;
         let wait = told
             .filter(|_| heeds)
-            .unwrap_or(back_off * (0.5 + client.chance.float()));
+            .unwrap_or(back_off * (0.5 + client.chance.unit_f64()));
         client.due = works.now + wait;
-        works.set(works.now + Span::from_ms(500), Alarm::Closed(id, serial));
+        works.set(
+            works.now + Duration::from_millis(500),
+            Alarm::Closed(id, serial),
+        );
     }
 
     fn come_again(&mut self, id: usize, works: &mut Works<Alarm>) {
@@ -615,7 +626,7 @@
             self.kind(id).lost += u64::from(!self.finishing);
             return self.gone(id, works);
         }
-        let left = client.due.since(works.now);
+        let left = client.due.duration_since(works.now);
         self.away(id, left, works);
     }
 
@@ -623,7 +634,7 @@
         let (least, most) = self.traffic.rejoin;
         let client = &mut self.clients[id];
         (client.again, client.retries) = (true, false);
-        let span = least + (most - least) * client.chance.float();
+        let span = least + (most - least) * client.chance.unit_f64();
         self.away(id, span, works);
     }
 
@@ -656,23 +667,23 @@
         }
     }
 
-    fn line_right(&mut self, id: usize, at: Moment, works: &mut Works<Alarm>) {
+    fn line_right(&mut self, id: usize, at: Instant, works: &mut Works<Alarm>) {
         let client = &mut self.clients[id];
         client.out.pop_front();
-        let (session, waited) = (client.tag, works.now.since(at));
+        let (session, waited) = (client.tag, works.now.duration_since(at));
         let target = self.traffic.kinds[usize::from(self.arrival(id).kind)].message_target;
         // A line speaks for the beat that it begins, or for what is left of the client's life.
         let left = self.clients[id]
             .life_ends
-            .map_or(Span::ZERO, |ends| ends.since(at));
+            .map_or(Duration::ZERO, |ends| ends.duration_since(at));
         let before = std::mem::take(&mut self.clients[id].before);
-        let spoken_for = (before + self.traffic.beat.min(left)).secs();
+        let spoken_for = (before + self.traffic.beat.min(left)).as_secs_f64();
         let sums = self.kind(id);
-        let _ = sums.lines.record(waited.us().clamp(1, LONGEST));
+        let _ = sums.lines.record(waited.as_micros().clamp(1, LONGEST));
         if waited <= target {
             sums.served_s += spoken_for;
         }
-        if waited > Span::from_ms(1_000) {
+        if waited > Duration::from_millis(1_000) {
             works.note(Sighting::LineLate { session, waited });
         }
     }
@@ -728,7 +739,7 @@
 
     // ---- what the one who directs wants ----
 
-    fn drop_some(&mut self, count: usize, over: Span, works: &mut Works<Alarm>) {
+    fn drop_some(&mut self, count: usize, over: Duration, works: &mut Works<Alarm>) {
         let standing: Vec<usize> = self
             .clients
             .iter()
@@ -746,7 +757,7 @@
                 wire.break_off();
             }
             (client.again, client.retries) = (true, false);
-            let span = over * self.chance.float();
+            let span = over * self.chance.unit_f64();
             self.away(id, span, works);
         }
     }
@@ -791,7 +802,7 @@
         wire.freeze(true);
         match said {
             Ok(()) => works.set(
-                works.now + Span::from_ms(20),
+                works.now + Duration::from_millis(20),
                 Alarm::Beat(id, client.serial),
             ),
             Err(_) => {
--- a/testbed/src/link.rs
+++ b/testbed/src/link.rs
@@ -1,14 +1,15 @@
 //! What becomes of a datagram between two relays, in one direction. No I/O.
-use thistlecroft::units::{Chance, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::Duration;
 
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
     /// The part that is lost.
     pub loss: f64,
-    pub delay: Span,
+    pub delay: Duration,
     /// Added, drawn evenly from nothing up to this; greater than the time between two datagrams, it
     /// reorders them.
-    pub spread: Span,
+    pub spread: Duration,
     /// The part that comes twice.
     pub doubled: f64,
     /// Bytes a second that pass; what is above is lost. 0: no limit.
@@ -18,19 +19,23 @@
 impl LinkFault {
     pub const CUT: LinkFault = LinkFault {
         loss: 1.0,
-        delay: Span::ZERO,
-        spread: Span::ZERO,
+        delay: Duration::ZERO,
+        spread: Duration::ZERO,
         doubled: 0.0,
         rate: 0,
     };
 
     /// After how long it arrives, once, twice or never.
-    pub fn passes(&self, chance: &mut Chance) -> Vec<Span> {
-        let copies = if chance.float() < self.doubled { 2 } else { 1 };
+    pub fn passes(&self, chance: &mut Rng) -> Vec<Duration> {
+        let copies = if chance.unit_f64() < self.doubled {
+            2
+        } else {
+            1
+        };
         let mut after = Vec::new();
         for _ in 0..copies {
-            if chance.float() >= self.loss {
-                after.push(self.delay + self.spread * chance.float());
+            if chance.unit_f64() >= self.loss {
+                after.push(self.delay + self.spread * chance.unit_f64());
             }
         }
         after
--- a/testbed/src/model.rs
+++ b/testbed/src/model.rs
@@ -1,7 +1,7 @@
 //! What a box can do and what is asked of it, and the store that every set-up calls. No I/O: the
 //! yard tells it what happens and when.
 use std::collections::{BTreeMap, VecDeque};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// How a box that has just started is weak, and what pushes it over.
 #[derive(Clone, Copy, Debug)]
@@ -9,13 +9,13 @@
     /// What it can do at its start, as a part of its capacity.
     pub start_share: f64,
     /// Its share rises evenly to the whole over this time.
-    pub warm_up: Span,
+    pub warm_up: Duration,
     /// It falls over when sent more than this multiple of what it can do...
     pub factor: f64,
     /// ...within any such time...
-    pub window: Span,
+    pub window: Duration,
     /// ...where what it can do is its capacity, taken anew once in each such time.
-    pub turnover: Span,
+    pub turnover: Duration,
 }
 
 /// A kind of box.
@@ -26,7 +26,7 @@
     /// Connections that it holds at most.
     pub most: usize,
     /// Own work of a set-up, besides the store's.
-    pub setup: Span,
+    pub setup: Duration,
     /// What a group costs each box that holds any of it, in load.
     pub group_fee: f64,
     pub cold: Cold,
@@ -38,20 +38,20 @@
 /// The work of one box from its start to its end.
 pub struct Workload {
     make: Make,
-    cold_since: Option<Moment>,
+    cold_since: Option<Instant>,
     own: f64,
     held: usize,
     groups: BTreeMap<u64, u32>,
     piled: f64,
-    reckoned: Moment,
-    sent: VecDeque<(Moment, f64)>,
+    reckoned: Instant,
+    sent: VecDeque<(Instant, f64)>,
     pub worst_push: f64,
     /// How many times slower than its make it runs.
     pub slowness: f64,
 }
 
 impl Workload {
-    pub fn start(make: Make, now: Moment, cold: bool) -> Workload {
+    pub fn start(make: Make, now: Instant, cold: bool) -> Workload {
         Workload {
             make,
             cold_since: cold.then_some(now),
@@ -67,12 +67,13 @@
     }
 
     /// What it can do, as a part of its capacity.
-    pub fn share(&self, now: Moment) -> f64 {
+    pub fn share(&self, now: Instant) -> f64 {
         let Some(since) = self.cold_since else {
             return 1.0;
         };
         let cold = &self.make.cold;
-        let part = (now.since(since).secs() / cold.warm_up.secs().max(1e-6)).min(1.0);
+        let part = (now.duration_since(since).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-6))
+            .min(1.0);
         cold.start_share + (1.0 - cold.start_share) * part
     }
 
@@ -85,7 +86,7 @@
     }
 
     /// Load asked over what it can do now.
-    pub fn load(&self, now: Moment) -> f64 {
+    pub fn load(&self, now: Instant) -> f64 {
         let asked = self.own + self.make.group_fee * self.groups.len() as f64;
         asked * self.slowness / (self.make.capacity * self.share(now)).max(1e-9)
     }
@@ -93,7 +94,7 @@
     /// A dial came, whatever is made of it; true if that pushed the box over. The largest one
     /// within the window is let pass, since a single connection may be larger than the budget of a
     /// small box.
-    pub fn sent(&mut self, now: Moment, load: f64) -> bool {
+    pub fn sent(&mut self, now: Instant, load: f64) -> bool {
         let cold = self.make.cold;
         let share = self.share(now);
         if share >= 1.0 {
@@ -103,19 +104,20 @@
         while self
             .sent
             .front()
-            .is_some_and(|&(at, _)| now.since(at) > cold.window)
+            .is_some_and(|&(at, _)| now.duration_since(at) > cold.window)
         {
             self.sent.pop_front();
         }
         let sum: f64 = self.sent.iter().map(|&(_, load)| load).sum();
         let largest = self.sent.iter().map(|&(_, load)| load).fold(0.0, f64::max);
-        let a_second = self.make.capacity * share / cold.turnover.secs().max(1e-6);
-        let pushed = (sum - largest) / (cold.factor * a_second * cold.window.secs()).max(1e-9);
+        let a_second = self.make.capacity * share / cold.turnover.as_secs_f64().max(1e-6);
+        let pushed =
+            (sum - largest) / (cold.factor * a_second * cold.window.as_secs_f64()).max(1e-9);
         self.worst_push = self.worst_push.max(pushed);
         pushed > 1.0
     }
 
-    pub fn take(&mut self, now: Moment, load: f64, group: Option<u64>) {
+    pub fn take(&mut self, now: Instant, load: f64, group: Option<u64>) {
         self.reckon(now);
         self.own += load;
         self.held += 1;
@@ -124,7 +126,7 @@
         }
     }
 
-    pub fn leave(&mut self, now: Moment, load: f64, group: Option<u64>) {
+    pub fn leave(&mut self, now: Instant, load: f64, group: Option<u64>) {
         self.reckon(now);
         self.own = (self.own - load).max(0.0);
         self.held = self.held.saturating_sub(1);
@@ -139,20 +141,20 @@
     }
 
     /// Work that could not be done piles up and is worked off.
-    fn reckon(&mut self, now: Moment) {
-        let passed = now.since(self.reckoned).secs();
+    fn reckon(&mut self, now: Instant) {
+        let passed = now.duration_since(self.reckoned).as_secs_f64();
         self.piled = (self.piled + passed * (self.load(now) - 1.0)).clamp(0.0, MOST_PILED);
         self.reckoned = now;
     }
 
     /// How long a message takes here now.
-    pub fn delay(&mut self, now: Moment) -> Span {
+    pub fn delay(&mut self, now: Instant) -> Duration {
         self.reckon(now);
-        Span::from_ms(1_000) * self.piled
+        Duration::from_millis(1_000) * self.piled
     }
 
     /// Own work of a set-up now: slower the more is asked, and while cold.
-    pub fn setup(&mut self, now: Moment) -> Span {
+    pub fn setup(&mut self, now: Instant) -> Duration {
         let delay = self.delay(now);
         let busy = 1.0 + self.load(now).min(4.0);
         delay + self.make.setup * (self.slowness * busy / self.share(now).max(0.05))
@@ -162,21 +164,21 @@
 /// What every set-up calls: so many calls in work at once, each for so long; the others wait their
 /// turn.
 pub struct Store {
-    each: Span,
-    free_at: Vec<Moment>,
+    each: Duration,
+    free_at: Vec<Instant>,
 }
 
 impl Store {
     /// `lanes` at least one.
-    pub fn new(lanes: usize, each: Span) -> Store {
+    pub fn new(lanes: usize, each: Duration) -> Store {
         Store {
             each,
-            free_at: vec![Moment::default(); lanes.max(1)],
+            free_at: vec![Instant::default(); lanes.max(1)],
         }
     }
 
     /// When a call made now is answered.
-    pub fn call(&mut self, now: Moment) -> Moment {
+    pub fn call(&mut self, now: Instant) -> Instant {
         let first = self.free_at.iter_mut().min().expect("one lane at least");
         *first = now.max(*first) + self.each;
         *first
@@ -190,19 +192,19 @@
     const MAKE: Make = Make {
         capacity: 18.0,
         most: 100,
-        setup: Span::from_ms(2),
+        setup: Duration::from_millis(2),
         group_fee: 1.5,
         cold: Cold {
             start_share: 0.3,
-            warm_up: Span::from_ms(9_000),
+            warm_up: Duration::from_millis(9_000),
             factor: 3.0,
-            window: Span::from_ms(3_000),
-            turnover: Span::from_ms(9_000),
+            window: Duration::from_millis(3_000),
+            turnover: Duration::from_millis(9_000),
         },
     };
 
-    fn at(ms: u64) -> Moment {
-        Moment::from_us(ms * 1_000)
+    fn at(ms: u64) -> Instant {
+        Instant::from_micros(ms * 1_000)
     }
 
     #[test]
@@ -234,14 +236,14 @@
         }
         // Eighteen connections and two groups of one and a half.
         assert!((work.load(at(0)) - 21.0 / 18.0).abs() < 1e-9);
-        assert_eq!(work.delay(at(0)), Span::ZERO);
+        assert_eq!(work.delay(at(0)), Duration::ZERO);
         let late = work.delay(at(6_000));
-        assert!((late.secs() - 1.0).abs() < 0.01, "{late:?}");
+        assert!((late.as_secs_f64() - 1.0).abs() < 0.01, "{late:?}");
         for number in 0..18 {
             work.leave(at(6_000), 1.0, Some(number % 2));
         }
         assert_eq!((work.held(), work.load(at(6_000))), (0, 0.0));
-        assert_eq!(work.delay(at(8_000)), Span::ZERO);
+        assert_eq!(work.delay(at(8_000)), Duration::ZERO);
         work.slowness = 8.0;
         work.take(at(8_000), 9.0, None);
         assert!((work.load(at(8_000)) - 4.0).abs() < 1e-9);
@@ -249,8 +251,8 @@
 
     #[test]
     fn the_store_serves_in_turn() {
-        let mut store = Store::new(2, Span::from_ms(10));
-        let answered: Vec<u64> = (0..5).map(|_| store.call(at(0)).us() / 1_000).collect();
+        let mut store = Store::new(2, Duration::from_millis(10));
+        let answered: Vec<u64> = (0..5).map(|_| store.call(at(0)).as_millis()).collect();
         assert_eq!(answered, [10, 10, 20, 20, 30]);
         assert_eq!(store.call(at(100)), at(110));
     }
--- a/testbed/src/net.rs
+++ b/testbed/src/net.rs
@@ -10,7 +10,8 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::os::fd::AsFd;
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
 /// Datagrams read at once.
 const DATAGRAMS: usize = 256;
@@ -45,8 +46,8 @@
     by_source: BTreeMap<SocketAddr, usize>,
     link_faults: BTreeMap<(usize, usize), LinkFault>,
     /// What a link's rate still allows, and as of when.
-    allowed: BTreeMap<(usize, usize), (f64, Moment)>,
-    chance: Chance,
+    allowed: BTreeMap<(usize, usize), (f64, Instant)>,
+    chance: Rng,
     sums: NetSums,
 }
 
@@ -105,20 +106,20 @@
                 by_source,
                 link_faults: BTreeMap::new(),
                 allowed: BTreeMap::new(),
-                chance: Chance::from_seed(seed),
+                chance: Rng::from_seed(seed),
                 sums: NetSums::default(),
             })
         })?;
         Ok(Opened { stage, ways })
     }
 
-    fn allows(&mut self, link: (usize, usize), rate: u64, bytes: usize, now: Moment) -> bool {
+    fn allows(&mut self, link: (usize, usize), rate: u64, bytes: usize, now: Instant) -> bool {
         if rate == 0 {
             return true;
         }
         let rate = rate as f64;
         let (left, at) = self.allowed.get(&link).copied().unwrap_or((rate, now));
-        let left = (left + rate * now.since(at).secs()).min(rate);
+        let left = (left + rate * now.duration_since(at).as_secs_f64()).min(rate);
         let fits = left >= bytes as f64;
         let left = if fits { left - bytes as f64 } else { left };
         self.allowed.insert(link, (left, now));
@@ -172,7 +173,7 @@
                     to,
                     bytes: bytes[..length].to_vec(),
                 };
-                if after == Span::ZERO {
+                if after == Duration::ZERO {
                     self.deliver(&one);
                 } else {
                     works.set(works.now + after, one);
--- a/testbed/src/post.rs
+++ b/testbed/src/post.rs
@@ -10,23 +10,23 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::Arc;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use thistlecroft::deployment::{Effect, Scope};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// A relay answers `PING` within this, or has not started.
-const START: Duration = Duration::from_secs(10);
+const START: std::time::Duration = std::time::Duration::from_secs(10);
 /// A call at the door is answered within this, or the relay is at fault.
-pub const CALL: Span = Span::from_ms(1_000);
-const LOOK: Duration = Duration::from_millis(10);
+pub const CALL: Duration = Duration::from_millis(1_000);
+const LOOK: std::time::Duration = std::time::Duration::from_millis(10);
 
 /// A row of the settings' listeners.
 #[derive(Clone, Debug)]
 pub struct ListenerTerms {
     pub name: String,
-    pub wait: Span,
-    pub handshake_target: Span,
-    pub message_target: Span,
+    pub wait: Duration,
+    pub handshake_target: Duration,
+    pub message_target: Duration,
     pub effect: Effect,
     pub utility: f64,
 }
@@ -36,16 +36,16 @@
 pub struct Terms {
     pub zones: Vec<String>,
     pub listeners: Vec<ListenerTerms>,
-    pub connect_time: Span,
+    pub connect_time: Duration,
     pub most_dials: u32,
-    pub longest_retry_after: Option<Span>,
+    pub longest_retry_after: Option<Duration>,
     pub probes: bool,
     pub groups: bool,
     pub tells_load: bool,
     pub cold_start_share: f64,
-    pub warm_up: Span,
+    pub warm_up: Duration,
     pub cold_factor: f64,
-    pub cold_window: Span,
+    pub cold_window: Duration,
     pub memory_mb: u64,
     pub sockets: u64,
     /// A session may have two dials out at once.
@@ -57,8 +57,8 @@
 /// What a charter says of peers, but for each relay's own addresses.
 #[derive(Clone, Debug)]
 pub struct PeersTerms {
-    pub period: Span,
-    pub lease: Span,
+    pub period: Duration,
+    pub lease: Duration,
     /// The first so many relays grant leases and are the seeds.
     pub voters: usize,
     pub key_file: PathBuf,
@@ -90,8 +90,8 @@
             own.own,
             own.public,
             self.key_file.display(),
-            self.period.us(),
-            self.lease.us()
+            self.period.as_micros(),
+            self.lease.as_micros()
         )
     }
 }
@@ -123,8 +123,8 @@
         .iter()
         .map(|row| {
             let (effect, scope, window) = match row.effect {
-                Effect::Repeatable => ("retryable", "all", Span::ZERO),
-                Effect::OnceOnly => ("fragile", "all", Span::ZERO),
+                Effect::Repeatable => ("retryable", "all", Duration::ZERO),
+                Effect::OnceOnly => ("fragile", "all", Duration::ZERO),
                 Effect::Referenced { scope, window } => {
                     let scope = match scope {
                         Scope::All => "all",
@@ -134,14 +134,14 @@
                     ("dedup", scope, window)
                 }
             };
-            json!({"name": row.name, "deadlineUs": row.wait.us(), "handshakeTargetUs": row.handshake_target.us(),
-                "effect": effect, "dedupScope": scope, "dedupWindowUs": window.us(), "utility": row.utility})
+            json!({"name": row.name, "deadlineUs": row.wait.as_micros(), "handshakeTargetUs": row.handshake_target.as_micros(),
+                "effect": effect, "dedupScope": scope, "dedupWindowUs": window.as_micros(), "utility": row.utility})
         })
         .collect();
     let targets: Vec<u64> = terms
         .listeners
         .iter()
-        .map(|row| row.message_target.us())
+        .map(|row| row.message_target.as_micros())
         .collect();
     let mut text = json!({
         "name": orders.name, "listen": orders.listen.to_string(), "discovery": orders.discovery.to_string(),
@@ -152,11 +152,11 @@
             "az": orders.zone, "zones": terms.zones, "balancers": orders.relays, "me": orders.number,
             "tickUs": 2_000, "discovery": "automatic", "listeners": listeners,
             "extra": {"groups": terms.groups, "tellsDelay": false, "tellsLoad": terms.tells_load, "messageAimUs": targets},
-            "invariants": {"askWithinUs": 1, "coldUs": terms.warm_up.us(), "fallUs": terms.cold_window.us(),
+            "invariants": {"askWithinUs": 1, "coldUs": terms.warm_up.as_micros(), "fallUs": terms.cold_window.as_micros(),
                 "overloadFactor": terms.cold_factor, "startCapacity": terms.cold_start_share},
-            "permissions": {"connIdleUs": 9_000_000, "dialTimeoutUs": terms.connect_time.us(),
+            "permissions": {"connIdleUs": 9_000_000, "dialTimeoutUs": terms.connect_time.as_micros(),
                 "maxDials": terms.most_dials,
-                "maxRetryAfterUs": terms.longest_retry_after.unwrap_or(Span::ZERO).us(),
+                "maxRetryAfterUs": terms.longest_retry_after.unwrap_or(Duration::ZERO).as_micros(),
                 "peers": terms.peers, "mayCancel": true, "parallelTries": terms.two_dials, "probes": terms.probes, "retryAfter": terms.longest_retry_after.is_some()},
             "report": {"fields": ["inflight", "x0"], "how": "pull"},
         },
@@ -324,7 +324,7 @@
     }
 
     /// Waits for its end; none where it goes on.
-    pub fn wait(&mut self, within: Span) -> Option<ExitStatus> {
+    pub fn wait(&mut self, within: Duration) -> Option<ExitStatus> {
         let until = Instant::now() + duration(within);
         loop {
             match self.ended() {
@@ -336,14 +336,14 @@
     }
 
     /// What `cost_of` says of its process.
-    pub fn cost(&self) -> Option<(Span, u64)> {
+    pub fn cost(&self) -> Option<(Duration, u64)> {
         cost_of(self.child.id())
     }
 }
 
 /// CPU time of a process's living threads so far, and bytes of memory resident; none where it has
 /// ended.
-pub fn cost_of(process: u32) -> Option<(Span, u64)> {
+pub fn cost_of(process: u32) -> Option<(Duration, u64)> {
     let folder = PathBuf::from(format!("/proc/{process}"));
     let nanoseconds = |thread: std::fs::DirEntry| -> Option<u64> {
         std::fs::read_to_string(thread.path().join("schedstat"))
@@ -366,7 +366,7 @@
     // Of a process that has ended and not been waited for there is neither.
     (cpu > 0).then(|| {
         (
-            Span::from_us(cpu / 1_000),
+            Duration::from_micros(cpu / 1_000),
             pages * rustix::param::page_size() as u64,
         )
     })
@@ -401,8 +401,8 @@
 
 fn answers(at: SocketAddr) -> bool {
     let asked = || -> std::io::Result<bool> {
-        let mut stream = TcpStream::connect_timeout(&at, Duration::from_millis(200))?;
-        stream.set_read_timeout(Some(Duration::from_millis(500)))?;
+        let mut stream = TcpStream::connect_timeout(&at, std::time::Duration::from_millis(200))?;
+        stream.set_read_timeout(Some(std::time::Duration::from_millis(500)))?;
         stream.write_all(b"PING\r\n")?;
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line)?;
--- a/testbed/src/referee.rs
+++ b/testbed/src/referee.rs
@@ -4,22 +4,22 @@
 use crate::tape::{Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag};
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{Effect, Scope};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// Each time limit is so much longer on sockets.
-const SLACK: Span = Span::from_ms(50);
+const SLACK: Duration = Duration::from_millis(50);
 /// Sightings of two threads, or of two sockets in one turn, may stand in the wrong order by so
 /// much.
-const BLUR: Span = Span::from_ms(50);
+const BLUR: Duration = Duration::from_millis(50);
 /// A line may be kept for so long, and the end of a box's side for as long.
-const SECOND: Span = Span::from_ms(1_000);
+const SECOND: Duration = Duration::from_millis(1_000);
 /// How long after its box has gone silent a connection may stand as if nothing were.
-const SILENT: Span = Span::from_ms(8_000);
+const SILENT: Duration = Duration::from_millis(8_000);
 /// What discovery has to tell counts as told so much later.
-const DEEMED: Span = Span::from_ms(6_000);
+const DEEMED: Duration = Duration::from_millis(6_000);
 /// An answer that only waited: given so near the end of the wait, with nothing out for so long.
-const NEAR: Span = Span::from_ms(150);
-const NOTHING_OUT: Span = Span::from_ms(250);
+const NEAR: Duration = Duration::from_millis(150);
+const NOTHING_OUT: Duration = Duration::from_millis(250);
 /// The part of a break's story that is told.
 const STORY: usize = 14;
 
@@ -31,7 +31,7 @@
     /// A second dial may go out while one is, by listener; where not stated, none may.
     pub hedged: Vec<bool>,
     /// Nothing new goes to a box so long after it was told as draining or gone.
-    pub grace: Span,
+    pub grace: Duration,
     /// Where boxes are, for the scope of referenced sessions.
     pub places: Vec<(String, u16)>,
 }
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug)]
 pub struct Break {
     pub rule: usize,
-    pub at: Moment,
+    pub at: Instant,
     pub what: String,
     /// Who said what, and when.
     pub story: Vec<String>,
@@ -74,7 +74,7 @@
     /// While another was out.
     pub second: usize,
     /// The longest time to an answer.
-    pub longest: Span,
+    pub longest: Duration,
 }
 
 impl Ruling {
@@ -98,46 +98,46 @@
 #[derive(Clone, Debug)]
 struct DialStory {
     at: BoxNo,
-    came: Moment,
-    first: Moment,
-    over: Option<(Moment, Option<Reply>)>,
+    came: Instant,
+    first: Instant,
+    over: Option<(Instant, Option<Reply>)>,
     /// Its box stood still when it came or before it was over: the times say little.
     blurred: bool,
 }
 
 #[derive(Clone, Debug)]
 struct SessionStory {
-    asked: Moment,
-    wait: Span,
+    asked: Instant,
+    wait: Duration,
     relay: Option<RelayNo>,
     listener: usize,
-    answer: Option<(Moment, Answer)>,
-    ends: Option<Moment>,
+    answer: Option<(Instant, Answer)>,
+    ends: Option<Instant>,
     excused: bool,
     dials: Vec<DialStory>,
-    box_ended: Option<Moment>,
-    box_held: Span,
+    box_ended: Option<Instant>,
+    box_held: Duration,
     left: bool,
 }
 
 /// From when to when something was so; open at its end while it still is.
 #[derive(Default)]
-struct Times(Vec<(Moment, Option<Moment>)>);
+struct Times(Vec<(Instant, Option<Instant>)>);
 
 impl Times {
-    fn begin(&mut self, at: Moment) {
+    fn begin(&mut self, at: Instant) {
         self.end(at);
         self.0.push((at, None));
     }
 
-    fn end(&mut self, at: Moment) {
+    fn end(&mut self, at: Instant) {
         if let Some((_, end @ None)) = self.0.last_mut() {
             *end = Some(at);
         }
     }
 
     /// If it was so at any time between the two.
-    fn meets(&self, from: Moment, to: Moment) -> bool {
+    fn meets(&self, from: Instant, to: Instant) -> bool {
         self.0
             .iter()
             .any(|&(began, ended)| began <= to && ended.is_none_or(|ended| ended >= from))
@@ -151,10 +151,10 @@
     ailing: Times,
     /// From when on nothing new may come, by relay; what all are deemed told counts for those not
     /// told.
-    told: BTreeMap<RelayNo, Moment>,
-    shut: Option<Moment>,
+    told: BTreeMap<RelayNo, Instant>,
+    shut: Option<Instant>,
     /// Since when a relay's operators have it out, whatever the list says.
-    by_hand: BTreeMap<RelayNo, Moment>,
+    by_hand: BTreeMap<RelayNo, Instant>,
 }
 
 pub struct Referee<'a> {
@@ -162,12 +162,12 @@
     entries: &'a [Entry],
     sessions: BTreeMap<Tag, SessionStory>,
     boxes: BTreeMap<BoxNo, BoxStory>,
-    killed: BTreeMap<RelayNo, Vec<Moment>>,
+    killed: BTreeMap<RelayNo, Vec<Instant>>,
     /// A process that is stopped owes nothing while it is.
     stopped: BTreeMap<RelayNo, Times>,
-    late: Vec<(Moment, Span)>,
+    late: Vec<(Instant, Duration)>,
     ruling: Ruling,
-    end: Moment,
+    end: Instant,
     /// Without relays clients say to boxes whatever they say.
     has_relays: bool,
 }
@@ -183,7 +183,7 @@
         stopped: BTreeMap::new(),
         late: Vec::new(),
         ruling: Ruling::default(),
-        end: entries.last().map_or(Moment::default(), |entry| entry.at),
+        end: entries.last().map_or(Instant::default(), |entry| entry.at),
         has_relays: false,
     };
     referee.first_look();
@@ -217,7 +217,7 @@
                         excused: false,
                         dials: Vec::new(),
                         box_ended: None,
-                        box_held: Span::ZERO,
+                        box_held: Duration::ZERO,
                         left: false,
                     };
                     self.sessions.insert(*session, story);
@@ -272,21 +272,21 @@
     }
 
     /// How late what was noted between the two may have been seen.
-    fn lateness(&self, from: Moment, to: Moment) -> Span {
+    fn lateness(&self, from: Instant, to: Instant) -> Duration {
         let near = self
             .late
             .iter()
             .filter(|(at, by)| *at + *by >= from && *at <= to + *by);
-        near.map(|(_, by)| *by).max().unwrap_or(Span::ZERO)
+        near.map(|(_, by)| *by).max().unwrap_or(Duration::ZERO)
     }
 
-    fn stood_still(&self, relay: Option<RelayNo>, from: Moment, to: Moment) -> bool {
+    fn stood_still(&self, relay: Option<RelayNo>, from: Instant, to: Instant) -> bool {
         let still = relay.and_then(|relay| self.stopped.get(&relay));
         // What waited meanwhile is worked off after it.
         still.is_some_and(|still| still.meets(from - BLUR, to + BLUR))
     }
 
-    fn was_killed(&self, relay: Option<RelayNo>, from: Moment, to: Moment) -> bool {
+    fn was_killed(&self, relay: Option<RelayNo>, from: Instant, to: Instant) -> bool {
         if self.stood_still(relay, from, to) {
             return true;
         }
@@ -301,7 +301,7 @@
     fn broken(
         &mut self,
         rule: usize,
-        at: Moment,
+        at: Instant,
         what: String,
         session: Option<Tag>,
         of: Option<BoxNo>,
@@ -449,7 +449,7 @@
         }
     }
 
-    fn answered(&mut self, at: Moment, session: Tag, answer: Answer) {
+    fn answered(&mut self, at: Instant, session: Tag, answer: Answer) {
         let Some(story) = self.sessions.get(&session) else {
             return;
         };
@@ -468,13 +468,13 @@
         if relay.is_some() && at > due + late && !self.stood_still(relay, asked, at) {
             let what = format!(
                 "its answer came {} ms after its wait was over",
-                at.since(asked + wait).us() / 1_000
+                at.duration_since(asked + wait).as_millis()
             );
             self.broken(1, at, what, Some(session), None);
         }
     }
 
-    fn cut_off(&mut self, at: Moment, session: Tag) {
+    fn cut_off(&mut self, at: Instant, session: Tag) {
         let Some(story) = self.sessions.get_mut(&session) else {
             return;
         };
@@ -509,7 +509,7 @@
         );
     }
 
-    fn line_late(&mut self, at: Moment, session: Tag, waited: Span) {
+    fn line_late(&mut self, at: Instant, session: Tag, waited: Duration) {
         let Some(story) = self.sessions.get(&session) else {
             return;
         };
@@ -527,12 +527,12 @@
         }
         let what = format!(
             "a line took {} ms, its box had answered before",
-            waited.us() / 1_000
+            waited.as_millis()
         );
         self.broken(1, at, what, Some(session), None);
     }
 
-    fn dial_came(&mut self, at: Moment, of: BoxNo, session: Tag, first: Moment) {
+    fn dial_came(&mut self, at: Instant, of: BoxNo, session: Tag, first: Instant) {
         self.ruling.dials += 1;
         let Some(story) = self.sessions.get(&session) else {
             return;
@@ -557,7 +557,7 @@
         if let (Some(told), Some(_), false, false) = (told, relay, blurred, stood)
             && first > told + grace + SLACK + late
         {
-            let after = first.since(told).us() / 1_000;
+            let after = first.duration_since(told).as_millis();
             let what = format!(
                 "box {} was dialled {after} ms after its drain was told",
                 of.0
@@ -575,7 +575,7 @@
         }
     }
 
-    fn dial_over(&mut self, at: Moment, of: BoxNo, session: Tag, reply: Option<Reply>) {
+    fn dial_over(&mut self, at: Instant, of: BoxNo, session: Tag, reply: Option<Reply>) {
         let still = self.boxes.get(&of);
         let Some(story) = self.sessions.get_mut(&session) else {
             return;
@@ -649,7 +649,7 @@
             }) += 1;
         }
         if let Some((at, _)) = story.answer {
-            count.longest = count.longest.max(at.since(story.asked));
+            count.longest = count.longest.max(at.duration_since(story.asked));
         }
     }
 
@@ -665,10 +665,13 @@
         let since = nothing_out.unwrap_or(story.asked);
         let blurred =
             story.dials.iter().any(|dial| dial.blurred) || self.stood_still(story.relay, since, at);
-        if at + NEAR >= story.asked + story.wait && at.since(since) > NOTHING_OUT && !blurred {
+        if at + NEAR >= story.asked + story.wait
+            && at.duration_since(since) > NOTHING_OUT
+            && !blurred
+        {
             let what = format!(
                 "its answer was kept back for {} ms with no dial out",
-                at.since(since).us() / 1_000
+                at.duration_since(since).as_millis()
             );
             self.broken(1, at, what, Some(tag), None);
         }
@@ -815,7 +818,7 @@
 
 /// A sighting as a line of a story.
 pub fn tell(entry: &Entry) -> String {
-    let ms = |span: &Span| span.us() / 1_000;
+    let ms = |span: &Duration| span.as_millis();
     let relay = |relay: &Option<RelayNo>| {
         relay.map_or("a box itself".into(), |relay| format!("relay {}", relay.0))
     };
@@ -939,5 +942,5 @@
         }
         Sighting::Sees { relay, here } => format!("relay {} sees {} here", relay.0, here.len()),
     };
-    format!("{:9.3} s  {text}", entry.at.us() as f64 / 1e6)
+    format!("{:9.3} s  {text}", entry.at.as_micros() as f64 / 1e6)
 }
--- a/testbed/src/rig.rs
+++ b/testbed/src/rig.rs
@@ -13,21 +13,21 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
-use std::time::{Duration, Instant};
+use std::time::Instant;
 use thistlecroft::deployment::Effect;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// Between two looks at what is waited for.
-const LOOK: Duration = Duration::from_millis(20);
-const CALL: Span = Span::from_ms(1_000);
+const LOOK: std::time::Duration = std::time::Duration::from_millis(20);
+const CALL: Duration = Duration::from_millis(1_000);
 
 pub struct Plan {
     /// The program and its arguments.
     pub program: Vec<String>,
     pub terms: Terms,
     pub ground: Ground,
-    pub period: Span,
-    pub lease: Span,
+    pub period: Duration,
+    pub lease: Duration,
     pub voters: usize,
     pub seed: u64,
     /// For configurations, charters and logs.
@@ -41,10 +41,10 @@
         program: Vec<String>,
         relays: usize,
         voters: usize,
-        (period, lease): (Span, Span),
+        (period, lease): (Duration, Duration),
         folder: PathBuf,
     ) -> Plan {
-        let ms = Span::from_ms;
+        let ms = Duration::from_millis;
         let cold = Cold {
             start_share: 0.3,
             warm_up: ms(9_000),
@@ -281,7 +281,7 @@
     }
 
     /// Told to stop; if it ended well within that time.
-    pub fn stop(&mut self, number: usize, within: Span) -> bool {
+    pub fn stop(&mut self, number: usize, within: Duration) -> bool {
         let Some(mut post) = self.posts[number].take() else {
             return false;
         };
@@ -354,7 +354,7 @@
     }
 
     /// Until that is so; how long it took, or none within the bound.
-    pub fn wait(&self, within: Span, so: impl Fn(&Rig) -> bool) -> Option<Span> {
+    pub fn wait(&self, within: Duration, so: impl Fn(&Rig) -> bool) -> Option<Duration> {
         let began = Instant::now();
         loop {
             if so(self) {
@@ -368,7 +368,7 @@
     }
 
     /// CPU time so far.
-    pub fn cpu(&self, number: usize) -> Option<Span> {
+    pub fn cpu(&self, number: usize) -> Option<Duration> {
         self.posts[number]
             .as_ref()
             .and_then(Post::cost)
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network.rs
@@ -3,7 +3,8 @@
 //! off by a part; processes pause, die and start. No I/O.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{LeaseConfig, Leases};
 use thistlecroft_peers::{Event, Identity, MemberState, Node, Terms};
 
@@ -16,26 +17,26 @@
     pub leases: Option<Leases>,
     /// Its clock's speed, 1 being true, and what it showed at true time zero.
     speed: f64,
-    offset: Span,
+    offset: Duration,
     paused: bool,
     /// What came while it stood still.
     inbox: Vec<(usize, Vec<u8>)>,
     pub alive: bool,
     /// When others were seen to stand otherwise, in true time.
-    pub turns: Vec<(Moment, Identity, MemberState)>,
+    pub turns: Vec<(Instant, Identity, MemberState)>,
     /// The time for which a wake is set.
-    wakes: Option<Moment>,
+    wakes: Option<Instant>,
 }
 
 impl Host {
     /// Its own clock at a true moment.
-    pub fn clock(&self, now: Moment) -> Moment {
-        Moment::from_us(self.offset.us() + (now.us() as f64 * self.speed) as u64)
+    pub fn clock(&self, now: Instant) -> Instant {
+        Instant::from_micros(self.offset.as_micros() + (now.as_micros() as f64 * self.speed) as u64)
     }
 
-    fn true_time(&self, own: Moment) -> Moment {
-        let passed = own.us().saturating_sub(self.offset.us());
-        Moment::from_us((passed as f64 / self.speed).ceil() as u64)
+    fn true_time(&self, own: Instant) -> Instant {
+        let passed = own.as_micros().saturating_sub(self.offset.as_micros());
+        Instant::from_micros((passed as f64 / self.speed).ceil() as u64)
     }
 
     /// If it sees exactly these here.
@@ -60,11 +61,11 @@
 }
 
 pub struct SimulatedNetwork {
-    pub now: Moment,
+    pub now: Instant,
     pub hosts: Vec<Host>,
-    flights: BTreeMap<(Moment, u64), Flight>,
+    flights: BTreeMap<(Instant, u64), Flight>,
     serial: u64,
-    pub chance: Chance,
+    pub chance: Rng,
     /// What holds where nothing else is said.
     pub link_fault: LinkFault,
     pub links: BTreeMap<(usize, usize), LinkFault>,
@@ -87,14 +88,14 @@
         seed: u64,
     ) -> SimulatedNetwork {
         SimulatedNetwork {
-            now: Moment::default(),
+            now: Instant::default(),
             hosts: Vec::new(),
             flights: BTreeMap::new(),
             serial: 0,
-            chance: Chance::from_seed(seed),
+            chance: Rng::from_seed(seed),
             link_fault: LinkFault {
-                delay: Span::from_us(200),
-                spread: Span::from_us(200),
+                delay: Duration::from_micros(200),
+                spread: Duration::from_micros(200),
                 ..LinkFault::default()
             },
             links: BTreeMap::new(),
@@ -134,9 +135,10 @@
         let draw = chance.below(u64::MAX)
             ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15)
             ^ number as u64;
-        let offset = Span::from_us(1_000_000 + draw % 5_000_000);
+        let offset = Duration::from_micros(1_000_000 + draw % 5_000_000);
         let me = Identity::new(name, draw | 1);
-        let own = Moment::from_us(offset.us() + (self.now.us() as f64 * speed) as u64);
+        let own =
+            Instant::from_micros(offset.as_micros() + (self.now.as_micros() as f64 * speed) as u64);
         let seeds = (0..self.seeds).map(address).collect();
         let node = Node::new(me.clone(), address(number), seeds, &self.terms, draw, own);
         let leases = self
@@ -188,7 +190,7 @@
         self.links.clear();
     }
 
-    pub fn run_for(&mut self, span: Span) {
+    pub fn run_for(&mut self, span: Duration) {
         let until = self.now + span;
         while self.step(until) {}
         self.now = until;
@@ -197,17 +199,17 @@
     /// Until that is so, looked at each tenth of a period; when it was, or none within the span.
     pub fn run_until(
         &mut self,
-        within: Span,
+        within: Duration,
         so: impl Fn(&SimulatedNetwork) -> bool,
-    ) -> Option<Span> {
+    ) -> Option<Duration> {
         let (began, step) = (self.now, self.terms.pace.period * 0.1);
         while !so(self) {
-            if self.now.since(began) >= within {
+            if self.now.duration_since(began) >= within {
                 return None;
             }
             self.run_for(step);
         }
-        Some(self.now.since(began))
+        Some(self.now.duration_since(began))
     }
 
     /// If all that run see each other and nobody else.
@@ -217,7 +219,7 @@
         live().all(|host| host.sees(&names))
     }
 
-    fn step(&mut self, until: Moment) -> bool {
+    fn step(&mut self, until: Instant) -> bool {
         let Some(entry) = self
             .flights
             .first_entry()
@@ -278,7 +280,7 @@
     }
 
     /// Acts of a process that is not to be left waiting for its next wake.
-    pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Host, Moment)) {
+    pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Host, Instant)) {
         let own = self.hosts[number].clock(self.now);
         act(&mut self.hosts[number], own);
         self.turn(number);
@@ -350,7 +352,7 @@
         let own = host.clock(now);
         let due = host.leases.as_ref().and_then(|leases| leases.due(own));
         let due = due.map_or(host.node.due(), |due| due.min(host.node.due()));
-        let at = host.true_time(due).max(now + Span::from_us(1));
+        let at = host.true_time(due).max(now + Duration::from_micros(1));
         if host.wakes != Some(at) {
             host.wakes = Some(at);
             self.serial += 1;
--- a/testbed/src/stage.rs
+++ b/testbed/src/stage.rs
@@ -8,29 +8,28 @@
 use std::sync::Arc;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::thread::JoinHandle;
-use std::time::Duration;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// A turn longer than this is noted: what was seen in it was seen late.
-const LATE_TURN: Span = Span::from_ms(20);
+const LATE_TURN: Duration = Duration::from_millis(20);
 const ALARMS: usize = 4_096;
 
 /// What a loop works with.
 pub struct Works<A> {
-    pub now: Moment,
+    pub now: Instant,
     pub clock: Stopwatch,
     pub poller: Arc<Poller>,
     pub tape: Tape,
-    alarms: BTreeMap<(Moment, u64), A>,
+    alarms: BTreeMap<(Instant, u64), A>,
     serial: u64,
     /// The longest turn so far.
-    pub worst_turn: Span,
+    pub worst_turn: Duration,
     /// Time spent working and not waiting.
-    pub worked: Span,
+    pub worked: Duration,
 }
 
 impl<A> Works<A> {
-    pub fn set(&mut self, at: Moment, alarm: A) {
+    pub fn set(&mut self, at: Instant, alarm: A) {
         self.serial += 1;
         self.alarms.insert((at, self.serial), alarm);
     }
@@ -77,7 +76,7 @@
             .name(name.to_string())
             .spawn(move || {
                 let (alarms, now) = (BTreeMap::new(), clock.now());
-                let (worst_turn, worked) = (Span::ZERO, Span::ZERO);
+                let (worst_turn, worked) = (Duration::ZERO, Duration::ZERO);
                 let mut works = Works {
                     now,
                     clock,
@@ -167,8 +166,9 @@
             }
         }
         let first = works.alarms.first_key_value().map(|((at, _), _)| *at);
-        let wait =
-            first.map(|at| duration(at.since(works.clock.now())) + Duration::from_micros(20));
+        let wait = first.map(|at| {
+            duration(at.duration_since(works.clock.now())) + std::time::Duration::from_micros(20)
+        });
         events.clear();
         if let Err(fault) = works.poller.wait(&mut events, wait)
             && fault.kind() != io::ErrorKind::Interrupted
@@ -193,7 +193,7 @@
             let alarm = entry.remove();
             play.alarm(alarm, works);
         }
-        let took = works.clock.now().since(began);
+        let took = works.clock.now().duration_since(began);
         works.worked += took;
         works.worst_turn = works.worst_turn.max(took);
         if took > LATE_TURN {
--- a/testbed/src/station.rs
+++ b/testbed/src/station.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, RawFd};
 use std::path::{Path, PathBuf};
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// Dropped, the socket is closed here; processes that hold it go on.
 #[derive(Debug)]
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// Nobody is there, or no whole line came in time.
-pub fn call(at: SocketAddr, line: &str, within: Span) -> Result<String> {
+pub fn call(at: SocketAddr, line: &str, within: Duration) -> Result<String> {
     let mut stream = TcpStream::connect_timeout(&at, duration(within))?;
     stream.set_read_timeout(Some(duration(within)))?;
     stream.write_all(format!("{line}\r\n").as_bytes())?;
--- a/testbed/src/tape.rs
+++ b/testbed/src/tape.rs
@@ -2,8 +2,7 @@
 //! threads allow.
 use serde::{Serialize, Serializer};
 use std::sync::mpsc::{Receiver, Sender, channel};
-use std::time::{Duration, Instant};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// The id in a session's first line: new with each connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -15,16 +14,16 @@
     }
 }
 
-fn ms<S: Serializer>(span: &Span, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_f64(span.us() as f64 / 1e3)
+fn ms<S: Serializer>(span: &Duration, to: S) -> Result<S::Ok, S::Error> {
+    to.serialize_f64(span.as_micros() as f64 / 1e3)
 }
 
-fn maybe_ms<S: Serializer>(span: &Option<Span>, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_some(&span.map(|span| span.us() as f64 / 1e3))
+fn maybe_ms<S: Serializer>(span: &Option<Duration>, to: S) -> Result<S::Ok, S::Error> {
+    to.serialize_some(&span.map(|span| span.as_micros() as f64 / 1e3))
 }
 
-fn at_ms<S: Serializer>(at: &Moment, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_f64(at.us() as f64 / 1e3)
+fn at_ms<S: Serializer>(at: &Instant, to: S) -> Result<S::Ok, S::Error> {
+    to.serialize_f64(at.as_micros() as f64 / 1e3)
 }
 
 /// A box by its place in the fleet.
@@ -40,7 +39,7 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
     Up,
-    Busy(#[serde(serialize_with = "maybe_ms")] Option<Span>),
+    Busy(#[serde(serialize_with = "maybe_ms")] Option<Duration>),
     Failed,
 }
 
@@ -75,9 +74,9 @@
         relay: Option<RelayNo>,
         listener: u16,
         #[serde(serialize_with = "ms")]
-        wait: Span,
+        wait: Duration,
         #[serde(serialize_with = "at_ms")]
-        due: Moment,
+        due: Instant,
         again: bool,
     },
     Answered {
@@ -118,7 +117,7 @@
     LineLate {
         session: Tag,
         #[serde(serialize_with = "ms")]
-        waited: Span,
+        waited: Duration,
     },
     LineWrong {
         session: Tag,
@@ -128,7 +127,7 @@
         at: BoxNo,
         session: Tag,
         #[serde(serialize_with = "at_ms")]
-        first: Moment,
+        first: Instant,
     },
     DialReplied {
         at: BoxNo,
@@ -150,7 +149,7 @@
         at: BoxNo,
         session: Tag,
         #[serde(serialize_with = "ms")]
-        waited: Span,
+        waited: Duration,
     },
     BoxStarted {
         at: BoxNo,
@@ -233,9 +232,9 @@
         subject: &'static str,
         epoch: u64,
         #[serde(serialize_with = "at_ms")]
-        asked: Moment,
+        asked: Instant,
         #[serde(serialize_with = "at_ms")]
-        until: Moment,
+        until: Instant,
     },
     /// Whom a relay said at its door that it sees here, itself among them.
     Sees {
@@ -245,13 +244,13 @@
     RelayCost {
         relay: RelayNo,
         #[serde(serialize_with = "ms")]
-        cpu: Span,
+        cpu: Duration,
         resident: u64,
     },
     /// A thread of the stand-ins was so late: what it saw in that time was seen late.
     ToolLate {
         #[serde(serialize_with = "ms")]
-        by: Span,
+        by: Duration,
     },
     /// The stand-ins ran out of descriptors: what came of that is not the relays'.
     ToolExhausted,
@@ -263,7 +262,7 @@
 #[derive(Clone, Debug, Serialize)]
 pub struct Entry {
     #[serde(rename = "ms", serialize_with = "at_ms")]
-    pub at: Moment,
+    pub at: Instant,
     #[serde(flatten)]
     pub seen: Sighting,
 }
@@ -284,7 +283,7 @@
 }
 
 impl Tape {
-    pub fn note(&self, at: Moment, seen: Sighting) {
+    pub fn note(&self, at: Instant, seen: Sighting) {
         // Nobody listens any more once a run is over; nothing is lost by that.
         let _ = self.0.send(Entry { at, seen });
     }
@@ -305,17 +304,25 @@
     }
 
     /// Waits until an entry is such, from the first one on; false if none came within that time.
-    pub fn wait_for(&mut self, within: Duration, such: impl Fn(&Sighting) -> bool) -> bool {
+    pub fn wait_for(
+        &mut self,
+        within: std::time::Duration,
+        such: impl Fn(&Sighting) -> bool,
+    ) -> bool {
         self.wait_until(within, |entries| {
             entries.iter().any(|entry| such(&entry.seen))
         })
     }
 
-    pub fn wait_until(&mut self, within: Duration, done: impl Fn(&[Entry]) -> bool) -> bool {
-        let until = Instant::now() + within;
+    pub fn wait_until(
+        &mut self,
+        within: std::time::Duration,
+        done: impl Fn(&[Entry]) -> bool,
+    ) -> bool {
+        let until = std::time::Instant::now() + within;
         self.gather();
         while !done(&self.entries) {
-            let left = until.saturating_duration_since(Instant::now());
+            let left = until.saturating_duration_since(std::time::Instant::now());
             match self.told.recv_timeout(left) {
                 Ok(entry) => self.entries.push(entry),
                 Err(_) => return false,
--- a/testbed/src/together.rs
+++ b/testbed/src/together.rs
@@ -3,22 +3,22 @@
 //! alone. No I/O.
 use crate::tape::{BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
 use std::collections::{BTreeMap, BTreeSet};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 /// Sightings of two threads may stand in the wrong order by so much.
-const BLUR: Span = Span::from_ms(50);
+const BLUR: Duration = Duration::from_millis(50);
 /// Over this a rate is looked at.
-const SECOND: Span = Span::from_ms(1_000);
+const SECOND: Duration = Duration::from_millis(1_000);
 
 /// What is agreed; what is not stated is not judged. Leases and whose session it is always are.
 #[derive(Clone, Debug, Default)]
 pub struct Pact {
     /// Sessions up at once over all relays, and for how long at most more may be.
-    pub at_once: Option<(usize, Span)>,
+    pub at_once: Option<(usize, Duration)>,
     /// Dials in any second at all boxes.
     pub dials_a_second: Option<usize>,
     /// A ban by hand at one relay holds at all others after this.
-    pub bans_within: Option<Span>,
+    pub bans_within: Option<Duration>,
     /// A session of a lost relay may be taken over, once.
     pub takes_over: bool,
     /// At the end each relay that runs sees all that run and nobody else.
@@ -57,7 +57,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Breach {
     pub rule: Rule,
-    pub at: Moment,
+    pub at: Instant,
     pub what: String,
 }
 
@@ -75,9 +75,9 @@
 struct Said {
     relay: RelayNo,
     epoch: u64,
-    asked: Moment,
-    heard: Moment,
-    until: Moment,
+    asked: Instant,
+    heard: Instant,
+    until: Instant,
 }
 
 /// When it looked lies between its asking and its answer: it held from the answer, at the latest,
@@ -108,9 +108,9 @@
     for (subject, mut all) in by_subject {
         all.sort_by_key(|said| said.heard);
         // By relay the last that is known of it, and of each epoch whose it is.
-        let mut last: BTreeMap<RelayNo, (Moment, Moment)> = BTreeMap::new();
+        let mut last: BTreeMap<RelayNo, (Instant, Instant)> = BTreeMap::new();
         let mut owners: BTreeMap<u64, RelayNo> = BTreeMap::new();
-        let mut highest: Vec<(Moment, u64)> = Vec::new();
+        let mut highest: Vec<(Instant, u64)> = Vec::new();
         for said in &all {
             let breach = |rule, what| Breach {
                 rule,
@@ -164,7 +164,7 @@
 
 fn sessions(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
     let mut relay_of: BTreeMap<Tag, RelayNo> = BTreeMap::new();
-    let mut killed: BTreeMap<RelayNo, Moment> = BTreeMap::new();
+    let mut killed: BTreeMap<RelayNo, Instant> = BTreeMap::new();
     let mut taken: BTreeMap<Tag, usize> = BTreeMap::new();
     let mut up: BTreeMap<Tag, BTreeSet<BoxNo>> = BTreeMap::new();
     let mut found = Vec::new();
@@ -193,7 +193,7 @@
                 };
                 let count = taken.entry(*session).or_default();
                 *count += 1;
-                let after = first.since(*dead).us() / 1_000;
+                let after = first.duration_since(*dead).as_millis();
                 let what = format!(
                     "box {} is dialled for a session of relay {}, dead for {after} ms",
                     of.0, relay.0
@@ -246,12 +246,12 @@
 fn sums(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
     let mut found = Vec::new();
     let mut standing: BTreeSet<Tag> = BTreeSet::new();
-    let mut over: Option<Moment> = None;
-    let mut dials: Vec<Moment> = Vec::new();
+    let mut over: Option<Instant> = None;
+    let mut dials: Vec<Instant> = Vec::new();
     for Entry { at, seen } in entries {
         // As it was until now: what ends it comes too late if it lasted too long.
         if let (Some((most, allowed)), Some(since)) = (pact.at_once, over)
-            && at.since(since) > allowed
+            && at.duration_since(since) > allowed
         {
             let what = format!("{} sessions are up, {most} may be", standing.len());
             found.push(Breach {
@@ -302,7 +302,7 @@
     let Some(within) = pact.bans_within else {
         return Vec::new();
     };
-    let mut out: BTreeMap<BoxNo, Moment> = BTreeMap::new();
+    let mut out: BTreeMap<BoxNo, Instant> = BTreeMap::new();
     let mut found = Vec::new();
     for Entry { at, seen } in entries {
         match seen {
@@ -317,7 +317,7 @@
                 else {
                     continue;
                 };
-                let after = first.since(*since).us() / 1_000;
+                let after = first.duration_since(*since).as_millis();
                 let what = format!("box {} is dialled {after} ms after its ban", of.0);
                 found.push(Breach {
                     rule: Rule::BansEverywhere,
@@ -337,7 +337,7 @@
         return Vec::new();
     }
     let mut running: BTreeSet<RelayNo> = BTreeSet::new();
-    let mut sees: BTreeMap<RelayNo, (Moment, &Vec<String>)> = BTreeMap::new();
+    let mut sees: BTreeMap<RelayNo, (Instant, &Vec<String>)> = BTreeMap::new();
     for Entry { at, seen } in entries {
         match seen {
             Sighting::RelayStarted { relay } => drop(running.insert(*relay)),
--- a/testbed/src/witness.rs
+++ b/testbed/src/witness.rs
@@ -7,13 +7,12 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
-use std::time::Duration;
-use thistlecroft::units::Span;
+use thistlecroft::time::Duration;
 
 /// Between two askings, and how many of them go by between two of the views.
-const EVERY: Duration = Duration::from_millis(40);
+const EVERY: std::time::Duration = std::time::Duration::from_millis(40);
 const VIEWS: usize = 6;
-const WAIT: Span = Span::from_ms(1_000);
+const WAIT: Duration = Duration::from_millis(1_000);
 
 /// Dropped, it asks no more.
 pub struct Witness {
@@ -80,10 +79,10 @@
 }
 
 /// `200 held EPOCH MS`
-pub fn held(said: &str) -> Option<(u64, Span)> {
+pub fn held(said: &str) -> Option<(u64, Duration)> {
     let mut words = said.strip_prefix("200 held ")?.split(' ');
     let epoch = words.next()?.parse().ok()?;
-    Some((epoch, Span::from_ms(words.next()?.parse().ok()?)))
+    Some((epoch, Duration::from_millis(words.next()?.parse().ok()?)))
 }
 
 /// The names that a relay sees here, its own among them, in order.
--- a/testbed/src/yard.rs
+++ b/testbed/src/yard.rs
@@ -13,17 +13,18 @@
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
 use std::os::fd::{AsRawFd, BorrowedFd};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
 const BACKLOG: i32 = 4096;
 const ACCEPTS: usize = 256;
-const ACCEPT_PAUSE: Span = Span::from_ms(20);
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 /// An idle watch hears an empty line.
-const AGENT_BEAT: Span = Span::from_ms(2_000);
+const AGENT_BEAT: Duration = Duration::from_millis(2_000);
 /// A line that the box itself keeps for longer is noted, so that no relay is blamed for it.
-const HELD: Span = Span::from_ms(200);
+const HELD: Duration = Duration::from_millis(200);
 /// Takes nothing from the time of set-ups, and no reply looks as if it had come before its dial.
-const QUICK: Span = Span::from_ms(1);
+const QUICK: Duration = Duration::from_millis(1);
 const LONGEST_LINE: usize = 4096;
 
 /// What may be wrong with a box.
@@ -39,7 +40,7 @@
     /// So many times slower.
     Slow(f64),
     /// Stands still for the second span once in each of the first.
-    Pausing(Span, Span),
+    Pausing(Duration, Duration),
     /// This part of the dials is answered `ERR` at once.
     Failing(f64),
     /// Connections are reset as soon as they come up.
@@ -114,12 +115,12 @@
     pub boxes: Vec<BoxPlan>,
     pub relays: usize,
     /// A change is told so late, drawn for each relay and change.
-    pub notice: (Span, Span),
+    pub notice: (Duration, Duration),
     /// Calls that the set-up store has in work at once, and how long each takes; none: set-ups call
     /// nothing.
-    pub store: Option<(usize, Span)>,
+    pub store: Option<(usize, Duration)>,
     /// How often reports are refreshed and loads noted.
-    pub report_every: Span,
+    pub report_every: Duration,
     /// Boxes tell each connection's load, at first and when it changes: with each report one of a
     /// box's does.
     pub tells_load: bool,
@@ -132,9 +133,9 @@
     /// Ends whatever is wrong with it.
     Heal(BoxNo),
     /// The process dies, and comes back cold after so long.
-    Crash(BoxNo, Option<Span>),
+    Crash(BoxNo, Option<Duration>),
     /// Wants nothing new from now on, sends its clients away evenly over the time and then stops.
-    Drain(BoxNo, Span),
+    Drain(BoxNo, Duration),
     /// One that was not present, or has stopped, starts cold.
     Join(BoxNo),
     Agent(RelayNo, AgentFault, bool),
@@ -156,9 +157,9 @@
     session: Tag,
     load: f64,
     group: Option<u64>,
-    first: Option<Moment>,
-    echoes: VecDeque<(Moment, String)>,
-    free_at: Moment,
+    first: Option<Instant>,
+    echoes: VecDeque<(Instant, String)>,
+    free_at: Instant,
 }
 
 struct Watching {
@@ -217,7 +218,7 @@
     Echo(usize, u64),
     Still(BoxNo, u32, bool),
     Back(BoxNo, u32),
-    SendAway(BoxNo, u32, Span),
+    SendAway(BoxNo, u32, Duration),
     Stop(BoxNo, u32),
     Notice(RelayNo, BoxNo, Row),
     Beat,
@@ -231,9 +232,9 @@
     conns: Slab<Conn>,
     serial: u64,
     store: Option<Store>,
-    chance: Chance,
-    notice: (Span, Span),
-    report_every: Span,
+    chance: Rng,
+    notice: (Duration, Duration),
+    report_every: Duration,
     tells_load: bool,
     /// Descriptors have run out once.
     exhausted: bool,
@@ -242,8 +243,8 @@
 /// What a yard says at its end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct YardSums {
-    pub worst_turn: Span,
-    pub worked: Span,
+    pub worst_turn: Duration,
+    pub worked: Duration,
 }
 
 /// The yard on its thread, and where its people listen.
@@ -356,7 +357,7 @@
             conns: Slab::new(),
             serial: 0,
             store: ground.store.map(|(lanes, each)| Store::new(lanes, each)),
-            chance: Chance::from_seed(ground.seed),
+            chance: Rng::from_seed(ground.seed),
             notice: ground.notice,
             report_every: ground.report_every,
             tells_load: ground.tells_load,
@@ -563,7 +564,7 @@
                     let this = &self.boxes[usize::from(at.0)];
                     let answer = match (this.ailment, line.as_str()) {
                         (Some(Ailment::Mute), _) => return,
-                        (Some(Ailment::Failing(part)), _) if self.chance.float() < part => {
+                        (Some(Ailment::Failing(part)), _) if self.chance.unit_f64() < part => {
                             "ERR\r\n".into()
                         }
                         (_, "PING") => "PONG\r\n".into(),
@@ -605,7 +606,7 @@
             works.note(Sighting::BoxFell { at });
             return self.stop(at, None, works);
         }
-        let part = self.chance.float();
+        let part = self.chance.unit_f64();
         let this = self.this(at);
         let refuses = this.draining || this.work.is_full();
         let (ailment, report) = (this.ailment, this.report.clone());
@@ -681,7 +682,7 @@
         let due = speech.free_at.max(works.now + delay);
         speech.free_at = due;
         if due > works.now + HELD {
-            let waited = due.since(works.now);
+            let waited = due.duration_since(works.now);
             works.note(Sighting::BoxHeld {
                 at: speech.at,
                 session: speech.session,
@@ -754,7 +755,7 @@
     }
 
     /// The process ends: what is open breaks, nothing comes up any more.
-    fn stop(&mut self, at: BoxNo, back: Option<Span>, works: &mut Works<Alarm>) {
+    fn stop(&mut self, at: BoxNo, back: Option<Duration>, works: &mut Works<Alarm>) {
         if !self.this(at).running {
             return;
         }
@@ -821,7 +822,7 @@
                 // Somebody has its port for the moment.
                 log::warn!("box {} can't start: {fault}", at.0);
                 let life = this.life;
-                works.set(now + Span::from_ms(500), Alarm::Back(at, life));
+                works.set(now + Duration::from_millis(500), Alarm::Back(at, life));
             }
         }
     }
@@ -905,7 +906,7 @@
         }
     }
 
-    fn drain(&mut self, at: BoxNo, over: Span, works: &mut Works<Alarm>) {
+    fn drain(&mut self, at: BoxNo, over: Duration, works: &mut Works<Alarm>) {
         let this = self.this(at);
         if !this.running || this.draining {
             return;
@@ -922,7 +923,7 @@
     }
 
     /// One is sent away; the next so long after that all have gone by the end.
-    fn send_away(&mut self, at: BoxNo, life: u32, left: Span, works: &mut Works<Alarm>) {
+    fn send_away(&mut self, at: BoxNo, life: u32, left: Duration, works: &mut Works<Alarm>) {
         let ours = self.of(at);
         let standing = |id: &usize| matches!(&self.conns[*id].role, Role::Box(speech) if speech.heard == Heard::Standing);
         let mut standing = ours.into_iter().filter(standing);
@@ -946,7 +947,7 @@
         let row = row(&this.plan, this.door.at, lifecycle, this.listed_since_ms);
         let (least, most) = self.notice;
         for relay in 0..self.agents.len() {
-            let after = least + (most - least) * self.chance.float();
+            let after = least + (most - least) * self.chance.unit_f64();
             works.set(
                 works.now + after,
                 Alarm::Notice(RelayNo(relay as u16), at, row.clone()),
@@ -1159,7 +1160,7 @@
             }
         }
         for id in last.into_iter().flatten() {
-            let factor = 0.7 + 0.6 * self.chance.float();
+            let factor = 0.7 + 0.6 * self.chance.unit_f64();
             let conn = &mut self.conns[id];
             let Role::Box(speech) = &mut conn.role else {
                 continue;
--- a/testbed/tests/helper/mod.rs
+++ b/testbed/tests/helper/mod.rs
@@ -6,9 +6,8 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use std::time::{Duration, Instant};
 use thistlecroft::deployment::Effect;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::Stopwatch;
 use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Dealing, Doorway, IDLE};
 use thistlecroft_testbed::model::{Cold, Make};
@@ -40,7 +39,7 @@
     AllToTheNewest,
 }
 
-const LONG: Duration = Duration::from_secs(20);
+const LONG: std::time::Duration = std::time::Duration::from_secs(20);
 
 struct Little {
     wrong: Wrong,
@@ -78,7 +77,7 @@
     thread::spawn(move || {
         while !reads.over.load(Ordering::Relaxed) {
             reads.read_list();
-            thread::sleep(Duration::from_millis(50));
+            thread::sleep(std::time::Duration::from_millis(50));
         }
     });
     thread::spawn(move || {
@@ -96,7 +95,7 @@
             return;
         };
         stream
-            .set_read_timeout(Some(Duration::from_millis(300)))
+            .set_read_timeout(Some(std::time::Duration::from_millis(300)))
             .unwrap();
         let asked = stream.write_all(b"GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n");
         let mut lines = BufReader::new(stream);
@@ -159,7 +158,7 @@
             return Ok(());
         };
         let wait = rest.split(',').next().unwrap().parse().unwrap();
-        let wait = Duration::from_millis(wait);
+        let wait = std::time::Duration::from_millis(wait);
         match self.wrong {
             Wrong::NeverAnswers => {
                 thread::sleep(wait * 3);
@@ -168,11 +167,11 @@
             Wrong::EndsUnanswered => return Ok(()),
             Wrong::AnswersTwice => return out.write_all(b"BUSY 100\r\nERR\r\n"),
             Wrong::AnswersLate => {
-                thread::sleep(wait + Duration::from_millis(150));
+                thread::sleep(wait + std::time::Duration::from_millis(150));
                 return out.write_all(b"BUSY\r\n");
             }
             Wrong::KeepsBack => {
-                thread::sleep(wait - Duration::from_millis(60));
+                thread::sleep(wait - std::time::Duration::from_millis(60));
                 return out.write_all(b"BUSY\r\n");
             }
             _ => {}
@@ -203,7 +202,7 @@
             if self.wrong == Wrong::TwoAtOnce {
                 let mut other = TcpStream::connect(self.boxes[self.pick().unwrap()])?;
                 other.write_all(line.as_bytes())?;
-                thread::sleep(Duration::from_millis(100));
+                thread::sleep(std::time::Duration::from_millis(100));
             }
             let mut words = BufReader::new(dial.try_clone()?);
             let mut word = String::new();
@@ -219,19 +218,21 @@
                 return out.write_all(if busy { b"BUSY\r\n" } else { b"ERR\r\n" });
             }
             if self.wrong == Wrong::RepeatsLate {
-                thread::sleep(Duration::from_millis(250));
+                thread::sleep(std::time::Duration::from_millis(250));
             }
         };
         dial.set_read_timeout(None)?;
         let (wrong, mut to_client, closes) =
             (self.wrong, out.try_clone()?, lines.get_ref().try_clone()?);
-        let began = Instant::now();
+        let began = std::time::Instant::now();
         let down = thread::spawn(move || {
             let mut line = String::new();
             while matches!(words.read_line(&mut line), Ok(1..)) {
                 match wrong {
-                    Wrong::CutsOff if began.elapsed() > Duration::from_millis(600) => break,
-                    Wrong::HoldsLines => thread::sleep(Duration::from_millis(1_300)),
+                    Wrong::CutsOff if began.elapsed() > std::time::Duration::from_millis(600) => {
+                        break;
+                    }
+                    Wrong::HoldsLines => thread::sleep(std::time::Duration::from_millis(1_300)),
                     Wrong::ChangesLines => line = line.replace("M ", "N "),
                     _ => {}
                 }
@@ -239,7 +240,7 @@
                 line.clear();
             }
             if wrong == Wrong::LeavesOrphans {
-                thread::sleep(Duration::from_millis(2_500));
+                thread::sleep(std::time::Duration::from_millis(2_500));
             }
             let _ = closes.shutdown(Shutdown::Both);
         });
@@ -287,15 +288,15 @@
         let clock = Stopwatch::start();
         let cold = Cold {
             start_share: 0.3,
-            warm_up: Span::from_ms(9_000),
+            warm_up: Duration::from_millis(9_000),
             factor: 3.0,
-            window: Span::from_ms(3_000),
-            turnover: Span::from_ms(9_000),
+            window: Duration::from_millis(3_000),
+            turnover: Duration::from_millis(9_000),
         };
         let make = Make {
             capacity: 40.0,
             most: 200,
-            setup: Span::from_ms(1),
+            setup: Duration::from_millis(1),
             group_fee: 0.0,
             cold,
         };
@@ -313,9 +314,9 @@
         let ground = Ground {
             boxes,
             relays: self.relays,
-            notice: (Span::ZERO, Span::from_ms(10)),
+            notice: (Duration::ZERO, Duration::from_millis(10)),
             store: None,
-            report_every: Span::from_ms(200),
+            report_every: Duration::from_millis(200),
             tells_load: true,
             seed: 1,
         };
@@ -323,14 +324,14 @@
         let kind = Kind {
             name: "k".into(),
             share: 1.0,
-            wait: Span::from_ms(600),
-            handshake_target: Span::from_ms(200),
-            message_target: Span::from_ms(50),
+            wait: Duration::from_millis(600),
+            handshake_target: Duration::from_millis(200),
+            message_target: Duration::from_millis(50),
             load: (0.5, 1.0),
-            life: Span::from_ms(1_500),
+            life: Duration::from_millis(1_500),
             utility: 1.0,
         };
-        let from = Moment::from_us(clock.now().us() + 100_000);
+        let from = Instant::from_micros(clock.now().as_micros() + 100_000);
         let traffic = Traffic {
             kinds: vec![kind],
             rate: vec![(from, self.a_second)],
@@ -339,12 +340,12 @@
             groups: None,
             retries: 0,
             heeds: 1.0,
-            back_off: Span::from_ms(50),
-            rejoin: (Span::from_ms(50), Span::from_ms(100)),
+            back_off: Duration::from_millis(50),
+            rejoin: (Duration::from_millis(50), Duration::from_millis(100)),
             impatient: 0.0,
-            beat: Span::from_ms(300),
+            beat: Duration::from_millis(300),
         };
-        let until = from + Span::from_ms(self.length_ms);
+        let until = from + Duration::from_millis(self.length_ms);
         let mut doors = Vec::new();
         let mut littles = Vec::new();
         for (number, agent) in yard.agents.iter().enumerate() {
@@ -369,7 +370,7 @@
         let mut cues = self.cues.clone();
         cues.sort_by_key(|(at, _)| *at);
         for (at, cue) in cues {
-            sleep_until(clock, from + Span::from_ms(at));
+            sleep_until(clock, from + Duration::from_millis(at));
             yard.stage.cue(cue);
         }
         sleep_until(clock, until);
@@ -385,7 +386,7 @@
         let law = Law {
             effects: vec![self.effect],
             hedged: vec![false],
-            grace: Span::from_ms(500),
+            grace: Duration::from_millis(500),
             places,
         };
         (judge(&entries, &law), entries)
@@ -393,8 +394,10 @@
 }
 
 /// The script's time is the run's time: this is no wait for something to have happened.
-fn sleep_until(clock: Stopwatch, at: Moment) {
-    thread::sleep(Duration::from_micros(at.since(clock.now()).us()));
+fn sleep_until(clock: Stopwatch, at: Instant) {
+    thread::sleep(std::time::Duration::from_micros(
+        at.duration_since(clock.now()).as_micros(),
+    ));
 }
 
 pub const ALL: [BoxNo; 3] = [BoxNo(0), BoxNo(1), BoxNo(2)];
--- a/testbed/tests/referee.rs
+++ b/testbed/tests/referee.rs
@@ -5,7 +5,7 @@
 use std::io::{BufRead, BufReader, Write};
 use std::thread;
 use thistlecroft::deployment::{Effect, Scope};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::Stopwatch;
 use thistlecroft_testbed::referee::{Law, judge};
 use thistlecroft_testbed::tape::{
@@ -39,7 +39,7 @@
 fn referenced(wrong: Wrong, scope: Scope, window_ms: u64) -> Scene {
     let effect = Effect::Referenced {
         scope,
-        window: Span::from_ms(window_ms),
+        window: Duration::from_millis(window_ms),
     };
     Scene {
         effect,
@@ -54,20 +54,20 @@
 }
 
 fn drains() -> Vec<(u64, Cue)> {
-    vec![(300, Cue::Drain(BoxNo(1), Span::from_ms(6_000)))]
+    vec![(300, Cue::Drain(BoxNo(1), Duration::from_millis(6_000)))]
 }
 
 /// Told to nobody: discovery went silent before.
 fn drains_unheard() -> Vec<(u64, Cue)> {
     vec![
         (0, Cue::Agent(RelayNo(0), AgentFault::Silent, true)),
-        (100, Cue::Drain(BoxNo(1), Span::from_ms(60_000))),
+        (100, Cue::Drain(BoxNo(1), Duration::from_millis(60_000))),
     ]
 }
 
 /// The last one dies and is back, cold.
 fn returns() -> Vec<(u64, Cue)> {
-    vec![(100, Cue::Crash(BoxNo(2), Some(Span::from_ms(200))))]
+    vec![(100, Cue::Crash(BoxNo(2), Some(Duration::from_millis(200))))]
 }
 
 fn all_sorts() -> Vec<(u64, Cue)> {
@@ -77,7 +77,7 @@
             0,
             Cue::Ail(
                 BoxNo(1),
-                Ailment::Pausing(Span::from_ms(600), Span::from_ms(150)),
+                Ailment::Pausing(Duration::from_millis(600), Duration::from_millis(150)),
             ),
         ),
         (400, Cue::Heal(BoxNo(0))),
@@ -87,8 +87,11 @@
         (1_100, Cue::Ail(BoxNo(0), Ailment::HalfAnswer)),
         (1_400, Cue::Ail(BoxNo(0), Ailment::Mute)),
         (1_700, Cue::Ail(BoxNo(0), Ailment::Slow(3.0))),
-        (1_000, Cue::Crash(BoxNo(2), Some(Span::from_ms(400)))),
-        (1_600, Cue::Drain(BoxNo(1), Span::from_ms(600))),
+        (
+            1_000,
+            Cue::Crash(BoxNo(2), Some(Duration::from_millis(400))),
+        ),
+        (1_600, Cue::Drain(BoxNo(1), Duration::from_millis(600))),
     ]
 }
 
@@ -281,7 +284,10 @@
         (vec![(0, by_hand(relay, true)), (1_000, again)], 2_500, true),
     ];
     for (before, came, broken) in cases {
-        let (due, wait) = (Moment::from_us((came - 5) * 1_000), Span::from_ms(1_000));
+        let (due, wait) = (
+            Instant::from_micros((came - 5) * 1_000),
+            Duration::from_millis(1_000),
+        );
         let mut seen = vec![(0, Sighting::RelayStarted { relay })];
         seen.extend(before);
         seen.extend([
@@ -301,7 +307,7 @@
                 Sighting::DialCame {
                     at,
                     session,
-                    first: Moment::from_us(came * 1_000),
+                    first: Instant::from_micros(came * 1_000),
                 },
             ),
             (
@@ -324,14 +330,14 @@
         let entries: Vec<Entry> = seen
             .into_iter()
             .map(|(ms, seen)| Entry {
-                at: Moment::from_us(ms * 1_000),
+                at: Instant::from_micros(ms * 1_000),
                 seen,
             })
             .collect();
         let law = Law {
             effects: vec![Effect::Repeatable],
             hedged: vec![false],
-            grace: Span::from_ms(2_000),
+            grace: Duration::from_millis(2_000),
             places: vec![("a".into(), 0); 3],
         };
         let ruling = judge(&entries, &law);
@@ -358,7 +364,7 @@
         rules.dedup();
         rules
     };
-    let within = Some(Span::from_ms(300));
+    let within = Some(Duration::from_millis(300));
     assert_eq!(
         found(
             &entries,
@@ -371,7 +377,7 @@
     );
     // Each would let so many in by itself.
     let at_once = Pact {
-        at_once: Some((10, Span::from_ms(200))),
+        at_once: Some((10, Duration::from_millis(200))),
         ..Pact::default()
     };
     assert_eq!(found(&entries, &at_once), [Rule::SumAtOnce]);
--- a/testbed/tests/together.rs
+++ b/testbed/tests/together.rs
@@ -1,11 +1,11 @@
 //! The judge of what relays do together: it names each way of being wrong together, and says
 //! nothing of a right fleet.
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::tape::{Answer, BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
 use thistlecroft_testbed::together::{Pact, Rule, judge_together};
 
-fn at(ms: u64) -> Moment {
-    Moment::from_us(ms * 1_000)
+fn at(ms: u64) -> Instant {
+    Instant::from_micros(ms * 1_000)
 }
 
 fn seen(ms: u64, seen: Sighting) -> Entry {
@@ -28,7 +28,7 @@
 }
 
 fn asked(ms: u64, session: u64, relay: u16) -> Entry {
-    let (relay, wait) = (Some(RelayNo(relay)), Span::from_ms(2_000));
+    let (relay, wait) = (Some(RelayNo(relay)), Duration::from_millis(2_000));
     seen(
         ms,
         Sighting::Asked {
@@ -125,9 +125,9 @@
 
 fn pact() -> Pact {
     Pact {
-        at_once: Some((2, Span::from_ms(500))),
+        at_once: Some((2, Duration::from_millis(500))),
         dials_a_second: Some(3),
-        bans_within: Some(Span::from_ms(1_000)),
+        bans_within: Some(Duration::from_millis(1_000)),
         takes_over: false,
         agree: true,
     }
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -5,7 +5,7 @@
 use thistlecroft::deployment::Effect;
 use thistlecroft::front::{ListScope, Standing, Verdict};
 use thistlecroft::ids::BackendId;
-use thistlecroft::units::Moment;
+use thistlecroft::time::Instant;
 
 const OUT: u32 = 1;
 
@@ -30,7 +30,7 @@
 #[test]
 fn no_list_puts_a_banned_backend_back() {
     let bench = || Bench::new(deployment(Effect::Repeatable), &rows(3));
-    let later = Some(Moment::from_us(99_000_000));
+    let later = Some(Instant::from_micros(99_000_000));
     type Meanwhile = fn(&mut Bench);
     let cases: [(&str, Meanwhile); 7] = [
         ("nothing", |_| {}),
@@ -128,8 +128,8 @@
     // How it was listed before the ban, what the list says after it, and for how long it is cold
     // from the call back.
     let (before, during) = (
-        Some(Moment::from_us(20_000_000)),
-        Some(Moment::from_us(104_000_000)),
+        Some(Instant::from_micros(20_000_000)),
+        Some(Instant::from_micros(104_000_000)),
     );
     let cases = [
         (None, None, 10_000),
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,7 +6,7 @@
 use thistlecroft::deployment::{Deployment, Effect, Route, Scope};
 use thistlecroft::front::{ListScope, Listing, Standing, Verdict};
 use thistlecroft::ids::{BackendId, SessionId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 const REPEATABLE: Effect = Effect::Repeatable;
 const ONCE: Effect = Effect::OnceOnly;
@@ -14,7 +14,7 @@
 fn referenced(scope: Scope) -> Effect {
     Effect::Referenced {
         scope,
-        window: Span::from_ms(5_000),
+        window: Duration::from_millis(5_000),
     }
 }
 
@@ -162,18 +162,18 @@
             };
             bench.pass(given);
             bench.end(1, dial as u32, verdict, false);
-            bench.pass(Span::ZERO);
+            bench.pass(Duration::ZERO);
             while bench.answers(1).is_empty() && bench.dials(1).len() == dial + 1 {
                 bench.pass(ms(1));
                 assert!(
-                    bench.now.since(start) <= ms(timeout),
+                    bench.now.duration_since(start) <= ms(timeout),
                     "{timeout} {verdict:?} still open"
                 );
             }
         }
         assert_eq!(bench.answers(1).len(), 1, "{timeout} {verdict:?}");
         assert!(
-            bench.now.since(start) <= ms(timeout),
+            bench.now.duration_since(start) <= ms(timeout),
             "{timeout} {verdict:?} late"
         );
     }
@@ -305,7 +305,7 @@
         (6_000, false, 1_000),
     ];
     for (stands, reset, most) in cases {
-        let mut longest = Span::ZERO;
+        let mut longest = Duration::ZERO;
         for key in 1..200 {
             let mut bench = Bench::new(
                 with_row(|row| row.max_dials = 1, deployment(REPEATABLE)),
@@ -526,7 +526,7 @@
 /// Dials of all relays at one backend that has just started, as many sessions arriving everywhere
 /// as wanted. Before that each relay has held so many connections for that long, and one in ten has
 /// left by itself. Backends may tell of such a load, or of none.
-fn cold_dials(relays: u32, held: u32, stood: Span, load: Option<f64>) -> Vec<(u64, u32)> {
+fn cold_dials(relays: u32, held: u32, stood: Duration, load: Option<f64>) -> Vec<(u64, u32)> {
     let mut sent = Vec::new();
     for me in 0..relays {
         let alone = Deployment {
@@ -558,7 +558,7 @@
                 .arrive(10_000 + id, arrival(0, 0, ms(4_800)))
                 .is_some_and(|(at, _)| at == 9)
             {
-                sent.push((bench.now.since(start).us(), me));
+                sent.push((bench.now.duration_since(start).as_micros(), me));
             }
             if load.is_none() {
                 // What is held stays as it was.
@@ -596,7 +596,8 @@
             "{relays} {held}: the backend is used at all"
         );
         // One departure is taken as seen by each at first, in three warm-ups.
-        let left = f64::from(held.div_ceil(10) + 1) / (f64::from(held) * stood.secs() + 30.0);
+        let left =
+            f64::from(held.div_ceil(10) + 1) / (f64::from(held) * stood.as_secs_f64() + 30.0);
         let leave = if stood < ms(1_000) {
             0.1
         } else {
@@ -945,7 +946,7 @@
         bench.book.asked
     };
     assert_eq!(run(), run());
-    assert!(Moment::from_us(1).since(Moment::from_us(5)) == Span::ZERO);
+    assert!(Instant::from_micros(1).duration_since(Instant::from_micros(5)) == Duration::ZERO);
 }
 
 #[test]
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -5,15 +5,16 @@
 use helper::{Asked, Bench, arrival, deployment, ms, row};
 use thistlecroft::deployment::{ColdStart, Deployment, Effect};
 use thistlecroft::front::{ListScope, Standing, Verdict};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
 /// Relays that share nothing but time.
 struct Fleet {
     relays: Vec<Bench>,
-    chance: Chance,
+    chance: Rng,
     sessions: u32,
     /// Backend, when, of every dial.
-    dials: Vec<(u32, Moment)>,
+    dials: Vec<(u32, Instant)>,
     refused: usize,
     probes: usize,
 }
@@ -37,7 +38,7 @@
         let relays = (0..relays).map(one).collect();
         Fleet {
             relays,
-            chance: Chance::from_seed(5),
+            chance: Rng::from_seed(5),
             sessions: 0,
             dials: Vec::new(),
             refused: 0,
@@ -45,12 +46,12 @@
         }
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Instant {
         self.relays[0].now
     }
 
     /// Backends answer the probes of all relays with so many connections and this load.
-    fn pass(&mut self, span: Span, load: impl Fn(u32) -> (f64, f64)) {
+    fn pass(&mut self, span: Duration, load: impl Fn(u32) -> (f64, f64)) {
         for relay in &mut self.relays {
             let before = relay.book.asked.len();
             relay.pass(span);
@@ -91,9 +92,9 @@
     }
 
     /// For each dial its backend, when it was, and how many went there within this span from it.
-    fn after_each(&self, span: Span) -> Vec<(u32, Moment, usize)> {
-        let count = |at: u32, from: Moment| {
-            let within = |(other, when): &&(u32, Moment)| {
+    fn after_each(&self, span: Duration) -> Vec<(u32, Instant, usize)> {
+        let count = |at: u32, from: Instant| {
+            let within = |(other, when): &&(u32, Instant)| {
                 *other == at && *when >= from && *when < from + span
             };
             self.dials.iter().filter(within).count()
@@ -122,7 +123,7 @@
             ..deployment(Effect::Repeatable)
         };
         let mut fleet = Fleet::new(relays, 12, &of);
-        fleet.chance = Chance::from_seed(seed);
+        fleet.chance = Rng::from_seed(seed);
         // A full backend holds 35 connections, of which each relay has its part, and one in fifty
         // leaves each second.
         let full = |at: u32| if at < 5 { (33.0, 0.95) } else { (0.0, 0.0) };
@@ -164,7 +165,7 @@
         );
         for (at, from, count) in fleet.after_each(ms(3_000)) {
             // Filled no faster than over its warm-up, at its share half way through the window.
-            let share = 0.31 + 0.69 * (from.since(start).secs() + 1.5) / 9.0;
+            let share = 0.31 + 0.69 * (from.duration_since(start).as_secs_f64() + 1.5) / 9.0;
             let limit = 3.0 * share * 35.0 / 9.0 * 3.0;
             assert!(
                 (count as f64) < limit,
@@ -211,7 +212,7 @@
         assert_eq!(fleet.dials.len() + fleet.refused, 270, "{relays} relays");
         for (at, from, count) in fleet.after_each(ms(3_000)) {
             // A full backend holds 33 of these connections.
-            let share = 0.31 + 0.69 * (from.since(start).secs() + 1.5) / 9.0;
+            let share = 0.31 + 0.69 * (from.duration_since(start).as_secs_f64() + 1.5) / 9.0;
             let limit = 3.0 * share * 33.0 / 9.0 * 3.0;
             assert!(
                 (count as f64) < limit,
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -4,13 +4,13 @@
 use thistlecroft::deployment::{ColdStart, Deployment, Effect, Route};
 use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Report, Standing, Verdict};
 use thistlecroft::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Asked {
-    Dial(u32, u32, Span),
+    Dial(u32, u32, Duration),
     Withdraw(u32, u32),
-    Refuse(u32, Option<Span>),
+    Refuse(u32, Option<Duration>),
     TearDown(u32),
     SendAway(u32),
     Probe(u32),
@@ -21,18 +21,18 @@
 #[derive(Default)]
 pub struct Notebook {
     pub asked: Vec<Asked>,
-    wakes: Vec<Moment>,
+    wakes: Vec<Instant>,
 }
 
 impl Front for Notebook {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Span) {
+    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
         self.asked
             .push(Asked::Dial(session.0, backend.0, give_up_after));
     }
     fn withdraw(&mut self, session: SessionId, dial: u32) {
         self.asked.push(Asked::Withdraw(session.0, dial));
     }
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Span>) {
+    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>) {
         self.asked.push(Asked::Refuse(session.0, retry_after));
     }
     fn tear_down(&mut self, session: SessionId) {
@@ -44,7 +44,7 @@
     fn probe(&mut self, backend: BackendId) {
         self.asked.push(Asked::Probe(backend.0));
     }
-    fn wake(&mut self, at: Moment) {
+    fn wake(&mut self, at: Instant) {
         self.wakes.push(at);
     }
     fn subscribe(&mut self) {
@@ -55,8 +55,8 @@
     }
 }
 
-pub fn ms(ms: u64) -> Span {
-    Span::from_ms(ms)
+pub fn ms(ms: u64) -> Duration {
+    Duration::from_millis(ms)
 }
 
 pub fn deployment(effect: Effect) -> Deployment {
@@ -109,7 +109,7 @@
     deployment
 }
 
-pub fn arrival(key: u64, group: u64, dial_timeout: Span) -> Arrival {
+pub fn arrival(key: u64, group: u64, dial_timeout: Duration) -> Arrival {
     let some = |value: u64| (value > 0).then_some(value);
     Arrival {
         route: RouteId(0),
@@ -119,7 +119,7 @@
     }
 }
 
-pub fn row(backend: u32, standing: Standing, up_since: Option<Moment>) -> Listing {
+pub fn row(backend: u32, standing: Standing, up_since: Option<Instant>) -> Listing {
     // Even numbers are in zone 0, odd ones in zone 1, cells hold four.
     let (zone, cell) = (ZoneId((backend % 2) as u16), CellId((backend / 4) as u16));
     Listing {
@@ -143,7 +143,7 @@
 pub struct Bench {
     pub relay: Relay,
     pub book: Notebook,
-    pub now: Moment,
+    pub now: Instant,
 }
 
 impl Bench {
@@ -152,13 +152,13 @@
     }
 
     pub fn seeded(deployment: Deployment, seed: u64, list: &[Listing]) -> Bench {
-        let (now, mut book) = (Moment::from_us(100_000_000), Notebook::default());
+        let (now, mut book) = (Instant::from_micros(100_000_000), Notebook::default());
         let mut relay = Relay::new(deployment, seed, now, &mut book);
         relay.listed(ListScope::Cached, list);
         Bench { relay, book, now }
     }
 
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: Duration) {
         let until = self.now + span;
         while let Some(next) = self
             .book
@@ -175,7 +175,7 @@
         self.now = until;
     }
 
-    pub fn arrive(&mut self, id: u32, arrival: Arrival) -> Option<(u32, Span)> {
+    pub fn arrive(&mut self, id: u32, arrival: Arrival) -> Option<(u32, Duration)> {
         self.relay
             .arrived(self.now, SessionId(id), arrival, &mut self.book);
         self.dials(id).last().copied()
@@ -210,7 +210,7 @@
     }
 
     /// The backends that a session was dialled at, with the time given to each dial.
-    pub fn dials(&self, id: u32) -> Vec<(u32, Span)> {
+    pub fn dials(&self, id: u32) -> Vec<(u32, Duration)> {
         let dial = |asked: &Asked| match asked {
             Asked::Dial(session, backend, span) if *session == id => Some((*backend, *span)),
             _ => None,
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -6,11 +6,12 @@
 use thistlecroft::deployment::{Deployment, Effect};
 use thistlecroft::front::{Report, Verdict};
 use thistlecroft::ids::{BackendId, SessionId};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
-const STEP: Span = Span::from_ms(100);
+const STEP: Duration = Duration::from_millis(100);
 /// A dial that nobody answers, a probe likewise.
-const UNANSWERED: Span = Span::from_ms(300);
+const UNANSWERED: Duration = Duration::from_millis(300);
 /// Connections that fill one backend.
 const FULL: f64 = 40.0;
 
@@ -61,11 +62,11 @@
 
 /// A dial that is out, or a connection: its relay, session, number and backend, and when it went
 /// out or its client leaves.
-type One = (usize, u32, u32, u32, Moment);
+type One = (usize, u32, u32, u32, Instant);
 
 struct Play {
     relays: Vec<Bench>,
-    chance: Chance,
+    chance: Rng,
     next: u32,
     out: Vec<One>,
     standing: Vec<One>,
@@ -90,7 +91,7 @@
             ((0..relays).map(one).collect(), vec![0; relays as usize]);
         Play {
             relays,
-            chance: Chance::from_seed(3),
+            chance: Rng::from_seed(3),
             next: 0,
             out: Vec::new(),
             standing: Vec::new(),
@@ -98,17 +99,22 @@
         }
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Instant {
         self.relays[0].now
     }
 
     /// Sessions arrive at that rate for so long, each standing for twenty seconds; `way`: of relay,
     /// backend and time.
-    fn run(&mut self, length: Span, a_second: f64, way: impl Fn(usize, u32, Span) -> Way) -> Tally {
+    fn run(
+        &mut self,
+        length: Duration,
+        a_second: f64,
+        way: impl Fn(usize, u32, Duration) -> Way,
+    ) -> Tally {
         let (start, mut tally) = (self.now(), Tally::default());
         let mut arrivals = 0.0;
         while self.now() < start + length {
-            let since = self.now().since(start);
+            let since = self.now().duration_since(start);
             let mut held = [0.0; 64];
             self.standing
                 .iter()
@@ -121,7 +127,7 @@
                     .map(|at| held[at as usize])
                     .fold(tally.worst_load, f64::max);
             }
-            arrivals += a_second * STEP.secs();
+            arrivals += a_second * STEP.as_secs_f64();
             while arrivals >= 1.0 {
                 arrivals -= 1.0;
                 let me = self.chance.below(self.relays.len() as u64) as usize;
@@ -138,9 +144,9 @@
     fn carry_out(
         &mut self,
         me: usize,
-        since: Span,
+        since: Duration,
         held: &[f64],
-        way: &impl Fn(usize, u32, Span) -> Way,
+        way: &impl Fn(usize, u32, Duration) -> Way,
         tally: &mut Tally,
     ) {
         while let Some(&asked) = self.relays[me].book.asked.get(self.read[me]) {
@@ -182,7 +188,12 @@
         }
     }
 
-    fn settle(&mut self, since: Span, way: &impl Fn(usize, u32, Span) -> Way, tally: &mut Tally) {
+    fn settle(
+        &mut self,
+        since: Duration,
+        way: &impl Fn(usize, u32, Duration) -> Way,
+        tally: &mut Tally,
+    ) {
         let now = self.now();
         let mut still = Vec::new();
         for (me, id, dial, at, sent) in std::mem::take(&mut self.out) {
@@ -190,7 +201,7 @@
             if way(me, at, since) == Way::Well {
                 relay.stand(id, dial);
                 self.standing.push((me, id, dial, at, now + ms(20_000)));
-            } else if now.since(sent) >= UNANSWERED {
+            } else if now.duration_since(sent) >= UNANSWERED {
                 tally.wasted += 1;
                 relay.end(id, dial, Verdict::Timeout, false);
             } else {
@@ -205,12 +216,12 @@
         self.standing = standing;
         over.iter()
             .for_each(|&(me, id, dial, ..)| self.relays[me].end(id, dial, Verdict::Ok, true));
-        let whole = now.us() % 1_000_000 < STEP.us();
+        let whole = now.as_micros() % 1_000_000 < STEP.as_micros();
         let mut noted = std::collections::BTreeSet::new();
         for &(me, id, _, at, _) in &self.standing {
-            tally.stood += STEP.secs();
+            tally.stood += STEP.as_secs_f64();
             if way(me, at, since) != Way::Well {
-                tally.unserved += STEP.secs();
+                tally.unserved += STEP.as_secs_f64();
             }
             // Once a second on one connection of each relay, and once more when messages are in
             // time again.
@@ -236,8 +247,8 @@
     let mut play = Play::new(4, 12);
     let calm = play.run(ms(30_000), 11.0, |_, _, _| Way::Well);
     assert_eq!((calm.wasted, calm.refused), (0, 0));
-    let hangs = |_: usize, at: u32, since: Span| {
-        let turn = (since.us() / 1_000 + u64::from(at) * 1_700) % 8_000;
+    let hangs = |_: usize, at: u32, since: Duration| {
+        let turn = (since.as_millis() + u64::from(at) * 1_700) % 8_000;
         if at < 4 && turn < 3_000 {
             Way::Hangs
         } else {
@@ -263,7 +274,7 @@
 fn ways_that_are_bad_from_here_only_are_left_and_the_backends_serve_the_others() {
     let mut play = Play::new(4, 12);
     play.run(ms(30_000), 11.0, |_, _, _| Way::Well);
-    let bad = |me: usize, at: u32, _: Span| {
+    let bad = |me: usize, at: u32, _: Duration| {
         if me < 2 && at < 6 {
             Way::Lost
         } else {
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -6,7 +6,8 @@
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{ColdStart, Deployment, Effect};
 use thistlecroft::front::{ListScope, Standing, Verdict};
-use thistlecroft::units::{Chance, Moment};
+use thistlecroft::random::Rng;
+use thistlecroft::time::Instant;
 
 /// Connections that fill a warm backend, and how many seconds they stand on the mean.
 const FULL: f64 = 60.0;
@@ -51,14 +52,14 @@
             )
         })
         .collect();
-    let mut chance = Chance::from_seed(seed);
+    let mut chance = Rng::from_seed(seed);
     // Some relays get several times the mean.
     let weights: Vec<f64> = (0..relays)
-        .map(|_| 0.3 + 3.0 * chance.float().powi(3))
+        .map(|_| 0.3 + 3.0 * chance.unit_f64().powi(3))
         .collect();
     let all: f64 = weights.iter().sum();
-    let pick = |chance: &mut Chance| {
-        let mut x = chance.float() * all;
+    let pick = |chance: &mut Rng| {
+        let mut x = chance.unit_f64() * all;
         weights
             .iter()
             .position(|w| {
@@ -74,13 +75,13 @@
         for _ in 0..(FULL * 0.7) as u32 {
             let me = pick(&mut chance);
             fleet[me].inherit(id, at);
-            open.push((me, id, at, -LIFE * (1.0 - chance.float()).ln()));
+            open.push((me, id, at, -LIFE * (1.0 - chance.unit_f64()).ln()));
             id += 1;
         }
     }
     let start0 = fleet[0].now;
-    let mut starts: BTreeMap<u32, Moment> = BTreeMap::new();
-    let mut dials: Vec<(u32, Moment)> = Vec::new();
+    let mut starts: BTreeMap<u32, Instant> = BTreeMap::new();
+    let mut dials: Vec<(u32, Instant)> = Vec::new();
     let mut due = 0.0;
     for step in 0..440u32 {
         let now = fleet[0].now;
@@ -117,7 +118,7 @@
                 one.report(at, Some(held), Some(held / FULL));
             }
         }
-        let t = fleet[0].now.since(start0).secs();
+        let t = fleet[0].now.duration_since(start0).as_secs_f64();
         let gone: Vec<_> = open.extract_if(.., |o| o.3 <= t).collect();
         gone.into_iter()
             .for_each(|(me, id, ..)| fleet[me].end(id, 0, Verdict::Ok, true));
@@ -138,8 +139,8 @@
                 if starts.contains_key(&at) {
                     dials.push((at, fleet[me].now));
                 }
-                let t = fleet[0].now.since(start0).secs();
-                open.push((me, id, at, t - LIFE * (1.0 - chance.float()).ln()));
+                let t = fleet[0].now.duration_since(start0).as_secs_f64();
+                open.push((me, id, at, t - LIFE * (1.0 - chance.unit_f64()).ln()));
             }
         }
     }
@@ -148,7 +149,7 @@
         let ages = dials
             .iter()
             .filter(|dial| dial.0 == at)
-            .map(|dial| dial.1.since(start).secs());
+            .map(|dial| dial.1.duration_since(start).as_secs_f64());
         let mine: Vec<f64> = ages.filter(|&age| age < WARM_UP).collect();
         for &from in &mine {
             let n = allowed(from + WINDOW / 2.0);
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -9,9 +9,10 @@
 use thistlecroft::deployment::{ColdStart, Deployment, Effect};
 use thistlecroft::front::{ListScope, Standing, Verdict};
 use thistlecroft::ids::{BackendId, SessionId};
-use thistlecroft::units::{Chance, Moment, Span};
+use thistlecroft::random::Rng;
+use thistlecroft::time::{Duration, Instant};
 
-const STEP: Span = Span::from_ms(50);
+const STEP: Duration = Duration::from_millis(50);
 /// What a backend does in a second, in mean connections; each group that it holds costs two more.
 const CAPACITY: f64 = 100.0;
 const GROUP_COST: f64 = 3.0;
@@ -28,22 +29,22 @@
     load: f64,
     /// Where it is held: relay, session, backend.
     held: Option<(usize, u32, u32)>,
-    back_at: Moment,
+    back_at: Instant,
 }
 
 struct Backend {
     standing: Standing,
-    up_since: Option<Moment>,
+    up_since: Option<Instant>,
     /// Work piled up.
     piled: f64,
-    stops_at: Option<Moment>,
+    stops_at: Option<Instant>,
 }
 
 impl Backend {
     /// The part of its capacity that it has now.
-    fn share(&self, now: Moment) -> f64 {
+    fn share(&self, now: Instant) -> f64 {
         self.up_since.map_or(1.0, |up| {
-            (0.2 + 0.8 * now.since(up).secs() / WARM_UP).min(1.0)
+            (0.2 + 0.8 * now.duration_since(up).as_secs_f64() / WARM_UP).min(1.0)
         })
     }
 }
@@ -52,7 +53,7 @@
     relays: Vec<Bench>,
     clients: Vec<Client>,
     boxes: BTreeMap<u32, Backend>,
-    chance: Chance,
+    chance: Rng,
     sessions: u32,
 }
 
@@ -89,7 +90,7 @@
             relays: (0..relays).map(one).collect(),
             clients: Vec::new(),
             boxes: (0..old).map(|id| (id, ready())).collect(),
-            chance: Chance::from_seed(seed),
+            chance: Rng::from_seed(seed),
             sessions: 0,
         };
         // Groups of one to twenty members; loads are uneven; before the release each group stands
@@ -98,10 +99,10 @@
         for _ in 0..clients {
             if left == 0 {
                 (group, at) = (group + 1, release.chance.below(u64::from(old)) as u32);
-                left = 1 + (20.0 * release.chance.float().powi(3)) as u32;
+                left = 1 + (20.0 * release.chance.unit_f64().powi(3)) as u32;
             }
             left -= 1;
-            let load = (0.2 + 0.5 / (0.05 + release.chance.float())).min(6.0) / 1.6;
+            let load = (0.2 + 0.5 / (0.05 + release.chance.unit_f64())).min(6.0) / 1.6;
             let (me, id) = (
                 release.chance.below(u64::from(relays)) as usize,
                 release.sessions,
@@ -123,7 +124,7 @@
         release
     }
 
-    fn now(&self) -> Moment {
+    fn now(&self) -> Instant {
         self.relays[0].now
     }
 
@@ -138,7 +139,7 @@
     }
 
     /// New backends come, and as many old ones drain and stop a few seconds later.
-    fn replace(&mut self, old: Range<u32>, new: Range<u32>, stops_at: Moment) {
+    fn replace(&mut self, old: Range<u32>, new: Range<u32>, stops_at: Instant) {
         let now = self.now();
         for id in new.clone() {
             self.boxes.insert(
@@ -187,7 +188,7 @@
         }
         for client in 0..self.clients.len() {
             if let Some((me, id, _)) = self.clients[client].held
-                && self.chance.float() < STEP.secs() / LIFE
+                && self.chance.unit_f64() < STEP.as_secs_f64() / LIFE
             {
                 self.relays[me].end(id, 0, Verdict::Ok, true);
                 (self.clients[client].held, self.clients[client].back_at) = (None, now + ms(120));
@@ -235,8 +236,9 @@
                 .collect();
             let load: f64 = self.clients.iter().filter(here).map(|one| one.load).sum();
             let able = CAPACITY * at.share(now);
-            at.piled = (at.piled + (load + GROUP_COST * groups.len() as f64 - able) * STEP.secs())
-                .max(0.0);
+            at.piled = (at.piled
+                + (load + GROUP_COST * groups.len() as f64 - able) * STEP.as_secs_f64())
+            .max(0.0);
             if at.piled < able * 0.1 {
                 served += self.clients.iter().filter(here).count() as f64;
             }
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -5,12 +5,12 @@
 use thistlecroft::deployment::{Deployment, Effect, Ration, Route, Scope, SecondCopy};
 use thistlecroft::front::{Arrival, ListScope, Listing, Standing, Verdict};
 use thistlecroft::ids::{RouteId, SessionId};
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 
 const COPY: SecondCopy = SecondCopy {
     quantile: 0.9,
-    least: Span::from_ms(20),
-    most: Span::from_ms(100),
+    least: Duration::from_millis(20),
+    most: Duration::from_millis(100),
     share: 1.0,
 };
 
@@ -143,7 +143,7 @@
 
 #[test]
 fn no_second_copy_goes_out_where_one_might_do_harm() {
-    let cold = Some(Moment::from_us(99_000_000));
+    let cold = Some(Instant::from_micros(99_000_000));
     let referenced = Effect::Referenced {
         scope: Scope::All,
         window: ms(5_000),
@@ -395,7 +395,7 @@
     for (utility, gone, before, granted) in cases {
         let deployment = deployment(Effect::Repeatable);
         let row = Route {
-            base: Span::ZERO,
+            base: Duration::ZERO,
             ..deployment.routes[0]
         };
         let routes = vec![
@@ -422,7 +422,7 @@
                 },
             );
             bench.end(id, 0, Verdict::Full, false);
-            bench.pass(Span::ZERO);
+            bench.pass(Duration::ZERO);
             assert_eq!(bench.dials(id).len(), 2, "the ones before: {before}");
         }
         bench.arrive(
@@ -434,7 +434,7 @@
         );
         bench.pass(ms(80 * gone));
         bench.end(90, 0, Verdict::Full, false);
-        bench.pass(Span::ZERO);
+        bench.pass(Duration::ZERO);
         let what = format!("utility {utility}, {gone}% gone, {before} before");
         assert_eq!(bench.dials(90).len() == 2, granted, "{what}");
         // Who gets none is answered in the same moment, and told when to come back.
@@ -451,7 +451,10 @@
             share: 0.5,
             window: ms(5_000),
         });
-        let deployment = with_row(|row| row.base = Span::ZERO, deployment(Effect::Repeatable));
+        let deployment = with_row(
+            |row| row.base = Duration::ZERO,
+            deployment(Effect::Repeatable),
+        );
         let mut bench = Bench::new(
             Deployment {
                 ration,
@@ -466,7 +469,7 @@
         }
         for id in 0..arrived {
             bench.end(id, 0, Verdict::Full, false);
-            bench.pass(Span::ZERO);
+            bench.pass(Duration::ZERO);
             further += bench.dials(id).len().saturating_sub(1);
         }
         assert_eq!(further, most, "{inherited} taken over, {arrived} arrived");
