--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -4,8 +4,10 @@
 use crate::frame::{Action, Batch, Fields, Reply};
 use std::collections::{BTreeMap, HashMap};
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use thistlecroft::balance::Relay;
-use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Report, Standing, Verdict};
+use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
+use thistlecroft::balancer::Balancer;
+use thistlecroft::driver::Driver;
+use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_settings::{self as facts, ReportPlaces, Site};
@@ -18,7 +20,7 @@
 }
 
 struct Instance {
-    relay: Relay,
+    relay: Balancer,
     names: Names,
     places: ReportPlaces,
     listeners: usize,
@@ -87,7 +89,7 @@
                     names: &mut names,
                     reply,
                 };
-                let relay = Relay::new(deployment, event.u64(4), now, &mut door);
+                let relay = Balancer::new(deployment, event.u64(4), now, &mut door);
                 self.instances.insert(
                     number,
                     Instance {
@@ -139,11 +141,11 @@
         match code {
             1010 => {
                 let scope = match event.u8(4) {
-                    0 => ListScope::Changes,
-                    1 => ListScope::Whole,
-                    2 => ListScope::Cached,
+                    0 => UpdateKind::Delta,
+                    1 => UpdateKind::Snapshot,
+                    2 => UpdateKind::CachedSnapshot,
                     3 => {
-                        relay.list_failed(
+                        relay.discovery_failed(
                             now,
                             &mut Door {
                                 number,
@@ -155,21 +157,21 @@
                     }
                     other => return Err(format!("list of unknown scope {other}")),
                 };
-                let rows: Result<Vec<Listing>, String> = batch
+                let rows: Result<Vec<Endpoint>, String> = batch
                     .entries(event.u32(13), event.u32(17))?
                     .map(|entry| names.listing(entry, places))
                     .collect();
-                relay.listed(scope, &rows?);
+                relay.update_endpoints(scope, &rows?);
             }
             1020 => {
                 let arrival = Arrival {
                     route: listener(event.u16(12), *listeners)?,
-                    key: present(event.u64(16)),
-                    dial_timeout: Duration::from_micros(u64::from(event.u32(24))),
+                    client_key: present(event.u64(16)),
+                    timeout: Duration::from_micros(u64::from(event.u32(24))),
                     group: present(event.u64(32)),
                 };
                 let session = names.session(event.u64(4));
-                relay.arrived(
+                relay.session_arrived(
                     now,
                     session,
                     arrival,
@@ -183,7 +185,7 @@
             1030 => {
                 if let Some(session) = known(names, 4) {
                     let dial = u32::from(event.u16(12));
-                    relay.ready(
+                    relay.attempt_ready(
                         now,
                         session,
                         dial,
@@ -199,13 +201,13 @@
                 let verdict = verdict(event.u16(16))?;
                 if let Some(session) = known(names, 4) {
                     let (dial, over) = (u32::from(event.u16(24)), event.u8(26) != 0);
-                    let ending = Ending {
-                        dial,
-                        verdict,
-                        over,
+                    let ending = AttemptEnd {
+                        attempt: dial,
+                        outcome: verdict,
+                        is_answered: over,
                         report: report(places, event, 27),
                     };
-                    relay.ended(
+                    relay.attempt_ended(
                         now,
                         session,
                         ending,
@@ -219,7 +221,7 @@
             }
             1050 => {
                 if let Some(session) = known(names, 4) {
-                    relay.left(
+                    relay.session_left(
                         session,
                         &mut Door {
                             number,
@@ -229,7 +231,7 @@
                     );
                 }
             }
-            1060 => relay.woken(
+            1060 => relay.wake(
                 now,
                 &mut Door {
                     number,
@@ -240,7 +242,7 @@
             1070 => {
                 let verdict = verdict(event.u16(10))?;
                 if let Some(&backend) = names.backends.get(&event.array::<6>(4)) {
-                    relay.probed(now, backend, verdict, report(places, event, 16));
+                    relay.health_checked(now, backend, verdict, report(places, event, 16));
                 }
             }
             // No deployment's decisions use what peers say.
@@ -248,13 +250,13 @@
             1100 => {
                 let arrival = Arrival {
                     route: listener(event.u16(30), *listeners)?,
-                    key: present(event.u64(38)),
-                    dial_timeout: Duration::from_micros(u64::from(event.u32(34))),
+                    client_key: present(event.u64(38)),
+                    timeout: Duration::from_micros(u64::from(event.u32(34))),
                     group: present(event.u64(18)),
                 };
                 let backend = names.backend(event.array(12));
                 let session = names.session(event.u64(4));
-                relay.inherit(
+                relay.session_inherited(
                     now,
                     session,
                     backend,
@@ -270,10 +272,10 @@
                 if let Some(session) = known(names, 4) {
                     let value = f64::from(event.f32(21));
                     match event.u8(20) {
-                        1 => relay.load_noted(session, value),
+                        1 => relay.load_observed(session, value),
                         2 => {
                             let delay = Duration::from_millis(1) * value;
-                            relay.delay_noted(
+                            relay.latency_observed(
                                 now,
                                 session,
                                 delay,
@@ -306,27 +308,27 @@
     (value != 0).then_some(value)
 }
 
-fn verdict(code: u16) -> Result<Verdict, String> {
+fn verdict(code: u16) -> Result<AttemptOutcome, String> {
     Ok(match code {
-        100 => Verdict::Ok,
-        301 => Verdict::Error,
-        302 => Verdict::Full,
-        303 => Verdict::Timeout,
-        304 => Verdict::Unreachable,
-        305 => Verdict::Reset,
-        306 => Verdict::Withdrawn,
-        307 => Verdict::NeverSent,
+        100 => AttemptOutcome::Ok,
+        301 => AttemptOutcome::Error,
+        302 => AttemptOutcome::Saturated,
+        303 => AttemptOutcome::TimedOut,
+        304 => AttemptOutcome::Unreachable,
+        305 => AttemptOutcome::Reset,
+        306 => AttemptOutcome::Cancelled,
+        307 => AttemptOutcome::NotSent,
         other => return Err(format!("unknown outcome {other}")),
     })
 }
 
-fn report(places: &ReportPlaces, event: Fields, at: usize) -> Report {
+fn report(places: &ReportPlaces, event: Fields, at: usize) -> LoadReport {
     let told = usize::from(event.u8(at)).min(4);
     let value = |place: Option<usize>| {
         let value = f64::from(event.f32(at + 1 + 4 * place.filter(|&place| place < told)?));
         value.is_finite().then_some(value.max(0.0))
     };
-    Report {
+    LoadReport {
         connections: value(places.connections),
         load: value(places.load),
     }
@@ -348,23 +350,23 @@
         })
     }
 
-    fn listing(&mut self, entry: Fields, places: &ReportPlaces) -> Result<Listing, String> {
+    fn listing(&mut self, entry: Fields, places: &ReportPlaces) -> Result<Endpoint, String> {
         let address: Address = entry.array(0);
         let mut mark = [0; 8];
         mark[..6].copy_from_slice(&address);
-        Ok(Listing {
+        Ok(Endpoint {
             backend: self.backend(address),
-            mark: u64::from_le_bytes(mark),
+            stable_hash: u64::from_le_bytes(mark),
             zone: ZoneId(u16::from(entry.u8(6))),
             cell: CellId(entry.u16(9)),
-            standing: match entry.u8(11) {
-                0 => Standing::Ready,
-                1 => Standing::Gone,
-                2 => Standing::Draining,
+            state: match entry.u8(11) {
+                0 => EndpointState::Ready,
+                1 => EndpointState::Removed,
+                2 => EndpointState::Draining,
                 other => return Err(format!("entry of unknown readiness {other}")),
             },
             weight: places.weight(f64::from(entry.f32(12))),
-            up_since: present(entry.u64(16)).map(Instant::from_micros),
+            started_at: present(entry.u64(16)).map(Instant::from_micros),
         })
     }
 }
@@ -381,43 +383,43 @@
         .to_le_bytes()
 }
 
-impl Front for Door<'_> {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
+impl Driver for Door<'_> {
+    fn connect(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
         let action = self
             .session(1050, session)
             .with(&self.names.addresses[backend.index()]);
         self.reply.push(action.with(&short(give_up_after)));
     }
 
-    fn withdraw(&mut self, session: SessionId, dial: u32) {
+    fn cancel(&mut self, session: SessionId, dial: u32) {
         self.reply.push(
             self.session(1040, session)
                 .with(&(dial as u16).to_le_bytes()),
         );
     }
 
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>) {
+    fn reject(&mut self, session: SessionId, retry_after: Option<Duration>) {
         self.reply.push(
             self.session(1080, session)
                 .with(&short(retry_after.unwrap_or_default())),
         );
     }
 
-    fn tear_down(&mut self, session: SessionId) {
+    fn fail(&mut self, session: SessionId) {
         self.reply.push(self.session(1110, session));
     }
 
-    fn send_away(&mut self, session: SessionId) {
+    fn migrate(&mut self, session: SessionId) {
         self.reply.push(self.session(1090, session));
     }
 
-    fn probe(&mut self, backend: BackendId) {
+    fn check_health(&mut self, backend: BackendId) {
         let address = self.names.addresses[backend.index()];
         self.reply
             .push(Action::new(1000, self.number).with(&address));
     }
 
-    fn wake(&mut self, at: Instant) {
+    fn wake_at(&mut self, at: Instant) {
         let action = Action::new(1020, self.number).with(&0u64.to_le_bytes());
         self.reply.push(action.with(&at.as_micros().to_le_bytes()));
     }
--- a/cli/tests/command.rs
+++ b/cli/tests/command.rs
@@ -618,7 +618,7 @@
 
 /// A relay's configuration, as the stand-ins write it.
 fn thistlecroft_fleet_text(listen: &str) -> String {
-    use thistlecroft::deployment::Effect;
+    use thistlecroft::deployment::Idempotency;
     use thistlecroft::time::Duration;
     use thistlecroft_testbed::post::{ListenerTerms, Orders, Terms, configuration};
     let terms = Terms {
@@ -628,7 +628,7 @@
             wait: Duration::from_millis(1_000),
             handshake_target: Duration::from_millis(300),
             message_target: Duration::from_millis(50),
-            effect: Effect::Repeatable,
+            effect: Idempotency::Idempotent,
             utility: 1.0,
         }],
         connect_time: Duration::from_millis(250),
--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -5,25 +5,27 @@
 mod helper;
 
 use helper::{arrival, deployment, ms, row};
-use thistlecroft::balance::Relay;
-use thistlecroft::deployment::{ColdStart, Deployment, Effect};
-use thistlecroft::front::{Ending, Front, ListScope, Report, Standing, Verdict};
+use thistlecroft::attempt::{AttemptEnd, AttemptOutcome, LoadReport};
+use thistlecroft::balancer::Balancer;
+use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
+use thistlecroft::driver::Driver;
+use thistlecroft::endpoint::{EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
 #[derive(Default)]
 struct Desk(Option<BackendId>);
 
-impl Front for Desk {
-    fn dial(&mut self, _: SessionId, backend: BackendId, _: Duration) {
+impl Driver for Desk {
+    fn connect(&mut self, _: SessionId, backend: BackendId, _: Duration) {
         self.0 = Some(backend);
     }
-    fn withdraw(&mut self, _: SessionId, _: u32) {}
-    fn refuse(&mut self, _: SessionId, _: Option<Duration>) {}
-    fn tear_down(&mut self, _: SessionId) {}
-    fn send_away(&mut self, _: SessionId) {}
-    fn probe(&mut self, _: BackendId) {}
-    fn wake(&mut self, _: Instant) {}
+    fn cancel(&mut self, _: SessionId, _: u32) {}
+    fn reject(&mut self, _: SessionId, _: Option<Duration>) {}
+    fn fail(&mut self, _: SessionId) {}
+    fn migrate(&mut self, _: SessionId) {}
+    fn check_health(&mut self, _: BackendId) {}
+    fn wake_at(&mut self, _: Instant) {}
     fn subscribe(&mut self) {}
     fn release(&mut self, _: SessionId) {}
 }
@@ -43,51 +45,51 @@
 fn cost(backends: u32, cold: bool) -> (f64, f64) {
     let (start_share, factor) = (0.31, 3.0);
     let deployment = Deployment {
-        relays: 100,
-        cold: ColdStart {
-            start_share,
+        relay_count: 100,
+        slow_start: SlowStart {
+            initial_share: start_share,
             warm_up: ms(9_000),
-            factor,
+            overload_factor: factor,
             window: ms(3_000),
         },
-        ..deployment(Effect::Repeatable)
+        ..deployment(Idempotency::Idempotent)
     };
     let (mut now, mut desk) = (Instant::from_micros(100_000_000), Desk::default());
-    let mut relay = Relay::new(deployment, 7, now, &mut desk);
+    let mut relay = Balancer::new(deployment, 7, now, &mut desk);
     let up_since = cold.then_some(now);
     let list: Vec<_> = (0..backends)
-        .map(|id| row(id, Standing::Ready, up_since))
+        .map(|id| row(id, EndpointState::Ready, up_since))
         .collect();
-    relay.listed(ListScope::Whole, &list);
+    relay.update_endpoints(UpdateKind::Snapshot, &list);
     for id in 0..backends {
-        let report = Report {
+        let report = LoadReport {
             connections: Some(10.0),
             load: Some(0.3),
         };
-        relay.probed(now, BackendId(id), Verdict::Ok, report);
+        relay.health_checked(now, BackendId(id), AttemptOutcome::Ok, report);
     }
     let (sessions, turns) = (2_000u32, 1_000u32);
     let began = std::time::Instant::now();
     for id in 0..sessions {
         now = now + ms(2);
         let of = arrival(u64::from(id) + 1, u64::from(id % 50) + 1, ms(1_200));
-        relay.arrived(now, SessionId(id), of, &mut desk);
+        relay.session_arrived(now, SessionId(id), of, &mut desk);
         if desk.0.take().is_some() {
-            relay.ready(now, SessionId(id), 0, &mut desk);
-            let ending = Ending {
-                dial: 0,
-                verdict: Verdict::Ok,
-                over: true,
-                report: Report::default(),
+            relay.attempt_ready(now, SessionId(id), 0, &mut desk);
+            let ending = AttemptEnd {
+                attempt: 0,
+                outcome: AttemptOutcome::Ok,
+                is_answered: true,
+                report: LoadReport::default(),
             };
-            relay.ended(now, SessionId(id), ending, &mut desk);
+            relay.attempt_ended(now, SessionId(id), ending, &mut desk);
         }
     }
     let session = began.elapsed().as_secs_f64() * 1e6 / f64::from(sessions);
     let began = std::time::Instant::now();
     for _ in 0..turns {
         now = now + ms(500);
-        relay.woken(now, &mut desk);
+        relay.wake(now, &mut desk);
     }
     (
         session,
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan.rs
@@ -1,7 +1,7 @@
 //! A scenario worked out from its seed: who comes when, and what happens when. The same scenario
 //! and seed give the same plan, whatever is run under it. No I/O.
 use crate::scenario::{Baseline, EffectText, FaultText, Rate, Scenario, ScopeText, Which, Word};
-use thistlecroft::deployment::{Effect, Scope};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::crowd::{Cue as CrowdCue, Dealing, Rude};
@@ -153,17 +153,17 @@
     }
 }
 
-fn effect(row: &crate::scenario::ListenerText) -> Effect {
+fn effect(row: &crate::scenario::ListenerText) -> Idempotency {
     match row.effect {
-        EffectText::Repeatable => Effect::Repeatable,
-        EffectText::OnceOnly => Effect::OnceOnly,
+        EffectText::Repeatable => Idempotency::Idempotent,
+        EffectText::OnceOnly => Idempotency::NonIdempotent,
         EffectText::Referenced => {
             let scope = match row.scope {
-                ScopeText::All => Scope::All,
-                ScopeText::Zone => Scope::Zone,
-                ScopeText::Cell => Scope::Cell,
+                ScopeText::All => DeduplicationScope::All,
+                ScopeText::Zone => DeduplicationScope::Zone,
+                ScopeText::Cell => DeduplicationScope::Cell,
             };
-            Effect::Referenced {
+            Idempotency::Keyed {
                 scope,
                 window: row.window.0,
             }
--- a/operator_config/src/routing.rs
+++ b/operator_config/src/routing.rs
@@ -3,7 +3,7 @@
 use crate::Charter;
 use crate::text::{RouteText, SecondText, Stated};
 use std::collections::BTreeMap;
-use thistlecroft::deployment::{Effect, Route, SecondCopy};
+use thistlecroft::deployment::{Hedging, Idempotency, Route};
 use thistlecroft::time::Duration;
 
 /// A listener of the deployment, as the settings have it.
@@ -285,30 +285,35 @@
     let count = |value: u32| value.to_string();
     tell(
         "effect",
-        effect_name(base.effect).to_string(),
+        effect_name(base.idempotency).to_string(),
         Origin::Settings,
     );
     let handshake_target = stated!(
         handshake_target,
-        base.handshake_target,
+        base.handshake_objective,
         Origin::Settings,
         say
     );
     let dial_timeout = stated!(dial_timeout, none, say);
     let connect_time = stated!(connect_time, base.connect_timeout, Origin::Settings, say);
-    let max_dials = stated!(dials, base.max_dials, Origin::Settings, count);
-    let patience = stated!(patience, base.patience, Origin::BuiltIn, figure);
-    let first = stated!(base, base.base, Origin::BuiltIn, say);
-    let cap = stated!(cap, base.cap, Origin::BuiltIn, say);
-    let cool_down = stated!(cool_down, base.cool_down, Origin::BuiltIn, say);
-    let longest_retry_after = stated!(retry_after, base.longest_retry_after, Origin::Settings, say);
+    let max_dials = stated!(dials, base.max_attempts, Origin::Settings, count);
+    let patience = stated!(
+        patience,
+        base.attempt_timeout_factor,
+        Origin::BuiltIn,
+        figure
+    );
+    let first = stated!(base, base.backoff_base, Origin::BuiltIn, say);
+    let cap = stated!(cap, base.backoff_cap, Origin::BuiltIn, say);
+    let cool_down = stated!(cool_down, base.stable_after, Origin::BuiltIn, say);
+    let longest_retry_after = stated!(retry_after, base.max_retry_after, Origin::Settings, say);
     let idle = stated!(idle, none, say);
     let further_share = stated!(retry_share, none, figure);
     let most = stated!(at_once, none, count);
     let second = route.and_then(|route| route.second_copy.as_ref());
     let copy = second.map(|second| second_copy(&second.value, handshake_target));
     let text = copy.map_or("none".to_string(), |copy| {
-        let (least, most) = (say(copy.least), say(copy.most));
+        let (least, most) = (say(copy.min_delay), say(copy.max_delay));
         format!(
             "after quantile {} of set-ups, {least} to {most}, share {}",
             copy.quantile, copy.share
@@ -320,18 +325,18 @@
         second.map_or(Origin::BuiltIn, |second| Origin::File(second.place.line)),
     );
     let row = Route {
-        lane,
-        handshake_target,
+        limits_id: lane,
+        handshake_objective: handshake_target,
         connect_timeout: connect_time,
-        max_dials,
-        patience,
-        base: first,
-        cap,
-        cool_down,
-        longest_retry_after,
-        further_share,
-        most,
-        second: copy,
+        max_attempts: max_dials,
+        attempt_timeout_factor: patience,
+        backoff_base: first,
+        backoff_cap: cap,
+        stable_after: cool_down,
+        max_retry_after: longest_retry_after,
+        retry_share: further_share,
+        max_sessions: most,
+        hedging: copy,
         ..*base
     };
     (
@@ -345,26 +350,26 @@
     )
 }
 
-pub(crate) fn second_copy(text: &SecondText, target: Duration) -> SecondCopy {
+pub(crate) fn second_copy(text: &SecondText, target: Duration) -> Hedging {
     let part = |stated: &Option<Stated<f64>>, otherwise| {
         stated.as_ref().map_or(otherwise, |stated| stated.value)
     };
     let span = |stated: &Option<Stated<Duration>>, otherwise| {
         stated.as_ref().map_or(otherwise, |stated| stated.value)
     };
-    SecondCopy {
+    Hedging {
         quantile: part(&text.quantile, SECOND_QUANTILE),
-        least: span(&text.least, SECOND_LEAST),
-        most: span(&text.most, target.max(SECOND_LEAST)),
+        min_delay: span(&text.least, SECOND_LEAST),
+        max_delay: span(&text.most, target.max(SECOND_LEAST)),
         share: part(&text.share, SECOND_SHARE),
     }
 }
 
 /// Which of the three kinds a listener is of, in the words of the file.
-pub(crate) fn effect_name(effect: Effect) -> &'static str {
+pub(crate) fn effect_name(effect: Idempotency) -> &'static str {
     match effect {
-        Effect::Repeatable => "repeatable",
-        Effect::Referenced { .. } => "referenced",
-        Effect::OnceOnly => "once-only",
+        Idempotency::Idempotent => "repeatable",
+        Idempotency::Keyed { .. } => "referenced",
+        Idempotency::NonIdempotent => "once-only",
     }
 }
--- a/operator_config/src/rules.rs
+++ b/operator_config/src/rules.rs
@@ -7,7 +7,7 @@
     Circumstances, FrontRow, ListenerFacts, begins, effect_name, effective, say, second_copy, takes,
 };
 use crate::text::{Fault, Place, RouteText, Stated};
-use thistlecroft::deployment::{Effect, Route};
+use thistlecroft::deployment::{Idempotency, Route};
 use thistlecroft::time::Duration;
 
 struct Case<'a> {
@@ -46,7 +46,7 @@
         })
     },
     |case| {
-        let (target, due) = (case.row.handshake_target, answer_due(case));
+        let (target, due) = (case.row.handshake_objective, answer_due(case));
         let stated = place(&case.route.handshake_target).or(place(&case.route.dial_timeout))?;
         (target > due).then(|| {
             let why = format!(
@@ -60,7 +60,7 @@
     },
     |case| {
         let (dials, each, due) = (
-            case.row.max_dials,
+            case.row.max_attempts,
             case.row.connect_timeout,
             answer_due(case),
         );
@@ -80,20 +80,20 @@
     },
     |case| {
         let stated = place(&case.route.base).or(place(&case.route.cap))?;
-        (case.row.base > case.row.cap).then(|| {
+        (case.row.backoff_base > case.row.backoff_cap).then(|| {
             (
                 "base",
                 Some(stated),
                 format!(
                     "base {} is above cap {}",
-                    say(case.row.base),
-                    say(case.row.cap)
+                    say(case.row.backoff_base),
+                    say(case.row.backoff_cap)
                 ),
             )
         })
     },
     |case| {
-        let longest = case.listener.row.longest_retry_after;
+        let longest = case.listener.row.max_retry_after;
         let own = case.route.retry_after.as_ref()?;
         (own.value > longest).then(|| {
             let why = format!(
@@ -105,16 +105,17 @@
         })
     },
     |case| {
-        let Effect::Referenced { window, .. } = case.row.effect else {
+        let Idempotency::Keyed { window, .. } = case.row.idempotency else {
             return None;
         };
         let stated = place(&case.route.dials).or(place(&case.route.handshake_target))?;
-        let last = case.row.handshake_target * f64::from(case.row.max_dials.saturating_sub(1));
+        let last =
+            case.row.handshake_objective * f64::from(case.row.max_attempts.saturating_sub(1));
         (last >= window).then(|| {
             let why = format!(
                 "dials {} a handshake_target of {} apart end {} after the first, when the mark of {} is forgotten ({})",
-                case.row.max_dials,
-                say(case.row.handshake_target),
+                case.row.max_attempts,
+                say(case.row.handshake_objective),
                 say(last),
                 case.listener.name,
                 say(window)
@@ -123,7 +124,7 @@
         })
     },
     |case| {
-        let (idle, stood) = (case.front.idle?, case.row.cool_down);
+        let (idle, stood) = (case.front.idle?, case.row.stable_after);
         (idle <= stood).then(|| {
             let why = format!(
                 "idle {} is no longer than cool_down {}: no connection would clear its client",
@@ -135,8 +136,8 @@
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
-        (case.row.effect != Effect::Repeatable).then(|| {
-            let (name, effect) = (&case.listener.name, effect_name(case.row.effect));
+        (case.row.idempotency != Idempotency::Idempotent).then(|| {
+            let (name, effect) = (&case.listener.name, effect_name(case.row.idempotency));
             let why = format!("{name} is {effect}: two dials at once would have its effect twice");
             ("second_copy", Some(own.place.clone()), why)
         })
@@ -152,7 +153,7 @@
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
-        (case.row.max_dials < 2).then(|| {
+        (case.row.max_attempts < 2).then(|| {
             (
                 "second_copy",
                 Some(own.place.clone()),
@@ -162,9 +163,13 @@
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
-        let copy = second_copy(&own.value, case.row.handshake_target);
-        (copy.least > copy.most).then(|| {
-            let why = format!("least {} is above most {}", say(copy.least), say(copy.most));
+        let copy = second_copy(&own.value, case.row.handshake_objective);
+        (copy.min_delay > copy.max_delay).then(|| {
+            let why = format!(
+                "least {} is above most {}",
+                say(copy.min_delay),
+                say(copy.max_delay)
+            );
             (
                 "second_copy.least",
                 place(&own.value.least).or(Some(own.place.clone())),
@@ -174,12 +179,12 @@
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
-        let copy = second_copy(&own.value, case.row.handshake_target);
+        let copy = second_copy(&own.value, case.row.handshake_objective);
         let due = answer_due(case);
-        (copy.least >= due).then(|| {
+        (copy.min_delay >= due).then(|| {
             let why = format!(
                 "least {}: {} is answered by then ({})",
-                say(copy.least),
+                say(copy.min_delay),
                 case.listener.name,
                 say(due)
             );
--- a/operator_config/tests/charter.rs
+++ b/operator_config/tests/charter.rs
@@ -1,5 +1,5 @@
 //! What a charter may say, what it may not, and what comes of it.
-use thistlecroft::deployment::{Effect, Route, Scope};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency, Route};
 use thistlecroft::time::Duration;
 use thistlecroft_operator_config::{
     Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin, Routing, page,
@@ -14,27 +14,27 @@
         name: name.into(),
         wait: ms(wait),
         row: Route {
-            handshake_target: ms(300),
-            effect,
+            handshake_objective: ms(300),
+            idempotency: effect,
             connect_timeout: ms(50),
-            max_dials: 3,
-            patience: 4.0,
-            base: ms(1_000),
-            cap: ms(30_000),
-            cool_down: ms(5_000),
-            longest_retry_after: ms(2_000),
+            max_attempts: 3,
+            attempt_timeout_factor: 4.0,
+            backoff_base: ms(1_000),
+            backoff_cap: ms(30_000),
+            stable_after: ms(5_000),
+            max_retry_after: ms(2_000),
             ..Route::default()
         },
     };
-    let referenced = Effect::Referenced {
-        scope: Scope::All,
+    let referenced = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: ms(500),
     };
     Circumstances {
         listeners: vec![
-            listener("hold", 1_200, Effect::Repeatable),
-            listener("view", 4_800, Effect::Repeatable),
-            listener("pay", 2_400, Effect::OnceOnly),
+            listener("hold", 1_200, Idempotency::Idempotent),
+            listener("view", 4_800, Idempotency::Idempotent),
+            listener("pay", 2_400, Idempotency::NonIdempotent),
             listener("book", 2_400, referenced),
         ],
         zones: vec!["ikeja".into(), "lekki".into()],
@@ -342,16 +342,16 @@
         let row = routing.find(listener, key, group);
         let (route, front) = (routing.rows()[row], routing.front(row));
         let found = (
-            route.max_dials,
+            route.max_attempts,
             front.connect_time.as_millis(),
             front.dial_timeout.map(|span| span.as_millis()),
-            route.cap.as_millis(),
+            route.backoff_cap.as_millis(),
         );
         assert_eq!(
             found, expected,
             "listener {listener}, key {key:x}, group {group:?}"
         );
-        assert_eq!(route.effect, of().listeners[listener].row.effect);
+        assert_eq!(route.idempotency, of().listeners[listener].row.idempotency);
     }
     // Without a charter every listener has the row at its own place.
     let plain = Routing::plain(&of());
@@ -415,7 +415,8 @@
         ]
     );
     assert!(new.changes(&new).is_empty());
-    let lane = |routing: &Routing, listener| routing.rows()[routing.find(listener, 1, None)].lane;
+    let lane =
+        |routing: &Routing, listener| routing.rows()[routing.find(listener, 1, None)].limits_id;
     assert_eq!(
         lane(&old, 0),
         lane(&new, 0),
@@ -441,16 +442,16 @@
             .iter_mut()
             .zip(["slot-hold", "slot-view", "pay", "queue-view"])
     {
-        (listener.name, listener.row.effect) = (name.into(), Effect::Repeatable);
+        (listener.name, listener.row.idempotency) = (name.into(), Idempotency::Idempotent);
     }
     let routing = read(&example, &circumstances).unwrap();
-    assert_eq!(routing.rows()[routing.find(0, 1, None)].max_dials, 2);
+    assert_eq!(routing.rows()[routing.find(0, 1, None)].max_attempts, 2);
     // With the second copies that it shows commented out at its end, where they are allowed.
     let (before, shown) = example.split_once("second one:\n#\n").unwrap();
     let all = before.to_string() + "\n" + &shown.replace("# ", "");
     let routing = read(&all, &circumstances).unwrap();
     assert!(
-        routing.rows()[routing.find(1, 1, None)].second.is_some(),
+        routing.rows()[routing.find(1, 1, None)].hedging.is_some(),
         "{all}"
     );
 }
--- a/relay/src/backends.rs
+++ b/relay/src/backends.rs
@@ -7,7 +7,7 @@
 use crate::works::Works;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use thistlecroft::front::{Report, Verdict};
+use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::{Duration, Instant};
 
@@ -204,9 +204,11 @@
             let Ok(mut sock) = works.sockets.connect(Owner::Probe(id.0), address) else {
                 works.counters.probes += 1;
                 works.counters.probes_failed += 1;
-                works
-                    .news
-                    .push_back(News::Probed(id, Verdict::Unreachable, Report::default()));
+                works.news.push_back(News::Probed(
+                    id,
+                    AttemptOutcome::Unreachable,
+                    LoadReport::default(),
+                ));
                 return;
             };
             sock.want(true, true);
@@ -250,12 +252,12 @@
                 works
                     .alarms
                     .set(works.now + self.idle, Alarm::Probe(id, probe.serial));
-                if verdict != Verdict::Ok {
+                if verdict != AttemptOutcome::Ok {
                     works.counters.probes_failed += 1;
                 }
                 works.news.push_back(News::Probed(id, verdict, report));
             }
-            Err(Verdict::Reset) if probe.again && !probe.answer.has_bytes() => {
+            Err(AttemptOutcome::Reset) if probe.again && !probe.answer.has_bytes() => {
                 // Closed as idle in the moment in which it was used again: that tells nothing of
                 // its backend.
                 self.open.remove(&id);
@@ -265,7 +267,7 @@
         }
     }
 
-    fn end(&mut self, id: BackendId, verdict: Verdict, works: &mut Works) {
+    fn end(&mut self, id: BackendId, verdict: AttemptOutcome, works: &mut Works) {
         let Some(mut probe) = self.open.remove(&id) else {
             return;
         };
@@ -274,7 +276,7 @@
             works.counters.probes_failed += 1;
             works
                 .news
-                .push_back(News::Probed(id, verdict, Report::default()));
+                .push_back(News::Probed(id, verdict, LoadReport::default()));
         }
     }
 
@@ -285,38 +287,41 @@
         let waited = works.now.duration_since(probe.asked);
         match probe.state {
             ProbeState::Idle if waited < self.idle => {}
-            ProbeState::Connecting => self.end(id, Verdict::Unreachable, works),
-            ProbeState::Asking | ProbeState::Idle => self.end(id, Verdict::Timeout, works),
+            ProbeState::Connecting => self.end(id, AttemptOutcome::Unreachable, works),
+            ProbeState::Asking | ProbeState::Idle => self.end(id, AttemptOutcome::TimedOut, works),
         }
     }
 }
 
 impl Probe {
-    fn go_on(&mut self, works: &mut Works) -> Result<Option<(Verdict, Report)>, Verdict> {
+    fn go_on(
+        &mut self,
+        works: &mut Works,
+    ) -> Result<Option<(AttemptOutcome, LoadReport)>, AttemptOutcome> {
         if let ProbeState::Connecting = self.state {
             match self.sock.is_up() {
                 Ok(true) => self.state = ProbeState::Asking,
                 Ok(false) => return Ok(None),
-                Err(_) => return Err(Verdict::Unreachable),
+                Err(_) => return Err(AttemptOutcome::Unreachable),
             }
         }
         if self.words.waits()
             && self
                 .words
                 .give(&mut self.sock)
-                .map_err(|_| Verdict::Reset)?
+                .map_err(|_| AttemptOutcome::Reset)?
         {
             self.sock.want(true, false);
         }
         let took = self
             .answer
             .take(&mut self.sock, &mut works.pool)
-            .map_err(|_| Verdict::Reset)?;
+            .map_err(|_| AttemptOutcome::Reset)?;
         let line = match self.answer.next_line() {
             Ok(Some(line)) => Some(protocol::probe_line(line)),
-            Ok(None) if took == Took::End => return Err(Verdict::Reset),
+            Ok(None) if took == Took::End => return Err(AttemptOutcome::Reset),
             Ok(None) => return Ok(None),
-            Err(_) => return Err(Verdict::Error),
+            Err(_) => return Err(AttemptOutcome::Error),
         };
         self.answer.clear(&mut works.pool);
         Ok(line.filter(|_| matches!(self.state, ProbeState::Asking)))
--- a/relay/src/clients.rs
+++ b/relay/src/clients.rs
@@ -16,7 +16,7 @@
 use std::io::{ErrorKind, Read};
 use std::os::fd::OwnedFd;
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use thistlecroft::front::{Arrival, Ending, Report, Verdict};
+use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::ids::{BackendId, RouteId, SessionId};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_operator_config::{FrontRow, Routing};
@@ -124,7 +124,7 @@
     /// How long its messages take as its backend told it last.
     told_delay: Duration,
     /// The backend's last word, and whether the decisions have been told of the end.
-    said: Option<(Verdict, Report)>,
+    said: Option<(AttemptOutcome, LoadReport)>,
     end_told: bool,
     up_shut: bool,
     down_shut: bool,
@@ -576,7 +576,7 @@
         self.on_way -= 1;
         self.step(id, works, |session, _, works| {
             works.counters.handed += 1;
-            session.tell_end(Verdict::Withdrawn, works);
+            session.tell_end(AttemptOutcome::Cancelled, works);
             Over
         });
         Ok(())
@@ -648,9 +648,9 @@
         let front = self.terms.routing.front(row);
         let arrival = Arrival {
             route: RouteId(row as u16),
-            key: of.key,
+            client_key: of.key,
             group: of.group.filter(|_| self.terms.names.groups),
-            dial_timeout: Duration::ZERO,
+            timeout: Duration::ZERO,
         };
         session.stage = Stage::Standing;
         session.dial = Some(Dial::standing(at, backend, works.now));
@@ -1107,7 +1107,7 @@
                     let inherited = open.at.is_some();
                     let arrival = &mut open.arrival;
                     let listener = terms.names.listeners[usize::from(arrival.route.0)].clone();
-                    let (key, group) = (arrival.key, open.group);
+                    let (key, group) = (arrival.client_key, open.group);
                     self.about = Some(Box::new(About {
                         listener,
                         key,
@@ -1117,13 +1117,13 @@
                     }));
                     let row = terms.routing.find(
                         usize::from(arrival.route.0),
-                        arrival.key.unwrap_or_default(),
+                        arrival.client_key.unwrap_or_default(),
                         open.group,
                     );
                     let front = terms.routing.front(row);
                     arrival.route = RouteId(row as u16);
-                    let within = front.dial_timeout.unwrap_or(arrival.dial_timeout);
-                    arrival.dial_timeout = arrival.dial_timeout.min(within);
+                    let within = front.dial_timeout.unwrap_or(arrival.timeout);
+                    arrival.timeout = arrival.timeout.min(within);
                     (self.front, self.generation) = (Some(front), Some(terms.enter()));
                     let arrival = open.arrival;
                     self.open = Some(open);
@@ -1193,7 +1193,7 @@
         match self.stage {
             Stage::Placing | Stage::Inheriting => self.client_left(works),
             Stage::Standing => {
-                self.tell_end(Verdict::Withdrawn, works);
+                self.tell_end(AttemptOutcome::Cancelled, works);
                 if let Some(dial) = &self.dial {
                     dial.sock.break_off();
                 }
@@ -1236,9 +1236,9 @@
             Stage::Standing => {
                 self.tell_end(
                     if self.up.ended {
-                        Verdict::Ok
+                        AttemptOutcome::Ok
                     } else {
-                        Verdict::Reset
+                        AttemptOutcome::Reset
                     },
                     works,
                 );
@@ -1324,7 +1324,7 @@
 
     fn both_ended(&mut self, works: &mut Works) -> Fate {
         if self.stage == Stage::Standing && self.up_shut && self.down_shut {
-            self.tell_end(Verdict::Ok, works);
+            self.tell_end(AttemptOutcome::Ok, works);
             return Over;
         }
         Goes
@@ -1346,7 +1346,7 @@
 
     fn send_away(&mut self, works: &mut Works) -> Fate {
         works.counters.sent_away += 1;
-        self.tell_end(Verdict::Withdrawn, works);
+        self.tell_end(AttemptOutcome::Cancelled, works);
         if let Some(dial) = &mut self.dial {
             // What the client has said passes before the end, as far as the backend takes it.
             let _ = self.up.give(&mut dial.sock, &mut works.pool);
@@ -1484,40 +1484,40 @@
         let verdict = fault.verdict();
         let counter = &mut works.counters;
         *match verdict {
-            Verdict::Ok => &mut counter.ended_well,
-            Verdict::Error => &mut counter.dials_error,
-            Verdict::Full => &mut counter.dials_full,
-            Verdict::Timeout => &mut counter.dials_timeout,
-            Verdict::Unreachable => &mut counter.dials_unreachable,
-            Verdict::Reset => &mut counter.dials_reset,
-            Verdict::Withdrawn => &mut counter.dials_withdrawn,
-            Verdict::NeverSent => &mut counter.dials_never_sent,
+            AttemptOutcome::Ok => &mut counter.ended_well,
+            AttemptOutcome::Error => &mut counter.dials_error,
+            AttemptOutcome::Saturated => &mut counter.dials_full,
+            AttemptOutcome::TimedOut => &mut counter.dials_timeout,
+            AttemptOutcome::Unreachable => &mut counter.dials_unreachable,
+            AttemptOutcome::Reset => &mut counter.dials_reset,
+            AttemptOutcome::Cancelled => &mut counter.dials_withdrawn,
+            AttemptOutcome::NotSent => &mut counter.dials_never_sent,
         } += 1;
-        let ending = Ending {
-            dial: number,
-            verdict,
-            over: false,
+        let ending = AttemptEnd {
+            attempt: number,
+            outcome: verdict,
+            is_answered: false,
             report: fault.report(),
         };
         works.news.push_back(News::Ended(self.session_id(), ending));
     }
 
     /// The end of a connection that stood, told once.
-    fn tell_end(&mut self, verdict: Verdict, works: &mut Works) {
+    fn tell_end(&mut self, verdict: AttemptOutcome, works: &mut Works) {
         let Some(dial) = self.dial.as_ref().filter(|_| !self.end_told) else {
             return;
         };
         self.end_told = true;
-        let (verdict, report) = self.said.unwrap_or((verdict, Report::default()));
-        if verdict == Verdict::Ok {
+        let (verdict, report) = self.said.unwrap_or((verdict, LoadReport::default()));
+        if verdict == AttemptOutcome::Ok {
             works.counters.ended_well += 1;
-        } else if verdict == Verdict::Reset {
+        } else if verdict == AttemptOutcome::Reset {
             works.counters.ended_broken += 1;
         }
-        let ending = Ending {
-            dial: dial.number,
-            verdict,
-            over: true,
+        let ending = AttemptEnd {
+            attempt: dial.number,
+            outcome: verdict,
+            is_answered: true,
             report,
         };
         works.news.push_back(News::Ended(self.session_id(), ending));
@@ -1636,7 +1636,9 @@
                 return false;
             }
             // Served to its end without having begun is no answer that a client could use.
-            Some(Said::Last(Verdict::Ok, _) | Said::Up | Said::Other) | None => Cause::BadLine,
+            Some(Said::Last(AttemptOutcome::Ok, _) | Said::Up | Said::Other) | None => {
+                Cause::BadLine
+            }
             Some(Said::Last(verdict, report)) => Cause::Said(verdict, report),
         };
         let fault = dial.failed(cause);
@@ -1651,9 +1653,9 @@
         }
         self.tell_end(
             if self.up.ended {
-                Verdict::Ok
+                AttemptOutcome::Ok
             } else {
-                Verdict::Reset
+                AttemptOutcome::Reset
             },
             works,
         );
@@ -1670,7 +1672,7 @@
             self.down.ended = true;
             return self.backend_end(works);
         }
-        self.tell_end(Verdict::Reset, works);
+        self.tell_end(AttemptOutcome::Reset, works);
         // Lines that came before the break pass before it; where they can't at once, an end has to
         // do, since a break would throw them away.
         if !matches!(self.down.give(&mut self.client, &mut works.pool), Ok(false)) {
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -10,7 +10,7 @@
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
 use std::net::SocketAddr;
-use thistlecroft::front::{ListScope, Listing, Standing};
+use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, CellId, ZoneId};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
@@ -91,14 +91,14 @@
     }
 
     /// A whole list: what it does not name is gone.
-    fn only(&mut self, rows: &[Listing]) {
+    fn only(&mut self, rows: &[Endpoint]) {
         self.leaving.fill(true);
         self.note(rows);
     }
 
-    fn note(&mut self, rows: &[Listing]) {
+    fn note(&mut self, rows: &[Endpoint]) {
         for row in rows {
-            self.leaving[row.backend.index()] = row.standing != Standing::Ready;
+            self.leaving[row.backend.index()] = row.state != EndpointState::Ready;
         }
     }
 
@@ -133,7 +133,7 @@
         backend
     }
 
-    fn listings(&mut self, entries: &[Entry]) -> Result<Vec<Listing>, String> {
+    fn listings(&mut self, entries: &[Entry]) -> Result<Vec<Endpoint>, String> {
         // All are read before any is noted, so that a bad list changes nothing.
         let mut read = Vec::with_capacity(entries.len());
         for entry in entries {
@@ -144,9 +144,9 @@
                 )
             })?;
             let standing = match entry.lifecycle.as_str() {
-                "Ready" => Standing::Ready,
-                "Terminating" => Standing::Draining,
-                "Gone" => Standing::Gone,
+                "Ready" => EndpointState::Ready,
+                "Terminating" => EndpointState::Draining,
+                "Gone" => EndpointState::Removed,
                 other => return Err(format!("{}: lifecycle \"{other}\"", entry.instance_id)),
             };
             read.push((entry, address, standing));
@@ -176,18 +176,18 @@
         self.places = places;
     }
 
-    fn listing(&mut self, entry: &Entry, address: SocketAddr, standing: Standing) -> Listing {
+    fn listing(&mut self, entry: &Entry, address: SocketAddr, standing: EndpointState) -> Endpoint {
         let backend = self.enter(&entry.instance_id);
         self.addresses[backend.index()] = Some(address);
         let zone = self.zone(&entry.zone);
-        Listing {
+        Endpoint {
             backend,
-            mark: hash(entry.instance_id.as_bytes()),
+            stable_hash: hash(entry.instance_id.as_bytes()),
             zone,
             cell: CellId(entry.cell.unwrap_or_default() as u16),
-            standing,
+            state: standing,
             weight: self.places.weight(entry.weight.unwrap_or(1.0)),
-            up_since: entry
+            started_at: entry
                 .started_at_ms
                 .filter(|&ms| ms > 0)
                 .map(|ms| Instant::from_micros(ms.saturating_mul(1_000))),
@@ -383,7 +383,7 @@
     pub fn know(&mut self, known: &ListText) -> Result<News, String> {
         let rows = self.book.listings(&known.instances)?;
         self.book.only(&rows);
-        Ok(News::Listed(ListScope::Cached, rows))
+        Ok(News::Listed(UpdateKind::CachedSnapshot, rows))
     }
 
     /// Discovery has told a list, or one was known at start.
@@ -571,9 +571,9 @@
         self.current.pacing.listed();
         works.counters.lists += 1;
         let scope = if list.reset {
-            ListScope::Whole
+            UpdateKind::Snapshot
         } else {
-            ListScope::Changes
+            UpdateKind::Delta
         };
         works.news.push_back(News::Listed(scope, rows));
         Ok(has_moved)
--- a/relay/src/estate.rs
+++ b/relay/src/estate.rs
@@ -1,8 +1,9 @@
 //! What goes from a process of a relay to the next, as it is written on the way: one packet each, a
 //! line of JSON with a version, then raw bytes. No I/O.
 use serde::{Deserialize, Serialize};
-use thistlecroft::front::{Memory, Report, Sight};
+use thistlecroft::attempt::LoadReport;
 use thistlecroft::ids::BackendId;
+use thistlecroft::snapshot::{BalancerSnapshot, EndpointStatistics};
 use thistlecroft::time::{Duration, Instant};
 
 /// Of the words below; a process that speaks another moves its clients instead.
@@ -70,48 +71,48 @@
         parts
     }
 
-    pub fn of<'a>(memory: &Memory, name: impl Fn(BackendId) -> &'a str) -> MemoryText {
-        let sight = |&(id, sight): &(BackendId, Sight)| SightText {
+    pub fn of<'a>(memory: &BalancerSnapshot, name: impl Fn(BackendId) -> &'a str) -> MemoryText {
+        let sight = |&(id, sight): &(BackendId, EndpointStatistics)| SightText {
             backend: name(id).to_string(),
             heard: sight
-                .heard
+                .last_report
                 .map(|(at, report)| (at.as_micros(), report.connections, report.load)),
-            weight_heard: sight.weight_heard,
-            strikes: sight.strikes,
+            weight_heard: sight.weight_at_report,
+            strikes: sight.consecutive_failures,
             ejections: sight.ejections,
-            owed: sight.owed,
-            cold_turn: sight.cold_turn,
+            owed: sight.pending_health_checks,
+            cold_turn: sight.slow_start_use,
         };
         MemoryText {
-            sights: memory.sights.iter().map(sight).collect(),
-            set_up_us: memory.set_up.as_micros(),
-            stood: memory.stood,
-            left_alone: memory.left_alone,
+            sights: memory.endpoints.iter().map(sight).collect(),
+            set_up_us: memory.connect_time.as_micros(),
+            stood: memory.connection_seconds,
+            left_alone: memory.departures,
         }
     }
 
-    pub fn memory(&self, mut id: impl FnMut(&str) -> BackendId) -> Memory {
+    pub fn memory(&self, mut id: impl FnMut(&str) -> BackendId) -> BalancerSnapshot {
         let sights = self.sights.iter().map(|sight| {
             (
                 id(&sight.backend),
-                Sight {
-                    heard: sight.heard.map(|(at, connections, load)| {
-                        (Instant::from_micros(at), Report { connections, load })
+                EndpointStatistics {
+                    last_report: sight.heard.map(|(at, connections, load)| {
+                        (Instant::from_micros(at), LoadReport { connections, load })
                     }),
-                    weight_heard: sight.weight_heard,
-                    strikes: sight.strikes,
+                    weight_at_report: sight.weight_heard,
+                    consecutive_failures: sight.strikes,
                     ejections: sight.ejections,
-                    owed: sight.owed,
-                    cold_turn: sight.cold_turn,
+                    pending_health_checks: sight.owed,
+                    slow_start_use: sight.cold_turn,
                 },
             )
         });
         let set_up = Duration::from_micros(self.set_up_us);
-        Memory {
-            sights: sights.collect(),
-            set_up,
-            stood: self.stood,
-            left_alone: self.left_alone,
+        BalancerSnapshot {
+            endpoints: sights.collect(),
+            connect_time: set_up,
+            connection_seconds: self.stood,
+            departures: self.left_alone,
         }
     }
 }
--- a/relay/src/front.rs
+++ b/relay/src/front.rs
@@ -2,22 +2,25 @@
 //! only written down, to be carried out after.
 use crate::timers::{Alarm, Alarms};
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use thistlecroft::balance::Relay;
+use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
+use thistlecroft::balancer::Balancer;
 use thistlecroft::deployment::Deployment;
-use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Memory, Report, Verdict};
+use thistlecroft::driver::Driver;
+use thistlecroft::endpoint::{Endpoint, UpdateKind};
 use thistlecroft::ids::{BackendId, SessionId};
+use thistlecroft::snapshot::BalancerSnapshot;
 use thistlecroft::time::{Duration, Instant};
 
 /// What a turn gathered, in the order in which it came.
 #[derive(Debug)]
 pub enum News {
-    Listed(ListScope, Vec<Listing>),
+    Listed(UpdateKind, Vec<Endpoint>),
     Arrived(SessionId, Arrival),
     Inherited(SessionId, BackendId, Arrival),
     Ready(SessionId, u32),
-    Ended(SessionId, Ending),
+    Ended(SessionId, AttemptEnd),
     Left(SessionId),
-    Probed(BackendId, Verdict, Report),
+    Probed(BackendId, AttemptOutcome, LoadReport),
     Load(SessionId, f64),
     Delay(SessionId, Duration),
     Overdue(SessionId, Duration),
@@ -25,7 +28,7 @@
     /// Taken out by hand, or put back.
     Banned(BackendId, bool),
     /// What the process before knows, which still serves; and that it takes nothing new any more.
-    Recalled(Memory),
+    Recalled(BalancerSnapshot),
     Alone,
     Woken,
     Stopping,
@@ -48,27 +51,27 @@
     pub alarms: &'a mut Alarms,
 }
 
-impl Front for Desk<'_> {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
+impl Driver for Desk<'_> {
+    fn connect(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
         self.orders
             .push(Order::Dial(session, backend, give_up_after));
     }
-    fn withdraw(&mut self, session: SessionId, dial: u32) {
+    fn cancel(&mut self, session: SessionId, dial: u32) {
         self.orders.push(Order::Withdraw(session, dial));
     }
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>) {
+    fn reject(&mut self, session: SessionId, retry_after: Option<Duration>) {
         self.orders.push(Order::Refuse(session, retry_after));
     }
-    fn tear_down(&mut self, session: SessionId) {
+    fn fail(&mut self, session: SessionId) {
         self.orders.push(Order::TearDown(session));
     }
-    fn send_away(&mut self, session: SessionId) {
+    fn migrate(&mut self, session: SessionId) {
         self.orders.push(Order::SendAway(session));
     }
-    fn probe(&mut self, backend: BackendId) {
+    fn check_health(&mut self, backend: BackendId) {
         self.orders.push(Order::Probe(backend));
     }
-    fn wake(&mut self, at: Instant) {
+    fn wake_at(&mut self, at: Instant) {
         self.alarms.set(at, Alarm::Decisions);
     }
     fn subscribe(&mut self) {
@@ -81,7 +84,7 @@
 /// Hands one piece of news in. A panic costs the session it is about, not the process: the
 /// session's id comes back, to be answered without the decisions.
 pub fn hand_in(
-    relay: &mut Relay,
+    relay: &mut Balancer,
     news: News,
     now: Instant,
     desk: &mut Desk,
@@ -95,22 +98,22 @@
         _ => None,
     };
     let done = catch_unwind(AssertUnwindSafe(|| match news {
-        News::Listed(scope, rows) => relay.listed(scope, &rows),
-        News::Arrived(id, arrival) => relay.arrived(now, id, arrival, desk),
-        News::Inherited(id, at, arrival) => relay.inherit(now, id, at, arrival, desk),
-        News::Ready(id, dial) => relay.ready(now, id, dial, desk),
-        News::Ended(id, ending) => relay.ended(now, id, ending, desk),
-        News::Left(id) => relay.left(id, desk),
-        News::Probed(id, verdict, report) => relay.probed(now, id, verdict, report),
-        News::Load(id, load) => relay.load_noted(id, load),
-        News::Delay(id, delay) => relay.delay_noted(now, id, delay, desk),
-        News::Overdue(id, waited) => relay.overdue(now, id, waited, desk),
-        News::Resettled(deployment) => relay.resettle(*deployment),
-        News::Banned(id, out) => relay.ban(now, id, out),
-        News::Recalled(memory) => relay.recall(&memory, true),
-        News::Alone => relay.alone(now),
-        News::Woken => relay.woken(now, desk),
-        News::Stopping => relay.stopping(now, desk),
+        News::Listed(scope, rows) => relay.update_endpoints(scope, &rows),
+        News::Arrived(id, arrival) => relay.session_arrived(now, id, arrival, desk),
+        News::Inherited(id, at, arrival) => relay.session_inherited(now, id, at, arrival, desk),
+        News::Ready(id, dial) => relay.attempt_ready(now, id, dial, desk),
+        News::Ended(id, ending) => relay.attempt_ended(now, id, ending, desk),
+        News::Left(id) => relay.session_left(id, desk),
+        News::Probed(id, verdict, report) => relay.health_checked(now, id, verdict, report),
+        News::Load(id, load) => relay.load_observed(id, load),
+        News::Delay(id, delay) => relay.latency_observed(now, id, delay, desk),
+        News::Overdue(id, waited) => relay.response_overdue(now, id, waited, desk),
+        News::Resettled(deployment) => relay.reconfigure(*deployment),
+        News::Banned(id, out) => relay.set_banned(now, id, out),
+        News::Recalled(memory) => relay.restore(&memory, true),
+        News::Alone => relay.predecessor_ended(now),
+        News::Woken => relay.wake(now, desk),
+        News::Stopping => relay.shut_down(now, desk),
     }));
     done.map_err(|_| about)
 }
--- a/relay/src/protocol.rs
+++ b/relay/src/protocol.rs
@@ -1,6 +1,6 @@
 //! The line protocol: what a line of text means, and what our own lines look like. Knows no
 //! sockets.
-use thistlecroft::front::{Arrival, Report, Verdict};
+use thistlecroft::attempt::{Arrival, AttemptOutcome, LoadReport};
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 use thistlecroft_settings::{CONNECTIONS, LOAD};
@@ -105,9 +105,9 @@
     let (wait, from, to) = wait.ok_or("no d")?;
     let arrival = Arrival {
         route: RouteId(listener as u16),
-        key: Some(key),
+        client_key: Some(key),
         group: group.filter(|_| names.groups),
-        dial_timeout: wait - MARGIN,
+        timeout: wait - MARGIN,
     };
     Ok(First::Open(Box::new(Open {
         id,
@@ -151,7 +151,7 @@
     Up,
     Load(f64),
     /// The last word on a connection.
-    Last(Verdict, Report),
+    Last(AttemptOutcome, LoadReport),
     Other,
 }
 
@@ -166,24 +166,24 @@
             .ok()
             .filter(|load: &f64| load.is_finite())
             .map_or(Said::Other, Said::Load),
-        "BYE" => Said::Last(Verdict::Ok, report(rest)),
-        "MOVE" => Said::Last(Verdict::Withdrawn, report(rest)),
-        "ERR" => Said::Last(Verdict::Error, report(rest)),
-        "BUSY" => Said::Last(Verdict::Full, report(rest)),
+        "BYE" => Said::Last(AttemptOutcome::Ok, report(rest)),
+        "MOVE" => Said::Last(AttemptOutcome::Cancelled, report(rest)),
+        "ERR" => Said::Last(AttemptOutcome::Error, report(rest)),
+        "BUSY" => Said::Last(AttemptOutcome::Saturated, report(rest)),
         _ => Said::Other,
     }
 }
 
 /// The answer to a probe.
-pub fn probe_line(line: &[u8]) -> (Verdict, Report) {
+pub fn probe_line(line: &[u8]) -> (AttemptOutcome, LoadReport) {
     let text = std::str::from_utf8(line).unwrap_or_default();
     match text.split_once(' ').unwrap_or((text, "")) {
-        ("PONG", rest) => (Verdict::Ok, report(rest)),
-        _ => (Verdict::Error, Report::default()),
+        ("PONG", rest) => (AttemptOutcome::Ok, report(rest)),
+        _ => (AttemptOutcome::Error, LoadReport::default()),
     }
 }
 
-fn report(text: &str) -> Report {
+fn report(text: &str) -> LoadReport {
     let told = |names: &[&str]| {
         let field = |name: &&str| {
             text.split(',').find_map(|field| {
@@ -201,7 +201,7 @@
             .filter(|value: &f64| value.is_finite())
             .map(|value| value.max(0.0))
     };
-    Report {
+    LoadReport {
         connections: told(CONNECTIONS),
         load: told(LOAD),
     }
@@ -226,7 +226,7 @@
     TimedOut,
     Withdrawn,
     BadLine,
-    Said(Verdict, Report),
+    Said(AttemptOutcome, LoadReport),
 }
 
 /// A dial's end as a value.
@@ -237,23 +237,23 @@
 }
 
 impl Fault {
-    pub fn verdict(self) -> Verdict {
+    pub fn verdict(self) -> AttemptOutcome {
         match (self.cause, self.reach) {
-            (Cause::Ours, _) => Verdict::NeverSent,
+            (Cause::Ours, _) => AttemptOutcome::NotSent,
             (Cause::Said(verdict, _), _) => verdict,
-            (Cause::BadLine, _) => Verdict::Error,
-            (Cause::Withdrawn, Reach::Sent) => Verdict::Withdrawn,
-            (Cause::Withdrawn, _) => Verdict::NeverSent,
-            (Cause::Broken, Reach::Sent) => Verdict::Reset,
-            (Cause::TimedOut, Reach::Sent) => Verdict::Timeout,
-            (Cause::Broken | Cause::TimedOut, _) => Verdict::Unreachable,
+            (Cause::BadLine, _) => AttemptOutcome::Error,
+            (Cause::Withdrawn, Reach::Sent) => AttemptOutcome::Cancelled,
+            (Cause::Withdrawn, _) => AttemptOutcome::NotSent,
+            (Cause::Broken, Reach::Sent) => AttemptOutcome::Reset,
+            (Cause::TimedOut, Reach::Sent) => AttemptOutcome::TimedOut,
+            (Cause::Broken | Cause::TimedOut, _) => AttemptOutcome::Unreachable,
         }
     }
 
-    pub fn report(self) -> Report {
+    pub fn report(self) -> LoadReport {
         match self.cause {
             Cause::Said(_, report) => report,
-            _ => Report::default(),
+            _ => LoadReport::default(),
         }
     }
 }
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -29,7 +29,7 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use std::path::Path;
 use std::rc::Rc;
-use thistlecroft::balance::Relay;
+use thistlecroft::balancer::Balancer;
 use thistlecroft::deployment::Deployment;
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::{Duration, Instant};
@@ -92,7 +92,7 @@
     /// The other relays, where the charter has them.
     peers: Option<Peers>,
     succession: Succession,
-    relay: Relay,
+    relay: Balancer,
     started: Instant,
     /// The platform holds the clients' socket: another process may serve beside this one.
     passed: bool,
@@ -140,7 +140,8 @@
         let mut sockets = Sockets::new(poller.clone());
         let site = posting.site;
         let (deployment, names) = (site.deployment.clone(), names(&site));
-        let (connect_timeout, stop_within) = (deployment.connect_timeout, deployment.stop_within);
+        let (connect_timeout, stop_within) =
+            (deployment.connect_timeout, deployment.shutdown_timeout);
         let routing = posting.charter.routing;
         let deployment = Deployment {
             routes: routing.rows().to_vec(),
@@ -201,7 +202,7 @@
             orders: &mut orders,
             alarms: &mut works.alarms,
         };
-        let relay = Relay::new(deployment, posting.seed, now, &mut desk);
+        let relay = Balancer::new(deployment, posting.seed, now, &mut desk);
         watch.open(&mut works);
         for signal in &signals {
             // SAFETY: both live as long as the poller, in this struct.
@@ -702,7 +703,7 @@
         self.watch.book.read_by(site.places);
         self.probes.resettle(deployment.connect_timeout, site.idle);
         self.watch.resettle(site.grace);
-        self.stop_within = deployment.stop_within;
+        self.stop_within = deployment.shutdown_timeout;
         self.works
             .news
             .push_back(News::Resettled(Box::new(deployment)));
@@ -812,14 +813,14 @@
 fn names(site: &Site) -> Names {
     Names {
         listeners: site.listeners.clone(),
-        groups: site.deployment.groups,
+        groups: site.deployment.groups_share_work,
         notes_tell_delay: site.notes_tell_delay,
     }
 }
 
 /// What finds no room on the way is lost alone: the next process learns it anew.
-fn tell_memory(relay: &Relay, book: &Book, heir: &Line) -> io::Result<()> {
-    let parts = MemoryText::of(&relay.memory(), |id| book.name(id)).parts();
+fn tell_memory(relay: &Balancer, book: &Book, heir: &Line) -> io::Result<()> {
+    let parts = MemoryText::of(&relay.snapshot(), |id| book.name(id)).parts();
     parts
         .into_iter()
         .try_for_each(|part| heir.say(&Word::Memory(part), &[], &[]).map(drop))
--- a/relay/src/start.rs
+++ b/relay/src/start.rs
@@ -157,7 +157,7 @@
             .collect(),
         zones: site.zones.clone(),
         zone: usize::from(site.deployment.zone.0),
-        two_dials: site.deployment.two_dials && site.deployment.may_withdraw,
+        two_dials: site.deployment.may_hedge && site.deployment.may_cancel,
         peers: site.peers,
         descriptors: sockets.saturating_sub(RESERVE),
     }
--- a/relay/src/succession.rs
+++ b/relay/src/succession.rs
@@ -162,8 +162,9 @@
 mod tests {
     use super::*;
     use crate::estate::MemoryText;
-    use thistlecroft::front::{Memory, Report, Sight};
+    use thistlecroft::attempt::LoadReport;
     use thistlecroft::ids::BackendId;
+    use thistlecroft::snapshot::{BalancerSnapshot, EndpointStatistics};
     use thistlecroft::time::{Duration, Instant};
 
     /// A sight of one backend takes some 150 bytes: 450 of them no longer fitted into a packet, and
@@ -179,22 +180,22 @@
         let new = elder(&folder, &mut sockets).unwrap();
         let old = post.accept(&mut sockets).unwrap();
         let at = Instant::from_micros(1_764_000_000_123_456);
-        let report = Report {
+        let report = LoadReport {
             connections: Some(1_234.5),
             load: Some(0.123_456_789),
         };
-        let sight = Sight {
-            heard: Some((at, report)),
-            weight_heard: 0.987_654,
-            ..Sight::default()
+        let sight = EndpointStatistics {
+            last_report: Some((at, report)),
+            weight_at_report: 0.987_654,
+            ..EndpointStatistics::default()
         };
         for backends in [0, 1, 128, 1_024] {
             let sights = (0..backends).map(|id| (BackendId(id), sight)).collect();
-            let all = Memory {
-                sights,
-                set_up: Duration::from_millis(12),
-                stood: 1.5,
-                left_alone: 2.5,
+            let all = BalancerSnapshot {
+                endpoints: sights,
+                connect_time: Duration::from_millis(12),
+                connection_seconds: 1.5,
+                departures: 2.5,
             };
             let names: Vec<String> = (0..backends)
                 .map(|id| format!("backend-in-zone-a-{id:08x}"))
@@ -215,10 +216,10 @@
                     part.memory(|name| {
                         BackendId(names.iter().position(|one| one == name).unwrap() as u32)
                     })
-                    .sights,
+                    .endpoints,
                 );
             }
-            assert_eq!(heard, all.sights, "{backends}");
+            assert_eq!(heard, all.endpoints, "{backends}");
         }
         std::fs::remove_dir_all(&folder).unwrap();
     }
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -11,7 +11,7 @@
 use crate::works::Works;
 use std::io::{Read, Write};
 use std::net::TcpStream;
-use thistlecroft::front::{Report, Verdict};
+use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 use thistlecroft_operator_config::{Circumstances, ListenerFacts, Routing};
@@ -51,13 +51,13 @@
                 panic!("{line}")
             };
             assert_eq!(open.arrival.route, RouteId(listener), "{line}");
+            assert_eq!(open.arrival.timeout, Duration::from_millis(left), "{line}");
+            assert_eq!(open.arrival.group, group.filter(|_| groups), "{line}");
             assert_eq!(
-                open.arrival.dial_timeout,
-                Duration::from_millis(left),
+                (open.id, open.arrival.client_key),
+                (0xa, Some(0xb)),
                 "{line}"
             );
-            assert_eq!(open.arrival.group, group.filter(|_| groups), "{line}");
-            assert_eq!((open.id, open.arrival.key), (0xa, Some(0xb)), "{line}");
             assert_eq!(
                 open.line(Duration::from_micros(70_900)),
                 format!("{START}{onward}")
@@ -138,23 +138,23 @@
 fn a_dials_end_proves_what_its_reach_allows() {
     use Cause::{BadLine, Broken, Ours, TimedOut, Withdrawn};
     let cases = [
-        (Reach::Nothing, Ours, Verdict::NeverSent),
-        (Reach::Nothing, Broken, Verdict::Unreachable),
-        (Reach::Nothing, TimedOut, Verdict::Unreachable),
-        (Reach::Nothing, Withdrawn, Verdict::NeverSent),
-        (Reach::Connected, Broken, Verdict::Unreachable),
-        (Reach::Connected, TimedOut, Verdict::Unreachable),
-        (Reach::Connected, Withdrawn, Verdict::NeverSent),
-        (Reach::Sent, Broken, Verdict::Reset),
-        (Reach::Sent, TimedOut, Verdict::Timeout),
-        (Reach::Sent, Withdrawn, Verdict::Withdrawn),
-        (Reach::Sent, BadLine, Verdict::Error),
+        (Reach::Nothing, Ours, AttemptOutcome::NotSent),
+        (Reach::Nothing, Broken, AttemptOutcome::Unreachable),
+        (Reach::Nothing, TimedOut, AttemptOutcome::Unreachable),
+        (Reach::Nothing, Withdrawn, AttemptOutcome::NotSent),
+        (Reach::Connected, Broken, AttemptOutcome::Unreachable),
+        (Reach::Connected, TimedOut, AttemptOutcome::Unreachable),
+        (Reach::Connected, Withdrawn, AttemptOutcome::NotSent),
+        (Reach::Sent, Broken, AttemptOutcome::Reset),
+        (Reach::Sent, TimedOut, AttemptOutcome::TimedOut),
+        (Reach::Sent, Withdrawn, AttemptOutcome::Cancelled),
+        (Reach::Sent, BadLine, AttemptOutcome::Error),
         // An answer to a line that was not all sent yet: it may have run all the same.
-        (Reach::Connected, BadLine, Verdict::Error),
+        (Reach::Connected, BadLine, AttemptOutcome::Error),
         (
             Reach::Sent,
-            Cause::Said(Verdict::Full, Report::default()),
-            Verdict::Full,
+            Cause::Said(AttemptOutcome::Saturated, LoadReport::default()),
+            AttemptOutcome::Saturated,
         ),
     ];
     for (reach, cause, expected) in cases {
@@ -175,18 +175,18 @@
     let cases = [
         (
             "BYE inflight=7,queue=2,util=0.61",
-            Some((Verdict::Ok, Some(7.0), Some(0.61))),
+            Some((AttemptOutcome::Ok, Some(7.0), Some(0.61))),
         ),
         (
             "BUSY rif=3,x0=0.5,busy=0.9",
-            Some((Verdict::Full, Some(3.0), Some(0.5))),
+            Some((AttemptOutcome::Saturated, Some(3.0), Some(0.5))),
         ),
-        ("ERR", Some((Verdict::Error, None, None))),
+        ("ERR", Some((AttemptOutcome::Error, None, None))),
         (
             "ERR inflight=NaN,x0=-1",
-            Some((Verdict::Error, None, Some(0.0))),
+            Some((AttemptOutcome::Error, None, Some(0.0))),
         ),
-        ("MOVE", Some((Verdict::Withdrawn, None, None))),
+        ("MOVE", Some((AttemptOutcome::Cancelled, None, None))),
         ("BYELAW", None),
         ("UP x", None),
     ];
@@ -197,7 +197,7 @@
     assert!(matches!(backend_line(b"LOAD much"), Said::Other));
     assert!(matches!(backend_line(b"UP"), Said::Up));
     assert_eq!(probe_line(b"PONG inflight=2").1.connections, Some(2.0));
-    assert_eq!(probe_line(b"NO").0, Verdict::Error);
+    assert_eq!(probe_line(b"NO").0, AttemptOutcome::Error);
     assert_eq!(refusal(Some(Duration::from_micros(1_001))), "BUSY 2");
 }
 
--- a/relay/src/trace.rs
+++ b/relay/src/trace.rs
@@ -4,7 +4,7 @@
 use crate::discovery::Book;
 use crate::front::{News, Order};
 use log::{Level, debug, log_enabled};
-use thistlecroft::front::Standing;
+use thistlecroft::endpoint::EndpointState;
 
 pub fn news(news: &News, book: &Book) {
     if !log_enabled!(Level::Debug) {
@@ -12,9 +12,13 @@
     }
     match news {
         News::Listed(scope, rows) => {
-            let of = |standing| rows.iter().filter(|row| row.standing == standing).count();
-            let [ready, draining, gone] =
-                [Standing::Ready, Standing::Draining, Standing::Gone].map(of);
+            let of = |standing| rows.iter().filter(|row| row.state == standing).count();
+            let [ready, draining, gone] = [
+                EndpointState::Ready,
+                EndpointState::Draining,
+                EndpointState::Removed,
+            ]
+            .map(of);
             debug!("list scope={scope:?} ready={ready} draining={draining} gone={gone}");
         }
         News::Arrived(id, arrival) => {
@@ -37,7 +41,7 @@
         News::Ended(id, ending) => {
             debug!(
                 "ended session={} dial={} verdict={:?} over={}",
-                id.0, ending.dial, ending.verdict, ending.over
+                id.0, ending.attempt, ending.outcome, ending.is_answered
             );
         }
         News::Left(id) => debug!("left session={}", id.0),
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,8 +1,10 @@
 //! The settings text that a simulator or a start configuration holds, read into a deployment. Keys
 //! that are not read are passed over.
 use serde::Deserialize;
-use thistlecroft::balance::{BASE, CAP, COOL_DOWN, PATIENCE};
-use thistlecroft::deployment::{ColdStart, Deployment, Effect, Ration, Route, Scope};
+use thistlecroft::balancer::{ATTEMPT_TIMEOUT_FACTOR, BACKOFF_BASE, BACKOFF_CAP, STABLE_AFTER};
+use thistlecroft::deployment::{
+    DeduplicationScope, Deployment, Idempotency, RetryBudget, Route, SlowStart,
+};
 use thistlecroft::ids::ZoneId;
 use thistlecroft::time::Duration;
 
@@ -70,8 +72,8 @@
             match both.listeners.iter().position(|one| one == name) {
                 Some(at) => {
                     let after = &mut both.deployment.routes[at];
-                    after.max_dials = after.max_dials.min(before.max_dials);
-                    after.effect = stricter(before.effect, after.effect);
+                    after.max_attempts = after.max_attempts.min(before.max_attempts);
+                    after.idempotency = stricter(before.idempotency, after.idempotency);
                 }
                 None => {
                     both.listeners.push(name.clone());
@@ -81,31 +83,34 @@
             }
         }
         both.grace = self.grace.min(later.grace);
-        both.deployment.two_dials &= self.deployment.two_dials;
-        both.deployment.ration = match (self.deployment.ration, later.deployment.ration) {
-            (Some(before), Some(after)) => Some(Ration {
-                free: before.free.min(after.free),
-                share: before.share.min(after.share),
-                window: before.window.max(after.window),
-            }),
-            (before, after) => before.or(after),
-        };
+        both.deployment.may_hedge &= self.deployment.may_hedge;
+        both.deployment.retry_budget =
+            match (self.deployment.retry_budget, later.deployment.retry_budget) {
+                (Some(before), Some(after)) => Some(RetryBudget {
+                    free: before.free.min(after.free),
+                    share: before.share.min(after.share),
+                    window: before.window.max(after.window),
+                }),
+                (before, after) => before.or(after),
+            };
         both
     }
 }
 
 /// What either allows.
-fn stricter(one: Effect, other: Effect) -> Effect {
+fn stricter(one: Idempotency, other: Idempotency) -> Idempotency {
     match (one, other) {
-        (Effect::Repeatable, effect) | (effect, Effect::Repeatable) => effect,
-        (Effect::OnceOnly, _) | (_, Effect::OnceOnly) => Effect::OnceOnly,
+        (Idempotency::Idempotent, effect) | (effect, Idempotency::Idempotent) => effect,
+        (Idempotency::NonIdempotent, _) | (_, Idempotency::NonIdempotent) => {
+            Idempotency::NonIdempotent
+        }
         (
-            Effect::Referenced { scope, window },
-            Effect::Referenced {
+            Idempotency::Keyed { scope, window },
+            Idempotency::Keyed {
                 scope: other,
                 window: least,
             },
-        ) => Effect::Referenced {
+        ) => Idempotency::Keyed {
             scope: scope.max(other),
             window: window.min(least),
         },
@@ -193,7 +198,7 @@
 impl Invariants {
     /// The ration of dials, where its figures and its window are stated; what is left out of the
     /// figures is zero.
-    fn ration(&self) -> Result<Option<Ration>, String> {
+    fn ration(&self) -> Result<Option<RetryBudget>, String> {
         let stated = [
             ("extraFree", self.extra_free),
             ("repeatRatio", self.repeat_ratio),
@@ -216,7 +221,7 @@
         };
         let window = Duration::from_micros(window as u64);
         let any = free.or(share).is_some();
-        Ok(any.then(|| Ration {
+        Ok(any.then(|| RetryBudget {
             free: free.unwrap_or(0.0),
             share: share.unwrap_or(0.0),
             window,
@@ -325,47 +330,48 @@
         .max()
         .unwrap_or_default();
     let routes = facts.listeners.iter().map(|row| Route {
-        handshake_target: Duration::from_micros(row.handshake_target_us),
-        effect: effect_of(row),
-        utility: row.utility,
+        handshake_objective: Duration::from_micros(row.handshake_target_us),
+        idempotency: effect_of(row),
+        priority_weight: row.utility,
         connect_timeout: Duration::from_micros(facts.permissions.dial_timeout_us),
-        max_dials: facts.permissions.max_dials,
-        longest_retry_after: Duration::from_micros(facts.permissions.max_retry_after_us),
-        patience: PATIENCE,
-        base: BASE,
-        cap: CAP,
-        cool_down: COOL_DOWN,
+        max_attempts: facts.permissions.max_dials,
+        max_retry_after: Duration::from_micros(facts.permissions.max_retry_after_us),
+        attempt_timeout_factor: ATTEMPT_TIMEOUT_FACTOR,
+        backoff_base: BACKOFF_BASE,
+        backoff_cap: BACKOFF_CAP,
+        stable_after: STABLE_AFTER,
         ..Route::default()
     });
     let rules = &facts.invariants;
     let deployment = Deployment {
-        me: facts.me,
-        relays: facts.balancers,
+        relay_index: facts.me,
+        relay_count: facts.balancers,
         zone: ZoneId(facts.az),
         tick: Duration::from_micros(facts.tick_us),
         routes: routes.collect(),
-        shortest_target: Duration::from_micros(shortest),
-        notes: facts.extra.tells_delay,
-        cold: ColdStart {
-            start_share: rules.start_capacity,
+        message_objective: Duration::from_micros(shortest),
+        observes_latency: facts.extra.tells_delay,
+        slow_start: SlowStart {
+            initial_share: rules.start_capacity,
             warm_up: Duration::from_micros(rules.cold_us),
-            factor: rules.overload_factor,
+            overload_factor: rules.overload_factor,
             window: Duration::from_micros(rules.fall_us),
         },
-        ration: rules.ration()?,
-        ask_within: (facts.discovery == Discovery::Subscribe)
+        retry_budget: rules.ration()?,
+        poll_within: (facts.discovery == Discovery::Subscribe)
             .then_some(Duration::from_micros(rules.ask_within_us)),
         connect_timeout: Duration::from_micros(facts.permissions.dial_timeout_us),
-        may_withdraw: facts.permissions.may_cancel,
-        two_dials: facts.permissions.parallel_tries,
-        may_probe: facts.permissions.probes,
-        tells_loads,
-        tells_retry_after: facts.permissions.retry_after,
-        crossing_price: facts.prices.cross_zone,
-        move_price: facts.prices.moves,
-        probe_price: facts.prices.probe,
-        groups: facts.extra.groups,
-        stop_within: Duration::from_micros(longest).min(LONGEST_WAIT_AT_STOP) + AFTER_WAIT_AT_STOP,
+        may_cancel: facts.permissions.may_cancel,
+        may_hedge: facts.permissions.parallel_tries,
+        may_check_health: facts.permissions.probes,
+        reports_load: tells_loads,
+        sends_retry_after: facts.permissions.retry_after,
+        cross_zone_cost: facts.prices.cross_zone,
+        migration_cost: facts.prices.moves,
+        health_check_cost: facts.prices.probe,
+        groups_share_work: facts.extra.groups,
+        shutdown_timeout: Duration::from_micros(longest).min(LONGEST_WAIT_AT_STOP)
+            + AFTER_WAIT_AT_STOP,
     };
     let waits = facts
         .listeners
@@ -390,17 +396,17 @@
     })
 }
 
-fn effect_of(row: &ListenerFacts) -> Effect {
+fn effect_of(row: &ListenerFacts) -> Idempotency {
     match row.effect {
-        EffectName::Retryable => Effect::Repeatable,
-        EffectName::Fragile => Effect::OnceOnly,
+        EffectName::Retryable => Idempotency::Idempotent,
+        EffectName::Fragile => Idempotency::NonIdempotent,
         EffectName::Dedup => {
             let scope = match row.dedup_scope {
-                Some(ScopeName::Zone) => Scope::Zone,
-                Some(ScopeName::Cell) => Scope::Cell,
-                Some(ScopeName::All) | None => Scope::All,
+                Some(ScopeName::Zone) => DeduplicationScope::Zone,
+                Some(ScopeName::Cell) => DeduplicationScope::Cell,
+                Some(ScopeName::All) | None => DeduplicationScope::All,
             };
-            Effect::Referenced {
+            Idempotency::Keyed {
                 scope,
                 window: Duration::from_micros(row.dedup_window_us),
             }
@@ -474,7 +480,7 @@
             let settings = settings.replacen('{', &format!("{{\"report\":{{{report}}},"), 1);
             let site =
                 read(settings.as_bytes()).unwrap_or_else(|fault| panic!("{report}: {fault}"));
-            assert_eq!(site.deployment.tells_loads, told, "{report} {probes}");
+            assert_eq!(site.deployment.reports_load, told, "{report} {probes}");
         }
     }
 
@@ -484,7 +490,7 @@
             text(&[("a", SAFE)], "3").replace("\"fallUs\":3", &format!("\"fallUs\":3{more}"))
         };
         let ration = |free, share, us| {
-            Some(Ration {
+            Some(RetryBudget {
                 free,
                 share,
                 window: Duration::from_micros(us),
@@ -506,14 +512,14 @@
         // Until the later one binds, the stricter of both does; one alone binds as it is.
         let both = |before: usize, after: usize| {
             let site = |at: usize| read(with(taken[at].0).as_bytes()).unwrap();
-            site(before).until(&site(after)).deployment.ration
+            site(before).until(&site(after)).deployment.retry_budget
         };
         assert_eq!([both(0, 1), both(1, 0)], [taken[1].1; 2]);
         assert_eq!([both(1, 3), both(3, 1)], [ration(2.0, 0.0, 5_000_000); 2]);
         for (more, expected) in taken {
             let site =
                 read(with(more).as_bytes()).unwrap_or_else(|fault| panic!("{more}: {fault}"));
-            assert_eq!(site.deployment.ration, expected, "{more}");
+            assert_eq!(site.deployment.retry_budget, expected, "{more}");
         }
         let refused = [
             (r#","extraFree":-1,"extraWindowUs":5"#, "extraFree: -1"),
@@ -552,18 +558,30 @@
             )
         };
         let once = SAFE.replace("retryable", "fragile");
-        let of = |scope, window| Effect::Referenced {
+        let of = |scope, window| Idempotency::Keyed {
             scope,
             window: Duration::from_micros(window),
         };
         // The row of a listener before and after, and what holds between.
         let cases = [
-            (SAFE.to_string(), once.clone(), Effect::OnceOnly),
-            (once.clone(), SAFE.to_string(), Effect::OnceOnly),
-            (SAFE.to_string(), dedup("zone", 7), of(Scope::Zone, 7)),
-            (dedup("zone", 7), once, Effect::OnceOnly),
-            (dedup("cell", 7), dedup("all", 5), of(Scope::Cell, 5)),
-            (dedup("all", 5), dedup("zone", 7), of(Scope::Zone, 5)),
+            (SAFE.to_string(), once.clone(), Idempotency::NonIdempotent),
+            (once.clone(), SAFE.to_string(), Idempotency::NonIdempotent),
+            (
+                SAFE.to_string(),
+                dedup("zone", 7),
+                of(DeduplicationScope::Zone, 7),
+            ),
+            (dedup("zone", 7), once, Idempotency::NonIdempotent),
+            (
+                dedup("cell", 7),
+                dedup("all", 5),
+                of(DeduplicationScope::Cell, 5),
+            ),
+            (
+                dedup("all", 5),
+                dedup("zone", 7),
+                of(DeduplicationScope::Zone, 5),
+            ),
         ];
         for (before, after, expected) in cases {
             let old = read(text(&[("gone", SAFE), ("a", &before)], "2").as_bytes()).unwrap();
@@ -571,9 +589,9 @@
             let both = old.until(&new);
             assert_eq!(both.listeners, ["a", "new", "gone"]);
             let rows = &both.deployment.routes;
-            assert_eq!(rows[0].effect, expected, "{before} {after}");
+            assert_eq!(rows[0].idempotency, expected, "{before} {after}");
             assert_eq!(
-                rows.iter().map(|row| row.max_dials).collect::<Vec<_>>(),
+                rows.iter().map(|row| row.max_attempts).collect::<Vec<_>>(),
                 [2, 3, 2]
             );
             assert_eq!(both.waits.len(), 3);
--- a/src/balance.rs
+++ b/src/balancer.rs
@@ -1,27 +1,28 @@
-//! All decisions of a relay. A front (`front.rs`) calls the methods of `Relay` as things happen,
-//! each with the present moment and itself; `Relay` answers by calling the front's `Front` before
+//! All decisions of a relay. A driver (`driver.rs`) calls the methods of `Balancer` as things happen,
+//! each with the present moment and itself; `Balancer` answers by calling the driver's `Driver` before
 //! it returns. A call may be late or repeated; a session or backend unknown by then is passed over.
 //! `docs/design.md` says which part follows the design and under what condition each departure
 //! acts. Order of reading: open settings, state by lifetime, events, dialling, picking.
-use crate::deployment::{Deployment, Effect, Route, Scope};
-use crate::front::{
-    Arrival, Ending, Front, ListScope, Listing, Memory, Report, Sight, Standing, Verdict,
-};
-use crate::ids::{BackendId, RouteId, SessionId, mixed};
+use crate::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
+use crate::deployment::{DeduplicationScope, Deployment, Idempotency, Route};
+use crate::driver::Driver;
+use crate::endpoint::{Endpoint, EndpointState, UpdateKind};
+use crate::ids::{BackendId, RouteId, SessionId, rendezvous_hash};
 use crate::keys::{Client, Keys};
 use crate::lanes::{Extra, Lanes};
 use crate::random::Rng;
 use crate::session::{Backend, Dial, Entry, Errand, Pool, Session, State};
+use crate::snapshot::{BalancerSnapshot, EndpointStatistics};
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
 // The design's open settings; the runs behind them are in docs/results.md.
 // Those of a row whose route states none.
-pub const BASE: Duration = Duration::from_millis(1_000); // first delay after a failure, before jitter
-pub const CAP: Duration = Duration::from_millis(30_000); // no client is told to stay away longer
-pub const COOL_DOWN: Duration = Duration::from_millis(5_000); // a connection that drops sooner was never of use
-pub const PATIENCE: f64 = 4.0; // times the set-up time of late: a dial as slow as that is lost
+pub const BACKOFF_BASE: Duration = Duration::from_millis(1_000); // first delay after a failure, before jitter
+pub const BACKOFF_CAP: Duration = Duration::from_millis(30_000); // no client is told to stay away longer
+pub const STABLE_AFTER: Duration = Duration::from_millis(5_000); // a connection that drops sooner was never of use
+pub const ATTEMPT_TIMEOUT_FACTOR: f64 = 4.0; // times the set-up time of late: a dial as slow as that is lost
 // Of all.
 const HEAR_EVERY: Duration = Duration::from_millis(2_000); // each backend, at most: reports are renewed about as often
 const PROBE_AT_LEAST: Duration = Duration::from_millis(5_000); // the design's slowest
@@ -58,7 +59,7 @@
 
 /// One instance, from its start to its end.
 #[derive(Default)]
-pub struct Relay {
+pub struct Balancer {
     deployment: Deployment,
     chance: Rng,
     routes: Vec<Arc<Route>>,
@@ -93,35 +94,40 @@
     usual: BTreeMap<RouteId, f64>,
 }
 
-impl Relay {
-    pub fn new(deployment: Deployment, seed: u64, now: Instant, front: &mut dyn Front) -> Relay {
-        let mut relay = Relay {
+impl Balancer {
+    pub fn new(
+        deployment: Deployment,
+        seed: u64,
+        now: Instant,
+        driver: &mut dyn Driver,
+    ) -> Balancer {
+        let mut relay = Balancer {
             chance: Rng::from_seed(seed),
-            ..Relay::default()
+            ..Balancer::default()
         };
-        relay.resettle(deployment);
-        if relay.deployment.ask_within.is_some() {
-            front.subscribe();
+        relay.reconfigure(deployment);
+        if relay.deployment.poll_within.is_some() {
+            driver.subscribe();
         }
         relay.next_probe = now + HEAR_EVERY * relay.chance.unit_f64() * 0.1;
-        relay.plan(relay.next_probe, Errand::Probe, front);
+        relay.plan(relay.next_probe, Errand::Probe, driver);
         let phase = HOUSEKEEPING * relay.chance.unit_f64();
-        relay.plan(now + phase, Errand::Housekeeping, front);
+        relay.plan(now + phase, Errand::Housekeeping, driver);
         relay
     }
 
     /// Other settings and routes, for the sessions that come from now on.
-    pub fn resettle(&mut self, deployment: Deployment) {
+    pub fn reconfigure(&mut self, deployment: Deployment) {
         self.routes = deployment.routes.iter().copied().map(Arc::new).collect();
-        self.lanes.limit(deployment.ration);
+        self.lanes.limit(deployment.retry_budget);
         self.usual.clear(); // rows may stand for other listeners now
         self.deployment = deployment;
     }
 
     // ---- the list ----
 
-    pub fn listed(&mut self, scope: ListScope, rows: &[Listing]) {
-        if scope != ListScope::Changes {
+    pub fn update_endpoints(&mut self, scope: UpdateKind, rows: &[Endpoint]) {
+        if scope != UpdateKind::Delta {
             // Missing from a complete list means removed, without a line that says so.
             let named: BTreeSet<BackendId> = rows.iter().map(|row| row.backend).collect();
             for (_, backend) in self
@@ -129,7 +135,7 @@
                 .iter_mut()
                 .filter(|(at, _)| !named.contains(at))
             {
-                backend.listing.standing = Standing::Gone;
+                backend.listing.state = EndpointState::Removed;
             }
         }
         for row in rows {
@@ -137,30 +143,32 @@
                 .backends
                 .entry(row.backend)
                 .or_insert_with(|| Backend::new(*row));
-            if backend.listing.up_since != row.up_since {
+            if backend.listing.started_at != row.started_at {
                 backend.renew(*row);
             }
             backend.listing = *row;
         }
-        if scope != ListScope::Cached {
+        if scope != UpdateKind::CachedSnapshot {
             self.failed_calls = 0;
         }
     }
 
     /// A call to discovery failed or the subscription broke. Full jitter keeps relays from meeting,
     /// well within the span after which they would be deemed to know what they never heard.
-    pub fn list_failed(&mut self, now: Instant, front: &mut dyn Front) {
-        let Some(within) = self.deployment.ask_within else {
+    pub fn discovery_failed(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let Some(within) = self.deployment.poll_within else {
             return;
         };
-        let wait = self.jitter(self.failed_calls, BASE, CAP).min(within * 0.5);
+        let wait = self
+            .jitter(self.failed_calls, BACKOFF_BASE, BACKOFF_CAP)
+            .min(within * 0.5);
         self.failed_calls += 1;
-        self.plan(now + wait, Errand::Subscribe, front);
+        self.plan(now + wait, Errand::Subscribe, driver);
     }
 
     /// An operator takes a backend out, or puts it back, restarted: nothing that was known of it
     /// holds.
-    pub fn ban(&mut self, now: Instant, id: BackendId, out: bool) {
+    pub fn set_banned(&mut self, now: Instant, id: BackendId, out: bool) {
         if out {
             self.banned.entry(id).or_insert(now);
         } else if let Some(since) = self.banned.remove(&id)
@@ -172,94 +180,97 @@
     }
 
     /// What the next process of this relay is to know.
-    pub fn memory(&self) -> Memory {
+    pub fn snapshot(&self) -> BalancerSnapshot {
         let sights = self
             .backends
             .iter()
             .map(|(&id, at)| (id, at.sight))
             .collect();
-        Memory {
-            sights,
-            set_up: self.set_up,
-            stood: self.stood,
-            left_alone: self.left_alone,
+        BalancerSnapshot {
+            endpoints: sights,
+            connect_time: self.set_up,
+            connection_seconds: self.stood,
+            departures: self.left_alone,
         }
     }
 
     /// What the process before knew. `beside`: it still serves, and turns at cold backends are its
     /// alone.
-    pub fn recall(&mut self, memory: &Memory, beside: bool) {
+    pub fn restore(&mut self, memory: &BalancerSnapshot, beside: bool) {
         self.beside = beside;
         if beside {
             self.lanes.beside(None);
         }
-        (self.set_up, self.stood, self.left_alone) =
-            (memory.set_up, memory.stood, memory.left_alone);
-        for (id, told) in &memory.sights {
+        (self.set_up, self.stood, self.left_alone) = (
+            memory.connect_time,
+            memory.connection_seconds,
+            memory.departures,
+        );
+        for (id, told) in &memory.endpoints {
             let Some(Backend { sight, .. }) = self.backends.get_mut(id) else {
                 continue;
             };
-            let newer = sight.heard.map(|(at, _)| at) >= told.heard.map(|(at, _)| at);
-            let Sight {
-                heard,
-                weight_heard,
+            let newer = sight.last_report.map(|(at, _)| at) >= told.last_report.map(|(at, _)| at);
+            let EndpointStatistics {
+                last_report: heard,
+                weight_at_report: weight_heard,
                 ..
             } = if newer { *sight } else { *told };
             let (strikes, ejections) = (
-                sight.strikes.max(told.strikes),
+                sight.consecutive_failures.max(told.consecutive_failures),
                 sight.ejections.max(told.ejections),
             );
             let (owed, cold_turn) = (
-                sight.owed.max(told.owed),
-                sight.cold_turn.max(told.cold_turn),
+                sight.pending_health_checks.max(told.pending_health_checks),
+                sight.slow_start_use.max(told.slow_start_use),
             );
-            *sight = Sight {
-                heard,
-                weight_heard,
-                strikes,
+            *sight = EndpointStatistics {
+                last_report: heard,
+                weight_at_report: weight_heard,
+                consecutive_failures: strikes,
                 ejections,
-                owed,
-                cold_turn,
+                pending_health_checks: owed,
+                slow_start_use: cold_turn,
             };
         }
     }
 
     /// The process before has gone.
-    pub fn alone(&mut self, now: Instant) {
+    pub fn predecessor_ended(&mut self, now: Instant) {
         self.beside = false;
         self.lanes.beside(Some(now));
     }
 
     // ---- sessions ----
 
-    pub fn arrived(
+    pub fn session_arrived(
         &mut self,
         now: Instant,
         id: SessionId,
         arrival: Arrival,
-        front: &mut dyn Front,
+        driver: &mut dyn Driver,
     ) {
         self.lanes
             .taken(now, &self.routes[usize::from(arrival.route.0)]);
         if self.enter(now, id, arrival) {
-            self.dial(now, id, front)
+            self.dial(now, id, driver)
         } else {
-            self.refuse(now, id, front)
+            self.refuse(now, id, driver)
         }
     }
 
     /// A connection that already runs through this relay as it starts.
-    pub fn inherit(
+    pub fn session_inherited(
         &mut self,
         now: Instant,
         id: SessionId,
         at: BackendId,
         of: Arrival,
-        front: &mut dyn Front,
+        driver: &mut dyn Driver,
     ) {
         self.enter(now, id, of);
         // It has stood for longer; a fresh cool-down would shield an overload at start from relief.
-        let long_ago = now - self.sessions[&id].row.cool_down;
+        let long_ago = now - self.sessions[&id].row.stable_after;
         self.sessions
             .entry(id)
             .and_modify(|session| session.dials = 1);
@@ -268,8 +279,8 @@
             backend: at,
             sent: long_ago,
         };
-        self.save_for_probes(now, front);
-        self.turn(id, State::Ready(dial, long_ago), front);
+        self.save_for_probes(now, driver);
+        self.turn(id, State::Ready(dial, long_ago), driver);
     }
 
     /// True where its route has room for one more.
@@ -289,7 +300,13 @@
         }
     }
 
-    pub fn ready(&mut self, now: Instant, id: SessionId, number: u32, front: &mut dyn Front) {
+    pub fn attempt_ready(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        number: u32,
+        driver: &mut dyn Driver,
+    ) {
         self.lead(id, number);
         let Some(session) = self.sessions.get(&id) else {
             return;
@@ -300,18 +317,23 @@
         if dial.number != number {
             return;
         }
-        let (row, key) = (session.row.clone(), session.arrival.key);
-        self.drop_second(id, front);
+        let (row, key) = (session.row.clone(), session.arrival.client_key);
+        self.drop_second(id, driver);
         if let Some(key) = key {
-            self.client(key, now).clears_at = Some(now + row.cool_down);
+            self.client(key, now).clears_at = Some(now + row.stable_after);
         }
-        let clear =
-            |at: &mut Backend| (at.sight.strikes, at.sight.ejections, at.sight.owed) = (0, 0, 0);
+        let clear = |at: &mut Backend| {
+            (
+                at.sight.consecutive_failures,
+                at.sight.ejections,
+                at.sight.pending_health_checks,
+            ) = (0, 0, 0)
+        };
         self.backends.entry(dial.backend).and_modify(clear);
         self.learn_set_up(now.duration_since(dial.sent));
         self.lanes.took(&row, now.duration_since(dial.sent));
-        self.save_for_probes(now, front);
-        self.turn(id, State::Ready(dial, now), front);
+        self.save_for_probes(now, driver);
+        self.turn(id, State::Ready(dial, now), driver);
     }
 
     /// Of two dials that are out the one of that number becomes the one of the session's state.
@@ -326,65 +348,71 @@
         }
     }
 
-    pub fn ended(&mut self, now: Instant, id: SessionId, ending: Ending, front: &mut dyn Front) {
-        self.lead(id, ending.dial);
+    pub fn attempt_ended(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        ending: AttemptEnd,
+        driver: &mut dyn Driver,
+    ) {
+        self.lead(id, ending.attempt);
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let Ending {
-            dial: number,
-            verdict,
-            over,
+        let AttemptEnd {
+            attempt: number,
+            outcome: verdict,
+            is_answered: over,
             report,
         } = ending;
-        let answered = over || verdict == Verdict::Ok;
+        let answered = over || verdict == AttemptOutcome::Ok;
         match session.state {
             State::Dialling(dial) if dial.number == number => {
                 session.ran = session
                     .ran
                     .or(verdict.may_have_run().then_some((dial.backend, dial.sent)));
                 session.last_tried = Some(dial.backend);
-                if verdict == Verdict::NeverSent && number > 0 {
+                if verdict == AttemptOutcome::NotSent && number > 0 {
                     self.lanes.give_back(dial.sent);
                 }
                 self.heard(now, dial.backend, report);
                 if !matches!(
                     verdict,
-                    Verdict::Ok | Verdict::Withdrawn | Verdict::NeverSent
+                    AttemptOutcome::Ok | AttemptOutcome::Cancelled | AttemptOutcome::NotSent
                 ) {
                     self.strike(dial.backend, verdict);
                 }
-                if verdict == Verdict::Full {
+                if verdict == AttemptOutcome::Saturated {
                     self.overloaded(now, dial.backend);
                 }
-                if verdict == Verdict::Timeout {
+                if verdict == AttemptOutcome::TimedOut {
                     self.learn_set_up(now.duration_since(dial.sent) * 2.0);
                 }
                 if !answered {
-                    return self.further(now, id, front);
+                    return self.further(now, id, driver);
                 }
-                self.drop_second(id, front);
+                self.drop_second(id, driver);
             }
             State::Ready(dial, since) if dial.number == number => {
-                let (key, cool_down) = (session.arrival.key, session.row.cool_down);
+                let (key, cool_down) = (session.arrival.client_key, session.row.stable_after);
                 self.heard(now, dial.backend, report);
-                self.left_alone += f64::from(u8::from(verdict == Verdict::Ok));
-                if verdict == Verdict::Reset && now.duration_since(since) < cool_down {
+                self.left_alone += f64::from(u8::from(verdict == AttemptOutcome::Ok));
+                if verdict == AttemptOutcome::Reset && now.duration_since(since) < cool_down {
                     self.count_failure(now, id);
                 } else if let Some(key) = key {
                     // Looked up first: that clears the count if the connection has stood long
                     // enough.
                     self.client(key, now).clears_at = None;
                 }
-                self.broke(now, dial.backend, verdict == Verdict::Reset);
+                self.broke(now, dial.backend, verdict == AttemptOutcome::Reset);
                 if !answered {
-                    return self.finish(id, None, front);
+                    return self.finish(id, None, driver);
                 }
             }
             State::Settled => {}
             _ => return,
         }
-        self.turn(id, State::Over, front);
+        self.turn(id, State::Over, driver);
     }
 
     /// A standing connection ended. Where all of several broke at once the backend went down with
@@ -410,40 +438,40 @@
     /// load is told: it is left alone for the design's delay, by its own count, times the relays,
     /// as each tries it.
     fn overloaded(&mut self, now: Instant, id: BackendId) {
-        let wait = BASE * f64::from(self.deployment.relays);
+        let wait = BACKOFF_BASE * f64::from(self.deployment.relay_count);
         let Some(&(count, until)) = self.backends.get(&id).map(|at| &at.overloaded) else {
             return;
         };
-        let count = if now < until + COOL_DOWN { count } else { 0 };
-        let until = until.max(now + self.jitter(count, wait, CAP));
+        let count = if now < until + STABLE_AFTER { count } else { 0 };
+        let until = until.max(now + self.jitter(count, wait, BACKOFF_CAP));
         self.backends
             .entry(id)
             .and_modify(|at| at.overloaded = (count + 1, until));
     }
 
-    /// The client has left, or the front has ended the session.
-    pub fn left(&mut self, id: SessionId, front: &mut dyn Front) {
+    /// The client has left, or the driver has ended the session.
+    pub fn session_left(&mut self, id: SessionId, driver: &mut dyn Driver) {
         let Some(&Session { state, .. }) = self.sessions.get(&id) else {
             return;
         };
-        if let (State::Dialling(dial), true) = (state, self.deployment.may_withdraw) {
-            front.withdraw(id, dial.number);
+        if let (State::Dialling(dial), true) = (state, self.deployment.may_cancel) {
+            driver.cancel(id, dial.number);
         }
-        self.drop_second(id, front);
+        self.drop_second(id, driver);
         match state {
-            State::Dialling(_) | State::Ready(..) => self.turn(id, State::Settled, front),
+            State::Dialling(_) | State::Ready(..) => self.turn(id, State::Settled, driver),
             State::Settled => {}
-            State::New | State::Held | State::Over => self.turn(id, State::Over, front),
+            State::New | State::Held | State::Over => self.turn(id, State::Over, driver),
         }
     }
 
-    fn drop_second(&mut self, id: SessionId, front: &mut dyn Front) {
+    fn drop_second(&mut self, id: SessionId, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         let group = session.arrival.group;
         if let Some(second) = session.second.take() {
-            front.withdraw(id, second.number);
+            driver.cancel(id, second.number);
             self.hold(second.backend, group, false);
         }
     }
@@ -455,15 +483,15 @@
 
     /// The process is to end. Clients go in even steps, late ones, since the next relay may just
     /// have been stopped itself. No dial may last beyond them.
-    pub fn stopping(&mut self, now: Instant, front: &mut dyn Front) {
-        let tenth = self.deployment.stop_within * 0.1;
+    pub fn shut_down(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let tenth = self.deployment.shutdown_timeout * 0.1;
         self.until = Some(now + tenth * 8.0);
         for step in 5..=9 {
-            self.plan(now + tenth * step as f64, Errand::Leave(10 - step), front);
+            self.plan(now + tenth * step as f64, Errand::Leave(10 - step), driver);
         }
     }
 
-    fn leave(&mut self, now: Instant, steps: usize, front: &mut dyn Front) {
+    fn leave(&mut self, now: Instant, steps: usize, driver: &mut dyn Driver) {
         let states: Vec<_> = self
             .sessions
             .iter()
@@ -478,12 +506,12 @@
             match state {
                 State::Ready(..) if part > 0 => {
                     part -= 1;
-                    self.send_away(id, front);
+                    self.send_away(id, driver);
                 }
-                State::Held => self.refuse(now, id, front),
+                State::Held => self.refuse(now, id, driver),
                 State::Dialling(dial) if self.until <= Some(now) => {
-                    front.withdraw(id, dial.number);
-                    self.drop_second(id, front);
+                    driver.cancel(id, dial.number);
+                    self.drop_second(id, driver);
                 }
                 _ => {}
             }
@@ -492,22 +520,29 @@
 
     // ---- sights of backends ----
 
-    pub fn probed(&mut self, now: Instant, id: BackendId, verdict: Verdict, report: Report) {
-        if verdict != Verdict::Ok {
+    pub fn health_checked(
+        &mut self,
+        now: Instant,
+        id: BackendId,
+        verdict: AttemptOutcome,
+        report: LoadReport,
+    ) {
+        if verdict != AttemptOutcome::Ok {
             return self.strike(id, verdict);
         }
         self.heard(now, id, report);
         if let Some(backend) = self.backends.get_mut(&id) {
-            backend.sight.owed = backend.sight.owed.saturating_sub(1);
-            backend.sight.strikes = if backend.sight.owed > 0 {
-                backend.sight.strikes
+            backend.sight.pending_health_checks =
+                backend.sight.pending_health_checks.saturating_sub(1);
+            backend.sight.consecutive_failures = if backend.sight.pending_health_checks > 0 {
+                backend.sight.consecutive_failures
             } else {
                 0
             };
         }
     }
 
-    pub fn load_noted(&mut self, id: SessionId, load: f64) {
+    pub fn load_observed(&mut self, id: SessionId, load: f64) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -523,7 +558,7 @@
         let utility = |at: &RouteId| {
             self.routes
                 .get(usize::from(at.0))
-                .map_or(0.0, |row| row.utility)
+                .map_or(0.0, |row| row.priority_weight)
         };
         let worth = |(at, usual): (&RouteId, &f64)| utility(at) / usual.max(1e-9);
         let best = self
@@ -535,12 +570,12 @@
         FULL - YIELDS * (1.0 - (own / best).cbrt())
     }
 
-    pub fn delay_noted(
+    pub fn latency_observed(
         &mut self,
         now: Instant,
         id: SessionId,
         delay: Duration,
-        front: &mut dyn Front,
+        driver: &mut dyn Driver,
     ) {
         let Some(&Session {
             state: State::Ready(dial, _),
@@ -549,7 +584,10 @@
         else {
             return;
         };
-        let (shortest, may_probe) = (self.deployment.shortest_target, self.deployment.may_probe);
+        let (shortest, may_probe) = (
+            self.deployment.message_objective,
+            self.deployment.may_check_health,
+        );
         let Some(backend) = self.backends.get_mut(&dial.backend) else {
             return;
         };
@@ -562,25 +600,25 @@
         // Its last report may be seconds old, and relief waits for a fresh one.
         let stale = backend
             .sight
-            .heard
+            .last_report
             .is_none_or(|(at, _)| now.duration_since(at) >= REPORT_LAG);
-        let ready =
-            backend.listing.standing == Standing::Ready && !self.banned.contains_key(&dial.backend);
+        let ready = backend.listing.state == EndpointState::Ready
+            && !self.banned.contains_key(&dial.backend);
         if may_probe && stale && ready && backend.late_for(shortest, now) {
-            front.probe(dial.backend);
+            driver.check_health(dial.backend);
         }
     }
 
     /// No line has come back for so long, on sockets: a backend that vanished or hangs ends
     /// nothing.
-    pub fn overdue(
+    pub fn response_overdue(
         &mut self,
         now: Instant,
         id: SessionId,
         waited: Duration,
-        front: &mut dyn Front,
+        driver: &mut dyn Driver,
     ) {
-        self.delay_noted(now, id, waited, front);
+        self.latency_observed(now, id, waited, driver);
         let Some(&Session {
             state: State::Ready(dial, _),
             ..
@@ -591,7 +629,7 @@
         if self
             .backends
             .get(&dial.backend)
-            .is_some_and(|at| at.sight.owed > 0)
+            .is_some_and(|at| at.sight.pending_health_checks > 0)
         {
             // Two signs that agree. Whoever else stands there would find out only by a line of his
             // own.
@@ -603,50 +641,50 @@
                 .map(|(&id, _)| id);
             all.collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|id| self.send_away(id, front));
+                .for_each(|id| self.send_away(id, driver));
         } else if waited >= SILENT {
-            self.strike(dial.backend, Verdict::Timeout);
-            self.send_away(id, front);
+            self.strike(dial.backend, AttemptOutcome::TimedOut);
+            self.send_away(id, driver);
         }
     }
 
-    pub fn woken(&mut self, now: Instant, front: &mut dyn Front) {
+    pub fn wake(&mut self, now: Instant, driver: &mut dyn Driver) {
         while let Some(&(at, errand)) = self.errands.first().filter(|(at, _)| *at <= now) {
             self.errands.pop_first();
             match errand {
                 Errand::Probe if at != self.next_probe => {} // a sooner one was planned since
-                Errand::Probe => self.probe(now, front),
+                Errand::Probe => self.probe(now, driver),
                 Errand::Housekeeping => {
                     self.stood =
                         self.stood * KEPT + self.sessions.len() as f64 * HOUSEKEEPING.as_secs_f64();
                     self.left_alone *= KEPT;
-                    let window = self.deployment.cold.window.max(HOUSEKEEPING);
+                    let window = self.deployment.slow_start.window.max(HOUSEKEEPING);
                     self.lately *= 1.0 - HOUSEKEEPING.as_secs_f64() / window.as_secs_f64();
                     self.met_all *= KEPT;
                     self.met.values_mut().for_each(|met| *met *= KEPT);
                     self.met.retain(|_, met| *met > 0.1);
-                    self.relieve(now, front);
-                    self.bring_home(now, front);
+                    self.relieve(now, driver);
+                    self.bring_home(now, driver);
                     self.clients.forget_old(now);
-                    self.plan(now + HOUSEKEEPING, Errand::Housekeeping, front);
+                    self.plan(now + HOUSEKEEPING, Errand::Housekeeping, driver);
                 }
-                Errand::Leave(steps) => self.leave(now, steps, front),
-                Errand::Subscribe => front.subscribe(),
-                Errand::Redial(id) => self.dial(now, id, front),
-                Errand::Second(id, number) => self.second(now, id, number, front),
+                Errand::Leave(steps) => self.leave(now, steps, driver),
+                Errand::Subscribe => driver.subscribe(),
+                Errand::Redial(id) => self.dial(now, id, driver),
+                Errand::Second(id, number) => self.second(now, id, number, driver),
             }
         }
     }
 
-    fn plan(&mut self, at: Instant, errand: Errand, front: &mut dyn Front) {
+    fn plan(&mut self, at: Instant, errand: Errand, driver: &mut dyn Driver) {
         self.errands.insert((at, errand));
-        front.wake(at);
+        driver.wake_at(at);
     }
 
     // ---- dialling ----
 
     /// Every change of a session's state.
-    fn turn(&mut self, id: SessionId, next: State, front: &mut dyn Front) {
+    fn turn(&mut self, id: SessionId, next: State, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -668,7 +706,7 @@
             && let Some(session) = self.sessions.remove(&id)
         {
             self.lanes.leave(&session.row);
-            front.release(id);
+            driver.release(id);
         }
     }
 
@@ -695,7 +733,7 @@
         }
     }
 
-    fn dial(&mut self, now: Instant, id: SessionId, front: &mut dyn Front) {
+    fn dial(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
         let Some(Session {
             state: State::New | State::Held,
             ..
@@ -703,10 +741,10 @@
         else {
             return;
         };
-        self.turn(id, State::New, front); // what was promised is paid by the dial itself
+        self.turn(id, State::New, driver); // what was promised is paid by the dial itself
         let Some(backend) = self.pick(now, id) else {
-            self.plan_probe(now, HASTE, front);
-            return self.refuse(now, id, front);
+            self.plan_probe(now, HASTE, driver);
+            return self.refuse(now, id, driver);
         };
         let (row, first) = (
             self.sessions[&id].row.clone(),
@@ -717,20 +755,20 @@
             now + row.connect_timeout < at + span
         });
         if past || !first && !self.lanes.pay(now, &row, Extra::Further) {
-            return self.refuse(now, id, front);
+            return self.refuse(now, id, driver);
         }
-        let Some(dial) = self.send(now, id, backend, front) else {
-            return self.finish(id, None, front);
+        let Some(dial) = self.send(now, id, backend, driver) else {
+            return self.finish(id, None, driver);
         };
-        self.turn(id, State::Dialling(dial), front);
-        let two = self.deployment.two_dials && self.deployment.may_withdraw; // the one that loses is given up
-        let allowed = two && row.effect == Effect::Repeatable;
+        self.turn(id, State::Dialling(dial), driver);
+        let two = self.deployment.may_hedge && self.deployment.may_cancel; // the one that loses is given up
+        let allowed = two && row.idempotency == Idempotency::Idempotent;
         if let Some(long) = self
             .lanes
             .long(&row)
-            .filter(|_| allowed && dial.number + 1 < row.max_dials)
+            .filter(|_| allowed && dial.number + 1 < row.max_attempts)
         {
-            self.plan(now + long, Errand::Second(id, dial.number), front);
+            self.plan(now + long, Errand::Second(id, dial.number), driver);
         }
     }
 
@@ -740,17 +778,17 @@
         now: Instant,
         id: SessionId,
         at: BackendId,
-        front: &mut dyn Front,
+        driver: &mut dyn Driver,
     ) -> Option<Dial> {
         let session = &self.sessions[&id];
         let left = self
             .due(session)
             .duration_since(now + self.deployment.tick + self.deployment.tick);
-        let last = session.dials + 1 >= session.row.max_dials;
+        let last = session.dials + 1 >= session.row.max_attempts;
         let patience = session
             .row
-            .handshake_target
-            .max(self.set_up * session.row.patience);
+            .handshake_objective
+            .max(self.set_up * session.row.attempt_timeout_factor);
         let give_up = if last { left } else { left.min(patience) };
         if give_up == Duration::ZERO {
             return None;
@@ -762,9 +800,9 @@
         let turn = self.cold_turn(now, at);
         if let Some(backend) = self.backends.get_mut(&at) {
             backend.placed.push_back(now);
-            backend.sight.cold_turn = turn.map(|(turn, used)| (turn, used + 1));
+            backend.sight.slow_start_use = turn.map(|(turn, used)| (turn, used + 1));
         }
-        front.dial(id, at, give_up);
+        driver.connect(id, at, give_up);
         Some(Dial {
             number,
             backend: at,
@@ -774,7 +812,7 @@
 
     /// The first dial is slower than most: a second one, to another backend that is warm, as far as
     /// the route's share of them goes. The first to be ready wins.
-    fn second(&mut self, now: Instant, id: SessionId, number: u32, front: &mut dyn Front) {
+    fn second(&mut self, now: Instant, id: SessionId, number: u32, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
@@ -790,7 +828,7 @@
             .pick(now, id)
             .filter(|&at| at != dial.backend && self.cold_turn(now, at).is_none());
         let other = other.filter(|_| self.lanes.pay(now, &row, Extra::Second));
-        let second = other.and_then(|at| self.send(now, id, at, front));
+        let second = other.and_then(|at| self.send(now, id, at, driver));
         second
             .into_iter()
             .for_each(|second| self.hold(second.backend, group, true));
@@ -801,26 +839,26 @@
 
     /// A set-up has failed: the other dial goes on where one is out; else another after the
     /// design's delay, or an answer at once.
-    fn further(&mut self, now: Instant, id: SessionId, front: &mut dyn Front) {
+    fn further(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
         let group = session.arrival.group;
         if let Some(other) = session.second.take() {
             self.hold(other.backend, group, false);
-            return self.turn(id, State::Dialling(other), front);
+            return self.turn(id, State::Dialling(other), driver);
         }
         let wait = self.count_failure(now, id);
         let (session, row) = (&self.sessions[&id], self.sessions[&id].row.clone());
         let room = row.connect_timeout + self.deployment.tick * 2.0;
-        let in_time = now + wait + room < self.due(session) && session.dials < row.max_dials;
+        let in_time = now + wait + room < self.due(session) && session.dials < row.max_attempts;
         let repeat_known = self.allowed(session, |_, window, at| now + wait + room < at + window);
         if in_time && repeat_known && self.is_granted(now, id) {
             self.lanes.promise(&row, true);
-            self.turn(id, State::Held, front);
-            self.plan(now + wait, Errand::Redial(id), front);
+            self.turn(id, State::Held, driver);
+            self.plan(now + wait, Errand::Redial(id), driver);
         } else {
-            self.finish(id, Some(wait), front);
+            self.finish(id, Some(wait), driver);
         }
     }
 
@@ -829,12 +867,11 @@
     fn is_granted(&mut self, now: Instant, id: SessionId) -> bool {
         let session = &self.sessions[&id];
         let (row, left) = (session.row.clone(), self.due(session).duration_since(now));
-        let most = self
-            .routes
-            .iter()
-            .fold(row.utility, |most, row| most.max(row.utility));
-        let worth = row.utility / most.max(f64::MIN_POSITIVE) * left.as_secs_f64()
-            / session.arrival.dial_timeout.as_secs_f64();
+        let most = self.routes.iter().fold(row.priority_weight, |most, row| {
+            most.max(row.priority_weight)
+        });
+        let worth = row.priority_weight / most.max(f64::MIN_POSITIVE) * left.as_secs_f64()
+            / session.arrival.timeout.as_secs_f64();
         self.lanes
             .room(now, &row, Extra::Further)
             .is_none_or(|room| {
@@ -850,36 +887,33 @@
     fn allowed(
         &self,
         session: &Session,
-        referenced: impl Fn(Scope, Duration, Instant) -> bool,
+        referenced: impl Fn(DeduplicationScope, Duration, Instant) -> bool,
     ) -> bool {
-        match (session.row.effect, session.ran) {
-            (Effect::Repeatable, _) | (_, None) => true,
-            (Effect::Referenced { scope, window }, Some((_, at))) => referenced(scope, window, at),
-            (Effect::OnceOnly, Some(_)) => false,
+        match (session.row.idempotency, session.ran) {
+            (Idempotency::Idempotent, _) | (_, None) => true,
+            (Idempotency::Keyed { scope, window }, Some((_, at))) => referenced(scope, window, at),
+            (Idempotency::NonIdempotent, Some(_)) => false,
         }
     }
 
-    fn refuse(&mut self, now: Instant, id: SessionId, front: &mut dyn Front) {
+    fn refuse(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
         let wait = self.count_failure(now, id);
-        self.finish(id, Some(wait), front);
+        self.finish(id, Some(wait), driver);
     }
 
     /// The final answer: a refusal where trying again is known to be harmless, a teardown
     /// otherwise.
-    fn finish(&mut self, id: SessionId, wait: Option<Duration>, front: &mut dyn Front) {
+    fn finish(&mut self, id: SessionId, wait: Option<Duration>, driver: &mut dyn Driver) {
         let session = &self.sessions[&id];
-        let harmless = self.allowed(session, |scope, _, _| scope == Scope::All);
+        let harmless = self.allowed(session, |scope, _, _| scope == DeduplicationScope::All);
         match wait {
             Some(wait) if harmless => {
-                let told = self.deployment.tells_retry_after.then_some(wait);
-                front.refuse(
-                    id,
-                    told.map(|wait| wait.min(session.row.longest_retry_after)),
-                );
+                let told = self.deployment.sends_retry_after.then_some(wait);
+                driver.reject(id, told.map(|wait| wait.min(session.row.max_retry_after)));
             }
-            _ => front.tear_down(id),
+            _ => driver.fail(id),
         }
-        self.turn(id, State::Over, front);
+        self.turn(id, State::Over, driver);
     }
 
     /// Where set-ups slow down everywhere, giving up early only sends the same work again to what
@@ -899,7 +933,7 @@
             return Duration::ZERO;
         };
         let row = session.row.clone();
-        let failures = match session.arrival.key {
+        let failures = match session.arrival.client_key {
             Some(key) => {
                 let client = self.client(key, now);
                 client.clears_at = None;
@@ -909,7 +943,7 @@
         };
         let before = *failures;
         *failures = before.saturating_add(1);
-        self.jitter(before, row.base, row.cap)
+        self.jitter(before, row.backoff_base, row.backoff_cap)
     }
 
     fn client(&mut self, key: u64, now: Instant) -> &mut Client {
@@ -922,14 +956,14 @@
 
     // ---- health ----
 
-    fn heard(&mut self, now: Instant, id: BackendId, report: Report) {
+    fn heard(&mut self, now: Instant, id: BackendId, report: LoadReport) {
         let told = report.connections.or(report.load).is_some();
         let Some(backend) = self.backends.get_mut(&id).filter(|_| told) else {
             return;
         };
-        backend.sight.heard = Some((now, report));
+        backend.sight.last_report = Some((now, report));
         // A report may be older than the lateness; one that is not and tells of room is not true.
-        let late = backend.late_for(self.deployment.shortest_target * NOTED, now);
+        let late = backend.late_for(self.deployment.message_objective * NOTED, now);
         if late
             && backend
                 .late_since
@@ -938,47 +972,47 @@
             backend.untrue = report.load.is_some_and(|load| load < HOT);
         }
         // Nor is one that tells of more than a backend can do while own messages there are in time.
-        let in_time = self.deployment.notes && backend.open > 0 && !late;
+        let in_time = self.deployment.observes_latency && backend.open > 0 && !late;
         backend.loud = if in_time && report.load > Some(1.0) {
             backend.loud + 1
         } else {
             0
         };
         if backend.loud >= STRIKES {
-            backend.sight.heard = Some((
+            backend.sight.last_report = Some((
                 now,
-                Report {
+                LoadReport {
                     load: Some(HOT),
                     ..report
                 },
             ));
         }
-        backend.sight.weight_heard = backend.listing.weight;
+        backend.sight.weight_at_report = backend.listing.weight;
         backend.placed.retain(|&at| at + REPORT_LAG > now);
     }
 
     /// A backend that fails in a row takes no part until it has answered, more often each time: one
     /// that hangs or fails fast still answers probes and looks the least loaded of all.
-    fn strike(&mut self, id: BackendId, verdict: Verdict) {
+    fn strike(&mut self, id: BackendId, verdict: AttemptOutcome) {
         let ready = self.ready_ones().count();
         let out = self
             .ready_ones()
-            .filter(|(_, backend)| backend.sight.owed > 0)
+            .filter(|(_, backend)| backend.sight.pending_health_checks > 0)
             .count();
         let Some(backend) = self.backends.get_mut(&id) else {
             return;
         };
-        backend.sight.strikes += 1;
+        backend.sight.consecutive_failures += 1;
         // Failures all over the fleet have a cause that no backend can be blamed for, ours or one
         // they share.
         let blamed = (out + 1) * MOST_OUT < ready.max(MOST_OUT + 1);
-        let Sight {
-            strikes,
+        let EndpointStatistics {
+            consecutive_failures: strikes,
             ejections,
-            owed,
+            pending_health_checks: owed,
             ..
         } = &mut backend.sight;
-        if verdict != Verdict::Full && *strikes >= STRIKES && (*owed > 0 || blamed) {
+        if verdict != AttemptOutcome::Saturated && *strikes >= STRIKES && (*owed > 0 || blamed) {
             *ejections += u32::from(*owed == 0);
             *owed = OWED << (*ejections).clamp(1, 4) >> 1;
         }
@@ -986,17 +1020,17 @@
 
     /// Each session pays for so many probes: those of hundreds of relays would cost more than
     /// service earns.
-    fn save_for_probes(&mut self, now: Instant, front: &mut dyn Front) {
-        let each = PROBES_WORTH / self.deployment.probe_price.max(f64::MIN_POSITIVE);
+    fn save_for_probes(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let each = PROBES_WORTH / self.deployment.health_check_cost.max(f64::MIN_POSITIVE);
         let most = self.ready_ones().count().max(1) as f64
             * (SPENT_OVER.as_secs_f64() / HEAR_EVERY.as_secs_f64());
         self.probes_due = (self.probes_due + each).min(most);
-        self.plan_probe(now, 1.0, front);
+        self.plan_probe(now, 1.0, driver);
     }
 
     /// The next probe, sooner than planned where sessions have paid since: a relay just started
     /// stood by one report for five seconds while dozens came, and refused them on it.
-    fn plan_probe(&mut self, now: Instant, haste: f64, front: &mut dyn Front) {
+    fn plan_probe(&mut self, now: Instant, haste: f64, driver: &mut dyn Driver) {
         let most = HEAR_EVERY * (1.0 / self.ready_ones().count().max(1) as f64);
         let paid = SPENT_OVER * (1.0 / self.probes_due.max(f64::MIN_POSITIVE));
         let every = (paid.max(most) * haste)
@@ -1005,35 +1039,37 @@
         let at = (self.probed + every).max(now);
         if at < self.next_probe || self.probed == now {
             self.next_probe = at;
-            self.plan(at, Errand::Probe, front);
+            self.plan(at, Errand::Probe, driver);
         }
     }
 
     /// Every second one asks where own connections stand, if at few: it would hear of those seldom.
-    fn probe(&mut self, now: Instant, front: &mut dyn Front) {
+    fn probe(&mut self, now: Instant, driver: &mut dyn Driver) {
         let held = self.ready_ones().filter(|(_, at)| at.open > 0).count();
         let own = held > 0 && held * 2 < self.ready_ones().count() && self.chance.below(2) == 0;
         let asked = self.ready_ones().filter(|(_, at)| !own || at.open > 0);
         let ready: Vec<BackendId> = asked.map(|(id, _)| id).collect();
-        let asked = self.any_of(&ready).filter(|_| self.deployment.may_probe);
-        asked.into_iter().for_each(|&id| front.probe(id));
+        let asked = self
+            .any_of(&ready)
+            .filter(|_| self.deployment.may_check_health);
+        asked.into_iter().for_each(|&id| driver.check_health(id));
         self.probed = now;
-        self.plan_probe(now, 1.0, front);
+        self.plan_probe(now, 1.0, driver);
         self.probes_due = (self.probes_due - 1.0).max(0.0);
     }
 
     /// Backends driven past what they can do serve none of their messages in time: this relay sends
     /// away its part of what is too much, least utility for its load first, a small step a report.
-    fn relieve(&mut self, now: Instant, front: &mut dyn Front) {
-        let shortest = self.deployment.shortest_target;
+    fn relieve(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let shortest = self.deployment.message_objective;
         let mut over: BTreeMap<BackendId, f64> = BTreeMap::new();
         let pool = self.pool(now);
         for (&at, backend) in &mut self.backends {
             let behind = backend.late_for(shortest, now);
             // Nothing that is sent there comes through; but without room elsewhere a move is a
             // refusal.
-            let lost = behind && backend.sight.strikes > 0 && pool.load < FULL;
-            let report = backend.sight.heard.filter(|&(heard, _)| {
+            let lost = behind && backend.sight.consecutive_failures > 0 && pool.load < FULL;
+            let report = backend.sight.last_report.filter(|&(heard, _)| {
                 heard >= backend.relieved + REPORT_LAG && now.duration_since(heard) < REPORT_LAG
             });
             let late = if behind {
@@ -1064,7 +1100,7 @@
             let load = session.load.unwrap_or(1.0).max(f64::MIN_POSITIVE);
             *excess.entry(dial.backend).or_default() += part * load;
             if now.duration_since(since) >= SETTLED {
-                movable.push((session.row.utility / load, id, dial.backend, load));
+                movable.push((session.row.priority_weight / load, id, dial.backend, load));
             }
         }
         movable.sort_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1)));
@@ -1075,16 +1111,17 @@
             let chance = *left / load;
             *left -= load;
             if chance >= 1.0 || chance > 0.0 && self.chance.unit_f64() < chance {
-                self.send_away(id, front);
+                self.send_away(id, driver);
             }
         }
     }
 
     /// Where crossing costs more than a move, connections that cross come back one at a time while
     /// their zone has room; more at once would fill it on old reports.
-    fn bring_home(&mut self, now: Instant, front: &mut dyn Front) {
+    fn bring_home(&mut self, now: Instant, driver: &mut dyn Driver) {
         let (home, held) = (self.deployment.zone, self.sessions.len());
-        if held < HELD_FOR_HOME || self.deployment.crossing_price <= self.deployment.move_price {
+        if held < HELD_FOR_HOME || self.deployment.cross_zone_cost <= self.deployment.migration_cost
+        {
             return;
         }
         let mut crossing: Vec<SessionId> = Vec::new();
@@ -1093,7 +1130,7 @@
                 continue;
             };
             let at = self.backends.get(&dial.backend);
-            if now.duration_since(since) >= session.row.cool_down
+            if now.duration_since(since) >= session.row.stable_after
                 && at.is_some_and(|at| at.listing.zone != home)
             {
                 crossing.push(id);
@@ -1104,18 +1141,18 @@
         };
         let Some(at) = self.pick(now, id) else { return };
         if self.backends[&at].listing.zone == home && self.load(now, at, self.pool(now)) < ROOMY {
-            self.send_away(id, front);
+            self.send_away(id, driver);
         }
     }
 
-    fn send_away(&mut self, id: SessionId, front: &mut dyn Front) {
-        front.send_away(id);
-        self.turn(id, State::Settled, front);
+    fn send_away(&mut self, id: SessionId, driver: &mut dyn Driver) {
+        driver.migrate(id);
+        self.turn(id, State::Settled, driver);
     }
 
     fn ready_ones(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         let all = self.backends.iter().map(|(&id, backend)| (id, backend));
-        let ready = all.filter(|(_, backend)| backend.listing.standing == Standing::Ready);
+        let ready = all.filter(|(_, backend)| backend.listing.state == EndpointState::Ready);
         ready.filter(|(id, _)| !self.banned.contains_key(id))
     }
 
@@ -1131,20 +1168,22 @@
         let session = &self.sessions[&id];
         let (Arrival { group, route, .. }, last, ran) =
             (session.arrival, session.last_tried, session.ran);
-        let (effect, pool) = (session.row.effect, self.pool(now));
+        let (effect, pool) = (session.row.idempotency, self.pool(now));
         let first = ran.map(|(first, _)| self.backends[&first].listing);
         let mut able: Vec<BackendId> = Vec::new();
         for (at, Backend { listing, .. }) in self.ready_ones() {
             let in_scope = match (effect, first) {
                 (
-                    Effect::Referenced {
-                        scope: Scope::Zone, ..
+                    Idempotency::Keyed {
+                        scope: DeduplicationScope::Zone,
+                        ..
                     },
                     Some(first),
                 ) => first.zone == listing.zone,
                 (
-                    Effect::Referenced {
-                        scope: Scope::Cell, ..
+                    Idempotency::Keyed {
+                        scope: DeduplicationScope::Cell,
+                        ..
                     },
                     Some(first),
                 ) => first.cell == listing.cell,
@@ -1158,26 +1197,29 @@
                 able.push(at);
             }
         }
-        let trial = !self.deployment.may_probe && self.chance.below(TRIAL) == 0;
-        let is_in = |at: &BackendId| trial || self.backends[at].sight.owed == 0;
+        let trial = !self.deployment.may_check_health && self.chance.below(TRIAL) == 0;
+        let is_in = |at: &BackendId| trial || self.backends[at].sight.pending_health_checks == 0;
         let healthy: Vec<BackendId> = able.iter().copied().filter(is_in).collect();
         let mut able = if healthy.is_empty() { able } else { healthy };
         if able.len() > 1 {
             able.retain(|&at| Some(at) != last);
         }
-        let group = group.filter(|_| self.deployment.groups);
+        let group = group.filter(|_| self.deployment.groups_share_work);
         // Nothing is heard and nobody may be asked: a group has what its part of a full fleet would
         // take.
-        let silent = pool.empty && self.deployment.tells_loads && !self.deployment.may_probe;
+        let silent =
+            pool.empty && self.deployment.reports_load && !self.deployment.may_check_health;
         let (blind, assumed) = (silent && group.is_some(), Pool { load: 1.0, ..pool });
         let takes = group.map_or(0.0, |group| {
             self.takes(group, if blind { assumed } else { pool })
         });
         if let Some(group) = group {
-            able.sort_by_cached_key(|&at| mixed(self.backends[&at].listing.mark, group));
+            able.sort_by_cached_key(|&at| {
+                rendezvous_hash(self.backends[&at].listing.stable_hash, group)
+            });
         }
         let is_cold = |at: &BackendId| self.cold_turn(now, *at).is_some();
-        if !self.deployment.tells_loads {
+        if !self.deployment.reports_load {
             // Groups that went on from one backend to the next would fill a fleet with what they
             // cost: each keeps to its first, and is refused while that has no room.
             let home = group.and_then(|_| able.iter().copied().find(|at| !is_cold(at)));
@@ -1199,12 +1241,12 @@
             };
             let opening = if held { 0.0 } else { opening };
             let (told, place) = (loads[place], place as f64);
-            let far = self.deployment.crossing_price > 0.0
+            let far = self.deployment.cross_zone_cost > 0.0
                 && backend.listing.zone != self.deployment.zone;
             let load = told + opening * place / (place + takes).max(1.0);
             // An open turn is room, whatever is guessed of one not heard of; so are all such where
             // none may be asked: the few that told there failed or dropped somebody.
-            let asked = self.deployment.may_probe && !is_cold(&at);
+            let asked = self.deployment.may_check_health && !is_cold(&at);
             let room = backend.report(now).is_none() && !asked;
             // A backend driven past what it can do serves nobody, and clients it drops come back at
             // once: what finds no room anywhere is refused instead. Where little room is left a
@@ -1215,7 +1257,7 @@
                 true if load >= HOT && (told >= full || fleet >= HOT) => return None,
                 true if load >= HOT => 4,
                 // Where none tells loads an open turn is the one room that is known.
-                _ if !self.deployment.tells_loads && is_cold(&at) => 0,
+                _ if !self.deployment.reports_load && is_cold(&at) => 0,
                 _ => 1 + u32::from(far),
             };
             Some(Entry { at, load, rank })
@@ -1268,7 +1310,7 @@
         }
         // Not the cold: with them the rate would halve just as half the fleet is replaced.
         let holds = |&(&at, one): &(&BackendId, &Backend)| {
-            (one.open > 0 || one.listing.standing == Standing::Ready)
+            (one.open > 0 || one.listing.state == EndpointState::Ready)
                 && self.cold_turn(now, at).is_none()
         };
         let warm: Vec<u32> = self
@@ -1277,8 +1319,8 @@
             .filter(holds)
             .map(|(_, one)| one.open)
             .collect();
-        let held =
-            f64::from(warm.iter().sum::<u32>() * self.deployment.relays) / warm.len().max(1) as f64;
+        let held = f64::from(warm.iter().sum::<u32>() * self.deployment.relay_count)
+            / warm.len().max(1) as f64;
         if heard == 0.0 {
             // Where nothing tells of loads a warm backend can do at least what each holds now.
             return Pool {
@@ -1320,11 +1362,12 @@
         if pool.empty {
             return f64::from(backend.open);
         }
-        let later = backend.placed.len() as f64 * f64::from(self.deployment.relays) * pool.each;
+        let later =
+            backend.placed.len() as f64 * f64::from(self.deployment.relay_count) * pool.each;
         let told = backend
             .told(now)
             .unwrap_or(pool.mean / backend.listing.weight);
-        let late = backend.late(now, self.deployment.shortest_target, pool.wanes);
+        let late = backend.late(now, self.deployment.message_objective, pool.wanes);
         if pool.tells_share {
             told.max(late) + later
         } else {
@@ -1338,12 +1381,12 @@
     /// relays see the same start of the same backend, so its age cuts time into turns without a
     /// word between them.
     fn cold_turn(&self, now: Instant, id: BackendId) -> Option<(u64, u32)> {
-        let (backend, cold) = (&self.backends[&id], &self.deployment.cold);
+        let (backend, cold) = (&self.backends[&id], &self.deployment.slow_start);
         let age = now.duration_since(backend.up_since()?);
         let turn = age.as_micros() / cold.window.as_micros().max(1);
         let used = backend
             .sight
-            .cold_turn
+            .slow_start_use
             .filter(|&(at, _)| at == turn)
             .map_or(0, |(_, used)| used);
         (age < cold.warm_up).then_some((turn, used))
@@ -1357,26 +1400,27 @@
         (turn, used): (u64, u32),
         pool: Pool,
     ) -> bool {
-        let (listing, cold) = (self.backends[&id].listing, &self.deployment.cold);
+        let (listing, cold) = (self.backends[&id].listing, &self.deployment.slow_start);
         let age = self.backends[&id]
             .up_since()
             .map_or(cold.warm_up, |at| now.duration_since(at));
-        let share = cold.start_share
-            + (1.0 - cold.start_share) * age.as_secs_f64() / cold.warm_up.as_secs_f64();
+        let share = cold.initial_share
+            + (1.0 - cold.initial_share) * age.as_secs_f64() / cold.warm_up.as_secs_f64();
         // Any window overlaps two turns: half for either. What groups cost lowers an estimate by
         // loads by more, and the rule does not count it. As many relays have the turn as the budget
         // holds; where each meets fewer sessions than there are cold backends, more, as they go to
         // others of them.
-        let part = if self.deployment.groups && self.deployment.tells_loads {
+        let part = if self.deployment.groups_share_work && self.deployment.reports_load {
             1.25
         } else {
             0.5
         };
-        let budget = part * cold.factor * share * self.warm_rate(pool) * cold.window.as_secs_f64();
-        let relays = u64::from(self.deployment.relays);
+        let budget =
+            part * cold.overload_factor * share * self.warm_rate(pool) * cold.window.as_secs_f64();
+        let relays = u64::from(self.deployment.relay_count);
         // Where none tells loads an open turn goes before all else: unused only where no session
         // comes in it.
-        let unused = if self.deployment.tells_loads {
+        let unused = if self.deployment.reports_load {
             pool.cold / self.lately.max(1.0)
         } else {
             1.0 / -(-self.lately).exp_m1()
@@ -1384,8 +1428,8 @@
         let spread = unused.clamp(1.0, SPREAD);
         let slots = ((budget.max(1.0) * spread) as u64).clamp(1, relays);
         let each = (budget / relays as f64).max(1.0);
-        let place = (u64::from(self.deployment.me) + relays
-            - (turn * slots + listing.mark) % relays)
+        let place = (u64::from(self.deployment.relay_index) + relays
+            - (turn * slots + listing.stable_hash) % relays)
             % relays;
         place < slots && f64::from(used) < each.floor() && !self.beside
     }
@@ -1397,7 +1441,7 @@
     fn warm_rate(&self, pool: Pool) -> f64 {
         let leave = self
             .leave_rate(pool.counted)
-            .min(1.0 / self.deployment.cold.warm_up.as_secs_f64());
+            .min(1.0 / self.deployment.slow_start.warm_up.as_secs_f64());
         if pool.each <= 0.0 {
             0.0
         } else {
@@ -1407,25 +1451,25 @@
 
     /// The part of the connections that leave by themselves within a second.
     fn leave_rate(&self, one_seen: bool) -> f64 {
-        let first = STOOD_FIRST * self.deployment.cold.warm_up.as_secs_f64();
+        let first = STOOD_FIRST * self.deployment.slow_start.warm_up.as_secs_f64();
         (self.left_alone + f64::from(u8::from(one_seen))) / (self.stood + first)
     }
 }
 
 impl Backend {
-    fn new(listing: Listing) -> Backend {
+    fn new(listing: Endpoint) -> Backend {
         Backend {
             listing,
-            sight: Sight {
-                weight_heard: 1.0,
-                ..Sight::default()
+            sight: EndpointStatistics {
+                weight_at_report: 1.0,
+                ..EndpointStatistics::default()
             },
             ..Backend::default()
         }
     }
 
     /// Another process under the same id: what was known of the last one misleads.
-    fn renew(&mut self, listing: Listing) {
+    fn renew(&mut self, listing: Endpoint) {
         let groups = std::mem::take(&mut self.groups);
         *self = Backend {
             open: self.open,
@@ -1437,14 +1481,14 @@
 
     /// When it started, as the list says; put back by hand, no sooner than it was taken out.
     fn up_since(&self) -> Option<Instant> {
-        let listed = self.listing.up_since;
+        let listed = self.listing.started_at;
         self.returned
             .filter(|&(out, _)| listed.is_none_or(|at| at < out))
             .map(|(_, back)| back)
             .or(listed)
     }
 
-    fn report(&self, now: Instant) -> Option<Report> {
+    fn report(&self, now: Instant) -> Option<LoadReport> {
         // Where the list tells of loads it says more than a report that is no longer fresh.
         let age = if self.listing.weight == 1.0 {
             POOL_AGE
@@ -1452,7 +1496,7 @@
             POOL_AGE_LISTED
         };
         self.sight
-            .heard
+            .last_report
             .filter(|(at, _)| now.duration_since(*at) < age)
             .map(|(_, report)| report)
     }
@@ -1461,7 +1505,7 @@
     /// tells what came and went since the report; not more than twofold, since at a relay's start
     /// the list may be far behind.
     fn told(&self, now: Instant) -> Option<f64> {
-        let change = (self.sight.weight_heard / self.listing.weight).clamp(0.5, 2.0);
+        let change = (self.sight.weight_at_report / self.listing.weight).clamp(0.5, 2.0);
         self.report(now)
             .and_then(|report| report.load.or(report.connections))
             .map(|told| told * change)
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,33 +1,39 @@
-//! Small indices that stand for the ids of a protocol inside the decisions.
+//! Small indices that stand for a protocol's names inside the balancer.
 
+/// A session of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub u32);
 
+/// A backend that this process has heard of.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
 
-/// A row of the table of routes, as it stood when the session came.
+/// A row of the route table, as it stood when the session arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteId(pub u16);
 
+/// A zone of the deployment.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
 
+/// A cell within a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct CellId(pub u16);
 
 impl BackendId {
+    /// The index as a position in a table.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// The same order of backends for a group at every relay, with nothing shared.
-pub(crate) fn mixed(mark: u64, group: u64) -> u64 {
-    let mut x = mark ^ group.rotate_left(17) ^ 0x9e37_79b9_7f4a_7c15;
+/// Mixes an endpoint's hash with a group's, for rendezvous hashing: every relay gets the same order
+/// of backends for a group, with nothing shared between them.
+pub(crate) fn rendezvous_hash(endpoint: u64, group: u64) -> u64 {
+    let mut hash = endpoint ^ group.rotate_left(17) ^ 0x9e37_79b9_7f4a_7c15;
     for _ in 0..2 {
-        x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-        x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+        hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+        hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     }
-    x ^ (x >> 31)
+    hash ^ (hash >> 31)
 }
--- a/src/lanes.rs
+++ b/src/lanes.rs
@@ -2,7 +2,7 @@
 //! of the whole relay over a window of time and as shares of an operator's routes over their last
 //! sessions; and the time after which a set-up counts as long. Rows of one lane share it, also when
 //! the file was read again in between. Who gets what is left is the decisions' affair.
-use crate::deployment::{Ration, Route};
+use crate::deployment::{RetryBudget, Route};
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -44,7 +44,7 @@
 #[derive(Default)]
 pub struct Lanes {
     /// Of the whole relay.
-    ration: Option<Ration>,
+    ration: Option<RetryBudget>,
     all: Tally,
     /// Another process of this relay may have spent what is free of any window that began before.
     free_from: Instant,
@@ -151,7 +151,7 @@
 
 impl Lanes {
     /// The settings' ration, from now on.
-    pub fn limit(&mut self, ration: Option<Ration>) {
+    pub fn limit(&mut self, ration: Option<RetryBudget>) {
         self.ration = ration;
     }
 
@@ -168,7 +168,7 @@
         if let Some(ration) = self.ration {
             self.all.taken(now.as_micros(), ration.window.as_micros());
         }
-        let lane = self.lanes.entry(row.lane).or_default();
+        let lane = self.lanes.entry(row.limits_id).or_default();
         lane.taken += 1;
         for extra in [Extra::Further, Extra::Second] {
             if let Some(share) = share(row, extra) {
@@ -180,15 +180,15 @@
 
     /// A session comes; false where its route has no room for one more.
     pub fn enter(&mut self, row: &Route) -> bool {
-        let lane = self.lanes.entry(row.lane).or_default();
+        let lane = self.lanes.entry(row.limits_id).or_default();
         lane.held += 1;
-        row.most.is_none_or(|most| lane.held <= most)
+        row.max_sessions.is_none_or(|most| lane.held <= most)
     }
 
     /// The session has ended.
     pub fn leave(&mut self, row: &Route) {
         self.lanes
-            .entry(row.lane)
+            .entry(row.limits_id)
             .and_modify(|lane| lane.held = lane.held.saturating_sub(1));
     }
 
@@ -208,7 +208,7 @@
                 ration.share,
             )
         });
-        let lane = share(row, extra).map(|share| match self.lanes.get_mut(&row.lane) {
+        let lane = share(row, extra).map(|share| match self.lanes.get_mut(&row.limits_id) {
             Some(lane) => lane.allowance(extra, share),
             None => Allowance {
                 spent: 0.0,
@@ -223,7 +223,7 @@
 
     /// A further dial was granted that goes out later, or is not to go out any more.
     pub fn promise(&mut self, row: &Route, more: bool) {
-        let lane = self.lanes.entry(row.lane).or_default();
+        let lane = self.lanes.entry(row.limits_id).or_default();
         for promised in [&mut self.all.promised, &mut lane.further.promised] {
             *promised = if more {
                 *promised + 1
@@ -246,7 +246,7 @@
         }
         if let Some(lane) = self
             .lanes
-            .get_mut(&row.lane)
+            .get_mut(&row.limits_id)
             .filter(|_| share(row, extra).is_some())
         {
             let taken = lane.taken;
@@ -263,8 +263,8 @@
     pub fn took(&mut self, row: &Route, set_up: Duration) {
         if let Some(lane) = self
             .lanes
-            .get_mut(&row.lane)
-            .filter(|_| row.second.is_some())
+            .get_mut(&row.limits_id)
+            .filter(|_| row.hedging.is_some())
         {
             lane.set_ups.push_back(set_up);
             lane.set_ups
@@ -275,12 +275,14 @@
     /// How long a set-up takes that is slower than most of late; none where the route has no second
     /// copies.
     pub fn long(&self, row: &Route) -> Option<Duration> {
-        let (copy, lane) = (row.second?, self.lanes.get(&row.lane)?);
+        let (copy, lane) = (row.hedging?, self.lanes.get(&row.limits_id)?);
         let mut set_ups: Vec<Duration> = lane.set_ups.iter().copied().collect();
         set_ups.sort_unstable();
         let place = (set_ups.len() as f64 * copy.quantile) as usize;
         let long = set_ups.get(place).or(set_ups.last());
-        Some(long.map_or(copy.most, |&long| long.max(copy.least).min(copy.most)))
+        Some(long.map_or(copy.max_delay, |&long| {
+            long.max(copy.min_delay).min(copy.max_delay)
+        }))
     }
 }
 
@@ -293,32 +295,32 @@
 /// The row's own limit, as a part of the sessions.
 fn share(row: &Route, extra: Extra) -> Option<f64> {
     match extra {
-        Extra::Further => row.further_share,
-        Extra::Second => row.second.map(|copy| copy.share),
+        Extra::Further => row.retry_share,
+        Extra::Second => row.hedging.map(|copy| copy.share),
     }
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::deployment::SecondCopy;
+    use crate::deployment::Hedging;
     use crate::random::Rng;
 
     const NOW: Instant = Instant::from_micros(1_000);
 
     fn row(lane: u32, most: Option<u32>, share: Option<f64>) -> Route {
         let (least, longest) = (Duration::from_millis(20), Duration::from_millis(200));
-        let second = share.map(|share| SecondCopy {
+        let second = share.map(|share| Hedging {
             quantile: 0.9,
-            least,
-            most: longest,
+            min_delay: least,
+            max_delay: longest,
             share,
         });
         Route {
-            lane,
-            most,
-            further_share: share,
-            second,
+            limits_id: lane,
+            max_sessions: most,
+            retry_share: share,
+            hedging: second,
             ..Route::default()
         }
     }
@@ -391,7 +393,7 @@
 
     #[test]
     fn the_ration_holds_at_the_windows_edge() {
-        let ration = Ration {
+        let ration = RetryBudget {
             free: 1.0,
             share: 0.5,
             window: Duration::from_millis(5_000),
@@ -433,7 +435,7 @@
             (3, 400, 3.0, 0.15, 5_000),
         ] {
             let (mut lanes, row) = (Lanes::default(), Route::default());
-            let ration = Ration {
+            let ration = RetryBudget {
                 free,
                 share,
                 window: Duration::from_millis(window),
@@ -488,7 +490,7 @@
         let (mut lanes, row, ration) = (
             Lanes::default(),
             Route::default(),
-            Ration {
+            RetryBudget {
                 free: 2.0,
                 share: 0.0,
                 window: Duration::from_millis(5_000),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,17 @@
-//! Decisions of a balancer for long-lived connections. `balance` decides, within what `lanes` says
-//! that routes and the settings' ration allow, and remembers clients in `keys`; the other files
-//! hold types only.
-pub mod balance;
+//! Decisions of a balancer for long-lived connections, free of I/O.
+//!
+//! [`balancer::Balancer`] decides where a session goes, when a failed attempt is retried, when a
+//! client is rejected and when a connection is migrated. The embedding protocol reports events to
+//! it and carries its decisions out as a [`driver::Driver`].
+pub mod attempt;
+pub mod balancer;
 pub mod deployment;
-pub mod front;
+pub mod driver;
+pub mod endpoint;
 pub mod ids;
 pub mod keys;
 pub mod lanes;
 pub mod random;
 mod session;
+pub mod snapshot;
 pub mod time;
--- a/src/session.rs
+++ b/src/session.rs
@@ -1,9 +1,11 @@
 //! What the decisions keep: one session with its states and what belongs to it as long as it lasts,
 //! one backend, what reports of late say of the fleet, and what is to be done at a moment to come.
 //! Types only.
+use crate::attempt::Arrival;
 use crate::deployment::Route;
-use crate::front::{Arrival, Listing, Sight};
+use crate::endpoint::Endpoint;
 use crate::ids::{BackendId, SessionId};
+use crate::snapshot::EndpointStatistics;
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -67,10 +69,10 @@
 /// One backend, as long as the instance lives.
 #[derive(Default)]
 pub(crate) struct Backend {
-    pub listing: Listing,
+    pub listing: Endpoint,
     pub open: u32,
     pub groups: BTreeMap<u64, u32>,
-    pub sight: Sight,
+    pub sight: EndpointStatistics,
     /// Own placements that its report may not hold yet.
     pub placed: VecDeque<Instant>,
     pub message_delay: Option<(Instant, Duration)>,
@@ -113,7 +115,7 @@
 
 impl Session {
     pub fn new(arrival: Arrival, row: Arc<Route>, now: Instant) -> Session {
-        let (state, due) = (State::New, now + arrival.dial_timeout);
+        let (state, due) = (State::New, now + arrival.timeout);
         let (ran, last_tried, second, load) = (None, None, None, None);
         Session {
             arrival,
--- a/testbed/src/post.rs
+++ b/testbed/src/post.rs
@@ -11,7 +11,7 @@
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::sync::Arc;
 use std::time::Instant;
-use thistlecroft::deployment::{Effect, Scope};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::Duration;
 
 /// A relay answers `PING` within this, or has not started.
@@ -27,7 +27,7 @@
     pub wait: Duration,
     pub handshake_target: Duration,
     pub message_target: Duration,
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub utility: f64,
 }
 
@@ -123,13 +123,13 @@
         .iter()
         .map(|row| {
             let (effect, scope, window) = match row.effect {
-                Effect::Repeatable => ("retryable", "all", Duration::ZERO),
-                Effect::OnceOnly => ("fragile", "all", Duration::ZERO),
-                Effect::Referenced { scope, window } => {
+                Idempotency::Idempotent => ("retryable", "all", Duration::ZERO),
+                Idempotency::NonIdempotent => ("fragile", "all", Duration::ZERO),
+                Idempotency::Keyed { scope, window } => {
                     let scope = match scope {
-                        Scope::All => "all",
-                        Scope::Zone => "zone",
-                        Scope::Cell => "cell",
+                        DeduplicationScope::All => "all",
+                        DeduplicationScope::Zone => "zone",
+                        DeduplicationScope::Cell => "cell",
                     };
                     ("dedup", scope, window)
                 }
--- a/testbed/src/referee.rs
+++ b/testbed/src/referee.rs
@@ -3,7 +3,7 @@
 //! that stands still notes late, and a relay that was killed owes no answer for what it held.
 use crate::tape::{Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag};
 use std::collections::BTreeMap;
-use thistlecroft::deployment::{Effect, Scope};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
 
 /// Each time limit is so much longer on sockets.
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug)]
 pub struct Law {
     /// What may be repeated, by listener.
-    pub effects: Vec<Effect>,
+    pub effects: Vec<Idempotency>,
     /// A second dial may go out while one is, by listener; where not stated, none may.
     pub hedged: Vec<bool>,
     /// Nothing new goes to a box so long after it was told as draining or gone.
@@ -733,7 +733,7 @@
         let further = story.dials.iter().filter(|dial| dial.came > first.came);
         let place = |of: BoxNo| self.law.places.get(usize::from(of.0));
         let found = match self.law.effects.get(story.listener) {
-            Some(Effect::OnceOnly) => {
+            Some(Idempotency::NonIdempotent) => {
                 let again = further
                     .clone()
                     .next()
@@ -743,14 +743,14 @@
                     "a once-only session that may have run was refused",
                 )))
             }
-            Some(Effect::Referenced { scope, window }) => {
+            Some(Idempotency::Keyed { scope, window }) => {
                 let outside = |dial: &&DialStory| match scope {
-                    Scope::All => false,
-                    Scope::Zone => {
+                    DeduplicationScope::All => false,
+                    DeduplicationScope::Zone => {
                         place(dial.at).map(|place| &place.0)
                             != place(first.at).map(|place| &place.0)
                     }
-                    Scope::Cell => place(dial.at) != place(first.at),
+                    DeduplicationScope::Cell => place(dial.at) != place(first.at),
                 };
                 let late = |dial: &&DialStory| dial.first > first.first + *window + SLACK;
                 let apart = further
@@ -764,7 +764,7 @@
                         .map(|dial| (dial.came, "it was repeated after its mark was forgotten"))
                 };
                 let refused = || {
-                    (refused && *scope != Scope::All)
+                    (refused && *scope != DeduplicationScope::All)
                         .then_some((first.came, "it may have run and was refused"))
                 };
                 apart.or_else(late).or_else(refused)
--- a/testbed/src/rig.rs
+++ b/testbed/src/rig.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Instant;
-use thistlecroft::deployment::Effect;
+use thistlecroft::deployment::Idempotency;
 use thistlecroft::time::Duration;
 
 /// Between two looks at what is waited for.
@@ -78,7 +78,7 @@
             wait: ms(2_000),
             handshake_target: ms(500),
             message_target: ms(60),
-            effect: Effect::Repeatable,
+            effect: Idempotency::Idempotent,
             utility: 1.0,
         };
         let terms = Terms {
--- a/testbed/tests/helper/mod.rs
+++ b/testbed/tests/helper/mod.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
-use thistlecroft::deployment::Effect;
+use thistlecroft::deployment::Idempotency;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::Stopwatch;
 use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Dealing, Doorway, IDLE};
@@ -258,7 +258,7 @@
 /// A run of one little relay.
 pub struct Scene {
     pub wrong: Wrong,
-    pub effect: Effect,
+    pub effect: Idempotency,
     pub boxes: usize,
     /// Zones of boxes, in turn.
     pub zones: &'static [&'static str],
@@ -273,7 +273,7 @@
     pub fn of(wrong: Wrong) -> Scene {
         Scene {
             wrong,
-            effect: Effect::Repeatable,
+            effect: Idempotency::Idempotent,
             boxes: 3,
             zones: &["a"],
             cues: Vec::new(),
--- a/testbed/tests/referee.rs
+++ b/testbed/tests/referee.rs
@@ -4,7 +4,7 @@
 use helper::{ALL, Scene, Wrong};
 use std::io::{BufRead, BufReader, Write};
 use std::thread;
-use thistlecroft::deployment::{Effect, Scope};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::Stopwatch;
 use thistlecroft_testbed::referee::{Law, judge};
@@ -30,14 +30,14 @@
 
 fn once_only(wrong: Wrong) -> Scene {
     Scene {
-        effect: Effect::OnceOnly,
+        effect: Idempotency::NonIdempotent,
         cues: ail(Ailment::Failing(0.5)),
         ..Scene::of(wrong)
     }
 }
 
-fn referenced(wrong: Wrong, scope: Scope, window_ms: u64) -> Scene {
-    let effect = Effect::Referenced {
+fn referenced(wrong: Wrong, scope: DeduplicationScope, window_ms: u64) -> Scene {
+    let effect = Idempotency::Keyed {
         scope,
         window: Duration::from_millis(window_ms),
     };
@@ -144,11 +144,11 @@
             broken: Some((2, "may have run was refused")),
         },
         Case {
-            scene: referenced(Wrong::RepeatsElsewhere, Scope::Zone, 60_000),
+            scene: referenced(Wrong::RepeatsElsewhere, DeduplicationScope::Zone, 60_000),
             broken: Some((2, "where its mark is not known")),
         },
         Case {
-            scene: referenced(Wrong::RepeatsLate, Scope::All, 100),
+            scene: referenced(Wrong::RepeatsLate, DeduplicationScope::All, 100),
             broken: Some((2, "after its mark was forgotten")),
         },
         Case {
@@ -180,11 +180,11 @@
             broken: None,
         },
         Case {
-            scene: referenced(Wrong::Nothing, Scope::Zone, 100),
+            scene: referenced(Wrong::Nothing, DeduplicationScope::Zone, 100),
             broken: None,
         },
         Case {
-            scene: referenced(Wrong::RepeatsElsewhere, Scope::All, 60_000),
+            scene: referenced(Wrong::RepeatsElsewhere, DeduplicationScope::All, 60_000),
             broken: None,
         },
         Case {
@@ -335,7 +335,7 @@
             })
             .collect();
         let law = Law {
-            effects: vec![Effect::Repeatable],
+            effects: vec![Idempotency::Idempotent],
             hedged: vec![false],
             grace: Duration::from_millis(2_000),
             places: vec![("a".into(), 0); 3],
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -2,15 +2,16 @@
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, row, rows};
-use thistlecroft::deployment::Effect;
-use thistlecroft::front::{ListScope, Standing, Verdict};
+use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::deployment::Idempotency;
+use thistlecroft::endpoint::{EndpointState, UpdateKind};
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::Instant;
 
 const OUT: u32 = 1;
 
 fn ban(bench: &mut Bench, out: bool) {
-    bench.relay.ban(bench.now, BackendId(OUT), out);
+    bench.relay.set_banned(bench.now, BackendId(OUT), out);
 }
 
 /// Where so many sessions go that come one after another.
@@ -20,7 +21,7 @@
         let at = bench
             .arrive(id, arrival(u64::from(id), 0, ms(1_000)))
             .map(|(at, _)| at);
-        bench.end(id, 0, Verdict::Withdrawn, true);
+        bench.end(id, 0, AttemptOutcome::Cancelled, true);
         bench.pass(ms(200));
         at
     })
@@ -29,7 +30,7 @@
 
 #[test]
 fn no_list_puts_a_banned_backend_back() {
-    let bench = || Bench::new(deployment(Effect::Repeatable), &rows(3));
+    let bench = || Bench::new(deployment(Idempotency::Idempotent), &rows(3));
     let later = Some(Instant::from_micros(99_000_000));
     type Meanwhile = fn(&mut Bench);
     let cases: [(&str, Meanwhile); 7] = [
@@ -37,26 +38,28 @@
         ("named ready", |bench| {
             bench
                 .relay
-                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)])
+                .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Ready, None)])
         }),
         ("a whole list", |bench| {
-            bench.relay.listed(ListScope::Whole, &rows(3))
+            bench.relay.update_endpoints(UpdateKind::Snapshot, &rows(3))
         }),
         ("a cached list", |bench| {
-            bench.relay.listed(ListScope::Cached, &rows(3))
+            bench
+                .relay
+                .update_endpoints(UpdateKind::CachedSnapshot, &rows(3))
         }),
         ("gone and back", |bench| {
             bench
                 .relay
-                .listed(ListScope::Changes, &[row(OUT, Standing::Gone, None)]);
+                .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Removed, None)]);
             bench
                 .relay
-                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
+                .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Ready, None)]);
         }),
         ("another start", |bench| {
-            bench.relay.listed(
-                ListScope::Changes,
-                &[row(OUT, Standing::Ready, Some(bench.now))],
+            bench.relay.update_endpoints(
+                UpdateKind::Delta,
+                &[row(OUT, EndpointState::Ready, Some(bench.now))],
             );
         }),
         ("out a second time", |bench| ban(bench, true)),
@@ -74,28 +77,29 @@
         ban(&mut bench, false);
         bench
             .relay
-            .listed(ListScope::Changes, &[row(OUT, Standing::Ready, later)]);
+            .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Ready, later)]);
         assert!(places(&mut bench, 100, 60).contains(&OUT), "{name}");
     }
     // Both have to be lifted, a ban and a drain, in whatever order.
     for ban_first in [true, false] {
         let mut bench = bench();
         ban(&mut bench, true);
-        bench
-            .relay
-            .listed(ListScope::Changes, &[row(OUT, Standing::Draining, None)]);
+        bench.relay.update_endpoints(
+            UpdateKind::Delta,
+            &[row(OUT, EndpointState::Draining, None)],
+        );
         if ban_first {
             ban(&mut bench, false);
         } else {
             bench
                 .relay
-                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
+                .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Ready, None)]);
         }
         assert!(!places(&mut bench, 1, 60).contains(&OUT));
         ban(&mut bench, false);
         bench
             .relay
-            .listed(ListScope::Changes, &[row(OUT, Standing::Ready, None)]);
+            .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Ready, None)]);
         assert!(places(&mut bench, 100, 60).contains(&OUT));
     }
 }
@@ -103,22 +107,22 @@
 #[test]
 fn a_dial_that_is_out_ends_and_its_retry_goes_elsewhere() {
     for id in 1..30 {
-        let mut bench = Bench::new(deployment(Effect::Repeatable), &rows(3));
+        let mut bench = Bench::new(deployment(Idempotency::Idempotent), &rows(3));
         let (at, _) = bench
             .arrive(id, arrival(u64::from(id), 0, ms(20_000)))
             .unwrap();
-        bench.relay.ban(bench.now, BackendId(at), true);
-        bench.end(id, 0, Verdict::Full, false);
+        bench.relay.set_banned(bench.now, BackendId(at), true);
+        bench.end(id, 0, AttemptOutcome::Saturated, false);
         // The wait before the retry is drawn from a second.
         bench.pass(ms(1_000));
         let dials = bench.dials(id);
         assert!(dials.len() == 2 && dials[1].0 != at, "{dials:?}");
     }
     // Where it was the only one the session is answered, and once.
-    let mut bench = Bench::new(deployment(Effect::Repeatable), &rows(1));
+    let mut bench = Bench::new(deployment(Idempotency::Idempotent), &rows(1));
     bench.arrive(1, arrival(1, 0, ms(20_000)));
-    bench.relay.ban(bench.now, BackendId(0), true);
-    bench.end(1, 0, Verdict::Full, false);
+    bench.relay.set_banned(bench.now, BackendId(0), true);
+    bench.end(1, 0, AttemptOutcome::Saturated, false);
     bench.pass(ms(30_000));
     assert_eq!((bench.dials(1).len(), bench.answers(1).len()), (1, 1));
 }
@@ -138,12 +142,12 @@
         (before, during, 4_000),
     ];
     for (listed, told, cold_for) in cases {
-        let of = deployment(Effect::Repeatable);
-        let mut bench = Bench::new(of, &[row(OUT, Standing::Ready, listed)]);
+        let of = deployment(Idempotency::Idempotent);
+        let mut bench = Bench::new(of, &[row(OUT, EndpointState::Ready, listed)]);
         bench.report(OUT, Some(10.0), Some(0.1));
         for id in 1..4 {
             bench.arrive(id, arrival(u64::from(id), 0, ms(50)));
-            bench.end(id, 0, Verdict::Timeout, true);
+            bench.end(id, 0, AttemptOutcome::TimedOut, true);
         }
         ban(&mut bench, true);
         bench.pass(ms(10_000));
@@ -151,7 +155,7 @@
         if told.is_some() {
             bench
                 .relay
-                .listed(ListScope::Changes, &[row(OUT, Standing::Ready, told)]);
+                .update_endpoints(UpdateKind::Delta, &[row(OUT, EndpointState::Ready, told)]);
         }
         // Cold: one session a turn of two seconds, whatever stood there before. Not ejected: the
         // first goes there.
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -3,16 +3,17 @@
 
 use helper::{Asked, Bench, arrival, deployment, ms, row, rows, with_row};
 use std::collections::BTreeSet;
-use thistlecroft::deployment::{Deployment, Effect, Route, Scope};
-use thistlecroft::front::{ListScope, Listing, Standing, Verdict};
+use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::deployment::{DeduplicationScope, Deployment, Idempotency, Route};
+use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-const REPEATABLE: Effect = Effect::Repeatable;
-const ONCE: Effect = Effect::OnceOnly;
+const REPEATABLE: Idempotency = Idempotency::Idempotent;
+const ONCE: Idempotency = Idempotency::NonIdempotent;
 
-fn referenced(scope: Scope) -> Effect {
-    Effect::Referenced {
+fn referenced(scope: DeduplicationScope) -> Idempotency {
+    Idempotency::Keyed {
         scope,
         window: Duration::from_millis(5_000),
     }
@@ -22,24 +23,40 @@
 fn the_last_failed_dial_gets_the_answer_that_its_listener_allows() {
     let refused = true;
     let cases = [
-        (REPEATABLE, Verdict::Timeout, refused),
-        (REPEATABLE, Verdict::Reset, refused),
-        (REPEATABLE, Verdict::Full, refused),
-        (referenced(Scope::All), Verdict::Timeout, refused),
-        (referenced(Scope::Zone), Verdict::Timeout, !refused),
-        (referenced(Scope::Cell), Verdict::Error, !refused),
-        (referenced(Scope::Zone), Verdict::Unreachable, refused),
-        (ONCE, Verdict::Timeout, !refused),
-        (ONCE, Verdict::Error, !refused),
-        (ONCE, Verdict::Reset, !refused),
-        (ONCE, Verdict::Withdrawn, !refused),
-        (ONCE, Verdict::Full, refused),
-        (ONCE, Verdict::Unreachable, refused),
-        (ONCE, Verdict::NeverSent, refused),
+        (REPEATABLE, AttemptOutcome::TimedOut, refused),
+        (REPEATABLE, AttemptOutcome::Reset, refused),
+        (REPEATABLE, AttemptOutcome::Saturated, refused),
+        (
+            referenced(DeduplicationScope::All),
+            AttemptOutcome::TimedOut,
+            refused,
+        ),
+        (
+            referenced(DeduplicationScope::Zone),
+            AttemptOutcome::TimedOut,
+            !refused,
+        ),
+        (
+            referenced(DeduplicationScope::Cell),
+            AttemptOutcome::Error,
+            !refused,
+        ),
+        (
+            referenced(DeduplicationScope::Zone),
+            AttemptOutcome::Unreachable,
+            refused,
+        ),
+        (ONCE, AttemptOutcome::TimedOut, !refused),
+        (ONCE, AttemptOutcome::Error, !refused),
+        (ONCE, AttemptOutcome::Reset, !refused),
+        (ONCE, AttemptOutcome::Cancelled, !refused),
+        (ONCE, AttemptOutcome::Saturated, refused),
+        (ONCE, AttemptOutcome::Unreachable, refused),
+        (ONCE, AttemptOutcome::NotSent, refused),
     ];
     for (effect, verdict, may_refuse) in cases {
         let mut bench = Bench::new(
-            with_row(|row| row.max_dials = 1, deployment(effect)),
+            with_row(|row| row.max_attempts = 1, deployment(effect)),
             &rows(4),
         );
         bench.arrive(1, arrival(5, 0, ms(4_000)));
@@ -62,12 +79,22 @@
     // After the first dial's verdict: whether another dial may follow, and whether it must stay in
     // the first's zone.
     let cases = [
-        (REPEATABLE, Verdict::Timeout, true, false),
-        (ONCE, Verdict::Full, true, false),
-        (ONCE, Verdict::Timeout, false, false),
-        (ONCE, Verdict::Reset, false, false),
-        (referenced(Scope::Zone), Verdict::Timeout, true, true),
-        (referenced(Scope::Zone), Verdict::Full, true, false),
+        (REPEATABLE, AttemptOutcome::TimedOut, true, false),
+        (ONCE, AttemptOutcome::Saturated, true, false),
+        (ONCE, AttemptOutcome::TimedOut, false, false),
+        (ONCE, AttemptOutcome::Reset, false, false),
+        (
+            referenced(DeduplicationScope::Zone),
+            AttemptOutcome::TimedOut,
+            true,
+            true,
+        ),
+        (
+            referenced(DeduplicationScope::Zone),
+            AttemptOutcome::Saturated,
+            true,
+            false,
+        ),
     ];
     for (effect, verdict, may_dial, same_zone) in cases {
         let mut zones_differed = false;
@@ -100,10 +127,10 @@
 
 #[test]
 fn past_its_window_a_referenced_session_is_not_sent_again() {
-    let mut bench = Bench::new(deployment(referenced(Scope::Cell)), &rows(8));
+    let mut bench = Bench::new(deployment(referenced(DeduplicationScope::Cell)), &rows(8));
     bench.arrive(1, arrival(1, 0, ms(60_000)));
     bench.pass(ms(6_000));
-    bench.end(1, 0, Verdict::Timeout, false);
+    bench.end(1, 0, AttemptOutcome::TimedOut, false);
     bench.pass(ms(50_000));
     assert_eq!(
         (bench.dials(1).len(), bench.answers(1)),
@@ -124,15 +151,16 @@
         (1_300, 400, 0, 1),
     ];
     for (window, connect, stalled, dials) in cases {
-        let effect = Effect::Referenced {
-            scope: Scope::All,
+        let effect = Idempotency::Keyed {
+            scope: DeduplicationScope::All,
             window: ms(window),
         };
-        let change = |row: &mut Route| (row.connect_timeout, row.base) = (ms(connect), ms(100));
+        let change =
+            |row: &mut Route| (row.connect_timeout, row.backoff_base) = (ms(connect), ms(100));
         let mut bench = Bench::new(with_row(change, deployment(effect)), &rows(8));
         bench.arrive(1, arrival(1, 0, ms(20_000)));
         bench.pass(ms(1_000));
-        bench.end(1, 0, Verdict::Timeout, false);
+        bench.end(1, 0, AttemptOutcome::TimedOut, false);
         // As where the process stood still: nothing is woken meanwhile.
         bench.now = bench.now + ms(stalled);
         bench.pass(ms(1_000));
@@ -149,9 +177,9 @@
 fn every_session_is_answered_once_and_in_time() {
     // Dial timeout, and the verdict that meets each dial once its time is up.
     for (timeout, verdict) in [
-        (1_200, Verdict::Timeout),
-        (90, Verdict::Unreachable),
-        (4_800, Verdict::Full),
+        (1_200, AttemptOutcome::TimedOut),
+        (90, AttemptOutcome::Unreachable),
+        (4_800, AttemptOutcome::Saturated),
     ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(3));
         let start = bench.now;
@@ -183,27 +211,27 @@
 fn stale_and_unknown_events_are_passed_over() {
     let mut bench = Bench::new(deployment(REPEATABLE), &rows(3));
     bench.arrive(1, arrival(1, 0, ms(1_200)));
-    bench.end(77, 0, Verdict::Ok, true);
+    bench.end(77, 0, AttemptOutcome::Ok, true);
     bench.stand(77, 0);
     bench.stand(1, 4);
-    bench.relay.left(SessionId(77), &mut bench.book);
-    bench.relay.load_noted(SessionId(77), 3.0);
+    bench.relay.session_left(SessionId(77), &mut bench.book);
+    bench.relay.load_observed(SessionId(77), 3.0);
     bench
         .relay
-        .delay_noted(bench.now, SessionId(77), ms(9), &mut bench.book);
-    bench.relay.probed(
+        .latency_observed(bench.now, SessionId(77), ms(9), &mut bench.book);
+    bench.relay.health_checked(
         bench.now,
         BackendId(55),
-        Verdict::Timeout,
+        AttemptOutcome::TimedOut,
         Default::default(),
     );
     assert!(bench.answers(1).is_empty());
     // The client leaves while its dial is out: the dial is withdrawn and its verdict ends the
     // matter silently.
-    bench.relay.left(SessionId(1), &mut bench.book);
-    bench.relay.left(SessionId(1), &mut bench.book);
-    bench.end(1, 0, Verdict::Withdrawn, true);
-    bench.end(1, 0, Verdict::Withdrawn, true);
+    bench.relay.session_left(SessionId(1), &mut bench.book);
+    bench.relay.session_left(SessionId(1), &mut bench.book);
+    bench.end(1, 0, AttemptOutcome::Cancelled, true);
+    bench.end(1, 0, AttemptOutcome::Cancelled, true);
     assert!(bench.answers(1).is_empty());
     assert_eq!(
         bench
@@ -227,38 +255,38 @@
 
 #[test]
 fn only_backends_that_the_list_holds_ready_are_dialled() {
-    use Standing::{Draining, Gone, Ready};
+    use EndpointState::{Draining, Ready, Removed};
     let line = |backend, standing| row(backend, standing, None);
-    let cases: [(&str, ListScope, Vec<_>, &[u32]); 5] = [
+    let cases: [(&str, UpdateKind, Vec<_>, &[u32]); 5] = [
         (
             "drains",
-            ListScope::Changes,
+            UpdateKind::Delta,
             vec![line(0, Draining)],
             &[1, 2],
         ),
         (
             "gone",
-            ListScope::Changes,
-            vec![line(1, Gone), line(2, Gone)],
+            UpdateKind::Delta,
+            vec![line(1, Removed), line(2, Removed)],
             &[0],
         ),
         (
             "missing from a complete list",
-            ListScope::Whole,
+            UpdateKind::Snapshot,
             vec![line(2, Ready)],
             &[2],
         ),
         (
             "back after draining",
-            ListScope::Changes,
+            UpdateKind::Delta,
             vec![line(0, Draining), line(0, Ready)],
             &[0, 1, 2],
         ),
-        ("nothing left", ListScope::Whole, vec![], &[]),
+        ("nothing left", UpdateKind::Snapshot, vec![], &[]),
     ];
     for (name, scope, list, expected) in cases {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(3));
-        bench.relay.listed(scope, &list);
+        bench.relay.update_endpoints(scope, &list);
         let dialled: BTreeSet<u32> = (1..60)
             .filter_map(|id| Some(bench.arrive(id, arrival(0, 0, ms(4_800)))?.0))
             .collect();
@@ -273,7 +301,7 @@
     for failures in 1..8 {
         let within = ms(8_000);
         let asked = Deployment {
-            ask_within: Some(within),
+            poll_within: Some(within),
             ..deployment(REPEATABLE)
         };
         let mut bench = Bench::new(asked, &rows(3));
@@ -287,7 +315,7 @@
         };
         for failure in 1..=failures {
             assert_eq!(count(&bench), failure);
-            bench.relay.list_failed(bench.now, &mut bench.book);
+            bench.relay.discovery_failed(bench.now, &mut bench.book);
             bench.pass(ms(4_000));
         }
         assert_eq!(count(&bench), failures + 1);
@@ -308,19 +336,28 @@
         let mut longest = Duration::ZERO;
         for key in 1..200 {
             let mut bench = Bench::new(
-                with_row(|row| row.max_dials = 1, deployment(REPEATABLE)),
+                with_row(|row| row.max_attempts = 1, deployment(REPEATABLE)),
                 &rows(1),
             );
             for id in 1..=3 {
                 bench.arrive(id, arrival(key, 0, ms(4_800)));
-                bench.end(id, 0, Verdict::Full, false);
+                bench.end(id, 0, AttemptOutcome::Saturated, false);
             }
             bench.arrive(4, arrival(key, 0, ms(4_800)));
             bench.stand(4, 0);
             bench.pass(ms(stands));
-            bench.end(4, 0, if reset { Verdict::Reset } else { Verdict::Ok }, true);
+            bench.end(
+                4,
+                0,
+                if reset {
+                    AttemptOutcome::Reset
+                } else {
+                    AttemptOutcome::Ok
+                },
+                true,
+            );
             bench.arrive(5, arrival(key, 0, ms(4_800)));
-            bench.end(5, 0, Verdict::Full, false);
+            bench.end(5, 0, AttemptOutcome::Saturated, false);
             let [Asked::Refuse(_, Some(wait))] = bench.answers(5)[..] else {
                 panic!("not refused")
             };
@@ -380,8 +417,8 @@
             list.rotate_left(me as usize * 5);
             let mut bench = Bench::new(
                 Deployment {
-                    me,
-                    relays: 3,
+                    relay_index: me,
+                    relay_count: 3,
                     ..deployment(REPEATABLE)
                 },
                 &list,
@@ -406,7 +443,7 @@
     for (price, load, crosses) in [(0.1, 0.2, false), (0.1, 0.7, true), (0.0, 0.2, true)] {
         let mut bench = Bench::new(
             Deployment {
-                crossing_price: price,
+                cross_zone_cost: price,
                 ..deployment(REPEATABLE)
             },
             &rows(6),
@@ -429,13 +466,13 @@
     // How many of six fail every dial, and whether they are still dialled afterwards.
     for (failing, still_dialled) in [(1, false), (2, false), (6, true)] {
         let mut bench = Bench::new(
-            with_row(|row| row.max_dials = 1, deployment(REPEATABLE)),
+            with_row(|row| row.max_attempts = 1, deployment(REPEATABLE)),
             &rows(6),
         );
         for id in 1..80 {
             let (backend, _) = bench.arrive(id, arrival(0, 0, ms(4_800))).unwrap();
             if backend < failing {
-                bench.end(id, 0, Verdict::Error, false);
+                bench.end(id, 0, AttemptOutcome::Error, false);
             } else {
                 bench.stand(id, 0);
             }
@@ -463,7 +500,7 @@
     for (took, verdict, longer) in [
         (20, None, false),
         (250, None, true),
-        (300, Some(Verdict::Timeout), true),
+        (300, Some(AttemptOutcome::TimedOut), true),
     ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(6));
         for id in 1..40 {
@@ -513,7 +550,7 @@
         bench.report(0, Some(10.0), Some(load));
         bench
             .relay
-            .delay_noted(bench.now, SessionId(3), ms(delay), &mut bench.book);
+            .latency_observed(bench.now, SessionId(3), ms(delay), &mut bench.book);
         bench.pass(ms(600));
         assert!(
             expected.contains(&bench.sent_away()),
@@ -530,29 +567,30 @@
     let mut sent = Vec::new();
     for me in 0..relays {
         let alone = Deployment {
-            me,
-            relays,
-            groups: false,
+            relay_index: me,
+            relay_count: relays,
+            groups_share_work: false,
             ..deployment(REPEATABLE)
         };
         let mut bench = Bench::new(alone, &rows(4));
         (0..held).for_each(|id| bench.inherit(id, id % 4));
         bench.pass(stood);
-        (0..held.div_ceil(10)).for_each(|id| bench.end(id, 0, Verdict::Ok, true));
+        (0..held.div_ceil(10)).for_each(|id| bench.end(id, 0, AttemptOutcome::Ok, true));
         let each = f64::from(held * relays) / 4.0;
         if load.is_some() {
             (0..4).for_each(|backend| bench.report(backend, Some(each), load));
         }
         let start = bench.now;
-        bench
-            .relay
-            .listed(ListScope::Changes, &[row(9, Standing::Ready, Some(start))]);
+        bench.relay.update_endpoints(
+            UpdateKind::Delta,
+            &[row(9, EndpointState::Ready, Some(start))],
+        );
         for id in 0..500 {
             bench.pass(ms(20));
             if stood < ms(1_000) {
                 // Others go on coming and leaving as fast.
                 bench.inherit(50_000 + id, id % 4);
-                bench.end(50_000 + id, 0, Verdict::Ok, true);
+                bench.end(50_000 + id, 0, AttemptOutcome::Ok, true);
             }
             if bench
                 .arrive(10_000 + id, arrival(0, 0, ms(4_800)))
@@ -562,7 +600,7 @@
             }
             if load.is_none() {
                 // What is held stays as it was.
-                bench.end(10_000 + id, 0, Verdict::Ok, true);
+                bench.end(10_000 + id, 0, AttemptOutcome::Ok, true);
             }
         }
     }
@@ -644,8 +682,8 @@
             list.rotate_left(me as usize % 60);
             let mut bench = Bench::new(
                 Deployment {
-                    me,
-                    relays: 200,
+                    relay_index: me,
+                    relay_count: 200,
                     ..deployment(REPEATABLE)
                 },
                 &list,
@@ -685,7 +723,7 @@
     ] {
         let mut bench = Bench::new(
             Deployment {
-                probe_price: price,
+                health_check_cost: price,
                 ..deployment(REPEATABLE)
             },
             &rows(30),
@@ -737,7 +775,7 @@
     for (load, probes) in [(0.1, 2), (0.9, 3)] {
         let mut bench = Bench::new(
             Deployment {
-                probe_price: 0.002,
+                health_check_cost: 0.002,
                 ..deployment(REPEATABLE)
             },
             &rows(4),
@@ -795,7 +833,7 @@
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(4));
         (0..4).for_each(|at| bench.report(at, Some(10.0), Some(0.1)));
         let home = home(&mut bench);
-        bench.end(1, 0, Verdict::Withdrawn, true);
+        bench.end(1, 0, AttemptOutcome::Cancelled, true);
         bench.pass(ms(1_100));
         (0..4).for_each(|at| {
             bench.report(
@@ -817,9 +855,9 @@
     // All weigh the same. Backend 1 was heard of 15 s ago, idle: where the list tells of loads it
     // counts as the mean by now, like backend 2, and not as idle.
     for (weight, idle_wins) in [(0.5, false), (1.0, true)] {
-        let weighed = |backend| Listing {
+        let weighed = |backend| Endpoint {
             weight,
-            ..row(backend, Standing::Ready, None)
+            ..row(backend, EndpointState::Ready, None)
         };
         let mut to_idle = 0;
         for id in 1..40 {
@@ -849,8 +887,8 @@
     ];
     for (held, price, load, some) in cases {
         let priced = Deployment {
-            crossing_price: price,
-            move_price: 0.01,
+            cross_zone_cost: price,
+            migration_cost: 0.01,
             ..deployment(REPEATABLE)
         };
         let mut bench = Bench::new(priced, &rows(8));
@@ -870,8 +908,8 @@
     let gone: usize = (0..200)
         .map(|me| {
             let one = Deployment {
-                me,
-                relays: 200,
+                relay_index: me,
+                relay_count: 200,
                 ..deployment(REPEATABLE)
             };
             let mut bench = Bench::seeded(one, u64::from(me), &rows(1));
@@ -896,11 +934,11 @@
     ] {
         let mut bench = Bench::new(deployment(REPEATABLE), &rows(2));
         (0..=u32::from(heard)).for_each(|backend| bench.report(backend, Some(30.0), Some(0.3)));
-        bench.relay.listed(
-            ListScope::Changes,
-            &[Listing {
+        bench.relay.update_endpoints(
+            UpdateKind::Delta,
+            &[Endpoint {
                 weight,
-                ..row(1, Standing::Ready, None)
+                ..row(1, EndpointState::Ready, None)
             }],
         );
         let (backend, _) = bench.arrive(1, arrival(1, 0, ms(4_800))).unwrap();
@@ -917,8 +955,10 @@
             .count()
     };
     assert_eq!(dialled(&mut bench, 0), 20);
-    let restarted = row(0, Standing::Ready, Some(bench.now));
-    bench.relay.listed(ListScope::Changes, &[restarted]);
+    let restarted = row(0, EndpointState::Ready, Some(bench.now));
+    bench
+        .relay
+        .update_endpoints(UpdateKind::Delta, &[restarted]);
     assert_eq!(dialled(&mut bench, 100), 1);
     bench.pass(ms(11_000));
     assert_eq!(dialled(&mut bench, 200), 20);
@@ -935,9 +975,9 @@
                 id,
                 0,
                 if id % 3 == 0 {
-                    Verdict::Error
+                    AttemptOutcome::Error
                 } else {
-                    Verdict::Full
+                    AttemptOutcome::Saturated
                 },
                 false,
             );
@@ -958,21 +998,21 @@
         bench.stand(1, 0);
         bench
             .relay
-            .overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
+            .response_overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
         assert_eq!(bench.sent_away(), usize::from(moved), "{waited} ms");
         // Said again, late or of a session that is gone, it moves nobody twice.
         bench
             .relay
-            .overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
+            .response_overdue(bench.now, SessionId(1), ms(waited), &mut bench.book);
         bench
             .relay
-            .overdue(bench.now, SessionId(9), ms(waited), &mut bench.book);
+            .response_overdue(bench.now, SessionId(9), ms(waited), &mut bench.book);
         assert_eq!(bench.sent_away(), usize::from(moved), "{waited} ms");
         // One more failure in a row ejects it.
-        bench.relay.probed(
+        bench.relay.health_checked(
             bench.now,
             BackendId(backend),
-            Verdict::Timeout,
+            AttemptOutcome::TimedOut,
             Default::default(),
         );
         let again = (10..30).any(|id| {
@@ -1002,16 +1042,16 @@
             bench.inherit(id, id % 4);
         }
         for _ in 0..failed {
-            bench.relay.probed(
+            bench.relay.health_checked(
                 bench.now,
                 BackendId(1),
-                Verdict::Timeout,
+                AttemptOutcome::TimedOut,
                 Default::default(),
             );
         }
         bench
             .relay
-            .overdue(bench.now, SessionId(5), ms(waited), &mut bench.book);
+            .response_overdue(bench.now, SessionId(5), ms(waited), &mut bench.book);
         assert_eq!(bench.sent_away(), moved, "{failed} {waited}");
         let elsewhere = |asked: &Asked| matches!(asked, Asked::SendAway(id) if id % 4 != 1);
         assert!(!bench.book.asked.iter().any(elsewhere), "{failed} {waited}");
@@ -1022,7 +1062,7 @@
 fn told_to_stop_all_is_over_in_time_and_step_by_step() {
     for (standing, within) in [(0, 3_700), (1, 3_700), (30, 3_700), (30, 1_900)] {
         let deployment = Deployment {
-            stop_within: ms(within),
+            shutdown_timeout: ms(within),
             ..deployment(REPEATABLE)
         };
         let mut bench = Bench::new(deployment, &rows(6));
@@ -1034,8 +1074,8 @@
         // be.
         bench.arrive(100, arrival(100, 0, ms(60_000)));
         bench.arrive(101, arrival(101, 0, ms(60_000)));
-        bench.end(101, 0, Verdict::Full, false);
-        bench.relay.stopping(bench.now, &mut bench.book);
+        bench.end(101, 0, AttemptOutcome::Saturated, false);
+        bench.relay.shut_down(bench.now, &mut bench.book);
         // Another relay may have just been stopped too: for the first part there may be nowhere to
         // come again.
         bench.pass(ms(within * 2 / 5));
@@ -1053,7 +1093,7 @@
         assert!(bench.book.asked.contains(&Asked::Withdraw(100, 0)));
         for asked in bench.book.asked.clone() {
             if let Asked::Withdraw(id, dial) = asked {
-                bench.end(id, dial, Verdict::Withdrawn, false);
+                bench.end(id, dial, AttemptOutcome::Cancelled, false);
             }
         }
         bench.pass(ms(within / 20));
