--- a/tests/evidence.rs
+++ b/tests/evidence.rs
@@ -3,16 +3,17 @@
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, row, rows};
-use thistlecroft::deployment::{Deployment, Effect, Route};
-use thistlecroft::front::{Arrival, ListScope, Report, Standing, Verdict};
+use thistlecroft::attempt::{Arrival, AttemptOutcome, LoadReport};
+use thistlecroft::deployment::{Deployment, Idempotency, Route};
+use thistlecroft::endpoint::{EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, RouteId, SessionId};
 
 /// Four backends, ten connections at each, all heard of; nothing is shared between connections.
 fn settled() -> Bench {
     let mut bench = Bench::new(
         Deployment {
-            groups: false,
-            ..deployment(Effect::Repeatable)
+            groups_share_work: false,
+            ..deployment(Idempotency::Idempotent)
         },
         &rows(4),
     );
@@ -27,7 +28,7 @@
     for id in (backend..40).step_by(4) {
         bench
             .relay
-            .delay_noted(bench.now, SessionId(id), ms(delay), &mut bench.book);
+            .latency_observed(bench.now, SessionId(id), ms(delay), &mut bench.book);
     }
 }
 
@@ -87,7 +88,7 @@
             if let Some((at, _)) = bench.arrive(id, arrival(0, 0, ms(4_800))) {
                 assert!(drawn || at != 0, "session {id}");
                 bench.stand(id, 0);
-                bench.end(id, 0, Verdict::Ok, true);
+                bench.end(id, 0, AttemptOutcome::Ok, true);
             }
         }
         (1..4).for_each(|at| bench.report(at, Some(10.0), Some(0.4)));
@@ -110,9 +111,12 @@
     for (delay, failed, expected) in cases {
         let mut bench = settled();
         for _ in 0..failed {
-            bench
-                .relay
-                .probed(bench.now, BackendId(0), Verdict::Timeout, Report::default());
+            bench.relay.health_checked(
+                bench.now,
+                BackendId(0),
+                AttemptOutcome::TimedOut,
+                LoadReport::default(),
+            );
         }
         note(&mut bench, 0, delay);
         bench.pass(ms(600));
@@ -142,17 +146,17 @@
         (0.85, false, false),
     ] {
         let plain = Deployment {
-            groups: false,
-            ..deployment(Effect::Repeatable)
+            groups_share_work: false,
+            ..deployment(Idempotency::Idempotent)
         };
         let row = plain.routes[0];
         let routes = vec![
             Route {
-                utility: 3.0,
+                priority_weight: 3.0,
                 ..row
             },
             Route {
-                utility: 1.0,
+                priority_weight: 1.0,
                 ..row
             },
         ];
@@ -166,7 +170,7 @@
             bench.stand(id, 0);
             bench
                 .relay
-                .load_noted(SessionId(id), if id % 2 == 0 { 1.0 } else { 4.0 });
+                .load_observed(SessionId(id), if id % 2 == 0 { 1.0 } else { 4.0 });
         }
         bench.pass(ms(20_000));
         (0..6).for_each(|at| bench.report(at, Some(1_000.0), Some(load)));
@@ -189,56 +193,62 @@
     let all = || (0..40).step_by(4);
     // What ended and how, what a list tells afterwards, and if the backend counts as cold.
     type Told = Option<Option<u64>>;
-    let cases: [(&str, Vec<u32>, Verdict, Told, bool); 7] = [
-        ("all broke", all().collect(), Verdict::Reset, None, true),
+    let cases: [(&str, Vec<u32>, AttemptOutcome, Told, bool); 7] = [
+        (
+            "all broke",
+            all().collect(),
+            AttemptOutcome::Reset,
+            None,
+            true,
+        ),
         (
             "all broke, an older start is told",
             all().collect(),
-            Verdict::Reset,
+            AttemptOutcome::Reset,
             Some(Some(60_000)),
             true,
         ),
         (
             "all broke, the list says it never started",
             all().collect(),
-            Verdict::Reset,
+            AttemptOutcome::Reset,
             Some(None),
             true,
         ),
         (
             "one lived through",
             all().skip(1).collect(),
-            Verdict::Reset,
+            AttemptOutcome::Reset,
             None,
             false,
         ),
         (
             "one broke, nine left before",
             vec![36],
-            Verdict::Reset,
+            AttemptOutcome::Reset,
             None,
             false,
         ),
         (
             "all left by themselves",
             all().collect(),
-            Verdict::Ok,
+            AttemptOutcome::Ok,
             None,
             false,
         ),
         (
             "a newer start is told and long over",
             all().collect(),
-            Verdict::Reset,
+            AttemptOutcome::Reset,
             Some(Some(1)),
             true,
         ),
     ];
     for (what, ended, verdict, told, cold) in cases {
         let plain = Deployment {
-            groups: false,
-            relays: 4,
-            ..deployment(Effect::Repeatable)
+            groups_share_work: false,
+            relay_count: 4,
+            ..deployment(Idempotency::Idempotent)
         };
         let mut bench = Bench::new(plain, &rows(4));
         (0..40).for_each(|id| bench.inherit(id, id % 4));
@@ -246,7 +256,7 @@
         if ended.len() == 1 {
             (0..36)
                 .step_by(4)
-                .for_each(|id| bench.end(id, 0, Verdict::Ok, true));
+                .for_each(|id| bench.end(id, 0, AttemptOutcome::Ok, true));
         }
         ended
             .into_iter()
@@ -255,7 +265,7 @@
             let start = ago.map(|ms_ago| bench.now - ms(ms_ago));
             bench
                 .relay
-                .listed(ListScope::Changes, &[row(0, Standing::Ready, start)]);
+                .update_endpoints(UpdateKind::Delta, &[row(0, EndpointState::Ready, start)]);
         }
         bench.pass(ms(100));
         (1..4).for_each(|at| bench.report(at, Some(40.0), Some(0.55)));
@@ -278,9 +288,9 @@
     ];
     for (notes, load, delay, own, drawn) in cases {
         let plain = Deployment {
-            groups: false,
-            notes,
-            ..deployment(Effect::Repeatable)
+            groups_share_work: false,
+            observes_latency: notes,
+            ..deployment(Idempotency::Idempotent)
         };
         let mut bench = Bench::new(plain, &rows(4));
         (0..40)
@@ -313,9 +323,9 @@
     ] {
         let mut bench = Bench::new(
             Deployment {
-                groups: false,
-                may_probe,
-                ..deployment(Effect::Repeatable)
+                groups_share_work: false,
+                may_check_health: may_probe,
+                ..deployment(Idempotency::Idempotent)
             },
             &rows(10),
         );
@@ -332,35 +342,35 @@
 fn the_next_process_knows_who_failed_how_often() {
     let mut before = settled();
     (0..6).for_each(|_| {
-        before.relay.probed(
+        before.relay.health_checked(
             before.now,
             BackendId(0),
-            Verdict::Timeout,
-            Report::default(),
+            AttemptOutcome::TimedOut,
+            LoadReport::default(),
         )
     });
     let mut next = Bench::new(
         Deployment {
-            groups: false,
-            ..deployment(Effect::Repeatable)
+            groups_share_work: false,
+            ..deployment(Idempotency::Idempotent)
         },
         &rows(4),
     );
-    next.relay.recall(&before.relay.memory(), true);
+    next.relay.restore(&before.relay.snapshot(), true);
     // It has heard of nothing itself, or of all more recently; either way the greater count holds.
     for heard in [false, true] {
         if heard {
             next.pass(ms(30_000));
             (1..4).for_each(|at| next.report(at, Some(10.0), Some(0.4)));
-            next.relay.recall(&before.relay.memory(), true);
+            next.relay.restore(&before.relay.snapshot(), true);
         }
-        let of = |bench: &Bench| bench.relay.memory().sights[0].1;
+        let of = |bench: &Bench| bench.relay.snapshot().endpoints[0].1;
         assert_eq!(
-            (of(&next).ejections, of(&next).owed),
-            (of(&before).ejections, of(&before).owed),
+            (of(&next).ejections, of(&next).pending_health_checks),
+            (of(&before).ejections, of(&before).pending_health_checks),
             "{heard}"
         );
-        assert!(of(&next).owed > 0);
+        assert!(of(&next).pending_health_checks > 0);
     }
 }
 
@@ -372,22 +382,22 @@
     // Whether backends tell of loads, relays, what the backend does, how often; the most and the
     // least of the longest wait.
     let cases = [
-        (false, 1, Verdict::Reset, 1, 1_000, 500),
-        (false, 1, Verdict::Full, 1, 1_000, 500),
-        (false, 4, Verdict::Reset, 1, 4_000, 2_000),
-        (false, 4, Verdict::Reset, 3, 16_000, 8_000),
-        (false, 300, Verdict::Reset, 1, 30_000, 15_000),
-        (false, 300, Verdict::Ok, 1, 0, 0),
-        (true, 300, Verdict::Reset, 1, 0, 0),
+        (false, 1, AttemptOutcome::Reset, 1, 1_000, 500),
+        (false, 1, AttemptOutcome::Saturated, 1, 1_000, 500),
+        (false, 4, AttemptOutcome::Reset, 1, 4_000, 2_000),
+        (false, 4, AttemptOutcome::Reset, 3, 16_000, 8_000),
+        (false, 300, AttemptOutcome::Reset, 1, 30_000, 15_000),
+        (false, 300, AttemptOutcome::Ok, 1, 0, 0),
+        (true, 300, AttemptOutcome::Reset, 1, 0, 0),
     ];
     for (tells_loads, relays, verdict, times, most, least) in cases {
         let mut longest = 0;
         for seed in 0..40 {
             let of = Deployment {
-                may_probe: false,
-                tells_loads,
-                relays,
-                ..deployment(Effect::Repeatable)
+                may_check_health: false,
+                reports_load: tells_loads,
+                relay_count: relays,
+                ..deployment(Idempotency::Idempotent)
             };
             let mut bench = Bench::seeded(of, seed, &rows(6));
             let of = |id: u32| arrival(u64::from(id), 5, ms(1_200));
@@ -405,7 +415,7 @@
             for id in 0..times {
                 bench.inherit(200 + id, home);
                 match verdict {
-                    Verdict::Full => bench.end(1, 0, verdict, false),
+                    AttemptOutcome::Saturated => bench.end(1, 0, verdict, false),
                     _ => bench.end(200 + id, 0, verdict, true),
                 }
             }
@@ -441,7 +451,7 @@
     let first = |seed: u64| {
         let mut bench = Bench::seeded(
             Deployment {
-                relays: 24,
+                relay_count: 24,
                 ..site.clone()
             },
             seed,
@@ -467,9 +477,9 @@
     ];
     for (may_probe, tells_loads, heard, together) in cases {
         let site = Deployment {
-            may_probe,
-            tells_loads,
-            ..deployment(Effect::Repeatable)
+            may_check_health: may_probe,
+            reports_load: tells_loads,
+            ..deployment(Idempotency::Idempotent)
         };
         let mut at = first_backends(&site, heard);
         assert_eq!(at.len(), 24);
--- a/tests/fleet.rs
+++ b/tests/fleet.rs
@@ -3,8 +3,9 @@
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, row};
-use thistlecroft::deployment::{ColdStart, Deployment, Effect};
-use thistlecroft::front::{ListScope, Standing, Verdict};
+use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
+use thistlecroft::endpoint::{EndpointState, UpdateKind};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
@@ -22,13 +23,13 @@
 impl Fleet {
     fn new(relays: u32, backends: u32, of: &Deployment) -> Fleet {
         let list: Vec<_> = (0..backends)
-            .map(|id| row(id, Standing::Ready, None))
+            .map(|id| row(id, EndpointState::Ready, None))
             .collect();
         let one = |me| {
             Bench::seeded(
                 Deployment {
-                    me,
-                    relays,
+                    relay_index: me,
+                    relay_count: relays,
                     ..of.clone()
                 },
                 u64::from(me) + 1,
@@ -110,17 +111,17 @@
 /// a window. By turns for as many relays as the budget holds connections, 0.17 of it were used.
 #[test]
 fn cold_backends_are_used_and_not_pushed_over_where_traffic_is_thin() {
-    let cold = ColdStart {
-        start_share: 0.31,
+    let cold = SlowStart {
+        initial_share: 0.31,
         warm_up: ms(9_000),
-        factor: 3.0,
+        overload_factor: 3.0,
         window: ms(3_000),
     };
     for (relays, sessions_a_second, seed) in [(100, 20, 1), (100, 30, 2), (400, 30, 3), (10, 20, 4)]
     {
         let of = Deployment {
-            cold,
-            ..deployment(Effect::Repeatable)
+            slow_start: cold,
+            ..deployment(Idempotency::Idempotent)
         };
         let mut fleet = Fleet::new(relays, 12, &of);
         fleet.chance = Rng::from_seed(seed);
@@ -138,14 +139,14 @@
             fleet.pass(ms(500), full);
             let leaves = fleet.chance.below(u64::from(relays)) as usize;
             let first = 1_000_000 + leaves as u32 * (165 / relays).max(1);
-            fleet.relays[leaves].end(first, 0, Verdict::Ok, true);
+            fleet.relays[leaves].end(first, 0, AttemptOutcome::Ok, true);
         }
         let start = fleet.now();
         let back: Vec<_> = (5..12)
-            .map(|at| row(at, Standing::Ready, Some(start)))
+            .map(|at| row(at, EndpointState::Ready, Some(start)))
             .collect();
         for relay in &mut fleet.relays {
-            relay.relay.listed(ListScope::Changes, &back);
+            relay.relay.update_endpoints(UpdateKind::Delta, &back);
         }
         fleet.dials.clear();
         for _ in 0..90 {
@@ -179,10 +180,10 @@
 /// stay at their price.
 #[test]
 fn where_all_backends_are_cold_all_sessions_are_answered_and_none_is_pushed_over() {
-    let cold = ColdStart {
-        start_share: 0.31,
+    let cold = SlowStart {
+        initial_share: 0.31,
         warm_up: ms(9_000),
-        factor: 3.0,
+        overload_factor: 3.0,
         window: ms(3_000),
     };
     for relays in [2, 100, 400] {
@@ -190,17 +191,17 @@
             relays,
             12,
             &Deployment {
-                cold,
-                probe_price: 0.0023,
-                ..deployment(Effect::Repeatable)
+                slow_start: cold,
+                health_check_cost: 0.0023,
+                ..deployment(Idempotency::Idempotent)
             },
         );
         let start = fleet.now();
         let list: Vec<_> = (0..12)
-            .map(|at| row(at, Standing::Ready, Some(start)))
+            .map(|at| row(at, EndpointState::Ready, Some(start)))
             .collect();
         for relay in &mut fleet.relays {
-            relay.relay.listed(ListScope::Whole, &list);
+            relay.relay.update_endpoints(UpdateKind::Snapshot, &list);
         }
         for _ in 0..90 {
             fleet.pass(ms(100), |_| (10.0, 0.3));
--- a/tests/helper/mod.rs
+++ b/tests/helper/mod.rs
@@ -1,8 +1,12 @@
 //! A front that writes down what it is asked, and a small deployment to ask about.
 #![allow(dead_code, reason = "each file of tests uses a part of it")]
-use thistlecroft::balance::{BASE, CAP, COOL_DOWN, PATIENCE, Relay};
-use thistlecroft::deployment::{ColdStart, Deployment, Effect, Route};
-use thistlecroft::front::{Arrival, Ending, Front, ListScope, Listing, Report, Standing, Verdict};
+use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
+use thistlecroft::balancer::{
+    ATTEMPT_TIMEOUT_FACTOR, BACKOFF_BASE, BACKOFF_CAP, Balancer, STABLE_AFTER,
+};
+use thistlecroft::deployment::{Deployment, Idempotency, Route, SlowStart};
+use thistlecroft::driver::Driver;
+use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
 use thistlecroft::time::{Duration, Instant};
 
@@ -24,27 +28,27 @@
     wakes: Vec<Instant>,
 }
 
-impl Front for Notebook {
-    fn dial(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
+impl Driver for Notebook {
+    fn connect(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
         self.asked
             .push(Asked::Dial(session.0, backend.0, give_up_after));
     }
-    fn withdraw(&mut self, session: SessionId, dial: u32) {
+    fn cancel(&mut self, session: SessionId, dial: u32) {
         self.asked.push(Asked::Withdraw(session.0, dial));
     }
-    fn refuse(&mut self, session: SessionId, retry_after: Option<Duration>) {
+    fn reject(&mut self, session: SessionId, retry_after: Option<Duration>) {
         self.asked.push(Asked::Refuse(session.0, retry_after));
     }
-    fn tear_down(&mut self, session: SessionId) {
+    fn fail(&mut self, session: SessionId) {
         self.asked.push(Asked::TearDown(session.0));
     }
-    fn send_away(&mut self, session: SessionId) {
+    fn migrate(&mut self, session: SessionId) {
         self.asked.push(Asked::SendAway(session.0));
     }
-    fn probe(&mut self, backend: BackendId) {
+    fn check_health(&mut self, backend: BackendId) {
         self.asked.push(Asked::Probe(backend.0));
     }
-    fn wake(&mut self, at: Instant) {
+    fn wake_at(&mut self, at: Instant) {
         self.wakes.push(at);
     }
     fn subscribe(&mut self) {
@@ -59,47 +63,47 @@
     Duration::from_millis(ms)
 }
 
-pub fn deployment(effect: Effect) -> Deployment {
+pub fn deployment(effect: Idempotency) -> Deployment {
     let row = Route {
-        handshake_target: ms(300),
-        effect,
+        handshake_objective: ms(300),
+        idempotency: effect,
         connect_timeout: ms(50),
-        max_dials: 3,
-        longest_retry_after: ms(600_000),
-        utility: 1.0,
-        patience: PATIENCE,
-        base: BASE,
-        cap: CAP,
-        cool_down: COOL_DOWN,
+        max_attempts: 3,
+        max_retry_after: ms(600_000),
+        priority_weight: 1.0,
+        attempt_timeout_factor: ATTEMPT_TIMEOUT_FACTOR,
+        backoff_base: BACKOFF_BASE,
+        backoff_cap: BACKOFF_CAP,
+        stable_after: STABLE_AFTER,
         ..Route::default()
     };
     Deployment {
-        me: 0,
-        relays: 1,
+        relay_index: 0,
+        relay_count: 1,
         zone: ZoneId(0),
         tick: ms(2),
         routes: vec![row],
-        shortest_target: ms(50),
-        notes: true,
-        cold: ColdStart {
-            start_share: 0.25,
+        message_objective: ms(50),
+        observes_latency: true,
+        slow_start: SlowStart {
+            initial_share: 0.25,
             warm_up: ms(10_000),
-            factor: 4.0,
+            overload_factor: 4.0,
             window: ms(2_000),
         },
-        ration: None,
-        ask_within: None,
+        retry_budget: None,
+        poll_within: None,
         connect_timeout: ms(50),
-        may_withdraw: true,
-        two_dials: false,
-        may_probe: true,
-        tells_loads: true,
-        tells_retry_after: true,
-        crossing_price: 0.0,
-        move_price: 0.0,
-        probe_price: 0.0,
-        groups: true,
-        stop_within: ms(3_700),
+        may_cancel: true,
+        may_hedge: false,
+        may_check_health: true,
+        reports_load: true,
+        sends_retry_after: true,
+        cross_zone_cost: 0.0,
+        migration_cost: 0.0,
+        health_check_cost: 0.0,
+        groups_share_work: true,
+        shutdown_timeout: ms(3_700),
     }
 }
 
@@ -113,48 +117,48 @@
     let some = |value: u64| (value > 0).then_some(value);
     Arrival {
         route: RouteId(0),
-        key: some(key),
+        client_key: some(key),
         group: some(group),
-        dial_timeout,
+        timeout: dial_timeout,
     }
 }
 
-pub fn row(backend: u32, standing: Standing, up_since: Option<Instant>) -> Listing {
+pub fn row(backend: u32, standing: EndpointState, up_since: Option<Instant>) -> Endpoint {
     // Even numbers are in zone 0, odd ones in zone 1, cells hold four.
     let (zone, cell) = (ZoneId((backend % 2) as u16), CellId((backend / 4) as u16));
-    Listing {
+    Endpoint {
         backend: BackendId(backend),
-        mark: u64::from(backend) * 7919,
+        stable_hash: u64::from(backend) * 7919,
         zone,
         cell,
-        standing,
+        state: standing,
         weight: 1.0,
-        up_since,
+        started_at: up_since,
     }
 }
 
-pub fn rows(count: u32) -> Vec<Listing> {
+pub fn rows(count: u32) -> Vec<Endpoint> {
     (0..count)
-        .map(|backend| row(backend, Standing::Ready, None))
+        .map(|backend| row(backend, EndpointState::Ready, None))
         .collect()
 }
 
 /// A relay with its notebook and the time it has reached.
 pub struct Bench {
-    pub relay: Relay,
+    pub relay: Balancer,
     pub book: Notebook,
     pub now: Instant,
 }
 
 impl Bench {
-    pub fn new(deployment: Deployment, list: &[Listing]) -> Bench {
+    pub fn new(deployment: Deployment, list: &[Endpoint]) -> Bench {
         Bench::seeded(deployment, 7, list)
     }
 
-    pub fn seeded(deployment: Deployment, seed: u64, list: &[Listing]) -> Bench {
+    pub fn seeded(deployment: Deployment, seed: u64, list: &[Endpoint]) -> Bench {
         let (now, mut book) = (Instant::from_micros(100_000_000), Notebook::default());
-        let mut relay = Relay::new(deployment, seed, now, &mut book);
-        relay.listed(ListScope::Cached, list);
+        let mut relay = Balancer::new(deployment, seed, now, &mut book);
+        relay.update_endpoints(UpdateKind::CachedSnapshot, list);
         Bench { relay, book, now }
     }
 
@@ -170,43 +174,43 @@
         {
             self.book.wakes.retain(|&at| at > next);
             self.now = self.now.max(next);
-            self.relay.woken(self.now, &mut self.book);
+            self.relay.wake(self.now, &mut self.book);
         }
         self.now = until;
     }
 
     pub fn arrive(&mut self, id: u32, arrival: Arrival) -> Option<(u32, Duration)> {
         self.relay
-            .arrived(self.now, SessionId(id), arrival, &mut self.book);
+            .session_arrived(self.now, SessionId(id), arrival, &mut self.book);
         self.dials(id).last().copied()
     }
 
     pub fn inherit(&mut self, id: u32, backend: u32) {
         let (id, at) = (SessionId(id), BackendId(backend));
         self.relay
-            .inherit(self.now, id, at, arrival(0, 0, ms(0)), &mut self.book);
+            .session_inherited(self.now, id, at, arrival(0, 0, ms(0)), &mut self.book);
     }
 
     pub fn stand(&mut self, id: u32, dial: u32) {
         self.relay
-            .ready(self.now, SessionId(id), dial, &mut self.book);
+            .attempt_ready(self.now, SessionId(id), dial, &mut self.book);
     }
 
-    pub fn end(&mut self, id: u32, dial: u32, verdict: Verdict, over: bool) {
-        let ending = Ending {
-            dial,
-            verdict,
-            over,
-            report: Report::default(),
+    pub fn end(&mut self, id: u32, dial: u32, verdict: AttemptOutcome, over: bool) {
+        let ending = AttemptEnd {
+            attempt: dial,
+            outcome: verdict,
+            is_answered: over,
+            report: LoadReport::default(),
         };
         self.relay
-            .ended(self.now, SessionId(id), ending, &mut self.book);
+            .attempt_ended(self.now, SessionId(id), ending, &mut self.book);
     }
 
     pub fn report(&mut self, backend: u32, connections: Option<f64>, load: Option<f64>) {
-        let report = Report { connections, load };
+        let report = LoadReport { connections, load };
         self.relay
-            .probed(self.now, BackendId(backend), Verdict::Ok, report);
+            .health_checked(self.now, BackendId(backend), AttemptOutcome::Ok, report);
     }
 
     /// The backends that a session was dialled at, with the time given to each dial.
--- a/tests/paths.rs
+++ b/tests/paths.rs
@@ -3,8 +3,8 @@
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, rows};
-use thistlecroft::deployment::{Deployment, Effect};
-use thistlecroft::front::{Report, Verdict};
+use thistlecroft::attempt::{AttemptOutcome, LoadReport};
+use thistlecroft::deployment::{Deployment, Idempotency};
 use thistlecroft::ids::{BackendId, SessionId};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
@@ -76,13 +76,16 @@
 impl Play {
     fn new(relays: u32, backends: u32) -> Play {
         let of = Deployment {
-            groups: false,
-            relays,
-            ..deployment(Effect::Repeatable)
+            groups_share_work: false,
+            relay_count: relays,
+            ..deployment(Idempotency::Idempotent)
         };
         let one = |me| {
             Bench::seeded(
-                Deployment { me, ..of.clone() },
+                Deployment {
+                    relay_index: me,
+                    ..of.clone()
+                },
                 u64::from(me) + 1,
                 &rows(backends),
             )
@@ -159,11 +162,11 @@
                     self.out.push((me, id, number, at, relay.now));
                 }
                 Asked::Probe(at) if way(me, at, since) == Way::Lost => {
-                    relay.relay.probed(
+                    relay.relay.health_checked(
                         relay.now,
                         BackendId(at),
-                        Verdict::Timeout,
-                        Report::default(),
+                        AttemptOutcome::TimedOut,
+                        LoadReport::default(),
                     );
                 }
                 Asked::Probe(at) => {
@@ -178,7 +181,7 @@
                         .find(|one| of(one))
                         .map_or(0, |one| one.2);
                     self.standing.retain(|one| !of(one));
-                    relay.end(id, dial, Verdict::Withdrawn, true);
+                    relay.end(id, dial, AttemptOutcome::Cancelled, true);
                     // Its client comes again.
                     relay.arrive(self.next, arrival(u64::from(self.next) + 1, 0, ms(3_200)));
                     self.next += 1;
@@ -203,7 +206,7 @@
                 self.standing.push((me, id, dial, at, now + ms(20_000)));
             } else if now.duration_since(sent) >= UNANSWERED {
                 tally.wasted += 1;
-                relay.end(id, dial, Verdict::Timeout, false);
+                relay.end(id, dial, AttemptOutcome::TimedOut, false);
             } else {
                 still.push((me, id, dial, at, sent));
             }
@@ -214,8 +217,9 @@
             .drain(..)
             .partition(|&(.., until)| until <= now);
         self.standing = standing;
-        over.iter()
-            .for_each(|&(me, id, dial, ..)| self.relays[me].end(id, dial, Verdict::Ok, true));
+        over.iter().for_each(|&(me, id, dial, ..)| {
+            self.relays[me].end(id, dial, AttemptOutcome::Ok, true)
+        });
         let whole = now.as_micros() % 1_000_000 < STEP.as_micros();
         let mut noted = std::collections::BTreeSet::new();
         for &(me, id, _, at, _) in &self.standing {
@@ -234,7 +238,7 @@
                 let relay = &mut self.relays[me];
                 relay
                     .relay
-                    .delay_noted(relay.now, SessionId(id), delay, &mut relay.book);
+                    .latency_observed(relay.now, SessionId(id), delay, &mut relay.book);
             }
         }
     }
--- a/tests/ramp.rs
+++ b/tests/ramp.rs
@@ -4,8 +4,9 @@
 
 use helper::{Asked, Bench, arrival, deployment, ms, row};
 use std::collections::BTreeMap;
-use thistlecroft::deployment::{ColdStart, Deployment, Effect};
-use thistlecroft::front::{ListScope, Standing, Verdict};
+use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
+use thistlecroft::endpoint::{EndpointState, UpdateKind};
 use thistlecroft::random::Rng;
 use thistlecroft::time::Instant;
 
@@ -27,26 +28,31 @@
 fn ramp(relays: u32, seed: u64, tells_loads: bool, groups: bool) -> (f64, f64) {
     // Clients that are turned away come again: far more sessions than there is room.
     let a_second = 60.0;
-    let cold = ColdStart {
-        start_share: START_SHARE,
+    let cold = SlowStart {
+        initial_share: START_SHARE,
         warm_up: ms(12_000),
-        factor: FACTOR,
+        overload_factor: FACTOR,
         window: ms(3_000),
     };
     let of = Deployment {
-        cold,
-        relays,
-        may_probe: tells_loads,
-        tells_loads,
-        groups,
-        probe_price: 0.001,
-        ..deployment(Effect::Repeatable)
+        slow_start: cold,
+        relay_count: relays,
+        may_check_health: tells_loads,
+        reports_load: tells_loads,
+        groups_share_work: groups,
+        health_check_cost: 0.001,
+        ..deployment(Idempotency::Idempotent)
     };
-    let list: Vec<_> = (0..10).map(|id| row(id, Standing::Ready, None)).collect();
+    let list: Vec<_> = (0..10)
+        .map(|id| row(id, EndpointState::Ready, None))
+        .collect();
     let mut fleet: Vec<Bench> = (0..relays)
         .map(|me| {
             Bench::seeded(
-                Deployment { me, ..of.clone() },
+                Deployment {
+                    relay_index: me,
+                    ..of.clone()
+                },
                 seed * 1_000 + u64::from(me),
                 &list,
             )
@@ -90,14 +96,14 @@
             if step == when {
                 let rows: Vec<_> = who
                     .clone()
-                    .map(|at| row(at, Standing::Ready, Some(now)))
+                    .map(|at| row(at, EndpointState::Ready, Some(now)))
                     .collect();
                 who.for_each(|at| {
                     starts.insert(at, now);
                 });
                 fleet
                     .iter_mut()
-                    .for_each(|one| one.relay.listed(ListScope::Changes, &rows));
+                    .for_each(|one| one.relay.update_endpoints(UpdateKind::Delta, &rows));
             }
         }
         for one in &mut fleet {
@@ -121,7 +127,7 @@
         let t = fleet[0].now.duration_since(start0).as_secs_f64();
         let gone: Vec<_> = open.extract_if(.., |o| o.3 <= t).collect();
         gone.into_iter()
-            .for_each(|(me, id, ..)| fleet[me].end(id, 0, Verdict::Ok, true));
+            .for_each(|(me, id, ..)| fleet[me].end(id, 0, AttemptOutcome::Ok, true));
         due += a_second * 0.05;
         while due >= 1.0 {
             due -= 1.0;
@@ -132,7 +138,7 @@
             {
                 let held = open.iter().filter(|o| o.2 == at).count() as f64;
                 if !starts.contains_key(&at) && held >= FULL {
-                    fleet[me].end(id, 0, Verdict::Full, false);
+                    fleet[me].end(id, 0, AttemptOutcome::Saturated, false);
                     continue;
                 }
                 fleet[me].stand(id, 0);
--- a/tests/release.rs
+++ b/tests/release.rs
@@ -6,8 +6,9 @@
 use helper::{Bench, arrival, deployment, ms, row};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
-use thistlecroft::deployment::{ColdStart, Deployment, Effect};
-use thistlecroft::front::{ListScope, Standing, Verdict};
+use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
+use thistlecroft::endpoint::{EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, SessionId};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
@@ -33,7 +34,7 @@
 }
 
 struct Backend {
-    standing: Standing,
+    standing: EndpointState,
     up_since: Option<Instant>,
     /// Work piled up.
     piled: f64,
@@ -59,29 +60,34 @@
 
 impl Release {
     fn new(relays: u32, old: u32, clients: usize, seed: u64) -> Release {
-        let cold = ColdStart {
-            start_share: 0.2,
+        let cold = SlowStart {
+            initial_share: 0.2,
             warm_up: ms(24_000),
-            factor: 3.0,
+            overload_factor: 3.0,
             window: ms(3_000),
         };
         let of = Deployment {
-            cold,
-            may_probe: false,
-            tells_loads: false,
-            relays,
-            ..deployment(Effect::Repeatable)
+            slow_start: cold,
+            may_check_health: false,
+            reports_load: false,
+            relay_count: relays,
+            ..deployment(Idempotency::Idempotent)
         };
-        let list: Vec<_> = (0..old).map(|id| row(id, Standing::Ready, None)).collect();
+        let list: Vec<_> = (0..old)
+            .map(|id| row(id, EndpointState::Ready, None))
+            .collect();
         let one = |me| {
             Bench::seeded(
-                Deployment { me, ..of.clone() },
+                Deployment {
+                    relay_index: me,
+                    ..of.clone()
+                },
                 seed * 1_000 + u64::from(me),
                 &list,
             )
         };
         let ready = || Backend {
-            standing: Standing::Ready,
+            standing: EndpointState::Ready,
             up_since: None,
             piled: 0.0,
             stops_at: None,
@@ -113,7 +119,7 @@
             let relay = &mut release.relays[me];
             relay
                 .relay
-                .inherit(now, SessionId(id), BackendId(at), of, &mut relay.book);
+                .session_inherited(now, SessionId(id), BackendId(at), of, &mut relay.book);
             release.clients.push(Client {
                 group,
                 load,
@@ -134,7 +140,7 @@
             .map(|&id| row(id, self.boxes[&id].standing, self.boxes[&id].up_since))
             .collect();
         for relay in &mut self.relays {
-            relay.relay.listed(ListScope::Changes, &rows);
+            relay.relay.update_endpoints(UpdateKind::Delta, &rows);
         }
     }
 
@@ -145,7 +151,7 @@
             self.boxes.insert(
                 id,
                 Backend {
-                    standing: Standing::Ready,
+                    standing: EndpointState::Ready,
                     up_since: Some(now),
                     piled: 0.0,
                     stops_at: None,
@@ -154,7 +160,7 @@
         }
         for id in old.clone() {
             let at = self.boxes.get_mut(&id).unwrap();
-            (at.standing, at.stops_at) = (Standing::Draining, Some(stops_at));
+            (at.standing, at.stops_at) = (EndpointState::Draining, Some(stops_at));
         }
         self.list(&old.chain(new).collect::<Vec<_>>());
     }
@@ -164,7 +170,7 @@
         let Some((me, id, _)) = self.clients[client].held.take() else {
             return;
         };
-        self.relays[me].end(id, 0, Verdict::Reset, true);
+        self.relays[me].end(id, 0, AttemptOutcome::Reset, true);
         self.clients[client].back_at = self.now() + ms(120 + self.chance.below(750));
     }
 
@@ -190,7 +196,7 @@
             if let Some((me, id, _)) = self.clients[client].held
                 && self.chance.unit_f64() < STEP.as_secs_f64() / LIFE
             {
-                self.relays[me].end(id, 0, Verdict::Ok, true);
+                self.relays[me].end(id, 0, AttemptOutcome::Ok, true);
                 (self.clients[client].held, self.clients[client].back_at) = (None, now + ms(120));
             }
         }
@@ -214,7 +220,7 @@
         self.clients[client].back_at = now + ms(120 + self.chance.below(750));
         let Some((at, _)) = placed else { return };
         let Some(there) = self.boxes.get_mut(&at) else {
-            self.relays[me].end(id, 0, Verdict::Unreachable, false);
+            self.relays[me].end(id, 0, AttemptOutcome::Unreachable, false);
             return;
         };
         there.piled += SET_UP;
--- a/tests/routes.rs
+++ b/tests/routes.rs
@@ -2,25 +2,28 @@
 mod helper;
 
 use helper::{Asked, Bench, arrival, deployment, ms, row, rows, with_row};
-use thistlecroft::deployment::{Deployment, Effect, Ration, Route, Scope, SecondCopy};
-use thistlecroft::front::{Arrival, ListScope, Listing, Standing, Verdict};
+use thistlecroft::attempt::{Arrival, AttemptOutcome};
+use thistlecroft::deployment::{
+    DeduplicationScope, Deployment, Hedging, Idempotency, RetryBudget, Route,
+};
+use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 use thistlecroft::ids::{RouteId, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-const COPY: SecondCopy = SecondCopy {
+const COPY: Hedging = Hedging {
     quantile: 0.9,
-    least: Duration::from_millis(20),
-    most: Duration::from_millis(100),
+    min_delay: Duration::from_millis(20),
+    max_delay: Duration::from_millis(100),
     share: 1.0,
 };
 
-fn doubled(effect: Effect) -> Deployment {
+fn doubled(effect: Idempotency) -> Deployment {
     let deployment = Deployment {
-        two_dials: true,
-        groups: false,
+        may_hedge: true,
+        groups_share_work: false,
         ..deployment(effect)
     };
-    with_row(|row| row.second = Some(COPY), deployment)
+    with_row(|row| row.hedging = Some(COPY), deployment)
 }
 
 /// Final answers that a session was given.
@@ -41,11 +44,11 @@
 
 #[test]
 fn a_slow_dial_has_a_second_copy_and_one_answer_comes_of_both() {
-    use Verdict::{Error, Full, Reset, Timeout, Withdrawn};
+    use AttemptOutcome::{Cancelled, Error, Reset, Saturated, TimedOut};
     #[derive(Clone, Copy, Debug)]
     enum Then {
         Up(u32),
-        Ends(u32, Verdict),
+        Ends(u32, AttemptOutcome),
         Leaves,
         Stops,
     }
@@ -54,52 +57,67 @@
     // releases there are by the end.
     let cases: &[(&[Then], &[u32], usize, usize)] = &[
         (
-            &[Up(0), Ends(1, Withdrawn), Ends(0, Verdict::Ok)],
+            &[Up(0), Ends(1, Cancelled), Ends(0, AttemptOutcome::Ok)],
             &[1],
             0,
             1,
         ),
         (
-            &[Up(1), Ends(0, Withdrawn), Ends(1, Verdict::Ok)],
+            &[Up(1), Ends(0, Cancelled), Ends(1, AttemptOutcome::Ok)],
             &[0],
             0,
             1,
         ),
         (
-            &[Up(1), Up(0), Ends(0, Withdrawn), Ends(1, Verdict::Ok)],
+            &[
+                Up(1),
+                Up(0),
+                Ends(0, Cancelled),
+                Ends(1, AttemptOutcome::Ok),
+            ],
             &[0],
             0,
             1,
         ),
-        (&[Ends(0, Error), Up(1), Ends(1, Verdict::Ok)], &[], 0, 1),
-        (&[Ends(1, Full), Up(0), Ends(0, Verdict::Ok)], &[], 0, 1),
-        (&[Ends(1, Reset), Ends(0, Timeout)], &[], 1, 1),
-        (&[Ends(0, Reset), Ends(1, Timeout)], &[], 1, 1),
+        (
+            &[Ends(0, Error), Up(1), Ends(1, AttemptOutcome::Ok)],
+            &[],
+            0,
+            1,
+        ),
+        (
+            &[Ends(1, Saturated), Up(0), Ends(0, AttemptOutcome::Ok)],
+            &[],
+            0,
+            1,
+        ),
+        (&[Ends(1, Reset), Ends(0, TimedOut)], &[], 1, 1),
+        (&[Ends(0, Reset), Ends(1, TimedOut)], &[], 1, 1),
         (
             &[
                 Ends(0, Reset),
                 Ends(0, Reset),
-                Ends(1, Timeout),
-                Ends(1, Timeout),
+                Ends(1, TimedOut),
+                Ends(1, TimedOut),
             ],
             &[],
             1,
             1,
         ),
         (
-            &[Leaves, Ends(0, Withdrawn), Ends(1, Withdrawn)],
+            &[Leaves, Ends(0, Cancelled), Ends(1, Cancelled)],
             &[0, 1],
             0,
             1,
         ),
         (
-            &[Leaves, Ends(1, Withdrawn), Ends(0, Withdrawn)],
+            &[Leaves, Ends(1, Cancelled), Ends(0, Cancelled)],
             &[0, 1],
             0,
             1,
         ),
         (
-            &[Stops, Ends(0, Withdrawn), Ends(1, Withdrawn)],
+            &[Stops, Ends(0, Cancelled), Ends(1, Cancelled)],
             &[0, 1],
             1,
             1,
@@ -107,7 +125,7 @@
     ];
     for (course, withdrawn, answered, released) in cases {
         // Two dials are all that there are, so that a failure of both is the end.
-        let deployment = with_row(|row| row.max_dials = 2, doubled(Effect::Repeatable));
+        let deployment = with_row(|row| row.max_attempts = 2, doubled(Idempotency::Idempotent));
         let mut bench = Bench::new(deployment, &rows(4));
         let (first, _) = bench.arrive(1, arrival(5, 0, ms(4_000))).unwrap();
         bench.pass(ms(99));
@@ -119,9 +137,9 @@
             match *then {
                 Up(dial) => bench.stand(1, dial),
                 Ends(dial, verdict) => bench.end(1, dial, verdict, false),
-                Leaves => bench.relay.left(SessionId(1), &mut bench.book),
+                Leaves => bench.relay.session_left(SessionId(1), &mut bench.book),
                 Stops => {
-                    bench.relay.stopping(bench.now, &mut bench.book);
+                    bench.relay.shut_down(bench.now, &mut bench.book);
                     bench.pass(ms(3_500));
                 }
             }
@@ -144,31 +162,31 @@
 #[test]
 fn no_second_copy_goes_out_where_one_might_do_harm() {
     let cold = Some(Instant::from_micros(99_000_000));
-    let referenced = Effect::Referenced {
-        scope: Scope::All,
+    let referenced = Idempotency::Keyed {
+        scope: DeduplicationScope::All,
         window: ms(5_000),
     };
     let one_dial = Deployment {
-        two_dials: false,
-        ..doubled(Effect::Repeatable)
+        may_hedge: false,
+        ..doubled(Idempotency::Idempotent)
     };
     let kept = Deployment {
-        may_withdraw: false,
-        ..doubled(Effect::Repeatable)
+        may_cancel: false,
+        ..doubled(Idempotency::Idempotent)
     };
-    let last = with_row(|row| row.max_dials = 1, doubled(Effect::Repeatable));
+    let last = with_row(|row| row.max_attempts = 1, doubled(Idempotency::Idempotent));
     let few = with_row(
-        |row| row.second = Some(SecondCopy { share: 0.0, ..COPY }),
-        doubled(Effect::Repeatable),
+        |row| row.hedging = Some(Hedging { share: 0.0, ..COPY }),
+        doubled(Idempotency::Idempotent),
     );
-    let plain = with_row(|row| row.second = None, doubled(Effect::Repeatable));
-    let able = || doubled(Effect::Repeatable);
-    let two = |other: Listing| vec![row(0, Standing::Ready, None), other];
+    let plain = with_row(|row| row.hedging = None, doubled(Idempotency::Idempotent));
+    let able = || doubled(Idempotency::Idempotent);
+    let two = |other: Endpoint| vec![row(0, EndpointState::Ready, None), other];
     let cases = [
         ("none of the below", able(), rows(4), 2),
         ("one dial at a time", one_dial, rows(4), 1),
         ("none may be given up", kept, rows(4), 1),
-        ("once-only", doubled(Effect::OnceOnly), rows(4), 1),
+        ("once-only", doubled(Idempotency::NonIdempotent), rows(4), 1),
         ("referenced", doubled(referenced), rows(4), 1),
         ("the last dial", last, rows(4), 1),
         ("no share of them left", few, rows(4), 1),
@@ -177,13 +195,13 @@
         (
             "the other is cold",
             able(),
-            two(row(2, Standing::Ready, cold)),
+            two(row(2, EndpointState::Ready, cold)),
             1,
         ),
         (
             "the other drains",
             able(),
-            two(row(2, Standing::Draining, None)),
+            two(row(2, EndpointState::Draining, None)),
             1,
         ),
     ];
@@ -223,8 +241,8 @@
     ];
     for (share, least, most) in cases {
         let deployment = with_row(
-            |row| row.further_share = share,
-            deployment(Effect::Repeatable),
+            |row| row.retry_share = share,
+            deployment(Idempotency::Idempotent),
         );
         let mut bench = Bench::new(deployment, &rows(30));
         let (mut further, mut unanswered) = (0, 0);
@@ -232,7 +250,7 @@
             bench.arrive(id, arrival(u64::from(id) + 1, 0, ms(8_000)));
             let mut dial = 0;
             while bench.dials(id).len() > dial as usize && dial < 3 {
-                bench.end(id, dial, Verdict::Full, false);
+                bench.end(id, dial, AttemptOutcome::Saturated, false);
                 bench.pass(ms(2_500));
                 dial += 1;
             }
@@ -247,8 +265,8 @@
 #[test]
 fn a_route_holds_so_many_at_once_and_a_session_keeps_the_row_it_began_with() {
     let deployment = with_row(
-        |row| (row.lane, row.most) = (1, Some(2)),
-        deployment(Effect::Repeatable),
+        |row| (row.limits_id, row.max_sessions) = (1, Some(2)),
+        deployment(Idempotency::Idempotent),
     );
     let wide = deployment.routes[0];
     let mut bench = Bench::new(deployment.clone(), &rows(4));
@@ -258,19 +276,19 @@
     }
     // The new table has fewer at once, one dial, and another listener's row before it.
     let narrow = Route {
-        most: Some(1),
-        max_dials: 1,
+        max_sessions: Some(1),
+        max_attempts: 1,
         ..wide
     };
     let routes = vec![
         Route {
-            lane: 0,
-            most: None,
+            limits_id: 0,
+            max_sessions: None,
             ..wide
         },
         narrow,
     ];
-    bench.relay.resettle(Deployment {
+    bench.relay.reconfigure(Deployment {
         routes,
         ..deployment
     });
@@ -288,13 +306,13 @@
     assert_eq!(answers(&bench, 11).len(), 0);
     // One that came before may still be dialled three times.
     for dial in 0..2 {
-        bench.end(0, dial, Verdict::Full, false);
+        bench.end(0, dial, AttemptOutcome::Saturated, false);
         bench.pass(ms(1_900));
     }
     assert!(bench.dials(0).len() >= 2, "{:?}", bench.dials(0));
     for id in [0, 1] {
-        bench.relay.left(SessionId(id), &mut bench.book);
-        (0..3).for_each(|dial| bench.end(id, dial, Verdict::Withdrawn, false));
+        bench.relay.session_left(SessionId(id), &mut bench.book);
+        (0..3).for_each(|dial| bench.end(id, dial, AttemptOutcome::Cancelled, false));
     }
     bench.arrive(12, with(12, 1));
     assert_eq!(
@@ -302,7 +320,7 @@
         (0, 1),
         "room again"
     );
-    bench.end(12, 0, Verdict::Full, false);
+    bench.end(12, 0, AttemptOutcome::Saturated, false);
     bench.pass(ms(3_000));
     assert_eq!(
         (answers(&bench, 12).len(), bench.dials(12).len()),
@@ -319,14 +337,19 @@
         (100, 30_000, 200),
         (1_000, 500, 500),
     ] {
-        let change = |row: &mut Route| (row.base, row.cap, row.max_dials) = (ms(base), ms(cap), 1);
-        let mut bench = Bench::new(with_row(change, deployment(Effect::Repeatable)), &rows(40));
+        let change = |row: &mut Route| {
+            (row.backoff_base, row.backoff_cap, row.max_attempts) = (ms(base), ms(cap), 1)
+        };
+        let mut bench = Bench::new(
+            with_row(change, deployment(Idempotency::Idempotent)),
+            &rows(40),
+        );
         let mut most = ms(0);
         for id in 0..300 {
             for turn in 0..2 {
                 let id = id * 2 + turn;
                 bench.arrive(id, arrival(u64::from(id / 2) + 1, 0, ms(4_000)));
-                bench.end(id, 0, Verdict::Full, false);
+                bench.end(id, 0, AttemptOutcome::Saturated, false);
             }
             let Some(Asked::Refuse(_, Some(wait))) = answers(&bench, id * 2 + 1).last().copied()
             else {
@@ -346,20 +369,20 @@
         (1_000, 4_000, false),
     ] {
         let change = |row: &mut Route| {
-            (row.cool_down, row.cap, row.max_dials) = (ms(cool_down), ms(600_000), 1)
+            (row.stable_after, row.backoff_cap, row.max_attempts) = (ms(cool_down), ms(600_000), 1)
         };
         let mut most = ms(0);
         for seed in 0..60 {
             let mut bench = Bench::seeded(
-                with_row(change, deployment(Effect::Repeatable)),
+                with_row(change, deployment(Idempotency::Idempotent)),
                 seed,
                 &rows(4),
             );
             bench.arrive(1, arrival(7, 0, ms(4_000)));
             bench.stand(1, 0);
             bench.pass(ms(stood));
-            bench.end(1, 0, Verdict::Reset, true);
-            bench.relay.listed(ListScope::Whole, &[]);
+            bench.end(1, 0, AttemptOutcome::Reset, true);
+            bench.relay.update_endpoints(UpdateKind::Snapshot, &[]);
             bench.arrive(2, arrival(7, 0, ms(4_000)));
             let Some(Asked::Refuse(_, Some(wait))) = answers(&bench, 2).last().copied() else {
                 panic!()
@@ -374,7 +397,7 @@
 /// utility the more.
 #[test]
 fn the_first_half_of_a_ration_is_everyones_and_the_rest_goes_by_utility_and_time_left() {
-    let ration = Ration {
+    let ration = RetryBudget {
         free: 6.0,
         share: 0.0,
         window: ms(60_000),
@@ -393,21 +416,24 @@
         (5.0, 50, 4, false),
     ];
     for (utility, gone, before, granted) in cases {
-        let deployment = deployment(Effect::Repeatable);
+        let deployment = deployment(Idempotency::Idempotent);
         let row = Route {
-            base: Duration::ZERO,
+            backoff_base: Duration::ZERO,
             ..deployment.routes[0]
         };
         let routes = vec![
             Route {
-                utility: 5.0,
+                priority_weight: 5.0,
+                ..row
+            },
+            Route {
+                priority_weight: utility,
                 ..row
             },
-            Route { utility, ..row },
         ];
         let mut bench = Bench::new(
             Deployment {
-                ration: Some(ration),
+                retry_budget: Some(ration),
                 routes,
                 ..deployment
             },
@@ -421,7 +447,7 @@
                     ..arrival(u64::from(id) + 1, 0, ms(8_000))
                 },
             );
-            bench.end(id, 0, Verdict::Full, false);
+            bench.end(id, 0, AttemptOutcome::Saturated, false);
             bench.pass(Duration::ZERO);
             assert_eq!(bench.dials(id).len(), 2, "the ones before: {before}");
         }
@@ -433,7 +459,7 @@
             },
         );
         bench.pass(ms(80 * gone));
-        bench.end(90, 0, Verdict::Full, false);
+        bench.end(90, 0, AttemptOutcome::Saturated, false);
         bench.pass(Duration::ZERO);
         let what = format!("utility {utility}, {gone}% gone, {before} before");
         assert_eq!(bench.dials(90).len() == 2, granted, "{what}");
@@ -446,18 +472,18 @@
 #[test]
 fn connections_that_were_taken_over_pay_for_no_dials() {
     for (inherited, arrived, most) in [(0, 4, 2), (40, 4, 2), (40, 0, 0)] {
-        let ration = Some(Ration {
+        let ration = Some(RetryBudget {
             free: 0.0,
             share: 0.5,
             window: ms(5_000),
         });
         let deployment = with_row(
-            |row| row.base = Duration::ZERO,
-            deployment(Effect::Repeatable),
+            |row| row.backoff_base = Duration::ZERO,
+            deployment(Idempotency::Idempotent),
         );
         let mut bench = Bench::new(
             Deployment {
-                ration,
+                retry_budget: ration,
                 ..deployment
             },
             &rows(60),
@@ -468,7 +494,7 @@
             bench.arrive(id, arrival(u64::from(id) + 1, 0, ms(8_000)));
         }
         for id in 0..arrived {
-            bench.end(id, 0, Verdict::Full, false);
+            bench.end(id, 0, AttemptOutcome::Saturated, false);
             bench.pass(Duration::ZERO);
             further += bench.dials(id).len().saturating_sub(1);
         }
