--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use thistlecroft::time::Duration;
-use thistlecroft_testbed::station::call;
+use thistlecroft_testbed::socket_holder::call;
 
 #[derive(Args)]
 pub struct Asked {
--- a/cli/tests/command.rs
+++ b/cli/tests/command.rs
@@ -477,7 +477,7 @@
     );
     // At an address of its own: a process that another test is just starting may hold the one above
     // for a moment.
-    let free = thistlecroft_testbed::post::free_address(901).unwrap();
+    let free = thistlecroft_testbed::relay_process::free_address(901).unwrap();
     std::fs::write(&config, thistlecroft_fleet_text(&free.to_string())).unwrap();
     let (mut child, mut lines) = started(&[
         "serve",
@@ -515,7 +515,7 @@
 fn a_charter_is_checked_shown_compared_and_taken_up() {
     let folder = folder("charter");
     let config = folder.join("config.json").to_string_lossy().into_owned();
-    let at = thistlecroft_testbed::post::free_address(900).unwrap();
+    let at = thistlecroft_testbed::relay_process::free_address(900).unwrap();
     std::fs::write(&config, thistlecroft_fleet_text(&at.to_string())).unwrap();
     let file = |name: &str, text: &str| {
         let path = folder.join(name);
@@ -620,10 +620,12 @@
 fn thistlecroft_fleet_text(listen: &str) -> String {
     use thistlecroft::deployment::Idempotency;
     use thistlecroft::time::Duration;
-    use thistlecroft_testbed::post::{ListenerTerms, Orders, Terms, configuration};
-    let terms = Terms {
+    use thistlecroft_testbed::relay_process::{
+        FleetConfig, ListenerConfig, RelayOptions, configuration,
+    };
+    let terms = FleetConfig {
         zones: vec!["a".into()],
-        listeners: vec![ListenerTerms {
+        listeners: vec![ListenerConfig {
             name: "view".into(),
             wait: Duration::from_millis(1_000),
             handshake_target: Duration::from_millis(300),
@@ -646,7 +648,7 @@
         two_dials: false,
         peers: false,
     };
-    let orders = Orders {
+    let orders = RelayOptions {
         admin: None,
         station: None,
         name: "r0".into(),
--- a/experiments/src/peers.rs
+++ b/experiments/src/peers.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use thistlecroft::time::Duration;
 use thistlecroft_peers::{Kind, MemberState, Pace, Terms};
-use thistlecroft_testbed::link::LinkFault;
-use thistlecroft_testbed::rig::{Plan, Rig};
+use thistlecroft_testbed::link_fault::LinkFault;
+use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
 /// One size, under one loss, by one seed.
@@ -157,12 +157,12 @@
     let pace = Pace { period };
     let folder = folder.join(format!("peers-{size}"));
     let lease = Duration::from_millis(2_000);
-    let mut plan = Plan::small(program.to_vec(), size, 3.min(size), (period, lease), folder);
+    let mut plan = ClusterPlan::small(program.to_vec(), size, 3.min(size), (period, lease), folder);
     (plan.seed, plan.ground.seed, plan.terms.probes) = (seed, seed, false);
-    let mut rig = Rig::open(plan)?;
+    let mut rig = ProcessCluster::open(plan)?;
     let all: Vec<usize> = (0..size).collect();
     rig.start_all(&all)?;
-    let count = |rig: &Rig, name: &str| -> u64 {
+    let count = |rig: &ProcessCluster, name: &str| -> u64 {
         let views = all.iter().filter_map(|one| rig.view(*one));
         views.filter_map(|view| view["counts"][name].as_u64()).sum()
     };
@@ -179,7 +179,7 @@
             ..LinkFault::default()
         }),
     );
-    let cpu = |rig: &Rig| {
+    let cpu = |rig: &ProcessCluster| {
         all.iter()
             .filter_map(|one| rig.cpu(*one))
             .fold(Duration::ZERO, |sum, one| sum + one)
@@ -210,7 +210,7 @@
     rig.kill(size - 1);
     let rest = &all[..size - 1];
     let dead = format!("relay-{}", size - 1);
-    let gone = |rig: &Rig, one: usize| {
+    let gone = |rig: &ProcessCluster, one: usize| {
         let view = rig.view(one);
         let peers = view.as_ref().and_then(|view| view["peers"].as_array());
         peers.is_some_and(|peers| {
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan.rs
@@ -4,39 +4,45 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::crowd::{Cue as CrowdCue, Dealing, Rude};
-use thistlecroft_testbed::link::LinkFault;
-use thistlecroft_testbed::model::{Cold, Make};
-use thistlecroft_testbed::post::{ListenerTerms, Terms};
-use thistlecroft_testbed::referee::Law;
-use thistlecroft_testbed::tape::{BoxNo, RelayNo};
-use thistlecroft_testbed::together::Pact;
+use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
+use thistlecroft_testbed::cluster_invariants::ClusterLimits;
+use thistlecroft_testbed::event_recorder::{BackendNumber, RelayNumber};
+use thistlecroft_testbed::invariant_checker::PlatformRules;
+use thistlecroft_testbed::link_fault::LinkFault;
+use thistlecroft_testbed::load_generator::{Dealing, LoadCommand, Rude};
+use thistlecroft_testbed::relay_process::{FleetConfig, ListenerConfig};
+use thistlecroft_testbed::simulated_backends::{
+    AgentFault, BackendCommand, BackendFault, BackendPlan, BackendSpec,
+};
 use thistlecroft_testbed::traffic::{Arrival, Kind, Traffic, arrivals};
-use thistlecroft_testbed::yard::{AgentFault, Ailment, BoxPlan, Cue as YardCue, Ground};
 
 /// Something that the one who directs has done.
 #[derive(Clone, Debug)]
 pub enum Act {
-    Yard(YardCue),
-    Crowd(CrowdCue),
+    SimulatedBackends(BackendCommand),
+    LoadGenerator(LoadCommand),
     /// Killed outright, back after so long.
-    Kill(RelayNo, Option<Duration>),
+    Kill(RelayNumber, Option<Duration>),
     /// Told to stop, and the next one started after so long.
-    Stop(RelayNo, Option<Duration>),
-    HangUp(RelayNo),
+    Stop(RelayNumber, Option<Duration>),
+    HangUp(RelayNumber),
     /// The next of the scenario's charters.
-    Recharter(RelayNo),
+    Recharter(RelayNumber),
     /// Another process of it beside this one, which is told to stop once that is ready.
-    Upgrade(RelayNo),
+    Upgrade(RelayNumber),
     /// Taken out by hand at that relay, or put back.
-    Ban(RelayNo, BoxNo, bool),
+    Ban(RelayNumber, BackendNumber, bool),
     /// Stands still, or goes on.
-    Still(RelayNo, bool),
+    Still(RelayNumber, bool),
     /// One that has not run yet, or was told to stop, starts.
-    Start(RelayNo),
+    Start(RelayNumber),
     /// Told to stop, and stays away.
-    Leave(RelayNo),
-    Link(Vec<(RelayNo, RelayNo)>, Option<LinkFault>, &'static str),
+    Leave(RelayNumber),
+    Link(
+        Vec<(RelayNumber, RelayNumber)>,
+        Option<LinkFault>,
+        &'static str,
+    ),
 }
 
 #[derive(Clone, Debug)]
@@ -60,10 +66,10 @@
     pub arrivals: Vec<Arrival>,
     pub acts: Vec<Timed>,
     pub marks: Vec<Marked>,
-    pub ground: Ground,
-    pub terms: Terms,
-    pub law: Law,
-    pub pact: Pact,
+    pub ground: BackendPlan,
+    pub terms: FleetConfig,
+    pub law: PlatformRules,
+    pub pact: ClusterLimits,
     pub until: Instant,
 }
 
@@ -111,7 +117,7 @@
         let traffic = traffic_of(scenario, rushes);
         let arrivals = arrivals(&traffic, until, seed);
         let ground = ground_of(scenario, seed);
-        let law = Law {
+        let law = PlatformRules {
             effects: scenario
                 .listeners
                 .iter()
@@ -126,7 +132,7 @@
                 .collect(),
         };
         let together = &scenario.together;
-        let pact = Pact {
+        let pact = ClusterLimits {
             at_once: together.at_once.map(|most| {
                 (
                     most,
@@ -209,9 +215,9 @@
     }
 }
 
-fn ground_of(scenario: &Scenario, seed: u64) -> Ground {
+fn ground_of(scenario: &Scenario, seed: u64) -> BackendPlan {
     let fleet = &scenario.fleet;
-    let cold = Cold {
+    let cold = WarmUp {
         start_share: fleet.cold_share,
         warm_up: fleet.warm_up.0,
         factor: fleet.cold_factor,
@@ -220,20 +226,20 @@
             .turnover
             .map_or_else(|| turnover(scenario), |turnover| turnover.0),
     };
-    let make = Make {
+    let make = BackendCapacity {
         capacity: fleet.capacity,
         most: fleet.most,
         setup: fleet.set_up.0,
         group_fee: fleet.group_fee,
         cold,
     };
-    let boxes = (0..fleet.boxes).map(|number| BoxPlan {
+    let boxes = (0..fleet.boxes).map(|number| BackendSpec {
         make,
         zone: fleet.zones[number % fleet.zones.len()].clone(),
         cell: 0,
         present: number < fleet.boxes - fleet.later,
     });
-    Ground {
+    BackendPlan {
         boxes: boxes.collect(),
         relays: scenario.relays.count,
         notice: (fleet.notice[0].0, fleet.notice[1].0),
@@ -253,13 +259,13 @@
     mean.max(scenario.fleet.warm_up.0)
 }
 
-fn terms_of(scenario: &Scenario) -> Terms {
+fn terms_of(scenario: &Scenario) -> FleetConfig {
     let (fleet, relays) = (&scenario.fleet, &scenario.relays);
     let listeners = scenario
         .listeners
         .iter()
         .map(|row| row.get_ref())
-        .map(|row| ListenerTerms {
+        .map(|row| ListenerConfig {
             name: row.name.clone(),
             wait: row.wait.0,
             handshake_target: row.handshake_target.0,
@@ -267,7 +273,7 @@
             effect: effect(row),
             utility: row.utility,
         });
-    Terms {
+    FleetConfig {
         zones: fleet.zones.clone(),
         listeners: listeners.collect(),
         connect_time: relays.connect_time.0,
@@ -440,30 +446,30 @@
     let from = BEGIN + fault.at.0;
     let to = fault.lasts.map(|lasts| from + lasts.0);
     let boxes = drawn(&fault.boxes, scenario.fleet.boxes, chance);
-    let boxes: Vec<BoxNo> = boxes
+    let boxes: Vec<BackendNumber> = boxes
         .into_iter()
-        .map(|number| BoxNo(number as u16))
+        .map(|number| BackendNumber(number as u16))
         .collect();
     let relays = drawn(&fault.relays, scenario.relays.count, chance);
-    let relays: Vec<RelayNo> = relays
+    let relays: Vec<RelayNumber> = relays
         .into_iter()
-        .map(|number| RelayNo(number as u16))
+        .map(|number| RelayNumber(number as u16))
         .collect();
     let over = fault.over.map_or(Duration::ZERO, |over| over.0);
     let back = fault.back.map(|back| back.0);
     let span = |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
     let ailment = match fault.what.as_str() {
-        "silent" => Some(Ailment::Vanished),
-        "freeze" => Some(Ailment::Frozen),
-        "mute" => Some(Ailment::Mute),
-        "slow" => Some(Ailment::Slow(fault.times.unwrap_or(1.0))),
-        "pauses" => Some(Ailment::Pausing(span(fault.every), span(fault.pause))),
-        "errors" => Some(Ailment::Failing(fault.part.unwrap_or(1.0))),
-        "reset-before" => Some(Ailment::ResetsBefore),
-        "reset-after" => Some(Ailment::ResetsAfter),
-        "half-answer" => Some(Ailment::HalfAnswer),
-        "never-closes" => Some(Ailment::NeverCloses),
-        "drops-young" => Some(Ailment::DropsYoung),
+        "silent" => Some(BackendFault::Vanished),
+        "freeze" => Some(BackendFault::Frozen),
+        "mute" => Some(BackendFault::Mute),
+        "slow" => Some(BackendFault::Slow(fault.times.unwrap_or(1.0))),
+        "pauses" => Some(BackendFault::Pausing(span(fault.every), span(fault.pause))),
+        "errors" => Some(BackendFault::Failing(fault.part.unwrap_or(1.0))),
+        "reset-before" => Some(BackendFault::ResetsBefore),
+        "reset-after" => Some(BackendFault::ResetsAfter),
+        "half-answer" => Some(BackendFault::HalfAnswer),
+        "never-closes" => Some(BackendFault::NeverCloses),
+        "drops-young" => Some(BackendFault::DropsYoung),
         _ => None,
     };
     let agent = match fault.what.as_str() {
@@ -479,28 +485,46 @@
     for &at in &boxes {
         match (ailment, fault.what.as_str()) {
             (Some(ailment), _) => {
-                add(from, Act::Yard(YardCue::Ail(at, ailment)));
+                add(
+                    from,
+                    Act::SimulatedBackends(BackendCommand::Ail(at, ailment)),
+                );
                 if let Some(to) = to {
-                    add(to, Act::Yard(YardCue::Heal(at)));
+                    add(to, Act::SimulatedBackends(BackendCommand::Heal(at)));
                 }
             }
-            (None, "crash") => add(from, Act::Yard(YardCue::Crash(at, back))),
+            (None, "crash") => add(
+                from,
+                Act::SimulatedBackends(BackendCommand::Crash(at, back)),
+            ),
             (None, "drain") => {
-                add(from, Act::Yard(YardCue::Drain(at, over)));
+                add(
+                    from,
+                    Act::SimulatedBackends(BackendCommand::Drain(at, over)),
+                );
                 if let Some(back) = back {
-                    add(from + over + back, Act::Yard(YardCue::Join(at)));
+                    add(
+                        from + over + back,
+                        Act::SimulatedBackends(BackendCommand::Join(at)),
+                    );
                 }
             }
             (None, "ban") => {}
-            _ => add(from, Act::Yard(YardCue::Join(at))),
+            _ => add(from, Act::SimulatedBackends(BackendCommand::Join(at))),
         }
     }
     for &relay in &relays {
         match (agent, fault.what.as_str()) {
             (Some(agent), _) => {
-                add(from, Act::Yard(YardCue::Agent(relay, agent, true)));
+                add(
+                    from,
+                    Act::SimulatedBackends(BackendCommand::Agent(relay, agent, true)),
+                );
                 if let Some(to) = to {
-                    add(to, Act::Yard(YardCue::Agent(relay, agent, false)));
+                    add(
+                        to,
+                        Act::SimulatedBackends(BackendCommand::Agent(relay, agent, false)),
+                    );
                 }
             }
             (None, "upgrade") => add(from, Act::Upgrade(relay)),
@@ -555,9 +579,9 @@
     let mut add = |at: Instant, act: Act| acts.push(Timed { at, act });
     let clients = fault.clients.unwrap_or_default();
     if fault.what == "clients-drop" {
-        add(from, Act::Crowd(CrowdCue::Drop(clients, over)));
+        add(from, Act::LoadGenerator(LoadCommand::Drop(clients, over)));
     } else if let Some((rude, _)) = Rude::ALL.iter().find(|(_, name)| *name == fault.what) {
-        add(from, Act::Crowd(CrowdCue::Rude(*rude, clients)));
+        add(from, Act::LoadGenerator(LoadCommand::Rude(*rude, clients)));
     }
     (acts, to)
 }
@@ -567,7 +591,7 @@
 fn link_acts(
     fault: &FaultText,
     scenario: &Scenario,
-    these: &[RelayNo],
+    these: &[RelayNumber],
     chance: &mut Rng,
 ) -> Vec<Timed> {
     let count = scenario.relays.count;
@@ -579,11 +603,13 @@
         "partition" => {
             let others = || {
                 (0..count)
-                    .map(|one| RelayNo(one as u16))
+                    .map(|one| RelayNumber(one as u16))
                     .filter(|one| !these.contains(one))
             };
-            let both = |one: RelayNo| others().flat_map(move |other| [(one, other), (other, one)]);
-            let links: Vec<(RelayNo, RelayNo)> = these.iter().copied().flat_map(both).collect();
+            let both =
+                |one: RelayNumber| others().flat_map(move |other| [(one, other), (other, one)]);
+            let links: Vec<(RelayNumber, RelayNumber)> =
+                these.iter().copied().flat_map(both).collect();
             add(
                 begins,
                 Act::Link(links.clone(), Some(LinkFault::CUT), "cut"),
@@ -595,14 +621,14 @@
             let mut some = |which| {
                 let all = drawn(which, count, chance);
                 all.into_iter()
-                    .map(|number| RelayNo(number as u16))
+                    .map(|number| RelayNumber(number as u16))
                     .collect::<Vec<_>>()
             };
             let (from, to) = (some(&fault.from), some(&fault.to));
             let pairs = from
                 .iter()
                 .flat_map(|one| to.iter().map(move |other| (*one, *other)));
-            let links: Vec<(RelayNo, RelayNo)> =
+            let links: Vec<(RelayNumber, RelayNumber)> =
                 pairs.filter(|(one, other)| one != other).collect();
             let span =
                 |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -7,8 +7,8 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::crowd::CrowdSums;
-use thistlecroft_testbed::tape::{Answer, Entry, RelayNo, Sighting};
+use thistlecroft_testbed::event_recorder::{Answer, Observation, RecordedEvent, RelayNumber};
+use thistlecroft_testbed::load_generator::LoadTotals;
 
 const SIZE: (u32, u32) = (960, 300);
 /// Answers are counted in steps of this.
@@ -118,7 +118,7 @@
 }
 
 /// Delays against the part of clients that had no more, on logarithmic scales.
-fn distribution(crowd: &CrowdSums) -> Result<String, String> {
+fn distribution(crowd: &LoadTotals) -> Result<String, String> {
     let mut svg = String::new();
     let mut lines = Vec::new();
     for (place, kind) in crowd.kinds.iter().enumerate() {
@@ -192,7 +192,7 @@
     at.as_micros() as f64 / 1e6
 }
 
-fn box_lines(entries: &[Entry]) -> Vec<Line> {
+fn box_lines(entries: &[RecordedEvent]) -> Vec<Line> {
     let mut boxes: BTreeMap<u16, Vec<(f64, f64)>> = BTreeMap::new();
     let mut mean = Vec::new();
     for (at, round) in rounds(entries) {
@@ -220,26 +220,26 @@
     each.chain([mean]).collect()
 }
 
-fn answer_lines(entries: &[Entry], until: Instant) -> Vec<Line> {
+fn answer_lines(entries: &[RecordedEvent], until: Instant) -> Vec<Line> {
     let steps = (until.as_micros() / STEP.as_micros() + 1) as usize;
     let mut counts = vec![[0_u32; 5]; steps];
     for entry in entries {
         let kind = match entry.seen {
-            Sighting::Answered {
+            Observation::Answered {
                 answer: Answer::Up, ..
             } => 0,
-            Sighting::Answered {
+            Observation::Answered {
                 answer: Answer::Busy(_),
                 ..
             } => 1,
-            Sighting::Answered {
+            Observation::Answered {
                 answer: Answer::Failed,
                 ..
             }
-            | Sighting::Unanswered { .. }
-            | Sighting::Dropped { .. } => 2,
-            Sighting::Moved { .. } => 3,
-            Sighting::CutOff { .. } => 4,
+            | Observation::Unanswered { .. }
+            | Observation::Dropped { .. } => 2,
+            Observation::Moved { .. } => 3,
+            Observation::CutOff { .. } => 4,
             _ => continue,
         };
         let step = ((entry.at.as_micros() / STEP.as_micros()) as usize).min(steps - 1);
@@ -265,12 +265,14 @@
     (0..names.len()).map(line).collect()
 }
 
-fn cost_lines(entries: &[Entry]) -> (Vec<Line>, Vec<Line>) {
-    let mut last: BTreeMap<RelayNo, (f64, f64)> = BTreeMap::new();
-    let (mut cpu_of, mut memory_of): (BTreeMap<RelayNo, Vec<_>>, BTreeMap<RelayNo, Vec<_>>) =
-        Default::default();
+fn cost_lines(entries: &[RecordedEvent]) -> (Vec<Line>, Vec<Line>) {
+    let mut last: BTreeMap<RelayNumber, (f64, f64)> = BTreeMap::new();
+    let (mut cpu_of, mut memory_of): (
+        BTreeMap<RelayNumber, Vec<_>>,
+        BTreeMap<RelayNumber, Vec<_>>,
+    ) = Default::default();
     for entry in entries {
-        let Sighting::RelayCost {
+        let Observation::RelayCost {
             relay,
             cpu,
             resident,
@@ -293,7 +295,7 @@
             .or_default()
             .push((at, resident as f64 / f64::from(1 << 20)));
     }
-    let lines = |of: BTreeMap<RelayNo, Vec<(f64, f64)>>| {
+    let lines = |of: BTreeMap<RelayNumber, Vec<(f64, f64)>>| {
         of.into_iter()
             .map(|(relay, points)| Line {
                 name: format!("relay {}", relay.0),
@@ -312,9 +314,9 @@
 /// One line, where a plot can't be drawn.
 pub fn page(
     summary: &Summary,
-    entries: &[Entry],
+    entries: &[RecordedEvent],
     marks: &[Marked],
-    crowds: &[CrowdSums],
+    crowds: &[LoadTotals],
 ) -> Result<String, String> {
     let begun = begun(entries)
         .duration_since(Instant::default())
--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -13,20 +13,25 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::{Stopwatch, duration};
-use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Doorway, IDLE};
-use thistlecroft_testbed::listing::{Listing, Row, name_of};
-use thistlecroft_testbed::net::{Cue as NetCue, Net, Opened as OpenedNet};
-use thistlecroft_testbed::post::{CALL, Orders, PeersTerms, Post, free_address, need_descriptors};
-use thistlecroft_testbed::referee::judge;
-use thistlecroft_testbed::stage::Stage;
-use thistlecroft_testbed::station::{Station, call};
-use thistlecroft_testbed::tape::{
-    Answer, BoxNo, Entry, Lifecycle, Reel, RelayNo, Sighting, Tape, tape,
+use thistlecroft_testbed::cluster_invariants::check_cluster_invariants;
+use thistlecroft_testbed::endpoint_list::{EndpointList, Row, name_of};
+use thistlecroft_testbed::event_loop::EventLoop;
+use thistlecroft_testbed::event_recorder::{
+    Answer, BackendNumber, EventLog, EventRecorder, Lifecycle, Observation, RecordedEvent,
+    RelayNumber, event_recorder,
 };
-use thistlecroft_testbed::together::judge_together;
+use thistlecroft_testbed::invariant_checker::check_invariants;
+use thistlecroft_testbed::load_generator::{
+    IDLE, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
+};
+use thistlecroft_testbed::relay_network::{NetworkCommand, OpenedNetwork, RelayNetwork};
+use thistlecroft_testbed::relay_observer::RelayObserver;
+use thistlecroft_testbed::relay_process::{
+    CALL, PeersConfig, RelayOptions, RelayProcess, free_address, need_descriptors,
+};
+use thistlecroft_testbed::simulated_backends::{OpenedBackends, SimulatedBackends};
+use thistlecroft_testbed::socket_holder::{SocketHolder, call};
 use thistlecroft_testbed::traffic::scattered;
-use thistlecroft_testbed::witness::Witness;
-use thistlecroft_testbed::yard::{Opened, Yard};
 
 /// How often the plan is looked at, and relays are measured.
 const STEP: std::time::Duration = std::time::Duration::from_millis(10);
@@ -102,8 +107,8 @@
 }
 
 struct Stand {
-    post: Option<Post>,
-    orders: Orders,
+    post: Option<RelayProcess>,
+    orders: RelayOptions,
     /// Until when it may take to stop.
     stops_by: Option<Instant>,
     back_after: Option<Duration>,
@@ -113,7 +118,7 @@
     program: Vec<String>,
     /// Processes of it that are on their way out while another serves, and until when they may
     /// take.
-    elders: Vec<(Post, Instant)>,
+    elders: Vec<(RelayProcess, Instant)>,
     /// What its charter says of peers.
     peers: String,
 }
@@ -123,13 +128,13 @@
     scenario: &'a Scenario,
     folder: &'a Path,
     clock: Stopwatch,
-    tape: Tape,
-    reel: Reel,
-    yard: Opened,
-    crowds: Vec<Stage<Crowd>>,
+    tape: EventRecorder,
+    reel: EventLog,
+    yard: OpenedBackends,
+    crowds: Vec<EventLoop<LoadGenerator>>,
     stands: Vec<Stand>,
-    net: Option<OpenedNet>,
-    witnesses: Vec<Witness>,
+    net: Option<OpenedNetwork>,
+    witnesses: Vec<RelayObserver>,
     /// What comes of acts later than their own time.
     later: BTreeMap<(Instant, usize), Later>,
     serial: usize,
@@ -162,8 +167,8 @@
     let mut director = Director::open(scenario, &plan, way, folder)?;
     let complete = director.direct(stop, watch);
     let (entries, crowds, yard, crashes) = director.close();
-    let ruling = judge(&entries, &plan.law);
-    let breaches = judge_together(&entries, &plan.pact);
+    let ruling = check_invariants(&entries, &plan.law);
+    let breaches = check_cluster_invariants(&entries, &plan.pact);
     let findings = Findings {
         scenario: &scenario.name,
         way: &way.name,
@@ -193,7 +198,7 @@
     })
 }
 
-fn write_events(entries: &[Entry], path: &Path) -> std::io::Result<()> {
+fn write_events(entries: &[RecordedEvent], path: &Path) -> std::io::Result<()> {
     let mut out = BufWriter::new(File::create(path)?);
     for entry in entries {
         serde_json::to_writer(&mut out, entry)?;
@@ -218,7 +223,7 @@
         most = most.max(now);
     }
     let rude = plan.acts.iter().map(|timed| match timed.act {
-        Act::Crowd(CrowdCue::Rude(_, count)) => count as u64,
+        Act::LoadGenerator(LoadCommand::Rude(_, count)) => count as u64,
         _ => 0,
     });
     let here =
@@ -237,15 +242,15 @@
         way: &Way,
         folder: &'a Path,
     ) -> Result<Director<'a>, String> {
-        let (tape, reel) = tape();
+        let (tape, reel) = event_recorder();
         // Relays are started on the run's own time, before anybody comes.
         let clock = Stopwatch::start();
-        let yard = Yard::open(plan.ground.clone(), clock, tape.clone())
+        let yard = SimulatedBackends::open(plan.ground.clone(), clock, tape.clone())
             .map_err(|fault| format!("boxes can't be set up: {fault}"))?;
         let mut stands = Vec::new();
         let relays = &scenario.relays;
         let net = (relays.peers && way.baseline.is_none())
-            .then(|| Net::open(relays.count, plan.seed, clock, tape.clone()))
+            .then(|| RelayNetwork::open(relays.count, plan.seed, clock, tape.clone()))
             .transpose()
             .map_err(|fault| format!("links can't be set up: {fault}"))?;
         let key_file = folder.join("peers.key");
@@ -254,7 +259,7 @@
             std::fs::write(&key_file, format!("key of the run {:016x}\n", plan.seed))
                 .map_err(failed)?;
         }
-        let terms = PeersTerms {
+        let terms = PeersConfig {
             period: relays.period.0,
             lease: relays.lease.0,
             voters: relays.voters,
@@ -288,7 +293,7 @@
                     .cloned();
                 let charter = (charter.is_some() || net.is_some())
                     .then(|| charter.unwrap_or_default() + &peers);
-                let orders = Orders {
+                let orders = RelayOptions {
                     name: format!("relay-{number}"),
                     number,
                     relays: plan.ground.relays,
@@ -303,13 +308,13 @@
                 };
                 let present = number < relays.count - relays.later;
                 let post = present
-                    .then(|| Post::start(&way.relay, &plan.terms, &orders, folder))
+                    .then(|| RelayProcess::start(&way.relay, &plan.terms, &orders, folder))
                     .transpose()?;
                 if present {
                     tape.note(
                         clock.now(),
-                        Sighting::RelayStarted {
-                            relay: RelayNo(number as u16),
+                        Observation::RelayStarted {
+                            relay: RelayNumber(number as u16),
                         },
                     );
                 }
@@ -329,12 +334,12 @@
                 });
             }
         }
-        let doors: Vec<Doorway> = match way.baseline {
+        let doors: Vec<RelayEndpoint> = match way.baseline {
             None => (0..)
                 .zip(&stands)
-                .map(|(number, stand)| Doorway {
+                .map(|(number, stand)| RelayEndpoint {
                     at: stand.orders.listen,
-                    relay: Some(RelayNo(number)),
+                    relay: Some(RelayNumber(number)),
                     open: stand.post.is_some(),
                 })
                 .collect(),
@@ -342,7 +347,7 @@
                 .boxes
                 .iter()
                 .zip(&plan.ground.boxes)
-                .map(|(at, of)| Doorway {
+                .map(|(at, of)| RelayEndpoint {
                     at: *at,
                     relay: None,
                     open: of.present,
@@ -364,7 +369,7 @@
                     arrival.due = begun + (arrival.due.duration_since(Instant::default()));
                     (number as u64 + 1, arrival)
                 });
-            let bill = Bill {
+            let bill = LoadPlan {
                 traffic: plan.traffic.clone(),
                 arrivals: arrivals.collect(),
                 until: begun + plan.until.duration_since(Instant::default()),
@@ -372,10 +377,10 @@
                 dealing: dealing(way.baseline),
                 seed: plan.seed.wrapping_add(thread as u64),
             };
-            let crowd = Crowd::open(bill, clock, tape.clone());
+            let crowd = LoadGenerator::open(bill, clock, tape.clone());
             crowds.push(crowd.map_err(|fault| format!("clients can't be set up: {fault}"))?);
         }
-        tape.note(begun, Sighting::Mark { text: BEGUN.into() });
+        tape.note(begun, Observation::Mark { text: BEGUN.into() });
         let look = Look {
             length: plan.until.duration_since(Instant::default()),
             boxes: plan
@@ -392,8 +397,8 @@
         let witnesses = witnessed
             .filter_map(|(number, stand)| {
                 let door = stand.orders.admin?;
-                Some(Witness::open(
-                    RelayNo(number),
+                Some(RelayObserver::open(
+                    RelayNumber(number),
                     door,
                     lease,
                     clock,
@@ -421,7 +426,7 @@
         })
     }
 
-    fn note(&self, seen: Sighting) {
+    fn note(&self, seen: Observation) {
         self.tape.note(self.clock.now(), seen);
     }
 
@@ -473,16 +478,16 @@
 
     fn act(&mut self, act: &Act) {
         match act {
-            Act::Yard(cue) => self.yard.stage.cue(cue.clone()),
-            Act::Crowd(cue) => {
+            Act::SimulatedBackends(cue) => self.yard.stage.command(cue.clone()),
+            Act::LoadGenerator(cue) => {
                 let threads = self.crowds.len();
                 for (place, crowd) in self.crowds.iter().enumerate() {
                     // Each thread has its part of the clients.
                     let part =
                         |count: usize| count / threads + usize::from(place < count % threads);
-                    crowd.cue(match cue {
-                        CrowdCue::Drop(count, over) => CrowdCue::Drop(part(*count), *over),
-                        CrowdCue::Rude(rude, count) => CrowdCue::Rude(*rude, part(*count)),
+                    crowd.command(match cue {
+                        LoadCommand::Drop(count, over) => LoadCommand::Drop(part(*count), *over),
+                        LoadCommand::Rude(rude, count) => LoadCommand::Rude(*rude, part(*count)),
                         other => other.clone(),
                     });
                 }
@@ -495,7 +500,7 @@
                 let Some(mut post) = stand.post.take() else {
                     return;
                 };
-                self.note(Sighting::RelayKilled { relay: *relay });
+                self.note(Observation::RelayKilled { relay: *relay });
                 post.kill();
                 let notice = self.scenario.relays.front_notice.0;
                 if back.is_none_or(|back| back > notice) {
@@ -514,7 +519,7 @@
                 let Some(post) = &stand.post else { return };
                 post.tell_to_stop();
                 (stand.stops_by, stand.back_after) = (Some(by), *back);
-                self.note(Sighting::RelayToldToStop { relay: *relay });
+                self.note(Observation::RelayToldToStop { relay: *relay });
                 self.set(COME_ON, Later::Door(number, false));
             }
             Act::Recharter(relay) => {
@@ -529,7 +534,7 @@
                 let text = charters[stand.charter].clone() + &stand.peers;
                 stand.orders.charter = Some(text.clone());
                 if let Some(Err(fault)) = stand.post.as_ref().map(|post| post.recharter(&text)) {
-                    self.note(Sighting::Mark {
+                    self.note(Observation::Mark {
                         text: format!("a charter can't be written: {fault}"),
                     });
                 }
@@ -547,7 +552,7 @@
                 };
                 // Noted before it stands and after it goes on, so that no act of its is outside.
                 if *on {
-                    self.note(Sighting::RelayStill {
+                    self.note(Observation::RelayStill {
                         relay: *relay,
                         on: true,
                     });
@@ -558,7 +563,7 @@
                     );
                 } else {
                     post.still(false);
-                    self.note(Sighting::RelayStill {
+                    self.note(Observation::RelayStill {
                         relay: *relay,
                         on: false,
                     });
@@ -584,7 +589,7 @@
             Act::Link(links, fault, name) => {
                 if let Some(net) = &self.net {
                     net.stage
-                        .cue(NetCue::LinkFault(links.clone(), *fault, name));
+                        .command(NetworkCommand::LinkFault(links.clone(), *fault, name));
                 }
             }
             Act::HangUp(relay) => {
@@ -613,10 +618,10 @@
 
     fn crashed(&mut self, text: String) {
         self.crashes += 1;
-        self.note(Sighting::Mark { text });
+        self.note(Observation::Mark { text });
     }
 
-    fn upgrade(&mut self, relay: RelayNo) {
+    fn upgrade(&mut self, relay: RelayNumber) {
         let number = usize::from(relay.0);
         let stand = &mut self.stands[number];
         if stand.post.is_none() || stand.stops_by.is_some() {
@@ -629,7 +634,7 @@
             free_address(self.plan.ground.relays + number).map_err(|fault| fault.to_string());
         let next = admin.and_then(|admin| {
             stand.orders.admin = Some(admin);
-            Post::start(&stand.program, &self.plan.terms, &stand.orders, self.folder)
+            RelayProcess::start(&stand.program, &self.plan.terms, &stand.orders, self.folder)
         });
         match next {
             Ok(post) => {
@@ -638,21 +643,21 @@
                     let lease = (self.scenario.relays.voters > 0).then_some("turn");
                     let (clock, tape) = (self.clock, self.tape.clone());
                     self.witnesses
-                        .push(Witness::open(relay, door, lease, clock, tape));
+                        .push(RelayObserver::open(relay, door, lease, clock, tape));
                 }
                 let stand = &mut self.stands[number];
                 if let Some(elder) = stand.post.replace(post) {
                     elder.tell_to_stop();
                     stand.elders.push((elder, by));
                 }
-                self.note(Sighting::RelayStarted { relay });
-                self.note(Sighting::RelayToldToStop { relay });
+                self.note(Observation::RelayStarted { relay });
+                self.note(Observation::RelayToldToStop { relay });
             }
             Err(why) => self.crashed(why),
         }
     }
 
-    fn ban(&mut self, relay: RelayNo, at: BoxNo, out: bool) {
+    fn ban(&mut self, relay: RelayNumber, at: BackendNumber, out: bool) {
         let post = self
             .stands
             .get(usize::from(relay.0))
@@ -663,12 +668,12 @@
         let word = if out { "DISABLE" } else { "ENABLE" };
         // The rule holds until the call back is made, and from the yes on.
         if !out {
-            self.note(Sighting::ByHand { relay, at, out });
+            self.note(Observation::ByHand { relay, at, out });
         }
         match call(admin, &format!("{word} {}", name_of(at)), CALL) {
             Ok(said) if said.starts_with("200") => {
                 if out {
-                    self.note(Sighting::ByHand { relay, at, out });
+                    self.note(Observation::ByHand { relay, at, out });
                 }
             }
             Ok(said) => self.crashed(format!(
@@ -692,12 +697,12 @@
                 Later::Door(door, open) => self
                     .crowds
                     .iter()
-                    .for_each(|crowd| crowd.cue(CrowdCue::Door(door, open))),
+                    .for_each(|crowd| crowd.command(LoadCommand::Door(door, open))),
                 Later::Start(number) => self.start(number),
             }
         }
         for number in 0..self.stands.len() {
-            let relay = RelayNo(number as u16);
+            let relay = RelayNumber(number as u16);
             let mut faults = Vec::new();
             self.stands[number]
                 .elders
@@ -732,7 +737,7 @@
                     post.kill();
                     (stand.post, stand.stops_by) = (None, None);
                     self.crashes += 1;
-                    self.note(Sighting::Mark {
+                    self.note(Observation::Mark {
                         text: format!("relay {number} did not stop in time"),
                     });
                 }
@@ -740,13 +745,13 @@
                     (stand.post, stand.stops_by) = (None, None);
                     let back = stand.back_after.take();
                     if told.is_some() && status.success() {
-                        self.note(Sighting::RelayStopped { relay });
+                        self.note(Observation::RelayStopped { relay });
                         if let Some(back) = back {
                             self.set(back, Later::Start(number));
                         }
                     } else {
                         self.crashes += 1;
-                        self.note(Sighting::Mark {
+                        self.note(Observation::Mark {
                             text: format!("relay {number} crashed: {status}"),
                         });
                     }
@@ -770,26 +775,26 @@
             (stand.charter, stand.orders.charter) = (0, Some(first + &stand.peers));
         }
         stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
-        match Post::start(&stand.program, &self.plan.terms, &stand.orders, self.folder) {
+        match RelayProcess::start(&stand.program, &self.plan.terms, &stand.orders, self.folder) {
             Ok(post) => {
                 stand.post = Some(post);
-                self.note(Sighting::RelayStarted {
-                    relay: RelayNo(number as u16),
+                self.note(Observation::RelayStarted {
+                    relay: RelayNumber(number as u16),
                 });
                 self.set(Duration::ZERO, Later::Door(number, true));
             }
             Err(why) => {
                 self.crashes += 1;
-                self.note(Sighting::Mark { text: why });
+                self.note(Observation::Mark { text: why });
             }
         }
     }
 
     fn measure(&mut self) {
         for (number, stand) in (0..).zip(&self.stands) {
-            if let Some((cpu, resident)) = stand.post.as_ref().and_then(Post::cost) {
-                self.note(Sighting::RelayCost {
-                    relay: RelayNo(number),
+            if let Some((cpu, resident)) = stand.post.as_ref().and_then(RelayProcess::cost) {
+                self.note(Observation::RelayCost {
+                    relay: RelayNumber(number),
                     cpu,
                     resident,
                 });
@@ -803,29 +808,31 @@
         self.reel.gather();
         for entry in &self.reel.entries[self.seen..] {
             let look = &mut self.look;
-            let mut state = |at: BoxNo, word: &'static str| {
+            let mut state = |at: BackendNumber, word: &'static str| {
                 if let Some(of) = look.boxes.get_mut(usize::from(at.0)) {
                     *of = Some((of.map_or(0.0, |(load, _)| load), word));
                 }
             };
             match &entry.seen {
-                Sighting::Answered {
+                Observation::Answered {
                     answer: Answer::Up, ..
                 } => look.up += 1,
-                Sighting::Answered {
+                Observation::Answered {
                     answer: Answer::Busy(_),
                     ..
                 } => look.busy += 1,
-                Sighting::Answered {
+                Observation::Answered {
                     answer: Answer::Failed,
                     ..
                 } => look.failed += 1,
-                Sighting::Moved { .. } => look.moved += 1,
-                Sighting::BoxStopped { at } => look.boxes[usize::from(at.0)] = None,
-                Sighting::BoxStarted { at, cold } => state(*at, if *cold { "cold" } else { "" }),
-                Sighting::BoxDrains { at } => state(*at, "drains"),
-                Sighting::Ailment { at, name, on } => state(*at, if *on { name } else { "" }),
-                Sighting::BoxLoad { at, load, .. } => {
+                Observation::Moved { .. } => look.moved += 1,
+                Observation::BoxStopped { at } => look.boxes[usize::from(at.0)] = None,
+                Observation::BoxStarted { at, cold } => state(*at, if *cold { "cold" } else { "" }),
+                Observation::BoxDrains { at } => state(*at, "drains"),
+                Observation::BackendFault { at, name, on } => {
+                    state(*at, if *on { name } else { "" })
+                }
+                Observation::BoxLoad { at, load, .. } => {
                     if let Some(Some(of)) = look.boxes.get_mut(usize::from(at.0)) {
                         of.0 = *load;
                     }
@@ -850,14 +857,14 @@
     fn close(
         mut self,
     ) -> (
-        Vec<Entry>,
-        Vec<thistlecroft_testbed::crowd::CrowdSums>,
-        thistlecroft_testbed::yard::YardSums,
+        Vec<RecordedEvent>,
+        Vec<thistlecroft_testbed::load_generator::LoadTotals>,
+        thistlecroft_testbed::simulated_backends::BackendTotals,
         usize,
     ) {
         self.crowds
             .iter()
-            .for_each(|crowd| crowd.cue(CrowdCue::Finish));
+            .for_each(|crowd| crowd.command(LoadCommand::Finish));
         // They ask no more before relays are told to stop.
         self.witnesses.clear();
         let longest = self
@@ -869,19 +876,19 @@
             .max()
             .unwrap_or_default();
         let all = self.crowds.len();
-        let idle = |entry: &&Entry| matches!(&entry.seen, Sighting::Mark { text } if text == IDLE);
+        let idle = |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Mark { text } if text == IDLE);
         let gone = self
             .reel
             .wait_until(duration(longest) + LEAVING, |entries| {
                 entries.iter().rev().filter(idle).count() == all
             });
         if !gone {
-            self.note(Sighting::Mark {
+            self.note(Observation::Mark {
                 text: "clients stayed to the end".into(),
             });
         }
         for stand in &self.stands {
-            stand.post.iter().for_each(Post::tell_to_stop);
+            stand.post.iter().for_each(RelayProcess::tell_to_stop);
         }
         for number in 0..self.stands.len() {
             let Some(post) = &mut self.stands[number].post else {
@@ -890,22 +897,22 @@
             let status = post.wait(longest.min(LONGEST_WAIT) + AFTER_WAIT);
             if !status.is_some_and(|status| status.success()) {
                 self.crashes += 1;
-                self.note(Sighting::Mark {
+                self.note(Observation::Mark {
                     text: format!("relay {number} did not stop well at the end"),
                 });
             }
         }
-        let crowds = self.crowds.into_iter().map(Stage::close).collect();
+        let crowds = self.crowds.into_iter().map(EventLoop::close).collect();
         let yard = self.yard.stage.close();
         (self.reel.into_sorted(), crowds, yard, self.crashes)
     }
 }
 
 /// What the platform holds for a relay with operators: where clients connect, where operators call.
-type Operated = (SocketAddr, Option<SocketAddr>, Option<Arc<Station>>);
+type Operated = (SocketAddr, Option<SocketAddr>, Option<Arc<SocketHolder>>);
 
 fn operated(number: usize, at: SocketAddr, folder: &Path) -> std::io::Result<Operated> {
-    let station = Station::open(at, &folder.join(format!("relay-{number}.shared")))?;
+    let station = SocketHolder::open(at, &folder.join(format!("relay-{number}.shared")))?;
     let admin = free_address(number)?;
     Ok((station.at()?, Some(admin), Some(Arc::new(station))))
 }
@@ -913,8 +920,8 @@
 /// Noted when all is set up and the plan begins.
 pub const BEGUN: &str = "the plan begins";
 
-fn known_list(plan: &Plan, yard: &Opened) -> serde_json::Value {
-    let mut list = Listing::default();
+fn known_list(plan: &Plan, yard: &OpenedBackends) -> serde_json::Value {
+    let mut list = EndpointList::default();
     for (number, (of, at)) in (0..).zip(plan.ground.boxes.iter().zip(&yard.boxes)) {
         if of.present {
             let row = Row {
@@ -924,14 +931,15 @@
                 lifecycle: Lifecycle::Ready,
                 started_ms: 0,
             };
-            list.put(BoxNo(number), row);
+            list.put(BackendNumber(number), row);
         }
     }
     serde_json::from_str(&list.text_since(None).0).unwrap_or_default()
 }
 
 /// The moment in a run at which a plan's moment came.
-pub fn begun(entries: &[Entry]) -> Instant {
-    let begins = |entry: &&Entry| matches!(&entry.seen, Sighting::Mark { text } if text == BEGUN);
+pub fn begun(entries: &[RecordedEvent]) -> Instant {
+    let begins =
+        |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Mark { text } if text == BEGUN);
     entries.iter().find(begins).map_or(BEGIN, |entry| entry.at)
 }
--- a/experiments/src/scale/processes.rs
+++ b/experiments/src/scale/processes.rs
@@ -12,7 +12,7 @@
 use std::process::{Child, ChildStdin, Stdio};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
-use thistlecroft_testbed::post::cost_of;
+use thistlecroft_testbed::relay_process::cost_of;
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(20);
 const LOOK: Duration = Duration::from_millis(50);
--- a/experiments/src/scale/real.rs
+++ b/experiments/src/scale/real.rs
@@ -7,8 +7,8 @@
 use std::path::Path;
 use std::time::Instant;
 use thistlecroft_peers::Counts;
-use thistlecroft_testbed::post::free_address;
-use thistlecroft_testbed::rig::{Plan, Rig};
+use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
+use thistlecroft_testbed::relay_process::free_address;
 
 /// Addresses of real relays are taken from this place of the loopback range on, beside those of the
 /// rig.
@@ -30,7 +30,7 @@
 }
 
 pub(super) struct RealRelays {
-    rig: Rig,
+    rig: ProcessCluster,
     count: usize,
     before: Vec<Sample>,
     sampled: Instant,
@@ -52,9 +52,9 @@
         let folder =
             std::env::temp_dir().join(format!("thistlecroft-scale-{}", std::process::id()));
         let times = (config.period(), config.term());
-        let mut plan = Plan::small(program.to_vec(), config.real, 0, times, folder.clone());
+        let mut plan = ClusterPlan::small(program.to_vec(), config.real, 0, times, folder.clone());
         plan.terms.probes = false;
-        let mut rig = Rig::open(plan)?;
+        let mut rig = ProcessCluster::open(plan)?;
         let key = folder.join("scale.key");
         std::fs::write(&key, &config.peer_terms(Role::Relay).secret)
             .map_err(|fault| fault.to_string())?;
--- a/experiments/src/summary.rs
+++ b/experiments/src/summary.rs
@@ -3,11 +3,13 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::crowd::{CrowdSums, KindSums};
-use thistlecroft_testbed::referee::{Dialled, Ruling};
-use thistlecroft_testbed::tape::{BoxNo, Entry, RelayNo, Sighting};
-use thistlecroft_testbed::together::Breach;
-use thistlecroft_testbed::yard::YardSums;
+use thistlecroft_testbed::cluster_invariants::ClusterViolation;
+use thistlecroft_testbed::event_recorder::{
+    BackendNumber, Observation, RecordedEvent, RelayNumber,
+};
+use thistlecroft_testbed::invariant_checker::{AttemptTotals, CheckResult};
+use thistlecroft_testbed::load_generator::{KindTotals, LoadTotals};
+use thistlecroft_testbed::simulated_backends::BackendTotals;
 
 /// Clients that came later than this after they were due, or a thread that worked for more than the
 /// other part of its time: the tool was the bottleneck, and the run's delays say little.
@@ -146,11 +148,11 @@
     pub complete: bool,
     pub length: Duration,
     pub crashes: usize,
-    pub entries: &'a [Entry],
-    pub ruling: &'a Ruling,
-    pub breaches: &'a [Breach],
-    pub crowds: &'a [CrowdSums],
-    pub yard: YardSums,
+    pub entries: &'a [RecordedEvent],
+    pub ruling: &'a CheckResult,
+    pub breaches: &'a [ClusterViolation],
+    pub crowds: &'a [LoadTotals],
+    pub yard: BackendTotals,
 }
 
 /// # Panics
@@ -158,15 +160,15 @@
 pub fn sum_up(of: &Findings) -> Summary {
     let mut crowd = of.crowds[0].clone();
     of.crowds[1..].iter().for_each(|other| crowd.add(other));
-    let total = |of: fn(&KindSums) -> u64| crowd.kinds.iter().map(of).sum::<u64>();
-    let utility = |of: fn(&KindSums) -> f64| {
+    let total = |of: fn(&KindTotals) -> u64| crowd.kinds.iter().map(of).sum::<u64>();
+    let utility = |of: fn(&KindTotals) -> f64| {
         crowd
             .kinds
             .iter()
             .map(|kind| kind.utility * of(kind))
             .sum::<f64>()
     };
-    let all = |of: fn(&KindSums) -> &Histogram<u32>| {
+    let all = |of: fn(&KindTotals) -> &Histogram<u32>| {
         let mut sum = of(&crowd.kinds[0]).clone();
         for kind in &crowd.kinds[1..] {
             let _ = sum.add(of(kind));
@@ -191,7 +193,7 @@
     let exhausted = of
         .entries
         .iter()
-        .any(|entry| entry.seen == Sighting::ToolExhausted);
+        .any(|entry| entry.seen == Observation::ToolExhausted);
     Summary {
         scenario: of.scenario.into(),
         way: of.way.into(),
@@ -227,7 +229,7 @@
         never_taken: of
             .entries
             .iter()
-            .filter(|entry| matches!(entry.seen, Sighting::NeverTaken { .. }))
+            .filter(|entry| matches!(entry.seen, Observation::NeverTaken { .. }))
             .count(),
         wrong_lines: crowd.wrong_lines,
         rude: crowd.rude,
@@ -264,7 +266,7 @@
     }
 }
 
-fn listener(kind: &KindSums, dialled: &Dialled) -> ListenerSummary {
+fn listener(kind: &KindTotals, dialled: &AttemptTotals) -> ListenerSummary {
     let part = |count: usize| count as f64 / (dialled.sessions as f64).max(1.0);
     ListenerSummary {
         most_dials: dialled.most,
@@ -283,11 +285,11 @@
     }
 }
 
-fn relay_costs(entries: &[Entry]) -> Vec<RelaySummary> {
+fn relay_costs(entries: &[RecordedEvent]) -> Vec<RelaySummary> {
     // CPU time begins anew with each process.
-    let mut relays: BTreeMap<RelayNo, (RelaySummary, f64)> = BTreeMap::new();
+    let mut relays: BTreeMap<RelayNumber, (RelaySummary, f64)> = BTreeMap::new();
     for entry in entries {
-        let Sighting::RelayCost {
+        let Observation::RelayCost {
             relay,
             cpu,
             resident,
@@ -312,17 +314,17 @@
 }
 
 /// A run's reports, those of one round together: all boxes are noted at the same moment.
-pub fn rounds(entries: &[Entry]) -> BTreeMap<Instant, Vec<(BoxNo, f64, usize)>> {
-    let mut rounds: BTreeMap<Instant, Vec<(BoxNo, f64, usize)>> = BTreeMap::new();
+pub fn rounds(entries: &[RecordedEvent]) -> BTreeMap<Instant, Vec<(BackendNumber, f64, usize)>> {
+    let mut rounds: BTreeMap<Instant, Vec<(BackendNumber, f64, usize)>> = BTreeMap::new();
     for entry in entries {
-        if let Sighting::BoxLoad { at, load, held, .. } = entry.seen {
+        if let Observation::BoxLoad { at, load, held, .. } = entry.seen {
             rounds.entry(entry.at).or_default().push((at, load, held));
         }
     }
     rounds
 }
 
-fn loads(entries: &[Entry]) -> Loads {
+fn loads(entries: &[RecordedEvent]) -> Loads {
     let rounds = rounds(entries);
     let (mut spreads, mut most, mut most_standing) = (Vec::new(), 0.0_f64, 0);
     for round in rounds.values() {
@@ -343,7 +345,7 @@
     }
 }
 
-fn together(breaches: &[Breach]) -> BTreeMap<String, (usize, String)> {
+fn together(breaches: &[ClusterViolation]) -> BTreeMap<String, (usize, String)> {
     let mut all: BTreeMap<String, (usize, String)> = BTreeMap::new();
     for breach in breaches {
         let at = breach.at.as_micros() as f64 / 1e6;
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -20,7 +20,7 @@
 
 /// What the platform holds for one relay: the clients' socket, the folder that its processes share,
 /// its discovery.
-struct Station {
+struct SocketHolder {
     listener: TcpListener,
     folder: PathBuf,
     discovery: SocketAddr,
@@ -28,14 +28,14 @@
     known: String,
 }
 
-impl Drop for Station {
+impl Drop for SocketHolder {
     fn drop(&mut self) {
         let _ = std::fs::remove_dir_all(&self.folder);
     }
 }
 
-impl Station {
-    fn new(name: &str, discovery: SocketAddr, known: &str) -> Station {
+impl SocketHolder {
+    fn new(name: &str, discovery: SocketAddr, known: &str) -> SocketHolder {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         // Every process that is started inherits it, as on the platform.
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
@@ -45,7 +45,7 @@
         ));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir_all(&folder).unwrap();
-        Station {
+        SocketHolder {
             listener,
             folder,
             discovery,
@@ -55,8 +55,8 @@
     }
 
     /// With backends that the list known at start names `b0`, `b1` and so on, and a dead discovery.
-    fn with(name: &str, backends: &[SocketAddr]) -> Station {
-        Station::new(name, nobody(), &known(backends))
+    fn with(name: &str, backends: &[SocketAddr]) -> SocketHolder {
+        SocketHolder::new(name, nobody(), &known(backends))
     }
 
     fn text(&self, admin: SocketAddr) -> String {
@@ -186,7 +186,7 @@
 
 #[test]
 fn every_call_is_answered_by_one_line() {
-    let station = Station::with("calls", &[nobody()]);
+    let station = SocketHolder::with("calls", &[nobody()]);
     let process = station.started();
     let long = [b'x'; 5_000];
     let cases: &[(&[u8], &str)] = &[
@@ -225,7 +225,7 @@
 
 #[test]
 fn callers_who_say_nothing_keep_nobody_out() {
-    let station = Station::with("silent-callers", &[nobody()]);
+    let station = SocketHolder::with("silent-callers", &[nobody()]);
     let process = station.started();
     let mut silent: Vec<TcpStream> = (0..200).map(|_| process.caller()).collect();
     silent
@@ -256,7 +256,7 @@
         ],
         ends: false,
     }]);
-    let station = Station::new("ban", at, "null");
+    let station = SocketHolder::new("ban", at, "null");
     let process = station.started();
     next(&watched);
     process.says_yes("DISABLE b0");
@@ -286,7 +286,7 @@
 #[test]
 fn a_second_process_serves_beside_the_first_and_goes_by_its_bans() {
     let ((first, met), (second, other)) = (backend(Play::Echo), backend(Play::Echo));
-    let station = Station::with("beside", &[first, second]);
+    let station = SocketHolder::with("beside", &[first, second]);
     let mut old = station.started();
     old.says_yes("DISABLE b0");
     let new = station.started();
@@ -315,7 +315,7 @@
 #[test]
 fn standing_connections_go_to_the_next_process_unnoticed() {
     let (address, met) = backend(Play::Echo);
-    let station = Station::with("handed", &[address]);
+    let station = SocketHolder::with("handed", &[address]);
     let mut process = station.started();
     let mut clients: Vec<_> = (0..40).map(|_| process.relay.open("safe", 1_000)).collect();
     clients
@@ -354,7 +354,7 @@
 fn two_processes_keep_within_one_limit_of_descriptors() {
     let (address, _met) = backend(Play::Echo);
     let limit = 200;
-    let mut station = Station::with("limit", &[address]);
+    let mut station = SocketHolder::with("limit", &[address]);
     station.limits = limit;
     let old = station.started();
     let mut standing: Vec<_> = (0..40).map(|_| old.relay.open("safe", 1_000)).collect();
@@ -392,7 +392,7 @@
 fn without_a_next_process_that_takes_them_clients_are_moved() {
     let (address, _met) = backend(Play::Echo);
     for name in ["nobody", "foreign", "mute", "killed"] {
-        let station = Station::with(&format!("moved-{name}"), &[address]);
+        let station = SocketHolder::with(&format!("moved-{name}"), &[address]);
         let process = station.started();
         let mut client = process.relay.open("safe", 1_000);
         assert_eq!(client.hears(), "UP receipt");
@@ -501,7 +501,7 @@
 
 #[test]
 fn a_socket_that_does_not_listen_is_one_clear_line() {
-    let station = Station::with("bad-socket", &[]);
+    let station = SocketHolder::with("bad-socket", &[]);
     let client = TcpStream::connect(station.listener.local_addr().unwrap()).unwrap();
     rustix::io::fcntl_setfd(&client, rustix::io::FdFlags::empty()).unwrap();
     let bound = TcpListener::bind(nobody()).unwrap();
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -5,11 +5,11 @@
 use std::path::PathBuf;
 use thistlecroft::time::Duration;
 use thistlecroft_peers::Pace;
-use thistlecroft_testbed::link::LinkFault;
-use thistlecroft_testbed::rig::{Plan, Rig};
-use thistlecroft_testbed::tape::{RelayNo, Sighting};
-use thistlecroft_testbed::together::{Pact, judge_together};
-use thistlecroft_testbed::witness::held;
+use thistlecroft_testbed::cluster_invariants::{ClusterLimits, check_cluster_invariants};
+use thistlecroft_testbed::event_recorder::{Observation, RelayNumber};
+use thistlecroft_testbed::link_fault::LinkFault;
+use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
+use thistlecroft_testbed::relay_observer::held;
 
 const PERIOD: Duration = Duration::from_millis(200);
 const LEASE: Duration = Duration::from_millis(1_500);
@@ -27,15 +27,15 @@
     path
 }
 
-fn rig_with(name: &str, relays: usize, voters: usize, peers: bool) -> Rig {
+fn rig_with(name: &str, relays: usize, voters: usize, peers: bool) -> ProcessCluster {
     let program = vec![env!("CARGO_BIN_EXE_thistlecroft-relay").to_string()];
-    let mut plan = Plan::small(program, relays, voters, (PERIOD, LEASE), folder(name));
+    let mut plan = ClusterPlan::small(program, relays, voters, (PERIOD, LEASE), folder(name));
     plan.terms.peers = peers;
-    Rig::open(plan).unwrap()
+    ProcessCluster::open(plan).unwrap()
 }
 
 /// So many relays of which the first are started and see each other.
-fn rig(name: &str, relays: usize, started: usize) -> Rig {
+fn rig(name: &str, relays: usize, started: usize) -> ProcessCluster {
     let mut rig = rig_with(name, relays, 3, true);
     let all: Vec<usize> = (0..started).collect();
     // At once, so that seeds are themselves starting.
@@ -52,18 +52,19 @@
         .unwrap_or_default()
 }
 
-fn count(rig: &Rig, relay: usize, name: &str) -> u64 {
+fn count(rig: &ProcessCluster, relay: usize, name: &str) -> u64 {
     rig.view(relay)
         .map_or(0, |view| number(&view, &["counts", name]))
 }
 
 /// Each of these has probed so often more than now: whatever it was to find out it has had the time
 /// to.
-fn probed(rig: &Rig, these: &[usize], more: u64) {
-    let of =
-        |rig: &Rig| -> Vec<u64> { these.iter().map(|one| count(rig, *one, "probes")).collect() };
+fn probed(rig: &ProcessCluster, these: &[usize], more: u64) {
+    let of = |rig: &ProcessCluster| -> Vec<u64> {
+        these.iter().map(|one| count(rig, *one, "probes")).collect()
+    };
     let before = of(rig);
-    let done = |rig: &Rig| {
+    let done = |rig: &ProcessCluster| {
         of(rig)
             .iter()
             .zip(&before)
@@ -76,7 +77,7 @@
 #[test]
 fn a_killed_relay_is_gone_for_all_and_its_successor_another_process() {
     let mut rig = rig("killed", 5, 5);
-    let run = |rig: &Rig| rig.view(1).map(|view| view["me"].to_string());
+    let run = |rig: &ProcessCluster| rig.view(1).map(|view| view["me"].to_string());
     let first = run(&rig);
     rig.kill(1);
     rig.wait(gone_within(5), |rig| rig.agree(&[0, 2, 3, 4]))
@@ -90,8 +91,9 @@
     // And once more, back before anybody can have noticed.
     rig.kill(2);
     rig.start(2).unwrap();
-    let settled =
-        |rig: &Rig| rig.agree(&[0, 1, 2, 3, 4]) && number(&rig.view(0).unwrap(), &["unheard"]) == 0;
+    let settled = |rig: &ProcessCluster| {
+        rig.agree(&[0, 1, 2, 3, 4]) && number(&rig.view(0).unwrap(), &["unheard"]) == 0
+    };
     rig.wait(gone_within(5), settled)
         .expect("two runs of one name are told apart");
 }
@@ -120,7 +122,7 @@
     }
     rig.cut(&[0, 1], &[3, 4]);
     probed(&rig, &[0, 1, 2, 3, 4], 40);
-    let gone = |rig: &Rig, one: usize| {
+    let gone = |rig: &ProcessCluster, one: usize| {
         rig.view(one)
             .is_some_and(|view| number(&view, &["unheard"]) > 0)
     };
@@ -166,7 +168,7 @@
         }),
     );
     assert_eq!(rig.ask(3, "NOTE release 1.4").as_deref(), Some("200 told"));
-    let told = |rig: &Rig| {
+    let told = |rig: &ProcessCluster| {
         all.iter().all(|one| {
             let said = rig.ask(*one, "NOTES").unwrap_or_default();
             said.contains("\"release\"") && said.contains("\"1.4\"") && said.contains("age_ms")
@@ -193,7 +195,7 @@
 fn a_paused_holder_never_acts_beside_its_successor() {
     let mut rig = rig("paused", 5, 5);
     // Two that do not vote want it, so that a majority stays whoever is paused.
-    let holds = |rig: &Rig, one: usize| {
+    let holds = |rig: &ProcessCluster, one: usize| {
         rig.ask(one, "LEASE turn")
             .is_some_and(|said| said.starts_with("200 held"))
     };
@@ -218,18 +220,21 @@
         .expect("held again");
     let entries = rig.reel.into_sorted();
     let by = |relay: u16| {
-        let says = |seen: &Sighting| matches!(seen, Sighting::LeaseSaid { relay: of, .. } if of.0 == relay);
+        let says = |seen: &Observation| matches!(seen, Observation::LeaseSaid { relay: of, .. } if of.0 == relay);
         entries.iter().filter(|entry| says(&entry.seen)).count()
     };
     assert!(by(4) > 0, "the successor said so");
-    assert_eq!(judge_together(&entries, &Pact::default()), []);
+    assert_eq!(
+        check_cluster_invariants(&entries, &ClusterLimits::default()),
+        []
+    );
 }
 
 #[test]
 fn the_side_without_a_majority_gets_no_lease_and_voters_that_restart_are_silent_first() {
     let mut rig = rig("majority", 5, 5);
-    let said = |rig: &Rig, one: usize| rig.ask(one, "LEASE turn").unwrap_or_default();
-    let held = |rig: &Rig, one: usize| said(rig, one).starts_with("200 held");
+    let said = |rig: &ProcessCluster, one: usize| rig.ask(one, "LEASE turn").unwrap_or_default();
+    let held = |rig: &ProcessCluster, one: usize| said(rig, one).starts_with("200 held");
     rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 0))
         .expect("held");
     // One voter with the holder, two on the other side.
@@ -245,7 +250,7 @@
     rig.heal();
     rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
         .expect("healed");
-    let epoch = |rig: &Rig, one: usize| {
+    let epoch = |rig: &ProcessCluster, one: usize| {
         said(rig, one)
             .split(' ')
             .nth(2)
@@ -267,7 +272,7 @@
 #[test]
 fn voters_change_by_two_steps_of_the_charter_and_no_other_way() {
     let rig = rig("voters", 5, 5);
-    let held = |rig: &Rig, one: usize| {
+    let held = |rig: &ProcessCluster, one: usize| {
         rig.ask(one, "LEASE turn")
             .is_some_and(|said| said.starts_with("200 held"))
     };
@@ -275,9 +280,11 @@
         .expect("held");
     let old = "voters = [\"relay-0\", \"relay-1\", \"relay-2\"]";
     let new = "voters = [\"relay-2\", \"relay-3\", \"relay-4\"]";
-    let with = |rig: &Rig, number: usize, lines: &str| rig.charter(number).replace(old, lines);
-    let generation =
-        |rig: &Rig, one: usize| number(&rig.view(one).unwrap(), &["leases", "generation"]);
+    let with =
+        |rig: &ProcessCluster, number: usize, lines: &str| rig.charter(number).replace(old, lines);
+    let generation = |rig: &ProcessCluster, one: usize| {
+        number(&rig.view(one).unwrap(), &["leases", "generation"])
+    };
     // Straight to the new set: refused with a line, and nothing of it taken.
     rig.recharter(0, &with(&rig, 0, &format!("{new}\ngeneration = 2")))
         .unwrap();
@@ -294,7 +301,8 @@
     }
     rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 2))
         .expect("taken up");
-    let settled = |rig: &Rig, one: usize| rig.view(one).unwrap()["leases"]["settled"] == true;
+    let settled =
+        |rig: &ProcessCluster, one: usize| rig.view(one).unwrap()["leases"]["settled"] == true;
     rig.wait(BUSY, |rig| (0..5).all(|one| settled(rig, one)))
         .expect("settled");
     for one in 0..5 {
@@ -317,7 +325,7 @@
     for bytes in [vec![0; 100], vec![1; 100], vec![1; 3], vec![1; 1_400]] {
         stranger.send_to(&bytes, at).unwrap();
     }
-    let counted = |rig: &Rig| {
+    let counted = |rig: &ProcessCluster| {
         let one = |name| count(rig, 0, name);
         one("other_format") == 1 && one("foreign") == 1 && one("odd_size") == 2
     };
@@ -371,7 +379,7 @@
 ];
 
 /// Asks for a lease as a witness does: what is said is noted and judged with all the rest.
-fn holds(rig: &Rig, relay: usize, subject: &'static str) -> bool {
+fn holds(rig: &ProcessCluster, relay: usize, subject: &'static str) -> bool {
     let asked = rig.clock.now();
     let Some((epoch, left)) = rig
         .ask(relay, &format!("LEASE {subject}"))
@@ -380,10 +388,10 @@
     else {
         return false;
     };
-    let (relay, until) = (RelayNo(relay as u16), asked + left);
+    let (relay, until) = (RelayNumber(relay as u16), asked + left);
     rig.tape.note(
         rig.clock.now(),
-        Sighting::LeaseSaid {
+        Observation::LeaseSaid {
             relay,
             subject,
             epoch,
@@ -394,7 +402,7 @@
     true
 }
 
-fn holds_all(rig: &Rig, relay: usize) -> bool {
+fn holds_all(rig: &ProcessCluster, relay: usize) -> bool {
     SHARDS
         .iter()
         .filter(|subject| holds(rig, relay, subject))
@@ -409,7 +417,7 @@
         .iter()
         .flat_map(|subject| [3, 4].map(|relay| rig.witness(relay, Some(subject))))
         .collect();
-    let shared = |rig: &Rig| {
+    let shared = |rig: &ProcessCluster| {
         SHARDS
             .iter()
             .all(|subject| holds(rig, 3, subject) || holds(rig, 4, subject))
@@ -442,7 +450,7 @@
     // Each of the two that took over was heard to hold all of them.
     let said_by = |relay: u16| {
         let own = entries.iter().filter_map(|entry| match &entry.seen {
-            Sighting::LeaseSaid {
+            Observation::LeaseSaid {
                 relay: of, subject, ..
             } if of.0 == relay => Some(subject.to_string()),
             _ => None,
@@ -450,5 +458,8 @@
         own.collect::<BTreeSet<String>>().len()
     };
     assert_eq!((said_by(4), said_by(5)), (SHARDS.len(), SHARDS.len()));
-    assert_eq!(judge_together(&entries, &Pact::default()), []);
+    assert_eq!(
+        check_cluster_invariants(&entries, &ClusterLimits::default()),
+        []
+    );
 }
--- a/testbed/src/model.rs
+++ b/testbed/src/backend_model.rs
@@ -5,7 +5,7 @@
 
 /// How a box that has just started is weak, and what pushes it over.
 #[derive(Clone, Copy, Debug)]
-pub struct Cold {
+pub struct WarmUp {
     /// What it can do at its start, as a part of its capacity.
     pub start_share: f64,
     /// Its share rises evenly to the whole over this time.
@@ -20,7 +20,7 @@
 
 /// A kind of box.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
+pub struct BackendCapacity {
     /// The load that fills it.
     pub capacity: f64,
     /// Connections that it holds at most.
@@ -29,15 +29,15 @@
     pub setup: Duration,
     /// What a group costs each box that holds any of it, in load.
     pub group_fee: f64,
-    pub cold: Cold,
+    pub cold: WarmUp,
 }
 
 /// Piled-up work counts up to this: nobody waits for longer.
 const MOST_PILED: f64 = 30.0;
 
 /// The work of one box from its start to its end.
-pub struct Workload {
-    make: Make,
+pub struct BackendModel {
+    make: BackendCapacity,
     cold_since: Option<Instant>,
     own: f64,
     held: usize,
@@ -50,9 +50,9 @@
     pub slowness: f64,
 }
 
-impl Workload {
-    pub fn start(make: Make, now: Instant, cold: bool) -> Workload {
-        Workload {
+impl BackendModel {
+    pub fn start(make: BackendCapacity, now: Instant, cold: bool) -> BackendModel {
+        BackendModel {
             make,
             cold_since: cold.then_some(now),
             own: 0.0,
@@ -163,15 +163,15 @@
 
 /// What every set-up calls: so many calls in work at once, each for so long; the others wait their
 /// turn.
-pub struct Store {
+pub struct SetupStore {
     each: Duration,
     free_at: Vec<Instant>,
 }
 
-impl Store {
+impl SetupStore {
     /// `lanes` at least one.
-    pub fn new(lanes: usize, each: Duration) -> Store {
-        Store {
+    pub fn new(lanes: usize, each: Duration) -> SetupStore {
+        SetupStore {
             each,
             free_at: vec![Instant::default(); lanes.max(1)],
         }
@@ -189,12 +189,12 @@
 mod tests {
     use super::*;
 
-    const MAKE: Make = Make {
+    const MAKE: BackendCapacity = BackendCapacity {
         capacity: 18.0,
         most: 100,
         setup: Duration::from_millis(2),
         group_fee: 1.5,
-        cold: Cold {
+        cold: WarmUp {
             start_share: 0.3,
             warm_up: Duration::from_millis(9_000),
             factor: 3.0,
@@ -220,17 +220,17 @@
             (3, 0, true, false),
         ];
         for (count, distance, cold, falls) in cases {
-            let mut work = Workload::start(MAKE, at(0), cold);
+            let mut work = BackendModel::start(MAKE, at(0), cold);
             let fell = (0..count).any(|number| work.sent(at(number * distance), 1.0));
             assert_eq!(fell, falls, "{count} each {distance} ms, cold: {cold}");
         }
         // One alone may be larger than the budget.
-        assert!(!Workload::start(MAKE, at(0), true).sent(at(0), 50.0));
+        assert!(!BackendModel::start(MAKE, at(0), true).sent(at(0), 50.0));
     }
 
     #[test]
     fn load_and_piled_up_work_follow_what_is_asked() {
-        let mut work = Workload::start(MAKE, at(0), false);
+        let mut work = BackendModel::start(MAKE, at(0), false);
         for number in 0..18 {
             work.take(at(0), 1.0, Some(number % 2));
         }
@@ -251,7 +251,7 @@
 
     #[test]
     fn the_store_serves_in_turn() {
-        let mut store = Store::new(2, Duration::from_millis(10));
+        let mut store = SetupStore::new(2, Duration::from_millis(10));
         let answered: Vec<u64> = (0..5).map(|_| store.call(at(0)).as_millis()).collect();
         assert_eq!(answered, [10, 10, 20, 20, 30]);
         assert_eq!(store.call(at(100)), at(110));
--- a/testbed/src/together.rs
+++ b/testbed/src/cluster_invariants.rs
@@ -1,7 +1,7 @@
 //! What all relays together may do, judged from boxes, clients and those who asked at the relays'
 //! doors; never from what the relays log of themselves. Beside the four rules, which each keeps
 //! alone. No I/O.
-use crate::tape::{BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
+use crate::event_recorder::{BackendNumber, Observation, RecordedEvent, RelayNumber, Reply, Tag};
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::time::{Duration, Instant};
 
@@ -12,7 +12,7 @@
 
 /// What is agreed; what is not stated is not judged. Leases and whose session it is always are.
 #[derive(Clone, Debug, Default)]
-pub struct Pact {
+pub struct ClusterLimits {
     /// Sessions up at once over all relays, and for how long at most more may be.
     pub at_once: Option<(usize, Duration)>,
     /// Dials in any second at all boxes.
@@ -55,14 +55,17 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Breach {
+pub struct ClusterViolation {
     pub rule: Rule,
     pub at: Instant,
     pub what: String,
 }
 
 /// All breaches in the order of time.
-pub fn judge_together(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
+pub fn check_cluster_invariants(
+    entries: &[RecordedEvent],
+    pact: &ClusterLimits,
+) -> Vec<ClusterViolation> {
     let mut found = leases(entries);
     found.extend(sessions(entries, pact));
     found.extend(sums(entries, pact));
@@ -73,7 +76,7 @@
 }
 
 struct Said {
-    relay: RelayNo,
+    relay: RelayNumber,
     epoch: u64,
     asked: Instant,
     heard: Instant,
@@ -83,10 +86,10 @@
 /// When it looked lies between its asking and its answer: it held from the answer, at the latest,
 /// until what it said was left from the asking, at the least, whatever becomes of the relay
 /// meanwhile: whoever was told may act. Where these leave nothing, nothing is known.
-fn leases(entries: &[Entry]) -> Vec<Breach> {
+fn leases(entries: &[RecordedEvent]) -> Vec<ClusterViolation> {
     let mut by_subject: BTreeMap<&str, Vec<Said>> = BTreeMap::new();
-    for Entry { at, seen } in entries {
-        if let Sighting::LeaseSaid {
+    for RecordedEvent { at, seen } in entries {
+        if let Observation::LeaseSaid {
             relay,
             subject,
             epoch,
@@ -108,11 +111,11 @@
     for (subject, mut all) in by_subject {
         all.sort_by_key(|said| said.heard);
         // By relay the last that is known of it, and of each epoch whose it is.
-        let mut last: BTreeMap<RelayNo, (Instant, Instant)> = BTreeMap::new();
-        let mut owners: BTreeMap<u64, RelayNo> = BTreeMap::new();
+        let mut last: BTreeMap<RelayNumber, (Instant, Instant)> = BTreeMap::new();
+        let mut owners: BTreeMap<u64, RelayNumber> = BTreeMap::new();
         let mut highest: Vec<(Instant, u64)> = Vec::new();
         for said in &all {
-            let breach = |rule, what| Breach {
+            let breach = |rule, what| ClusterViolation {
                 rule,
                 at: said.heard,
                 what,
@@ -162,15 +165,15 @@
     found
 }
 
-fn sessions(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
-    let mut relay_of: BTreeMap<Tag, RelayNo> = BTreeMap::new();
-    let mut killed: BTreeMap<RelayNo, Instant> = BTreeMap::new();
+fn sessions(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
+    let mut relay_of: BTreeMap<Tag, RelayNumber> = BTreeMap::new();
+    let mut killed: BTreeMap<RelayNumber, Instant> = BTreeMap::new();
     let mut taken: BTreeMap<Tag, usize> = BTreeMap::new();
-    let mut up: BTreeMap<Tag, BTreeSet<BoxNo>> = BTreeMap::new();
+    let mut up: BTreeMap<Tag, BTreeSet<BackendNumber>> = BTreeMap::new();
     let mut found = Vec::new();
-    for Entry { at, seen } in entries {
+    for RecordedEvent { at, seen } in entries {
         match seen {
-            Sighting::Asked {
+            Observation::Asked {
                 session,
                 relay: Some(relay),
                 ..
@@ -179,8 +182,8 @@
                 // One that took a client after its kill is another process.
                 killed.remove(relay);
             }
-            Sighting::RelayKilled { relay } => drop(killed.insert(*relay, *at)),
-            Sighting::DialCame {
+            Observation::RelayKilled { relay } => drop(killed.insert(*relay, *at)),
+            Observation::DialCame {
                 session,
                 at: of,
                 first,
@@ -199,20 +202,20 @@
                     of.0, relay.0
                 );
                 if !pact.takes_over {
-                    found.push(Breach {
+                    found.push(ClusterViolation {
                         rule: Rule::OneRelayASession,
                         at: *at,
                         what,
                     });
                 } else if *count > 1 {
-                    found.push(Breach {
+                    found.push(ClusterViolation {
                         rule: Rule::TakenOverOnce,
                         at: *at,
                         what: format!("{what}, again"),
                     });
                 }
             }
-            Sighting::DialReplied {
+            Observation::DialReplied {
                 session,
                 at: of,
                 reply: Reply::Up,
@@ -222,17 +225,18 @@
                 if boxes.len() > 1 {
                     let numbers: Vec<String> = boxes.iter().map(|of| of.0.to_string()).collect();
                     let what = format!("boxes {} hold one session", numbers.join(" and "));
-                    found.push(Breach {
+                    found.push(ClusterViolation {
                         rule: Rule::OneBoxASession,
                         at: *at,
                         what,
                     });
                 }
             }
-            Sighting::DialGone { session, at: of } | Sighting::BoxEnded { session, at: of } => {
+            Observation::DialGone { session, at: of }
+            | Observation::BoxEnded { session, at: of } => {
                 up.entry(*session).or_default().remove(of);
             }
-            Sighting::BoxStopped { at: of } => {
+            Observation::BoxStopped { at: of } => {
                 for boxes in up.values_mut() {
                     boxes.remove(of);
                 }
@@ -243,18 +247,18 @@
     found
 }
 
-fn sums(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
+fn sums(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
     let mut found = Vec::new();
     let mut standing: BTreeSet<Tag> = BTreeSet::new();
     let mut over: Option<Instant> = None;
     let mut dials: Vec<Instant> = Vec::new();
-    for Entry { at, seen } in entries {
+    for RecordedEvent { at, seen } in entries {
         // As it was until now: what ends it comes too late if it lasted too long.
         if let (Some((most, allowed)), Some(since)) = (pact.at_once, over)
             && at.duration_since(since) > allowed
         {
             let what = format!("{} sessions are up, {most} may be", standing.len());
-            found.push(Breach {
+            found.push(ClusterViolation {
                 rule: Rule::SumAtOnce,
                 at: *at,
                 what,
@@ -262,18 +266,18 @@
             over = Some(*at);
         }
         match seen {
-            Sighting::Answered {
+            Observation::Answered {
                 session,
-                answer: crate::tape::Answer::Up,
+                answer: crate::event_recorder::Answer::Up,
             } => {
                 standing.insert(*session);
             }
-            Sighting::Moved { session }
-            | Sighting::Ended { session }
-            | Sighting::CutOff { session } => {
+            Observation::Moved { session }
+            | Observation::Ended { session }
+            | Observation::CutOff { session } => {
                 standing.remove(session);
             }
-            Sighting::DialCame { first, .. } => dials.push(*first),
+            Observation::DialCame { first, .. } => dials.push(*first),
             _ => {}
         }
         if let Some((most, _)) = pact.at_once {
@@ -287,7 +291,7 @@
             let count = place + 1 - from;
             if count > most {
                 let what = format!("{count} dials in a second, {most} may be");
-                found.push(Breach {
+                found.push(ClusterViolation {
                     rule: Rule::SumASecond,
                     at: *at,
                     what,
@@ -298,28 +302,28 @@
     found
 }
 
-fn bans(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
+fn bans(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
     let Some(within) = pact.bans_within else {
         return Vec::new();
     };
-    let mut out: BTreeMap<BoxNo, Instant> = BTreeMap::new();
+    let mut out: BTreeMap<BackendNumber, Instant> = BTreeMap::new();
     let mut found = Vec::new();
-    for Entry { at, seen } in entries {
+    for RecordedEvent { at, seen } in entries {
         match seen {
-            Sighting::ByHand {
+            Observation::ByHand {
                 at: of, out: true, ..
             } => drop(out.entry(*of).or_insert(*at)),
-            Sighting::ByHand {
+            Observation::ByHand {
                 at: of, out: false, ..
             } => drop(out.remove(of)),
-            Sighting::DialCame { at: of, first, .. } => {
+            Observation::DialCame { at: of, first, .. } => {
                 let Some(since) = out.get(of).filter(|since| *first > **since + within + BLUR)
                 else {
                     continue;
                 };
                 let after = first.duration_since(*since).as_millis();
                 let what = format!("box {} is dialled {after} ms after its ban", of.0);
-                found.push(Breach {
+                found.push(ClusterViolation {
                     rule: Rule::BansEverywhere,
                     at: *at,
                     what,
@@ -332,19 +336,19 @@
 }
 
 /// By what each relay that runs said last.
-fn views(entries: &[Entry], pact: &Pact) -> Vec<Breach> {
+fn views(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
     if !pact.agree {
         return Vec::new();
     }
-    let mut running: BTreeSet<RelayNo> = BTreeSet::new();
-    let mut sees: BTreeMap<RelayNo, (Instant, &Vec<String>)> = BTreeMap::new();
-    for Entry { at, seen } in entries {
+    let mut running: BTreeSet<RelayNumber> = BTreeSet::new();
+    let mut sees: BTreeMap<RelayNumber, (Instant, &Vec<String>)> = BTreeMap::new();
+    for RecordedEvent { at, seen } in entries {
         match seen {
-            Sighting::RelayStarted { relay } => drop(running.insert(*relay)),
-            Sighting::RelayKilled { relay } | Sighting::RelayStopped { relay } => {
+            Observation::RelayStarted { relay } => drop(running.insert(*relay)),
+            Observation::RelayKilled { relay } | Observation::RelayStopped { relay } => {
                 running.remove(relay);
             }
-            Sighting::Sees { relay, here } => drop(sees.insert(*relay, (*at, here))),
+            Observation::Sees { relay, here } => drop(sees.insert(*relay, (*at, here))),
             _ => {}
         }
     }
@@ -362,7 +366,7 @@
                 here.intersection(&all).count(),
                 all.len()
             );
-            Breach {
+            ClusterViolation {
                 rule: Rule::ViewsAgree,
                 at,
                 what,
--- a/testbed/src/listing.rs
+++ b/testbed/src/endpoint_list.rs
@@ -1,5 +1,5 @@
 //! Discovery's list without its sockets: the truth, what an agent has of it, and the text of both.
-use crate::tape::{BoxNo, Lifecycle};
+use crate::event_recorder::{BackendNumber, Lifecycle};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,30 +16,30 @@
 }
 
 /// The name of a box on the list, the same for all relays.
-pub fn name_of(at: BoxNo) -> String {
+pub fn name_of(at: BackendNumber) -> String {
     format!("box-{:04}", at.0)
 }
 
 /// The list as one agent has it. Versions count its changes.
 #[derive(Clone, Debug, Default)]
-pub struct Listing {
+pub struct EndpointList {
     generation: u64,
-    rows: BTreeMap<BoxNo, (u64, Row)>,
+    rows: BTreeMap<BackendNumber, (u64, Row)>,
     /// Changes before this version are not known any more: who asks with an older or a higher one
     /// has the whole.
     known_from: u64,
 }
 
-impl Listing {
+impl EndpointList {
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = (BoxNo, &Row)> {
+    pub fn rows(&self) -> impl Iterator<Item = (BackendNumber, &Row)> {
         self.rows.iter().map(|(at, (_, row))| (*at, row))
     }
 
-    pub fn put(&mut self, at: BoxNo, row: Row) {
+    pub fn put(&mut self, at: BackendNumber, row: Row) {
         self.generation += 1;
         self.rows.insert(at, (self.generation, row));
     }
@@ -55,9 +55,9 @@
 
     /// The text for one who holds that version: what changed since, or the whole; and the rows that
     /// it names.
-    pub fn text_since(&self, held: Option<u64>) -> (String, Vec<(BoxNo, Lifecycle)>) {
+    pub fn text_since(&self, held: Option<u64>) -> (String, Vec<(BackendNumber, Lifecycle)>) {
         let held = held.filter(|held| (self.known_from..=self.generation).contains(held));
-        let told: Vec<(&BoxNo, &Row)> = self
+        let told: Vec<(&BackendNumber, &Row)> = self
             .rows
             .iter()
             .filter(|(_, (version, _))| held.is_none_or(|held| *version > held))
@@ -75,7 +75,7 @@
     }
 }
 
-fn object(at: BoxNo, row: &Row) -> serde_json::Value {
+fn object(at: BackendNumber, row: &Row) -> serde_json::Value {
     json!({
         "instanceId": name_of(at),
         "hostPort": row.at.to_string(),
@@ -105,10 +105,10 @@
             lifecycle,
             started_ms: 0,
         };
-        let mut list = Listing::default();
-        list.put(BoxNo(0), row(Lifecycle::Ready));
-        list.put(BoxNo(1), row(Lifecycle::Ready));
-        list.put(BoxNo(0), row(Lifecycle::Gone));
+        let mut list = EndpointList::default();
+        list.put(BackendNumber(0), row(Lifecycle::Ready));
+        list.put(BackendNumber(1), row(Lifecycle::Ready));
+        list.put(BackendNumber(0), row(Lifecycle::Gone));
         use Lifecycle::{Gone, Ready};
         let cases = [
             (None, true, vec![(1, Ready)]),
--- a/testbed/src/stage.rs
+++ b/testbed/src/event_loop.rs
@@ -1,7 +1,7 @@
 //! The loop that every thread of the stand-ins runs: sockets, alarms, and cues from the one who
 //! directs.
 use crate::clock::{Stopwatch, duration};
-use crate::tape::{Sighting, Tape};
+use crate::event_recorder::{EventRecorder, Observation};
 use polling::{Events, Poller};
 use std::collections::BTreeMap;
 use std::io;
@@ -15,11 +15,11 @@
 const ALARMS: usize = 4_096;
 
 /// What a loop works with.
-pub struct Works<A> {
+pub struct LoopContext<A> {
     pub now: Instant,
     pub clock: Stopwatch,
     pub poller: Arc<Poller>,
-    pub tape: Tape,
+    pub tape: EventRecorder,
     alarms: BTreeMap<(Instant, u64), A>,
     serial: u64,
     /// The longest turn so far.
@@ -28,46 +28,46 @@
     pub worked: Duration,
 }
 
-impl<A> Works<A> {
+impl<A> LoopContext<A> {
     pub fn set(&mut self, at: Instant, alarm: A) {
         self.serial += 1;
         self.alarms.insert((at, self.serial), alarm);
     }
 
-    pub fn note(&self, seen: Sighting) {
+    pub fn note(&self, seen: Observation) {
         self.tape.note(self.now, seen);
     }
 }
 
 /// What is played on a loop.
-pub trait Play {
+pub trait EventHandler {
     type Alarm;
-    type Cue: Send + 'static;
+    type Command: Send + 'static;
     /// Told by the loop's end.
     type Sums: Send + 'static;
-    fn event(&mut self, key: usize, writable: bool, works: &mut Works<Self::Alarm>);
-    fn alarm(&mut self, alarm: Self::Alarm, works: &mut Works<Self::Alarm>);
+    fn event(&mut self, key: usize, writable: bool, works: &mut LoopContext<Self::Alarm>);
+    fn alarm(&mut self, alarm: Self::Alarm, works: &mut LoopContext<Self::Alarm>);
     /// False ends the loop.
-    fn cue(&mut self, cue: Self::Cue, works: &mut Works<Self::Alarm>) -> bool;
-    fn sums(self, works: &Works<Self::Alarm>) -> Self::Sums;
+    fn cue(&mut self, cue: Self::Command, works: &mut LoopContext<Self::Alarm>) -> bool;
+    fn sums(self, works: &LoopContext<Self::Alarm>) -> Self::Sums;
 }
 
 /// A loop on its thread. Dropped, it ends.
-pub struct Stage<P: Play> {
-    cues: Option<Sender<P::Cue>>,
+pub struct EventLoop<P: EventHandler> {
+    cues: Option<Sender<P::Command>>,
     poller: Arc<Poller>,
     thread: Option<JoinHandle<P::Sums>>,
 }
 
-impl<P: Play + 'static> Stage<P> {
+impl<P: EventHandler + 'static> EventLoop<P> {
     /// # Errors
     /// Where there is no poller or thread to be had, or what `open` says.
     pub fn open(
         name: &str,
         clock: Stopwatch,
-        tape: Tape,
-        open: impl FnOnce(&mut Works<P::Alarm>) -> io::Result<P> + Send + 'static,
-    ) -> io::Result<Stage<P>> {
+        tape: EventRecorder,
+        open: impl FnOnce(&mut LoopContext<P::Alarm>) -> io::Result<P> + Send + 'static,
+    ) -> io::Result<EventLoop<P>> {
         let poller = Arc::new(Poller::new()?);
         let (cues, heard) = channel();
         let (opened, is_open) = channel();
@@ -77,7 +77,7 @@
             .spawn(move || {
                 let (alarms, now) = (BTreeMap::new(), clock.now());
                 let (worst_turn, worked) = (Duration::ZERO, Duration::ZERO);
-                let mut works = Works {
+                let mut works = LoopContext {
                     now,
                     clock,
                     poller: own,
@@ -117,7 +117,7 @@
                 return Err(fault);
             }
         };
-        Ok(Stage {
+        Ok(EventLoop {
             cues: Some(cues),
             poller,
             thread: Some(thread),
@@ -125,7 +125,7 @@
     }
 
     /// Carried out soon, in the order given.
-    pub fn cue(&self, cue: P::Cue) {
+    pub fn command(&self, cue: P::Command) {
         if let Some(cues) = &self.cues {
             let _ = cues.send(cue);
             let _ = self.poller.notify();
@@ -141,7 +141,7 @@
     }
 }
 
-impl<P: Play> Drop for Stage<P> {
+impl<P: EventHandler> Drop for EventLoop<P> {
     fn drop(&mut self) {
         self.cues = None;
         let _ = self.poller.notify();
@@ -151,7 +151,11 @@
     }
 }
 
-fn run<P: Play>(play: &mut P, works: &mut Works<P::Alarm>, cues: &Receiver<P::Cue>) {
+fn run<P: EventHandler>(
+    play: &mut P,
+    works: &mut LoopContext<P::Alarm>,
+    cues: &Receiver<P::Command>,
+) {
     let mut events = Events::new();
     loop {
         loop {
@@ -197,7 +201,7 @@
         works.worked += took;
         works.worst_turn = works.worst_turn.max(took);
         if took > LATE_TURN {
-            works.note(Sighting::ToolLate { by: took });
+            works.note(Observation::ToolLate { by: took });
         }
     }
 }
--- a/testbed/src/tape.rs
+++ b/testbed/src/event_recorder.rs
@@ -28,11 +28,11 @@
 
 /// A box by its place in the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct BoxNo(pub u16);
+pub struct BackendNumber(pub u16);
 
 /// A relay by its place among those of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct RelayNo(pub u16);
+pub struct RelayNumber(pub u16);
 
 /// The final answer of a session, as its client read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
@@ -66,12 +66,12 @@
 /// Written out, spans and moments are milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
-pub enum Sighting {
+pub enum Observation {
     /// The last byte of a first line was written; the client waits for so long. A baseline has no
     /// relay.
     Asked {
         session: Tag,
-        relay: Option<RelayNo>,
+        relay: Option<RelayNumber>,
         listener: u16,
         #[serde(serialize_with = "ms")]
         wait: Duration,
@@ -101,7 +101,7 @@
     },
     /// The relay never took it: no connection, or broken before the last byte.
     NeverTaken {
-        relay: Option<RelayNo>,
+        relay: Option<RelayNumber>,
     },
     Moved {
         session: Tag,
@@ -124,61 +124,61 @@
     },
     /// A dial's first line was read whole; `first` is when its first byte was.
     DialCame {
-        at: BoxNo,
+        at: BackendNumber,
         session: Tag,
         #[serde(serialize_with = "at_ms")]
         first: Instant,
     },
     DialReplied {
-        at: BoxNo,
+        at: BackendNumber,
         session: Tag,
         reply: Reply,
     },
     /// The relay ended the dial before a reply.
     DialGone {
-        at: BoxNo,
+        at: BackendNumber,
         session: Tag,
     },
     /// The box ended a connection that stood, or broke it.
     BoxEnded {
-        at: BoxNo,
+        at: BackendNumber,
         session: Tag,
     },
     /// The box itself kept a line for so long.
     BoxHeld {
-        at: BoxNo,
+        at: BackendNumber,
         session: Tag,
         #[serde(serialize_with = "ms")]
         waited: Duration,
     },
     BoxStarted {
-        at: BoxNo,
+        at: BackendNumber,
         cold: bool,
     },
     BoxDrains {
-        at: BoxNo,
+        at: BackendNumber,
     },
     BoxStopped {
-        at: BoxNo,
+        at: BackendNumber,
     },
     /// Pushed over while cold.
     BoxFell {
-        at: BoxNo,
+        at: BackendNumber,
     },
     /// It stands still, or goes on: what it sees in between it sees late.
     Still {
-        at: BoxNo,
+        at: BackendNumber,
         on: bool,
     },
-    Ailment {
-        at: BoxNo,
+    BackendFault {
+        at: BackendNumber,
         name: &'static str,
         on: bool,
     },
     /// Load over capacity, connections held, what it can do of its capacity, and how much of the
     /// cold budget is used.
     BoxLoad {
-        at: BoxNo,
+        at: BackendNumber,
         load: f64,
         held: usize,
         share: f64,
@@ -186,49 +186,49 @@
     },
     /// Discovery has written it to the relay.
     Told {
-        relay: RelayNo,
-        at: BoxNo,
+        relay: RelayNumber,
+        at: BackendNumber,
         lifecycle: Lifecycle,
     },
     /// An operator has this relay's yes that the box is out; or asks for it back.
     ByHand {
-        relay: RelayNo,
-        at: BoxNo,
+        relay: RelayNumber,
+        at: BackendNumber,
         out: bool,
     },
     Agent {
-        relay: RelayNo,
+        relay: RelayNumber,
         fault: &'static str,
         on: bool,
     },
     RelayStarted {
-        relay: RelayNo,
+        relay: RelayNumber,
     },
     RelayToldToStop {
-        relay: RelayNo,
+        relay: RelayNumber,
     },
     /// Killed outright, or gone by itself.
     RelayKilled {
-        relay: RelayNo,
+        relay: RelayNumber,
     },
     RelayStopped {
-        relay: RelayNo,
+        relay: RelayNumber,
     },
     /// The process stands still (SIGSTOP), or goes on.
     RelayStill {
-        relay: RelayNo,
+        relay: RelayNumber,
         on: bool,
     },
     /// What is between two relays, in one direction, is bent, or as it was.
     Link {
-        from: RelayNo,
-        to: RelayNo,
+        from: RelayNumber,
+        to: RelayNumber,
         name: &'static str,
         on: bool,
     },
     /// At its door a relay said that it holds a lease: asked then, for so long from then.
     LeaseSaid {
-        relay: RelayNo,
+        relay: RelayNumber,
         subject: &'static str,
         epoch: u64,
         #[serde(serialize_with = "at_ms")]
@@ -238,11 +238,11 @@
     },
     /// Whom a relay said at its door that it sees here, itself among them.
     Sees {
-        relay: RelayNo,
+        relay: RelayNumber,
         here: Vec<String>,
     },
     RelayCost {
-        relay: RelayNo,
+        relay: RelayNumber,
         #[serde(serialize_with = "ms")]
         cpu: Duration,
         resident: u64,
@@ -260,42 +260,42 @@
 }
 
 #[derive(Clone, Debug, Serialize)]
-pub struct Entry {
+pub struct RecordedEvent {
     #[serde(rename = "ms", serialize_with = "at_ms")]
     pub at: Instant,
     #[serde(flatten)]
-    pub seen: Sighting,
+    pub seen: Observation,
 }
 
 /// Where sightings go. Cheap to clone, one for each thread.
 #[derive(Clone)]
-pub struct Tape(Sender<Entry>);
+pub struct EventRecorder(Sender<RecordedEvent>);
 
-pub fn tape() -> (Tape, Reel) {
+pub fn event_recorder() -> (EventRecorder, EventLog) {
     let (tell, told) = channel();
     (
-        Tape(tell),
-        Reel {
+        EventRecorder(tell),
+        EventLog {
             told,
             entries: Vec::new(),
         },
     )
 }
 
-impl Tape {
-    pub fn note(&self, at: Instant, seen: Sighting) {
+impl EventRecorder {
+    pub fn note(&self, at: Instant, seen: Observation) {
         // Nobody listens any more once a run is over; nothing is lost by that.
-        let _ = self.0.send(Entry { at, seen });
+        let _ = self.0.send(RecordedEvent { at, seen });
     }
 }
 
 /// All that was noted so far.
-pub struct Reel {
-    told: Receiver<Entry>,
-    pub entries: Vec<Entry>,
+pub struct EventLog {
+    told: Receiver<RecordedEvent>,
+    pub entries: Vec<RecordedEvent>,
 }
 
-impl Reel {
+impl EventLog {
     /// Takes in what has come; the place of the first new entry.
     pub fn gather(&mut self) -> usize {
         let from = self.entries.len();
@@ -307,7 +307,7 @@
     pub fn wait_for(
         &mut self,
         within: std::time::Duration,
-        such: impl Fn(&Sighting) -> bool,
+        such: impl Fn(&Observation) -> bool,
     ) -> bool {
         self.wait_until(within, |entries| {
             entries.iter().any(|entry| such(&entry.seen))
@@ -317,7 +317,7 @@
     pub fn wait_until(
         &mut self,
         within: std::time::Duration,
-        done: impl Fn(&[Entry]) -> bool,
+        done: impl Fn(&[RecordedEvent]) -> bool,
     ) -> bool {
         let until = std::time::Instant::now() + within;
         self.gather();
@@ -333,7 +333,7 @@
     }
 
     /// In the order of time: threads note their own at their own pace.
-    pub fn into_sorted(mut self) -> Vec<Entry> {
+    pub fn into_sorted(mut self) -> Vec<RecordedEvent> {
         self.gather();
         self.entries.sort_by_key(|entry| entry.at);
         self.entries
--- a/testbed/src/referee.rs
+++ b/testbed/src/invariant_checker.rs
@@ -1,7 +1,9 @@
 //! Reads what boxes and clients saw, and says of each of the four rules whether it was kept, with
 //! the shortest story of its first break. No I/O. What nobody can have seen is not judged: a box
 //! that stands still notes late, and a relay that was killed owes no answer for what it held.
-use crate::tape::{Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag};
+use crate::event_recorder::{
+    Answer, BackendNumber, Lifecycle, Observation, RecordedEvent, RelayNumber, Reply, Tag,
+};
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
@@ -25,7 +27,7 @@
 
 /// The figures by which it is judged.
 #[derive(Clone, Debug)]
-pub struct Law {
+pub struct PlatformRules {
     /// What may be repeated, by listener.
     pub effects: Vec<Idempotency>,
     /// A second dial may go out while one is, by listener; where not stated, none may.
@@ -38,7 +40,7 @@
 
 /// A broken rule.
 #[derive(Clone, Debug)]
-pub struct Break {
+pub struct Violation {
     pub rule: usize,
     pub at: Instant,
     pub what: String,
@@ -47,9 +49,9 @@
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Ruling {
+pub struct CheckResult {
     /// The first break of each rule.
-    pub first: [Option<Break>; 4],
+    pub first: [Option<Violation>; 4],
     pub breaks: [usize; 4],
     /// Sessions that were judged.
     pub sessions: usize,
@@ -61,12 +63,12 @@
     /// The greatest part of a cold box's budget that was used.
     pub worst_push: f64,
     /// By listener.
-    pub listeners: Vec<Dialled>,
+    pub listeners: Vec<AttemptTotals>,
 }
 
 /// What dials the sessions of a listener had.
 #[derive(Clone, Debug, Default)]
-pub struct Dialled {
+pub struct AttemptTotals {
     pub sessions: usize,
     pub most: usize,
     /// After the one before had ended.
@@ -77,7 +79,7 @@
     pub longest: Duration,
 }
 
-impl Ruling {
+impl CheckResult {
     pub fn kept(&self) -> bool {
         self.breaks == [0; 4]
     }
@@ -97,7 +99,7 @@
 
 #[derive(Clone, Debug)]
 struct DialStory {
-    at: BoxNo,
+    at: BackendNumber,
     came: Instant,
     first: Instant,
     over: Option<(Instant, Option<Reply>)>,
@@ -109,7 +111,7 @@
 struct SessionStory {
     asked: Instant,
     wait: Duration,
-    relay: Option<RelayNo>,
+    relay: Option<RelayNumber>,
     listener: usize,
     answer: Option<(Instant, Answer)>,
     ends: Option<Instant>,
@@ -151,30 +153,30 @@
     ailing: Times,
     /// From when on nothing new may come, by relay; what all are deemed told counts for those not
     /// told.
-    told: BTreeMap<RelayNo, Instant>,
+    told: BTreeMap<RelayNumber, Instant>,
     shut: Option<Instant>,
     /// Since when a relay's operators have it out, whatever the list says.
-    by_hand: BTreeMap<RelayNo, Instant>,
+    by_hand: BTreeMap<RelayNumber, Instant>,
 }
 
-pub struct Referee<'a> {
-    law: &'a Law,
-    entries: &'a [Entry],
+pub struct InvariantChecker<'a> {
+    law: &'a PlatformRules,
+    entries: &'a [RecordedEvent],
     sessions: BTreeMap<Tag, SessionStory>,
-    boxes: BTreeMap<BoxNo, BoxStory>,
-    killed: BTreeMap<RelayNo, Vec<Instant>>,
+    boxes: BTreeMap<BackendNumber, BoxStory>,
+    killed: BTreeMap<RelayNumber, Vec<Instant>>,
     /// A process that is stopped owes nothing while it is.
-    stopped: BTreeMap<RelayNo, Times>,
+    stopped: BTreeMap<RelayNumber, Times>,
     late: Vec<(Instant, Duration)>,
-    ruling: Ruling,
+    ruling: CheckResult,
     end: Instant,
     /// Without relays clients say to boxes whatever they say.
     has_relays: bool,
 }
 
 /// Judges a run from its sightings, which must stand in the order of time.
-pub fn judge(entries: &[Entry], law: &Law) -> Ruling {
-    let mut referee = Referee {
+pub fn check_invariants(entries: &[RecordedEvent], law: &PlatformRules) -> CheckResult {
+    let mut referee = InvariantChecker {
         law,
         entries,
         sessions: BTreeMap::new(),
@@ -182,7 +184,7 @@
         killed: BTreeMap::new(),
         stopped: BTreeMap::new(),
         late: Vec::new(),
-        ruling: Ruling::default(),
+        ruling: CheckResult::default(),
         end: entries.last().map_or(Instant::default(), |entry| entry.at),
         has_relays: false,
     };
@@ -194,12 +196,12 @@
     referee.ruling
 }
 
-impl Referee<'_> {
+impl InvariantChecker<'_> {
     /// What excuses must be known before anything is blamed.
     fn first_look(&mut self) {
-        for Entry { at, seen } in self.entries {
+        for RecordedEvent { at, seen } in self.entries {
             match seen {
-                Sighting::Asked {
+                Observation::Asked {
                     session,
                     relay,
                     listener,
@@ -222,19 +224,19 @@
                     };
                     self.sessions.insert(*session, story);
                 }
-                Sighting::BoxEnded { session, .. } => {
+                Observation::BoxEnded { session, .. } => {
                     if let Some(story) = self.sessions.get_mut(session) {
                         story.box_ended = Some(*at);
                     }
                 }
-                Sighting::BoxHeld {
+                Observation::BoxHeld {
                     session, waited, ..
                 } => {
                     if let Some(story) = self.sessions.get_mut(session) {
                         story.box_held = story.box_held.max(*waited);
                     }
                 }
-                Sighting::Still { at: of, on } => {
+                Observation::Still { at: of, on } => {
                     let still = &mut self.boxes.entry(*of).or_default().still;
                     if *on {
                         still.begin(*at)
@@ -242,7 +244,7 @@
                         still.end(*at)
                     }
                 }
-                Sighting::Ailment { at: of, on, .. } => {
+                Observation::BackendFault { at: of, on, .. } => {
                     let ailing = &mut self.boxes.entry(*of).or_default().ailing;
                     if *on {
                         ailing.begin(*at)
@@ -250,13 +252,13 @@
                         ailing.end(*at)
                     }
                 }
-                Sighting::BoxStopped { at: of } => {
+                Observation::BoxStopped { at: of } => {
                     self.boxes.entry(*of).or_default().ailing.begin(*at)
                 }
-                Sighting::BoxStarted { at: of, .. } => {
+                Observation::BoxStarted { at: of, .. } => {
                     self.boxes.entry(*of).or_default().ailing.end(*at)
                 }
-                Sighting::RelayStill { relay, on } => {
+                Observation::RelayStill { relay, on } => {
                     let still = self.stopped.entry(*relay).or_default();
                     if *on {
                         still.begin(*at)
@@ -264,8 +266,10 @@
                         still.end(*at)
                     }
                 }
-                Sighting::RelayKilled { relay } => self.killed.entry(*relay).or_default().push(*at),
-                Sighting::ToolLate { by } => self.late.push((*at, *by)),
+                Observation::RelayKilled { relay } => {
+                    self.killed.entry(*relay).or_default().push(*at)
+                }
+                Observation::ToolLate { by } => self.late.push((*at, *by)),
                 _ => {}
             }
         }
@@ -280,13 +284,13 @@
         near.map(|(_, by)| *by).max().unwrap_or(Duration::ZERO)
     }
 
-    fn stood_still(&self, relay: Option<RelayNo>, from: Instant, to: Instant) -> bool {
+    fn stood_still(&self, relay: Option<RelayNumber>, from: Instant, to: Instant) -> bool {
         let still = relay.and_then(|relay| self.stopped.get(&relay));
         // What waited meanwhile is worked off after it.
         still.is_some_and(|still| still.meets(from - BLUR, to + BLUR))
     }
 
-    fn was_killed(&self, relay: Option<RelayNo>, from: Instant, to: Instant) -> bool {
+    fn was_killed(&self, relay: Option<RelayNumber>, from: Instant, to: Instant) -> bool {
         if self.stood_still(relay, from, to) {
             return true;
         }
@@ -304,7 +308,7 @@
         at: Instant,
         what: String,
         session: Option<Tag>,
-        of: Option<BoxNo>,
+        of: Option<BackendNumber>,
     ) {
         self.ruling.breaks[rule - 1] += 1;
         if self.ruling.first[rule - 1]
@@ -313,7 +317,7 @@
         {
             return;
         }
-        let about = |entry: &&Entry| match session {
+        let about = |entry: &&RecordedEvent| match session {
             Some(session) => {
                 session_of(&entry.seen) == Some(session)
                     || of.is_some_and(|of| is_news(&entry.seen, of))
@@ -329,7 +333,7 @@
             .filter(|entry| entry.at <= at + SECOND)
             .count();
         let story = story[until.saturating_sub(STORY)..until].to_vec();
-        self.ruling.first[rule - 1] = Some(Break {
+        self.ruling.first[rule - 1] = Some(Violation {
             rule,
             at,
             what,
@@ -337,11 +341,11 @@
         });
     }
 
-    fn read(&mut self, entry: &Entry) {
+    fn read(&mut self, entry: &RecordedEvent) {
         let at = entry.at;
         match &entry.seen {
-            Sighting::Answered { session, answer } => self.answered(at, *session, *answer),
-            Sighting::SaidMore { session } => {
+            Observation::Answered { session, answer } => self.answered(at, *session, *answer),
+            Observation::SaidMore { session } => {
                 self.broken(
                     1,
                     at,
@@ -350,7 +354,7 @@
                     None,
                 );
             }
-            Sighting::Unanswered { session } | Sighting::Dropped { session } => {
+            Observation::Unanswered { session } | Observation::Dropped { session } => {
                 let Some(story) = self.sessions.get_mut(session) else {
                     return;
                 };
@@ -358,7 +362,7 @@
                 let (from, relay) = (story.asked, story.relay);
                 if relay.is_some() && !self.was_killed(relay, from, at) {
                     let what = match entry.seen {
-                        Sighting::Dropped { .. } => "its connection ended without an answer",
+                        Observation::Dropped { .. } => "its connection ended without an answer",
                         _ => "it had no answer within its wait",
                     };
                     self.broken(1, at, what.into(), Some(*session), None);
@@ -366,19 +370,19 @@
                     story.excused = true;
                 }
             }
-            Sighting::LeftEarly { session } => {
+            Observation::LeftEarly { session } => {
                 if let Some(story) = self.sessions.get_mut(session) {
                     (story.excused, story.left, story.ends) = (true, true, Some(at));
                 }
             }
-            Sighting::Moved { session } | Sighting::Ended { session } => {
+            Observation::Moved { session } | Observation::Ended { session } => {
                 if let Some(story) = self.sessions.get_mut(session) {
                     story.ends = Some(at);
                 }
             }
-            Sighting::CutOff { session } => self.cut_off(at, *session),
-            Sighting::LineLate { session, waited } => self.line_late(at, *session, *waited),
-            Sighting::LineWrong { session } => {
+            Observation::CutOff { session } => self.cut_off(at, *session),
+            Observation::LineLate { session, waited } => self.line_late(at, *session, *waited),
+            Observation::LineWrong { session } => {
                 self.broken(
                     1,
                     at,
@@ -387,25 +391,25 @@
                     None,
                 );
             }
-            Sighting::DialCame {
+            Observation::DialCame {
                 at: of,
                 session,
                 first,
             } => self.dial_came(at, *of, *session, *first),
-            Sighting::DialReplied {
+            Observation::DialReplied {
                 at: of,
                 session,
                 reply,
             } => self.dial_over(at, *of, *session, Some(*reply)),
-            Sighting::DialGone { at: of, session } => self.dial_over(at, *of, *session, None),
-            Sighting::BoxDrains { at: of } | Sighting::BoxStopped { at: of } => {
+            Observation::DialGone { at: of, session } => self.dial_over(at, *of, *session, None),
+            Observation::BoxDrains { at: of } | Observation::BoxStopped { at: of } => {
                 self.boxes.entry(*of).or_default().shut.get_or_insert(at);
             }
-            Sighting::BoxStarted { at: of, .. } => {
+            Observation::BoxStarted { at: of, .. } => {
                 let story = self.boxes.entry(*of).or_default();
                 (story.shut, story.told) = (None, BTreeMap::new());
             }
-            Sighting::Told {
+            Observation::Told {
                 relay,
                 at: of,
                 lifecycle: Lifecycle::Draining | Lifecycle::Gone,
@@ -416,7 +420,7 @@
                     story.told.entry(*relay).or_insert(at);
                 }
             }
-            Sighting::ByHand { relay, at: of, out } => {
+            Observation::ByHand { relay, at: of, out } => {
                 let story = self.boxes.entry(*of).or_default();
                 if *out {
                     story.by_hand.entry(*relay).or_insert(at);
@@ -424,7 +428,7 @@
                     story.by_hand.remove(relay);
                 }
             }
-            Sighting::BoxFell { at: of } => {
+            Observation::BoxFell { at: of } => {
                 self.broken(
                     4,
                     at,
@@ -433,10 +437,10 @@
                     Some(*of),
                 );
             }
-            Sighting::BoxLoad { pushed, .. } => {
+            Observation::BoxLoad { pushed, .. } => {
                 self.ruling.worst_push = self.ruling.worst_push.max(*pushed);
             }
-            Sighting::Mark { text } if text.starts_with("SYNTAX") && self.has_relays => {
+            Observation::Mark { text } if text.starts_with("SYNTAX") && self.has_relays => {
                 self.broken(
                     1,
                     at,
@@ -532,7 +536,7 @@
         self.broken(1, at, what, Some(session), None);
     }
 
-    fn dial_came(&mut self, at: Instant, of: BoxNo, session: Tag, first: Instant) {
+    fn dial_came(&mut self, at: Instant, of: BackendNumber, session: Tag, first: Instant) {
         self.ruling.dials += 1;
         let Some(story) = self.sessions.get(&session) else {
             return;
@@ -575,7 +579,7 @@
         }
     }
 
-    fn dial_over(&mut self, at: Instant, of: BoxNo, session: Tag, reply: Option<Reply>) {
+    fn dial_over(&mut self, at: Instant, of: BackendNumber, session: Tag, reply: Option<Reply>) {
         let still = self.boxes.get(&of);
         let Some(story) = self.sessions.get_mut(&session) else {
             return;
@@ -631,7 +635,7 @@
     fn count_dials(&mut self, story: &SessionStory) {
         let all = &mut self.ruling.listeners;
         if all.len() <= story.listener {
-            all.resize(story.listener + 1, Dialled::default());
+            all.resize(story.listener + 1, AttemptTotals::default());
         }
         let count = &mut all[story.listener];
         count.sessions += 1;
@@ -731,7 +735,7 @@
         };
         let refused = matches!(story.answer, Some((_, Answer::Busy(_))));
         let further = story.dials.iter().filter(|dial| dial.came > first.came);
-        let place = |of: BoxNo| self.law.places.get(usize::from(of.0));
+        let place = |of: BackendNumber| self.law.places.get(usize::from(of.0));
         let found = match self.law.effects.get(story.listener) {
             Some(Idempotency::NonIdempotent) => {
                 let again = further
@@ -777,53 +781,53 @@
     }
 }
 
-fn session_of(seen: &Sighting) -> Option<Tag> {
+fn session_of(seen: &Observation) -> Option<Tag> {
     Some(match seen {
-        Sighting::Asked { session, .. }
-        | Sighting::Answered { session, .. }
-        | Sighting::SaidMore { session }
-        | Sighting::Unanswered { session }
-        | Sighting::Dropped { session }
-        | Sighting::LeftEarly { session }
-        | Sighting::Moved { session }
-        | Sighting::CutOff { session }
-        | Sighting::Ended { session }
-        | Sighting::LineLate { session, .. }
-        | Sighting::LineWrong { session }
-        | Sighting::DialCame { session, .. }
-        | Sighting::DialReplied { session, .. }
-        | Sighting::DialGone { session, .. }
-        | Sighting::BoxEnded { session, .. }
-        | Sighting::BoxHeld { session, .. } => *session,
+        Observation::Asked { session, .. }
+        | Observation::Answered { session, .. }
+        | Observation::SaidMore { session }
+        | Observation::Unanswered { session }
+        | Observation::Dropped { session }
+        | Observation::LeftEarly { session }
+        | Observation::Moved { session }
+        | Observation::CutOff { session }
+        | Observation::Ended { session }
+        | Observation::LineLate { session, .. }
+        | Observation::LineWrong { session }
+        | Observation::DialCame { session, .. }
+        | Observation::DialReplied { session, .. }
+        | Observation::DialGone { session, .. }
+        | Observation::BoxEnded { session, .. }
+        | Observation::BoxHeld { session, .. } => *session,
         _ => return None,
     })
 }
 
-fn is_dial(seen: &Sighting, of: BoxNo) -> bool {
-    matches!(seen, Sighting::DialCame { at, .. } if *at == of)
+fn is_dial(seen: &Observation, of: BackendNumber) -> bool {
+    matches!(seen, Observation::DialCame { at, .. } if *at == of)
 }
 
-fn is_news(seen: &Sighting, of: BoxNo) -> bool {
+fn is_news(seen: &Observation, of: BackendNumber) -> bool {
     match seen {
-        Sighting::BoxStarted { at, .. }
-        | Sighting::BoxDrains { at }
-        | Sighting::BoxStopped { at }
-        | Sighting::BoxFell { at }
-        | Sighting::Told { at, .. }
-        | Sighting::ByHand { at, .. }
-        | Sighting::Ailment { at, .. } => *at == of,
+        Observation::BoxStarted { at, .. }
+        | Observation::BoxDrains { at }
+        | Observation::BoxStopped { at }
+        | Observation::BoxFell { at }
+        | Observation::Told { at, .. }
+        | Observation::ByHand { at, .. }
+        | Observation::BackendFault { at, .. } => *at == of,
         _ => false,
     }
 }
 
 /// A sighting as a line of a story.
-pub fn tell(entry: &Entry) -> String {
+pub fn tell(entry: &RecordedEvent) -> String {
     let ms = |span: &Duration| span.as_millis();
-    let relay = |relay: &Option<RelayNo>| {
+    let relay = |relay: &Option<RelayNumber>| {
         relay.map_or("a box itself".into(), |relay| format!("relay {}", relay.0))
     };
     let text = match &entry.seen {
-        Sighting::Asked {
+        Observation::Asked {
             session,
             relay: of,
             wait,
@@ -836,24 +840,24 @@
                 ms(wait)
             )
         }
-        Sighting::Answered { answer, .. } => match answer {
+        Observation::Answered { answer, .. } => match answer {
             Answer::Up => "the client hears UP".into(),
             Answer::Busy(Some(wait)) => format!("the client hears BUSY {}", ms(wait)),
             Answer::Busy(None) => "the client hears BUSY".into(),
             Answer::Failed => "the client hears that it failed".into(),
         },
-        Sighting::SaidMore { .. } => "the client hears a further line".into(),
-        Sighting::Unanswered { .. } => "the client's wait is over, nothing has come".into(),
-        Sighting::Dropped { .. } => "the client's connection ends without an answer".into(),
-        Sighting::LeftEarly { .. } => "the client leaves".into(),
-        Sighting::NeverTaken { relay: of } => format!("{} takes no connection", relay(of)),
-        Sighting::Moved { .. } => "the client hears MOVE".into(),
-        Sighting::CutOff { .. } => "the client's connection is cut off".into(),
-        Sighting::Ended { .. } => "the client's connection ends well".into(),
-        Sighting::LineLate { waited, .. } => format!("a line is back after {} ms", ms(waited)),
-        Sighting::LineWrong { .. } => "the client hears a line that it did not send".into(),
-        Sighting::DialCame { at, .. } => format!("box {} has a dial of it", at.0),
-        Sighting::DialReplied { at, reply, .. } => format!(
+        Observation::SaidMore { .. } => "the client hears a further line".into(),
+        Observation::Unanswered { .. } => "the client's wait is over, nothing has come".into(),
+        Observation::Dropped { .. } => "the client's connection ends without an answer".into(),
+        Observation::LeftEarly { .. } => "the client leaves".into(),
+        Observation::NeverTaken { relay: of } => format!("{} takes no connection", relay(of)),
+        Observation::Moved { .. } => "the client hears MOVE".into(),
+        Observation::CutOff { .. } => "the client's connection is cut off".into(),
+        Observation::Ended { .. } => "the client's connection ends well".into(),
+        Observation::LineLate { waited, .. } => format!("a line is back after {} ms", ms(waited)),
+        Observation::LineWrong { .. } => "the client hears a line that it did not send".into(),
+        Observation::DialCame { at, .. } => format!("box {} has a dial of it", at.0),
+        Observation::DialReplied { at, reply, .. } => format!(
             "box {} replies {}",
             at.0,
             match reply {
@@ -862,35 +866,35 @@
                 Reply::Failed => "that it failed",
             }
         ),
-        Sighting::DialGone { at, .. } => format!("box {} sees the dial given up", at.0),
-        Sighting::BoxEnded { at, .. } => format!("box {} ends the connection", at.0),
-        Sighting::BoxHeld { at, waited, .. } => {
+        Observation::DialGone { at, .. } => format!("box {} sees the dial given up", at.0),
+        Observation::BoxEnded { at, .. } => format!("box {} ends the connection", at.0),
+        Observation::BoxHeld { at, waited, .. } => {
             format!("box {} keeps a line for {} ms", at.0, ms(waited))
         }
-        Sighting::BoxStarted { at, cold } => {
+        Observation::BoxStarted { at, cold } => {
             format!("box {} starts{}", at.0, if *cold { ", cold" } else { "" })
         }
-        Sighting::BoxDrains { at } => format!("box {} drains", at.0),
-        Sighting::BoxStopped { at } => format!("box {} stops", at.0),
-        Sighting::BoxFell { at } => format!("box {} falls over", at.0),
-        Sighting::Still { at, on } => {
+        Observation::BoxDrains { at } => format!("box {} drains", at.0),
+        Observation::BoxStopped { at } => format!("box {} stops", at.0),
+        Observation::BoxFell { at } => format!("box {} falls over", at.0),
+        Observation::Still { at, on } => {
             format!(
                 "box {} {}",
                 at.0,
                 if *on { "stands still" } else { "goes on" }
             )
         }
-        Sighting::Ailment { at, name, on } => {
+        Observation::BackendFault { at, name, on } => {
             format!("box {}: {name}{}", at.0, if *on { "" } else { " is over" })
         }
-        Sighting::Told {
+        Observation::Told {
             relay,
             at,
             lifecycle,
         } => {
             format!("relay {} is told: box {} {lifecycle:?}", relay.0, at.0)
         }
-        Sighting::ByHand { relay, at, out } => {
+        Observation::ByHand { relay, at, out } => {
             format!(
                 "relay {}: box {} is {} by hand",
                 relay.0,
@@ -898,30 +902,30 @@
                 if *out { "out" } else { "wanted back" }
             )
         }
-        Sighting::Agent { relay, fault, on } => {
+        Observation::Agent { relay, fault, on } => {
             format!(
                 "relay {}: {fault}{}",
                 relay.0,
                 if *on { "" } else { " is over" }
             )
         }
-        Sighting::RelayStarted { relay } => format!("relay {} starts", relay.0),
-        Sighting::RelayToldToStop { relay } => format!("relay {} is told to stop", relay.0),
-        Sighting::RelayKilled { relay } => format!("relay {} is killed", relay.0),
-        Sighting::RelayStopped { relay } => format!("relay {} has stopped", relay.0),
-        Sighting::ToolLate { by } => format!("the stand-ins are {} ms late", ms(by)),
-        Sighting::ToolExhausted => "the stand-ins are out of descriptors".into(),
-        Sighting::Mark { text } => text.clone(),
-        Sighting::BoxLoad { at, load, .. } => format!("box {} has a load of {load:.2}", at.0),
-        Sighting::RelayCost { relay, .. } => format!("relay {} is measured", relay.0),
-        Sighting::RelayStill { relay, on } => {
+        Observation::RelayStarted { relay } => format!("relay {} starts", relay.0),
+        Observation::RelayToldToStop { relay } => format!("relay {} is told to stop", relay.0),
+        Observation::RelayKilled { relay } => format!("relay {} is killed", relay.0),
+        Observation::RelayStopped { relay } => format!("relay {} has stopped", relay.0),
+        Observation::ToolLate { by } => format!("the stand-ins are {} ms late", ms(by)),
+        Observation::ToolExhausted => "the stand-ins are out of descriptors".into(),
+        Observation::Mark { text } => text.clone(),
+        Observation::BoxLoad { at, load, .. } => format!("box {} has a load of {load:.2}", at.0),
+        Observation::RelayCost { relay, .. } => format!("relay {} is measured", relay.0),
+        Observation::RelayStill { relay, on } => {
             format!(
                 "relay {} {}",
                 relay.0,
                 if *on { "stands still" } else { "goes on" }
             )
         }
-        Sighting::Link { from, to, name, on } => {
+        Observation::Link { from, to, name, on } => {
             format!(
                 "link {} to {}: {name}{}",
                 from.0,
@@ -929,7 +933,7 @@
                 if *on { "" } else { " is over" }
             )
         }
-        Sighting::LeaseSaid {
+        Observation::LeaseSaid {
             relay,
             subject,
             epoch,
@@ -940,7 +944,7 @@
                 relay.0
             )
         }
-        Sighting::Sees { relay, here } => format!("relay {} sees {} here", relay.0, here.len()),
+        Observation::Sees { relay, here } => format!("relay {} sees {} here", relay.0, here.len()),
     };
     format!("{:9.3} s  {text}", entry.at.as_micros() as f64 / 1e6)
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -5,21 +5,21 @@
 //! or whatever listens at an address.
 //!
 //! What the stand-ins work out (`model`, `traffic`, `listing`, `referee`) is free of I/O.
+pub mod backend_model;
 pub mod clock;
-pub mod crowd;
-pub mod link;
-pub mod listing;
-pub mod model;
-pub mod net;
-pub mod post;
-pub mod referee;
-pub mod rig;
+pub mod cluster_invariants;
+pub mod endpoint_list;
+pub mod event_loop;
+pub mod event_recorder;
+pub mod invariant_checker;
+mod line_socket;
+pub mod link_fault;
+pub mod load_generator;
+pub mod process_cluster;
+pub mod relay_network;
+pub mod relay_observer;
+pub mod relay_process;
+pub mod simulated_backends;
 pub mod simulated_network;
-pub mod stage;
-pub mod station;
-pub mod tape;
-pub mod together;
+pub mod socket_holder;
 pub mod traffic;
-mod wire;
-pub mod witness;
-pub mod yard;
--- a/testbed/src/wire.rs
+++ b/testbed/src/line_socket.rs
@@ -11,7 +11,7 @@
 /// What is not read by the one who asked for it; more than this and the wire counts as broken.
 const MOST_WAITING: usize = 64 << 20;
 
-pub struct Wire {
+pub struct LineSocket {
     stream: TcpStream,
     poller: Arc<Poller>,
     key: usize,
@@ -24,13 +24,13 @@
     frozen: bool,
 }
 
-impl Wire {
-    pub fn new(stream: TcpStream, poller: &Arc<Poller>, key: usize) -> io::Result<Wire> {
+impl LineSocket {
+    pub fn new(stream: TcpStream, poller: &Arc<Poller>, key: usize) -> io::Result<LineSocket> {
         stream.set_nonblocking(true)?;
         stream.set_nodelay(true)?;
         let poller = poller.clone();
         let (input, output) = (Vec::new(), Vec::new());
-        Ok(Wire {
+        Ok(LineSocket {
             stream,
             poller,
             key,
@@ -43,7 +43,7 @@
     }
 
     /// Begins a connection; it is up, or has failed, once it turns writable.
-    pub fn connect(to: SocketAddr, poller: &Arc<Poller>, key: usize) -> io::Result<Wire> {
+    pub fn connect(to: SocketAddr, poller: &Arc<Poller>, key: usize) -> io::Result<LineSocket> {
         let domain = socket2::Domain::for_address(to);
         let socket =
             socket2::Socket::new(domain, socket2::Type::STREAM, Some(socket2::Protocol::TCP))?;
@@ -54,7 +54,7 @@
             {
                 Err(fault)
             }
-            _ => Wire::new(socket.into(), poller, key),
+            _ => LineSocket::new(socket.into(), poller, key),
         }
     }
 
@@ -191,7 +191,7 @@
     }
 }
 
-impl Drop for Wire {
+impl Drop for LineSocket {
     fn drop(&mut self) {
         if self.wants.is_some() {
             // SAFETY: the stream is closed after this.
--- a/testbed/src/crowd.rs
+++ b/testbed/src/load_generator.rs
@@ -3,10 +3,10 @@
 //! order, and comes again when it is refused, moved or cut off. Times count from when a client was
 //! due, not from when this thread got round to it.
 use crate::clock::Stopwatch;
-use crate::stage::{Play, Stage, Works};
-use crate::tape::{Answer, RelayNo, Sighting, Tag, Tape};
+use crate::event_loop::{EventHandler, EventLoop, LoopContext};
+use crate::event_recorder::{Answer, EventRecorder, Observation, RelayNumber, Tag};
+use crate::line_socket::LineSocket;
 use crate::traffic::{Arrival, Traffic, scattered};
-use crate::wire::Wire;
 use hdrhistogram::Histogram;
 use slab::Slab;
 use std::collections::VecDeque;
@@ -31,9 +31,9 @@
 
 /// Where clients connect: a relay, or for a baseline a box itself.
 #[derive(Clone, Copy, Debug)]
-pub struct Doorway {
+pub struct RelayEndpoint {
     pub at: SocketAddr,
-    pub relay: Option<RelayNo>,
+    pub relay: Option<RelayNumber>,
     /// The front deals clients to it.
     pub open: bool,
 }
@@ -73,7 +73,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Cue {
+pub enum LoadCommand {
     /// The front takes in or leaves out a door.
     Door(usize, bool),
     /// So many standing clients break off and come again, spread over the time.
@@ -99,7 +99,7 @@
 struct Client {
     place: usize,
     stage: Part,
-    wire: Option<Wire>,
+    wire: Option<LineSocket>,
     /// An alarm of an earlier stage says nothing.
     serial: u64,
     tag: Tag,
@@ -161,7 +161,7 @@
 
 /// What clients of one listener met.
 #[derive(Clone, Debug)]
-pub struct KindSums {
+pub struct KindTotals {
     pub name: String,
     pub utility: f64,
     pub arrivals: u64,
@@ -184,8 +184,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct CrowdSums {
-    pub kinds: Vec<KindSums>,
+pub struct LoadTotals {
+    pub kinds: Vec<KindTotals>,
     /// Microseconds from when a client was due to when its connection began.
     pub late: Histogram<u32>,
     pub wrong_lines: u64,
@@ -200,9 +200,9 @@
     Histogram::new_with_bounds(1, LONGEST, 3).expect("bounds that the crate allows")
 }
 
-impl CrowdSums {
+impl LoadTotals {
     /// Sums of clients on another thread.
-    pub fn add(&mut self, other: &CrowdSums) {
+    pub fn add(&mut self, other: &LoadTotals) {
         for (one, two) in self.kinds.iter_mut().zip(&other.kinds) {
             one.arrivals += two.arrivals;
             one.asked_s += two.asked_s;
@@ -227,13 +227,13 @@
     }
 }
 
-pub struct Crowd {
+pub struct LoadGenerator {
     traffic: Traffic,
     /// With their numbers among all arrivals of the run.
     arrivals: Vec<(u64, Arrival)>,
     next: usize,
     until: Instant,
-    doors: Vec<Doorway>,
+    doors: Vec<RelayEndpoint>,
     own: Vec<usize>,
     dealing: Dealing,
     dealt: usize,
@@ -244,27 +244,31 @@
     idle_noted: bool,
     /// This side could not begin a connection once.
     exhausted: bool,
-    sums: CrowdSums,
+    sums: LoadTotals,
 }
 
 /// What a crowd is told at its opening.
 #[derive(Clone, Debug)]
-pub struct Bill {
+pub struct LoadPlan {
     pub traffic: Traffic,
     pub arrivals: Vec<(u64, Arrival)>,
     /// The run's end, for the seconds asked.
     pub until: Instant,
-    pub doors: Vec<Doorway>,
+    pub doors: Vec<RelayEndpoint>,
     pub dealing: Dealing,
     pub seed: u64,
 }
 
-impl Crowd {
+impl LoadGenerator {
     /// # Errors
     /// Where a poller or a thread is not to be had.
-    pub fn open(bill: Bill, clock: Stopwatch, tape: Tape) -> io::Result<Stage<Crowd>> {
-        Stage::open("crowd", clock, tape, move |works| {
-            let kinds = bill.traffic.kinds.iter().map(|kind| KindSums {
+    pub fn open(
+        bill: LoadPlan,
+        clock: Stopwatch,
+        tape: EventRecorder,
+    ) -> io::Result<EventLoop<LoadGenerator>> {
+        EventLoop::open("crowd", clock, tape, move |works| {
+            let kinds = bill.traffic.kinds.iter().map(|kind| KindTotals {
                 name: kind.name.clone(),
                 utility: kind.utility,
                 arrivals: 0,
@@ -280,7 +284,7 @@
                 set_up: histogram(),
                 lines: histogram(),
             });
-            let sums = CrowdSums {
+            let sums = LoadTotals {
                 kinds: kinds.collect(),
                 late: histogram(),
                 wrong_lines: 0,
@@ -292,7 +296,7 @@
             if let Some((_, first)) = bill.arrivals.first() {
                 works.set(first.due, Alarm::Arrive);
             }
-            Ok(Crowd {
+            Ok(LoadGenerator {
                 own: vec![0; bill.doors.len()],
                 traffic: bill.traffic,
                 arrivals: bill.arrivals,
@@ -313,7 +317,7 @@
     }
 
     /// All that are due by now.
-    fn arrive(&mut self, works: &mut Works<Alarm>) {
+    fn arrive(&mut self, works: &mut LoopContext<Alarm>) {
         while let Some((number, arrival)) = self.arrivals.get(self.next) {
             if self.finishing {
                 return;
@@ -339,7 +343,7 @@
         &self.arrivals[self.clients[id].place].1
     }
 
-    fn kind(&mut self, id: usize) -> &mut KindSums {
+    fn kind(&mut self, id: usize) -> &mut KindTotals {
         let kind = usize::from(self.arrivals[self.clients[id].place].1.kind);
         &mut self.sums.kinds[kind]
     }
@@ -352,16 +356,16 @@
         self.serial
     }
 
-    fn gone(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn gone(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         self.hang_up(id);
         self.clients.remove(id);
         self.note_idle(works);
     }
 
-    fn note_idle(&mut self, works: &mut Works<Alarm>) {
+    fn note_idle(&mut self, works: &mut LoopContext<Alarm>) {
         if self.finishing && self.clients.is_empty() && !self.idle_noted {
             self.idle_noted = true;
-            works.note(Sighting::Mark { text: IDLE.into() });
+            works.note(Observation::Mark { text: IDLE.into() });
         }
     }
 
@@ -372,7 +376,7 @@
         }
     }
 
-    fn away(&mut self, id: usize, span: Duration, works: &mut Works<Alarm>) {
+    fn away(&mut self, id: usize, span: Duration, works: &mut LoopContext<Alarm>) {
         self.hang_up(id);
         if self.finishing
             || self.clients[id]
@@ -406,7 +410,7 @@
         })
     }
 
-    fn connect(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn connect(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
         if client.rude.is_none() {
             // Rude ones come all at once, which is nobody's lateness.
@@ -425,7 +429,7 @@
             return self.never_taken(id, works);
         };
         self.clients[id].door = door;
-        match Wire::connect(self.doors[door].at, &works.poller, id) {
+        match LineSocket::connect(self.doors[door].at, &works.poller, id) {
             Ok(mut wire) => {
                 wire.settle(true);
                 self.own[door] += 1;
@@ -440,7 +444,7 @@
             Err(fault) => {
                 if !std::mem::replace(&mut self.exhausted, true) {
                     log::warn!("a client can't connect: {fault}");
-                    works.note(Sighting::ToolExhausted);
+                    works.note(Observation::ToolExhausted);
                 }
                 self.never_taken(id, works);
             }
@@ -448,12 +452,12 @@
     }
 
     /// The front finds out by itself in a while; the client tries the next door.
-    fn never_taken(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn never_taken(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let relay = self
             .doors
             .get(self.clients[id].door)
             .and_then(|door| door.relay);
-        works.note(Sighting::NeverTaken { relay });
+        works.note(Observation::NeverTaken { relay });
         let client = &mut self.clients[id];
         client.doors_tried += 1;
         if client.doors_tried > DOORS_TRIED || client.rude.is_some() {
@@ -465,7 +469,7 @@
         self.away(id, STROLL, works);
     }
 
-    fn say_first(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn say_first(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let arrival = self.arrival(id).clone();
         let kind = &self.traffic.kinds[usize::from(arrival.kind)];
         let client = &mut self.clients[id];
@@ -501,9 +505,11 @@
     }
 
     /// The wait counts from the last byte.
-    fn sent(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn sent(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
-        if client.stage != Part::Sending || !client.wire.as_ref().is_some_and(Wire::is_flushed) {
+        if client.stage != Part::Sending
+            || !client.wire.as_ref().is_some_and(LineSocket::is_flushed)
+        {
             return;
         }
         client.asked = works.now;
@@ -519,7 +525,7 @@
         let client = &self.clients[id];
         let (session, due, again) = (client.tag, client.due, client.again);
         let relay = self.doors[client.door].relay;
-        works.note(Sighting::Asked {
+        works.note(Observation::Asked {
             session,
             relay,
             listener,
@@ -533,7 +539,7 @@
         }
     }
 
-    fn lines(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn lines(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         while let Some(line) = self
             .clients
             .get_mut(id)
@@ -548,18 +554,18 @@
             match client.stage {
                 Part::Waiting => self.answered(id, &line, works),
                 Part::Standing | Part::Ending => self.line_back(id, &line, works),
-                Part::Told => works.note(Sighting::SaidMore { session }),
+                Part::Told => works.note(Observation::SaidMore { session }),
                 _ => {}
             }
         }
     }
 
-    fn answered(&mut self, id: usize, line: &str, works: &mut Works<Alarm>) {
+    fn answered(&mut self, id: usize, line: &str, works: &mut LoopContext<Alarm>) {
         let session = self.clients[id].tag;
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         match word {
             "UP" => {
-                works.note(Sighting::Answered {
+                works.note(Observation::Answered {
                     session,
                     answer: Answer::Up,
                 });
@@ -584,7 +590,7 @@
             }
             "BUSY" => {
                 let told = rest.trim().parse().ok().map(Duration::from_millis);
-                works.note(Sighting::Answered {
+                works.note(Observation::Answered {
                     session,
                     answer: Answer::Busy(told),
                 });
@@ -592,7 +598,7 @@
                 self.turned_down(id, told, works);
             }
             _ => {
-                works.note(Sighting::Answered {
+                works.note(Observation::Answered {
                     session,
                     answer: Answer::Failed,
                 });
@@ -603,7 +609,7 @@
     }
 
     /// Waits for the end of the connection, then comes again if it does at all.
-    fn turned_down(&mut self, id: usize, told: Option<Duration>, works: &mut Works<Alarm>) {
+    fn turned_down(&mut self, id: usize, told: Option<Duration>, works: &mut LoopContext<Alarm>) {
         let serial = self.turn(id, Part::Told);
         let back_off = self.traffic.back_off;
         let heeds = self.arrival(id).heeds;
@@ -619,7 +625,7 @@
         );
     }
 
-    fn come_again(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn come_again(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
         client.tries += 1;
         if client.tries > self.traffic.retries || self.finishing {
@@ -630,7 +636,7 @@
         self.away(id, left, works);
     }
 
-    fn rejoin(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn rejoin(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let (least, most) = self.traffic.rejoin;
         let client = &mut self.clients[id];
         (client.again, client.retries) = (true, false);
@@ -638,18 +644,18 @@
         self.away(id, span, works);
     }
 
-    fn line_back(&mut self, id: usize, line: &str, works: &mut Works<Alarm>) {
+    fn line_back(&mut self, id: usize, line: &str, works: &mut LoopContext<Alarm>) {
         let session = self.clients[id].tag;
         let word = line.split(' ').next().unwrap_or_default();
         match word {
             "LOAD" => {}
             "MOVE" => {
-                works.note(Sighting::Moved { session });
+                works.note(Observation::Moved { session });
                 self.kind(id).moved += 1;
                 self.rejoin(id, works);
             }
             "BYE" => {
-                works.note(Sighting::Ended { session });
+                works.note(Observation::Ended { session });
                 self.gone(id, works);
             }
             _ => {
@@ -659,7 +665,7 @@
                 {
                     Some((_, at)) => self.line_right(id, at, works),
                     None => {
-                        works.note(Sighting::LineWrong { session });
+                        works.note(Observation::LineWrong { session });
                         self.sums.wrong_lines += 1;
                     }
                 }
@@ -667,7 +673,7 @@
         }
     }
 
-    fn line_right(&mut self, id: usize, at: Instant, works: &mut Works<Alarm>) {
+    fn line_right(&mut self, id: usize, at: Instant, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
         client.out.pop_front();
         let (session, waited) = (client.tag, works.now.duration_since(at));
@@ -684,11 +690,11 @@
             sums.served_s += spoken_for;
         }
         if waited > Duration::from_millis(1_000) {
-            works.note(Sighting::LineLate { session, waited });
+            works.note(Observation::LineLate { session, waited });
         }
     }
 
-    fn beat(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn beat(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let beat = self.traffic.beat;
         let client = &mut self.clients[id];
         let Some(wire) = &mut client.wire else { return };
@@ -708,7 +714,7 @@
     }
 
     /// The other side has ended the connection, or broken it.
-    fn ended(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn ended(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &self.clients[id];
         let (session, stage) = (client.tag, client.stage);
         if client.rude.is_some() {
@@ -718,18 +724,18 @@
         match stage {
             Part::Connecting | Part::Sending => self.never_taken(id, works),
             Part::Waiting => {
-                works.note(Sighting::Dropped { session });
+                works.note(Observation::Dropped { session });
                 self.kind(id).failed += 1;
                 self.turned_down(id, None, works);
                 self.come_again(id, works);
             }
             Part::Standing => {
-                works.note(Sighting::CutOff { session });
+                works.note(Observation::CutOff { session });
                 self.kind(id).cut_off += 1;
                 self.rejoin(id, works);
             }
             Part::Ending => {
-                works.note(Sighting::Ended { session });
+                works.note(Observation::Ended { session });
                 self.gone(id, works);
             }
             Part::Told => self.come_again(id, works),
@@ -739,7 +745,7 @@
 
     // ---- what the one who directs wants ----
 
-    fn drop_some(&mut self, count: usize, over: Duration, works: &mut Works<Alarm>) {
+    fn drop_some(&mut self, count: usize, over: Duration, works: &mut LoopContext<Alarm>) {
         let standing: Vec<usize> = self
             .clients
             .iter()
@@ -750,7 +756,7 @@
         for number in 0..count {
             let id = standing[number * standing.len() / count];
             let client = &mut self.clients[id];
-            works.note(Sighting::Ended {
+            works.note(Observation::Ended {
                 session: client.tag,
             });
             if let Some(wire) = &client.wire {
@@ -762,7 +768,7 @@
         }
     }
 
-    fn come_rudely(&mut self, rude: Rude, count: usize, works: &mut Works<Alarm>) {
+    fn come_rudely(&mut self, rude: Rude, count: usize, works: &mut LoopContext<Alarm>) {
         if self.arrivals.is_empty() {
             return;
         }
@@ -778,7 +784,7 @@
         }
     }
 
-    fn rude_heard(&mut self, id: usize, rude: Rude, line: &str, works: &mut Works<Alarm>) {
+    fn rude_heard(&mut self, id: usize, rude: Rude, line: &str, works: &mut LoopContext<Alarm>) {
         if rude == Rude::Unreading && line.starts_with("UP") {
             let serial = self.turn(id, Part::Standing);
             works.set(works.now, Alarm::Beat(id, serial));
@@ -789,7 +795,7 @@
     }
 
     /// More than all buffers on the way hold; what comes back is left unread.
-    fn flood(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn flood(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
         let Some(wire) = &mut client.wire else { return };
         wire.freeze(false);
@@ -812,7 +818,7 @@
         }
     }
 
-    fn finish(&mut self, works: &mut Works<Alarm>) {
+    fn finish(&mut self, works: &mut LoopContext<Alarm>) {
         self.finishing = true;
         let all: Vec<usize> = self.clients.iter().map(|(id, _)| id).collect();
         for id in all {
@@ -834,15 +840,15 @@
     }
 }
 
-/// Noted once after `Cue::Finish`, when the last client has gone.
+/// Noted once after `LoadCommand::Finish`, when the last client has gone.
 pub const IDLE: &str = "all clients have gone";
 
-impl Play for Crowd {
+impl EventHandler for LoadGenerator {
     type Alarm = Alarm;
-    type Cue = Cue;
-    type Sums = CrowdSums;
+    type Command = LoadCommand;
+    type Sums = LoadTotals;
 
-    fn event(&mut self, id: usize, writable: bool, works: &mut Works<Alarm>) {
+    fn event(&mut self, id: usize, writable: bool, works: &mut LoopContext<Alarm>) {
         let Some(client) = self.clients.get_mut(id) else {
             return;
         };
@@ -868,7 +874,7 @@
         }
     }
 
-    fn alarm(&mut self, alarm: Alarm, works: &mut Works<Alarm>) {
+    fn alarm(&mut self, alarm: Alarm, works: &mut LoopContext<Alarm>) {
         match alarm {
             Alarm::Arrive => self.arrive(works),
             Alarm::Come(id, serial) if self.current(id, serial) => self.connect(id, works),
@@ -876,7 +882,7 @@
                 if self.clients[id].stage == Part::Connecting {
                     return self.never_taken(id, works);
                 }
-                works.note(Sighting::Unanswered {
+                works.note(Observation::Unanswered {
                     session: self.clients[id].tag,
                 });
                 self.kind(id).unanswered += 1;
@@ -884,7 +890,7 @@
                 self.come_again(id, works);
             }
             Alarm::Leave(id, serial) if self.current(id, serial) => {
-                works.note(Sighting::LeftEarly {
+                works.note(Observation::LeftEarly {
                     session: self.clients[id].tag,
                 });
                 if let Some(wire) = &self.clients[id].wire {
@@ -902,7 +908,7 @@
             Alarm::Closed(id, serial) if self.current(id, serial) => match self.clients[id].stage {
                 Part::Told => self.come_again(id, works),
                 _ => {
-                    works.note(Sighting::Ended {
+                    works.note(Observation::Ended {
                         session: self.clients[id].tag,
                     });
                     self.gone(id, works);
@@ -912,18 +918,18 @@
         }
     }
 
-    fn cue(&mut self, cue: Cue, works: &mut Works<Alarm>) -> bool {
+    fn cue(&mut self, cue: LoadCommand, works: &mut LoopContext<Alarm>) -> bool {
         works.now = works.clock.now();
         match cue {
-            Cue::Door(door, open) => self.doors[door].open = open,
-            Cue::Drop(count, over) => self.drop_some(count, over, works),
-            Cue::Rude(rude, count) => self.come_rudely(rude, count, works),
-            Cue::Finish => self.finish(works),
+            LoadCommand::Door(door, open) => self.doors[door].open = open,
+            LoadCommand::Drop(count, over) => self.drop_some(count, over, works),
+            LoadCommand::Rude(rude, count) => self.come_rudely(rude, count, works),
+            LoadCommand::Finish => self.finish(works),
         }
         true
     }
 
-    fn sums(mut self, works: &Works<Alarm>) -> CrowdSums {
+    fn sums(mut self, works: &LoopContext<Alarm>) -> LoadTotals {
         (self.sums.worst_turn, self.sums.worked) = (works.worst_turn, works.worked);
         self.sums
     }
--- a/testbed/src/rig.rs
+++ b/testbed/src/process_cluster.rs
@@ -1,15 +1,17 @@
 //! Relays as processes that know of one another, for tests: started, cut off, healed, paused,
 //! killed and started again, and waited for until a stated condition holds, within a bound.
+use crate::backend_model::{BackendCapacity, WarmUp};
 use crate::clock::{Stopwatch, duration};
-use crate::link::LinkFault;
-use crate::model::{Cold, Make};
-use crate::net::{Cue, Net, Opened as OpenedNet};
-use crate::post::{ListenerTerms, Orders, PeersTerms, Post, Terms, free_address};
-use crate::station::call;
-use crate::tape::{Reel, RelayNo, Sighting, Tape, tape};
+use crate::event_recorder::{EventLog, EventRecorder, Observation, RelayNumber, event_recorder};
+use crate::link_fault::LinkFault;
+use crate::relay_network::{NetworkCommand, OpenedNetwork, RelayNetwork};
+use crate::relay_observer::{RelayObserver, seen_here};
+use crate::relay_process::{
+    FleetConfig, ListenerConfig, PeersConfig, RelayOptions, RelayProcess, free_address,
+};
+use crate::simulated_backends::{BackendPlan, BackendSpec, OpenedBackends, SimulatedBackends};
+use crate::socket_holder::call;
 use crate::traffic::scattered;
-use crate::witness::{Witness, seen_here};
-use crate::yard::{BoxPlan, Ground, Opened as OpenedYard, Yard};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -21,11 +23,11 @@
 const LOOK: std::time::Duration = std::time::Duration::from_millis(20);
 const CALL: Duration = Duration::from_millis(1_000);
 
-pub struct Plan {
+pub struct ClusterPlan {
     /// The program and its arguments.
     pub program: Vec<String>,
-    pub terms: Terms,
-    pub ground: Ground,
+    pub terms: FleetConfig,
+    pub ground: BackendPlan,
     pub period: Duration,
     pub lease: Duration,
     pub voters: usize,
@@ -34,7 +36,7 @@
     pub folder: PathBuf,
 }
 
-impl Plan {
+impl ClusterPlan {
     /// One box and so many small relays of that program that may talk, of which the first so many
     /// vote.
     pub fn small(
@@ -43,24 +45,24 @@
         voters: usize,
         (period, lease): (Duration, Duration),
         folder: PathBuf,
-    ) -> Plan {
+    ) -> ClusterPlan {
         let ms = Duration::from_millis;
-        let cold = Cold {
+        let cold = WarmUp {
             start_share: 0.3,
             warm_up: ms(9_000),
             factor: 3.0,
             window: ms(3_000),
             turnover: ms(10_000),
         };
-        let make = Make {
+        let make = BackendCapacity {
             capacity: 100.0,
             most: 100,
             setup: ms(2),
             group_fee: 0.0,
             cold,
         };
-        let ground = Ground {
-            boxes: vec![BoxPlan {
+        let ground = BackendPlan {
+            boxes: vec![BackendSpec {
                 make,
                 zone: "a".into(),
                 cell: 0,
@@ -73,7 +75,7 @@
             tells_load: false,
             seed: 1,
         };
-        let listener = ListenerTerms {
+        let listener = ListenerConfig {
             name: "view".into(),
             wait: ms(2_000),
             handshake_target: ms(500),
@@ -81,7 +83,7 @@
             effect: Idempotency::Idempotent,
             utility: 1.0,
         };
-        let terms = Terms {
+        let terms = FleetConfig {
             zones: vec!["a".into()],
             listeners: vec![listener],
             connect_time: ms(250),
@@ -99,7 +101,7 @@
             two_dials: false,
             peers: true,
         };
-        Plan {
+        ClusterPlan {
             program,
             terms,
             ground,
@@ -113,36 +115,37 @@
 }
 
 /// Dropped, all its relays are killed.
-pub struct Rig {
+pub struct ProcessCluster {
     pub clock: Stopwatch,
-    pub tape: Tape,
-    pub reel: Reel,
-    pub yard: OpenedYard,
-    pub net: OpenedNet,
-    plan: Plan,
-    peers: PeersTerms,
-    posts: Vec<Option<Post>>,
+    pub tape: EventRecorder,
+    pub reel: EventLog,
+    pub yard: OpenedBackends,
+    pub net: OpenedNetwork,
+    plan: ClusterPlan,
+    peers: PeersConfig,
+    posts: Vec<Option<RelayProcess>>,
     doors: Vec<SocketAddr>,
     listens: Vec<SocketAddr>,
     starts: u64,
 }
 
-impl Rig {
+impl ProcessCluster {
     /// Everything but the relays.
     ///
     /// # Errors
     /// One line: what could not be set up.
-    pub fn open(plan: Plan) -> Result<Rig, String> {
+    pub fn open(plan: ClusterPlan) -> Result<ProcessCluster, String> {
         let said = |fault: std::io::Error| fault.to_string();
-        let (tape, reel) = tape();
+        let (tape, reel) = event_recorder();
         let clock = Stopwatch::start();
         let count = plan.ground.relays;
-        let yard = Yard::open(plan.ground.clone(), clock, tape.clone()).map_err(said)?;
-        let net = Net::open(count, plan.seed, clock, tape.clone()).map_err(said)?;
+        let yard =
+            SimulatedBackends::open(plan.ground.clone(), clock, tape.clone()).map_err(said)?;
+        let net = RelayNetwork::open(count, plan.seed, clock, tape.clone()).map_err(said)?;
         std::fs::create_dir_all(&plan.folder).map_err(said)?;
         let key_file = plan.folder.join("peers.key");
         std::fs::write(&key_file, "a key for the rig alone\n").map_err(said)?;
-        let peers = PeersTerms {
+        let peers = PeersConfig {
             period: plan.period,
             lease: plan.lease,
             voters: plan.voters,
@@ -155,7 +158,7 @@
         };
         let (listens, doors) = (addresses(0).map_err(said)?, addresses(count).map_err(said)?);
         let posts = (0..count).map(|_| None).collect();
-        Ok(Rig {
+        Ok(ProcessCluster {
             clock,
             tape,
             reel,
@@ -170,7 +173,7 @@
         })
     }
 
-    fn note(&self, seen: Sighting) {
+    fn note(&self, seen: Observation) {
         self.tape.note(self.clock.now(), seen);
     }
 
@@ -186,9 +189,9 @@
         for &number in numbers {
             self.posts[number]
                 .as_mut()
-                .map_or(Ok(()), Post::wait_ready)?;
-            self.note(Sighting::RelayStarted {
-                relay: RelayNo(number as u16),
+                .map_or(Ok(()), RelayProcess::wait_ready)?;
+            self.note(Observation::RelayStarted {
+                relay: RelayNumber(number as u16),
             });
         }
         Ok(())
@@ -207,20 +210,22 @@
     /// As `start`.
     pub fn start_with(&mut self, number: usize, charter: String) -> Result<(), String> {
         self.spawn(number, charter)?;
-        let ready = self.posts[number].as_mut().map_or(Ok(()), Post::wait_ready);
+        let ready = self.posts[number]
+            .as_mut()
+            .map_or(Ok(()), RelayProcess::wait_ready);
         if ready.is_err() {
             self.posts[number] = None;
         }
         ready?;
-        self.note(Sighting::RelayStarted {
-            relay: RelayNo(number as u16),
+        self.note(Observation::RelayStarted {
+            relay: RelayNumber(number as u16),
         });
         Ok(())
     }
 
     fn spawn(&mut self, number: usize, charter: String) -> Result<(), String> {
         self.starts += 1;
-        let orders = Orders {
+        let orders = RelayOptions {
             name: format!("relay-{number}"),
             number,
             relays: self.posts.len(),
@@ -237,7 +242,7 @@
             admin: Some(self.doors[number]),
             station: None,
         };
-        let post = Post::spawn(
+        let post = RelayProcess::spawn(
             &self.plan.program,
             &self.plan.terms,
             &orders,
@@ -262,8 +267,8 @@
 
     pub fn kill(&mut self, number: usize) {
         if let Some(mut post) = self.posts[number].take() {
-            self.note(Sighting::RelayKilled {
-                relay: RelayNo(number as u16),
+            self.note(Observation::RelayKilled {
+                relay: RelayNumber(number as u16),
             });
             post.kill();
         }
@@ -273,8 +278,8 @@
         let Some(post) = &self.posts[number] else {
             return;
         };
-        self.note(Sighting::RelayStill {
-            relay: RelayNo(number as u16),
+        self.note(Observation::RelayStill {
+            relay: RelayNumber(number as u16),
             on,
         });
         post.still(on);
@@ -285,25 +290,27 @@
         let Some(mut post) = self.posts[number].take() else {
             return false;
         };
-        self.note(Sighting::RelayToldToStop {
-            relay: RelayNo(number as u16),
+        self.note(Observation::RelayToldToStop {
+            relay: RelayNumber(number as u16),
         });
         post.tell_to_stop();
         let ended = post.wait(within).is_some_and(|status| status.success());
-        self.note(Sighting::RelayStopped {
-            relay: RelayNo(number as u16),
+        self.note(Observation::RelayStopped {
+            relay: RelayNumber(number as u16),
         });
         ended
     }
 
     /// Each directed pair between these and those, one direction only.
     pub fn fault_links(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
-        let no = |number: usize| RelayNo(number as u16);
+        let no = |number: usize| RelayNumber(number as u16);
         let pairs = from
             .iter()
             .flat_map(|one| to.iter().map(move |other| (no(*one), no(*other))));
         let links = pairs.filter(|(one, other)| one != other).collect();
-        self.net.stage.cue(Cue::LinkFault(links, fault, "bent"));
+        self.net
+            .stage
+            .command(NetworkCommand::LinkFault(links, fault, "bent"));
     }
 
     /// Both directions.
@@ -321,9 +328,9 @@
         self.doors[number]
     }
 
-    pub fn witness(&self, number: usize, lease: Option<&'static str>) -> Witness {
-        Witness::open(
-            RelayNo(number as u16),
+    pub fn witness(&self, number: usize, lease: Option<&'static str>) -> RelayObserver {
+        RelayObserver::open(
+            RelayNumber(number as u16),
             self.doors[number],
             lease,
             self.clock,
@@ -354,7 +361,7 @@
     }
 
     /// Until that is so; how long it took, or none within the bound.
-    pub fn wait(&self, within: Duration, so: impl Fn(&Rig) -> bool) -> Option<Duration> {
+    pub fn wait(&self, within: Duration, so: impl Fn(&ProcessCluster) -> bool) -> Option<Duration> {
         let began = Instant::now();
         loop {
             if so(self) {
@@ -371,7 +378,7 @@
     pub fn cpu(&self, number: usize) -> Option<Duration> {
         self.posts[number]
             .as_ref()
-            .and_then(Post::cost)
+            .and_then(RelayProcess::cost)
             .map(|(cpu, _)| cpu)
     }
 
@@ -379,7 +386,7 @@
     pub fn memory(&self, number: usize) -> Option<u64> {
         self.posts[number]
             .as_ref()
-            .and_then(Post::cost)
+            .and_then(RelayProcess::cost)
             .map(|(_, memory)| memory)
     }
 
--- a/testbed/src/net.rs
+++ b/testbed/src/relay_network.rs
@@ -2,9 +2,9 @@
 //! it, and a fault for each directed pair. A relay's datagrams come from its own socket, so that
 //! who speaks to whom is seen here.
 use crate::clock::Stopwatch;
-use crate::link::LinkFault;
-use crate::stage::{Play, Stage, Works};
-use crate::tape::{RelayNo, Sighting, Tape};
+use crate::event_loop::{EventHandler, EventLoop, LoopContext};
+use crate::event_recorder::{EventRecorder, Observation, RelayNumber};
+use crate::link_fault::LinkFault;
 use polling::{Event, PollMode};
 use std::collections::BTreeMap;
 use std::io;
@@ -18,21 +18,25 @@
 
 /// Both ends of a relay's way to the others.
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct PeerAddress {
     /// Where the others reach it: a socket of this network.
     pub public: SocketAddr,
     /// Where it listens itself.
     pub own: SocketAddr,
 }
 
-pub enum Cue {
+pub enum NetworkCommand {
     /// From whom to whom, and how; none is as at first.
-    LinkFault(Vec<(RelayNo, RelayNo)>, Option<LinkFault>, &'static str),
+    LinkFault(
+        Vec<(RelayNumber, RelayNumber)>,
+        Option<LinkFault>,
+        &'static str,
+    ),
 }
 
 /// What passed and what did not, over all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct NetSums {
+pub struct NetworkTotals {
     pub passed: u64,
     pub bytes: u64,
     pub lost: u64,
@@ -40,15 +44,15 @@
     pub strange: u64,
 }
 
-pub struct Net {
+pub struct RelayNetwork {
     sockets: Vec<UdpSocket>,
-    ways: Vec<Way>,
+    ways: Vec<PeerAddress>,
     by_source: BTreeMap<SocketAddr, usize>,
     link_faults: BTreeMap<(usize, usize), LinkFault>,
     /// What a link's rate still allows, and as of when.
     allowed: BTreeMap<(usize, usize), (f64, Instant)>,
     chance: Rng,
-    sums: NetSums,
+    sums: NetworkTotals,
 }
 
 pub struct Delivery {
@@ -57,17 +61,22 @@
     bytes: Vec<u8>,
 }
 
-pub struct Opened {
-    pub stage: Stage<Net>,
-    pub ways: Vec<Way>,
+pub struct OpenedNetwork {
+    pub stage: EventLoop<RelayNetwork>,
+    pub ways: Vec<PeerAddress>,
 }
 
-impl Net {
+impl RelayNetwork {
     /// For so many relays.
     ///
     /// # Errors
     /// Where the system gives no socket or thread.
-    pub fn open(relays: usize, seed: u64, clock: Stopwatch, tape: Tape) -> io::Result<Opened> {
+    pub fn open(
+        relays: usize,
+        seed: u64,
+        clock: Stopwatch,
+        tape: EventRecorder,
+    ) -> io::Result<OpenedNetwork> {
         let mut sockets = Vec::new();
         let mut ways = Vec::new();
         // Held until all are found, so that no two are the same.
@@ -77,7 +86,7 @@
             let ip = Ipv4Addr::new(127, 70 + (std::process::id() % 50) as u8, high, low);
             let (public, own) = (UdpSocket::bind((ip, 0))?, UdpSocket::bind((ip, 0))?);
             public.set_nonblocking(true)?;
-            ways.push(Way {
+            ways.push(PeerAddress {
                 public: public.local_addr()?,
                 own: own.local_addr()?,
             });
@@ -91,7 +100,7 @@
             .map(|(number, way)| (way.own, number))
             .collect();
         let of = ways.clone();
-        let stage = Stage::open("net", clock, tape, move |works| {
+        let stage = EventLoop::open("net", clock, tape, move |works| {
             for (number, socket) in sockets.iter().enumerate() {
                 // SAFETY: the sockets live as long as the play, and the poller is dropped with it.
                 unsafe {
@@ -100,17 +109,17 @@
                         .add_with_mode(socket, Event::readable(number), PollMode::Level)?
                 };
             }
-            Ok(Net {
+            Ok(RelayNetwork {
                 sockets,
                 ways: of,
                 by_source,
                 link_faults: BTreeMap::new(),
                 allowed: BTreeMap::new(),
                 chance: Rng::from_seed(seed),
-                sums: NetSums::default(),
+                sums: NetworkTotals::default(),
             })
         })?;
-        Ok(Opened { stage, ways })
+        Ok(OpenedNetwork { stage, ways })
     }
 
     fn allows(&mut self, link: (usize, usize), rate: u64, bytes: usize, now: Instant) -> bool {
@@ -134,12 +143,12 @@
     }
 }
 
-impl Play for Net {
+impl EventHandler for RelayNetwork {
     type Alarm = Delivery;
-    type Cue = Cue;
-    type Sums = NetSums;
+    type Command = NetworkCommand;
+    type Sums = NetworkTotals;
 
-    fn event(&mut self, to: usize, _writable: bool, works: &mut Works<Delivery>) {
+    fn event(&mut self, to: usize, _writable: bool, works: &mut LoopContext<Delivery>) {
         let mut bytes = [0; 2_048];
         for _ in 0..DATAGRAMS {
             let Some((length, source)) = self
@@ -182,20 +191,20 @@
         }
     }
 
-    fn alarm(&mut self, one: Delivery, _works: &mut Works<Delivery>) {
+    fn alarm(&mut self, one: Delivery, _works: &mut LoopContext<Delivery>) {
         self.deliver(&one);
     }
 
-    fn cue(&mut self, cue: Cue, works: &mut Works<Delivery>) -> bool {
+    fn cue(&mut self, cue: NetworkCommand, works: &mut LoopContext<Delivery>) -> bool {
         works.now = works.clock.now();
-        let Cue::LinkFault(links, fault, name) = cue;
+        let NetworkCommand::LinkFault(links, fault, name) = cue;
         for (from, to) in links {
             let link = (usize::from(from.0), usize::from(to.0));
             match fault {
                 Some(fault) => drop(self.link_faults.insert(link, fault)),
                 None => drop(self.link_faults.remove(&link)),
             }
-            works.note(Sighting::Link {
+            works.note(Observation::Link {
                 from,
                 to,
                 name,
@@ -205,7 +214,7 @@
         true
     }
 
-    fn sums(self, works: &Works<Delivery>) -> NetSums {
+    fn sums(self, works: &LoopContext<Delivery>) -> NetworkTotals {
         for socket in &self.sockets {
             let _ = works.poller.delete(socket.as_fd());
         }
--- a/testbed/src/witness.rs
+++ b/testbed/src/relay_observer.rs
@@ -1,8 +1,8 @@
 //! One who asks a relay again and again what it thinks of the others and whether it holds a lease,
 //! from a thread of its own: a relay that stands still keeps only its own witness waiting.
 use crate::clock::Stopwatch;
-use crate::station::call;
-use crate::tape::{RelayNo, Sighting, Tape};
+use crate::event_recorder::{EventRecorder, Observation, RelayNumber};
+use crate::socket_holder::call;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,20 +15,20 @@
 const WAIT: Duration = Duration::from_millis(1_000);
 
 /// Dropped, it asks no more.
-pub struct Witness {
+pub struct RelayObserver {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Witness {
+impl RelayObserver {
     /// `lease`: the subject that it asks for, if any.
     pub fn open(
-        relay: RelayNo,
+        relay: RelayNumber,
         door: SocketAddr,
         lease: Option<&'static str>,
         clock: Stopwatch,
-        tape: Tape,
-    ) -> Witness {
+        tape: EventRecorder,
+    ) -> RelayObserver {
         let over = Arc::new(AtomicBool::new(false));
         let until = over.clone();
         let thread = std::thread::spawn(move || {
@@ -42,7 +42,7 @@
                     if let Some((epoch, left)) = held {
                         tape.note(
                             clock.now(),
-                            Sighting::LeaseSaid {
+                            Observation::LeaseSaid {
                                 relay,
                                 subject,
                                 epoch,
@@ -56,19 +56,19 @@
                     && let Ok(said) = call(door, "PEERS", WAIT)
                     && let Some(here) = seen_here(&said)
                 {
-                    tape.note(clock.now(), Sighting::Sees { relay, here });
+                    tape.note(clock.now(), Observation::Sees { relay, here });
                 }
                 std::thread::park_timeout(EVERY);
             }
         });
-        Witness {
+        RelayObserver {
             over,
             thread: Some(thread),
         }
     }
 }
 
-impl Drop for Witness {
+impl Drop for RelayObserver {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
--- a/testbed/src/post.rs
+++ b/testbed/src/relay_process.rs
@@ -1,8 +1,8 @@
 //! Relays as processes: their configuration, their start, their signals, what they cost, and their
 //! end.
 use crate::clock::duration;
-use crate::net::Way;
-use crate::station::{Station, call};
+use crate::relay_network::PeerAddress;
+use crate::socket_holder::{SocketHolder, call};
 use rustix::process::{Pid, Resource, Signal, getrlimit, kill_process, setrlimit};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
@@ -22,7 +22,7 @@
 
 /// A row of the settings' listeners.
 #[derive(Clone, Debug)]
-pub struct ListenerTerms {
+pub struct ListenerConfig {
     pub name: String,
     pub wait: Duration,
     pub handshake_target: Duration,
@@ -33,9 +33,9 @@
 
 /// The settings that all relays of a run are given; keys are the platform's.
 #[derive(Clone, Debug)]
-pub struct Terms {
+pub struct FleetConfig {
     pub zones: Vec<String>,
-    pub listeners: Vec<ListenerTerms>,
+    pub listeners: Vec<ListenerConfig>,
     pub connect_time: Duration,
     pub most_dials: u32,
     pub longest_retry_after: Option<Duration>,
@@ -56,7 +56,7 @@
 
 /// What a charter says of peers, but for each relay's own addresses.
 #[derive(Clone, Debug)]
-pub struct PeersTerms {
+pub struct PeersConfig {
     pub period: Duration,
     pub lease: Duration,
     /// The first so many relays grant leases and are the seeds.
@@ -64,9 +64,9 @@
     pub key_file: PathBuf,
 }
 
-impl PeersTerms {
+impl PeersConfig {
     /// The charter's table for the relay of that way, in a fleet of these.
-    pub fn table(&self, own: &Way, fleet: &[Way]) -> String {
+    pub fn table(&self, own: &PeerAddress, fleet: &[PeerAddress]) -> String {
         let quoted = |all: Vec<String>| {
             all.iter()
                 .map(|one| format!("\"{one}\""))
@@ -98,7 +98,7 @@
 
 /// What one relay is told beside the terms.
 #[derive(Clone, Debug)]
-pub struct Orders {
+pub struct RelayOptions {
     pub name: String,
     pub number: usize,
     pub relays: usize,
@@ -113,11 +113,11 @@
     /// Where its operators call, if they do.
     pub admin: Option<SocketAddr>,
     /// What the platform holds for it, if more than one process of it may run at a time.
-    pub station: Option<Arc<Station>>,
+    pub station: Option<Arc<SocketHolder>>,
 }
 
 /// The text that `ROUTER_CONFIG` names.
-pub fn configuration(terms: &Terms, orders: &Orders) -> String {
+pub fn configuration(terms: &FleetConfig, orders: &RelayOptions) -> String {
     let listeners: Vec<_> = terms
         .listeners
         .iter()
@@ -168,7 +168,7 @@
 }
 
 /// A relay's process. Dropped, it is killed.
-pub struct Post {
+pub struct RelayProcess {
     child: Child,
     name: String,
     pub at: SocketAddr,
@@ -178,7 +178,7 @@
     log: PathBuf,
 }
 
-impl Post {
+impl RelayProcess {
     /// Starts a program as a relay and waits until it is ready. `program` is the command and its
     /// arguments; configuration and log are written into `folder`.
     ///
@@ -187,11 +187,11 @@
     /// of its log.
     pub fn start(
         program: &[String],
-        terms: &Terms,
-        orders: &Orders,
+        terms: &FleetConfig,
+        orders: &RelayOptions,
         folder: &Path,
-    ) -> Result<Post, String> {
-        let mut post = Post::spawn(program, terms, orders, folder)?;
+    ) -> Result<RelayProcess, String> {
+        let mut post = RelayProcess::spawn(program, terms, orders, folder)?;
         post.wait_ready()?;
         Ok(post)
     }
@@ -202,10 +202,10 @@
     /// One line: the program is not to be started.
     pub fn spawn(
         program: &[String],
-        terms: &Terms,
-        orders: &Orders,
+        terms: &FleetConfig,
+        orders: &RelayOptions,
         folder: &Path,
-    ) -> Result<Post, String> {
+    ) -> Result<RelayProcess, String> {
         let config = folder.join(format!("{}.json", orders.name));
         let log = folder.join(format!("{}.log", orders.name));
         let charter = folder.join(format!("{}.charter.toml", orders.name));
@@ -240,7 +240,7 @@
             .spawn()
             .map_err(|fault| format!("{name} can't be started: {fault}"))?;
         let name = orders.name.clone();
-        Ok(Post {
+        Ok(RelayProcess {
             child,
             name,
             at: orders.listen,
@@ -372,7 +372,7 @@
     })
 }
 
-impl Drop for Post {
+impl Drop for RelayProcess {
     fn drop(&mut self) {
         self.kill();
     }
