--- a/testbed/src/yard.rs
+++ b/testbed/src/simulated_backends.rs
@@ -1,11 +1,13 @@
 //! Boxes, their set-up store and discovery's agents, on one thread. Boxes speak the platform's
-//! protocol whole; what they are made to suffer is an `Ailment`, with a name that scenarios use.
+//! protocol whole; what they are made to suffer is an `BackendFault`, with a name that scenarios use.
+use crate::backend_model::{BackendCapacity, BackendModel, SetupStore};
 use crate::clock::Stopwatch;
-use crate::listing::{Listing, Row};
-use crate::model::{Make, Store, Workload};
-use crate::stage::{Play, Stage, Works};
-use crate::tape::{BoxNo, Lifecycle, RelayNo, Reply, Sighting, Tag, Tape};
-use crate::wire::Wire;
+use crate::endpoint_list::{EndpointList, Row};
+use crate::event_loop::{EventHandler, EventLoop, LoopContext};
+use crate::event_recorder::{
+    BackendNumber, EventRecorder, Lifecycle, Observation, RelayNumber, Reply, Tag,
+};
+use crate::line_socket::LineSocket;
 use polling::{Event, PollMode};
 use slab::Slab;
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
@@ -29,7 +31,7 @@
 
 /// What may be wrong with a box.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Ailment {
+pub enum BackendFault {
     /// The machine is gone from the network: nothing comes up, what is open is silent. It comes
     /// back cold.
     Vanished,
@@ -55,20 +57,20 @@
     DropsYoung,
 }
 
-impl Ailment {
+impl BackendFault {
     pub fn name(self) -> &'static str {
         match self {
-            Ailment::Vanished => "silent",
-            Ailment::Frozen => "freeze",
-            Ailment::Mute => "mute",
-            Ailment::Slow(_) => "slow",
-            Ailment::Pausing(..) => "pauses",
-            Ailment::Failing(_) => "errors",
-            Ailment::ResetsBefore => "reset-before",
-            Ailment::ResetsAfter => "reset-after",
-            Ailment::HalfAnswer => "half-answer",
-            Ailment::NeverCloses => "never-closes",
-            Ailment::DropsYoung => "drops-young",
+            BackendFault::Vanished => "silent",
+            BackendFault::Frozen => "freeze",
+            BackendFault::Mute => "mute",
+            BackendFault::Slow(_) => "slow",
+            BackendFault::Pausing(..) => "pauses",
+            BackendFault::Failing(_) => "errors",
+            BackendFault::ResetsBefore => "reset-before",
+            BackendFault::ResetsAfter => "reset-after",
+            BackendFault::HalfAnswer => "half-answer",
+            BackendFault::NeverCloses => "never-closes",
+            BackendFault::DropsYoung => "drops-young",
         }
     }
 }
@@ -101,8 +103,8 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct BoxPlan {
-    pub make: Make,
+pub struct BackendSpec {
+    pub make: BackendCapacity,
     pub zone: String,
     pub cell: u16,
     /// Runs and is listed from the beginning; else it joins, cold, when it is cued.
@@ -111,8 +113,8 @@
 
 /// All that stands in the yard at its opening.
 #[derive(Clone, Debug)]
-pub struct Ground {
-    pub boxes: Vec<BoxPlan>,
+pub struct BackendPlan {
+    pub boxes: Vec<BackendSpec>,
     pub relays: usize,
     /// A change is told so late, drawn for each relay and change.
     pub notice: (Duration, Duration),
@@ -128,31 +130,31 @@
 }
 
 #[derive(Clone, Debug)]
-pub enum Cue {
-    Ail(BoxNo, Ailment),
+pub enum BackendCommand {
+    Ail(BackendNumber, BackendFault),
     /// Ends whatever is wrong with it.
-    Heal(BoxNo),
+    Heal(BackendNumber),
     /// The process dies, and comes back cold after so long.
-    Crash(BoxNo, Option<Duration>),
+    Crash(BackendNumber, Option<Duration>),
     /// Wants nothing new from now on, sends its clients away evenly over the time and then stops.
-    Drain(BoxNo, Duration),
+    Drain(BackendNumber, Duration),
     /// One that was not present, or has stopped, starts cold.
-    Join(BoxNo),
-    Agent(RelayNo, AgentFault, bool),
+    Join(BackendNumber),
+    Agent(RelayNumber, AgentFault, bool),
 }
 
 #[derive(Debug, PartialEq)]
 enum Heard {
     Nothing,
     /// Its `UP` is being worked on, or never comes.
-    Dialled,
+    AttemptTotals,
     Standing,
     /// Said `BYE` or the like; waits for the other side's end.
     Over,
 }
 
 struct Speech {
-    at: BoxNo,
+    at: BackendNumber,
     heard: Heard,
     session: Tag,
     load: f64,
@@ -163,7 +165,7 @@
 }
 
 struct Watching {
-    relay: RelayNo,
+    relay: RelayNumber,
     follows: bool,
     /// The version it has been told.
     held: Option<u64>,
@@ -174,11 +176,11 @@
     Box(Speech),
     Agent(Watching),
     /// Fills the backlog of a box that has vanished.
-    Plug(BoxNo),
+    Plug(BackendNumber),
 }
 
 struct Conn {
-    wire: Wire,
+    wire: LineSocket,
     role: Role,
     serial: u64,
 }
@@ -189,10 +191,10 @@
 }
 
 struct StandIn {
-    plan: BoxPlan,
+    plan: BackendSpec,
     door: Door,
-    work: Workload,
-    ailment: Option<Ailment>,
+    work: BackendModel,
+    ailment: Option<BackendFault>,
     still: bool,
     draining: bool,
     running: bool,
@@ -206,32 +208,32 @@
 
 struct Agent {
     door: Door,
-    list: Listing,
+    list: EndpointList,
     fault: Option<AgentFault>,
     /// What it has been told itself while it could not take it.
-    missed: Vec<(BoxNo, Row)>,
+    missed: Vec<(BackendNumber, Row)>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Alarm {
     Up(usize, u64),
     Echo(usize, u64),
-    Still(BoxNo, u32, bool),
-    Back(BoxNo, u32),
-    SendAway(BoxNo, u32, Duration),
-    Stop(BoxNo, u32),
-    Notice(RelayNo, BoxNo, Row),
+    Still(BackendNumber, u32, bool),
+    Back(BackendNumber, u32),
+    SendAway(BackendNumber, u32, Duration),
+    Stop(BackendNumber, u32),
+    Notice(RelayNumber, BackendNumber, Row),
     Beat,
     Report,
     Accept(usize),
 }
 
-pub struct Yard {
+pub struct SimulatedBackends {
     boxes: Vec<StandIn>,
     agents: Vec<Agent>,
     conns: Slab<Conn>,
     serial: u64,
-    store: Option<Store>,
+    store: Option<SetupStore>,
     chance: Rng,
     notice: (Duration, Duration),
     report_every: Duration,
@@ -242,14 +244,14 @@
 
 /// What a yard says at its end.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct YardSums {
+pub struct BackendTotals {
     pub worst_turn: Duration,
     pub worked: Duration,
 }
 
 /// The yard on its thread, and where its people listen.
-pub struct Opened {
-    pub stage: Stage<Yard>,
+pub struct OpenedBackends {
+    pub stage: EventLoop<SimulatedBackends>,
     pub boxes: Vec<SocketAddr>,
     /// One for each relay.
     pub agents: Vec<SocketAddr>,
@@ -277,10 +279,14 @@
     Ok(socket.into())
 }
 
-impl Yard {
+impl SimulatedBackends {
     /// # Errors
     /// Where addresses, descriptors or a thread are not to be had.
-    pub fn open(ground: Ground, clock: Stopwatch, tape: Tape) -> io::Result<Opened> {
+    pub fn open(
+        ground: BackendPlan,
+        clock: Stopwatch,
+        tape: EventRecorder,
+    ) -> io::Result<OpenedBackends> {
         let door = |kind, number| -> io::Result<Door> {
             let listener = listen((loopback(kind, number), 0).into())?;
             Ok(Door {
@@ -296,10 +302,10 @@
             .collect::<io::Result<_>>()?;
         let boxes = doors.iter().map(|door| door.at).collect();
         let agents = agent_doors.iter().map(|door| door.at).collect();
-        let stage = Stage::open("yard", clock, tape, move |works| {
-            Yard::set_up(ground, doors, agent_doors, works)
+        let stage = EventLoop::open("yard", clock, tape, move |works| {
+            SimulatedBackends::set_up(ground, doors, agent_doors, works)
         })?;
-        Ok(Opened {
+        Ok(OpenedBackends {
             stage,
             boxes,
             agents,
@@ -307,26 +313,29 @@
     }
 
     fn set_up(
-        ground: Ground,
+        ground: BackendPlan,
         doors: Vec<Door>,
         agent_doors: Vec<Door>,
-        works: &mut Works<Alarm>,
-    ) -> io::Result<Yard> {
-        let mut list = Listing::default();
+        works: &mut LoopContext<Alarm>,
+    ) -> io::Result<SimulatedBackends> {
+        let mut list = EndpointList::default();
         let mut boxes = Vec::new();
         for (number, (plan, mut door)) in (0..).zip(ground.boxes.into_iter().zip(doors)) {
             if plan.present {
                 watch_door(door.listener.as_ref(), BOX_DOOR | number as usize, works)?;
-                list.put(BoxNo(number), row(&plan, door.at, Lifecycle::Ready, 0));
-                works.note(Sighting::BoxStarted {
-                    at: BoxNo(number),
+                list.put(
+                    BackendNumber(number),
+                    row(&plan, door.at, Lifecycle::Ready, 0),
+                );
+                works.note(Observation::BoxStarted {
+                    at: BackendNumber(number),
                     cold: false,
                 });
             } else {
                 door.listener = None;
             }
             boxes.push(StandIn {
-                work: Workload::start(plan.make, works.now, false),
+                work: BackendModel::start(plan.make, works.now, false),
                 running: plan.present,
                 plan,
                 door,
@@ -351,12 +360,14 @@
         }
         works.set(works.now + AGENT_BEAT, Alarm::Beat);
         works.set(works.now + ground.report_every, Alarm::Report);
-        Ok(Yard {
+        Ok(SimulatedBackends {
             boxes,
             agents,
             conns: Slab::new(),
             serial: 0,
-            store: ground.store.map(|(lanes, each)| Store::new(lanes, each)),
+            store: ground
+                .store
+                .map(|(lanes, each)| SetupStore::new(lanes, each)),
             chance: Rng::from_seed(ground.seed),
             notice: ground.notice,
             report_every: ground.report_every,
@@ -365,16 +376,16 @@
         })
     }
 
-    fn this(&mut self, at: BoxNo) -> &mut StandIn {
+    fn this(&mut self, at: BackendNumber) -> &mut StandIn {
         &mut self.boxes[usize::from(at.0)]
     }
 
     // ---- connections ----
 
-    fn add(&mut self, stream: TcpStream, role: Role, works: &mut Works<Alarm>) {
+    fn add(&mut self, stream: TcpStream, role: Role, works: &mut LoopContext<Alarm>) {
         self.serial += 1;
         let entry = self.conns.vacant_entry();
-        match Wire::new(stream, &works.poller, entry.key()) {
+        match LineSocket::new(stream, &works.poller, entry.key()) {
             Ok(mut wire) => {
                 wire.settle(false);
                 entry.insert(Conn {
@@ -387,7 +398,7 @@
         }
     }
 
-    fn listen_again(&mut self, key: usize, on: bool, works: &mut Works<Alarm>) {
+    fn listen_again(&mut self, key: usize, on: bool, works: &mut LoopContext<Alarm>) {
         let number = key & 0xffff;
         let (door, still) = match key & BOX_DOOR != 0 {
             true => (&self.boxes[number].door, self.boxes[number].still),
@@ -405,7 +416,7 @@
         );
     }
 
-    fn accept(&mut self, key: usize, works: &mut Works<Alarm>) {
+    fn accept(&mut self, key: usize, works: &mut LoopContext<Alarm>) {
         for _ in 0..ACCEPTS {
             let number = key & 0xffff;
             let to_box = key & BOX_DOOR != 0;
@@ -425,14 +436,14 @@
                     // Out of descriptors: the run says so once, and nothing spins on the backlog.
                     if !std::mem::replace(&mut self.exhausted, true) {
                         log::warn!("the stand-ins can't accept: {fault}");
-                        works.note(Sighting::ToolExhausted);
+                        works.note(Observation::ToolExhausted);
                     }
                     self.listen_again(key, false, works);
                     return works.set(works.now + ACCEPT_PAUSE, Alarm::Accept(key));
                 }
             };
             if !to_box {
-                let relay = RelayNo(number as u16);
+                let relay = RelayNumber(number as u16);
                 let watching = Watching {
                     relay,
                     follows: false,
@@ -442,12 +453,12 @@
                 self.add(stream, Role::Agent(watching), works);
                 continue;
             }
-            if self.boxes[number].ailment == Some(Ailment::ResetsBefore) {
+            if self.boxes[number].ailment == Some(BackendFault::ResetsBefore) {
                 let _ = SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
                 continue;
             }
             let speech = Speech {
-                at: BoxNo(number as u16),
+                at: BackendNumber(number as u16),
                 heard: Heard::Nothing,
                 session: Tag(0),
                 load: 0.0,
@@ -461,7 +472,7 @@
     }
 
     /// The connection is over; what it held at its box is given back.
-    fn remove(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn remove(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let conn = self.conns.remove(id);
         if let Role::Box(speech) = &conn.role
             && speech.heard == Heard::Standing
@@ -471,14 +482,14 @@
         }
     }
 
-    fn break_off(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn break_off(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         if let Some(conn) = self.conns.get(id) {
             conn.wire.break_off();
             self.remove(id, works);
         }
     }
 
-    fn box_event(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn box_event(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let Some(conn) = self.conns.get_mut(id) else {
             return;
         };
@@ -504,14 +515,14 @@
             let (at, session) = (speech.at, speech.session);
             match speech.heard {
                 Heard::Nothing => return self.remove(id, works),
-                Heard::Dialled => {
-                    works.note(Sighting::DialGone { at, session });
+                Heard::AttemptTotals => {
+                    works.note(Observation::DialGone { at, session });
                     return self.remove(id, works);
                 }
                 Heard::Over => return self.remove(id, works),
                 Heard::Standing if broke => return self.remove(id, works),
                 Heard::Standing => {
-                    if self.this(at).ailment == Some(Ailment::NeverCloses) {
+                    if self.this(at).ailment == Some(BackendFault::NeverCloses) {
                         self.conns[id].wire.settle(false);
                         return;
                     }
@@ -526,7 +537,7 @@
     }
 
     /// Says this, ends the sending, and waits for the other side's end where it has not come.
-    fn last_word(&mut self, id: usize, text: &str, works: &mut Works<Alarm>) {
+    fn last_word(&mut self, id: usize, text: &str, works: &mut LoopContext<Alarm>) {
         let Some(conn) = self.conns.get_mut(id) else {
             return;
         };
@@ -547,14 +558,14 @@
         }
     }
 
-    fn box_line(&mut self, id: usize, line: String, works: &mut Works<Alarm>) {
+    fn box_line(&mut self, id: usize, line: String, works: &mut LoopContext<Alarm>) {
         let conn = &mut self.conns[id];
         let Role::Box(speech) = &mut conn.role else {
             return;
         };
         match speech.heard {
             Heard::Over => {}
-            Heard::Dialled => self.last_word(id, "ERR\r\n", works),
+            Heard::AttemptTotals => self.last_word(id, "ERR\r\n", works),
             Heard::Standing => self.echo(id, line, works),
             Heard::Nothing => {
                 let at = speech.at;
@@ -563,8 +574,8 @@
                     speech.first = None;
                     let this = &self.boxes[usize::from(at.0)];
                     let answer = match (this.ailment, line.as_str()) {
-                        (Some(Ailment::Mute), _) => return,
-                        (Some(Ailment::Failing(part)), _) if self.chance.unit_f64() < part => {
+                        (Some(BackendFault::Mute), _) => return,
+                        (Some(BackendFault::Failing(part)), _) if self.chance.unit_f64() < part => {
                             "ERR\r\n".into()
                         }
                         (_, "PING") => "PONG\r\n".into(),
@@ -575,12 +586,12 @@
                 }
                 match dialled(&line) {
                     Some((session, load, group)) => {
-                        speech.heard = Heard::Dialled;
+                        speech.heard = Heard::AttemptTotals;
                         (speech.session, speech.load, speech.group) = (session, load, group);
                         self.dial_came(id, at, works);
                     }
                     None => {
-                        works.note(Sighting::Mark {
+                        works.note(Observation::Mark {
                             text: format!("SYNTAX box {} met {line:?}", at.0),
                         });
                         self.last_word(id, "SYNTAX\r\n", works);
@@ -590,38 +601,38 @@
         }
     }
 
-    fn dial_came(&mut self, id: usize, at: BoxNo, works: &mut Works<Alarm>) {
+    fn dial_came(&mut self, id: usize, at: BackendNumber, works: &mut LoopContext<Alarm>) {
         let conn = &self.conns[id];
         let (key, serial) = (id, conn.serial);
         let Role::Box(speech) = &conn.role else {
             return;
         };
         let (session, load) = (speech.session, speech.load);
-        works.note(Sighting::DialCame {
+        works.note(Observation::DialCame {
             at,
             session,
             first: speech.first.unwrap_or(works.now),
         });
         if self.this(at).work.sent(works.now, load) {
-            works.note(Sighting::BoxFell { at });
+            works.note(Observation::BoxFell { at });
             return self.stop(at, None, works);
         }
         let part = self.chance.unit_f64();
         let this = self.this(at);
         let refuses = this.draining || this.work.is_full();
         let (ailment, report) = (this.ailment, this.report.clone());
-        let reply = |reply| Sighting::DialReplied { at, session, reply };
+        let reply = |reply| Observation::DialReplied { at, session, reply };
         match ailment {
-            Some(Ailment::Mute) => return,
-            Some(Ailment::ResetsAfter) => {
+            Some(BackendFault::Mute) => return,
+            Some(BackendFault::ResetsAfter) => {
                 works.note(reply(Reply::Failed));
                 return self.break_off(id, works);
             }
-            Some(Ailment::HalfAnswer) => {
+            Some(BackendFault::HalfAnswer) => {
                 let _ = self.conns[id].wire.say(b"UP rec");
                 return;
             }
-            Some(Ailment::Failing(share)) if part < share => {
+            Some(BackendFault::Failing(share)) if part < share => {
                 works.note(reply(Reply::Failed));
                 return self.last_word(id, &format!("ERR {report}\r\n"), works);
             }
@@ -637,17 +648,17 @@
         works.set(called + own.max(QUICK), Alarm::Up(key, serial));
     }
 
-    fn up(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn up(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let conn = &mut self.conns[id];
         let Role::Box(speech) = &mut conn.role else {
             return;
         };
-        if speech.heard != Heard::Dialled {
+        if speech.heard != Heard::AttemptTotals {
             return;
         }
         speech.heard = Heard::Standing;
         let (at, session, load, group) = (speech.at, speech.session, speech.load, speech.group);
-        works.note(Sighting::DialReplied {
+        works.note(Observation::DialReplied {
             at,
             session,
             reply: Reply::Up,
@@ -663,16 +674,16 @@
             .is_err();
         conn.wire.settle(false);
         self.this(at).work.take(works.now, load, group);
-        let drops = self.this(at).ailment == Some(Ailment::DropsYoung);
+        let drops = self.this(at).ailment == Some(BackendFault::DropsYoung);
         if broke {
             self.remove(id, works);
         } else if drops {
-            works.note(Sighting::BoxEnded { at, session });
+            works.note(Observation::BoxEnded { at, session });
             self.break_off(id, works);
         }
     }
 
-    fn echo(&mut self, id: usize, line: String, works: &mut Works<Alarm>) {
+    fn echo(&mut self, id: usize, line: String, works: &mut LoopContext<Alarm>) {
         let conn = &mut self.conns[id];
         let Role::Box(speech) = &mut conn.role else {
             return;
@@ -683,7 +694,7 @@
         speech.free_at = due;
         if due > works.now + HELD {
             let waited = due.duration_since(works.now);
-            works.note(Sighting::BoxHeld {
+            works.note(Observation::BoxHeld {
                 at: speech.at,
                 session: speech.session,
                 waited,
@@ -697,7 +708,7 @@
         }
     }
 
-    fn echo_due(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn echo_due(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let conn = &mut self.conns[id];
         let Role::Box(speech) = &mut conn.role else {
             return;
@@ -716,7 +727,7 @@
 
     // ---- what happens to boxes ----
 
-    fn of(&self, at: BoxNo) -> Vec<usize> {
+    fn of(&self, at: BackendNumber) -> Vec<usize> {
         let ours = |conn: &Conn| match &conn.role {
             Role::Box(speech) => speech.at == at,
             Role::Plug(plugged) => *plugged == at,
@@ -730,12 +741,12 @@
     }
 
     /// Stands still, or goes on: then all that it would have done in the meantime is done.
-    fn set_still(&mut self, at: BoxNo, still: bool, works: &mut Works<Alarm>) {
+    fn set_still(&mut self, at: BackendNumber, still: bool, works: &mut LoopContext<Alarm>) {
         if self.this(at).still == still || !self.this(at).running {
             return;
         }
         self.this(at).still = still;
-        works.note(Sighting::Still { at, on: still });
+        works.note(Observation::Still { at, on: still });
         let this = &self.boxes[usize::from(at.0)];
         if let Some(listener) = &this.door.listener {
             // SAFETY: the listener lives; it is deleted from the poller before it is closed.
@@ -755,18 +766,18 @@
     }
 
     /// The process ends: what is open breaks, nothing comes up any more.
-    fn stop(&mut self, at: BoxNo, back: Option<Duration>, works: &mut Works<Alarm>) {
+    fn stop(&mut self, at: BackendNumber, back: Option<Duration>, works: &mut LoopContext<Alarm>) {
         if !self.this(at).running {
             return;
         }
         for id in self.of(at) {
             if let Role::Box(speech) = &self.conns[id].role {
                 match speech.heard {
-                    Heard::Standing => works.note(Sighting::BoxEnded {
+                    Heard::Standing => works.note(Observation::BoxEnded {
                         at,
                         session: speech.session,
                     }),
-                    Heard::Dialled => works.note(Sighting::DialReplied {
+                    Heard::AttemptTotals => works.note(Observation::DialReplied {
                         at,
                         session: speech.session,
                         reply: Reply::Failed,
@@ -777,7 +788,7 @@
             self.break_off(id, works);
         }
         if self.this(at).still {
-            works.note(Sighting::Still { at, on: false });
+            works.note(Observation::Still { at, on: false });
         }
         let this = self.this(at);
         (this.running, this.still, this.draining, this.ailment) = (false, false, false, None);
@@ -790,14 +801,14 @@
                 .poller
                 .delete(unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) });
         }
-        works.note(Sighting::BoxStopped { at });
+        works.note(Observation::BoxStopped { at });
         self.list(at, Lifecycle::Gone, works);
         if let Some(back) = back {
             works.set(works.now + back, Alarm::Back(at, life));
         }
     }
 
-    fn begin(&mut self, at: BoxNo, works: &mut Works<Alarm>) {
+    fn begin(&mut self, at: BackendNumber, works: &mut LoopContext<Alarm>) {
         if self.this(at).running {
             return;
         }
@@ -811,11 +822,11 @@
                 }
                 let this = self.this(at);
                 this.door.listener = Some(listener);
-                this.work = Workload::start(this.plan.make, now, true);
+                this.work = BackendModel::start(this.plan.make, now, true);
                 this.running = true;
                 this.listed_since_ms = unix;
                 this.report = "inflight=0,x0=0".into();
-                works.note(Sighting::BoxStarted { at, cold: true });
+                works.note(Observation::BoxStarted { at, cold: true });
                 self.list(at, Lifecycle::Ready, works);
             }
             Err(fault) => {
@@ -828,7 +839,7 @@
     }
 
     /// No new connection comes up any more: the backlog is one, and filled.
-    fn plug(&mut self, at: BoxNo, works: &mut Works<Alarm>) {
+    fn plug(&mut self, at: BackendNumber, works: &mut LoopContext<Alarm>) {
         let this = &self.boxes[usize::from(at.0)];
         let to = this.door.at;
         if let Some(listener) = &this.door.listener {
@@ -837,7 +848,7 @@
         for _ in 0..4 {
             self.serial += 1;
             let entry = self.conns.vacant_entry();
-            if let Ok(wire) = Wire::connect(to, &works.poller, entry.key()) {
+            if let Ok(wire) = LineSocket::connect(to, &works.poller, entry.key()) {
                 entry.insert(Conn {
                     wire,
                     role: Role::Plug(at),
@@ -847,12 +858,12 @@
         }
     }
 
-    fn ail(&mut self, at: BoxNo, ailment: Ailment, works: &mut Works<Alarm>) {
+    fn ail(&mut self, at: BackendNumber, ailment: BackendFault, works: &mut LoopContext<Alarm>) {
         if !self.this(at).running {
             return;
         }
         self.heal(at, works);
-        works.note(Sighting::Ailment {
+        works.note(Observation::BackendFault {
             at,
             name: ailment.name(),
             on: true,
@@ -862,41 +873,41 @@
         this.life += 1;
         let life = this.life;
         match ailment {
-            Ailment::Vanished => {
+            BackendFault::Vanished => {
                 self.plug(at, works);
                 self.set_still(at, true, works);
             }
-            Ailment::Frozen => self.set_still(at, true, works),
-            Ailment::Slow(times) => {
+            BackendFault::Frozen => self.set_still(at, true, works),
+            BackendFault::Slow(times) => {
                 let now = works.now;
                 let this = self.this(at);
                 this.work.delay(now);
                 this.work.slowness = times.max(1.0);
             }
-            Ailment::Pausing(..) => works.set(works.now, Alarm::Still(at, life, true)),
+            BackendFault::Pausing(..) => works.set(works.now, Alarm::Still(at, life, true)),
             _ => {}
         }
     }
 
-    fn heal(&mut self, at: BoxNo, works: &mut Works<Alarm>) {
+    fn heal(&mut self, at: BackendNumber, works: &mut LoopContext<Alarm>) {
         let this = self.this(at);
         let Some(ailment) = this.ailment.take() else {
             return;
         };
         this.life += 1;
-        works.note(Sighting::Ailment {
+        works.note(Observation::BackendFault {
             at,
             name: ailment.name(),
             on: false,
         });
         match ailment {
             // The machine was away, and comes back without what it held.
-            Ailment::Vanished => {
+            BackendFault::Vanished => {
                 self.stop(at, None, works);
                 self.begin(at, works);
             }
-            Ailment::Frozen | Ailment::Pausing(..) => self.set_still(at, false, works),
-            Ailment::Slow(_) => {
+            BackendFault::Frozen | BackendFault::Pausing(..) => self.set_still(at, false, works),
+            BackendFault::Slow(_) => {
                 let now = works.now;
                 let this = self.this(at);
                 this.work.delay(now);
@@ -906,14 +917,14 @@
         }
     }
 
-    fn drain(&mut self, at: BoxNo, over: Duration, works: &mut Works<Alarm>) {
+    fn drain(&mut self, at: BackendNumber, over: Duration, works: &mut LoopContext<Alarm>) {
         let this = self.this(at);
         if !this.running || this.draining {
             return;
         }
         this.draining = true;
         let life = this.life;
-        works.note(Sighting::BoxDrains { at });
+        works.note(Observation::BoxDrains { at });
         self.list(at, Lifecycle::Draining, works);
         works.set(
             works.now + over * 0.5,
@@ -923,14 +934,20 @@
     }
 
     /// One is sent away; the next so long after that all have gone by the end.
-    fn send_away(&mut self, at: BoxNo, life: u32, left: Duration, works: &mut Works<Alarm>) {
+    fn send_away(
+        &mut self,
+        at: BackendNumber,
+        life: u32,
+        left: Duration,
+        works: &mut LoopContext<Alarm>,
+    ) {
         let ours = self.of(at);
         let standing = |id: &usize| matches!(&self.conns[*id].role, Role::Box(speech) if speech.heard == Heard::Standing);
         let mut standing = ours.into_iter().filter(standing);
         let Some(id) = standing.next() else { return };
         let others = standing.count();
         if let Role::Box(speech) = &self.conns[id].role {
-            works.note(Sighting::BoxEnded {
+            works.note(Observation::BoxEnded {
                 at,
                 session: speech.session,
             });
@@ -942,7 +959,7 @@
 
     // ---- discovery ----
 
-    fn list(&mut self, at: BoxNo, lifecycle: Lifecycle, works: &mut Works<Alarm>) {
+    fn list(&mut self, at: BackendNumber, lifecycle: Lifecycle, works: &mut LoopContext<Alarm>) {
         let this = &self.boxes[usize::from(at.0)];
         let row = row(&this.plan, this.door.at, lifecycle, this.listed_since_ms);
         let (least, most) = self.notice;
@@ -950,12 +967,18 @@
             let after = least + (most - least) * self.chance.unit_f64();
             works.set(
                 works.now + after,
-                Alarm::Notice(RelayNo(relay as u16), at, row.clone()),
+                Alarm::Notice(RelayNumber(relay as u16), at, row.clone()),
             );
         }
     }
 
-    fn noticed(&mut self, relay: RelayNo, at: BoxNo, row: Row, works: &mut Works<Alarm>) {
+    fn noticed(
+        &mut self,
+        relay: RelayNumber,
+        at: BackendNumber,
+        row: Row,
+        works: &mut LoopContext<Alarm>,
+    ) {
         let agent = &mut self.agents[usize::from(relay.0)];
         if agent.fault.is_some() {
             agent.missed.push((at, row));
@@ -966,7 +989,7 @@
     }
 
     /// Each watch of the relay hears what it has not heard yet.
-    fn tell(&mut self, relay: RelayNo, works: &mut Works<Alarm>) {
+    fn tell(&mut self, relay: RelayNumber, works: &mut LoopContext<Alarm>) {
         let list = &self.agents[usize::from(relay.0)].list;
         for (_, conn) in &mut self.conns {
             let Role::Agent(watching) = &mut conn.role else {
@@ -982,7 +1005,7 @@
             watching.held = Some(list.generation());
             if conn.wire.say(chunk(&text).as_bytes()).is_ok() && conn.wire.is_flushed() {
                 for (at, lifecycle) in told {
-                    works.note(Sighting::Told {
+                    works.note(Observation::Told {
                         relay,
                         at,
                         lifecycle,
@@ -993,7 +1016,7 @@
         }
     }
 
-    fn agent_event(&mut self, id: usize, works: &mut Works<Alarm>) {
+    fn agent_event(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let conn = &mut self.conns[id];
         let Role::Agent(watching) = &mut conn.role else {
             return;
@@ -1040,7 +1063,7 @@
                     .say(format!("{head}{}\r\n\r\n{text}", text.len()).as_bytes());
                 conn.wire.settle(false);
                 told.into_iter().for_each(|(at, lifecycle)| {
-                    works.note(Sighting::Told {
+                    works.note(Observation::Told {
                         relay,
                         at,
                         lifecycle,
@@ -1052,12 +1075,12 @@
 
     fn agent_fault(
         &mut self,
-        relay: RelayNo,
+        relay: RelayNumber,
         fault: AgentFault,
         on: bool,
-        works: &mut Works<Alarm>,
+        works: &mut LoopContext<Alarm>,
     ) {
-        works.note(Sighting::Agent {
+        works.note(Observation::Agent {
             relay,
             fault: fault.name(),
             on,
@@ -1102,7 +1125,7 @@
         }
     }
 
-    fn beat(&mut self, works: &mut Works<Alarm>) {
+    fn beat(&mut self, works: &mut LoopContext<Alarm>) {
         for (_, conn) in &mut self.conns {
             let Role::Agent(watching) = &conn.role else {
                 continue;
@@ -1119,7 +1142,7 @@
         works.set(works.now + AGENT_BEAT, Alarm::Beat);
     }
 
-    fn report(&mut self, works: &mut Works<Alarm>) {
+    fn report(&mut self, works: &mut LoopContext<Alarm>) {
         for (number, this) in (0..).zip(&mut self.boxes) {
             if !this.running || this.still {
                 continue;
@@ -1127,8 +1150,8 @@
             let (load, held) = (this.work.load(works.now), this.work.held());
             this.report = format!("inflight={held},x0={load:.3}");
             let (share, pushed) = (this.work.share(works.now), this.work.worst_push);
-            works.note(Sighting::BoxLoad {
-                at: BoxNo(number),
+            works.note(Observation::BoxLoad {
+                at: BackendNumber(number),
                 load,
                 held,
                 share,
@@ -1143,7 +1166,7 @@
 
     /// The load of one standing connection of each box changes, which the box tells among its
     /// lines.
-    fn change_loads(&mut self, works: &mut Works<Alarm>) {
+    fn change_loads(&mut self, works: &mut LoopContext<Alarm>) {
         let mut last = vec![None; self.boxes.len()];
         let mut seen = vec![0_u64; self.boxes.len()];
         for (id, conn) in &self.conns {
@@ -1177,7 +1200,7 @@
     }
 
     /// The box that an alarm is about, where that stands still and the alarm has to wait.
-    fn held_up(&self, id: usize, serial: u64) -> Option<Result<(), BoxNo>> {
+    fn held_up(&self, id: usize, serial: u64) -> Option<Result<(), BackendNumber>> {
         let conn = self.conns.get(id).filter(|conn| conn.serial == serial)?;
         let Role::Box(speech) = &conn.role else {
             return None;
@@ -1187,12 +1210,12 @@
     }
 }
 
-impl Play for Yard {
+impl EventHandler for SimulatedBackends {
     type Alarm = Alarm;
-    type Cue = Cue;
-    type Sums = YardSums;
+    type Command = BackendCommand;
+    type Sums = BackendTotals;
 
-    fn event(&mut self, key: usize, _writable: bool, works: &mut Works<Alarm>) {
+    fn event(&mut self, key: usize, _writable: bool, works: &mut LoopContext<Alarm>) {
         if key & (BOX_DOOR | AGENT_DOOR) != 0 {
             return self.accept(key, works);
         }
@@ -1203,7 +1226,7 @@
         }
     }
 
-    fn alarm(&mut self, alarm: Alarm, works: &mut Works<Alarm>) {
+    fn alarm(&mut self, alarm: Alarm, works: &mut LoopContext<Alarm>) {
         match alarm {
             Alarm::Up(id, serial) => match self.held_up(id, serial) {
                 Some(Ok(())) => self.up(id, works),
@@ -1217,7 +1240,7 @@
             },
             Alarm::Still(at, life, still) => {
                 let this = self.this(at);
-                if let (Some(Ailment::Pausing(every, pause)), true) =
+                if let (Some(BackendFault::Pausing(every, pause)), true) =
                     (this.ailment, this.life == life)
                 {
                     self.set_still(at, still, works);
@@ -1247,28 +1270,32 @@
         }
     }
 
-    fn cue(&mut self, cue: Cue, works: &mut Works<Alarm>) -> bool {
+    fn cue(&mut self, cue: BackendCommand, works: &mut LoopContext<Alarm>) -> bool {
         works.now = works.clock.now();
         match cue {
-            Cue::Ail(at, ailment) => self.ail(at, ailment, works),
-            Cue::Heal(at) => self.heal(at, works),
-            Cue::Crash(at, back) => self.stop(at, back, works),
-            Cue::Drain(at, over) => self.drain(at, over, works),
-            Cue::Join(at) => self.begin(at, works),
-            Cue::Agent(relay, fault, on) => self.agent_fault(relay, fault, on, works),
+            BackendCommand::Ail(at, ailment) => self.ail(at, ailment, works),
+            BackendCommand::Heal(at) => self.heal(at, works),
+            BackendCommand::Crash(at, back) => self.stop(at, back, works),
+            BackendCommand::Drain(at, over) => self.drain(at, over, works),
+            BackendCommand::Join(at) => self.begin(at, works),
+            BackendCommand::Agent(relay, fault, on) => self.agent_fault(relay, fault, on, works),
         }
         true
     }
 
-    fn sums(self, works: &Works<Alarm>) -> YardSums {
-        YardSums {
+    fn sums(self, works: &LoopContext<Alarm>) -> BackendTotals {
+        BackendTotals {
             worst_turn: works.worst_turn,
             worked: works.worked,
         }
     }
 }
 
-fn watch_door(listener: Option<&TcpListener>, key: usize, works: &Works<Alarm>) -> io::Result<()> {
+fn watch_door(
+    listener: Option<&TcpListener>,
+    key: usize,
+    works: &LoopContext<Alarm>,
+) -> io::Result<()> {
     let Some(listener) = listener else {
         return Ok(());
     };
@@ -1280,7 +1307,7 @@
     }
 }
 
-fn row(plan: &BoxPlan, at: SocketAddr, lifecycle: Lifecycle, started_ms: u64) -> Row {
+fn row(plan: &BackendSpec, at: SocketAddr, lifecycle: Lifecycle, started_ms: u64) -> Row {
     Row {
         at,
         zone: plan.zone.clone(),
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network.rs
@@ -8,7 +8,7 @@
 use thistlecroft_leases::{LeaseConfig, Leases};
 use thistlecroft_peers::{Event, Identity, MemberState, Node, Terms};
 
-pub use crate::link::LinkFault;
+pub use crate::link_fault::LinkFault;
 
 /// A process of the network.
 pub struct Host {
--- a/testbed/src/station.rs
+++ b/testbed/src/socket_holder.rs
@@ -11,22 +11,22 @@
 
 /// Dropped, the socket is closed here; processes that hold it go on.
 #[derive(Debug)]
-pub struct Station {
+pub struct SocketHolder {
     listener: TcpListener,
     folder: PathBuf,
 }
 
-impl Station {
+impl SocketHolder {
     /// Listens at a free port of this address; the folder is made.
     ///
     /// # Errors
     /// Where either can't be had.
-    pub fn open(at: SocketAddr, folder: &Path) -> Result<Station> {
+    pub fn open(at: SocketAddr, folder: &Path) -> Result<SocketHolder> {
         let listener = TcpListener::bind((at.ip(), 0))?;
         // Every process started from here inherits it.
         fcntl_setfd(&listener, FdFlags::empty())?;
         std::fs::create_dir_all(folder)?;
-        Ok(Station {
+        Ok(SocketHolder {
             listener,
             folder: folder.canonicalize()?,
         })
--- a/testbed/tests/together.rs
+++ b/testbed/tests/cluster_invariants.rs
@@ -1,24 +1,26 @@
 //! The judge of what relays do together: it names each way of being wrong together, and says
 //! nothing of a right fleet.
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::tape::{Answer, BoxNo, Entry, RelayNo, Reply, Sighting, Tag};
-use thistlecroft_testbed::together::{Pact, Rule, judge_together};
+use thistlecroft_testbed::cluster_invariants::{ClusterLimits, Rule, check_cluster_invariants};
+use thistlecroft_testbed::event_recorder::{
+    Answer, BackendNumber, Observation, RecordedEvent, RelayNumber, Reply, Tag,
+};
 
 fn at(ms: u64) -> Instant {
     Instant::from_micros(ms * 1_000)
 }
 
-fn seen(ms: u64, seen: Sighting) -> Entry {
-    Entry { at: at(ms), seen }
+fn seen(ms: u64, seen: Observation) -> RecordedEvent {
+    RecordedEvent { at: at(ms), seen }
 }
 
 /// Asked then, answered 10 ms later, held for so long from the asking.
-fn held(ms: u64, relay: u16, epoch: u64, lasts: u64) -> Entry {
+fn held(ms: u64, relay: u16, epoch: u64, lasts: u64) -> RecordedEvent {
     let (asked, until) = (at(ms), at(ms + lasts));
     seen(
         ms + 10,
-        Sighting::LeaseSaid {
-            relay: RelayNo(relay),
+        Observation::LeaseSaid {
+            relay: RelayNumber(relay),
             subject: "turn",
             epoch,
             asked,
@@ -27,11 +29,11 @@
     )
 }
 
-fn asked(ms: u64, session: u64, relay: u16) -> Entry {
-    let (relay, wait) = (Some(RelayNo(relay)), Duration::from_millis(2_000));
+fn asked(ms: u64, session: u64, relay: u16) -> RecordedEvent {
+    let (relay, wait) = (Some(RelayNumber(relay)), Duration::from_millis(2_000));
     seen(
         ms,
-        Sighting::Asked {
+        Observation::Asked {
             session: Tag(session),
             relay,
             listener: 0,
@@ -42,89 +44,89 @@
     )
 }
 
-fn dial(ms: u64, session: u64, of: u16) -> Entry {
+fn dial(ms: u64, session: u64, of: u16) -> RecordedEvent {
     seen(
         ms,
-        Sighting::DialCame {
-            at: BoxNo(of),
+        Observation::DialCame {
+            at: BackendNumber(of),
             session: Tag(session),
             first: at(ms),
         },
     )
 }
 
-fn replied(ms: u64, session: u64, of: u16) -> Entry {
+fn replied(ms: u64, session: u64, of: u16) -> RecordedEvent {
     seen(
         ms,
-        Sighting::DialReplied {
-            at: BoxNo(of),
+        Observation::DialReplied {
+            at: BackendNumber(of),
             session: Tag(session),
             reply: Reply::Up,
         },
     )
 }
 
-fn up(ms: u64, session: u64) -> Entry {
+fn up(ms: u64, session: u64) -> RecordedEvent {
     seen(
         ms,
-        Sighting::Answered {
+        Observation::Answered {
             session: Tag(session),
             answer: Answer::Up,
         },
     )
 }
 
-fn ended(ms: u64, session: u64) -> Entry {
+fn ended(ms: u64, session: u64) -> RecordedEvent {
     seen(
         ms,
-        Sighting::Ended {
+        Observation::Ended {
             session: Tag(session),
         },
     )
 }
 
-fn killed(ms: u64, relay: u16) -> Entry {
+fn killed(ms: u64, relay: u16) -> RecordedEvent {
     seen(
         ms,
-        Sighting::RelayKilled {
-            relay: RelayNo(relay),
+        Observation::RelayKilled {
+            relay: RelayNumber(relay),
         },
     )
 }
 
-fn banned(ms: u64, relay: u16, of: u16, out: bool) -> Entry {
+fn banned(ms: u64, relay: u16, of: u16, out: bool) -> RecordedEvent {
     seen(
         ms,
-        Sighting::ByHand {
-            relay: RelayNo(relay),
-            at: BoxNo(of),
+        Observation::ByHand {
+            relay: RelayNumber(relay),
+            at: BackendNumber(of),
             out,
         },
     )
 }
 
-fn started(ms: u64, relay: u16) -> Entry {
+fn started(ms: u64, relay: u16) -> RecordedEvent {
     seen(
         ms,
-        Sighting::RelayStarted {
-            relay: RelayNo(relay),
+        Observation::RelayStarted {
+            relay: RelayNumber(relay),
         },
     )
 }
 
-fn sees(ms: u64, relay: u16, here: &[u16]) -> Entry {
+fn sees(ms: u64, relay: u16, here: &[u16]) -> RecordedEvent {
     let here = here.iter().map(|one| format!("relay-{one}")).collect();
     seen(
         ms,
-        Sighting::Sees {
-            relay: RelayNo(relay),
+        Observation::Sees {
+            relay: RelayNumber(relay),
             here,
         },
     )
 }
 
-fn pact() -> Pact {
-    Pact {
+fn pact() -> ClusterLimits {
+    ClusterLimits {
         at_once: Some((2, Duration::from_millis(500))),
         dials_a_second: Some(3),
         bans_within: Some(Duration::from_millis(1_000)),
@@ -135,7 +137,7 @@
 
 #[test]
 fn each_way_of_being_wrong_together_is_named() {
-    let cases: Vec<(&str, Vec<Entry>, Rule)> = vec![
+    let cases: Vec<(&str, Vec<RecordedEvent>, Rule)> = vec![
         (
             "two hold one lease",
             vec![held(0, 0, 1, 1_000), held(500, 1, 2, 1_000)],
@@ -159,7 +161,12 @@
             "given back by one that stops while somebody was told that it is held",
             vec![
                 held(0, 0, 1, 1_000),
-                seen(100, Sighting::RelayToldToStop { relay: RelayNo(0) }),
+                seen(
+                    100,
+                    Observation::RelayToldToStop {
+                        relay: RelayNumber(0),
+                    },
+                ),
                 held(300, 1, 2, 1_000),
             ],
             Rule::OneHolder,
@@ -233,7 +240,7 @@
     ];
     for (what, mut entries, rule) in cases {
         entries.sort_by_key(|entry| entry.at);
-        let found: Vec<Rule> = judge_together(&entries, &pact())
+        let found: Vec<Rule> = check_cluster_invariants(&entries, &pact())
             .iter()
             .map(|breach| breach.rule)
             .collect();
@@ -245,11 +252,11 @@
         dial(400, 1, 2),
         dial(900, 1, 3),
     ];
-    let takes_over = Pact {
+    let takes_over = ClusterLimits {
         takes_over: true,
         ..pact()
     };
-    let found = judge_together(&twice, &takes_over);
+    let found = check_cluster_invariants(&twice, &takes_over);
     assert_eq!(
         found.iter().map(|one| one.rule).collect::<Vec<_>>(),
         [Rule::TakenOverOnce],
@@ -259,7 +266,7 @@
 
 #[test]
 fn a_right_fleet_is_told_nothing() {
-    let cases: Vec<(&str, Vec<Entry>)> = vec![
+    let cases: Vec<(&str, Vec<RecordedEvent>)> = vec![
         (
             "one after the other",
             vec![
@@ -275,8 +282,8 @@
                 held(0, 0, 1, 1_000),
                 seen(
                     5_000,
-                    Sighting::LeaseSaid {
-                        relay: RelayNo(0),
+                    Observation::LeaseSaid {
+                        relay: RelayNumber(0),
                         subject: "turn",
                         epoch: 1,
                         asked: at(900),
@@ -324,8 +331,8 @@
                 replied(20, 1, 0),
                 seen(
                     30,
-                    Sighting::BoxEnded {
-                        at: BoxNo(0),
+                    Observation::BoxEnded {
+                        at: BackendNumber(0),
                         session: Tag(1),
                     },
                 ),
@@ -345,6 +352,6 @@
     ];
     for (what, mut entries) in cases {
         entries.sort_by_key(|entry| entry.at);
-        assert_eq!(judge_together(&entries, &pact()), [], "{what}");
+        assert_eq!(check_cluster_invariants(&entries, &pact()), [], "{what}");
     }
 }
--- a/testbed/tests/helper/mod.rs
+++ b/testbed/tests/helper/mod.rs
@@ -8,13 +8,19 @@
 use std::thread;
 use thistlecroft::deployment::Idempotency;
 use thistlecroft::time::{Duration, Instant};
+use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
 use thistlecroft_testbed::clock::Stopwatch;
-use thistlecroft_testbed::crowd::{Bill, Crowd, Cue as CrowdCue, Dealing, Doorway, IDLE};
-use thistlecroft_testbed::model::{Cold, Make};
-use thistlecroft_testbed::referee::{Law, Ruling, judge};
-use thistlecroft_testbed::tape::{BoxNo, Entry, RelayNo, Sighting, tape};
+use thistlecroft_testbed::event_recorder::{
+    BackendNumber, Observation, RecordedEvent, RelayNumber, event_recorder,
+};
+use thistlecroft_testbed::invariant_checker::{CheckResult, PlatformRules, check_invariants};
+use thistlecroft_testbed::load_generator::{
+    Dealing, IDLE, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
+};
+use thistlecroft_testbed::simulated_backends::{
+    BackendCommand, BackendPlan, BackendSpec, SimulatedBackends,
+};
 use thistlecroft_testbed::traffic::{Kind, Traffic, arrivals};
-use thistlecroft_testbed::yard::{BoxPlan, Cue, Ground, Yard};
 
 /// What the little relay does wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -263,7 +269,7 @@
     /// Zones of boxes, in turn.
     pub zones: &'static [&'static str],
     /// What is cued at the start, and so long after it.
-    pub cues: Vec<(u64, Cue)>,
+    pub cues: Vec<(u64, BackendCommand)>,
     pub relays: usize,
     pub a_second: f64,
     pub length_ms: u64,
@@ -283,35 +289,35 @@
         }
     }
 
-    pub fn run(&self) -> (Ruling, Vec<Entry>) {
-        let (tape, mut reel) = tape();
+    pub fn run(&self) -> (CheckResult, Vec<RecordedEvent>) {
+        let (tape, mut reel) = event_recorder();
         let clock = Stopwatch::start();
-        let cold = Cold {
+        let cold = WarmUp {
             start_share: 0.3,
             warm_up: Duration::from_millis(9_000),
             factor: 3.0,
             window: Duration::from_millis(3_000),
             turnover: Duration::from_millis(9_000),
         };
-        let make = Make {
+        let make = BackendCapacity {
             capacity: 40.0,
             most: 200,
             setup: Duration::from_millis(1),
             group_fee: 0.0,
             cold,
         };
-        let plan = |number: usize| BoxPlan {
+        let plan = |number: usize| BackendSpec {
             make,
             zone: self.zones[number % self.zones.len()].into(),
             cell: 0,
             present: true,
         };
-        let boxes: Vec<BoxPlan> = (0..self.boxes).map(plan).collect();
+        let boxes: Vec<BackendSpec> = (0..self.boxes).map(plan).collect();
         let places = boxes
             .iter()
             .map(|plan| (plan.zone.clone(), plan.cell))
             .collect();
-        let ground = Ground {
+        let ground = BackendPlan {
             boxes,
             relays: self.relays,
             notice: (Duration::ZERO, Duration::from_millis(10)),
@@ -320,7 +326,7 @@
             tells_load: true,
             seed: 1,
         };
-        let yard = Yard::open(ground, clock, tape.clone()).unwrap();
+        let yard = SimulatedBackends::open(ground, clock, tape.clone()).unwrap();
         let kind = Kind {
             name: "k".into(),
             share: 1.0,
@@ -350,15 +356,15 @@
         let mut littles = Vec::new();
         for (number, agent) in yard.agents.iter().enumerate() {
             let (at, little) = little_relay(self.wrong, *agent, yard.boxes.clone());
-            doors.push(Doorway {
+            doors.push(RelayEndpoint {
                 at,
-                relay: Some(RelayNo(number as u16)),
+                relay: Some(RelayNumber(number as u16)),
                 open: true,
             });
             littles.push(little);
         }
         let arrivals = (1..).zip(arrivals(&traffic, until, 3)).collect();
-        let bill = Bill {
+        let bill = LoadPlan {
             traffic,
             arrivals,
             until,
@@ -366,16 +372,16 @@
             dealing: Dealing::Even,
             seed: 2,
         };
-        let crowd = Crowd::open(bill, clock, tape.clone()).unwrap();
+        let crowd = LoadGenerator::open(bill, clock, tape.clone()).unwrap();
         let mut cues = self.cues.clone();
         cues.sort_by_key(|(at, _)| *at);
         for (at, cue) in cues {
             sleep_until(clock, from + Duration::from_millis(at));
-            yard.stage.cue(cue);
+            yard.stage.command(cue);
         }
         sleep_until(clock, until);
-        crowd.cue(CrowdCue::Finish);
-        let idle = |seen: &Sighting| matches!(seen, Sighting::Mark { text } if text == IDLE);
+        crowd.command(LoadCommand::Finish);
+        let idle = |seen: &Observation| matches!(seen, Observation::Mark { text } if text == IDLE);
         assert!(reel.wait_for(LONG, idle), "clients stay");
         crowd.close();
         yard.stage.close();
@@ -383,13 +389,13 @@
             .iter()
             .for_each(|little| little.over.store(true, Ordering::Relaxed));
         let entries = reel.into_sorted();
-        let law = Law {
+        let law = PlatformRules {
             effects: vec![self.effect],
             hedged: vec![false],
             grace: Duration::from_millis(500),
             places,
         };
-        (judge(&entries, &law), entries)
+        (check_invariants(&entries, &law), entries)
     }
 }
 
@@ -400,4 +406,4 @@
     ));
 }
 
-pub const ALL: [BoxNo; 3] = [BoxNo(0), BoxNo(1), BoxNo(2)];
+pub const ALL: [BackendNumber; 3] = [BackendNumber(0), BackendNumber(1), BackendNumber(2)];
--- a/testbed/tests/referee.rs
+++ b/testbed/tests/invariant_checker.rs
@@ -7,13 +7,14 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::Stopwatch;
-use thistlecroft_testbed::referee::{Law, judge};
-use thistlecroft_testbed::tape::{
-    Answer, BoxNo, Entry, Lifecycle, RelayNo, Reply, Sighting, Tag, tape,
+use thistlecroft_testbed::cluster_invariants::{ClusterLimits, Rule, check_cluster_invariants};
+use thistlecroft_testbed::event_recorder::{
+    Answer, BackendNumber, Lifecycle, Observation, RecordedEvent, RelayNumber, Reply, Tag,
+    event_recorder,
 };
-use thistlecroft_testbed::together::{Pact, Rule, judge_together};
-use thistlecroft_testbed::witness::Witness;
-use thistlecroft_testbed::yard::{AgentFault, Ailment, Cue};
+use thistlecroft_testbed::invariant_checker::{PlatformRules, check_invariants};
+use thistlecroft_testbed::relay_observer::RelayObserver;
+use thistlecroft_testbed::simulated_backends::{AgentFault, BackendCommand, BackendFault};
 
 /// The rule that has to be found broken, and what its first break is to be called.
 struct Case {
@@ -31,7 +32,7 @@
 fn once_only(wrong: Wrong) -> Scene {
     Scene {
         effect: Idempotency::NonIdempotent,
-        cues: ail(Ailment::Failing(0.5)),
+        cues: ail(BackendFault::Failing(0.5)),
         ..Scene::of(wrong)
     }
 }
@@ -44,54 +45,92 @@
     Scene {
         effect,
         zones: &["a", "b"],
-        cues: ail(Ailment::Failing(0.5)),
+        cues: ail(BackendFault::Failing(0.5)),
         ..Scene::of(wrong)
     }
 }
 
-fn ail(ailment: Ailment) -> Vec<(u64, Cue)> {
-    ALL.iter().map(|&at| (0, Cue::Ail(at, ailment))).collect()
+fn ail(ailment: BackendFault) -> Vec<(u64, BackendCommand)> {
+    ALL.iter()
+        .map(|&at| (0, BackendCommand::Ail(at, ailment)))
+        .collect()
 }
 
-fn drains() -> Vec<(u64, Cue)> {
-    vec![(300, Cue::Drain(BoxNo(1), Duration::from_millis(6_000)))]
+fn drains() -> Vec<(u64, BackendCommand)> {
+    vec![(
+        300,
+        BackendCommand::Drain(BackendNumber(1), Duration::from_millis(6_000)),
+    )]
 }
 
 /// Told to nobody: discovery went silent before.
-fn drains_unheard() -> Vec<(u64, Cue)> {
+fn drains_unheard() -> Vec<(u64, BackendCommand)> {
     vec![
-        (0, Cue::Agent(RelayNo(0), AgentFault::Silent, true)),
-        (100, Cue::Drain(BoxNo(1), Duration::from_millis(60_000))),
+        (
+            0,
+            BackendCommand::Agent(RelayNumber(0), AgentFault::Silent, true),
+        ),
+        (
+            100,
+            BackendCommand::Drain(BackendNumber(1), Duration::from_millis(60_000)),
+        ),
     ]
 }
 
 /// The last one dies and is back, cold.
-fn returns() -> Vec<(u64, Cue)> {
-    vec![(100, Cue::Crash(BoxNo(2), Some(Duration::from_millis(200))))]
+fn returns() -> Vec<(u64, BackendCommand)> {
+    vec![(
+        100,
+        BackendCommand::Crash(BackendNumber(2), Some(Duration::from_millis(200))),
+    )]
 }
 
-fn all_sorts() -> Vec<(u64, Cue)> {
+fn all_sorts() -> Vec<(u64, BackendCommand)> {
     vec![
-        (0, Cue::Ail(BoxNo(0), Ailment::Failing(0.3))),
         (
             0,
-            Cue::Ail(
-                BoxNo(1),
-                Ailment::Pausing(Duration::from_millis(600), Duration::from_millis(150)),
+            BackendCommand::Ail(BackendNumber(0), BackendFault::Failing(0.3)),
+        ),
+        (
+            0,
+            BackendCommand::Ail(
+                BackendNumber(1),
+                BackendFault::Pausing(Duration::from_millis(600), Duration::from_millis(150)),
             ),
         ),
-        (400, Cue::Heal(BoxNo(0))),
-        (500, Cue::Ail(BoxNo(0), Ailment::ResetsAfter)),
-        (700, Cue::Ail(BoxNo(0), Ailment::ResetsBefore)),
-        (900, Cue::Ail(BoxNo(0), Ailment::DropsYoung)),
-        (1_100, Cue::Ail(BoxNo(0), Ailment::HalfAnswer)),
-        (1_400, Cue::Ail(BoxNo(0), Ailment::Mute)),
-        (1_700, Cue::Ail(BoxNo(0), Ailment::Slow(3.0))),
+        (400, BackendCommand::Heal(BackendNumber(0))),
+        (
+            500,
+            BackendCommand::Ail(BackendNumber(0), BackendFault::ResetsAfter),
+        ),
+        (
+            700,
+            BackendCommand::Ail(BackendNumber(0), BackendFault::ResetsBefore),
+        ),
+        (
+            900,
+            BackendCommand::Ail(BackendNumber(0), BackendFault::DropsYoung),
+        ),
+        (
+            1_100,
+            BackendCommand::Ail(BackendNumber(0), BackendFault::HalfAnswer),
+        ),
+        (
+            1_400,
+            BackendCommand::Ail(BackendNumber(0), BackendFault::Mute),
+        ),
+        (
+            1_700,
+            BackendCommand::Ail(BackendNumber(0), BackendFault::Slow(3.0)),
+        ),
         (
             1_000,
-            Cue::Crash(BoxNo(2), Some(Duration::from_millis(400))),
+            BackendCommand::Crash(BackendNumber(2), Some(Duration::from_millis(400))),
+        ),
+        (
+            1_600,
+            BackendCommand::Drain(BackendNumber(1), Duration::from_millis(600)),
         ),
-        (1_600, Cue::Drain(BoxNo(1), Duration::from_millis(600))),
     ]
 }
 
@@ -129,7 +168,7 @@
         breaks(1, "no client sent", Wrong::OwnLine),
         Case {
             scene: Scene {
-                cues: vec![(1_000, Cue::Crash(BoxNo(2), None))],
+                cues: vec![(1_000, BackendCommand::Crash(BackendNumber(2), None))],
                 ..Scene::of(Wrong::LeavesOrphans)
             },
             broken: Some((1, "its box had ended it")),
@@ -250,9 +289,9 @@
 
 #[test]
 fn a_box_out_by_hand_gets_nothing_new_after_the_grace() {
-    let (relay, at, session) = (RelayNo(0), BoxNo(1), Tag(7));
-    let by_hand = |relay, out| Sighting::ByHand { relay, at, out };
-    let again = Sighting::Told {
+    let (relay, at, session) = (RelayNumber(0), BackendNumber(1), Tag(7));
+    let by_hand = |relay, out| Observation::ByHand { relay, at, out };
+    let again = Observation::Told {
         relay,
         at,
         lifecycle: Lifecycle::Ready,
@@ -262,7 +301,7 @@
     let cases = [
         (vec![(0, by_hand(relay, true))], 1_900, false),
         (vec![(0, by_hand(relay, true))], 2_500, true),
-        (vec![(0, by_hand(RelayNo(1), true))], 2_500, false),
+        (vec![(0, by_hand(RelayNumber(1), true))], 2_500, false),
         (
             vec![(0, by_hand(relay, true)), (2_000, by_hand(relay, false))],
             2_500,
@@ -276,7 +315,7 @@
         (
             vec![
                 (0, by_hand(relay, true)),
-                (1_000, Sighting::BoxStarted { at, cold: true }),
+                (1_000, Observation::BoxStarted { at, cold: true }),
             ],
             2_500,
             true,
@@ -288,12 +327,12 @@
             Instant::from_micros((came - 5) * 1_000),
             Duration::from_millis(1_000),
         );
-        let mut seen = vec![(0, Sighting::RelayStarted { relay })];
+        let mut seen = vec![(0, Observation::RelayStarted { relay })];
         seen.extend(before);
         seen.extend([
             (
                 came - 5,
-                Sighting::Asked {
+                Observation::Asked {
                     session,
                     relay: Some(relay),
                     listener: 0,
@@ -304,7 +343,7 @@
             ),
             (
                 came,
-                Sighting::DialCame {
+                Observation::DialCame {
                     at,
                     session,
                     first: Instant::from_micros(came * 1_000),
@@ -312,7 +351,7 @@
             ),
             (
                 came + 1,
-                Sighting::DialReplied {
+                Observation::DialReplied {
                     at,
                     session,
                     reply: Reply::Up,
@@ -320,27 +359,27 @@
             ),
             (
                 came + 2,
-                Sighting::Answered {
+                Observation::Answered {
                     session,
                     answer: Answer::Up,
                 },
             ),
-            (came + 50, Sighting::Ended { session }),
+            (came + 50, Observation::Ended { session }),
         ]);
-        let entries: Vec<Entry> = seen
+        let entries: Vec<RecordedEvent> = seen
             .into_iter()
-            .map(|(ms, seen)| Entry {
+            .map(|(ms, seen)| RecordedEvent {
                 at: Instant::from_micros(ms * 1_000),
                 seen,
             })
             .collect();
-        let law = Law {
+        let law = PlatformRules {
             effects: vec![Idempotency::Idempotent],
             hedged: vec![false],
             grace: Duration::from_millis(2_000),
             places: vec![("a".into(), 0); 3],
         };
-        let ruling = judge(&entries, &law);
+        let ruling = check_invariants(&entries, &law);
         assert_eq!(ruling.breaks, [0, 0, usize::from(broken), 0], "{entries:?}");
     }
 }
@@ -356,8 +395,8 @@
     };
     let (ruling, mut entries) = scene.run();
     assert!(ruling.kept(), "{}", ruling.line());
-    let found = |entries: &[Entry], pact: &Pact| -> Vec<Rule> {
-        let mut rules: Vec<Rule> = judge_together(entries, pact)
+    let found = |entries: &[RecordedEvent], pact: &ClusterLimits| -> Vec<Rule> {
+        let mut rules: Vec<Rule> = check_cluster_invariants(entries, pact)
             .iter()
             .map(|breach| breach.rule)
             .collect();
@@ -368,36 +407,36 @@
     assert_eq!(
         found(
             &entries,
-            &Pact {
+            &ClusterLimits {
                 bans_within: within,
-                ..Pact::default()
+                ..ClusterLimits::default()
             }
         ),
         []
     );
     // Each would let so many in by itself.
-    let at_once = Pact {
+    let at_once = ClusterLimits {
         at_once: Some((10, Duration::from_millis(200))),
-        ..Pact::default()
+        ..ClusterLimits::default()
     };
     assert_eq!(found(&entries, &at_once), [Rule::SumAtOnce]);
     assert_eq!(
         found(
             &entries,
-            &Pact {
+            &ClusterLimits {
                 dials_a_second: Some(15),
-                ..Pact::default()
+                ..ClusterLimits::default()
             }
         ),
         [Rule::SumASecond]
     );
     // One of them was told that a box is out; to the other it is as it was.
     let half = entries[entries.len() / 2].at;
-    entries.push(Entry {
+    entries.push(RecordedEvent {
         at: half,
-        seen: Sighting::ByHand {
-            relay: RelayNo(0),
-            at: BoxNo(1),
+        seen: Observation::ByHand {
+            relay: RelayNumber(0),
+            at: BackendNumber(1),
             out: true,
         },
     });
@@ -405,15 +444,15 @@
     assert_eq!(
         found(
             &entries,
-            &Pact {
+            &ClusterLimits {
                 bans_within: within,
-                ..Pact::default()
+                ..ClusterLimits::default()
             }
         ),
         [Rule::BansEverywhere]
     );
     let (_, entries) = Scene::of(Wrong::TwoAtOnce).run();
-    assert!(found(&entries, &Pact::default()).contains(&Rule::OneBoxASession));
+    assert!(found(&entries, &ClusterLimits::default()).contains(&Rule::OneBoxASession));
 }
 
 /// A door that answers by a script: its first answers in turn, the last one for ever.
@@ -512,19 +551,19 @@
         ),
     ];
     for (what, doors, rule) in cases {
-        let (tape, mut reel) = tape();
+        let (tape, mut reel) = event_recorder();
         let clock = Stopwatch::start();
         let mut witnesses = Vec::new();
         for (number, (late, leases, here)) in (0..).zip(doors) {
             tape.note(
                 clock.now(),
-                Sighting::RelayStarted {
-                    relay: RelayNo(number),
+                Observation::RelayStarted {
+                    relay: RelayNumber(number),
                 },
             );
             let at = door(*late, leases, here);
-            witnesses.push(Witness::open(
-                RelayNo(number),
+            witnesses.push(RelayObserver::open(
+                RelayNumber(number),
                 at,
                 Some("turn"),
                 clock,
@@ -532,8 +571,8 @@
             ));
         }
         // Both views have come three times, and so have many sayings before them.
-        let seen = |entries: &[Entry], relay: u16| {
-            let sees = |entry: &&Entry| matches!(&entry.seen, Sighting::Sees { relay: of, .. } if of.0 == relay);
+        let seen = |entries: &[RecordedEvent], relay: u16| {
+            let sees = |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Sees { relay: of, .. } if of.0 == relay);
             entries.iter().filter(sees).count() >= 3
         };
         let long = std::time::Duration::from_secs(20);
@@ -542,11 +581,11 @@
             "{what}"
         );
         drop(witnesses);
-        let pact = Pact {
+        let pact = ClusterLimits {
             agree: true,
-            ..Pact::default()
+            ..ClusterLimits::default()
         };
-        let found: Vec<Rule> = judge_together(&reel.into_sorted(), &pact)
+        let found: Vec<Rule> = check_cluster_invariants(&reel.into_sorted(), &pact)
             .iter()
             .map(|one| one.rule)
             .collect();
