--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -10,7 +10,7 @@
 use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 use thistlecroft::ids::{BackendId, CellId, RouteId, SessionId, ZoneId};
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_settings::{self as facts, ReportPlaces, Site};
+use thistlecroft_settings::{self as facts, ReportFields, Settings};
 
 type Address = [u8; 6];
 
@@ -22,7 +22,7 @@
 struct Instance {
     relay: Balancer,
     names: Names,
-    places: ReportPlaces,
+    places: ReportFields,
     listeners: usize,
 }
 
@@ -79,9 +79,11 @@
         match event.u16(0) {
             1000 => {
                 let text = batch.text(event.u32(12), event.u32(16), "settings")?;
-                let Site {
-                    deployment, places, ..
-                } = facts::read(text)?;
+                let Settings {
+                    deployment,
+                    report_fields: places,
+                    ..
+                } = facts::parse(text)?;
                 let mut names = Names::default();
                 let listeners = deployment.routes.len();
                 let mut door = Door {
@@ -322,7 +324,7 @@
     })
 }
 
-fn report(places: &ReportPlaces, event: Fields, at: usize) -> LoadReport {
+fn report(places: &ReportFields, event: Fields, at: usize) -> LoadReport {
     let told = usize::from(event.u8(at)).min(4);
     let value = |place: Option<usize>| {
         let value = f64::from(event.f32(at + 1 + 4 * place.filter(|&place| place < told)?));
@@ -350,7 +352,7 @@
         })
     }
 
-    fn listing(&mut self, entry: Fields, places: &ReportPlaces) -> Result<Endpoint, String> {
+    fn listing(&mut self, entry: Fields, places: &ReportFields) -> Result<Endpoint, String> {
         let address: Address = entry.array(0);
         let mut mark = [0; 8];
         mark[..6].copy_from_slice(&address);
--- a/cli/src/checks.rs
+++ b/cli/src/checks.rs
@@ -5,9 +5,10 @@
 use thistlecroft_experiments::scale::Budget;
 use thistlecroft_experiments::scenario::Scenario;
 use thistlecroft_operator_config::{
-    Charter, Circumstances, Fault, Lanes, OTHERWISE, Origin, Routing, page,
+    ConfigError, DEFAULT_ROUTE, LimitsIds, OperatorConfig, RelayContext, RouteTable, ValueOrigin,
+    reference,
 };
-use thistlecroft_relay::{circumstances, read_file};
+use thistlecroft_relay::{read_file, relay_context};
 
 #[derive(Args)]
 pub struct Asked {
@@ -37,24 +38,28 @@
 
 pub fn charter(verb: CharterVerb) -> Result<(), End> {
     match verb {
-        CharterVerb::Reference => print!("{}", page::reference()),
+        CharterVerb::Reference => print!("{}", reference::reference_page()),
         CharterVerb::Example => print!("{EXAMPLE}"),
     }
     Ok(())
 }
 
 enum Sound {
-    Configuration(Box<thistlecroft_relay::Posting>),
+    Configuration(Box<thistlecroft_relay::StartupConfig>),
     Scenario(Box<Scenario>),
-    Charter(Box<Charter>, Option<Routing>),
+    Charter(Box<OperatorConfig>, Option<RouteTable>),
     Budget(Budget),
 }
 
-fn lines(faults: Vec<Fault>) -> Vec<String> {
+fn lines(faults: Vec<ConfigError>) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
-fn read(file: &Path, of: Option<&Circumstances>, lanes: &mut Lanes) -> Result<Sound, Vec<String>> {
+fn read(
+    file: &Path,
+    of: Option<&RelayContext>,
+    lanes: &mut LimitsIds,
+) -> Result<Sound, Vec<String>> {
     let name = file.to_string_lossy();
     if file.extension().is_none_or(|ending| ending != "toml") {
         return read_file(&name)
@@ -71,9 +76,9 @@
         let budget = Budget::parse(&text).map_err(|fault| vec![format!("{name}: {fault}")])?;
         return Ok(Sound::Budget(budget));
     }
-    let charter = Charter::parse(&name, &text).map_err(lines)?;
+    let charter = OperatorConfig::parse(&name, &text).map_err(lines)?;
     let routing = of
-        .map(|of| charter.against(of, lanes))
+        .map(|of| charter.resolve(of, lanes))
         .transpose()
         .map_err(lines)?;
     Ok(Sound::Charter(Box::new(charter), routing))
@@ -84,11 +89,11 @@
     let of = match &asked.config {
         Some(config) => {
             let posting = read_file(&config.to_string_lossy()).map_err(End::Wrong)?;
-            Some(circumstances(&posting.site, posting.sockets))
+            Some(relay_context(&posting.site, posting.sockets))
         }
         None => None,
     };
-    let (mut faults, mut sound, mut lanes) = (Vec::new(), Vec::new(), Lanes::default());
+    let (mut faults, mut sound, mut lanes) = (Vec::new(), Vec::new(), LimitsIds::default());
     for file in &asked.files {
         match read(file, of.as_ref(), &mut lanes) {
             Ok(read) => {
@@ -145,10 +150,10 @@
     let routing = routing
         .ok_or_else(|| End::Wrong("--effective needs --config: what holds depends on it".into()))?;
     let mut last = (String::new(), String::new());
-    for told in routing.told() {
+    for told in routing.effective_values() {
         let place = (told.route.clone(), told.listener.clone());
         if place != last {
-            let route = if told.route == OTHERWISE {
+            let route = if told.route == DEFAULT_ROUTE {
                 "sessions that no route matches"
             } else {
                 &told.route
@@ -157,9 +162,9 @@
             last = place;
         }
         let origin = match told.origin {
-            Origin::File(line) => format!("line {line}"),
-            Origin::Settings => "settings".into(),
-            Origin::BuiltIn => "built in".into(),
+            ValueOrigin::File(line) => format!("line {line}"),
+            ValueOrigin::Settings => "settings".into(),
+            ValueOrigin::BuiltIn => "built in".into(),
         };
         println!("    {:<18} {:<60} {origin}", told.key, told.value);
     }
@@ -169,7 +174,7 @@
 fn against(sound: &[Sound]) -> Result<(), End> {
     match sound {
         [Sound::Charter(_, Some(old)), Sound::Charter(_, Some(new))] => {
-            let changes = old.changes(new);
+            let changes = old.changes_to(new);
             println!("taken up on SIGHUP, by the sessions that come from then on:");
             changes.iter().for_each(|change| println!("  {change}"));
             if changes.is_empty() {
--- a/operator_config/src/lib.rs
+++ b/operator_config/src/lib.rs
@@ -3,40 +3,41 @@
 //! the rules (`rules`) and worked out into rows for the decisions and for the relay's front
 //! (`routing`). Every fault of a file is found at once, each with its line, column and key. No I/O.
 pub mod keys;
-pub mod page;
+mod parsing;
 pub mod peers;
-pub mod routing;
+pub mod reference;
+pub mod route_table;
 mod rules;
-mod text;
 
-pub use peers::Peering;
-pub use routing::{
-    Circumstances, FrontRow, Lanes, ListenerFacts, OTHERWISE, Origin, Routing, Told,
+pub use parsing::{ConfigError, Located, Matching, PeersText, RouteText, SecondText};
+pub use peers::PeersConfig;
+pub use route_table::{
+    DEFAULT_ROUTE, EffectiveValue, LimitsIds, ListenerDefaults, RelayContext, RouteTable,
+    SessionTimeouts, ValueOrigin,
 };
-pub use text::{Fault, Matching, PeersText, RouteText, SecondText, Stated};
 
 /// A file as read, not yet held against a deployment.
 #[derive(Clone, Debug, Default)]
-pub struct Charter {
+pub struct OperatorConfig {
     pub routes: Vec<RouteText>,
     pub peers: Option<PeersText>,
 }
 
-impl Charter {
+impl OperatorConfig {
     /// # Errors
     /// All that is wrong with the text by itself.
-    pub fn parse(file: &str, text: &str) -> Result<Charter, Vec<Fault>> {
-        text::parse(file, text)
+    pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+        parsing::parse(file, text)
     }
 
     /// What it says of peers, with what holds where it does not; none where it says nothing.
     ///
     /// # Errors
     /// All that is wrong with it there.
-    pub fn peering(&self, of: &Circumstances) -> Result<Option<Peering>, Vec<Fault>> {
+    pub fn peers_config(&self, of: &RelayContext) -> Result<Option<PeersConfig>, Vec<ConfigError>> {
         self.peers
             .as_ref()
-            .map(|text| peers::peering(text, of))
+            .map(|text| peers::resolve(text, of))
             .transpose()
     }
 
@@ -44,9 +45,13 @@
     ///
     /// # Errors
     /// All that is wrong with it there: unknown names, and what would break a rule.
-    pub fn against(&self, of: &Circumstances, lanes: &mut Lanes) -> Result<Routing, Vec<Fault>> {
+    pub fn resolve(
+        &self,
+        of: &RelayContext,
+        lanes: &mut LimitsIds,
+    ) -> Result<RouteTable, Vec<ConfigError>> {
         rules::check(self, of)?;
-        self.peering(of)?;
-        Ok(Routing::new(self, of, lanes))
+        self.peers_config(of)?;
+        Ok(RouteTable::new(self, of, lanes))
     }
 }
--- a/operator_config/src/text.rs
+++ b/operator_config/src/parsing.rs
@@ -1,5 +1,5 @@
 //! From text to values, each with its place. Nothing here knows a deployment.
-use crate::Charter;
+use crate::OperatorConfig;
 use crate::keys::{Key, Kind, MATCH, PEERS, ROUTE, SECOND, Section, TOP, nearest};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,7 +11,7 @@
 
 /// What is wrong, and where.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
+pub struct ConfigError {
     pub file: String,
     pub line: usize,
     pub column: usize,
@@ -19,7 +19,7 @@
     pub why: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             out,
@@ -39,14 +39,14 @@
 
 /// A value with its place.
 #[derive(Clone, Debug)]
-pub struct Stated<T> {
+pub struct Located<T> {
     pub value: T,
     pub place: Place,
 }
 
 impl Place {
-    pub fn fault(&self, key: &str, why: String) -> Fault {
-        Fault {
+    pub fn fault(&self, key: &str, why: String) -> ConfigError {
+        ConfigError {
             file: self.file.clone(),
             line: self.line,
             column: self.column,
@@ -58,19 +58,19 @@
 
 #[derive(Clone, Debug, Default)]
 pub struct Matching {
-    pub listener: Option<Stated<Vec<String>>>,
-    pub zone: Option<Stated<Vec<String>>>,
+    pub listener: Option<Located<Vec<String>>>,
+    pub zone: Option<Located<Vec<String>>>,
     /// The digits, and how many there are.
-    pub key_prefix: Option<Stated<(u64, u32)>>,
-    pub group: Option<Stated<Vec<u64>>>,
+    pub key_prefix: Option<Located<(u64, u32)>>,
+    pub group: Option<Located<Vec<u64>>>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct SecondText {
-    pub quantile: Option<Stated<f64>>,
-    pub least: Option<Stated<Duration>>,
-    pub most: Option<Stated<Duration>>,
-    pub share: Option<Stated<f64>>,
+    pub quantile: Option<Located<f64>>,
+    pub least: Option<Located<Duration>>,
+    pub most: Option<Located<Duration>>,
+    pub share: Option<Located<f64>>,
 }
 
 /// A route as stated.
@@ -79,36 +79,36 @@
     pub name: String,
     pub place: Place,
     pub matching: Matching,
-    pub handshake_target: Option<Stated<Duration>>,
-    pub dial_timeout: Option<Stated<Duration>>,
-    pub connect_time: Option<Stated<Duration>>,
-    pub dials: Option<Stated<u32>>,
-    pub patience: Option<Stated<f64>>,
-    pub base: Option<Stated<Duration>>,
-    pub cap: Option<Stated<Duration>>,
-    pub cool_down: Option<Stated<Duration>>,
-    pub retry_after: Option<Stated<Duration>>,
-    pub idle: Option<Stated<Duration>>,
-    pub retry_share: Option<Stated<f64>>,
-    pub at_once: Option<Stated<u32>>,
-    pub second_copy: Option<Stated<SecondText>>,
+    pub handshake_target: Option<Located<Duration>>,
+    pub dial_timeout: Option<Located<Duration>>,
+    pub connect_time: Option<Located<Duration>>,
+    pub dials: Option<Located<u32>>,
+    pub patience: Option<Located<f64>>,
+    pub base: Option<Located<Duration>>,
+    pub cap: Option<Located<Duration>>,
+    pub cool_down: Option<Located<Duration>>,
+    pub retry_after: Option<Located<Duration>>,
+    pub idle: Option<Located<Duration>>,
+    pub retry_share: Option<Located<f64>>,
+    pub at_once: Option<Located<u32>>,
+    pub second_copy: Option<Located<SecondText>>,
 }
 
 /// Relays that know of one another, as stated.
 #[derive(Clone, Debug)]
 pub struct PeersText {
     pub place: Place,
-    pub fleet: Stated<String>,
-    pub listen: Stated<SocketAddr>,
-    pub key_file: Stated<String>,
-    pub advertise: Option<Stated<SocketAddr>>,
-    pub seeds: Option<Stated<Vec<SocketAddr>>>,
-    pub period: Option<Stated<Duration>>,
-    pub rate: Option<Stated<u32>>,
-    pub voters: Option<Stated<Vec<String>>>,
-    pub voters_before: Option<Stated<Vec<String>>>,
-    pub generation: Option<Stated<u32>>,
-    pub lease: Option<Stated<Duration>>,
+    pub fleet: Located<String>,
+    pub listen: Located<SocketAddr>,
+    pub key_file: Located<String>,
+    pub advertise: Option<Located<SocketAddr>>,
+    pub seeds: Option<Located<Vec<SocketAddr>>>,
+    pub period: Option<Located<Duration>>,
+    pub rate: Option<Located<u32>>,
+    pub voters: Option<Located<Vec<String>>>,
+    pub voters_before: Option<Located<Vec<String>>>,
+    pub generation: Option<Located<u32>>,
+    pub lease: Option<Located<Duration>>,
 }
 
 /// A value as its key's kind has it.
@@ -127,7 +127,7 @@
 struct Reader<'a> {
     file: &'a str,
     text: &'a str,
-    faults: Vec<Fault>,
+    faults: Vec<ConfigError>,
 }
 
 /// The values of one table, by key.
@@ -136,7 +136,7 @@
     place: Place,
 }
 
-pub fn parse(file: &str, text: &str) -> Result<Charter, Vec<Fault>> {
+pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
     let mut reader = Reader {
         file,
         text,
@@ -149,7 +149,7 @@
             .faults
             .push(place.fault("syntax", error.message().replace('\n', " ")));
     }
-    let mut charter = Charter::default();
+    let mut charter = OperatorConfig::default();
     if errors.is_empty() {
         let top = table.get_ref();
         reader.table(top, table.span(), &TOP, "");
@@ -195,7 +195,7 @@
         self.faults.push(fault);
     }
 
-    fn routes(&mut self, value: &Spanned<DeValue>, charter: &mut Charter) {
+    fn routes(&mut self, value: &Spanned<DeValue>, charter: &mut OperatorConfig) {
         let DeValue::Array(rows) = value.get_ref() else {
             // What is no table at all has its fault by then.
             if let DeValue::Table(_) = value.get_ref() {
@@ -244,15 +244,15 @@
                 self.fault(value.span(), "peers", format!("{key}: it must be stated"));
             }
         }
-        let one = |stated: Stated<Vec<String>>| {
+        let one = |stated: Located<Vec<String>>| {
             let value = stated.value.into_iter().next().unwrap_or_default();
-            Stated {
+            Located {
                 value,
                 place: stated.place,
             }
         };
-        let first = |stated: Stated<Vec<SocketAddr>>| {
-            Some(Stated {
+        let first = |stated: Located<Vec<SocketAddr>>| {
+            Some(Located {
                 value: *stated.value.first()?,
                 place: stated.place,
             })
@@ -317,7 +317,7 @@
                 most: read.span("most"),
                 share: read.number("share"),
             };
-            Stated {
+            Located {
                 value,
                 place: read.place,
             }
@@ -459,12 +459,12 @@
 const LONGEST: Duration = Duration::from_millis(86_400_000);
 
 impl Read {
-    fn take<T>(&mut self, name: &str, of: impl Fn(Value) -> Option<T>) -> Option<Stated<T>> {
+    fn take<T>(&mut self, name: &str, of: impl Fn(Value) -> Option<T>) -> Option<Located<T>> {
         let (value, place) = self.values.remove(name)?;
-        of(value).map(|value| Stated { value, place })
+        of(value).map(|value| Located { value, place })
     }
 
-    fn names(&mut self, name: &str) -> Option<Stated<Vec<String>>> {
+    fn names(&mut self, name: &str) -> Option<Located<Vec<String>>> {
         self.take(name, |value| {
             if let Value::Names(names) = value {
                 Some(names)
@@ -474,7 +474,7 @@
         })
     }
 
-    fn span(&mut self, name: &str) -> Option<Stated<Duration>> {
+    fn span(&mut self, name: &str) -> Option<Located<Duration>> {
         self.take(name, |value| {
             if let Value::Duration(span) = value {
                 Some(span)
@@ -484,7 +484,7 @@
         })
     }
 
-    fn count(&mut self, name: &str) -> Option<Stated<u32>> {
+    fn count(&mut self, name: &str) -> Option<Located<u32>> {
         self.take(name, |value| {
             if let Value::Count(count) = value {
                 Some(count)
@@ -494,7 +494,7 @@
         })
     }
 
-    fn number(&mut self, name: &str) -> Option<Stated<f64>> {
+    fn number(&mut self, name: &str) -> Option<Located<f64>> {
         self.take(name, |value| {
             if let Value::Number(number) = value {
                 Some(number)
@@ -504,7 +504,7 @@
         })
     }
 
-    fn addresses(&mut self, name: &str) -> Option<Stated<Vec<SocketAddr>>> {
+    fn addresses(&mut self, name: &str) -> Option<Located<Vec<SocketAddr>>> {
         self.take(name, |value| {
             if let Value::Addresses(list) = value {
                 Some(list)
@@ -514,7 +514,7 @@
         })
     }
 
-    fn hex(&mut self, name: &str) -> Option<Stated<(u64, u32)>> {
+    fn hex(&mut self, name: &str) -> Option<Located<(u64, u32)>> {
         self.take(name, |value| {
             if let Value::Hex(digits, count) = value {
                 Some((digits, count))
@@ -524,7 +524,7 @@
         })
     }
 
-    fn hex_list(&mut self, name: &str) -> Option<Stated<Vec<u64>>> {
+    fn hex_list(&mut self, name: &str) -> Option<Located<Vec<u64>>> {
         self.take(name, |value| {
             if let Value::HexList(list) = value {
                 Some(list)
--- a/operator_config/src/peers.rs
+++ b/operator_config/src/peers.rs
@@ -1,13 +1,13 @@
 //! What a charter may say of relays that know of one another, and what holds where it does not.
-use crate::Circumstances;
-use crate::routing::say;
-use crate::text::{Fault, PeersText, Place, Stated};
+use crate::RelayContext;
+use crate::parsing::{ConfigError, Located, PeersText, Place};
+use crate::route_table::say;
 use std::net::SocketAddr;
 use thistlecroft::time::Duration;
 
 /// In force.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Peering {
+pub struct PeersConfig {
     pub fleet: String,
     pub listen: SocketAddr,
     pub advertise: SocketAddr,
@@ -30,10 +30,13 @@
 const PERIODS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(10_000));
 const LEASES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(60_000));
 
-pub(crate) fn peering(text: &PeersText, of: &Circumstances) -> Result<Peering, Vec<Fault>> {
+pub(crate) fn resolve(
+    text: &PeersText,
+    of: &RelayContext,
+) -> Result<PeersConfig, Vec<ConfigError>> {
     let mut faults = Vec::new();
     let mut blame = |place: &Place, key: &str, why: String| faults.push(place.fault(key, why));
-    if !of.peers {
+    if !of.may_use_peers {
         let why = "the settings do not allow talk between instances (permissions.peers)";
         blame(&text.place, "peers", why.into());
     }
@@ -111,12 +114,12 @@
     if !faults.is_empty() {
         return Err(faults);
     }
-    let names = |stated: &Option<Stated<Vec<String>>>| {
+    let names = |stated: &Option<Located<Vec<String>>>| {
         stated
             .as_ref()
             .map_or(Vec::new(), |stated| stated.value.clone())
     };
-    Ok(Peering {
+    Ok(PeersConfig {
         fleet: text.fleet.value.clone(),
         listen: text.listen.value,
         advertise: advertise.value,
--- a/operator_config/src/page.rs
+++ b/operator_config/src/reference.rs
@@ -2,7 +2,7 @@
 use crate::keys::SECTIONS;
 use std::fmt::Write;
 
-pub fn reference() -> String {
+pub fn reference_page() -> String {
     let mut page = String::from(
         "# The charter's keys\n\nWritten by `thistlecroft charter reference`; a test compares it with the reader's tables. How the file is used is told in\n\
          `charter.md`.\n",
--- a/operator_config/src/routing.rs
+++ b/operator_config/src/route_table.rs
@@ -1,46 +1,46 @@
 //! Routes worked out for a deployment: which row a session goes by, and what every row holds and
 //! where it has that from.
-use crate::Charter;
-use crate::text::{RouteText, SecondText, Stated};
+use crate::OperatorConfig;
+use crate::parsing::{Located, RouteText, SecondText};
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{Hedging, Idempotency, Route};
 use thistlecroft::time::Duration;
 
 /// A listener of the deployment, as the settings have it.
 #[derive(Clone, Debug)]
-pub struct ListenerFacts {
+pub struct ListenerDefaults {
     pub name: String,
     /// How long its clients wait at most.
-    pub wait: Duration,
+    pub client_timeout: Duration,
     /// What holds for it without a charter.
-    pub row: Route,
+    pub route: Route,
 }
 
 /// What a charter is held against.
 #[derive(Clone, Debug)]
-pub struct Circumstances {
-    pub listeners: Vec<ListenerFacts>,
+pub struct RelayContext {
+    pub listeners: Vec<ListenerDefaults>,
     pub zones: Vec<String>,
     /// The relay's own, by its place among the zones.
     pub zone: usize,
     /// The settings allow two dials of a session at once, and one of them to be given up.
-    pub two_dials: bool,
+    pub may_hedge: bool,
     /// The settings allow relays to talk with one another.
-    pub peers: bool,
+    pub may_use_peers: bool,
     /// Descriptors that sessions may take.
     pub descriptors: usize,
 }
 
 /// What a row holds for the relay's front.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FrontRow {
-    pub dial_timeout: Option<Duration>,
-    pub connect_time: Duration,
-    pub idle: Option<Duration>,
+pub struct SessionTimeouts {
+    pub handshake_timeout: Option<Duration>,
+    pub connect_timeout: Duration,
+    pub idle_timeout: Option<Duration>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Origin {
+pub enum ValueOrigin {
     /// The line of the file that states it.
     File(usize),
     Settings,
@@ -49,21 +49,21 @@
 
 /// A value in force, for people.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct EffectiveValue {
     /// `otherwise` for sessions that no route matches.
     pub route: String,
     pub listener: String,
     pub key: &'static str,
     pub value: String,
-    pub origin: Origin,
+    pub origin: ValueOrigin,
 }
 
 /// Numbers of routes by their names, the same from one reading of the file to the next, so that
 /// what is counted of a route goes on.
 #[derive(Clone, Debug, Default)]
-pub struct Lanes(BTreeMap<String, u32>);
+pub struct LimitsIds(BTreeMap<String, u32>);
 
-impl Lanes {
+impl LimitsIds {
     fn of(&mut self, name: &str) -> u32 {
         // 0 is for the sessions of no route.
         let next = self.0.len() as u32 + 1;
@@ -72,32 +72,36 @@
 }
 
 #[derive(Clone, Debug, PartialEq)]
-struct Tried {
+struct RouteMatch {
     key_prefix: Option<(u64, u32)>,
     groups: Vec<u64>,
     row: usize,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Routing {
+pub struct RouteTable {
     rows: Vec<Route>,
-    fronts: Vec<FrontRow>,
+    fronts: Vec<SessionTimeouts>,
     /// By listener: what is tried in turn, then the row of those that nothing matched.
-    tried: Vec<(Vec<Tried>, usize)>,
-    told: Vec<Told>,
+    tried: Vec<(Vec<RouteMatch>, usize)>,
+    told: Vec<EffectiveValue>,
 }
 
 /// The name of the row for sessions that no route matches.
-pub const OTHERWISE: &str = "otherwise";
+pub const DEFAULT_ROUTE: &str = "otherwise";
 
-impl Routing {
+impl RouteTable {
     /// Without a charter every listener has its own row, at its own place.
-    pub fn plain(of: &Circumstances) -> Routing {
-        Routing::new(&Charter::default(), of, &mut Lanes::default())
+    pub fn from_settings(of: &RelayContext) -> RouteTable {
+        RouteTable::new(&OperatorConfig::default(), of, &mut LimitsIds::default())
     }
 
-    pub(crate) fn new(charter: &Charter, of: &Circumstances, lanes: &mut Lanes) -> Routing {
-        let mut routing = Routing {
+    pub(crate) fn new(
+        charter: &OperatorConfig,
+        of: &RelayContext,
+        lanes: &mut LimitsIds,
+    ) -> RouteTable {
+        let mut routing = RouteTable {
             rows: Vec::new(),
             fronts: Vec::new(),
             tried: Vec::new(),
@@ -124,7 +128,7 @@
                     .group
                     .as_ref()
                     .map_or(Vec::new(), |stated| stated.value.clone());
-                routing.tried[place].0.push(Tried {
+                routing.tried[place].0.push(RouteMatch {
                     key_prefix,
                     groups,
                     row,
@@ -134,7 +138,7 @@
         routing
     }
 
-    fn add(&mut self, route: Option<&RouteText>, listener: &ListenerFacts, lane: u32) -> usize {
+    fn add(&mut self, route: Option<&RouteText>, listener: &ListenerDefaults, lane: u32) -> usize {
         let (row, front, told) = effective(route, listener, lane);
         self.rows.push(row);
         self.fronts.push(front);
@@ -143,9 +147,9 @@
     }
 
     /// The row of a session. Bounded by the number of routes.
-    pub fn find(&self, listener: usize, key: u64, group: Option<u64>) -> usize {
+    pub fn route_for(&self, listener: usize, key: u64, group: Option<u64>) -> usize {
         let (tried, otherwise) = &self.tried[listener];
-        let fits = |one: &&Tried| {
+        let fits = |one: &&RouteMatch| {
             one.key_prefix.is_none_or(|prefix| begins(key, prefix))
                 && (one.groups.is_empty() || group.is_some_and(|group| one.groups.contains(&group)))
         };
@@ -157,17 +161,17 @@
         &self.rows
     }
 
-    pub fn front(&self, row: usize) -> FrontRow {
+    pub fn timeouts(&self, row: usize) -> SessionTimeouts {
         self.fronts[row]
     }
 
-    pub fn told(&self) -> &[Told] {
+    pub fn effective_values(&self) -> &[EffectiveValue] {
         &self.told
     }
 
     /// What another one changes, a line for each.
-    pub fn changes(&self, later: &Routing) -> Vec<String> {
-        let of = |routing: &Routing| -> BTreeMap<(String, String, &'static str), String> {
+    pub fn changes_to(&self, later: &RouteTable) -> Vec<String> {
+        let of = |routing: &RouteTable| -> BTreeMap<(String, String, &'static str), String> {
             let rows = routing.told.iter();
             rows.map(|told| {
                 (
@@ -210,8 +214,8 @@
 }
 
 /// If a route is for sessions of a listener at this relay at all.
-pub(crate) fn takes(route: &RouteText, listener: &str, of: &Circumstances) -> bool {
-    let named = |stated: &Option<Stated<Vec<String>>>, name: &str| {
+pub(crate) fn takes(route: &RouteText, listener: &str, of: &RelayContext) -> bool {
+    let named = |stated: &Option<Located<Vec<String>>>, name: &str| {
         stated
             .as_ref()
             .is_none_or(|stated| stated.value.iter().any(|one| one == name))
@@ -243,15 +247,15 @@
 /// The rows of one listener under one route, and what is to be told of them.
 pub(crate) fn effective(
     route: Option<&RouteText>,
-    listener: &ListenerFacts,
+    listener: &ListenerDefaults,
     lane: u32,
-) -> (Route, FrontRow, Vec<Told>) {
-    let base = &listener.row;
+) -> (Route, SessionTimeouts, Vec<EffectiveValue>) {
+    let base = &listener.route;
     let mut told = Vec::new();
-    let name = route.map_or(OTHERWISE, |route| &route.name);
+    let name = route.map_or(DEFAULT_ROUTE, |route| &route.name);
     let mut tell = |key, value: String, origin| {
         let (route, listener) = (name.to_string(), listener.name.clone());
-        told.push(Told {
+        told.push(EffectiveValue {
             route,
             listener,
             key,
@@ -266,13 +270,15 @@
             tell(
                 stringify!($key),
                 $say(value),
-                own.map_or($from, |own| Origin::File(own.place.line)),
+                own.map_or($from, |own| ValueOrigin::File(own.place.line)),
             );
             value
         }};
         ($key:ident, none, $say:expr) => {{
             let own = route.and_then(|route| route.$key.as_ref());
-            let origin = own.map_or(Origin::BuiltIn, |own| Origin::File(own.place.line));
+            let origin = own.map_or(ValueOrigin::BuiltIn, |own| {
+                ValueOrigin::File(own.place.line)
+            });
             tell(
                 stringify!($key),
                 own.map_or("none".to_string(), |own| $say(own.value)),
@@ -286,27 +292,37 @@
     tell(
         "effect",
         effect_name(base.idempotency).to_string(),
-        Origin::Settings,
+        ValueOrigin::Settings,
     );
     let handshake_target = stated!(
         handshake_target,
         base.handshake_objective,
-        Origin::Settings,
+        ValueOrigin::Settings,
         say
     );
     let dial_timeout = stated!(dial_timeout, none, say);
-    let connect_time = stated!(connect_time, base.connect_timeout, Origin::Settings, say);
-    let max_dials = stated!(dials, base.max_attempts, Origin::Settings, count);
+    let connect_time = stated!(
+        connect_time,
+        base.connect_timeout,
+        ValueOrigin::Settings,
+        say
+    );
+    let max_dials = stated!(dials, base.max_attempts, ValueOrigin::Settings, count);
     let patience = stated!(
         patience,
         base.attempt_timeout_factor,
-        Origin::BuiltIn,
+        ValueOrigin::BuiltIn,
         figure
     );
-    let first = stated!(base, base.backoff_base, Origin::BuiltIn, say);
-    let cap = stated!(cap, base.backoff_cap, Origin::BuiltIn, say);
-    let cool_down = stated!(cool_down, base.stable_after, Origin::BuiltIn, say);
-    let longest_retry_after = stated!(retry_after, base.max_retry_after, Origin::Settings, say);
+    let first = stated!(base, base.backoff_base, ValueOrigin::BuiltIn, say);
+    let cap = stated!(cap, base.backoff_cap, ValueOrigin::BuiltIn, say);
+    let cool_down = stated!(cool_down, base.stable_after, ValueOrigin::BuiltIn, say);
+    let longest_retry_after = stated!(
+        retry_after,
+        base.max_retry_after,
+        ValueOrigin::Settings,
+        say
+    );
     let idle = stated!(idle, none, say);
     let further_share = stated!(retry_share, none, figure);
     let most = stated!(at_once, none, count);
@@ -322,7 +338,9 @@
     tell(
         "second_copy",
         text,
-        second.map_or(Origin::BuiltIn, |second| Origin::File(second.place.line)),
+        second.map_or(ValueOrigin::BuiltIn, |second| {
+            ValueOrigin::File(second.place.line)
+        }),
     );
     let row = Route {
         limits_id: lane,
@@ -341,20 +359,20 @@
     };
     (
         row,
-        FrontRow {
-            dial_timeout,
-            connect_time,
-            idle,
+        SessionTimeouts {
+            handshake_timeout: dial_timeout,
+            connect_timeout: connect_time,
+            idle_timeout: idle,
         },
         told,
     )
 }
 
 pub(crate) fn second_copy(text: &SecondText, target: Duration) -> Hedging {
-    let part = |stated: &Option<Stated<f64>>, otherwise| {
+    let part = |stated: &Option<Located<f64>>, otherwise| {
         stated.as_ref().map_or(otherwise, |stated| stated.value)
     };
-    let span = |stated: &Option<Stated<Duration>>, otherwise| {
+    let span = |stated: &Option<Located<Duration>>, otherwise| {
         stated.as_ref().map_or(otherwise, |stated| stated.value)
     };
     Hedging {
--- a/operator_config/src/rules.rs
+++ b/operator_config/src/rules.rs
@@ -1,41 +1,44 @@
 //! What a charter may not say: a table of checks, each on one route and one listener that it takes,
 //! and the few that look at all routes together. A check complains only of what the file states,
 //! never of the settings alone; where values conflict only together it names them all.
-use crate::Charter;
+use crate::OperatorConfig;
 use crate::keys::nearest;
-use crate::routing::{
-    Circumstances, FrontRow, ListenerFacts, begins, effect_name, effective, say, second_copy, takes,
+use crate::parsing::{ConfigError, Located, Place, RouteText};
+use crate::route_table::{
+    ListenerDefaults, RelayContext, SessionTimeouts, begins, effect_name, effective, say,
+    second_copy, takes,
 };
-use crate::text::{Fault, Place, RouteText, Stated};
 use thistlecroft::deployment::{Idempotency, Route};
 use thistlecroft::time::Duration;
 
 struct Case<'a> {
     route: &'a RouteText,
-    listener: &'a ListenerFacts,
+    listener: &'a ListenerDefaults,
     row: Route,
-    front: FrontRow,
-    of: &'a Circumstances,
+    front: SessionTimeouts,
+    of: &'a RelayContext,
 }
 
 /// The key that is blamed, its place where the file states it, and why.
 type Complaint = (&'static str, Option<Place>, String);
 
-fn place<T>(stated: &Option<Stated<T>>) -> Option<Place> {
+fn place<T>(stated: &Option<Located<T>>) -> Option<Place> {
     stated.as_ref().map(|stated| stated.place.clone())
 }
 
 /// How long a session of this case may take for its answer.
 fn answer_due(case: &Case) -> Duration {
     case.front
-        .dial_timeout
-        .map_or(case.listener.wait, |own| own.min(case.listener.wait))
+        .handshake_timeout
+        .map_or(case.listener.client_timeout, |own| {
+            own.min(case.listener.client_timeout)
+        })
 }
 
 const CHECKS: &[fn(&Case) -> Option<Complaint>] = &[
     |case| {
-        let own = case.front.dial_timeout?;
-        let (name, wait) = (&case.listener.name, case.listener.wait);
+        let own = case.front.handshake_timeout?;
+        let (name, wait) = (&case.listener.name, case.listener.client_timeout);
         (own > wait).then(|| {
             let why = format!(
                 "{} is longer than clients of {name} wait ({}): they would have left",
@@ -93,7 +96,7 @@
         })
     },
     |case| {
-        let longest = case.listener.row.max_retry_after;
+        let longest = case.listener.route.max_retry_after;
         let own = case.route.retry_after.as_ref()?;
         (own.value > longest).then(|| {
             let why = format!(
@@ -124,7 +127,7 @@
         })
     },
     |case| {
-        let (idle, stood) = (case.front.idle?, case.row.stable_after);
+        let (idle, stood) = (case.front.idle_timeout?, case.row.stable_after);
         (idle <= stood).then(|| {
             let why = format!(
                 "idle {} is no longer than cool_down {}: no connection would clear its client",
@@ -144,7 +147,7 @@
     },
     |case| {
         let own = case.route.second_copy.as_ref()?;
-        (!case.of.two_dials).then(|| {
+        (!case.of.may_hedge).then(|| {
             let why =
                 "the settings allow one dial at a time (parallelTries), or none to be given up (mayCancel)"
                     .to_string();
@@ -199,7 +202,7 @@
 
 /// # Errors
 /// All that is wrong.
-pub fn check(charter: &Charter, of: &Circumstances) -> Result<(), Vec<Fault>> {
+pub fn check(charter: &OperatorConfig, of: &RelayContext) -> Result<(), Vec<ConfigError>> {
     let mut faults = Vec::new();
     for route in &charter.routes {
         names(route, of, &mut faults);
@@ -234,7 +237,7 @@
     }
 }
 
-fn names(route: &RouteText, of: &Circumstances, faults: &mut Vec<Fault>) {
+fn names(route: &RouteText, of: &RelayContext, faults: &mut Vec<ConfigError>) {
     let listeners: Vec<&str> = of
         .listeners
         .iter()
@@ -267,9 +270,9 @@
 }
 
 /// If all that one matches another before it has taken.
-fn takes_all_of(first: &RouteText, second: &RouteText, of: &Circumstances) -> bool {
-    let within = |wide: &Option<Stated<Vec<String>>>,
-                  narrow: &Option<Stated<Vec<String>>>,
+fn takes_all_of(first: &RouteText, second: &RouteText, of: &RelayContext) -> bool {
+    let within = |wide: &Option<Located<Vec<String>>>,
+                  narrow: &Option<Located<Vec<String>>>,
                   all: &[&str]| match wide {
         None => true,
         Some(wide) => {
@@ -304,7 +307,7 @@
         && groups
 }
 
-fn shadowed(charter: &Charter, of: &Circumstances, faults: &mut Vec<Fault>) {
+fn shadowed(charter: &OperatorConfig, of: &RelayContext, faults: &mut Vec<ConfigError>) {
     for (number, route) in charter.routes.iter().enumerate() {
         let before = charter.routes[..number]
             .iter()
@@ -326,8 +329,8 @@
 /// Each session holds two descriptors, its client's and its dial's.
 const EACH: usize = 2;
 
-fn together(charter: &Charter, of: &Circumstances, faults: &mut Vec<Fault>) {
-    let stated: Vec<(&RouteText, &Stated<u32>)> = charter
+fn together(charter: &OperatorConfig, of: &RelayContext, faults: &mut Vec<ConfigError>) {
+    let stated: Vec<(&RouteText, &Located<u32>)> = charter
         .routes
         .iter()
         .filter_map(|route| Some((route, route.at_once.as_ref()?)))
--- a/operator_config/tests/charter.rs
+++ b/operator_config/tests/operator_config.rs
@@ -2,18 +2,19 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency, Route};
 use thistlecroft::time::Duration;
 use thistlecroft_operator_config::{
-    Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin, Routing, page,
+    ConfigError, LimitsIds, ListenerDefaults, OperatorConfig, RelayContext, RouteTable,
+    ValueOrigin, reference,
 };
 
 fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-fn of() -> Circumstances {
-    let listener = |name: &str, wait, effect| ListenerFacts {
+fn of() -> RelayContext {
+    let listener = |name: &str, wait, effect| ListenerDefaults {
         name: name.into(),
-        wait: ms(wait),
-        row: Route {
+        client_timeout: ms(wait),
+        route: Route {
             handshake_objective: ms(300),
             idempotency: effect,
             connect_timeout: ms(50),
@@ -30,7 +31,7 @@
         scope: DeduplicationScope::All,
         window: ms(500),
     };
-    Circumstances {
+    RelayContext {
         listeners: vec![
             listener("hold", 1_200, Idempotency::Idempotent),
             listener("view", 4_800, Idempotency::Idempotent),
@@ -39,14 +40,14 @@
         ],
         zones: vec!["ikeja".into(), "lekki".into()],
         zone: 1,
-        two_dials: true,
-        peers: true,
+        may_hedge: true,
+        may_use_peers: true,
         descriptors: 200,
     }
 }
 
-fn read(text: &str, of: &Circumstances) -> Result<Routing, Vec<Fault>> {
-    Charter::parse("c.toml", text)?.against(of, &mut Lanes::default())
+fn read(text: &str, of: &RelayContext) -> Result<RouteTable, Vec<ConfigError>> {
+    OperatorConfig::parse("c.toml", text)?.resolve(of, &mut LimitsIds::default())
 }
 
 /// A route of that name for those listeners, with these lines.
@@ -130,7 +131,7 @@
         ),
     ];
     for (text, expected) in cases {
-        let faults = Charter::parse("c.toml", text).expect_err(text);
+        let faults = OperatorConfig::parse("c.toml", text).expect_err(text);
         assert_eq!(faults.len(), expected.len(), "{text}: {faults:?}");
         for (fault, (line, column, key, why)) in faults.iter().zip(*expected) {
             assert_eq!(
@@ -256,8 +257,8 @@
         let found = found.unwrap_or_else(|| panic!("{text}: {faults:?}"));
         assert!(found.why.contains(why), "{text}: {found}");
     }
-    let single = Circumstances {
-        two_dials: false,
+    let single = RelayContext {
+        may_hedge: false,
         ..of()
     };
     let text = route("a", hold, "second_copy = {}");
@@ -339,41 +340,44 @@
         (2, other, Some(1), (3, 50, None, 30_000)),
     ];
     for (listener, key, group, expected) in cases {
-        let row = routing.find(listener, key, group);
-        let (route, front) = (routing.rows()[row], routing.front(row));
+        let row = routing.route_for(listener, key, group);
+        let (route, front) = (routing.rows()[row], routing.timeouts(row));
         let found = (
             route.max_attempts,
-            front.connect_time.as_millis(),
-            front.dial_timeout.map(|span| span.as_millis()),
+            front.connect_timeout.as_millis(),
+            front.handshake_timeout.map(|span| span.as_millis()),
             route.backoff_cap.as_millis(),
         );
         assert_eq!(
             found, expected,
             "listener {listener}, key {key:x}, group {group:?}"
         );
-        assert_eq!(route.idempotency, of().listeners[listener].row.idempotency);
+        assert_eq!(
+            route.idempotency,
+            of().listeners[listener].route.idempotency
+        );
     }
     // Without a charter every listener has the row at its own place.
-    let plain = Routing::plain(&of());
+    let plain = RouteTable::from_settings(&of());
     assert_eq!(
         (0..4)
-            .map(|listener| plain.find(listener, 1, None))
+            .map(|listener| plain.route_for(listener, 1, None))
             .collect::<Vec<_>>(),
         [0, 1, 2, 3]
     );
     assert_eq!(plain.rows().len(), 4);
     let told = routing
-        .told()
+        .effective_values()
         .iter()
         .find(|told| told.route == "partner" && told.key == "dials")
         .unwrap();
     assert_eq!(
         (told.value.as_str(), told.origin, told.listener.as_str()),
-        ("2", Origin::File(3), "view")
+        ("2", ValueOrigin::File(3), "view")
     );
     let origins = |key| {
         routing
-            .told()
+            .effective_values()
             .iter()
             .filter(|told| told.key == key)
             .map(|told| told.origin)
@@ -382,22 +386,22 @@
     assert!(
         origins("cool_down")
             .iter()
-            .all(|origin| *origin == Origin::BuiltIn)
+            .all(|origin| *origin == ValueOrigin::BuiltIn)
     );
     assert!(
         origins("handshake_target")
             .iter()
-            .all(|origin| *origin == Origin::Settings)
+            .all(|origin| *origin == ValueOrigin::Settings)
     );
 }
 
 #[test]
 fn a_later_file_says_what_it_changes_and_keeps_its_lanes() {
-    let mut lanes = Lanes::default();
+    let mut lanes = LimitsIds::default();
     let mut against = |text: &str| {
-        Charter::parse("c.toml", text)
+        OperatorConfig::parse("c.toml", text)
             .unwrap()
-            .against(&of(), &mut lanes)
+            .resolve(&of(), &mut lanes)
             .unwrap()
     };
     let hold = "listener = \"hold\"";
@@ -406,7 +410,7 @@
         &(route("c", "listener = \"pay\"", "") + &route("a", hold, "dials = 3\nat_once = 5")),
     );
     assert_eq!(
-        old.changes(&new),
+        old.changes_to(&new),
         [
             "route c for pay is new",
             "route b for view is gone",
@@ -414,9 +418,10 @@
             "a.dials for hold: 2 -> 3"
         ]
     );
-    assert!(new.changes(&new).is_empty());
-    let lane =
-        |routing: &Routing, listener| routing.rows()[routing.find(listener, 1, None)].limits_id;
+    assert!(new.changes_to(&new).is_empty());
+    let lane = |routing: &RouteTable, listener| {
+        routing.rows()[routing.route_for(listener, 1, None)].limits_id
+    };
     assert_eq!(
         lane(&old, 0),
         lane(&new, 0),
@@ -431,7 +436,7 @@
     let written = std::fs::read_to_string(root.join("docs/operate/charter-reference.md")).unwrap();
     assert_eq!(
         written,
-        page::reference(),
+        reference::reference_page(),
         "write it anew: thistlecroft charter reference"
     );
     let example = std::fs::read_to_string(root.join("deploy/charter.example.toml")).unwrap();
@@ -442,16 +447,21 @@
             .iter_mut()
             .zip(["slot-hold", "slot-view", "pay", "queue-view"])
     {
-        (listener.name, listener.row.idempotency) = (name.into(), Idempotency::Idempotent);
+        (listener.name, listener.route.idempotency) = (name.into(), Idempotency::Idempotent);
     }
     let routing = read(&example, &circumstances).unwrap();
-    assert_eq!(routing.rows()[routing.find(0, 1, None)].max_attempts, 2);
+    assert_eq!(
+        routing.rows()[routing.route_for(0, 1, None)].max_attempts,
+        2
+    );
     // With the second copies that it shows commented out at its end, where they are allowed.
     let (before, shown) = example.split_once("second one:\n#\n").unwrap();
     let all = before.to_string() + "\n" + &shown.replace("# ", "");
     let routing = read(&all, &circumstances).unwrap();
     assert!(
-        routing.rows()[routing.find(1, 1, None)].hedging.is_some(),
+        routing.rows()[routing.route_for(1, 1, None)]
+            .hedging
+            .is_some(),
         "{all}"
     );
 }
@@ -461,8 +471,8 @@
     let table = |lines: &str| {
         format!("[peers]\nfleet = \"a\"\nlisten = \"10.0.0.1:7946\"\nkey_file = \"k\"\n{lines}")
     };
-    let peering = |text: &str, of: &Circumstances| {
-        Charter::parse("c.toml", text).and_then(|charter| charter.peering(of))
+    let peering = |text: &str, of: &RelayContext| {
+        OperatorConfig::parse("c.toml", text).and_then(|charter| charter.peers_config(of))
     };
     let plain = peering(&table(""), &of()).unwrap().unwrap();
     assert_eq!(
@@ -549,8 +559,8 @@
             .why
             .contains("one table")
     );
-    let barred = Circumstances {
-        peers: false,
+    let barred = RelayContext {
+        may_use_peers: false,
         ..of()
     };
     let fault = read(&table(""), &barred).unwrap_err();
@@ -559,11 +569,11 @@
 
 #[test]
 fn the_shipped_charter_for_peers_is_sound() {
-    let charter = Charter::parse(
+    let charter = OperatorConfig::parse(
         "charter.peers.toml",
         include_str!("../../deploy/charter.peers.toml"),
     )
     .unwrap();
-    let peering = charter.peering(&of()).unwrap().unwrap();
+    let peering = charter.peers_config(&of()).unwrap().unwrap();
     assert_eq!((peering.voters.len(), peering.seeds.len()), (3, 3));
 }
--- a/relay/src/clients.rs
+++ b/relay/src/clients.rs
@@ -19,7 +19,7 @@
 use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::ids::{BackendId, RouteId, SessionId};
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_operator_config::{FrontRow, Routing};
+use thistlecroft_operator_config::{RouteTable, SessionTimeouts};
 
 /// Accepts in one turn, so that a rush of clients can't keep the standing ones waiting.
 const ACCEPTS: usize = 64;
@@ -99,7 +99,7 @@
     /// What the next process needs to know of it.
     about: Option<Box<About>>,
     /// What its route says, and by which reading of the file.
-    front: Option<FrontRow>,
+    front: Option<SessionTimeouts>,
     generation: Option<u32>,
     dial: Option<Dial>,
     /// Out beside the first, until one of them is up.
@@ -145,7 +145,7 @@
 /// What a session needs to know of the whole.
 struct Terms {
     names: Names,
-    routing: Routing,
+    routing: RouteTable,
     /// How often routes have been read, and sessions by the reading that they go by.
     generation: u32,
     generations: BTreeMap<u32, usize>,
@@ -192,7 +192,7 @@
 
 impl Sessions {
     /// No client is taken before `open_door`.
-    pub fn new(door: Door, names: Names, routing: Routing, sockets: usize) -> Sessions {
+    pub fn new(door: Door, names: Names, routing: RouteTable, sockets: usize) -> Sessions {
         let most_sockets = sockets.saturating_sub(RESERVE);
         let (claimed, idle) = (BTreeSet::new(), BTreeSet::new());
         let (generation, generations) = (1, BTreeMap::new());
@@ -243,13 +243,13 @@
     }
 
     /// Other names and routes, for the sessions that come from now on.
-    pub fn reroute(&mut self, names: Names, routing: Routing) {
+    pub fn reroute(&mut self, names: Names, routing: RouteTable) {
         let same = self.terms.names.listeners == names.listeners && self.terms.routing == routing;
         (self.terms.names, self.terms.routing) = (names, routing);
         self.terms.generation += u32::from(!same);
     }
 
-    pub fn routing(&self) -> &Routing {
+    pub fn routing(&self) -> &RouteTable {
         &self.terms.routing
     }
 
@@ -644,8 +644,8 @@
         let row = self
             .terms
             .routing
-            .find(listener, of.key.unwrap_or_default(), of.group);
-        let front = self.terms.routing.front(row);
+            .route_for(listener, of.key.unwrap_or_default(), of.group);
+        let front = self.terms.routing.timeouts(row);
         let arrival = Arrival {
             route: RouteId(row as u16),
             client_key: of.key,
@@ -974,7 +974,7 @@
     }
 
     fn idle_alarm(&mut self, works: &mut Works) -> Fate {
-        let Some(idle) = self.front.and_then(|front| front.idle) else {
+        let Some(idle) = self.front.and_then(|front| front.idle_timeout) else {
             return Goes;
         };
         if self.stage != Stage::Standing {
@@ -1115,14 +1115,14 @@
                         load: None,
                         sent_away: false,
                     }));
-                    let row = terms.routing.find(
+                    let row = terms.routing.route_for(
                         usize::from(arrival.route.0),
                         arrival.client_key.unwrap_or_default(),
                         open.group,
                     );
-                    let front = terms.routing.front(row);
+                    let front = terms.routing.timeouts(row);
                     arrival.route = RouteId(row as u16);
-                    let within = front.dial_timeout.unwrap_or(arrival.timeout);
+                    let within = front.handshake_timeout.unwrap_or(arrival.timeout);
                     arrival.timeout = arrival.timeout.min(within);
                     (self.front, self.generation) = (Some(front), Some(terms.enter()));
                     let arrival = open.arrival;
@@ -1424,7 +1424,7 @@
             line: open.line(give_up_after),
             connect_within: self
                 .front
-                .map_or(Duration::ZERO, |front| front.connect_time),
+                .map_or(Duration::ZERO, |front| front.connect_timeout),
             give_up_after,
         };
         works.counters.dials += 1;
@@ -1626,7 +1626,7 @@
                 works.counters.accepted += 1;
                 self.stage = Stage::Standing;
                 (self.open, self.stood) = (None, true);
-                if let Some(idle) = self.front.and_then(|front| front.idle) {
+                if let Some(idle) = self.front.and_then(|front| front.idle_timeout) {
                     works.alarms.set(works.now + idle, Alarm::Idle(self.id));
                 }
                 return false;
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery.rs
@@ -14,7 +14,7 @@
 use thistlecroft::ids::{BackendId, CellId, ZoneId};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_settings::ReportPlaces;
+use thistlecroft_settings::ReportFields;
 
 /// An empty line comes every two seconds. What the agent has counts as told, so a watch that died
 /// without a word must be found out before the grace of a drain has passed.
@@ -64,11 +64,11 @@
     leaving: Vec<bool>,
     banned: Vec<bool>,
     zones: Vec<String>,
-    places: ReportPlaces,
+    places: ReportFields,
 }
 
 impl Book {
-    pub fn new(zones: Vec<String>, places: ReportPlaces) -> Book {
+    pub fn new(zones: Vec<String>, places: ReportFields) -> Book {
         let (names, addresses, leaving, banned) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
         Book {
             by_name: HashMap::new(),
@@ -172,7 +172,7 @@
     }
 
     /// Which fields of a report count.
-    pub fn read_by(&mut self, places: ReportPlaces) {
+    pub fn read_by(&mut self, places: ReportFields) {
         self.places = places;
     }
 
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -25,7 +25,7 @@
 mod works;
 
 pub use service::{Service, Signals};
-pub use start::{Posting, circumstances, read, read_file};
+pub use start::{StartupConfig, read, read_file, relay_context};
 
 /// Serves by a configuration, and a charter if there is one, until told to stop: what a main
 /// program does.
@@ -33,12 +33,12 @@
 /// # Errors
 /// A line for each fault of a file, or one: the address is taken, or the poller failed.
 pub fn serve(path: &str, charter: Option<&str>) -> Result<(), Vec<String>> {
-    let signals = Signals::caught().map_err(|fault| vec![fault.to_string()])?;
+    let signals = Signals::install().map_err(|fault| vec![fault.to_string()])?;
     let mut posting = read_file(path)
-        .and_then(Posting::placed)
+        .and_then(StartupConfig::with_environment)
         .map_err(|fault| vec![fault])?;
     if let Some(charter) = charter {
-        posting = posting.chartered(charter)?;
+        posting = posting.with_operator_config(charter)?;
     }
     Service::start(posting, signals)
         .and_then(Service::run)
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -11,7 +11,7 @@
 use std::os::fd::AsRawFd;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{Electorate, LeaseConfig, Leases, Reason, State};
-use thistlecroft_operator_config::Peering;
+use thistlecroft_operator_config::PeersConfig;
 use thistlecroft_peers::wire::MOST;
 use thistlecroft_peers::{Event, Identity, Kind, MemberState, Node, Pace, Terms};
 
@@ -31,7 +31,7 @@
     wanted_at: Option<Instant>,
     node: Node,
     leases: Option<Leases>,
-    peering: Peering,
+    peering: PeersConfig,
     /// The next alarm that is set.
     alarm: Option<Instant>,
     send_failures: u64,
@@ -62,7 +62,7 @@
     /// The address is taken, or the system gives no socket.
     pub fn start(
         name: &str,
-        peering: &Peering,
+        peering: &PeersConfig,
         key: &[u8],
         beside: bool,
         sockets: &mut Sockets,
@@ -126,7 +126,7 @@
 
     /// # Errors
     /// One line: a step from one set of voters to another that is not allowed.
-    pub fn resettle(&mut self, peering: &Peering) -> Result<(), String> {
+    pub fn resettle(&mut self, peering: &PeersConfig) -> Result<(), String> {
         if let Some(leases) = &mut self.leases
             && !peering.voters.is_empty()
         {
@@ -410,7 +410,7 @@
 /// The part of `peers.rate` that attaching and detaching subjects may take.
 const UPDATE_SHARE: u32 = 2;
 
-fn lease_config(peering: &Peering) -> LeaseConfig {
+fn lease_config(peering: &PeersConfig) -> LeaseConfig {
     let names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
     let electorate = Electorate {
         generation: peering.generation,
--- a/relay/src/protocol.rs
+++ b/relay/src/protocol.rs
@@ -3,7 +3,7 @@
 use thistlecroft::attempt::{Arrival, AttemptOutcome, LoadReport};
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
-use thistlecroft_settings::{CONNECTIONS, LOAD};
+use thistlecroft_settings::{CONNECTION_FIELDS, LOAD_FIELDS};
 
 pub const FAILED: &str = "ERR";
 pub const MOVED: &str = "MOVE";
@@ -202,8 +202,8 @@
             .map(|value| value.max(0.0))
     };
     LoadReport {
-        connections: told(CONNECTIONS),
-        load: told(LOAD),
+        connections: told(CONNECTION_FIELDS),
+        load: told(LOAD_FIELDS),
     }
 }
 
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -14,7 +14,7 @@
 use crate::protocol::Names;
 use crate::shelf::Shelf;
 use crate::sockets::{Owner, Sockets, key_of, owner_of};
-use crate::start::{Bound, Origin, Posting, circumstances, read_file};
+use crate::start::{ConfigSource, OperatorConfigFile, StartupConfig, read_file, relay_context};
 use crate::succession::{self, Heard, Line, Post};
 use crate::timers::{Alarm, Alarms, Clock};
 use crate::trace;
@@ -33,8 +33,8 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_operator_config::Routing;
-use thistlecroft_settings::Site;
+use thistlecroft_operator_config::RouteTable;
+use thistlecroft_settings::Settings;
 
 /// Events in one turn, so that timers are never far behind.
 const EVENTS: usize = 512;
@@ -101,13 +101,13 @@
     stopping: Option<Instant>,
     signals: [UnixStream; 3],
     /// For what a later text would change.
-    origin: Origin,
+    origin: ConfigSource,
     /// What holds, and what will hold alone from then on.
-    site: Site,
-    coming: Option<(Site, Routing)>,
+    site: Settings,
+    coming: Option<(Settings, RouteTable)>,
     settles_at: Instant,
     sockets: usize,
-    bound: Bound,
+    bound: OperatorConfigFile,
 }
 
 const STOP_BYTE: usize = 0;
@@ -123,7 +123,7 @@
     ///
     /// # Errors
     /// The system refuses a pipe or a handler.
-    pub fn caught() -> io::Result<Signals> {
+    pub fn install() -> io::Result<Signals> {
         Ok(Signals([
             signal_pipe(&[SIGTERM, SIGINT])?,
             signal_pipe(&[SIGUSR1])?,
@@ -133,7 +133,7 @@
 }
 
 impl Service {
-    pub fn start(posting: Posting, Signals(signals): Signals) -> io::Result<Service> {
+    pub fn start(posting: StartupConfig, Signals(signals): Signals) -> io::Result<Service> {
         let clock = Clock::start();
         let now = clock.now();
         let poller = Rc::new(Poller::new()?);
@@ -182,8 +182,8 @@
             counters,
             starved: VecDeque::new(),
         };
-        let book = Book::new(site.zones.clone(), site.places);
-        let mut watch = Watch::new(posting.discovery, posting.seed, book, site.grace, now);
+        let book = Book::new(site.zones.clone(), site.report_fields);
+        let mut watch = Watch::new(posting.discovery, posting.seed, book, site.drain_grace, now);
         if let Some(known) = &posting.known {
             match watch.know(known) {
                 Ok(news) => works.news.push_back(news),
@@ -220,7 +220,7 @@
             poller,
             works,
             sessions: Sessions::new(door, names, routing, clients_sockets),
-            probes: Probes::new(connect_timeout, site.idle),
+            probes: Probes::new(connect_timeout, site.backend_idle_timeout),
             watch,
             hand,
             peers,
@@ -653,18 +653,18 @@
     }
 
     /// What comes after some time has to agree as well, or nothing is taken.
-    fn take_up(&mut self, site: Site) -> Result<(), Vec<String>> {
+    fn take_up(&mut self, site: Settings) -> Result<(), Vec<String>> {
         let charter = self.bound.charter()?;
-        let both = self.site.until(&site);
+        let both = self.site.during_change_to(&site);
         let later = self
             .bound
-            .routing(&charter, &circumstances(&site, self.sockets))?;
+            .routing(&charter, &relay_context(&site, self.sockets))?;
         let between = self
             .bound
-            .routing(&charter, &circumstances(&both, self.sockets))?;
+            .routing(&charter, &relay_context(&both, self.sockets))?;
         // Refused as a whole where the step from one set of voters to the next is none that is
         // allowed.
-        let peering = charter.peering(&circumstances(&site, self.sockets));
+        let peering = charter.peers_config(&relay_context(&site, self.sockets));
         let peering =
             peering.map_err(|faults| faults.iter().map(ToString::to_string).collect::<Vec<_>>())?;
         match (&mut self.peers, peering) {
@@ -690,8 +690,8 @@
     }
 
     /// All of it at once, for what comes from now on.
-    fn settle(&mut self, site: Site, routing: Routing) {
-        let changes = self.sessions.routing().changes(&routing);
+    fn settle(&mut self, site: Settings, routing: RouteTable) {
+        let changes = self.sessions.routing().changes_to(&routing);
         let own = site.zones.get(usize::from(site.deployment.zone.0)).cloned();
         let zone = own.map_or(site.deployment.zone, |name| self.watch.book.zone(&name));
         let routes = routing.rows().to_vec();
@@ -700,9 +700,10 @@
             zone,
             ..site.deployment.clone()
         };
-        self.watch.book.read_by(site.places);
-        self.probes.resettle(deployment.connect_timeout, site.idle);
-        self.watch.resettle(site.grace);
+        self.watch.book.read_by(site.report_fields);
+        self.probes
+            .resettle(deployment.connect_timeout, site.backend_idle_timeout);
+        self.watch.resettle(site.drain_grace);
         self.stop_within = deployment.shutdown_timeout;
         self.works
             .news
@@ -810,11 +811,11 @@
     }
 }
 
-fn names(site: &Site) -> Names {
+fn names(site: &Settings) -> Names {
     Names {
         listeners: site.listeners.clone(),
         groups: site.deployment.groups_share_work,
-        notes_tell_delay: site.notes_tell_delay,
+        notes_tell_delay: site.notes_carry_latency,
     }
 }
 
--- a/relay/src/start.rs
+++ b/relay/src/start.rs
@@ -8,12 +8,12 @@
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 use std::path::PathBuf;
 use thistlecroft_operator_config::{
-    Charter, Circumstances, Lanes, ListenerFacts, Peering, Routing,
+    LimitsIds, ListenerDefaults, OperatorConfig, PeersConfig, RelayContext, RouteTable,
 };
-use thistlecroft_settings::{self as facts, Site};
+use thistlecroft_settings::{self as facts, Settings};
 
 /// Everything a relay is told at its start.
-pub struct Posting {
+pub struct StartupConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -21,9 +21,9 @@
     pub memory_mb: usize,
     pub sockets: usize,
     pub known: Option<ListText>,
-    pub site: Site,
-    pub origin: Origin,
-    pub charter: Chartered,
+    pub site: Settings,
+    pub origin: ConfigSource,
+    pub charter: OperatorRoutes,
     /// Where operators call, if they may.
     pub admin: Option<SocketAddr>,
     /// The clients' listening socket, where the platform holds it.
@@ -33,31 +33,31 @@
 }
 
 /// The routes that a charter gives, or those that there are without one.
-pub struct Chartered {
-    pub routing: Routing,
-    pub bound: Bound,
+pub struct OperatorRoutes {
+    pub routing: RouteTable,
+    pub bound: OperatorConfigFile,
     /// With the key that the file named there holds.
-    pub peering: Option<(Peering, Vec<u8>)>,
+    pub peering: Option<(PeersConfig, Vec<u8>)>,
 }
 
 /// Where a charter is, to be read again, and the numbers that its routes have.
-pub struct Bound {
+pub struct OperatorConfigFile {
     path: Option<String>,
-    lanes: Lanes,
+    lanes: LimitsIds,
 }
 
-impl Bound {
+impl OperatorConfigFile {
     /// What the file says; the empty one where there is none.
     ///
     /// # Errors
     /// A line for each thing that is wrong with the text by itself.
-    pub fn charter(&self) -> Result<Charter, Vec<String>> {
+    pub fn charter(&self) -> Result<OperatorConfig, Vec<String>> {
         let Some(path) = &self.path else {
-            return Ok(Charter::default());
+            return Ok(OperatorConfig::default());
         };
         let text =
             std::fs::read_to_string(path).map_err(|fault| vec![format!("{path}: {fault}")])?;
-        Charter::parse(path, &text).map_err(lines)
+        OperatorConfig::parse(path, &text).map_err(lines)
     }
 
     /// The routes of a charter under such settings.
@@ -66,14 +66,14 @@
     /// A line for each thing that does not agree.
     pub fn routing(
         &mut self,
-        charter: &Charter,
-        of: &Circumstances,
-    ) -> Result<Routing, Vec<String>> {
-        charter.against(of, &mut self.lanes).map_err(lines)
+        charter: &OperatorConfig,
+        of: &RelayContext,
+    ) -> Result<RouteTable, Vec<String>> {
+        charter.resolve(of, &mut self.lanes).map_err(lines)
     }
 }
 
-fn lines(faults: Vec<thistlecroft_operator_config::Fault>) -> Vec<String> {
+fn lines(faults: Vec<thistlecroft_operator_config::ConfigError>) -> Vec<String> {
     faults.iter().map(ToString::to_string).collect()
 }
 
@@ -82,12 +82,12 @@
 const ADMIN: &str = "ROUTER_ADMIN_ADDR";
 const PASSED: &str = "ROUTER_PASSED_SOCKET";
 
-impl Posting {
+impl StartupConfig {
     /// The same with what the environment tells.
     ///
     /// # Errors
     /// One line: an address or a descriptor that is none.
-    pub fn placed(mut self) -> Result<Posting, String> {
+    pub fn with_environment(mut self) -> Result<StartupConfig, String> {
         if self.admin.is_none()
             && let Ok(text) = std::env::var(ADMIN)
         {
@@ -112,12 +112,12 @@
     ///
     /// # Errors
     /// A line for each thing that is wrong with the file.
-    pub fn chartered(mut self, path: &str) -> Result<Posting, Vec<String>> {
+    pub fn with_operator_config(mut self, path: &str) -> Result<StartupConfig, Vec<String>> {
         self.charter.bound.path = Some(path.to_string());
         let charter = self.charter.bound.charter()?;
-        let of = circumstances(&self.site, self.sockets);
-        let peering = charter.peering(&of).map_err(lines)?;
-        let with_key = |peering: Peering| key(&peering.key_file).map(|key| (peering, key));
+        let of = relay_context(&self.site, self.sockets);
+        let peering = charter.peers_config(&of).map_err(lines)?;
+        let with_key = |peering: PeersConfig| key(&peering.key_file).map(|key| (peering, key));
         self.charter.peering = peering
             .map(with_key)
             .transpose()
@@ -144,37 +144,37 @@
 const LEAST_KEY: usize = 16;
 
 /// What a charter is held against under such a configuration.
-pub fn circumstances(site: &Site, sockets: usize) -> Circumstances {
-    let rows = site.deployment.routes.iter().zip(&site.waits);
+pub fn relay_context(site: &Settings, sockets: usize) -> RelayContext {
+    let rows = site.deployment.routes.iter().zip(&site.client_timeouts);
     let listeners = site.listeners.iter().zip(rows);
-    Circumstances {
+    RelayContext {
         listeners: listeners
-            .map(|(name, (row, wait))| ListenerFacts {
+            .map(|(name, (row, wait))| ListenerDefaults {
                 name: name.clone(),
-                wait: *wait,
-                row: *row,
+                client_timeout: *wait,
+                route: *row,
             })
             .collect(),
         zones: site.zones.clone(),
         zone: usize::from(site.deployment.zone.0),
-        two_dials: site.deployment.may_hedge && site.deployment.may_cancel,
-        peers: site.peers,
+        may_hedge: site.deployment.may_hedge && site.deployment.may_cancel,
+        may_use_peers: site.may_use_peers,
         descriptors: sockets.saturating_sub(RESERVE),
     }
 }
 
 /// Where it came from, kept to be read again.
-pub struct Origin {
+pub struct ConfigSource {
     /// The file, where there is one.
     pub path: Option<String>,
     /// As they stood in the text, by name.
     keys: serde_json::Map<String, serde_json::Value>,
 }
 
-impl Origin {
+impl ConfigSource {
     /// Keys of a later text that this process can't take up. The list known at start is none:
     /// discovery tells it.
-    pub fn differs(&self, later: &Origin) -> Vec<String> {
+    pub fn differs(&self, later: &ConfigSource) -> Vec<String> {
         let names = self.keys.keys().chain(
             later
                 .keys
@@ -236,14 +236,14 @@
     sockets: usize,
 }
 
-pub fn read_file(path: &str) -> Result<Posting, String> {
+pub fn read_file(path: &str) -> Result<StartupConfig, String> {
     let text = std::fs::read(path).map_err(|fault| format!("{path}: {fault}"))?;
     let mut posting = read(&text).map_err(|fault| format!("{path}: {fault}"))?;
     posting.origin.path = Some(path.to_string());
     Ok(posting)
 }
 
-pub fn read(text: &[u8]) -> Result<Posting, String> {
+pub fn read(text: &[u8]) -> Result<StartupConfig, String> {
     let keys: serde_json::Map<_, _> =
         serde_json::from_slice(text).map_err(|fault| fault.to_string())?;
     let text: Text = serde_json::from_slice(text).map_err(|fault| fault.to_string())?;
@@ -265,14 +265,14 @@
             text.limits.memory_mb
         ));
     }
-    let site = facts::read(text.settings.to_string().as_bytes())?;
-    let of = circumstances(&site, text.limits.sockets);
-    let routing = Routing::plain(&of);
-    let bound = Bound {
+    let site = facts::parse(text.settings.to_string().as_bytes())?;
+    let of = relay_context(&site, text.limits.sockets);
+    let routing = RouteTable::from_settings(&of);
+    let bound = OperatorConfigFile {
         path: None,
-        lanes: Lanes::default(),
+        lanes: LimitsIds::default(),
     };
-    Ok(Posting {
+    Ok(StartupConfig {
         listen: address("listen", &text.listen)?,
         discovery: address("discovery", &text.discovery)?,
         name: text.name,
@@ -281,8 +281,8 @@
         sockets: text.limits.sockets,
         known: text.known,
         site,
-        origin: Origin { path: None, keys },
-        charter: Chartered {
+        origin: ConfigSource { path: None, keys },
+        charter: OperatorRoutes {
             routing,
             bound,
             peering: None,
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -14,7 +14,7 @@
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
-use thistlecroft_operator_config::{Circumstances, ListenerFacts, Routing};
+use thistlecroft_operator_config::{ListenerDefaults, RelayContext, RouteTable};
 
 fn names(groups: bool) -> Names {
     Names {
@@ -290,20 +290,20 @@
     let listeners = names(false)
         .listeners
         .into_iter()
-        .map(|name| ListenerFacts {
+        .map(|name| ListenerDefaults {
             name,
-            wait: Duration::from_millis(1_000),
-            row: thistlecroft::deployment::Route::default(),
+            client_timeout: Duration::from_millis(1_000),
+            route: thistlecroft::deployment::Route::default(),
         });
-    let of = Circumstances {
+    let of = RelayContext {
         listeners: listeners.collect(),
         zones: Vec::new(),
         zone: 0,
-        two_dials: false,
-        peers: false,
+        may_hedge: false,
+        may_use_peers: false,
         descriptors: 100,
     };
-    let routing = Routing::plain(&of);
+    let routing = RouteTable::from_settings(&of);
     let mut sessions = Sessions::new(door, names(false), routing, 1_000);
     sessions.open_door();
     let mut clients: Vec<TcpStream> = (0..2).map(|_| TcpStream::connect(at).unwrap()).collect();
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -17,12 +17,12 @@
 
 /// What the fields of a load report that are read are called, by the settings or by backends; the
 /// first that is told counts.
-pub const CONNECTIONS: &[&str] = &["rif", "inflight"];
-pub const LOAD: &[&str] = &["x0", "busy", "util"];
+pub const CONNECTION_FIELDS: &[&str] = &["rif", "inflight"];
+pub const LOAD_FIELDS: &[&str] = &["x0", "busy", "util"];
 
 /// Which places of a load report the decisions read, and how the list's weights are meant.
 #[derive(Clone, Copy, Default)]
-pub struct ReportPlaces {
+pub struct ReportFields {
     pub connections: Option<usize>,
     pub load: Option<usize>,
     /// The list's weights fall as connections held grow.
@@ -31,25 +31,25 @@
 
 /// What the text tells, in the order that its indices and names have there.
 #[derive(Clone)]
-pub struct Site {
+pub struct Settings {
     pub deployment: Deployment,
-    pub places: ReportPlaces,
+    pub report_fields: ReportFields,
     pub zones: Vec<String>,
     pub listeners: Vec<String>,
     /// How long clients of each listener wait.
-    pub waits: Vec<Duration>,
+    pub client_timeouts: Vec<Duration>,
     /// Connections without work are closed by backends after this.
-    pub idle: Duration,
+    pub backend_idle_timeout: Duration,
     /// After a drain was told nothing new may go there from so long on.
-    pub grace: Duration,
+    pub drain_grace: Duration,
     /// Relays may talk with one another.
-    pub peers: bool,
+    pub may_use_peers: bool,
     /// What backends note of a connection is not its load but the milliseconds that its messages
     /// take.
-    pub notes_tell_delay: bool,
+    pub notes_carry_latency: bool,
 }
 
-impl ReportPlaces {
+impl ReportFields {
     /// A listed weight as the decisions take it: one where it does not tell of loads.
     pub fn weight(&self, told: f64) -> f64 {
         if self.weights_live && told.is_finite() && told > 0.0 {
@@ -60,13 +60,15 @@
     }
 }
 
-impl Site {
+impl Settings {
     /// What holds while `later` takes the place of this one: the listeners of both, and for one
     /// that both have the stricter of either, since the rules of the one bind until those of the
     /// other do.
-    pub fn until(&self, later: &Site) -> Site {
+    pub fn during_change_to(&self, later: &Settings) -> Settings {
         let mut both = later.clone();
-        let row = |site: &Site, place: usize| (site.deployment.routes[place], site.waits[place]);
+        let row = |site: &Settings, place: usize| {
+            (site.deployment.routes[place], site.client_timeouts[place])
+        };
         for (place, name) in self.listeners.iter().enumerate() {
             let (before, wait) = row(self, place);
             match both.listeners.iter().position(|one| one == name) {
@@ -78,11 +80,11 @@
                 None => {
                     both.listeners.push(name.clone());
                     both.deployment.routes.push(before);
-                    both.waits.push(wait);
+                    both.client_timeouts.push(wait);
                 }
             }
         }
-        both.grace = self.grace.min(later.grace);
+        both.drain_grace = self.drain_grace.min(later.drain_grace);
         both.deployment.may_hedge &= self.deployment.may_hedge;
         both.deployment.retry_budget =
             match (self.deployment.retry_budget, later.deployment.retry_budget) {
@@ -119,21 +121,21 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Facts {
+struct SettingsText {
     az: u16,
     balancers: u32,
     me: u32,
     tick_us: u64,
     discovery: Discovery,
-    listeners: Vec<ListenerFacts>,
-    invariants: Invariants,
-    permissions: Permissions,
+    listeners: Vec<ListenerText>,
+    invariants: InvariantsText,
+    permissions: PermissionsText,
     #[serde(default)]
-    prices: Prices,
+    prices: PricesText,
     #[serde(default)]
-    extra: Extra,
+    extra: ExtraText,
     #[serde(default)]
-    report: ReportFacts,
+    report: ReportText,
     #[serde(default)]
     weights: String,
     #[serde(default)]
@@ -149,14 +151,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ListenerFacts {
+struct ListenerText {
     #[serde(default)]
     name: String,
     deadline_us: u64,
     handshake_target_us: u64,
-    effect: EffectName,
+    effect: EffectText,
     #[serde(default)]
-    dedup_scope: Option<ScopeName>,
+    dedup_scope: Option<ScopeText>,
     #[serde(default)]
     dedup_window_us: u64,
     utility: f64,
@@ -164,7 +166,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-enum EffectName {
+enum EffectText {
     Retryable,
     Dedup,
     Fragile,
@@ -172,7 +174,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-enum ScopeName {
+enum ScopeText {
     All,
     Zone,
     Cell,
@@ -180,7 +182,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Invariants {
+struct InvariantsText {
     ask_within_us: u64,
     cold_us: u64,
     drain_grace_us: Option<u64>,
@@ -195,7 +197,7 @@
     extra_window_us: Option<f64>,
 }
 
-impl Invariants {
+impl InvariantsText {
     /// The ration of dials, where its figures and its window are stated; what is left out of the
     /// figures is zero.
     fn ration(&self) -> Result<Option<RetryBudget>, String> {
@@ -231,7 +233,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Permissions {
+struct PermissionsText {
     #[serde(default)]
     conn_idle_us: u64,
     dial_timeout_us: u64,
@@ -248,7 +250,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Prices {
+struct PricesText {
     cross_zone: f64,
     moves: f64,
     probe: f64,
@@ -256,7 +258,7 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Extra {
+struct ExtraText {
     groups: bool,
     message_aim_us: Vec<f64>,
     tells_load: bool,
@@ -265,13 +267,13 @@
 
 #[derive(Default, Deserialize)]
 #[serde(default)]
-struct ReportFacts {
+struct ReportText {
     fields: Vec<String>,
     how: String,
 }
 
-pub fn read(text: &[u8]) -> Result<Site, String> {
-    let facts: Facts =
+pub fn parse(text: &[u8]) -> Result<Settings, String> {
+    let facts: SettingsText =
         serde_json::from_slice(text).map_err(|fault| format!("settings: {fault}"))?;
     if facts.listeners.is_empty() {
         return Err("settings: no listeners".into());
@@ -305,9 +307,9 @@
             .iter()
             .find_map(|name| facts.report.fields.iter().position(|field| field == name))
     };
-    let places = ReportPlaces {
-        connections: place(CONNECTIONS),
-        load: place(LOAD),
+    let places = ReportFields {
+        connections: place(CONNECTION_FIELDS),
+        load: place(LOAD_FIELDS),
         weights_live: facts.weights == "live",
     };
     // Told by none, or only to probes that may not be sent, is never told.
@@ -383,28 +385,28 @@
     let grace = rules.drain_grace_us.map_or(GRACE, Duration::from_micros);
     let notes_tell_delay = facts.extra.tells_delay && !facts.extra.tells_load;
     let peers = facts.permissions.peers;
-    Ok(Site {
+    Ok(Settings {
         deployment,
-        places,
+        report_fields: places,
         zones: facts.zones,
         listeners,
-        waits,
-        idle,
-        grace,
-        peers,
-        notes_tell_delay,
+        client_timeouts: waits,
+        backend_idle_timeout: idle,
+        drain_grace: grace,
+        may_use_peers: peers,
+        notes_carry_latency: notes_tell_delay,
     })
 }
 
-fn effect_of(row: &ListenerFacts) -> Idempotency {
+fn effect_of(row: &ListenerText) -> Idempotency {
     match row.effect {
-        EffectName::Retryable => Idempotency::Idempotent,
-        EffectName::Fragile => Idempotency::NonIdempotent,
-        EffectName::Dedup => {
+        EffectText::Retryable => Idempotency::Idempotent,
+        EffectText::Fragile => Idempotency::NonIdempotent,
+        EffectText::Dedup => {
             let scope = match row.dedup_scope {
-                Some(ScopeName::Zone) => DeduplicationScope::Zone,
-                Some(ScopeName::Cell) => DeduplicationScope::Cell,
-                Some(ScopeName::All) | None => DeduplicationScope::All,
+                Some(ScopeText::Zone) => DeduplicationScope::Zone,
+                Some(ScopeText::Cell) => DeduplicationScope::Cell,
+                Some(ScopeText::All) | None => DeduplicationScope::All,
             };
             Idempotency::Keyed {
                 scope,
@@ -435,7 +437,7 @@
 
     #[test]
     fn settings_that_are_not_sound_are_one_line() {
-        assert!(read(text(&[("a", SAFE), ("b", SAFE)], "3").as_bytes()).is_ok());
+        assert!(parse(text(&[("a", SAFE), ("b", SAFE)], "3").as_bytes()).is_ok());
         let deadline = |figure: &str| SAFE.replace("1200000", figure);
         let cases = [
             (text(&[("a", &deadline("0"))], "3"), "deadlineUs is zero"),
@@ -453,7 +455,7 @@
             (text(&[("a", SAFE)], "3")[..200].to_string(), "EOF"),
         ];
         for (text, expected) in cases {
-            let fault = read(text.as_bytes())
+            let fault = parse(text.as_bytes())
                 .err()
                 .unwrap_or_else(|| panic!("taken: {text}"));
             assert!(
@@ -479,7 +481,7 @@
                 .replace("\"probes\":true", &format!("\"probes\":{probes}"));
             let settings = settings.replacen('{', &format!("{{\"report\":{{{report}}},"), 1);
             let site =
-                read(settings.as_bytes()).unwrap_or_else(|fault| panic!("{report}: {fault}"));
+                parse(settings.as_bytes()).unwrap_or_else(|fault| panic!("{report}: {fault}"));
             assert_eq!(site.deployment.reports_load, told, "{report} {probes}");
         }
     }
@@ -511,14 +513,17 @@
         ];
         // Until the later one binds, the stricter of both does; one alone binds as it is.
         let both = |before: usize, after: usize| {
-            let site = |at: usize| read(with(taken[at].0).as_bytes()).unwrap();
-            site(before).until(&site(after)).deployment.retry_budget
+            let site = |at: usize| parse(with(taken[at].0).as_bytes()).unwrap();
+            site(before)
+                .during_change_to(&site(after))
+                .deployment
+                .retry_budget
         };
         assert_eq!([both(0, 1), both(1, 0)], [taken[1].1; 2]);
         assert_eq!([both(1, 3), both(3, 1)], [ration(2.0, 0.0, 5_000_000); 2]);
         for (more, expected) in taken {
             let site =
-                read(with(more).as_bytes()).unwrap_or_else(|fault| panic!("{more}: {fault}"));
+                parse(with(more).as_bytes()).unwrap_or_else(|fault| panic!("{more}: {fault}"));
             assert_eq!(site.deployment.retry_budget, expected, "{more}");
         }
         let refused = [
@@ -540,7 +545,7 @@
             (r#","repeatRatio":"much","extraWindowUs":5"#, "much"),
         ];
         for (more, expected) in refused {
-            let fault = read(with(more).as_bytes())
+            let fault = parse(with(more).as_bytes())
                 .err()
                 .unwrap_or_else(|| panic!("taken: {more}"));
             assert!(
@@ -584,9 +589,9 @@
             ),
         ];
         for (before, after, expected) in cases {
-            let old = read(text(&[("gone", SAFE), ("a", &before)], "2").as_bytes()).unwrap();
-            let new = read(text(&[("a", &after), ("new", SAFE)], "3").as_bytes()).unwrap();
-            let both = old.until(&new);
+            let old = parse(text(&[("gone", SAFE), ("a", &before)], "2").as_bytes()).unwrap();
+            let new = parse(text(&[("a", &after), ("new", SAFE)], "3").as_bytes()).unwrap();
+            let both = old.during_change_to(&new);
             assert_eq!(both.listeners, ["a", "new", "gone"]);
             let rows = &both.deployment.routes;
             assert_eq!(rows[0].idempotency, expected, "{before} {after}");
@@ -594,7 +599,7 @@
                 rows.iter().map(|row| row.max_attempts).collect::<Vec<_>>(),
                 [2, 3, 2]
             );
-            assert_eq!(both.waits.len(), 3);
+            assert_eq!(both.client_timeouts.len(), 3);
         }
     }
 }
