--- a/relay/src/hand.rs
+++ b/relay/src/admin/commands.rs
@@ -1,13 +1,13 @@
 //! What operators do by hand: their calls answered, and the backends they took out made known to
 //! the decisions and kept for the next process.
-use crate::admin::{Call, Readiness};
-use crate::callers::Callers;
-use crate::discovery::Book;
-use crate::front::News;
+use crate::admin::connections::AdminConnections;
+use crate::admin::protocol::{AdminCommand, Readiness};
+use crate::bans::store::{BanStore, BanStoreError};
+use crate::discovery::watch::EndpointRegistry;
+use crate::driver::Event;
+use crate::io_context::IoContext;
 use crate::peers::Peers;
-use crate::shelf::{Fault, Shelf};
-use crate::timers::Alarm;
-use crate::works::Works;
+use crate::timers::Timer;
 use std::collections::BTreeSet;
 use thistlecroft::time::{Duration, Instant};
 
@@ -21,9 +21,9 @@
 /// A call whose answer is worked out; it goes out once the decisions have been told.
 pub type Answer = (u32, Result<String, String>);
 
-pub struct Hand {
-    pub callers: Option<Callers>,
-    shelf: Option<Shelf>,
+pub struct AdminCommands {
+    pub callers: Option<AdminConnections>,
+    shelf: Option<BanStore>,
     /// As the decisions were told.
     out: BTreeSet<String>,
     /// Only one alarm for it is ever set, whoever else looks in between.
@@ -32,14 +32,14 @@
     locked: Option<Instant>,
 }
 
-impl Hand {
+impl AdminCommands {
     pub fn new(
-        callers: Option<Callers>,
-        shelf: Option<Shelf>,
-        book: &mut Book,
-        works: &mut Works,
-    ) -> Hand {
-        let mut hand = Hand {
+        callers: Option<AdminConnections>,
+        shelf: Option<BanStore>,
+        book: &mut EndpointRegistry,
+        works: &mut IoContext,
+    ) -> AdminCommands {
+        let mut hand = AdminCommands {
             callers,
             shelf,
             out: BTreeSet::new(),
@@ -51,31 +51,31 @@
     }
 
     /// Reads what another process has changed.
-    pub fn look(&mut self, book: &mut Book, works: &mut Works) {
+    pub fn look(&mut self, book: &mut EndpointRegistry, works: &mut IoContext) {
         let Some(shelf) = &mut self.shelf else { return };
         if shelf.refresh() {
             let later = shelf.bans().out.clone();
             for id in self.out.symmetric_difference(&later) {
                 let (backend, out) = (book.enter(id), later.contains(id));
                 book.ban(backend, out);
-                works.news.push_back(News::Banned(backend, out));
+                works.news.push_back(Event::BanChanged(backend, out));
             }
             log::info!("bans of another process taken over: {} out", later.len());
             self.out = later;
         }
         if works.now >= self.look_at {
             self.look_at = works.now + LOOK_EVERY;
-            works.alarms.set(self.look_at, Alarm::Shelf);
+            works.alarms.set(self.look_at, Timer::BanStore);
         }
     }
 
-    /// Works out the answers to the calls of this turn.
+    /// IoContext out the answers to the calls of this turn.
     pub fn answers(
         &mut self,
         readiness: Readiness,
         peers: &mut Option<Peers>,
-        book: &mut Book,
-        works: &mut Works,
+        book: &mut EndpointRegistry,
+        works: &mut IoContext,
     ) -> Vec<Answer> {
         let Some(callers) = &mut self.callers else {
             return Vec::new();
@@ -84,7 +84,7 @@
         let (mut answers, mut waiting) = (Vec::new(), Vec::new());
         for (caller, call) in calls {
             let done = match &call {
-                Call::Ready => Some(
+                AdminCommand::Ready => Some(
                     readiness
                         .told()
                         .map(|()| "ready".into())
@@ -92,8 +92,8 @@
                 ),
                 // While one waits all behind it do: their order is the operators'.
                 _ if !waiting.is_empty() => None,
-                Call::Disable(id) => self.change(id, true, book, works),
-                Call::Enable(id) => self.change(id, false, book, works),
+                AdminCommand::Disable(id) => self.change(id, true, book, works),
+                AdminCommand::Enable(id) => self.change(id, false, book, works),
                 asked => Some(match peers {
                     Some(peers) => peers.answer(asked, works),
                     None => Err("peers are not switched on ([peers] in the charter)".into()),
@@ -105,7 +105,7 @@
             }
         }
         if !waiting.is_empty() {
-            works.alarms.set(works.now + LOCKED_AGAIN, Alarm::Shelf);
+            works.alarms.set(works.now + LOCKED_AGAIN, Timer::BanStore);
         }
         if let Some(callers) = &mut self.callers {
             callers.calls = waiting;
@@ -118,8 +118,8 @@
         &mut self,
         id: &str,
         out: bool,
-        book: &mut Book,
-        works: &mut Works,
+        book: &mut EndpointRegistry,
+        works: &mut IoContext,
     ) -> Option<Result<String, String>> {
         let Some(backend) = book.named(id) else {
             return Some(Err(format!("no backend {id} was ever listed here")));
@@ -127,7 +127,7 @@
         if let Some(shelf) = &mut self.shelf {
             match shelf.change(id, out) {
                 Ok(()) => self.locked = None,
-                Err(Fault::Locked) => {
+                Err(BanStoreError::Locked) => {
                     let since = *self.locked.get_or_insert(works.now);
                     if works.now.duration_since(since) < LOCKED {
                         return None;
@@ -137,7 +137,7 @@
                         "another process holds the list of bans: nothing changed".into(),
                     ));
                 }
-                Err(Fault::Other(fault)) => {
+                Err(BanStoreError::Other(fault)) => {
                     return Some(Err(format!("the ban can't be kept: {fault}")));
                 }
             }
@@ -150,7 +150,7 @@
         if changed {
             log::info!("{id} is {} by hand", if out { "out" } else { "back" });
             book.ban(backend, out);
-            works.news.push_back(News::Banned(backend, out));
+            works.news.push_back(Event::BanChanged(backend, out));
         }
         let done = match (out, changed) {
             (true, true) => "out",
@@ -162,7 +162,7 @@
     }
 
     /// Written after the decisions have been told.
-    pub fn answer(&mut self, answers: Vec<Answer>, works: &mut Works) {
+    pub fn answer(&mut self, answers: Vec<Answer>, works: &mut IoContext) {
         let Some(callers) = &mut self.callers else {
             return;
         };
--- a/relay/src/callers.rs
+++ b/relay/src/admin/connections.rs
@@ -1,17 +1,17 @@
 //! The operators' door: few callers at a time, each with one line and one answer. Whoever says
 //! nothing holds a place only while no other wants it.
-use crate::admin::{self, Call, Heard, LONGEST};
-use crate::lines::Words;
-use crate::sockets::{Door, Owner, Sock};
-use crate::timers::Alarm;
-use crate::works::Works;
+use crate::admin::protocol::{self, AdminCommand, LONGEST, ParsedLine};
+use crate::io_context::IoContext;
+use crate::line_buffer::OutputBuffer;
+use crate::sockets::{Connection, ListenerSocket, SocketOwner};
+use crate::timers::Timer;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
 use thistlecroft::time::Duration;
 
 /// Descriptors that the door may take, its own and the kept list's among them.
 pub const RESERVE: usize = 24;
-/// Callers at once.
+/// AdminConnections at once.
 const PLACES: usize = 16;
 const ACCEPTS: usize = 32;
 /// A caller that has not said a whole line by then is sent away.
@@ -20,10 +20,10 @@
 /// be lost.
 const PARTING: Duration = Duration::from_millis(500);
 
-struct Caller {
-    sock: Sock,
+struct AdminConnection {
+    sock: Connection,
     heard: Vec<u8>,
-    words: Words,
+    words: OutputBuffer,
     stage: Stage,
 }
 
@@ -37,19 +37,19 @@
     Parted,
 }
 
-pub struct Callers {
-    door: Door,
+pub struct AdminConnections {
+    door: ListenerSocket,
     /// The one that came first is the first.
-    map: BTreeMap<u32, Caller>,
+    map: BTreeMap<u32, AdminConnection>,
     next: u32,
     /// Whole calls of this turn, for the service to answer.
-    pub calls: Vec<(u32, Call)>,
+    pub calls: Vec<(u32, AdminCommand)>,
 }
 
-impl Callers {
-    pub fn new(mut door: Door) -> Callers {
+impl AdminConnections {
+    pub fn new(mut door: ListenerSocket) -> AdminConnections {
         door.want(true);
-        Callers {
+        AdminConnections {
             door,
             map: BTreeMap::new(),
             next: 0,
@@ -57,25 +57,27 @@
         }
     }
 
-    pub fn accept(&mut self, works: &mut Works) {
+    pub fn accept(&mut self, works: &mut IoContext) {
         for _ in 0..ACCEPTS {
             let id = self.next;
-            match self
-                .door
-                .accept()
-                .and_then(|stream| works.sockets.adopt(Owner::Caller(id), stream))
-            {
+            match self.door.accept().and_then(|stream| {
+                works
+                    .sockets
+                    .adopt(SocketOwner::AdminConnection(id), stream)
+            }) {
                 Ok(sock) => {
                     self.make_room(works);
                     self.next = self.next.wrapping_add(1);
-                    let caller = Caller {
+                    let caller = AdminConnection {
                         sock,
                         heard: Vec::new(),
-                        words: Words::default(),
+                        words: OutputBuffer::default(),
                         stage: Stage::Calling,
                     };
                     self.map.insert(id, caller);
-                    works.alarms.set(works.now + PATIENCE, Alarm::Caller(id));
+                    works
+                        .alarms
+                        .set(works.now + PATIENCE, Timer::AdminConnection(id));
                     self.read(id, works);
                 }
                 Err(fault) if fault.kind() == ErrorKind::WouldBlock => return,
@@ -96,7 +98,7 @@
 
     /// The caller that has had its answer longest goes first, then the one that has said nothing
     /// whole for longest.
-    fn make_room(&mut self, works: &mut Works) {
+    fn make_room(&mut self, works: &mut IoContext) {
         if self.map.len() < PLACES {
             return;
         }
@@ -115,7 +117,7 @@
         self.map.remove(&id);
     }
 
-    pub fn event(&mut self, id: u32, key: usize, works: &mut Works) {
+    pub fn event(&mut self, id: u32, key: usize, works: &mut IoContext) {
         if !self.map.get(&id).is_some_and(|caller| caller.sock.is(key)) {
             return;
         }
@@ -123,7 +125,7 @@
         self.write(id, works);
     }
 
-    pub fn alarm(&mut self, id: u32, works: &mut Works) {
+    pub fn alarm(&mut self, id: u32, works: &mut IoContext) {
         if self
             .map
             .get(&id)
@@ -139,7 +141,7 @@
         }
     }
 
-    fn read(&mut self, id: u32, works: &mut Works) {
+    fn read(&mut self, id: u32, works: &mut IoContext) {
         let Some(caller) = self.map.get_mut(&id) else {
             return;
         };
@@ -160,10 +162,10 @@
             Err(_) => return drop(self.map.remove(&id)),
         };
         match caller.stage {
-            Stage::Calling => match admin::hear(&caller.heard, ended) {
-                Heard::More => caller.sock.want(true, false),
-                Heard::Bad(why) => self.answer(id, Err(why), works),
-                Heard::Call(call) => {
+            Stage::Calling => match protocol::parse_line(&caller.heard, ended) {
+                ParsedLine::More => caller.sock.want(true, false),
+                ParsedLine::Bad(why) => self.answer(id, Err(why), works),
+                ParsedLine::Command(call) => {
                     caller.stage = Stage::Asked;
                     caller.sock.want(false, false);
                     self.calls.push((id, call));
@@ -176,7 +178,7 @@
         }
     }
 
-    pub fn answer(&mut self, id: u32, done: Result<&str, &str>, works: &mut Works) {
+    pub fn answer(&mut self, id: u32, done: Result<&str, &str>, works: &mut IoContext) {
         let Some(caller) = self
             .map
             .get_mut(&id)
@@ -184,15 +186,17 @@
         else {
             return;
         };
-        caller.words.add(&admin::answer(done));
+        caller.words.add(&protocol::answer(done));
         caller.stage = Stage::Answered;
         works.counters.calls += 1;
         works.counters.calls_denied += u64::from(done.is_err());
-        works.alarms.set(works.now + PARTING, Alarm::Caller(id));
+        works
+            .alarms
+            .set(works.now + PARTING, Timer::AdminConnection(id));
         self.write(id, works);
     }
 
-    fn write(&mut self, id: u32, works: &mut Works) {
+    fn write(&mut self, id: u32, works: &mut IoContext) {
         let Some(caller) = self
             .map
             .get_mut(&id)
--- /dev/null
+++ b/relay/src/admin/mod.rs
@@ -0,0 +1,4 @@
+//! The operators' admin port.
+pub mod commands;
+pub mod connections;
+pub mod protocol;
--- a/relay/src/bans.rs
+++ b/relay/src/bans/list.rs
@@ -1,19 +1,19 @@
 //! The set of backends that operators have taken out, as it is kept for the next process: a small
 //! text with a version, a serial number and a check over all of it. No I/O.
-use crate::discovery::hash;
+use crate::discovery::watch::hash;
 use std::collections::BTreeSet;
 
 const HEAD: &str = "thistlecroft bans 1";
 
 /// Backends by the id that is the same at every relay.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Bans {
+pub struct BanList {
     /// Of the change that made it.
     pub serial: u64,
     pub out: BTreeSet<String>,
 }
 
-impl Bans {
+impl BanList {
     /// True where it changed anything: a ban is a set, and twice out is once out.
     pub fn change(&mut self, id: &str, out: bool) -> bool {
         let changed = if out {
@@ -38,7 +38,7 @@
 
     /// # Errors
     /// What is wrong with the text: torn, of another version, or of another relay.
-    pub fn read(text: &str, relay: &str) -> Result<Bans, &'static str> {
+    pub fn read(text: &str, relay: &str) -> Result<BanList, &'static str> {
         if !text.starts_with(&format!("{HEAD}\n")) {
             return Err("not a list of bans of this version");
         }
@@ -50,7 +50,7 @@
         if check != format!("check {:016x}\n", hash(body.as_bytes())) {
             return Err("its check does not agree");
         }
-        let mut bans = Bans::default();
+        let mut bans = BanList::default();
         for line in body.lines().skip(1) {
             match line.split_once(' ') {
                 Some(("relay", name)) if name == relay => {}
@@ -72,7 +72,7 @@
 
     #[test]
     fn a_ban_is_a_set_and_is_read_as_it_was_written() {
-        let mut bans = Bans::default();
+        let mut bans = BanList::default();
         let steps = [
             ("a", true, 1),
             ("b", true, 2),
@@ -84,19 +84,19 @@
         for (id, out, serial) in steps {
             bans.change(id, out);
             assert_eq!(bans.serial, serial, "{id} {out}");
-            assert_eq!(Bans::read(&bans.text("n3"), "n3"), Ok(bans.clone()));
+            assert_eq!(BanList::read(&bans.text("n3"), "n3"), Ok(bans.clone()));
         }
         assert_eq!(bans.out, BTreeSet::from(["b".to_string()]));
     }
 
     #[test]
     fn what_is_torn_or_foreign_is_told() {
-        let mut bans = Bans::default();
+        let mut bans = BanList::default();
         bans.change("s-5be2a07c", true);
         let sound = bans.text("n3");
         for length in 0..sound.len() {
             assert!(
-                Bans::read(&sound[..length], "n3").is_err(),
+                BanList::read(&sound[..length], "n3").is_err(),
                 "cut at {length}"
             );
         }
@@ -104,7 +104,10 @@
             let mut bytes = sound.clone().into_bytes();
             bytes[place] ^= 1;
             let text = String::from_utf8(bytes).unwrap();
-            assert!(Bans::read(&text, "n3").is_err(), "another sign at {place}");
+            assert!(
+                BanList::read(&text, "n3").is_err(),
+                "another sign at {place}"
+            );
         }
         let version = HEAD.replace('1', "2");
         let cases = [
@@ -114,9 +117,9 @@
             "{}".into(),
         ];
         for text in cases {
-            assert!(Bans::read(&text, "n3").is_err(), "{text}");
+            assert!(BanList::read(&text, "n3").is_err(), "{text}");
         }
         let unicode = sound.replace("5be2", "5b\u{e9}2");
-        assert!(Bans::read(&unicode, "n3").is_err());
+        assert!(BanList::read(&unicode, "n3").is_err());
     }
 }
--- a/relay/src/shelf.rs
+++ b/relay/src/bans/store.rs
@@ -1,51 +1,51 @@
 //! Where the list of bans is kept between processes of one relay: a file in `$TMPDIR`, replaced as
 //! a whole under a lock. A process that dies in the middle of a write leaves the list as it was,
 //! and its lock is free.
-use crate::bans::Bans;
+use crate::bans::list::BanList;
 use std::fs::{File, OpenOptions};
 use std::io;
 use std::os::unix::fs::MetadataExt;
 use std::path::PathBuf;
 
-pub struct Shelf {
+pub struct BanStore {
     list: PathBuf,
     fresh: PathBuf,
     lock: PathBuf,
     relay: String,
-    bans: Bans,
+    bans: BanList,
     /// What tells one written list from the next.
     seen: Option<(u64, i64, i64, u64)>,
 }
 
 #[derive(Debug)]
-pub enum Fault {
+pub enum BanStoreError {
     /// The other process is at it: to be tried again soon.
     Locked,
     Other(io::Error),
 }
 
-impl From<io::Error> for Fault {
-    fn from(fault: io::Error) -> Fault {
-        Fault::Other(fault)
+impl From<io::Error> for BanStoreError {
+    fn from(fault: io::Error) -> BanStoreError {
+        BanStoreError::Other(fault)
     }
 }
 
-impl Shelf {
+impl BanStore {
     /// In this folder; nothing is read yet.
-    pub fn new(folder: &std::path::Path, relay: &str) -> Shelf {
+    pub fn new(folder: &std::path::Path, relay: &str) -> BanStore {
         let in_folder = |name: &str| folder.join(name);
-        Shelf {
+        BanStore {
             list: in_folder("thistlecroft-bans"),
             // Only the one that holds the lock writes here.
             fresh: in_folder("thistlecroft-bans.fresh"),
             lock: in_folder("thistlecroft-bans.lock"),
             relay: relay.to_string(),
-            bans: Bans::default(),
+            bans: BanList::default(),
             seen: None,
         }
     }
 
-    pub fn bans(&self) -> &Bans {
+    pub fn bans(&self) -> &BanList {
         &self.bans
     }
 
@@ -60,7 +60,7 @@
         }
         self.seen = seen;
         let text = std::fs::read_to_string(&self.list).map_err(|fault| fault.to_string());
-        match text.and_then(|text| Bans::read(&text, &self.relay).map_err(str::to_string)) {
+        match text.and_then(|text| BanList::read(&text, &self.relay).map_err(str::to_string)) {
             Ok(bans) => {
                 let changed = bans.out != self.bans.out;
                 self.bans = bans;
@@ -75,14 +75,14 @@
 
     /// # Errors
     /// Nothing has changed.
-    pub fn change(&mut self, id: &str, out: bool) -> Result<(), Fault> {
+    pub fn change(&mut self, id: &str, out: bool) -> Result<(), BanStoreError> {
         let lock = OpenOptions::new()
             .create(true)
             .append(true)
             .open(&self.lock)?;
         match lock.try_lock() {
             Ok(()) => {}
-            Err(std::fs::TryLockError::WouldBlock) => return Err(Fault::Locked),
+            Err(std::fs::TryLockError::WouldBlock) => return Err(BanStoreError::Locked),
             Err(std::fs::TryLockError::Error(fault)) => return Err(fault.into()),
         }
         self.refresh();
@@ -114,7 +114,7 @@
     #[test]
     fn two_processes_keep_one_list() {
         let folder = folder("two");
-        let (mut old, mut new) = (Shelf::new(&folder, "n3"), Shelf::new(&folder, "n3"));
+        let (mut old, mut new) = (BanStore::new(&folder, "n3"), BanStore::new(&folder, "n3"));
         assert!(
             !old.refresh() && old.bans().out.is_empty(),
             "a missing list is an empty one"
@@ -133,7 +133,7 @@
             .open(folder.join("thistlecroft-bans.lock"))
             .unwrap();
         lock.lock().unwrap();
-        assert!(matches!(old.change("c", true), Err(Fault::Locked)));
+        assert!(matches!(old.change("c", true), Err(BanStoreError::Locked)));
         assert_eq!(old.bans(), new.bans());
         drop(lock);
         old.change("c", true).unwrap();
@@ -150,18 +150,18 @@
             let folder = folder(name);
             std::fs::write(folder.join("thistlecroft-bans"), text).unwrap();
             std::fs::write(folder.join("thistlecroft-bans.fresh"), "half of a li").unwrap();
-            let mut shelf = Shelf::new(&folder, "n3");
+            let mut shelf = BanStore::new(&folder, "n3");
             assert!(!shelf.refresh() && shelf.bans().out.is_empty(), "{name}");
             shelf.change("a", true).unwrap();
-            let mut next = Shelf::new(&folder, "n3");
+            let mut next = BanStore::new(&folder, "n3");
             assert!(next.refresh());
             assert_eq!(next.bans().out.iter().collect::<Vec<_>>(), ["a"], "{name}");
             std::fs::remove_dir_all(&folder).unwrap();
         }
-        let mut nowhere = Shelf::new(std::path::Path::new("/nowhere/at/all"), "n3");
+        let mut nowhere = BanStore::new(std::path::Path::new("/nowhere/at/all"), "n3");
         assert!(!nowhere.refresh());
         assert!(
-            matches!(nowhere.change("a", true), Err(Fault::Other(_)))
+            matches!(nowhere.change("a", true), Err(BanStoreError::Other(_)))
                 && nowhere.bans().out.is_empty()
         );
     }
--- a/relay/src/pacing.rs
+++ b/relay/src/discovery/poll_schedule.rs
@@ -33,15 +33,15 @@
 
 /// The failures in a row of one address.
 #[derive(Clone, Copy, Default)]
-pub struct Pacing {
+pub struct PollSchedule {
     absent: u32,
     turned_away: u32,
 }
 
-impl Pacing {
+impl PollSchedule {
     /// A list has come.
     pub fn listed(&mut self) {
-        *self = Pacing::default();
+        *self = PollSchedule::default();
     }
 
     /// The first failure since a list came.
@@ -71,7 +71,7 @@
             }
             How::TurnedAway => {
                 let spread = double(FIRST_SPREAD, self.turned_away, CALLED_WITHIN).min(left);
-                // Callers that met once are spread evenly; from then on each keeps its distance.
+                // AdminConnections that met once are spread evenly; from then on each keeps its distance.
                 let least = if self.turned_away == 0 { 0.0 } else { SPACED };
                 self.turned_away = self.turned_away.saturating_add(1);
                 spread * (least + (1.0 - least) * chance.unit_f64())
@@ -144,7 +144,7 @@
         ];
         for down in [0.0, 3.0, 20.0] {
             for (relays, all_in, soon, later) in cases {
-                let mut each = vec![Pacing::default(); relays as usize];
+                let mut each = vec![PollSchedule::default(); relays as usize];
                 let a_second = relays as f64 / all_in;
                 let (back, calls) = play(down, relays, a_second, &mut |id, spent, chance| {
                     each[id].pause(
@@ -189,7 +189,8 @@
             (NEXT_CALLED_WITHIN, Duration::from_millis(800)),
         ] {
             for sequence in 0..3usize.pow(7) {
-                let (mut pacing, mut chance) = (Pacing::default(), Rng::from_seed(sequence as u64));
+                let (mut pacing, mut chance) =
+                    (PollSchedule::default(), Rng::from_seed(sequence as u64));
                 // The seven, and the last of them a hundred times.
                 for place in 0..107u32 {
                     let how = kinds[sequence / 3usize.pow(place.min(6)) % 3];
@@ -211,7 +212,7 @@
             (How::Absent, FIRST_PAUSE, LONGEST_PAUSE, 0.5),
             (How::TurnedAway, FIRST_SPREAD, CALLED_WITHIN, SPACED),
         ] {
-            let mut pacing = Pacing::default();
+            let mut pacing = PollSchedule::default();
             for _ in 0..2 {
                 assert!(pacing.is_first());
                 let mut bound = first;
--- a/relay/src/discovery.rs
+++ b/relay/src/discovery/watch.rs
@@ -1,11 +1,11 @@
 //! The watch on the list of backends: HTTP/1.1 with a chunked answer that stays open, and what its
 //! lines say.
-use crate::front::News;
-use crate::lines::Words;
-use crate::pacing::{CALLED_WITHIN, How, NEXT_CALLED_WITHIN, Pacing};
-use crate::sockets::{Owner, Sock};
-use crate::timers::Alarm;
-use crate::works::Works;
+use crate::discovery::poll_schedule::{CALLED_WITHIN, How, NEXT_CALLED_WITHIN, PollSchedule};
+use crate::driver::Event;
+use crate::io_context::IoContext;
+use crate::line_buffer::OutputBuffer;
+use crate::sockets::{Connection, SocketOwner};
+use crate::timers::Timer;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::io::{ErrorKind, Read};
@@ -55,7 +55,7 @@
 
 /// Which backend is which, by the id that is the same at every relay, and where each is to be
 /// found.
-pub struct Book {
+pub struct EndpointRegistry {
     by_name: HashMap<String, BackendId>,
     names: Vec<String>,
     /// None where no list has named it yet.
@@ -67,10 +67,10 @@
     places: ReportFields,
 }
 
-impl Book {
-    pub fn new(zones: Vec<String>, places: ReportFields) -> Book {
+impl EndpointRegistry {
+    pub fn new(zones: Vec<String>, places: ReportFields) -> EndpointRegistry {
         let (names, addresses, leaving, banned) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        Book {
+        EndpointRegistry {
             by_name: HashMap::new(),
             names,
             addresses,
@@ -261,10 +261,10 @@
 
 enum State {
     Resting,
-    Connecting(Sock, Words),
+    Connecting(Connection, OutputBuffer),
     /// Sent; the head of the answer is awaited.
-    Asked(Sock),
-    Following(Sock, Body),
+    Asked(Connection),
+    Following(Connection, Body),
 }
 
 /// How the answer's body is cut.
@@ -289,7 +289,7 @@
     /// Only the alarm set last counts: were each to start an attempt, which sets one more, a
     /// discovery that stays down would be asked ever faster until the loop did nothing else.
     wake_at: Instant,
-    pacing: Pacing,
+    pacing: PollSchedule,
 }
 
 /// Why a call came to nothing, and how far it had come.
@@ -339,11 +339,17 @@
     quick_again: Instant,
     grace: Duration,
     chance: Rng,
-    pub book: Book,
+    pub book: EndpointRegistry,
 }
 
 impl Watch {
-    pub fn new(at: SocketAddr, seed: u64, book: Book, grace: Duration, now: Instant) -> Watch {
+    pub fn new(
+        at: SocketAddr,
+        seed: u64,
+        book: EndpointRegistry,
+        grace: Duration,
+        now: Instant,
+    ) -> Watch {
         let chance = Rng::from_seed(seed ^ 0x64_6973_636f);
         let (current, quick_again) = (Call::new(at, SILENCE, now), now);
         Watch {
@@ -380,10 +386,10 @@
     }
 
     /// The list as it was last had: it may be old, so the first watch asks for the whole.
-    pub fn know(&mut self, known: &ListText) -> Result<News, String> {
+    pub fn know(&mut self, known: &ListText) -> Result<Event, String> {
         let rows = self.book.listings(&known.instances)?;
         self.book.only(&rows);
-        Ok(News::Listed(UpdateKind::CachedSnapshot, rows))
+        Ok(Event::EndpointsUpdated(UpdateKind::CachedSnapshot, rows))
     }
 
     /// Discovery has told a list, or one was known at start.
@@ -395,12 +401,12 @@
         }
     }
 
-    pub fn open(&mut self, works: &mut Works) {
+    pub fn open(&mut self, works: &mut IoContext) {
         self.begin(Which::Current, works);
     }
 
     /// Discovery is at this address from now on.
-    pub fn move_to(&mut self, at: SocketAddr, works: &mut Works) {
+    pub fn move_to(&mut self, at: SocketAddr, works: &mut IoContext) {
         if self.next.as_ref().is_some_and(|next| next.at == at) && !self.is_beside() {
             return;
         }
@@ -420,7 +426,7 @@
         }
     }
 
-    fn begin(&mut self, which: Which, works: &mut Works) {
+    fn begin(&mut self, which: Which, works: &mut IoContext) {
         let since = self.held(which);
         let due = self.answer_due();
         let call = self.call(which);
@@ -439,7 +445,7 @@
 
     /// The last list stays in force. Only here is it decided when the next call is made: two clocks
     /// that each began one asked a busy discovery twice as often.
-    fn fail(&mut self, which: Which, works: &mut Works, Fault { how, why }: Fault) {
+    fn fail(&mut self, which: Which, works: &mut IoContext, Fault { how, why }: Fault) {
         let mut pacing = self.call(which).pacing;
         // Told once: while discovery is down every attempt ends here.
         let once = which == Which::Current || !self.is_beside();
@@ -473,7 +479,7 @@
         works.counters.list_failures += 1;
     }
 
-    pub fn alarm(&mut self, works: &mut Works) {
+    pub fn alarm(&mut self, works: &mut IoContext) {
         for which in [Which::Current, Which::Next] {
             if which == Which::Next && self.next.is_none() {
                 continue;
@@ -495,7 +501,7 @@
 
     /// While the one call hangs unanswered another is made, and again: the first that is answered
     /// is the watch.
-    fn call_beside(&mut self, works: &mut Works) {
+    fn call_beside(&mut self, works: &mut IoContext) {
         let hangs = matches!(self.current.state, State::Connecting(..) | State::Asked(_));
         let due = self.answer_due();
         if self.next.is_none() && hangs && works.now.duration_since(self.current.heard) >= due {
@@ -504,7 +510,7 @@
         }
     }
 
-    pub fn event(&mut self, key: usize, works: &mut Works) {
+    pub fn event(&mut self, key: usize, works: &mut IoContext) {
         let next = self.next.as_ref().is_some_and(|next| next.owns(key));
         let mut which = if next { Which::Next } else { Which::Current };
         if !self.call(which).owns(key) {
@@ -540,7 +546,12 @@
     }
 
     /// True where it made the next conversation the current one.
-    fn take_line(&mut self, which: Which, line: &[u8], works: &mut Works) -> Result<bool, String> {
+    fn take_line(
+        &mut self,
+        which: Which,
+        line: &[u8],
+        works: &mut IoContext,
+    ) -> Result<bool, String> {
         let list: ListText =
             serde_json::from_slice(line).map_err(|fault| format!("a bad list: {fault}"))?;
         let held = self.held(which);
@@ -575,7 +586,7 @@
         } else {
             UpdateKind::Delta
         };
-        works.news.push_back(News::Listed(scope, rows));
+        works.news.push_back(Event::EndpointsUpdated(scope, rows));
         Ok(has_moved)
     }
 }
@@ -583,7 +594,7 @@
 impl Call {
     fn new(at: SocketAddr, patience: Duration, now: Instant) -> Call {
         let (raw, text) = (Vec::new(), Text::default());
-        let (heard, wake_at, pacing) = (now, now, Pacing::default());
+        let (heard, wake_at, pacing) = (now, now, PollSchedule::default());
         Call {
             at,
             state: State::Resting,
@@ -610,31 +621,31 @@
         &mut self,
         since: Option<u64>,
         due: Duration,
-        works: &mut Works,
+        works: &mut IoContext,
     ) -> std::io::Result<()> {
         self.raw.clear();
         self.text = Text::default();
         self.heard = works.now;
-        let mut words = Words::default();
+        let mut words = OutputBuffer::default();
         let since = since.map(|at| format!("&since={at}")).unwrap_or_default();
         words.add(&format!("GET /api/targets?follow=1{since} HTTP/1.1"));
         words.add(&format!("Host: {}", self.at));
         words.add("Accept: application/json");
         words.add("");
-        let mut sock = works.sockets.connect(Owner::Watch, self.at)?;
+        let mut sock = works.sockets.connect(SocketOwner::Discovery, self.at)?;
         sock.want(true, true);
         self.state = State::Connecting(sock, words);
         self.wake(works.now + self.patience.min(due), works);
         Ok(())
     }
 
-    fn wake(&mut self, at: Instant, works: &mut Works) {
+    fn wake(&mut self, at: Instant, works: &mut IoContext) {
         self.wake_at = at;
-        works.alarms.set(at, Alarm::Watch);
+        works.alarms.set(at, Timer::Discovery);
     }
 
     /// Goes on as far as the socket allows; whole lines of the list's text go to `lines`.
-    fn event(&mut self, lines: &mut Vec<Vec<u8>>, works: &mut Works) -> Result<(), Fault> {
+    fn event(&mut self, lines: &mut Vec<Vec<u8>>, works: &mut IoContext) -> Result<(), Fault> {
         let State::Connecting(sock, words) = &mut self.state else {
             return self.read(lines, works);
         };
@@ -650,7 +661,7 @@
         Ok(())
     }
 
-    fn read(&mut self, lines: &mut Vec<Vec<u8>>, works: &mut Works) -> Result<(), Fault> {
+    fn read(&mut self, lines: &mut Vec<Vec<u8>>, works: &mut IoContext) -> Result<(), Fault> {
         let (State::Asked(sock) | State::Following(sock, _)) = &mut self.state else {
             return Ok(());
         };
--- a/relay/src/succession.rs
+++ b/relay/src/hot_restart/channel.rs
@@ -1,8 +1,8 @@
 //! The channel between the process that ends and the one that goes on: packets over a Unix socket
 //! in the folder that both share, descriptors beside them. What is said is in `estate.rs`, what is
 //! done about it in `service.rs`.
-use crate::estate::{self, Word};
-use crate::sockets::{Owner, Sockets, Watched};
+use crate::hot_restart::messages::{self, Message};
+use crate::sockets::{Registration, SocketOwner, Sockets};
 use rustix::net::{
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
@@ -18,19 +18,19 @@
 const PACKET: usize = 64 * 1024;
 
 /// Where the next process finds this one.
-pub struct Post {
-    _watched: Watched,
+pub struct SuccessorListener {
+    _watched: Registration,
     socket: Socket,
 }
 
 /// One end of the channel.
-pub struct Line {
-    watched: Watched,
+pub struct Channel {
+    watched: Registration,
     socket: Socket,
 }
 
-pub enum Heard {
-    Word(Box<Word>, Vec<u8>, Vec<u8>, Vec<OwnedFd>),
+pub enum Received {
+    Message(Box<Message>, Vec<u8>, Vec<u8>, Vec<OwnedFd>),
     Nothing,
     /// The other process has ended, or spoke what can't be read.
     Gone(String),
@@ -43,20 +43,20 @@
 }
 
 /// The process that serves from this folder, if one does.
-pub fn elder(folder: &Path, sockets: &mut Sockets) -> Option<Line> {
+pub fn predecessor(folder: &Path, sockets: &mut Sockets) -> Option<Channel> {
     let socket = socket().ok()?;
     socket
         .connect(&SockAddr::unix(folder.join(NAME)).ok()?)
         .ok()?;
-    Some(Line::new(socket, Owner::Elder, sockets))
+    Some(Channel::new(socket, SocketOwner::Predecessor, sockets))
 }
 
-impl Post {
+impl SuccessorListener {
     /// From now on the next process finds this one and no longer the one before.
     ///
     /// # Errors
     /// The folder's name is too long for a socket, say.
-    pub fn open(folder: &Path, sockets: &mut Sockets) -> io::Result<Post> {
+    pub fn open(folder: &Path, sockets: &mut Sockets) -> io::Result<SuccessorListener> {
         let fresh: PathBuf = folder.join(format!("{NAME}-{}", std::process::id()));
         // Of a process of the same number, long ago.
         let _ = std::fs::remove_file(&fresh);
@@ -64,26 +64,26 @@
         socket.bind(&SockAddr::unix(&fresh)?)?;
         socket.listen(4)?;
         std::fs::rename(&fresh, folder.join(NAME))?;
-        let mut watched = sockets.watched(Owner::Post, socket.as_raw_fd());
+        let mut watched = sockets.watched(SocketOwner::SuccessorListener, socket.as_raw_fd());
         watched.want(true, false);
-        Ok(Post {
+        Ok(SuccessorListener {
             _watched: watched,
             socket,
         })
     }
 
-    pub fn accept(&mut self, sockets: &mut Sockets) -> Option<Line> {
+    pub fn accept(&mut self, sockets: &mut Sockets) -> Option<Channel> {
         let (socket, _) = self.socket.accept().ok()?;
         socket.set_nonblocking(true).ok()?;
-        Some(Line::new(socket, Owner::Heir, sockets))
+        Some(Channel::new(socket, SocketOwner::Successor, sockets))
     }
 }
 
-impl Line {
-    fn new(socket: Socket, owner: Owner, sockets: &mut Sockets) -> Line {
+impl Channel {
+    fn new(socket: Socket, owner: SocketOwner, sockets: &mut Sockets) -> Channel {
         let mut watched = sockets.watched(owner, socket.as_raw_fd());
         watched.want(true, false);
-        Line { watched, socket }
+        Channel { watched, socket }
     }
 
     pub fn is(&self, key: usize) -> bool {
@@ -94,13 +94,13 @@
     ///
     /// # Errors
     /// The other process is gone.
-    pub fn say(
+    pub fn send(
         &self,
-        word: &Word,
+        word: &Message,
         bytes: &[&[u8]],
         descriptors: &[BorrowedFd],
     ) -> io::Result<bool> {
-        let packet = estate::packet(word, bytes);
+        let packet = messages::packet(word, bytes);
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut beside = SendAncillaryBuffer::new(&mut space);
         if !descriptors.is_empty() && !beside.push(SendAncillaryMessage::ScmRights(descriptors)) {
@@ -118,7 +118,7 @@
         }
     }
 
-    pub fn hear(&self) -> Heard {
+    pub fn hear(&self) -> Received {
         let mut bytes = vec![0; PACKET];
         let mut space = [MaybeUninit::uninit(); rustix::cmsg_space!(ScmRights(2))];
         let mut beside = RecvAncillaryBuffer::new(&mut space);
@@ -134,12 +134,12 @@
             got => got,
         };
         let length = match got {
-            Ok(message) if message.bytes == 0 => return Heard::Gone("it has ended".into()),
+            Ok(message) if message.bytes == 0 => return Received::Gone("it has ended".into()),
             Ok(message) => message.bytes,
             Err(fault) => {
                 return match io::Error::from(fault).kind() {
-                    ErrorKind::WouldBlock | ErrorKind::Interrupted => Heard::Nothing,
-                    _ => Heard::Gone(fault.to_string()),
+                    ErrorKind::WouldBlock | ErrorKind::Interrupted => Received::Nothing,
+                    _ => Received::Gone(fault.to_string()),
                 };
             }
         };
@@ -149,11 +149,11 @@
                 descriptors.extend(received);
             }
         }
-        match estate::word(&bytes[..length]) {
+        match messages::word(&bytes[..length]) {
             Ok((word, up, down)) => {
-                Heard::Word(Box::new(word), up.to_vec(), down.to_vec(), descriptors)
+                Received::Message(Box::new(word), up.to_vec(), down.to_vec(), descriptors)
             }
-            Err(why) => Heard::Gone(why),
+            Err(why) => Received::Gone(why),
         }
     }
 }
@@ -161,7 +161,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::estate::MemoryText;
+    use crate::hot_restart::messages::SnapshotMessage;
     use thistlecroft::attempt::LoadReport;
     use thistlecroft::ids::BackendId;
     use thistlecroft::snapshot::{BalancerSnapshot, EndpointStatistics};
@@ -176,8 +176,8 @@
         std::fs::create_dir_all(&folder).unwrap();
         let poller = std::rc::Rc::new(polling::Poller::new().unwrap());
         let mut sockets = Sockets::new(poller);
-        let mut post = Post::open(&folder, &mut sockets).unwrap();
-        let new = elder(&folder, &mut sockets).unwrap();
+        let mut post = SuccessorListener::open(&folder, &mut sockets).unwrap();
+        let new = predecessor(&folder, &mut sockets).unwrap();
         let old = post.accept(&mut sockets).unwrap();
         let at = Instant::from_micros(1_764_000_000_123_456);
         let report = LoadReport {
@@ -200,16 +200,16 @@
             let names: Vec<String> = (0..backends)
                 .map(|id| format!("backend-in-zone-a-{id:08x}"))
                 .collect();
-            let text = MemoryText::of(&all, |id| &names[id.0 as usize]);
+            let text = SnapshotMessage::of(&all, |id| &names[id.0 as usize]);
             let mut heard = Vec::new();
             for part in text.clone().parts() {
                 assert!(
-                    old.say(&Word::Memory(part), &[], &[]).unwrap(),
+                    old.send(&Message::Memory(part), &[], &[]).unwrap(),
                     "{backends}: no room on the way"
                 );
             }
-            while let Heard::Word(word, ..) = new.hear() {
-                let Word::Memory(part) = *word else {
+            while let Received::Message(word, ..) = new.hear() {
+                let Message::Memory(part) = *word else {
                     panic!("{backends}: another word")
                 };
                 heard.extend(
@@ -231,23 +231,23 @@
         let poller = std::rc::Rc::new(polling::Poller::new().unwrap());
         let mut sockets = Sockets::new(poller);
         for unread in [0, 1, 5] {
-            let mut post = Post::open(&folder, &mut sockets).unwrap();
-            let new = elder(&folder, &mut sockets).unwrap();
+            let mut post = SuccessorListener::open(&folder, &mut sockets).unwrap();
+            let new = predecessor(&folder, &mut sockets).unwrap();
             let old = post.accept(&mut sockets).unwrap();
             for sockets in 0..unread {
-                assert!(new.say(&Word::Holds { sockets }, &[], &[]).unwrap());
+                assert!(new.send(&Message::Holds { sockets }, &[], &[]).unwrap());
             }
             for serial in 0..3 {
-                assert!(old.say(&Word::Yours { serial }, &[], &[]).unwrap());
+                assert!(old.send(&Message::Yours { serial }, &[], &[]).unwrap());
             }
             drop(old);
             for expected in 0..3 {
-                let Heard::Word(word, ..) = new.hear() else {
+                let Received::Message(word, ..) = new.hear() else {
                     panic!("{unread} unread: {expected} is lost")
                 };
-                assert_eq!(*word, Word::Yours { serial: expected });
+                assert_eq!(*word, Message::Yours { serial: expected });
             }
-            assert!(matches!(new.hear(), Heard::Gone(_)));
+            assert!(matches!(new.hear(), Received::Gone(_)));
         }
         std::fs::remove_dir_all(&folder).unwrap();
     }
--- a/relay/src/estate.rs
+++ b/relay/src/hot_restart/messages.rs
@@ -11,7 +11,7 @@
 
 /// A standing connection; its two descriptors go beside it, the client's first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Estate {
+pub struct SessionHandover {
     /// Of its offer, for the answer.
     pub serial: u32,
     pub id: u64,
@@ -34,7 +34,7 @@
 /// What a relay knows of one backend, by the id that is the same in both processes. Times are Unix
 /// microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SightText {
+pub struct EndpointMessage {
     pub backend: String,
     heard: Option<(u64, Option<f64>, Option<f64>)>,
     weight_heard: f64,
@@ -45,24 +45,24 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct MemoryText {
-    pub sights: Vec<SightText>,
+pub struct SnapshotMessage {
+    pub sights: Vec<EndpointMessage>,
     set_up_us: u64,
     stood: f64,
     left_alone: f64,
 }
 
-impl MemoryText {
+impl SnapshotMessage {
     /// As many as are told at once, so that each part fits into a packet however many backends
     /// there are.
     const PART: usize = 128;
 
     /// The same in parts, each of which can be taken in alone; one at least.
-    pub fn parts(mut self) -> Vec<MemoryText> {
+    pub fn parts(mut self) -> Vec<SnapshotMessage> {
         let mut parts = Vec::new();
-        while self.sights.len() > MemoryText::PART {
-            let rest = self.sights.split_off(MemoryText::PART);
-            parts.push(MemoryText {
+        while self.sights.len() > SnapshotMessage::PART {
+            let rest = self.sights.split_off(SnapshotMessage::PART);
+            parts.push(SnapshotMessage {
                 sights: std::mem::replace(&mut self.sights, rest),
                 ..self
             });
@@ -71,8 +71,11 @@
         parts
     }
 
-    pub fn of<'a>(memory: &BalancerSnapshot, name: impl Fn(BackendId) -> &'a str) -> MemoryText {
-        let sight = |&(id, sight): &(BackendId, EndpointStatistics)| SightText {
+    pub fn of<'a>(
+        memory: &BalancerSnapshot,
+        name: impl Fn(BackendId) -> &'a str,
+    ) -> SnapshotMessage {
+        let sight = |&(id, sight): &(BackendId, EndpointStatistics)| EndpointMessage {
             backend: name(id).to_string(),
             heard: sight
                 .last_report
@@ -83,7 +86,7 @@
             owed: sight.pending_health_checks,
             cold_turn: sight.slow_start_use,
         };
-        MemoryText {
+        SnapshotMessage {
             sights: memory.endpoints.iter().map(sight).collect(),
             set_up_us: memory.connect_time.as_micros(),
             stood: memory.connection_seconds,
@@ -119,21 +122,21 @@
 
 /// What either side says.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// The new one's first.
     Hello {
         version: u32,
         relay: String,
     },
     /// The old one's, at the beginning and when it leaves; in parts.
-    Memory(MemoryText),
+    Memory(SnapshotMessage),
     /// It takes nothing new any more.
     Leaving,
     /// Descriptors that either holds: one limit is for both.
     Holds {
         sockets: usize,
     },
-    Session(Estate),
+    Session(SessionHandover),
     /// The new one holds it and does not touch it yet.
     Took {
         serial: u32,
@@ -149,7 +152,7 @@
 }
 
 /// `bytes`: what a session has waiting, up then down.
-pub fn packet(word: &Word, bytes: &[&[u8]]) -> Vec<u8> {
+pub fn packet(word: &Message, bytes: &[&[u8]]) -> Vec<u8> {
     let mut packet = serde_json::to_vec(word).expect("a word is text, numbers and names");
     packet.push(b'\n');
     bytes
@@ -160,15 +163,15 @@
 
 /// # Errors
 /// What is wrong with it.
-pub fn word(packet: &[u8]) -> Result<(Word, &[u8], &[u8]), String> {
+pub fn word(packet: &[u8]) -> Result<(Message, &[u8], &[u8]), String> {
     let at = packet
         .iter()
         .position(|&byte| byte == b'\n')
         .ok_or("a packet without a line")?;
-    let word: Word = serde_json::from_slice(&packet[..at]).map_err(|fault| fault.to_string())?;
+    let word: Message = serde_json::from_slice(&packet[..at]).map_err(|fault| fault.to_string())?;
     let rest = &packet[at + 1..];
     let (up, down) = match &word {
-        Word::Session(estate) => (estate.up, estate.down),
+        Message::Session(estate) => (estate.up, estate.down),
         _ => ((0, 0), (0, 0)),
     };
     if up.0.checked_add(down.0) != Some(rest.len()) || up.1 > up.0 || down.1 > down.0 {
@@ -182,8 +185,8 @@
 mod tests {
     use super::*;
 
-    fn estate() -> Estate {
-        Estate {
+    fn estate() -> SessionHandover {
+        SessionHandover {
             serial: 7,
             id: 0x9b1f_03aa_5c7e_2d41,
             listener: "slot \"hold\"\n".into(),
@@ -202,7 +205,7 @@
     #[test]
     fn words_come_out_as_they_went_in() {
         let heard = [None, Some((9, Some(3.0), None)), Some((8, None, Some(0.5)))];
-        let sights = heard.map(|heard| SightText {
+        let sights = heard.map(|heard| EndpointMessage {
             backend: "b".into(),
             heard,
             weight_heard: 0.8,
@@ -211,51 +214,51 @@
             owed: 11,
             cold_turn: Some((5, 1)),
         });
-        let memory = MemoryText {
+        let memory = SnapshotMessage {
             sights: sights.to_vec(),
             set_up_us: 12,
             stood: 1.5,
             left_alone: 2.5,
         };
         let back = memory.memory(|_| BackendId(4));
-        assert_eq!(MemoryText::of(&back, |_| "b"), memory);
+        assert_eq!(SnapshotMessage::of(&back, |_| "b"), memory);
         let words = [
-            Word::Hello {
+            Message::Hello {
                 version: VERSION,
                 relay: "n3".into(),
             },
-            Word::Memory(memory),
-            Word::Leaving,
-            Word::Holds { sockets: 300 },
-            Word::Took { serial: 1 },
-            Word::Declined { serial: 2 },
-            Word::Yours { serial: 3 },
+            Message::Memory(memory),
+            Message::Leaving,
+            Message::Holds { sockets: 300 },
+            Message::Took { serial: 1 },
+            Message::Declined { serial: 2 },
+            Message::Yours { serial: 3 },
         ];
         for one in words {
             assert_eq!(word(&packet(&one, &[])), Ok((one, &b""[..], &b""[..])));
         }
-        let session = Word::Session(estate());
+        let session = Message::Session(estate());
         let sent = packet(&session, &[b"a\r\nb\n\n", b""]);
         assert_eq!(word(&sent), Ok((session, &b"a\r\nb\n\n"[..], &b""[..])));
     }
 
     #[test]
     fn what_does_not_add_up_is_a_fault() {
-        let sound = packet(&Word::Session(estate()), &[b"a\r\nb\n\n", b""]);
+        let sound = packet(&Message::Session(estate()), &[b"a\r\nb\n\n", b""]);
         for length in 0..sound.len() {
             assert!(word(&sound[..length]).is_err(), "cut at {length}");
         }
-        let huge = Estate {
+        let huge = SessionHandover {
             up: (usize::MAX, 0),
             down: (usize::MAX, 0),
             ..estate()
         };
-        let more = Estate {
+        let more = SessionHandover {
             up: (6, 7),
             ..estate()
         };
         for bad in [huge, more] {
-            assert!(word(&packet(&Word::Session(bad), &[b"a\r\nb\n\n"])).is_err());
+            assert!(word(&packet(&Message::Session(bad), &[b"a\r\nb\n\n"])).is_err());
         }
         assert!(word(b"\xff\n").is_err() && word(b"{\"Leaving\":1}\n").is_err());
     }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,31 +1,26 @@
 //! The relay on sockets, for a process of its own or inside another: read a `Posting`, start a
 //! `Service`, run it.
 mod admin;
-mod backends;
 mod bans;
 mod buffers;
-mod callers;
-mod clients;
 mod counters;
 mod discovery;
-mod estate;
-mod front;
-mod hand;
-mod lines;
-mod pacing;
+mod driver;
+mod hot_restart;
+mod io_context;
+mod line_buffer;
 mod peers;
 mod protocol;
 mod service;
-mod shelf;
+mod session;
 mod sockets;
-mod start;
-mod succession;
+mod startup_config;
 mod timers;
 mod trace;
-mod works;
+mod upstream;
 
 pub use service::{Service, Signals};
-pub use start::{StartupConfig, read, read_file, relay_context};
+pub use startup_config::{StartupConfig, read, read_file, relay_context};
 
 /// Serves by a configuration, and a charter if there is one, until told to stop: what a main
 /// program does.
--- a/relay/src/lines.rs
+++ b/relay/src/line_buffer.rs
@@ -11,7 +11,7 @@
 pub struct TooLong;
 
 #[derive(Debug, PartialEq, Eq)]
-pub enum Took {
+pub enum ReadOutcome {
     Bytes(usize),
     /// Nothing to be had at present.
     Nothing,
@@ -24,7 +24,7 @@
 /// One direction of a connection. Bytes between `start` and `whole` are lines seen; those up to
 /// `end` are the beginning of a line.
 #[derive(Default)]
-pub struct Flow {
+pub struct LineBuffer {
     buffer: Option<Buffer>,
     start: usize,
     whole: usize,
@@ -33,14 +33,14 @@
     pub ended: bool,
 }
 
-impl Flow {
+impl LineBuffer {
     /// One read, so that no connection takes a turn for itself.
-    pub fn take(&mut self, from: &mut impl Read, pool: &mut Pool) -> Result<Took> {
+    pub fn take(&mut self, from: &mut impl Read, pool: &mut Pool) -> Result<ReadOutcome> {
         if self.buffer.is_none() {
             self.buffer = pool.take();
         }
         let Some(buffer) = self.buffer.as_mut() else {
-            return Ok(Took::Starved);
+            return Ok(ReadOutcome::Starved);
         };
         if self.start > 0 {
             buffer.copy_within(self.start..self.end, 0);
@@ -49,21 +49,21 @@
             self.start = 0;
         }
         if self.end == SIZE {
-            return Ok(Took::Nothing);
+            return Ok(ReadOutcome::Nothing);
         }
         let took = match from.read(&mut buffer[self.end..]) {
             Ok(0) => {
                 self.ended = true;
-                Ok(Took::End)
+                Ok(ReadOutcome::End)
             }
             Ok(more) => {
                 self.end += more;
-                Ok(Took::Bytes(more))
+                Ok(ReadOutcome::Bytes(more))
             }
             Err(fault)
                 if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
-                Ok(Took::Nothing)
+                Ok(ReadOutcome::Nothing)
             }
             Err(fault) => Err(fault),
         };
@@ -81,13 +81,13 @@
     }
 
     /// With what waited in another process; none where the pool has no buffer.
-    pub fn holding(bytes: &[u8], whole: usize, pool: &mut Pool) -> Option<Flow> {
+    pub fn holding(bytes: &[u8], whole: usize, pool: &mut Pool) -> Option<LineBuffer> {
         if bytes.is_empty() {
-            return Some(Flow::default());
+            return Some(LineBuffer::default());
         }
         let mut buffer = pool.take()?;
         buffer.get_mut(..bytes.len())?.copy_from_slice(bytes);
-        Some(Flow {
+        Some(LineBuffer {
             buffer: Some(buffer),
             start: 0,
             whole,
@@ -186,12 +186,12 @@
 
 /// A short text of our own on its way out.
 #[derive(Default)]
-pub struct Words {
+pub struct OutputBuffer {
     text: Vec<u8>,
     written: usize,
 }
 
-impl Words {
+impl OutputBuffer {
     pub fn add(&mut self, line: &str) {
         self.text.extend_from_slice(line.as_bytes());
         self.text.extend_from_slice(b"\r\n");
@@ -212,7 +212,7 @@
             self.written += write_some(to, &self.text[self.written..])?;
         }
         if !self.waits() {
-            *self = Words::default();
+            *self = OutputBuffer::default();
         }
         Ok(self.text.is_empty())
     }
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -1,9 +1,9 @@
 //! The other relays: datagrams and timers for `thistlecroft-peers` and `thistlecroft-leases`, which
 //! decide. One socket, on the one loop; a bounded number of datagrams in a turn.
-use crate::admin::Call;
-use crate::sockets::{Owner, Sockets, Watched};
-use crate::timers::{Alarm, Clock};
-use crate::works::Works;
+use crate::admin::protocol::AdminCommand;
+use crate::io_context::IoContext;
+use crate::sockets::{Registration, SocketOwner, Sockets};
+use crate::timers::{Clock, Timer};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -43,7 +43,7 @@
 }
 
 struct Link {
-    watched: Watched,
+    watched: Registration,
     socket: UdpSocket,
 }
 
@@ -51,7 +51,7 @@
     fn open(at: SocketAddr, sockets: &mut Sockets) -> io::Result<Link> {
         let socket = UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
-        let mut watched = sockets.watched(Owner::Peers, socket.as_raw_fd());
+        let mut watched = sockets.watched(SocketOwner::Peers, socket.as_raw_fd());
         watched.want(true, false);
         Ok(Link { watched, socket })
     }
@@ -151,7 +151,7 @@
         Ok(())
     }
 
-    pub fn event(&mut self, works: &mut Works) {
+    pub fn event(&mut self, works: &mut IoContext) {
         let mut bytes = [0; MOST + 1];
         let links = std::iter::once(&self.link).chain(self.former.iter().map(|(link, _)| link));
         for link in links {
@@ -167,7 +167,7 @@
         self.turn(works);
     }
 
-    pub fn wake(&mut self, works: &mut Works) {
+    pub fn wake(&mut self, works: &mut IoContext) {
         let now = works.now;
         if self.alarm.is_some_and(|at| at <= now) {
             self.alarm = None;
@@ -189,7 +189,7 @@
         self.turn(works);
     }
 
-    fn take_address(&mut self, works: &mut Works) {
+    fn take_address(&mut self, works: &mut IoContext) {
         match Link::open(self.peering.listen, &mut works.sockets) {
             Ok(link) => {
                 log::info!("peers: at {} from now on", self.peering.advertise);
@@ -203,7 +203,7 @@
     }
 
     /// What they have to say goes out, and the next alarm is set.
-    fn turn(&mut self, works: &mut Works) {
+    fn turn(&mut self, works: &mut IoContext) {
         // Read after what came was: a voter's promise dated from a turn in which the process stood
         // still, for an asking that came meanwhile, would end before the holder's right does.
         let now = self.clock.now();
@@ -225,7 +225,7 @@
             .max(now + Duration::from_millis(1));
         if self.alarm.is_none_or(|at| due < at) {
             self.alarm = Some(due);
-            works.alarms.set(due, Alarm::Peers);
+            works.alarms.set(due, Timer::Peers);
         }
     }
 
@@ -290,11 +290,11 @@
 
     /// The answer to an operator's call. A lease is looked at here and now, at the act of saying
     /// it.
-    pub fn answer(&mut self, call: &Call, works: &mut Works) -> Result<String, String> {
+    pub fn answer(&mut self, call: &AdminCommand, works: &mut IoContext) -> Result<String, String> {
         let now = works.now;
         let done = match call {
-            Call::Peers => Ok(self.view(now).to_string()),
-            Call::Note(subject, value) => {
+            AdminCommand::Peers => Ok(self.view(now).to_string()),
+            AdminCommand::Note(subject, value) => {
                 match self
                     .node
                     .announce(Kind::Note, subject.as_bytes(), value.as_bytes(), now)
@@ -303,9 +303,9 @@
                     false => Err("too long, or too many notes of this relay".into()),
                 }
             }
-            Call::Notes => Ok(self.notes(now).to_string()),
-            Call::Lease(subject) => self.lease(subject, self.clock.now()),
-            Call::Release(subject) => match &mut self.leases {
+            AdminCommand::Notes => Ok(self.notes(now).to_string()),
+            AdminCommand::Lease(subject) => self.lease(subject, self.clock.now()),
+            AdminCommand::Release(subject) => match &mut self.leases {
                 Some(leases) => {
                     leases.release(subject.as_bytes(), now);
                     self.told.remove(subject.as_bytes());
@@ -313,7 +313,9 @@
                 }
                 None => Err(NO_VOTERS.into()),
             },
-            Call::Ready | Call::Disable(_) | Call::Enable(_) => Err("not for peers".into()),
+            AdminCommand::Ready | AdminCommand::Disable(_) | AdminCommand::Enable(_) => {
+                Err("not for peers".into())
+            }
         };
         self.turn(works);
         done
--- a/relay/src/protocol.rs
+++ b/relay/src/protocol.rs
@@ -16,13 +16,13 @@
 
 /// The first line of a client.
 #[derive(Debug)]
-pub enum First {
+pub enum FirstLine {
     Ping,
-    Open(Box<Open>),
+    Open(Box<OpenRequest>),
 }
 
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     pub id: u64,
     /// The line before and behind the figure of `d`, passed on as it came.
     before: String,
@@ -34,7 +34,7 @@
     pub at: Option<String>,
 }
 
-impl Open {
+impl OpenRequest {
     /// The line for a backend: as it came, but for how long the relay will wait.
     pub fn line(&self, wait: Duration) -> String {
         format!("{}{}{}", self.before, wait.as_millis(), self.behind)
@@ -50,10 +50,10 @@
     pub notes_tell_delay: bool,
 }
 
-pub fn first_line(line: &[u8], names: &Names) -> Result<First, &'static str> {
+pub fn first_line(line: &[u8], names: &Names) -> Result<FirstLine, &'static str> {
     let line = std::str::from_utf8(line).map_err(|_| "not UTF-8")?;
     if line == "PING" {
-        return Ok(First::Ping);
+        return Ok(FirstLine::Ping);
     }
     let words: Vec<&str> = line.split(' ').collect();
     let ["OPEN", id, key, list] = words[..] else {
@@ -109,7 +109,7 @@
         group: group.filter(|_| names.groups),
         timeout: wait - MARGIN,
     };
-    Ok(First::Open(Box::new(Open {
+    Ok(FirstLine::Open(Box::new(OpenRequest {
         id,
         before: line[..from].into(),
         behind: line[to..].into(),
@@ -147,7 +147,7 @@
 
 /// What a line from a backend means to the relay.
 #[derive(Debug, Clone, Copy)]
-pub enum Said {
+pub enum BackendMessage {
     Up,
     Load(f64),
     /// The last word on a connection.
@@ -155,22 +155,22 @@
     Other,
 }
 
-pub fn backend_line(line: &[u8]) -> Said {
+pub fn backend_line(line: &[u8]) -> BackendMessage {
     let text = std::str::from_utf8(line).unwrap_or_default();
     let (word, rest) = text.split_once(' ').unwrap_or((text, ""));
     match word {
-        "UP" => Said::Up,
+        "UP" => BackendMessage::Up,
         "LOAD" => rest
             .trim()
             .parse()
             .ok()
             .filter(|load: &f64| load.is_finite())
-            .map_or(Said::Other, Said::Load),
-        "BYE" => Said::Last(AttemptOutcome::Ok, report(rest)),
-        "MOVE" => Said::Last(AttemptOutcome::Cancelled, report(rest)),
-        "ERR" => Said::Last(AttemptOutcome::Error, report(rest)),
-        "BUSY" => Said::Last(AttemptOutcome::Saturated, report(rest)),
-        _ => Said::Other,
+            .map_or(BackendMessage::Other, BackendMessage::Load),
+        "BYE" => BackendMessage::Last(AttemptOutcome::Ok, report(rest)),
+        "MOVE" => BackendMessage::Last(AttemptOutcome::Cancelled, report(rest)),
+        "ERR" => BackendMessage::Last(AttemptOutcome::Error, report(rest)),
+        "BUSY" => BackendMessage::Last(AttemptOutcome::Saturated, report(rest)),
+        _ => BackendMessage::Other,
     }
 }
 
@@ -209,7 +209,7 @@
 
 /// How far a dial had come when it ended: what it proves depends on that.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Reach {
+pub enum AttemptProgress {
     /// The connection had not come up.
     Nothing,
     /// Up, but the line's last byte had not been written.
@@ -226,33 +226,33 @@
     TimedOut,
     Withdrawn,
     BadLine,
-    Said(AttemptOutcome, LoadReport),
+    BackendMessage(AttemptOutcome, LoadReport),
 }
 
 /// A dial's end as a value.
 #[derive(Clone, Copy, Debug)]
-pub struct Fault {
-    pub reach: Reach,
+pub struct AttemptFailure {
+    pub reach: AttemptProgress,
     pub cause: Cause,
 }
 
-impl Fault {
+impl AttemptFailure {
     pub fn verdict(self) -> AttemptOutcome {
         match (self.cause, self.reach) {
             (Cause::Ours, _) => AttemptOutcome::NotSent,
-            (Cause::Said(verdict, _), _) => verdict,
+            (Cause::BackendMessage(verdict, _), _) => verdict,
             (Cause::BadLine, _) => AttemptOutcome::Error,
-            (Cause::Withdrawn, Reach::Sent) => AttemptOutcome::Cancelled,
+            (Cause::Withdrawn, AttemptProgress::Sent) => AttemptOutcome::Cancelled,
             (Cause::Withdrawn, _) => AttemptOutcome::NotSent,
-            (Cause::Broken, Reach::Sent) => AttemptOutcome::Reset,
-            (Cause::TimedOut, Reach::Sent) => AttemptOutcome::TimedOut,
+            (Cause::Broken, AttemptProgress::Sent) => AttemptOutcome::Reset,
+            (Cause::TimedOut, AttemptProgress::Sent) => AttemptOutcome::TimedOut,
             (Cause::Broken | Cause::TimedOut, _) => AttemptOutcome::Unreachable,
         }
     }
 
     pub fn report(self) -> LoadReport {
         match self.cause {
-            Cause::Said(_, report) => report,
+            Cause::BackendMessage(_, report) => report,
             _ => LoadReport::default(),
         }
     }
--- a/relay/src/service.rs
+++ b/relay/src/service.rs
@@ -1,25 +1,27 @@
 //! The loop: each turn gathers what is ready, hands it to the decisions in one go, and carries out
 //! what they ask for. One thread; no part of a turn waits.
-use crate::admin::Readiness;
-use crate::backends::Probes;
+use crate::admin::commands::AdminCommands;
+use crate::admin::connections::{self, AdminConnections};
+use crate::admin::protocol::Readiness;
+use crate::bans::store::BanStore;
 use crate::buffers::{Pool, SIZE};
-use crate::callers::{self, Callers};
-use crate::clients::Sessions;
 use crate::counters::Counters;
-use crate::discovery::{Book, Listed, Watch};
-use crate::estate::{Estate, MemoryText, VERSION, Word};
-use crate::front::{Desk, News, Order, hand_in};
-use crate::hand::Hand;
+use crate::discovery::watch::{EndpointRegistry, Listed, Watch};
+use crate::driver::{Action, ActionRecorder, Event, hand_in};
+use crate::hot_restart::channel::{self, Channel, Received, SuccessorListener};
+use crate::hot_restart::messages::{Message, SessionHandover, SnapshotMessage, VERSION};
+use crate::io_context::IoContext;
 use crate::peers::Peers;
 use crate::protocol::Names;
-use crate::shelf::Shelf;
-use crate::sockets::{Owner, Sockets, key_of, owner_of};
-use crate::start::{ConfigSource, OperatorConfigFile, StartupConfig, read_file, relay_context};
-use crate::succession::{self, Heard, Line, Post};
-use crate::timers::{Alarm, Alarms, Clock};
+use crate::session::table::Sessions;
+use crate::sockets::{SocketOwner, Sockets, key_of, owner_of};
+use crate::startup_config::{
+    ConfigSource, OperatorConfigFile, StartupConfig, read_file, relay_context,
+};
+use crate::timers::{Clock, Timer, TimerQueue};
 use crate::trace;
-use crate::works::Works;
-use polling::{Event, Events, PollMode, Poller};
+use crate::upstream::HealthChecks;
+use polling::{Events, PollMode, Poller};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM, SIGUSR1};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::{self, Read};
@@ -38,7 +40,7 @@
 
 /// Events in one turn, so that timers are never far behind.
 const EVENTS: usize = 512;
-/// Alarms in one turn, for the same.
+/// TimerQueue in one turn, for the same.
 const ALARMS: usize = 512;
 /// The part of the memory limit that buffers may take.
 const BUFFER_PART: usize = 4;
@@ -55,20 +57,20 @@
 
 /// The processes of this relay before and after this one.
 #[derive(Default)]
-struct Succession {
+struct HotRestart {
     relay: String,
-    post: Option<Post>,
+    post: Option<SuccessorListener>,
     /// It may end before it has left, and then is none.
-    elder: Option<Line>,
-    heir: Option<Line>,
-    /// Connections that the elder offered and has not let go of.
+    predecessor: Option<Channel>,
+    successor: Option<Channel>,
+    /// Connections that the predecessor offered and has not let go of.
     offered: BTreeMap<u32, Offered>,
     /// Descriptors held here, as told last.
     told: usize,
 }
 
 struct Offered {
-    estate: Estate,
+    estate: SessionHandover,
     up: Vec<u8>,
     down: Vec<u8>,
     sockets: [OwnedFd; 2],
@@ -84,19 +86,19 @@
 pub struct Service {
     clock: Clock,
     poller: Rc<Poller>,
-    works: Works,
+    works: IoContext,
     sessions: Sessions,
-    probes: Probes,
+    probes: HealthChecks,
     watch: Watch,
-    hand: Hand,
+    hand: AdminCommands,
     /// The other relays, where the charter has them.
     peers: Option<Peers>,
-    succession: Succession,
+    hot_restart: HotRestart,
     relay: Balancer,
     started: Instant,
     /// The platform holds the clients' socket: another process may serve beside this one.
     passed: bool,
-    orders: Vec<Order>,
+    orders: Vec<Action>,
     stop_within: Duration,
     stopping: Option<Instant>,
     signals: [UnixStream; 3],
@@ -118,7 +120,7 @@
 pub struct Signals([UnixStream; 3]);
 
 impl Signals {
-    /// First of all, before any file is read: until they are caught the system's default for each
+    /// FirstLine of all, before any file is read: until they are caught the system's default for each
     /// of them ends the process.
     ///
     /// # Errors
@@ -150,18 +152,19 @@
         let at = |address, fault: io::Error| io::Error::other(format!("{address}: {fault}"));
         let passed = posting.passed.is_some();
         let door = match posting.passed {
-            Some(listener) => sockets.door(Owner::Door, listener)?,
+            Some(listener) => sockets.door(SocketOwner::Listener, listener)?,
             None => sockets
-                .listen(Owner::Door, posting.listen)
+                .listen(SocketOwner::Listener, posting.listen)
                 .map_err(|fault| at(posting.listen, fault))?,
         };
         let admin = posting.admin.map(|to| {
             sockets
-                .listen(Owner::Admin, to)
+                .listen(SocketOwner::AdminListener, to)
                 .map_err(|fault| at(to, fault))
         });
-        let callers = admin.transpose()?.map(Callers::new);
-        let clients_sockets = posting.sockets - callers.as_ref().map_or(0, |_| callers::RESERVE);
+        let callers = admin.transpose()?.map(AdminConnections::new);
+        let clients_sockets =
+            posting.sockets - callers.as_ref().map_or(0, |_| connections::RESERVE);
         let peers = match posting.charter.peering {
             Some((peering, key)) => Some(
                 Peers::start(&posting.name, &peering, &key, passed, &mut sockets, clock).map_err(
@@ -172,8 +175,9 @@
         };
         let clients_sockets = clients_sockets - usize::from(peers.is_some());
         let pool = Pool::new((posting.memory_mb << 20) / BUFFER_PART / SIZE);
-        let (alarms, news, counters) = (Alarms::default(), VecDeque::new(), Counters::default());
-        let mut works = Works {
+        let (alarms, news, counters) =
+            (TimerQueue::default(), VecDeque::new(), Counters::default());
+        let mut works = IoContext {
             now,
             sockets,
             pool,
@@ -182,7 +186,7 @@
             counters,
             starved: VecDeque::new(),
         };
-        let book = Book::new(site.zones.clone(), site.report_fields);
+        let book = EndpointRegistry::new(site.zones.clone(), site.report_fields);
         let mut watch = Watch::new(posting.discovery, posting.seed, book, site.drain_grace, now);
         if let Some(known) = &posting.known {
             match watch.know(known) {
@@ -190,15 +194,15 @@
                 Err(fault) => log::warn!("the list known at start: {fault}"),
             }
         }
-        let succession = match posting.folder.as_deref().filter(|_| passed) {
-            Some(folder) => Succession::begin(folder, &posting.name, &mut works.sockets),
-            None => Succession::default(),
+        let hot_restart = match posting.folder.as_deref().filter(|_| passed) {
+            Some(folder) => HotRestart::begin(folder, &posting.name, &mut works.sockets),
+            None => HotRestart::default(),
         };
         let shelf = posting.folder.filter(|_| passed || callers.is_some());
-        let shelf = shelf.map(|folder| Shelf::new(&folder, &posting.name));
-        let hand = Hand::new(callers, shelf, &mut watch.book, &mut works);
+        let shelf = shelf.map(|folder| BanStore::new(&folder, &posting.name));
+        let hand = AdminCommands::new(callers, shelf, &mut watch.book, &mut works);
         let mut orders = Vec::new();
-        let mut desk = Desk {
+        let mut desk = ActionRecorder {
             orders: &mut orders,
             alarms: &mut works.alarms,
         };
@@ -209,7 +213,7 @@
             unsafe {
                 poller.add_with_mode(
                     signal,
-                    Event::readable(key_of(Owner::Signals, 0)),
+                    polling::Event::readable(key_of(SocketOwner::Signals, 0)),
                     PollMode::Level,
                 )?
             };
@@ -220,11 +224,11 @@
             poller,
             works,
             sessions: Sessions::new(door, names, routing, clients_sockets),
-            probes: Probes::new(connect_timeout, site.backend_idle_timeout),
+            probes: HealthChecks::new(connect_timeout, site.backend_idle_timeout),
             watch,
             hand,
             peers,
-            succession,
+            hot_restart,
             relay,
             started: now,
             passed,
@@ -240,7 +244,7 @@
             bound: posting.charter.bound,
         };
         for span in [service.watch.answer_due(), LIST_KNOWN, LIST_LACKING] {
-            service.works.alarms.set(now + span, Alarm::Opening);
+            service.works.alarms.set(now + span, Timer::StartAccepting);
         }
         service.open_door();
         service.wake_peers();
@@ -257,7 +261,7 @@
             Listed::Known => since >= LIST_KNOWN,
             Listed::Nothing => since >= LIST_LACKING,
         };
-        let beside = self.succession.elder.is_some();
+        let beside = self.hot_restart.predecessor.is_some();
         let can = can || !beside && (self.watch.has_failed() || since >= self.watch.answer_due());
         if self.stopping.is_none() && !self.sessions.takes_clients() && can {
             self.sessions.open_door();
@@ -323,57 +327,61 @@
     fn event(&mut self, key: usize) {
         let works = &mut self.works;
         match owner_of(key) {
-            Some(Owner::Door) => self.sessions.accept(&self.watch.book, works),
-            Some(Owner::Signals) => self.signalled(),
-            Some(Owner::Watch) => {
+            Some(SocketOwner::Listener) => self.sessions.accept(&self.watch.book, works),
+            Some(SocketOwner::Signals) => self.signalled(),
+            Some(SocketOwner::Discovery) => {
                 self.watch.event(key, works);
                 self.open_door();
             }
-            Some(Owner::Admin) => self
+            Some(SocketOwner::AdminListener) => self
                 .hand
                 .callers
                 .iter_mut()
                 .for_each(|callers| callers.accept(works)),
-            Some(Owner::Post) => {
-                let heir = self
-                    .succession
+            Some(SocketOwner::SuccessorListener) => {
+                let successor = self
+                    .hot_restart
                     .post
                     .as_mut()
                     .and_then(|post| post.accept(&mut works.sockets));
-                if heir.is_some() {
-                    self.lose_heir("another one has come");
-                    (self.succession.heir, self.succession.told) = (heir, 0);
+                if successor.is_some() {
+                    self.lose_successor("another one has come");
+                    (self.hot_restart.successor, self.hot_restart.told) = (successor, 0);
                 }
             }
-            Some(Owner::Heir)
+            Some(SocketOwner::Successor)
                 if self
-                    .succession
-                    .heir
+                    .hot_restart
+                    .successor
                     .as_ref()
-                    .is_some_and(|heir| heir.is(key)) =>
+                    .is_some_and(|successor| successor.is(key)) =>
             {
-                self.hear_heir();
+                self.receive_from_successor();
             }
-            Some(Owner::Elder)
+            Some(SocketOwner::Predecessor)
                 if self
-                    .succession
-                    .elder
+                    .hot_restart
+                    .predecessor
                     .as_ref()
-                    .is_some_and(|elder| elder.is(key)) =>
+                    .is_some_and(|predecessor| predecessor.is(key)) =>
             {
-                self.hear_elder();
+                self.receive_from_predecessor();
             }
-            Some(Owner::Heir | Owner::Elder) => {}
-            Some(Owner::Peers) => self.peers.iter_mut().for_each(|peers| peers.event(works)),
-            Some(Owner::Caller(id)) => {
+            Some(SocketOwner::Successor | SocketOwner::Predecessor) => {}
+            Some(SocketOwner::Peers) => self.peers.iter_mut().for_each(|peers| peers.event(works)),
+            Some(SocketOwner::AdminConnection(id)) => {
                 self.hand
                     .callers
                     .iter_mut()
                     .for_each(|callers| callers.event(id, key, works));
             }
-            Some(Owner::Client(id)) => self.sessions.client_event(id, key, &self.watch.book, works),
-            Some(Owner::Dial(id)) => self.sessions.dial_event(id, key, &self.watch.book, works),
-            Some(Owner::Probe(id)) => {
+            Some(SocketOwner::Client(id)) => {
+                self.sessions.client_event(id, key, &self.watch.book, works)
+            }
+            Some(SocketOwner::Attempt(id)) => {
+                self.sessions.dial_event(id, key, &self.watch.book, works)
+            }
+            Some(SocketOwner::HealthCheck(id)) => {
                 let address = self.watch.book.address(BackendId(id));
                 self.probes.event(BackendId(id), key, address, works);
             }
@@ -381,37 +389,37 @@
         }
     }
 
-    fn alarm(&mut self, alarm: Alarm) {
+    fn alarm(&mut self, alarm: Timer) {
         let works = &mut self.works;
         match alarm {
-            Alarm::Decisions => works.news.push_back(News::Woken),
-            Alarm::Accepting => self.sessions.resume_accepting(),
-            Alarm::Watch => self.watch.alarm(works),
-            Alarm::Client(id) => self.sessions.client_alarm(id, works),
-            Alarm::Dial(id, serial) => self.sessions.dial_alarm(id, serial, works),
-            Alarm::Probe(id, serial) => self.probes.alarm(id, serial, works),
-            Alarm::Overdue(id) => self.sessions.overdue_alarm(id, works),
-            Alarm::Idle(id) => self.sessions.idle_alarm(id, works),
-            Alarm::Again(id) => self.sessions.again_alarm(id, &self.watch.book, works),
-            Alarm::Caller(id) => self
+            Timer::Balancer => works.news.push_back(Event::Wake),
+            Timer::ResumeAccepting => self.sessions.resume_accepting(),
+            Timer::Discovery => self.watch.alarm(works),
+            Timer::Client(id) => self.sessions.client_alarm(id, works),
+            Timer::Attempt(id, serial) => self.sessions.dial_alarm(id, serial, works),
+            Timer::HealthCheck(id, serial) => self.probes.alarm(id, serial, works),
+            Timer::ResponseOverdue(id) => self.sessions.overdue_alarm(id, works),
+            Timer::IdleTimeout(id) => self.sessions.idle_alarm(id, works),
+            Timer::RetryInherited(id) => self.sessions.again_alarm(id, &self.watch.book, works),
+            Timer::AdminConnection(id) => self
                 .hand
                 .callers
                 .iter_mut()
                 .for_each(|callers| callers.alarm(id, works)),
-            Alarm::Shelf => {
+            Timer::BanStore => {
                 self.hand.look(&mut self.watch.book, works);
                 self.tell_holds(1);
             }
-            Alarm::Settled => self.settled(),
-            Alarm::Opening => self.open_door(),
-            Alarm::Offering => self.offer(),
-            Alarm::Offered(id) => {
+            Timer::SettingsInForce => self.settled(),
+            Timer::StartAccepting => self.open_door(),
+            Timer::OfferSessions => self.offer(),
+            Timer::OfferTimeout(id) => {
                 if self.sessions.keep(id, works) {
-                    self.lose_heir("it does not answer");
+                    self.lose_successor("it does not answer");
                 }
             }
-            Alarm::Peers => self.wake_peers(),
-            Alarm::Stop => {}
+            Timer::Peers => self.wake_peers(),
+            Timer::Stop => {}
         }
     }
 
@@ -435,7 +443,7 @@
         if matches!(self.signals[STOP_BYTE].read(&mut bytes), Ok(1..)) && self.stopping.is_none() {
             log::info!("told to stop, {} sessions", self.sessions.len());
             self.stopping = Some(self.works.now);
-            self.works.news.push_back(News::Stopping);
+            self.works.news.push_back(Event::ShutDown);
             self.peers
                 .iter_mut()
                 .for_each(|peers| peers.leave(self.works.now));
@@ -448,10 +456,10 @@
             }
             self.works
                 .alarms
-                .set(self.works.now + ACCEPT_ON, Alarm::Stop);
+                .set(self.works.now + ACCEPT_ON, Timer::Stop);
             self.works.alarms.set(
                 self.works.now + (self.stop_within - STOP_MARGIN),
-                Alarm::Stop,
+                Timer::Stop,
             );
         }
         if matches!(self.signals[REREAD_BYTE].read(&mut bytes), Ok(1..)) {
@@ -463,122 +471,127 @@
 
     /// What is known and what stands goes to the next process, if there is one.
     fn leave(&mut self) {
-        let Some(heir) = &self.succession.heir else {
+        let Some(successor) = &self.hot_restart.successor else {
             return;
         };
-        let said = tell_memory(&self.relay, &self.watch.book, heir);
-        match said.and_then(|_| heir.say(&Word::Leaving, &[], &[])) {
-            Ok(true) => self.sessions.leave_to_heir(&mut self.works),
-            Ok(false) => self.lose_heir("it does not read"),
-            Err(fault) => self.lose_heir(&fault.to_string()),
+        let said = tell_memory(&self.relay, &self.watch.book, successor);
+        match said.and_then(|_| successor.send(&Message::Leaving, &[], &[])) {
+            Ok(true) => self.sessions.hand_over_to_successor(&mut self.works),
+            Ok(false) => self.lose_successor("it does not read"),
+            Err(fault) => self.lose_successor(&fault.to_string()),
         }
     }
 
     /// Both channels hear of it when it has changed by so much: told later, each would take what
     /// the other had just taken.
     fn tell_holds(&mut self, least: usize) {
-        let (sockets, told) = (self.works.sockets.own(), self.succession.told);
+        let (sockets, told) = (self.works.sockets.own(), self.hot_restart.told);
         let mut lines = self
-            .succession
-            .elder
+            .hot_restart
+            .predecessor
             .iter()
-            .chain(&self.succession.heir)
+            .chain(&self.hot_restart.successor)
             .peekable();
         if lines.peek().is_some() && sockets.abs_diff(told) >= least {
-            self.succession.told = sockets;
-            lines.for_each(|line| drop(line.say(&Word::Holds { sockets }, &[], &[])));
+            self.hot_restart.told = sockets;
+            lines.for_each(|line| drop(line.send(&Message::Holds { sockets }, &[], &[])));
         }
     }
 
     fn offer(&mut self) {
-        let Some(heir) = &self.succession.heir else {
+        let Some(successor) = &self.hot_restart.successor else {
             return;
         };
-        if let Err(fault) = self.sessions.offer(heir, &self.watch.book, &mut self.works) {
-            self.lose_heir(&fault.to_string());
+        if let Err(fault) = self
+            .sessions
+            .offer(successor, &self.watch.book, &mut self.works)
+        {
+            self.lose_successor(&fault.to_string());
         }
     }
 
-    fn lose_heir(&mut self, why: &str) {
-        if self.succession.heir.take().is_some() {
+    fn lose_successor(&mut self, why: &str) {
+        if self.hot_restart.successor.take().is_some() {
             log::info!("the next process: {why}");
             self.works.sockets.set_beside(0);
             self.sessions.keep_all(&mut self.works);
         }
     }
 
-    fn hear_heir(&mut self) {
+    fn receive_from_successor(&mut self) {
         for _ in 0..PACKETS {
-            let Some(heir) = &self.succession.heir else {
+            let Some(successor) = &self.hot_restart.successor else {
                 return;
             };
-            let word = match heir.hear() {
-                Heard::Nothing => break,
-                Heard::Gone(why) => return self.lose_heir(&why),
-                Heard::Word(word, ..) => *word,
+            let word = match successor.hear() {
+                Received::Nothing => break,
+                Received::Gone(why) => return self.lose_successor(&why),
+                Received::Message(word, ..) => *word,
             };
             let done = match word {
-                Word::Hello {
+                Message::Hello {
                     version: VERSION,
                     relay,
-                } if relay == self.succession.relay => {
+                } if relay == self.hot_restart.relay => {
                     if self.stopping.is_some() {
                         return self.leave();
                     }
-                    tell_memory(&self.relay, &self.watch.book, heir)
+                    tell_memory(&self.relay, &self.watch.book, successor)
                 }
-                Word::Holds { sockets } => {
+                Message::Holds { sockets } => {
                     self.works.sockets.set_beside(sockets);
                     Ok(())
                 }
-                Word::Took { serial } => self.sessions.handed(serial, heir, &mut self.works),
-                Word::Declined { serial } => {
+                Message::Took { serial } => {
+                    self.sessions.handed(serial, successor, &mut self.works)
+                }
+                Message::Declined { serial } => {
                     self.sessions.keep(serial, &mut self.works);
                     Ok(())
                 }
                 word => Err(io::Error::other(format!("unexpected: {word:?}"))),
             };
             if let Err(fault) = done {
-                return self.lose_heir(&fault.to_string());
+                return self.lose_successor(&fault.to_string());
             }
         }
         self.offer();
     }
 
-    fn hear_elder(&mut self) {
+    fn receive_from_predecessor(&mut self) {
         for _ in 0..PACKETS {
-            let Some(elder) = &self.succession.elder else {
+            let Some(predecessor) = &self.hot_restart.predecessor else {
                 return;
             };
             let (book, works) = (&mut self.watch.book, &mut self.works);
-            let (word, up, down, sockets) = match elder.hear() {
-                Heard::Nothing => return,
-                Heard::Gone(why) => {
+            let (word, up, down, sockets) = match predecessor.hear() {
+                Received::Nothing => return,
+                Received::Gone(why) => {
                     log::info!("the process before: {why}");
-                    self.succession.elder = None;
+                    self.hot_restart.predecessor = None;
                     works.sockets.set_beside(0);
                     // What it did not let go of is its own, or lost with it.
-                    self.succession.offered.clear();
-                    works.news.push_back(News::Alone);
+                    self.hot_restart.offered.clear();
+                    works.news.push_back(Event::PredecessorEnded);
                     return self.open_door();
                 }
-                Heard::Word(word, up, down, sockets) => (*word, up, down, sockets),
+                Received::Message(word, up, down, sockets) => (*word, up, down, sockets),
             };
             match word {
-                Word::Memory(text) => {
-                    works
-                        .news
-                        .push_back(News::Recalled(text.memory(|name| book.enter(name))));
+                Message::Memory(text) => {
+                    works.news.push_back(Event::SnapshotReceived(
+                        text.memory(|name| book.enter(name)),
+                    ));
                 }
-                Word::Holds { sockets } => works.sockets.set_beside(sockets),
-                Word::Leaving => {
-                    works.news.push_back(News::Alone);
+                Message::Holds { sockets } => works.sockets.set_beside(sockets),
+                Message::Leaving => {
+                    works.news.push_back(Event::PredecessorEnded);
                     // Nobody else takes clients now, unless this one is told to stop as well.
                     if self.stopping.is_none() {
                         self.sessions.open_door();
                     }
                 }
-                Word::Session(estate) => {
+                Message::Session(estate) => {
                     let serial = estate.serial;
                     let offered = <[OwnedFd; 2]>::try_from(sockets).ok();
                     let takes = self.stopping.is_none() && self.sessions.has_room(works);
@@ -590,18 +603,18 @@
                                 down,
                                 sockets,
                             };
-                            self.succession.offered.insert(serial, offered);
-                            Word::Took { serial }
+                            self.hot_restart.offered.insert(serial, offered);
+                            Message::Took { serial }
                         }
-                        None => Word::Declined { serial },
+                        None => Message::Declined { serial },
                     };
-                    // Where it can't be said the elder keeps it, and its end is heard next.
-                    if !matches!(elder.say(&word, &[], &[]), Ok(true)) {
-                        self.succession.offered.remove(&serial);
+                    // Where it can't be said the predecessor keeps it, and its end is heard next.
+                    if !matches!(predecessor.send(&word, &[], &[]), Ok(true)) {
+                        self.hot_restart.offered.remove(&serial);
                     }
                 }
-                Word::Yours { serial } => {
-                    if let Some(one) = self.succession.offered.remove(&serial) {
+                Message::Yours { serial } => {
+                    if let Some(one) = self.hot_restart.offered.remove(&serial) {
                         let waiting = (&one.up[..], &one.down[..]);
                         if let Err(fault) =
                             self.sessions
@@ -677,7 +690,9 @@
         self.settle(both, between);
         self.coming = Some((site, later));
         self.settles_at = self.works.now + SETTINGS_BIND;
-        self.works.alarms.set(self.settles_at, Alarm::Settled);
+        self.works
+            .alarms
+            .set(self.settles_at, Timer::SettingsInForce);
         Ok(())
     }
 
@@ -707,7 +722,7 @@
         self.stop_within = deployment.shutdown_timeout;
         self.works
             .news
-            .push_back(News::Resettled(Box::new(deployment)));
+            .push_back(Event::Reconfigured(Box::new(deployment)));
         self.sessions.reroute(names(&site), routing);
         let generation = self.sessions.generation();
         if !changes.is_empty() {
@@ -721,7 +736,8 @@
             return false;
         };
         let accepts_on = !self.passed && since < ACCEPT_ON;
-        let is_quiet = self.sessions.is_empty() && self.hand.callers.iter().all(Callers::is_quiet);
+        let is_quiet =
+            self.sessions.is_empty() && self.hand.callers.iter().all(AdminConnections::is_quiet);
         !accepts_on && is_quiet || since >= self.stop_within - STOP_MARGIN
     }
 
@@ -738,8 +754,11 @@
         let (mut failed, mut taken_out) = (Vec::new(), false);
         while let Some(news) = self.works.news.pop_front() {
             trace::news(&news, &self.watch.book);
-            taken_out |= matches!(news, News::Listed(..) | News::Banned(_, true));
-            let mut desk = Desk {
+            taken_out |= matches!(
+                news,
+                Event::EndpointsUpdated(..) | Event::BanChanged(_, true)
+            );
+            let mut desk = ActionRecorder {
                 orders: &mut self.orders,
                 alarms: &mut self.works.alarms,
             };
@@ -754,17 +773,17 @@
         for order in std::mem::take(&mut self.orders) {
             trace::order(&order, &self.watch.book);
             match order {
-                Order::Dial(id, backend, wait) => {
+                Action::Connect(id, backend, wait) => {
                     self.sessions
                         .dial(id, backend, wait, &self.watch.book, works)
                 }
-                Order::Withdraw(id, dial) => self.sessions.withdraw(id, dial, works),
-                Order::Refuse(id, wait) => self.sessions.refuse(id, wait, works),
-                Order::TearDown(id) => self.sessions.tear_down(id, works),
-                Order::SendAway(id) => self.sessions.send_away(id, works),
-                Order::Probe(id) => self.probes.ask(id, self.watch.book.address(id), works),
+                Action::Cancel(id, dial) => self.sessions.withdraw(id, dial, works),
+                Action::Reject(id, wait) => self.sessions.refuse(id, wait, works),
+                Action::Fail(id) => self.sessions.tear_down(id, works),
+                Action::Migrate(id) => self.sessions.send_away(id, works),
+                Action::CheckHealth(id) => self.probes.ask(id, self.watch.book.address(id), works),
                 // The watch is always open or about to be.
-                Order::Subscribe => self.watch.open(works),
+                Action::Subscribe => self.watch.open(works),
             }
         }
         if taken_out {
@@ -781,32 +800,33 @@
 /// may go.
 fn place_of(key: usize) -> usize {
     match owner_of(key) {
-        Some(Owner::Admin | Owner::Caller(_)) => 0,
-        Some(Owner::Watch) => 1,
+        Some(SocketOwner::AdminListener | SocketOwner::AdminConnection(_)) => 0,
+        Some(SocketOwner::Discovery) => 1,
         _ => 2,
     }
 }
 
 const PLACES: usize = 3;
 
-impl Succession {
-    fn begin(folder: &Path, relay: &str, sockets: &mut Sockets) -> Succession {
+impl HotRestart {
+    fn begin(folder: &Path, relay: &str, sockets: &mut Sockets) -> HotRestart {
         // Found before this one takes its place.
-        let elder = succession::elder(folder, sockets);
-        let hello = Word::Hello {
+        let predecessor = channel::predecessor(folder, sockets);
+        let hello = Message::Hello {
             version: VERSION,
             relay: relay.to_string(),
         };
-        let elder = elder.filter(|elder| matches!(elder.say(&hello, &[], &[]), Ok(true)));
-        let post = Post::open(folder, sockets);
+        let predecessor = predecessor
+            .filter(|predecessor| matches!(predecessor.send(&hello, &[], &[]), Ok(true)));
+        let post = SuccessorListener::open(folder, sockets);
         if let Err(fault) = &post {
             log::warn!("the next process will not be handed anything: {fault}");
         }
-        Succession {
+        HotRestart {
             relay: relay.to_string(),
             post: post.ok(),
-            elder,
-            ..Succession::default()
+            predecessor,
+            ..HotRestart::default()
         }
     }
 }
@@ -820,11 +840,11 @@
 }
 
 /// What finds no room on the way is lost alone: the next process learns it anew.
-fn tell_memory(relay: &Balancer, book: &Book, heir: &Line) -> io::Result<()> {
-    let parts = MemoryText::of(&relay.snapshot(), |id| book.name(id)).parts();
+fn tell_memory(relay: &Balancer, book: &EndpointRegistry, successor: &Channel) -> io::Result<()> {
+    let parts = SnapshotMessage::of(&relay.snapshot(), |id| book.name(id)).parts();
     parts
         .into_iter()
-        .try_for_each(|part| heir.say(&Word::Memory(part), &[], &[]).map(drop))
+        .try_for_each(|part| successor.send(&Message::Memory(part), &[], &[]).map(drop))
 }
 
 /// The end of a pipe that turns readable when one of these signals comes.
--- /dev/null
+++ b/relay/src/session/mod.rs
@@ -0,0 +1,2 @@
+//! Sessions: one client connection each, from accept to close.
+pub mod table;
--- a/relay/src/clients.rs
+++ b/relay/src/session/table.rs
@@ -1,17 +1,19 @@
 //! Sessions: each owns its client's socket and the dial that is out for it, and is in one named
 //! stage.
-use crate::backends::{Dial, Plan, Stage as DialStage};
 use crate::buffers::Pool;
 use crate::counters::Counters;
-use crate::discovery::Book;
-use crate::estate::{Estate, Word};
-use crate::front::News;
-use crate::lines::{Flow, TooLong, Took, Words};
-use crate::protocol::{self, Cause, Fault, First, Names, Open, Reach, Said};
-use crate::sockets::{Door, Owner, Sock};
-use crate::succession::Line;
-use crate::timers::Alarm;
-use crate::works::Works;
+use crate::discovery::watch::EndpointRegistry;
+use crate::driver::Event;
+use crate::hot_restart::channel::Channel;
+use crate::hot_restart::messages::{Message, SessionHandover};
+use crate::io_context::IoContext;
+use crate::line_buffer::{LineBuffer, OutputBuffer, ReadOutcome, TooLong};
+use crate::protocol::{
+    self, AttemptFailure, AttemptProgress, BackendMessage, Cause, FirstLine, Names, OpenRequest,
+};
+use crate::sockets::{Connection, ListenerSocket, SocketOwner};
+use crate::timers::Timer;
+use crate::upstream::{Attempt, AttemptPlan, AttemptStage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{ErrorKind, Read};
 use std::os::fd::OwnedFd;
@@ -87,30 +89,30 @@
 
 /// A second dial, and what its backend has said.
 struct Other {
-    dial: Dial,
-    down: Flow,
+    dial: Attempt,
+    down: LineBuffer,
 }
 
 struct Session {
     id: u32,
     stage: Stage,
-    client: Sock,
-    open: Option<Box<Open>>,
+    client: Connection,
+    open: Option<Box<OpenRequest>>,
     /// What the next process needs to know of it.
     about: Option<Box<About>>,
     /// What its route says, and by which reading of the file.
     front: Option<SessionTimeouts>,
     generation: Option<u32>,
-    dial: Option<Dial>,
+    dial: Option<Attempt>,
     /// Out beside the first, until one of them is up.
     other: Option<Box<Other>>,
     dials: u32,
     serial: u32,
     /// From the client to its backend, and back.
-    up: Flow,
-    down: Flow,
+    up: LineBuffer,
+    down: LineBuffer,
     /// What the relay itself says to the client, behind the lines that wait in `down`.
-    words: Words,
+    words: OutputBuffer,
     began: Instant,
     /// When the client last said anything.
     heard: Instant,
@@ -132,7 +134,7 @@
     starved: bool,
 }
 
-/// What stays of an `Open` once it is up.
+/// What stays of an `OpenRequest` once it is up.
 struct About {
     listener: String,
     key: Option<u64>,
@@ -143,7 +145,7 @@
 }
 
 /// What a session needs to know of the whole.
-struct Terms {
+struct Shared {
     names: Names,
     routing: RouteTable,
     /// How often routes have been read, and sessions by the reading that they go by.
@@ -160,7 +162,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Entry {
+enum Accepting {
     Shut,
     Open,
 }
@@ -171,8 +173,8 @@
 pub struct Sessions {
     map: BTreeMap<u32, Session>,
     next: u32,
-    door: Door,
-    entry: Entry,
+    door: ListenerSocket,
+    entry: Accepting,
     /// Since when connections may have waited to be accepted.
     behind_since: Option<Instant>,
     /// Accepting pauses until a descriptor is free.
@@ -180,7 +182,7 @@
     /// To be handed to the next process, and how many are on their way.
     offers: VecDeque<u32>,
     on_way: usize,
-    terms: Terms,
+    shared: Shared,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -192,11 +194,16 @@
 
 impl Sessions {
     /// No client is taken before `open_door`.
-    pub fn new(door: Door, names: Names, routing: RouteTable, sockets: usize) -> Sessions {
+    pub fn new(
+        door: ListenerSocket,
+        names: Names,
+        routing: RouteTable,
+        sockets: usize,
+    ) -> Sessions {
         let most_sockets = sockets.saturating_sub(RESERVE);
         let (claimed, idle) = (BTreeSet::new(), BTreeSet::new());
         let (generation, generations) = (1, BTreeMap::new());
-        let terms = Terms {
+        let shared = Shared {
             names,
             routing,
             generation,
@@ -205,7 +212,7 @@
             claimed,
             idle,
         };
-        let (map, entry, offers) = (BTreeMap::new(), Entry::Shut, VecDeque::new());
+        let (map, entry, offers) = (BTreeMap::new(), Accepting::Shut, VecDeque::new());
         Sessions {
             map,
             next: 0,
@@ -215,23 +222,23 @@
             full: false,
             offers,
             on_way: 0,
-            terms,
+            shared,
         }
     }
 
     pub fn open_door(&mut self) {
-        self.entry = Entry::Open;
+        self.entry = Accepting::Open;
         self.door.want(true);
     }
 
     /// Whoever waits to be accepted is left to another process.
     pub fn shut_door(&mut self) {
-        self.entry = Entry::Shut;
+        self.entry = Accepting::Shut;
         self.door.want(false);
     }
 
     pub fn takes_clients(&self) -> bool {
-        self.entry == Entry::Open
+        self.entry == Accepting::Open
     }
 
     pub fn is_empty(&self) -> bool {
@@ -244,23 +251,23 @@
 
     /// Other names and routes, for the sessions that come from now on.
     pub fn reroute(&mut self, names: Names, routing: RouteTable) {
-        let same = self.terms.names.listeners == names.listeners && self.terms.routing == routing;
-        (self.terms.names, self.terms.routing) = (names, routing);
-        self.terms.generation += u32::from(!same);
+        let same = self.shared.names.listeners == names.listeners && self.shared.routing == routing;
+        (self.shared.names, self.shared.routing) = (names, routing);
+        self.shared.generation += u32::from(!same);
     }
 
     pub fn routing(&self) -> &RouteTable {
-        &self.terms.routing
+        &self.shared.routing
     }
 
     pub fn generation(&self) -> u32 {
-        self.terms.generation
+        self.shared.generation
     }
 
     /// How many sessions go by which reading of the file, for people.
     pub fn generations(&self) -> String {
         let each = self
-            .terms
+            .shared
             .generations
             .iter()
             .map(|(number, count)| format!("{count} by generation {number}"));
@@ -269,15 +276,15 @@
 
     /// Takes connections in, each with what it has said already, so that one that means to be
     /// served is never among those that make room.
-    pub fn accept(&mut self, book: &Book, works: &mut Works) {
-        if self.entry == Entry::Shut {
+    pub fn accept(&mut self, book: &EndpointRegistry, works: &mut IoContext) {
+        if self.entry == Accepting::Shut {
             return;
         }
         for _ in 0..ACCEPTS {
             let open = works.sockets.open();
-            if open >= self.terms.most_sockets
+            if open >= self.shared.most_sockets
                 && !self.shed(SHED_AFTER, book, works)
-                && open >= self.terms.most_sockets + TELLING
+                && open >= self.shared.most_sockets + TELLING
             {
                 self.full = true;
                 return self.pause_accepting(works);
@@ -286,7 +293,7 @@
             match self
                 .door
                 .accept()
-                .and_then(|stream| works.sockets.adopt(Owner::Client(id), stream))
+                .and_then(|stream| works.sockets.adopt(SocketOwner::Client(id), stream))
             {
                 Ok(mut client) => {
                     works.counters.connections += 1;
@@ -294,8 +301,8 @@
                     let since = self.behind_since.unwrap_or(works.now);
                     self.map.insert(id, Session::new(id, client, since, works));
                     self.next = self.next.wrapping_add(1);
-                    self.step(id, works, |session, terms, works| {
-                        session.client_event(terms, book, works)
+                    self.step(id, works, |session, shared, works| {
+                        session.client_event(shared, book, works)
                     });
                 }
                 Err(fault) => match fault.kind() {
@@ -319,32 +326,34 @@
         self.behind_since.get_or_insert(works.now);
     }
 
-    fn pause_accepting(&mut self, works: &mut Works) {
+    fn pause_accepting(&mut self, works: &mut IoContext) {
         self.behind_since.get_or_insert(works.now);
         self.door.want(false);
-        works.alarms.set(works.now + ACCEPT_PAUSE, Alarm::Accepting);
+        works
+            .alarms
+            .set(works.now + ACCEPT_PAUSE, Timer::ResumeAccepting);
     }
 
     pub fn resume_accepting(&mut self) {
         self.full = false;
-        self.door.want(self.entry == Entry::Open);
+        self.door.want(self.entry == Accepting::Open);
     }
 
     /// Ends the connection that is needed least: one that has had its last word, else the one that
     /// has been silent for longest, if for so long; true where that made room. What a silent one
     /// has said by now is read first: a line that came since the turn began is a session taken, and
     /// owed its answer.
-    fn shed(&mut self, silent: Duration, book: &Book, works: &mut Works) -> bool {
-        while let Some(&first) = self.terms.idle.first() {
+    fn shed(&mut self, silent: Duration, book: &EndpointRegistry, works: &mut IoContext) -> bool {
+        while let Some(&first) = self.shared.idle.first() {
             let (waits, heard, id) = first;
             if waits && works.now.duration_since(heard) < silent {
                 return false;
             }
-            self.step(id, works, |session, terms, works| {
+            self.step(id, works, |session, shared, works| {
                 if session.stage != Stage::Opening {
                     return Over;
                 }
-                let fate = session.client_event(terms, book, works);
+                let fate = session.client_event(shared, book, works);
                 match session.stage {
                     // Half a line, whose rest may be on its way: told so that it can't be missed.
                     Stage::Opening if session.up.waits() => {
@@ -367,7 +376,7 @@
                 return true;
             }
             // It has spoken and has its place elsewhere; one that has not can't be got rid of.
-            if self.terms.idle.first() == Some(&first) {
+            if self.shared.idle.first() == Some(&first) {
                 return false;
             }
         }
@@ -380,24 +389,24 @@
     fn step(
         &mut self,
         id: u32,
-        works: &mut Works,
-        step: impl FnOnce(&mut Session, &mut Terms, &mut Works) -> Fate,
+        works: &mut IoContext,
+        step: impl FnOnce(&mut Session, &mut Shared, &mut IoContext) -> Fate,
     ) {
         let Some(session) = self.map.get_mut(&id) else {
             return;
         };
         let was_idle = session.idle_since();
-        let done = catch_unwind(AssertUnwindSafe(|| step(session, &mut self.terms, works)));
+        let done = catch_unwind(AssertUnwindSafe(|| step(session, &mut self.shared, works)));
         let fate = done.unwrap_or_else(|_| {
             works.counters.panics += 1;
             session.give_up(works)
         });
         let idle = session.idle_since().filter(|_| fate == Goes);
         if let Some(place) = was_idle {
-            self.terms.idle.remove(&place);
+            self.shared.idle.remove(&place);
         }
         if let Some(place) = idle {
-            self.terms.idle.insert(place);
+            self.shared.idle.insert(place);
         }
         match fate {
             Goes => session.settle(),
@@ -406,9 +415,9 @@
                     session.up.clear(&mut works.pool);
                     session.down.clear(&mut works.pool);
                     session.drop_other(&mut works.pool);
-                    session.claimed.map(|id| self.terms.claimed.remove(&id));
+                    session.claimed.map(|id| self.shared.claimed.remove(&id));
                     if let Some(generation) = session.generation {
-                        self.terms.forget(generation);
+                        self.shared.forget(generation);
                     }
                 }
                 // Who waits in the backlog is answered as soon as there is room.
@@ -419,20 +428,32 @@
         }
     }
 
-    pub fn client_event(&mut self, id: u32, key: usize, book: &Book, works: &mut Works) {
-        self.step(id, works, |session, terms, works| {
+    pub fn client_event(
+        &mut self,
+        id: u32,
+        key: usize,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) {
+        self.step(id, works, |session, shared, works| {
             if session.client.is(key) {
-                session.client_event(terms, book, works)
+                session.client_event(shared, book, works)
             } else {
                 Goes
             }
         });
     }
 
-    pub fn dial_event(&mut self, id: u32, key: usize, book: &Book, works: &mut Works) {
-        self.step(id, works, |session, terms, works| {
+    pub fn dial_event(
+        &mut self,
+        id: u32,
+        key: usize,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) {
+        self.step(id, works, |session, shared, works| {
             if session.lead(|dial| dial.sock.is(key)) {
-                session.dial_event(terms, book, works)
+                session.dial_event(shared, book, works)
             } else {
                 Goes
             }
@@ -442,8 +463,8 @@
     /// A list or an operator has taken backends out: what is on its way there and has sent nothing
     /// yet ends, since it could come up after the grace. Asked once the turn's own dials are under
     /// way.
-    pub fn recall(&mut self, book: &Book, works: &mut Works) {
-        let there = |dial: &Dial| dial.is_unsent() && book.is_out(dial.backend);
+    pub fn recall(&mut self, book: &EndpointRegistry, works: &mut IoContext) {
+        let there = |dial: &Attempt| dial.is_unsent() && book.is_out(dial.backend);
         let any = |session: &Session| {
             let other = session.other.as_ref().map(|other| &other.dial);
             session.stage == Stage::Placing && session.dial.iter().chain(other).any(there)
@@ -469,7 +490,7 @@
         }
     }
 
-    pub fn dial_alarm(&mut self, id: u32, serial: u32, works: &mut Works) {
+    pub fn dial_alarm(&mut self, id: u32, serial: u32, works: &mut IoContext) {
         self.step(id, works, |session, _, works| {
             let late = session.lead(|dial| dial.serial == serial && dial.overdue(works.now));
             match session
@@ -484,29 +505,29 @@
         });
     }
 
-    pub fn client_alarm(&mut self, id: u32, works: &mut Works) {
+    pub fn client_alarm(&mut self, id: u32, works: &mut IoContext) {
         self.step(id, works, |session, _, works| session.client_alarm(works));
     }
 
-    pub fn overdue_alarm(&mut self, id: u32, works: &mut Works) {
+    pub fn overdue_alarm(&mut self, id: u32, works: &mut IoContext) {
         self.step(id, works, |session, _, works| {
             session.overdue(works);
             Goes
         });
     }
 
-    pub fn idle_alarm(&mut self, id: u32, works: &mut Works) {
+    pub fn idle_alarm(&mut self, id: u32, works: &mut IoContext) {
         self.step(id, works, |session, _, works| session.idle_alarm(works));
     }
 
-    pub fn again_alarm(&mut self, id: u32, book: &Book, works: &mut Works) {
-        self.step(id, works, |session, terms, works| {
-            session.inherit(terms, book, works)
+    pub fn again_alarm(&mut self, id: u32, book: &EndpointRegistry, works: &mut IoContext) {
+        self.step(id, works, |session, shared, works| {
+            session.inherit(shared, book, works)
         });
     }
 
     /// Sessions that stopped for want of a buffer read on.
-    pub fn feed(&mut self, works: &mut Works) {
+    pub fn feed(&mut self, works: &mut IoContext) {
         for _ in 0..works.starved.len() {
             if !works.pool.has_some() {
                 return;
@@ -524,16 +545,21 @@
     // ---- to the next process, and from the one before ----
 
     /// All that stands, and what will stand, is to go to the next process.
-    pub fn leave_to_heir(&mut self, works: &mut Works) {
+    pub fn hand_over_to_successor(&mut self, works: &mut IoContext) {
         self.offers = self.map.keys().copied().collect();
-        works.alarms.set(works.now, Alarm::Offering);
+        works.alarms.set(works.now, Timer::OfferSessions);
     }
 
     /// Offers as many as may be on their way.
     ///
     /// # Errors
     /// The next process is gone.
-    pub fn offer(&mut self, heir: &Line, book: &Book, works: &mut Works) -> std::io::Result<()> {
+    pub fn offer(
+        &mut self,
+        successor: &Channel,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) -> std::io::Result<()> {
         for _ in 0..self.offers.len().min(OFFER_LOOKS) {
             if self.on_way >= OFFERS {
                 break;
@@ -545,24 +571,31 @@
                 continue;
             };
             match session.heritable() {
-                Some(true) if session.offer(heir, book)? => {
+                Some(true) if session.offer(successor, book)? => {
                     self.on_way += 1;
                     works
                         .alarms
-                        .set(works.now + OFFERED_WITHIN, Alarm::Offered(id));
+                        .set(works.now + OFFERED_WITHIN, Timer::OfferTimeout(id));
                 }
                 Some(_) => self.offers.push_back(id),
                 None => {}
             }
         }
         if !self.offers.is_empty() {
-            works.alarms.set(works.now + OFFER_AGAIN, Alarm::Offering);
+            works
+                .alarms
+                .set(works.now + OFFER_AGAIN, Timer::OfferSessions);
         }
         Ok(())
     }
 
     /// The next process holds it: this one lets go, without a word to either side.
-    pub fn handed(&mut self, id: u32, heir: &Line, works: &mut Works) -> std::io::Result<()> {
+    pub fn handed(
+        &mut self,
+        id: u32,
+        successor: &Channel,
+        works: &mut IoContext,
+    ) -> std::io::Result<()> {
         if self
             .map
             .get(&id)
@@ -570,7 +603,7 @@
         {
             return Ok(());
         }
-        if !heir.say(&Word::Yours { serial: id }, &[], &[])? {
+        if !successor.send(&Message::Yours { serial: id }, &[], &[])? {
             return Err(std::io::Error::other("it does not read"));
         }
         self.on_way -= 1;
@@ -583,7 +616,7 @@
     }
 
     /// It stays after all; true where it had been on its way.
-    pub fn keep(&mut self, id: u32, works: &mut Works) -> bool {
+    pub fn keep(&mut self, id: u32, works: &mut IoContext) -> bool {
         let offered = self
             .map
             .get(&id)
@@ -596,7 +629,7 @@
     }
 
     /// There is no next process any more.
-    pub fn keep_all(&mut self, works: &mut Works) {
+    pub fn keep_all(&mut self, works: &mut IoContext) {
         self.offers.clear();
         let offered = self
             .map
@@ -610,57 +643,61 @@
 
     /// If two more descriptors fit in. What the other process holds does not count: what comes from
     /// there is less over there.
-    pub fn has_room(&self, works: &Works) -> bool {
-        works.sockets.own() + 2 <= self.terms.most_sockets
+    pub fn has_room(&self, works: &IoContext) -> bool {
+        works.sockets.own() + 2 <= self.shared.most_sockets
     }
 
     /// A connection that the process before has let go of: client and backend don't notice.
     pub fn adopt(
         &mut self,
-        of: &Estate,
+        of: &SessionHandover,
         [client, backend]: [OwnedFd; 2],
         (up, down): (&[u8], &[u8]),
-        book: &mut Book,
-        works: &mut Works,
+        book: &mut EndpointRegistry,
+        works: &mut IoContext,
     ) -> std::io::Result<()> {
         let id = self.next;
         let at = book.enter(&of.backend);
-        let client = works.sockets.adopt(Owner::Client(id), client.into())?;
-        let backend = works.sockets.adopt(Owner::Dial(id), backend.into())?;
+        let client = works
+            .sockets
+            .adopt(SocketOwner::Client(id), client.into())?;
+        let backend = works
+            .sockets
+            .adopt(SocketOwner::Attempt(id), backend.into())?;
         let no_buffer = || std::io::Error::other("no buffer");
-        let up = Flow::holding(up, of.up.1, &mut works.pool).ok_or_else(no_buffer)?;
-        let down = Flow::holding(down, of.down.1, &mut works.pool).ok_or_else(no_buffer)?;
+        let up = LineBuffer::holding(up, of.up.1, &mut works.pool).ok_or_else(no_buffer)?;
+        let down = LineBuffer::holding(down, of.down.1, &mut works.pool).ok_or_else(no_buffer)?;
         self.next = self.next.wrapping_add(1);
         let mut session = Session::new(id, client, works.now, works);
         // A listener that these settings don't have any more: all that its row is asked for is how
         // to move it.
         let listener = self
-            .terms
+            .shared
             .names
             .listeners
             .iter()
             .position(|name| *name == of.listener)
             .unwrap_or(0);
         let row = self
-            .terms
+            .shared
             .routing
             .route_for(listener, of.key.unwrap_or_default(), of.group);
-        let front = self.terms.routing.timeouts(row);
+        let front = self.shared.routing.timeouts(row);
         let arrival = Arrival {
             route: RouteId(row as u16),
             client_key: of.key,
-            group: of.group.filter(|_| self.terms.names.groups),
+            group: of.group.filter(|_| self.shared.names.groups),
             timeout: Duration::ZERO,
         };
         session.stage = Stage::Standing;
-        session.dial = Some(Dial::standing(at, backend, works.now));
+        session.dial = Some(Attempt::standing(at, backend, works.now));
         (session.up, session.down, session.stood) = (up, down, true);
-        (session.front, session.generation) = (Some(front), Some(self.terms.enter()));
+        (session.front, session.generation) = (Some(front), Some(self.shared.enter()));
         session.close_by = None;
         session.heard = Instant::from_micros(of.heard_us);
         session.asked = of.asked_us.map(Instant::from_micros);
         session.told_delay = Duration::from_micros(of.told_delay_us);
-        session.claimed = self.terms.claimed.insert(of.id).then_some(of.id);
+        session.claimed = self.shared.claimed.insert(of.id).then_some(of.id);
         let (key, group, load) = (of.key, of.group, of.load);
         session.about = Some(Box::new(About {
             listener: of.listener.clone(),
@@ -674,9 +711,11 @@
         works.counters.adopted += 1;
         works
             .news
-            .push_back(News::Inherited(SessionId(id), at, arrival));
+            .push_back(Event::SessionInherited(SessionId(id), at, arrival));
         if let Some(load) = load {
-            works.news.push_back(News::Load(SessionId(id), load));
+            works
+                .news
+                .push_back(Event::LoadObserved(SessionId(id), load));
         }
         self.step(id, works, |_, _, _| Goes);
         Ok(())
@@ -689,21 +728,21 @@
         id: SessionId,
         backend: BackendId,
         give_up_after: Duration,
-        book: &Book,
-        works: &mut Works,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
     ) {
         // Connections that only wait never keep a dial from its descriptor.
-        while works.sockets.open() >= self.terms.most_sockets
+        while works.sockets.open() >= self.shared.most_sockets
             && self.shed(Duration::ZERO, book, works)
         {}
-        self.step(id.0, works, |session, terms, works| {
+        self.step(id.0, works, |session, shared, works| {
             let number = session.dials;
             session.dials += 1;
-            session.dial(number, backend, give_up_after, terms, book, works)
+            session.dial(number, backend, give_up_after, shared, book, works)
         });
     }
 
-    pub fn withdraw(&mut self, id: SessionId, number: u32, works: &mut Works) {
+    pub fn withdraw(&mut self, id: SessionId, number: u32, works: &mut IoContext) {
         self.step(id.0, works, |session, _, works| {
             if let Some(mut loser) = session.other.take_if(|other| other.dial.number == number) {
                 loser.down.clear(&mut works.pool);
@@ -711,7 +750,7 @@
                 return Goes;
             }
             let dial = session.dial.as_ref().filter(|dial| dial.number == number);
-            match dial.filter(|dial| dial.stage != DialStage::Standing) {
+            match dial.filter(|dial| dial.stage != AttemptStage::Standing) {
                 Some(dial) => {
                     let fault = dial.failed(Cause::Withdrawn);
                     session.dial_ended(fault, works)
@@ -721,7 +760,7 @@
         });
     }
 
-    pub fn refuse(&mut self, id: SessionId, retry_after: Option<Duration>, works: &mut Works) {
+    pub fn refuse(&mut self, id: SessionId, retry_after: Option<Duration>, works: &mut IoContext) {
         self.answer(
             id,
             &protocol::refusal(retry_after),
@@ -730,7 +769,7 @@
         );
     }
 
-    pub fn tear_down(&mut self, id: SessionId, works: &mut Works) {
+    pub fn tear_down(&mut self, id: SessionId, works: &mut IoContext) {
         self.answer(
             id,
             protocol::FAILED,
@@ -745,7 +784,7 @@
         id: SessionId,
         word: &str,
         count: fn(&mut Counters) -> &mut u64,
-        works: &mut Works,
+        works: &mut IoContext,
     ) {
         self.step(id.0, works, |session, _, works| {
             if session.stage != Stage::Placing {
@@ -756,7 +795,7 @@
         });
     }
 
-    pub fn send_away(&mut self, id: SessionId, works: &mut Works) {
+    pub fn send_away(&mut self, id: SessionId, works: &mut IoContext) {
         self.step(id.0, works, |session, _, works| {
             match (session.stage, &mut session.about) {
                 (Stage::Standing, _) => session.send_away(works),
@@ -769,19 +808,19 @@
         });
     }
 
-    pub fn give_up(&mut self, id: SessionId, works: &mut Works) {
+    pub fn give_up(&mut self, id: SessionId, works: &mut IoContext) {
         self.step(id.0, works, |session, _, works| session.give_up(works));
     }
 
     #[cfg(test)]
-    pub fn fail(&mut self, id: u32, works: &mut Works) {
+    pub fn fail(&mut self, id: u32, works: &mut IoContext) {
         self.step(id, works, |_, _, _| {
             panic!("a fault in a step, for the test")
         });
     }
 }
 
-impl Terms {
+impl Shared {
     fn enter(&mut self) -> u32 {
         *self.generations.entry(self.generation).or_default() += 1;
         self.generation
@@ -802,7 +841,7 @@
 }
 
 impl Session {
-    fn new(id: u32, client: Sock, since: Instant, works: &mut Works) -> Session {
+    fn new(id: u32, client: Connection, since: Instant, works: &mut IoContext) -> Session {
         let mut session = Session {
             id,
             stage: Stage::Opening,
@@ -815,9 +854,9 @@
             other: None,
             dials: 0,
             serial: 0,
-            up: Flow::default(),
-            down: Flow::default(),
-            words: Words::default(),
+            up: LineBuffer::default(),
+            down: LineBuffer::default(),
+            words: OutputBuffer::default(),
             began: since,
             heard: works.now,
             claimed: None,
@@ -859,12 +898,12 @@
     }
 
     /// True where the offer went out.
-    fn offer(&mut self, heir: &Line, book: &Book) -> std::io::Result<bool> {
+    fn offer(&mut self, successor: &Channel, book: &EndpointRegistry) -> std::io::Result<bool> {
         let (Some(dial), Some(about), Some(id)) = (&self.dial, &self.about, self.claimed) else {
             return Ok(false);
         };
         let ((up, up_whole), (down, down_whole)) = (self.up.held(), self.down.held());
-        let word = Word::Session(Estate {
+        let word = Message::Session(SessionHandover {
             serial: self.id,
             id,
             listener: about.listener.clone(),
@@ -879,7 +918,7 @@
             down: (down.len(), down_whole),
         });
         let descriptors = [self.client.descriptor(), dial.sock.descriptor()];
-        if !heir.say(&word, &[up, down], &descriptors)? {
+        if !successor.send(&word, &[up, down], &descriptors)? {
             return Ok(false);
         }
         self.stage = Stage::Handing;
@@ -887,7 +926,7 @@
         Ok(true)
     }
 
-    fn keep(&mut self, works: &mut Works) -> Fate {
+    fn keep(&mut self, works: &mut IoContext) -> Fate {
         self.stage = Stage::Standing;
         if self.about.as_ref().is_some_and(|about| about.sent_away) {
             return self.send_away(works);
@@ -898,12 +937,12 @@
     }
 
     /// A client's line without one back is looked after.
-    fn watch(&mut self, works: &mut Works) {
+    fn watch(&mut self, works: &mut IoContext) {
         if !self.watched && self.asked.is_some() {
             self.watched = true;
             works
                 .alarms
-                .set(works.now + OVERDUE, Alarm::Overdue(self.id));
+                .set(works.now + OVERDUE, Timer::ResponseOverdue(self.id));
         }
     }
 
@@ -911,9 +950,9 @@
         SessionId(self.id)
     }
 
-    fn close_within(&mut self, span: Duration, works: &mut Works) {
+    fn close_within(&mut self, span: Duration, works: &mut IoContext) {
         self.close_by = Some(works.now + span);
-        works.alarms.set(works.now + span, Alarm::Client(self.id));
+        works.alarms.set(works.now + span, Timer::Client(self.id));
     }
 
     /// What the poller is to wait for, from the stage and what waits.
@@ -933,15 +972,18 @@
         self.client.want(self.up.has_room() && reads, to_client);
         if let Some(dial) = &mut self.dial {
             let to_backend = match dial.stage {
-                DialStage::Connecting | DialStage::Sending => true,
-                DialStage::Waiting => false,
-                DialStage::Standing => self.up.waits() && !self.up_shut,
+                AttemptStage::Connecting | AttemptStage::Sending => true,
+                AttemptStage::Waiting => false,
+                AttemptStage::Standing => self.up.waits() && !self.up_shut,
             };
             dial.sock
                 .want(self.down.has_room() && !self.starved, to_backend);
         }
         if let Some(other) = &mut self.other {
-            let sending = matches!(other.dial.stage, DialStage::Connecting | DialStage::Sending);
+            let sending = matches!(
+                other.dial.stage,
+                AttemptStage::Connecting | AttemptStage::Sending
+            );
             // Once the first is up, the other only waits to be given up.
             let reading = self.stage == Stage::Placing && other.down.has_room() && !self.starved;
             other
@@ -952,7 +994,7 @@
     }
 
     /// If such a dial is out; while two are, it becomes the first of them.
-    fn lead(&mut self, such: impl Fn(&Dial) -> bool) -> bool {
+    fn lead(&mut self, such: impl Fn(&Attempt) -> bool) -> bool {
         if self.dial.as_ref().is_some_and(&such) {
             return true;
         }
@@ -973,7 +1015,7 @@
         }
     }
 
-    fn idle_alarm(&mut self, works: &mut Works) -> Fate {
+    fn idle_alarm(&mut self, works: &mut IoContext) -> Fate {
         let Some(idle) = self.front.and_then(|front| front.idle_timeout) else {
             return Goes;
         };
@@ -984,18 +1026,20 @@
             works.counters.idle += 1;
             return self.send_away(works);
         }
-        works.alarms.set(self.heard + idle, Alarm::Idle(self.id));
+        works
+            .alarms
+            .set(self.heard + idle, Timer::IdleTimeout(self.id));
         Goes
     }
 
-    fn starve(&mut self, works: &mut Works) {
+    fn starve(&mut self, works: &mut IoContext) {
         works.counters.starved += 1;
         self.starved = true;
         works.starved.push_back(self.id);
     }
 
     /// The code failed over this session: it still has its answer.
-    fn give_up(&mut self, works: &mut Works) -> Fate {
+    fn give_up(&mut self, works: &mut IoContext) -> Fate {
         match self.stage {
             Stage::Placing | Stage::Inheriting => {
                 self.client_left(works);
@@ -1008,7 +1052,12 @@
 
     // ---- from the client ----
 
-    fn client_event(&mut self, terms: &mut Terms, book: &Book, works: &mut Works) -> Fate {
+    fn client_event(
+        &mut self,
+        shared: &mut Shared,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) -> Fate {
         match self.stage {
             Stage::Parted => return self.drop_rest(works),
             Stage::Handing => return Goes,
@@ -1017,15 +1066,15 @@
         }
         if self.up.has_room() {
             match self.up.take(&mut self.client, &mut works.pool) {
-                Ok(Took::Bytes(_)) => {
+                Ok(ReadOutcome::Bytes(_)) => {
                     self.heard = works.now;
-                    if self.client_bytes(terms, book, works) == Over {
+                    if self.client_bytes(shared, book, works) == Over {
                         return Over;
                     }
                 }
-                Ok(Took::Nothing) => {}
-                Ok(Took::Starved) => self.starve(works),
-                Ok(Took::End) => {
+                Ok(ReadOutcome::Nothing) => {}
+                Ok(ReadOutcome::Starved) => self.starve(works),
+                Ok(ReadOutcome::End) => {
                     if self.client_end(works) == Over {
                         return Over;
                     }
@@ -1043,7 +1092,7 @@
     /// A client that was to wait: it may have left, or says what it should not. Passed on once it
     /// is up, another command would have the backend close, and kept, sixty megabytes would have no
     /// end.
-    fn look_at_client(&mut self, works: &mut Works) -> Fate {
+    fn look_at_client(&mut self, works: &mut IoContext) -> Fate {
         match self.client.read(&mut [0]) {
             Ok(0) => {
                 self.up.ended = true;
@@ -1062,9 +1111,14 @@
         }
     }
 
-    fn client_bytes(&mut self, terms: &mut Terms, book: &Book, works: &mut Works) -> Fate {
+    fn client_bytes(
+        &mut self,
+        shared: &mut Shared,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) -> Fate {
         match self.stage {
-            Stage::Opening => self.first_lines(terms, book, works),
+            Stage::Opening => self.first_lines(shared, book, works),
             Stage::Standing => self.client_lines(works),
             Stage::Placing | Stage::Inheriting | Stage::Handing => Goes,
             Stage::Leaving | Stage::Parted => {
@@ -1074,39 +1128,44 @@
         }
     }
 
-    fn first_lines(&mut self, terms: &mut Terms, book: &Book, works: &mut Works) -> Fate {
+    fn first_lines(
+        &mut self,
+        shared: &mut Shared,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) -> Fate {
         while self.stage == Stage::Opening {
             let first = match self.up.next_line() {
                 Ok(None) => return Goes,
-                Ok(Some(line)) => protocol::first_line(line, &terms.names),
+                Ok(Some(line)) => protocol::first_line(line, &shared.names),
                 Err(TooLong) => Err("too long"),
             };
             match first {
-                Ok(First::Ping) => {
+                Ok(FirstLine::Ping) => {
                     works.counters.pings += 1;
                     self.up.consume(&mut works.pool);
                     self.words.add(protocol::ALIVE);
                 }
-                Ok(First::Open(mut open)) => {
+                Ok(FirstLine::Open(mut open)) => {
                     self.up.consume(&mut works.pool);
                     if self.up.has_bytes() {
                         return self.bad_line("more than one line", works);
                     }
-                    if !terms.claimed.insert(open.id) {
+                    if !shared.claimed.insert(open.id) {
                         return self.bad_line("an id that is open already", works);
                     }
                     self.claimed = Some(open.id);
                     self.close_by = None;
                     self.began = works.now;
-                    let idle_others = terms.idle.iter().any(|&(.., id)| id != self.id);
-                    if works.sockets.open() >= terms.most_sockets && !idle_others {
+                    let idle_others = shared.idle.iter().any(|&(.., id)| id != self.id);
+                    if works.sockets.open() >= shared.most_sockets && !idle_others {
                         // No descriptor for a dial: told before accepting itself would fail.
                         works.counters.turned_away += 1;
                         return self.part(&protocol::refusal(None), works);
                     }
                     let inherited = open.at.is_some();
                     let arrival = &mut open.arrival;
-                    let listener = terms.names.listeners[usize::from(arrival.route.0)].clone();
+                    let listener = shared.names.listeners[usize::from(arrival.route.0)].clone();
                     let (key, group) = (arrival.client_key, open.group);
                     self.about = Some(Box::new(About {
                         listener,
@@ -1115,27 +1174,27 @@
                         load: None,
                         sent_away: false,
                     }));
-                    let row = terms.routing.route_for(
+                    let row = shared.routing.route_for(
                         usize::from(arrival.route.0),
                         arrival.client_key.unwrap_or_default(),
                         open.group,
                     );
-                    let front = terms.routing.timeouts(row);
+                    let front = shared.routing.timeouts(row);
                     arrival.route = RouteId(row as u16);
                     let within = front.handshake_timeout.unwrap_or(arrival.timeout);
                     arrival.timeout = arrival.timeout.min(within);
-                    (self.front, self.generation) = (Some(front), Some(terms.enter()));
+                    (self.front, self.generation) = (Some(front), Some(shared.enter()));
                     let arrival = open.arrival;
                     self.open = Some(open);
                     if inherited {
                         self.stage = Stage::Inheriting;
-                        return self.inherit(terms, book, works);
+                        return self.inherit(shared, book, works);
                     }
                     works.counters.sessions += 1;
                     self.stage = Stage::Placing;
                     works
                         .news
-                        .push_back(News::Arrived(self.session_id(), arrival));
+                        .push_back(Event::SessionArrived(self.session_id(), arrival));
                 }
                 Err(why) => return self.bad_line(why, works),
             }
@@ -1143,14 +1202,14 @@
         Goes
     }
 
-    fn bad_line(&mut self, why: &str, works: &mut Works) -> Fate {
+    fn bad_line(&mut self, why: &str, works: &mut IoContext) -> Fate {
         works.counters.bad_lines += 1;
         log::debug!("a client's first line: {why}");
         self.up.clear(&mut works.pool);
         self.part(protocol::FAILED, works)
     }
 
-    fn client_lines(&mut self, works: &mut Works) -> Fate {
+    fn client_lines(&mut self, works: &mut IoContext) -> Fate {
         loop {
             match self.up.next_line() {
                 Ok(Some(_)) => {
@@ -1170,7 +1229,7 @@
     }
 
     /// The client has ended its sending.
-    fn client_end(&mut self, works: &mut Works) -> Fate {
+    fn client_end(&mut self, works: &mut IoContext) -> Fate {
         match self.stage {
             Stage::Opening if self.up.waits() => self.bad_line("cut off", works),
             Stage::Opening if self.words.waits() => self.part("", works),
@@ -1189,7 +1248,7 @@
         }
     }
 
-    fn client_broke(&mut self, works: &mut Works) -> Fate {
+    fn client_broke(&mut self, works: &mut IoContext) -> Fate {
         match self.stage {
             Stage::Placing | Stage::Inheriting => self.client_left(works),
             Stage::Standing => {
@@ -1204,11 +1263,11 @@
     }
 
     /// Gone before its answer: the dial that is out ends with it.
-    fn client_left(&mut self, works: &mut Works) {
+    fn client_left(&mut self, works: &mut IoContext) {
         works.counters.clients_left += 1;
         let told = self.stage == Stage::Placing;
         if told {
-            works.news.push_back(News::Left(self.session_id()));
+            works.news.push_back(Event::SessionLeft(self.session_id()));
         }
         if let Some(mut other) = self.other.take() {
             other.down.clear(&mut works.pool);
@@ -1226,7 +1285,7 @@
         }
     }
 
-    fn client_alarm(&mut self, works: &mut Works) -> Fate {
+    fn client_alarm(&mut self, works: &mut IoContext) -> Fate {
         if self.close_by.is_none_or(|at| at > works.now) {
             return Goes;
         }
@@ -1251,7 +1310,7 @@
 
     /// What a client still sends behind our last word. Each piece gives it a little longer to read
     /// that word, up to a limit from when the word was said.
-    fn drop_rest(&mut self, works: &mut Works) -> Fate {
+    fn drop_rest(&mut self, works: &mut IoContext) -> Fate {
         let mut piece = [0; DROP];
         for _ in 0..DROPS {
             match self.client.read(&mut piece) {
@@ -1268,7 +1327,7 @@
         Goes
     }
 
-    fn overdue(&mut self, works: &mut Works) {
+    fn overdue(&mut self, works: &mut IoContext) {
         self.watched = false;
         let (Some(asked), Stage::Standing) = (self.asked, self.stage) else {
             return;
@@ -1278,19 +1337,19 @@
             if !self.end_told {
                 works
                     .news
-                    .push_back(News::Overdue(self.session_id(), waited));
+                    .push_back(Event::ResponseOverdue(self.session_id(), waited));
             }
             works.now + OVERDUE
         } else {
             asked + OVERDUE
         };
         self.watched = true;
-        works.alarms.set(next, Alarm::Overdue(self.id));
+        works.alarms.set(next, Timer::ResponseOverdue(self.id));
     }
 
     // ---- to the client ----
 
-    fn pass_down(&mut self, works: &mut Works) -> Fate {
+    fn pass_down(&mut self, works: &mut IoContext) -> Fate {
         if matches!(self.stage, Stage::Standing | Stage::Leaving) {
             match self.down.give(&mut self.client, &mut works.pool) {
                 Ok(true) => {}
@@ -1322,7 +1381,7 @@
         self.both_ended(works)
     }
 
-    fn both_ended(&mut self, works: &mut Works) -> Fate {
+    fn both_ended(&mut self, works: &mut IoContext) -> Fate {
         if self.stage == Stage::Standing && self.up_shut && self.down_shut {
             self.tell_end(AttemptOutcome::Ok, works);
             return Over;
@@ -1331,7 +1390,7 @@
     }
 
     /// Our last word; empty where there is none but the end itself.
-    fn part(&mut self, word: &str, works: &mut Works) -> Fate {
+    fn part(&mut self, word: &str, works: &mut IoContext) -> Fate {
         self.stage = Stage::Leaving;
         self.dial = None;
         self.drop_other(&mut works.pool);
@@ -1344,7 +1403,7 @@
         self.pass_down(works)
     }
 
-    fn send_away(&mut self, works: &mut Works) -> Fate {
+    fn send_away(&mut self, works: &mut IoContext) -> Fate {
         works.counters.sent_away += 1;
         self.tell_end(AttemptOutcome::Cancelled, works);
         if let Some(dial) = &mut self.dial {
@@ -1357,7 +1416,7 @@
 
     // ---- dials ----
 
-    fn inherit(&mut self, terms: &Terms, book: &Book, works: &mut Works) -> Fate {
+    fn inherit(&mut self, shared: &Shared, book: &EndpointRegistry, works: &mut IoContext) -> Fate {
         if self.stage != Stage::Inheriting || self.dial.is_some() {
             return Goes;
         }
@@ -1377,11 +1436,11 @@
             return self.part(protocol::FAILED, works);
         }
         match at {
-            Some(backend) => self.dial(0, backend, left, terms, book, works),
+            Some(backend) => self.dial(0, backend, left, shared, book, works),
             None => {
                 works
                     .alarms
-                    .set(works.now + INHERITED_AGAIN, Alarm::Again(self.id));
+                    .set(works.now + INHERITED_AGAIN, Timer::RetryInherited(self.id));
                 Goes
             }
         }
@@ -1392,9 +1451,9 @@
         number: u32,
         backend: BackendId,
         give_up_after: Duration,
-        terms: &Terms,
-        book: &Book,
-        works: &mut Works,
+        shared: &Shared,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
     ) -> Fate {
         if self.stage == Stage::Placing {
             // Its end may stand behind hundreds of events that this turn does not come to: nothing
@@ -1403,8 +1462,8 @@
             if fate == Over || !self.is_waiting() {
                 self.tell_dial_end(
                     number,
-                    Fault {
-                        reach: Reach::Nothing,
+                    AttemptFailure {
+                        reach: AttemptProgress::Nothing,
                         cause: Cause::Ours,
                     },
                     works,
@@ -1416,7 +1475,7 @@
             return Goes;
         };
         self.serial += 1;
-        let plan = Plan {
+        let plan = AttemptPlan {
             number,
             serial: self.serial,
             backend,
@@ -1428,23 +1487,23 @@
             give_up_after,
         };
         works.counters.dials += 1;
-        if works.sockets.open() >= terms.most_sockets {
+        if works.sockets.open() >= shared.most_sockets {
             // Many first lines in one turn all find room before the first of their dials takes any.
             return self.dial_failed(
                 number,
-                Fault {
-                    reach: Reach::Nothing,
+                AttemptFailure {
+                    reach: AttemptProgress::Nothing,
                     cause: Cause::Ours,
                 },
                 works,
             );
         }
-        match Dial::begin(self.id, plan, works) {
+        match Attempt::begin(self.id, plan, works) {
             Ok(dial) if self.dial.is_some() => {
                 works.counters.second_dials += 1;
                 self.other = Some(Box::new(Other {
                     dial,
-                    down: Flow::default(),
+                    down: LineBuffer::default(),
                 }));
                 Goes
             }
@@ -1456,31 +1515,31 @@
         }
     }
 
-    fn dial_ended(&mut self, fault: Fault, works: &mut Works) -> Fate {
+    fn dial_ended(&mut self, fault: AttemptFailure, works: &mut IoContext) -> Fate {
         let Some(dial) = self.dial.take() else {
             return Goes;
         };
         self.down.clear(&mut works.pool);
-        self.down = Flow::default();
+        self.down = LineBuffer::default();
         if let Some(other) = self.other.take() {
             (self.dial, self.down) = (Some(other.dial), other.down);
         }
         self.dial_failed(dial.number, fault, works)
     }
 
-    fn dial_failed(&mut self, number: u32, fault: Fault, works: &mut Works) -> Fate {
+    fn dial_failed(&mut self, number: u32, fault: AttemptFailure, works: &mut IoContext) -> Fate {
         if self.stage == Stage::Inheriting {
             log::debug!("inherited connection {}: {fault:?}", self.id);
             works
                 .alarms
-                .set(works.now + INHERITED_AGAIN, Alarm::Again(self.id));
+                .set(works.now + INHERITED_AGAIN, Timer::RetryInherited(self.id));
             return Goes;
         }
         self.tell_dial_end(number, fault, works);
         Goes
     }
 
-    fn tell_dial_end(&mut self, number: u32, fault: Fault, works: &mut Works) {
+    fn tell_dial_end(&mut self, number: u32, fault: AttemptFailure, works: &mut IoContext) {
         let verdict = fault.verdict();
         let counter = &mut works.counters;
         *match verdict {
@@ -1499,11 +1558,13 @@
             is_answered: false,
             report: fault.report(),
         };
-        works.news.push_back(News::Ended(self.session_id(), ending));
+        works
+            .news
+            .push_back(Event::AttemptEnded(self.session_id(), ending));
     }
 
     /// The end of a connection that stood, told once.
-    fn tell_end(&mut self, verdict: AttemptOutcome, works: &mut Works) {
+    fn tell_end(&mut self, verdict: AttemptOutcome, works: &mut IoContext) {
         let Some(dial) = self.dial.as_ref().filter(|_| !self.end_told) else {
             return;
         };
@@ -1520,11 +1581,18 @@
             is_answered: true,
             report,
         };
-        works.news.push_back(News::Ended(self.session_id(), ending));
+        works
+            .news
+            .push_back(Event::AttemptEnded(self.session_id(), ending));
     }
 
-    fn dial_event(&mut self, terms: &Terms, book: &Book, works: &mut Works) -> Fate {
-        if self.is_waiting() && self.dial.as_ref().is_some_and(Dial::is_unsent) {
+    fn dial_event(
+        &mut self,
+        shared: &Shared,
+        book: &EndpointRegistry,
+        works: &mut IoContext,
+    ) -> Fate {
+        if self.is_waiting() && self.dial.as_ref().is_some_and(Attempt::is_unsent) {
             // Its client may have left in this very turn, or long before a late one; then nothing
             // is sent on.
             let fate = self.look_at_client(works);
@@ -1533,7 +1601,7 @@
             }
             // As late as this only where the loop itself was kept: its alarm is met behind it in
             // this turn.
-            let stale = |dial: &&Dial| book.is_out(dial.backend) || dial.overdue(works.now);
+            let stale = |dial: &&Attempt| book.is_out(dial.backend) || dial.overdue(works.now);
             if let Some(dial) = self.dial.as_ref().filter(stale)
                 && self.stage == Stage::Placing
             {
@@ -1547,12 +1615,12 @@
         if let Err(fault) = dial.advance() {
             return self.dial_ended(fault, works);
         }
-        if dial.stage != DialStage::Connecting && self.down.has_room() {
+        if dial.stage != AttemptStage::Connecting && self.down.has_room() {
             match self.down.take(&mut dial.sock, &mut works.pool) {
-                Ok(Took::Bytes(_)) => return self.backend_lines(terms, works),
-                Ok(Took::Nothing) => {}
-                Ok(Took::Starved) => self.starve(works),
-                Ok(Took::End) => return self.backend_end(works),
+                Ok(ReadOutcome::Bytes(_)) => return self.backend_lines(shared, works),
+                Ok(ReadOutcome::Nothing) => {}
+                Ok(ReadOutcome::Starved) => self.starve(works),
+                Ok(ReadOutcome::End) => return self.backend_end(works),
                 Err(_) => return self.backend_broke(works),
             }
         }
@@ -1563,7 +1631,7 @@
         }
     }
 
-    fn backend_lines(&mut self, terms: &Terms, works: &mut Works) -> Fate {
+    fn backend_lines(&mut self, shared: &Shared, works: &mut IoContext) -> Fate {
         loop {
             let said = match self.down.next_line() {
                 Ok(None) => break,
@@ -1574,24 +1642,30 @@
                 self.heard = works.now;
                 match said {
                     None => return self.send_away(works),
-                    Some(Said::Load(ms)) if terms.names.notes_tell_delay => {
+                    Some(BackendMessage::Load(ms)) if shared.names.notes_tell_delay => {
                         self.told_delay = Duration::from_millis(1) * ms;
                         works
                             .news
-                            .push_back(News::Delay(self.session_id(), self.told_delay));
+                            .push_back(Event::LatencyObserved(self.session_id(), self.told_delay));
                     }
-                    Some(Said::Load(load)) => {
+                    Some(BackendMessage::Load(load)) => {
                         self.about
                             .iter_mut()
                             .for_each(|about| about.load = Some(load));
-                        works.news.push_back(News::Load(self.session_id(), load));
+                        works
+                            .news
+                            .push_back(Event::LoadObserved(self.session_id(), load));
                     }
-                    Some(Said::Last(verdict, report)) => self.said = Some((verdict, report)),
-                    Some(Said::Up | Said::Other) => {
+                    Some(BackendMessage::Last(verdict, report)) => {
+                        self.said = Some((verdict, report))
+                    }
+                    Some(BackendMessage::Up | BackendMessage::Other) => {
                         if let Some(asked) = self.asked.take() {
                             // A quick line back must not hide that the backend's own work is late.
                             let delay = works.now.duration_since(asked).max(self.told_delay);
-                            works.news.push_back(News::Delay(self.session_id(), delay));
+                            works
+                                .news
+                                .push_back(Event::LatencyObserved(self.session_id(), delay));
                         }
                     }
                 }
@@ -1608,45 +1682,50 @@
     }
 
     /// What a backend answers a dial; true where that ended it.
-    fn first_said(&mut self, said: Option<Said>, works: &mut Works) -> bool {
+    fn first_said(&mut self, said: Option<BackendMessage>, works: &mut IoContext) -> bool {
         let Some(dial) = &mut self.dial else {
             return true;
         };
         let cause = match said {
-            Some(Said::Up) if dial.stage == DialStage::Waiting => {
-                dial.stage = DialStage::Standing;
+            Some(BackendMessage::Up) if dial.stage == AttemptStage::Waiting => {
+                dial.stage = AttemptStage::Standing;
                 let (id, number, backend) = (SessionId(self.id), dial.number, dial.backend);
                 works.news.push_back(match (self.stage, &self.open) {
                     (Stage::Inheriting, Some(open)) => {
                         works.counters.inherited += 1;
-                        News::Inherited(id, backend, open.arrival)
+                        Event::SessionInherited(id, backend, open.arrival)
                     }
-                    _ => News::Ready(id, number),
+                    _ => Event::AttemptReady(id, number),
                 });
                 works.counters.accepted += 1;
                 self.stage = Stage::Standing;
                 (self.open, self.stood) = (None, true);
                 if let Some(idle) = self.front.and_then(|front| front.idle_timeout) {
-                    works.alarms.set(works.now + idle, Alarm::Idle(self.id));
+                    works
+                        .alarms
+                        .set(works.now + idle, Timer::IdleTimeout(self.id));
                 }
                 return false;
             }
-            Some(Said::Load(_)) => {
+            Some(BackendMessage::Load(_)) => {
                 self.down.consume(&mut works.pool);
                 return false;
             }
             // Served to its end without having begun is no answer that a client could use.
-            Some(Said::Last(AttemptOutcome::Ok, _) | Said::Up | Said::Other) | None => {
-                Cause::BadLine
-            }
-            Some(Said::Last(verdict, report)) => Cause::Said(verdict, report),
+            Some(
+                BackendMessage::Last(AttemptOutcome::Ok, _)
+                | BackendMessage::Up
+                | BackendMessage::Other,
+            )
+            | None => Cause::BadLine,
+            Some(BackendMessage::Last(verdict, report)) => Cause::BackendMessage(verdict, report),
         };
         let fault = dial.failed(cause);
         self.dial_ended(fault, works);
         true
     }
 
-    fn backend_end(&mut self, works: &mut Works) -> Fate {
+    fn backend_end(&mut self, works: &mut IoContext) -> Fate {
         if self.stage != Stage::Standing {
             let fault = self.dial.as_ref().map(|dial| dial.failed(Cause::Broken));
             return fault.map_or(Goes, |fault| self.dial_ended(fault, works));
@@ -1663,7 +1742,7 @@
         self.pass_down(works)
     }
 
-    fn backend_broke(&mut self, works: &mut Works) -> Fate {
+    fn backend_broke(&mut self, works: &mut IoContext) -> Fate {
         if self.stage != Stage::Standing {
             return self.backend_end(works);
         }
@@ -1682,7 +1761,7 @@
         self.part("", works)
     }
 
-    fn pass_up(&mut self, works: &mut Works) -> Fate {
+    fn pass_up(&mut self, works: &mut IoContext) -> Fate {
         let Some(dial) = self.dial.as_mut().filter(|_| !self.up_shut) else {
             return Goes;
         };
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -14,21 +14,21 @@
 /// Whose socket an event is about. The serial tells a closed socket's late event from its
 /// successor's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Owner {
-    Door,
+pub enum SocketOwner {
+    Listener,
     Signals,
-    Watch,
+    Discovery,
     Client(u32),
-    Dial(u32),
-    Probe(u32),
+    Attempt(u32),
+    HealthCheck(u32),
     /// The operators' door, and a caller there.
-    Admin,
-    Caller(u32),
+    AdminListener,
+    AdminConnection(u32),
     /// Where the next process of this relay finds this one; the channel to it, and to the one
     /// before.
-    Post,
-    Heir,
-    Elder,
+    SuccessorListener,
+    Successor,
+    Predecessor,
     /// Datagrams of other relays.
     Peers,
 }
@@ -42,7 +42,7 @@
 }
 
 /// What is registered with the poller.
-pub struct Watched {
+pub struct Registration {
     poller: Rc<Poller>,
     open: Rc<Cell<usize>>,
     fd: RawFd,
@@ -50,49 +50,49 @@
     wants: Option<(bool, bool)>,
 }
 
-pub struct Sock {
-    watched: Watched,
+pub struct Connection {
+    watched: Registration,
     stream: TcpStream,
 }
 
-pub struct Door {
-    watched: Watched,
+pub struct ListenerSocket {
+    watched: Registration,
     listener: TcpListener,
 }
 
-pub fn owner_of(key: usize) -> Option<Owner> {
+pub fn owner_of(key: usize) -> Option<SocketOwner> {
     let id = key as u32;
     Some(match key >> 60 {
-        0 => Owner::Door,
-        1 => Owner::Signals,
-        2 => Owner::Watch,
-        3 => Owner::Client(id),
-        4 => Owner::Dial(id),
-        5 => Owner::Probe(id),
-        6 => Owner::Admin,
-        7 => Owner::Caller(id),
-        8 => Owner::Post,
-        9 => Owner::Heir,
-        10 => Owner::Elder,
-        11 => Owner::Peers,
+        0 => SocketOwner::Listener,
+        1 => SocketOwner::Signals,
+        2 => SocketOwner::Discovery,
+        3 => SocketOwner::Client(id),
+        4 => SocketOwner::Attempt(id),
+        5 => SocketOwner::HealthCheck(id),
+        6 => SocketOwner::AdminListener,
+        7 => SocketOwner::AdminConnection(id),
+        8 => SocketOwner::SuccessorListener,
+        9 => SocketOwner::Successor,
+        10 => SocketOwner::Predecessor,
+        11 => SocketOwner::Peers,
         _ => return None,
     })
 }
 
-pub fn key_of(owner: Owner, serial: u32) -> usize {
+pub fn key_of(owner: SocketOwner, serial: u32) -> usize {
     let (kind, id) = match owner {
-        Owner::Door => (0, 0),
-        Owner::Signals => (1, 0),
-        Owner::Watch => (2, 0),
-        Owner::Client(id) => (3, id),
-        Owner::Dial(id) => (4, id),
-        Owner::Probe(id) => (5, id),
-        Owner::Admin => (6, 0),
-        Owner::Caller(id) => (7, id),
-        Owner::Post => (8, 0),
-        Owner::Heir => (9, 0),
-        Owner::Elder => (10, 0),
-        Owner::Peers => (11, 0),
+        SocketOwner::Listener => (0, 0),
+        SocketOwner::Signals => (1, 0),
+        SocketOwner::Discovery => (2, 0),
+        SocketOwner::Client(id) => (3, id),
+        SocketOwner::Attempt(id) => (4, id),
+        SocketOwner::HealthCheck(id) => (5, id),
+        SocketOwner::AdminListener => (6, 0),
+        SocketOwner::AdminConnection(id) => (7, id),
+        SocketOwner::SuccessorListener => (8, 0),
+        SocketOwner::Successor => (9, 0),
+        SocketOwner::Predecessor => (10, 0),
+        SocketOwner::Peers => (11, 0),
     };
     kind << 60 | (serial as usize & 0x0fff_ffff) << 32 | id as usize
 }
@@ -120,11 +120,11 @@
         self.beside = count;
     }
 
-    pub fn watched(&mut self, owner: Owner, fd: RawFd) -> Watched {
+    pub fn watched(&mut self, owner: SocketOwner, fd: RawFd) -> Registration {
         self.serial = self.serial.wrapping_add(1);
         self.open.set(self.open.get() + 1);
         let key = key_of(owner, self.serial);
-        Watched {
+        Registration {
             poller: self.poller.clone(),
             open: self.open.clone(),
             fd,
@@ -133,18 +133,18 @@
         }
     }
 
-    pub fn adopt(&mut self, owner: Owner, stream: TcpStream) -> Result<Sock> {
+    pub fn adopt(&mut self, owner: SocketOwner, stream: TcpStream) -> Result<Connection> {
         stream.set_nonblocking(true)?;
         // Lines are short and waited for.
         stream.set_nodelay(true)?;
-        Ok(Sock {
+        Ok(Connection {
             watched: self.watched(owner, stream.as_raw_fd()),
             stream,
         })
     }
 
     /// Begins a connection; whether it comes up is told by the socket's turning writable.
-    pub fn connect(&mut self, owner: Owner, to: SocketAddr) -> Result<Sock> {
+    pub fn connect(&mut self, owner: SocketOwner, to: SocketAddr) -> Result<Connection> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
@@ -153,7 +153,7 @@
         }
     }
 
-    pub fn listen(&mut self, owner: Owner, at: SocketAddr) -> Result<Door> {
+    pub fn listen(&mut self, owner: SocketOwner, at: SocketAddr) -> Result<ListenerSocket> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
         // A restart must not wait for the connections of the process before.
         socket.set_reuse_address(true)?;
@@ -165,9 +165,9 @@
     /// Takes over a listening socket, which other processes may hold as well: they share its queue
     /// and its being non-blocking. It is closed at the end and never shut down, which would end it
     /// for all.
-    pub fn door(&mut self, owner: Owner, listener: TcpListener) -> Result<Door> {
+    pub fn door(&mut self, owner: SocketOwner, listener: TcpListener) -> Result<ListenerSocket> {
         listener.set_nonblocking(true)?;
-        Ok(Door {
+        Ok(ListenerSocket {
             watched: self.watched(owner, listener.as_raw_fd()),
             listener,
         })
@@ -176,7 +176,7 @@
 
 const IN_PROGRESS: i32 = 115;
 
-impl Watched {
+impl Registration {
     pub fn is(&self, key: usize) -> bool {
         self.key == key
     }
@@ -206,14 +206,14 @@
     }
 }
 
-impl Drop for Watched {
+impl Drop for Registration {
     fn drop(&mut self) {
         self.want(false, false);
         self.open.set(self.open.get() - 1);
     }
 }
 
-impl Sock {
+impl Connection {
     pub fn is(&self, key: usize) -> bool {
         self.watched.is(key)
     }
@@ -246,13 +246,13 @@
     }
 }
 
-impl Read for Sock {
+impl Read for Connection {
     fn read(&mut self, into: &mut [u8]) -> Result<usize> {
         self.stream.read(into)
     }
 }
 
-impl Write for Sock {
+impl Write for Connection {
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
         self.stream.write(bytes)
     }
@@ -261,7 +261,7 @@
     }
 }
 
-impl Door {
+impl ListenerSocket {
     pub fn accept(&mut self) -> Result<TcpStream> {
         self.listener.accept().map(|(stream, _)| stream)
     }
--- a/relay/src/start.rs
+++ b/relay/src/startup_config.rs
@@ -1,7 +1,7 @@
 //! What a relay is told at its start, and faults in it as one plain line.
-use crate::callers;
-use crate::clients::RESERVE;
-use crate::discovery::ListText;
+use crate::admin::connections;
+use crate::discovery::watch::ListText;
+use crate::session::table::RESERVE;
 use serde::Deserialize;
 use socket2::{Domain, SockRef};
 use std::net::{SocketAddr, TcpListener};
@@ -96,7 +96,7 @@
         if let Ok(text) = std::env::var(PASSED) {
             self.passed = Some(passed(&text).map_err(|why| format!("{PASSED}: \"{text}\" {why}"))?);
         }
-        if self.admin.is_some() && self.sockets < FEWEST_SOCKETS + callers::RESERVE {
+        if self.admin.is_some() && self.sockets < FEWEST_SOCKETS + connections::RESERVE {
             return Err(format!(
                 "limits: {} sockets are too few for an operators' door",
                 self.sockets
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -1,14 +1,15 @@
 //! Tables on the parts that need no other program.
 use crate::buffers::{Pool, SIZE};
-use crate::clients::Sessions;
-use crate::discovery::Book;
-use crate::lines::{Flow, LINE, TooLong, Took};
+use crate::discovery::watch::EndpointRegistry;
+use crate::io_context::IoContext;
+use crate::line_buffer::{LINE, LineBuffer, ReadOutcome, TooLong};
 use crate::protocol::{
-    Cause, Fault, First, Names, Reach, Said, backend_line, first_line, probe_line, refusal,
+    AttemptFailure, AttemptProgress, BackendMessage, Cause, FirstLine, Names, backend_line,
+    first_line, probe_line, refusal,
 };
-use crate::sockets::{Owner, Sockets, key_of, owner_of};
+use crate::session::table::Sessions;
+use crate::sockets::{SocketOwner, Sockets, key_of, owner_of};
 use crate::timers::Clock;
-use crate::works::Works;
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
@@ -47,7 +48,7 @@
     for (items, listener, left, group, onward) in cases {
         for groups in [true, false] {
             let line = format!("{START}{items}");
-            let Ok(First::Open(open)) = first_line(line.as_bytes(), &names(groups)) else {
+            let Ok(FirstLine::Open(open)) = first_line(line.as_bytes(), &names(groups)) else {
                 panic!("{line}")
             };
             assert_eq!(open.arrival.route, RouteId(listener), "{line}");
@@ -65,7 +66,7 @@
         }
     }
     let line = format!("{START}c=chat,d=4294967,at=s-5be");
-    let Ok(First::Open(open)) = first_line(line.as_bytes(), &names(true)) else {
+    let Ok(FirstLine::Open(open)) = first_line(line.as_bytes(), &names(true)) else {
         panic!()
     };
     assert_eq!(open.at.as_deref(), Some("s-5be"));
@@ -138,28 +139,48 @@
 fn a_dials_end_proves_what_its_reach_allows() {
     use Cause::{BadLine, Broken, Ours, TimedOut, Withdrawn};
     let cases = [
-        (Reach::Nothing, Ours, AttemptOutcome::NotSent),
-        (Reach::Nothing, Broken, AttemptOutcome::Unreachable),
-        (Reach::Nothing, TimedOut, AttemptOutcome::Unreachable),
-        (Reach::Nothing, Withdrawn, AttemptOutcome::NotSent),
-        (Reach::Connected, Broken, AttemptOutcome::Unreachable),
-        (Reach::Connected, TimedOut, AttemptOutcome::Unreachable),
-        (Reach::Connected, Withdrawn, AttemptOutcome::NotSent),
-        (Reach::Sent, Broken, AttemptOutcome::Reset),
-        (Reach::Sent, TimedOut, AttemptOutcome::TimedOut),
-        (Reach::Sent, Withdrawn, AttemptOutcome::Cancelled),
-        (Reach::Sent, BadLine, AttemptOutcome::Error),
+        (AttemptProgress::Nothing, Ours, AttemptOutcome::NotSent),
+        (
+            AttemptProgress::Nothing,
+            Broken,
+            AttemptOutcome::Unreachable,
+        ),
+        (
+            AttemptProgress::Nothing,
+            TimedOut,
+            AttemptOutcome::Unreachable,
+        ),
+        (AttemptProgress::Nothing, Withdrawn, AttemptOutcome::NotSent),
+        (
+            AttemptProgress::Connected,
+            Broken,
+            AttemptOutcome::Unreachable,
+        ),
+        (
+            AttemptProgress::Connected,
+            TimedOut,
+            AttemptOutcome::Unreachable,
+        ),
+        (
+            AttemptProgress::Connected,
+            Withdrawn,
+            AttemptOutcome::NotSent,
+        ),
+        (AttemptProgress::Sent, Broken, AttemptOutcome::Reset),
+        (AttemptProgress::Sent, TimedOut, AttemptOutcome::TimedOut),
+        (AttemptProgress::Sent, Withdrawn, AttemptOutcome::Cancelled),
+        (AttemptProgress::Sent, BadLine, AttemptOutcome::Error),
         // An answer to a line that was not all sent yet: it may have run all the same.
-        (Reach::Connected, BadLine, AttemptOutcome::Error),
+        (AttemptProgress::Connected, BadLine, AttemptOutcome::Error),
         (
-            Reach::Sent,
-            Cause::Said(AttemptOutcome::Saturated, LoadReport::default()),
+            AttemptProgress::Sent,
+            Cause::BackendMessage(AttemptOutcome::Saturated, LoadReport::default()),
             AttemptOutcome::Saturated,
         ),
     ];
     for (reach, cause, expected) in cases {
         assert_eq!(
-            Fault { reach, cause }.verdict(),
+            AttemptFailure { reach, cause }.verdict(),
             expected,
             "{reach:?} {cause:?}"
         );
@@ -169,7 +190,7 @@
 #[test]
 fn backends_lines_are_told_apart() {
     let last = |line: &str| match backend_line(line.as_bytes()) {
-        Said::Last(verdict, report) => Some((verdict, report.connections, report.load)),
+        BackendMessage::Last(verdict, report) => Some((verdict, report.connections, report.load)),
         _ => None,
     };
     let cases = [
@@ -193,9 +214,9 @@
     for (line, expected) in cases {
         assert_eq!(last(line), expected, "{line}");
     }
-    assert!(matches!(backend_line(b"LOAD 12.5"), Said::Load(load) if load == 12.5));
-    assert!(matches!(backend_line(b"LOAD much"), Said::Other));
-    assert!(matches!(backend_line(b"UP"), Said::Up));
+    assert!(matches!(backend_line(b"LOAD 12.5"), BackendMessage::Load(load) if load == 12.5));
+    assert!(matches!(backend_line(b"LOAD much"), BackendMessage::Other));
+    assert!(matches!(backend_line(b"UP"), BackendMessage::Up));
     assert_eq!(probe_line(b"PONG inflight=2").1.connections, Some(2.0));
     assert_eq!(probe_line(b"NO").0, AttemptOutcome::Error);
     assert_eq!(refusal(Some(Duration::from_micros(1_001))), "BUSY 2");
@@ -205,14 +226,14 @@
 fn lines_split_anywhere_come_out_whole() {
     let text = b"one\r\ntwo\n\r\nlast";
     for size in 1..text.len() {
-        let (mut flow, mut pool) = (Flow::default(), Pool::new(1));
+        let (mut flow, mut pool) = (LineBuffer::default(), Pool::new(1));
         let mut lines: Vec<Vec<u8>> = Vec::new();
         let mut out = Vec::new();
         for mut piece in text.chunks(size) {
             let length = piece.len();
             assert_eq!(
                 flow.take(&mut piece, &mut pool).unwrap(),
-                Took::Bytes(length)
+                ReadOutcome::Bytes(length)
             );
             while let Some(line) = flow.next_line().unwrap() {
                 lines.push(line.to_vec());
@@ -223,7 +244,10 @@
         }
         assert_eq!(lines, [&b"one"[..], b"two", b""]);
         assert!(!pool.has_some(), "a waiting beginning holds the buffer");
-        assert_eq!(flow.take(&mut &b""[..], &mut pool).unwrap(), Took::End);
+        assert_eq!(
+            flow.take(&mut &b""[..], &mut pool).unwrap(),
+            ReadOutcome::End
+        );
         assert!(flow.give(&mut out, &mut pool).unwrap());
         assert_eq!(out, text, "pieces of {size}");
         assert!(pool.has_some(), "nothing waits, nothing is held");
@@ -235,21 +259,21 @@
     // Length of a line with its ending, and whether it passes.
     for (length, passes) in [(LINE, true), (LINE + 1, false), (SIZE, false)] {
         let line: Vec<u8> = [vec![b'x'; length - 1], vec![b'\n']].concat();
-        let (mut flow, mut pool) = (Flow::default(), Pool::new(1));
+        let (mut flow, mut pool) = (LineBuffer::default(), Pool::new(1));
         flow.take(&mut &line[..], &mut pool).unwrap();
         assert_eq!(
             flow.next_line().map(|line| line.is_some()),
             if passes { Ok(true) } else { Err(TooLong) }
         );
-        let mut other = Flow::default();
+        let mut other = LineBuffer::default();
         assert_eq!(
             other.take(&mut &b"x\n"[..], &mut pool).unwrap(),
-            Took::Starved
+            ReadOutcome::Starved
         );
         flow.clear(&mut pool);
         assert_eq!(
             other.take(&mut &b"x\n"[..], &mut pool).unwrap(),
-            Took::Bytes(2)
+            ReadOutcome::Bytes(2)
         );
     }
 }
@@ -257,11 +281,11 @@
 #[test]
 fn a_closed_sockets_key_is_not_its_successors() {
     for owner in [
-        Owner::Door,
-        Owner::Watch,
-        Owner::Client(7),
-        Owner::Dial(7),
-        Owner::Probe(u32::MAX),
+        SocketOwner::Listener,
+        SocketOwner::Discovery,
+        SocketOwner::Client(7),
+        SocketOwner::Attempt(7),
+        SocketOwner::HealthCheck(u32::MAX),
     ] {
         assert_eq!(owner_of(key_of(owner, 1)), Some(owner));
         assert_ne!(key_of(owner, 1), key_of(owner, 2));
@@ -272,7 +296,7 @@
 #[test]
 fn a_fault_in_a_sessions_step_costs_that_session_only() {
     let poller = std::rc::Rc::new(polling::Poller::new().unwrap());
-    let mut works = Works {
+    let mut works = IoContext {
         now: Clock::start().now(),
         sockets: Sockets::new(poller),
         pool: Pool::new(4),
@@ -285,8 +309,8 @@
         [127, 60, 0, 1],
         20_000 + (std::process::id() % 40_000) as u16,
     ));
-    let door = works.sockets.listen(Owner::Door, at).unwrap();
-    let book = Book::new(Vec::new(), Default::default());
+    let door = works.sockets.listen(SocketOwner::Listener, at).unwrap();
+    let book = EndpointRegistry::new(Vec::new(), Default::default());
     let listeners = names(false)
         .listeners
         .into_iter()
@@ -319,7 +343,12 @@
             .unwrap();
         // The door has the first serial.
         while works.counters.sessions <= u64::from(id) {
-            sessions.client_event(id, key_of(Owner::Client(id), id + 2), &book, &mut works);
+            sessions.client_event(
+                id,
+                key_of(SocketOwner::Client(id), id + 2),
+                &book,
+                &mut works,
+            );
         }
     }
     // What goes wrong in an alarm or an order must not end the process any more than in an event.
--- a/relay/src/timers.rs
+++ b/relay/src/timers.rs
@@ -29,49 +29,49 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Alarm {
+pub enum Timer {
     /// The decisions asked to be woken.
-    Decisions,
-    Accepting,
-    Watch,
+    Balancer,
+    ResumeAccepting,
+    Discovery,
     /// A client's first line is late, or its end after our last word is.
     Client(u32),
     /// Something that a dial waits for, by its serial.
-    Dial(u32, u32),
-    Probe(BackendId, u32),
+    Attempt(u32, u32),
+    HealthCheck(BackendId, u32),
     /// A client's line has had no line back.
-    Overdue(u32),
+    ResponseOverdue(u32),
     /// No line has passed for as long as the route allows.
-    Idle(u32),
+    IdleTimeout(u32),
     /// An inherited connection is tried again.
-    Again(u32),
+    RetryInherited(u32),
     /// A caller at the operators' door is slow, or has its answer and stays.
-    Caller(u32),
+    AdminConnection(u32),
     /// What another process of this relay may have written is looked at.
-    Shelf,
+    BanStore,
     /// The settings told last hold alone.
-    Settled,
+    SettingsInForce,
     /// A list of backends may be old enough to serve by.
-    Opening,
+    StartAccepting,
     /// More standing connections may go to the next process; one offered has had no word.
-    Offering,
-    Offered(u32),
+    OfferSessions,
+    OfferTimeout(u32),
     /// Something is due among the peers.
     Peers,
     Stop,
 }
 
 #[derive(Default)]
-pub struct Alarms {
-    set: BTreeSet<(Instant, Alarm)>,
+pub struct TimerQueue {
+    set: BTreeSet<(Instant, Timer)>,
 }
 
-impl Alarms {
-    pub fn set(&mut self, at: Instant, alarm: Alarm) {
+impl TimerQueue {
+    pub fn set(&mut self, at: Instant, alarm: Timer) {
         self.set.insert((at, alarm));
     }
 
-    pub fn due(&mut self, now: Instant) -> Option<Alarm> {
+    pub fn due(&mut self, now: Instant) -> Option<Timer> {
         let &(at, alarm) = self.set.first().filter(|(at, _)| *at <= now)?;
         self.set.remove(&(at, alarm));
         Some(alarm)
--- a/relay/src/trace.rs
+++ b/relay/src/trace.rs
@@ -1,17 +1,17 @@
 //! What the decisions are told and what they ask for, a line each at level debug, so that a fleet's
 //! logs can be counted together: backends by the name that is the same at every relay,
 //! `thistlecroft lab count` reads them.
-use crate::discovery::Book;
-use crate::front::{News, Order};
+use crate::discovery::watch::EndpointRegistry;
+use crate::driver::{Action, Event};
 use log::{Level, debug, log_enabled};
 use thistlecroft::endpoint::EndpointState;
 
-pub fn news(news: &News, book: &Book) {
+pub fn news(news: &Event, book: &EndpointRegistry) {
     if !log_enabled!(Level::Debug) {
         return;
     }
     match news {
-        News::Listed(scope, rows) => {
+        Event::EndpointsUpdated(scope, rows) => {
             let of = |standing| rows.iter().filter(|row| row.state == standing).count();
             let [ready, draining, gone] = [
                 EndpointState::Ready,
@@ -21,7 +21,7 @@
             .map(of);
             debug!("list scope={scope:?} ready={ready} draining={draining} gone={gone}");
         }
-        News::Arrived(id, arrival) => {
+        Event::SessionArrived(id, arrival) => {
             debug!(
                 "arrived session={} route={} group={:016x}",
                 id.0,
@@ -29,7 +29,7 @@
                 arrival.group.unwrap_or(0)
             );
         }
-        News::Inherited(id, at, arrival) => {
+        Event::SessionInherited(id, at, arrival) => {
             let (route, group) = (arrival.route.0, arrival.group.unwrap_or(0));
             debug!(
                 "inherited session={} box={} route={route} group={group:016x}",
@@ -37,15 +37,15 @@
                 book.name(*at)
             );
         }
-        News::Ready(id, dial) => debug!("ready session={} dial={dial}", id.0),
-        News::Ended(id, ending) => {
+        Event::AttemptReady(id, dial) => debug!("ready session={} dial={dial}", id.0),
+        Event::AttemptEnded(id, ending) => {
             debug!(
                 "ended session={} dial={} verdict={:?} over={}",
                 id.0, ending.attempt, ending.outcome, ending.is_answered
             );
         }
-        News::Left(id) => debug!("left session={}", id.0),
-        News::Probed(at, verdict, report) => {
+        Event::SessionLeft(id) => debug!("left session={}", id.0),
+        Event::HealthChecked(at, verdict, report) => {
             let (held, load) = (
                 report.connections.unwrap_or(-1.0),
                 report.load.unwrap_or(-1.0),
@@ -55,24 +55,24 @@
                 book.name(*at)
             );
         }
-        News::Banned(at, out) => debug!("banned box={} out={out}", book.name(*at)),
-        News::Load(..)
-        | News::Delay(..)
-        | News::Overdue(..)
-        | News::Resettled(_)
-        | News::Recalled(_)
-        | News::Alone
-        | News::Woken
-        | News::Stopping => {}
+        Event::BanChanged(at, out) => debug!("banned box={} out={out}", book.name(*at)),
+        Event::LoadObserved(..)
+        | Event::LatencyObserved(..)
+        | Event::ResponseOverdue(..)
+        | Event::Reconfigured(_)
+        | Event::SnapshotReceived(_)
+        | Event::PredecessorEnded
+        | Event::Wake
+        | Event::ShutDown => {}
     }
 }
 
-pub fn order(order: &Order, book: &Book) {
+pub fn order(order: &Action, book: &EndpointRegistry) {
     if !log_enabled!(Level::Debug) {
         return;
     }
     match order {
-        Order::Dial(id, at, wait) => {
+        Action::Connect(id, at, wait) => {
             debug!(
                 "dial session={} box={} wait_ms={}",
                 id.0,
@@ -80,17 +80,17 @@
                 wait.as_millis()
             );
         }
-        Order::Withdraw(id, dial) => debug!("withdraw session={} dial={dial}", id.0),
-        Order::Refuse(id, wait) => {
+        Action::Cancel(id, dial) => debug!("withdraw session={} dial={dial}", id.0),
+        Action::Reject(id, wait) => {
             debug!(
                 "refuse session={} again_ms={}",
                 id.0,
                 wait.map_or(0, |wait| wait.as_millis())
             );
         }
-        Order::TearDown(id) => debug!("torn_down session={}", id.0),
-        Order::SendAway(id) => debug!("sent_away session={}", id.0),
-        Order::Probe(at) => debug!("probe box={}", book.name(*at)),
-        Order::Subscribe => debug!("subscribe"),
+        Action::Fail(id) => debug!("torn_down session={}", id.0),
+        Action::Migrate(id) => debug!("sent_away session={}", id.0),
+        Action::CheckHealth(at) => debug!("probe box={}", book.name(*at)),
+        Action::Subscribe => debug!("subscribe"),
     }
 }
--- a/relay/src/backends.rs
+++ b/relay/src/upstream.rs
@@ -1,10 +1,10 @@
 //! Connections to backends: a session's dials, and probes.
-use crate::front::News;
-use crate::lines::{Flow, Took, Words};
-use crate::protocol::{self, Cause, Fault, Reach};
-use crate::sockets::{Owner, Sock};
-use crate::timers::Alarm;
-use crate::works::Works;
+use crate::driver::Event;
+use crate::io_context::IoContext;
+use crate::line_buffer::{LineBuffer, OutputBuffer, ReadOutcome};
+use crate::protocol::{self, AttemptFailure, AttemptProgress, Cause};
+use crate::sockets::{Connection, SocketOwner};
+use crate::timers::Timer;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
@@ -12,7 +12,7 @@
 use thistlecroft::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stage {
+pub enum AttemptStage {
     Connecting,
     Sending,
     Waiting,
@@ -20,20 +20,20 @@
 }
 
 /// One dial of a session and the connection that came of it.
-pub struct Dial {
+pub struct Attempt {
     /// As the decisions count the session's dials.
     pub number: u32,
     /// Never the same for two dials of a session.
     pub serial: u32,
     pub backend: BackendId,
-    pub sock: Sock,
-    pub stage: Stage,
-    line: Words,
+    pub sock: Connection,
+    pub stage: AttemptStage,
+    line: OutputBuffer,
     connect_by: Instant,
     give_up_at: Instant,
 }
 
-pub struct Plan {
+pub struct AttemptPlan {
     pub number: u32,
     pub serial: u32,
     pub backend: BackendId,
@@ -43,16 +43,20 @@
     pub give_up_after: Duration,
 }
 
-impl Dial {
-    pub fn begin(session: u32, plan: Plan, works: &mut Works) -> Result<Dial, Fault> {
-        let failed = |cause| Fault {
-            reach: Reach::Nothing,
+impl Attempt {
+    pub fn begin(
+        session: u32,
+        plan: AttemptPlan,
+        works: &mut IoContext,
+    ) -> Result<Attempt, AttemptFailure> {
+        let failed = |cause| AttemptFailure {
+            reach: AttemptProgress::Nothing,
             cause,
         };
         let address = plan.address.ok_or(failed(Cause::Broken))?;
         let sock = works
             .sockets
-            .connect(Owner::Dial(session), address)
+            .connect(SocketOwner::Attempt(session), address)
             .map_err(|fault| {
                 // Refused at once is the backend's doing; no descriptor or port left is ours.
                 let theirs = fault.kind() == std::io::ErrorKind::ConnectionRefused;
@@ -62,23 +66,23 @@
             works.now + plan.connect_within,
             works.now + plan.give_up_after,
         );
-        let alarm = Alarm::Dial(session, plan.serial);
+        let alarm = Timer::Attempt(session, plan.serial);
         works.alarms.set(connect_by.min(give_up_at), alarm);
         works.alarms.set(give_up_at, alarm);
-        let mut line = Words::default();
+        let mut line = OutputBuffer::default();
         line.add(&plan.line);
-        let Plan {
+        let AttemptPlan {
             number,
             serial,
             backend,
             ..
         } = plan;
-        Ok(Dial {
+        Ok(Attempt {
             number,
             serial,
             backend,
             sock,
-            stage: Stage::Connecting,
+            stage: AttemptStage::Connecting,
             line,
             connect_by,
             give_up_at,
@@ -86,9 +90,9 @@
     }
 
     /// One that another process of this relay made.
-    pub fn standing(backend: BackendId, sock: Sock, now: Instant) -> Dial {
-        let (stage, line) = (Stage::Standing, Words::default());
-        Dial {
+    pub fn standing(backend: BackendId, sock: Connection, now: Instant) -> Attempt {
+        let (stage, line) = (AttemptStage::Standing, OutputBuffer::default());
+        Attempt {
             number: 0,
             serial: 0,
             backend,
@@ -100,36 +104,36 @@
         }
     }
 
-    pub fn failed(&self, cause: Cause) -> Fault {
+    pub fn failed(&self, cause: Cause) -> AttemptFailure {
         let reach = match self.stage {
-            Stage::Connecting => Reach::Nothing,
-            Stage::Sending => Reach::Connected,
-            Stage::Waiting | Stage::Standing => Reach::Sent,
+            AttemptStage::Connecting => AttemptProgress::Nothing,
+            AttemptStage::Sending => AttemptProgress::Connected,
+            AttemptStage::Waiting | AttemptStage::Standing => AttemptProgress::Sent,
         };
-        Fault { reach, cause }
+        AttemptFailure { reach, cause }
     }
 
     /// Nothing of its line has left: given up now it has never been.
     pub fn is_unsent(&self) -> bool {
         match self.stage {
-            Stage::Connecting => true,
-            Stage::Sending => !self.line.is_begun(),
-            Stage::Waiting | Stage::Standing => false,
+            AttemptStage::Connecting => true,
+            AttemptStage::Sending => !self.line.is_begun(),
+            AttemptStage::Waiting | AttemptStage::Standing => false,
         }
     }
 
     /// Goes on with coming up and sending.
-    pub fn advance(&mut self) -> Result<(), Fault> {
-        if self.stage == Stage::Connecting {
+    pub fn advance(&mut self) -> Result<(), AttemptFailure> {
+        if self.stage == AttemptStage::Connecting {
             match self.sock.is_up() {
-                Ok(true) => self.stage = Stage::Sending,
+                Ok(true) => self.stage = AttemptStage::Sending,
                 Ok(false) => return Ok(()),
                 Err(_) => return Err(self.failed(Cause::Broken)),
             }
         }
-        if self.stage == Stage::Sending {
+        if self.stage == AttemptStage::Sending {
             match self.line.give(&mut self.sock) {
-                Ok(true) => self.stage = Stage::Waiting,
+                Ok(true) => self.stage = AttemptStage::Waiting,
                 Ok(false) => {}
                 Err(_) => return Err(self.failed(Cause::Broken)),
             }
@@ -139,9 +143,9 @@
 
     pub fn overdue(&self, now: Instant) -> bool {
         match self.stage {
-            Stage::Connecting => now >= self.connect_by.min(self.give_up_at),
-            Stage::Sending | Stage::Waiting => now >= self.give_up_at,
-            Stage::Standing => false,
+            AttemptStage::Connecting => now >= self.connect_by.min(self.give_up_at),
+            AttemptStage::Sending | AttemptStage::Waiting => now >= self.give_up_at,
+            AttemptStage::Standing => false,
         }
     }
 }
@@ -155,17 +159,17 @@
 /// One connection for probes. It is used again while it stays open: a new one costs the backend
 /// several times what the answer does.
 struct Probe {
-    sock: Sock,
+    sock: Connection,
     state: ProbeState,
-    words: Words,
-    answer: Flow,
+    words: OutputBuffer,
+    answer: LineBuffer,
     serial: u32,
     asked: Instant,
     /// It had answered before it was asked this.
     again: bool,
 }
 
-pub struct Probes {
+pub struct HealthChecks {
     open: BTreeMap<BackendId, Probe>,
     serial: u32,
     /// Half for coming up, half for the answer.
@@ -173,9 +177,9 @@
     idle: Duration,
 }
 
-impl Probes {
-    pub fn new(connect_timeout: Duration, idle: Duration) -> Probes {
-        Probes {
+impl HealthChecks {
+    pub fn new(connect_timeout: Duration, idle: Duration) -> HealthChecks {
+        HealthChecks {
             open: BTreeMap::new(),
             serial: 0,
             within: connect_timeout * 2.0,
@@ -188,7 +192,7 @@
         (self.within, self.idle) = (connect_timeout * 2.0, idle);
     }
 
-    pub fn ask(&mut self, id: BackendId, address: Option<SocketAddr>, works: &mut Works) {
+    pub fn ask(&mut self, id: BackendId, address: Option<SocketAddr>, works: &mut IoContext) {
         self.serial = self.serial.wrapping_add(1);
         let serial = self.serial;
         if let Some(probe) = self.open.get_mut(&id) {
@@ -201,10 +205,13 @@
             probe.sock.want(true, true);
         } else {
             let Some(address) = address else { return };
-            let Ok(mut sock) = works.sockets.connect(Owner::Probe(id.0), address) else {
+            let Ok(mut sock) = works
+                .sockets
+                .connect(SocketOwner::HealthCheck(id.0), address)
+            else {
                 works.counters.probes += 1;
                 works.counters.probes_failed += 1;
-                works.news.push_back(News::Probed(
+                works.news.push_back(Event::HealthChecked(
                     id,
                     AttemptOutcome::Unreachable,
                     LoadReport::default(),
@@ -212,9 +219,9 @@
                 return;
             };
             sock.want(true, true);
-            let mut words = Words::default();
+            let mut words = OutputBuffer::default();
             words.add(protocol::ASK_LOAD);
-            let (state, answer, asked) = (ProbeState::Connecting, Flow::default(), works.now);
+            let (state, answer, asked) = (ProbeState::Connecting, LineBuffer::default(), works.now);
             self.open.insert(
                 id,
                 Probe {
@@ -231,7 +238,7 @@
         works.counters.probes += 1;
         works
             .alarms
-            .set(works.now + self.within, Alarm::Probe(id, serial));
+            .set(works.now + self.within, Timer::HealthCheck(id, serial));
     }
 
     pub fn event(
@@ -239,7 +246,7 @@
         id: BackendId,
         key: usize,
         address: Option<SocketAddr>,
-        works: &mut Works,
+        works: &mut IoContext,
     ) {
         let Some(probe) = self.open.get_mut(&id).filter(|probe| probe.sock.is(key)) else {
             return;
@@ -251,11 +258,13 @@
                 probe.sock.want(true, false);
                 works
                     .alarms
-                    .set(works.now + self.idle, Alarm::Probe(id, probe.serial));
+                    .set(works.now + self.idle, Timer::HealthCheck(id, probe.serial));
                 if verdict != AttemptOutcome::Ok {
                     works.counters.probes_failed += 1;
                 }
-                works.news.push_back(News::Probed(id, verdict, report));
+                works
+                    .news
+                    .push_back(Event::HealthChecked(id, verdict, report));
             }
             Err(AttemptOutcome::Reset) if probe.again && !probe.answer.has_bytes() => {
                 // Closed as idle in the moment in which it was used again: that tells nothing of
@@ -267,7 +276,7 @@
         }
     }
 
-    fn end(&mut self, id: BackendId, verdict: AttemptOutcome, works: &mut Works) {
+    fn end(&mut self, id: BackendId, verdict: AttemptOutcome, works: &mut IoContext) {
         let Some(mut probe) = self.open.remove(&id) else {
             return;
         };
@@ -276,11 +285,11 @@
             works.counters.probes_failed += 1;
             works
                 .news
-                .push_back(News::Probed(id, verdict, LoadReport::default()));
+                .push_back(Event::HealthChecked(id, verdict, LoadReport::default()));
         }
     }
 
-    pub fn alarm(&mut self, id: BackendId, serial: u32, works: &mut Works) {
+    pub fn alarm(&mut self, id: BackendId, serial: u32, works: &mut IoContext) {
         let Some(probe) = self.open.get(&id).filter(|probe| probe.serial == serial) else {
             return;
         };
@@ -296,7 +305,7 @@
 impl Probe {
     fn go_on(
         &mut self,
-        works: &mut Works,
+        works: &mut IoContext,
     ) -> Result<Option<(AttemptOutcome, LoadReport)>, AttemptOutcome> {
         if let ProbeState::Connecting = self.state {
             match self.sock.is_up() {
@@ -319,7 +328,7 @@
             .map_err(|_| AttemptOutcome::Reset)?;
         let line = match self.answer.next_line() {
             Ok(Some(line)) => Some(protocol::probe_line(line)),
-            Ok(None) if took == Took::End => return Err(AttemptOutcome::Reset),
+            Ok(None) if took == ReadOutcome::End => return Err(AttemptOutcome::Reset),
             Ok(None) => return Ok(None),
             Err(_) => return Err(AttemptOutcome::Error),
         };
