--- /dev/null
+++ b/relay/tests/golden/bans.rs
@@ -0,0 +1,65 @@
+//! The file that keeps bans between processes, byte for byte.
+use crate::helper::*;
+use crate::platform::{Platform, RelayProcess};
+use crate::recorded::{assert_recorded, read};
+
+const FILE: &str = "thistlecroft-bans";
+const RECORDED: &str = "ban_file.txt";
+
+fn file_names(platform: &Platform) -> Vec<String> {
+    let entries = std::fs::read_dir(&platform.folder).unwrap();
+    let mut names: Vec<String> = entries
+        .map(|entry| entry.unwrap().file_name().into_string().unwrap())
+        .filter(|name| name.starts_with(FILE))
+        .collect();
+    names.sort();
+    names
+}
+
+fn started(platform: &Platform) -> RelayProcess {
+    platform.started(&platform.config(&[nobody(), nobody(), nobody()], false))
+}
+
+#[test]
+fn ban_file_after_three_bans_and_one_removal_is_as_recorded() {
+    let platform = Platform::new("bans-written");
+    let process = started(&platform);
+    for command in [
+        "DISABLE b2\n",
+        "DISABLE b0\n",
+        "DISABLE b1\n",
+        "ENABLE b0\n",
+    ] {
+        assert!(process.admin_answer(command.as_bytes()).starts_with("200"));
+    }
+    assert_eq!(file_names(&platform), [FILE, "thistlecroft-bans.lock"]);
+    let written = std::fs::read_to_string(platform.folder.join(FILE)).unwrap();
+    assert_recorded(RECORDED, &written);
+}
+
+#[test]
+fn recorded_ban_file_found_at_start_is_taken_over() {
+    let platform = Platform::new("bans-read");
+    std::fs::write(platform.folder.join(FILE), read(RECORDED)).unwrap();
+    let process = started(&platform);
+    let answers = ["b0", "b1", "b2"]
+        .map(|backend| process.admin_answer(format!("ENABLE {backend}\n").as_bytes()));
+    assert_eq!(
+        answers,
+        ["200 was not out\r\n", "200 back\r\n", "200 back\r\n"]
+    );
+}
+
+#[test]
+fn recorded_ban_file_with_one_bit_changed_is_passed_over() {
+    let sound = read(RECORDED).into_bytes();
+    for place in [0, sound.len() / 2, sound.len() - 2] {
+        let platform = Platform::new(&format!("bans-changed-{place}"));
+        let mut changed = sound.clone();
+        changed[place] ^= 1;
+        std::fs::write(platform.folder.join(FILE), changed).unwrap();
+        let process = started(&platform);
+        let answer = process.admin_answer(b"ENABLE b2\n");
+        assert_eq!(answer, "200 was not out\r\n", "byte {place}");
+    }
+}
--- /dev/null
+++ b/relay/tests/golden/config.rs
@@ -0,0 +1,267 @@
+//! The file that `ROUTER_CONFIG` names: each key that is read, which of them may be missing, and the
+//! one line that a fault is told by. `config.json` here has every key.
+use crate::helper::*;
+use crate::platform::{program, run_to_end, wait_for, watched};
+use crate::recorded::{assert_recorded, read};
+use serde_json::{Value, json};
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::path::Path;
+use std::sync::mpsc::RecvTimeoutError;
+
+/// The recorded configuration with addresses of this run in place of the words there.
+struct Config {
+    value: Value,
+    listen: SocketAddr,
+    admin: SocketAddr,
+}
+
+impl Config {
+    fn new(backend: SocketAddr) -> Config {
+        let (listen, admin) = (nobody(), nobody());
+        let mut text = read("config.json");
+        let addresses = [
+            ("LISTEN", listen),
+            ("DISCOVERY", nobody()),
+            ("ADMIN", admin),
+            ("BACKEND", backend),
+        ];
+        for (word, address) in addresses {
+            text = text.replace(&format!("\"{word}\""), &format!("\"{address}\""));
+        }
+        Config {
+            value: serde_json::from_str(&text).unwrap(),
+            listen,
+            admin,
+        }
+    }
+}
+
+/// JSON pointers of all objects' keys, those within arrays at the first element.
+fn pointers(value: &Value, at: &str, found: &mut Vec<String>) {
+    match value {
+        Value::Object(map) => {
+            for (key, inner) in map {
+                let pointer = format!("{at}/{key}");
+                found.push(pointer.clone());
+                pointers(inner, &pointer, found);
+            }
+        }
+        Value::Array(items) if items.first().is_some_and(Value::is_object) => {
+            pointers(&items[0], &format!("{at}/0"), found);
+        }
+        _ => {}
+    }
+}
+
+fn all_pointers() -> Vec<String> {
+    let mut found = Vec::new();
+    pointers(&Config::new(nobody()).value, "", &mut found);
+    found
+}
+
+fn remove(value: &mut Value, pointer: &str) {
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
+    let parent = value.pointer_mut(parent).unwrap().as_object_mut().unwrap();
+    assert!(parent.remove(key).is_some(), "{pointer}");
+}
+
+/// A value of a type that the key does not take: text for lists and objects, an object for others.
+fn wrong_type(value: &Value) -> Value {
+    match value {
+        Value::Array(_) | Value::Object(_) => json!("text"),
+        _ => json!({}),
+    }
+}
+
+fn is_ready(admin: SocketAddr) -> bool {
+    let Ok(mut stream) = TcpStream::connect(admin) else {
+        return false;
+    };
+    let mut answer = String::new();
+    let asked = stream.write_all(b"READY\n").and_then(|()| {
+        stream.set_read_timeout(Some(LONG))?;
+        stream.read_to_string(&mut answer)
+    });
+    asked.is_ok() && answer.starts_with("200")
+}
+
+/// How the program takes a configuration: the line by which it refuses, or nothing where it serves.
+/// Places and the file's name differ from run to run and are masked.
+fn refusal(config: &Config, file: &str) -> Option<String> {
+    let path = std::env::temp_dir().join(format!(
+        "thistlecroft-golden-config-{}-{file}.json",
+        std::process::id()
+    ));
+    std::fs::write(&path, config.value.to_string()).unwrap();
+    let refusal = refusal_of(&path);
+    std::fs::remove_file(&path).unwrap();
+    refusal
+}
+
+fn refusal_of(path: &Path) -> Option<String> {
+    let child = program().env("ROUTER_CONFIG", path).spawn().unwrap();
+    let mut relay = watched(child, nobody(), String::new());
+    let first = relay.log.recv_timeout(LONG).expect("a line on stderr");
+    if !first.starts_with("thistlecroft-relay: ") {
+        if !first.contains("serves at") {
+            relay.logged("serves at");
+        }
+        return None;
+    }
+    let end = relay.log.recv_timeout(LONG);
+    assert_eq!(end, Err(RecvTimeoutError::Disconnected), "one line only");
+    assert_eq!(end_of(&mut relay.child).code(), Some(1), "{first}");
+    let masked = first.replace(&path.display().to_string(), "PATH");
+    let without_place = masked.split(" at line ").next().unwrap();
+    Some(mask_struct_name(without_place))
+}
+
+/// The parser's words name a type of the program, which is no part of what is promised.
+fn mask_struct_name(refusal: &str) -> String {
+    match refusal.split_once("expected struct ") {
+        Some((before, _)) => format!("{before}expected struct NAME"),
+        None => refusal.to_string(),
+    }
+}
+
+#[test]
+fn config_with_every_key_gives_a_relay_that_serves() {
+    let (address, met) = backend(Play::Echo);
+    let config = Config::new(address);
+    let relay = started(config.listen, config.value.to_string());
+    wait_for("200 ready", || is_ready(config.admin).then_some(()));
+    assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt");
+    assert_eq!(relay.open("other", 1_000).hears(), "ERR");
+    wait_for("a probe, which the settings permit", || {
+        (next(&met) == "STATS\r\n").then_some(())
+    });
+}
+
+#[test]
+fn config_with_a_key_missing_is_refused_or_served_as_recorded() {
+    let mut outcomes = String::new();
+    for pointer in all_pointers() {
+        let mut config = Config::new(nobody());
+        remove(&mut config.value, &pointer);
+        let outcome = refusal(&config, "missing").unwrap_or_else(|| "serves".into());
+        outcomes += &format!("{pointer}: {outcome}\n");
+    }
+    assert_recorded("config_missing_keys.txt", &outcomes);
+}
+
+#[test]
+fn config_with_a_value_of_a_wrong_type_is_refused_or_passed_over_as_recorded() {
+    let mut outcomes = String::new();
+    for pointer in all_pointers() {
+        let mut config = Config::new(nobody());
+        let value = config.value.pointer_mut(&pointer).unwrap();
+        *value = wrong_type(value);
+        let outcome = refusal(&config, "type").unwrap_or_else(|| "not read".into());
+        outcomes += &format!("{pointer}: {outcome}\n");
+    }
+    assert_recorded("config_wrong_types.txt", &outcomes);
+}
+
+#[test]
+fn config_with_a_value_out_of_range_is_refused_as_recorded() {
+    let values = [
+        ("/listen", json!("here")),
+        ("/discovery", json!("here")),
+        ("/admin_addr", json!("here")),
+        ("/seed", json!("seed")),
+        ("/limits/sockets", json!(63)),
+        ("/limits/sockets", json!(64)),
+        ("/limits/memory_mb", json!(7.9)),
+        ("/settings/listeners", json!([])),
+        ("/settings/listeners/0/deadlineUs", json!(0)),
+        ("/settings/listeners/0/effect", json!("other")),
+        ("/settings/listeners/0/dedupScope", json!("other")),
+        ("/settings/permissions/maxDials", json!(0)),
+        ("/settings/me", json!(2)),
+        ("/settings/discovery", json!("other")),
+        ("/settings/invariants/extraFree", json!(-1.0)),
+        ("/settings/invariants/repeatRatio", json!(-1.0)),
+        ("/settings/invariants/extraWindowUs", json!(-1.0)),
+        ("/settings/invariants/extraWindowUs", json!(0.0)),
+    ];
+    let mut outcomes = String::new();
+    for (pointer, value) in values {
+        let mut config = Config::new(nobody());
+        outcomes += &format!("{pointer} = {value}: ");
+        *config.value.pointer_mut(pointer).unwrap() = value;
+        let outcome = refusal(&config, "range").unwrap_or_else(|| "serves".into());
+        outcomes += &format!("{outcome}\n");
+    }
+    assert_recorded("config_out_of_range.txt", &outcomes);
+}
+
+#[test]
+fn config_file_that_is_missing_is_refused_as_recorded() {
+    let path = std::env::temp_dir().join("thistlecroft-golden-no-such-file.json");
+    let missing = run_to_end(program().env("ROUTER_CONFIG", &path));
+    let unnamed = run_to_end(&mut program());
+    let mut told = String::new();
+    for output in [missing, unnamed] {
+        assert_eq!(output.status.code(), Some(1));
+        assert!(output.stdout.is_empty());
+        told += &String::from_utf8(output.stderr).unwrap();
+    }
+    let told = told.replace(&path.display().to_string(), "PATH");
+    assert_recorded("config_no_file.txt", &told);
+}
+
+/// The program's one line on stderr under these variables, with the recorded configuration but for
+/// the admin address.
+fn refusal_under(variables: &[(&str, &str)]) -> String {
+    let mut config = Config::new(nobody());
+    remove(&mut config.value, "/admin_addr");
+    let path = std::env::temp_dir().join(format!(
+        "thistlecroft-golden-config-{}-environment.json",
+        std::process::id()
+    ));
+    std::fs::write(&path, config.value.to_string()).unwrap();
+    let mut command = program();
+    command
+        .env("ROUTER_CONFIG", &path)
+        .envs(variables.iter().copied());
+    let output = run_to_end(&mut command);
+    std::fs::remove_file(&path).unwrap();
+    assert_eq!(output.status.code(), Some(1), "{variables:?}");
+    String::from_utf8(output.stderr).unwrap()
+}
+
+#[test]
+fn environment_variables_that_are_wrong_are_refused_as_recorded() {
+    let wrong = [
+        ("ROUTER_ADMIN_ADDR", "here"),
+        ("ROUTER_PASSED_SOCKET", "seven"),
+        ("ROUTER_PASSED_SOCKET", "1"),
+        ("ROUTER_PASSED_SOCKET", "900"),
+        ("THISTLECROFT_CHARTER", "no-such-charter.toml"),
+    ];
+    let told: String = wrong
+        .iter()
+        .map(|variable| refusal_under(&[*variable]))
+        .collect();
+    assert_recorded("environment_faults.txt", &told);
+}
+
+#[test]
+fn admin_address_of_the_environment_is_served_where_the_config_has_none() {
+    let mut config = Config::new(nobody());
+    remove(&mut config.value, "/admin_addr");
+    let path = std::env::temp_dir().join(format!(
+        "thistlecroft-golden-config-{}-admin.json",
+        std::process::id()
+    ));
+    std::fs::write(&path, config.value.to_string()).unwrap();
+    let child = program()
+        .env("ROUTER_CONFIG", &path)
+        .env("ROUTER_ADMIN_ADDR", config.admin.to_string())
+        .spawn()
+        .unwrap();
+    let _relay = watched(child, config.listen, String::new());
+    wait_for("200 ready", || is_ready(config.admin).then_some(()));
+    std::fs::remove_file(&path).unwrap();
+}
