--- /dev/null
+++ b/relay/tests/helper/host.rs
@@ -0,0 +1,208 @@
+//! Processes of a relay by a chosen program, and what outlives each of them: the clients' listening
+//! socket and the folder that successive processes share.
+use super::{LONG, Relay, config, list, nobody};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::os::fd::AsRawFd;
+use std::path::{Path, PathBuf};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::channel;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// Names the program of the version before, for tests that run two versions together.
+pub const FORMER_RELAY: &str = "THISTLECROFT_FORMER_RELAY";
+
+/// Longest wait for a condition, with room for a machine that is busy with other things.
+pub const WAIT_BOUND: Duration = Duration::from_secs(30);
+
+/// Pause between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
+
+const SOCKET_LIMIT: usize = 1_000;
+
+/// The program under test.
+pub fn new_program() -> &'static Path {
+    Path::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
+}
+
+/// The program of the version before. Without one, says so and returns `None`.
+pub fn former_program() -> Option<PathBuf> {
+    let Some(path) = std::env::var_os(FORMER_RELAY) else {
+        // Not by `eprintln!`: the test harness keeps what a passing test prints to itself.
+        let notice = format!("not run: {FORMER_RELAY} is not set\n");
+        std::io::stderr().write_all(notice.as_bytes()).unwrap();
+        return None;
+    };
+    let path = PathBuf::from(path);
+    assert!(
+        path.is_file(),
+        "{FORMER_RELAY}: {} is no file",
+        path.display()
+    );
+    Some(path)
+}
+
+/// Waits until the condition holds, and panics with its description where it does not in time.
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + WAIT_BOUND;
+    while !condition() {
+        assert!(Instant::now() < deadline, "never so: {description}");
+        thread::sleep(CHECK_INTERVAL);
+    }
+}
+
+/// A folder for one test. Dropped, it is removed.
+pub struct TestFolder {
+    path: PathBuf,
+}
+
+impl TestFolder {
+    pub fn new(name: &str) -> TestFolder {
+        let folder = format!("thistlecroft-host-{}-{name}", std::process::id());
+        let path = std::env::temp_dir().join(folder);
+        let _ = std::fs::remove_dir_all(&path);
+        std::fs::create_dir_all(&path).unwrap();
+        TestFolder { path }
+    }
+
+    pub fn path(&self) -> &Path {
+        &self.path
+    }
+}
+
+impl Drop for TestFolder {
+    fn drop(&mut self) {
+        let _ = std::fs::remove_dir_all(&self.path);
+    }
+}
+
+/// A relay process and the address of its admin listener. Dropped, the process is killed.
+pub struct RelayProcess {
+    pub relay: Relay,
+    pub admin: SocketAddr,
+}
+
+impl RelayProcess {
+    /// Starts a program whose configuration and environment are complete.
+    pub fn launch(
+        mut command: Command,
+        client_address: SocketAddr,
+        admin: SocketAddr,
+        configuration: String,
+    ) -> RelayProcess {
+        let mut child = command
+            .env("RUST_LOG", "info")
+            .stderr(Stdio::piped())
+            .spawn()
+            .unwrap();
+        let relay = Relay {
+            log: log_lines(&mut child),
+            child,
+            at: client_address,
+            text: configuration,
+        };
+        RelayProcess { relay, admin }
+    }
+
+    /// The one line that an admin call is answered with, without its line ending.
+    pub fn call(&self, line: &str) -> String {
+        self.try_call(line).unwrap()
+    }
+
+    pub fn wait_until_ready(&self) {
+        wait_until("the relay is ready", || {
+            self.try_call("READY")
+                .is_ok_and(|answer| answer.starts_with("200"))
+        });
+    }
+
+    fn try_call(&self, line: &str) -> std::io::Result<String> {
+        let mut stream = TcpStream::connect(self.admin)?;
+        stream.set_read_timeout(Some(LONG))?;
+        stream.write_all(format!("{line}\r\n").as_bytes())?;
+        let mut answer = String::new();
+        stream.read_to_string(&mut answer)?;
+        Ok(answer.trim_end().to_string())
+    }
+}
+
+fn log_lines(child: &mut Child) -> super::Met {
+    let (sender, log) = channel();
+    let lines = BufReader::new(child.stderr.take().unwrap()).lines();
+    thread::spawn(move || {
+        lines
+            .map_while(Result::ok)
+            .try_for_each(|line| sender.send(line))
+    });
+    log
+}
+
+/// What stays while one process of a relay replaces another: the clients' listening socket, the
+/// shared folder and the list of backends, which are named `b0`, `b1` and so on.
+pub struct Host {
+    listener: TcpListener,
+    folder: TestFolder,
+    backends: String,
+}
+
+impl Host {
+    pub fn new(name: &str, backends: &[SocketAddr]) -> Host {
+        let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
+        // Each process that is started inherits the socket.
+        rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
+        Host {
+            listener,
+            folder: TestFolder::new(name),
+            backends: backend_list(backends),
+        }
+    }
+
+    /// Starts a process of this program beside those that run, and waits until it is ready.
+    pub fn start(&self, program: &Path) -> RelayProcess {
+        let (client_address, admin) = (self.listener.local_addr().unwrap(), nobody());
+        let configuration = with_admin(
+            config(
+                client_address,
+                nobody(),
+                SOCKET_LIMIT,
+                &self.backends,
+                false,
+            ),
+            admin,
+        );
+        let path = self
+            .folder
+            .path()
+            .join(format!("config-{}.json", admin.ip()));
+        std::fs::write(&path, &configuration).unwrap();
+        let mut command = Command::new(program);
+        command
+            .env("ROUTER_CONFIG", &path)
+            .env(
+                "ROUTER_PASSED_SOCKET",
+                self.listener.as_raw_fd().to_string(),
+            )
+            .env("TMPDIR", self.folder.path());
+        let process = RelayProcess::launch(command, client_address, admin, configuration);
+        process.wait_until_ready();
+        process
+    }
+}
+
+/// The configuration with the address of the admin listener.
+pub fn with_admin(configuration: String, admin: SocketAddr) -> String {
+    configuration.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1)
+}
+
+fn backend_list(backends: &[SocketAddr]) -> String {
+    let names: Vec<String> = (0..backends.len())
+        .map(|number| format!("b{number}"))
+        .collect();
+    let rows: Vec<_> = names
+        .iter()
+        .zip(backends)
+        .map(|(name, address)| (name.as_str(), *address, "Ready"))
+        .collect();
+    list(1, true, &rows)
+}
--- a/relay/tests/helper/mod.rs
+++ b/relay/tests/helper/mod.rs
@@ -1,6 +1,8 @@
 //! Starts the program and speaks to it over loopback, with small stand-ins for backends and
 //! discovery. Every wait ends by itself; what is waited for is an event, never a span.
 #![allow(dead_code, reason = "each file of tests uses a part of it")]
+pub mod host;
+
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
 use std::process::{Child, Command, Stdio};
