--- /dev/null
+++ b/peers/tests/golden.rs
@@ -0,0 +1,278 @@
+//! The bytes of the datagrams between relays, as other builds of the fleet read them. A change here
+//! needs a new format number.
+#[path = "../../tests/golden_file/mod.rs"]
+mod golden_file;
+
+use std::fmt::Write;
+use std::net::SocketAddr;
+use std::path::Path;
+use thistlecroft::units::{Moment, Span};
+use thistlecroft_peers::facts::FactRow;
+use thistlecroft_peers::identity::Row;
+use thistlecroft_peers::wire::{Body, Datagram, FORMAT, Seal};
+use thistlecroft_peers::{Identity, Kind, MemberState, Node, Pace, Terms};
+
+const FLEET: &str = "golden";
+const SECRET: &[u8] = b"sixteen bytes or more";
+const PERIOD: Span = Span::from_ms(200);
+
+fn assert_unchanged(file: &str, actual: &str) {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    golden_file::assert_unchanged(&folder.join(file), actual);
+}
+
+fn hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
+
+fn from_hex(text: &str) -> Vec<u8> {
+    let digit_pairs = text.as_bytes().chunks(2);
+    digit_pairs
+        .map(|pair| u8::from_str_radix(std::str::from_utf8(pair).unwrap(), 16).unwrap())
+        .collect()
+}
+
+fn address(number: u8) -> SocketAddr {
+    SocketAddr::from(([10, 0, 0, number], 7_946))
+}
+
+fn datagram(body: Body) -> Datagram {
+    Datagram {
+        from: Identity::new("relay-1", 0x0102_0304_0506_0708),
+        at: address(1),
+        incarnation: 3,
+        serial: 300,
+        body,
+        rows: Vec::new(),
+        facts: Vec::new(),
+    }
+}
+
+/// One datagram of each kind, the rest of it the same.
+fn datagrams_of_each_kind() -> Vec<(&'static str, Datagram)> {
+    let other = Identity::new("relay-2", 7);
+    let bodies = [
+        (
+            "ping",
+            Body::Ping {
+                probe: 9,
+                to: other.clone(),
+            },
+        ),
+        (
+            "ping for another",
+            Body::PingFor {
+                probe: 9,
+                target: other,
+                at: address(2),
+            },
+        ),
+        ("acknowledgement", Body::Ack { probe: 300 }),
+        ("negative acknowledgement", Body::Nack { probe: 300 }),
+        ("not the pinged process", Body::NotMe { probe: 300 }),
+        ("gossip", Body::Gossip),
+        (
+            "sync request",
+            Body::SyncRequest {
+                digest: 0x1122_3344_5566_7788,
+            },
+        ),
+        ("in sync", Body::InSync),
+        (
+            "chunk",
+            Body::Chunk {
+                exchange: 5,
+                number: 1,
+                of: 3,
+                back: true,
+            },
+        ),
+        (
+            "missing chunks",
+            Body::Missing {
+                exchange: 5,
+                numbers: vec![0, 2, 300],
+            },
+        ),
+        (
+            "message",
+            Body::Message {
+                channel: 2,
+                bytes: vec![0, 1, 255],
+            },
+        ),
+    ];
+    bodies.map(|(name, body)| (name, datagram(body))).into()
+}
+
+/// Gossip about a member in each state, and about a fact of each kind.
+fn datagrams_of_each_row() -> Vec<(String, Datagram)> {
+    let states = [
+        ("alive", MemberState::Alive),
+        ("suspect", MemberState::Suspect),
+        ("dead", MemberState::Dead),
+        ("left", MemberState::Left),
+    ];
+    let members = states.map(|(name, state)| {
+        let mut gossip = datagram(Body::Gossip);
+        gossip.rows.push(Row {
+            id: Identity::new("relay-2", 7),
+            at: "[2001:db8::2]:7946".parse().unwrap(),
+            incarnation: 2,
+            state,
+            accuser: (state == MemberState::Suspect).then(|| Identity::new("relay-3", 8)),
+        });
+        (format!("member {name}"), gossip)
+    });
+    let kinds = [
+        ("ban", Kind::Ban),
+        ("ejection", Kind::Ejection),
+        ("start", Kind::Start),
+        ("share", Kind::Share),
+        ("work", Kind::Work),
+        ("note", Kind::Note),
+    ];
+    let facts = kinds.map(|(name, kind)| {
+        let mut gossip = datagram(Body::Gossip);
+        gossip.facts.push(FactRow {
+            kind,
+            subject: b"10.0.0.9:80".to_vec(),
+            owner: Identity::new("relay-3", 8),
+            epoch: 4,
+            value: b"by hand".to_vec(),
+            age_ms: 1_500,
+        });
+        (format!("fact {name}"), gossip)
+    });
+    members.into_iter().chain(facts).collect()
+}
+
+#[test]
+fn datagrams_of_each_kind_are_sealed_into_the_recorded_bytes() {
+    let seal = Seal::new(SECRET, FLEET);
+    let mut recording = format!("format: {FORMAT}\n");
+    let kinds = datagrams_of_each_kind();
+    let rows = datagrams_of_each_row();
+    let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
+    for (name, datagram) in kinds.chain(rows) {
+        let bytes = seal.close(&datagram).expect("it fits");
+        assert_eq!(bytes[0], FORMAT, "{name}: the first byte is the format");
+        writeln!(recording, "{name}: {}", hex(&bytes)).unwrap();
+    }
+    assert_unchanged("datagrams.txt", &recording);
+}
+
+#[test]
+fn recorded_datagrams_are_opened_as_what_they_were() {
+    let seal = Seal::new(SECRET, FLEET);
+    let kinds = datagrams_of_each_kind();
+    let rows = datagrams_of_each_row();
+    let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
+    let expected: Vec<(String, Datagram)> = kinds.chain(rows).collect();
+    let recording = include_str!("golden/datagrams.txt");
+    let lines: Vec<&str> = recording.lines().skip(1).collect();
+    assert_eq!(lines.len(), expected.len());
+    for (line, (name, datagram)) in lines.iter().zip(expected) {
+        let (recorded_name, recorded) = line.split_once(": ").unwrap();
+        assert_eq!(recorded_name, name);
+        assert_eq!(seal.open(&from_hex(recorded)), Ok(datagram), "{name}");
+    }
+}
+
+/// Three nodes in memory, on one clock; every datagram is recorded and arrives at once unless its
+/// receiver is down.
+struct Fleet {
+    nodes: Vec<Node>,
+    down: Option<usize>,
+    now: Moment,
+    recording: String,
+}
+
+impl Fleet {
+    fn start() -> Fleet {
+        let terms = Terms {
+            fleet: FLEET.into(),
+            secret: SECRET.to_vec(),
+            pace: Pace { period: PERIOD },
+            rate: 32_768,
+        };
+        let now = Moment::from_us(1_000_000_000);
+        let node = |number: u8| {
+            let id = Identity::new(&format!("relay-{number}"), u64::from(number) * 1_000);
+            let seeds = vec![address(1)];
+            Node::new(
+                id,
+                address(number),
+                seeds,
+                &terms,
+                u64::from(number) + 40,
+                now,
+            )
+        };
+        Fleet {
+            nodes: [1, 2, 3].map(node).into(),
+            down: None,
+            now,
+            recording: String::new(),
+        }
+    }
+
+    /// Delivers until nobody has anything left to send.
+    fn deliver_all(&mut self) {
+        loop {
+            let mut flights = Vec::new();
+            for (sender, node) in self.nodes.iter_mut().enumerate() {
+                let datagrams = node.take_datagrams().into_iter();
+                flights.extend(datagrams.map(|(to, bytes)| (sender, to, bytes)));
+            }
+            if flights.is_empty() {
+                return;
+            }
+            for (sender, to, bytes) in flights {
+                if self.down == Some(sender) {
+                    continue;
+                }
+                let at = self.now.us() / 1_000;
+                let from = address(sender as u8 + 1);
+                writeln!(self.recording, "{at} ms {from} {to} {}", hex(&bytes)).unwrap();
+                let receiver = (0..self.nodes.len()).find(|one| address(*one as u8 + 1) == to);
+                if let Some(receiver) = receiver.filter(|one| self.down != Some(*one)) {
+                    self.nodes[receiver].receive(&bytes, from, self.now);
+                }
+            }
+        }
+    }
+
+    fn run_for(&mut self, time: Span) {
+        let end = self.now + time;
+        while self.now < end {
+            for node in &mut self.nodes {
+                if node.due() <= self.now {
+                    node.tick(self.now);
+                }
+            }
+            self.deliver_all();
+            self.now = self.now + Span::from_ms(10);
+        }
+    }
+}
+
+#[test]
+fn a_fleet_that_meets_tells_loses_and_leaves_sends_the_recorded_datagrams() {
+    let mut fleet = Fleet::start();
+    fleet.run_for(PERIOD * 6.0);
+    let now = fleet.now;
+    assert!(fleet.nodes[0].announce(Kind::Ban, b"10.0.0.9:80", b"by hand", now));
+    let second = fleet.nodes[1].me().clone();
+    fleet.nodes[0].send_message(&second, 2, b"lease".to_vec(), now);
+    fleet.run_for(PERIOD * 4.0);
+    fleet.down = Some(2);
+    fleet.run_for(PERIOD * 20.0);
+    let third = fleet.nodes[2].me().clone();
+    assert_eq!(fleet.nodes[0].state_of(&third), Some(MemberState::Dead));
+    let now = fleet.now;
+    fleet.nodes[1].leave(now);
+    fleet.deliver_all();
+    assert_eq!(fleet.nodes[0].state_of(&second), Some(MemberState::Left));
+    assert_unchanged("session.txt", &fleet.recording);
+}
