--- /dev/null
+++ b/charter/tests/golden.rs
@@ -0,0 +1,215 @@
+//! The keys of an operator's charter, and what follows from the files that are shipped.
+#[path = "../../tests/golden_file/mod.rs"]
+mod golden_file;
+
+use std::fmt::Write;
+use std::path::Path;
+use thistlecroft::deployment::{Effect, Route, Scope};
+use thistlecroft::units::Span;
+use thistlecroft_charter::keys::SECTIONS;
+use thistlecroft_charter::{Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin};
+
+const EXAMPLE: &str = include_str!("../../deploy/charter.example.toml");
+const PEERS: &str = include_str!("../../deploy/charter.peers.toml");
+const EVERY_ROUTE_KEY: &str = include_str!("golden/every_route_key.toml");
+const EVERY_PEERS_KEY: &str = include_str!("golden/every_peers_key.toml");
+
+fn assert_unchanged(file: &str, actual: &str) {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    golden_file::assert_unchanged(&folder.join(file), actual);
+}
+
+/// A relay with the listeners of the shipped example, and some of other effects.
+fn circumstances() -> Circumstances {
+    let listener = |name: &str, effect| ListenerFacts {
+        name: name.into(),
+        wait: Span::from_ms(4_800),
+        row: Route {
+            handshake_target: Span::from_ms(300),
+            effect,
+            connect_timeout: Span::from_ms(50),
+            max_dials: 3,
+            patience: 4.0,
+            base: Span::from_ms(1_000),
+            cap: Span::from_ms(30_000),
+            cool_down: Span::from_ms(5_000),
+            longest_retry_after: Span::from_ms(2_000),
+            ..Route::default()
+        },
+    };
+    let referenced = Effect::Referenced {
+        scope: Scope::Zone,
+        window: Span::from_ms(500),
+    };
+    Circumstances {
+        listeners: vec![
+            listener("slot-hold", Effect::Repeatable),
+            listener("slot-view", Effect::Repeatable),
+            listener("queue-view", Effect::Repeatable),
+            listener("pay", Effect::OnceOnly),
+            listener("book", referenced),
+        ],
+        zones: vec!["ikeja".into(), "lekki".into()],
+        zone: 1,
+        two_dials: true,
+        peers: true,
+        descriptors: 200,
+    }
+}
+
+fn listed(faults: &[Fault]) -> String {
+    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+    lines.join("\n")
+}
+
+/// Every value in force and where it is from, a line each.
+fn values_in_force(text: &str) -> String {
+    let charter = Charter::parse("charter.toml", text).unwrap_or_else(|faults| {
+        panic!("{}", listed(&faults));
+    });
+    let routing = charter
+        .against(&circumstances(), &mut Lanes::default())
+        .unwrap_or_else(|faults| panic!("{}", listed(&faults)));
+    let mut lines = String::new();
+    for told in routing.told() {
+        let origin = match told.origin {
+            Origin::File(line) => format!("line {line}"),
+            Origin::Settings => "settings".into(),
+            Origin::BuiltIn => "built in".into(),
+        };
+        let place = format!("{} / {}", told.route, told.listener);
+        writeln!(lines, "{place}: {} = {} ({origin})", told.key, told.value).unwrap();
+    }
+    lines
+}
+
+/// What holds between relays, a line for each key.
+fn peering_in_force(text: &str) -> String {
+    let charter = Charter::parse("charter.toml", text).unwrap_or_else(|faults| {
+        panic!("{}", listed(&faults));
+    });
+    let peering = charter.peering(&circumstances()).unwrap().unwrap();
+    [
+        format!("fleet = {}", peering.fleet),
+        format!("listen = {}", peering.listen),
+        format!("advertise = {}", peering.advertise),
+        format!("key_file = {}", peering.key_file),
+        format!("seeds = {:?}", peering.seeds),
+        format!("period = {} us", peering.period.us()),
+        format!("rate = {}", peering.rate),
+        format!("voters = {:?}", peering.voters),
+        format!("voters_before = {:?}", peering.voters_before),
+        format!("generation = {}", peering.generation),
+        format!("lease = {} us\n", peering.lease.us()),
+    ]
+    .join("\n")
+}
+
+#[test]
+fn the_shipped_example_gives_the_recorded_values() {
+    assert_unchanged("example.txt", &values_in_force(EXAMPLE));
+}
+
+#[test]
+fn the_shipped_charter_for_peers_gives_the_recorded_values() {
+    assert_unchanged("peers.txt", &peering_in_force(PEERS));
+}
+
+#[test]
+fn a_charter_with_every_route_key_gives_the_recorded_values() {
+    assert_unchanged("every_route_key.txt", &values_in_force(EVERY_ROUTE_KEY));
+}
+
+#[test]
+fn a_charter_with_every_peers_key_gives_the_recorded_values() {
+    assert_unchanged("every_peers_key.txt", &peering_in_force(EVERY_PEERS_KEY));
+}
+
+#[test]
+fn a_session_is_matched_by_listener_zone_key_and_group_together() {
+    const KEY: u64 = 0x7f3a_0000_0000_0001;
+    const GROUP: u64 = 0xff;
+    let charter = Charter::parse("charter.toml", EVERY_ROUTE_KEY).unwrap();
+    let dials = |zone, listener, key, group| {
+        let there = Circumstances {
+            zone,
+            ..circumstances()
+        };
+        let routing = charter.against(&there, &mut Lanes::default()).unwrap();
+        routing.rows()[routing.find(listener, key, group)].max_dials
+    };
+    assert_eq!(dials(1, 0, KEY, Some(GROUP)), 2, "all four hold");
+    assert_eq!(dials(0, 0, KEY, Some(GROUP)), 3, "another zone");
+    assert_eq!(dials(1, 2, KEY, Some(GROUP)), 3, "another listener");
+    assert_eq!(dials(1, 0, KEY >> 4, Some(GROUP)), 3, "another key");
+    assert_eq!(dials(1, 0, KEY, Some(GROUP + 1)), 3, "another group");
+    assert_eq!(dials(1, 0, KEY, None), 3, "no group");
+}
+
+/// The places of all lines that state a key, with the key.
+fn stated_keys(text: &str) -> Vec<(usize, &str)> {
+    let lines = text.lines().enumerate();
+    lines
+        .filter(|(_, line)| !line.starts_with('#'))
+        .filter_map(|(place, line)| Some((place, line.split_once(" = ")?.0)))
+        .collect()
+}
+
+fn with_line(text: &str, place: usize, line: &str) -> String {
+    let mut lines: Vec<&str> = text.lines().collect();
+    lines[place] = line;
+    lines.join("\n") + "\n"
+}
+
+/// What is said of this text by itself, which has to be refused.
+fn refusal(text: &str) -> String {
+    match Charter::parse("charter.toml", text) {
+        Ok(_) => panic!("accepted:\n{text}"),
+        Err(faults) => listed(&faults),
+    }
+}
+
+#[test]
+fn a_misspelt_key_is_refused_in_the_recorded_words() {
+    let mut recording = String::new();
+    for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY, EXAMPLE, PEERS] {
+        for (place, key) in stated_keys(text) {
+            let line = text.lines().nth(place).unwrap();
+            let misspelt = with_line(text, place, &format!("q{line}"));
+            writeln!(recording, "q{key}\n{}", refusal(&misspelt)).unwrap();
+        }
+    }
+    assert_unchanged("unknown_keys.txt", &recording);
+}
+
+#[test]
+fn a_key_that_holds_something_else_is_refused_in_the_recorded_words() {
+    let mut recording = String::new();
+    for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY] {
+        for (place, key) in stated_keys(text) {
+            // A date is what no key holds.
+            let wrong = with_line(text, place, &format!("{key} = 2026-01-01"));
+            writeln!(recording, "{}", refusal(&wrong)).unwrap();
+        }
+    }
+    assert_unchanged("wrong_values.txt", &recording);
+}
+
+#[test]
+fn every_key_that_the_reference_lists_is_stated_in_the_tests() {
+    let texts = [EVERY_ROUTE_KEY, EVERY_PEERS_KEY];
+    let stated: Vec<&str> = texts
+        .iter()
+        .flat_map(|text| stated_keys(text))
+        .map(|(_, key)| key)
+        .collect();
+    let mut recording = String::new();
+    for section in SECTIONS {
+        for key in section.keys {
+            writeln!(recording, "{} {}", section.header, key.name).unwrap();
+            let is_table = key.kind.says() == "a table";
+            assert!(is_table || stated.contains(&key.name), "{}", key.name);
+        }
+    }
+    assert_unchanged("keys.txt", &recording);
+}
--- /dev/null
+++ b/command/tests/golden.rs
@@ -0,0 +1,498 @@
+//! What other programs read of the command `thistlecroft`: its verbs and flags, its environment, its
+//! exit codes, its output, and the files that it leaves behind.
+#[path = "../../tests/golden_file/mod.rs"]
+mod golden_file;
+
+use serde_json::Value;
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Write as _;
+use std::io::{BufRead, BufReader, Write as _};
+use std::net::{TcpListener, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Command, Output, Stdio};
+use std::time::Duration;
+
+const INPUTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/input");
+const REPOSITORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
+
+/// Longest wait for a process that is started here.
+const PATIENCE: Duration = Duration::from_secs(20);
+
+fn assert_unchanged(file: &str, actual: &str) {
+    let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
+    golden_file::assert_unchanged(&folder.join(file), actual);
+}
+
+/// The command among the input files, with nothing else in its environment.
+fn command(arguments: &[&str]) -> Command {
+    let mut command = Command::new(env!("CARGO_BIN_EXE_thistlecroft"));
+    command.args(arguments).current_dir(INPUTS).env_clear();
+    command
+}
+
+fn run(arguments: &[&str]) -> Output {
+    command(arguments).output().expect("the command starts")
+}
+
+fn text(bytes: &[u8]) -> String {
+    String::from_utf8_lossy(bytes).into_owned()
+}
+
+/// Standard output of a run that has to end well.
+fn output_of(arguments: &[&str]) -> String {
+    let done = run(arguments);
+    assert!(
+        done.status.success(),
+        "{arguments:?}: {}",
+        text(&done.stderr)
+    );
+    text(&done.stdout)
+}
+
+/// An empty folder of a test's own.
+fn folder(name: &str) -> PathBuf {
+    let process = std::process::id();
+    let path = std::env::temp_dir().join(format!("thistlecroft-golden-{process}-{name}"));
+    let _ = std::fs::remove_dir_all(&path);
+    std::fs::create_dir_all(&path).unwrap();
+    path
+}
+
+/// The exit code, the output, and the complaints that are the command's own. What the parser of the
+/// command line says of usage is left out.
+fn transcript(arguments: &[&str], done: &Output) -> String {
+    let code = done.status.code().expect("it was not killed");
+    let mut lines = format!("$ thistlecroft {}\nexit {code}\n", arguments.join(" "));
+    for line in text(&done.stdout).lines() {
+        writeln!(lines, "| {line}").unwrap();
+    }
+    let complaints = text(&done.stderr);
+    let own = complaints
+        .lines()
+        .filter(|line| line.starts_with("thistlecroft: "));
+    for line in own {
+        writeln!(lines, "! {line}").unwrap();
+    }
+    lines
+}
+
+/// Every verb, the hidden one too.
+const VERBS: &[&[&str]] = &[
+    &[],
+    &["serve"],
+    &["check"],
+    &["charter"],
+    &["charter", "reference"],
+    &["charter", "example"],
+    &["demo"],
+    &["peers"],
+    &["lab"],
+    &["lab", "run"],
+    &["lab", "compare"],
+    &["lab", "count"],
+    &["lab", "list"],
+    &["lab", "report"],
+    &["lab", "saturate"],
+    &["lab", "show"],
+    &["lab", "scale"],
+    &["lab", "slope"],
+    &["lab", "hollow"],
+    &["lab", "peers"],
+    &["completions"],
+];
+
+/// Of a line of help what a caller goes by: the verb or flag, its environment variable, its default
+/// and its possible values.
+fn interface_of(line: &str) -> String {
+    let line = line.trim();
+    let name = line.split("  ").next().unwrap_or_default();
+    let mut interface = name.to_string();
+    for label in ["[env: ", "[default: ", "[possible values: "] {
+        if let Some(at) = line.rfind(label) {
+            let end = line[at..].find(']').map_or(line.len(), |end| at + end + 1);
+            interface += &format!(" {}", &line[at..end]);
+        }
+    }
+    interface
+}
+
+#[test]
+fn verbs_and_flags_are_those_recorded() {
+    let mut recording = String::new();
+    for verb in VERBS {
+        let help = output_of(&[verb, ["-h"].as_slice()].concat());
+        writeln!(recording, "thistlecroft {}", verb.join(" ")).unwrap();
+        let sections = help.lines().skip_while(|line| !line.starts_with("Usage: "));
+        let lines = sections.filter(|line| !line.is_empty());
+        for line in lines {
+            let is_entry = line.starts_with("  ");
+            let kept = if is_entry {
+                interface_of(line)
+            } else {
+                line.to_string()
+            };
+            let indentation = if is_entry { "    " } else { "  " };
+            writeln!(recording, "{indentation}{kept}").unwrap();
+        }
+    }
+    assert_unchanged("verbs_and_flags.txt", &recording);
+}
+
+#[test]
+fn checks_and_mistakes_end_with_the_recorded_output_and_exit_code() {
+    let cases: &[&[&str]] = &[
+        &["--version"],
+        &[],
+        &["unheard-of"],
+        &["check"],
+        &["check", "config.json"],
+        &["check", "config-wrong.json"],
+        &["check", "charter.toml"],
+        &["check", "charter-wrong.toml"],
+        &["check", "scenario.toml"],
+        &["check", "scenario-wrong.toml"],
+        &["check", "budget.toml"],
+        &["check", "nowhere.toml"],
+        &["check", "charter.toml", "--effective"],
+        &[
+            "check",
+            "charter.toml",
+            "--config",
+            "config.json",
+            "--effective",
+        ],
+        &[
+            "check",
+            "charter-later.toml",
+            "--config",
+            "config.json",
+            "--effective",
+        ],
+        &[
+            "check",
+            "--against",
+            "charter.toml",
+            "charter-later.toml",
+            "--config",
+            "config.json",
+        ],
+        &["check", "--against", "charter.toml", "charter-later.toml"],
+        &["check", "--against", "config.json", "config-later.json"],
+        &["check", "--against", "config.json", "config.json"],
+        &["check", "--against", "config.json", "charter.toml"],
+        &["serve"],
+        &["serve", "--config", "config-wrong.json"],
+        &["serve", "--config", "nowhere.json"],
+        &[
+            "serve",
+            "--config",
+            "config.json",
+            "--charter",
+            "charter-wrong.toml",
+        ],
+        &["charter", "unheard-of"],
+        &["demo", "--seed", "one"],
+        &["peers"],
+        &["peers", "nobody"],
+        &["peers", "127.0.0.1:9", "--every", "1"],
+        &["peers", "127.0.0.1:9", "--watch", "--every", "0"],
+        &["completions", "none"],
+        &["lab", "run", "unheard-of"],
+        &["lab", "run", "scenario-wrong.toml"],
+        &["lab", "run", "scenario.toml", "--way", "fast"],
+        &["lab", "run", "scenario.toml", "--baseline", "fast"],
+        &["lab", "compare", "nowhere", "nowhere"],
+        &["lab", "count", "nowhere"],
+        &["lab", "count", ".", "--span", "0"],
+        &["lab", "report", "nowhere"],
+        &["lab", "show", "unheard-of"],
+        &["lab", "show", "nowhere.toml"],
+        &["lab", "scale", "--relays", "1"],
+        &["lab", "scale", "--fault", "flood"],
+        &["lab", "scale", "--budget", "nowhere.toml"],
+        &["lab", "slope", "--at", "10"],
+        &["lab", "peers", "--period", "1ms"],
+        &["lab", "peers", "--loss", "1"],
+        &["lab", "peers", "--simulated", "1"],
+        &["lab", "peers", "--simulated", "3,5"],
+    ];
+    let mut recording = String::new();
+    for arguments in cases {
+        recording += &transcript(arguments, &run(arguments));
+    }
+    assert_unchanged("checks_and_mistakes.txt", &recording);
+}
+
+/// A command line, and variables in its environment.
+struct WithEnvironment {
+    arguments: &'static [&'static str],
+    variables: &'static [(&'static str, &'static str)],
+}
+
+#[test]
+fn environment_variables_stand_for_the_flags_that_are_recorded() {
+    let cases = [
+        WithEnvironment {
+            arguments: &["serve"],
+            variables: &[("ROUTER_CONFIG", "config-wrong.json")],
+        },
+        WithEnvironment {
+            arguments: &["serve"],
+            variables: &[
+                ("ROUTER_CONFIG", "config.json"),
+                ("THISTLECROFT_CHARTER", "charter-wrong.toml"),
+            ],
+        },
+        WithEnvironment {
+            arguments: &["check", "charter.toml", "--effective"],
+            variables: &[("ROUTER_CONFIG", "config.json")],
+        },
+    ];
+    let mut recording = String::new();
+    for WithEnvironment {
+        arguments,
+        variables,
+    } in cases
+    {
+        let done = command(arguments)
+            .envs(variables.iter().copied())
+            .output()
+            .unwrap();
+        for (variable, value) in variables {
+            writeln!(recording, "{variable}={value}").unwrap();
+        }
+        recording += &transcript(arguments, &done);
+    }
+    assert_unchanged("environment.txt", &recording);
+}
+
+#[test]
+fn shipped_texts_are_printed_as_they_are_in_the_repository() {
+    let repository = Path::new(REPOSITORY);
+    let file = |path: &str| std::fs::read_to_string(repository.join(path)).unwrap();
+    assert_eq!(
+        output_of(&["charter", "example"]),
+        file("deploy/charter.example.toml")
+    );
+    assert_eq!(
+        output_of(&["charter", "reference"]),
+        file("docs/operate/charter-reference.md")
+    );
+    let listed = output_of(&["lab", "list"]);
+    let names: Vec<&str> = listed
+        .lines()
+        .filter_map(|line| line.split_whitespace().next())
+        .collect();
+    let folder = std::fs::read_dir(repository.join("scenarios")).unwrap();
+    let in_folder = folder.map(|entry| entry.unwrap().path());
+    let in_folder: BTreeSet<String> = in_folder
+        .map(|path| path.file_stem().unwrap().to_string_lossy().into_owned())
+        .collect();
+    let listed: BTreeSet<String> = names.iter().map(|name| (*name).to_string()).collect();
+    assert_eq!(listed, in_folder);
+    for name in &names {
+        let shown = output_of(&["lab", "show", name]);
+        assert_eq!(shown, file(&format!("scenarios/{name}.toml")), "{name}");
+    }
+    assert_unchanged("scenario_names.txt", &(names.join("\n") + "\n"));
+}
+
+/// The first line that a relay logs; it is ended after, and with this test's patience.
+fn first_logged_line(mut relay: Command) -> String {
+    let mut relay = relay.stderr(Stdio::piped()).spawn().unwrap();
+    let mut log = BufReader::new(relay.stderr.take().unwrap());
+    let (sender, receiver) = std::sync::mpsc::channel();
+    let reader = std::thread::spawn(move || {
+        let mut line = String::new();
+        let read = log.read_line(&mut line).map(|_| line);
+        // Nobody waits any more after the time is over.
+        let _ = sender.send(read);
+    });
+    let line = receiver.recv_timeout(PATIENCE);
+    relay.kill().unwrap();
+    relay.wait().unwrap();
+    reader.join().unwrap();
+    line.expect("a line within the time").unwrap()
+}
+
+#[test]
+fn a_relay_that_serves_logs_objects_with_the_recorded_keys() {
+    let folder = folder("log");
+    let config = std::fs::read_to_string(Path::new(INPUTS).join("config.json")).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    drop(listener);
+    let path = folder.join("config.json");
+    std::fs::write(&path, config.replace("127.0.0.1:9000", &address)).unwrap();
+    let path = path.to_string_lossy().into_owned();
+    let line = first_logged_line(command(&[
+        "--log-format",
+        "json",
+        "serve",
+        "--config",
+        &path,
+    ]));
+    std::fs::remove_dir_all(folder).unwrap();
+    let entry: Value =
+        serde_json::from_str(&line).unwrap_or_else(|fault| panic!("{fault}: {line}"));
+    let mut recording = String::new();
+    for (key, value) in entry.as_object().unwrap() {
+        let is_fixed = matches!(key.as_str(), "level" | "target" | "name");
+        let value = if is_fixed {
+            value.to_string()
+        } else {
+            "*".into()
+        };
+        writeln!(recording, "{key} = {value}").unwrap();
+    }
+    assert_unchanged("log_entry.txt", &recording);
+}
+
+/// An operators' door that answers one call with these words, and gives back the call.
+fn door(answer: &'static str) -> (String, std::thread::JoinHandle<String>) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let call = std::thread::spawn(move || {
+        let (mut stream, _) = listener.accept().unwrap();
+        let mut call = String::new();
+        let mut reader = BufReader::new(stream.try_clone().unwrap());
+        reader.read_line(&mut call).unwrap();
+        write!(stream, "{answer}\r\n").unwrap();
+        call
+    });
+    (address, call)
+}
+
+#[test]
+fn views_of_peers_are_asked_for_and_shown_as_recorded() {
+    const VIEW: &str = r#"200 {"counts":{"foreign":1,"held_back":2,"sent_bytes":300},"facts":4,"health":0,"leases":null,"me":"relay-1/00000007","peers":[{"at":"10.0.0.2:7946","heard_ms":12,"id":"relay-2/00000008","incarnation":3,"standing":"suspected"}],"unheard":1}"#;
+    let cases: &[(&str, &[&str])] = &[
+        (VIEW, &["--json"]),
+        (VIEW, &[]),
+        ("400 this relay is alone", &[]),
+    ];
+    let mut recording = String::new();
+    for (answer, flags) in cases {
+        let (address, call) = door(answer);
+        let done = run(&[&["peers", &address], *flags].concat());
+        let shown = transcript(&[&["peers", "DOOR"], *flags].concat(), &done);
+        recording += &shown.replace(&address, "DOOR");
+        // A door that was never called is not waited for.
+        drop(TcpStream::connect(&address));
+        writeln!(recording, "call {:?}", call.join().unwrap()).unwrap();
+    }
+    assert_unchanged("peers.txt", &recording);
+}
+
+/// Adds the path of every key in a JSON value; elements of a list share one path.
+fn collect_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
+    match value {
+        Value::Object(map) => {
+            for (key, value) in map {
+                let path = format!("{path}.{key}");
+                keys.insert(path.clone());
+                collect_keys(value, &path, keys);
+            }
+        }
+        Value::Array(values) => {
+            let path = format!("{path}[]");
+            for value in values {
+                collect_keys(value, &path, keys);
+            }
+        }
+        _ => {}
+    }
+}
+
+fn keys_of_file(path: &Path) -> BTreeSet<String> {
+    let text = std::fs::read(path).unwrap_or_else(|fault| panic!("{}: {fault}", path.display()));
+    let mut keys = BTreeSet::new();
+    collect_keys(&serde_json::from_slice(&text).unwrap(), "", &mut keys);
+    keys
+}
+
+/// Events that every run has; under load there may be others beside them.
+const EVENTS_OF_EVERY_RUN: &[&str] = &[
+    "answered",
+    "asked",
+    "box-load",
+    "box-started",
+    "dial-came",
+    "dial-replied",
+    "ended",
+    "mark",
+    "relay-cost",
+    "relay-started",
+    "told",
+];
+
+/// The keys of each kind of event, from the first of the kind.
+fn keys_of_events(path: &Path) -> BTreeMap<String, String> {
+    let text = std::fs::read_to_string(path).unwrap();
+    let mut keys = BTreeMap::new();
+    for line in text.lines() {
+        let event: Value = serde_json::from_str(line).unwrap();
+        let object = event.as_object().expect("an event is an object");
+        let kind = object["event"].as_str().unwrap().to_string();
+        if !EVENTS_OF_EVERY_RUN.contains(&kind.as_str()) {
+            continue;
+        }
+        let names: Vec<&str> = object.keys().map(String::as_str).collect();
+        keys.entry(kind).or_insert_with(|| names.join(" "));
+    }
+    keys
+}
+
+#[test]
+fn a_run_leaves_files_with_the_recorded_names_and_keys() {
+    let out = folder("run");
+    let out_text = out.to_string_lossy().into_owned();
+    output_of(&["lab", "run", "scenario.toml", "--quiet", "--out", &out_text]);
+    let run = out.join("scenario/relays/seed-1");
+    let mut names: Vec<String> = std::fs::read_dir(&run)
+        .unwrap()
+        .map(|entry| entry.unwrap().file_name().to_string_lossy().into_owned())
+        .collect();
+    names.sort();
+    let mut recording = format!("files: {}\n", names.join(" "));
+    for file in ["summary.json", "relay-0.json"] {
+        writeln!(recording, "{file}").unwrap();
+        for key in keys_of_file(&run.join(file)) {
+            writeln!(recording, "    {key}").unwrap();
+        }
+    }
+    writeln!(recording, "events.jsonl").unwrap();
+    for (kind, keys) in keys_of_events(&run.join("events.jsonl")) {
+        writeln!(recording, "    {kind}: {keys}").unwrap();
+    }
+    std::fs::remove_dir_all(out).unwrap();
+    assert_unchanged("run_files.txt", &recording);
+}
+
+#[test]
+fn a_simulated_fleet_leaves_files_with_the_recorded_names_and_keys() {
+    let out = folder("scale");
+    let out_text = out.to_string_lossy().into_owned();
+    let sizes = ["--relays", "6", "--subjects", "12", "--zones", "2"];
+    let shape = ["--first-region", "1", "--rack", "2", "--calm", "2"];
+    let how = ["--simulated", "--quiet", "--out", &out_text];
+    let arguments = [&["lab", "scale"], &sizes[..], &shape, &how].concat();
+    output_of(&arguments);
+    let mut files: Vec<PathBuf> = std::fs::read_dir(&out)
+        .unwrap()
+        .map(|entry| entry.unwrap().path())
+        .collect();
+    files.sort();
+    let mut recording = String::new();
+    for file in &files {
+        let name = file.file_name().unwrap().to_string_lossy();
+        writeln!(recording, "{name}").unwrap();
+        if file.extension().is_some_and(|ending| ending == "json") {
+            for key in keys_of_file(file) {
+                writeln!(recording, "    {key}").unwrap();
+            }
+        }
+    }
+    std::fs::remove_dir_all(out).unwrap();
+    assert_unchanged("scale_files.txt", &recording);
+}
