--- a/facts/tests/golden.rs
+++ b/facts/tests/golden.rs
@@ -174,6 +174,40 @@
     }
 }
 
+#[test]
+fn figures_are_read_in_the_units_of_the_settings() {
+    let site = thistlecroft_facts::read(every_key().to_string().as_bytes()).unwrap();
+    let deployment = site.deployment;
+    let microseconds = [
+        (deployment.tick, 2_000),
+        (deployment.connect_timeout, 50_000),
+        (deployment.shortest_target, 50_000),
+        (deployment.ask_within.unwrap(), 5_000_000),
+        (deployment.cold.warm_up, 9_000_000),
+        (deployment.cold.window, 3_000_000),
+        (deployment.ration.unwrap().window, 1_000_000),
+        (deployment.routes[0].handshake_target, 300_000),
+        (deployment.routes[0].longest_retry_after, 2_000_000),
+        (deployment.stop_within, 3_100_000),
+        (site.waits[1], 2_400_000),
+        (site.idle, 9_000_000),
+        (site.grace, 2_000_000),
+    ];
+    for (place, (span, expected)) in microseconds.into_iter().enumerate() {
+        assert_eq!(span.us(), expected, "row {place}");
+    }
+    let ration = deployment.ration.unwrap();
+    assert_eq!((ration.free, ration.share), (10.0, 0.1));
+    let cold = deployment.cold;
+    assert_eq!((cold.start_share, cold.factor), (0.3, 3.0));
+    let prices = [
+        deployment.crossing_price,
+        deployment.move_price,
+        deployment.probe_price,
+    ];
+    assert_eq!(prices, [0.1, 0.2, 0.3]);
+}
+
 #[test]
 fn a_required_key_that_is_missing_is_named() {
     for path in REQUIRED {
