--- a/experiments/tests/golden.rs
+++ b/experiments/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use std::fmt::Write;
 use std::path::{Path, PathBuf};
-use thistlecroft_lab::scale::Budget;
-use thistlecroft_lab::scenario::Scenario;
+use thistlecroft_experiments::scale::Budget;
+use thistlecroft_experiments::scenario::Scenario;
 
 fn assert_unchanged(file: &str, actual: &str) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
--- a/operator_config/tests/golden.rs
+++ b/operator_config/tests/golden.rs
@@ -4,10 +4,12 @@
 
 use std::fmt::Write;
 use std::path::Path;
-use thistlecroft::deployment::{Effect, Route, Scope};
-use thistlecroft::units::Span;
-use thistlecroft_charter::keys::SECTIONS;
-use thistlecroft_charter::{Charter, Circumstances, Fault, Lanes, ListenerFacts, Origin};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency, Route};
+use thistlecroft::time::Duration;
+use thistlecroft_operator_config::keys::SECTIONS;
+use thistlecroft_operator_config::{
+    ConfigError, LimitsIds, ListenerDefaults, OperatorConfig, RelayContext, ValueOrigin,
+};
 
 const EXAMPLE: &str = include_str!("../../deploy/charter.example.toml");
 const PEERS: &str = include_str!("../../deploy/charter.peers.toml");
@@ -20,62 +22,62 @@
 }
 
 /// A relay with the listeners of the shipped example, and some of other effects.
-fn circumstances() -> Circumstances {
-    let listener = |name: &str, effect| ListenerFacts {
+fn circumstances() -> RelayContext {
+    let listener = |name: &str, effect| ListenerDefaults {
         name: name.into(),
-        wait: Span::from_ms(4_800),
-        row: Route {
-            handshake_target: Span::from_ms(300),
-            effect,
-            connect_timeout: Span::from_ms(50),
-            max_dials: 3,
-            patience: 4.0,
-            base: Span::from_ms(1_000),
-            cap: Span::from_ms(30_000),
-            cool_down: Span::from_ms(5_000),
-            longest_retry_after: Span::from_ms(2_000),
+        client_timeout: Duration::from_millis(4_800),
+        route: Route {
+            handshake_objective: Duration::from_millis(300),
+            idempotency: effect,
+            connect_timeout: Duration::from_millis(50),
+            max_attempts: 3,
+            attempt_timeout_factor: 4.0,
+            backoff_base: Duration::from_millis(1_000),
+            backoff_cap: Duration::from_millis(30_000),
+            stable_after: Duration::from_millis(5_000),
+            max_retry_after: Duration::from_millis(2_000),
             ..Route::default()
         },
     };
-    let referenced = Effect::Referenced {
-        scope: Scope::Zone,
-        window: Span::from_ms(500),
+    let referenced = Idempotency::Keyed {
+        scope: DeduplicationScope::Zone,
+        window: Duration::from_millis(500),
     };
-    Circumstances {
+    RelayContext {
         listeners: vec![
-            listener("slot-hold", Effect::Repeatable),
-            listener("slot-view", Effect::Repeatable),
-            listener("queue-view", Effect::Repeatable),
-            listener("pay", Effect::OnceOnly),
+            listener("slot-hold", Idempotency::Idempotent),
+            listener("slot-view", Idempotency::Idempotent),
+            listener("queue-view", Idempotency::Idempotent),
+            listener("pay", Idempotency::NonIdempotent),
             listener("book", referenced),
         ],
         zones: vec!["ikeja".into(), "lekki".into()],
         zone: 1,
-        two_dials: true,
-        peers: true,
+        may_hedge: true,
+        may_use_peers: true,
         descriptors: 200,
     }
 }
 
-fn listed(faults: &[Fault]) -> String {
+fn listed(faults: &[ConfigError]) -> String {
     let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 /// Every value in force and where it is from, a line each.
 fn values_in_force(text: &str) -> String {
-    let charter = Charter::parse("charter.toml", text).unwrap_or_else(|faults| {
+    let charter = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|faults| {
         panic!("{}", listed(&faults));
     });
     let routing = charter
-        .against(&circumstances(), &mut Lanes::default())
+        .resolve(&circumstances(), &mut LimitsIds::default())
         .unwrap_or_else(|faults| panic!("{}", listed(&faults)));
     let mut lines = String::new();
-    for told in routing.told() {
+    for told in routing.effective_values() {
         let origin = match told.origin {
-            Origin::File(line) => format!("line {line}"),
-            Origin::Settings => "settings".into(),
-            Origin::BuiltIn => "built in".into(),
+            ValueOrigin::File(line) => format!("line {line}"),
+            ValueOrigin::Settings => "settings".into(),
+            ValueOrigin::BuiltIn => "built in".into(),
         };
         let place = format!("{} / {}", told.route, told.listener);
         writeln!(lines, "{place}: {} = {} ({origin})", told.key, told.value).unwrap();
@@ -85,22 +87,22 @@
 
 /// What holds between relays, a line for each key.
 fn peering_in_force(text: &str) -> String {
-    let charter = Charter::parse("charter.toml", text).unwrap_or_else(|faults| {
+    let charter = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|faults| {
         panic!("{}", listed(&faults));
     });
-    let peering = charter.peering(&circumstances()).unwrap().unwrap();
+    let peering = charter.peers_config(&circumstances()).unwrap().unwrap();
     [
         format!("fleet = {}", peering.fleet),
         format!("listen = {}", peering.listen),
         format!("advertise = {}", peering.advertise),
         format!("key_file = {}", peering.key_file),
         format!("seeds = {:?}", peering.seeds),
-        format!("period = {} us", peering.period.us()),
+        format!("period = {} us", peering.period.as_micros()),
         format!("rate = {}", peering.rate),
         format!("voters = {:?}", peering.voters),
         format!("voters_before = {:?}", peering.voters_before),
         format!("generation = {}", peering.generation),
-        format!("lease = {} us\n", peering.lease.us()),
+        format!("lease = {} us\n", peering.lease.as_micros()),
     ]
     .join("\n")
 }
@@ -129,14 +131,14 @@
 fn a_session_is_matched_by_listener_zone_key_and_group_together() {
     const KEY: u64 = 0x7f3a_0000_0000_0001;
     const GROUP: u64 = 0xff;
-    let charter = Charter::parse("charter.toml", EVERY_ROUTE_KEY).unwrap();
+    let charter = OperatorConfig::parse("charter.toml", EVERY_ROUTE_KEY).unwrap();
     let dials = |zone, listener, key, group| {
-        let there = Circumstances {
+        let there = RelayContext {
             zone,
             ..circumstances()
         };
-        let routing = charter.against(&there, &mut Lanes::default()).unwrap();
-        routing.rows()[routing.find(listener, key, group)].max_dials
+        let routing = charter.resolve(&there, &mut LimitsIds::default()).unwrap();
+        routing.rows()[routing.route_for(listener, key, group)].max_attempts
     };
     assert_eq!(dials(1, 0, KEY, Some(GROUP)), 2, "all four hold");
     assert_eq!(dials(0, 0, KEY, Some(GROUP)), 3, "another zone");
@@ -163,7 +165,7 @@
 
 /// What is said of this text by itself, which has to be refused.
 fn refusal(text: &str) -> String {
-    match Charter::parse("charter.toml", text) {
+    match OperatorConfig::parse("charter.toml", text) {
         Ok(_) => panic!("accepted:\n{text}"),
         Err(faults) => listed(&faults),
     }
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -6,7 +6,7 @@
 use std::fmt::Write;
 use std::net::SocketAddr;
 use std::path::Path;
-use thistlecroft::units::{Moment, Span};
+use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::facts::FactRow;
 use thistlecroft_peers::identity::Row;
 use thistlecroft_peers::wire::{Body, Datagram, FORMAT, Seal};
@@ -14,7 +14,7 @@
 
 const FLEET: &str = "golden";
 const SECRET: &[u8] = b"sixteen bytes or more";
-const PERIOD: Span = Span::from_ms(200);
+const PERIOD: Duration = Duration::from_millis(200);
 
 fn assert_unchanged(file: &str, actual: &str) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
@@ -184,7 +184,7 @@
 struct Fleet {
     nodes: Vec<Node>,
     down: Option<usize>,
-    now: Moment,
+    now: Instant,
     recording: String,
 }
 
@@ -196,7 +196,7 @@
             pace: Pace { period: PERIOD },
             rate: 32_768,
         };
-        let now = Moment::from_us(1_000_000_000);
+        let now = Instant::from_micros(1_000_000_000);
         let node = |number: u8| {
             let id = Identity::new(&format!("relay-{number}"), u64::from(number) * 1_000);
             let seeds = vec![address(1)];
@@ -232,7 +232,7 @@
                 if self.down == Some(sender) {
                     continue;
                 }
-                let at = self.now.us() / 1_000;
+                let at = self.now.as_micros() / 1_000;
                 let from = address(sender as u8 + 1);
                 writeln!(self.recording, "{at} ms {from} {to} {}", hex(&bytes)).unwrap();
                 let receiver = (0..self.nodes.len()).find(|one| address(*one as u8 + 1) == to);
@@ -243,7 +243,7 @@
         }
     }
 
-    fn run_for(&mut self, time: Span) {
+    fn run_for(&mut self, time: Duration) {
         let end = self.now + time;
         while self.now < end {
             for node in &mut self.nodes {
@@ -252,7 +252,7 @@
                 }
             }
             self.deliver_all();
-            self.now = self.now + Span::from_ms(10);
+            self.now = self.now + Duration::from_millis(10);
         }
     }
 }
--- a/settings/tests/golden.rs
+++ b/settings/tests/golden.rs
@@ -139,11 +139,17 @@
 
 /// What a text was read as; only ever compared with another one of the same build.
 fn read_as(settings: &Value) -> Result<String, String> {
-    let site = thistlecroft_facts::read(settings.to_string().as_bytes())?;
-    let places = site.places;
+    let site = thistlecroft_settings::parse(settings.to_string().as_bytes())?;
+    let places = site.report_fields;
     let text = format!("{:?} {:?}", site.deployment, site.zones)
-        + &format!("{:?} {:?} {:?}", site.listeners, site.waits, site.idle)
-        + &format!("{:?} {} {}", site.grace, site.peers, site.notes_tell_delay)
+        + &format!(
+            "{:?} {:?} {:?}",
+            site.listeners, site.client_timeouts, site.backend_idle_timeout
+        )
+        + &format!(
+            "{:?} {} {}",
+            site.drain_grace, site.may_use_peers, site.notes_carry_latency
+        )
         + &format!("{:?} {:?}", places.connections, places.load)
         + &format!("{}", places.weight(7.0));
     Ok(text)
@@ -176,34 +182,34 @@
 
 #[test]
 fn figures_are_read_in_the_units_of_the_settings() {
-    let site = thistlecroft_facts::read(every_key().to_string().as_bytes()).unwrap();
+    let site = thistlecroft_settings::parse(every_key().to_string().as_bytes()).unwrap();
     let deployment = site.deployment;
     let microseconds = [
         (deployment.tick, 2_000),
         (deployment.connect_timeout, 50_000),
-        (deployment.shortest_target, 50_000),
-        (deployment.ask_within.unwrap(), 5_000_000),
-        (deployment.cold.warm_up, 9_000_000),
-        (deployment.cold.window, 3_000_000),
-        (deployment.ration.unwrap().window, 1_000_000),
-        (deployment.routes[0].handshake_target, 300_000),
-        (deployment.routes[0].longest_retry_after, 2_000_000),
-        (deployment.stop_within, 3_100_000),
-        (site.waits[1], 2_400_000),
-        (site.idle, 9_000_000),
-        (site.grace, 2_000_000),
+        (deployment.message_objective, 50_000),
+        (deployment.poll_within.unwrap(), 5_000_000),
+        (deployment.slow_start.warm_up, 9_000_000),
+        (deployment.slow_start.window, 3_000_000),
+        (deployment.retry_budget.unwrap().window, 1_000_000),
+        (deployment.routes[0].handshake_objective, 300_000),
+        (deployment.routes[0].max_retry_after, 2_000_000),
+        (deployment.shutdown_timeout, 3_100_000),
+        (site.client_timeouts[1], 2_400_000),
+        (site.backend_idle_timeout, 9_000_000),
+        (site.drain_grace, 2_000_000),
     ];
     for (place, (span, expected)) in microseconds.into_iter().enumerate() {
-        assert_eq!(span.us(), expected, "row {place}");
+        assert_eq!(span.as_micros(), expected, "row {place}");
     }
-    let ration = deployment.ration.unwrap();
+    let ration = deployment.retry_budget.unwrap();
     assert_eq!((ration.free, ration.share), (10.0, 0.1));
-    let cold = deployment.cold;
-    assert_eq!((cold.start_share, cold.factor), (0.3, 3.0));
+    let cold = deployment.slow_start;
+    assert_eq!((cold.initial_share, cold.overload_factor), (0.3, 3.0));
     let prices = [
-        deployment.crossing_price,
-        deployment.move_price,
-        deployment.probe_price,
+        deployment.cross_zone_cost,
+        deployment.migration_cost,
+        deployment.health_check_cost,
     ];
     assert_eq!(prices, [0.1, 0.2, 0.3]);
 }
