--- /dev/null
+++ b/cli/src/check.rs
@@ -0,0 +1,234 @@
+//! `thistlecroft check`: whether files are sound, without running anything.
+use crate::error::CommandError;
+use clap::Args;
+use std::path::{Path, PathBuf};
+use thistlecroft_experiments::scale::Budget;
+use thistlecroft_experiments::scenario::Scenario;
+use thistlecroft_operator_config::{
+    ConfigError, DEFAULT_ROUTE, EffectiveValue, LimitsIds, OperatorConfig, RelayContext,
+    RouteTable, ValueOrigin,
+};
+use thistlecroft_relay::{StartupConfig, read_file, relay_context};
+
+#[derive(Args)]
+pub(crate) struct CheckArgs {
+    #[arg(required = true)]
+    files: Vec<PathBuf>,
+    /// Hold operator configurations against this relay's configuration, as a relay does at its
+    /// start.
+    #[arg(long, env = "ROUTER_CONFIG")]
+    config: Option<PathBuf>,
+    /// Print every value in force and where it is from.
+    #[arg(long)]
+    effective: bool,
+    /// Two files of a kind, the one in force and a later one: print what a running relay takes up
+    /// on SIGHUP, and what needs a restart.
+    #[arg(long)]
+    against: bool,
+}
+
+/// A file without an error.
+enum CheckedFile {
+    Configuration(Box<StartupConfig>),
+    Scenario(Box<Scenario>),
+    OperatorConfig {
+        config: Box<OperatorConfig>,
+        /// Its routes for the relay that `--config` names.
+        routes: Option<RouteTable>,
+    },
+    Budget(Budget),
+}
+
+/// Checks every file; each error is a line.
+pub(crate) fn run(args: &CheckArgs) -> Result<(), CommandError> {
+    let context = match &args.config {
+        Some(path) => Some(read_context(path)?),
+        None => None,
+    };
+    let mut errors = Vec::new();
+    let mut checked_files = Vec::new();
+    let mut limits_ids = LimitsIds::default();
+    for path in &args.files {
+        match read(path, context.as_ref(), &mut limits_ids) {
+            Ok(checked) => {
+                println!("{}: {}", path.display(), describe(&checked));
+                if args.effective {
+                    print_effective_values(&checked)?;
+                }
+                checked_files.push(checked);
+            }
+            Err(more) => errors.extend(more),
+        }
+    }
+    if !errors.is_empty() {
+        return Err(CommandError::InvalidInput(CommandError::lines(&errors)));
+    }
+    if args.against {
+        return print_changes(&checked_files);
+    }
+    Ok(())
+}
+
+fn read_context(path: &Path) -> Result<RelayContext, CommandError> {
+    let config = read_file(&path.to_string_lossy()).map_err(CommandError::invalid)?;
+    Ok(relay_context(&config.site, config.sockets))
+}
+
+fn lines(errors: Vec<ConfigError>) -> Vec<String> {
+    errors.iter().map(ToString::to_string).collect()
+}
+
+fn read(
+    path: &Path,
+    context: Option<&RelayContext>,
+    limits_ids: &mut LimitsIds,
+) -> Result<CheckedFile, Vec<String>> {
+    let name = path.to_string_lossy();
+    if path.extension().is_none_or(|extension| extension != "toml") {
+        return read_file(&name)
+            .map(|config| CheckedFile::Configuration(Box::new(config)))
+            .map_err(|error| vec![error.to_string()]);
+    }
+    let text = std::fs::read_to_string(path).map_err(|error| vec![format!("{name}: {error}")])?;
+    if is_scenario(&text) {
+        let scenario = Scenario::parse(&name, &text).map_err(|error| vec![error.to_string()])?;
+        return Ok(CheckedFile::Scenario(Box::new(scenario)));
+    }
+    if Budget::is_one(&text) {
+        let budget = Budget::parse(&text).map_err(|error| vec![format!("{name}: {error}")])?;
+        return Ok(CheckedFile::Budget(budget));
+    }
+    let config = OperatorConfig::parse(&name, &text).map_err(lines)?;
+    let routes = context
+        .map(|context| config.resolve(context, limits_ids))
+        .transpose()
+        .map_err(lines)?;
+    Ok(CheckedFile::OperatorConfig {
+        config: Box::new(config),
+        routes,
+    })
+}
+
+/// A scenario says how long it is; an operator configuration never does.
+fn is_scenario(text: &str) -> bool {
+    text.lines().any(|line| line.starts_with("length")) || text.contains("[[listener]]")
+}
+
+fn describe(checked: &CheckedFile) -> String {
+    match checked {
+        CheckedFile::Configuration(config) => format!(
+            "a relay's configuration: {} at {}, listeners {}",
+            config.name,
+            config.listen,
+            config.site.listeners.join(", ")
+        ),
+        CheckedFile::Scenario(scenario) => format!(
+            "a scenario: {} relays, {} boxes, {} faults",
+            scenario.relays.count,
+            scenario.fleet.boxes,
+            scenario.faults.len()
+        ),
+        CheckedFile::OperatorConfig { config, routes } => {
+            let soundness = match routes {
+                Some(_) => "sound for this configuration",
+                None => "sound by itself; --config holds it against a relay's configuration",
+            };
+            let routes = config.routes.len();
+            format!("an operator configuration: {routes} routes, {soundness}")
+        }
+        CheckedFile::Budget(budget) => {
+            format!("a budget for lab scale: {} limits", budget.limits())
+        }
+    }
+}
+
+fn print_effective_values(checked: &CheckedFile) -> Result<(), CommandError> {
+    let CheckedFile::OperatorConfig { routes, .. } = checked else {
+        return Ok(());
+    };
+    let Some(routes) = routes else {
+        return Err(CommandError::invalid(
+            "--effective needs --config: what holds depends on it",
+        ));
+    };
+    let mut previous: Option<&EffectiveValue> = None;
+    for value in routes.effective_values() {
+        let is_same_row =
+            previous.is_some_and(|row| row.route == value.route && row.listener == value.listener);
+        if !is_same_row {
+            let route = match value.route.as_str() {
+                DEFAULT_ROUTE => "sessions that no route matches",
+                name => name,
+            };
+            println!("  {route}, listener {}", value.listener);
+        }
+        let origin = match value.origin {
+            ValueOrigin::File(line) => format!("line {line}"),
+            ValueOrigin::Settings => "settings".into(),
+            ValueOrigin::BuiltIn => "built in".into(),
+        };
+        println!("    {:<18} {:<60} {origin}", value.key, value.value);
+        previous = Some(value);
+    }
+    Ok(())
+}
+
+fn print_changes(checked_files: &[CheckedFile]) -> Result<(), CommandError> {
+    match checked_files {
+        [
+            CheckedFile::OperatorConfig {
+                routes: Some(old), ..
+            },
+            CheckedFile::OperatorConfig {
+                routes: Some(new), ..
+            },
+        ] => {
+            print_route_changes(old, new);
+            Ok(())
+        }
+        [
+            CheckedFile::OperatorConfig { .. },
+            CheckedFile::OperatorConfig { .. },
+        ] => Err(CommandError::invalid(
+            "--against needs --config for operator configurations: what they change depends on it",
+        )),
+        [
+            CheckedFile::Configuration(old),
+            CheckedFile::Configuration(new),
+        ] => {
+            print_configuration_changes(old, new);
+            Ok(())
+        }
+        _ => Err(CommandError::invalid(
+            "--against compares two operator configurations, or two configurations",
+        )),
+    }
+}
+
+fn print_route_changes(old: &RouteTable, new: &RouteTable) {
+    let changes = old.changes_to(new);
+    println!("taken up on SIGHUP, by the sessions that come from then on:");
+    for change in &changes {
+        println!("  {change}");
+    }
+    if changes.is_empty() {
+        println!("  nothing: both say the same");
+    }
+    println!("needs a restart: nothing");
+}
+
+fn print_configuration_changes(old: &StartupConfig, new: &StartupConfig) {
+    let discovery = if old.discovery == new.discovery {
+        "nothing".into()
+    } else {
+        new.discovery.to_string()
+    };
+    println!("taken up on SIGHUP: discovery: {discovery}");
+    let keys = old.origin.differs(&new.origin);
+    let keys = if keys.is_empty() {
+        "nothing".into()
+    } else {
+        keys.join(", ")
+    };
+    println!("needs a restart: {keys}");
+}
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -1,61 +1,95 @@
-//! `thistlecroft demo`: a live picture of two relays among failing boxes, and one line at its end.
-use crate::experiments::{interrupted, own_relay};
-use crate::{End, shipped};
+//! `thistlecroft demo`: a live picture of two relays among failing backends, and one line at its
+//! end.
+use crate::error::CommandError;
+use crate::interrupt::interrupt_flag;
+use crate::own_program::own_relay;
+use crate::shipped;
+use clap::Args;
 use std::fmt::Write;
 use std::io::IsTerminal;
 use std::sync::atomic::Ordering;
 use thistlecroft_experiments::run::{Look, Way, run as run_once};
 use thistlecroft_experiments::scenario::Scenario;
 
-/// Characters of a full box's bar.
-const BAR: usize = 24;
+/// Characters of a full backend's bar.
+const BAR_WIDTH: usize = 24;
 
-pub fn run(seed: u64, plain: bool) -> Result<(), End> {
-    let text = shipped::text("demo").expect("shipped with the command");
-    let scenario = Scenario::parse("demo", text).map_err(|fault| End::Failed(fault.to_string()))?;
+#[derive(Args)]
+pub(crate) struct DemoArgs {
+    #[arg(long, default_value_t = 1)]
+    seed: u64,
+    /// One line a second, even where the output is a terminal.
+    #[arg(long)]
+    plain: bool,
+}
+
+pub(crate) fn run(args: &DemoArgs) -> Result<(), CommandError> {
+    let text = shipped::scenario_text("demo").expect("shipped with the command");
+    let scenario = Scenario::parse("demo", text).map_err(CommandError::failed)?;
     let way = Way {
         name: "relays".into(),
         baseline: None,
         relay: own_relay()?,
         chartered: true,
     };
-    let stop = interrupted();
+    let stop = interrupt_flag();
     let folder = std::env::temp_dir().join(format!("thistlecroft-demo-{}", std::process::id()));
-    let draws = std::io::stdout().is_terminal() && !plain;
-    let mut drawn = 0;
+    let mut display = Display::new(args.plain);
     println!("{}", scenario.about);
-    let mut watch = |look: &Look| {
-        let picture = picture(look, draws);
-        if drawn > 0 {
-            // Over the picture before.
-            print!("\x1b[{drawn}A\x1b[J");
-        }
-        print!("{picture}");
-        drawn = if draws { picture.lines().count() } else { 0 };
-    };
-    let done = run_once(&scenario, &way, seed, &folder, &stop, &mut watch);
-    let kept = done.as_ref().is_ok_and(|done| done.summary.kept());
-    if kept {
+    let mut on_look = |look: &Look| display.show(look);
+    let outcome = run_once(&scenario, &way, args.seed, &folder, &stop, &mut on_look);
+    let rules_kept = outcome.as_ref().is_ok_and(|outcome| outcome.summary.kept());
+    if rules_kept {
         // Of a demonstration that went well nothing need stay.
         let _ = std::fs::remove_dir_all(&folder);
     }
-    let summary = done.map_err(End::Failed)?.summary;
+    let summary = outcome.map_err(CommandError::failed)?.summary;
     println!("{}", summary.line());
-    if !kept {
+    if !rules_kept {
         println!("{}", summary.page());
-        return Err(End::Failed(format!(
+        return Err(CommandError::Failed(format!(
             "a rule was broken; what was seen is in {}",
             folder.display()
         )));
     }
     if stop.load(Ordering::Relaxed) {
-        return Err(End::Interrupted("interrupted".into()));
+        return Err(CommandError::Interrupted("interrupted".into()));
     }
     Ok(())
 }
 
-fn picture(look: &Look, whole: bool) -> String {
-    let mut text = format!(
+/// Shows the run on standard output: a picture drawn over the one before on a terminal, else a
+/// line at a time.
+struct Display {
+    draws_picture: bool,
+    lines_drawn: usize,
+}
+
+impl Display {
+    fn new(is_plain: bool) -> Display {
+        Display {
+            draws_picture: std::io::stdout().is_terminal() && !is_plain,
+            lines_drawn: 0,
+        }
+    }
+
+    fn show(&mut self, look: &Look) {
+        if !self.draws_picture {
+            println!("{}{}", totals(look), news(look));
+            return;
+        }
+        let picture = picture(look);
+        if self.lines_drawn > 0 {
+            // Up to where the picture before began, and clear from there.
+            print!("\x1b[{}A\x1b[J", self.lines_drawn);
+        }
+        print!("{picture}");
+        self.lines_drawn = picture.lines().count();
+    }
+}
+
+fn totals(look: &Look) -> String {
+    format!(
         "{:3.0} s  {} relays  standing {:>4}  accepted {:>5}  refused {:>4}  torn down {:>3}  moved {:>4}",
         look.at.as_secs_f64(),
         look.relays,
@@ -64,28 +98,30 @@
         look.busy,
         look.failed,
         look.moved
-    );
-    if !whole {
-        let news = if look.news.is_empty() {
-            String::new()
-        } else {
-            format!("  << {}", look.news.join(", "))
-        };
-        return text + &news + "\n";
+    )
+}
+
+fn news(look: &Look) -> String {
+    if look.news.is_empty() {
+        String::new()
+    } else {
+        format!("  << {}", look.news.join(", "))
     }
-    text.push('\n');
-    for (number, of) in look.boxes.iter().enumerate() {
-        let (bar, state) = match of {
-            Some((load, state)) => {
-                let full = ((load * BAR as f64).round() as usize).min(BAR);
-                (
-                    format!("{}{}", "#".repeat(full), ".".repeat(BAR - full)),
-                    format!("{load:5.2} {state}"),
-                )
-            }
-            None => (" ".repeat(BAR), "  not running".into()),
+}
+
+fn picture(look: &Look) -> String {
+    let mut picture = totals(look) + "\n";
+    for (number, backend) in look.boxes.iter().enumerate() {
+        let (bar, state) = match backend {
+            Some((load, state)) => (bar(*load), format!("{load:5.2} {state}")),
+            None => (" ".repeat(BAR_WIDTH), "  not running".into()),
         };
-        let _ = writeln!(text, "  box {number:>2} |{bar}| {state}");
+        let _ = writeln!(picture, "  backend {number:>2} |{bar}| {state}");
     }
-    text
+    picture
+}
+
+fn bar(load: f64) -> String {
+    let full = ((load * BAR_WIDTH as f64).round() as usize).min(BAR_WIDTH);
+    "#".repeat(full) + &".".repeat(BAR_WIDTH - full)
 }
--- /dev/null
+++ b/cli/src/experiment/measure_peers.rs
@@ -0,0 +1,81 @@
+//! `thistlecroft experiment peers`: how fast relays know of one another, and what it costs.
+use crate::error::CommandError;
+use crate::own_program::own_relay;
+use clap::Args;
+use std::path::PathBuf;
+use thistlecroft::time::Duration;
+use thistlecroft_experiments::peers::{self, Trial};
+
+/// A shorter probe period says little on a machine that many processes share.
+const MIN_PERIOD: Duration = Duration::from_millis(50);
+const MAX_LOSS: f64 = 0.9;
+const MIN_SIZE: usize = 2;
+const MAX_SIZE: usize = 2_000;
+
+#[derive(Args)]
+pub(crate) struct MeasurePeersArgs {
+    /// Sizes over simulated links.
+    #[arg(long, value_delimiter = ',', default_value = "12,48,200")]
+    simulated: Vec<usize>,
+    /// Sizes as processes.
+    #[arg(long, value_delimiter = ',')]
+    processes: Vec<usize>,
+    /// Parts of datagrams that are lost.
+    #[arg(long, value_delimiter = ',', default_value = "0")]
+    loss: Vec<f64>,
+    #[arg(long, default_value = "200ms")]
+    period: String,
+    #[arg(long, default_value_t = 1)]
+    seeds: u64,
+    #[arg(long, default_value = "found")]
+    out: PathBuf,
+}
+
+pub(crate) fn run(args: &MeasurePeersArgs) -> Result<(), CommandError> {
+    let period = args.checked_period()?;
+    args.check_ranges()?;
+    let mut results = peers::simulated_all(&args.trials(&args.simulated, period));
+    // One after the other: they share the machine's cores.
+    for trial in args.trials(&args.processes, period) {
+        let found =
+            peers::processes(trial, &own_relay()?, &args.out).map_err(CommandError::failed)?;
+        results.push((trial, found));
+    }
+    print!("{}", peers::table(&results));
+    Ok(())
+}
+
+impl MeasurePeersArgs {
+    fn checked_period(&self) -> Result<Duration, CommandError> {
+        Duration::parse(&self.period)
+            .filter(|period| *period >= MIN_PERIOD)
+            .ok_or_else(|| CommandError::invalid("--period: a span of 50ms or more"))
+    }
+
+    fn check_ranges(&self) -> Result<(), CommandError> {
+        if !self.loss.iter().all(|loss| (0.0..=MAX_LOSS).contains(loss)) {
+            return Err(CommandError::invalid("--loss: parts between 0 and 0.9"));
+        }
+        let mut sizes = self.simulated.iter().chain(&self.processes);
+        if !sizes.all(|size| (MIN_SIZE..=MAX_SIZE).contains(size)) {
+            return Err(CommandError::invalid("sizes are between 2 and 2000"));
+        }
+        Ok(())
+    }
+
+    /// Every size with every loss and seed, in this order.
+    fn trials(&self, sizes: &[usize], period: Duration) -> Vec<Trial> {
+        let mut trials = Vec::new();
+        for &size in sizes {
+            for &loss in &self.loss {
+                trials.extend((1..=self.seeds).map(|seed| Trial {
+                    size,
+                    loss,
+                    seed,
+                    period,
+                }));
+            }
+        }
+        trials
+    }
+}
--- /dev/null
+++ b/cli/src/experiment/report.rs
@@ -0,0 +1,52 @@
+//! `thistlecroft experiment report`: the figures of all runs in a folder, and a page that leads to
+//! them.
+use crate::error::CommandError;
+use std::path::Path;
+use thistlecroft_experiments::compare;
+use thistlecroft_experiments::summary::Summary;
+
+const PAGE_HEAD: &str = "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\">\
+    <title>Runs</title><style>body{font:15px sans-serif;margin:2em}\
+    td,th{padding:.2em .8em;text-align:left}</style><h1>Runs</h1><table>\
+    <tr><th>run<th>rules<th>utility served<th>set-up p99, ms<th>line p99, ms\n";
+const PAGE_END: &str = "</table></html>\n";
+
+pub(crate) fn run(folder: &Path) -> Result<(), CommandError> {
+    let summaries = compare::read(folder).map_err(CommandError::invalid)?;
+    let mut page = PAGE_HEAD.to_string();
+    for summary in &summaries {
+        println!("{}", summary.page());
+        page += &table_row(folder, summary);
+    }
+    page += PAGE_END;
+    let path = folder.join("index.html");
+    std::fs::write(&path, page)
+        .map_err(|error| CommandError::Failed(format!("{}: {error}", path.display())))?;
+    println!("{} runs; {}", summaries.len(), path.display());
+    Ok(())
+}
+
+fn table_row(folder: &Path, summary: &Summary) -> String {
+    format!(
+        "<tr><td><a href=\"{}\">{} / {} / {}</a><td>{}<td>{:.3}<td>{:.1}<td>{:.1}\n",
+        report_link(folder, summary),
+        summary.scenario,
+        summary.way,
+        summary.seed,
+        summary.line(),
+        summary.served,
+        summary.set_up.p99,
+        summary.lines.p99
+    )
+}
+
+/// Where the run's own report lies below the folder, which may be that of all scenarios, of one
+/// scenario, or of one run.
+fn report_link(folder: &Path, summary: &Summary) -> String {
+    let in_scenario = format!("{}/seed-{}/report.html", summary.way, summary.seed);
+    let in_all = format!("{}/{in_scenario}", summary.scenario);
+    let link = [in_all, in_scenario]
+        .into_iter()
+        .find(|path| folder.join(path).exists());
+    link.unwrap_or_else(|| "report.html".into())
+}
--- /dev/null
+++ b/cli/src/experiment/saturate.rs
@@ -0,0 +1,35 @@
+//! `thistlecroft experiment saturate`: the rate at which the testbed itself is too slow.
+use crate::error::CommandError;
+use crate::interrupt::interrupt_flag;
+use std::path::Path;
+use thistlecroft_experiments::saturate::saturate;
+use thistlecroft_experiments::summary::Summary;
+
+/// Seconds that each rate is held.
+const STEP_SECONDS: f64 = 4.0;
+
+pub(crate) fn run(out: &Path) -> Result<(), CommandError> {
+    let stop = interrupt_flag();
+    let steps = saturate(out, &stop, &mut print_step).map_err(CommandError::failed)?;
+    let best = steps
+        .iter()
+        .filter(|(_, summary)| !summary.tool_was_late)
+        .map(|(rate, _)| *rate)
+        .fold(0.0, f64::max);
+    println!("in time up to {best:.0} set-ups a second, without a relay between");
+    Ok(())
+}
+
+fn print_step(rate: f64, summary: &Summary) {
+    let lateness = if summary.tool_was_late {
+        "  too late"
+    } else {
+        ""
+    };
+    println!(
+        "{rate:8.0} set-ups a second: {:8.0} done, late by p99 {:8.2} ms, busiest thread {:3.0}%{lateness}",
+        summary.up as f64 / STEP_SECONDS,
+        summary.tool_late.p99,
+        summary.tool_busy * 100.0,
+    );
+}
--- a/cli/src/scale.rs
+++ b/cli/src/experiment/scale.rs
@@ -1,15 +1,15 @@
-//! `thistlecroft lab scale`: fleets of hollow relays, measured and held to a budget.
-use crate::End;
-use crate::experiments::{own_program, own_relay};
+//! `thistlecroft experiment scale`: fleets of hollow relays, measured and held to a budget.
+use crate::error::CommandError;
+use crate::own_program::{own_program, own_relay};
 use crate::shipped;
 use clap::{Args, ValueEnum};
 use std::path::{Path, PathBuf};
 use thistlecroft_experiments::scale::{
-    Budget, Fault, Outcome, Programs, ScaleConfig, Variable, run, slope_table, slopes, sweep,
+    Budget, Fault, Outcome, Programs, ScaleConfig, run as run_fleet,
 };
 
 #[derive(Args)]
-pub struct ScaleArgs {
+pub(crate) struct ScaleArgs {
     /// Hollow relays.
     #[arg(long, default_value_t = 100)]
     relays: usize,
@@ -81,24 +81,29 @@
     Region,
 }
 
-/// Subjects of a relay in the fleet that is coming.
-const SUBJECTS_EACH: usize = 66;
-
-impl ScaleArgs {
-    fn config(&self) -> ScaleConfig {
-        let fault = match self.fault {
+impl From<FaultName> for Fault {
+    fn from(name: FaultName) -> Fault {
+        match name {
             FaultName::None => Fault::None,
             FaultName::Relay => Fault::Relay,
             FaultName::Rack => Fault::Rack,
             FaultName::Zone => Fault::Zone,
             FaultName::Voter => Fault::Voter,
             FaultName::Region => Fault::Region,
-        };
+        }
+    }
+}
+
+/// Subjects of each relay, unless the command line gives their number.
+const SUBJECTS_PER_RELAY: usize = 66;
+
+impl ScaleArgs {
+    pub(crate) fn config(&self) -> ScaleConfig {
         ScaleConfig {
             relays: self.relays,
             subjects: self
                 .subjects
-                .unwrap_or(self.relays.saturating_mul(SUBJECTS_EACH)),
+                .unwrap_or(self.relays.saturating_mul(SUBJECTS_PER_RELAY)),
             voters: self.voters,
             period_ms: self.period,
             term_ms: self.term,
@@ -107,7 +112,7 @@
             zones: self.zones,
             first_region: self.first_region,
             rack: self.rack,
-            fault,
+            fault: self.fault.into(),
             calm_s: self.calm,
             cut_s: self.cut,
             loss: self.loss,
@@ -118,112 +123,60 @@
         }
     }
 
-    fn budget(&self) -> Result<Option<Budget>, End> {
+    pub(crate) fn print_progress(&self, line: &str) {
+        if !self.quiet {
+            eprintln!("{line}");
+        }
+    }
+
+    fn read_budget(&self) -> Result<Option<Budget>, CommandError> {
         let Some(name) = &self.budget else {
             return Ok(None);
         };
-        let text = match shipped::budget(name) {
+        let invalid =
+            |error: &dyn std::fmt::Display| CommandError::InvalidInput(format!("{name}: {error}"));
+        let text = match shipped::budget_text(name) {
             Some(text) => text.to_string(),
-            None => std::fs::read_to_string(name)
-                .map_err(|fault| End::Wrong(format!("{name}: {fault}")))?,
+            None => std::fs::read_to_string(name).map_err(|error| invalid(&error))?,
         };
-        Budget::parse(&text)
-            .map(Some)
-            .map_err(|fault| End::Wrong(format!("{name}: {fault}")))
+        let budget = Budget::parse(&text).map_err(|error| invalid(&error))?;
+        Ok(Some(budget))
     }
 }
 
-fn programs() -> Result<Programs, End> {
+/// The command lines of the fleet's processes.
+pub(crate) fn programs() -> Result<Programs, CommandError> {
     Ok(Programs {
-        hollow: own_program(&["lab", "hollow"])?,
+        hollow: own_program(&["experiment", "hollow"])?,
         relay: own_relay()?,
     })
 }
 
-pub fn scale(args: &ScaleArgs) -> Result<(), End> {
+pub(crate) fn run(args: &ScaleArgs) -> Result<(), CommandError> {
     let config = args.config();
-    config.validate().map_err(End::Wrong)?;
-    let budget = args.budget()?;
-    let mut progress = |line: &str| {
-        if !args.quiet {
-            eprintln!("{line}");
-        }
-    };
-    let outcome = run(&config, &programs()?, &mut progress).map_err(End::Failed)?;
+    config.validate().map_err(CommandError::invalid)?;
+    let budget = args.read_budget()?;
+    let mut progress = |line: &str| args.print_progress(line);
+    let outcome = run_fleet(&config, &programs()?, &mut progress).map_err(CommandError::failed)?;
     let table = outcome.table();
     print!("{table}");
-    save(&outcome, &table, &args.out).map_err(End::Failed)?;
+    save(&outcome, &table, &args.out)?;
     let violations = budget.map_or(Vec::new(), |budget| budget.check(&outcome));
     for violation in &violations {
         println!("over budget: {violation}");
     }
     match violations.len() {
         0 => Ok(()),
-        some => Err(End::Failed(format!(
-            "{some} limits of the budget were not kept"
+        count => Err(CommandError::Failed(format!(
+            "{count} limits of the budget were not kept"
         ))),
     }
 }
 
-/// What is varied.
-#[derive(Clone, Copy, Debug, ValueEnum)]
-enum VariableName {
-    Relays,
-    Subjects,
-    Voters,
-}
-
-#[derive(Args)]
-pub struct SlopeArgs {
-    /// What is varied; subjects are those of each relay.
-    #[arg(long, value_enum, default_value_t = VariableName::Relays)]
-    over: VariableName,
-    /// Its sizes.
-    #[arg(long, value_delimiter = ',', default_value = "25,50,100,200")]
-    at: Vec<usize>,
-    /// Runs at each size, each of a seed of its own.
-    #[arg(long, default_value_t = 3)]
-    seeds: u64,
-    #[command(flatten)]
-    scale: ScaleArgs,
-}
-
-pub fn slope(args: &SlopeArgs) -> Result<(), End> {
-    if args.at.len() < 2 || args.seeds == 0 {
-        return Err(End::Wrong(
-            "--at: two sizes or more; --seeds: one or more".into(),
-        ));
-    }
-    let (config, quiet) = (args.scale.config(), args.scale.quiet);
-    let variable = match args.over {
-        VariableName::Relays => Variable::Relays,
-        VariableName::Subjects => Variable::Subjects,
-        VariableName::Voters => Variable::Voters,
-    };
-    let mut progress = |line: &str| {
-        if !quiet {
-            eprintln!("{line}");
-        }
-    };
-    let all = sweep(
-        &config,
-        variable,
-        &args.at,
-        args.seeds,
-        &programs()?,
-        &mut progress,
-    )
-    .map_err(End::Failed)?;
-    print!(
-        "{}",
-        slope_table(&config, variable, args.seeds, &slopes(&all))
-    );
-    Ok(())
-}
-
-fn save(outcome: &Outcome, table: &str, out: &Path) -> Result<(), String> {
-    let at = |fault: std::io::Error| format!("{}: {fault}", out.display());
-    std::fs::create_dir_all(out).map_err(at)?;
-    std::fs::write(out.join("scale.txt"), table).map_err(at)?;
-    std::fs::write(out.join("scale.json"), outcome.json()).map_err(at)
+fn save(outcome: &Outcome, table: &str, folder: &Path) -> Result<(), CommandError> {
+    let failed =
+        |error: std::io::Error| CommandError::Failed(format!("{}: {error}", folder.display()));
+    std::fs::create_dir_all(folder).map_err(failed)?;
+    std::fs::write(folder.join("scale.txt"), table).map_err(failed)?;
+    std::fs::write(folder.join("scale.json"), outcome.json()).map_err(failed)
 }
--- a/cli/tests/golden.rs
+++ b/cli/tests/golden.rs
@@ -81,23 +81,23 @@
     &[],
     &["serve"],
     &["check"],
-    &["charter"],
-    &["charter", "reference"],
-    &["charter", "example"],
+    &["operator-config"],
+    &["operator-config", "reference"],
+    &["operator-config", "example"],
     &["demo"],
     &["peers"],
-    &["lab"],
-    &["lab", "run"],
-    &["lab", "compare"],
-    &["lab", "count"],
-    &["lab", "list"],
-    &["lab", "report"],
-    &["lab", "saturate"],
-    &["lab", "show"],
-    &["lab", "scale"],
-    &["lab", "slope"],
-    &["lab", "hollow"],
-    &["lab", "peers"],
+    &["experiment"],
+    &["experiment", "run"],
+    &["experiment", "compare"],
+    &["experiment", "count"],
+    &["experiment", "list"],
+    &["experiment", "report"],
+    &["experiment", "saturate"],
+    &["experiment", "show"],
+    &["experiment", "scale"],
+    &["experiment", "slope"],
+    &["experiment", "hollow"],
+    &["experiment", "peers"],
     &["completions"],
 ];
 
@@ -138,6 +138,42 @@
     assert_unchanged("verbs_and_flags.txt", &recording);
 }
 
+/// Verbs under their former names, each with the present one.
+const FORMER_VERBS: [(&str, &str); 2] = [("charter", "operator-config"), ("lab", "experiment")];
+
+#[test]
+fn former_verbs_print_the_help_of_their_present_names() {
+    for (former, present) in FORMER_VERBS {
+        let of_present = VERBS.iter().filter(|verb| verb.first() == Some(&present));
+        for verb in of_present {
+            let mut former_verb = verb.to_vec();
+            former_verb[0] = former;
+            let help = output_of(&[verb, ["-h"].as_slice()].concat());
+            assert_eq!(output_of(&[&former_verb[..], &["-h"]].concat()), help);
+        }
+        let overview = output_of(&["-h"]);
+        let line = overview.lines().find(|line| line.contains(present));
+        let line = line.unwrap_or_else(|| panic!("no line of {present}:\n{overview}"));
+        assert!(line.contains(&format!("`{former}`")), "{line}");
+    }
+}
+
+#[test]
+fn present_flag_and_variable_do_what_the_former_ones_do() {
+    let serve = ["serve", "--config", "config.json"];
+    let file = "charter-wrong.toml";
+    let flags =
+        ["--charter", "--operator-config"].map(|flag| run(&[&serve[..], &[flag, file]].concat()));
+    let variables = ["THISTLECROFT_CHARTER", "THISTLECROFT_OPERATOR_CONFIG"]
+        .map(|variable| command(&serve).env(variable, file).output().unwrap());
+    let complaints = text(&flags[0].stderr);
+    assert!(complaints.contains("route looking.dials"), "{complaints}");
+    for done in flags.iter().chain(&variables) {
+        assert_eq!(done.status.code(), Some(1));
+        assert_eq!(text(&done.stderr), complaints);
+    }
+}
+
 #[test]
 fn checks_and_mistakes_end_with_the_recorded_output_and_exit_code() {
     let cases: &[&[&str]] = &[
@@ -191,6 +227,7 @@
             "charter-wrong.toml",
         ],
         &["charter", "unheard-of"],
+        &["operator-config", "unheard-of"],
         &["demo", "--seed", "one"],
         &["peers"],
         &["peers", "nobody"],
@@ -278,7 +315,12 @@
         output_of(&["charter", "reference"]),
         file("docs/operate/charter-reference.md")
     );
+    for verb in ["example", "reference"] {
+        let present = output_of(&["operator-config", verb]);
+        assert_eq!(present, output_of(&["charter", verb]));
+    }
     let listed = output_of(&["lab", "list"]);
+    assert_eq!(listed, output_of(&["experiment", "list"]));
     let names: Vec<&str> = listed
         .lines()
         .filter_map(|line| line.split_whitespace().next())
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -40,8 +40,18 @@
         .map_err(|fault| vec![fault.to_string()])
 }
 
-/// The variable that names a charter.
-pub const CHARTER: &str = "THISTLECROFT_CHARTER";
+/// The environment variable that names the operator configuration.
+pub const OPERATOR_CONFIG_VARIABLE: &str = "THISTLECROFT_OPERATOR_CONFIG";
+
+/// The same variable's former name, which is read where the other is not set.
+const FORMER_OPERATOR_CONFIG_VARIABLE: &str = "THISTLECROFT_CHARTER";
+
+/// The path of the operator configuration that the environment names.
+pub fn operator_config_from_environment() -> Option<String> {
+    std::env::var(OPERATOR_CONFIG_VARIABLE)
+        .or_else(|_| std::env::var(FORMER_OPERATOR_CONFIG_VARIABLE))
+        .ok()
+}
 
 #[cfg(test)]
 mod tests;
