--- /dev/null
+++ b/cli/tests/command/peers.rs
@@ -0,0 +1,118 @@
+//! How relays see each other.
+use crate::helper::{TIMEOUT, folder, relay_configuration, run, start, text};
+use rustix::process::{Pid, Signal, kill_process};
+use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::path::PathBuf;
+use std::time::Instant;
+
+#[test]
+fn unreachable_relay_is_a_line_and_exit_code_one() {
+    let done = run(&["peers", "127.0.0.1:9"]);
+    let (output, complaints) = (text(&done.stdout), text(&done.stderr));
+    assert_eq!(done.status.code(), Some(1));
+    assert!(output.starts_with("127.0.0.1:9: "), "{output}");
+    assert!(
+        complaints.contains("1 of 1 relays did not say"),
+        "{complaints}"
+    );
+}
+
+#[test]
+fn wrong_arguments_end_with_exit_code_two() {
+    for wrong in [
+        ["peers", "nobody"].as_slice(),
+        &["peers"],
+        &["peers", "127.0.0.1:9", "--watch", "--every", "0"],
+    ] {
+        assert_eq!(run(wrong).status.code(), Some(2), "{wrong:?}");
+    }
+}
+
+/// The files of a relay that is alone in its fleet.
+struct LoneRelay {
+    folder: PathBuf,
+    admin: SocketAddr,
+    config: String,
+    operator_config: String,
+}
+
+impl LoneRelay {
+    fn new(name: &str) -> LoneRelay {
+        let folder = folder(name);
+        let [listen, admin] = ["127.0.0.9:0", "127.0.0.10:0"]
+            .map(|address| TcpListener::bind(address).unwrap().local_addr().unwrap());
+        let peers = UdpSocket::bind("127.0.0.9:0").unwrap();
+        let peers = peers.local_addr().unwrap();
+        let config = relay_configuration(&listen.to_string());
+        let mut config: serde_json::Value = serde_json::from_str(&config).unwrap();
+        config["admin_addr"] = admin.to_string().into();
+        config["settings"]["permissions"]["peers"] = true.into();
+        let key = folder.join("key");
+        std::fs::write(&key, "sixteen bytes or more\n").unwrap();
+        let operator_config = format!(
+            "[peers]\nfleet = \"t\"\nlisten = \"{peers}\"\nkey_file = \"{}\"\nvoters = \"r0\"\n",
+            key.display()
+        );
+        let write = |name: &str, text: String| {
+            let path = folder.join(name);
+            std::fs::write(&path, text).unwrap();
+            path.to_string_lossy().into_owned()
+        };
+        LoneRelay {
+            admin,
+            config: write("config.json", config.to_string()),
+            operator_config: write("operator_config.toml", operator_config),
+            folder,
+        }
+    }
+
+    fn shown(&self) -> String {
+        text(&run(&["peers", &self.admin.to_string()]).stdout)
+    }
+}
+
+#[test]
+fn lone_relay_is_shown_as_text_and_as_json() {
+    let relay = LoneRelay::new("peers");
+    let files = [&relay.config, &relay.operator_config];
+    let sound = run(&["check", "--config", files[0], files[1]]);
+    assert_eq!(sound.status.code(), Some(0), "{}", text(&sound.stderr));
+    let (mut child, lines) = start(&["serve", "--config", files[0], "--charter", files[1]]);
+    std::thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
+    let end = Instant::now() + TIMEOUT;
+    while !relay.shown().contains("r0/") {
+        assert!(Instant::now() < end, "{}", relay.shown());
+    }
+    let shown = relay.shown();
+    assert!(
+        shown.contains("voter: silent, generation 1, holds nothing"),
+        "{shown}"
+    );
+    let json = run(&["peers", "--json", &relay.admin.to_string()]);
+    let view: serde_json::Value = serde_json::from_str(text(&json.stdout).trim()).unwrap();
+    assert_eq!(
+        (view["name"].as_str(), view["unheard"].as_u64()),
+        (Some("r0"), Some(0))
+    );
+    kill_process(Pid::from_child(&child), Signal::TERM).unwrap();
+    assert!(child.wait().unwrap().success());
+    std::fs::remove_dir_all(relay.folder).unwrap();
+}
+
+#[test]
+fn peers_without_permission_are_refused_by_check_with_one_line() {
+    let relay = LoneRelay::new("peers-forbidden");
+    let forbidden = std::fs::read_to_string(&relay.config)
+        .unwrap()
+        .replace("\"peers\":true", "\"peers\":false");
+    std::fs::write(&relay.config, forbidden).unwrap();
+    let refused = run(&["check", "--config", &relay.config, &relay.operator_config]);
+    let complaints = text(&refused.stderr);
+    assert_eq!(
+        (refused.status.code(), complaints.lines().count()),
+        (Some(2), 1),
+        "{complaints}"
+    );
+    assert!(complaints.contains("permissions.peers"), "{complaints}");
+    std::fs::remove_dir_all(relay.folder).unwrap();
+}
