--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -10,5 +10,4 @@
 pub mod saturate;
 pub mod scale;
 pub mod scenario;
-pub mod spans;
 pub mod summary;
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan/mod.rs
@@ -1,6 +1,8 @@
 //! A scenario worked out from its seed: who comes when, and what happens when. The same scenario
 //! and seed give the same plan, whatever is run under it. No I/O.
-use crate::scenario::{Baseline, EffectText, FaultText, Rate, Scenario, ScopeText, Which, Word};
+use crate::scenario::{
+    Baseline, EffectText, FaultText, Rate, Scenario, ScopeText, Selection, SelectionWord,
+};
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
@@ -293,140 +295,13 @@
     }
 }
 
-/// What faults there are and which keys each needs besides `at` and `what`.
-pub const FAULTS: &[(&str, &str)] = &[
-    ("silent", "boxes"),
-    ("freeze", "boxes"),
-    ("mute", "boxes"),
-    ("slow", "boxes, times"),
-    ("pauses", "boxes, every, pause"),
-    ("errors", "boxes, part"),
-    ("reset-before", "boxes"),
-    ("reset-after", "boxes"),
-    ("half-answer", "boxes"),
-    ("never-closes", "boxes"),
-    ("drops-young", "boxes"),
-    ("crash", "boxes"),
-    ("drain", "boxes, over"),
-    ("join", "boxes"),
-    ("discovery-silent", "relays"),
-    ("discovery-down", "relays"),
-    ("discovery-stale", "relays"),
-    ("discovery-restart", "relays"),
-    ("discovery-malformed", "relays"),
-    ("relay-killed", "relays"),
-    ("relay-replaced", "relays"),
-    ("relay-paused", "relays, for"),
-    ("relay-joins", "relays"),
-    ("relay-leaves", "relays"),
-    ("link", "from, to"),
-    ("link-flaps", "from, to, every, pause, for"),
-    ("partition", "relays"),
-    ("upgrade", "relays"),
-    ("ban", "boxes, relays, for"),
-    ("reload", "relays, every, for"),
-    ("charter-swap", "relays, every, for"),
-    ("rush", "clients, over"),
-    ("clients-drop", "clients, over"),
-    ("clients-silent", "clients"),
-    ("clients-half-a-line", "clients"),
-    ("clients-garbage", "clients"),
-    ("clients-talk", "clients"),
-    ("clients-unreading", "clients"),
-];
-
-/// # Errors
-/// What is wrong with a fault, beginning with the key.
-pub fn check_fault(fault: &FaultText, scenario: &Scenario) -> Result<(), String> {
-    let Some((_, needs)) = FAULTS.iter().find(|(what, _)| *what == fault.what) else {
-        let known: Vec<&str> = FAULTS.iter().map(|(what, _)| *what).collect();
-        return Err(format!(
-            "what: there is no \"{}\"; there are {}",
-            fault.what,
-            known.join(", ")
-        ));
-    };
-    let has = |key: &str| match key {
-        "boxes" => fault.boxes.is_some(),
-        "relays" => fault.relays.is_some(),
-        "times" => fault.times.is_some(),
-        "part" => fault.part.is_some(),
-        "every" => fault.every.is_some(),
-        "pause" => fault.pause.is_some(),
-        "clients" => fault.clients.is_some(),
-        "over" => fault.over.is_some(),
-        "from" => fault.from.is_some(),
-        "to" => fault.to.is_some(),
-        _ => fault.lasts.is_some(),
-    };
-    if let Some(missing) = needs.split(", ").find(|key| !has(key)) {
-        return Err(format!("{missing}: \"{}\" needs it", fault.what));
-    }
-    let within = |which: &Option<Which>, name: &str, most: usize| match which {
-        Some(Which::These(these)) => match these.iter().find(|number| **number >= most) {
-            Some(number) => Err(format!(
-                "{name}: there is no {number}, they are counted from 0 to {}",
-                most - 1
-            )),
-            None => Ok(()),
-        },
-        Some(Which::Count(count)) if *count > most => Err(format!("{name}: there are only {most}")),
-        _ => Ok(()),
-    };
-    within(&fault.boxes, "boxes", scenario.fleet.boxes)?;
-    within(&fault.relays, "relays", scenario.relays.count)?;
-    within(&fault.from, "from", scenario.relays.count)?;
-    within(&fault.to, "to", scenario.relays.count)?;
-    if matches!(fault.what.as_str(), "link" | "link-flaps" | "partition") && !scenario.relays.peers
-    {
-        return Err("what: the relays do not know of one another (relays.peers)".into());
-    }
-    for (name, part) in [("loss", fault.loss), ("doubled", fault.doubled)] {
-        if part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
-            return Err(format!("{name}: between 0 and 1"));
-        }
-    }
-    if fault.at > scenario.length {
-        return Err("at: the run is over by then".into());
-    }
-    if fault.part.is_some_and(|part| !(0.0..=1.0).contains(&part)) {
-        return Err("part: between 0 and 1".into());
-    }
-    if fault
-        .times
-        .is_some_and(|times| times.is_nan() || times < 1.0)
-    {
-        return Err("times: 1 or more".into());
-    }
-    if let (Some(every), Some(pause)) = (fault.every, fault.pause)
-        && every <= pause
-    {
-        return Err("pause: shorter than `every`".into());
-    }
-    if matches!(fault.what.as_str(), "upgrade" | "ban") && !scenario.relays.operators {
-        return Err("what: the relays have no operators (relays.operators)".into());
-    }
-    if fault.what == "charter-swap" && scenario.relays.charters.is_empty() {
-        return Err("what: the relays have no charters to swap".into());
-    }
-    if matches!(fault.what.as_str(), "reload" | "charter-swap")
-        && fault.every.is_some_and(|every| every.0.as_micros() < 1_000)
-    {
-        return Err("every: a millisecond at least".into());
-    }
-    if fault.clients.is_some_and(|clients| clients > 1_000_000) {
-        return Err("clients: a million at most".into());
-    }
-    Ok(())
-}
-
-fn drawn(which: &Option<Which>, of: usize, chance: &mut Rng) -> Vec<usize> {
+fn drawn(which: &Option<Selection>, of: usize, chance: &mut Rng) -> Vec<usize> {
     let count = match which {
         None => return Vec::new(),
-        Some(Which::These(these)) => return these.clone(),
-        Some(Which::Count(count)) => *count,
-        Some(Which::Word(Word::Half)) => of.div_ceil(2),
-        Some(Which::Word(Word::All)) => of,
+        Some(Selection::These(these)) => return these.clone(),
+        Some(Selection::Count(count)) => *count,
+        Some(Selection::Word(SelectionWord::Half)) => of.div_ceil(2),
+        Some(Selection::Word(SelectionWord::All)) => of,
     };
     let mut all: Vec<usize> = (0..of).collect();
     for place in 0..count {
@@ -457,7 +332,9 @@
         .collect();
     let over = fault.over.map_or(Duration::ZERO, |over| over.0);
     let back = fault.back.map(|back| back.0);
-    let span = |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
+    let span = |time: Option<crate::scenario::duration_text::Time>| {
+        time.map_or(Duration::ZERO, |time| time.0)
+    };
     let ailment = match fault.what.as_str() {
         "silent" => Some(BackendFault::Vanished),
         "freeze" => Some(BackendFault::Frozen),
@@ -630,8 +507,9 @@
                 .flat_map(|one| to.iter().map(move |other| (*one, *other)));
             let links: Vec<(RelayNumber, RelayNumber)> =
                 pairs.filter(|(one, other)| one != other).collect();
-            let span =
-                |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
+            let span = |time: Option<crate::scenario::duration_text::Time>| {
+                time.map_or(Duration::ZERO, |time| time.0)
+            };
             let bent = fault.delay.is_some()
                 || fault.spread.is_some()
                 || fault.doubled.is_some()
@@ -706,158 +584,4 @@
         assert_eq!(plan.acts.len(), 6, "three boxes slow, and well again");
         assert!(plan.acts.windows(2).all(|pair| pair[0].at <= pair[1].at));
     }
-
-    #[test]
-    fn what_is_wrong_is_named_with_its_line_and_key() {
-        // What is replaced by what, the line, the key, and a part of the reason.
-        let cases = [
-            (
-                "length = \"10s\"",
-                "length = \"10\"",
-                3,
-                "length",
-                "no span of time",
-            ),
-            (
-                "length = \"10s\"",
-                "length = 10",
-                3,
-                "length",
-                "expected a string",
-            ),
-            (
-                "length = \"10s\"",
-                "lenght = \"10s\"",
-                3,
-                "lenght",
-                "unknown field",
-            ),
-            ("length = \"10s\"", "length = \"10s", 3, "length", ""),
-            (
-                "length = \"10s\"\n",
-                "",
-                1,
-                "the whole",
-                "missing field `length`",
-            ),
-            (
-                "boxes = 6",
-                "boxes = 0",
-                5,
-                "fleet.boxes",
-                "between 1 and 5000",
-            ),
-            ("boxes = 6", "boxes = -1", 5, "fleet.boxes", "invalid value"),
-            (
-                "boxes = 6",
-                "boxes = 6\nzones = []",
-                6,
-                "fleet.zones",
-                "at least one",
-            ),
-            (
-                "boxes = 6",
-                "boxes = 6\nlater = 6",
-                6,
-                "fleet.later",
-                "from the start",
-            ),
-            (
-                "[\"5s\", 50.0]",
-                "[\"0s\", 50.0]",
-                7,
-                "traffic.rate",
-                "times must rise",
-            ),
-            (
-                "[\"5s\", 50.0]",
-                "[\"5s\", -1.0]",
-                7,
-                "traffic.rate",
-                "between 0 and",
-            ),
-            (
-                "[[\"0s\", 5.0], [\"5s\", 50.0]]",
-                "\"many\"",
-                7,
-                "traffic.rate",
-                "pairs",
-            ),
-            (
-                "name = \"view\"",
-                "name = \"a view\"",
-                8,
-                "listener",
-                "name: letters",
-            ),
-            (
-                "wait = \"1s\"",
-                "wait = \"100ms\"",
-                8,
-                "listener",
-                "wait: between the handshake target",
-            ),
-            (
-                "wait = \"1s\"",
-                "wait = \"1s\"\neffect = \"twice\"",
-                11,
-                "listener.effect",
-                "unknown variant",
-            ),
-            (
-                "what = \"slow\"",
-                "what = \"slwo\"",
-                14,
-                "fault",
-                "there is no \"slwo\"; there are silent",
-            ),
-            ("times = 4.0\n", "", 14, "fault", "times: \"slow\" needs it"),
-            (
-                "times = 4.0",
-                "times = 0.5",
-                14,
-                "fault",
-                "times: 1 or more",
-            ),
-            (
-                "boxes = \"half\"",
-                "boxes = [6]",
-                14,
-                "fault",
-                "boxes: there is no 6",
-            ),
-            (
-                "boxes = \"half\"",
-                "boxes = 7",
-                14,
-                "fault",
-                "boxes: there are only 6",
-            ),
-            (
-                "boxes = \"half\"",
-                "boxes = \"most\"",
-                17,
-                "fault.boxes",
-                "numbers such as",
-            ),
-            (
-                "at = \"2s\"",
-                "at = \"11s\"",
-                14,
-                "fault",
-                "at: the run is over",
-            ),
-        ];
-        for (from, to, line, key, why) in cases {
-            assert!(GOOD.contains(from), "{from}");
-            let fault = Scenario::parse("bad.toml", &GOOD.replacen(from, to, 1)).expect_err(to);
-            assert_eq!(
-                (fault.line, fault.key.as_str()),
-                (line, key),
-                "{to}: {fault}"
-            );
-            assert!(fault.why.contains(why), "{to}: {fault}");
-            assert_eq!(fault.to_string().lines().count(), 1, "{fault}");
-        }
-    }
 }
--- /dev/null
+++ b/experiments/src/scenario/fault_table.rs
@@ -0,0 +1,121 @@
+//! `[[fault]]`: what goes wrong in a run, and which keys each fault needs.
+use super::duration_text::Time;
+use serde::Deserialize;
+
+/// What goes wrong, or just happens. `what` names it; the other keys belong to some of them.
+#[derive(Clone, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub struct FaultText {
+    pub at: Time,
+    pub what: String,
+    /// Which boxes: their numbers, how many (drawn by the seed), `"half"` or `"all"`.
+    pub boxes: Option<Selection>,
+    /// Which relays, likewise.
+    pub relays: Option<Selection>,
+    /// How long it lasts; without it, to the end.
+    #[serde(rename = "for")]
+    pub lasts: Option<Time>,
+    /// How many times slower.
+    pub times: Option<f64>,
+    /// The part of dials that fail.
+    pub part: Option<f64>,
+    /// A pause comes once in each such time.
+    pub every: Option<Time>,
+    pub pause: Option<Time>,
+    /// One that dies is back after this.
+    pub back: Option<Time>,
+    /// Relays from which and to which links are bent.
+    pub from: Option<Selection>,
+    pub to: Option<Selection>,
+    /// The part of datagrams that is lost; all where nothing is said of a link.
+    pub loss: Option<f64>,
+    pub delay: Option<Time>,
+    /// Added to the delay, from nothing up to this.
+    pub spread: Option<Time>,
+    /// The part that comes twice.
+    pub doubled: Option<f64>,
+    /// Bytes a second that a link lets through.
+    pub rate: Option<u64>,
+    pub clients: Option<usize>,
+    /// Spread over this time.
+    pub over: Option<Time>,
+}
+
+#[derive(Clone, Debug, Deserialize)]
+#[serde(
+    untagged,
+    expecting = "numbers such as [0, 3], a count, \"half\" or \"all\""
+)]
+pub enum Selection {
+    These(Vec<usize>),
+    Count(usize),
+    Word(SelectionWord),
+}
+
+#[derive(Clone, Copy, Debug, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum SelectionWord {
+    Half,
+    All,
+}
+
+/// The faults, each with the keys that it needs besides `at` and `what`.
+pub const FAULTS: &[(&str, &str)] = &[
+    ("silent", "boxes"),
+    ("freeze", "boxes"),
+    ("mute", "boxes"),
+    ("slow", "boxes, times"),
+    ("pauses", "boxes, every, pause"),
+    ("errors", "boxes, part"),
+    ("reset-before", "boxes"),
+    ("reset-after", "boxes"),
+    ("half-answer", "boxes"),
+    ("never-closes", "boxes"),
+    ("drops-young", "boxes"),
+    ("crash", "boxes"),
+    ("drain", "boxes, over"),
+    ("join", "boxes"),
+    ("discovery-silent", "relays"),
+    ("discovery-down", "relays"),
+    ("discovery-stale", "relays"),
+    ("discovery-restart", "relays"),
+    ("discovery-malformed", "relays"),
+    ("relay-killed", "relays"),
+    ("relay-replaced", "relays"),
+    ("relay-paused", "relays, for"),
+    ("relay-joins", "relays"),
+    ("relay-leaves", "relays"),
+    ("link", "from, to"),
+    ("link-flaps", "from, to, every, pause, for"),
+    ("partition", "relays"),
+    ("upgrade", "relays"),
+    ("ban", "boxes, relays, for"),
+    ("reload", "relays, every, for"),
+    ("charter-swap", "relays, every, for"),
+    ("rush", "clients, over"),
+    ("clients-drop", "clients, over"),
+    ("clients-silent", "clients"),
+    ("clients-half-a-line", "clients"),
+    ("clients-garbage", "clients"),
+    ("clients-talk", "clients"),
+    ("clients-unreading", "clients"),
+];
+
+impl FaultText {
+    /// Whether a key that some faults need is stated.
+    pub(super) fn states(&self, key: &str) -> bool {
+        match key {
+            "boxes" => self.boxes.is_some(),
+            "relays" => self.relays.is_some(),
+            "times" => self.times.is_some(),
+            "part" => self.part.is_some(),
+            "every" => self.every.is_some(),
+            "pause" => self.pause.is_some(),
+            "clients" => self.clients.is_some(),
+            "over" => self.over.is_some(),
+            "from" => self.from.is_some(),
+            "to" => self.to.is_some(),
+            _ => self.lasts.is_some(),
+        }
+    }
+}
