--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -4,7 +4,7 @@
 pub mod compare;
 pub mod count;
 pub mod peers;
-pub mod plan;
+mod plan;
 pub mod report;
 pub mod run;
 pub mod saturate;
--- /dev/null
+++ b/experiments/src/plan/action.rs
@@ -0,0 +1,57 @@
+//! What is done to a running testbed, and when.
+use thistlecroft::time::{Duration, Instant};
+use thistlecroft_testbed::event_recorder::{BackendNumber, RelayNumber};
+use thistlecroft_testbed::link_fault::LinkFault;
+use thistlecroft_testbed::load_generator::LoadCommand;
+use thistlecroft_testbed::simulated_backends::BackendCommand;
+
+/// One thing that is done to the testbed.
+#[derive(Clone, Debug)]
+pub(crate) enum Action {
+    Backends(BackendCommand),
+    Load(LoadCommand),
+    /// Killed outright, and started again after so long.
+    Kill(RelayNumber, Option<Duration>),
+    /// Shut down, and started again after so long.
+    Stop(RelayNumber, Option<Duration>),
+    /// Sent SIGHUP.
+    Reload(RelayNumber),
+    /// Given the next of the scenario's operator configurations.
+    SwapOperatorConfig(RelayNumber),
+    /// Replaced by a successor, beside which it shuts down.
+    HotRestart(RelayNumber),
+    Ban(RelayNumber, BackendNumber),
+    Unban(RelayNumber, BackendNumber),
+    Pause(RelayNumber),
+    Resume(RelayNumber),
+    /// One that has not run yet, or was shut down, starts.
+    Start(RelayNumber),
+    /// Shut down for good.
+    Leave(RelayNumber),
+    /// Links between relays get a fault, or lose it. The name is recorded.
+    Links {
+        links: Vec<Link>,
+        fault: Option<LinkFault>,
+        name: &'static str,
+    },
+}
+
+/// One direction between two relays.
+pub(crate) type Link = (RelayNumber, RelayNumber);
+
+/// An action with its time.
+#[derive(Clone, Debug)]
+pub(crate) struct ScheduledAction {
+    pub(crate) at: Instant,
+    pub(crate) action: Action,
+}
+
+/// The actions of one fault, as they are gathered.
+#[derive(Default)]
+pub(super) struct Schedule(pub(super) Vec<ScheduledAction>);
+
+impl Schedule {
+    pub(super) fn add(&mut self, at: Instant, action: Action) {
+        self.0.push(ScheduledAction { at, action });
+    }
+}
--- /dev/null
+++ b/experiments/src/plan/link_actions.rs
@@ -0,0 +1,122 @@
+//! The actions of faults that befall the links between relays.
+use super::PLAN_START;
+use super::action::{Action, Link, Schedule};
+use super::fault_actions::duration_or_zero;
+use super::selection::select_relays;
+use crate::scenario::{FaultText, Scenario};
+use thistlecroft::random::Rng;
+use thistlecroft::time::Instant;
+use thistlecroft_testbed::event_recorder::RelayNumber;
+use thistlecroft_testbed::link_fault::LinkFault;
+
+/// The names under which faults of links are recorded.
+const CUT: &str = "cut";
+const IMPAIRED: &str = "bent";
+
+/// Adds what a fault does to links; nothing where it is of another kind.
+pub(super) fn add(
+    fault: &FaultText,
+    scenario: &Scenario,
+    relays: &[RelayNumber],
+    rng: &mut Rng,
+    schedule: &mut Schedule,
+) {
+    let count = scenario.relays.count;
+    let begin = PLAN_START + fault.at.0;
+    let end = fault.lasts.map(|lasts| begin + lasts.0);
+    match fault.what.as_str() {
+        "partition" => {
+            let links = links_across(relays, count);
+            add_fault(schedule, &links, LinkFault::CUT, CUT, begin, end);
+        }
+        "link" => {
+            let (links, link_fault) = faulted_links(fault, count, rng);
+            add_fault(
+                schedule,
+                &links,
+                link_fault,
+                name_of(link_fault),
+                begin,
+                end,
+            );
+        }
+        "link-flaps" => {
+            let (links, link_fault) = faulted_links(fault, count, rng);
+            let interval = duration_or_zero(fault.every);
+            let pause = duration_or_zero(fault.pause);
+            let mut at = begin;
+            while end.is_some_and(|end| at < end) {
+                let name = name_of(link_fault);
+                add_fault(schedule, &links, link_fault, name, at, Some(at + pause));
+                at = at + interval;
+            }
+        }
+        _ => {}
+    }
+}
+
+fn add_fault(
+    schedule: &mut Schedule,
+    links: &[Link],
+    fault: LinkFault,
+    name: &'static str,
+    begin: Instant,
+    end: Option<Instant>,
+) {
+    let action = |fault| Action::Links {
+        links: links.to_vec(),
+        fault,
+        name,
+    };
+    schedule.add(begin, action(Some(fault)));
+    if let Some(end) = end {
+        schedule.add(end, action(None));
+    }
+}
+
+fn name_of(fault: LinkFault) -> &'static str {
+    if fault == LinkFault::CUT {
+        CUT
+    } else {
+        IMPAIRED
+    }
+}
+
+/// Both directions between these relays and all others.
+fn links_across(these: &[RelayNumber], count: usize) -> Vec<Link> {
+    let all = || (0..count).map(|number| RelayNumber(number as u16));
+    let mut links = Vec::new();
+    for &relay in these {
+        for other in all().filter(|other| !these.contains(other)) {
+            links.extend([(relay, other), (other, relay)]);
+        }
+    }
+    links
+}
+
+/// Each directed pair of the relays that the fault names, and what befalls it.
+fn faulted_links(fault: &FaultText, count: usize, rng: &mut Rng) -> (Vec<Link>, LinkFault) {
+    let from = select_relays(&fault.from, count, rng);
+    let to = select_relays(&fault.to, count, rng);
+    let mut links = Vec::new();
+    for &sender in &from {
+        let receivers = to.iter().filter(|receiver| **receiver != sender);
+        links.extend(receivers.map(|&receiver| (sender, receiver)));
+    }
+    (links, link_fault(fault))
+}
+
+/// Everything is lost where nothing is said of the link.
+fn link_fault(fault: &FaultText) -> LinkFault {
+    let is_impaired = fault.delay.is_some()
+        || fault.spread.is_some()
+        || fault.doubled.is_some()
+        || fault.rate.is_some();
+    LinkFault {
+        loss: fault.loss.unwrap_or(if is_impaired { 0.0 } else { 1.0 }),
+        delay: duration_or_zero(fault.delay),
+        spread: duration_or_zero(fault.spread),
+        doubled: fault.doubled.unwrap_or(0.0),
+        rate: fault.rate.unwrap_or(0),
+    }
+}
--- /dev/null
+++ b/experiments/src/plan/testbed_config.rs
@@ -0,0 +1,159 @@
+//! A scenario's traffic, backends and settings as the testbed takes them.
+use super::PLAN_START;
+use crate::scenario::{Baseline, EffectText, ListenerText, Rate, Scenario, ScopeText};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
+use thistlecroft::time::{Duration, Instant};
+use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
+use thistlecroft_testbed::load_generator::Dealing;
+use thistlecroft_testbed::relay_process::{FleetConfig, ListenerConfig};
+use thistlecroft_testbed::simulated_backends::{BackendPlan, BackendSpec};
+use thistlecroft_testbed::traffic::{Kind, Traffic};
+
+/// How clients choose where to connect.
+pub(crate) fn dealing(baseline: Option<Baseline>) -> Dealing {
+    match baseline {
+        None | Some(Baseline::Direct) => Dealing::Even,
+        Some(Baseline::Random) => Dealing::Random,
+        Some(Baseline::Least) => Dealing::LeastOwn,
+    }
+}
+
+/// Whether a listener's requests may be repeated.
+pub(super) fn idempotency(row: &ListenerText) -> Idempotency {
+    match row.effect {
+        EffectText::Repeatable => Idempotency::Idempotent,
+        EffectText::OnceOnly => Idempotency::NonIdempotent,
+        EffectText::Referenced => {
+            let scope = match row.scope {
+                ScopeText::All => DeduplicationScope::All,
+                ScopeText::Zone => DeduplicationScope::Zone,
+                ScopeText::Cell => DeduplicationScope::Cell,
+            };
+            Idempotency::Keyed {
+                scope,
+                window: row.window.0,
+            }
+        }
+    }
+}
+
+/// Who comes when, with rushes of so many clients over so long.
+pub(super) fn traffic(scenario: &Scenario, rushes: Vec<(Instant, usize, Duration)>) -> Traffic {
+    let text = &scenario.traffic;
+    let kinds = scenario
+        .listeners
+        .iter()
+        .map(|row| row.get_ref())
+        .map(|row| Kind {
+            name: row.name.clone(),
+            share: row.share,
+            wait: row.wait.0,
+            handshake_target: row.handshake_target.0,
+            message_target: row.message_target.0,
+            load: (row.load[0], row.load[1]),
+            life: row.life.0,
+            utility: row.utility,
+        });
+    let rate = match &text.rate {
+        Rate::Even(rate) => vec![(PLAN_START, *rate)],
+        Rate::Steps(steps) => steps
+            .iter()
+            .map(|(at, rate)| (PLAN_START + at.0, *rate))
+            .collect(),
+    };
+    Traffic {
+        kinds: kinds.collect(),
+        rate,
+        rushes,
+        keys: text.keys.max(1),
+        groups: text.groups,
+        retries: text.retries,
+        heeds: text.heeds,
+        back_off: text.back_off.0,
+        rejoin: (text.rejoin[0].0, text.rejoin[1].0),
+        impatient: text.impatient,
+        beat: text.beat.0,
+    }
+}
+
+/// The backends and the set-up store.
+pub(super) fn backends(scenario: &Scenario, seed: u64) -> BackendPlan {
+    let fleet = &scenario.fleet;
+    let warm_up = WarmUp {
+        start_share: fleet.cold_share,
+        warm_up: fleet.warm_up.0,
+        factor: fleet.cold_factor,
+        window: fleet.cold_window.0,
+        turnover: fleet
+            .turnover
+            .map_or_else(|| turnover(scenario), |turnover| turnover.0),
+    };
+    let capacity = BackendCapacity {
+        capacity: fleet.capacity,
+        most: fleet.most,
+        setup: fleet.set_up.0,
+        group_fee: fleet.group_fee,
+        cold: warm_up,
+    };
+    let boxes = (0..fleet.boxes).map(|number| BackendSpec {
+        make: capacity,
+        zone: fleet.zones[number % fleet.zones.len()].clone(),
+        cell: 0,
+        present: number < fleet.boxes - fleet.later,
+    });
+    BackendPlan {
+        boxes: boxes.collect(),
+        relays: scenario.relays.count,
+        notice: (fleet.notice[0].0, fleet.notice[1].0),
+        store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
+        report_every: fleet.report_every.0,
+        tells_load: fleet.tells_load,
+        seed,
+    }
+}
+
+/// How long a backend takes to replace its connections: a mean life of them, or its warm-up if that
+/// is longer.
+fn turnover(scenario: &Scenario) -> Duration {
+    let rows = || scenario.listeners.iter().map(|row| row.get_ref());
+    let shares: f64 = rows().map(|row| row.share).sum();
+    let mean = rows()
+        .map(|row| row.life.0 * (row.share / shares))
+        .fold(Duration::ZERO, |sum, part| sum + part);
+    mean.max(scenario.fleet.warm_up.0)
+}
+
+/// The settings of the relays.
+pub(super) fn fleet_config(scenario: &Scenario) -> FleetConfig {
+    let (fleet, relays) = (&scenario.fleet, &scenario.relays);
+    let listeners = scenario
+        .listeners
+        .iter()
+        .map(|row| row.get_ref())
+        .map(|row| ListenerConfig {
+            name: row.name.clone(),
+            wait: row.wait.0,
+            handshake_target: row.handshake_target.0,
+            message_target: row.message_target.0,
+            effect: idempotency(row),
+            utility: row.utility,
+        });
+    FleetConfig {
+        zones: fleet.zones.clone(),
+        listeners: listeners.collect(),
+        connect_time: relays.connect_time.0,
+        most_dials: relays.most_dials,
+        longest_retry_after: relays.retry_after.map(|longest| longest.0),
+        probes: relays.probes,
+        groups: scenario.traffic.groups.is_some(),
+        tells_load: fleet.tells_load,
+        cold_start_share: fleet.cold_share,
+        warm_up: fleet.warm_up.0,
+        cold_factor: fleet.cold_factor,
+        cold_window: fleet.cold_window.0,
+        memory_mb: relays.memory_mb,
+        sockets: relays.sockets,
+        two_dials: relays.two_dials,
+        peers: relays.peers,
+    }
+}
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -1,6 +1,6 @@
 //! A run's page: its figures and four plots, to be read in a minute and opened without anything
 //! beside it.
-use crate::plan::Marked;
+use crate::plan::FaultMark;
 use crate::run::begun;
 use crate::summary::{Summary, rounds};
 use plotters::coord::ranged1d::Ranged;
@@ -315,7 +315,7 @@
 pub fn page(
     summary: &Summary,
     entries: &[RecordedEvent],
-    marks: &[Marked],
+    marks: &[FaultMark],
     crowds: &[LoadTotals],
 ) -> Result<String, String> {
     let begun = begun(entries)
@@ -327,7 +327,7 @@
         .iter()
         .map(|mark| {
             let to = mark.to.map_or(end, |to| (begun + seconds(to)).min(end));
-            (mark.what.clone(), begun + seconds(mark.from), to)
+            (mark.name.clone(), begun + seconds(mark.from), to)
         })
         .collect();
     let mut crowd = crowds.first().ok_or("no clients")?.clone();
--- a/experiments/src/run/mod.rs
+++ b/experiments/src/run/mod.rs
@@ -1,6 +1,6 @@
 //! A run: stand-ins are set up, relays started, the plan carried out at its times, and what was
 //! seen judged.
-use crate::plan::{Act, BEGIN, Plan, dealing};
+use crate::plan::{Action, PLAN_START, Plan, dealing};
 use crate::report;
 use crate::scenario::{Baseline, Scenario};
 use crate::summary::{Findings, Summary, sum_up};
@@ -161,14 +161,14 @@
     stop: &AtomicBool,
     watch: &mut dyn FnMut(&Look),
 ) -> Result<Outcome, String> {
-    let plan = Plan::of(scenario, seed);
+    let plan = Plan::new(scenario, seed);
     need_descriptors(descriptors(&plan, way))?;
     std::fs::create_dir_all(folder).map_err(|fault| format!("{}: {fault}", folder.display()))?;
     let mut director = Director::open(scenario, &plan, way, folder)?;
     let complete = director.direct(stop, watch);
     let (entries, crowds, yard, crashes) = director.close();
-    let ruling = check_invariants(&entries, &plan.law);
-    let breaches = check_cluster_invariants(&entries, &plan.pact);
+    let ruling = check_invariants(&entries, &plan.rules);
+    let breaches = check_cluster_invariants(&entries, &plan.cluster_limits);
     let findings = Findings {
         scenario: &scenario.name,
         way: &way.name,
@@ -222,16 +222,16 @@
         now += change;
         most = most.max(now);
     }
-    let rude = plan.acts.iter().map(|timed| match timed.act {
-        Act::LoadGenerator(LoadCommand::Rude(_, count)) => count as u64,
+    let rude = plan.actions.iter().map(|timed| match timed.action {
+        Action::Load(LoadCommand::Rude(_, count)) => count as u64,
         _ => 0,
     });
     let here =
-        most.unsigned_abs() * 2 + rude.sum::<u64>() + plan.ground.boxes.len() as u64 * 4 + OWN;
+        most.unsigned_abs() * 2 + rude.sum::<u64>() + plan.backends.boxes.len() as u64 * 4 + OWN;
     if way.baseline.is_some() {
         here
     } else {
-        here.max(plan.terms.sockets)
+        here.max(plan.fleet_config.sockets)
     }
 }
 
@@ -245,7 +245,7 @@
         let (tape, reel) = event_recorder();
         // Relays are started on the run's own time, before anybody comes.
         let clock = Stopwatch::start();
-        let yard = SimulatedBackends::open(plan.ground.clone(), clock, tape.clone())
+        let yard = SimulatedBackends::open(plan.backends.clone(), clock, tape.clone())
             .map_err(|fault| format!("boxes can't be set up: {fault}"))?;
         let mut stands = Vec::new();
         let relays = &scenario.relays;
@@ -266,7 +266,7 @@
             key_file: key_file.canonicalize().unwrap_or(key_file),
         };
         if way.baseline.is_none() {
-            for number in 0..plan.ground.relays {
+            for number in 0..plan.backends.relays {
                 let listen = free_address(number)
                     .map_err(|fault| format!("no address for a relay: {fault}"))?;
                 let known = scenario.relays.know_list.then(|| known_list(plan, &yard));
@@ -280,7 +280,7 @@
                 });
                 let admin = match net {
                     Some(_) if admin.is_none() => Some(
-                        free_address(plan.ground.relays + number)
+                        free_address(plan.backends.relays + number)
                             .map_err(|fault| fault.to_string())?,
                     ),
                     _ => admin,
@@ -296,7 +296,7 @@
                 let orders = RelayOptions {
                     name: format!("relay-{number}"),
                     number,
-                    relays: plan.ground.relays,
+                    relays: plan.backends.relays,
                     zone: number % scenario.fleet.zones.len(),
                     listen,
                     charter,
@@ -308,7 +308,7 @@
                 };
                 let present = number < relays.count - relays.later;
                 let post = present
-                    .then(|| RelayProcess::start(&way.relay, &plan.terms, &orders, folder))
+                    .then(|| RelayProcess::start(&way.relay, &plan.fleet_config, &orders, folder))
                     .transpose()?;
                 if present {
                     tape.note(
@@ -346,7 +346,7 @@
             Some(_) => yard
                 .boxes
                 .iter()
-                .zip(&plan.ground.boxes)
+                .zip(&plan.backends.boxes)
                 .map(|(at, of)| RelayEndpoint {
                     at: *at,
                     relay: None,
@@ -372,7 +372,7 @@
             let bill = LoadPlan {
                 traffic: plan.traffic.clone(),
                 arrivals: arrivals.collect(),
-                until: begun + plan.until.duration_since(Instant::default()),
+                until: begun + plan.end.duration_since(Instant::default()),
                 doors: doors.clone(),
                 dealing: dealing(way.baseline),
                 seed: plan.seed.wrapping_add(thread as u64),
@@ -382,9 +382,9 @@
         }
         tape.note(begun, Observation::Mark { text: BEGUN.into() });
         let look = Look {
-            length: plan.until.duration_since(Instant::default()),
+            length: plan.end.duration_since(Instant::default()),
             boxes: plan
-                .ground
+                .backends
                 .boxes
                 .iter()
                 .map(|of| of.present.then_some((0.0, "")))
@@ -439,7 +439,7 @@
     /// Until the plan is over; false where it was stopped before.
     fn direct(&mut self, stop: &AtomicBool, watch: &mut dyn FnMut(&Look)) -> bool {
         let begun = self.clock.now();
-        let mut acts = self.plan.acts.iter().peekable();
+        let mut acts = self.plan.actions.iter().peekable();
         let mut marks = self.plan.marks.iter().peekable();
         let (mut measured, mut looked) = (begun, begun);
         let mut complete = true;
@@ -450,14 +450,14 @@
                 complete = false;
                 break;
             }
-            if passed >= self.plan.until {
+            if passed >= self.plan.end {
                 break;
             }
             while let Some(mark) = marks.next_if(|mark| mark.from <= passed) {
-                self.look.news.push(mark.what.clone());
+                self.look.news.push(mark.name.clone());
             }
             while let Some(timed) = acts.next_if(|timed| timed.at <= passed) {
-                self.act(&timed.act);
+                self.act(&timed.action);
             }
             self.carry_on(now);
             if now.duration_since(measured) >= MEASURE {
@@ -476,10 +476,10 @@
         complete
     }
 
-    fn act(&mut self, act: &Act) {
+    fn act(&mut self, act: &Action) {
         match act {
-            Act::SimulatedBackends(cue) => self.yard.stage.command(cue.clone()),
-            Act::LoadGenerator(cue) => {
+            Action::Backends(cue) => self.yard.stage.command(cue.clone()),
+            Action::Load(cue) => {
                 let threads = self.crowds.len();
                 for (place, crowd) in self.crowds.iter().enumerate() {
                     // Each thread has its part of the clients.
@@ -492,7 +492,7 @@
                     });
                 }
             }
-            Act::Kill(relay, back) => {
+            Action::Kill(relay, back) => {
                 let number = usize::from(relay.0);
                 let Some(stand) = self.stands.get_mut(number) else {
                     return;
@@ -510,7 +510,7 @@
                     self.set(*back, Later::Start(number));
                 }
             }
-            Act::Stop(relay, back) => {
+            Action::Stop(relay, back) => {
                 let number = usize::from(relay.0);
                 let by = self.stops_by();
                 let Some(stand) = self.stands.get_mut(number) else {
@@ -522,7 +522,7 @@
                 self.note(Observation::RelayToldToStop { relay: *relay });
                 self.set(COME_ON, Later::Door(number, false));
             }
-            Act::Recharter(relay) => {
+            Action::SwapOperatorConfig(relay) => {
                 let charters = &self.scenario.relays.charters;
                 let Some(stand) = self.stands.get_mut(usize::from(relay.0)) else {
                     return;
@@ -539,41 +539,12 @@
                     });
                 }
             }
-            Act::Upgrade(relay) => self.upgrade(*relay),
-            Act::Ban(relay, at, out) => self.ban(*relay, *at, *out),
-            Act::Still(relay, on) => {
-                let number = usize::from(relay.0);
-                let Some(post) = self
-                    .stands
-                    .get(number)
-                    .and_then(|stand| stand.post.as_ref())
-                else {
-                    return;
-                };
-                // Noted before it stands and after it goes on, so that no act of its is outside.
-                if *on {
-                    self.note(Observation::RelayStill {
-                        relay: *relay,
-                        on: true,
-                    });
-                    post.still(true);
-                    self.set(
-                        self.scenario.relays.front_notice.0,
-                        Later::Door(number, false),
-                    );
-                } else {
-                    post.still(false);
-                    self.note(Observation::RelayStill {
-                        relay: *relay,
-                        on: false,
-                    });
-                    self.set(
-                        self.scenario.relays.front_notice.0,
-                        Later::Door(number, true),
-                    );
-                }
-            }
-            Act::Start(relay) => {
+            Action::HotRestart(relay) => self.upgrade(*relay),
+            Action::Ban(relay, at) => self.ban(*relay, *at, true),
+            Action::Unban(relay, at) => self.ban(*relay, *at, false),
+            Action::Pause(relay) => self.pause(*relay),
+            Action::Resume(relay) => self.resume(*relay),
+            Action::Start(relay) => {
                 let number = usize::from(relay.0);
                 if self
                     .stands
@@ -583,16 +554,16 @@
                     self.start(number);
                 }
             }
-            Act::Leave(relay) => {
-                self.act(&Act::Stop(*relay, None));
+            Action::Leave(relay) => {
+                self.act(&Action::Stop(*relay, None));
             }
-            Act::Link(links, fault, name) => {
+            Action::Links { links, fault, name } => {
                 if let Some(net) = &self.net {
                     net.stage
                         .command(NetworkCommand::LinkFault(links.clone(), *fault, name));
                 }
             }
-            Act::HangUp(relay) => {
+            Action::Reload(relay) => {
                 if let Some(post) = self
                     .stands
                     .get(usize::from(relay.0))
@@ -604,6 +575,44 @@
         }
     }
 
+    /// Noted before it stands still, so that nothing it does comes after.
+    fn pause(&mut self, relay: RelayNumber) {
+        let number = usize::from(relay.0);
+        if !self.runs(number) {
+            return;
+        }
+        self.note(Observation::RelayStill { relay, on: true });
+        if let Some(post) = &self.stands[number].post {
+            post.still(true);
+        }
+        self.set(
+            self.scenario.relays.front_notice.0,
+            Later::Door(number, false),
+        );
+    }
+
+    /// Noted after it goes on, for the same reason.
+    fn resume(&mut self, relay: RelayNumber) {
+        let number = usize::from(relay.0);
+        if !self.runs(number) {
+            return;
+        }
+        if let Some(post) = &self.stands[number].post {
+            post.still(false);
+        }
+        self.note(Observation::RelayStill { relay, on: false });
+        self.set(
+            self.scenario.relays.front_notice.0,
+            Later::Door(number, true),
+        );
+    }
+
+    fn runs(&self, number: usize) -> bool {
+        self.stands
+            .get(number)
+            .is_some_and(|stand| stand.post.is_some())
+    }
+
     fn stops_by(&self) -> Instant {
         let longest = self
             .plan
@@ -631,10 +640,15 @@
         stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
         // The old one keeps its door until it ends.
         let admin =
-            free_address(self.plan.ground.relays + number).map_err(|fault| fault.to_string());
+            free_address(self.plan.backends.relays + number).map_err(|fault| fault.to_string());
         let next = admin.and_then(|admin| {
             stand.orders.admin = Some(admin);
-            RelayProcess::start(&stand.program, &self.plan.terms, &stand.orders, self.folder)
+            RelayProcess::start(
+                &stand.program,
+                &self.plan.fleet_config,
+                &stand.orders,
+                self.folder,
+            )
         });
         match next {
             Ok(post) => {
@@ -775,7 +789,12 @@
             (stand.charter, stand.orders.charter) = (0, Some(first + &stand.peers));
         }
         stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
-        match RelayProcess::start(&stand.program, &self.plan.terms, &stand.orders, self.folder) {
+        match RelayProcess::start(
+            &stand.program,
+            &self.plan.fleet_config,
+            &stand.orders,
+            self.folder,
+        ) {
             Ok(post) => {
                 stand.post = Some(post);
                 self.note(Observation::RelayStarted {
@@ -922,7 +941,7 @@
 
 fn known_list(plan: &Plan, yard: &OpenedBackends) -> serde_json::Value {
     let mut list = EndpointList::default();
-    for (number, (of, at)) in (0..).zip(plan.ground.boxes.iter().zip(&yard.boxes)) {
+    for (number, (of, at)) in (0..).zip(plan.backends.boxes.iter().zip(&yard.boxes)) {
         if of.present {
             let row = Row {
                 at: *at,
@@ -941,5 +960,8 @@
 pub fn begun(entries: &[RecordedEvent]) -> Instant {
     let begins =
         |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Mark { text } if text == BEGUN);
-    entries.iter().find(begins).map_or(BEGIN, |entry| entry.at)
+    entries
+        .iter()
+        .find(begins)
+        .map_or(PLAN_START, |entry| entry.at)
 }
