--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use thistlecroft::time::Duration;
-use thistlecroft_testbed::socket_holder::call;
+use thistlecroft_testbed::socket_holder::send_admin_command;
 
 #[derive(Args)]
 pub struct Asked {
@@ -59,7 +59,7 @@
 }
 
 fn view(door: SocketAddr) -> Result<Value, String> {
-    let said = call(door, "PEERS", WAIT).map_err(|fault| fault.to_string())?;
+    let said = send_admin_command(door, "PEERS", WAIT).map_err(|fault| fault.to_string())?;
     match said.strip_prefix("200 ") {
         Some(text) => serde_json::from_str(text).map_err(|fault| fault.to_string()),
         None => Err(said.strip_prefix("400 ").unwrap_or(&said).to_string()),
--- a/experiments/src/peers.rs
+++ b/experiments/src/peers.rs
@@ -68,10 +68,10 @@
         ..Found::default()
     };
     found.join = in_periods(
-        network.run_until(period * 400.0, SimulatedNetwork::agree),
+        network.run_until(period * 400.0, SimulatedNetwork::membership_is_consistent),
         period,
     );
-    network.link_fault.loss = loss;
+    network.default_link_fault.loss = loss;
     // Quiet: what it costs, and who is suspected though well.
     network.run_for(period * 60.0);
     let sent = |network: &SimulatedNetwork| {
@@ -82,10 +82,12 @@
             .sum::<u64>()
     };
     let turns = |network: &SimulatedNetwork, to: MemberState| {
-        let turns = network
-            .hosts
-            .iter()
-            .map(|host| host.turns.iter().filter(|turn| turn.2 == to).count());
+        let turns = network.hosts.iter().map(|host| {
+            host.member_changes
+                .iter()
+                .filter(|turn| turn.2 == to)
+                .count()
+        });
         turns.sum::<usize>() as f64
     };
     // As many periods of relays in all at each size, at least.
@@ -158,20 +160,23 @@
     let folder = folder.join(format!("peers-{size}"));
     let lease = Duration::from_millis(2_000);
     let mut plan = ClusterPlan::small(program.to_vec(), size, 3.min(size), (period, lease), folder);
-    (plan.seed, plan.ground.seed, plan.terms.probes) = (seed, seed, false);
+    (plan.seed, plan.backends.seed, plan.config.health_checks) = (seed, seed, false);
     let mut rig = ProcessCluster::open(plan)?;
     let all: Vec<usize> = (0..size).collect();
     rig.start_all(&all)?;
     let count = |rig: &ProcessCluster, name: &str| -> u64 {
-        let views = all.iter().filter_map(|one| rig.view(*one));
+        let views = all.iter().filter_map(|one| rig.membership(*one));
         views.filter_map(|view| view["counts"][name].as_u64()).sum()
     };
     let mut found = Found {
         bound: pace.gone_within(size, 0).as_micros() as f64 / period.as_micros() as f64,
         ..Found::default()
     };
-    found.join = in_periods(rig.wait(period * 400.0, |rig| rig.agree(&all)), period);
-    rig.fault_links(
+    found.join = in_periods(
+        rig.wait_until(period * 400.0, |rig| rig.membership_is_consistent(&all)),
+        period,
+    );
+    rig.set_link_fault(
         &all,
         &all,
         (loss > 0.0).then(|| LinkFault {
@@ -181,12 +186,12 @@
     );
     let cpu = |rig: &ProcessCluster| {
         all.iter()
-            .filter_map(|one| rig.cpu(*one))
+            .filter_map(|one| rig.cpu_time(*one))
             .fold(Duration::ZERO, |sum, one| sum + one)
     };
     let quiet = Duration::from_millis(10_000);
     // News of the start has gone round by then, and voters are no longer silent.
-    std::thread::sleep(thistlecroft_testbed::clock::duration(period * 30.0));
+    std::thread::sleep(thistlecroft_testbed::clock::to_std(period * 30.0));
     // Counted by probes, which come one a period: the views themselves are asked outside of it.
     let (probes, bytes, suspected) = (
         count(&rig, "probes"),
@@ -194,15 +199,15 @@
         count(&rig, "suspected"),
     );
     let spent = cpu(&rig);
-    std::thread::sleep(thistlecroft_testbed::clock::duration(quiet));
+    std::thread::sleep(thistlecroft_testbed::clock::to_std(quiet));
     found.cpu_us = Some((cpu(&rig) - spent).as_micros() as f64 / quiet.as_secs_f64() / size as f64);
     let periods = (count(&rig, "probes") - probes) as f64 / size as f64;
     found.bytes = (count(&rig, "sent_bytes") - bytes) as f64 / size as f64 / periods.max(1.0);
     found.suspicions = (count(&rig, "suspected") - suspected) as f64 / periods.max(1.0) * 3_600.0;
-    rig.ask(size / 2, "NOTE subject value");
-    let fact = rig.wait(period * 200.0, |rig| {
+    rig.admin_command(size / 2, "NOTE subject value");
+    let fact = rig.wait_until(period * 200.0, |rig| {
         all.iter().all(|one| {
-            rig.ask(*one, "NOTES")
+            rig.admin_command(*one, "NOTES")
                 .is_some_and(|said| said.contains("\"value\""))
         })
     });
@@ -211,7 +216,7 @@
     let rest = &all[..size - 1];
     let dead = format!("relay-{}", size - 1);
     let gone = |rig: &ProcessCluster, one: usize| {
-        let view = rig.view(one);
+        let view = rig.membership(one);
         let peers = view.as_ref().and_then(|view| view["peers"].as_array());
         peers.is_some_and(|peers| {
             peers
@@ -219,8 +224,8 @@
                 .any(|peer| peer["name"] == dead.as_str() && peer["standing"] == "gone")
         })
     };
-    let first = rig.wait(period * 400.0, |rig| rest.iter().any(|one| gone(rig, *one)));
-    let others = rig.wait(period * 400.0, |rig| rest.iter().all(|one| gone(rig, *one)));
+    let first = rig.wait_until(period * 400.0, |rig| rest.iter().any(|one| gone(rig, *one)));
+    let others = rig.wait_until(period * 400.0, |rig| rest.iter().all(|one| gone(rig, *one)));
     found.first = in_periods(first, period);
     found.gone = in_periods(first.zip(others).map(|(first, rest)| first + rest), period);
     Ok(found)
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan.rs
@@ -6,15 +6,15 @@
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
 use thistlecroft_testbed::cluster_invariants::ClusterLimits;
-use thistlecroft_testbed::event_recorder::{BackendNumber, RelayNumber};
+use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
 use thistlecroft_testbed::invariant_checker::PlatformRules;
 use thistlecroft_testbed::link_fault::LinkFault;
-use thistlecroft_testbed::load_generator::{Dealing, LoadCommand, Rude};
+use thistlecroft_testbed::load_generator::{ClientDistribution, LoadCommand, Misbehavior};
 use thistlecroft_testbed::relay_process::{FleetConfig, ListenerConfig};
 use thistlecroft_testbed::simulated_backends::{
     AgentFault, BackendCommand, BackendFault, BackendPlan, BackendSpec,
 };
-use thistlecroft_testbed::traffic::{Arrival, Kind, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{Arrival, ClientProfile, Traffic, arrivals};
 
 /// Something that the one who directs has done.
 #[derive(Clone, Debug)]
@@ -22,24 +22,24 @@
     SimulatedBackends(BackendCommand),
     LoadGenerator(LoadCommand),
     /// Killed outright, back after so long.
-    Kill(RelayNumber, Option<Duration>),
+    Kill(RelayIndex, Option<Duration>),
     /// Told to stop, and the next one started after so long.
-    Stop(RelayNumber, Option<Duration>),
-    HangUp(RelayNumber),
+    Stop(RelayIndex, Option<Duration>),
+    HangUp(RelayIndex),
     /// The next of the scenario's charters.
-    Recharter(RelayNumber),
+    Recharter(RelayIndex),
     /// Another process of it beside this one, which is told to stop once that is ready.
-    Upgrade(RelayNumber),
+    Upgrade(RelayIndex),
     /// Taken out by hand at that relay, or put back.
-    Ban(RelayNumber, BackendNumber, bool),
+    Ban(RelayIndex, BackendIndex, bool),
     /// Stands still, or goes on.
-    Still(RelayNumber, bool),
+    Still(RelayIndex, bool),
     /// One that has not run yet, or was told to stop, starts.
-    Start(RelayNumber),
+    Start(RelayIndex),
     /// Told to stop, and stays away.
-    Leave(RelayNumber),
+    Leave(RelayIndex),
     Link(
-        Vec<(RelayNumber, RelayNumber)>,
+        Vec<(RelayIndex, RelayIndex)>,
         Option<LinkFault>,
         &'static str,
     ),
@@ -76,11 +76,11 @@
 /// Clients come from here on, so that all is set up before.
 pub const BEGIN: Instant = Instant::from_micros(500_000);
 
-pub fn dealing(baseline: Option<Baseline>) -> Dealing {
+pub fn dealing(baseline: Option<Baseline>) -> ClientDistribution {
     match baseline {
-        None | Some(Baseline::Direct) => Dealing::Even,
-        Some(Baseline::Random) => Dealing::Random,
-        Some(Baseline::Least) => Dealing::LeastOwn,
+        None | Some(Baseline::Direct) => ClientDistribution::RoundRobin,
+        Some(Baseline::Random) => ClientDistribution::Random,
+        Some(Baseline::Least) => ClientDistribution::LeastConnections,
     }
 }
 
@@ -118,31 +118,31 @@
         let arrivals = arrivals(&traffic, until, seed);
         let ground = ground_of(scenario, seed);
         let law = PlatformRules {
-            effects: scenario
+            idempotency: scenario
                 .listeners
                 .iter()
                 .map(|row| effect(row.get_ref()))
                 .collect(),
             hedged: vec![scenario.relays.two_dials; scenario.listeners.len()],
-            grace: scenario.fleet.grace.0,
-            places: ground
-                .boxes
+            drain_grace: scenario.fleet.grace.0,
+            backend_locations: ground
+                .backends
                 .iter()
                 .map(|plan| (plan.zone.clone(), plan.cell))
                 .collect(),
         };
         let together = &scenario.together;
         let pact = ClusterLimits {
-            at_once: together.at_once.map(|most| {
+            max_sessions: together.at_once.map(|most| {
                 (
                     most,
                     together.over_for.map_or(Duration::ZERO, |over| over.0),
                 )
             }),
-            dials_a_second: together.dials_a_second,
-            bans_within: together.bans_within.map(|within| within.0),
-            takes_over: false,
-            agree: together.agree,
+            max_attempts_per_second: together.dials_a_second,
+            ban_replication_time: together.bans_within.map(|within| within.0),
+            allows_takeover: false,
+            requires_consistent_membership: together.agree,
         };
         Plan {
             seed,
@@ -183,15 +183,15 @@
         .listeners
         .iter()
         .map(|row| row.get_ref())
-        .map(|row| Kind {
+        .map(|row| ClientProfile {
             name: row.name.clone(),
             share: row.share,
-            wait: row.wait.0,
+            answer_timeout: row.wait.0,
             handshake_target: row.handshake_target.0,
             message_target: row.message_target.0,
             load: (row.load[0], row.load[1]),
-            life: row.life.0,
-            utility: row.utility,
+            mean_lifetime: row.life.0,
+            priority_weight: row.utility,
         });
     let rate = match &text.rate {
         Rate::Even(rate) => vec![(BEGIN, *rate)],
@@ -201,51 +201,51 @@
             .collect(),
     };
     Traffic {
-        kinds: kinds.collect(),
+        profiles: kinds.collect(),
         rate,
-        rushes,
+        bursts: rushes,
         keys: text.keys.max(1),
         groups: text.groups,
         retries: text.retries,
-        heeds: text.heeds,
-        back_off: text.back_off.0,
-        rejoin: (text.rejoin[0].0, text.rejoin[1].0),
-        impatient: text.impatient,
-        beat: text.beat.0,
+        heeds_retry_after: text.heeds,
+        backoff: text.back_off.0,
+        reconnect_delay: (text.rejoin[0].0, text.rejoin[1].0),
+        impatient_share: text.impatient,
+        message_interval: text.beat.0,
     }
 }
 
 fn ground_of(scenario: &Scenario, seed: u64) -> BackendPlan {
     let fleet = &scenario.fleet;
     let cold = WarmUp {
-        start_share: fleet.cold_share,
-        warm_up: fleet.warm_up.0,
-        factor: fleet.cold_factor,
-        window: fleet.cold_window.0,
-        turnover: fleet
+        initial_share: fleet.cold_share,
+        duration: fleet.warm_up.0,
+        overload_factor: fleet.cold_factor,
+        overload_window: fleet.cold_window.0,
+        turnover_time: fleet
             .turnover
             .map_or_else(|| turnover(scenario), |turnover| turnover.0),
     };
     let make = BackendCapacity {
-        capacity: fleet.capacity,
-        most: fleet.most,
-        setup: fleet.set_up.0,
-        group_fee: fleet.group_fee,
-        cold,
+        full_load: fleet.capacity,
+        max_sessions: fleet.most,
+        setup_time: fleet.set_up.0,
+        group_load: fleet.group_fee,
+        warm_up: cold,
     };
     let boxes = (0..fleet.boxes).map(|number| BackendSpec {
-        make,
+        capacity: make,
         zone: fleet.zones[number % fleet.zones.len()].clone(),
         cell: 0,
-        present: number < fleet.boxes - fleet.later,
+        initially_running: number < fleet.boxes - fleet.later,
     });
     BackendPlan {
-        boxes: boxes.collect(),
+        backends: boxes.collect(),
         relays: scenario.relays.count,
-        notice: (fleet.notice[0].0, fleet.notice[1].0),
-        store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
-        report_every: fleet.report_every.0,
-        tells_load: fleet.tells_load,
+        announcement_delay: (fleet.notice[0].0, fleet.notice[1].0),
+        setup_store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
+        report_interval: fleet.report_every.0,
+        reports_load: fleet.tells_load,
         seed,
     }
 }
@@ -267,28 +267,28 @@
         .map(|row| row.get_ref())
         .map(|row| ListenerConfig {
             name: row.name.clone(),
-            wait: row.wait.0,
+            answer_timeout: row.wait.0,
             handshake_target: row.handshake_target.0,
             message_target: row.message_target.0,
-            effect: effect(row),
-            utility: row.utility,
+            idempotency: effect(row),
+            priority_weight: row.utility,
         });
     FleetConfig {
         zones: fleet.zones.clone(),
         listeners: listeners.collect(),
-        connect_time: relays.connect_time.0,
-        most_dials: relays.most_dials,
-        longest_retry_after: relays.retry_after.map(|longest| longest.0),
-        probes: relays.probes,
+        connect_timeout: relays.connect_time.0,
+        max_attempts: relays.most_dials,
+        max_retry_after: relays.retry_after.map(|longest| longest.0),
+        health_checks: relays.probes,
         groups: scenario.traffic.groups.is_some(),
-        tells_load: fleet.tells_load,
-        cold_start_share: fleet.cold_share,
+        reports_load: fleet.tells_load,
+        warm_up_initial_share: fleet.cold_share,
         warm_up: fleet.warm_up.0,
-        cold_factor: fleet.cold_factor,
-        cold_window: fleet.cold_window.0,
+        warm_up_overload_factor: fleet.cold_factor,
+        warm_up_overload_window: fleet.cold_window.0,
         memory_mb: relays.memory_mb,
         sockets: relays.sockets,
-        two_dials: relays.two_dials,
+        hedging: relays.two_dials,
         peers: relays.peers,
     }
 }
@@ -446,37 +446,40 @@
     let from = BEGIN + fault.at.0;
     let to = fault.lasts.map(|lasts| from + lasts.0);
     let boxes = drawn(&fault.boxes, scenario.fleet.boxes, chance);
-    let boxes: Vec<BackendNumber> = boxes
+    let boxes: Vec<BackendIndex> = boxes
         .into_iter()
-        .map(|number| BackendNumber(number as u16))
+        .map(|number| BackendIndex(number as u16))
         .collect();
     let relays = drawn(&fault.relays, scenario.relays.count, chance);
-    let relays: Vec<RelayNumber> = relays
+    let relays: Vec<RelayIndex> = relays
         .into_iter()
-        .map(|number| RelayNumber(number as u16))
+        .map(|number| RelayIndex(number as u16))
         .collect();
     let over = fault.over.map_or(Duration::ZERO, |over| over.0);
     let back = fault.back.map(|back| back.0);
     let span = |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
     let ailment = match fault.what.as_str() {
-        "silent" => Some(BackendFault::Vanished),
+        "silent" => Some(BackendFault::Unreachable),
         "freeze" => Some(BackendFault::Frozen),
-        "mute" => Some(BackendFault::Mute),
+        "mute" => Some(BackendFault::Unresponsive),
         "slow" => Some(BackendFault::Slow(fault.times.unwrap_or(1.0))),
-        "pauses" => Some(BackendFault::Pausing(span(fault.every), span(fault.pause))),
-        "errors" => Some(BackendFault::Failing(fault.part.unwrap_or(1.0))),
-        "reset-before" => Some(BackendFault::ResetsBefore),
-        "reset-after" => Some(BackendFault::ResetsAfter),
-        "half-answer" => Some(BackendFault::HalfAnswer),
+        "pauses" => Some(BackendFault::PeriodicPause(
+            span(fault.every),
+            span(fault.pause),
+        )),
+        "errors" => Some(BackendFault::ErrorRate(fault.part.unwrap_or(1.0))),
+        "reset-before" => Some(BackendFault::ResetOnAccept),
+        "reset-after" => Some(BackendFault::ResetOnRequest),
+        "half-answer" => Some(BackendFault::PartialAnswer),
         "never-closes" => Some(BackendFault::NeverCloses),
-        "drops-young" => Some(BackendFault::DropsYoung),
+        "drops-young" => Some(BackendFault::ResetAfterSetup),
         _ => None,
     };
     let agent = match fault.what.as_str() {
         "discovery-silent" => Some(AgentFault::Silent),
-        "discovery-down" => Some(AgentFault::Down),
+        "discovery-down" => Some(AgentFault::Unavailable),
         "discovery-stale" => Some(AgentFault::Stale),
-        "discovery-restart" => Some(AgentFault::Restart),
+        "discovery-restart" => Some(AgentFault::StateLost),
         "discovery-malformed" => Some(AgentFault::Malformed),
         _ => None,
     };
@@ -487,10 +490,10 @@
             (Some(ailment), _) => {
                 add(
                     from,
-                    Act::SimulatedBackends(BackendCommand::Ail(at, ailment)),
+                    Act::SimulatedBackends(BackendCommand::InjectFault(at, ailment)),
                 );
                 if let Some(to) = to {
-                    add(to, Act::SimulatedBackends(BackendCommand::Heal(at)));
+                    add(to, Act::SimulatedBackends(BackendCommand::ClearFault(at)));
                 }
             }
             (None, "crash") => add(
@@ -505,12 +508,12 @@
                 if let Some(back) = back {
                     add(
                         from + over + back,
-                        Act::SimulatedBackends(BackendCommand::Join(at)),
+                        Act::SimulatedBackends(BackendCommand::Start(at)),
                     );
                 }
             }
             (None, "ban") => {}
-            _ => add(from, Act::SimulatedBackends(BackendCommand::Join(at))),
+            _ => add(from, Act::SimulatedBackends(BackendCommand::Start(at))),
         }
     }
     for &relay in &relays {
@@ -518,12 +521,12 @@
             (Some(agent), _) => {
                 add(
                     from,
-                    Act::SimulatedBackends(BackendCommand::Agent(relay, agent, true)),
+                    Act::SimulatedBackends(BackendCommand::SetAgentFault(relay, agent, true)),
                 );
                 if let Some(to) = to {
                     add(
                         to,
-                        Act::SimulatedBackends(BackendCommand::Agent(relay, agent, false)),
+                        Act::SimulatedBackends(BackendCommand::SetAgentFault(relay, agent, false)),
                     );
                 }
             }
@@ -579,9 +582,18 @@
     let mut add = |at: Instant, act: Act| acts.push(Timed { at, act });
     let clients = fault.clients.unwrap_or_default();
     if fault.what == "clients-drop" {
-        add(from, Act::LoadGenerator(LoadCommand::Drop(clients, over)));
-    } else if let Some((rude, _)) = Rude::ALL.iter().find(|(_, name)| *name == fault.what) {
-        add(from, Act::LoadGenerator(LoadCommand::Rude(*rude, clients)));
+        add(
+            from,
+            Act::LoadGenerator(LoadCommand::DropConnections(clients, over)),
+        );
+    } else if let Some((rude, _)) = Misbehavior::ALL
+        .iter()
+        .find(|(_, name)| *name == fault.what)
+    {
+        add(
+            from,
+            Act::LoadGenerator(LoadCommand::AddMisbehaving(*rude, clients)),
+        );
     }
     (acts, to)
 }
@@ -591,7 +603,7 @@
 fn link_acts(
     fault: &FaultText,
     scenario: &Scenario,
-    these: &[RelayNumber],
+    these: &[RelayIndex],
     chance: &mut Rng,
 ) -> Vec<Timed> {
     let count = scenario.relays.count;
@@ -603,12 +615,12 @@
         "partition" => {
             let others = || {
                 (0..count)
-                    .map(|one| RelayNumber(one as u16))
+                    .map(|one| RelayIndex(one as u16))
                     .filter(|one| !these.contains(one))
             };
             let both =
-                |one: RelayNumber| others().flat_map(move |other| [(one, other), (other, one)]);
-            let links: Vec<(RelayNumber, RelayNumber)> =
+                |one: RelayIndex| others().flat_map(move |other| [(one, other), (other, one)]);
+            let links: Vec<(RelayIndex, RelayIndex)> =
                 these.iter().copied().flat_map(both).collect();
             add(
                 begins,
@@ -621,14 +633,14 @@
             let mut some = |which| {
                 let all = drawn(which, count, chance);
                 all.into_iter()
-                    .map(|number| RelayNumber(number as u16))
+                    .map(|number| RelayIndex(number as u16))
                     .collect::<Vec<_>>()
             };
             let (from, to) = (some(&fault.from), some(&fault.to));
             let pairs = from
                 .iter()
                 .flat_map(|one| to.iter().map(move |other| (*one, *other)));
-            let links: Vec<(RelayNumber, RelayNumber)> =
+            let links: Vec<(RelayIndex, RelayIndex)> =
                 pairs.filter(|(one, other)| one != other).collect();
             let span =
                 |time: Option<crate::spans::Time>| time.map_or(Duration::ZERO, |time| time.0);
@@ -639,9 +651,9 @@
             let link_fault = LinkFault {
                 loss: fault.loss.unwrap_or(if bent { 0.0 } else { 1.0 }),
                 delay: span(fault.delay),
-                spread: span(fault.spread),
-                doubled: fault.doubled.unwrap_or(0.0),
-                rate: fault.rate.unwrap_or(0),
+                jitter: span(fault.spread),
+                duplication: fault.doubled.unwrap_or(0.0),
+                bytes_per_second: fault.rate.unwrap_or(0),
             };
             let name = if link_fault == LinkFault::CUT {
                 "cut"
--- a/experiments/src/report.rs
+++ b/experiments/src/report.rs
@@ -7,7 +7,7 @@
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::event_recorder::{Answer, Observation, RecordedEvent, RelayNumber};
+use thistlecroft_testbed::event_recorder::{Answer, Observation, RecordedEvent, RelayIndex};
 use thistlecroft_testbed::load_generator::LoadTotals;
 
 const SIZE: (u32, u32) = (960, 300);
@@ -121,10 +121,10 @@
 fn distribution(crowd: &LoadTotals) -> Result<String, String> {
     let mut svg = String::new();
     let mut lines = Vec::new();
-    for (place, kind) in crowd.kinds.iter().enumerate() {
+    for (place, kind) in crowd.listeners.iter().enumerate() {
         for (what, of, dashed) in [
-            ("set-up", &kind.set_up, false),
-            ("lines", &kind.lines, true),
+            ("set-up", &kind.setup_latency, false),
+            ("lines", &kind.message_latency, true),
         ] {
             if of.is_empty() {
                 continue;
@@ -224,22 +224,23 @@
     let steps = (until.as_micros() / STEP.as_micros() + 1) as usize;
     let mut counts = vec![[0_u32; 5]; steps];
     for entry in entries {
-        let kind = match entry.seen {
+        let kind = match entry.observation {
             Observation::Answered {
-                answer: Answer::Up, ..
+                answer: Answer::Accepted,
+                ..
             } => 0,
             Observation::Answered {
-                answer: Answer::Busy(_),
+                answer: Answer::Rejected(_),
                 ..
             } => 1,
             Observation::Answered {
                 answer: Answer::Failed,
                 ..
             }
-            | Observation::Unanswered { .. }
-            | Observation::Dropped { .. } => 2,
-            Observation::Moved { .. } => 3,
-            Observation::CutOff { .. } => 4,
+            | Observation::AnswerTimedOut { .. }
+            | Observation::ClosedUnanswered { .. } => 2,
+            Observation::Migrated { .. } => 3,
+            Observation::ConnectionLost { .. } => 4,
             _ => continue,
         };
         let step = ((entry.at.as_micros() / STEP.as_micros()) as usize).min(steps - 1);
@@ -266,17 +267,15 @@
 }
 
 fn cost_lines(entries: &[RecordedEvent]) -> (Vec<Line>, Vec<Line>) {
-    let mut last: BTreeMap<RelayNumber, (f64, f64)> = BTreeMap::new();
-    let (mut cpu_of, mut memory_of): (
-        BTreeMap<RelayNumber, Vec<_>>,
-        BTreeMap<RelayNumber, Vec<_>>,
-    ) = Default::default();
+    let mut last: BTreeMap<RelayIndex, (f64, f64)> = BTreeMap::new();
+    let (mut cpu_of, mut memory_of): (BTreeMap<RelayIndex, Vec<_>>, BTreeMap<RelayIndex, Vec<_>>) =
+        Default::default();
     for entry in entries {
         let Observation::RelayCost {
             relay,
-            cpu,
-            resident,
-        } = entry.seen
+            cpu_time: cpu,
+            resident_bytes: resident,
+        } = entry.observation
         else {
             continue;
         };
@@ -295,7 +294,7 @@
             .or_default()
             .push((at, resident as f64 / f64::from(1 << 20)));
     }
-    let lines = |of: BTreeMap<RelayNumber, Vec<(f64, f64)>>| {
+    let lines = |of: BTreeMap<RelayIndex, Vec<(f64, f64)>>| {
         of.into_iter()
             .map(|(relay, points)| Line {
                 name: format!("relay {}", relay.0),
--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -12,26 +12,27 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::clock::{Stopwatch, duration};
+use thistlecroft_testbed::clock::{Stopwatch, to_std};
 use thistlecroft_testbed::cluster_invariants::check_cluster_invariants;
-use thistlecroft_testbed::endpoint_list::{EndpointList, Row, name_of};
+use thistlecroft_testbed::endpoint_list::{EndpointList, EndpointRow, endpoint_name};
 use thistlecroft_testbed::event_loop::EventLoop;
 use thistlecroft_testbed::event_recorder::{
-    Answer, BackendNumber, EventLog, EventRecorder, Lifecycle, Observation, RecordedEvent,
-    RelayNumber, event_recorder,
+    Answer, BackendIndex, EventLog, EventRecorder, Lifecycle, Observation, RecordedEvent,
+    RelayIndex, event_recorder,
 };
 use thistlecroft_testbed::invariant_checker::check_invariants;
 use thistlecroft_testbed::load_generator::{
-    IDLE, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
+    ALL_CLIENTS_GONE, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
 };
 use thistlecroft_testbed::relay_network::{NetworkCommand, OpenedNetwork, RelayNetwork};
 use thistlecroft_testbed::relay_observer::RelayObserver;
 use thistlecroft_testbed::relay_process::{
-    CALL, PeersConfig, RelayOptions, RelayProcess, free_address, need_descriptors,
+    ADMIN_COMMAND_TIMEOUT, PeersConfig, RelayOptions, RelayProcess, ensure_descriptor_limit,
+    free_address,
 };
 use thistlecroft_testbed::simulated_backends::{OpenedBackends, SimulatedBackends};
-use thistlecroft_testbed::socket_holder::{SocketHolder, call};
-use thistlecroft_testbed::traffic::scattered;
+use thistlecroft_testbed::socket_holder::{SocketHolder, send_admin_command};
+use thistlecroft_testbed::traffic::scattered_id;
 
 /// How often the plan is looked at, and relays are measured.
 const STEP: std::time::Duration = std::time::Duration::from_millis(10);
@@ -162,7 +163,7 @@
     watch: &mut dyn FnMut(&Look),
 ) -> Result<Outcome, String> {
     let plan = Plan::of(scenario, seed);
-    need_descriptors(descriptors(&plan, way))?;
+    ensure_descriptor_limit(descriptors(&plan, way))?;
     std::fs::create_dir_all(folder).map_err(|fault| format!("{}: {fault}", folder.display()))?;
     let mut director = Director::open(scenario, &plan, way, folder)?;
     let complete = director.direct(stop, watch);
@@ -213,8 +214,11 @@
     let mut changes: Vec<(Instant, i64)> = Vec::new();
     for arrival in &plan.arrivals {
         // Set-ups that take much longer than this are few, or the run shows little anyway.
-        let set_up = plan.traffic.kinds[usize::from(arrival.kind)].handshake_target;
-        changes.extend([(arrival.due, 1), (arrival.due + arrival.life + set_up, -1)]);
+        let set_up = plan.traffic.profiles[usize::from(arrival.profile)].handshake_target;
+        changes.extend([
+            (arrival.due, 1),
+            (arrival.due + arrival.lifetime + set_up, -1),
+        ]);
     }
     changes.sort_unstable();
     let (mut now, mut most) = (0, 0);
@@ -223,11 +227,11 @@
         most = most.max(now);
     }
     let rude = plan.acts.iter().map(|timed| match timed.act {
-        Act::LoadGenerator(LoadCommand::Rude(_, count)) => count as u64,
+        Act::LoadGenerator(LoadCommand::AddMisbehaving(_, count)) => count as u64,
         _ => 0,
     });
     let here =
-        most.unsigned_abs() * 2 + rude.sum::<u64>() + plan.ground.boxes.len() as u64 * 4 + OWN;
+        most.unsigned_abs() * 2 + rude.sum::<u64>() + plan.ground.backends.len() as u64 * 4 + OWN;
     if way.baseline.is_some() {
         here
     } else {
@@ -276,7 +280,7 @@
                     false => (listen, None, None),
                 };
                 let peers = net.as_ref().map_or(String::new(), |net| {
-                    terms.table(&net.ways[number], &net.ways)
+                    terms.table(&net.addresses[number], &net.addresses)
                 });
                 let admin = match net {
                     Some(_) if admin.is_none() => Some(
@@ -295,26 +299,26 @@
                     .then(|| charter.unwrap_or_default() + &peers);
                 let orders = RelayOptions {
                     name: format!("relay-{number}"),
-                    number,
+                    index: number,
                     relays: plan.ground.relays,
                     zone: number % scenario.fleet.zones.len(),
                     listen,
-                    charter,
-                    discovery: yard.agents[number],
-                    seed: scattered(plan.seed.wrapping_mul(1_000) + number as u64),
-                    known,
+                    operator_config: charter,
+                    discovery: yard.agent_addresses[number],
+                    seed: scattered_id(plan.seed.wrapping_mul(1_000) + number as u64),
+                    cached_endpoints: known,
                     admin,
-                    station,
+                    socket_holder: station,
                 };
                 let present = number < relays.count - relays.later;
                 let post = present
                     .then(|| RelayProcess::start(&way.relay, &plan.terms, &orders, folder))
                     .transpose()?;
                 if present {
-                    tape.note(
+                    tape.record(
                         clock.now(),
                         Observation::RelayStarted {
-                            relay: RelayNumber(number as u16),
+                            relay: RelayIndex(number as u16),
                         },
                     );
                 }
@@ -338,19 +342,19 @@
             None => (0..)
                 .zip(&stands)
                 .map(|(number, stand)| RelayEndpoint {
-                    at: stand.orders.listen,
-                    relay: Some(RelayNumber(number)),
-                    open: stand.post.is_some(),
+                    address: stand.orders.listen,
+                    relay: Some(RelayIndex(number)),
+                    enabled: stand.post.is_some(),
                 })
                 .collect(),
             Some(_) => yard
-                .boxes
+                .addresses
                 .iter()
-                .zip(&plan.ground.boxes)
+                .zip(&plan.ground.backends)
                 .map(|(at, of)| RelayEndpoint {
-                    at: *at,
+                    address: *at,
                     relay: None,
-                    open: of.present,
+                    enabled: of.initially_running,
                 })
                 .collect(),
         };
@@ -372,22 +376,22 @@
             let bill = LoadPlan {
                 traffic: plan.traffic.clone(),
                 arrivals: arrivals.collect(),
-                until: begun + plan.until.duration_since(Instant::default()),
-                doors: doors.clone(),
-                dealing: dealing(way.baseline),
+                end: begun + plan.until.duration_since(Instant::default()),
+                endpoints: doors.clone(),
+                distribution: dealing(way.baseline),
                 seed: plan.seed.wrapping_add(thread as u64),
             };
             let crowd = LoadGenerator::open(bill, clock, tape.clone());
             crowds.push(crowd.map_err(|fault| format!("clients can't be set up: {fault}"))?);
         }
-        tape.note(begun, Observation::Mark { text: BEGUN.into() });
+        tape.record(begun, Observation::Note { text: BEGUN.into() });
         let look = Look {
             length: plan.until.duration_since(Instant::default()),
             boxes: plan
                 .ground
-                .boxes
+                .backends
                 .iter()
-                .map(|of| of.present.then_some((0.0, "")))
+                .map(|of| of.initially_running.then_some((0.0, "")))
                 .collect(),
             ..Look::default()
         };
@@ -398,7 +402,7 @@
             .filter_map(|(number, stand)| {
                 let door = stand.orders.admin?;
                 Some(RelayObserver::open(
-                    RelayNumber(number),
+                    RelayIndex(number),
                     door,
                     lease,
                     clock,
@@ -427,7 +431,7 @@
     }
 
     fn note(&self, seen: Observation) {
-        self.tape.note(self.clock.now(), seen);
+        self.tape.record(self.clock.now(), seen);
     }
 
     fn set(&mut self, after: Duration, later: Later) {
@@ -478,7 +482,7 @@
 
     fn act(&mut self, act: &Act) {
         match act {
-            Act::SimulatedBackends(cue) => self.yard.stage.command(cue.clone()),
+            Act::SimulatedBackends(cue) => self.yard.event_loop.command(cue.clone()),
             Act::LoadGenerator(cue) => {
                 let threads = self.crowds.len();
                 for (place, crowd) in self.crowds.iter().enumerate() {
@@ -486,8 +490,12 @@
                     let part =
                         |count: usize| count / threads + usize::from(place < count % threads);
                     crowd.command(match cue {
-                        LoadCommand::Drop(count, over) => LoadCommand::Drop(part(*count), *over),
-                        LoadCommand::Rude(rude, count) => LoadCommand::Rude(*rude, part(*count)),
+                        LoadCommand::DropConnections(count, over) => {
+                            LoadCommand::DropConnections(part(*count), *over)
+                        }
+                        LoadCommand::AddMisbehaving(rude, count) => {
+                            LoadCommand::AddMisbehaving(*rude, part(*count))
+                        }
                         other => other.clone(),
                     });
                 }
@@ -517,9 +525,9 @@
                     return;
                 };
                 let Some(post) = &stand.post else { return };
-                post.tell_to_stop();
+                post.request_stop();
                 (stand.stops_by, stand.back_after) = (Some(by), *back);
-                self.note(Observation::RelayToldToStop { relay: *relay });
+                self.note(Observation::RelayStopRequested { relay: *relay });
                 self.set(COME_ON, Later::Door(number, false));
             }
             Act::Recharter(relay) => {
@@ -527,14 +535,18 @@
                 let Some(stand) = self.stands.get_mut(usize::from(relay.0)) else {
                     return;
                 };
-                if stand.orders.charter.is_none() {
+                if stand.orders.operator_config.is_none() {
                     return;
                 }
                 stand.charter = (stand.charter + 1) % charters.len();
                 let text = charters[stand.charter].clone() + &stand.peers;
-                stand.orders.charter = Some(text.clone());
-                if let Some(Err(fault)) = stand.post.as_ref().map(|post| post.recharter(&text)) {
-                    self.note(Observation::Mark {
+                stand.orders.operator_config = Some(text.clone());
+                if let Some(Err(fault)) = stand
+                    .post
+                    .as_ref()
+                    .map(|post| post.replace_operator_config(&text))
+                {
+                    self.note(Observation::Note {
                         text: format!("a charter can't be written: {fault}"),
                     });
                 }
@@ -552,20 +564,20 @@
                 };
                 // Noted before it stands and after it goes on, so that no act of its is outside.
                 if *on {
-                    self.note(Observation::RelayStill {
+                    self.note(Observation::RelayPaused {
                         relay: *relay,
-                        on: true,
+                        paused: true,
                     });
-                    post.still(true);
+                    post.set_paused(true);
                     self.set(
                         self.scenario.relays.front_notice.0,
                         Later::Door(number, false),
                     );
                 } else {
-                    post.still(false);
-                    self.note(Observation::RelayStill {
+                    post.set_paused(false);
+                    self.note(Observation::RelayPaused {
                         relay: *relay,
-                        on: false,
+                        paused: false,
                     });
                     self.set(
                         self.scenario.relays.front_notice.0,
@@ -588,8 +600,11 @@
             }
             Act::Link(links, fault, name) => {
                 if let Some(net) = &self.net {
-                    net.stage
-                        .command(NetworkCommand::LinkFault(links.clone(), *fault, name));
+                    net.event_loop.command(NetworkCommand::SetLinkFault(
+                        links.clone(),
+                        *fault,
+                        name,
+                    ));
                 }
             }
             Act::HangUp(relay) => {
@@ -598,7 +613,7 @@
                     .get(usize::from(relay.0))
                     .and_then(|stand| stand.post.as_ref())
                 {
-                    post.hang_up();
+                    post.send_hangup();
                 }
             }
         }
@@ -608,9 +623,9 @@
         let longest = self
             .plan
             .traffic
-            .kinds
+            .profiles
             .iter()
-            .map(|kind| kind.wait)
+            .map(|kind| kind.answer_timeout)
             .max()
             .unwrap_or_default();
         self.clock.now() + longest.min(LONGEST_WAIT) + AFTER_WAIT
@@ -618,17 +633,17 @@
 
     fn crashed(&mut self, text: String) {
         self.crashes += 1;
-        self.note(Observation::Mark { text });
+        self.note(Observation::Note { text });
     }
 
-    fn upgrade(&mut self, relay: RelayNumber) {
+    fn upgrade(&mut self, relay: RelayIndex) {
         let number = usize::from(relay.0);
         let stand = &mut self.stands[number];
         if stand.post.is_none() || stand.stops_by.is_some() {
             return;
         }
         stand.starts += 1;
-        stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
+        stand.orders.seed = scattered_id(stand.orders.seed.wrapping_add(stand.starts));
         // The old one keeps its door until it ends.
         let admin =
             free_address(self.plan.ground.relays + number).map_err(|fault| fault.to_string());
@@ -647,17 +662,17 @@
                 }
                 let stand = &mut self.stands[number];
                 if let Some(elder) = stand.post.replace(post) {
-                    elder.tell_to_stop();
+                    elder.request_stop();
                     stand.elders.push((elder, by));
                 }
                 self.note(Observation::RelayStarted { relay });
-                self.note(Observation::RelayToldToStop { relay });
+                self.note(Observation::RelayStopRequested { relay });
             }
             Err(why) => self.crashed(why),
         }
     }
 
-    fn ban(&mut self, relay: RelayNumber, at: BackendNumber, out: bool) {
+    fn ban(&mut self, relay: RelayIndex, at: BackendIndex, out: bool) {
         let post = self
             .stands
             .get(usize::from(relay.0))
@@ -668,12 +683,24 @@
         let word = if out { "DISABLE" } else { "ENABLE" };
         // The rule holds until the call back is made, and from the yes on.
         if !out {
-            self.note(Observation::ByHand { relay, at, out });
+            self.note(Observation::BackendBanned {
+                relay,
+                backend: at,
+                banned: out,
+            });
         }
-        match call(admin, &format!("{word} {}", name_of(at)), CALL) {
+        match send_admin_command(
+            admin,
+            &format!("{word} {}", endpoint_name(at)),
+            ADMIN_COMMAND_TIMEOUT,
+        ) {
             Ok(said) if said.starts_with("200") => {
                 if out {
-                    self.note(Observation::ByHand { relay, at, out });
+                    self.note(Observation::BackendBanned {
+                        relay,
+                        backend: at,
+                        banned: out,
+                    });
                 }
             }
             Ok(said) => self.crashed(format!(
@@ -697,16 +724,16 @@
                 Later::Door(door, open) => self
                     .crowds
                     .iter()
-                    .for_each(|crowd| crowd.command(LoadCommand::Door(door, open))),
+                    .for_each(|crowd| crowd.command(LoadCommand::SetEndpointEnabled(door, open))),
                 Later::Start(number) => self.start(number),
             }
         }
         for number in 0..self.stands.len() {
-            let relay = RelayNumber(number as u16);
+            let relay = RelayIndex(number as u16);
             let mut faults = Vec::new();
             self.stands[number]
                 .elders
-                .retain_mut(|(post, by)| match post.ended() {
+                .retain_mut(|(post, by)| match post.try_wait() {
                     None if now < *by => true,
                     None => {
                         post.kill();
@@ -729,7 +756,7 @@
             let Some(post) = &mut stand.post else {
                 continue;
             };
-            match (post.ended(), stand.stops_by) {
+            match (post.try_wait(), stand.stops_by) {
                 (None, None) => {}
                 (None, Some(by)) if now < by => {}
                 (None, Some(_)) => {
@@ -737,7 +764,7 @@
                     post.kill();
                     (stand.post, stand.stops_by) = (None, None);
                     self.crashes += 1;
-                    self.note(Observation::Mark {
+                    self.note(Observation::Note {
                         text: format!("relay {number} did not stop in time"),
                     });
                 }
@@ -751,7 +778,7 @@
                         }
                     } else {
                         self.crashes += 1;
-                        self.note(Observation::Mark {
+                        self.note(Observation::Note {
                             text: format!("relay {number} crashed: {status}"),
                         });
                     }
@@ -764,7 +791,7 @@
         let stand = &mut self.stands[number];
         stand.starts += 1;
         // A bad charter ends a start; one that runs goes on by the one before.
-        if stand.orders.charter.is_some() {
+        if stand.orders.operator_config.is_some() {
             let first = self
                 .scenario
                 .relays
@@ -772,20 +799,20 @@
                 .first()
                 .cloned()
                 .unwrap_or_default();
-            (stand.charter, stand.orders.charter) = (0, Some(first + &stand.peers));
+            (stand.charter, stand.orders.operator_config) = (0, Some(first + &stand.peers));
         }
-        stand.orders.seed = scattered(stand.orders.seed.wrapping_add(stand.starts));
+        stand.orders.seed = scattered_id(stand.orders.seed.wrapping_add(stand.starts));
         match RelayProcess::start(&stand.program, &self.plan.terms, &stand.orders, self.folder) {
             Ok(post) => {
                 stand.post = Some(post);
                 self.note(Observation::RelayStarted {
-                    relay: RelayNumber(number as u16),
+                    relay: RelayIndex(number as u16),
                 });
                 self.set(Duration::ZERO, Later::Door(number, true));
             }
             Err(why) => {
                 self.crashes += 1;
-                self.note(Observation::Mark { text: why });
+                self.note(Observation::Note { text: why });
             }
         }
     }
@@ -794,45 +821,52 @@
         for (number, stand) in (0..).zip(&self.stands) {
             if let Some((cpu, resident)) = stand.post.as_ref().and_then(RelayProcess::cost) {
                 self.note(Observation::RelayCost {
-                    relay: RelayNumber(number),
-                    cpu,
-                    resident,
+                    relay: RelayIndex(number),
+                    cpu_time: cpu,
+                    resident_bytes: resident,
                 });
             }
         }
-        self.reel.gather();
+        self.reel.receive();
     }
 
     fn take_look(&mut self, passed: Duration) {
         self.look.at = passed;
-        self.reel.gather();
-        for entry in &self.reel.entries[self.seen..] {
+        self.reel.receive();
+        for entry in &self.reel.events[self.seen..] {
             let look = &mut self.look;
-            let mut state = |at: BackendNumber, word: &'static str| {
+            let mut state = |at: BackendIndex, word: &'static str| {
                 if let Some(of) = look.boxes.get_mut(usize::from(at.0)) {
                     *of = Some((of.map_or(0.0, |(load, _)| load), word));
                 }
             };
-            match &entry.seen {
+            match &entry.observation {
                 Observation::Answered {
-                    answer: Answer::Up, ..
+                    answer: Answer::Accepted,
+                    ..
                 } => look.up += 1,
                 Observation::Answered {
-                    answer: Answer::Busy(_),
+                    answer: Answer::Rejected(_),
                     ..
                 } => look.busy += 1,
                 Observation::Answered {
                     answer: Answer::Failed,
                     ..
                 } => look.failed += 1,
-                Observation::Moved { .. } => look.moved += 1,
-                Observation::BoxStopped { at } => look.boxes[usize::from(at.0)] = None,
-                Observation::BoxStarted { at, cold } => state(*at, if *cold { "cold" } else { "" }),
-                Observation::BoxDrains { at } => state(*at, "drains"),
-                Observation::BackendFault { at, name, on } => {
-                    state(*at, if *on { name } else { "" })
+                Observation::Migrated { .. } => look.moved += 1,
+                Observation::BackendStopped { backend: at } => look.boxes[usize::from(at.0)] = None,
+                Observation::BackendStarted { backend: at, cold } => {
+                    state(*at, if *cold { "cold" } else { "" })
                 }
-                Observation::BoxLoad { at, load, .. } => {
+                Observation::BackendDraining { backend: at } => state(*at, "drains"),
+                Observation::BackendFault {
+                    backend: at,
+                    name,
+                    active: on,
+                } => state(*at, if *on { name } else { "" }),
+                Observation::BackendLoad {
+                    backend: at, load, ..
+                } => {
                     if let Some(Some(of)) = look.boxes.get_mut(usize::from(at.0)) {
                         of.0 = *load;
                     }
@@ -840,8 +874,8 @@
                 _ => {}
             }
         }
-        self.seen = self.reel.entries.len();
-        let rounds = crate::summary::rounds(&self.reel.entries[self.seen.saturating_sub(20_000)..]);
+        self.seen = self.reel.events.len();
+        let rounds = crate::summary::rounds(&self.reel.events[self.seen.saturating_sub(20_000)..]);
         self.look.standing = rounds
             .values()
             .next_back()
@@ -870,40 +904,38 @@
         let longest = self
             .plan
             .traffic
-            .kinds
+            .profiles
             .iter()
-            .map(|kind| kind.wait)
+            .map(|kind| kind.answer_timeout)
             .max()
             .unwrap_or_default();
         let all = self.crowds.len();
-        let idle = |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Mark { text } if text == IDLE);
-        let gone = self
-            .reel
-            .wait_until(duration(longest) + LEAVING, |entries| {
-                entries.iter().rev().filter(idle).count() == all
-            });
+        let idle = |entry: &&RecordedEvent| matches!(&entry.observation, Observation::Note { text } if text == ALL_CLIENTS_GONE);
+        let gone = self.reel.wait_until(to_std(longest) + LEAVING, |entries| {
+            entries.iter().rev().filter(idle).count() == all
+        });
         if !gone {
-            self.note(Observation::Mark {
+            self.note(Observation::Note {
                 text: "clients stayed to the end".into(),
             });
         }
         for stand in &self.stands {
-            stand.post.iter().for_each(RelayProcess::tell_to_stop);
+            stand.post.iter().for_each(RelayProcess::request_stop);
         }
         for number in 0..self.stands.len() {
             let Some(post) = &mut self.stands[number].post else {
                 continue;
             };
-            let status = post.wait(longest.min(LONGEST_WAIT) + AFTER_WAIT);
+            let status = post.wait_for_exit(longest.min(LONGEST_WAIT) + AFTER_WAIT);
             if !status.is_some_and(|status| status.success()) {
                 self.crashes += 1;
-                self.note(Observation::Mark {
+                self.note(Observation::Note {
                     text: format!("relay {number} did not stop well at the end"),
                 });
             }
         }
         let crowds = self.crowds.into_iter().map(EventLoop::close).collect();
-        let yard = self.yard.stage.close();
+        let yard = self.yard.event_loop.close();
         (self.reel.into_sorted(), crowds, yard, self.crashes)
     }
 }
@@ -914,7 +946,7 @@
 fn operated(number: usize, at: SocketAddr, folder: &Path) -> std::io::Result<Operated> {
     let station = SocketHolder::open(at, &folder.join(format!("relay-{number}.shared")))?;
     let admin = free_address(number)?;
-    Ok((station.at()?, Some(admin), Some(Arc::new(station))))
+    Ok((station.address()?, Some(admin), Some(Arc::new(station))))
 }
 
 /// Noted when all is set up and the plan begins.
@@ -922,16 +954,16 @@
 
 fn known_list(plan: &Plan, yard: &OpenedBackends) -> serde_json::Value {
     let mut list = EndpointList::default();
-    for (number, (of, at)) in (0..).zip(plan.ground.boxes.iter().zip(&yard.boxes)) {
-        if of.present {
-            let row = Row {
-                at: *at,
+    for (number, (of, at)) in (0..).zip(plan.ground.backends.iter().zip(&yard.addresses)) {
+        if of.initially_running {
+            let row = EndpointRow {
+                address: *at,
                 zone: of.zone.clone(),
                 cell: of.cell,
                 lifecycle: Lifecycle::Ready,
                 started_ms: 0,
             };
-            list.put(BackendNumber(number), row);
+            list.put(BackendIndex(number), row);
         }
     }
     serde_json::from_str(&list.text_since(None).0).unwrap_or_default()
@@ -939,7 +971,6 @@
 
 /// The moment in a run at which a plan's moment came.
 pub fn begun(entries: &[RecordedEvent]) -> Instant {
-    let begins =
-        |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Mark { text } if text == BEGUN);
+    let begins = |entry: &&RecordedEvent| matches!(&entry.observation, Observation::Note { text } if text == BEGUN);
     entries.iter().find(begins).map_or(BEGIN, |entry| entry.at)
 }
--- a/experiments/src/scale/processes.rs
+++ b/experiments/src/scale/processes.rs
@@ -12,7 +12,7 @@
 use std::process::{Child, ChildStdin, Stdio};
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
 use std::time::{Duration, Instant};
-use thistlecroft_testbed::relay_process::cost_of;
+use thistlecroft_testbed::relay_process::process_cost;
 
 const ANSWER_WITHIN: Duration = Duration::from_secs(20);
 const LOOK: Duration = Duration::from_millis(50);
@@ -197,7 +197,7 @@
         let addresses = fleet.bind()?;
         fleet.note_costs();
         for worker in &mut fleet.workers {
-            worker.empty = cost_of(worker.child.id()).map_or(0, |(_, memory)| memory);
+            worker.empty = process_cost(worker.child.id()).map_or(0, |(_, memory)| memory);
         }
         fleet.phase_began = Instant::now();
         let seeds: Vec<SocketAddr> = addresses.into_iter().take(SEEDS).collect();
@@ -381,7 +381,7 @@
 
     fn note_costs(&mut self) {
         for worker in &mut self.workers {
-            if let Some((cpu, _)) = cost_of(worker.child.id()) {
+            if let Some((cpu, _)) = process_cost(worker.child.id()) {
                 worker.cpu = Duration::from_micros(cpu.as_micros());
             }
         }
@@ -392,7 +392,7 @@
         let mut cost = PhaseCost::default();
         let (mut cpu, mut memory, mut relays) = (0.0, 0.0, 0);
         for worker in &self.workers {
-            let Some((spent, resident)) = cost_of(worker.child.id()) else {
+            let Some((spent, resident)) = process_cost(worker.child.id()) else {
                 continue;
             };
             let spent = Duration::from_micros(spent.as_micros())
--- a/experiments/src/scale/real.rs
+++ b/experiments/src/scale/real.rs
@@ -53,7 +53,7 @@
             std::env::temp_dir().join(format!("thistlecroft-scale-{}", std::process::id()));
         let times = (config.period(), config.term());
         let mut plan = ClusterPlan::small(program.to_vec(), config.real, 0, times, folder.clone());
-        plan.terms.probes = false;
+        plan.config.health_checks = false;
         let mut rig = ProcessCluster::open(plan)?;
         let key = folder.join("scale.key");
         std::fs::write(&key, &config.peer_terms(Role::Relay).secret)
@@ -74,7 +74,8 @@
     /// Each holds a lease, so that it renews its sessions as hollow ones do.
     pub fn keep_leases(&self) {
         for number in 0..self.count {
-            self.rig.ask(number, &format!("LEASE real-{number}"));
+            self.rig
+                .admin_command(number, &format!("LEASE real-{number}"));
         }
     }
 
@@ -105,9 +106,12 @@
             figures.sent_mean += sent / each;
             figures.received_mean += received / each;
             figures.cpu_percent += (now.cpu_s - before.cpu_s) / seconds * 100.0 / each;
-            figures.memory_mb += self.rig.memory(number).unwrap_or(0) as f64 / 1e6 / each;
+            figures.memory_mb += self.rig.resident_bytes(number).unwrap_or(0) as f64 / 1e6 / each;
         }
-        figures.view_bytes = self.rig.ask(0, "PEERS").map_or(0, |view| view.len());
+        figures.view_bytes = self
+            .rig
+            .admin_command(0, "PEERS")
+            .map_or(0, |view| view.len());
         figures
     }
 
@@ -115,8 +119,11 @@
         let count = |view: &serde_json::Value, name: &str| {
             view["counts"][name].as_u64().unwrap_or_default()
         };
-        let cpu_s = self.rig.cpu(number).map_or(0.0, |cpu| cpu.as_secs_f64());
-        let Some(view) = self.rig.view(number) else {
+        let cpu_s = self
+            .rig
+            .cpu_time(number)
+            .map_or(0.0, |cpu| cpu.as_secs_f64());
+        let Some(view) = self.rig.membership(number) else {
             return Sample {
                 cpu_s,
                 ..Sample::default()
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -36,7 +36,7 @@
             let cut = fleet.converge(&sides, progress);
             fleet.pass(Duration::from_millis(config.cut_s * 1_000));
             phases.push(fleet.phase("fault", Some(cut)));
-            fleet.network.heal();
+            fleet.network.heal_partitions();
             let healed = fleet.converge(std::slice::from_ref(&everyone), progress);
             phases.push(fleet.phase("healed", Some(healed)));
             fleet.settle(progress);
@@ -96,7 +96,7 @@
             seeds,
             config.seed,
         );
-        network.link_fault.loss = config.loss;
+        network.default_link_fault.loss = config.loss;
         let drift = 1.0 + thistlecroft_leases::DRIFT * 0.5;
         for member in 0..layout.size() {
             if member == config.voters {
@@ -127,8 +127,8 @@
         self.steps += 1;
         for member in 0..self.assignments.len() {
             let host = &self.network.hosts[member];
-            if host.alive && self.applied[member] != host.turns.len() {
-                self.applied[member] = host.turns.len();
+            if host.alive && self.applied[member] != host.member_changes.len() {
+                self.applied[member] = host.member_changes.len();
                 let assignment = &mut self.assignments[member];
                 self.network.act(member, |host, now| {
                     if let Some(leases) = &mut host.leases {
@@ -249,7 +249,7 @@
         let layout = self.config.layout();
         let is_first = |member: &usize| layout.zone(*member) < self.config.first_region;
         let (first, second): (Vec<usize>, Vec<usize>) = (0..layout.size()).partition(is_first);
-        self.network.cut(&first, &second);
+        self.network.partition(&first, &second);
         [first.into_iter().collect(), second.into_iter().collect()]
     }
 
--- a/experiments/src/summary.rs
+++ b/experiments/src/summary.rs
@@ -4,11 +4,9 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::cluster_invariants::ClusterViolation;
-use thistlecroft_testbed::event_recorder::{
-    BackendNumber, Observation, RecordedEvent, RelayNumber,
-};
+use thistlecroft_testbed::event_recorder::{BackendIndex, Observation, RecordedEvent, RelayIndex};
 use thistlecroft_testbed::invariant_checker::{AttemptTotals, CheckResult};
-use thistlecroft_testbed::load_generator::{KindTotals, LoadTotals};
+use thistlecroft_testbed::load_generator::{ListenerTotals, LoadTotals};
 use thistlecroft_testbed::simulated_backends::BackendTotals;
 
 /// Clients that came later than this after they were due, or a thread that worked for more than the
@@ -160,22 +158,22 @@
 pub fn sum_up(of: &Findings) -> Summary {
     let mut crowd = of.crowds[0].clone();
     of.crowds[1..].iter().for_each(|other| crowd.add(other));
-    let total = |of: fn(&KindTotals) -> u64| crowd.kinds.iter().map(of).sum::<u64>();
-    let utility = |of: fn(&KindTotals) -> f64| {
+    let total = |of: fn(&ListenerTotals) -> u64| crowd.listeners.iter().map(of).sum::<u64>();
+    let utility = |of: fn(&ListenerTotals) -> f64| {
         crowd
-            .kinds
+            .listeners
             .iter()
-            .map(|kind| kind.utility * of(kind))
+            .map(|kind| kind.priority_weight * of(kind))
             .sum::<f64>()
     };
-    let all = |of: fn(&KindTotals) -> &Histogram<u32>| {
-        let mut sum = of(&crowd.kinds[0]).clone();
-        for kind in &crowd.kinds[1..] {
+    let all = |of: fn(&ListenerTotals) -> &Histogram<u32>| {
+        let mut sum = of(&crowd.listeners[0]).clone();
+        for kind in &crowd.listeners[1..] {
             let _ = sum.add(of(kind));
         }
         sum
     };
-    let lines = all(|kind| &kind.lines);
+    let lines = all(|kind| &kind.message_latency);
     let relays = relay_costs(of.entries);
     let cpu: f64 = relays.iter().map(|relay| relay.cpu_s).sum();
     let boxes = loads(of.entries);
@@ -183,17 +181,17 @@
     let threads = of
         .crowds
         .iter()
-        .map(|crowd| crowd.worked)
-        .chain([of.yard.worked]);
+        .map(|crowd| crowd.busy_time)
+        .chain([of.yard.busy_time]);
     let tool_busy = threads
         .map(|worked| worked.as_secs_f64() / seconds)
         .fold(0.0, f64::max);
-    let worst_turn = crowd.worst_turn.max(of.yard.worst_turn);
-    let tool_late = Delays::of(&crowd.late);
+    let worst_turn = crowd.longest_turn.max(of.yard.longest_turn);
+    let tool_late = Delays::of(&crowd.connect_delay);
     let exhausted = of
         .entries
         .iter()
-        .any(|entry| entry.seen == Observation::ToolExhausted);
+        .any(|entry| entry.observation == Observation::TestbedExhausted);
     Summary {
         scenario: of.scenario.into(),
         way: of.way.into(),
@@ -201,17 +199,17 @@
         seed: of.seed,
         complete: of.complete,
         length_s: seconds,
-        rules: of.ruling.breaks,
+        rules: of.ruling.violation_counts,
         first_breaks: of
             .ruling
-            .first
+            .first_violations
             .iter()
             .flatten()
             .map(|first| BreakText {
                 rule: first.rule,
                 at_s: first.at.as_micros() as f64 / 1e6,
-                what: first.what.clone(),
-                story: first.story.clone(),
+                what: first.description.clone(),
+                story: first.timeline.clone(),
             })
             .collect(),
         together: together(of.breaches),
@@ -219,26 +217,27 @@
         sessions: of.ruling.sessions,
         answered: of.ruling.answered,
         excused: of.ruling.excused,
-        up: total(|kind| kind.up),
-        busy: total(|kind| kind.busy),
+        up: total(|kind| kind.accepted),
+        busy: total(|kind| kind.rejected),
         failed: total(|kind| kind.failed),
         unanswered: total(|kind| kind.unanswered),
-        moved: total(|kind| kind.moved),
-        cut_off: total(|kind| kind.cut_off),
-        lost: total(|kind| kind.lost),
+        moved: total(|kind| kind.migrated),
+        cut_off: total(|kind| kind.connections_lost),
+        lost: total(|kind| kind.gave_up),
         never_taken: of
             .entries
             .iter()
-            .filter(|entry| matches!(entry.seen, Observation::NeverTaken { .. }))
+            .filter(|entry| matches!(entry.observation, Observation::ConnectFailed { .. }))
             .count(),
-        wrong_lines: crowd.wrong_lines,
-        rude: crowd.rude,
-        rude_answered: crowd.rude_answered,
-        served: utility(|kind| kind.served_s) / utility(|kind| kind.asked_s).max(1e-9),
-        set_up: Delays::of(&all(|kind| &kind.set_up)),
+        wrong_lines: crowd.mismatched_messages,
+        rude: crowd.misbehaving,
+        rude_answered: crowd.misbehaving_answered,
+        served: utility(|kind| kind.served_seconds)
+            / utility(|kind| kind.requested_seconds).max(1e-9),
+        set_up: Delays::of(&all(|kind| &kind.setup_latency)),
         lines: Delays::of(&lines),
         listeners: crowd
-            .kinds
+            .listeners
             .iter()
             .enumerate()
             .map(|(place, kind)| {
@@ -248,13 +247,13 @@
                 )
             })
             .collect(),
-        dials: of.ruling.dials,
-        dials_a_session: of.ruling.dials as f64 / (of.ruling.sessions as f64).max(1.0),
-        most_dials: of.ruling.most_dials,
+        dials: of.ruling.attempts,
+        dials_a_session: of.ruling.attempts as f64 / (of.ruling.sessions as f64).max(1.0),
+        most_dials: of.ruling.max_attempts,
         most_standing: boxes.most_standing,
         load_spread: boxes.spread,
         most_load: boxes.most,
-        cold_push: of.ruling.worst_push,
+        cold_push: of.ruling.max_warm_up_budget_used,
         cpu_us_a_line: cpu * 1e6 / (lines.len() as f64).max(1.0),
         relays,
         tool_worst_turn_ms: worst_turn.as_micros() as f64 / 1e3,
@@ -266,34 +265,34 @@
     }
 }
 
-fn listener(kind: &KindTotals, dialled: &AttemptTotals) -> ListenerSummary {
+fn listener(kind: &ListenerTotals, dialled: &AttemptTotals) -> ListenerSummary {
     let part = |count: usize| count as f64 / (dialled.sessions as f64).max(1.0);
     ListenerSummary {
-        most_dials: dialled.most,
-        further: part(dialled.further),
-        second: part(dialled.second),
-        longest_answer_ms: dialled.longest.as_micros() as f64 / 1e3,
+        most_dials: dialled.max_per_session,
+        further: part(dialled.retries),
+        second: part(dialled.hedged),
+        longest_answer_ms: dialled.longest_answer_time.as_micros() as f64 / 1e3,
         name: kind.name.clone(),
         arrivals: kind.arrivals,
-        up: kind.up,
-        busy: kind.busy,
+        up: kind.accepted,
+        busy: kind.rejected,
         failed: kind.failed,
-        lost: kind.lost,
-        served: kind.served_s / kind.asked_s.max(1e-9),
-        set_up: Delays::of(&kind.set_up),
-        lines: Delays::of(&kind.lines),
+        lost: kind.gave_up,
+        served: kind.served_seconds / kind.requested_seconds.max(1e-9),
+        set_up: Delays::of(&kind.setup_latency),
+        lines: Delays::of(&kind.message_latency),
     }
 }
 
 fn relay_costs(entries: &[RecordedEvent]) -> Vec<RelaySummary> {
     // CPU time begins anew with each process.
-    let mut relays: BTreeMap<RelayNumber, (RelaySummary, f64)> = BTreeMap::new();
+    let mut relays: BTreeMap<RelayIndex, (RelaySummary, f64)> = BTreeMap::new();
     for entry in entries {
         let Observation::RelayCost {
             relay,
-            cpu,
-            resident,
-        } = entry.seen
+            cpu_time: cpu,
+            resident_bytes: resident,
+        } = entry.observation
         else {
             continue;
         };
@@ -314,10 +313,16 @@
 }
 
 /// A run's reports, those of one round together: all boxes are noted at the same moment.
-pub fn rounds(entries: &[RecordedEvent]) -> BTreeMap<Instant, Vec<(BackendNumber, f64, usize)>> {
-    let mut rounds: BTreeMap<Instant, Vec<(BackendNumber, f64, usize)>> = BTreeMap::new();
+pub fn rounds(entries: &[RecordedEvent]) -> BTreeMap<Instant, Vec<(BackendIndex, f64, usize)>> {
+    let mut rounds: BTreeMap<Instant, Vec<(BackendIndex, f64, usize)>> = BTreeMap::new();
     for entry in entries {
-        if let Observation::BoxLoad { at, load, held, .. } = entry.seen {
+        if let Observation::BackendLoad {
+            backend: at,
+            load,
+            sessions: held,
+            ..
+        } = entry.observation
+        {
             rounds.entry(entry.at).or_default().push((at, load, held));
         }
     }
@@ -349,8 +354,10 @@
     let mut all: BTreeMap<String, (usize, String)> = BTreeMap::new();
     for breach in breaches {
         let at = breach.at.as_micros() as f64 / 1e6;
-        let first = || (0, format!("at {at:.3} s {}", breach.what));
-        all.entry(breach.rule.word().into()).or_insert_with(first).0 += 1;
+        let first = || (0, format!("at {at:.3} s {}", breach.description));
+        all.entry(breach.invariant.name().into())
+            .or_insert_with(first)
+            .0 += 1;
     }
     all
 }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -37,7 +37,7 @@
             Witness::default(),
             subjects(40),
         );
-        network.link_fault.spread = Duration::from_millis(40);
+        network.default_link_fault.jitter = Duration::from_millis(40);
         acquire(&mut network, 3, &all);
         acquire(&mut network, 4, &all);
         let owned = witness.until(&mut network, START + TERM * 4.0, |network| {
@@ -62,7 +62,7 @@
             Witness::default(),
             subjects(60),
         );
-        network.link_fault.loss = 0.02;
+        network.default_link_fault.loss = 0.02;
         acquire(&mut network, 3, &all);
         witness
             .until(&mut network, START + TERM, |network| {
@@ -100,10 +100,10 @@
             })
             .expect("owned");
         let before = held(&network, 3);
-        network.cut(&[3], &[0, 1, 2, 4]);
+        network.partition(&[3], &[0, 1, 2, 4]);
         witness.watch(&mut network, TERM * 1.5, &[]);
         assert_eq!(count(&network, 3), 0, "it stops by its own clock");
-        network.heal();
+        network.heal_partitions();
         let sent = network.hosts[3].leases.as_ref().unwrap().counts();
         witness
             .until(&mut network, TERM * 2.0, |network| count(network, 3) == 200)
@@ -136,7 +136,7 @@
             Witness::default(),
             subjects(600),
         );
-        network.link_fault.loss = 0.005;
+        network.default_link_fault.loss = 0.005;
         acquire(&mut network, 3, &all);
         witness
             .until(&mut network, START + TERM * 6.0, |network| {
@@ -221,14 +221,14 @@
             .expect("owned");
         // One voter does not hear the owner any more; the others forget, one after the other, and
         // hear it all the time.
-        network.cut(&[3], &[2]);
+        network.partition(&[3], &[2]);
         acquire(&mut network, 4, &all);
         for voter in [0, 1] {
             network.kill(voter);
             network.restart(voter);
             witness.watch(&mut network, TERM * 1.6, &[]);
         }
-        network.heal();
+        network.heal_partitions();
         witness.watch(&mut network, TERM * 3.0, &[]);
         assert_eq!(total(&network), 30, "seed {seed}");
     }
@@ -242,7 +242,7 @@
     match chance.below(8) {
         0 => drop(
             network
-                .links
+                .link_faults
                 .insert((number, chance.below(5) as usize), LinkFault::CUT),
         ),
         1 => {
@@ -260,7 +260,7 @@
             acquire(network, number, &all[some / 2..]);
         }
         6 => acquire(network, number, all),
-        _ => network.heal(),
+        _ => network.heal_partitions(),
     }
     let span = Duration::from_millis(100 + chance.below(2_500));
     witness.watch(network, span, &paused);
@@ -281,19 +281,19 @@
             subjects(6),
         );
         let mut chance = Rng::from_seed(seed * 7_919);
-        network.link_fault = LinkFault {
+        network.default_link_fault = LinkFault {
             loss: 0.05,
-            doubled: 0.05,
-            spread: Duration::from_millis(150),
-            ..network.link_fault
+            duplication: 0.05,
+            jitter: Duration::from_millis(150),
+            ..network.default_link_fault
         };
         (0..5).for_each(|number| acquire(&mut network, number, &all[number..]));
         witness.watch(&mut network, START, &[]);
         for _ in 0..16 {
             shake(&mut network, &mut witness, &mut chance, &all);
         }
-        network.heal();
-        network.link_fault = LinkFault {
+        network.heal_partitions();
+        network.default_link_fault = LinkFault {
             delay: Duration::from_micros(200),
             ..LinkFault::default()
         };
@@ -345,7 +345,7 @@
             done
         };
         // The owner is told of nothing and hears nobody; all others go on as fast as they are let.
-        network.cut(&[5], &[0, 1, 2, 3, 4]);
+        network.partition(&[5], &[0, 1, 2, 3, 4]);
         (0..5).for_each(|number| change(&mut network, number, &joint).unwrap());
         witness.watch(&mut network, TERM * 0.4, &[]);
         assert_eq!(
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -207,7 +207,7 @@
         let rest: Vec<usize> = (0..5)
             .filter(|number| ![holder, other].contains(number))
             .collect();
-        network.cut(&[holder, other], &rest);
+        network.partition(&[holder, other], &rest);
         // All three that are left have to promise it to the same one of them.
         witness.watch(&mut network, TERM * 4.0, &[]);
         let next = held_by(&network).expect("the majority has a new one");
@@ -218,7 +218,7 @@
             let name = format!("r{number}");
             assert_eq!(witness.held.get(&name), before.get(&name), "seed {seed}");
         }
-        network.heal();
+        network.heal_partitions();
         witness.watch(&mut network, TERM * 5.0, &[]);
         assert_eq!(witness.holdings, 2);
     }
@@ -255,11 +255,11 @@
         let mut network = network(5, &VOTERS, seed);
         let mut witness = Witness::default();
         let mut chance = Rng::from_seed(seed * 77);
-        network.link_fault = LinkFault {
+        network.default_link_fault = LinkFault {
             loss: 0.05,
-            doubled: 0.05,
-            spread: Duration::from_millis(150),
-            ..network.link_fault
+            duplication: 0.05,
+            jitter: Duration::from_millis(150),
+            ..network.default_link_fault
         };
         all_want(&mut network);
         for _ in 0..30 {
@@ -268,7 +268,7 @@
             match chance.below(5) {
                 0 => {
                     let other = chance.below(5) as usize;
-                    network.links.insert((number, other), LinkFault::CUT);
+                    network.link_faults.insert((number, other), LinkFault::CUT);
                 }
                 1 => {
                     network.pause(number);
@@ -288,7 +288,7 @@
                             .unwrap();
                     });
                 }
-                _ => network.heal(),
+                _ => network.heal_partitions(),
             }
             let span = Duration::from_millis(200 + chance.below(4_000));
             witness.watch(&mut network, span, &paused);
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -30,14 +30,14 @@
 fn together(count: usize, seed: u64) -> SimulatedNetwork {
     let mut network = network(count, seed);
     network
-        .run_until(PERIOD * 40.0, SimulatedNetwork::agree)
+        .run_until(PERIOD * 40.0, SimulatedNetwork::membership_is_consistent)
         .expect("all see all");
     network
 }
 
 /// All that one process was seen as by the others, in order.
 fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
-    let turns = network.hosts.iter().flat_map(|host| &host.turns);
+    let turns = network.hosts.iter().flat_map(|host| &host.member_changes);
     turns
         .filter(|(_, id, _)| id.name == name)
         .map(|(.., standing)| *standing)
@@ -47,7 +47,8 @@
 #[test]
 fn started_at_once_with_seeds_that_start_themselves_all_see_all() {
     for (count, seed) in [(2, 1), (5, 2), (12, 3), (48, 4)] {
-        let took = network(count, seed).run_until(PERIOD * 40.0, SimulatedNetwork::agree);
+        let took = network(count, seed)
+            .run_until(PERIOD * 40.0, SimulatedNetwork::membership_is_consistent);
         assert!(took.is_some(), "{count} relays");
     }
 }
@@ -72,7 +73,7 @@
             .hosts
             .iter()
             .filter(|host| host.alive)
-            .flat_map(|host| &host.turns);
+            .flat_map(|host| &host.member_changes);
         assert!(
             others
                 .filter(|(_, id, _)| id.name != "r1")
@@ -90,7 +91,7 @@
             "hears all, is heard by none",
             |network| {
                 for other in 1..5 {
-                    network.links.insert((0, other), LinkFault::CUT);
+                    network.link_faults.insert((0, other), LinkFault::CUT);
                 }
             },
             &["r0"],
@@ -99,7 +100,7 @@
             "is heard by all, hears none",
             |network| {
                 for other in 1..5 {
-                    network.links.insert((other, 0), LinkFault::CUT);
+                    network.link_faults.insert((other, 0), LinkFault::CUT);
                 }
             },
             &["r0"],
@@ -107,23 +108,23 @@
         (
             "one direction of one pair",
             |network| {
-                network.links.insert((0, 1), LinkFault::CUT);
+                network.link_faults.insert((0, 1), LinkFault::CUT);
             },
             &[],
         ),
         (
             "two on either side, one reaches both",
-            |network| network.cut(&[0, 1], &[3, 4]),
+            |network| network.partition(&[0, 1], &[3, 4]),
             &[],
         ),
         (
             "a tenth lost, 100 ms late",
             |network| {
-                network.link_fault = LinkFault {
+                network.default_link_fault = LinkFault {
                     loss: 0.1,
                     delay: Duration::from_millis(40),
-                    spread: Duration::from_millis(20),
-                    ..network.link_fault
+                    jitter: Duration::from_millis(20),
+                    ..network.default_link_fault
                 };
             },
             &[],
@@ -152,7 +153,7 @@
                 assert_eq!(&found, gone, "{what}, seed {seed}, seen by {}", host.name);
             }
             // Others reach whom one does not: nobody is even suspected.
-            if gone.is_empty() && network.link_fault.loss == 0.0 {
+            if gone.is_empty() && network.default_link_fault.loss == 0.0 {
                 let suspected = network
                     .hosts
                     .iter()
@@ -174,7 +175,7 @@
         network.pause(2);
         network.run_for(still);
         network.resume(2);
-        let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::agree);
+        let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::membership_is_consistent);
         assert!(took.is_some(), "{still:?}");
         assert_eq!(
             seen_as(&network, "r2").contains(&MemberState::Dead),
@@ -195,7 +196,7 @@
 #[test]
 fn a_suspicion_from_before_it_stood_still_is_no_verdict_after_it() {
     let mut network = together(6, 12);
-    network.cut(&[4], &[0, 1, 2, 3, 5]);
+    network.partition(&[4], &[0, 1, 2, 3, 5]);
     let accused = network.hosts[4].node.me().clone();
     let suspects = |network: &SimulatedNetwork| {
         network.hosts[2].node.state_of(&accused) == Some(MemberState::Suspect)
@@ -205,16 +206,16 @@
         .expect("suspected");
     network.pause(2);
     // The others hear that it is well; this one does not, and nothing waits for it.
-    network.heal();
-    network.cut(&[2], &[0, 1, 3, 4, 5]);
+    network.heal_partitions();
+    network.partition(&[2], &[0, 1, 3, 4, 5]);
     network.run_for(PERIOD * 100.0);
-    network.heal();
+    network.heal_partitions();
     network.resume(2);
-    let turns = network.hosts[2].turns.len();
+    let turns = network.hosts[2].member_changes.len();
     network
-        .run_until(PERIOD * 60.0, SimulatedNetwork::agree)
+        .run_until(PERIOD * 60.0, SimulatedNetwork::membership_is_consistent)
         .expect("all see all");
-    let later = &network.hosts[2].turns[turns.saturating_sub(1)..];
+    let later = &network.hosts[2].member_changes[turns.saturating_sub(1)..];
     assert!(
         later
             .iter()
@@ -231,7 +232,7 @@
     network.run_for(PERIOD);
     network.restart(1);
     let took = network.run_until(terms().pace.gone_within(5, 0), |network| {
-        network.agree()
+        network.membership_is_consistent()
             && network
                 .hosts
                 .iter()
@@ -253,17 +254,17 @@
 #[test]
 fn halves_that_took_each_other_for_gone_and_grew_find_one_another_again() {
     let mut network = together(6, 5);
-    network.cut(&[0, 1, 2], &[3, 4, 5]);
+    network.partition(&[0, 1, 2], &[3, 4, 5]);
     network.run_for(PERIOD * 60.0);
     assert_eq!(network.hosts[0].node.unreachable(), 3);
     // One joins on either side meanwhile; each reaches its own side's seeds only.
     let (left, right) = (network.start("r6", 1.0), network.start("r7", 1.0));
-    network.cut(&[left], &[3, 4, 5, right]);
-    network.cut(&[right], &[0, 1, 2]);
+    network.partition(&[left], &[3, 4, 5, right]);
+    network.partition(&[right], &[0, 1, 2]);
     network.run_for(PERIOD * 240.0);
-    assert!(!network.agree());
-    network.heal();
-    let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::agree);
+    assert!(!network.membership_is_consistent());
+    network.heal_partitions();
+    let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::membership_is_consistent);
     assert!(took.is_some());
     assert_eq!(network.hosts[0].node.unreachable(), 0);
 }
@@ -274,12 +275,12 @@
     network.act(4, |host, now| host.node.leave(now));
     network.kill(4);
     let took = network
-        .run_until(PERIOD * 10.0, SimulatedNetwork::agree)
+        .run_until(PERIOD * 10.0, SimulatedNetwork::membership_is_consistent)
         .expect("told, not found out");
     assert!(took <= PERIOD * 10.0);
     assert!(!seen_as(&network, "r4").contains(&MemberState::Suspect));
     network.run_for(PERIOD * 40.0);
-    assert!(network.agree());
+    assert!(network.membership_is_consistent());
 }
 
 #[test]
@@ -338,7 +339,7 @@
 #[test]
 fn a_fact_reaches_all_and_a_lost_one_by_comparing() {
     let mut network = together(24, 7);
-    network.link_fault.loss = 0.2;
+    network.default_link_fault.loss = 0.2;
     network.act(3, |host, now| {
         assert!(host.node.announce(Kind::Ban, b"box-1", b"out", now))
     });
@@ -353,12 +354,12 @@
     };
     let took = network.run_until(PERIOD * 20.0, known).expect("all know");
     // One who was cut off all that while has it by an exchange; its age is at least what passed.
-    network.cut(&[20], &(0..20).chain(21..24).collect::<Vec<_>>());
+    network.partition(&[20], &(0..20).chain(21..24).collect::<Vec<_>>());
     network.act(3, |host, now| {
         assert!(host.node.announce(Kind::Note, b"n", b"later", now))
     });
     network.run_for(PERIOD * 30.0);
-    network.heal();
+    network.heal_partitions();
     let has = |network: &SimulatedNetwork| {
         let host = &network.hosts[20];
         host.node
@@ -409,7 +410,7 @@
             )
         });
     }
-    network.link_fault.loss = 0.3;
+    network.default_link_fault.loss = 0.3;
     let late = network.start("late", 1.0);
     let whole = |network: &SimulatedNetwork| network.hosts[late].node.facts().len() == 200;
     assert!(
--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -7,29 +7,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
     /// What it can do at its start, as a part of its capacity.
-    pub start_share: f64,
+    pub initial_share: f64,
     /// Its share rises evenly to the whole over this time.
-    pub warm_up: Duration,
+    pub duration: Duration,
     /// It falls over when sent more than this multiple of what it can do...
-    pub factor: f64,
+    pub overload_factor: f64,
     /// ...within any such time...
-    pub window: Duration,
+    pub overload_window: Duration,
     /// ...where what it can do is its capacity, taken anew once in each such time.
-    pub turnover: Duration,
+    pub turnover_time: Duration,
 }
 
 /// A kind of box.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendCapacity {
     /// The load that fills it.
-    pub capacity: f64,
+    pub full_load: f64,
     /// Connections that it holds at most.
-    pub most: usize,
+    pub max_sessions: usize,
     /// Own work of a set-up, besides the store's.
-    pub setup: Duration,
+    pub setup_time: Duration,
     /// What a group costs each box that holds any of it, in load.
-    pub group_fee: f64,
-    pub cold: WarmUp,
+    pub group_load: f64,
+    pub warm_up: WarmUp,
 }
 
 /// Piled-up work counts up to this: nobody waits for longer.
@@ -71,10 +71,11 @@
         let Some(since) = self.cold_since else {
             return 1.0;
         };
-        let cold = &self.make.cold;
-        let part = (now.duration_since(since).as_secs_f64() / cold.warm_up.as_secs_f64().max(1e-6))
-            .min(1.0);
-        cold.start_share + (1.0 - cold.start_share) * part
+        let cold = &self.make.warm_up;
+        let part = (now.duration_since(since).as_secs_f64()
+            / cold.duration.as_secs_f64().max(1e-6))
+        .min(1.0);
+        cold.initial_share + (1.0 - cold.initial_share) * part
     }
 
     pub fn held(&self) -> usize {
@@ -82,20 +83,20 @@
     }
 
     pub fn is_full(&self) -> bool {
-        self.held >= self.make.most
+        self.held >= self.make.max_sessions
     }
 
     /// Load asked over what it can do now.
     pub fn load(&self, now: Instant) -> f64 {
-        let asked = self.own + self.make.group_fee * self.groups.len() as f64;
-        asked * self.slowness / (self.make.capacity * self.share(now)).max(1e-9)
+        let asked = self.own + self.make.group_load * self.groups.len() as f64;
+        asked * self.slowness / (self.make.full_load * self.share(now)).max(1e-9)
     }
 
     /// A dial came, whatever is made of it; true if that pushed the box over. The largest one
     /// within the window is let pass, since a single connection may be larger than the budget of a
     /// small box.
     pub fn sent(&mut self, now: Instant, load: f64) -> bool {
-        let cold = self.make.cold;
+        let cold = self.make.warm_up;
         let share = self.share(now);
         if share >= 1.0 {
             return false;
@@ -104,15 +105,15 @@
         while self
             .sent
             .front()
-            .is_some_and(|&(at, _)| now.duration_since(at) > cold.window)
+            .is_some_and(|&(at, _)| now.duration_since(at) > cold.overload_window)
         {
             self.sent.pop_front();
         }
         let sum: f64 = self.sent.iter().map(|&(_, load)| load).sum();
         let largest = self.sent.iter().map(|&(_, load)| load).fold(0.0, f64::max);
-        let a_second = self.make.capacity * share / cold.turnover.as_secs_f64().max(1e-6);
-        let pushed =
-            (sum - largest) / (cold.factor * a_second * cold.window.as_secs_f64()).max(1e-9);
+        let a_second = self.make.full_load * share / cold.turnover_time.as_secs_f64().max(1e-6);
+        let pushed = (sum - largest)
+            / (cold.overload_factor * a_second * cold.overload_window.as_secs_f64()).max(1e-9);
         self.worst_push = self.worst_push.max(pushed);
         pushed > 1.0
     }
@@ -157,7 +158,7 @@
     pub fn setup(&mut self, now: Instant) -> Duration {
         let delay = self.delay(now);
         let busy = 1.0 + self.load(now).min(4.0);
-        delay + self.make.setup * (self.slowness * busy / self.share(now).max(0.05))
+        delay + self.make.setup_time * (self.slowness * busy / self.share(now).max(0.05))
     }
 }
 
@@ -190,16 +191,16 @@
     use super::*;
 
     const MAKE: BackendCapacity = BackendCapacity {
-        capacity: 18.0,
-        most: 100,
-        setup: Duration::from_millis(2),
-        group_fee: 1.5,
-        cold: WarmUp {
-            start_share: 0.3,
-            warm_up: Duration::from_millis(9_000),
-            factor: 3.0,
-            window: Duration::from_millis(3_000),
-            turnover: Duration::from_millis(9_000),
+        full_load: 18.0,
+        max_sessions: 100,
+        setup_time: Duration::from_millis(2),
+        group_load: 1.5,
+        warm_up: WarmUp {
+            initial_share: 0.3,
+            duration: Duration::from_millis(9_000),
+            overload_factor: 3.0,
+            overload_window: Duration::from_millis(3_000),
+            turnover_time: Duration::from_millis(9_000),
         },
     };
 
--- a/testbed/src/clock.rs
+++ b/testbed/src/clock.rs
@@ -29,10 +29,10 @@
     }
 }
 
-pub fn duration(span: Duration) -> std::time::Duration {
+pub fn to_std(span: Duration) -> std::time::Duration {
     std::time::Duration::from_micros(span.as_micros())
 }
 
-pub fn span(duration: std::time::Duration) -> Duration {
+pub fn from_std(duration: std::time::Duration) -> Duration {
     Duration::from_micros(duration.as_micros() as u64)
 }
--- a/testbed/src/cluster_invariants.rs
+++ b/testbed/src/cluster_invariants.rs
@@ -1,7 +1,9 @@
 //! What all relays together may do, judged from boxes, clients and those who asked at the relays'
 //! doors; never from what the relays log of themselves. Beside the four rules, which each keeps
 //! alone. No I/O.
-use crate::event_recorder::{BackendNumber, Observation, RecordedEvent, RelayNumber, Reply, Tag};
+use crate::event_recorder::{
+    BackendIndex, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::time::{Duration, Instant};
 
@@ -14,51 +16,51 @@
 #[derive(Clone, Debug, Default)]
 pub struct ClusterLimits {
     /// Sessions up at once over all relays, and for how long at most more may be.
-    pub at_once: Option<(usize, Duration)>,
+    pub max_sessions: Option<(usize, Duration)>,
     /// Dials in any second at all boxes.
-    pub dials_a_second: Option<usize>,
+    pub max_attempts_per_second: Option<usize>,
     /// A ban by hand at one relay holds at all others after this.
-    pub bans_within: Option<Duration>,
+    pub ban_replication_time: Option<Duration>,
     /// A session of a lost relay may be taken over, once.
-    pub takes_over: bool,
+    pub allows_takeover: bool,
     /// At the end each relay that runs sees all that run and nobody else.
-    pub agree: bool,
+    pub requires_consistent_membership: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rule {
-    OneHolder,
-    EpochsGrow,
-    OneRelayASession,
-    TakenOverOnce,
-    OneBoxASession,
-    SumAtOnce,
-    SumASecond,
-    BansEverywhere,
-    ViewsAgree,
+pub enum ClusterInvariant {
+    SingleLeaseHolder,
+    IncreasingEpochs,
+    OneRelayPerSession,
+    SingleTakeover,
+    OneBackendPerSession,
+    SessionLimit,
+    AttemptRate,
+    BansReplicated,
+    ConsistentMembership,
 }
 
-impl Rule {
-    pub fn word(self) -> &'static str {
+impl ClusterInvariant {
+    pub fn name(self) -> &'static str {
         match self {
-            Rule::OneHolder => "one holder of a lease",
-            Rule::EpochsGrow => "epochs grow",
-            Rule::OneRelayASession => "one relay a session",
-            Rule::TakenOverOnce => "taken over once",
-            Rule::OneBoxASession => "one box a session",
-            Rule::SumAtOnce => "sessions at once over all",
-            Rule::SumASecond => "dials a second over all",
-            Rule::BansEverywhere => "bans hold everywhere",
-            Rule::ViewsAgree => "views agree",
+            ClusterInvariant::SingleLeaseHolder => "one holder of a lease",
+            ClusterInvariant::IncreasingEpochs => "epochs grow",
+            ClusterInvariant::OneRelayPerSession => "one relay a session",
+            ClusterInvariant::SingleTakeover => "taken over once",
+            ClusterInvariant::OneBackendPerSession => "one box a session",
+            ClusterInvariant::SessionLimit => "sessions at once over all",
+            ClusterInvariant::AttemptRate => "dials a second over all",
+            ClusterInvariant::BansReplicated => "bans hold everywhere",
+            ClusterInvariant::ConsistentMembership => "views agree",
         }
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterViolation {
-    pub rule: Rule,
+    pub invariant: ClusterInvariant,
     pub at: Instant,
-    pub what: String,
+    pub description: String,
 }
 
 /// All breaches in the order of time.
@@ -76,7 +78,7 @@
 }
 
 struct Said {
-    relay: RelayNumber,
+    relay: RelayIndex,
     epoch: u64,
     asked: Instant,
     heard: Instant,
@@ -88,13 +90,17 @@
 /// meanwhile: whoever was told may act. Where these leave nothing, nothing is known.
 fn leases(entries: &[RecordedEvent]) -> Vec<ClusterViolation> {
     let mut by_subject: BTreeMap<&str, Vec<Said>> = BTreeMap::new();
-    for RecordedEvent { at, seen } in entries {
-        if let Observation::LeaseSaid {
+    for RecordedEvent {
+        at,
+        observation: seen,
+    } in entries
+    {
+        if let Observation::LeaseClaimed {
             relay,
             subject,
             epoch,
-            asked,
-            until,
+            requested_at: asked,
+            valid_until: until,
         } = seen
         {
             let said = Said {
@@ -111,14 +117,14 @@
     for (subject, mut all) in by_subject {
         all.sort_by_key(|said| said.heard);
         // By relay the last that is known of it, and of each epoch whose it is.
-        let mut last: BTreeMap<RelayNumber, (Instant, Instant)> = BTreeMap::new();
-        let mut owners: BTreeMap<u64, RelayNumber> = BTreeMap::new();
+        let mut last: BTreeMap<RelayIndex, (Instant, Instant)> = BTreeMap::new();
+        let mut owners: BTreeMap<u64, RelayIndex> = BTreeMap::new();
         let mut highest: Vec<(Instant, u64)> = Vec::new();
         for said in &all {
             let breach = |rule, what| ClusterViolation {
-                rule,
+                invariant: rule,
                 at: said.heard,
-                what,
+                description: what,
             };
             let beside = last.iter().find(|(relay, (from, until))| {
                 **relay != said.relay
@@ -131,7 +137,7 @@
                     "relays {} and {} hold \"{subject}\" at once",
                     other.0, said.relay.0
                 );
-                found.push(breach(Rule::OneHolder, what));
+                found.push(breach(ClusterInvariant::SingleLeaseHolder, what));
             }
             let owner = *owners.entry(said.epoch).or_insert(said.relay);
             if owner != said.relay {
@@ -139,7 +145,7 @@
                     "relays {} and {} both hold \"{subject}\" by epoch {}",
                     owner.0, said.relay.0, said.epoch
                 );
-                found.push(breach(Rule::EpochsGrow, what));
+                found.push(breach(ClusterInvariant::IncreasingEpochs, what));
             }
             let before = highest.iter().rev().find(|(heard, _)| *heard < said.asked);
             if let Some((_, before)) = before.filter(|(_, before)| *before > said.epoch) {
@@ -147,7 +153,7 @@
                     "\"{subject}\" is held by epoch {} after {before}",
                     said.epoch
                 );
-                found.push(breach(Rule::EpochsGrow, what));
+                found.push(breach(ClusterInvariant::IncreasingEpochs, what));
             }
             let top = highest.last().map_or(0, |(_, top)| *top).max(said.epoch);
             highest.push((said.heard, top));
@@ -166,14 +172,18 @@
 }
 
 fn sessions(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
-    let mut relay_of: BTreeMap<Tag, RelayNumber> = BTreeMap::new();
-    let mut killed: BTreeMap<RelayNumber, Instant> = BTreeMap::new();
-    let mut taken: BTreeMap<Tag, usize> = BTreeMap::new();
-    let mut up: BTreeMap<Tag, BTreeSet<BackendNumber>> = BTreeMap::new();
+    let mut relay_of: BTreeMap<SessionId, RelayIndex> = BTreeMap::new();
+    let mut killed: BTreeMap<RelayIndex, Instant> = BTreeMap::new();
+    let mut taken: BTreeMap<SessionId, usize> = BTreeMap::new();
+    let mut up: BTreeMap<SessionId, BTreeSet<BackendIndex>> = BTreeMap::new();
     let mut found = Vec::new();
-    for RecordedEvent { at, seen } in entries {
+    for RecordedEvent {
+        at,
+        observation: seen,
+    } in entries
+    {
         match seen {
-            Observation::Asked {
+            Observation::SessionRequested {
                 session,
                 relay: Some(relay),
                 ..
@@ -183,10 +193,10 @@
                 killed.remove(relay);
             }
             Observation::RelayKilled { relay } => drop(killed.insert(*relay, *at)),
-            Observation::DialCame {
+            Observation::AttemptReceived {
                 session,
-                at: of,
-                first,
+                backend: of,
+                first_byte_at: first,
             } => {
                 let Some(relay) = relay_of.get(session) else {
                     continue;
@@ -201,24 +211,24 @@
                     "box {} is dialled for a session of relay {}, dead for {after} ms",
                     of.0, relay.0
                 );
-                if !pact.takes_over {
+                if !pact.allows_takeover {
                     found.push(ClusterViolation {
-                        rule: Rule::OneRelayASession,
+                        invariant: ClusterInvariant::OneRelayPerSession,
                         at: *at,
-                        what,
+                        description: what,
                     });
                 } else if *count > 1 {
                     found.push(ClusterViolation {
-                        rule: Rule::TakenOverOnce,
+                        invariant: ClusterInvariant::SingleTakeover,
                         at: *at,
-                        what: format!("{what}, again"),
+                        description: format!("{what}, again"),
                     });
                 }
             }
-            Observation::DialReplied {
+            Observation::AttemptAnswered {
                 session,
-                at: of,
-                reply: Reply::Up,
+                backend: of,
+                reply: Reply::Accepted,
             } => {
                 let boxes = up.entry(*session).or_default();
                 boxes.insert(*of);
@@ -226,17 +236,23 @@
                     let numbers: Vec<String> = boxes.iter().map(|of| of.0.to_string()).collect();
                     let what = format!("boxes {} hold one session", numbers.join(" and "));
                     found.push(ClusterViolation {
-                        rule: Rule::OneBoxASession,
+                        invariant: ClusterInvariant::OneBackendPerSession,
                         at: *at,
-                        what,
+                        description: what,
                     });
                 }
             }
-            Observation::DialGone { session, at: of }
-            | Observation::BoxEnded { session, at: of } => {
+            Observation::AttemptAbandoned {
+                session,
+                backend: of,
+            }
+            | Observation::BackendClosedSession {
+                session,
+                backend: of,
+            } => {
                 up.entry(*session).or_default().remove(of);
             }
-            Observation::BoxStopped { at: of } => {
+            Observation::BackendStopped { backend: of } => {
                 for boxes in up.values_mut() {
                     boxes.remove(of);
                 }
@@ -249,42 +265,49 @@
 
 fn sums(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
     let mut found = Vec::new();
-    let mut standing: BTreeSet<Tag> = BTreeSet::new();
+    let mut standing: BTreeSet<SessionId> = BTreeSet::new();
     let mut over: Option<Instant> = None;
     let mut dials: Vec<Instant> = Vec::new();
-    for RecordedEvent { at, seen } in entries {
+    for RecordedEvent {
+        at,
+        observation: seen,
+    } in entries
+    {
         // As it was until now: what ends it comes too late if it lasted too long.
-        if let (Some((most, allowed)), Some(since)) = (pact.at_once, over)
+        if let (Some((most, allowed)), Some(since)) = (pact.max_sessions, over)
             && at.duration_since(since) > allowed
         {
             let what = format!("{} sessions are up, {most} may be", standing.len());
             found.push(ClusterViolation {
-                rule: Rule::SumAtOnce,
+                invariant: ClusterInvariant::SessionLimit,
                 at: *at,
-                what,
+                description: what,
             });
             over = Some(*at);
         }
         match seen {
             Observation::Answered {
                 session,
-                answer: crate::event_recorder::Answer::Up,
+                answer: crate::event_recorder::Answer::Accepted,
             } => {
                 standing.insert(*session);
             }
-            Observation::Moved { session }
-            | Observation::Ended { session }
-            | Observation::CutOff { session } => {
+            Observation::Migrated { session }
+            | Observation::SessionClosed { session }
+            | Observation::ConnectionLost { session } => {
                 standing.remove(session);
             }
-            Observation::DialCame { first, .. } => dials.push(*first),
+            Observation::AttemptReceived {
+                first_byte_at: first,
+                ..
+            } => dials.push(*first),
             _ => {}
         }
-        if let Some((most, _)) = pact.at_once {
+        if let Some((most, _)) = pact.max_sessions {
             over = (standing.len() > most).then(|| over.unwrap_or(*at));
         }
     }
-    if let Some(most) = pact.dials_a_second {
+    if let Some(most) = pact.max_attempts_per_second {
         dials.sort_unstable();
         for (place, at) in dials.iter().enumerate() {
             let from = dials.partition_point(|other| *other + SECOND <= *at);
@@ -292,9 +315,9 @@
             if count > most {
                 let what = format!("{count} dials in a second, {most} may be");
                 found.push(ClusterViolation {
-                    rule: Rule::SumASecond,
+                    invariant: ClusterInvariant::AttemptRate,
                     at: *at,
-                    what,
+                    description: what,
                 });
             }
         }
@@ -303,20 +326,32 @@
 }
 
 fn bans(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
-    let Some(within) = pact.bans_within else {
+    let Some(within) = pact.ban_replication_time else {
         return Vec::new();
     };
-    let mut out: BTreeMap<BackendNumber, Instant> = BTreeMap::new();
+    let mut out: BTreeMap<BackendIndex, Instant> = BTreeMap::new();
     let mut found = Vec::new();
-    for RecordedEvent { at, seen } in entries {
+    for RecordedEvent {
+        at,
+        observation: seen,
+    } in entries
+    {
         match seen {
-            Observation::ByHand {
-                at: of, out: true, ..
+            Observation::BackendBanned {
+                backend: of,
+                banned: true,
+                ..
             } => drop(out.entry(*of).or_insert(*at)),
-            Observation::ByHand {
-                at: of, out: false, ..
+            Observation::BackendBanned {
+                backend: of,
+                banned: false,
+                ..
             } => drop(out.remove(of)),
-            Observation::DialCame { at: of, first, .. } => {
+            Observation::AttemptReceived {
+                backend: of,
+                first_byte_at: first,
+                ..
+            } => {
                 let Some(since) = out.get(of).filter(|since| *first > **since + within + BLUR)
                 else {
                     continue;
@@ -324,9 +359,9 @@
                 let after = first.duration_since(*since).as_millis();
                 let what = format!("box {} is dialled {after} ms after its ban", of.0);
                 found.push(ClusterViolation {
-                    rule: Rule::BansEverywhere,
+                    invariant: ClusterInvariant::BansReplicated,
                     at: *at,
-                    what,
+                    description: what,
                 });
             }
             _ => {}
@@ -337,18 +372,25 @@
 
 /// By what each relay that runs said last.
 fn views(entries: &[RecordedEvent], pact: &ClusterLimits) -> Vec<ClusterViolation> {
-    if !pact.agree {
+    if !pact.requires_consistent_membership {
         return Vec::new();
     }
-    let mut running: BTreeSet<RelayNumber> = BTreeSet::new();
-    let mut sees: BTreeMap<RelayNumber, (Instant, &Vec<String>)> = BTreeMap::new();
-    for RecordedEvent { at, seen } in entries {
+    let mut running: BTreeSet<RelayIndex> = BTreeSet::new();
+    let mut sees: BTreeMap<RelayIndex, (Instant, &Vec<String>)> = BTreeMap::new();
+    for RecordedEvent {
+        at,
+        observation: seen,
+    } in entries
+    {
         match seen {
             Observation::RelayStarted { relay } => drop(running.insert(*relay)),
             Observation::RelayKilled { relay } | Observation::RelayStopped { relay } => {
                 running.remove(relay);
             }
-            Observation::Sees { relay, here } => drop(sees.insert(*relay, (*at, here))),
+            Observation::MembersSeen {
+                relay,
+                members: here,
+            } => drop(sees.insert(*relay, (*at, here))),
             _ => {}
         }
     }
@@ -367,9 +409,9 @@
                 all.len()
             );
             ClusterViolation {
-                rule: Rule::ViewsAgree,
+                invariant: ClusterInvariant::ConsistentMembership,
                 at,
-                what,
+                description: what,
             }
         })
     });
--- a/testbed/src/endpoint_list.rs
+++ b/testbed/src/endpoint_list.rs
@@ -1,13 +1,13 @@
 //! Discovery's list without its sockets: the truth, what an agent has of it, and the text of both.
-use crate::event_recorder::{BackendNumber, Lifecycle};
+use crate::event_recorder::{BackendIndex, Lifecycle};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 /// A row of the list.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
-    pub at: SocketAddr,
+pub struct EndpointRow {
+    pub address: SocketAddr,
     pub zone: String,
     pub cell: u16,
     pub lifecycle: Lifecycle,
@@ -16,7 +16,7 @@
 }
 
 /// The name of a box on the list, the same for all relays.
-pub fn name_of(at: BackendNumber) -> String {
+pub fn endpoint_name(at: BackendIndex) -> String {
     format!("box-{:04}", at.0)
 }
 
@@ -24,7 +24,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
     generation: u64,
-    rows: BTreeMap<BackendNumber, (u64, Row)>,
+    rows: BTreeMap<BackendIndex, (u64, EndpointRow)>,
     /// Changes before this version are not known any more: who asks with an older or a higher one
     /// has the whole.
     known_from: u64,
@@ -35,11 +35,11 @@
         self.generation
     }
 
-    pub fn rows(&self) -> impl Iterator<Item = (BackendNumber, &Row)> {
+    pub fn rows(&self) -> impl Iterator<Item = (BackendIndex, &EndpointRow)> {
         self.rows.iter().map(|(at, (_, row))| (*at, row))
     }
 
-    pub fn put(&mut self, at: BackendNumber, row: Row) {
+    pub fn put(&mut self, at: BackendIndex, row: EndpointRow) {
         self.generation += 1;
         self.rows.insert(at, (self.generation, row));
     }
@@ -55,9 +55,9 @@
 
     /// The text for one who holds that version: what changed since, or the whole; and the rows that
     /// it names.
-    pub fn text_since(&self, held: Option<u64>) -> (String, Vec<(BackendNumber, Lifecycle)>) {
+    pub fn text_since(&self, held: Option<u64>) -> (String, Vec<(BackendIndex, Lifecycle)>) {
         let held = held.filter(|held| (self.known_from..=self.generation).contains(held));
-        let told: Vec<(&BackendNumber, &Row)> = self
+        let told: Vec<(&BackendIndex, &EndpointRow)> = self
             .rows
             .iter()
             .filter(|(_, (version, _))| held.is_none_or(|held| *version > held))
@@ -75,10 +75,10 @@
     }
 }
 
-fn object(at: BackendNumber, row: &Row) -> serde_json::Value {
+fn object(at: BackendIndex, row: &EndpointRow) -> serde_json::Value {
     json!({
-        "instanceId": name_of(at),
-        "hostPort": row.at.to_string(),
+        "instanceId": endpoint_name(at),
+        "hostPort": row.address.to_string(),
         "zone": row.zone,
         "machineType": "stand-in",
         "cell": row.cell,
@@ -98,17 +98,17 @@
 
     #[test]
     fn who_asks_has_what_changed_since_or_the_whole() {
-        let row = |lifecycle| Row {
-            at: "127.0.0.1:9".parse().unwrap(),
+        let row = |lifecycle| EndpointRow {
+            address: "127.0.0.1:9".parse().unwrap(),
             zone: "a".into(),
             cell: 0,
             lifecycle,
             started_ms: 0,
         };
         let mut list = EndpointList::default();
-        list.put(BackendNumber(0), row(Lifecycle::Ready));
-        list.put(BackendNumber(1), row(Lifecycle::Ready));
-        list.put(BackendNumber(0), row(Lifecycle::Gone));
+        list.put(BackendIndex(0), row(Lifecycle::Ready));
+        list.put(BackendIndex(1), row(Lifecycle::Ready));
+        list.put(BackendIndex(0), row(Lifecycle::Gone));
         use Lifecycle::{Gone, Ready};
         let cases = [
             (None, true, vec![(1, Ready)]),
--- a/testbed/src/event_loop.rs
+++ b/testbed/src/event_loop.rs
@@ -1,6 +1,6 @@
 //! The loop that every thread of the stand-ins runs: sockets, alarms, and cues from the one who
 //! directs.
-use crate::clock::{Stopwatch, duration};
+use crate::clock::{Stopwatch, to_std};
 use crate::event_recorder::{EventRecorder, Observation};
 use polling::{Events, Poller};
 use std::collections::BTreeMap;
@@ -19,13 +19,13 @@
     pub now: Instant,
     pub clock: Stopwatch,
     pub poller: Arc<Poller>,
-    pub tape: EventRecorder,
+    pub recorder: EventRecorder,
     alarms: BTreeMap<(Instant, u64), A>,
     serial: u64,
     /// The longest turn so far.
-    pub worst_turn: Duration,
+    pub longest_turn: Duration,
     /// Time spent working and not waiting.
-    pub worked: Duration,
+    pub busy_time: Duration,
 }
 
 impl<A> LoopContext<A> {
@@ -35,7 +35,7 @@
     }
 
     pub fn note(&self, seen: Observation) {
-        self.tape.note(self.now, seen);
+        self.recorder.record(self.now, seen);
     }
 }
 
@@ -81,11 +81,11 @@
                     now,
                     clock,
                     poller: own,
-                    tape,
+                    recorder: tape,
                     alarms,
                     serial: 0,
-                    worst_turn,
-                    worked,
+                    longest_turn: worst_turn,
+                    busy_time: worked,
                 };
                 match open(&mut works) {
                     Ok(mut play) => {
@@ -171,7 +171,7 @@
         }
         let first = works.alarms.first_key_value().map(|((at, _), _)| *at);
         let wait = first.map(|at| {
-            duration(at.duration_since(works.clock.now())) + std::time::Duration::from_micros(20)
+            to_std(at.duration_since(works.clock.now())) + std::time::Duration::from_micros(20)
         });
         events.clear();
         if let Err(fault) = works.poller.wait(&mut events, wait)
@@ -198,10 +198,10 @@
             play.alarm(alarm, works);
         }
         let took = works.clock.now().duration_since(began);
-        works.worked += took;
-        works.worst_turn = works.worst_turn.max(took);
+        works.busy_time += took;
+        works.longest_turn = works.longest_turn.max(took);
         if took > LATE_TURN {
-            works.note(Observation::ToolLate { by: took });
+            works.note(Observation::TestbedDelayed { delay: took });
         }
     }
 }
--- a/testbed/src/event_recorder.rs
+++ b/testbed/src/event_recorder.rs
@@ -1,341 +1,515 @@
-//! What boxes, discovery, clients and the run itself saw, in the order of its happening as far as
-//! threads allow.
+//! Observations of a run: what clients, backends, the discovery agent and the run itself saw, sent
+//! from their threads to one log, in the order of time as far as threads allow.
 use serde::{Serialize, Serializer};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use thistlecroft::time::{Duration, Instant};
 
-/// The id in a session's first line: new with each connection.
+/// The id in a session's first line: each connection of a client has a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Tag(pub u64);
+pub struct SessionId(pub u64);
 
-impl Serialize for Tag {
+impl Serialize for SessionId {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         to.collect_str(&format_args!("{:016x}", self.0))
     }
 }
 
-fn ms<S: Serializer>(span: &Duration, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_f64(span.as_micros() as f64 / 1e3)
+fn serialize_milliseconds<S: Serializer>(duration: &Duration, to: S) -> Result<S::Ok, S::Error> {
+    to.serialize_f64(duration.as_micros() as f64 / 1e3)
 }
 
-fn maybe_ms<S: Serializer>(span: &Option<Duration>, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_some(&span.map(|span| span.as_micros() as f64 / 1e3))
+fn serialize_optional_milliseconds<S: Serializer>(
+    duration: &Option<Duration>,
+    to: S,
+) -> Result<S::Ok, S::Error> {
+    to.serialize_some(&duration.map(|duration| duration.as_micros() as f64 / 1e3))
 }
 
-fn at_ms<S: Serializer>(at: &Instant, to: S) -> Result<S::Ok, S::Error> {
+fn serialize_instant<S: Serializer>(at: &Instant, to: S) -> Result<S::Ok, S::Error> {
     to.serialize_f64(at.as_micros() as f64 / 1e3)
 }
 
-/// A box by its place in the fleet.
+/// A simulated backend, by its place in the plan of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct BackendNumber(pub u16);
+pub struct BackendIndex(pub u16);
 
-/// A relay by its place among those of the run.
+/// A relay, by its place among the relays of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct RelayNumber(pub u16);
+pub struct RelayIndex(pub u16);
 
-/// The final answer of a session, as its client read it.
+/// The final answer to a session, as its client read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Answer {
-    Up,
-    Busy(#[serde(serialize_with = "maybe_ms")] Option<Duration>),
+    /// The session is established.
+    #[serde(rename = "up")]
+    Accepted,
+    /// The session was rejected, with the time to wait before a retry where one was given.
+    #[serde(rename = "busy")]
+    Rejected(#[serde(serialize_with = "serialize_optional_milliseconds")] Option<Duration>),
+    /// The session failed.
     Failed,
 }
 
-/// How a box answered a dial.
+/// How a backend answered a connection attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
-    Up,
-    /// Turned away: it never ran.
-    Busy,
-    /// It may have run.
+    /// The session is established.
+    #[serde(rename = "up")]
+    Accepted,
+    /// The attempt was rejected and never had an effect.
+    #[serde(rename = "busy")]
+    Rejected,
+    /// The attempt failed and may have had its effect.
     Failed,
 }
 
-/// What the list says of a box.
+/// The state of a backend in the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Lifecycle {
+    /// It takes new sessions.
     Ready,
+    /// It wants no new sessions and is shutting down gracefully.
     Draining,
+    /// It is no longer listed.
     Gone,
 }
 
-/// Written out, spans and moments are milliseconds.
+/// One thing that a client, a backend, the discovery agent or the run itself observed.
+///
+/// The serialized names are those of `events.jsonl`; durations and instants are written in
+/// milliseconds.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "event", rename_all = "kebab-case")]
 pub enum Observation {
-    /// The last byte of a first line was written; the client waits for so long. A baseline has no
-    /// relay.
-    Asked {
-        session: Tag,
-        relay: Option<RelayNumber>,
+    /// A client wrote the last byte of its first line.
+    #[serde(rename = "asked")]
+    SessionRequested {
+        /// The session.
+        session: SessionId,
+        /// The relay that was asked; none in a baseline run without relays.
+        relay: Option<RelayIndex>,
+        /// The listener, by its place in the configuration.
         listener: u16,
-        #[serde(serialize_with = "ms")]
-        wait: Duration,
-        #[serde(serialize_with = "at_ms")]
+        /// How long the client waits for its answer.
+        #[serde(rename = "wait", serialize_with = "serialize_milliseconds")]
+        timeout: Duration,
+        /// When the client was to connect.
+        #[serde(serialize_with = "serialize_instant")]
         due: Instant,
-        again: bool,
+        /// The client had an established session before.
+        #[serde(rename = "again")]
+        reconnecting: bool,
     },
+    /// A client read its final answer.
     Answered {
-        session: Tag,
+        /// The session.
+        session: SessionId,
+        /// The answer.
         answer: Answer,
     },
-    /// A line behind a refusal or a teardown.
-    SaidMore {
-        session: Tag,
-    },
-    /// The client's wait was over and nothing had come.
-    Unanswered {
-        session: Tag,
-    },
-    /// The connection ended or broke before the answer.
-    Dropped {
-        session: Tag,
-    },
-    /// The client left before the answer, by its own will.
-    LeftEarly {
-        session: Tag,
-    },
-    /// The relay never took it: no connection, or broken before the last byte.
-    NeverTaken {
-        relay: Option<RelayNumber>,
-    },
-    Moved {
-        session: Tag,
-    },
-    /// Up, then ended or broken by the other side without `MOVE` or `BYE`.
-    CutOff {
-        session: Tag,
-    },
-    /// Ended as the client wished, or as its box said.
-    Ended {
-        session: Tag,
-    },
-    LineLate {
-        session: Tag,
-        #[serde(serialize_with = "ms")]
+    /// A client read a further line behind a rejection or a failure.
+    #[serde(rename = "said-more")]
+    DataAfterAnswer {
+        /// The session.
+        session: SessionId,
+    },
+    /// The client's timeout passed without an answer.
+    #[serde(rename = "unanswered")]
+    AnswerTimedOut {
+        /// The session.
+        session: SessionId,
+    },
+    /// The connection was closed or reset before the answer.
+    #[serde(rename = "dropped")]
+    ClosedUnanswered {
+        /// The session.
+        session: SessionId,
+    },
+    /// The client left before its answer by its own decision.
+    #[serde(rename = "left-early")]
+    ClientLeft {
+        /// The session.
+        session: SessionId,
+    },
+    /// The relay did not take the connection, or reset it before the last byte was written.
+    #[serde(rename = "never-taken")]
+    ConnectFailed {
+        /// The relay, if there is one.
+        relay: Option<RelayIndex>,
+    },
+    /// An established session was asked to migrate.
+    #[serde(rename = "moved")]
+    Migrated {
+        /// The session.
+        session: SessionId,
+    },
+    /// An established session was closed or reset by the other side without a closing message.
+    #[serde(rename = "cut-off")]
+    ConnectionLost {
+        /// The session.
+        session: SessionId,
+    },
+    /// A session ended as its client wished or as its backend announced.
+    #[serde(rename = "ended")]
+    SessionClosed {
+        /// The session.
+        session: SessionId,
+    },
+    /// A message came back later than the limit.
+    #[serde(rename = "line-late")]
+    MessageLate {
+        /// The session.
+        session: SessionId,
+        /// The time from its sending to its return.
+        #[serde(serialize_with = "serialize_milliseconds")]
         waited: Duration,
     },
-    LineWrong {
-        session: Tag,
-    },
-    /// A dial's first line was read whole; `first` is when its first byte was.
-    DialCame {
-        at: BackendNumber,
-        session: Tag,
-        #[serde(serialize_with = "at_ms")]
-        first: Instant,
-    },
-    DialReplied {
-        at: BackendNumber,
-        session: Tag,
+    /// A message came back that was not sent, or out of order.
+    #[serde(rename = "line-wrong")]
+    MessageMismatched {
+        /// The session.
+        session: SessionId,
+    },
+    /// A backend read the complete first line of a connection attempt.
+    #[serde(rename = "dial-came")]
+    AttemptReceived {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The session.
+        session: SessionId,
+        /// When the first byte of that line was read.
+        #[serde(rename = "first", serialize_with = "serialize_instant")]
+        first_byte_at: Instant,
+    },
+    /// A backend answered an attempt.
+    #[serde(rename = "dial-replied")]
+    AttemptAnswered {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The session.
+        session: SessionId,
+        /// The reply.
         reply: Reply,
     },
-    /// The relay ended the dial before a reply.
-    DialGone {
-        at: BackendNumber,
-        session: Tag,
-    },
-    /// The box ended a connection that stood, or broke it.
-    BoxEnded {
-        at: BackendNumber,
-        session: Tag,
-    },
-    /// The box itself kept a line for so long.
-    BoxHeld {
-        at: BackendNumber,
-        session: Tag,
-        #[serde(serialize_with = "ms")]
+    /// The relay closed an attempt before the reply.
+    #[serde(rename = "dial-gone")]
+    AttemptAbandoned {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The session.
+        session: SessionId,
+    },
+    /// A backend closed or reset an established session.
+    #[serde(rename = "box-ended")]
+    BackendClosedSession {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The session.
+        session: SessionId,
+    },
+    /// A backend itself delayed a message.
+    #[serde(rename = "box-held")]
+    BackendDelayedMessage {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The session.
+        session: SessionId,
+        /// The delay.
+        #[serde(serialize_with = "serialize_milliseconds")]
         waited: Duration,
     },
-    BoxStarted {
-        at: BackendNumber,
+    /// A backend started.
+    #[serde(rename = "box-started")]
+    BackendStarted {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// It has to warm up.
         cold: bool,
     },
-    BoxDrains {
-        at: BackendNumber,
-    },
-    BoxStopped {
-        at: BackendNumber,
-    },
-    /// Pushed over while cold.
-    BoxFell {
-        at: BackendNumber,
-    },
-    /// It stands still, or goes on: what it sees in between it sees late.
-    Still {
-        at: BackendNumber,
-        on: bool,
-    },
+    /// A backend began its graceful shutdown.
+    #[serde(rename = "box-drains")]
+    BackendDraining {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+    },
+    /// A backend's process ended.
+    #[serde(rename = "box-stopped")]
+    BackendStopped {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+    },
+    /// A backend was overloaded while warming up, which ends it.
+    #[serde(rename = "box-fell")]
+    BackendOverloaded {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+    },
+    /// A backend's process was paused or resumed: what happens in a pause is observed after it.
+    #[serde(rename = "still")]
+    BackendPaused {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// It is paused from now on.
+        #[serde(rename = "on")]
+        paused: bool,
+    },
+    /// A fault was injected into a backend or cleared.
     BackendFault {
-        at: BackendNumber,
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The fault's name in scenarios.
         name: &'static str,
-        on: bool,
-    },
-    /// Load over capacity, connections held, what it can do of its capacity, and how much of the
-    /// cold budget is used.
-    BoxLoad {
-        at: BackendNumber,
+        /// The fault holds from now on.
+        #[serde(rename = "on")]
+        active: bool,
+    },
+    /// A backend's load, sampled at each report.
+    #[serde(rename = "box-load")]
+    BackendLoad {
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// Requested load over present capacity.
         load: f64,
-        held: usize,
-        share: f64,
-        pushed: f64,
-    },
-    /// Discovery has written it to the relay.
-    Told {
-        relay: RelayNumber,
-        at: BackendNumber,
+        /// Established sessions.
+        #[serde(rename = "held")]
+        sessions: usize,
+        /// The present part of its full capacity.
+        #[serde(rename = "share")]
+        capacity_share: f64,
+        /// The greatest used part of its warm-up budget so far.
+        #[serde(rename = "pushed")]
+        warm_up_budget_used: f64,
+    },
+    /// The discovery agent wrote a backend's state to a relay.
+    #[serde(rename = "told")]
+    EndpointAnnounced {
+        /// The relay.
+        relay: RelayIndex,
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The announced state.
         lifecycle: Lifecycle,
     },
-    /// An operator has this relay's yes that the box is out; or asks for it back.
-    ByHand {
-        relay: RelayNumber,
-        at: BackendNumber,
-        out: bool,
-    },
-    Agent {
-        relay: RelayNumber,
+    /// A relay confirmed an operator's ban of a backend, or an operator asked to lift it.
+    #[serde(rename = "by-hand")]
+    BackendBanned {
+        /// The relay.
+        relay: RelayIndex,
+        /// The backend.
+        #[serde(rename = "at")]
+        backend: BackendIndex,
+        /// The ban holds from now on.
+        #[serde(rename = "out")]
+        banned: bool,
+    },
+    /// A fault was injected into a relay's discovery agent or cleared.
+    #[serde(rename = "agent")]
+    AgentFault {
+        /// The relay.
+        relay: RelayIndex,
+        /// The fault's name in scenarios.
         fault: &'static str,
-        on: bool,
+        /// The fault holds from now on.
+        #[serde(rename = "on")]
+        active: bool,
     },
+    /// A relay is ready.
     RelayStarted {
-        relay: RelayNumber,
+        /// The relay.
+        relay: RelayIndex,
     },
-    RelayToldToStop {
-        relay: RelayNumber,
+    /// A relay was sent SIGTERM.
+    #[serde(rename = "relay-told-to-stop")]
+    RelayStopRequested {
+        /// The relay.
+        relay: RelayIndex,
     },
-    /// Killed outright, or gone by itself.
+    /// A relay was killed or ended by itself.
     RelayKilled {
-        relay: RelayNumber,
+        /// The relay.
+        relay: RelayIndex,
     },
+    /// A relay ended its graceful shutdown.
     RelayStopped {
-        relay: RelayNumber,
-    },
-    /// The process stands still (SIGSTOP), or goes on.
-    RelayStill {
-        relay: RelayNumber,
-        on: bool,
-    },
-    /// What is between two relays, in one direction, is bent, or as it was.
-    Link {
-        from: RelayNumber,
-        to: RelayNumber,
+        /// The relay.
+        relay: RelayIndex,
+    },
+    /// A relay's process was paused (SIGSTOP) or resumed.
+    #[serde(rename = "relay-still")]
+    RelayPaused {
+        /// The relay.
+        relay: RelayIndex,
+        /// It is paused from now on.
+        #[serde(rename = "on")]
+        paused: bool,
+    },
+    /// A fault was injected into the link between two relays, in one direction, or cleared.
+    #[serde(rename = "link")]
+    LinkFault {
+        /// The sending relay.
+        from: RelayIndex,
+        /// The receiving relay.
+        to: RelayIndex,
+        /// The fault's name in scenarios.
         name: &'static str,
-        on: bool,
-    },
-    /// At its door a relay said that it holds a lease: asked then, for so long from then.
-    LeaseSaid {
-        relay: RelayNumber,
+        /// The fault holds from now on.
+        #[serde(rename = "on")]
+        active: bool,
+    },
+    /// A relay answered at its admin port that it holds a lease.
+    #[serde(rename = "lease-said")]
+    LeaseClaimed {
+        /// The relay.
+        relay: RelayIndex,
+        /// The subject of the lease.
         subject: &'static str,
+        /// The epoch of the lease.
         epoch: u64,
-        #[serde(serialize_with = "at_ms")]
-        asked: Instant,
-        #[serde(serialize_with = "at_ms")]
-        until: Instant,
-    },
-    /// Whom a relay said at its door that it sees here, itself among them.
-    Sees {
-        relay: RelayNumber,
-        here: Vec<String>,
-    },
+        /// When the relay was asked.
+        #[serde(rename = "asked", serialize_with = "serialize_instant")]
+        requested_at: Instant,
+        /// The end of the lease by that answer, counted from the asking.
+        #[serde(rename = "until", serialize_with = "serialize_instant")]
+        valid_until: Instant,
+    },
+    /// A relay answered at its admin port which relays it sees alive.
+    #[serde(rename = "sees")]
+    MembersSeen {
+        /// The relay.
+        relay: RelayIndex,
+        /// The names, its own among them.
+        #[serde(rename = "here")]
+        members: Vec<String>,
+    },
+    /// What a relay's process used, sampled.
     RelayCost {
-        relay: RelayNumber,
-        #[serde(serialize_with = "ms")]
-        cpu: Duration,
-        resident: u64,
-    },
-    /// A thread of the stand-ins was so late: what it saw in that time was seen late.
-    ToolLate {
-        #[serde(serialize_with = "ms")]
-        by: Duration,
-    },
-    /// The stand-ins ran out of descriptors: what came of that is not the relays'.
-    ToolExhausted,
-    Mark {
+        /// The relay.
+        relay: RelayIndex,
+        /// CPU time since its start.
+        #[serde(rename = "cpu", serialize_with = "serialize_milliseconds")]
+        cpu_time: Duration,
+        /// Resident memory in bytes.
+        #[serde(rename = "resident")]
+        resident_bytes: u64,
+    },
+    /// A thread of the testbed was late: what it observed in that time was observed late.
+    #[serde(rename = "tool-late")]
+    TestbedDelayed {
+        /// The delay.
+        #[serde(rename = "by", serialize_with = "serialize_milliseconds")]
+        delay: Duration,
+    },
+    /// The testbed ran out of file descriptors: the relays are not to blame for what follows.
+    #[serde(rename = "tool-exhausted")]
+    TestbedExhausted,
+    /// A remark of the run itself.
+    #[serde(rename = "mark")]
+    Note {
+        /// The remark.
         text: String,
     },
 }
 
+/// An observation and when it was made.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecordedEvent {
-    #[serde(rename = "ms", serialize_with = "at_ms")]
+    /// Time since the start of the run.
+    #[serde(rename = "ms", serialize_with = "serialize_instant")]
     pub at: Instant,
+    /// What was observed.
     #[serde(flatten)]
-    pub seen: Observation,
+    pub observation: Observation,
 }
 
-/// Where sightings go. Cheap to clone, one for each thread.
+/// Records observations into an [`EventLog`]. Cheap to clone: each thread has its own.
 #[derive(Clone)]
 pub struct EventRecorder(Sender<RecordedEvent>);
 
+/// A recorder and the log that receives its events.
 pub fn event_recorder() -> (EventRecorder, EventLog) {
-    let (tell, told) = channel();
-    (
-        EventRecorder(tell),
-        EventLog {
-            told,
-            entries: Vec::new(),
-        },
-    )
+    let (sender, receiver) = channel();
+    let log = EventLog {
+        receiver,
+        events: Vec::new(),
+    };
+    (EventRecorder(sender), log)
 }
 
 impl EventRecorder {
-    pub fn note(&self, at: Instant, seen: Observation) {
-        // Nobody listens any more once a run is over; nothing is lost by that.
-        let _ = self.0.send(RecordedEvent { at, seen });
+    /// Records an observation made at that time.
+    pub fn record(&self, at: Instant, observation: Observation) {
+        // The log is dropped once a run is over, and later events are of no interest.
+        let _ = self.0.send(RecordedEvent { at, observation });
     }
 }
 
-/// All that was noted so far.
+/// All events recorded so far, in the order of their arrival.
 pub struct EventLog {
-    told: Receiver<RecordedEvent>,
-    pub entries: Vec<RecordedEvent>,
+    receiver: Receiver<RecordedEvent>,
+    /// The events received up to the last call of [`EventLog::receive`].
+    pub events: Vec<RecordedEvent>,
 }
 
 impl EventLog {
-    /// Takes in what has come; the place of the first new entry.
-    pub fn gather(&mut self) -> usize {
-        let from = self.entries.len();
-        self.entries.extend(self.told.try_iter());
-        from
+    /// Receives the events recorded since the last call; returns the index of the first new one.
+    pub fn receive(&mut self) -> usize {
+        let first_new = self.events.len();
+        self.events.extend(self.receiver.try_iter());
+        first_new
     }
 
-    /// Waits until an entry is such, from the first one on; false if none came within that time.
+    /// Waits until any event satisfies the predicate, counting those already received; returns
+    /// false if none did within that time.
     pub fn wait_for(
         &mut self,
         within: std::time::Duration,
-        such: impl Fn(&Observation) -> bool,
+        predicate: impl Fn(&Observation) -> bool,
     ) -> bool {
-        self.wait_until(within, |entries| {
-            entries.iter().any(|entry| such(&entry.seen))
+        self.wait_until(within, |events| {
+            events.iter().any(|event| predicate(&event.observation))
         })
     }
 
+    /// Waits until the events together satisfy the predicate; returns false if they did not within
+    /// that time.
     pub fn wait_until(
         &mut self,
         within: std::time::Duration,
-        done: impl Fn(&[RecordedEvent]) -> bool,
+        predicate: impl Fn(&[RecordedEvent]) -> bool,
     ) -> bool {
-        let until = std::time::Instant::now() + within;
-        self.gather();
-        while !done(&self.entries) {
-            let left = until.saturating_duration_since(std::time::Instant::now());
-            match self.told.recv_timeout(left) {
-                Ok(entry) => self.entries.push(entry),
+        let deadline = std::time::Instant::now() + within;
+        self.receive();
+        while !predicate(&self.events) {
+            let left = deadline.saturating_duration_since(std::time::Instant::now());
+            match self.receiver.recv_timeout(left) {
+                Ok(event) => self.events.push(event),
                 Err(_) => return false,
             }
-            self.gather();
+            self.receive();
         }
         true
     }
 
-    /// In the order of time: threads note their own at their own pace.
+    /// All events in the order of time; threads deliver theirs at their own pace.
     pub fn into_sorted(mut self) -> Vec<RecordedEvent> {
-        self.gather();
-        self.entries.sort_by_key(|entry| entry.at);
-        self.entries
+        self.receive();
+        self.events.sort_by_key(|event| event.at);
+        self.events
     }
 }
--- a/testbed/src/invariant_checker.rs
+++ b/testbed/src/invariant_checker.rs
@@ -2,7 +2,7 @@
 //! the shortest story of its first break. No I/O. What nobody can have seen is not judged: a box
 //! that stands still notes late, and a relay that was killed owes no answer for what it held.
 use crate::event_recorder::{
-    Answer, BackendNumber, Lifecycle, Observation, RecordedEvent, RelayNumber, Reply, Tag,
+    Answer, BackendIndex, Lifecycle, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
 };
 use std::collections::BTreeMap;
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
@@ -29,13 +29,13 @@
 #[derive(Clone, Debug)]
 pub struct PlatformRules {
     /// What may be repeated, by listener.
-    pub effects: Vec<Idempotency>,
+    pub idempotency: Vec<Idempotency>,
     /// A second dial may go out while one is, by listener; where not stated, none may.
     pub hedged: Vec<bool>,
     /// Nothing new goes to a box so long after it was told as draining or gone.
-    pub grace: Duration,
+    pub drain_grace: Duration,
     /// Where boxes are, for the scope of referenced sessions.
-    pub places: Vec<(String, u16)>,
+    pub backend_locations: Vec<(String, u16)>,
 }
 
 /// A broken rule.
@@ -43,25 +43,25 @@
 pub struct Violation {
     pub rule: usize,
     pub at: Instant,
-    pub what: String,
+    pub description: String,
     /// Who said what, and when.
-    pub story: Vec<String>,
+    pub timeline: Vec<String>,
 }
 
 #[derive(Clone, Debug, Default)]
 pub struct CheckResult {
     /// The first break of each rule.
-    pub first: [Option<Violation>; 4],
-    pub breaks: [usize; 4],
+    pub first_violations: [Option<Violation>; 4],
+    pub violation_counts: [usize; 4],
     /// Sessions that were judged.
     pub sessions: usize,
     pub answered: usize,
     /// Sessions that nobody owes an answer: the client left, or its relay was killed.
     pub excused: usize,
-    pub dials: usize,
-    pub most_dials: usize,
+    pub attempts: usize,
+    pub max_attempts: usize,
     /// The greatest part of a cold box's budget that was used.
-    pub worst_push: f64,
+    pub max_warm_up_budget_used: f64,
     /// By listener.
     pub listeners: Vec<AttemptTotals>,
 }
@@ -70,26 +70,28 @@
 #[derive(Clone, Debug, Default)]
 pub struct AttemptTotals {
     pub sessions: usize,
-    pub most: usize,
+    pub max_per_session: usize,
     /// After the one before had ended.
-    pub further: usize,
+    pub retries: usize,
     /// While another was out.
-    pub second: usize,
+    pub hedged: usize,
     /// The longest time to an answer.
-    pub longest: Duration,
+    pub longest_answer_time: Duration,
 }
 
 impl CheckResult {
-    pub fn kept(&self) -> bool {
-        self.breaks == [0; 4]
+    pub fn holds(&self) -> bool {
+        self.violation_counts == [0; 4]
     }
 
     /// `rules kept`, or which broke and how often.
-    pub fn line(&self) -> String {
-        if self.kept() {
+    pub fn summary(&self) -> String {
+        if self.holds() {
             return "rules kept".into();
         }
-        let broken = (1..).zip(self.breaks).filter(|(_, count)| *count > 0);
+        let broken = (1..)
+            .zip(self.violation_counts)
+            .filter(|(_, count)| *count > 0);
         let broken: Vec<String> = broken
             .map(|(rule, count)| format!("rule {rule} broken {count} times"))
             .collect();
@@ -99,7 +101,7 @@
 
 #[derive(Clone, Debug)]
 struct DialStory {
-    at: BackendNumber,
+    at: BackendIndex,
     came: Instant,
     first: Instant,
     over: Option<(Instant, Option<Reply>)>,
@@ -111,7 +113,7 @@
 struct SessionStory {
     asked: Instant,
     wait: Duration,
-    relay: Option<RelayNumber>,
+    relay: Option<RelayIndex>,
     listener: usize,
     answer: Option<(Instant, Answer)>,
     ends: Option<Instant>,
@@ -153,20 +155,20 @@
     ailing: Times,
     /// From when on nothing new may come, by relay; what all are deemed told counts for those not
     /// told.
-    told: BTreeMap<RelayNumber, Instant>,
+    told: BTreeMap<RelayIndex, Instant>,
     shut: Option<Instant>,
     /// Since when a relay's operators have it out, whatever the list says.
-    by_hand: BTreeMap<RelayNumber, Instant>,
+    by_hand: BTreeMap<RelayIndex, Instant>,
 }
 
 pub struct InvariantChecker<'a> {
     law: &'a PlatformRules,
     entries: &'a [RecordedEvent],
-    sessions: BTreeMap<Tag, SessionStory>,
-    boxes: BTreeMap<BackendNumber, BoxStory>,
-    killed: BTreeMap<RelayNumber, Vec<Instant>>,
+    sessions: BTreeMap<SessionId, SessionStory>,
+    boxes: BTreeMap<BackendIndex, BoxStory>,
+    killed: BTreeMap<RelayIndex, Vec<Instant>>,
     /// A process that is stopped owes nothing while it is.
-    stopped: BTreeMap<RelayNumber, Times>,
+    stopped: BTreeMap<RelayIndex, Times>,
     late: Vec<(Instant, Duration)>,
     ruling: CheckResult,
     end: Instant,
@@ -199,13 +201,17 @@
 impl InvariantChecker<'_> {
     /// What excuses must be known before anything is blamed.
     fn first_look(&mut self) {
-        for RecordedEvent { at, seen } in self.entries {
+        for RecordedEvent {
+            at,
+            observation: seen,
+        } in self.entries
+        {
             match seen {
-                Observation::Asked {
+                Observation::SessionRequested {
                     session,
                     relay,
                     listener,
-                    wait,
+                    timeout: wait,
                     ..
                 } => {
                     self.has_relays |= relay.is_some();
@@ -224,19 +230,22 @@
                     };
                     self.sessions.insert(*session, story);
                 }
-                Observation::BoxEnded { session, .. } => {
+                Observation::BackendClosedSession { session, .. } => {
                     if let Some(story) = self.sessions.get_mut(session) {
                         story.box_ended = Some(*at);
                     }
                 }
-                Observation::BoxHeld {
+                Observation::BackendDelayedMessage {
                     session, waited, ..
                 } => {
                     if let Some(story) = self.sessions.get_mut(session) {
                         story.box_held = story.box_held.max(*waited);
                     }
                 }
-                Observation::Still { at: of, on } => {
+                Observation::BackendPaused {
+                    backend: of,
+                    paused: on,
+                } => {
                     let still = &mut self.boxes.entry(*of).or_default().still;
                     if *on {
                         still.begin(*at)
@@ -244,7 +253,11 @@
                         still.end(*at)
                     }
                 }
-                Observation::BackendFault { at: of, on, .. } => {
+                Observation::BackendFault {
+                    backend: of,
+                    active: on,
+                    ..
+                } => {
                     let ailing = &mut self.boxes.entry(*of).or_default().ailing;
                     if *on {
                         ailing.begin(*at)
@@ -252,13 +265,13 @@
                         ailing.end(*at)
                     }
                 }
-                Observation::BoxStopped { at: of } => {
+                Observation::BackendStopped { backend: of } => {
                     self.boxes.entry(*of).or_default().ailing.begin(*at)
                 }
-                Observation::BoxStarted { at: of, .. } => {
+                Observation::BackendStarted { backend: of, .. } => {
                     self.boxes.entry(*of).or_default().ailing.end(*at)
                 }
-                Observation::RelayStill { relay, on } => {
+                Observation::RelayPaused { relay, paused: on } => {
                     let still = self.stopped.entry(*relay).or_default();
                     if *on {
                         still.begin(*at)
@@ -269,7 +282,7 @@
                 Observation::RelayKilled { relay } => {
                     self.killed.entry(*relay).or_default().push(*at)
                 }
-                Observation::ToolLate { by } => self.late.push((*at, *by)),
+                Observation::TestbedDelayed { delay: by } => self.late.push((*at, *by)),
                 _ => {}
             }
         }
@@ -284,13 +297,13 @@
         near.map(|(_, by)| *by).max().unwrap_or(Duration::ZERO)
     }
 
-    fn stood_still(&self, relay: Option<RelayNumber>, from: Instant, to: Instant) -> bool {
+    fn stood_still(&self, relay: Option<RelayIndex>, from: Instant, to: Instant) -> bool {
         let still = relay.and_then(|relay| self.stopped.get(&relay));
         // What waited meanwhile is worked off after it.
         still.is_some_and(|still| still.meets(from - BLUR, to + BLUR))
     }
 
-    fn was_killed(&self, relay: Option<RelayNumber>, from: Instant, to: Instant) -> bool {
+    fn was_killed(&self, relay: Option<RelayIndex>, from: Instant, to: Instant) -> bool {
         if self.stood_still(relay, from, to) {
             return true;
         }
@@ -307,11 +320,11 @@
         rule: usize,
         at: Instant,
         what: String,
-        session: Option<Tag>,
-        of: Option<BackendNumber>,
+        session: Option<SessionId>,
+        of: Option<BackendIndex>,
     ) {
-        self.ruling.breaks[rule - 1] += 1;
-        if self.ruling.first[rule - 1]
+        self.ruling.violation_counts[rule - 1] += 1;
+        if self.ruling.first_violations[rule - 1]
             .as_ref()
             .is_some_and(|first| first.at <= at)
         {
@@ -319,12 +332,14 @@
         }
         let about = |entry: &&RecordedEvent| match session {
             Some(session) => {
-                session_of(&entry.seen) == Some(session)
-                    || of.is_some_and(|of| is_news(&entry.seen, of))
+                session_of(&entry.observation) == Some(session)
+                    || of.is_some_and(|of| is_news(&entry.observation, of))
             }
-            None => of.is_some_and(|of| is_news(&entry.seen, of) || is_dial(&entry.seen, of)),
+            None => of.is_some_and(|of| {
+                is_news(&entry.observation, of) || is_dial(&entry.observation, of)
+            }),
         };
-        let story: Vec<String> = self.entries.iter().filter(about).map(tell).collect();
+        let story: Vec<String> = self.entries.iter().filter(about).map(describe).collect();
         // Of a long story its end, in which it broke.
         let until = self
             .entries
@@ -333,19 +348,19 @@
             .filter(|entry| entry.at <= at + SECOND)
             .count();
         let story = story[until.saturating_sub(STORY)..until].to_vec();
-        self.ruling.first[rule - 1] = Some(Violation {
+        self.ruling.first_violations[rule - 1] = Some(Violation {
             rule,
             at,
-            what,
-            story,
+            description: what,
+            timeline: story,
         });
     }
 
     fn read(&mut self, entry: &RecordedEvent) {
         let at = entry.at;
-        match &entry.seen {
+        match &entry.observation {
             Observation::Answered { session, answer } => self.answered(at, *session, *answer),
-            Observation::SaidMore { session } => {
+            Observation::DataAfterAnswer { session } => {
                 self.broken(
                     1,
                     at,
@@ -354,15 +369,17 @@
                     None,
                 );
             }
-            Observation::Unanswered { session } | Observation::Dropped { session } => {
+            Observation::AnswerTimedOut { session } | Observation::ClosedUnanswered { session } => {
                 let Some(story) = self.sessions.get_mut(session) else {
                     return;
                 };
                 story.ends = Some(at);
                 let (from, relay) = (story.asked, story.relay);
                 if relay.is_some() && !self.was_killed(relay, from, at) {
-                    let what = match entry.seen {
-                        Observation::Dropped { .. } => "its connection ended without an answer",
+                    let what = match entry.observation {
+                        Observation::ClosedUnanswered { .. } => {
+                            "its connection ended without an answer"
+                        }
                         _ => "it had no answer within its wait",
                     };
                     self.broken(1, at, what.into(), Some(*session), None);
@@ -370,19 +387,19 @@
                     story.excused = true;
                 }
             }
-            Observation::LeftEarly { session } => {
+            Observation::ClientLeft { session } => {
                 if let Some(story) = self.sessions.get_mut(session) {
                     (story.excused, story.left, story.ends) = (true, true, Some(at));
                 }
             }
-            Observation::Moved { session } | Observation::Ended { session } => {
+            Observation::Migrated { session } | Observation::SessionClosed { session } => {
                 if let Some(story) = self.sessions.get_mut(session) {
                     story.ends = Some(at);
                 }
             }
-            Observation::CutOff { session } => self.cut_off(at, *session),
-            Observation::LineLate { session, waited } => self.line_late(at, *session, *waited),
-            Observation::LineWrong { session } => {
+            Observation::ConnectionLost { session } => self.cut_off(at, *session),
+            Observation::MessageLate { session, waited } => self.line_late(at, *session, *waited),
+            Observation::MessageMismatched { session } => {
                 self.broken(
                     1,
                     at,
@@ -391,27 +408,31 @@
                     None,
                 );
             }
-            Observation::DialCame {
-                at: of,
+            Observation::AttemptReceived {
+                backend: of,
                 session,
-                first,
+                first_byte_at: first,
             } => self.dial_came(at, *of, *session, *first),
-            Observation::DialReplied {
-                at: of,
+            Observation::AttemptAnswered {
+                backend: of,
                 session,
                 reply,
             } => self.dial_over(at, *of, *session, Some(*reply)),
-            Observation::DialGone { at: of, session } => self.dial_over(at, *of, *session, None),
-            Observation::BoxDrains { at: of } | Observation::BoxStopped { at: of } => {
+            Observation::AttemptAbandoned {
+                backend: of,
+                session,
+            } => self.dial_over(at, *of, *session, None),
+            Observation::BackendDraining { backend: of }
+            | Observation::BackendStopped { backend: of } => {
                 self.boxes.entry(*of).or_default().shut.get_or_insert(at);
             }
-            Observation::BoxStarted { at: of, .. } => {
+            Observation::BackendStarted { backend: of, .. } => {
                 let story = self.boxes.entry(*of).or_default();
                 (story.shut, story.told) = (None, BTreeMap::new());
             }
-            Observation::Told {
+            Observation::EndpointAnnounced {
                 relay,
-                at: of,
+                backend: of,
                 lifecycle: Lifecycle::Draining | Lifecycle::Gone,
             } => {
                 let story = self.boxes.entry(*of).or_default();
@@ -420,7 +441,11 @@
                     story.told.entry(*relay).or_insert(at);
                 }
             }
-            Observation::ByHand { relay, at: of, out } => {
+            Observation::BackendBanned {
+                relay,
+                backend: of,
+                banned: out,
+            } => {
                 let story = self.boxes.entry(*of).or_default();
                 if *out {
                     story.by_hand.entry(*relay).or_insert(at);
@@ -428,7 +453,7 @@
                     story.by_hand.remove(relay);
                 }
             }
-            Observation::BoxFell { at: of } => {
+            Observation::BackendOverloaded { backend: of } => {
                 self.broken(
                     4,
                     at,
@@ -437,10 +462,14 @@
                     Some(*of),
                 );
             }
-            Observation::BoxLoad { pushed, .. } => {
-                self.ruling.worst_push = self.ruling.worst_push.max(*pushed);
+            Observation::BackendLoad {
+                warm_up_budget_used: pushed,
+                ..
+            } => {
+                self.ruling.max_warm_up_budget_used =
+                    self.ruling.max_warm_up_budget_used.max(*pushed);
             }
-            Observation::Mark { text } if text.starts_with("SYNTAX") && self.has_relays => {
+            Observation::Note { text } if text.starts_with("SYNTAX") && self.has_relays => {
                 self.broken(
                     1,
                     at,
@@ -453,7 +482,7 @@
         }
     }
 
-    fn answered(&mut self, at: Instant, session: Tag, answer: Answer) {
+    fn answered(&mut self, at: Instant, session: SessionId, answer: Answer) {
         let Some(story) = self.sessions.get(&session) else {
             return;
         };
@@ -463,7 +492,7 @@
         }
         if let Some(story) = self.sessions.get_mut(&session) {
             story.answer = Some((at, answer));
-            if answer != Answer::Up {
+            if answer != Answer::Accepted {
                 story.ends = Some(at);
             }
         }
@@ -478,7 +507,7 @@
         }
     }
 
-    fn cut_off(&mut self, at: Instant, session: Tag) {
+    fn cut_off(&mut self, at: Instant, session: SessionId) {
         let Some(story) = self.sessions.get_mut(&session) else {
             return;
         };
@@ -487,7 +516,7 @@
         let of = story
             .dials
             .iter()
-            .find(|dial| matches!(dial.over, Some((_, Some(Reply::Up)))))
+            .find(|dial| matches!(dial.over, Some((_, Some(Reply::Accepted)))))
             .map(|dial| dial.at);
         // As a box that is its own door it may end what it likes.
         if relay.is_none()
@@ -513,7 +542,7 @@
         );
     }
 
-    fn line_late(&mut self, at: Instant, session: Tag, waited: Duration) {
+    fn line_late(&mut self, at: Instant, session: SessionId, waited: Duration) {
         let Some(story) = self.sessions.get(&session) else {
             return;
         };
@@ -536,8 +565,8 @@
         self.broken(1, at, what, Some(session), None);
     }
 
-    fn dial_came(&mut self, at: Instant, of: BackendNumber, session: Tag, first: Instant) {
-        self.ruling.dials += 1;
+    fn dial_came(&mut self, at: Instant, of: BackendIndex, session: SessionId, first: Instant) {
+        self.ruling.attempts += 1;
         let Some(story) = self.sessions.get(&session) else {
             return;
         };
@@ -555,7 +584,7 @@
             (Some(told), Some(by_hand)) => Some(told.min(by_hand)),
             (told, by_hand) => told.or(by_hand),
         };
-        let grace = self.law.grace;
+        let grace = self.law.drain_grace;
         let late = self.lateness(first, at);
         let stood = told.is_some_and(|told| self.stood_still(relay, told, at));
         if let (Some(told), Some(_), false, false) = (told, relay, blurred, stood)
@@ -579,7 +608,13 @@
         }
     }
 
-    fn dial_over(&mut self, at: Instant, of: BackendNumber, session: Tag, reply: Option<Reply>) {
+    fn dial_over(
+        &mut self,
+        at: Instant,
+        of: BackendIndex,
+        session: SessionId,
+        reply: Option<Reply>,
+    ) {
         let still = self.boxes.get(&of);
         let Some(story) = self.sessions.get_mut(&session) else {
             return;
@@ -597,11 +632,11 @@
 
     /// What can only be said when all of a session is known.
     fn whole_sessions(&mut self) {
-        let tags: Vec<Tag> = self.sessions.keys().copied().collect();
+        let tags: Vec<SessionId> = self.sessions.keys().copied().collect();
         for tag in tags {
             let story = self.sessions[&tag].clone();
             self.ruling.sessions += 1;
-            self.ruling.most_dials = self.ruling.most_dials.max(story.dials.len());
+            self.ruling.max_attempts = self.ruling.max_attempts.max(story.dials.len());
             if story.answer.is_some() {
                 self.ruling.answered += 1;
             } else if story.excused {
@@ -639,26 +674,28 @@
         }
         let count = &mut all[story.listener];
         count.sessions += 1;
-        count.most = count.most.max(story.dials.len());
+        count.max_per_session = count.max_per_session.max(story.dials.len());
         for pair in story.dials.windows(2) {
             let over = pair[0]
                 .over
-                .filter(|(_, reply)| *reply != Some(Reply::Up))
+                .filter(|(_, reply)| *reply != Some(Reply::Accepted))
                 .map(|(over, _)| over);
             let at_once = over.is_none_or(|over| over > pair[1].came);
             *(if at_once {
-                &mut count.second
+                &mut count.hedged
             } else {
-                &mut count.further
+                &mut count.retries
             }) += 1;
         }
         if let Some((at, _)) = story.answer {
-            count.longest = count.longest.max(at.duration_since(story.asked));
+            count.longest_answer_time = count
+                .longest_answer_time
+                .max(at.duration_since(story.asked));
         }
     }
 
-    fn kept_back(&mut self, tag: Tag, story: &SessionStory) {
-        let Some((at, Answer::Busy(_) | Answer::Failed)) = story.answer else {
+    fn kept_back(&mut self, tag: SessionId, story: &SessionStory) {
+        let Some((at, Answer::Rejected(_) | Answer::Failed)) = story.answer else {
             return;
         };
         let nothing_out = story
@@ -682,8 +719,8 @@
     }
 
     /// One that its box has ended must be ended or moved within a second.
-    fn orphaned(&mut self, tag: Tag, story: &SessionStory) {
-        let (Some(ended), Some((_, Answer::Up))) = (story.box_ended, story.answer) else {
+    fn orphaned(&mut self, tag: SessionId, story: &SessionStory) {
+        let (Some(ended), Some((_, Answer::Accepted))) = (story.box_ended, story.answer) else {
             return;
         };
         let over = story.ends.unwrap_or(self.end);
@@ -699,7 +736,7 @@
         }
     }
 
-    fn dials_at_once(&mut self, tag: Tag, story: &SessionStory) {
+    fn dials_at_once(&mut self, tag: SessionId, story: &SessionStory) {
         if self
             .law
             .hedged
@@ -714,7 +751,7 @@
             let late = self.lateness(one.came, two.came);
             let over = one
                 .over
-                .filter(|(_, reply)| *reply != Some(Reply::Up))
+                .filter(|(_, reply)| *reply != Some(Reply::Accepted))
                 .map(|(over, _)| over);
             if one.blurred || two.blurred || over.is_some_and(|over| over <= two.came + BLUR + late)
             {
@@ -728,15 +765,15 @@
         }
     }
 
-    fn effects(&mut self, tag: Tag, story: &SessionStory) {
-        let ran = |dial: &&DialStory| !matches!(dial.over, Some((_, Some(Reply::Busy))));
+    fn effects(&mut self, tag: SessionId, story: &SessionStory) {
+        let ran = |dial: &&DialStory| !matches!(dial.over, Some((_, Some(Reply::Rejected))));
         let Some(first) = story.dials.iter().find(ran) else {
             return;
         };
-        let refused = matches!(story.answer, Some((_, Answer::Busy(_))));
+        let refused = matches!(story.answer, Some((_, Answer::Rejected(_))));
         let further = story.dials.iter().filter(|dial| dial.came > first.came);
-        let place = |of: BackendNumber| self.law.places.get(usize::from(of.0));
-        let found = match self.law.effects.get(story.listener) {
+        let place = |of: BackendIndex| self.law.backend_locations.get(usize::from(of.0));
+        let found = match self.law.idempotency.get(story.listener) {
             Some(Idempotency::NonIdempotent) => {
                 let again = further
                     .clone()
@@ -781,56 +818,56 @@
     }
 }
 
-fn session_of(seen: &Observation) -> Option<Tag> {
+fn session_of(seen: &Observation) -> Option<SessionId> {
     Some(match seen {
-        Observation::Asked { session, .. }
+        Observation::SessionRequested { session, .. }
         | Observation::Answered { session, .. }
-        | Observation::SaidMore { session }
-        | Observation::Unanswered { session }
-        | Observation::Dropped { session }
-        | Observation::LeftEarly { session }
-        | Observation::Moved { session }
-        | Observation::CutOff { session }
-        | Observation::Ended { session }
-        | Observation::LineLate { session, .. }
-        | Observation::LineWrong { session }
-        | Observation::DialCame { session, .. }
-        | Observation::DialReplied { session, .. }
-        | Observation::DialGone { session, .. }
-        | Observation::BoxEnded { session, .. }
-        | Observation::BoxHeld { session, .. } => *session,
+        | Observation::DataAfterAnswer { session }
+        | Observation::AnswerTimedOut { session }
+        | Observation::ClosedUnanswered { session }
+        | Observation::ClientLeft { session }
+        | Observation::Migrated { session }
+        | Observation::ConnectionLost { session }
+        | Observation::SessionClosed { session }
+        | Observation::MessageLate { session, .. }
+        | Observation::MessageMismatched { session }
+        | Observation::AttemptReceived { session, .. }
+        | Observation::AttemptAnswered { session, .. }
+        | Observation::AttemptAbandoned { session, .. }
+        | Observation::BackendClosedSession { session, .. }
+        | Observation::BackendDelayedMessage { session, .. } => *session,
         _ => return None,
     })
 }
 
-fn is_dial(seen: &Observation, of: BackendNumber) -> bool {
-    matches!(seen, Observation::DialCame { at, .. } if *at == of)
+fn is_dial(seen: &Observation, of: BackendIndex) -> bool {
+    matches!(seen, Observation::AttemptReceived { backend: at, .. } if *at == of)
 }
 
-fn is_news(seen: &Observation, of: BackendNumber) -> bool {
+fn is_news(seen: &Observation, of: BackendIndex) -> bool {
     match seen {
-        Observation::BoxStarted { at, .. }
-        | Observation::BoxDrains { at }
-        | Observation::BoxStopped { at }
-        | Observation::BoxFell { at }
-        | Observation::Told { at, .. }
-        | Observation::ByHand { at, .. }
-        | Observation::BackendFault { at, .. } => *at == of,
+        Observation::BackendStarted { backend: at, .. }
+        | Observation::BackendDraining { backend: at }
+        | Observation::BackendStopped { backend: at }
+        | Observation::BackendOverloaded { backend: at }
+        | Observation::EndpointAnnounced { backend: at, .. }
+        | Observation::BackendBanned { backend: at, .. }
+        | Observation::BackendFault { backend: at, .. } => *at == of,
         _ => false,
     }
 }
 
 /// A sighting as a line of a story.
-pub fn tell(entry: &RecordedEvent) -> String {
+pub fn describe(entry: &RecordedEvent) -> String {
     let ms = |span: &Duration| span.as_millis();
-    let relay = |relay: &Option<RelayNumber>| {
+    let relay = |relay: &Option<RelayIndex>| {
         relay.map_or("a box itself".into(), |relay| format!("relay {}", relay.0))
     };
-    let text = match &entry.seen {
-        Observation::Asked {
+    let text = match &entry.observation {
+        Observation::SessionRequested {
             session,
             relay: of,
-            wait,
+            timeout: wait,
             ..
         } => {
             format!(
@@ -841,60 +878,89 @@
             )
         }
         Observation::Answered { answer, .. } => match answer {
-            Answer::Up => "the client hears UP".into(),
-            Answer::Busy(Some(wait)) => format!("the client hears BUSY {}", ms(wait)),
-            Answer::Busy(None) => "the client hears BUSY".into(),
+            Answer::Accepted => "the client hears UP".into(),
+            Answer::Rejected(Some(wait)) => format!("the client hears BUSY {}", ms(wait)),
+            Answer::Rejected(None) => "the client hears BUSY".into(),
             Answer::Failed => "the client hears that it failed".into(),
         },
-        Observation::SaidMore { .. } => "the client hears a further line".into(),
-        Observation::Unanswered { .. } => "the client's wait is over, nothing has come".into(),
-        Observation::Dropped { .. } => "the client's connection ends without an answer".into(),
-        Observation::LeftEarly { .. } => "the client leaves".into(),
-        Observation::NeverTaken { relay: of } => format!("{} takes no connection", relay(of)),
-        Observation::Moved { .. } => "the client hears MOVE".into(),
-        Observation::CutOff { .. } => "the client's connection is cut off".into(),
-        Observation::Ended { .. } => "the client's connection ends well".into(),
-        Observation::LineLate { waited, .. } => format!("a line is back after {} ms", ms(waited)),
-        Observation::LineWrong { .. } => "the client hears a line that it did not send".into(),
-        Observation::DialCame { at, .. } => format!("box {} has a dial of it", at.0),
-        Observation::DialReplied { at, reply, .. } => format!(
+        Observation::DataAfterAnswer { .. } => "the client hears a further line".into(),
+        Observation::AnswerTimedOut { .. } => "the client's wait is over, nothing has come".into(),
+        Observation::ClosedUnanswered { .. } => {
+            "the client's connection ends without an answer".into()
+        }
+        Observation::ClientLeft { .. } => "the client leaves".into(),
+        Observation::ConnectFailed { relay: of } => format!("{} takes no connection", relay(of)),
+        Observation::Migrated { .. } => "the client hears MOVE".into(),
+        Observation::ConnectionLost { .. } => "the client's connection is cut off".into(),
+        Observation::SessionClosed { .. } => "the client's connection ends well".into(),
+        Observation::MessageLate { waited, .. } => {
+            format!("a line is back after {} ms", ms(waited))
+        }
+        Observation::MessageMismatched { .. } => {
+            "the client hears a line that it did not send".into()
+        }
+        Observation::AttemptReceived { backend: at, .. } => {
+            format!("box {} has a dial of it", at.0)
+        }
+        Observation::AttemptAnswered {
+            backend: at, reply, ..
+        } => format!(
             "box {} replies {}",
             at.0,
             match reply {
-                Reply::Up => "UP",
-                Reply::Busy => "BUSY",
+                Reply::Accepted => "UP",
+                Reply::Rejected => "BUSY",
                 Reply::Failed => "that it failed",
             }
         ),
-        Observation::DialGone { at, .. } => format!("box {} sees the dial given up", at.0),
-        Observation::BoxEnded { at, .. } => format!("box {} ends the connection", at.0),
-        Observation::BoxHeld { at, waited, .. } => {
+        Observation::AttemptAbandoned { backend: at, .. } => {
+            format!("box {} sees the dial given up", at.0)
+        }
+        Observation::BackendClosedSession { backend: at, .. } => {
+            format!("box {} ends the connection", at.0)
+        }
+        Observation::BackendDelayedMessage {
+            backend: at,
+            waited,
+            ..
+        } => {
             format!("box {} keeps a line for {} ms", at.0, ms(waited))
         }
-        Observation::BoxStarted { at, cold } => {
+        Observation::BackendStarted { backend: at, cold } => {
             format!("box {} starts{}", at.0, if *cold { ", cold" } else { "" })
         }
-        Observation::BoxDrains { at } => format!("box {} drains", at.0),
-        Observation::BoxStopped { at } => format!("box {} stops", at.0),
-        Observation::BoxFell { at } => format!("box {} falls over", at.0),
-        Observation::Still { at, on } => {
+        Observation::BackendDraining { backend: at } => format!("box {} drains", at.0),
+        Observation::BackendStopped { backend: at } => format!("box {} stops", at.0),
+        Observation::BackendOverloaded { backend: at } => format!("box {} falls over", at.0),
+        Observation::BackendPaused {
+            backend: at,
+            paused: on,
+        } => {
             format!(
                 "box {} {}",
                 at.0,
                 if *on { "stands still" } else { "goes on" }
             )
         }
-        Observation::BackendFault { at, name, on } => {
+        Observation::BackendFault {
+            backend: at,
+            name,
+            active: on,
+        } => {
             format!("box {}: {name}{}", at.0, if *on { "" } else { " is over" })
         }
-        Observation::Told {
+        Observation::EndpointAnnounced {
             relay,
-            at,
+            backend: at,
             lifecycle,
         } => {
             format!("relay {} is told: box {} {lifecycle:?}", relay.0, at.0)
         }
-        Observation::ByHand { relay, at, out } => {
+        Observation::BackendBanned {
+            relay,
+            backend: at,
+            banned: out,
+        } => {
             format!(
                 "relay {}: box {} is {} by hand",
                 relay.0,
@@ -902,7 +968,11 @@
                 if *out { "out" } else { "wanted back" }
             )
         }
-        Observation::Agent { relay, fault, on } => {
+        Observation::AgentFault {
+            relay,
+            fault,
+            active: on,
+        } => {
             format!(
                 "relay {}: {fault}{}",
                 relay.0,
@@ -910,22 +980,31 @@
             )
         }
         Observation::RelayStarted { relay } => format!("relay {} starts", relay.0),
-        Observation::RelayToldToStop { relay } => format!("relay {} is told to stop", relay.0),
+        Observation::RelayStopRequested { relay } => format!("relay {} is told to stop", relay.0),
         Observation::RelayKilled { relay } => format!("relay {} is killed", relay.0),
         Observation::RelayStopped { relay } => format!("relay {} has stopped", relay.0),
-        Observation::ToolLate { by } => format!("the stand-ins are {} ms late", ms(by)),
-        Observation::ToolExhausted => "the stand-ins are out of descriptors".into(),
-        Observation::Mark { text } => text.clone(),
-        Observation::BoxLoad { at, load, .. } => format!("box {} has a load of {load:.2}", at.0),
+        Observation::TestbedDelayed { delay: by } => {
+            format!("the stand-ins are {} ms late", ms(by))
+        }
+        Observation::TestbedExhausted => "the stand-ins are out of descriptors".into(),
+        Observation::Note { text } => text.clone(),
+        Observation::BackendLoad {
+            backend: at, load, ..
+        } => format!("box {} has a load of {load:.2}", at.0),
         Observation::RelayCost { relay, .. } => format!("relay {} is measured", relay.0),
-        Observation::RelayStill { relay, on } => {
+        Observation::RelayPaused { relay, paused: on } => {
             format!(
                 "relay {} {}",
                 relay.0,
                 if *on { "stands still" } else { "goes on" }
             )
         }
-        Observation::Link { from, to, name, on } => {
+        Observation::LinkFault {
+            from,
+            to,
+            name,
+            active: on,
+        } => {
             format!(
                 "link {} to {}: {name}{}",
                 from.0,
@@ -933,7 +1012,7 @@
                 if *on { "" } else { " is over" }
             )
         }
-        Observation::LeaseSaid {
+        Observation::LeaseClaimed {
             relay,
             subject,
             epoch,
@@ -944,7 +1023,10 @@
                 relay.0
             )
         }
-        Observation::Sees { relay, here } => format!("relay {} sees {} here", relay.0, here.len()),
+        Observation::MembersSeen {
+            relay,
+            members: here,
+        } => format!("relay {} sees {} here", relay.0, here.len()),
     };
     format!("{:9.3} s  {text}", entry.at.as_micros() as f64 / 1e6)
 }
--- a/testbed/src/link_fault.rs
+++ b/testbed/src/link_fault.rs
@@ -9,25 +9,25 @@
     pub delay: Duration,
     /// Added, drawn evenly from nothing up to this; greater than the time between two datagrams, it
     /// reorders them.
-    pub spread: Duration,
+    pub jitter: Duration,
     /// The part that comes twice.
-    pub doubled: f64,
+    pub duplication: f64,
     /// Bytes a second that pass; what is above is lost. 0: no limit.
-    pub rate: u64,
+    pub bytes_per_second: u64,
 }
 
 impl LinkFault {
     pub const CUT: LinkFault = LinkFault {
         loss: 1.0,
         delay: Duration::ZERO,
-        spread: Duration::ZERO,
-        doubled: 0.0,
-        rate: 0,
+        jitter: Duration::ZERO,
+        duplication: 0.0,
+        bytes_per_second: 0,
     };
 
     /// After how long it arrives, once, twice or never.
     pub fn passes(&self, chance: &mut Rng) -> Vec<Duration> {
-        let copies = if chance.unit_f64() < self.doubled {
+        let copies = if chance.unit_f64() < self.duplication {
             2
         } else {
             1
@@ -35,7 +35,7 @@
         let mut after = Vec::new();
         for _ in 0..copies {
             if chance.unit_f64() >= self.loss {
-                after.push(self.delay + self.spread * chance.unit_f64());
+                after.push(self.delay + self.jitter * chance.unit_f64());
             }
         }
         after
