--- a/testbed/src/load_generator.rs
+++ b/testbed/src/load_generator.rs
@@ -4,9 +4,9 @@
 //! due, not from when this thread got round to it.
 use crate::clock::Stopwatch;
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
-use crate::event_recorder::{Answer, EventRecorder, Observation, RelayNumber, Tag};
+use crate::event_recorder::{Answer, EventRecorder, Observation, RelayIndex, SessionId};
 use crate::line_socket::LineSocket;
-use crate::traffic::{Arrival, Traffic, scattered};
+use crate::traffic::{Arrival, Traffic, scattered_id};
 use hdrhistogram::Histogram;
 use slab::Slab;
 use std::collections::VecDeque;
@@ -32,53 +32,53 @@
 /// Where clients connect: a relay, or for a baseline a box itself.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayEndpoint {
-    pub at: SocketAddr,
-    pub relay: Option<RelayNumber>,
+    pub address: SocketAddr,
+    pub relay: Option<RelayIndex>,
     /// The front deals clients to it.
-    pub open: bool,
+    pub enabled: bool,
 }
 
 /// How clients are dealt to doors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dealing {
-    Even,
+pub enum ClientDistribution {
+    RoundRobin,
     Random,
     /// To the door with the fewest own connections.
-    LeastOwn,
+    LeastConnections,
 }
 
 /// Clients that break the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rude {
+pub enum Misbehavior {
     /// Connects and says nothing.
     Silent,
     /// Half a first line, then nothing.
-    Half,
+    PartialLine,
     /// A line that means nothing.
     Garbage,
     /// More than its first line before its answer.
-    Talks,
+    EarlyData,
     /// Is served, sends lines as fast as they go and reads none.
-    Unreading,
+    NeverReads,
 }
 
-impl Rude {
-    pub const ALL: [(Rude, &'static str); 5] = [
-        (Rude::Silent, "clients-silent"),
-        (Rude::Half, "clients-half-a-line"),
-        (Rude::Garbage, "clients-garbage"),
-        (Rude::Talks, "clients-talk"),
-        (Rude::Unreading, "clients-unreading"),
+impl Misbehavior {
+    pub const ALL: [(Misbehavior, &'static str); 5] = [
+        (Misbehavior::Silent, "clients-silent"),
+        (Misbehavior::PartialLine, "clients-half-a-line"),
+        (Misbehavior::Garbage, "clients-garbage"),
+        (Misbehavior::EarlyData, "clients-talk"),
+        (Misbehavior::NeverReads, "clients-unreading"),
     ];
 }
 
 #[derive(Clone, Debug)]
 pub enum LoadCommand {
     /// The front takes in or leaves out a door.
-    Door(usize, bool),
+    SetEndpointEnabled(usize, bool),
     /// So many standing clients break off and come again, spread over the time.
-    Drop(usize, Duration),
-    Rude(Rude, usize),
+    DropConnections(usize, Duration),
+    AddMisbehaving(Misbehavior, usize),
     /// Nobody comes any more, and those who stand leave.
     Finish,
 }
@@ -102,7 +102,7 @@
     wire: Option<LineSocket>,
     /// An alarm of an earlier stage says nothing.
     serial: u64,
-    tag: Tag,
+    tag: SessionId,
     connections: u64,
     door: usize,
     doors_tried: u32,
@@ -118,18 +118,24 @@
     before: Duration,
     out: VecDeque<(u64, Instant)>,
     chance: Rng,
-    rude: Option<Rude>,
+    rude: Option<Misbehavior>,
 }
 
 impl Client {
-    fn new(place: usize, number: u64, due: Instant, seed: u64, rude: Option<Rude>) -> Client {
+    fn new(
+        place: usize,
+        number: u64,
+        due: Instant,
+        seed: u64,
+        rude: Option<Misbehavior>,
+    ) -> Client {
         Client {
             place,
             stage: Part::Away,
             wire: None,
             serial: 0,
             // Room for a million connections of each client.
-            tag: Tag(number << 20),
+            tag: SessionId(number << 20),
             connections: number << 20,
             door: 0,
             doors_tried: 0,
@@ -161,39 +167,39 @@
 
 /// What clients of one listener met.
 #[derive(Clone, Debug)]
-pub struct KindTotals {
+pub struct ListenerTotals {
     pub name: String,
-    pub utility: f64,
+    pub priority_weight: f64,
     pub arrivals: u64,
     /// Seconds that clients meant to stand within the run.
-    pub asked_s: f64,
+    pub requested_seconds: f64,
     /// Seconds of these in which messages came back in time.
-    pub served_s: f64,
-    pub up: u64,
-    pub busy: u64,
+    pub served_seconds: f64,
+    pub accepted: u64,
+    pub rejected: u64,
     pub failed: u64,
     pub unanswered: u64,
-    pub moved: u64,
-    pub cut_off: u64,
+    pub migrated: u64,
+    pub connections_lost: u64,
     /// Clients that gave up coming.
-    pub lost: u64,
+    pub gave_up: u64,
     /// Microseconds from when a client was due to its first `UP`.
-    pub set_up: Histogram<u32>,
+    pub setup_latency: Histogram<u32>,
     /// Microseconds from a line to its return.
-    pub lines: Histogram<u32>,
+    pub message_latency: Histogram<u32>,
 }
 
 #[derive(Clone, Debug)]
 pub struct LoadTotals {
-    pub kinds: Vec<KindTotals>,
+    pub listeners: Vec<ListenerTotals>,
     /// Microseconds from when a client was due to when its connection began.
-    pub late: Histogram<u32>,
-    pub wrong_lines: u64,
-    pub rude: u64,
-    /// Rude ones that heard a word or an end.
-    pub rude_answered: u64,
-    pub worst_turn: Duration,
-    pub worked: Duration,
+    pub connect_delay: Histogram<u32>,
+    pub mismatched_messages: u64,
+    pub misbehaving: u64,
+    /// Misbehavior ones that heard a word or an end.
+    pub misbehaving_answered: u64,
+    pub longest_turn: Duration,
+    pub busy_time: Duration,
 }
 
 fn histogram() -> Histogram<u32> {
@@ -203,27 +209,27 @@
 impl LoadTotals {
     /// Sums of clients on another thread.
     pub fn add(&mut self, other: &LoadTotals) {
-        for (one, two) in self.kinds.iter_mut().zip(&other.kinds) {
+        for (one, two) in self.listeners.iter_mut().zip(&other.listeners) {
             one.arrivals += two.arrivals;
-            one.asked_s += two.asked_s;
-            one.served_s += two.served_s;
-            one.up += two.up;
-            one.busy += two.busy;
+            one.requested_seconds += two.requested_seconds;
+            one.served_seconds += two.served_seconds;
+            one.accepted += two.accepted;
+            one.rejected += two.rejected;
             one.failed += two.failed;
             one.unanswered += two.unanswered;
-            one.moved += two.moved;
-            one.cut_off += two.cut_off;
-            one.lost += two.lost;
+            one.migrated += two.migrated;
+            one.connections_lost += two.connections_lost;
+            one.gave_up += two.gave_up;
             // Both were made with the same bounds.
-            let _ = one.set_up.add(&two.set_up);
-            let _ = one.lines.add(&two.lines);
+            let _ = one.setup_latency.add(&two.setup_latency);
+            let _ = one.message_latency.add(&two.message_latency);
         }
-        let _ = self.late.add(&other.late);
-        self.wrong_lines += other.wrong_lines;
-        self.rude += other.rude;
-        self.rude_answered += other.rude_answered;
-        self.worst_turn = self.worst_turn.max(other.worst_turn);
-        self.worked += other.worked;
+        let _ = self.connect_delay.add(&other.connect_delay);
+        self.mismatched_messages += other.mismatched_messages;
+        self.misbehaving += other.misbehaving;
+        self.misbehaving_answered += other.misbehaving_answered;
+        self.longest_turn = self.longest_turn.max(other.longest_turn);
+        self.busy_time += other.busy_time;
     }
 }
 
@@ -235,7 +241,7 @@
     until: Instant,
     doors: Vec<RelayEndpoint>,
     own: Vec<usize>,
-    dealing: Dealing,
+    dealing: ClientDistribution,
     dealt: usize,
     chance: Rng,
     clients: Slab<Client>,
@@ -253,9 +259,9 @@
     pub traffic: Traffic,
     pub arrivals: Vec<(u64, Arrival)>,
     /// The run's end, for the seconds asked.
-    pub until: Instant,
-    pub doors: Vec<RelayEndpoint>,
-    pub dealing: Dealing,
+    pub end: Instant,
+    pub endpoints: Vec<RelayEndpoint>,
+    pub distribution: ClientDistribution,
     pub seed: u64,
 }
 
@@ -268,42 +274,42 @@
         tape: EventRecorder,
     ) -> io::Result<EventLoop<LoadGenerator>> {
         EventLoop::open("crowd", clock, tape, move |works| {
-            let kinds = bill.traffic.kinds.iter().map(|kind| KindTotals {
+            let kinds = bill.traffic.profiles.iter().map(|kind| ListenerTotals {
                 name: kind.name.clone(),
-                utility: kind.utility,
+                priority_weight: kind.priority_weight,
                 arrivals: 0,
-                asked_s: 0.0,
-                served_s: 0.0,
-                up: 0,
-                busy: 0,
+                requested_seconds: 0.0,
+                served_seconds: 0.0,
+                accepted: 0,
+                rejected: 0,
                 failed: 0,
                 unanswered: 0,
-                moved: 0,
-                cut_off: 0,
-                lost: 0,
-                set_up: histogram(),
-                lines: histogram(),
+                migrated: 0,
+                connections_lost: 0,
+                gave_up: 0,
+                setup_latency: histogram(),
+                message_latency: histogram(),
             });
             let sums = LoadTotals {
-                kinds: kinds.collect(),
-                late: histogram(),
-                wrong_lines: 0,
-                rude: 0,
-                rude_answered: 0,
-                worst_turn: Duration::ZERO,
-                worked: Duration::ZERO,
+                listeners: kinds.collect(),
+                connect_delay: histogram(),
+                mismatched_messages: 0,
+                misbehaving: 0,
+                misbehaving_answered: 0,
+                longest_turn: Duration::ZERO,
+                busy_time: Duration::ZERO,
             };
             if let Some((_, first)) = bill.arrivals.first() {
                 works.set(first.due, Alarm::Arrive);
             }
             Ok(LoadGenerator {
-                own: vec![0; bill.doors.len()],
+                own: vec![0; bill.endpoints.len()],
                 traffic: bill.traffic,
                 arrivals: bill.arrivals,
                 next: 0,
-                until: bill.until,
-                doors: bill.doors,
-                dealing: bill.dealing,
+                until: bill.end,
+                doors: bill.endpoints,
+                dealing: bill.distribution,
                 dealt: 0,
                 chance: Rng::from_seed(bill.seed),
                 clients: Slab::new(),
@@ -326,10 +332,10 @@
                 return works.set(arrival.due, Alarm::Arrive);
             }
             let (number, seed, due) = (*number, arrival.seed, arrival.due);
-            let sums = &mut self.sums.kinds[usize::from(arrival.kind)];
+            let sums = &mut self.sums.listeners[usize::from(arrival.profile)];
             sums.arrivals += 1;
-            sums.asked_s += arrival
-                .life
+            sums.requested_seconds += arrival
+                .lifetime
                 .min(self.until.duration_since(due))
                 .as_secs_f64();
             let client = Client::new(self.next, number, due, seed, None);
@@ -343,9 +349,9 @@
         &self.arrivals[self.clients[id].place].1
     }
 
-    fn kind(&mut self, id: usize) -> &mut KindTotals {
-        let kind = usize::from(self.arrivals[self.clients[id].place].1.kind);
-        &mut self.sums.kinds[kind]
+    fn kind(&mut self, id: usize) -> &mut ListenerTotals {
+        let kind = usize::from(self.arrivals[self.clients[id].place].1.profile);
+        &mut self.sums.listeners[kind]
     }
 
     /// The client's next stage: alarms of the one before say nothing any more.
@@ -365,7 +371,9 @@
     fn note_idle(&mut self, works: &mut LoopContext<Alarm>) {
         if self.finishing && self.clients.is_empty() && !self.idle_noted {
             self.idle_noted = true;
-            works.note(Observation::Mark { text: IDLE.into() });
+            works.note(Observation::Note {
+                text: ALL_CLIENTS_GONE.into(),
+            });
         }
     }
 
@@ -392,18 +400,20 @@
 
     fn deal(&mut self, id: usize) -> Option<usize> {
         let open: Vec<usize> = (0..self.doors.len())
-            .filter(|&door| self.doors[door].open)
+            .filter(|&door| self.doors[door].enabled)
             .collect();
         if open.is_empty() {
             return None;
         }
         Some(match self.dealing {
-            Dealing::Even => {
+            ClientDistribution::RoundRobin => {
                 self.dealt += 1;
                 open[self.dealt % open.len()]
             }
-            Dealing::Random => open[self.clients[id].chance.below(open.len() as u64) as usize],
-            Dealing::LeastOwn => *open
+            ClientDistribution::Random => {
+                open[self.clients[id].chance.below(open.len() as u64) as usize]
+            }
+            ClientDistribution::LeastConnections => *open
                 .iter()
                 .min_by_key(|&&door| self.own[door])
                 .expect("not empty"),
@@ -413,8 +423,8 @@
     fn connect(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
         if client.rude.is_none() {
-            // Rude ones come all at once, which is nobody's lateness.
-            let _ = self.sums.late.record(
+            // Misbehavior ones come all at once, which is nobody's lateness.
+            let _ = self.sums.connect_delay.record(
                 works
                     .clock
                     .now()
@@ -424,19 +434,21 @@
             );
         }
         client.connections += 1;
-        client.tag = Tag(scattered(client.connections));
+        client.tag = SessionId(scattered_id(client.connections));
         let Some(door) = self.deal(id) else {
             return self.never_taken(id, works);
         };
         self.clients[id].door = door;
-        match LineSocket::connect(self.doors[door].at, &works.poller, id) {
+        match LineSocket::connect(self.doors[door].address, &works.poller, id) {
             Ok(mut wire) => {
                 wire.settle(true);
                 self.own[door] += 1;
                 self.clients[id].wire = Some(wire);
                 let serial = self.turn(id, Part::Connecting);
                 let wait = match self.clients[id].rude {
-                    None => self.traffic.kinds[usize::from(self.arrival(id).kind)].wait,
+                    None => {
+                        self.traffic.profiles[usize::from(self.arrival(id).profile)].answer_timeout
+                    }
                     Some(_) => Duration::from_millis(10_000),
                 };
                 works.set(works.now + wait, Alarm::Late(id, serial));
@@ -444,7 +456,7 @@
             Err(fault) => {
                 if !std::mem::replace(&mut self.exhausted, true) {
                     log::warn!("a client can't connect: {fault}");
-                    works.note(Observation::ToolExhausted);
+                    works.note(Observation::TestbedExhausted);
                 }
                 self.never_taken(id, works);
             }
@@ -457,12 +469,12 @@
             .doors
             .get(self.clients[id].door)
             .and_then(|door| door.relay);
-        works.note(Observation::NeverTaken { relay });
+        works.note(Observation::ConnectFailed { relay });
         let client = &mut self.clients[id];
         client.doors_tried += 1;
         if client.doors_tried > DOORS_TRIED || client.rude.is_some() {
             if client.rude.is_none() {
-                self.kind(id).lost += 1;
+                self.kind(id).gave_up += 1;
             }
             return self.gone(id, works);
         }
@@ -471,14 +483,14 @@
 
     fn say_first(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let arrival = self.arrival(id).clone();
-        let kind = &self.traffic.kinds[usize::from(arrival.kind)];
+        let kind = &self.traffic.profiles[usize::from(arrival.profile)];
         let client = &mut self.clients[id];
         let mut line = format!(
             "OPEN {:016x} {:016x} c={},d={}",
             client.tag.0,
             arrival.key,
             kind.name,
-            kind.wait.as_millis()
+            kind.answer_timeout.as_millis()
         );
         if let Some(group) = arrival.group {
             line += &format!(",g={group:016x}");
@@ -488,11 +500,11 @@
         line += if client.again { ",again=1" } else { "" };
         line += "\r\n";
         match client.rude {
-            Some(Rude::Silent) => line.clear(),
-            Some(Rude::Half) => line.truncate(line.len() / 2),
-            Some(Rude::Garbage) => line = "what is this\r\n".into(),
-            Some(Rude::Talks) => line += "M 0 0\r\n",
-            Some(Rude::Unreading) | None => {}
+            Some(Misbehavior::Silent) => line.clear(),
+            Some(Misbehavior::PartialLine) => line.truncate(line.len() / 2),
+            Some(Misbehavior::Garbage) => line = "what is this\r\n".into(),
+            Some(Misbehavior::EarlyData) => line += "M 0 0\r\n",
+            Some(Misbehavior::NeverReads) | None => {}
         }
         let Some(wire) = &mut client.wire else { return };
         let done = wire.say(line.as_bytes()).is_ok();
@@ -520,18 +532,18 @@
             return;
         }
         let arrival = self.arrival(id);
-        let (listener, leaves) = (arrival.kind, arrival.leaves_after);
-        let wait = self.traffic.kinds[usize::from(listener)].wait;
+        let (listener, leaves) = (arrival.profile, arrival.leaves_after);
+        let wait = self.traffic.profiles[usize::from(listener)].answer_timeout;
         let client = &self.clients[id];
         let (session, due, again) = (client.tag, client.due, client.again);
         let relay = self.doors[client.door].relay;
-        works.note(Observation::Asked {
+        works.note(Observation::SessionRequested {
             session,
             relay,
             listener,
-            wait,
+            timeout: wait,
             due,
-            again,
+            reconnecting: again,
         });
         works.set(works.now + wait + SLACK + PATIENCE, Alarm::Late(id, serial));
         if let (Some(after), false) = (leaves, client.has_stood) {
@@ -554,7 +566,7 @@
             match client.stage {
                 Part::Waiting => self.answered(id, &line, works),
                 Part::Standing | Part::Ending => self.line_back(id, &line, works),
-                Part::Told => works.note(Observation::SaidMore { session }),
+                Part::Told => works.note(Observation::DataAfterAnswer { session }),
                 _ => {}
             }
         }
@@ -567,15 +579,15 @@
             "UP" => {
                 works.note(Observation::Answered {
                     session,
-                    answer: Answer::Up,
+                    answer: Answer::Accepted,
                 });
-                let (life, beat) = (self.arrival(id).life, self.traffic.beat);
+                let (life, beat) = (self.arrival(id).lifetime, self.traffic.message_interval);
                 let sums = self.kind(id);
-                sums.up += 1;
+                sums.accepted += 1;
                 let client = &mut self.clients[id];
                 if !client.has_stood {
                     let took = works.now.duration_since(client.due).as_micros();
-                    let _ = self.kind(id).set_up.record(took.clamp(1, LONGEST));
+                    let _ = self.kind(id).setup_latency.record(took.clamp(1, LONGEST));
                 }
                 let client = &mut self.clients[id];
                 client.has_stood = true;
@@ -592,9 +604,9 @@
                 let told = rest.trim().parse().ok().map(Duration::from_millis);
                 works.note(Observation::Answered {
                     session,
-                    answer: Answer::Busy(told),
+                    answer: Answer::Rejected(told),
                 });
-                self.kind(id).busy += 1;
+                self.kind(id).rejected += 1;
                 self.turned_down(id, told, works);
             }
             _ => {
@@ -611,8 +623,8 @@
     /// Waits for the end of the connection, then comes again if it does at all.
     fn turned_down(&mut self, id: usize, told: Option<Duration>, works: &mut LoopContext<Alarm>) {
         let serial = self.turn(id, Part::Told);
-        let back_off = self.traffic.back_off;
-        let heeds = self.arrival(id).heeds;
+        let back_off = self.traffic.backoff;
+        let heeds = self.arrival(id).heeds_retry_after;
         let client = &mut self.clients[id];
         client.retries = true;
         let wait = told
@@ -629,7 +641,7 @@
         let client = &mut self.clients[id];
         client.tries += 1;
         if client.tries > self.traffic.retries || self.finishing {
-            self.kind(id).lost += u64::from(!self.finishing);
+            self.kind(id).gave_up += u64::from(!self.finishing);
             return self.gone(id, works);
         }
         let left = client.due.duration_since(works.now);
@@ -637,7 +649,7 @@
     }
 
     fn rejoin(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
-        let (least, most) = self.traffic.rejoin;
+        let (least, most) = self.traffic.reconnect_delay;
         let client = &mut self.clients[id];
         (client.again, client.retries) = (true, false);
         let span = least + (most - least) * client.chance.unit_f64();
@@ -650,12 +662,12 @@
         match word {
             "LOAD" => {}
             "MOVE" => {
-                works.note(Observation::Moved { session });
-                self.kind(id).moved += 1;
+                works.note(Observation::Migrated { session });
+                self.kind(id).migrated += 1;
                 self.rejoin(id, works);
             }
             "BYE" => {
-                works.note(Observation::Ended { session });
+                works.note(Observation::SessionClosed { session });
                 self.gone(id, works);
             }
             _ => {
@@ -665,8 +677,8 @@
                 {
                     Some((_, at)) => self.line_right(id, at, works),
                     None => {
-                        works.note(Observation::LineWrong { session });
-                        self.sums.wrong_lines += 1;
+                        works.note(Observation::MessageMismatched { session });
+                        self.sums.mismatched_messages += 1;
                     }
                 }
             }
@@ -677,25 +689,27 @@
         let client = &mut self.clients[id];
         client.out.pop_front();
         let (session, waited) = (client.tag, works.now.duration_since(at));
-        let target = self.traffic.kinds[usize::from(self.arrival(id).kind)].message_target;
+        let target = self.traffic.profiles[usize::from(self.arrival(id).profile)].message_target;
         // A line speaks for the beat that it begins, or for what is left of the client's life.
         let left = self.clients[id]
             .life_ends
             .map_or(Duration::ZERO, |ends| ends.duration_since(at));
         let before = std::mem::take(&mut self.clients[id].before);
-        let spoken_for = (before + self.traffic.beat.min(left)).as_secs_f64();
+        let spoken_for = (before + self.traffic.message_interval.min(left)).as_secs_f64();
         let sums = self.kind(id);
-        let _ = sums.lines.record(waited.as_micros().clamp(1, LONGEST));
+        let _ = sums
+            .message_latency
+            .record(waited.as_micros().clamp(1, LONGEST));
         if waited <= target {
-            sums.served_s += spoken_for;
+            sums.served_seconds += spoken_for;
         }
         if waited > Duration::from_millis(1_000) {
-            works.note(Observation::LineLate { session, waited });
+            works.note(Observation::MessageLate { session, waited });
         }
     }
 
     fn beat(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
-        let beat = self.traffic.beat;
+        let beat = self.traffic.message_interval;
         let client = &mut self.clients[id];
         let Some(wire) = &mut client.wire else { return };
         if self.finishing || client.life_ends.is_some_and(|ends| works.now >= ends) {
@@ -718,24 +732,24 @@
         let client = &self.clients[id];
         let (session, stage) = (client.tag, client.stage);
         if client.rude.is_some() {
-            self.sums.rude_answered += 1;
+            self.sums.misbehaving_answered += 1;
             return self.gone(id, works);
         }
         match stage {
             Part::Connecting | Part::Sending => self.never_taken(id, works),
             Part::Waiting => {
-                works.note(Observation::Dropped { session });
+                works.note(Observation::ClosedUnanswered { session });
                 self.kind(id).failed += 1;
                 self.turned_down(id, None, works);
                 self.come_again(id, works);
             }
             Part::Standing => {
-                works.note(Observation::CutOff { session });
-                self.kind(id).cut_off += 1;
+                works.note(Observation::ConnectionLost { session });
+                self.kind(id).connections_lost += 1;
                 self.rejoin(id, works);
             }
             Part::Ending => {
-                works.note(Observation::Ended { session });
+                works.note(Observation::SessionClosed { session });
                 self.gone(id, works);
             }
             Part::Told => self.come_again(id, works),
@@ -756,7 +770,7 @@
         for number in 0..count {
             let id = standing[number * standing.len() / count];
             let client = &mut self.clients[id];
-            works.note(Observation::Ended {
+            works.note(Observation::SessionClosed {
                 session: client.tag,
             });
             if let Some(wire) = &client.wire {
@@ -768,15 +782,15 @@
         }
     }
 
-    fn come_rudely(&mut self, rude: Rude, count: usize, works: &mut LoopContext<Alarm>) {
+    fn come_rudely(&mut self, rude: Misbehavior, count: usize, works: &mut LoopContext<Alarm>) {
         if self.arrivals.is_empty() {
             return;
         }
         for _ in 0..count {
-            self.sums.rude += 1;
+            self.sums.misbehaving += 1;
             // Other than all arrivals' and than those of other threads, whose first arrival is
             // another.
-            let number = (1 << 43) + (self.arrivals[0].0 << 30) + self.sums.rude;
+            let number = (1 << 43) + (self.arrivals[0].0 << 30) + self.sums.misbehaving;
             let seed = self.chance.below(u64::MAX);
             let client = Client::new(0, number, works.now, seed, Some(rude));
             let id = self.clients.insert(client);
@@ -784,12 +798,18 @@
         }
     }
 
-    fn rude_heard(&mut self, id: usize, rude: Rude, line: &str, works: &mut LoopContext<Alarm>) {
-        if rude == Rude::Unreading && line.starts_with("UP") {
+    fn rude_heard(
+        &mut self,
+        id: usize,
+        rude: Misbehavior,
+        line: &str,
+        works: &mut LoopContext<Alarm>,
+    ) {
+        if rude == Misbehavior::NeverReads && line.starts_with("UP") {
             let serial = self.turn(id, Part::Standing);
             works.set(works.now, Alarm::Beat(id, serial));
         } else {
-            self.sums.rude_answered += 1;
+            self.sums.misbehaving_answered += 1;
             self.gone(id, works);
         }
     }
@@ -812,7 +832,7 @@
                 Alarm::Beat(id, client.serial),
             ),
             Err(_) => {
-                self.sums.rude_answered += 1;
+                self.sums.misbehaving_answered += 1;
                 self.gone(id, works);
             }
         }
@@ -841,7 +861,7 @@
 }
 
 /// Noted once after `LoadCommand::Finish`, when the last client has gone.
-pub const IDLE: &str = "all clients have gone";
+pub const ALL_CLIENTS_GONE: &str = "all clients have gone";
 
 impl EventHandler for LoadGenerator {
     type Alarm = Alarm;
@@ -882,7 +902,7 @@
                 if self.clients[id].stage == Part::Connecting {
                     return self.never_taken(id, works);
                 }
-                works.note(Observation::Unanswered {
+                works.note(Observation::AnswerTimedOut {
                     session: self.clients[id].tag,
                 });
                 self.kind(id).unanswered += 1;
@@ -890,7 +910,7 @@
                 self.come_again(id, works);
             }
             Alarm::Leave(id, serial) if self.current(id, serial) => {
-                works.note(Observation::LeftEarly {
+                works.note(Observation::ClientLeft {
                     session: self.clients[id].tag,
                 });
                 if let Some(wire) = &self.clients[id].wire {
@@ -908,7 +928,7 @@
             Alarm::Closed(id, serial) if self.current(id, serial) => match self.clients[id].stage {
                 Part::Told => self.come_again(id, works),
                 _ => {
-                    works.note(Observation::Ended {
+                    works.note(Observation::SessionClosed {
                         session: self.clients[id].tag,
                     });
                     self.gone(id, works);
@@ -921,16 +941,16 @@
     fn cue(&mut self, cue: LoadCommand, works: &mut LoopContext<Alarm>) -> bool {
         works.now = works.clock.now();
         match cue {
-            LoadCommand::Door(door, open) => self.doors[door].open = open,
-            LoadCommand::Drop(count, over) => self.drop_some(count, over, works),
-            LoadCommand::Rude(rude, count) => self.come_rudely(rude, count, works),
+            LoadCommand::SetEndpointEnabled(door, open) => self.doors[door].enabled = open,
+            LoadCommand::DropConnections(count, over) => self.drop_some(count, over, works),
+            LoadCommand::AddMisbehaving(rude, count) => self.come_rudely(rude, count, works),
             LoadCommand::Finish => self.finish(works),
         }
         true
     }
 
     fn sums(mut self, works: &LoopContext<Alarm>) -> LoadTotals {
-        (self.sums.worst_turn, self.sums.worked) = (works.worst_turn, works.worked);
+        (self.sums.longest_turn, self.sums.busy_time) = (works.longest_turn, works.busy_time);
         self.sums
     }
 }
--- a/testbed/src/process_cluster.rs
+++ b/testbed/src/process_cluster.rs
@@ -1,17 +1,17 @@
 //! Relays as processes that know of one another, for tests: started, cut off, healed, paused,
 //! killed and started again, and waited for until a stated condition holds, within a bound.
 use crate::backend_model::{BackendCapacity, WarmUp};
-use crate::clock::{Stopwatch, duration};
-use crate::event_recorder::{EventLog, EventRecorder, Observation, RelayNumber, event_recorder};
+use crate::clock::{Stopwatch, to_std};
+use crate::event_recorder::{EventLog, EventRecorder, Observation, RelayIndex, event_recorder};
 use crate::link_fault::LinkFault;
 use crate::relay_network::{NetworkCommand, OpenedNetwork, RelayNetwork};
-use crate::relay_observer::{RelayObserver, seen_here};
+use crate::relay_observer::{RelayObserver, parse_members_seen};
 use crate::relay_process::{
     FleetConfig, ListenerConfig, PeersConfig, RelayOptions, RelayProcess, free_address,
 };
 use crate::simulated_backends::{BackendPlan, BackendSpec, OpenedBackends, SimulatedBackends};
-use crate::socket_holder::call;
-use crate::traffic::scattered;
+use crate::socket_holder::send_admin_command;
+use crate::traffic::scattered_id;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -26,8 +26,8 @@
 pub struct ClusterPlan {
     /// The program and its arguments.
     pub program: Vec<String>,
-    pub terms: FleetConfig,
-    pub ground: BackendPlan,
+    pub config: FleetConfig,
+    pub backends: BackendPlan,
     pub period: Duration,
     pub lease: Duration,
     pub voters: usize,
@@ -48,63 +48,63 @@
     ) -> ClusterPlan {
         let ms = Duration::from_millis;
         let cold = WarmUp {
-            start_share: 0.3,
-            warm_up: ms(9_000),
-            factor: 3.0,
-            window: ms(3_000),
-            turnover: ms(10_000),
+            initial_share: 0.3,
+            duration: ms(9_000),
+            overload_factor: 3.0,
+            overload_window: ms(3_000),
+            turnover_time: ms(10_000),
         };
         let make = BackendCapacity {
-            capacity: 100.0,
-            most: 100,
-            setup: ms(2),
-            group_fee: 0.0,
-            cold,
+            full_load: 100.0,
+            max_sessions: 100,
+            setup_time: ms(2),
+            group_load: 0.0,
+            warm_up: cold,
         };
         let ground = BackendPlan {
-            boxes: vec![BackendSpec {
-                make,
+            backends: vec![BackendSpec {
+                capacity: make,
                 zone: "a".into(),
                 cell: 0,
-                present: true,
+                initially_running: true,
             }],
             relays,
-            notice: (ms(100), ms(200)),
-            store: None,
-            report_every: ms(500),
-            tells_load: false,
+            announcement_delay: (ms(100), ms(200)),
+            setup_store: None,
+            report_interval: ms(500),
+            reports_load: false,
             seed: 1,
         };
         let listener = ListenerConfig {
             name: "view".into(),
-            wait: ms(2_000),
+            answer_timeout: ms(2_000),
             handshake_target: ms(500),
             message_target: ms(60),
-            effect: Idempotency::Idempotent,
-            utility: 1.0,
+            idempotency: Idempotency::Idempotent,
+            priority_weight: 1.0,
         };
         let terms = FleetConfig {
             zones: vec!["a".into()],
             listeners: vec![listener],
-            connect_time: ms(250),
-            most_dials: 3,
-            longest_retry_after: Some(ms(2_000)),
-            probes: true,
+            connect_timeout: ms(250),
+            max_attempts: 3,
+            max_retry_after: Some(ms(2_000)),
+            health_checks: true,
             groups: false,
-            tells_load: false,
-            cold_start_share: 0.3,
+            reports_load: false,
+            warm_up_initial_share: 0.3,
             warm_up: ms(9_000),
-            cold_factor: 3.0,
-            cold_window: ms(3_000),
+            warm_up_overload_factor: 3.0,
+            warm_up_overload_window: ms(3_000),
             memory_mb: 64,
             sockets: 512,
-            two_dials: false,
+            hedging: false,
             peers: true,
         };
         ClusterPlan {
             program,
-            terms,
-            ground,
+            config: terms,
+            backends: ground,
             period,
             lease,
             voters,
@@ -117,10 +117,10 @@
 /// Dropped, all its relays are killed.
 pub struct ProcessCluster {
     pub clock: Stopwatch,
-    pub tape: EventRecorder,
-    pub reel: EventLog,
-    pub yard: OpenedBackends,
-    pub net: OpenedNetwork,
+    pub recorder: EventRecorder,
+    pub events: EventLog,
+    pub backends: OpenedBackends,
+    pub network: OpenedNetwork,
     plan: ClusterPlan,
     peers: PeersConfig,
     posts: Vec<Option<RelayProcess>>,
@@ -138,9 +138,9 @@
         let said = |fault: std::io::Error| fault.to_string();
         let (tape, reel) = event_recorder();
         let clock = Stopwatch::start();
-        let count = plan.ground.relays;
+        let count = plan.backends.relays;
         let yard =
-            SimulatedBackends::open(plan.ground.clone(), clock, tape.clone()).map_err(said)?;
+            SimulatedBackends::open(plan.backends.clone(), clock, tape.clone()).map_err(said)?;
         let net = RelayNetwork::open(count, plan.seed, clock, tape.clone()).map_err(said)?;
         std::fs::create_dir_all(&plan.folder).map_err(said)?;
         let key_file = plan.folder.join("peers.key");
@@ -160,10 +160,10 @@
         let posts = (0..count).map(|_| None).collect();
         Ok(ProcessCluster {
             clock,
-            tape,
-            reel,
-            yard,
-            net,
+            recorder: tape,
+            events: reel,
+            backends: yard,
+            network: net,
             plan,
             peers,
             posts,
@@ -174,7 +174,7 @@
     }
 
     fn note(&self, seen: Observation) {
-        self.tape.note(self.clock.now(), seen);
+        self.recorder.record(self.clock.now(), seen);
     }
 
     /// All of these at once, each while the others are starting too.
@@ -183,7 +183,7 @@
     /// As `start`, the first that is not ready.
     pub fn start_all(&mut self, numbers: &[usize]) -> Result<(), String> {
         for &number in numbers {
-            let charter = self.charter(number);
+            let charter = self.operator_config(number);
             self.spawn(number, charter)?;
         }
         for &number in numbers {
@@ -191,7 +191,7 @@
                 .as_mut()
                 .map_or(Ok(()), RelayProcess::wait_ready)?;
             self.note(Observation::RelayStarted {
-                relay: RelayNumber(number as u16),
+                relay: RelayIndex(number as u16),
             });
         }
         Ok(())
@@ -200,7 +200,7 @@
     /// # Errors
     /// What the relay said, or that it is not ready.
     pub fn start(&mut self, number: usize) -> Result<(), String> {
-        let charter = self.charter(number);
+        let charter = self.operator_config(number);
         self.start_with(number, charter)
     }
 
@@ -218,7 +218,7 @@
         }
         ready?;
         self.note(Observation::RelayStarted {
-            relay: RelayNumber(number as u16),
+            relay: RelayIndex(number as u16),
         });
         Ok(())
     }
@@ -227,24 +227,24 @@
         self.starts += 1;
         let orders = RelayOptions {
             name: format!("relay-{number}"),
-            number,
+            index: number,
             relays: self.posts.len(),
             zone: 0,
             listen: self.listens[number],
-            discovery: self.yard.agents[number],
-            seed: scattered(
+            discovery: self.backends.agent_addresses[number],
+            seed: scattered_id(
                 self.plan
                     .seed
                     .wrapping_add(self.starts * 1_000 + number as u64),
             ),
-            known: None,
-            charter: Some(charter),
+            cached_endpoints: None,
+            operator_config: Some(charter),
             admin: Some(self.doors[number]),
-            station: None,
+            socket_holder: None,
         };
         let post = RelayProcess::spawn(
             &self.plan.program,
-            &self.plan.terms,
+            &self.plan.config,
             &orders,
             &self.plan.folder,
         )?;
@@ -253,36 +253,37 @@
     }
 
     /// The charter of a relay, to be changed.
-    pub fn charter(&self, number: usize) -> String {
-        self.peers.table(&self.net.ways[number], &self.net.ways)
+    pub fn operator_config(&self, number: usize) -> String {
+        self.peers
+            .table(&self.network.addresses[number], &self.network.addresses)
     }
 
     /// # Errors
     /// Where the file can't be written.
-    pub fn recharter(&self, number: usize, text: &str) -> std::io::Result<()> {
+    pub fn replace_operator_config(&self, number: usize, text: &str) -> std::io::Result<()> {
         self.posts[number]
             .as_ref()
-            .map_or(Ok(()), |post| post.recharter(text))
+            .map_or(Ok(()), |post| post.replace_operator_config(text))
     }
 
     pub fn kill(&mut self, number: usize) {
         if let Some(mut post) = self.posts[number].take() {
             self.note(Observation::RelayKilled {
-                relay: RelayNumber(number as u16),
+                relay: RelayIndex(number as u16),
             });
             post.kill();
         }
     }
 
-    pub fn pause(&mut self, number: usize, on: bool) {
+    pub fn set_paused(&mut self, number: usize, on: bool) {
         let Some(post) = &self.posts[number] else {
             return;
         };
-        self.note(Observation::RelayStill {
-            relay: RelayNumber(number as u16),
-            on,
+        self.note(Observation::RelayPaused {
+            relay: RelayIndex(number as u16),
+            paused: on,
         });
-        post.still(on);
+        post.set_paused(on);
     }
 
     /// Told to stop; if it ended well within that time.
@@ -290,84 +291,93 @@
         let Some(mut post) = self.posts[number].take() else {
             return false;
         };
-        self.note(Observation::RelayToldToStop {
-            relay: RelayNumber(number as u16),
+        self.note(Observation::RelayStopRequested {
+            relay: RelayIndex(number as u16),
         });
-        post.tell_to_stop();
-        let ended = post.wait(within).is_some_and(|status| status.success());
+        post.request_stop();
+        let ended = post
+            .wait_for_exit(within)
+            .is_some_and(|status| status.success());
         self.note(Observation::RelayStopped {
-            relay: RelayNumber(number as u16),
+            relay: RelayIndex(number as u16),
         });
         ended
     }
 
     /// Each directed pair between these and those, one direction only.
-    pub fn fault_links(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
-        let no = |number: usize| RelayNumber(number as u16);
+    pub fn set_link_fault(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
+        let no = |number: usize| RelayIndex(number as u16);
         let pairs = from
             .iter()
             .flat_map(|one| to.iter().map(move |other| (no(*one), no(*other))));
         let links = pairs.filter(|(one, other)| one != other).collect();
-        self.net
-            .stage
-            .command(NetworkCommand::LinkFault(links, fault, "bent"));
+        self.network
+            .event_loop
+            .command(NetworkCommand::SetLinkFault(links, fault, "bent"));
     }
 
     /// Both directions.
-    pub fn cut(&self, these: &[usize], those: &[usize]) {
-        self.fault_links(these, those, Some(LinkFault::CUT));
-        self.fault_links(those, these, Some(LinkFault::CUT));
+    pub fn partition(&self, these: &[usize], those: &[usize]) {
+        self.set_link_fault(these, those, Some(LinkFault::CUT));
+        self.set_link_fault(those, these, Some(LinkFault::CUT));
     }
 
-    pub fn heal(&self) {
+    pub fn heal_partitions(&self) {
         let all: Vec<usize> = (0..self.posts.len()).collect();
-        self.fault_links(&all, &all, None);
+        self.set_link_fault(&all, &all, None);
     }
 
-    pub fn door(&self, number: usize) -> SocketAddr {
+    pub fn admin_address(&self, number: usize) -> SocketAddr {
         self.doors[number]
     }
 
-    pub fn witness(&self, number: usize, lease: Option<&'static str>) -> RelayObserver {
+    pub fn observe(&self, number: usize, lease: Option<&'static str>) -> RelayObserver {
         RelayObserver::open(
-            RelayNumber(number as u16),
+            RelayIndex(number as u16),
             self.doors[number],
             lease,
             self.clock,
-            self.tape.clone(),
+            self.recorder.clone(),
         )
     }
 
     /// What a relay's door answers; none where nobody does.
-    pub fn ask(&self, number: usize, line: &str) -> Option<String> {
-        call(self.doors[number], line, CALL).ok()
+    pub fn admin_command(&self, number: usize, line: &str) -> Option<String> {
+        send_admin_command(self.doors[number], line, CALL).ok()
     }
 
     /// What `PEERS` says there.
-    pub fn view(&self, number: usize) -> Option<serde_json::Value> {
-        serde_json::from_str(self.ask(number, "PEERS")?.strip_prefix("200 ")?).ok()
+    pub fn membership(&self, number: usize) -> Option<serde_json::Value> {
+        serde_json::from_str(self.admin_command(number, "PEERS")?.strip_prefix("200 ")?).ok()
     }
 
     /// If a relay sees exactly these here.
-    pub fn sees(&self, number: usize, these: &[usize]) -> bool {
+    pub fn sees_exactly(&self, number: usize, these: &[usize]) -> bool {
         let names: BTreeSet<String> = these.iter().map(|one| format!("relay-{one}")).collect();
-        let here = self.ask(number, "PEERS").as_deref().and_then(seen_here);
+        let here = self
+            .admin_command(number, "PEERS")
+            .as_deref()
+            .and_then(parse_members_seen);
         here.is_some_and(|here| here.into_iter().collect::<BTreeSet<_>>() == names)
     }
 
     /// If each of these sees these and nobody else.
-    pub fn agree(&self, these: &[usize]) -> bool {
-        these.iter().all(|number| self.sees(*number, these))
+    pub fn membership_is_consistent(&self, these: &[usize]) -> bool {
+        these.iter().all(|number| self.sees_exactly(*number, these))
     }
 
     /// Until that is so; how long it took, or none within the bound.
-    pub fn wait(&self, within: Duration, so: impl Fn(&ProcessCluster) -> bool) -> Option<Duration> {
+    pub fn wait_until(
+        &self,
+        within: Duration,
+        so: impl Fn(&ProcessCluster) -> bool,
+    ) -> Option<Duration> {
         let began = Instant::now();
         loop {
             if so(self) {
-                return Some(crate::clock::span(began.elapsed()));
+                return Some(crate::clock::from_std(began.elapsed()));
             }
-            if began.elapsed() > duration(within) {
+            if began.elapsed() > to_std(within) {
                 return None;
             }
             std::thread::sleep(LOOK);
@@ -375,7 +385,7 @@
     }
 
     /// CPU time so far.
-    pub fn cpu(&self, number: usize) -> Option<Duration> {
+    pub fn cpu_time(&self, number: usize) -> Option<Duration> {
         self.posts[number]
             .as_ref()
             .and_then(RelayProcess::cost)
@@ -383,7 +393,7 @@
     }
 
     /// Bytes of memory resident.
-    pub fn memory(&self, number: usize) -> Option<u64> {
+    pub fn resident_bytes(&self, number: usize) -> Option<u64> {
         self.posts[number]
             .as_ref()
             .and_then(RelayProcess::cost)
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -3,7 +3,7 @@
 //! who speaks to whom is seen here.
 use crate::clock::Stopwatch;
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
-use crate::event_recorder::{EventRecorder, Observation, RelayNumber};
+use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
 use crate::link_fault::LinkFault;
 use polling::{Event, PollMode};
 use std::collections::BTreeMap;
@@ -27,8 +27,8 @@
 
 pub enum NetworkCommand {
     /// From whom to whom, and how; none is as at first.
-    LinkFault(
-        Vec<(RelayNumber, RelayNumber)>,
+    SetLinkFault(
+        Vec<(RelayIndex, RelayIndex)>,
         Option<LinkFault>,
         &'static str,
     ),
@@ -41,7 +41,7 @@
     pub bytes: u64,
     pub lost: u64,
     /// From nobody that is known here.
-    pub strange: u64,
+    pub unknown_source: u64,
 }
 
 pub struct RelayNetwork {
@@ -62,8 +62,8 @@
 }
 
 pub struct OpenedNetwork {
-    pub stage: EventLoop<RelayNetwork>,
-    pub ways: Vec<PeerAddress>,
+    pub event_loop: EventLoop<RelayNetwork>,
+    pub addresses: Vec<PeerAddress>,
 }
 
 impl RelayNetwork {
@@ -119,7 +119,10 @@
                 sums: NetworkTotals::default(),
             })
         })?;
-        Ok(OpenedNetwork { stage, ways })
+        Ok(OpenedNetwork {
+            event_loop: stage,
+            addresses: ways,
+        })
     }
 
     fn allows(&mut self, link: (usize, usize), rate: u64, bytes: usize, now: Instant) -> bool {
@@ -161,7 +164,7 @@
             // The next process of a relay sends from another port of its address.
             let by_address = || self.ways.iter().position(|way| way.own.ip() == source.ip());
             let Some(from) = self.by_source.get(&source).copied().or_else(by_address) else {
-                self.sums.strange += 1;
+                self.sums.unknown_source += 1;
                 continue;
             };
             let fault = self
@@ -169,7 +172,7 @@
                 .get(&(from, to))
                 .copied()
                 .unwrap_or_default();
-            let allowed = self.allows((from, to), fault.rate, length, works.now);
+            let allowed = self.allows((from, to), fault.bytes_per_second, length, works.now);
             let passes = if allowed {
                 fault.passes(&mut self.chance)
             } else {
@@ -197,18 +200,18 @@
 
     fn cue(&mut self, cue: NetworkCommand, works: &mut LoopContext<Delivery>) -> bool {
         works.now = works.clock.now();
-        let NetworkCommand::LinkFault(links, fault, name) = cue;
+        let NetworkCommand::SetLinkFault(links, fault, name) = cue;
         for (from, to) in links {
             let link = (usize::from(from.0), usize::from(to.0));
             match fault {
                 Some(fault) => drop(self.link_faults.insert(link, fault)),
                 None => drop(self.link_faults.remove(&link)),
             }
-            works.note(Observation::Link {
+            works.note(Observation::LinkFault {
                 from,
                 to,
                 name,
-                on: fault.is_some(),
+                active: fault.is_some(),
             });
         }
         true
--- a/testbed/src/relay_observer.rs
+++ b/testbed/src/relay_observer.rs
@@ -1,8 +1,8 @@
 //! One who asks a relay again and again what it thinks of the others and whether it holds a lease,
 //! from a thread of its own: a relay that stands still keeps only its own witness waiting.
 use crate::clock::Stopwatch;
-use crate::event_recorder::{EventRecorder, Observation, RelayNumber};
-use crate::socket_holder::call;
+use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
+use crate::socket_holder::send_admin_command;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -23,7 +23,7 @@
 impl RelayObserver {
     /// `lease`: the subject that it asks for, if any.
     pub fn open(
-        relay: RelayNumber,
+        relay: RelayIndex,
         door: SocketAddr,
         lease: Option<&'static str>,
         clock: Stopwatch,
@@ -37,26 +37,32 @@
                 round += 1;
                 if let Some(subject) = lease {
                     let asked = clock.now();
-                    let said = call(door, &format!("LEASE {subject}"), WAIT).ok();
-                    let held = said.as_deref().and_then(held);
+                    let said = send_admin_command(door, &format!("LEASE {subject}"), WAIT).ok();
+                    let held = said.as_deref().and_then(parse_held_lease);
                     if let Some((epoch, left)) = held {
-                        tape.note(
+                        tape.record(
                             clock.now(),
-                            Observation::LeaseSaid {
+                            Observation::LeaseClaimed {
                                 relay,
                                 subject,
                                 epoch,
-                                asked,
-                                until: asked + left,
+                                requested_at: asked,
+                                valid_until: asked + left,
                             },
                         );
                     }
                 }
                 if round % VIEWS == 0
-                    && let Ok(said) = call(door, "PEERS", WAIT)
-                    && let Some(here) = seen_here(&said)
+                    && let Ok(said) = send_admin_command(door, "PEERS", WAIT)
+                    && let Some(here) = parse_members_seen(&said)
                 {
-                    tape.note(clock.now(), Observation::Sees { relay, here });
+                    tape.record(
+                        clock.now(),
+                        Observation::MembersSeen {
+                            relay,
+                            members: here,
+                        },
+                    );
                 }
                 std::thread::park_timeout(EVERY);
             }
@@ -79,14 +85,14 @@
 }
 
 /// `200 held EPOCH MS`
-pub fn held(said: &str) -> Option<(u64, Duration)> {
+pub fn parse_held_lease(said: &str) -> Option<(u64, Duration)> {
     let mut words = said.strip_prefix("200 held ")?.split(' ');
     let epoch = words.next()?.parse().ok()?;
     Some((epoch, Duration::from_millis(words.next()?.parse().ok()?)))
 }
 
 /// The names that a relay sees here, its own among them, in order.
-pub fn seen_here(said: &str) -> Option<Vec<String>> {
+pub fn parse_members_seen(said: &str) -> Option<Vec<String>> {
     let view: serde_json::Value = serde_json::from_str(said.strip_prefix("200 ")?).ok()?;
     let here = view["peers"]
         .as_array()?
--- a/testbed/src/relay_process.rs
+++ b/testbed/src/relay_process.rs
@@ -1,8 +1,8 @@
 //! Relays as processes: their configuration, their start, their signals, what they cost, and their
 //! end.
-use crate::clock::duration;
+use crate::clock::to_std;
 use crate::relay_network::PeerAddress;
-use crate::socket_holder::{SocketHolder, call};
+use crate::socket_holder::{SocketHolder, send_admin_command};
 use rustix::process::{Pid, Resource, Signal, getrlimit, kill_process, setrlimit};
 use serde_json::json;
 use std::io::{BufRead, BufReader, Write};
@@ -17,18 +17,18 @@
 /// A relay answers `PING` within this, or has not started.
 const START: std::time::Duration = std::time::Duration::from_secs(10);
 /// A call at the door is answered within this, or the relay is at fault.
-pub const CALL: Duration = Duration::from_millis(1_000);
+pub const ADMIN_COMMAND_TIMEOUT: Duration = Duration::from_millis(1_000);
 const LOOK: std::time::Duration = std::time::Duration::from_millis(10);
 
 /// A row of the settings' listeners.
 #[derive(Clone, Debug)]
 pub struct ListenerConfig {
     pub name: String,
-    pub wait: Duration,
+    pub answer_timeout: Duration,
     pub handshake_target: Duration,
     pub message_target: Duration,
-    pub effect: Idempotency,
-    pub utility: f64,
+    pub idempotency: Idempotency,
+    pub priority_weight: f64,
 }
 
 /// The settings that all relays of a run are given; keys are the platform's.
@@ -36,20 +36,20 @@
 pub struct FleetConfig {
     pub zones: Vec<String>,
     pub listeners: Vec<ListenerConfig>,
-    pub connect_time: Duration,
-    pub most_dials: u32,
-    pub longest_retry_after: Option<Duration>,
-    pub probes: bool,
+    pub connect_timeout: Duration,
+    pub max_attempts: u32,
+    pub max_retry_after: Option<Duration>,
+    pub health_checks: bool,
     pub groups: bool,
-    pub tells_load: bool,
-    pub cold_start_share: f64,
+    pub reports_load: bool,
+    pub warm_up_initial_share: f64,
     pub warm_up: Duration,
-    pub cold_factor: f64,
-    pub cold_window: Duration,
+    pub warm_up_overload_factor: f64,
+    pub warm_up_overload_window: Duration,
     pub memory_mb: u64,
     pub sockets: u64,
     /// A session may have two dials out at once.
-    pub two_dials: bool,
+    pub hedging: bool,
     /// Relays may talk with one another.
     pub peers: bool,
 }
@@ -100,20 +100,20 @@
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
     pub name: String,
-    pub number: usize,
+    pub index: usize,
     pub relays: usize,
     pub zone: usize,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
     pub seed: u64,
     /// The list as it last had it, in discovery's form.
-    pub known: Option<serde_json::Value>,
+    pub cached_endpoints: Option<serde_json::Value>,
     /// The text of its charter, where it has one.
-    pub charter: Option<String>,
+    pub operator_config: Option<String>,
     /// Where its operators call, if they do.
     pub admin: Option<SocketAddr>,
     /// What the platform holds for it, if more than one process of it may run at a time.
-    pub station: Option<Arc<SocketHolder>>,
+    pub socket_holder: Option<Arc<SocketHolder>>,
 }
 
 /// The text that `ROUTER_CONFIG` names.
@@ -122,7 +122,7 @@
         .listeners
         .iter()
         .map(|row| {
-            let (effect, scope, window) = match row.effect {
+            let (effect, scope, window) = match row.idempotency {
                 Idempotency::Idempotent => ("retryable", "all", Duration::ZERO),
                 Idempotency::NonIdempotent => ("fragile", "all", Duration::ZERO),
                 Idempotency::Keyed { scope, window } => {
@@ -134,8 +134,8 @@
                     ("dedup", scope, window)
                 }
             };
-            json!({"name": row.name, "deadlineUs": row.wait.as_micros(), "handshakeTargetUs": row.handshake_target.as_micros(),
-                "effect": effect, "dedupScope": scope, "dedupWindowUs": window.as_micros(), "utility": row.utility})
+            json!({"name": row.name, "deadlineUs": row.answer_timeout.as_micros(), "handshakeTargetUs": row.handshake_target.as_micros(),
+                "effect": effect, "dedupScope": scope, "dedupWindowUs": window.as_micros(), "utility": row.priority_weight})
         })
         .collect();
     let targets: Vec<u64> = terms
@@ -147,17 +147,17 @@
         "name": orders.name, "listen": orders.listen.to_string(), "discovery": orders.discovery.to_string(),
         "seed": format!("{:016x}", orders.seed),
         "limits": {"cores": 1.0, "memory_mb": terms.memory_mb, "sockets": terms.sockets},
-        "known": orders.known,
+        "known": orders.cached_endpoints,
         "settings": {
-            "az": orders.zone, "zones": terms.zones, "balancers": orders.relays, "me": orders.number,
+            "az": orders.zone, "zones": terms.zones, "balancers": orders.relays, "me": orders.index,
             "tickUs": 2_000, "discovery": "automatic", "listeners": listeners,
-            "extra": {"groups": terms.groups, "tellsDelay": false, "tellsLoad": terms.tells_load, "messageAimUs": targets},
-            "invariants": {"askWithinUs": 1, "coldUs": terms.warm_up.as_micros(), "fallUs": terms.cold_window.as_micros(),
-                "overloadFactor": terms.cold_factor, "startCapacity": terms.cold_start_share},
-            "permissions": {"connIdleUs": 9_000_000, "dialTimeoutUs": terms.connect_time.as_micros(),
-                "maxDials": terms.most_dials,
-                "maxRetryAfterUs": terms.longest_retry_after.unwrap_or(Duration::ZERO).as_micros(),
-                "peers": terms.peers, "mayCancel": true, "parallelTries": terms.two_dials, "probes": terms.probes, "retryAfter": terms.longest_retry_after.is_some()},
+            "extra": {"groups": terms.groups, "tellsDelay": false, "tellsLoad": terms.reports_load, "messageAimUs": targets},
+            "invariants": {"askWithinUs": 1, "coldUs": terms.warm_up.as_micros(), "fallUs": terms.warm_up_overload_window.as_micros(),
+                "overloadFactor": terms.warm_up_overload_factor, "startCapacity": terms.warm_up_initial_share},
+            "permissions": {"connIdleUs": 9_000_000, "dialTimeoutUs": terms.connect_timeout.as_micros(),
+                "maxDials": terms.max_attempts,
+                "maxRetryAfterUs": terms.max_retry_after.unwrap_or(Duration::ZERO).as_micros(),
+                "peers": terms.peers, "mayCancel": true, "parallelTries": terms.hedging, "probes": terms.health_checks, "retryAfter": terms.max_retry_after.is_some()},
             "report": {"fields": ["inflight", "x0"], "how": "pull"},
         },
     });
@@ -171,7 +171,7 @@
 pub struct RelayProcess {
     child: Child,
     name: String,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub admin: Option<SocketAddr>,
     config: PathBuf,
     charter: PathBuf,
@@ -226,11 +226,11 @@
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::from(out));
-        if let Some(text) = &orders.charter {
+        if let Some(text) = &orders.operator_config {
             replace(&charter, text).map_err(failed)?;
             command.env("THISTLECROFT_CHARTER", &charter);
         }
-        if let Some(station) = &orders.station {
+        if let Some(station) = &orders.socket_holder {
             command
                 .env("ROUTER_PASSED_SOCKET", station.descriptor().to_string())
                 .env("TMPDIR", station.folder());
@@ -243,7 +243,7 @@
         Ok(RelayProcess {
             child,
             name,
-            at: orders.listen,
+            address: orders.listen,
             admin: orders.admin,
             config,
             charter,
@@ -255,7 +255,7 @@
     /// One line: it ended, or is not ready in time; with the last line of its log.
     pub fn wait_ready(&mut self) -> Result<(), String> {
         self.becomes_ready()
-            .map_err(|why| format!("{} at {}: {why}", self.name, self.at))
+            .map_err(|why| format!("{} at {}: {why}", self.name, self.address))
     }
 
     fn becomes_ready(&mut self) -> Result<(), String> {
@@ -268,8 +268,9 @@
             }
             // Where another process takes clients too, only its own door tells that this one does.
             let ready = match self.admin {
-                Some(admin) => call(admin, "READY", CALL).is_ok_and(|said| said.starts_with("200")),
-                None => answers(self.at),
+                Some(admin) => send_admin_command(admin, "READY", ADMIN_COMMAND_TIMEOUT)
+                    .is_ok_and(|said| said.starts_with("200")),
+                None => answers(self.address),
             };
             match ready {
                 true => return Ok(()),
@@ -294,22 +295,22 @@
     ///
     /// # Errors
     /// Where the file can't be written.
-    pub fn recharter(&self, text: &str) -> std::io::Result<()> {
+    pub fn replace_operator_config(&self, text: &str) -> std::io::Result<()> {
         replace(&self.charter, text)?;
-        self.hang_up();
+        self.send_hangup();
         Ok(())
     }
 
     /// Stands still, or goes on.
-    pub fn still(&self, on: bool) {
+    pub fn set_paused(&self, on: bool) {
         self.signal(if on { Signal::STOP } else { Signal::CONT });
     }
 
-    pub fn hang_up(&self) {
+    pub fn send_hangup(&self) {
         self.signal(Signal::HUP);
     }
 
-    pub fn tell_to_stop(&self) {
+    pub fn request_stop(&self) {
         self.signal(Signal::TERM);
     }
 
@@ -319,15 +320,15 @@
     }
 
     /// How it ended, where it has.
-    pub fn ended(&mut self) -> Option<ExitStatus> {
+    pub fn try_wait(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
     /// Waits for its end; none where it goes on.
-    pub fn wait(&mut self, within: Duration) -> Option<ExitStatus> {
-        let until = Instant::now() + duration(within);
+    pub fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
+        let until = Instant::now() + to_std(within);
         loop {
-            match self.ended() {
+            match self.try_wait() {
                 Some(status) => return Some(status),
                 None if Instant::now() > until => return None,
                 None => std::thread::sleep(LOOK),
@@ -337,13 +338,13 @@
 
     /// What `cost_of` says of its process.
     pub fn cost(&self) -> Option<(Duration, u64)> {
-        cost_of(self.child.id())
+        process_cost(self.child.id())
     }
 }
 
 /// CPU time of a process's living threads so far, and bytes of memory resident; none where it has
 /// ended.
-pub fn cost_of(process: u32) -> Option<(Duration, u64)> {
+pub fn process_cost(process: u32) -> Option<(Duration, u64)> {
     let folder = PathBuf::from(format!("/proc/{process}"));
     let nanoseconds = |thread: std::fs::DirEntry| -> Option<u64> {
         std::fs::read_to_string(thread.path().join("schedstat"))
@@ -427,7 +428,7 @@
 ///
 /// # Errors
 /// One line that names the limit and what is needed.
-pub fn need_descriptors(needed: u64) -> Result<u64, String> {
+pub fn ensure_descriptor_limit(needed: u64) -> Result<u64, String> {
     let limit = getrlimit(Resource::Nofile);
     let (soft, hard) = (
         limit.current.unwrap_or(u64::MAX),
--- a/testbed/src/simulated_backends.rs
+++ b/testbed/src/simulated_backends.rs
@@ -2,10 +2,10 @@
 //! protocol whole; what they are made to suffer is an `BackendFault`, with a name that scenarios use.
 use crate::backend_model::{BackendCapacity, BackendModel, SetupStore};
 use crate::clock::Stopwatch;
-use crate::endpoint_list::{EndpointList, Row};
+use crate::endpoint_list::{EndpointList, EndpointRow};
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
 use crate::event_recorder::{
-    BackendNumber, EventRecorder, Lifecycle, Observation, RelayNumber, Reply, Tag,
+    BackendIndex, EventRecorder, Lifecycle, Observation, RelayIndex, Reply, SessionId,
 };
 use crate::line_socket::LineSocket;
 use polling::{Event, PollMode};
@@ -34,43 +34,43 @@
 pub enum BackendFault {
     /// The machine is gone from the network: nothing comes up, what is open is silent. It comes
     /// back cold.
-    Vanished,
+    Unreachable,
     /// The process stands still and then goes on: nothing is read or written, connections come up.
     Frozen,
     /// Takes dials and answers none; what stands is served.
-    Mute,
+    Unresponsive,
     /// So many times slower.
     Slow(f64),
     /// Stands still for the second span once in each of the first.
-    Pausing(Duration, Duration),
+    PeriodicPause(Duration, Duration),
     /// This part of the dials is answered `ERR` at once.
-    Failing(f64),
+    ErrorRate(f64),
     /// Connections are reset as soon as they come up.
-    ResetsBefore,
+    ResetOnAccept,
     /// Dials are reset once their line is read.
-    ResetsAfter,
+    ResetOnRequest,
     /// Half an answer, then nothing.
-    HalfAnswer,
+    PartialAnswer,
     /// What the client has ended is never ended from here.
     NeverCloses,
     /// Replies `UP`, and then breaks the connection.
-    DropsYoung,
+    ResetAfterSetup,
 }
 
 impl BackendFault {
     pub fn name(self) -> &'static str {
         match self {
-            BackendFault::Vanished => "silent",
+            BackendFault::Unreachable => "silent",
             BackendFault::Frozen => "freeze",
-            BackendFault::Mute => "mute",
+            BackendFault::Unresponsive => "mute",
             BackendFault::Slow(_) => "slow",
-            BackendFault::Pausing(..) => "pauses",
-            BackendFault::Failing(_) => "errors",
-            BackendFault::ResetsBefore => "reset-before",
-            BackendFault::ResetsAfter => "reset-after",
-            BackendFault::HalfAnswer => "half-answer",
+            BackendFault::PeriodicPause(..) => "pauses",
+            BackendFault::ErrorRate(_) => "errors",
+            BackendFault::ResetOnAccept => "reset-before",
+            BackendFault::ResetOnRequest => "reset-after",
+            BackendFault::PartialAnswer => "half-answer",
             BackendFault::NeverCloses => "never-closes",
-            BackendFault::DropsYoung => "drops-young",
+            BackendFault::ResetAfterSetup => "drops-young",
         }
     }
 }
@@ -81,11 +81,11 @@
     /// Open watches stay open; nothing is written.
     Silent,
     /// Watches are broken and new ones refused.
-    Down,
+    Unavailable,
     /// Goes on with empty lines, tells no change.
     Stale,
     /// Loses its memory: versions begin anew. Over at once.
-    Restart,
+    StateLost,
     /// Writes one line that is no list. Over at once.
     Malformed,
 }
@@ -94,9 +94,9 @@
     pub fn name(self) -> &'static str {
         match self {
             AgentFault::Silent => "discovery-silent",
-            AgentFault::Down => "discovery-down",
+            AgentFault::Unavailable => "discovery-down",
             AgentFault::Stale => "discovery-stale",
-            AgentFault::Restart => "discovery-restart",
+            AgentFault::StateLost => "discovery-restart",
             AgentFault::Malformed => "discovery-malformed",
         }
     }
@@ -104,43 +104,43 @@
 
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
-    pub make: BackendCapacity,
+    pub capacity: BackendCapacity,
     pub zone: String,
     pub cell: u16,
     /// Runs and is listed from the beginning; else it joins, cold, when it is cued.
-    pub present: bool,
+    pub initially_running: bool,
 }
 
 /// All that stands in the yard at its opening.
 #[derive(Clone, Debug)]
 pub struct BackendPlan {
-    pub boxes: Vec<BackendSpec>,
+    pub backends: Vec<BackendSpec>,
     pub relays: usize,
     /// A change is told so late, drawn for each relay and change.
-    pub notice: (Duration, Duration),
+    pub announcement_delay: (Duration, Duration),
     /// Calls that the set-up store has in work at once, and how long each takes; none: set-ups call
     /// nothing.
-    pub store: Option<(usize, Duration)>,
+    pub setup_store: Option<(usize, Duration)>,
     /// How often reports are refreshed and loads noted.
-    pub report_every: Duration,
+    pub report_interval: Duration,
     /// Boxes tell each connection's load, at first and when it changes: with each report one of a
     /// box's does.
-    pub tells_load: bool,
+    pub reports_load: bool,
     pub seed: u64,
 }
 
 #[derive(Clone, Debug)]
 pub enum BackendCommand {
-    Ail(BackendNumber, BackendFault),
+    InjectFault(BackendIndex, BackendFault),
     /// Ends whatever is wrong with it.
-    Heal(BackendNumber),
+    ClearFault(BackendIndex),
     /// The process dies, and comes back cold after so long.
-    Crash(BackendNumber, Option<Duration>),
+    Crash(BackendIndex, Option<Duration>),
     /// Wants nothing new from now on, sends its clients away evenly over the time and then stops.
-    Drain(BackendNumber, Duration),
+    Drain(BackendIndex, Duration),
     /// One that was not present, or has stopped, starts cold.
-    Join(BackendNumber),
-    Agent(RelayNumber, AgentFault, bool),
+    Start(BackendIndex),
+    SetAgentFault(RelayIndex, AgentFault, bool),
 }
 
 #[derive(Debug, PartialEq)]
@@ -154,9 +154,9 @@
 }
 
 struct Speech {
-    at: BackendNumber,
+    at: BackendIndex,
     heard: Heard,
-    session: Tag,
+    session: SessionId,
     load: f64,
     group: Option<u64>,
     first: Option<Instant>,
@@ -165,7 +165,7 @@
 }
 
 struct Watching {
-    relay: RelayNumber,
+    relay: RelayIndex,
     follows: bool,
     /// The version it has been told.
     held: Option<u64>,
@@ -176,7 +176,7 @@
     Box(Speech),
     Agent(Watching),
     /// Fills the backlog of a box that has vanished.
-    Plug(BackendNumber),
+    Plug(BackendIndex),
 }
 
 struct Conn {
@@ -211,18 +211,18 @@
     list: EndpointList,
     fault: Option<AgentFault>,
     /// What it has been told itself while it could not take it.
-    missed: Vec<(BackendNumber, Row)>,
+    missed: Vec<(BackendIndex, EndpointRow)>,
 }
 
 #[derive(Clone, Debug)]
 pub enum Alarm {
     Up(usize, u64),
     Echo(usize, u64),
-    Still(BackendNumber, u32, bool),
-    Back(BackendNumber, u32),
-    SendAway(BackendNumber, u32, Duration),
-    Stop(BackendNumber, u32),
-    Notice(RelayNumber, BackendNumber, Row),
+    Still(BackendIndex, u32, bool),
+    Back(BackendIndex, u32),
+    SendAway(BackendIndex, u32, Duration),
+    Stop(BackendIndex, u32),
+    Notice(RelayIndex, BackendIndex, EndpointRow),
     Beat,
     Report,
     Accept(usize),
@@ -245,16 +245,16 @@
 /// What a yard says at its end.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendTotals {
-    pub worst_turn: Duration,
-    pub worked: Duration,
+    pub longest_turn: Duration,
+    pub busy_time: Duration,
 }
 
 /// The yard on its thread, and where its people listen.
 pub struct OpenedBackends {
-    pub stage: EventLoop<SimulatedBackends>,
-    pub boxes: Vec<SocketAddr>,
+    pub event_loop: EventLoop<SimulatedBackends>,
+    pub addresses: Vec<SocketAddr>,
     /// One for each relay.
-    pub agents: Vec<SocketAddr>,
+    pub agent_addresses: Vec<SocketAddr>,
 }
 
 const BOX_DOOR: usize = 1 << 40;
@@ -294,7 +294,7 @@
                 listener: Some(listener),
             })
         };
-        let doors: Vec<Door> = (0..ground.boxes.len())
+        let doors: Vec<Door> = (0..ground.backends.len())
             .map(|number| door(0, number))
             .collect::<io::Result<_>>()?;
         let agent_doors: Vec<Door> = (0..ground.relays)
@@ -306,9 +306,9 @@
             SimulatedBackends::set_up(ground, doors, agent_doors, works)
         })?;
         Ok(OpenedBackends {
-            stage,
-            boxes,
-            agents,
+            event_loop: stage,
+            addresses: boxes,
+            agent_addresses: agents,
         })
     }
 
@@ -320,23 +320,23 @@
     ) -> io::Result<SimulatedBackends> {
         let mut list = EndpointList::default();
         let mut boxes = Vec::new();
-        for (number, (plan, mut door)) in (0..).zip(ground.boxes.into_iter().zip(doors)) {
-            if plan.present {
+        for (number, (plan, mut door)) in (0..).zip(ground.backends.into_iter().zip(doors)) {
+            if plan.initially_running {
                 watch_door(door.listener.as_ref(), BOX_DOOR | number as usize, works)?;
                 list.put(
-                    BackendNumber(number),
+                    BackendIndex(number),
                     row(&plan, door.at, Lifecycle::Ready, 0),
                 );
-                works.note(Observation::BoxStarted {
-                    at: BackendNumber(number),
+                works.note(Observation::BackendStarted {
+                    backend: BackendIndex(number),
                     cold: false,
                 });
             } else {
                 door.listener = None;
             }
             boxes.push(StandIn {
-                work: BackendModel::start(plan.make, works.now, false),
-                running: plan.present,
+                work: BackendModel::start(plan.capacity, works.now, false),
+                running: plan.initially_running,
                 plan,
                 door,
                 ailment: None,
@@ -359,24 +359,24 @@
             });
         }
         works.set(works.now + AGENT_BEAT, Alarm::Beat);
-        works.set(works.now + ground.report_every, Alarm::Report);
+        works.set(works.now + ground.report_interval, Alarm::Report);
         Ok(SimulatedBackends {
             boxes,
             agents,
             conns: Slab::new(),
             serial: 0,
             store: ground
-                .store
+                .setup_store
                 .map(|(lanes, each)| SetupStore::new(lanes, each)),
             chance: Rng::from_seed(ground.seed),
-            notice: ground.notice,
-            report_every: ground.report_every,
-            tells_load: ground.tells_load,
+            notice: ground.announcement_delay,
+            report_every: ground.report_interval,
+            tells_load: ground.reports_load,
             exhausted: false,
         })
     }
 
-    fn this(&mut self, at: BackendNumber) -> &mut StandIn {
+    fn this(&mut self, at: BackendIndex) -> &mut StandIn {
         &mut self.boxes[usize::from(at.0)]
     }
 
@@ -436,14 +436,14 @@
                     // Out of descriptors: the run says so once, and nothing spins on the backlog.
                     if !std::mem::replace(&mut self.exhausted, true) {
                         log::warn!("the stand-ins can't accept: {fault}");
-                        works.note(Observation::ToolExhausted);
+                        works.note(Observation::TestbedExhausted);
                     }
                     self.listen_again(key, false, works);
                     return works.set(works.now + ACCEPT_PAUSE, Alarm::Accept(key));
                 }
             };
             if !to_box {
-                let relay = RelayNumber(number as u16);
+                let relay = RelayIndex(number as u16);
                 let watching = Watching {
                     relay,
                     follows: false,
@@ -453,14 +453,14 @@
                 self.add(stream, Role::Agent(watching), works);
                 continue;
             }
-            if self.boxes[number].ailment == Some(BackendFault::ResetsBefore) {
+            if self.boxes[number].ailment == Some(BackendFault::ResetOnAccept) {
                 let _ = SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
                 continue;
             }
             let speech = Speech {
-                at: BackendNumber(number as u16),
+                at: BackendIndex(number as u16),
                 heard: Heard::Nothing,
-                session: Tag(0),
+                session: SessionId(0),
                 load: 0.0,
                 group: None,
                 first: None,
@@ -516,7 +516,10 @@
             match speech.heard {
                 Heard::Nothing => return self.remove(id, works),
                 Heard::AttemptTotals => {
-                    works.note(Observation::DialGone { at, session });
+                    works.note(Observation::AttemptAbandoned {
+                        backend: at,
+                        session,
+                    });
                     return self.remove(id, works);
                 }
                 Heard::Over => return self.remove(id, works),
@@ -574,8 +577,10 @@
                     speech.first = None;
                     let this = &self.boxes[usize::from(at.0)];
                     let answer = match (this.ailment, line.as_str()) {
-                        (Some(BackendFault::Mute), _) => return,
-                        (Some(BackendFault::Failing(part)), _) if self.chance.unit_f64() < part => {
+                        (Some(BackendFault::Unresponsive), _) => return,
+                        (Some(BackendFault::ErrorRate(part)), _)
+                            if self.chance.unit_f64() < part =>
+                        {
                             "ERR\r\n".into()
                         }
                         (_, "PING") => "PONG\r\n".into(),
@@ -591,7 +596,7 @@
                         self.dial_came(id, at, works);
                     }
                     None => {
-                        works.note(Observation::Mark {
+                        works.note(Observation::Note {
                             text: format!("SYNTAX box {} met {line:?}", at.0),
                         });
                         self.last_word(id, "SYNTAX\r\n", works);
@@ -601,45 +606,49 @@
         }
     }
 
-    fn dial_came(&mut self, id: usize, at: BackendNumber, works: &mut LoopContext<Alarm>) {
+    fn dial_came(&mut self, id: usize, at: BackendIndex, works: &mut LoopContext<Alarm>) {
         let conn = &self.conns[id];
         let (key, serial) = (id, conn.serial);
         let Role::Box(speech) = &conn.role else {
             return;
         };
         let (session, load) = (speech.session, speech.load);
-        works.note(Observation::DialCame {
-            at,
+        works.note(Observation::AttemptReceived {
+            backend: at,
             session,
-            first: speech.first.unwrap_or(works.now),
+            first_byte_at: speech.first.unwrap_or(works.now),
         });
         if self.this(at).work.sent(works.now, load) {
-            works.note(Observation::BoxFell { at });
+            works.note(Observation::BackendOverloaded { backend: at });
             return self.stop(at, None, works);
         }
         let part = self.chance.unit_f64();
         let this = self.this(at);
         let refuses = this.draining || this.work.is_full();
         let (ailment, report) = (this.ailment, this.report.clone());
-        let reply = |reply| Observation::DialReplied { at, session, reply };
+        let reply = |reply| Observation::AttemptAnswered {
+            backend: at,
+            session,
+            reply,
+        };
         match ailment {
-            Some(BackendFault::Mute) => return,
-            Some(BackendFault::ResetsAfter) => {
+            Some(BackendFault::Unresponsive) => return,
+            Some(BackendFault::ResetOnRequest) => {
                 works.note(reply(Reply::Failed));
                 return self.break_off(id, works);
             }
-            Some(BackendFault::HalfAnswer) => {
+            Some(BackendFault::PartialAnswer) => {
                 let _ = self.conns[id].wire.say(b"UP rec");
                 return;
             }
-            Some(BackendFault::Failing(share)) if part < share => {
+            Some(BackendFault::ErrorRate(share)) if part < share => {
                 works.note(reply(Reply::Failed));
                 return self.last_word(id, &format!("ERR {report}\r\n"), works);
             }
             _ => {}
         }
         if refuses {
-            works.note(reply(Reply::Busy));
+            works.note(reply(Reply::Rejected));
             return self.last_word(id, &format!("BUSY {report}\r\n"), works);
         }
         let now = works.now;
@@ -658,10 +667,10 @@
         }
         speech.heard = Heard::Standing;
         let (at, session, load, group) = (speech.at, speech.session, speech.load, speech.group);
-        works.note(Observation::DialReplied {
-            at,
+        works.note(Observation::AttemptAnswered {
+            backend: at,
             session,
-            reply: Reply::Up,
+            reply: Reply::Accepted,
         });
         let note = if self.tells_load {
             format!("LOAD {load:.3}\r\n")
@@ -674,11 +683,14 @@
             .is_err();
         conn.wire.settle(false);
         self.this(at).work.take(works.now, load, group);
-        let drops = self.this(at).ailment == Some(BackendFault::DropsYoung);
+        let drops = self.this(at).ailment == Some(BackendFault::ResetAfterSetup);
         if broke {
             self.remove(id, works);
         } else if drops {
-            works.note(Observation::BoxEnded { at, session });
+            works.note(Observation::BackendClosedSession {
+                backend: at,
+                session,
+            });
             self.break_off(id, works);
         }
     }
@@ -694,8 +706,8 @@
         speech.free_at = due;
         if due > works.now + HELD {
             let waited = due.duration_since(works.now);
-            works.note(Observation::BoxHeld {
-                at: speech.at,
+            works.note(Observation::BackendDelayedMessage {
+                backend: speech.at,
                 session: speech.session,
                 waited,
             });
@@ -727,7 +739,7 @@
 
     // ---- what happens to boxes ----
 
-    fn of(&self, at: BackendNumber) -> Vec<usize> {
+    fn of(&self, at: BackendIndex) -> Vec<usize> {
         let ours = |conn: &Conn| match &conn.role {
             Role::Box(speech) => speech.at == at,
             Role::Plug(plugged) => *plugged == at,
@@ -741,12 +753,15 @@
     }
 
     /// Stands still, or goes on: then all that it would have done in the meantime is done.
-    fn set_still(&mut self, at: BackendNumber, still: bool, works: &mut LoopContext<Alarm>) {
+    fn set_still(&mut self, at: BackendIndex, still: bool, works: &mut LoopContext<Alarm>) {
         if self.this(at).still == still || !self.this(at).running {
             return;
         }
         self.this(at).still = still;
-        works.note(Observation::Still { at, on: still });
+        works.note(Observation::BackendPaused {
+            backend: at,
+            paused: still,
+        });
         let this = &self.boxes[usize::from(at.0)];
         if let Some(listener) = &this.door.listener {
             // SAFETY: the listener lives; it is deleted from the poller before it is closed.
@@ -766,19 +781,19 @@
     }
 
     /// The process ends: what is open breaks, nothing comes up any more.
-    fn stop(&mut self, at: BackendNumber, back: Option<Duration>, works: &mut LoopContext<Alarm>) {
+    fn stop(&mut self, at: BackendIndex, back: Option<Duration>, works: &mut LoopContext<Alarm>) {
         if !self.this(at).running {
             return;
         }
         for id in self.of(at) {
             if let Role::Box(speech) = &self.conns[id].role {
                 match speech.heard {
-                    Heard::Standing => works.note(Observation::BoxEnded {
-                        at,
+                    Heard::Standing => works.note(Observation::BackendClosedSession {
+                        backend: at,
                         session: speech.session,
                     }),
-                    Heard::AttemptTotals => works.note(Observation::DialReplied {
-                        at,
+                    Heard::AttemptTotals => works.note(Observation::AttemptAnswered {
+                        backend: at,
                         session: speech.session,
                         reply: Reply::Failed,
                     }),
@@ -788,7 +803,10 @@
             self.break_off(id, works);
         }
         if self.this(at).still {
-            works.note(Observation::Still { at, on: false });
+            works.note(Observation::BackendPaused {
+                backend: at,
+                paused: false,
+            });
         }
         let this = self.this(at);
         (this.running, this.still, this.draining, this.ailment) = (false, false, false, None);
@@ -801,14 +819,14 @@
                 .poller
                 .delete(unsafe { BorrowedFd::borrow_raw(listener.as_raw_fd()) });
         }
-        works.note(Observation::BoxStopped { at });
+        works.note(Observation::BackendStopped { backend: at });
         self.list(at, Lifecycle::Gone, works);
         if let Some(back) = back {
             works.set(works.now + back, Alarm::Back(at, life));
         }
     }
 
-    fn begin(&mut self, at: BackendNumber, works: &mut LoopContext<Alarm>) {
+    fn begin(&mut self, at: BackendIndex, works: &mut LoopContext<Alarm>) {
         if self.this(at).running {
             return;
         }
@@ -822,11 +840,14 @@
                 }
                 let this = self.this(at);
                 this.door.listener = Some(listener);
-                this.work = BackendModel::start(this.plan.make, now, true);
+                this.work = BackendModel::start(this.plan.capacity, now, true);
                 this.running = true;
                 this.listed_since_ms = unix;
                 this.report = "inflight=0,x0=0".into();
-                works.note(Observation::BoxStarted { at, cold: true });
+                works.note(Observation::BackendStarted {
+                    backend: at,
+                    cold: true,
+                });
                 self.list(at, Lifecycle::Ready, works);
             }
             Err(fault) => {
@@ -839,7 +860,7 @@
     }
 
     /// No new connection comes up any more: the backlog is one, and filled.
-    fn plug(&mut self, at: BackendNumber, works: &mut LoopContext<Alarm>) {
+    fn plug(&mut self, at: BackendIndex, works: &mut LoopContext<Alarm>) {
         let this = &self.boxes[usize::from(at.0)];
         let to = this.door.at;
         if let Some(listener) = &this.door.listener {
@@ -858,22 +879,22 @@
         }
     }
 
-    fn ail(&mut self, at: BackendNumber, ailment: BackendFault, works: &mut LoopContext<Alarm>) {
+    fn ail(&mut self, at: BackendIndex, ailment: BackendFault, works: &mut LoopContext<Alarm>) {
         if !self.this(at).running {
             return;
         }
         self.heal(at, works);
         works.note(Observation::BackendFault {
-            at,
+            backend: at,
             name: ailment.name(),
-            on: true,
+            active: true,
         });
         let this = self.this(at);
         this.ailment = Some(ailment);
         this.life += 1;
         let life = this.life;
         match ailment {
-            BackendFault::Vanished => {
+            BackendFault::Unreachable => {
                 self.plug(at, works);
                 self.set_still(at, true, works);
             }
@@ -884,29 +905,31 @@
                 this.work.delay(now);
                 this.work.slowness = times.max(1.0);
             }
-            BackendFault::Pausing(..) => works.set(works.now, Alarm::Still(at, life, true)),
+            BackendFault::PeriodicPause(..) => works.set(works.now, Alarm::Still(at, life, true)),
             _ => {}
         }
     }
 
-    fn heal(&mut self, at: BackendNumber, works: &mut LoopContext<Alarm>) {
+    fn heal(&mut self, at: BackendIndex, works: &mut LoopContext<Alarm>) {
         let this = self.this(at);
         let Some(ailment) = this.ailment.take() else {
             return;
         };
         this.life += 1;
         works.note(Observation::BackendFault {
-            at,
+            backend: at,
             name: ailment.name(),
-            on: false,
+            active: false,
         });
         match ailment {
             // The machine was away, and comes back without what it held.
-            BackendFault::Vanished => {
+            BackendFault::Unreachable => {
                 self.stop(at, None, works);
                 self.begin(at, works);
             }
-            BackendFault::Frozen | BackendFault::Pausing(..) => self.set_still(at, false, works),
+            BackendFault::Frozen | BackendFault::PeriodicPause(..) => {
+                self.set_still(at, false, works)
+            }
             BackendFault::Slow(_) => {
                 let now = works.now;
                 let this = self.this(at);
@@ -917,14 +940,14 @@
         }
     }
 
-    fn drain(&mut self, at: BackendNumber, over: Duration, works: &mut LoopContext<Alarm>) {
+    fn drain(&mut self, at: BackendIndex, over: Duration, works: &mut LoopContext<Alarm>) {
         let this = self.this(at);
         if !this.running || this.draining {
             return;
         }
         this.draining = true;
         let life = this.life;
-        works.note(Observation::BoxDrains { at });
+        works.note(Observation::BackendDraining { backend: at });
         self.list(at, Lifecycle::Draining, works);
         works.set(
             works.now + over * 0.5,
@@ -936,7 +959,7 @@
     /// One is sent away; the next so long after that all have gone by the end.
     fn send_away(
         &mut self,
-        at: BackendNumber,
+        at: BackendIndex,
         life: u32,
         left: Duration,
         works: &mut LoopContext<Alarm>,
@@ -947,8 +970,8 @@
         let Some(id) = standing.next() else { return };
         let others = standing.count();
         if let Role::Box(speech) = &self.conns[id].role {
-            works.note(Observation::BoxEnded {
-                at,
+            works.note(Observation::BackendClosedSession {
+                backend: at,
                 session: speech.session,
             });
         }
@@ -959,7 +982,7 @@
 
     // ---- discovery ----
 
-    fn list(&mut self, at: BackendNumber, lifecycle: Lifecycle, works: &mut LoopContext<Alarm>) {
+    fn list(&mut self, at: BackendIndex, lifecycle: Lifecycle, works: &mut LoopContext<Alarm>) {
         let this = &self.boxes[usize::from(at.0)];
         let row = row(&this.plan, this.door.at, lifecycle, this.listed_since_ms);
         let (least, most) = self.notice;
@@ -967,16 +990,16 @@
             let after = least + (most - least) * self.chance.unit_f64();
             works.set(
                 works.now + after,
-                Alarm::Notice(RelayNumber(relay as u16), at, row.clone()),
+                Alarm::Notice(RelayIndex(relay as u16), at, row.clone()),
             );
         }
     }
 
     fn noticed(
         &mut self,
-        relay: RelayNumber,
-        at: BackendNumber,
-        row: Row,
+        relay: RelayIndex,
+        at: BackendIndex,
+        row: EndpointRow,
         works: &mut LoopContext<Alarm>,
     ) {
         let agent = &mut self.agents[usize::from(relay.0)];
@@ -989,7 +1012,7 @@
     }
 
     /// Each watch of the relay hears what it has not heard yet.
-    fn tell(&mut self, relay: RelayNumber, works: &mut LoopContext<Alarm>) {
+    fn tell(&mut self, relay: RelayIndex, works: &mut LoopContext<Alarm>) {
         let list = &self.agents[usize::from(relay.0)].list;
         for (_, conn) in &mut self.conns {
             let Role::Agent(watching) = &mut conn.role else {
@@ -1005,9 +1028,9 @@
             watching.held = Some(list.generation());
             if conn.wire.say(chunk(&text).as_bytes()).is_ok() && conn.wire.is_flushed() {
                 for (at, lifecycle) in told {
-                    works.note(Observation::Told {
+                    works.note(Observation::EndpointAnnounced {
                         relay,
-                        at,
+                        backend: at,
                         lifecycle,
                     });
                 }
@@ -1027,7 +1050,7 @@
             self.conns.remove(id);
             return;
         }
-        if matches!(agent.fault, Some(AgentFault::Down)) {
+        if matches!(agent.fault, Some(AgentFault::Unavailable)) {
             return self.break_off(id, works);
         }
         if watching.asked || matches!(agent.fault, Some(AgentFault::Silent)) {
@@ -1063,9 +1086,9 @@
                     .say(format!("{head}{}\r\n\r\n{text}", text.len()).as_bytes());
                 conn.wire.settle(false);
                 told.into_iter().for_each(|(at, lifecycle)| {
-                    works.note(Observation::Told {
+                    works.note(Observation::EndpointAnnounced {
                         relay,
-                        at,
+                        backend: at,
                         lifecycle,
                     })
                 });
@@ -1075,15 +1098,15 @@
 
     fn agent_fault(
         &mut self,
-        relay: RelayNumber,
+        relay: RelayIndex,
         fault: AgentFault,
         on: bool,
         works: &mut LoopContext<Alarm>,
     ) {
-        works.note(Observation::Agent {
+        works.note(Observation::AgentFault {
             relay,
             fault: fault.name(),
-            on,
+            active: on,
         });
         let agent = &mut self.agents[usize::from(relay.0)];
         let watches: Vec<usize> = self
@@ -1095,10 +1118,10 @@
             .map(|(id, _)| id)
             .collect();
         match fault {
-            AgentFault::Silent | AgentFault::Down | AgentFault::Stale => {
+            AgentFault::Silent | AgentFault::Unavailable | AgentFault::Stale => {
                 agent.fault = on.then_some(fault);
             }
-            AgentFault::Restart => agent.list.forget_versions(),
+            AgentFault::StateLost => agent.list.forget_versions(),
             AgentFault::Malformed => {
                 for &id in &watches {
                     let _ = self.conns[id]
@@ -1107,7 +1130,7 @@
                 }
             }
         }
-        if fault == AgentFault::Restart || fault == AgentFault::Down && on {
+        if fault == AgentFault::StateLost || fault == AgentFault::Unavailable && on {
             watches.iter().for_each(|&id| self.break_off(id, works));
         }
         let agent = &mut self.agents[usize::from(relay.0)];
@@ -1132,7 +1155,7 @@
             };
             let silent = matches!(
                 self.agents[usize::from(watching.relay.0)].fault,
-                Some(AgentFault::Silent | AgentFault::Down)
+                Some(AgentFault::Silent | AgentFault::Unavailable)
             );
             if watching.follows && !silent {
                 let _ = conn.wire.say(chunk("").as_bytes());
@@ -1150,12 +1173,12 @@
             let (load, held) = (this.work.load(works.now), this.work.held());
             this.report = format!("inflight={held},x0={load:.3}");
             let (share, pushed) = (this.work.share(works.now), this.work.worst_push);
-            works.note(Observation::BoxLoad {
-                at: BackendNumber(number),
+            works.note(Observation::BackendLoad {
+                backend: BackendIndex(number),
                 load,
-                held,
-                share,
-                pushed,
+                sessions: held,
+                capacity_share: share,
+                warm_up_budget_used: pushed,
             });
         }
         if self.tells_load {
@@ -1200,7 +1223,7 @@
     }
 
     /// The box that an alarm is about, where that stands still and the alarm has to wait.
-    fn held_up(&self, id: usize, serial: u64) -> Option<Result<(), BackendNumber>> {
+    fn held_up(&self, id: usize, serial: u64) -> Option<Result<(), BackendIndex>> {
         let conn = self.conns.get(id).filter(|conn| conn.serial == serial)?;
         let Role::Box(speech) = &conn.role else {
             return None;
@@ -1240,7 +1263,7 @@
             },
             Alarm::Still(at, life, still) => {
                 let this = self.this(at);
-                if let (Some(BackendFault::Pausing(every, pause)), true) =
+                if let (Some(BackendFault::PeriodicPause(every, pause)), true) =
                     (this.ailment, this.life == life)
                 {
                     self.set_still(at, still, works);
@@ -1273,20 +1296,22 @@
     fn cue(&mut self, cue: BackendCommand, works: &mut LoopContext<Alarm>) -> bool {
         works.now = works.clock.now();
         match cue {
-            BackendCommand::Ail(at, ailment) => self.ail(at, ailment, works),
-            BackendCommand::Heal(at) => self.heal(at, works),
+            BackendCommand::InjectFault(at, ailment) => self.ail(at, ailment, works),
+            BackendCommand::ClearFault(at) => self.heal(at, works),
             BackendCommand::Crash(at, back) => self.stop(at, back, works),
             BackendCommand::Drain(at, over) => self.drain(at, over, works),
-            BackendCommand::Join(at) => self.begin(at, works),
-            BackendCommand::Agent(relay, fault, on) => self.agent_fault(relay, fault, on, works),
+            BackendCommand::Start(at) => self.begin(at, works),
+            BackendCommand::SetAgentFault(relay, fault, on) => {
+                self.agent_fault(relay, fault, on, works)
+            }
         }
         true
     }
 
     fn sums(self, works: &LoopContext<Alarm>) -> BackendTotals {
         BackendTotals {
-            worst_turn: works.worst_turn,
-            worked: works.worked,
+            longest_turn: works.longest_turn,
+            busy_time: works.busy_time,
         }
     }
 }
@@ -1307,9 +1332,9 @@
     }
 }
 
-fn row(plan: &BackendSpec, at: SocketAddr, lifecycle: Lifecycle, started_ms: u64) -> Row {
-    Row {
-        at,
+fn row(plan: &BackendSpec, at: SocketAddr, lifecycle: Lifecycle, started_ms: u64) -> EndpointRow {
+    EndpointRow {
+        address: at,
         zone: plan.zone.clone(),
         cell: plan.cell,
         lifecycle,
@@ -1318,7 +1343,7 @@
 }
 
 /// The session, its load and its group, of a first line that a client might have sent.
-fn dialled(line: &str) -> Option<(Tag, f64, Option<u64>)> {
+fn dialled(line: &str) -> Option<(SessionId, f64, Option<u64>)> {
     if line.len() > LONGEST_LINE {
         return None;
     }
@@ -1342,7 +1367,7 @@
             _ => {}
         }
     }
-    waits.then_some((Tag(number(id)?), load, group))
+    waits.then_some((SessionId(number(id)?), load, group))
 }
 
 const HEAD: &str =
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network.rs
@@ -23,7 +23,7 @@
     inbox: Vec<(usize, Vec<u8>)>,
     pub alive: bool,
     /// When others were seen to stand otherwise, in true time.
-    pub turns: Vec<(Instant, Identity, MemberState)>,
+    pub member_changes: Vec<(Instant, Identity, MemberState)>,
     /// The time for which a wake is set.
     wakes: Option<Instant>,
 }
@@ -40,7 +40,7 @@
     }
 
     /// If it sees exactly these here.
-    pub fn sees(&self, names: &BTreeSet<String>) -> bool {
+    pub fn sees_exactly(&self, names: &BTreeSet<String>) -> bool {
         let here = self
             .node
             .members()
@@ -65,10 +65,10 @@
     pub hosts: Vec<Host>,
     flights: BTreeMap<(Instant, u64), Flight>,
     serial: u64,
-    pub chance: Rng,
+    pub rng: Rng,
     /// What holds where nothing else is said.
-    pub link_fault: LinkFault,
-    pub links: BTreeMap<(usize, usize), LinkFault>,
+    pub default_link_fault: LinkFault,
+    pub link_faults: BTreeMap<(usize, usize), LinkFault>,
     terms: Terms,
     lease_config: Option<LeaseConfig>,
     seeds: usize,
@@ -92,13 +92,13 @@
             hosts: Vec::new(),
             flights: BTreeMap::new(),
             serial: 0,
-            chance: Rng::from_seed(seed),
-            link_fault: LinkFault {
+            rng: Rng::from_seed(seed),
+            default_link_fault: LinkFault {
                 delay: Duration::from_micros(200),
-                spread: Duration::from_micros(200),
+                jitter: Duration::from_micros(200),
                 ..LinkFault::default()
             },
-            links: BTreeMap::new(),
+            link_faults: BTreeMap::new(),
             terms,
             lease_config,
             seeds,
@@ -131,7 +131,7 @@
 
     fn process(&self, name: &str, number: usize, speed: f64) -> Host {
         // Drawn from the network's own course, which is the same for the same seed and acts.
-        let mut chance = self.chance.clone();
+        let mut chance = self.rng.clone();
         let draw = chance.below(u64::MAX)
             ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15)
             ^ number as u64;
@@ -154,7 +154,7 @@
             paused: false,
             inbox: Vec::new(),
             alive: true,
-            turns: Vec::new(),
+            member_changes: Vec::new(),
             wakes: None,
         }
     }
@@ -177,17 +177,17 @@
     }
 
     /// Both directions between every one of these and every one of those.
-    pub fn cut(&mut self, these: &[usize], those: &[usize]) {
+    pub fn partition(&mut self, these: &[usize], those: &[usize]) {
         for &one in these {
             for &other in those {
-                self.links.insert((one, other), LinkFault::CUT);
-                self.links.insert((other, one), LinkFault::CUT);
+                self.link_faults.insert((one, other), LinkFault::CUT);
+                self.link_faults.insert((other, one), LinkFault::CUT);
             }
         }
     }
 
-    pub fn heal(&mut self) {
-        self.links.clear();
+    pub fn heal_partitions(&mut self) {
+        self.link_faults.clear();
     }
 
     pub fn run_for(&mut self, span: Duration) {
@@ -213,10 +213,10 @@
     }
 
     /// If all that run see each other and nobody else.
-    pub fn agree(&self) -> bool {
+    pub fn membership_is_consistent(&self) -> bool {
         let live = || self.hosts.iter().filter(|host| host.alive);
         let names: BTreeSet<String> = live().map(|host| host.name.clone()).collect();
-        live().all(|host| host.sees(&names))
+        live().all(|host| host.sees_exactly(&names))
     }
 
     fn step(&mut self, until: Instant) -> bool {
@@ -294,7 +294,7 @@
         let own = host.clock(now);
         for event in host.node.take_events() {
             match event {
-                Event::MemberChanged { id, state } => host.turns.push((now, id, state)),
+                Event::MemberChanged { id, state } => host.member_changes.push((now, id, state)),
                 Event::Message {
                     from,
                     channel,
@@ -320,11 +320,11 @@
                 continue;
             };
             let link_fault = self
-                .links
+                .link_faults
                 .get(&(number, to))
                 .copied()
-                .unwrap_or(self.link_fault);
-            for after in link_fault.passes(&mut self.chance) {
+                .unwrap_or(self.default_link_fault);
+            for after in link_fault.passes(&mut self.rng) {
                 self.serial += 1;
                 let flight = Flight::Datagram {
                     from: number,
--- a/testbed/src/socket_holder.rs
+++ b/testbed/src/socket_holder.rs
@@ -1,7 +1,7 @@
 //! What the platform holds for one relay that its operators replace beside itself: the clients'
 //! listening socket, which every process inherits, and the folder that its processes share. And a
 //! caller at the operators' door.
-use crate::clock::duration;
+use crate::clock::to_std;
 use rustix::io::{FdFlags, fcntl_setfd};
 use std::io::{Error, ErrorKind, Read, Result, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -34,7 +34,7 @@
 
     /// # Errors
     /// Where the system does not say.
-    pub fn at(&self) -> Result<SocketAddr> {
+    pub fn address(&self) -> Result<SocketAddr> {
         self.listener.local_addr()
     }
 
@@ -51,9 +51,9 @@
 ///
 /// # Errors
 /// Nobody is there, or no whole line came in time.
-pub fn call(at: SocketAddr, line: &str, within: Duration) -> Result<String> {
-    let mut stream = TcpStream::connect_timeout(&at, duration(within))?;
-    stream.set_read_timeout(Some(duration(within)))?;
+pub fn send_admin_command(at: SocketAddr, line: &str, within: Duration) -> Result<String> {
+    let mut stream = TcpStream::connect_timeout(&at, to_std(within))?;
+    stream.set_read_timeout(Some(to_std(within)))?;
     stream.write_all(format!("{line}\r\n").as_bytes())?;
     let mut said = String::new();
     stream.read_to_string(&mut said)?;
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -5,56 +5,56 @@
 
 /// Clients of one listener.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct ClientProfile {
     pub name: String,
     /// Its part of the arrivals, against the others' parts.
     pub share: f64,
     /// How long such a client waits for its answer.
-    pub wait: Duration,
+    pub answer_timeout: Duration,
     pub handshake_target: Duration,
     /// A message that takes no longer is well served.
     pub message_target: Duration,
     /// A connection's load, drawn evenly between the two.
     pub load: (f64, f64),
     /// Mean life, and the mean of the exponential distribution it is drawn from.
-    pub life: Duration,
-    pub utility: f64,
+    pub mean_lifetime: Duration,
+    pub priority_weight: f64,
 }
 
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    pub kinds: Vec<Kind>,
+    pub profiles: Vec<ClientProfile>,
     /// Arrivals a second, from each moment on; evenly changing between two of them.
     pub rate: Vec<(Instant, f64)>,
     /// Extra arrivals: from when, how many, evenly over how long.
-    pub rushes: Vec<(Instant, usize, Duration)>,
+    pub bursts: Vec<(Instant, usize, Duration)>,
     pub keys: u64,
     /// None where clients belong to no group.
     pub groups: Option<u64>,
     /// Retries of a client that was refused or failed.
     pub retries: u32,
     /// The part of clients that stay away for as long as they are told.
-    pub heeds: f64,
+    pub heeds_retry_after: f64,
     /// What the others wait.
-    pub back_off: Duration,
+    pub backoff: Duration,
     /// A client whose connection broke or was moved comes again within these.
-    pub rejoin: (Duration, Duration),
+    pub reconnect_delay: (Duration, Duration),
     /// The part of clients that leave before their wait is over.
-    pub impatient: f64,
+    pub impatient_share: f64,
     /// Between two lines of a client.
-    pub beat: Duration,
+    pub message_interval: Duration,
 }
 
 /// A client as it comes: all its chance is drawn before the run.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
     pub due: Instant,
-    pub kind: u16,
+    pub profile: u16,
     pub key: u64,
     pub group: Option<u64>,
     pub load: f64,
-    pub life: Duration,
-    pub heeds: bool,
+    pub lifetime: Duration,
+    pub heeds_retry_after: bool,
     pub leaves_after: Option<Duration>,
     /// For all that is drawn for it while it lives.
     pub seed: u64,
@@ -85,7 +85,7 @@
             due.push(at);
         }
     }
-    for &(from, count, over) in &traffic.rushes {
+    for &(from, count, over) in &traffic.bursts {
         due.extend((0..count).map(|number| from + over * (number as f64 / count as f64)));
     }
     due.retain(|&at| at < until);
@@ -96,33 +96,33 @@
 }
 
 fn arrival(traffic: &Traffic, due: Instant, chance: &mut Rng) -> Arrival {
-    let shares: f64 = traffic.kinds.iter().map(|kind| kind.share).sum();
+    let shares: f64 = traffic.profiles.iter().map(|kind| kind.share).sum();
     let mut drawn = chance.unit_f64() * shares;
-    let past = |kind: &Kind| {
+    let past = |kind: &ClientProfile| {
         drawn -= kind.share;
         drawn < 0.0
     };
     let place = traffic
-        .kinds
+        .profiles
         .iter()
         .position(past)
-        .unwrap_or(traffic.kinds.len() - 1);
-    let kind = &traffic.kinds[place];
+        .unwrap_or(traffic.profiles.len() - 1);
+    let kind = &traffic.profiles[place];
     let (low, high) = kind.load;
     // Some keys come far oftener than others.
     let key = ((chance.unit_f64() * chance.unit_f64()) * traffic.keys as f64) as u64;
     Arrival {
         due,
-        kind: place as u16,
-        key: scattered(key),
+        profile: place as u16,
+        key: scattered_id(key),
         group: traffic.groups.map(|groups| {
-            scattered((chance.unit_f64() * chance.unit_f64() * groups as f64) as u64)
+            scattered_id((chance.unit_f64() * chance.unit_f64() * groups as f64) as u64)
         }),
         load: low + (high - low) * chance.unit_f64(),
-        life: exponential(chance, kind.life),
-        heeds: chance.unit_f64() < traffic.heeds,
-        leaves_after: (chance.unit_f64() < traffic.impatient)
-            .then(|| kind.wait * chance.unit_f64()),
+        lifetime: exponential(chance, kind.mean_lifetime),
+        heeds_retry_after: chance.unit_f64() < traffic.heeds_retry_after,
+        leaves_after: (chance.unit_f64() < traffic.impatient_share)
+            .then(|| kind.answer_timeout * chance.unit_f64()),
         seed: chance.below(u64::MAX),
     }
 }
@@ -147,7 +147,7 @@
 }
 
 /// Small numbers as the sixteen digits of an id, far apart (the finalizer of splitmix64).
-pub fn scattered(number: u64) -> u64 {
+pub fn scattered_id(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -159,23 +159,23 @@
     use super::*;
 
     fn traffic() -> Traffic {
-        let kind = |name: &str, share| Kind {
+        let kind = |name: &str, share| ClientProfile {
             name: name.into(),
             share,
-            wait: Duration::from_millis(1_000),
+            answer_timeout: Duration::from_millis(1_000),
             handshake_target: Duration::from_millis(300),
             message_target: Duration::from_millis(50),
             load: (1.0, 3.0),
-            life: Duration::from_millis(20_000),
-            utility: 1.0,
+            mean_lifetime: Duration::from_millis(20_000),
+            priority_weight: 1.0,
         };
         Traffic {
-            kinds: vec![kind("one", 3.0), kind("two", 1.0)],
+            profiles: vec![kind("one", 3.0), kind("two", 1.0)],
             rate: vec![
                 (Instant::default(), 0.0),
                 (Instant::from_micros(10_000_000), 200.0),
             ],
-            rushes: vec![(
+            bursts: vec![(
                 Instant::from_micros(12_000_000),
                 500,
                 Duration::from_millis(1_000),
@@ -183,11 +183,11 @@
             keys: 1_000,
             groups: Some(50),
             retries: 3,
-            heeds: 0.5,
-            back_off: Duration::from_millis(100),
-            rejoin: (Duration::from_millis(100), Duration::from_millis(200)),
-            impatient: 0.1,
-            beat: Duration::from_millis(2_000),
+            heeds_retry_after: 0.5,
+            backoff: Duration::from_millis(100),
+            reconnect_delay: (Duration::from_millis(100), Duration::from_millis(200)),
+            impatient_share: 0.1,
+            message_interval: Duration::from_millis(2_000),
         }
     }
 
@@ -200,15 +200,15 @@
         // A ramp of ten seconds, ten at its height, and the rush.
         assert!((3_300..3_700).contains(&clients.len()), "{}", clients.len());
         assert!(clients.windows(2).all(|pair| pair[0].due <= pair[1].due));
-        let ones =
-            clients.iter().filter(|client| client.kind == 0).count() as f64 / clients.len() as f64;
+        let ones = clients.iter().filter(|client| client.profile == 0).count() as f64
+            / clients.len() as f64;
         assert!((0.70..0.80).contains(&ones), "{ones}");
         let in_rush =
             |client: &&Arrival| (12_000_000..13_000_000).contains(&client.due.as_micros());
         assert!((640..760).contains(&clients.iter().filter(in_rush).count()));
         let mean = clients
             .iter()
-            .map(|client| client.life.as_secs_f64())
+            .map(|client| client.lifetime.as_secs_f64())
             .sum::<f64>()
             / clients.len() as f64;
         assert!((18.0..22.0).contains(&mean), "{mean}");
--- a/testbed/tests/cluster_invariants.rs
+++ b/testbed/tests/cluster_invariants.rs
@@ -1,9 +1,11 @@
 //! The judge of what relays do together: it names each way of being wrong together, and says
 //! nothing of a right fleet.
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::cluster_invariants::{ClusterLimits, Rule, check_cluster_invariants};
+use thistlecroft_testbed::cluster_invariants::{
+    ClusterInvariant, ClusterLimits, check_cluster_invariants,
+};
 use thistlecroft_testbed::event_recorder::{
-    Answer, BackendNumber, Observation, RecordedEvent, RelayNumber, Reply, Tag,
+    Answer, BackendIndex, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
 };
 
 fn at(ms: u64) -> Instant {
@@ -11,7 +13,10 @@
 }
 
 fn seen(ms: u64, seen: Observation) -> RecordedEvent {
-    RecordedEvent { at: at(ms), seen }
+    RecordedEvent {
+        at: at(ms),
+        observation: seen,
+    }
 }
 
 /// Asked then, answered 10 ms later, held for so long from the asking.
@@ -19,27 +24,27 @@
     let (asked, until) = (at(ms), at(ms + lasts));
     seen(
         ms + 10,
-        Observation::LeaseSaid {
-            relay: RelayNumber(relay),
+        Observation::LeaseClaimed {
+            relay: RelayIndex(relay),
             subject: "turn",
             epoch,
-            asked,
-            until,
+            requested_at: asked,
+            valid_until: until,
         },
     )
 }
 
 fn asked(ms: u64, session: u64, relay: u16) -> RecordedEvent {
-    let (relay, wait) = (Some(RelayNumber(relay)), Duration::from_millis(2_000));
+    let (relay, wait) = (Some(RelayIndex(relay)), Duration::from_millis(2_000));
     seen(
         ms,
-        Observation::Asked {
-            session: Tag(session),
+        Observation::SessionRequested {
+            session: SessionId(session),
             relay,
             listener: 0,
-            wait,
+            timeout: wait,
             due: at(ms),
-            again: false,
+            reconnecting: false,
         },
     )
 }
@@ -47,10 +52,10 @@
 fn dial(ms: u64, session: u64, of: u16) -> RecordedEvent {
     seen(
         ms,
-        Observation::DialCame {
-            at: BackendNumber(of),
-            session: Tag(session),
-            first: at(ms),
+        Observation::AttemptReceived {
+            backend: BackendIndex(of),
+            session: SessionId(session),
+            first_byte_at: at(ms),
         },
     )
 }
@@ -58,10 +63,10 @@
 fn replied(ms: u64, session: u64, of: u16) -> RecordedEvent {
     seen(
         ms,
-        Observation::DialReplied {
-            at: BackendNumber(of),
-            session: Tag(session),
-            reply: Reply::Up,
+        Observation::AttemptAnswered {
+            backend: BackendIndex(of),
+            session: SessionId(session),
+            reply: Reply::Accepted,
         },
     )
 }
@@ -70,8 +75,8 @@
     seen(
         ms,
         Observation::Answered {
-            session: Tag(session),
-            answer: Answer::Up,
+            session: SessionId(session),
+            answer: Answer::Accepted,
         },
     )
 }
@@ -79,8 +84,8 @@
 fn ended(ms: u64, session: u64) -> RecordedEvent {
     seen(
         ms,
-        Observation::Ended {
-            session: Tag(session),
+        Observation::SessionClosed {
+            session: SessionId(session),
         },
     )
 }
@@ -89,7 +94,7 @@
     seen(
         ms,
         Observation::RelayKilled {
-            relay: RelayNumber(relay),
+            relay: RelayIndex(relay),
         },
     )
 }
@@ -97,10 +102,10 @@
 fn banned(ms: u64, relay: u16, of: u16, out: bool) -> RecordedEvent {
     seen(
         ms,
-        Observation::ByHand {
-            relay: RelayNumber(relay),
-            at: BackendNumber(of),
-            out,
+        Observation::BackendBanned {
+            relay: RelayIndex(relay),
+            backend: BackendIndex(of),
+            banned: out,
         },
     )
 }
@@ -109,7 +114,7 @@
     seen(
         ms,
         Observation::RelayStarted {
-            relay: RelayNumber(relay),
+            relay: RelayIndex(relay),
         },
     )
 }
@@ -118,30 +123,30 @@
     let here = here.iter().map(|one| format!("relay-{one}")).collect();
     seen(
         ms,
-        Observation::Sees {
-            relay: RelayNumber(relay),
-            here,
+        Observation::MembersSeen {
+            relay: RelayIndex(relay),
+            members: here,
         },
     )
 }
 
 fn pact() -> ClusterLimits {
     ClusterLimits {
-        at_once: Some((2, Duration::from_millis(500))),
-        dials_a_second: Some(3),
-        bans_within: Some(Duration::from_millis(1_000)),
-        takes_over: false,
-        agree: true,
+        max_sessions: Some((2, Duration::from_millis(500))),
+        max_attempts_per_second: Some(3),
+        ban_replication_time: Some(Duration::from_millis(1_000)),
+        allows_takeover: false,
+        requires_consistent_membership: true,
     }
 }
 
 #[test]
 fn each_way_of_being_wrong_together_is_named() {
-    let cases: Vec<(&str, Vec<RecordedEvent>, Rule)> = vec![
+    let cases: Vec<(&str, Vec<RecordedEvent>, ClusterInvariant)> = vec![
         (
             "two hold one lease",
             vec![held(0, 0, 1, 1_000), held(500, 1, 2, 1_000)],
-            Rule::OneHolder,
+            ClusterInvariant::SingleLeaseHolder,
         ),
         (
             "one that stood still goes on by its old lease",
@@ -150,12 +155,12 @@
                 held(1_500, 1, 2, 1_000),
                 held(1_900, 0, 1, 1_000),
             ],
-            Rule::OneHolder,
+            ClusterInvariant::SingleLeaseHolder,
         ),
         (
             "a holder at its end beside the next",
             vec![held(0, 0, 1, 1_000), held(980, 1, 2, 1_000)],
-            Rule::OneHolder,
+            ClusterInvariant::SingleLeaseHolder,
         ),
         (
             "given back by one that stops while somebody was told that it is held",
@@ -163,28 +168,28 @@
                 held(0, 0, 1, 1_000),
                 seen(
                     100,
-                    Observation::RelayToldToStop {
-                        relay: RelayNumber(0),
+                    Observation::RelayStopRequested {
+                        relay: RelayIndex(0),
                     },
                 ),
                 held(300, 1, 2, 1_000),
             ],
-            Rule::OneHolder,
+            ClusterInvariant::SingleLeaseHolder,
         ),
         (
             "one epoch for two holders",
             vec![held(0, 0, 4, 1_000), held(2_000, 1, 4, 1_000)],
-            Rule::EpochsGrow,
+            ClusterInvariant::IncreasingEpochs,
         ),
         (
             "an epoch that falls",
             vec![held(0, 0, 4, 1_000), held(2_000, 1, 3, 1_000)],
-            Rule::EpochsGrow,
+            ClusterInvariant::IncreasingEpochs,
         ),
         (
             "a session of a dead relay is acted on",
             vec![asked(0, 1, 0), killed(100, 0), dial(400, 1, 2)],
-            Rule::OneRelayASession,
+            ClusterInvariant::OneRelayPerSession,
         ),
         (
             "two boxes hold one session",
@@ -195,12 +200,12 @@
                 dial(30, 1, 1),
                 replied(40, 1, 1),
             ],
-            Rule::OneBoxASession,
+            ClusterInvariant::OneBackendPerSession,
         ),
         (
             "more sessions at once than all together may have, for too long",
             vec![up(0, 1), up(10, 2), up(20, 3), ended(800, 1)],
-            Rule::SumAtOnce,
+            ClusterInvariant::SessionLimit,
         ),
         (
             "more dials in a second over all",
@@ -210,12 +215,12 @@
                 dial(600, 3, 0),
                 dial(999, 4, 0),
             ],
-            Rule::SumASecond,
+            ClusterInvariant::AttemptRate,
         ),
         (
             "a ban at one relay is unknown to another",
             vec![banned(0, 0, 5, true), asked(100, 1, 1), dial(1_200, 1, 5)],
-            Rule::BansEverywhere,
+            ClusterInvariant::BansReplicated,
         ),
         (
             "one relay does not see another that runs",
@@ -225,7 +230,7 @@
                 sees(900, 0, &[0, 1]),
                 sees(900, 1, &[1]),
             ],
-            Rule::ViewsAgree,
+            ClusterInvariant::ConsistentMembership,
         ),
         (
             "a dead relay is still seen here",
@@ -235,14 +240,14 @@
                 killed(100, 1),
                 sees(900, 0, &[0, 1]),
             ],
-            Rule::ViewsAgree,
+            ClusterInvariant::ConsistentMembership,
         ),
     ];
     for (what, mut entries, rule) in cases {
         entries.sort_by_key(|entry| entry.at);
-        let found: Vec<Rule> = check_cluster_invariants(&entries, &pact())
+        let found: Vec<ClusterInvariant> = check_cluster_invariants(&entries, &pact())
             .iter()
-            .map(|breach| breach.rule)
+            .map(|breach| breach.invariant)
             .collect();
         assert_eq!(found.first(), Some(&rule), "{what}: {found:?}");
     }
@@ -253,13 +258,13 @@
         dial(900, 1, 3),
     ];
     let takes_over = ClusterLimits {
-        takes_over: true,
+        allows_takeover: true,
         ..pact()
     };
     let found = check_cluster_invariants(&twice, &takes_over);
     assert_eq!(
-        found.iter().map(|one| one.rule).collect::<Vec<_>>(),
-        [Rule::TakenOverOnce],
+        found.iter().map(|one| one.invariant).collect::<Vec<_>>(),
+        [ClusterInvariant::SingleTakeover],
         "taken over twice"
     );
 }
@@ -282,12 +287,12 @@
                 held(0, 0, 1, 1_000),
                 seen(
                     5_000,
-                    Observation::LeaseSaid {
-                        relay: RelayNumber(0),
+                    Observation::LeaseClaimed {
+                        relay: RelayIndex(0),
                         subject: "turn",
                         epoch: 1,
-                        asked: at(900),
-                        until: at(1_800),
+                        requested_at: at(900),
+                        valid_until: at(1_800),
                     },
                 ),
                 held(4_900, 1, 2, 1_000),
@@ -331,9 +336,9 @@
                 replied(20, 1, 0),
                 seen(
                     30,
-                    Observation::BoxEnded {
-                        at: BackendNumber(0),
-                        session: Tag(1),
+                    Observation::BackendClosedSession {
+                        backend: BackendIndex(0),
+                        session: SessionId(1),
                     },
                 ),
                 replied(50, 1, 1),
--- a/testbed/tests/helper/mod.rs
+++ b/testbed/tests/helper/mod.rs
@@ -11,16 +11,16 @@
 use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
 use thistlecroft_testbed::clock::Stopwatch;
 use thistlecroft_testbed::event_recorder::{
-    BackendNumber, Observation, RecordedEvent, RelayNumber, event_recorder,
+    BackendIndex, Observation, RecordedEvent, RelayIndex, event_recorder,
 };
 use thistlecroft_testbed::invariant_checker::{CheckResult, PlatformRules, check_invariants};
 use thistlecroft_testbed::load_generator::{
-    Dealing, IDLE, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
+    ALL_CLIENTS_GONE, ClientDistribution, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
 };
 use thistlecroft_testbed::simulated_backends::{
     BackendCommand, BackendPlan, BackendSpec, SimulatedBackends,
 };
-use thistlecroft_testbed::traffic::{Kind, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{ClientProfile, Traffic, arrivals};
 
 /// What the little relay does wrong.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -293,24 +293,24 @@
         let (tape, mut reel) = event_recorder();
         let clock = Stopwatch::start();
         let cold = WarmUp {
-            start_share: 0.3,
-            warm_up: Duration::from_millis(9_000),
-            factor: 3.0,
-            window: Duration::from_millis(3_000),
-            turnover: Duration::from_millis(9_000),
+            initial_share: 0.3,
+            duration: Duration::from_millis(9_000),
+            overload_factor: 3.0,
+            overload_window: Duration::from_millis(3_000),
+            turnover_time: Duration::from_millis(9_000),
         };
         let make = BackendCapacity {
-            capacity: 40.0,
-            most: 200,
-            setup: Duration::from_millis(1),
-            group_fee: 0.0,
-            cold,
+            full_load: 40.0,
+            max_sessions: 200,
+            setup_time: Duration::from_millis(1),
+            group_load: 0.0,
+            warm_up: cold,
         };
         let plan = |number: usize| BackendSpec {
-            make,
+            capacity: make,
             zone: self.zones[number % self.zones.len()].into(),
             cell: 0,
-            present: true,
+            initially_running: true,
         };
         let boxes: Vec<BackendSpec> = (0..self.boxes).map(plan).collect();
         let places = boxes
@@ -318,48 +318,48 @@
             .map(|plan| (plan.zone.clone(), plan.cell))
             .collect();
         let ground = BackendPlan {
-            boxes,
+            backends: boxes,
             relays: self.relays,
-            notice: (Duration::ZERO, Duration::from_millis(10)),
-            store: None,
-            report_every: Duration::from_millis(200),
-            tells_load: true,
+            announcement_delay: (Duration::ZERO, Duration::from_millis(10)),
+            setup_store: None,
+            report_interval: Duration::from_millis(200),
+            reports_load: true,
             seed: 1,
         };
         let yard = SimulatedBackends::open(ground, clock, tape.clone()).unwrap();
-        let kind = Kind {
+        let kind = ClientProfile {
             name: "k".into(),
             share: 1.0,
-            wait: Duration::from_millis(600),
+            answer_timeout: Duration::from_millis(600),
             handshake_target: Duration::from_millis(200),
             message_target: Duration::from_millis(50),
             load: (0.5, 1.0),
-            life: Duration::from_millis(1_500),
-            utility: 1.0,
+            mean_lifetime: Duration::from_millis(1_500),
+            priority_weight: 1.0,
         };
         let from = Instant::from_micros(clock.now().as_micros() + 100_000);
         let traffic = Traffic {
-            kinds: vec![kind],
+            profiles: vec![kind],
             rate: vec![(from, self.a_second)],
-            rushes: Vec::new(),
+            bursts: Vec::new(),
             keys: 50,
             groups: None,
             retries: 0,
-            heeds: 1.0,
-            back_off: Duration::from_millis(50),
-            rejoin: (Duration::from_millis(50), Duration::from_millis(100)),
-            impatient: 0.0,
-            beat: Duration::from_millis(300),
+            heeds_retry_after: 1.0,
+            backoff: Duration::from_millis(50),
+            reconnect_delay: (Duration::from_millis(50), Duration::from_millis(100)),
+            impatient_share: 0.0,
+            message_interval: Duration::from_millis(300),
         };
         let until = from + Duration::from_millis(self.length_ms);
         let mut doors = Vec::new();
         let mut littles = Vec::new();
-        for (number, agent) in yard.agents.iter().enumerate() {
-            let (at, little) = little_relay(self.wrong, *agent, yard.boxes.clone());
+        for (number, agent) in yard.agent_addresses.iter().enumerate() {
+            let (at, little) = little_relay(self.wrong, *agent, yard.addresses.clone());
             doors.push(RelayEndpoint {
-                at,
-                relay: Some(RelayNumber(number as u16)),
-                open: true,
+                address: at,
+                relay: Some(RelayIndex(number as u16)),
+                enabled: true,
             });
             littles.push(little);
         }
@@ -367,9 +367,9 @@
         let bill = LoadPlan {
             traffic,
             arrivals,
-            until,
-            doors,
-            dealing: Dealing::Even,
+            end: until,
+            endpoints: doors,
+            distribution: ClientDistribution::RoundRobin,
             seed: 2,
         };
         let crowd = LoadGenerator::open(bill, clock, tape.clone()).unwrap();
@@ -377,23 +377,23 @@
         cues.sort_by_key(|(at, _)| *at);
         for (at, cue) in cues {
             sleep_until(clock, from + Duration::from_millis(at));
-            yard.stage.command(cue);
+            yard.event_loop.command(cue);
         }
         sleep_until(clock, until);
         crowd.command(LoadCommand::Finish);
-        let idle = |seen: &Observation| matches!(seen, Observation::Mark { text } if text == IDLE);
+        let idle = |seen: &Observation| matches!(seen, Observation::Note { text } if text == ALL_CLIENTS_GONE);
         assert!(reel.wait_for(LONG, idle), "clients stay");
         crowd.close();
-        yard.stage.close();
+        yard.event_loop.close();
         littles
             .iter()
             .for_each(|little| little.over.store(true, Ordering::Relaxed));
         let entries = reel.into_sorted();
         let law = PlatformRules {
-            effects: vec![self.effect],
+            idempotency: vec![self.effect],
             hedged: vec![false],
-            grace: Duration::from_millis(500),
-            places,
+            drain_grace: Duration::from_millis(500),
+            backend_locations: places,
         };
         (check_invariants(&entries, &law), entries)
     }
@@ -406,4 +406,4 @@
     ));
 }
 
-pub const ALL: [BackendNumber; 3] = [BackendNumber(0), BackendNumber(1), BackendNumber(2)];
+pub const ALL: [BackendIndex; 3] = [BackendIndex(0), BackendIndex(1), BackendIndex(2)];
--- a/testbed/tests/invariant_checker.rs
+++ b/testbed/tests/invariant_checker.rs
@@ -7,9 +7,11 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::clock::Stopwatch;
-use thistlecroft_testbed::cluster_invariants::{ClusterLimits, Rule, check_cluster_invariants};
+use thistlecroft_testbed::cluster_invariants::{
+    ClusterInvariant, ClusterLimits, check_cluster_invariants,
+};
 use thistlecroft_testbed::event_recorder::{
-    Answer, BackendNumber, Lifecycle, Observation, RecordedEvent, RelayNumber, Reply, Tag,
+    Answer, BackendIndex, Lifecycle, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
     event_recorder,
 };
 use thistlecroft_testbed::invariant_checker::{PlatformRules, check_invariants};
@@ -32,7 +34,7 @@
 fn once_only(wrong: Wrong) -> Scene {
     Scene {
         effect: Idempotency::NonIdempotent,
-        cues: ail(BackendFault::Failing(0.5)),
+        cues: ail(BackendFault::ErrorRate(0.5)),
         ..Scene::of(wrong)
     }
 }
@@ -45,21 +47,21 @@
     Scene {
         effect,
         zones: &["a", "b"],
-        cues: ail(BackendFault::Failing(0.5)),
+        cues: ail(BackendFault::ErrorRate(0.5)),
         ..Scene::of(wrong)
     }
 }
 
 fn ail(ailment: BackendFault) -> Vec<(u64, BackendCommand)> {
     ALL.iter()
-        .map(|&at| (0, BackendCommand::Ail(at, ailment)))
+        .map(|&at| (0, BackendCommand::InjectFault(at, ailment)))
         .collect()
 }
 
 fn drains() -> Vec<(u64, BackendCommand)> {
     vec![(
         300,
-        BackendCommand::Drain(BackendNumber(1), Duration::from_millis(6_000)),
+        BackendCommand::Drain(BackendIndex(1), Duration::from_millis(6_000)),
     )]
 }
 
@@ -68,11 +70,11 @@
     vec![
         (
             0,
-            BackendCommand::Agent(RelayNumber(0), AgentFault::Silent, true),
+            BackendCommand::SetAgentFault(RelayIndex(0), AgentFault::Silent, true),
         ),
         (
             100,
-            BackendCommand::Drain(BackendNumber(1), Duration::from_millis(60_000)),
+            BackendCommand::Drain(BackendIndex(1), Duration::from_millis(60_000)),
         ),
     ]
 }
@@ -81,7 +83,7 @@
 fn returns() -> Vec<(u64, BackendCommand)> {
     vec![(
         100,
-        BackendCommand::Crash(BackendNumber(2), Some(Duration::from_millis(200))),
+        BackendCommand::Crash(BackendIndex(2), Some(Duration::from_millis(200))),
     )]
 }
 
@@ -89,47 +91,47 @@
     vec![
         (
             0,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::Failing(0.3)),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::ErrorRate(0.3)),
         ),
         (
             0,
-            BackendCommand::Ail(
-                BackendNumber(1),
-                BackendFault::Pausing(Duration::from_millis(600), Duration::from_millis(150)),
+            BackendCommand::InjectFault(
+                BackendIndex(1),
+                BackendFault::PeriodicPause(Duration::from_millis(600), Duration::from_millis(150)),
             ),
         ),
-        (400, BackendCommand::Heal(BackendNumber(0))),
+        (400, BackendCommand::ClearFault(BackendIndex(0))),
         (
             500,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::ResetsAfter),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::ResetOnRequest),
         ),
         (
             700,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::ResetsBefore),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::ResetOnAccept),
         ),
         (
             900,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::DropsYoung),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::ResetAfterSetup),
         ),
         (
             1_100,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::HalfAnswer),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::PartialAnswer),
         ),
         (
             1_400,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::Mute),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::Unresponsive),
         ),
         (
             1_700,
-            BackendCommand::Ail(BackendNumber(0), BackendFault::Slow(3.0)),
+            BackendCommand::InjectFault(BackendIndex(0), BackendFault::Slow(3.0)),
         ),
         (
             1_000,
-            BackendCommand::Crash(BackendNumber(2), Some(Duration::from_millis(400))),
+            BackendCommand::Crash(BackendIndex(2), Some(Duration::from_millis(400))),
         ),
         (
             1_600,
-            BackendCommand::Drain(BackendNumber(1), Duration::from_millis(600)),
+            BackendCommand::Drain(BackendIndex(1), Duration::from_millis(600)),
         ),
     ]
 }
@@ -168,7 +170,7 @@
         breaks(1, "no client sent", Wrong::OwnLine),
         Case {
             scene: Scene {
-                cues: vec![(1_000, BackendCommand::Crash(BackendNumber(2), None))],
+                cues: vec![(1_000, BackendCommand::Crash(BackendIndex(2), None))],
                 ..Scene::of(Wrong::LeavesOrphans)
             },
             broken: Some((1, "its box had ended it")),
@@ -252,16 +254,16 @@
                 let (ruling, _) = case.scene.run();
                 let name = format!("{:?} with {:?}: ", case.scene.wrong, case.scene.effect);
                 let story = |rule: usize| {
-                    ruling.first[rule]
+                    ruling.first_violations[rule]
                         .as_ref()
-                        .map(|first| (&first.what, &first.story))
+                        .map(|first| (&first.description, &first.timeline))
                 };
                 let found: Vec<_> = (0..4).filter_map(story).collect();
                 match case.broken {
-                    None if ruling.kept() && ruling.sessions > 10 => Ok(()),
+                    None if ruling.holds() && ruling.sessions > 10 => Ok(()),
                     Some((rule, what))
                         if ruling
-                            .breaks
+                            .violation_counts
                             .iter()
                             .enumerate()
                             .all(|(at, count)| (*count > 0) == (at + 1 == rule))
@@ -289,11 +291,15 @@
 
 #[test]
 fn a_box_out_by_hand_gets_nothing_new_after_the_grace() {
-    let (relay, at, session) = (RelayNumber(0), BackendNumber(1), Tag(7));
-    let by_hand = |relay, out| Observation::ByHand { relay, at, out };
-    let again = Observation::Told {
+    let (relay, at, session) = (RelayIndex(0), BackendIndex(1), SessionId(7));
+    let by_hand = |relay, out| Observation::BackendBanned {
+        relay,
+        backend: at,
+        banned: out,
+    };
+    let again = Observation::EndpointAnnounced {
         relay,
-        at,
+        backend: at,
         lifecycle: Lifecycle::Ready,
     };
     // What came before the dial, when that came, and whether it breaks the drain's rule. The grace
@@ -301,7 +307,7 @@
     let cases = [
         (vec![(0, by_hand(relay, true))], 1_900, false),
         (vec![(0, by_hand(relay, true))], 2_500, true),
-        (vec![(0, by_hand(RelayNumber(1), true))], 2_500, false),
+        (vec![(0, by_hand(RelayIndex(1), true))], 2_500, false),
         (
             vec![(0, by_hand(relay, true)), (2_000, by_hand(relay, false))],
             2_500,
@@ -315,7 +321,13 @@
         (
             vec![
                 (0, by_hand(relay, true)),
-                (1_000, Observation::BoxStarted { at, cold: true }),
+                (
+                    1_000,
+                    Observation::BackendStarted {
+                        backend: at,
+                        cold: true,
+                    },
+                ),
             ],
             2_500,
             true,
@@ -332,55 +344,59 @@
         seen.extend([
             (
                 came - 5,
-                Observation::Asked {
+                Observation::SessionRequested {
                     session,
                     relay: Some(relay),
                     listener: 0,
-                    wait,
+                    timeout: wait,
                     due,
-                    again: false,
+                    reconnecting: false,
                 },
             ),
             (
                 came,
-                Observation::DialCame {
-                    at,
+                Observation::AttemptReceived {
+                    backend: at,
                     session,
-                    first: Instant::from_micros(came * 1_000),
+                    first_byte_at: Instant::from_micros(came * 1_000),
                 },
             ),
             (
                 came + 1,
-                Observation::DialReplied {
-                    at,
+                Observation::AttemptAnswered {
+                    backend: at,
                     session,
-                    reply: Reply::Up,
+                    reply: Reply::Accepted,
                 },
             ),
             (
                 came + 2,
                 Observation::Answered {
                     session,
-                    answer: Answer::Up,
+                    answer: Answer::Accepted,
                 },
             ),
-            (came + 50, Observation::Ended { session }),
+            (came + 50, Observation::SessionClosed { session }),
         ]);
         let entries: Vec<RecordedEvent> = seen
             .into_iter()
             .map(|(ms, seen)| RecordedEvent {
                 at: Instant::from_micros(ms * 1_000),
-                seen,
+                observation: seen,
             })
             .collect();
         let law = PlatformRules {
-            effects: vec![Idempotency::Idempotent],
+            idempotency: vec![Idempotency::Idempotent],
             hedged: vec![false],
-            grace: Duration::from_millis(2_000),
-            places: vec![("a".into(), 0); 3],
+            drain_grace: Duration::from_millis(2_000),
+            backend_locations: vec![("a".into(), 0); 3],
         };
         let ruling = check_invariants(&entries, &law);
-        assert_eq!(ruling.breaks, [0, 0, usize::from(broken), 0], "{entries:?}");
+        assert_eq!(
+            ruling.violation_counts,
+            [0, 0, usize::from(broken), 0],
+            "{entries:?}"
+        );
     }
 }
 
@@ -394,11 +410,11 @@
         ..Scene::of(Wrong::Nothing)
     };
     let (ruling, mut entries) = scene.run();
-    assert!(ruling.kept(), "{}", ruling.line());
-    let found = |entries: &[RecordedEvent], pact: &ClusterLimits| -> Vec<Rule> {
-        let mut rules: Vec<Rule> = check_cluster_invariants(entries, pact)
+    assert!(ruling.holds(), "{}", ruling.summary());
+    let found = |entries: &[RecordedEvent], pact: &ClusterLimits| -> Vec<ClusterInvariant> {
+        let mut rules: Vec<ClusterInvariant> = check_cluster_invariants(entries, pact)
             .iter()
-            .map(|breach| breach.rule)
+            .map(|breach| breach.invariant)
             .collect();
         rules.dedup();
         rules
@@ -408,7 +424,7 @@
         found(
             &entries,
             &ClusterLimits {
-                bans_within: within,
+                ban_replication_time: within,
                 ..ClusterLimits::default()
             }
         ),
@@ -416,28 +432,28 @@
     );
     // Each would let so many in by itself.
     let at_once = ClusterLimits {
-        at_once: Some((10, Duration::from_millis(200))),
+        max_sessions: Some((10, Duration::from_millis(200))),
         ..ClusterLimits::default()
     };
-    assert_eq!(found(&entries, &at_once), [Rule::SumAtOnce]);
+    assert_eq!(found(&entries, &at_once), [ClusterInvariant::SessionLimit]);
     assert_eq!(
         found(
             &entries,
             &ClusterLimits {
-                dials_a_second: Some(15),
+                max_attempts_per_second: Some(15),
                 ..ClusterLimits::default()
             }
         ),
-        [Rule::SumASecond]
+        [ClusterInvariant::AttemptRate]
     );
     // One of them was told that a box is out; to the other it is as it was.
     let half = entries[entries.len() / 2].at;
     entries.push(RecordedEvent {
         at: half,
-        seen: Observation::ByHand {
-            relay: RelayNumber(0),
-            at: BackendNumber(1),
-            out: true,
+        observation: Observation::BackendBanned {
+            relay: RelayIndex(0),
+            backend: BackendIndex(1),
+            banned: true,
         },
     });
     entries.sort_by_key(|entry| entry.at);
@@ -445,14 +461,17 @@
         found(
             &entries,
             &ClusterLimits {
-                bans_within: within,
+                ban_replication_time: within,
                 ..ClusterLimits::default()
             }
         ),
-        [Rule::BansEverywhere]
+        [ClusterInvariant::BansReplicated]
     );
     let (_, entries) = Scene::of(Wrong::TwoAtOnce).run();
-    assert!(found(&entries, &ClusterLimits::default()).contains(&Rule::OneBoxASession));
+    assert!(
+        found(&entries, &ClusterLimits::default())
+            .contains(&ClusterInvariant::OneBackendPerSession)
+    );
 }
 
 /// A door that answers by a script: its first answers in turn, the last one for ever.
@@ -495,14 +514,14 @@
     const LATE: usize = 12;
     const BOTH: &[&str] = &["relay-0", "relay-1"];
     const OTHERS: &[&str] = &["relay-1", "relay-0"];
-    let cases: &[(&str, [Door; 2], Option<Rule>)] = &[
+    let cases: &[(&str, [Door; 2], Option<ClusterInvariant>)] = &[
         (
             "both hold",
             [
                 (0, &["200 held 1 900"], BOTH),
                 (0, &["200 held 2 900"], OTHERS),
             ],
-            Some(Rule::OneHolder),
+            Some(ClusterInvariant::SingleLeaseHolder),
         ),
         (
             "one holds for as long as it said, the other begins in that time",
@@ -510,7 +529,7 @@
                 (0, &["200 held 1 5000", NO], BOTH),
                 (LATE, &["200 held 2 900"], OTHERS),
             ],
-            Some(Rule::OneHolder),
+            Some(ClusterInvariant::SingleLeaseHolder),
         ),
         (
             "the same epoch later",
@@ -518,7 +537,7 @@
                 (0, &["200 held 7 1", NO], BOTH),
                 (LATE, &["200 held 7 1"], OTHERS),
             ],
-            Some(Rule::EpochsGrow),
+            Some(ClusterInvariant::IncreasingEpochs),
         ),
         (
             "a lower epoch later",
@@ -526,12 +545,12 @@
                 (0, &["200 held 7 1", NO], BOTH),
                 (LATE, &["200 held 6 1"], OTHERS),
             ],
-            Some(Rule::EpochsGrow),
+            Some(ClusterInvariant::IncreasingEpochs),
         ),
         (
             "one does not see the other",
             [(0, &[NO], BOTH), (0, &[NO], &["relay-1"])],
-            Some(Rule::ViewsAgree),
+            Some(ClusterInvariant::ConsistentMembership),
         ),
         (
             "one sees who is not there",
@@ -539,7 +558,7 @@
                 (0, &[NO], &["relay-0", "relay-1", "relay-2"]),
                 (0, &[NO], OTHERS),
             ],
-            Some(Rule::ViewsAgree),
+            Some(ClusterInvariant::ConsistentMembership),
         ),
         (
             "one after the other",
@@ -555,15 +574,15 @@
         let clock = Stopwatch::start();
         let mut witnesses = Vec::new();
         for (number, (late, leases, here)) in (0..).zip(doors) {
-            tape.note(
+            tape.record(
                 clock.now(),
                 Observation::RelayStarted {
-                    relay: RelayNumber(number),
+                    relay: RelayIndex(number),
                 },
             );
             let at = door(*late, leases, here);
             witnesses.push(RelayObserver::open(
-                RelayNumber(number),
+                RelayIndex(number),
                 at,
                 Some("turn"),
                 clock,
@@ -572,7 +591,7 @@
         }
         // Both views have come three times, and so have many sayings before them.
         let seen = |entries: &[RecordedEvent], relay: u16| {
-            let sees = |entry: &&RecordedEvent| matches!(&entry.seen, Observation::Sees { relay: of, .. } if of.0 == relay);
+            let sees = |entry: &&RecordedEvent| matches!(&entry.observation, Observation::MembersSeen { relay: of, .. } if of.0 == relay);
             entries.iter().filter(sees).count() >= 3
         };
         let long = std::time::Duration::from_secs(20);
@@ -582,12 +601,12 @@
         );
         drop(witnesses);
         let pact = ClusterLimits {
-            agree: true,
+            requires_consistent_membership: true,
             ..ClusterLimits::default()
         };
-        let found: Vec<Rule> = check_cluster_invariants(&reel.into_sorted(), &pact)
+        let found: Vec<ClusterInvariant> = check_cluster_invariants(&reel.into_sorted(), &pact)
             .iter()
-            .map(|one| one.rule)
+            .map(|one| one.invariant)
             .collect();
         match rule {
             Some(rule) => assert!(found.contains(rule), "{what}: {found:?}"),
