--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -8,7 +8,7 @@
 use std::fmt::Write;
 use std::io::IsTerminal;
 use std::sync::atomic::Ordering;
-use thistlecroft_experiments::run::{Look, Way, run as run_once};
+use thistlecroft_experiments::run::{BackendProgress, Progress, RunTarget, run as run_once};
 use thistlecroft_experiments::scenario::Scenario;
 
 /// Characters of a full backend's bar.
@@ -26,18 +26,20 @@
 pub(crate) fn run(args: &DemoArgs) -> Result<(), CommandError> {
     let text = shipped::scenario_text("demo").expect("shipped with the command");
     let scenario = Scenario::parse("demo", text).map_err(CommandError::failed)?;
-    let way = Way {
-        name: "relays".into(),
-        baseline: None,
-        relay: own_relay()?,
-        chartered: true,
-    };
+    let target = RunTarget::own_relays(&own_relay()?);
     let stop = interrupt_flag();
     let folder = std::env::temp_dir().join(format!("thistlecroft-demo-{}", std::process::id()));
     let mut display = Display::new(args.plain);
     println!("{}", scenario.about);
-    let mut on_look = |look: &Look| display.show(look);
-    let outcome = run_once(&scenario, &way, args.seed, &folder, &stop, &mut on_look);
+    let mut on_progress = |progress: &Progress| display.show(progress);
+    let outcome = run_once(
+        &scenario,
+        &target,
+        args.seed,
+        &folder,
+        &stop,
+        &mut on_progress,
+    );
     let rules_kept = outcome.as_ref().is_ok_and(|outcome| outcome.summary.kept());
     if rules_kept {
         // Of a demonstration that went well nothing need stay.
@@ -73,12 +75,12 @@
         }
     }
 
-    fn show(&mut self, look: &Look) {
+    fn show(&mut self, progress: &Progress) {
         if !self.draws_picture {
-            println!("{}{}", totals(look), news(look));
+            println!("{}{}", totals(progress), news(progress));
             return;
         }
-        let picture = picture(look);
+        let picture = picture(progress);
         if self.lines_drawn > 0 {
             // Up to where the picture before began, and clear from there.
             print!("\x1b[{}A\x1b[J", self.lines_drawn);
@@ -88,32 +90,32 @@
     }
 }
 
-fn totals(look: &Look) -> String {
+fn totals(progress: &Progress) -> String {
     format!(
         "{:3.0} s  {} relays  standing {:>4}  accepted {:>5}  refused {:>4}  torn down {:>3}  moved {:>4}",
-        look.at.as_secs_f64(),
-        look.relays,
-        look.standing,
-        look.up,
-        look.busy,
-        look.failed,
-        look.moved
+        progress.elapsed.as_secs_f64(),
+        progress.relays,
+        progress.established,
+        progress.accepted,
+        progress.rejected,
+        progress.failed,
+        progress.migrated
     )
 }
 
-fn news(look: &Look) -> String {
-    if look.news.is_empty() {
+fn news(progress: &Progress) -> String {
+    if progress.news.is_empty() {
         String::new()
     } else {
-        format!("  << {}", look.news.join(", "))
+        format!("  << {}", progress.news.join(", "))
     }
 }
 
-fn picture(look: &Look) -> String {
-    let mut picture = totals(look) + "\n";
-    for (number, backend) in look.boxes.iter().enumerate() {
+fn picture(progress: &Progress) -> String {
+    let mut picture = totals(progress) + "\n";
+    for (number, backend) in progress.backends.iter().enumerate() {
         let (bar, state) = match backend {
-            Some((load, state)) => (bar(*load), format!("{load:5.2} {state}")),
+            Some(BackendProgress { load, state }) => (bar(*load), format!("{load:5.2} {state}")),
             None => (" ".repeat(BAR_WIDTH), "  not running".into()),
         };
         let _ = writeln!(picture, "  backend {number:>2} |{bar}| {state}");
--- a/cli/src/experiment/run.rs
+++ b/cli/src/experiment/run.rs
@@ -7,7 +7,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
-use thistlecroft_experiments::run::{Look, Way, run as run_once};
+use thistlecroft_experiments::run::{Progress, RunTarget, run as run_once};
 use thistlecroft_experiments::scenario::{Baseline, Scenario};
 use thistlecroft_experiments::summary::Summary;
 
@@ -47,24 +47,18 @@
 }
 
 impl BaselineName {
-    fn as_way(self) -> Way {
-        let (name, baseline) = match self {
-            BaselineName::Direct => ("direct", Baseline::Direct),
-            BaselineName::Random => ("random", Baseline::Random),
-            BaselineName::Least => ("least", Baseline::Least),
-        };
-        Way {
-            name: name.into(),
-            baseline: Some(baseline),
-            relay: Vec::new(),
-            chartered: false,
+    fn as_target(self) -> RunTarget {
+        match self {
+            BaselineName::Direct => RunTarget::of_baseline("direct", Baseline::Direct),
+            BaselineName::Random => RunTarget::of_baseline("random", Baseline::Random),
+            BaselineName::Least => RunTarget::of_baseline("least", Baseline::Least),
         }
     }
 }
 
 pub(crate) fn run(args: RunArgs) -> Result<(), CommandError> {
     let scenario = read_scenario(&args.scenario)?;
-    let ways = selected_ways(&scenario, &args)?;
+    let targets = selected_targets(&scenario, &args)?;
     let first_seed = args.seed.unwrap_or(scenario.seed);
     let experiment = Experiment {
         scenario: &scenario,
@@ -73,9 +67,9 @@
         stop: interrupt_flag(),
     };
     let mut summaries = Vec::new();
-    for way in &ways {
+    for target in &targets {
         for seed in first_seed..first_seed + args.seeds {
-            summaries.push(experiment.run(way, seed)?);
+            summaries.push(experiment.run(target, seed)?);
         }
     }
     // A baseline keeps no rules and is no failure.
@@ -89,27 +83,27 @@
     Ok(())
 }
 
-/// The ways that the command line asks for, in the scenario's order.
-fn selected_ways(scenario: &Scenario, args: &RunArgs) -> Result<Vec<Way>, CommandError> {
+/// What the command line asks to be run, in the scenario's order.
+fn selected_targets(scenario: &Scenario, args: &RunArgs) -> Result<Vec<RunTarget>, CommandError> {
     let relay = match &args.relay {
         Some(program) => vec![program.clone()],
         None => own_relay()?,
     };
-    let mut ways = Way::all(scenario, &relay);
-    let is_known = |name: &String| ways.iter().any(|way| way.name == *name);
+    let mut targets = RunTarget::all(scenario, &relay);
+    let is_known = |name: &String| targets.iter().any(|target| target.name == *name);
     if let Some(name) = args.ways.iter().find(|name| !is_known(name)) {
-        let known: Vec<&str> = ways.iter().map(|way| way.name.as_str()).collect();
+        let known: Vec<&str> = targets.iter().map(|target| target.name.as_str()).collect();
         let known = known.join(", ");
         return Err(CommandError::InvalidInput(format!(
             "no way \"{name}\"; there are {known}"
         )));
     }
     if !args.ways.is_empty() {
-        ways.retain(|way| args.ways.contains(&way.name));
+        targets.retain(|target| args.ways.contains(&target.name));
     }
     Ok(match args.baseline {
-        Some(baseline) => vec![baseline.as_way()],
-        None => ways,
+        Some(baseline) => vec![baseline.as_target()],
+        None => targets,
     })
 }
 
@@ -123,19 +117,26 @@
 
 impl Experiment<'_> {
     /// Runs the scenario once and prints its summary.
-    fn run(&self, way: &Way, seed: u64) -> Result<Summary, CommandError> {
+    fn run(&self, target: &RunTarget, seed: u64) -> Result<Summary, CommandError> {
         let folder = self
             .out
             .join(&self.scenario.name)
-            .join(&way.name)
+            .join(&target.name)
             .join(format!("seed-{seed}"));
         self.print_progress(&format!(
             "{} / {} / seed {seed}",
-            self.scenario.name, way.name
+            self.scenario.name, target.name
         ));
-        let mut on_look = |look: &Look| self.print_progress(&progress_line(look));
-        let outcome = run_once(self.scenario, way, seed, &folder, &self.stop, &mut on_look)
-            .map_err(CommandError::failed)?;
+        let mut on_progress = |progress: &Progress| self.print_progress(&progress_line(progress));
+        let outcome = run_once(
+            self.scenario,
+            target,
+            seed,
+            &folder,
+            &self.stop,
+            &mut on_progress,
+        )
+        .map_err(CommandError::failed)?;
         let report = folder.join("report.html");
         println!(
             "{}\n  report      {}",
@@ -158,20 +159,20 @@
     }
 }
 
-fn progress_line(look: &Look) -> String {
-    let news = if look.news.is_empty() {
+fn progress_line(progress: &Progress) -> String {
+    let news = if progress.news.is_empty() {
         String::new()
     } else {
-        format!("  << {}", look.news.join(", "))
+        format!("  << {}", progress.news.join(", "))
     };
     format!(
         "{:5.0} of {:.0} s  standing {:>5}  up {:>6}  busy {:>5}  failed {:>4}  moved {:>5}{news}",
-        look.at.as_secs_f64(),
-        look.length.as_secs_f64(),
-        look.standing,
-        look.up,
-        look.busy,
-        look.failed,
-        look.moved
+        progress.elapsed.as_secs_f64(),
+        progress.length.as_secs_f64(),
+        progress.established,
+        progress.accepted,
+        progress.rejected,
+        progress.failed,
+        progress.migrated
     )
 }
--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use thistlecroft::time::Duration;
-use thistlecroft_testbed::socket_holder::call;
+use thistlecroft_testbed::socket_holder::send_admin_command;
 
 /// Longest wait for one relay's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -77,7 +77,7 @@
 }
 
 fn ask(address: SocketAddr) -> View {
-    let answer = call(address, "PEERS", ANSWER_TIMEOUT)
+    let answer = send_admin_command(address, "PEERS", ANSWER_TIMEOUT)
         .map_err(PeersError::Unreachable)
         .and_then(|line| parse_answer(&line));
     View { address, answer }
--- a/experiments/src/plan/action.rs
+++ b/experiments/src/plan/action.rs
@@ -1,6 +1,6 @@
 //! What is done to a running testbed, and when.
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::event_recorder::{BackendNumber, RelayNumber};
+use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
 use thistlecroft_testbed::link_fault::LinkFault;
 use thistlecroft_testbed::load_generator::LoadCommand;
 use thistlecroft_testbed::simulated_backends::BackendCommand;
@@ -11,23 +11,23 @@
     Backends(BackendCommand),
     Load(LoadCommand),
     /// Killed outright, and started again after so long.
-    Kill(RelayNumber, Option<Duration>),
+    Kill(RelayIndex, Option<Duration>),
     /// Shut down, and started again after so long.
-    Stop(RelayNumber, Option<Duration>),
+    Stop(RelayIndex, Option<Duration>),
     /// Sent SIGHUP.
-    Reload(RelayNumber),
+    Reload(RelayIndex),
     /// Given the next of the scenario's operator configurations.
-    SwapOperatorConfig(RelayNumber),
+    SwapOperatorConfig(RelayIndex),
     /// Replaced by a successor, beside which it shuts down.
-    HotRestart(RelayNumber),
-    Ban(RelayNumber, BackendNumber),
-    Unban(RelayNumber, BackendNumber),
-    Pause(RelayNumber),
-    Resume(RelayNumber),
+    HotRestart(RelayIndex),
+    Ban(RelayIndex, BackendIndex),
+    Unban(RelayIndex, BackendIndex),
+    Pause(RelayIndex),
+    Resume(RelayIndex),
     /// One that has not run yet, or was shut down, starts.
-    Start(RelayNumber),
+    Start(RelayIndex),
     /// Shut down for good.
-    Leave(RelayNumber),
+    Leave(RelayIndex),
     /// Links between relays get a fault, or lose it. The name is recorded.
     Links {
         links: Vec<Link>,
@@ -37,7 +37,7 @@
 }
 
 /// One direction between two relays.
-pub(crate) type Link = (RelayNumber, RelayNumber);
+pub(crate) type Link = (RelayIndex, RelayIndex);
 
 /// An action with its time.
 #[derive(Clone, Debug)]
--- a/experiments/src/plan/fault_actions.rs
+++ b/experiments/src/plan/fault_actions.rs
@@ -7,8 +7,8 @@
 use crate::scenario::{FaultText, Scenario};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_testbed::event_recorder::{BackendNumber, RelayNumber};
-use thistlecroft_testbed::load_generator::{LoadCommand, Rude};
+use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
+use thistlecroft_testbed::load_generator::{LoadCommand, Misbehavior};
 use thistlecroft_testbed::simulated_backends::{AgentFault, BackendCommand, BackendFault};
 
 /// The shortest time between two reloads of a relay.
@@ -66,16 +66,16 @@
         self.schedule.add(at, action);
     }
 
-    fn add_backend(&mut self, backend: BackendNumber) {
+    fn add_backend(&mut self, backend: BackendIndex) {
         if let Some(backend_fault) = backend_fault(self.fault) {
-            let begins = BackendCommand::Ail(backend, backend_fault);
+            let begins = BackendCommand::InjectFault(backend, backend_fault);
             self.add(self.begin, Action::Backends(begins));
             if let Some(end) = self.end {
-                self.add(end, Action::Backends(BackendCommand::Heal(backend)));
+                self.add(end, Action::Backends(BackendCommand::ClearFault(backend)));
             }
             return;
         }
-        let join = Action::Backends(BackendCommand::Join(backend));
+        let join = Action::Backends(BackendCommand::Start(backend));
         match self.fault.what.as_str() {
             "crash" => {
                 let crash = BackendCommand::Crash(backend, self.back_after);
@@ -95,7 +95,7 @@
 
     /// `share`: the part of the relays that come before this one, for faults that befall one after
     /// the other.
-    fn add_relay(&mut self, relay: RelayNumber, share: f64, backends: &[BackendNumber]) {
+    fn add_relay(&mut self, relay: RelayIndex, share: f64, backends: &[BackendIndex]) {
         if let Some(agent_fault) = agent_fault(self.fault) {
             self.add_agent_fault(relay, agent_fault);
             return;
@@ -128,8 +128,8 @@
         }
     }
 
-    fn add_agent_fault(&mut self, relay: RelayNumber, fault: AgentFault) {
-        let command = |on| Action::Backends(BackendCommand::Agent(relay, fault, on));
+    fn add_agent_fault(&mut self, relay: RelayIndex, fault: AgentFault) {
+        let command = |on| Action::Backends(BackendCommand::SetAgentFault(relay, fault, on));
         self.add(self.begin, command(true));
         if let Some(end) = self.end {
             self.add(end, command(false));
@@ -150,29 +150,33 @@
         let clients = self.fault.clients.unwrap_or_default();
         let what = &self.fault.what;
         if what == "clients-drop" {
-            let drop = LoadCommand::Drop(clients, self.over);
+            let drop = LoadCommand::DropConnections(clients, self.over);
             self.add(self.begin, Action::Load(drop));
-        } else if let Some((rude, _)) = Rude::ALL.iter().find(|(_, name)| name == what) {
-            self.add(self.begin, Action::Load(LoadCommand::Rude(*rude, clients)));
+        } else if let Some((rude, _)) = Misbehavior::ALL.iter().find(|(_, name)| name == what) {
+            self.add(
+                self.begin,
+                Action::Load(LoadCommand::AddMisbehaving(*rude, clients)),
+            );
         }
     }
 }
 
 fn backend_fault(fault: &FaultText) -> Option<BackendFault> {
-    let pausing =
-        || BackendFault::Pausing(duration_or_zero(fault.every), duration_or_zero(fault.pause));
+    let pausing = || {
+        BackendFault::PeriodicPause(duration_or_zero(fault.every), duration_or_zero(fault.pause))
+    };
     Some(match fault.what.as_str() {
-        "silent" => BackendFault::Vanished,
+        "silent" => BackendFault::Unreachable,
         "freeze" => BackendFault::Frozen,
-        "mute" => BackendFault::Mute,
+        "mute" => BackendFault::Unresponsive,
         "slow" => BackendFault::Slow(fault.times.unwrap_or(1.0)),
         "pauses" => pausing(),
-        "errors" => BackendFault::Failing(fault.part.unwrap_or(1.0)),
-        "reset-before" => BackendFault::ResetsBefore,
-        "reset-after" => BackendFault::ResetsAfter,
-        "half-answer" => BackendFault::HalfAnswer,
+        "errors" => BackendFault::ErrorRate(fault.part.unwrap_or(1.0)),
+        "reset-before" => BackendFault::ResetOnAccept,
+        "reset-after" => BackendFault::ResetOnRequest,
+        "half-answer" => BackendFault::PartialAnswer,
         "never-closes" => BackendFault::NeverCloses,
-        "drops-young" => BackendFault::DropsYoung,
+        "drops-young" => BackendFault::ResetAfterSetup,
         _ => return None,
     })
 }
@@ -180,9 +184,9 @@
 fn agent_fault(fault: &FaultText) -> Option<AgentFault> {
     Some(match fault.what.as_str() {
         "discovery-silent" => AgentFault::Silent,
-        "discovery-down" => AgentFault::Down,
+        "discovery-down" => AgentFault::Unavailable,
         "discovery-stale" => AgentFault::Stale,
-        "discovery-restart" => AgentFault::Restart,
+        "discovery-restart" => AgentFault::StateLost,
         "discovery-malformed" => AgentFault::Malformed,
         _ => return None,
     })
--- a/experiments/src/plan/link_actions.rs
+++ b/experiments/src/plan/link_actions.rs
@@ -6,7 +6,7 @@
 use crate::scenario::{FaultText, Scenario};
 use thistlecroft::random::Rng;
 use thistlecroft::time::Instant;
-use thistlecroft_testbed::event_recorder::RelayNumber;
+use thistlecroft_testbed::event_recorder::RelayIndex;
 use thistlecroft_testbed::link_fault::LinkFault;
 
 /// The names under which faults of links are recorded.
@@ -17,7 +17,7 @@
 pub(super) fn add(
     fault: &FaultText,
     scenario: &Scenario,
-    relays: &[RelayNumber],
+    relays: &[RelayIndex],
     rng: &mut Rng,
     schedule: &mut Schedule,
 ) {
@@ -83,8 +83,8 @@
 }
 
 /// Both directions between these relays and all others.
-fn links_across(these: &[RelayNumber], count: usize) -> Vec<Link> {
-    let all = || (0..count).map(|number| RelayNumber(number as u16));
+fn links_across(these: &[RelayIndex], count: usize) -> Vec<Link> {
+    let all = || (0..count).map(|number| RelayIndex(number as u16));
     let mut links = Vec::new();
     for &relay in these {
         for other in all().filter(|other| !these.contains(other)) {
@@ -115,8 +115,8 @@
     LinkFault {
         loss: fault.loss.unwrap_or(if is_impaired { 0.0 } else { 1.0 }),
         delay: duration_or_zero(fault.delay),
-        spread: duration_or_zero(fault.spread),
-        doubled: fault.doubled.unwrap_or(0.0),
-        rate: fault.rate.unwrap_or(0),
+        jitter: duration_or_zero(fault.spread),
+        duplication: fault.doubled.unwrap_or(0.0),
+        bytes_per_second: fault.rate.unwrap_or(0),
     }
 }
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -114,14 +114,14 @@
 
 fn platform_rules(scenario: &Scenario, backends: &BackendPlan) -> PlatformRules {
     let listeners = scenario.listeners.iter();
-    let places = backends.boxes.iter();
+    let places = backends.backends.iter();
     PlatformRules {
-        effects: listeners
+        idempotency: listeners
             .map(|listener| testbed_config::idempotency(listener.get_ref()))
             .collect(),
         hedged: vec![scenario.relays.two_dials; scenario.listeners.len()],
-        grace: scenario.fleet.grace.0,
-        places: places
+        drain_grace: scenario.fleet.grace.0,
+        backend_locations: places
             .map(|backend| (backend.zone.clone(), backend.cell))
             .collect(),
     }
@@ -131,11 +131,11 @@
     let limits = &scenario.together;
     let over_for = limits.over_for.map_or(Duration::ZERO, |over| over.0);
     ClusterLimits {
-        at_once: limits.at_once.map(|most| (most, over_for)),
-        dials_a_second: limits.dials_a_second,
-        bans_within: limits.bans_within.map(|within| within.0),
-        takes_over: false,
-        agree: limits.agree,
+        max_sessions: limits.at_once.map(|most| (most, over_for)),
+        max_attempts_per_second: limits.dials_a_second,
+        ban_replication_time: limits.bans_within.map(|within| within.0),
+        allows_takeover: false,
+        requires_consistent_membership: limits.agree,
     }
 }
 
--- a/experiments/src/plan/selection.rs
+++ b/experiments/src/plan/selection.rs
@@ -1,7 +1,7 @@
 //! Which backends and relays a fault befalls.
 use crate::scenario::{Selection, SelectionWord};
 use thistlecroft::random::Rng;
-use thistlecroft_testbed::event_recorder::{BackendNumber, RelayNumber};
+use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
 
 /// Numbers below `total`, drawn unless they are named, in rising order.
 fn select(selection: &Option<Selection>, total: usize, rng: &mut Rng) -> Vec<usize> {
@@ -26,16 +26,16 @@
     selection: &Option<Selection>,
     total: usize,
     rng: &mut Rng,
-) -> Vec<BackendNumber> {
+) -> Vec<BackendIndex> {
     let numbers = select(selection, total, rng).into_iter();
-    numbers.map(|number| BackendNumber(number as u16)).collect()
+    numbers.map(|number| BackendIndex(number as u16)).collect()
 }
 
 pub(super) fn select_relays(
     selection: &Option<Selection>,
     total: usize,
     rng: &mut Rng,
-) -> Vec<RelayNumber> {
+) -> Vec<RelayIndex> {
     let numbers = select(selection, total, rng).into_iter();
-    numbers.map(|number| RelayNumber(number as u16)).collect()
+    numbers.map(|number| RelayIndex(number as u16)).collect()
 }
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -4,17 +4,17 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
-use thistlecroft_testbed::load_generator::Dealing;
+use thistlecroft_testbed::load_generator::ClientDistribution;
 use thistlecroft_testbed::relay_process::{FleetConfig, ListenerConfig};
 use thistlecroft_testbed::simulated_backends::{BackendPlan, BackendSpec};
-use thistlecroft_testbed::traffic::{Kind, Traffic};
+use thistlecroft_testbed::traffic::{ClientProfile, Traffic};
 
 /// How clients choose where to connect.
-pub(crate) fn dealing(baseline: Option<Baseline>) -> Dealing {
+pub(crate) fn dealing(baseline: Option<Baseline>) -> ClientDistribution {
     match baseline {
-        None | Some(Baseline::Direct) => Dealing::Even,
-        Some(Baseline::Random) => Dealing::Random,
-        Some(Baseline::Least) => Dealing::LeastOwn,
+        None | Some(Baseline::Direct) => ClientDistribution::RoundRobin,
+        Some(Baseline::Random) => ClientDistribution::Random,
+        Some(Baseline::Least) => ClientDistribution::LeastConnections,
     }
 }
 
@@ -44,15 +44,15 @@
         .listeners
         .iter()
         .map(|row| row.get_ref())
-        .map(|row| Kind {
+        .map(|row| ClientProfile {
             name: row.name.clone(),
             share: row.share,
-            wait: row.wait.0,
+            answer_timeout: row.wait.0,
             handshake_target: row.handshake_target.0,
             message_target: row.message_target.0,
             load: (row.load[0], row.load[1]),
-            life: row.life.0,
-            utility: row.utility,
+            mean_lifetime: row.life.0,
+            priority_weight: row.utility,
         });
     let rate = match &text.rate {
         Rate::Even(rate) => vec![(PLAN_START, *rate)],
@@ -62,17 +62,17 @@
             .collect(),
     };
     Traffic {
-        kinds: kinds.collect(),
+        profiles: kinds.collect(),
         rate,
-        rushes,
+        bursts: rushes,
         keys: text.keys.max(1),
         groups: text.groups,
         retries: text.retries,
-        heeds: text.heeds,
-        back_off: text.back_off.0,
-        rejoin: (text.rejoin[0].0, text.rejoin[1].0),
-        impatient: text.impatient,
-        beat: text.beat.0,
+        heeds_retry_after: text.heeds,
+        backoff: text.back_off.0,
+        reconnect_delay: (text.rejoin[0].0, text.rejoin[1].0),
+        impatient_share: text.impatient,
+        message_interval: text.beat.0,
     }
 }
 
@@ -80,34 +80,34 @@
 pub(super) fn backends(scenario: &Scenario, seed: u64) -> BackendPlan {
     let fleet = &scenario.fleet;
     let warm_up = WarmUp {
-        start_share: fleet.cold_share,
-        warm_up: fleet.warm_up.0,
-        factor: fleet.cold_factor,
-        window: fleet.cold_window.0,
-        turnover: fleet
+        initial_share: fleet.cold_share,
+        duration: fleet.warm_up.0,
+        overload_factor: fleet.cold_factor,
+        overload_window: fleet.cold_window.0,
+        turnover_time: fleet
             .turnover
             .map_or_else(|| turnover(scenario), |turnover| turnover.0),
     };
     let capacity = BackendCapacity {
-        capacity: fleet.capacity,
-        most: fleet.most,
-        setup: fleet.set_up.0,
-        group_fee: fleet.group_fee,
-        cold: warm_up,
+        full_load: fleet.capacity,
+        max_sessions: fleet.most,
+        setup_time: fleet.set_up.0,
+        group_load: fleet.group_fee,
+        warm_up: warm_up,
     };
     let boxes = (0..fleet.boxes).map(|number| BackendSpec {
-        make: capacity,
+        capacity: capacity,
         zone: fleet.zones[number % fleet.zones.len()].clone(),
         cell: 0,
-        present: number < fleet.boxes - fleet.later,
+        initially_running: number < fleet.boxes - fleet.later,
     });
     BackendPlan {
-        boxes: boxes.collect(),
+        backends: boxes.collect(),
         relays: scenario.relays.count,
-        notice: (fleet.notice[0].0, fleet.notice[1].0),
-        store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
-        report_every: fleet.report_every.0,
-        tells_load: fleet.tells_load,
+        announcement_delay: (fleet.notice[0].0, fleet.notice[1].0),
+        setup_store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
+        report_interval: fleet.report_every.0,
+        reports_load: fleet.tells_load,
         seed,
     }
 }
@@ -132,28 +132,28 @@
         .map(|row| row.get_ref())
         .map(|row| ListenerConfig {
             name: row.name.clone(),
-            wait: row.wait.0,
+            answer_timeout: row.wait.0,
             handshake_target: row.handshake_target.0,
             message_target: row.message_target.0,
-            effect: idempotency(row),
-            utility: row.utility,
+            idempotency: idempotency(row),
+            priority_weight: row.utility,
         });
     FleetConfig {
         zones: fleet.zones.clone(),
         listeners: listeners.collect(),
-        connect_time: relays.connect_time.0,
-        most_dials: relays.most_dials,
-        longest_retry_after: relays.retry_after.map(|longest| longest.0),
-        probes: relays.probes,
+        connect_timeout: relays.connect_time.0,
+        max_attempts: relays.most_dials,
+        max_retry_after: relays.retry_after.map(|longest| longest.0),
+        health_checks: relays.probes,
         groups: scenario.traffic.groups.is_some(),
-        tells_load: fleet.tells_load,
-        cold_start_share: fleet.cold_share,
+        reports_load: fleet.tells_load,
+        warm_up_initial_share: fleet.cold_share,
         warm_up: fleet.warm_up.0,
-        cold_factor: fleet.cold_factor,
-        cold_window: fleet.cold_window.0,
+        warm_up_overload_factor: fleet.cold_factor,
+        warm_up_overload_window: fleet.cold_window.0,
         memory_mb: relays.memory_mb,
         sockets: relays.sockets,
-        two_dials: relays.two_dials,
+        hedging: relays.two_dials,
         peers: relays.peers,
     }
 }
--- /dev/null
+++ b/experiments/src/run/error.rs
@@ -0,0 +1,36 @@
+//! Why a run could not be carried out.
+use std::io;
+use std::path::PathBuf;
+use thiserror::Error;
+
+/// What could not be set up or kept.
+#[derive(Debug, Error)]
+pub enum RunError {
+    /// A file or folder of the run's results.
+    #[error("{path}: {source}")]
+    Results { path: PathBuf, source: io::Error },
+    /// A part of the testbed.
+    #[error("{part} can't be set up: {source}")]
+    Setup {
+        part: &'static str,
+        source: io::Error,
+    },
+    /// The sockets that the platform holds for a relay.
+    #[error("relay {relay}: {source}")]
+    RelaySockets { relay: usize, source: io::Error },
+    /// An address for a relay.
+    #[error("no address for a relay: {0}")]
+    NoAddress(#[source] io::Error),
+    /// An address for a relay's admin port.
+    #[error("{0}")]
+    NoAdminAddress(#[source] io::Error),
+    /// Too few descriptors, or a relay that did not start.
+    #[error("{0}")]
+    Testbed(String),
+    /// The summary as JSON.
+    #[error("{0}")]
+    Summary(#[from] serde_json::Error),
+    /// The report's plots.
+    #[error("{0}")]
+    Report(String),
+}
--- /dev/null
+++ b/experiments/src/run/relay_actions.rs
@@ -0,0 +1,282 @@
+//! What a plan does to relays.
+use super::director::{Director, FollowUp};
+use super::managed_relay::{Predecessor, RelayEnd};
+use crate::plan::Action;
+use thistlecroft::time::{Duration, Instant};
+use thistlecroft_testbed::endpoint_list::endpoint_name;
+use thistlecroft_testbed::event_recorder::{BackendIndex, Observation, RelayIndex};
+use thistlecroft_testbed::relay_observer::RelayObserver;
+use thistlecroft_testbed::relay_process::{ADMIN_COMMAND_TIMEOUT, RelayProcess, free_address};
+use thistlecroft_testbed::socket_holder::send_admin_command;
+
+/// At a planned shutdown clients go on coming for so long.
+const SHUTDOWN_NOTICE: Duration = Duration::from_millis(300);
+/// The lease that observers ask for.
+pub(super) const OBSERVED_LEASE: &str = "turn";
+
+impl Director<'_> {
+    /// Carries out an action on a relay; those on other parts are none of these.
+    pub(super) fn carry_out_relay_action(&mut self, action: &Action) {
+        match *action {
+            Action::Kill(relay, restart_after) => self.kill(relay, restart_after),
+            Action::Stop(relay, restart_after) => self.stop(relay, restart_after),
+            Action::Leave(relay) => self.stop(relay, None),
+            Action::Reload(relay) => {
+                if let Some(process) = self.process(relay) {
+                    process.send_hangup();
+                }
+            }
+            Action::SwapOperatorConfig(relay) => self.swap_operator_config(relay),
+            Action::HotRestart(relay) => self.hot_restart(relay),
+            Action::Ban(relay, backend) => self.ban(relay, backend),
+            Action::Unban(relay, backend) => self.unban(relay, backend),
+            Action::Pause(relay) => self.pause(relay),
+            Action::Resume(relay) => self.resume(relay),
+            Action::Start(relay) => {
+                let number = usize::from(relay.0);
+                if self.relays.get(number).is_some() && self.process(relay).is_none() {
+                    self.start_relay(number);
+                }
+            }
+            Action::Backends(_) | Action::Load(_) | Action::Links { .. } => {}
+        }
+    }
+
+    /// The relay's process, where it runs.
+    fn process(&self, relay: RelayIndex) -> Option<&RelayProcess> {
+        self.relays.get(usize::from(relay.0))?.process.as_ref()
+    }
+
+    /// Until clients notice that a relay has died they go on being sent to it.
+    fn death_notice(&self) -> Duration {
+        self.scenario.relays.front_notice.0
+    }
+
+    fn kill(&mut self, relay: RelayIndex, restart_after: Option<Duration>) {
+        let number = usize::from(relay.0);
+        let managed = self.relays.get_mut(number);
+        let Some(mut process) = managed.and_then(|managed| managed.process.take()) else {
+            return;
+        };
+        self.record(Observation::RelayKilled { relay });
+        process.kill();
+        let notice = self.death_notice();
+        if restart_after.is_none_or(|restart_after| restart_after > notice) {
+            self.schedule(notice, FollowUp::SetEndpointEnabled(number, false));
+        }
+        if let Some(restart_after) = restart_after {
+            self.schedule(restart_after, FollowUp::StartRelay(number));
+        }
+    }
+
+    fn stop(&mut self, relay: RelayIndex, restart_after: Option<Duration>) {
+        let number = usize::from(relay.0);
+        let deadline = self.stop_deadline();
+        let Some(managed) = self.relays.get_mut(number) else {
+            return;
+        };
+        let Some(process) = &managed.process else {
+            return;
+        };
+        process.request_stop();
+        managed.stop_deadline = Some(deadline);
+        managed.restart_after = restart_after;
+        self.record(Observation::RelayStopRequested { relay });
+        self.schedule(SHUTDOWN_NOTICE, FollowUp::SetEndpointEnabled(number, false));
+    }
+
+    fn swap_operator_config(&mut self, relay: RelayIndex) {
+        let texts = &self.scenario.relays.charters;
+        let Some(managed) = self.relays.get_mut(usize::from(relay.0)) else {
+            return;
+        };
+        if managed.options.operator_config.is_none() {
+            return;
+        }
+        managed.operator_config = (managed.operator_config + 1) % texts.len();
+        let text = texts[managed.operator_config].clone() + &managed.peers_table;
+        managed.options.operator_config = Some(text.clone());
+        let Some(process) = &managed.process else {
+            return;
+        };
+        if let Err(error) = process.replace_operator_config(&text) {
+            let text = format!("a charter can't be written: {error}");
+            self.record(Observation::Note { text });
+        }
+    }
+
+    /// The predecessor keeps its admin port until it ends, so the successor has another.
+    fn hot_restart(&mut self, relay: RelayIndex) {
+        let number = usize::from(relay.0);
+        let managed = &mut self.relays[number];
+        if managed.process.is_none() || managed.stop_deadline.is_some() {
+            return;
+        }
+        let admin = free_address(self.plan.backends.relays + number);
+        let successor = admin.map_err(|error| error.to_string()).and_then(|admin| {
+            managed.options.admin = Some(admin);
+            managed
+                .spawn_next(&self.plan.fleet_config, self.folder)
+                .map_err(|error| error.to_string())
+        });
+        match successor {
+            Ok(successor) => self.take_over(relay, successor),
+            Err(error) => self.note_crash(error),
+        }
+    }
+
+    fn take_over(&mut self, relay: RelayIndex, successor: RelayProcess) {
+        let stop_deadline = self.stop_deadline();
+        if let (Some(_), Some(admin)) = (&self.network, successor.admin) {
+            let observer = self.observe(relay, admin);
+            self.observers.push(observer);
+        }
+        let managed = &mut self.relays[usize::from(relay.0)];
+        if let Some(process) = managed.process.replace(successor) {
+            process.request_stop();
+            managed.predecessors.push(Predecessor {
+                process,
+                stop_deadline,
+            });
+        }
+        self.record(Observation::RelayStarted { relay });
+        self.record(Observation::RelayStopRequested { relay });
+    }
+
+    /// An observer at a relay's admin port.
+    pub(super) fn observe(&self, relay: RelayIndex, admin: std::net::SocketAddr) -> RelayObserver {
+        let lease = (self.scenario.relays.voters > 0).then_some(OBSERVED_LEASE);
+        RelayObserver::open(relay, admin, lease, self.clock, self.recorder.clone())
+    }
+
+    /// The ban binds from the relay's yes on.
+    fn ban(&mut self, relay: RelayIndex, backend: BackendIndex) {
+        if self.send_ban_command(relay, backend, "DISABLE") {
+            self.record(Observation::BackendBanned {
+                relay,
+                backend,
+                banned: true,
+            });
+        }
+    }
+
+    /// The ban binds until it is lifted, which may be at any time from the command on.
+    fn unban(&mut self, relay: RelayIndex, backend: BackendIndex) {
+        if self
+            .process(relay)
+            .is_none_or(|process| process.admin.is_none())
+        {
+            return;
+        }
+        self.record(Observation::BackendBanned {
+            relay,
+            backend,
+            banned: false,
+        });
+        self.send_ban_command(relay, backend, "ENABLE");
+    }
+
+    /// True where the relay says yes.
+    fn send_ban_command(
+        &mut self,
+        relay: RelayIndex,
+        backend: BackendIndex,
+        command: &str,
+    ) -> bool {
+        let Some(admin) = self.process(relay).and_then(|process| process.admin) else {
+            return false;
+        };
+        let line = format!("{command} {}", endpoint_name(backend));
+        match send_admin_command(admin, &line, ADMIN_COMMAND_TIMEOUT) {
+            Ok(answer) if answer.starts_with("200") => return true,
+            Ok(answer) => self.note_crash(format!(
+                "relay {} says no to {command} of box {}: {answer}",
+                relay.0, backend.0
+            )),
+            Err(error) => self.note_crash(format!(
+                "relay {} does not answer {command}: {error}",
+                relay.0
+            )),
+        }
+        false
+    }
+
+    /// Recorded before it stands still, so that it does nothing unrecorded.
+    fn pause(&mut self, relay: RelayIndex) {
+        if self.process(relay).is_none() {
+            return;
+        }
+        self.record(Observation::RelayPaused {
+            relay,
+            paused: true,
+        });
+        if let Some(process) = self.process(relay) {
+            process.set_paused(true);
+        }
+        let disable = FollowUp::SetEndpointEnabled(usize::from(relay.0), false);
+        self.schedule(self.death_notice(), disable);
+    }
+
+    /// Recorded after it goes on, for the same reason.
+    fn resume(&mut self, relay: RelayIndex) {
+        let Some(process) = self.process(relay) else {
+            return;
+        };
+        process.set_paused(false);
+        self.record(Observation::RelayPaused {
+            relay,
+            paused: false,
+        });
+        let enable = FollowUp::SetEndpointEnabled(usize::from(relay.0), true);
+        self.schedule(self.death_notice(), enable);
+    }
+
+    pub(super) fn start_relay(&mut self, number: usize) {
+        let relay = RelayIndex(number as u16);
+        let managed = &mut self.relays[number];
+        // A bad operator configuration ends a start; a relay that runs goes on by the one before.
+        if managed.options.operator_config.is_some() {
+            let first = self.scenario.relays.charters.first();
+            let text = first.cloned().unwrap_or_default() + &managed.peers_table;
+            managed.operator_config = 0;
+            managed.options.operator_config = Some(text);
+        }
+        let process = managed
+            .spawn_next(&self.plan.fleet_config, self.folder)
+            .map_err(|error| error.to_string());
+        match process {
+            Ok(process) => {
+                managed.process = Some(process);
+                self.record(Observation::RelayStarted { relay });
+                self.schedule(Duration::ZERO, FollowUp::SetEndpointEnabled(number, true));
+            }
+            Err(error) => self.note_crash(error),
+        }
+    }
+
+    /// Takes in which relays have ended.
+    pub(super) fn check_relays(&mut self, now: Instant) {
+        for number in 0..self.relays.len() {
+            for fault in self.relays[number].check_predecessors(number, now) {
+                self.note_crash(fault);
+            }
+            match self.relays[number].check(now) {
+                None => {}
+                Some(RelayEnd::Stopped { restart_after }) => {
+                    let relay = RelayIndex(number as u16);
+                    self.record(Observation::RelayStopped { relay });
+                    if let Some(restart_after) = restart_after {
+                        self.schedule(restart_after, FollowUp::StartRelay(number));
+                    }
+                }
+                Some(RelayEnd::Crashed(status)) => {
+                    self.note_crash(format!("relay {number} crashed: {status}"));
+                }
+                // What it still held is lost by its own fault.
+                Some(RelayEnd::Overdue) => {
+                    self.note_crash(format!("relay {number} did not stop in time"));
+                }
+            }
+        }
+    }
+}
--- a/experiments/src/saturate.rs
+++ b/experiments/src/saturate.rs
@@ -1,15 +1,17 @@
-//! At what rate the stand-ins themselves are the bottleneck: clients dial boxes without a relay
+//! At what rate the testbed itself is the bottleneck: clients connect to backends without a relay
 //! between, faster and faster.
-use crate::run::{Way, run};
-use crate::scenario::{Baseline, Rate, Scenario};
+use crate::run::{RunError, RunTarget, run};
+use crate::scenario::{Baseline, MalformedScenario, Rate, Scenario};
 use crate::summary::Summary;
 use std::path::Path;
 use std::sync::atomic::AtomicBool;
+use thiserror::Error;
 
-/// Each step asks for so much more.
-const FACTOR: f64 = 1.5;
-const FIRST: f64 = 1_000.0;
-const STEPS: usize = 12;
+/// Each step asks for so many times the rate of the one before.
+const RATE_FACTOR: f64 = 1.5;
+/// Set-ups a second.
+const FIRST_RATE: f64 = 1_000.0;
+const MAX_STEPS: usize = 12;
 
 const TEXT: &str = r#"
 about = "connections that live for a second, set up as fast as they come"
@@ -30,41 +32,41 @@
 life = "1s"
 "#;
 
+/// Why the rate could not be found.
+#[derive(Debug, Error)]
+pub enum SaturateError {
+    /// The scenario that comes with it is wrong.
+    #[error(transparent)]
+    Scenario(#[from] MalformedScenario),
+    /// A step could not be run.
+    #[error(transparent)]
+    Run(#[from] RunError),
+}
+
 /// Runs faster and faster until a run is late; the rates asked for and what came of each.
 ///
 /// # Errors
-/// As a run's.
+/// A step could not be run.
 pub fn saturate(
     folder: &Path,
     stop: &AtomicBool,
-    told: &mut dyn FnMut(f64, &Summary),
-) -> Result<Vec<(f64, Summary)>, String> {
-    let mut scenario = Scenario::parse("saturate", TEXT).map_err(|fault| fault.to_string())?;
-    let way = Way {
-        name: "direct".into(),
-        baseline: Some(Baseline::Direct),
-        relay: Vec::new(),
-        chartered: false,
-    };
-    let mut rows = Vec::new();
-    let mut rate = FIRST;
-    for step in 0..STEPS {
+    on_step: &mut dyn FnMut(f64, &Summary),
+) -> Result<Vec<(f64, Summary)>, SaturateError> {
+    let mut scenario = Scenario::parse("saturate", TEXT)?;
+    let target = RunTarget::of_baseline("direct", Baseline::Direct);
+    let mut steps = Vec::new();
+    let mut rate = FIRST_RATE;
+    for step in 0..MAX_STEPS {
         scenario.traffic.rate = Rate::Even(rate);
-        let done = run(
-            &scenario,
-            &way,
-            1,
-            &folder.join(format!("step-{step}")),
-            stop,
-            &mut |_| {},
-        )?;
-        told(rate, &done.summary);
-        let over = done.summary.tool_was_late || !done.summary.complete;
-        rows.push((rate, done.summary));
-        if over {
+        let folder = folder.join(format!("step-{step}"));
+        let outcome = run(&scenario, &target, 1, &folder, stop, &mut |_| {})?;
+        on_step(rate, &outcome.summary);
+        let is_last = outcome.summary.tool_was_late || !outcome.summary.complete;
+        steps.push((rate, outcome.summary));
+        if is_last {
             break;
         }
-        rate *= FACTOR;
+        rate *= RATE_FACTOR;
     }
-    Ok(rows)
+    Ok(steps)
 }
--- a/relay/tests/scenarios.rs
+++ b/relay/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::AtomicBool;
 use std::sync::{Mutex, PoisonError};
 use std::thread;
-use thistlecroft_experiments::run::{Way, run};
+use thistlecroft_experiments::run::{RunTarget, run};
 use thistlecroft_experiments::scenario::Scenario;
 use thistlecroft_experiments::summary::Summary;
 
@@ -258,23 +258,18 @@
         cases[0].name
     ));
     let relay = vec![env!("CARGO_BIN_EXE_thistlecroft-relay").into()];
-    let way = Way {
-        name: "relays".into(),
-        baseline: None,
-        relay,
-        chartered: true,
-    };
+    let target = RunTarget::own_relays(&relay);
     let runs: Vec<_> = cases
         .into_iter()
         .map(|case| {
-            let (way, folder) = (way.clone(), folder.join(case.name));
+            let (target, folder) = (target.clone(), folder.join(case.name));
             thread::spawn(move || {
                 let (own, common) = (case.text, COMMON);
                 // Tables of the test's own come behind the common keys.
                 let scenario = Scenario::parse(case.name, &format!("{common}{own}")).unwrap();
                 let done = run(
                     &scenario,
-                    &way,
+                    &target,
                     1,
                     &folder,
                     &AtomicBool::new(false),
