--- a/cli/src/experiment/measure_peers.rs
+++ b/cli/src/experiment/measure_peers.rs
@@ -4,7 +4,7 @@
 use clap::Args;
 use std::path::PathBuf;
 use thistlecroft::time::Duration;
-use thistlecroft_experiments::peers::{self, Trial};
+use thistlecroft_experiments::membership::{self, Trial};
 
 /// A shorter probe period says little on a machine that many processes share.
 const MIN_PERIOD: Duration = Duration::from_millis(50);
@@ -34,14 +34,14 @@
 pub(crate) fn run(args: &MeasurePeersArgs) -> Result<(), CommandError> {
     let period = args.checked_period()?;
     args.check_ranges()?;
-    let mut results = peers::simulated_all(&args.trials(&args.simulated, period));
+    let mut results = membership::simulated_all(&args.trials(&args.simulated, period));
     // One after the other: they share the machine's cores.
     for trial in args.trials(&args.processes, period) {
         let found =
-            peers::processes(trial, &own_relay()?, &args.out).map_err(CommandError::failed)?;
+            membership::processes(trial, &own_relay()?, &args.out).map_err(CommandError::failed)?;
         results.push((trial, found));
     }
-    print!("{}", peers::table(&results));
+    print!("{}", membership::table(&results));
     Ok(())
 }
 
--- a/experiments/src/lib.rs
+++ b/experiments/src/lib.rs
@@ -3,7 +3,7 @@
 //! others (`compare`); logs of a whole fleet are counted together (`count`).
 pub mod compare;
 pub mod count;
-pub mod peers;
+pub mod membership;
 mod plan;
 mod report;
 pub mod run;
