--- a/cli/src/experiment/mod.rs
+++ b/cli/src/experiment/mod.rs
@@ -10,7 +10,7 @@
 use crate::shipped;
 use clap::Subcommand;
 use std::path::{Path, PathBuf};
-use thistlecroft_experiments::compare;
+use thistlecroft_experiments::compare::{self, Side};
 use thistlecroft_experiments::count::Counts;
 use thistlecroft_experiments::scenario::Scenario;
 
@@ -105,10 +105,15 @@
 fn print_comparison(first: &Path, second: &Path) -> Result<(), CommandError> {
     let first_runs = compare::read(first).map_err(CommandError::invalid)?;
     let second_runs = compare::read(second).map_err(CommandError::invalid)?;
-    let first_name = first.to_string_lossy();
-    let second_name = second.to_string_lossy();
-    let table = compare::table((&first_name, &first_runs), (&second_name, &second_runs));
-    println!("{table}");
+    let first = Side {
+        name: &first.to_string_lossy(),
+        runs: &first_runs,
+    };
+    let second = Side {
+        name: &second.to_string_lossy(),
+        runs: &second_runs,
+    };
+    println!("{}", compare::table(first, second));
     Ok(())
 }
 
