--- a/experiments/src/run/error.rs
+++ b/experiments/src/run/error.rs
@@ -1,4 +1,5 @@
 //! Why a run could not be carried out.
+use crate::report::ReportError;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
@@ -30,7 +31,7 @@
     /// The summary as JSON.
     #[error("{0}")]
     Summary(#[from] serde_json::Error),
-    /// The report's plots.
-    #[error("{0}")]
-    Report(String),
+    /// The report.
+    #[error(transparent)]
+    Report(#[from] ReportError),
 }
--- a/experiments/src/run/mod.rs
+++ b/experiments/src/run/mod.rs
@@ -16,7 +16,7 @@
 use crate::plan::Plan;
 use crate::report;
 use crate::scenario::Scenario;
-use crate::summary::{Findings, Summary, sum_up};
+use crate::summary::{Findings, Summary, summarize};
 use director::Director;
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -70,27 +70,26 @@
     let length = recorded.events.last().map_or(Duration::ZERO, |last| {
         last.at.duration_since(Instant::default())
     });
-    let summary = sum_up(&Findings {
+    let summary = summarize(&Findings {
         scenario: &scenario.name,
-        way: &target.name,
-        baseline: target.baseline.is_some(),
+        target: &target.name,
+        is_baseline: target.baseline.is_some(),
         seed,
-        complete: is_complete,
+        is_complete,
         length,
         crashes: recorded.crashes,
-        entries: &recorded.events,
-        ruling: &rules,
-        breaches: &violations,
-        crowds: &recorded.load_totals,
-        yard: recorded.backend_totals,
+        events: &recorded.events,
+        rules: &rules,
+        violations: &violations,
+        load_totals: &recorded.load_totals,
+        backend_totals: recorded.backend_totals,
     });
     let report = report::page(
         &summary,
         &recorded.events,
         &plan.marks,
         &recorded.load_totals,
-    )
-    .map_err(RunError::Report);
+    );
     let json = serde_json::to_string_pretty(&summary)?;
     keep(&recorded.events, &json, folder).map_err(results_error(folder))?;
     std::fs::write(folder.join("report.html"), report?).map_err(results_error(folder))?;
--- a/experiments/src/run/progress.rs
+++ b/experiments/src/run/progress.rs
@@ -1,4 +1,5 @@
 //! What a run looks like while it goes on.
+use crate::summary::{Round, rounds};
 use thistlecroft::time::Duration;
 use thistlecroft_testbed::event_recorder::{Answer, BackendIndex, Observation, RecordedEvent};
 
@@ -89,10 +90,7 @@
     /// Counts the sessions that backends held in the last round of reports.
     pub(super) fn count_established(&mut self, events: &[RecordedEvent]) {
         let recent = &events[events.len().saturating_sub(RECENT_EVENTS)..];
-        let rounds = crate::summary::rounds(recent);
-        self.established = rounds
-            .values()
-            .next_back()
-            .map_or(0, |round| round.iter().map(|(.., held)| held).sum());
+        let rounds = rounds(recent);
+        self.established = rounds.values().next_back().map_or(0, Round::sessions);
     }
 }
--- /dev/null
+++ b/experiments/src/summary/findings.rs
@@ -0,0 +1,268 @@
+//! A summary from what was recorded over a run.
+use super::load_rounds::LoadFigures;
+use super::{Delays, ListenerSummary, RelaySummary, Summary, ViolationSummary};
+use hdrhistogram::Histogram;
+use std::collections::BTreeMap;
+use thistlecroft::time::{Duration, Instant};
+use thistlecroft_testbed::cluster_invariants::ClusterViolation;
+use thistlecroft_testbed::event_recorder::{Observation, RecordedEvent, RelayIndex};
+use thistlecroft_testbed::invariant_checker::{AttemptTotals, CheckResult};
+use thistlecroft_testbed::load_generator::{ListenerTotals, LoadTotals};
+use thistlecroft_testbed::simulated_backends::BackendTotals;
+
+/// Clients that came later than this after they were due made the testbed the bottleneck.
+const MAX_CONNECT_DELAY_MS: f64 = 20.0;
+/// So did a thread that worked for more than this part of its time.
+const MAX_BUSY_SHARE: f64 = 0.8;
+const BYTES_PER_MB: f64 = (1 << 20) as f64;
+const MICROS_PER_SECOND: f64 = 1e6;
+/// Keeps a division by nothing finite.
+const TINY: f64 = 1e-9;
+
+/// What a summary is made of.
+pub(crate) struct Findings<'a> {
+    pub(crate) scenario: &'a str,
+    pub(crate) target: &'a str,
+    pub(crate) is_baseline: bool,
+    pub(crate) seed: u64,
+    pub(crate) is_complete: bool,
+    pub(crate) length: Duration,
+    pub(crate) crashes: usize,
+    pub(crate) events: &'a [RecordedEvent],
+    pub(crate) rules: &'a CheckResult,
+    pub(crate) violations: &'a [ClusterViolation],
+    /// Of each thread of the load generator; one at least.
+    pub(crate) load_totals: &'a [LoadTotals],
+    pub(crate) backend_totals: BackendTotals,
+}
+
+/// Works the figures out.
+pub(crate) fn summarize(findings: &Findings) -> Summary {
+    let load = LoadTotalsOfRun::new(findings.load_totals);
+    let testbed = TestbedFigures::new(findings, &load.totals);
+    let loads = LoadFigures::new(findings.events);
+    let relays = relay_costs(findings.events);
+    let cpu_s: f64 = relays.iter().map(|relay| relay.cpu_s).sum();
+    let lines = load.histogram(|listener| &listener.message_latency);
+    let rules = findings.rules;
+    Summary {
+        scenario: findings.scenario.into(),
+        way: findings.target.into(),
+        baseline: findings.is_baseline,
+        seed: findings.seed,
+        complete: findings.is_complete,
+        length_s: seconds_of(findings.length),
+        rules: rules.violation_counts,
+        first_breaks: first_violations(rules),
+        together: cluster_violations(findings.violations),
+        crashes: findings.crashes,
+        sessions: rules.sessions,
+        answered: rules.answered,
+        excused: rules.excused,
+        up: load.sum(|listener| listener.accepted),
+        busy: load.sum(|listener| listener.rejected),
+        failed: load.sum(|listener| listener.failed),
+        unanswered: load.sum(|listener| listener.unanswered),
+        moved: load.sum(|listener| listener.migrated),
+        cut_off: load.sum(|listener| listener.connections_lost),
+        lost: load.sum(|listener| listener.gave_up),
+        never_taken: failed_connects(findings.events),
+        wrong_lines: load.totals.mismatched_messages,
+        rude: load.totals.misbehaving,
+        rude_answered: load.totals.misbehaving_answered,
+        served: load.worth(|listener| listener.served_seconds)
+            / load.worth(|listener| listener.requested_seconds).max(TINY),
+        set_up: Delays::new(&load.histogram(|listener| &listener.setup_latency)),
+        lines: Delays::new(&lines),
+        listeners: listeners(&load.totals, rules),
+        dials: rules.attempts,
+        dials_a_session: rules.attempts as f64 / (rules.sessions as f64).max(1.0),
+        most_dials: rules.max_attempts,
+        most_standing: loads.max_sessions,
+        load_spread: loads.mean_spread,
+        most_load: loads.max_load,
+        cold_push: rules.max_warm_up_budget_used,
+        cpu_us_a_line: cpu_s * MICROS_PER_SECOND / (lines.len() as f64).max(1.0),
+        relays,
+        tool_worst_turn_ms: testbed.longest_turn_ms,
+        tool_was_late: testbed.was_late,
+        tool_late: testbed.connect_delay,
+        tool_busy: testbed.busy_share,
+    }
+}
+
+fn seconds_of(length: Duration) -> f64 {
+    length.as_secs_f64().max(TINY)
+}
+
+/// The totals of all threads of the load generator together.
+struct LoadTotalsOfRun {
+    totals: LoadTotals,
+}
+
+impl LoadTotalsOfRun {
+    fn new(of_threads: &[LoadTotals]) -> LoadTotalsOfRun {
+        let mut totals = of_threads[0].clone();
+        for other in &of_threads[1..] {
+            totals.add(other);
+        }
+        LoadTotalsOfRun { totals }
+    }
+
+    fn sum(&self, count: fn(&ListenerTotals) -> u64) -> u64 {
+        self.totals.listeners.iter().map(count).sum()
+    }
+
+    /// Seconds by their listeners' weights.
+    fn worth(&self, seconds: fn(&ListenerTotals) -> f64) -> f64 {
+        let listeners = self.totals.listeners.iter();
+        listeners
+            .map(|listener| listener.priority_weight * seconds(listener))
+            .sum()
+    }
+
+    fn histogram(&self, of: fn(&ListenerTotals) -> &Histogram<u32>) -> Histogram<u32> {
+        let mut sum = of(&self.totals.listeners[0]).clone();
+        for listener in &self.totals.listeners[1..] {
+            // All have the same bounds.
+            let _ = sum.add(of(listener));
+        }
+        sum
+    }
+}
+
+/// Whether the testbed itself was in time.
+struct TestbedFigures {
+    longest_turn_ms: f64,
+    busy_share: f64,
+    connect_delay: Delays,
+    was_late: bool,
+}
+
+impl TestbedFigures {
+    fn new(findings: &Findings, load: &LoadTotals) -> TestbedFigures {
+        let seconds = seconds_of(findings.length);
+        let load_threads = findings.load_totals.iter().map(|totals| totals.busy_time);
+        let busy_share = load_threads
+            .chain([findings.backend_totals.busy_time])
+            .map(|busy| busy.as_secs_f64() / seconds)
+            .fold(0.0, f64::max);
+        let longest_turn = load.longest_turn.max(findings.backend_totals.longest_turn);
+        let connect_delay = Delays::new(&load.connect_delay);
+        let is_exhausted = findings
+            .events
+            .iter()
+            .any(|event| event.observation == Observation::TestbedExhausted);
+        TestbedFigures {
+            longest_turn_ms: longest_turn.as_micros() as f64 / 1e3,
+            busy_share,
+            was_late: is_exhausted
+                || connect_delay.p99 > MAX_CONNECT_DELAY_MS
+                || busy_share > MAX_BUSY_SHARE,
+            connect_delay,
+        }
+    }
+}
+
+fn seconds_at(at: Instant) -> f64 {
+    at.as_micros() as f64 / MICROS_PER_SECOND
+}
+
+fn first_violations(rules: &CheckResult) -> Vec<ViolationSummary> {
+    let first = rules.first_violations.iter().flatten();
+    first
+        .map(|violation| ViolationSummary {
+            rule: violation.rule,
+            at_s: seconds_at(violation.at),
+            what: violation.description.clone(),
+            story: violation.timeline.clone(),
+        })
+        .collect()
+}
+
+/// By invariant: how often it was violated, and the first time.
+fn cluster_violations(violations: &[ClusterViolation]) -> BTreeMap<String, (usize, String)> {
+    let mut by_invariant: BTreeMap<String, (usize, String)> = BTreeMap::new();
+    for violation in violations {
+        let first = || {
+            let at_s = seconds_at(violation.at);
+            (0, format!("at {at_s:.3} s {}", violation.description))
+        };
+        let name = violation.invariant.name().into();
+        by_invariant.entry(name).or_insert_with(first).0 += 1;
+    }
+    by_invariant
+}
+
+fn failed_connects(events: &[RecordedEvent]) -> usize {
+    let is_failed =
+        |event: &&RecordedEvent| matches!(event.observation, Observation::ConnectFailed { .. });
+    events.iter().filter(is_failed).count()
+}
+
+fn listeners(load: &LoadTotals, rules: &CheckResult) -> Vec<ListenerSummary> {
+    let rows = load.listeners.iter().enumerate();
+    rows.map(|(number, totals)| {
+        let attempts = rules.listeners.get(number).cloned().unwrap_or_default();
+        listener(totals, &attempts)
+    })
+    .collect()
+}
+
+fn listener(totals: &ListenerTotals, attempts: &AttemptTotals) -> ListenerSummary {
+    let share = |count: usize| count as f64 / (attempts.sessions as f64).max(1.0);
+    ListenerSummary {
+        most_dials: attempts.max_per_session,
+        further: share(attempts.retries),
+        second: share(attempts.hedged),
+        longest_answer_ms: attempts.longest_answer_time.as_micros() as f64 / 1e3,
+        name: totals.name.clone(),
+        arrivals: totals.arrivals,
+        up: totals.accepted,
+        busy: totals.rejected,
+        failed: totals.failed,
+        lost: totals.gave_up,
+        served: totals.served_seconds / totals.requested_seconds.max(TINY),
+        set_up: Delays::new(&totals.setup_latency),
+        lines: Delays::new(&totals.message_latency),
+    }
+}
+
+/// A relay's costs, and the CPU time that its present process had when last measured.
+#[derive(Default)]
+struct RelayCosts {
+    summary: RelaySummary,
+    last_cpu_s: f64,
+}
+
+fn relay_costs(events: &[RecordedEvent]) -> Vec<RelaySummary> {
+    let mut relays: BTreeMap<RelayIndex, RelayCosts> = BTreeMap::new();
+    for event in events {
+        if let Observation::RelayCost {
+            relay,
+            cpu_time,
+            resident_bytes,
+        } = event.observation
+        {
+            let costs = relays.entry(relay).or_default();
+            costs.add(cpu_time.as_secs_f64(), resident_bytes as f64 / BYTES_PER_MB);
+        }
+    }
+    let costs = relays.into_values();
+    costs.map(|costs| costs.summary).collect()
+}
+
+impl RelayCosts {
+    fn add(&mut self, cpu_s: f64, resident_mb: f64) {
+        // CPU time begins anew with each process.
+        let is_same_process = cpu_s >= self.last_cpu_s;
+        self.summary.cpu_s += if is_same_process {
+            cpu_s - self.last_cpu_s
+        } else {
+            cpu_s
+        };
+        self.last_cpu_s = cpu_s;
+        self.summary.most_resident_mb = self.summary.most_resident_mb.max(resident_mb);
+        self.summary.last_resident_mb = resident_mb;
+    }
+}
