--- a/experiments/src/scale/assignment.rs
+++ b/experiments/src/scale/assignment.rs
@@ -1,6 +1,6 @@
 //! Which relay is to own a subject: a stand-in for the part above leases that assigns shards. Every
 //! relay works it out from the members that it sees; only the lease decides who owns.
-use super::config::Layout;
+use super::layout::Layout;
 use std::collections::BTreeSet;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
--- a/experiments/src/scale/budget.rs
+++ b/experiments/src/scale/budget.rs
@@ -1,6 +1,7 @@
 //! A budget that a run is held to, from a file.
 use super::outcome::{Outcome, Phase};
 use serde::Deserialize;
+use thiserror::Error;
 
 /// Limits; one that is not stated is not checked.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
@@ -26,21 +27,20 @@
 }
 
 /// A limit that was not kept.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Violation {
-    pub limit: &'static str,
-    pub measured: String,
-    pub allowed: String,
+#[derive(Clone, Debug, PartialEq, Error)]
+#[error("{limit}: {measured} measured, {allowed} allowed")]
+pub struct BudgetViolation {
+    limit: &'static str,
+    measured: String,
+    allowed: String,
 }
 
-impl std::fmt::Display for Violation {
-    fn fmt(&self, out: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(
-            out,
-            "{}: {} measured, {} allowed",
-            self.limit, self.measured, self.allowed
-        )
-    }
+/// A text that is no budget.
+#[derive(Clone, Debug, PartialEq, Error)]
+#[error("line {line}: {reason}")]
+pub struct BudgetError {
+    line: usize,
+    reason: String,
 }
 
 #[derive(Deserialize)]
@@ -55,21 +55,24 @@
         text.lines().any(|line| line.trim() == "[budget]")
     }
 
+    /// Reads the text of a budget.
+    ///
     /// # Errors
-    /// One line: where the text is no budget.
-    pub fn parse(text: &str) -> Result<Budget, String> {
+    /// Where the text is no budget.
+    pub fn parse(text: &str) -> Result<Budget, BudgetError> {
         let file: Result<BudgetFile, toml::de::Error> = toml::from_str(text);
-        file.map(|file| file.budget).map_err(|fault| {
-            let line = fault
-                .span()
-                .map_or(0, |span| text[..span.start].lines().count());
-            format!("line {line}: {}", fault.message())
+        file.map(|file| file.budget).map_err(|error| {
+            let lines_before = |span: std::ops::Range<usize>| text[..span.start].lines().count();
+            BudgetError {
+                line: error.span().map_or(0, lines_before),
+                reason: error.message().to_string(),
+            }
         })
     }
 
     /// How many limits are stated.
     pub fn limits(&self) -> usize {
-        let floats = [
+        let numbers = [
             self.relay_sent_bytes_s,
             self.relay_received_bytes_s,
             self.relay_cpu_percent,
@@ -83,119 +86,108 @@
             self.fault_owned_s,
         ];
         let counts = [self.two_owners, self.not_owned];
-        floats.iter().flatten().count()
+        numbers.iter().flatten().count()
             + counts.iter().flatten().count()
             + usize::from(self.relay_worst_second_bytes.is_some())
     }
 
-    pub fn check(&self, outcome: &Outcome) -> Vec<Violation> {
+    /// The limits that a run did not keep.
+    pub fn check(&self, outcome: &Outcome) -> Vec<BudgetViolation> {
         let mut check = Check::default();
+        self.check_traffic(outcome, &mut check);
+        self.check_costs(outcome, &mut check);
+        self.check_convergence(outcome, &mut check);
+        let not_owned = outcome.config.subjects.saturating_sub(outcome.owned_at_end);
+        check.count("two_owners", outcome.two_owners, self.two_owners);
+        check.count("not_owned", not_owned, self.not_owned);
+        check.violations
+    }
+
+    fn check_traffic(&self, outcome: &Outcome, check: &mut Check) {
         if let Some(calm) = outcome.phase("calm") {
-            check.most(
+            let (relay, voter) = (&calm.relay, &calm.voter);
+            check.number(
                 "relay_sent_bytes_s",
-                Some(calm.relay.sent_of_worst),
+                relay.sent_of_worst,
                 self.relay_sent_bytes_s,
             );
-            check.most(
+            check.number(
                 "relay_received_bytes_s",
-                Some(calm.relay.received_of_worst),
+                relay.received_of_worst,
                 self.relay_received_bytes_s,
             );
-            check.most(
+            check.number(
                 "voter_sent_bytes_s",
-                Some(calm.voter.sent_of_worst),
+                voter.sent_of_worst,
                 self.voter_sent_bytes_s,
             );
         }
-        let second = |phase: &Phase| {
-            phase
-                .relay
-                .sent_worst_second
-                .max(phase.relay.received_worst_second)
+        let worst_second = |phase: &Phase| {
+            let relay = &phase.relay;
+            relay.sent_worst_second.max(relay.received_worst_second)
         };
-        let worst = outcome.phases.iter().map(second).max().unwrap_or(0);
-        check.most(
-            "relay_worst_second_bytes",
-            Some(worst as f64),
-            self.relay_worst_second_bytes.map(|one| one as f64),
-        );
-        // A simulated run has no costs of a process.
+        let worst = outcome.phases.iter().map(worst_second).max().unwrap_or(0);
+        let allowed = self.relay_worst_second_bytes.map(|bytes| bytes as f64);
+        check.number("relay_worst_second_bytes", worst as f64, allowed);
+    }
+
+    /// A simulated run has no costs of a process.
+    fn check_costs(&self, outcome: &Outcome, check: &mut Check) {
         if let Some(relay) = outcome.relay {
-            check.most(
+            check.number(
                 "relay_cpu_percent",
-                Some(relay.cpu_percent),
+                relay.cpu_percent,
                 self.relay_cpu_percent,
             );
-            check.most(
-                "relay_memory_mb",
-                Some(relay.memory_mb),
-                self.relay_memory_mb,
-            );
+            check.number("relay_memory_mb", relay.memory_mb, self.relay_memory_mb);
         }
         if let Some(voter) = outcome.voter {
-            check.most(
+            check.number(
                 "voter_cpu_percent",
-                Some(voter.cpu_percent),
+                voter.cpu_percent,
                 self.voter_cpu_percent,
             );
-            check.most(
-                "voter_memory_mb",
-                Some(voter.memory_mb),
-                self.voter_memory_mb,
-            );
+            check.number("voter_memory_mb", voter.memory_mb, self.voter_memory_mb);
         }
-        let limits = [
-            (
-                "start",
-                "start_members_s",
-                self.start_members_s,
-                "start_owned_s",
-                self.start_owned_s,
-            ),
-            (
-                "fault",
-                "fault_members_s",
-                self.fault_members_s,
-                "fault_owned_s",
-                self.fault_owned_s,
-            ),
-        ];
-        for (phase, members, members_limit, owned, owned_limit) in limits {
-            let Some(converged) = outcome.phase(phase).and_then(|phase| phase.converged) else {
-                continue;
-            };
-            check.most(members, converged.members_s, members_limit);
-            check.most(owned, converged.owned_s, owned_limit);
+    }
+
+    fn check_convergence(&self, outcome: &Outcome, check: &mut Check) {
+        let converged = |phase| outcome.phase(phase).and_then(|phase| phase.converged);
+        if let Some(start) = converged("start") {
+            check.time("start_members_s", start.members_s, self.start_members_s);
+            check.time("start_owned_s", start.owned_s, self.start_owned_s);
+        }
+        if let Some(fault) = converged("fault") {
+            check.time("fault_members_s", fault.members_s, self.fault_members_s);
+            check.time("fault_owned_s", fault.owned_s, self.fault_owned_s);
         }
-        check.most(
-            "two_owners",
-            Some(outcome.two_owners as f64),
-            self.two_owners.map(|one| one as f64),
-        );
-        let not_owned = outcome.config.subjects.saturating_sub(outcome.owned_at_end);
-        check.most(
-            "not_owned",
-            Some(not_owned as f64),
-            self.not_owned.map(|one| one as f64),
-        );
-        check.violations
     }
 }
 
+/// The violations found so far.
 #[derive(Default)]
 struct Check {
-    violations: Vec<Violation>,
+    violations: Vec<BudgetViolation>,
 }
 
 impl Check {
-    /// Nothing measured where something was to be reached is a violation as well.
-    fn most(&mut self, limit: &'static str, measured: Option<f64>, allowed: Option<f64>) {
+    fn number(&mut self, limit: &'static str, measured: f64, allowed: Option<f64>) {
+        self.time(limit, Some(measured), allowed);
+    }
+
+    fn count(&mut self, limit: &'static str, measured: usize, allowed: Option<usize>) {
+        let allowed = allowed.map(|allowed| allowed as f64);
+        self.number(limit, measured as f64, allowed);
+    }
+
+    /// A time that was never reached is a violation as well.
+    fn time(&mut self, limit: &'static str, measured: Option<f64>, allowed: Option<f64>) {
         let Some(allowed) = allowed else { return };
         if measured.is_some_and(|measured| measured <= allowed) {
             return;
         }
         let measured = measured.map_or("never".into(), |measured| format!("{measured:.2}"));
-        self.violations.push(Violation {
+        self.violations.push(BudgetViolation {
             limit,
             measured,
             allowed: allowed.to_string(),
--- a/experiments/src/scale/meter.rs
+++ b/experiments/src/scale/meter.rs
@@ -1,12 +1,12 @@
 //! Bytes of a process by the second, with the headers that each datagram has on a network.
-use super::config::Role;
+use super::layout::Role;
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::Counts;
 
 /// IPv4 and UDP.
 const HEADER_BYTES: u64 = 28;
 
-/// Of one process in one phase.
+/// What one process sent and received in one phase, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
     pub sent: u64,
@@ -18,16 +18,16 @@
     pub seconds: u64,
 }
 
-/// Looked at once a second.
+/// Measures the traffic of one process, once a second.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Meter {
+pub(super) struct Meter {
     before: Counts,
     phase: Traffic,
 }
 
 impl Meter {
     /// A second has gone by.
-    pub fn second(&mut self, counts: &Counts) {
+    pub(super) fn second(&mut self, counts: &Counts) {
         let sent =
             bytes(counts.sent_bytes, counts.sent) - bytes(self.before.sent_bytes, self.before.sent);
         let received = bytes(counts.heard_bytes, counts.heard)
@@ -42,7 +42,7 @@
     }
 
     /// Ends the phase and begins another.
-    pub fn take(&mut self) -> Traffic {
+    pub(super) fn take(&mut self) -> Traffic {
         std::mem::take(&mut self.phase)
     }
 }
@@ -66,7 +66,7 @@
 }
 
 impl RoleTraffic {
-    pub fn of(all: &[(Role, Traffic)], role: Role) -> RoleTraffic {
+    pub(super) fn new(all: &[(Role, Traffic)], role: Role) -> RoleTraffic {
         let mut sum = RoleTraffic::default();
         let own = || {
             all.iter()
--- a/experiments/src/scale/mod.rs
+++ b/experiments/src/scale/mod.rs
@@ -5,24 +5,29 @@
 mod assignment;
 mod budget;
 mod config;
+mod error;
+mod layout;
 mod meter;
 mod outcome;
+mod outcome_table;
+mod ownership_observer;
 mod processes;
 mod protocol;
-mod real;
+mod real_relays;
 mod simulated;
 mod slope;
-mod witness;
 mod worker;
 
 pub use assignment::Assignment;
-pub use budget::{Budget, Violation};
-pub use config::{Fault, Layout, Role, ScaleConfig};
-pub use meter::{Meter, RoleTraffic, Traffic};
+pub use budget::{Budget, BudgetError, BudgetViolation};
+pub use config::{Fault, InvalidOption, ScaleConfig};
+pub use error::{MachineError, ScaleError};
+pub use layout::{Layout, Role};
+pub use meter::{RoleTraffic, Traffic};
 pub use outcome::{Convergence, Cost, Outcome, Phase};
-pub use real::RealFigures;
+pub use ownership_observer::{Holding, OwnershipObserver};
+pub use real_relays::RealFigures;
 pub use slope::{Line, Slope, Variable, slopes, sweep, table as slope_table};
-pub use witness::{Holding, OwnershipWitness};
 pub use worker::work;
 
 /// What happens while a run goes on, for whoever watches.
@@ -33,18 +38,19 @@
 pub struct Programs {
     /// Serves `work`.
     pub hollow: Vec<String>,
+    /// Serves as a relay.
     pub relay: Vec<String>,
 }
 
 /// Runs it as the configuration says.
 ///
 /// # Errors
-/// One line: what could not be set up.
+/// What could not be set up.
 pub fn run(
     config: &ScaleConfig,
     programs: &Programs,
     progress: Progress<'_>,
-) -> Result<Outcome, String> {
+) -> Result<Outcome, ScaleError> {
     config.validate()?;
     if config.simulated {
         Ok(simulated::run(config, progress))
--- a/experiments/src/scale/witness.rs
+++ b/experiments/src/scale/ownership_observer.rs
@@ -15,13 +15,14 @@
 
 /// Looks at what processes hold, by one clock.
 #[derive(Clone, Debug, Default)]
-pub struct OwnershipWitness {
+pub struct OwnershipObserver {
     /// By subject: the last holding of each that was seen with it.
     last: Vec<Vec<Holding>>,
     past: Vec<Holding>,
 }
 
-impl OwnershipWitness {
+impl OwnershipObserver {
+    /// Takes in what a process holds now.
     pub fn look(
         &mut self,
         owner: usize,
@@ -50,6 +51,7 @@
         }
     }
 
+    /// All holdings seen.
     pub fn into_holdings(self) -> Vec<Holding> {
         self.past
             .into_iter()
@@ -79,40 +81,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn witness(looks: &[(u64, usize, u64)]) -> Vec<Holding> {
-        let mut witness = OwnershipWitness::default();
-        for (at, owner, epoch) in looks {
-            witness.look(
-                *owner,
-                std::iter::once((7, *epoch)),
-                Instant::from_micros(*at),
-            );
-        }
-        witness.into_holdings()
-    }
-
-    #[test]
-    fn two_at_once_and_epochs_that_fall_are_seen_and_a_hand_over_is_neither() {
-        // Looks at one subject (time, owner, epoch), pairs at once, epochs that did not grow.
-        type Case = (&'static [(u64, usize, u64)], usize, usize);
-        let cases: &[Case] = &[
-            (&[(1, 0, 5), (2, 0, 5), (3, 1, 6), (4, 1, 6)], 0, 0),
-            (&[(1, 0, 5), (3, 1, 6), (4, 0, 5)], 1, 0),
-            (&[(1, 0, 5), (2, 1, 6), (3, 0, 7)], 0, 0),
-            (&[(1, 0, 5), (2, 1, 5)], 0, 1),
-            (&[(1, 0, 5), (2, 1, 4)], 0, 1),
-            (&[(1, 0, 5), (1, 1, 6)], 1, 0),
-        ];
-        for (looks, at_once, fallen) in cases {
-            let holdings = witness(looks);
-            assert_eq!(
-                (two_owners(&holdings), epochs_not_grown(&holdings)),
-                (*at_once, *fallen),
-                "{looks:?}"
-            );
-        }
-    }
-}
+mod tests;
--- /dev/null
+++ b/experiments/src/scale/processes/fleet.rs
@@ -0,0 +1,282 @@
+//! The fleet of processes: started, commanded, waited for and measured.
+use super::super::config::{SEEDS, ScaleConfig};
+use super::super::error::ScaleError;
+use super::super::layout::{Layout, Role};
+use super::super::meter::Traffic;
+use super::super::outcome::{Convergence, Phase};
+use super::super::ownership_observer::Holding;
+use super::super::protocol::{Answer, Command};
+use super::super::real_relays::RealRelays;
+use super::super::{Programs, Progress};
+use super::costs::PhaseCost;
+use super::hollow_process::{HollowProcess, NumberedAnswer};
+use std::net::SocketAddr;
+use std::sync::mpsc::{Receiver, RecvTimeoutError, channel};
+use std::time::{Duration, Instant};
+
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
+const LISTEN_INTERVAL: Duration = Duration::from_millis(50);
+const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
+/// How long a state is waited for, in periods.
+const CONVERGENCE_PERIODS: f64 = 240.0;
+
+pub(super) struct Fleet<'a> {
+    config: &'a ScaleConfig,
+    pub(super) layout: Layout,
+    pub(super) processes: Vec<HollowProcess>,
+    answers: Receiver<NumberedAnswer>,
+    phase_began: Instant,
+    pub(super) phases: Vec<Phase>,
+    pub(super) costs: Vec<PhaseCost>,
+    pub(super) real_relays: Option<RealRelays>,
+}
+
+impl<'a> Fleet<'a> {
+    pub(super) fn start(
+        config: &'a ScaleConfig,
+        programs: &Programs,
+    ) -> Result<Fleet<'a>, ScaleError> {
+        let layout = config.layout();
+        let (sender, answers) = channel();
+        let mut processes = Vec::new();
+        for (number, members) in groups(config, layout).into_iter().enumerate() {
+            let process = HollowProcess::spawn(number, &programs.hollow, members, &sender)?;
+            processes.push(process);
+        }
+        let mut fleet = Fleet {
+            config,
+            layout,
+            processes,
+            answers,
+            phase_began: Instant::now(),
+            phases: Vec::new(),
+            costs: Vec::new(),
+            real_relays: None,
+        };
+        let addresses = fleet.bind()?;
+        for process in &mut fleet.processes {
+            process.note_empty();
+        }
+        fleet.begin_phase();
+        let seeds: Vec<SocketAddr> = addresses.into_iter().take(SEEDS).collect();
+        fleet.send_all(&Command::Start {
+            seeds: seeds.clone(),
+        })?;
+        if config.real > 0 {
+            fleet.real_relays = Some(RealRelays::start(config, &seeds, &programs.relay)?);
+        }
+        Ok(fleet)
+    }
+
+    /// All members, hollow and real.
+    pub(super) fn size(&self) -> usize {
+        self.layout.size() + self.config.real
+    }
+
+    /// The addresses of all hollow members, in order.
+    fn bind(&mut self) -> Result<Vec<SocketAddr>, ScaleError> {
+        for process in &mut self.processes {
+            let command = Command::Bind {
+                config: Box::new(self.config.clone()),
+                members: process.members.clone(),
+            };
+            process.send(&command)?;
+        }
+        let mut bound = vec![Vec::new(); self.processes.len()];
+        self.collect(|number, answer| match answer {
+            Answer::Bound { addresses } => {
+                bound[number] = addresses;
+                true
+            }
+            _ => false,
+        })?;
+        Ok(bound.into_iter().flatten().collect())
+    }
+
+    fn send_all(&mut self, command: &Command) -> Result<(), ScaleError> {
+        self.processes
+            .iter_mut()
+            .try_for_each(|process| process.send(command))
+    }
+
+    /// Waits for one answer of each process; `take` says which counts. Status that comes meanwhile
+    /// is taken in.
+    fn collect(&mut self, mut take: impl FnMut(usize, Answer) -> bool) -> Result<(), ScaleError> {
+        let deadline = Instant::now() + ANSWER_TIMEOUT;
+        let mut missing = self.processes.len();
+        while missing > 0 {
+            let left = deadline.saturating_duration_since(Instant::now());
+            let Ok((number, answer)) = self.answers.recv_timeout(left) else {
+                return Err(ScaleError::NoAnswer(missing));
+            };
+            if let Some(answer) = self.take_status(number, answer)? {
+                missing -= usize::from(take(number, answer));
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes status in; any other answer comes back.
+    fn take_status(&mut self, number: usize, answer: Answer) -> Result<Option<Answer>, ScaleError> {
+        match answer {
+            Answer::Status(status) => {
+                self.processes[number].status = status;
+                Ok(None)
+            }
+            Answer::Failed { why } => Err(ScaleError::Process {
+                process: number,
+                reason: why,
+            }),
+            other => Ok(Some(other)),
+        }
+    }
+
+    /// Takes in what comes until then.
+    fn listen(&mut self, until: Instant) -> Result<(), ScaleError> {
+        loop {
+            let left = until.saturating_duration_since(Instant::now());
+            match self.answers.recv_timeout(left) {
+                Ok((number, answer)) => drop(self.take_status(number, answer)?),
+                Err(RecvTimeoutError::Timeout) => return Ok(()),
+                Err(RecvTimeoutError::Disconnected) => return Err(ScaleError::AllEnded),
+            }
+        }
+    }
+
+    pub(super) fn owned(&self) -> usize {
+        let processes = self.processes.iter();
+        processes.map(|process| process.status.owned).sum()
+    }
+
+    /// Whether all that live see each other and nobody else.
+    fn is_consistent(&self, size: usize) -> bool {
+        let playing = || {
+            let statuses = self.processes.iter().map(|process| process.status);
+            statuses.filter(|status| status.living > 0)
+        };
+        let living: usize = playing().map(|status| status.living).sum();
+        living + self.config.real == size
+            && playing().all(|status| status.sees_least == size && status.sees_most == size)
+    }
+
+    pub(super) fn run_for(
+        &mut self,
+        time: Duration,
+        progress: Progress<'_>,
+    ) -> Result<(), ScaleError> {
+        let until = Instant::now() + time;
+        while Instant::now() < until {
+            self.listen(until.min(Instant::now() + PROGRESS_INTERVAL))?;
+            self.real_relays.iter().for_each(RealRelays::keep_leases);
+            progress(&format!("{} subjects owned", self.owned()));
+        }
+        Ok(())
+    }
+
+    /// Until all members see each other and all subjects are owned.
+    pub(super) fn converge(
+        &mut self,
+        size: usize,
+        progress: Progress<'_>,
+    ) -> Result<Convergence, ScaleError> {
+        let began = Instant::now();
+        let mut last_progress = began;
+        let timeout = self.config.period_ms as f64 * CONVERGENCE_PERIODS;
+        let timeout = Duration::from_millis(timeout as u64);
+        let mut converged = Convergence::default();
+        while converged.members_s.is_none() || converged.owned_s.is_none() {
+            self.listen(Instant::now() + LISTEN_INTERVAL)?;
+            let elapsed = began.elapsed().as_secs_f64();
+            if self.is_consistent(size) {
+                converged.members_s = converged.members_s.or(Some(elapsed));
+            }
+            let all_owned = self.owned() == self.config.subjects;
+            converged.owned_s = all_owned.then(|| converged.owned_s.unwrap_or(elapsed));
+            if last_progress.elapsed() > PROGRESS_INTERVAL {
+                last_progress = Instant::now();
+                progress(&self.convergence_line(elapsed, size));
+            }
+            if began.elapsed() > timeout {
+                break;
+            }
+        }
+        Ok(converged)
+    }
+
+    fn convergence_line(&self, elapsed: f64, size: usize) -> String {
+        let statuses = self.processes.iter().map(|process| process.status);
+        let playing = statuses.filter(|status| status.living > 0);
+        let least = playing.map(|status| status.sees_least).min().unwrap_or(0);
+        let owned = self.owned();
+        format!("{elapsed:.0} s: each sees {least} or more of {size}, {owned} owned")
+    }
+
+    /// These members end without a word.
+    pub(super) fn kill(&mut self, members: &[usize]) -> Result<(), ScaleError> {
+        self.send_all(&Command::Kill {
+            members: members.to_vec(),
+        })?;
+        for process in &mut self.processes {
+            let is_killed = |member| members.contains(member);
+            if process.members.iter().all(is_killed) {
+                process.clear_status();
+            }
+        }
+        Ok(())
+    }
+
+    fn begin_phase(&mut self) {
+        for process in &mut self.processes {
+            process.begin_phase();
+        }
+        self.phase_began = Instant::now();
+    }
+
+    /// Ends a phase and begins the next.
+    pub(super) fn end_phase(
+        &mut self,
+        name: &str,
+        converged: Option<Convergence>,
+    ) -> Result<(), ScaleError> {
+        let seconds = self.phase_began.elapsed().as_secs_f64();
+        let cost = PhaseCost::new(&self.processes, self.layout, seconds);
+        self.send_all(&Command::Measure)?;
+        let layout = self.layout;
+        let mut traffic_by_role: Vec<(Role, Traffic)> = Vec::new();
+        self.collect(|_, answer| match answer {
+            Answer::Measured { traffic } => {
+                let traffic = traffic.into_iter();
+                traffic_by_role
+                    .extend(traffic.map(|(member, traffic)| (layout.role(member), traffic)));
+                true
+            }
+            _ => false,
+        })?;
+        let phase = Phase::new(name, seconds, &traffic_by_role, converged);
+        self.phases.push(phase);
+        self.costs.push(cost);
+        self.begin_phase();
+        Ok(())
+    }
+
+    pub(super) fn stop(&mut self) -> Result<Vec<Holding>, ScaleError> {
+        self.send_all(&Command::Stop)?;
+        let mut all = Vec::new();
+        self.collect(|_, answer| match answer {
+            Answer::Ended { holdings } => {
+                all.extend(holdings);
+                true
+            }
+            _ => false,
+        })?;
+        Ok(all)
+    }
+}
+
+/// Each voter alone, then relays in groups.
+fn groups(config: &ScaleConfig, layout: Layout) -> Vec<Vec<usize>> {
+    let relays: Vec<usize> = (config.voters..layout.size()).collect();
+    let mut groups: Vec<Vec<usize>> = (0..config.voters).map(|voter| vec![voter]).collect();
+    groups.extend(relays.chunks(config.each_process).map(<[usize]>::to_vec));
+    groups
+}
--- a/experiments/src/scale/protocol.rs
+++ b/experiments/src/scale/protocol.rs
@@ -2,7 +2,7 @@
 //! standard input and output.
 use super::config::ScaleConfig;
 use super::meter::Traffic;
-use super::witness::Holding;
+use super::ownership_observer::Holding;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
--- a/experiments/src/scale/real.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -1,7 +1,9 @@
 //! Real relays in a fleet of hollow ones: processes of the relay with a stand-in for the platform
 //! round them, that know the same fleet. If what they send is not what hollow ones send, hollow
 //! ones prove nothing.
-use super::config::{Role, ScaleConfig};
+use super::config::ScaleConfig;
+use super::error::ScaleError;
+use super::layout::Role;
 use serde::Serialize;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -11,7 +13,7 @@
 use thistlecroft_testbed::relay_process::free_address;
 
 /// Addresses of real relays are taken from this place of the loopback range on, beside those of the
-/// rig.
+/// process cluster.
 const FIRST_ADDRESS: usize = 200;
 const HEADER_BYTES: u64 = 28;
 
@@ -29,8 +31,12 @@
     pub view_bytes: usize,
 }
 
+fn failed(error: impl ToString) -> ScaleError {
+    ScaleError::RealRelays(error.to_string())
+}
+
 pub(super) struct RealRelays {
-    rig: ProcessCluster,
+    cluster: ProcessCluster,
     count: usize,
     before: Vec<Sample>,
     sampled: Instant,
@@ -44,27 +50,28 @@
 
 impl RealRelays {
     /// Starts them; `seeds` are hollow members.
-    pub fn start(
+    pub(super) fn start(
         config: &ScaleConfig,
         seeds: &[SocketAddr],
         program: &[String],
-    ) -> Result<RealRelays, String> {
+    ) -> Result<RealRelays, ScaleError> {
         let folder =
             std::env::temp_dir().join(format!("thistlecroft-scale-{}", std::process::id()));
         let times = (config.period(), config.term());
         let mut plan = ClusterPlan::small(program.to_vec(), config.real, 0, times, folder.clone());
         plan.config.health_checks = false;
-        let mut rig = ProcessCluster::open(plan)?;
+        let mut cluster = ProcessCluster::open(plan).map_err(failed)?;
         let key = folder.join("scale.key");
-        std::fs::write(&key, &config.peer_terms(Role::Relay).secret)
-            .map_err(|fault| fault.to_string())?;
+        std::fs::write(&key, &config.peer_terms(Role::Relay).secret).map_err(failed)?;
         for number in 0..config.real {
-            let listen = free_address(FIRST_ADDRESS + number).map_err(|fault| fault.to_string())?;
-            rig.start_with(number, table(config, listen, seeds, &key))?;
+            let listen = free_address(FIRST_ADDRESS + number).map_err(failed)?;
+            cluster
+                .start_with(number, table(config, listen, seeds, &key))
+                .map_err(failed)?;
         }
         let before = vec![Sample::default(); config.real];
         Ok(RealRelays {
-            rig,
+            cluster,
             count: config.real,
             before,
             sampled: Instant::now(),
@@ -72,20 +79,20 @@
     }
 
     /// Each holds a lease, so that it renews its sessions as hollow ones do.
-    pub fn keep_leases(&self) {
+    pub(super) fn keep_leases(&self) {
         for number in 0..self.count {
-            self.rig
+            self.cluster
                 .admin_command(number, &format!("LEASE real-{number}"));
         }
     }
 
-    pub fn begin(&mut self) {
+    pub(super) fn begin(&mut self) {
         self.before = (0..self.count).map(|number| self.sample(number)).collect();
         self.sampled = Instant::now();
     }
 
     /// Since `begin`.
-    pub fn figures(&self) -> RealFigures {
+    pub(super) fn figures(&self) -> RealFigures {
         let seconds = self.sampled.elapsed().as_secs_f64();
         let mut figures = RealFigures {
             relays: self.count,
@@ -106,10 +113,11 @@
             figures.sent_mean += sent / each;
             figures.received_mean += received / each;
             figures.cpu_percent += (now.cpu_s - before.cpu_s) / seconds * 100.0 / each;
-            figures.memory_mb += self.rig.resident_bytes(number).unwrap_or(0) as f64 / 1e6 / each;
+            figures.memory_mb +=
+                self.cluster.resident_bytes(number).unwrap_or(0) as f64 / 1e6 / each;
         }
         figures.view_bytes = self
-            .rig
+            .cluster
             .admin_command(0, "PEERS")
             .map_or(0, |view| view.len());
         figures
@@ -120,10 +128,10 @@
             view["counts"][name].as_u64().unwrap_or_default()
         };
         let cpu_s = self
-            .rig
+            .cluster
             .cpu_time(number)
             .map_or(0.0, |cpu| cpu.as_secs_f64());
-        let Some(view) = self.rig.membership(number) else {
+        let Some(view) = self.cluster.membership(number) else {
             return Sample {
                 cpu_s,
                 ..Sample::default()
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -1,24 +1,25 @@
 //! The same fleet over simulated links: every process in this one, on a clock that is stepped.
 use super::Progress;
 use super::assignment::{Assignment, subject_number};
-use super::config::{Fault, Role, SEEDS, ScaleConfig};
+use super::config::{Fault, SEEDS, ScaleConfig};
+use super::layout::Role;
 use super::meter::{Meter, Traffic};
 use super::outcome::{Convergence, Outcome, Phase};
-use super::witness::{OwnershipWitness, epochs_not_grown, two_owners};
+use super::ownership_observer::{OwnershipObserver, epochs_not_grown, two_owners};
 use std::collections::BTreeSet;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::MemberState;
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
 const STEP: Duration = Duration::from_millis(250);
-const STEPS_A_SECOND: u64 = 4;
+const STEPS_PER_SECOND: u64 = 4;
 /// The longest that a state is waited for, in periods.
-const PATIENCE: f64 = 400.0;
+const CONVERGENCE_PERIODS: f64 = 400.0;
 /// Periods in which what is known of the last change goes round, and more for each member.
-const SETTLE: f64 = 20.0;
-const SETTLE_EACH: f64 = 0.25;
+const SETTLING_PERIODS: f64 = 20.0;
+const SETTLING_PERIODS_PER_MEMBER: f64 = 0.25;
 
-pub fn run(config: &ScaleConfig, progress: Progress<'_>) -> Outcome {
+pub(super) fn run(config: &ScaleConfig, progress: Progress<'_>) -> Outcome {
     let began = std::time::Instant::now();
     let mut fleet = Fleet::start(config);
     let mut phases = Vec::new();
@@ -27,14 +28,14 @@
     phases.push(fleet.phase("start", Some(started)));
     fleet.settle(progress);
     phases.push(fleet.phase("settle", None));
-    fleet.pass(Duration::from_millis(config.calm_s * 1_000));
+    fleet.run_for(Duration::from_millis(config.calm_s * 1_000));
     phases.push(fleet.phase("calm", None));
     match config.fault {
         Fault::None => {}
         Fault::Region => {
             let sides = fleet.cut_region();
             let cut = fleet.converge(&sides, progress);
-            fleet.pass(Duration::from_millis(config.cut_s * 1_000));
+            fleet.run_for(Duration::from_millis(config.cut_s * 1_000));
             phases.push(fleet.phase("fault", Some(cut)));
             fleet.network.heal_partitions();
             let healed = fleet.converge(std::slice::from_ref(&everyone), progress);
@@ -57,7 +58,7 @@
         }
     }
     let owned_at_end = fleet.owned();
-    let holdings = fleet.witness.into_holdings();
+    let holdings = fleet.observer.into_holdings();
     Outcome {
         config: config.clone(),
         phases,
@@ -80,7 +81,7 @@
     /// Changes of members that each has acted on.
     applied: Vec<usize>,
     meters: Vec<Meter>,
-    witness: OwnershipWitness,
+    observer: OwnershipObserver,
     steps: u64,
     phase_began: Instant,
 }
@@ -115,7 +116,7 @@
                 .collect(),
             applied: vec![usize::MAX; layout.size()],
             meters: vec![Meter::default(); layout.size()],
-            witness: OwnershipWitness::default(),
+            observer: OwnershipObserver::default(),
             network,
             steps: 0,
             phase_began: Instant::default(),
@@ -145,9 +146,9 @@
             .enumerate()
             .filter(|(_, host)| host.alive)
         {
-            self.witness.look(member, holdings(host, now), now);
+            self.observer.look(member, holdings(host, now), now);
         }
-        if self.steps.is_multiple_of(STEPS_A_SECOND) {
+        if self.steps.is_multiple_of(STEPS_PER_SECOND) {
             for (meter, host) in self
                 .meters
                 .iter_mut()
@@ -159,7 +160,7 @@
         }
     }
 
-    fn pass(&mut self, span: Duration) {
+    fn run_for(&mut self, span: Duration) {
         let until = self.network.now + span;
         while self.network.now < until {
             self.step();
@@ -169,20 +170,20 @@
     /// Until each of these sets sees itself alone, and all subjects are owned.
     fn converge(&mut self, sides: &[BTreeSet<usize>], progress: Progress<'_>) -> Convergence {
         let began = self.network.now;
-        let mut found = Convergence::default();
-        let patience = self.config.period() * PATIENCE;
-        while found.members_s.is_none() || found.owned_s.is_none() {
+        let mut converged = Convergence::default();
+        let timeout = self.config.period() * CONVERGENCE_PERIODS;
+        while converged.members_s.is_none() || converged.owned_s.is_none() {
             self.step();
             let passed = self.network.now.duration_since(began);
-            if found.members_s.is_none() && sides.iter().all(|side| self.agree(side)) {
-                found.members_s = Some(passed.as_secs_f64());
+            if converged.members_s.is_none() && sides.iter().all(|side| self.is_consistent(side)) {
+                converged.members_s = Some(passed.as_secs_f64());
             }
             if self.owned() == self.config.subjects {
-                found.owned_s = found.owned_s.or(Some(passed.as_secs_f64()));
+                converged.owned_s = converged.owned_s.or(Some(passed.as_secs_f64()));
             } else {
-                found.owned_s = None;
+                converged.owned_s = None;
             }
-            if self.steps.is_multiple_of(STEPS_A_SECOND * 5) {
+            if self.steps.is_multiple_of(STEPS_PER_SECOND * 5) {
                 progress(&format!(
                     "{:.0} s: {} subjects owned",
                     self.network
@@ -192,11 +193,11 @@
                     self.owned()
                 ));
             }
-            if passed >= patience {
+            if passed >= timeout {
                 break;
             }
         }
-        found
+        converged
     }
 
     /// Until what was told of the last change has gone round: nothing is sent any more but what
@@ -209,10 +210,13 @@
                 .duration_since(Instant::default())
                 .as_secs_f64()
         ));
-        self.pass(self.config.period() * (SETTLE + SETTLE_EACH * self.assignments.len() as f64));
+        self.run_for(
+            self.config.period()
+                * (SETTLING_PERIODS + SETTLING_PERIODS_PER_MEMBER * self.assignments.len() as f64),
+        );
     }
 
-    fn agree(&self, side: &BTreeSet<usize>) -> bool {
+    fn is_consistent(&self, side: &BTreeSet<usize>) -> bool {
         let layout = self.config.layout();
         let sees_others = |host: &Host| {
             let live = host
--- a/experiments/tests/golden.rs
+++ b/experiments/tests/golden.rs
@@ -254,5 +254,5 @@
 #[test]
 fn a_budget_with_an_unknown_key_is_refused_with_the_known_ones() {
     let refused = Budget::parse("[budget]\nunheard_of = 1\n").unwrap_err();
-    assert_unchanged("budget_keys.txt", &(refused + "\n"));
+    assert_unchanged("budget_keys.txt", &format!("{refused}\n"));
 }
