--- a/experiments/src/compare/read.rs
+++ b/experiments/src/compare/read.rs
@@ -12,11 +12,18 @@
 pub enum ReadError {
     /// A folder or file can't be read.
     #[error("{path}: {source}")]
-    Unreadable { path: PathBuf, source: io::Error },
+    Unreadable {
+        /// The file or folder.
+        path: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
     /// A summary is not one.
     #[error("{path}: {source}")]
     Malformed {
+        /// The file or folder.
         path: PathBuf,
+        /// Why not.
         source: serde_json::Error,
     },
     /// There is no run.
--- a/experiments/src/count/mod.rs
+++ b/experiments/src/count/mod.rs
@@ -17,7 +17,12 @@
     EmptySpan,
     /// A folder or file can't be read.
     #[error("{path}: {source}")]
-    Unreadable { path: PathBuf, source: io::Error },
+    Unreadable {
+        /// The file or folder.
+        path: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
     /// No line could be counted.
     #[error("{0}: no line to count; relays must log at debug")]
     NoEvents(PathBuf),
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -93,10 +93,10 @@
         max_sessions: fleet.most,
         setup_time: fleet.set_up.0,
         group_load: fleet.group_fee,
-        warm_up: warm_up,
+        warm_up,
     };
     let boxes = (0..fleet.boxes).map(|number| BackendSpec {
-        capacity: capacity,
+        capacity,
         zone: fleet.zones[number % fleet.zones.len()].clone(),
         cell: 0,
         initially_running: number < fleet.boxes - fleet.later,
--- a/experiments/src/run/error.rs
+++ b/experiments/src/run/error.rs
@@ -9,16 +9,28 @@
 pub enum RunError {
     /// A file or folder of the run's results.
     #[error("{path}: {source}")]
-    Results { path: PathBuf, source: io::Error },
+    Results {
+        /// The file or folder.
+        path: PathBuf,
+        /// Why not.
+        source: io::Error,
+    },
     /// A part of the testbed.
     #[error("{part} can't be set up: {source}")]
     Setup {
+        /// Which part.
         part: &'static str,
+        /// Why not.
         source: io::Error,
     },
     /// The sockets that the platform holds for a relay.
     #[error("relay {relay}: {source}")]
-    RelaySockets { relay: usize, source: io::Error },
+    RelaySockets {
+        /// The relay's number.
+        relay: usize,
+        /// Why not.
+        source: io::Error,
+    },
     /// An address for a relay.
     #[error("no address for a relay: {0}")]
     NoAddress(#[source] io::Error),
--- a/experiments/src/scale/assignment.rs
+++ b/experiments/src/scale/assignment.rs
@@ -29,11 +29,11 @@
     value ^ value >> 31
 }
 
-pub fn subject_name(subject: usize) -> Vec<u8> {
+pub(super) fn subject_name(subject: usize) -> Vec<u8> {
     format!("shard-{subject}").into_bytes()
 }
 
-pub fn subject_number(name: &[u8]) -> Option<usize> {
+pub(super) fn subject_number(name: &[u8]) -> Option<usize> {
     std::str::from_utf8(name)
         .ok()?
         .strip_prefix("shard-")?
@@ -42,6 +42,7 @@
 }
 
 impl Assignment {
+    /// A member that owns nothing yet.
     pub fn new(layout: Layout, subjects: usize, member: usize) -> Assignment {
         Assignment {
             layout,
--- a/experiments/src/scale/budget.rs
+++ b/experiments/src/scale/budget.rs
@@ -9,20 +9,31 @@
 pub struct Budget {
     /// Of the relay that sends, or receives, most in calm.
     pub relay_sent_bytes_s: Option<f64>,
+    /// Received by the relay that receives most in calm.
     pub relay_received_bytes_s: Option<f64>,
     /// Of the worst second of any relay, in any phase.
     pub relay_worst_second_bytes: Option<u64>,
+    /// Of a core, in calm.
     pub relay_cpu_percent: Option<f64>,
+    /// Megabytes of a relay.
     pub relay_memory_mb: Option<f64>,
+    /// Sent by the voter that sends most in calm.
     pub voter_sent_bytes_s: Option<f64>,
+    /// Of a core, in calm.
     pub voter_cpu_percent: Option<f64>,
+    /// Megabytes of a voter.
     pub voter_memory_mb: Option<f64>,
     /// From the start of all, and from the fault, until all agree and until all is owned.
     pub start_members_s: Option<f64>,
+    /// From the start until all is owned.
     pub start_owned_s: Option<f64>,
+    /// From the fault until all agree.
     pub fault_members_s: Option<f64>,
+    /// From the fault until all is owned.
     pub fault_owned_s: Option<f64>,
+    /// Pairs of owners of one subject at once.
     pub two_owners: Option<usize>,
+    /// Subjects without an owner at the end.
     pub not_owned: Option<usize>,
 }
 
--- a/experiments/src/scale/error.rs
+++ b/experiments/src/scale/error.rs
@@ -23,13 +23,23 @@
     NoPipes,
     /// A process can't be written to.
     #[error("process {process} of hollow relays: {source}")]
-    Command { process: usize, source: io::Error },
+    Command {
+        /// The process's number.
+        process: usize,
+        /// Why not.
+        source: io::Error,
+    },
     /// A command is no JSON.
     #[error("{0}")]
     Encoding(#[from] serde_json::Error),
     /// A process says that it failed.
     #[error("process {process}: {reason}")]
-    Process { process: usize, reason: String },
+    Process {
+        /// The process's number.
+        process: usize,
+        /// What it says.
+        reason: String,
+    },
     /// Processes that owe an answer.
     #[error("{0} processes of hollow relays do not answer")]
     NoAnswer(usize),
@@ -49,15 +59,23 @@
 pub enum MachineError {
     /// Too many processes.
     #[error("{needed} processes; {allowed} at most, so give --each-process")]
-    Processes { needed: usize, allowed: usize },
+    Processes {
+        /// How many the fleet needs.
+        needed: usize,
+        /// How many there may be.
+        allowed: usize,
+    },
     /// Too little memory.
     #[error(
         "{needed_mib} MiB are needed for {relays} hollow relays; half of this machine's memory \
          is {half_mib} MiB"
     )]
     Memory {
+        /// What the fleet needs.
         needed_mib: u64,
+        /// The hollow relays.
         relays: usize,
+        /// Half of the machine's memory.
         half_mib: u64,
     },
 }
--- a/experiments/src/scale/meter.rs
+++ b/experiments/src/scale/meter.rs
@@ -9,12 +9,17 @@
 /// What one process sent and received in one phase, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
+    /// All bytes sent.
     pub sent: u64,
+    /// All bytes received.
     pub received: u64,
+    /// Bytes sent in the worst second.
     pub worst_sent: u64,
+    /// Bytes received in the worst second.
     pub worst_received: u64,
     /// Not sent, for the rate.
     pub held_back: u64,
+    /// Seconds measured.
     pub seconds: u64,
 }
 
@@ -54,14 +59,19 @@
 /// Of all processes of one role: bytes a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RoleTraffic {
+    /// Sent, in the mean.
     pub sent_mean: f64,
+    /// Received, in the mean.
     pub received_mean: f64,
     /// Of the process that sent, or received, most in the phase.
     pub sent_of_worst: f64,
+    /// Of the process that received most in the phase.
     pub received_of_worst: f64,
     /// The worst second of any process.
     pub sent_worst_second: u64,
+    /// The worst second of any process, received.
     pub received_worst_second: u64,
+    /// Datagrams not sent, for the rate.
     pub held_back: u64,
 }
 
--- a/experiments/src/scale/outcome.rs
+++ b/experiments/src/scale/outcome.rs
@@ -17,14 +17,20 @@
 /// A part of the run, with what the fleet sent in it.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Phase {
+    /// Its name.
     pub name: String,
+    /// How long it lasted.
     pub seconds: f64,
+    /// Of all relays.
     pub relay: RoleTraffic,
+    /// Of all voters.
     pub voter: RoleTraffic,
+    /// When the fleet had agreed, where that was waited for.
     pub converged: Option<Convergence>,
 }
 
 impl Phase {
+    /// A phase from the traffic of its processes.
     pub fn new(
         name: &str,
         seconds: f64,
@@ -48,36 +54,49 @@
 /// Of one process of a role, in calm. Simulated runs have none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
+    /// Of a core.
     pub cpu_percent: f64,
     /// In the phase in which it was highest.
     pub worst_cpu_percent: f64,
+    /// Megabytes.
     pub memory_mb: f64,
 }
 
+/// What a run has shown.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
+    /// What was run.
     pub config: ScaleConfig,
+    /// The parts of the run in their order.
     pub phases: Vec<Phase>,
+    /// What a relay costs.
     pub relay: Option<Cost>,
+    /// What a voter costs.
     pub voter: Option<Cost>,
     /// Of real relays in the fleet, in calm.
     pub real: Option<RealFigures>,
-    /// Pairs of holdings of one subject by two at once, and holdings whose epoch did not grow.
+    /// Pairs of holdings of one subject by two at once.
     pub two_owners: usize,
+    /// Holdings whose epoch did not grow.
     pub epochs_not_grown: usize,
+    /// Holdings seen.
     pub holdings: usize,
+    /// Subjects owned at the end.
     pub owned_at_end: usize,
     /// By how much a hollow process was behind its timers at worst: above a tenth of a period the
     /// machine is too slow.
     pub late_ms: Option<f64>,
+    /// Seconds of real time.
     pub took_s: f64,
 }
 
 impl Outcome {
+    /// The phase of that name.
     pub fn phase(&self, name: &str) -> Option<&Phase> {
         self.phases.iter().find(|phase| phase.name == name)
     }
 
+    /// All figures as JSON.
     pub fn json(&self) -> String {
         serde_json::to_string_pretty(self).expect("an outcome is plain values")
     }
--- a/experiments/src/scale/ownership_observer.rs
+++ b/experiments/src/scale/ownership_observer.rs
@@ -6,10 +6,15 @@
 /// epoch is one holding's alone, so in between it was not lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
+    /// The subject.
     pub subject: usize,
+    /// The member that held it.
     pub owner: usize,
+    /// The epoch of the lease.
     pub epoch: u64,
+    /// When it was first seen, in microseconds.
     pub first_us: u64,
+    /// When it was last seen, in microseconds.
     pub last_us: u64,
 }
 
@@ -61,7 +66,7 @@
 }
 
 /// Pairs of holdings of one subject by two owners that overlap.
-pub fn two_owners(holdings: &[Holding]) -> usize {
+pub(super) fn two_owners(holdings: &[Holding]) -> usize {
     let mut sorted = holdings.to_vec();
     sorted.sort_by_key(|one| (one.subject, one.first_us, one.owner));
     let overlap = |pair: &&[Holding]| {
@@ -72,7 +77,7 @@
 }
 
 /// Holdings whose epoch is not above that of the one before.
-pub fn epochs_not_grown(holdings: &[Holding]) -> usize {
+pub(super) fn epochs_not_grown(holdings: &[Holding]) -> usize {
     let mut sorted = holdings.to_vec();
     sorted.sort_by_key(|one| (one.subject, one.first_us));
     let fell =
--- a/experiments/src/scale/protocol.rs
+++ b/experiments/src/scale/protocol.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Command {
+pub(super) enum Command {
     /// Open sockets for these members; answered by `Bound`.
     Bind {
         config: Box<ScaleConfig>,
@@ -27,7 +27,7 @@
 }
 
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum Answer {
+pub(super) enum Answer {
     Bound { addresses: Vec<SocketAddr> },
     Status(Status),
     Measured { traffic: Vec<(usize, Traffic)> },
@@ -37,7 +37,7 @@
 
 /// Told a few times a second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Status {
+pub(super) struct Status {
     /// Members that live here; and how many each takes for alive or suspected, itself with them,
     /// least and most.
     pub living: usize,
--- a/experiments/src/scale/real_relays.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -20,12 +20,19 @@
 /// What real relays sent and cost in calm, each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RealFigures {
+    /// How many there were.
     pub relays: usize,
+    /// Bytes a second, of the one that sent least.
     pub sent_least: f64,
+    /// Bytes a second, in the mean.
     pub sent_mean: f64,
+    /// Bytes a second, of the one that sent most.
     pub sent_most: f64,
+    /// Bytes received a second, in the mean.
     pub received_mean: f64,
+    /// Of a core.
     pub cpu_percent: f64,
+    /// Resident megabytes.
     pub memory_mb: f64,
     /// Of the answer to `PEERS` at an operators' door.
     pub view_bytes: usize,
--- a/experiments/src/scenario/error.rs
+++ b/experiments/src/scenario/error.rs
@@ -9,7 +9,12 @@
 pub enum ScenarioError {
     /// The file can't be read.
     #[error("{file}: {source}")]
-    Unreadable { file: String, source: io::Error },
+    Unreadable {
+        /// The file's name.
+        file: String,
+        /// Why not.
+        source: io::Error,
+    },
     /// Its text is wrong.
     #[error(transparent)]
     Malformed(#[from] MalformedScenario),
--- a/experiments/src/scenario/fault_table.rs
+++ b/experiments/src/scenario/fault_table.rs
@@ -6,7 +6,9 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultText {
+    /// When it begins.
     pub at: Time,
+    /// Its kind, one of [`FAULTS`].
     pub what: String,
     /// Which boxes: their numbers, how many (drawn by the seed), `"half"` or `"all"`.
     pub boxes: Option<Selection>,
@@ -21,14 +23,17 @@
     pub part: Option<f64>,
     /// A pause comes once in each such time.
     pub every: Option<Time>,
+    /// How long a pause lasts.
     pub pause: Option<Time>,
     /// One that dies is back after this.
     pub back: Option<Time>,
     /// Relays from which and to which links are bent.
     pub from: Option<Selection>,
+    /// Relays to which links are faulted.
     pub to: Option<Selection>,
     /// The part of datagrams that is lost; all where nothing is said of a link.
     pub loss: Option<f64>,
+    /// Delay of each datagram on a link.
     pub delay: Option<Time>,
     /// Added to the delay, from nothing up to this.
     pub spread: Option<Time>,
@@ -36,26 +41,34 @@
     pub doubled: Option<f64>,
     /// Bytes a second that a link lets through.
     pub rate: Option<u64>,
+    /// How many clients it is about.
     pub clients: Option<usize>,
     /// Spread over this time.
     pub over: Option<Time>,
 }
 
+/// Some of the backends or relays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     untagged,
     expecting = "numbers such as [0, 3], a count, \"half\" or \"all\""
 )]
 pub enum Selection {
+    /// Those of these numbers.
     These(Vec<usize>),
+    /// So many, drawn.
     Count(usize),
+    /// A part of them.
     Word(SelectionWord),
 }
 
+/// A part of them, in a word.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SelectionWord {
+    /// Half of them, drawn.
     Half,
+    /// All of them.
     All,
 }
 
--- a/experiments/src/scenario/fleet_tables.rs
+++ b/experiments/src/scenario/fleet_tables.rs
@@ -6,28 +6,38 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
+    /// Backends.
     pub boxes: usize,
     /// Of these the last ones, which start, cold, by a fault `join`.
     pub later: usize,
+    /// The zones that backends and relays are dealt over in turn.
     pub zones: Vec<String>,
     /// The load that fills a box.
     pub capacity: f64,
     /// Connections that a box holds at most.
     pub most: usize,
+    /// How long a set-up takes at a backend.
     pub set_up: Time,
+    /// The load that a group adds to each backend that holds any of it.
     pub group_fee: f64,
+    /// The part of its capacity that a backend has at its start.
     pub cold_share: f64,
+    /// How long a backend takes to reach its whole capacity.
     pub warm_up: Time,
+    /// A warming backend fails when asked for more than this many times its share...
     pub cold_factor: f64,
+    /// ...within this time.
     pub cold_window: Time,
     /// What a box can do is to take connections that fill it once in such a time; where not stated,
     /// a mean life of its clients, or its warm-up if that is longer.
     pub turnover: Option<Time>,
+    /// How often backends report their load.
     pub report_every: Time,
     /// How late a change of the list is told, at least and at most.
     pub notice: [Time; 2],
     /// Set-ups that the store works on at once; without it they call nothing.
     pub store_lanes: Option<usize>,
+    /// How long the store works on one set-up.
     pub store_time: Time,
     /// Nothing new goes to a box so long after it was told as draining.
     pub grace: Time,
@@ -64,11 +74,17 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Relays {
+    /// Relays.
     pub count: usize,
+    /// Descriptors that a relay may open.
     pub sockets: u64,
+    /// Memory that a relay may take, in megabytes.
     pub memory_mb: u64,
+    /// Relays may send health checks.
     pub probes: bool,
+    /// How long a connection may take to come up.
     pub connect_time: Time,
+    /// Attempts of one session at most.
     pub most_dials: u32,
     /// The longest time to stay away that a refusal may tell; without it none is told.
     pub retry_after: Option<Time>,
@@ -90,7 +106,9 @@
     pub peers: bool,
     /// The first so many grant leases; a witness asks all of them for one.
     pub voters: usize,
+    /// The probe period of membership.
     pub period: Time,
+    /// The time of a lease.
     pub lease: Time,
 }
 
@@ -126,6 +144,7 @@
     pub at_once: Option<usize>,
     /// ...and for how long at most there may be more.
     pub over_for: Option<Time>,
+    /// Attempts of all relays within any second.
     pub dials_a_second: Option<usize>,
     /// A ban by hand at one relay holds at all others after this.
     pub bans_within: Option<Time>,
--- a/experiments/src/scenario/mod.rs
+++ b/experiments/src/scenario/mod.rs
@@ -30,18 +30,24 @@
     pub about: String,
     /// Arrivals come for so long.
     pub length: Time,
+    /// The seed where the command line names none.
     #[serde(default = "one")]
     pub seed: u64,
+    /// Backends, the set-up store and discovery.
     #[serde(default)]
     pub fleet: Fleet,
+    /// The relays and their settings.
     #[serde(default)]
     pub relays: Relays,
+    /// The clients.
     pub traffic: TrafficText,
+    /// Kinds of sessions.
     #[serde(rename = "listener")]
     pub listeners: Vec<Spanned<ListenerText>>,
     /// What all relays together may do, beside the rules that each keeps alone.
     #[serde(default)]
     pub together: TogetherText,
+    /// What goes wrong, in the order of the file.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Spanned<FaultText>>,
     /// What is run beside the relays as they are.
--- a/experiments/src/scenario/traffic_tables.rs
+++ b/experiments/src/scenario/traffic_tables.rs
@@ -9,20 +9,27 @@
 pub struct TrafficText {
     /// Arrivals a second, or pairs of a time and the rate from then on, evenly changing.
     pub rate: Rate,
+    /// Client keys that arrivals draw from.
     #[serde(default = "many")]
     pub keys: u64,
+    /// Groups that arrivals draw from, if they have any.
     pub groups: Option<u64>,
+    /// Tries of a client after its first.
     #[serde(default = "three")]
     pub retries: u32,
     /// The part of clients that stay away for as long as they are told.
     #[serde(default = "half")]
     pub heeds: f64,
+    /// How long a client waits before it tries again.
     #[serde(default = "hundred_ms")]
     pub back_off: Time,
+    /// How long a client that was moved or cut off waits, at least and at most.
     #[serde(default = "soon")]
     pub rejoin: [Time; 2],
+    /// The part of clients that leave before their answer.
     #[serde(default)]
     pub impatient: f64,
+    /// How often a client sends a line.
     #[serde(default = "two_seconds")]
     pub beat: Time,
     /// Threads that clients are spread over.
@@ -52,13 +59,16 @@
     2
 }
 
+/// Arrivals a second.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     untagged,
     expecting = "a number of arrivals a second, or a list of pairs such as [\"10s\", 50.0]"
 )]
 pub enum Rate {
+    /// So many a second.
     Even(f64),
+    /// A rate from each time on, evenly changing between.
     Steps(Vec<(Time, f64)>),
 }
 
@@ -66,22 +76,32 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenerText {
+    /// Its name.
     pub name: String,
+    /// Its part of the arrivals, relative to the others.
     #[serde(default = "whole")]
     pub share: f64,
+    /// How long its clients wait for an answer.
     pub wait: Time,
+    /// An answer within this earns its whole worth.
     pub handshake_target: Time,
+    /// A line that returns within this earns its whole worth.
     pub message_target: Time,
+    /// The load of a session, at least and at most.
     #[serde(default = "unit_load")]
     pub load: [f64; 2],
+    /// The mean life of a session.
     pub life: Time,
+    /// What a well-served second is worth.
     #[serde(default = "whole")]
     pub utility: f64,
+    /// Whether its requests may be repeated.
     #[serde(default)]
     pub effect: EffectText,
     /// Where repeats of a referenced session are known, and for how long.
     #[serde(default)]
     pub scope: ScopeText,
+    /// How long a repeat is recognised.
     #[serde(default = "two_seconds")]
     pub window: Time,
 }
@@ -93,20 +113,28 @@
     [0.5, 1.5]
 }
 
+/// Whether requests may be repeated after they may have run.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EffectText {
+    /// At any time.
     #[default]
     Repeatable,
+    /// By their key, within a scope and a window.
     Referenced,
+    /// Never.
     OnceOnly,
 }
 
+/// Which backends recognise a repeat.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum ScopeText {
+    /// All backends.
     #[default]
     All,
+    /// Those of the first one's zone.
     Zone,
+    /// Those of the first one's cell.
     Cell,
 }
--- a/experiments/src/scenario/variant_table.rs
+++ b/experiments/src/scenario/variant_table.rs
@@ -5,6 +5,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
+    /// Its name.
     pub name: String,
     /// Clients dial boxes themselves.
     pub baseline: Option<Baseline>,
@@ -23,6 +24,7 @@
 pub enum Baseline {
     /// One box after the other.
     Direct,
+    /// A backend at random.
     Random,
     /// The box with the fewest own connections.
     Least,
--- a/experiments/src/summary/delays.rs
+++ b/experiments/src/summary/delays.rs
@@ -9,9 +9,13 @@
 pub struct Delays {
     /// How many were measured.
     pub count: u64,
+    /// The median.
     pub p50: f64,
+    /// Nine in ten are shorter.
     pub p90: f64,
+    /// 99 in 100 are shorter.
     pub p99: f64,
+    /// 999 in 1,000 are shorter.
     pub p99_9: f64,
     /// The longest.
     pub most: f64,
--- a/experiments/tests/scale.rs
+++ b/experiments/tests/scale.rs
@@ -27,11 +27,11 @@
     }
 }
 
-fn measured(config: &ScaleConfig) -> Outcome {
+fn run_once(config: &ScaleConfig) -> Outcome {
     run(config, &Programs::default(), &mut |_| {}).unwrap()
 }
 
-fn swept(variable: Variable, sizes: &[usize]) -> Vec<(usize, Outcome)> {
+fn run_sizes(variable: Variable, sizes: &[usize]) -> Vec<(usize, Outcome)> {
     sweep(
         &config(40),
         variable,
@@ -48,8 +48,8 @@
 }
 
 #[test]
-fn what_a_relay_sends_is_flat_in_the_size_of_the_fleet_and_a_voter_grows_with_it() {
-    let all = swept(Variable::Relays, &[20, 40, 80, 160]);
+fn relay_traffic_is_flat_in_fleet_size_and_voter_traffic_grows() {
+    let all = run_sizes(Variable::Relays, &[20, 40, 80, 160]);
     let sent: Vec<f64> = all.iter().map(|(_, outcome)| calm_sent(outcome)).collect();
     let (least, most) = sent.iter().fold((f64::MAX, 0.0), |(least, most), one| {
         (one.min(least), one.max(most))
@@ -79,8 +79,8 @@
 }
 
 #[test]
-fn what_a_relay_sends_is_flat_in_what_it_owns() {
-    let all = swept(Variable::Subjects, &[1, 8, 64]);
+fn relay_traffic_is_flat_in_owned_subjects() {
+    let all = run_sizes(Variable::Subjects, &[1, 8, 64]);
     let sent: Vec<f64> = all.iter().map(|(_, outcome)| calm_sent(outcome)).collect();
     assert!(
         sent.iter()
@@ -98,7 +98,7 @@
         (Fault::Voter, 3),
         (Fault::Region, 3),
     ] {
-        let outcome = measured(&ScaleConfig {
+        let outcome = run_once(&ScaleConfig {
             fault,
             voters,
             ..config(40)
@@ -132,7 +132,7 @@
 fn the_same_seed_gives_the_same_run() {
     let figures = |outcome: &Outcome| (outcome.phases.clone(), outcome.holdings);
     assert_eq!(
-        figures(&measured(&config(20))),
-        figures(&measured(&config(20)))
+        figures(&run_once(&config(20))),
+        figures(&run_once(&config(20)))
     );
 }
