--- a/src/balancer.rs
+++ b/src/balancer/mod.rs
@@ -3,15 +3,17 @@
 //! it returns. A call may be late or repeated; a session or backend unknown by then is passed over.
 //! `docs/design.md` says which part follows the design and under what condition each departure
 //! acts. Order of reading: open settings, state by lifetime, events, dialling, picking.
+mod session_state;
+
+use self::session_state::{Backend, Dial, Entry, Errand, Pool, Session, State};
 use crate::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
 use crate::deployment::{DeduplicationScope, Deployment, Idempotency, Route};
 use crate::driver::Driver;
 use crate::endpoint::{Endpoint, EndpointState, UpdateKind};
+use crate::failure_counts::{Client, Keys};
 use crate::ids::{BackendId, RouteId, SessionId, rendezvous_hash};
-use crate::keys::{Client, Keys};
-use crate::lanes::{Extra, Lanes};
 use crate::random::Rng;
-use crate::session::{Backend, Dial, Entry, Errand, Pool, Session, State};
+use crate::route_limits::{Extra, Lanes};
 use crate::snapshot::{BalancerSnapshot, EndpointStatistics};
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
