--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -10,10 +10,10 @@
 use crate::deployment::{DeduplicationScope, Deployment, Idempotency, Route};
 use crate::driver::Driver;
 use crate::endpoint::{Endpoint, EndpointState, UpdateKind};
-use crate::failure_counts::{Client, Keys};
+use crate::failure_counts::{ClientFailures, FailureCounts};
 use crate::ids::{BackendId, RouteId, SessionId, rendezvous_hash};
 use crate::random::Rng;
-use crate::route_limits::{Extra, Lanes};
+use crate::route_limits::{ExtraAttempt, RouteLimits};
 use crate::snapshot::{BalancerSnapshot, EndpointStatistics};
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
@@ -65,11 +65,11 @@
     deployment: Deployment,
     chance: Rng,
     routes: Vec<Arc<Route>>,
-    lanes: Lanes,
+    limits: RouteLimits,
     sessions: BTreeMap<SessionId, Session>,
     /// No session waits for longer, once the process is to stop.
     until: Option<Instant>,
-    clients: Keys,
+    failure_counts: FailureCounts,
     backends: BTreeMap<BackendId, Backend>,
     /// The process before still serves.
     beside: bool,
@@ -121,7 +121,7 @@
     /// Other settings and routes, for the sessions that come from now on.
     pub fn reconfigure(&mut self, deployment: Deployment) {
         self.routes = deployment.routes.iter().copied().map(Arc::new).collect();
-        self.lanes.limit(deployment.retry_budget);
+        self.limits.set_retry_budget(deployment.retry_budget);
         self.usual.clear(); // rows may stand for other listeners now
         self.deployment = deployment;
     }
@@ -201,7 +201,7 @@
     pub fn restore(&mut self, memory: &BalancerSnapshot, beside: bool) {
         self.beside = beside;
         if beside {
-            self.lanes.beside(None);
+            self.limits.predecessor_started();
         }
         (self.set_up, self.stood, self.left_alone) = (
             memory.connect_time,
@@ -240,7 +240,7 @@
     /// The process before has gone.
     pub fn predecessor_ended(&mut self, now: Instant) {
         self.beside = false;
-        self.lanes.beside(Some(now));
+        self.limits.predecessor_ended(now);
     }
 
     // ---- sessions ----
@@ -252,8 +252,8 @@
         arrival: Arrival,
         driver: &mut dyn Driver,
     ) {
-        self.lanes
-            .taken(now, &self.routes[usize::from(arrival.route.0)]);
+        self.limits
+            .record_arrival(now, &self.routes[usize::from(arrival.route.0)]);
         if self.enter(now, id, arrival) {
             self.dial(now, id, driver)
         } else {
@@ -290,7 +290,7 @@
         self.meet(arrival.group);
         self.lately += 1.0;
         let row = self.routes[usize::from(arrival.route.0)].clone();
-        let room = self.lanes.enter(&row);
+        let room = self.limits.open_session(&row);
         self.sessions.insert(id, Session::new(arrival, row, now));
         room
     }
@@ -333,7 +333,8 @@
         };
         self.backends.entry(dial.backend).and_modify(clear);
         self.learn_set_up(now.duration_since(dial.sent));
-        self.lanes.took(&row, now.duration_since(dial.sent));
+        self.limits
+            .record_connect_time(&row, now.duration_since(dial.sent));
         self.save_for_probes(now, driver);
         self.turn(id, State::Ready(dial, now), driver);
     }
@@ -375,7 +376,7 @@
                     .or(verdict.may_have_run().then_some((dial.backend, dial.sent)));
                 session.last_tried = Some(dial.backend);
                 if verdict == AttemptOutcome::NotSent && number > 0 {
-                    self.lanes.give_back(dial.sent);
+                    self.limits.refund(dial.sent);
                 }
                 self.heard(now, dial.backend, report);
                 if !matches!(
@@ -667,7 +668,7 @@
                     self.met.retain(|_, met| *met > 0.1);
                     self.relieve(now, driver);
                     self.bring_home(now, driver);
-                    self.clients.forget_old(now);
+                    self.failure_counts.remove_expired(now);
                     self.plan(now + HOUSEKEEPING, Errand::Housekeeping, driver);
                 }
                 Errand::Leave(steps) => self.leave(now, steps, driver),
@@ -695,7 +696,7 @@
             session.arrival.group,
         );
         if matches!(was, State::Held) {
-            self.lanes.promise(&session.row, false);
+            self.limits.release_retry(&session.row);
         }
         let on = |state: State| match state {
             State::Dialling(dial) | State::Ready(dial, _) => Some(dial.backend),
@@ -707,7 +708,7 @@
         if matches!(next, State::Over)
             && let Some(session) = self.sessions.remove(&id)
         {
-            self.lanes.leave(&session.row);
+            self.limits.close_session(&session.row);
             driver.release(id);
         }
     }
@@ -756,7 +757,7 @@
         let past = !self.allowed(&self.sessions[&id], |_, span, at| {
             now + row.connect_timeout < at + span
         });
-        if past || !first && !self.lanes.pay(now, &row, Extra::Further) {
+        if past || !first && !self.limits.try_spend(now, &row, ExtraAttempt::Retry) {
             return self.refuse(now, id, driver);
         }
         let Some(dial) = self.send(now, id, backend, driver) else {
@@ -766,8 +767,8 @@
         let two = self.deployment.may_hedge && self.deployment.may_cancel; // the one that loses is given up
         let allowed = two && row.idempotency == Idempotency::Idempotent;
         if let Some(long) = self
-            .lanes
-            .long(&row)
+            .limits
+            .hedge_delay(&row)
             .filter(|_| allowed && dial.number + 1 < row.max_attempts)
         {
             self.plan(now + long, Errand::Second(id, dial.number), driver);
@@ -829,7 +830,7 @@
         let other = self
             .pick(now, id)
             .filter(|&at| at != dial.backend && self.cold_turn(now, at).is_none());
-        let other = other.filter(|_| self.lanes.pay(now, &row, Extra::Second));
+        let other = other.filter(|_| self.limits.try_spend(now, &row, ExtraAttempt::Hedge));
         let second = other.and_then(|at| self.send(now, id, at, driver));
         second
             .into_iter()
@@ -856,7 +857,7 @@
         let in_time = now + wait + room < self.due(session) && session.dials < row.max_attempts;
         let repeat_known = self.allowed(session, |_, window, at| now + wait + room < at + window);
         if in_time && repeat_known && self.is_granted(now, id) {
-            self.lanes.promise(&row, true);
+            self.limits.reserve_retry(&row);
             self.turn(id, State::Held, driver);
             self.plan(now + wait, Errand::Redial(id), driver);
         } else {
@@ -874,12 +875,12 @@
         });
         let worth = row.priority_weight / most.max(f64::MIN_POSITIVE) * left.as_secs_f64()
             / session.arrival.timeout.as_secs_f64();
-        self.lanes
-            .room(now, &row, Extra::Further)
+        self.limits
+            .allowance(now, &row, ExtraAttempt::Retry)
             .is_none_or(|room| {
-                let reach = room.most * (0.5 + 0.5 * worth);
-                room.spent + 1.0 <= room.most
-                    && (room.spent < room.most * 0.5 || room.spent + 1.0 <= reach)
+                let reach = room.limit * (0.5 + 0.5 * worth);
+                room.spent + 1.0 <= room.limit
+                    && (room.spent < room.limit * 0.5 || room.spent + 1.0 <= reach)
             })
     }
 
@@ -939,7 +940,7 @@
             Some(key) => {
                 let client = self.client(key, now);
                 client.clears_at = None;
-                &mut client.failures
+                &mut client.count
             }
             None => &mut session.own_failures,
         };
@@ -948,10 +949,10 @@
         self.jitter(before, row.backoff_base, row.backoff_cap)
     }
 
-    fn client(&mut self, key: u64, now: Instant) -> &mut Client {
-        let client = self.clients.touch(key, now);
+    fn client(&mut self, key: u64, now: Instant) -> &mut ClientFailures {
+        let client = self.failure_counts.get_or_insert(key, now);
         if client.clears_at.is_some_and(|at| at <= now) {
-            *client = Client::default();
+            *client = ClientFailures::default();
         }
         client
     }
