--- /dev/null
+++ b/src/balancer/attempts.rs
@@ -0,0 +1,293 @@
+//! Connection attempts: their start, their end, and the retry that may follow.
+use super::Balancer;
+use super::backend_state::Outage;
+use super::health_checks::Urgency;
+use super::session_state::{Attempt, SessionState};
+use super::task_queue::Task;
+use crate::attempt::{AttemptEnd, AttemptOutcome};
+use crate::driver::Driver;
+use crate::ids::{BackendId, SessionId};
+use crate::route_limits::ExtraAttempt;
+use crate::time::{Duration, Instant};
+
+/// Connections of one backend that break together without any left over show that it went down.
+const RESTART_BREAKS: u32 = 2;
+/// Ticks of the caller's clock kept free before a session's deadline, so that an attempt that times
+/// out can still be answered.
+const ANSWER_TICKS: f64 = 2.0;
+/// Part of the retry limits that any session may use. Of the rest a session has the more the more
+/// it is worth and the more of its time is left.
+const UNRESERVED_RETRY_SHARE: f64 = 0.5;
+/// An attempt that timed out counts as one that took so many times as long.
+const TIMED_OUT_FACTOR: f64 = 2.0;
+
+impl Balancer {
+    /// Starts the session's next attempt, or gives the final answer where none can be made.
+    pub(super) fn connect(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
+        let state = self.sessions.get(&id).map(|session| session.state);
+        let Some(SessionState::New | SessionState::BackingOff) = state else {
+            return;
+        };
+        // The attempt spends anew what was reserved for it.
+        self.set_state(id, SessionState::New, driver);
+        let Some(backend_id) = self.select_backend(now, id) else {
+            self.schedule_health_check(now, Urgency::Hurried, driver);
+            return self.reject(now, id, driver);
+        };
+        let session = &self.sessions[&id];
+        let (route, is_retry) = (session.route.clone(), session.attempts_started > 0);
+        // The task may run late, and the connection may come up as late as its timeout.
+        let in_window = |_, window_end| now + route.connect_timeout < window_end;
+        if !self.may_repeat(session, in_window)
+            || is_retry && !self.limits.try_spend(now, &route, ExtraAttempt::Retry)
+        {
+            return self.reject(now, id, driver);
+        }
+        let Some(attempt) = self.start_attempt(now, id, backend_id, driver) else {
+            return self.fail(id, driver);
+        };
+        self.set_state(id, SessionState::Connecting(attempt), driver);
+        self.schedule_hedge(now, id, attempt, driver);
+    }
+
+    /// Starts an attempt; none where no time is left for it.
+    pub(super) fn start_attempt(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        backend_id: BackendId,
+        driver: &mut dyn Driver,
+    ) -> Option<Attempt> {
+        let timeout = self.attempt_timeout(now, id);
+        if timeout == Duration::ZERO {
+            return None;
+        }
+        let session = self.sessions.get_mut(&id)?;
+        let number = session.attempts_started;
+        session.attempts_started += 1;
+        let turn = self.slow_start_turn(now, backend_id);
+        if let Some(backend) = self.backends.get_mut(&backend_id) {
+            backend.recent_placements.push_back(now);
+            backend.statistics.slow_start_use = turn.map(|turn| (turn.number, turn.used + 1));
+        }
+        driver.connect(id, backend_id, timeout);
+        Some(Attempt {
+            number,
+            backend: backend_id,
+            started_at: now,
+        })
+    }
+
+    /// How long the session's next attempt may take: the last one all the time that is left.
+    fn attempt_timeout(&self, now: Instant, id: SessionId) -> Duration {
+        let session = &self.sessions[&id];
+        let tick = self.deployment.tick;
+        let left = self.deadline_of(session).duration_since(now + tick + tick);
+        if session.attempts_started + 1 >= session.route.max_attempts {
+            return left;
+        }
+        let slow = self.traffic.connect_time * session.route.attempt_timeout_factor;
+        left.min(session.route.handshake_objective.max(slow))
+    }
+
+    /// An attempt has set its connection up.
+    pub fn attempt_ready(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        number: u32,
+        driver: &mut dyn Driver,
+    ) {
+        self.promote_hedge(id, number);
+        let Some(session) = self.sessions.get(&id) else {
+            return;
+        };
+        let SessionState::Connecting(attempt) = session.state else {
+            return;
+        };
+        if attempt.number != number {
+            return;
+        }
+        let (route, key) = (session.route.clone(), session.arrival.client_key);
+        self.cancel_hedge(id, driver);
+        if let Some(key) = key {
+            self.client_failures(key, now).clears_at = Some(now + route.stable_after);
+        }
+        self.clear_failures(attempt.backend);
+        let connect_time = now.duration_since(attempt.started_at);
+        self.traffic.record_connect_time(connect_time);
+        self.limits.record_connect_time(&route, connect_time);
+        self.earn_health_checks(now, driver);
+        let since = now;
+        self.set_state(id, SessionState::Established { attempt, since }, driver);
+    }
+
+    /// An attempt, or the connection that it set up, has ended.
+    pub fn attempt_ended(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        end: AttemptEnd,
+        driver: &mut dyn Driver,
+    ) {
+        self.promote_hedge(id, end.attempt);
+        let Some(session) = self.sessions.get(&id) else {
+            return;
+        };
+        let is_answered = end.is_answered || end.outcome == AttemptOutcome::Ok;
+        match session.state {
+            SessionState::Connecting(attempt) if attempt.number == end.attempt => {
+                self.record_attempt_end(now, id, attempt, end);
+                if !is_answered {
+                    return self.retry(now, id, driver);
+                }
+                self.cancel_hedge(id, driver);
+            }
+            SessionState::Established { attempt, since } if attempt.number == end.attempt => {
+                let stood = now.duration_since(since);
+                self.record_connection_end(now, id, attempt, stood, end);
+                if !is_answered {
+                    return self.fail(id, driver);
+                }
+            }
+            SessionState::Closing => {}
+            _ => return,
+        }
+        self.set_state(id, SessionState::Ended, driver);
+    }
+
+    /// Records what the end of an attempt that was never ready tells of its backend.
+    fn record_attempt_end(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        attempt: Attempt,
+        end: AttemptEnd,
+    ) {
+        let (backend_id, outcome) = (attempt.backend, end.outcome);
+        if let Some(session) = self.sessions.get_mut(&id) {
+            if outcome.may_have_run() {
+                session.first_run.get_or_insert(attempt);
+            }
+            session.last_backend = Some(backend_id);
+        }
+        if outcome == AttemptOutcome::NotSent && attempt.number > 0 {
+            self.limits.refund(attempt.started_at);
+        }
+        self.record_report(now, backend_id, end.report);
+        if !matches!(
+            outcome,
+            AttemptOutcome::Ok | AttemptOutcome::Cancelled | AttemptOutcome::NotSent
+        ) {
+            self.record_failure(backend_id, outcome);
+        }
+        if outcome == AttemptOutcome::Saturated {
+            self.back_off_from(now, backend_id);
+        }
+        if outcome == AttemptOutcome::TimedOut {
+            let took = now.duration_since(attempt.started_at);
+            self.traffic.record_connect_time(took * TIMED_OUT_FACTOR);
+        }
+    }
+
+    /// Records what the end of a connection, which stood for so long, tells of its client and of
+    /// its backend.
+    fn record_connection_end(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        attempt: Attempt,
+        stood: Duration,
+        end: AttemptEnd,
+    ) {
+        let session = &self.sessions[&id];
+        let (key, stable_after) = (session.arrival.client_key, session.route.stable_after);
+        let is_reset = end.outcome == AttemptOutcome::Reset;
+        self.record_report(now, attempt.backend, end.report);
+        if end.outcome == AttemptOutcome::Ok {
+            self.traffic.record_departure();
+        }
+        if is_reset && stood < stable_after {
+            self.record_client_failure(now, id);
+        } else if let Some(key) = key {
+            // The access clears the count if the connection has stood for long enough.
+            self.client_failures(key, now).clears_at = None;
+        }
+        if is_reset {
+            self.record_break(now, attempt.backend);
+        }
+    }
+
+    /// Counts an established connection that broke. Where all of several break together, the
+    /// backend went down with them and warms up when it is back, whether or not the endpoint list
+    /// ever tells. One that holds others still is overloaded.
+    fn record_break(&mut self, now: Instant, backend_id: BackendId) {
+        let Some(backend) = self.backends.get_mut(&backend_id) else {
+            return;
+        };
+        backend.breaks.record(now);
+        if backend.connections <= 1 && backend.breaks.count >= RESTART_BREAKS {
+            backend.reset(backend.endpoint);
+            backend.outage = Some(Outage {
+                from: now,
+                until: now,
+            });
+        } else {
+            self.back_off_from(now, backend_id);
+        }
+    }
+
+    /// After a failed attempt: the hedge goes on where one is under way; otherwise a retry follows
+    /// after the backoff, or the final answer at once.
+    fn retry(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let group = session.arrival.group;
+        if let Some(hedge) = session.hedge.take() {
+            self.remove_connection(hedge.backend, group);
+            return self.set_state(id, SessionState::Connecting(hedge), driver);
+        }
+        let backoff = self.record_client_failure(now, id);
+        if self.can_retry_after(backoff, now, id) && self.is_retry_granted(now, id) {
+            self.limits.reserve_retry(&self.sessions[&id].route);
+            self.set_state(id, SessionState::BackingOff, driver);
+            self.schedule(now + backoff, Task::Retry(id), driver);
+        } else {
+            self.reject_after(id, backoff, driver);
+        }
+    }
+
+    /// Whether a retry after this backoff would be in time and could do no harm.
+    fn can_retry_after(&self, backoff: Duration, now: Instant, id: SessionId) -> bool {
+        let session = &self.sessions[&id];
+        let connect_time = session.route.connect_timeout + self.deployment.tick * ANSWER_TICKS;
+        let ready_at = now + backoff + connect_time;
+        ready_at < self.deadline_of(session)
+            && session.attempts_started < session.route.max_attempts
+            && self.may_repeat(session, |_, window_end| ready_at < window_end)
+    }
+
+    /// Whether the limits leave a retry for this session.
+    fn is_retry_granted(&mut self, now: Instant, id: SessionId) -> bool {
+        let session = &self.sessions[&id];
+        let route = session.route.clone();
+        let left = self.deadline_of(session).duration_since(now);
+        let max_weight = self
+            .routes
+            .iter()
+            .fold(route.priority_weight, |max, other| {
+                max.max(other.priority_weight)
+            });
+        let worth = route.priority_weight / max_weight.max(f64::MIN_POSITIVE) * left.as_secs_f64()
+            / session.arrival.timeout.as_secs_f64();
+        let Some(allowance) = self.limits.allowance(now, &route, ExtraAttempt::Retry) else {
+            return true;
+        };
+        let unreserved = allowance.limit * UNRESERVED_RETRY_SHARE;
+        let reserved = 1.0 - UNRESERVED_RETRY_SHARE;
+        let reach = allowance.limit * (UNRESERVED_RETRY_SHARE + reserved * worth);
+        allowance.spent + 1.0 <= allowance.limit
+            && (allowance.spent < unreserved || allowance.spent + 1.0 <= reach)
+    }
+}
--- /dev/null
+++ b/src/balancer/health_checks.rs
@@ -0,0 +1,112 @@
+//! When health checks are sent, and to which backends.
+use super::Balancer;
+use super::task_queue::Task;
+use crate::driver::Driver;
+use crate::ids::BackendId;
+use crate::time::{Duration, Instant};
+
+/// The shortest time between two health checks of one backend: reports are renewed about as often.
+const MIN_INTERVAL_PER_BACKEND: Duration = Duration::from_millis(2_000);
+/// The longest time between two health checks of any backend.
+const MAX_INTERVAL: Duration = Duration::from_millis(5_000);
+/// The first health check comes within this part of the shortest interval.
+const FIRST_INTERVAL_SHARE: f64 = 0.1;
+/// Part of what a session is worth that may be spent on health checks.
+const COST_SHARE: f64 = 0.005;
+/// What has been earned is spent over this time, so that a rush of sessions causes no burst.
+const SPENDING_PERIOD: Duration = Duration::from_millis(10_000);
+/// Part of the interval after which the next health check comes where reports are missed.
+const HURRIED_INTERVAL_SHARE: f64 = 0.25;
+
+/// When the next health check is due.
+#[derive(Default)]
+pub(super) struct HealthCheckSchedule {
+    /// Health checks that the sessions so far have earned and that are not yet sent.
+    earned: f64,
+    last_at: Instant,
+    next_at: Instant,
+}
+
+/// How soon the next health check is needed.
+#[derive(Clone, Copy)]
+pub(super) enum Urgency {
+    Regular,
+    /// A session was rejected for lack of capacity.
+    Hurried,
+}
+
+impl Balancer {
+    pub(super) fn start_health_checks(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let phase = MIN_INTERVAL_PER_BACKEND * self.rng.unit_f64() * FIRST_INTERVAL_SHARE;
+        self.health_checks.next_at = now + phase;
+        self.schedule(self.health_checks.next_at, Task::CheckHealth, driver);
+    }
+
+    /// Adds the health checks that one established session pays for. A fixed rate would cost
+    /// hundreds of relays more than their sessions are worth.
+    pub(super) fn earn_health_checks(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let per_session = COST_SHARE / self.deployment.health_check_cost.max(f64::MIN_POSITIVE);
+        let max_earned = self.ready_backends().count().max(1) as f64
+            * (SPENDING_PERIOD.as_secs_f64() / MIN_INTERVAL_PER_BACKEND.as_secs_f64());
+        self.health_checks.earned = (self.health_checks.earned + per_session).min(max_earned);
+        self.schedule_health_check(now, Urgency::Regular, driver);
+    }
+
+    /// Schedules the next health check, sooner than it was where sessions have paid for more since.
+    pub(super) fn schedule_health_check(
+        &mut self,
+        now: Instant,
+        urgency: Urgency,
+        driver: &mut dyn Driver,
+    ) {
+        let fastest =
+            MIN_INTERVAL_PER_BACKEND * (1.0 / self.ready_backends().count().max(1) as f64);
+        let earned = SPENDING_PERIOD * (1.0 / self.health_checks.earned.max(f64::MIN_POSITIVE));
+        let interval_share = match urgency {
+            Urgency::Regular => 1.0,
+            Urgency::Hurried => HURRIED_INTERVAL_SHARE,
+        };
+        let interval = (earned.max(fastest) * interval_share)
+            .min(MAX_INTERVAL)
+            .max(self.deployment.tick);
+        let at = (self.health_checks.last_at + interval).max(now);
+        if at < self.health_checks.next_at || self.health_checks.last_at == now {
+            self.health_checks.next_at = at;
+            self.schedule(at, Task::CheckHealth, driver);
+        }
+    }
+
+    /// Whether a task for this time was replaced by an earlier one.
+    pub(super) fn is_superseded_health_check(&self, scheduled_at: Instant) -> bool {
+        scheduled_at != self.health_checks.next_at
+    }
+
+    /// Sends a health check to a random backend and schedules the next.
+    pub(super) fn send_health_check(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let backends = self.backends_to_check();
+        let chosen = self.choose(&backends).copied();
+        if let Some(backend_id) = chosen
+            && self.deployment.may_check_health
+        {
+            driver.check_health(backend_id);
+        }
+        self.health_checks.last_at = now;
+        self.schedule_health_check(now, Urgency::Regular, driver);
+        self.health_checks.earned = (self.health_checks.earned - 1.0).max(0.0);
+    }
+
+    /// The ready backends. Where own connections stand at less than half of them, every second
+    /// health check goes to one of those, which would seldom be chosen else.
+    fn backends_to_check(&mut self) -> Vec<BackendId> {
+        let with_connections = self
+            .ready_backends()
+            .filter(|(_, backend)| backend.connections > 0)
+            .count();
+        let are_few = with_connections > 0 && with_connections * 2 < self.ready_backends().count();
+        let wants_connections = are_few && self.rng.below(2) == 0;
+        self.ready_backends()
+            .filter(|(_, backend)| !wants_connections || backend.connections > 0)
+            .map(|(backend_id, _)| backend_id)
+            .collect()
+    }
+}
--- /dev/null
+++ b/src/balancer/load_estimate.rs
@@ -0,0 +1,34 @@
+//! The load that a backend is taken to have.
+use super::Balancer;
+use super::fleet_load::FleetLoad;
+use crate::ids::BackendId;
+use crate::time::Instant;
+
+impl Balancer {
+    /// A backend's reported load and what was placed there since, in the unit of the fleet's load.
+    /// A backend without a report counts as an average one. Relays that share nothing choose the
+    /// same backends for a group at the same time, so own placements stand for those of all.
+    pub(super) fn estimated_load(
+        &self,
+        now: Instant,
+        backend_id: BackendId,
+        fleet: FleetLoad,
+    ) -> f64 {
+        let backend = &self.backends[&backend_id];
+        if !fleet.is_known() {
+            return f64::from(backend.connections);
+        }
+        let placed = backend.recent_placements.len() as f64
+            * f64::from(self.deployment.relay_count)
+            * fleet.per_connection;
+        let reported = backend
+            .reported_load(now)
+            .unwrap_or(fleet.mean_at_unit_weight / backend.endpoint.weight);
+        if !fleet.is_capacity_share() {
+            return reported + placed;
+        }
+        let objective = self.deployment.message_objective;
+        let by_latency = backend.load_by_latency(now, objective, fleet.departure_rate);
+        reported.max(by_latency) + placed
+    }
+}
--- /dev/null
+++ b/src/balancer/sessions.rs
@@ -0,0 +1,212 @@
+//! Sessions: their arrival, their final answer, and their end at shutdown.
+use super::Balancer;
+use super::session_state::{Attempt, Session, SessionState};
+use super::task_queue::Task;
+use crate::attempt::Arrival;
+use crate::deployment::{DeduplicationScope, Idempotency};
+use crate::driver::Driver;
+use crate::ids::{BackendId, SessionId};
+use crate::time::{Duration, Instant};
+
+/// Part of the shutdown timeout after which no attempt may be under way.
+const SHUTDOWN_ATTEMPTS_TENTHS: f64 = 8.0;
+/// Tenths of the shutdown timeout after which a part of the sessions is sent away. They are late
+/// ones, since the next relay may just have been stopped itself.
+const SHUTDOWN_STEPS_TENTHS: std::ops::RangeInclusive<usize> = 5..=9;
+
+impl Balancer {
+    /// A client asks for a backend.
+    pub fn session_arrived(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        arrival: Arrival,
+        driver: &mut dyn Driver,
+    ) {
+        let route = &self.routes[usize::from(arrival.route.0)];
+        self.limits.record_arrival(now, route);
+        if self.open_session(now, id, arrival) {
+            self.connect(now, id, driver);
+        } else {
+            self.reject(now, id, driver);
+        }
+    }
+
+    /// A connection runs through this relay already as it starts.
+    pub fn session_inherited(
+        &mut self,
+        now: Instant,
+        id: SessionId,
+        backend_id: BackendId,
+        arrival: Arrival,
+        driver: &mut dyn Driver,
+    ) {
+        self.open_session(now, id, arrival);
+        // It counts as stable: otherwise no connection could be migrated off a backend that is
+        // overloaded as the relay starts.
+        let since = now - self.sessions[&id].route.stable_after;
+        if let Some(session) = self.sessions.get_mut(&id) {
+            session.attempts_started = 1;
+        }
+        let attempt = Attempt {
+            number: 0,
+            backend: backend_id,
+            started_at: since,
+        };
+        self.earn_health_checks(now, driver);
+        self.set_state(id, SessionState::Established { attempt, since }, driver);
+    }
+
+    /// Opens a session; false where its route has more of them now than it may.
+    fn open_session(&mut self, now: Instant, id: SessionId, arrival: Arrival) -> bool {
+        self.traffic.record_session(arrival.group);
+        let route = self.routes[usize::from(arrival.route.0)].clone();
+        let is_within_limit = self.limits.open_session(&route);
+        self.sessions.insert(id, Session::new(arrival, route, now));
+        is_within_limit
+    }
+
+    /// The client has left, or the driver has ended the session.
+    pub fn session_left(&mut self, id: SessionId, driver: &mut dyn Driver) {
+        let Some(&Session { state, .. }) = self.sessions.get(&id) else {
+            return;
+        };
+        if let SessionState::Connecting(attempt) = state
+            && self.deployment.may_cancel
+        {
+            driver.cancel(id, attempt.number);
+        }
+        self.cancel_hedge(id, driver);
+        match state {
+            SessionState::Connecting(_) | SessionState::Established { .. } => {
+                self.set_state(id, SessionState::Closing, driver);
+            }
+            SessionState::Closing => {}
+            SessionState::New | SessionState::BackingOff | SessionState::Ended => {
+                self.set_state(id, SessionState::Ended, driver);
+            }
+        }
+    }
+
+    /// Makes every change of a session's state, and keeps the counts that follow from it.
+    pub(super) fn set_state(&mut self, id: SessionId, next: SessionState, driver: &mut dyn Driver) {
+        let Some(session) = self.sessions.get_mut(&id) else {
+            return;
+        };
+        let previous = std::mem::replace(&mut session.state, next);
+        let group = session.arrival.group;
+        if matches!(previous, SessionState::BackingOff) {
+            self.limits.release_retry(&session.route);
+        }
+        if let Some(backend_id) = previous.backend() {
+            self.remove_connection(backend_id, group);
+        }
+        if let Some(backend_id) = next.backend() {
+            self.add_connection(backend_id, group);
+        }
+        if matches!(next, SessionState::Ended)
+            && let Some(session) = self.sessions.remove(&id)
+        {
+            self.limits.close_session(&session.route);
+            driver.release(id);
+        }
+    }
+
+    /// When the session has to have its answer.
+    pub(super) fn deadline_of(&self, session: &Session) -> Instant {
+        self.shutdown_deadline
+            .map_or(session.deadline, |at| at.min(session.deadline))
+    }
+
+    /// Whether a session may be sent again, by this relay or by its client. Once a keyed one may
+    /// have run, `is_deduplicated` decides by its scope and by the end of its window.
+    pub(super) fn may_repeat(
+        &self,
+        session: &Session,
+        is_deduplicated: impl Fn(DeduplicationScope, Instant) -> bool,
+    ) -> bool {
+        let Some(first_run) = session.first_run else {
+            return true;
+        };
+        match session.route.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::Keyed { scope, window } => {
+                is_deduplicated(scope, first_run.started_at + window)
+            }
+            Idempotency::NonIdempotent => false,
+        }
+    }
+
+    /// Rejects a session, which counts as a failure of its client.
+    pub(super) fn reject(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
+        let backoff = self.record_client_failure(now, id);
+        self.reject_after(id, backoff, driver);
+    }
+
+    /// Gives the final answer: a rejection with `retry_after` where the client may safely repeat
+    /// its request, a failure otherwise.
+    pub(super) fn reject_after(
+        &mut self,
+        id: SessionId,
+        retry_after: Duration,
+        driver: &mut dyn Driver,
+    ) {
+        let session = &self.sessions[&id];
+        if !self.may_repeat(session, |scope, _| scope == DeduplicationScope::All) {
+            return self.fail(id, driver);
+        }
+        let retry_after = self
+            .deployment
+            .sends_retry_after
+            .then(|| retry_after.min(session.route.max_retry_after));
+        driver.reject(id, retry_after);
+        self.set_state(id, SessionState::Ended, driver);
+    }
+
+    /// Gives the final answer that promises nothing.
+    pub(super) fn fail(&mut self, id: SessionId, driver: &mut dyn Driver) {
+        driver.fail(id);
+        self.set_state(id, SessionState::Ended, driver);
+    }
+
+    /// The process is to end: sessions are sent away in even steps, and no attempt may last beyond
+    /// them.
+    pub fn shut_down(&mut self, now: Instant, driver: &mut dyn Driver) {
+        let tenth = self.deployment.shutdown_timeout * 0.1;
+        self.shutdown_deadline = Some(now + tenth * SHUTDOWN_ATTEMPTS_TENTHS);
+        for step in SHUTDOWN_STEPS_TENTHS {
+            let steps_left = SHUTDOWN_STEPS_TENTHS.end() + 1 - step;
+            self.schedule(now + tenth * step as f64, Task::Drain(steps_left), driver);
+        }
+    }
+
+    /// Takes one step of the shutdown, of which so many are left.
+    pub(super) fn drain(&mut self, now: Instant, steps_left: usize, driver: &mut dyn Driver) {
+        let states: Vec<(SessionId, SessionState)> = self
+            .sessions
+            .iter()
+            .map(|(&id, session)| (id, session.state))
+            .collect();
+        let is_established =
+            |state: &SessionState| matches!(state, SessionState::Established { .. });
+        let established = states
+            .iter()
+            .filter(|(_, state)| is_established(state))
+            .count();
+        let mut to_migrate = established.div_ceil(steps_left);
+        for (id, state) in states {
+            match state {
+                SessionState::Established { .. } if to_migrate > 0 => {
+                    to_migrate -= 1;
+                    self.migrate(id, driver);
+                }
+                SessionState::BackingOff => self.reject(now, id, driver),
+                SessionState::Connecting(attempt) if self.shutdown_deadline <= Some(now) => {
+                    driver.cancel(id, attempt.number);
+                    self.cancel_hedge(id, driver);
+                }
+                _ => {}
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/slow_start.rs
@@ -0,0 +1,116 @@
+//! Slow start: how relays take turns at a backend that is warming up.
+//!
+//! Every relay knows when a backend started. Its age cuts time into turns as long as the window of
+//! the slow-start rule, and each turn belongs to as many relays as the budget of the rule allows,
+//! with no message between them.
+use super::Balancer;
+use super::fleet_load::FleetLoad;
+use crate::ids::BackendId;
+use crate::time::Instant;
+
+/// Part of the rule's limit that relays use: any window overlaps two turns.
+const BUDGET_SHARE: f64 = 0.5;
+/// The same where groups share work and loads are reported. What groups cost lowers an estimate by
+/// loads, and the rule does not count it.
+const BUDGET_SHARE_WITH_GROUPS: f64 = 1.25;
+/// Relays that get a turn for each that is expected to use it, at most: all of them may.
+const MAX_OVERBOOKING: f64 = 3.0;
+
+/// A turn at a backend that is warming up.
+#[derive(Clone, Copy)]
+pub(super) struct SlowStartTurn {
+    /// Its number since the backend's start.
+    pub(super) number: u64,
+    /// Attempts that this relay has made in it.
+    pub(super) used: u32,
+}
+
+impl Balancer {
+    /// The turn that runs at a backend; none once it is warm.
+    pub(super) fn slow_start_turn(
+        &self,
+        now: Instant,
+        backend_id: BackendId,
+    ) -> Option<SlowStartTurn> {
+        let backend = &self.backends[&backend_id];
+        let rule = &self.deployment.slow_start;
+        let age = now.duration_since(backend.started_at()?);
+        let number = age.as_micros() / rule.window.as_micros().max(1);
+        let used = backend
+            .statistics
+            .slow_start_use
+            .filter(|&(used_in, _)| used_in == number)
+            .map_or(0, |(_, used)| used);
+        (age < rule.warm_up).then_some(SlowStartTurn { number, used })
+    }
+
+    /// Whether this relay may use a backend that is warming up in the turn that runs.
+    pub(super) fn is_turn_open(
+        &self,
+        now: Instant,
+        backend_id: BackendId,
+        turn: SlowStartTurn,
+        fleet: FleetLoad,
+    ) -> bool {
+        let budget = self.slow_start_budget(now, backend_id, fleet);
+        let relays = u64::from(self.deployment.relay_count);
+        let overbooking = self.overbooking(fleet);
+        let relays_with_turn = ((budget.max(1.0) * overbooking) as u64).clamp(1, relays);
+        let attempts_each = (budget / relays as f64).max(1.0);
+        let stable_hash = self.backends[&backend_id].endpoint.stable_hash;
+        let first_relay = (turn.number * relays_with_turn + stable_hash) % relays;
+        let place = (u64::from(self.deployment.relay_index) + relays - first_relay) % relays;
+        place < relays_with_turn
+            && f64::from(turn.used) < attempts_each.floor()
+            && !self.has_predecessor
+    }
+
+    /// Connections that all relays together may open at the backend within a turn.
+    fn slow_start_budget(&self, now: Instant, backend_id: BackendId, fleet: FleetLoad) -> f64 {
+        let rule = &self.deployment.slow_start;
+        let age = self.backends[&backend_id]
+            .started_at()
+            .map_or(rule.warm_up, |started_at| now.duration_since(started_at));
+        let capacity_share = rule.initial_share
+            + (1.0 - rule.initial_share) * age.as_secs_f64() / rule.warm_up.as_secs_f64();
+        let budget_share = if self.deployment.groups_share_work && self.deployment.reports_load {
+            BUDGET_SHARE_WITH_GROUPS
+        } else {
+            BUDGET_SHARE
+        };
+        budget_share
+            * rule.overload_factor
+            * capacity_share
+            * self.warm_connection_rate(fleet)
+            * rule.window.as_secs_f64()
+    }
+
+    /// Relays that get a turn for each that the budget allows, since many turns pass unused where
+    /// traffic is thin.
+    fn overbooking(&self, fleet: FleetLoad) -> f64 {
+        let sessions = self.traffic.sessions_per_window;
+        let unused = if self.deployment.reports_load {
+            // Each relay has fewer sessions than there are backends warming up.
+            fleet.warming_up / sessions.max(1.0)
+        } else {
+            // An open turn goes before all else, and passes unused only where no session arrives.
+            1.0 / -(-sessions).exp_m1()
+        };
+        unused.clamp(1.0, MAX_OVERBOOKING)
+    }
+
+    /// New connections a second that would fill an average warm backend: as many as it holds when
+    /// full times the rate at which they depart, or that fills it over its warm-up if that is less.
+    /// One departure is assumed at first: by a rate of none all relays that hold few connections
+    /// but one would keep off.
+    fn warm_connection_rate(&self, fleet: FleetLoad) -> f64 {
+        let rate = self
+            .departure_rate(fleet.counts_all_relays)
+            .min(1.0 / self.deployment.slow_start.warm_up.as_secs_f64());
+        if fleet.per_connection <= 0.0 {
+            0.0
+        } else {
+            rate / fleet.per_connection
+        }
+    }
+}
--- /dev/null
+++ b/src/balancer/traffic.rs
@@ -0,0 +1,110 @@
+//! Statistics of the traffic that this relay has seen of late.
+use crate::ids::RouteId;
+use crate::time::Duration;
+use std::collections::BTreeMap;
+
+/// Part of the counts that each decay leaves.
+const RETAINED_SHARE: f64 = 0.99;
+/// A group with fewer sessions than this is forgotten.
+const MIN_GROUP_SESSIONS: f64 = 0.1;
+/// Sessions that are added to those of all groups: until more is known, a group counts for one
+/// session in so many.
+const PRIOR_SESSIONS: f64 = 20.0;
+/// Weight of the latest connect time in the average.
+const CONNECT_TIME_WEIGHT: f64 = 0.5;
+/// Weight of each observed session in the typical load of its route.
+const ROUTE_LOAD_WEIGHT: f64 = 0.05;
+/// Warm-ups within which one departure is assumed before any is seen.
+const PRIOR_WARM_UPS: f64 = 3.0;
+
+/// Counts that decay, and moving averages.
+#[derive(Default)]
+pub(super) struct TrafficStatistics {
+    group_sessions: BTreeMap<u64, f64>,
+    grouped_sessions: f64,
+    /// Sessions that arrived within about the window of the slow-start rule.
+    pub(super) sessions_per_window: f64,
+    /// Seconds that connections stood, all together.
+    pub(super) connection_seconds: f64,
+    /// Connections that the other side closed in order meanwhile.
+    pub(super) departures: f64,
+    /// How long an attempt takes to be ready, over all backends.
+    pub(super) connect_time: Duration,
+    /// The load that a session of each route typically causes.
+    route_loads: BTreeMap<RouteId, f64>,
+}
+
+impl TrafficStatistics {
+    pub(super) fn record_session(&mut self, group: Option<u64>) {
+        if let Some(group) = group {
+            *self.group_sessions.entry(group).or_default() += 1.0;
+            self.grouped_sessions += 1.0;
+        }
+        self.sessions_per_window += 1.0;
+    }
+
+    pub(super) fn record_departure(&mut self) {
+        self.departures += 1.0;
+    }
+
+    /// Counts how long an attempt took. Attempts that are slow everywhere have to be given more
+    /// time: giving up early sends the same work again to what is crowded.
+    pub(super) fn record_connect_time(&mut self, connect_time: Duration) {
+        self.connect_time =
+            self.connect_time * (1.0 - CONNECT_TIME_WEIGHT) + connect_time * CONNECT_TIME_WEIGHT;
+    }
+
+    pub(super) fn record_load(&mut self, route: RouteId, load: f64) {
+        let typical = self.route_loads.entry(route).or_insert(load);
+        *typical += (load - *typical) * ROUTE_LOAD_WEIGHT;
+    }
+
+    /// Forgets the loads of routes: their numbers may stand for other rows now.
+    pub(super) fn forget_routes(&mut self) {
+        self.route_loads.clear();
+    }
+
+    /// Lets the counts decay by one interval, in which so many sessions stood.
+    pub(super) fn decay(&mut self, interval: Duration, open_sessions: usize, window: Duration) {
+        self.connection_seconds = self.connection_seconds * RETAINED_SHARE
+            + open_sessions as f64 * interval.as_secs_f64();
+        self.departures *= RETAINED_SHARE;
+        self.sessions_per_window *= 1.0 - interval.as_secs_f64() / window.as_secs_f64();
+        self.grouped_sessions *= RETAINED_SHARE;
+        for sessions in self.group_sessions.values_mut() {
+            *sessions *= RETAINED_SHARE;
+        }
+        self.group_sessions
+            .retain(|_, sessions| *sessions > MIN_GROUP_SESSIONS);
+    }
+
+    /// The group's part of all sessions that belong to groups.
+    pub(super) fn group_share(&self, group: u64) -> f64 {
+        self.group_sessions.get(&group).unwrap_or(&0.0) / (self.grouped_sessions + PRIOR_SESSIONS)
+    }
+
+    /// The part of the connections that depart by themselves within a second. `assumes_one` counts
+    /// one departure as seen from the start.
+    pub(super) fn departure_rate(&self, assumes_one: bool, warm_up: Duration) -> f64 {
+        let prior_seconds = PRIOR_WARM_UPS * warm_up.as_secs_f64();
+        (self.departures + f64::from(u8::from(assumes_one)))
+            / (self.connection_seconds + prior_seconds)
+    }
+
+    /// What a route's sessions are worth for the load they typically cause, as a part of that of
+    /// the best route. A route of which no load is known counts as the best.
+    pub(super) fn relative_value(
+        &self,
+        route: RouteId,
+        priority_weight: impl Fn(RouteId) -> f64,
+    ) -> f64 {
+        let value = |(route, load): (&RouteId, &f64)| priority_weight(*route) / load.max(1e-9);
+        let best = self
+            .route_loads
+            .iter()
+            .map(value)
+            .fold(f64::MIN_POSITIVE, f64::max);
+        let own = self.route_loads.get_key_value(&route).map_or(best, value);
+        own / best
+    }
+}
