--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -1,10 +1,10 @@
 //! What the decisions cost: CPU for a session that comes, stands and leaves, and for a housekeeping
 //! turn, by the number of backends. `cargo run --release --example cost`; figures are in
 //! docs/results.md.
-#[path = "../tests/helper/mod.rs"]
-mod helper;
+#[path = "../tests/support/mod.rs"]
+mod support;
 
-use helper::{arrival, deployment, ms, row};
+use support::{arrival, deployment, ms, row};
 use thistlecroft::attempt::{AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::balancer::Balancer;
 use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
--- a/tests/decisions.rs
+++ b/tests/attempts.rs
@@ -1,7 +1,7 @@
 //! What the decisions owe their callers, as tables of cases, with no simulator.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, row, rows, with_row};
+use support::{Asked, Bench, arrival, deployment, ms, row, rows, with_row};
 use std::collections::BTreeSet;
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::deployment::{DeduplicationScope, Deployment, Idempotency, Route};
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -1,7 +1,7 @@
 //! Backends taken out by hand and put back, as tables of cases.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, row, rows};
+use support::{Asked, Bench, arrival, deployment, ms, row, rows};
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::deployment::Idempotency;
 use thistlecroft::endpoint::{EndpointState, UpdateKind};
--- a/tests/evidence.rs
+++ b/tests/health.rs
@@ -1,8 +1,8 @@
 //! What a relay makes of its own evidence where reports, lists and paths tell otherwise; tables of
 //! cases, no simulator.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, row, rows};
+use support::{Asked, Bench, arrival, deployment, ms, row, rows};
 use thistlecroft::attempt::{Arrival, AttemptOutcome, LoadReport};
 use thistlecroft::deployment::{Deployment, Idempotency, Route};
 use thistlecroft::endpoint::{EndpointState, UpdateKind};
--- a/tests/paths.rs
+++ b/tests/path_faults.rs
@@ -1,8 +1,8 @@
 //! What a model fleet shows of backends that fail by turns and of ways that are bad from one relay
 //! only: dials wasted, and the load that healthy backends bear. Stepped clock, no simulator.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, rows};
+use support::{Asked, Bench, arrival, deployment, ms, rows};
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 use thistlecroft::deployment::{Deployment, Idempotency};
 use thistlecroft::ids::{BackendId, SessionId};
--- a/tests/release.rs
+++ b/tests/rolling_release.rs
@@ -1,9 +1,9 @@
 //! A release at a deployment where no backend tells of its load: many instances of the decisions on
 //! one stepped clock beside a model of backends that drop what they can't hold. Judged by what the
 //! clients are served.
-mod helper;
+mod support;
 
-use helper::{Bench, arrival, deployment, ms, row};
+use support::{Bench, arrival, deployment, ms, row};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Range;
 use thistlecroft::attempt::AttemptOutcome;
--- a/tests/routes.rs
+++ b/tests/route_policy.rs
@@ -1,7 +1,7 @@
 //! What rows of routes make of the decisions, as tables of cases, with no simulator.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, row, rows, with_row};
+use support::{Asked, Bench, arrival, deployment, ms, row, rows, with_row};
 use thistlecroft::attempt::{Arrival, AttemptOutcome};
 use thistlecroft::deployment::{
     DeduplicationScope, Deployment, Hedging, Idempotency, RetryBudget, Route,
--- a/tests/fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,8 +1,8 @@
 //! What only a fleet shows: many instances of the decisions on one stepped clock, and what the
 //! backends see together.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, row};
+use support::{Asked, Bench, arrival, deployment, ms, row};
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
 use thistlecroft::endpoint::{EndpointState, UpdateKind};
--- a/tests/ramp.rs
+++ b/tests/slow_start_window.rs
@@ -1,8 +1,8 @@
 //! Cold backends under the sum of all relays, in virtual time: uneven traffic, several starts
 //! together and apart, lists in time.
-mod helper;
+mod support;
 
-use helper::{Asked, Bench, arrival, deployment, ms, row};
+use support::{Asked, Bench, arrival, deployment, ms, row};
 use std::collections::BTreeMap;
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::deployment::{Deployment, Idempotency, SlowStart};
