--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -1,6 +1,5 @@
 //! Connection attempts: their start, their end, and the retry that may follow.
 use super::Balancer;
-use super::backend_state::Outage;
 use super::health_checks::Urgency;
 use super::session_state::{Attempt, SessionState};
 use super::task_queue::Task;
@@ -10,8 +9,6 @@
 use crate::route_limits::ExtraAttempt;
 use crate::time::{Duration, Instant};
 
-/// Connections of one backend that break together without any left over show that it went down.
-const RESTART_BREAKS: u32 = 2;
 /// Ticks of the caller's clock kept free before a session's deadline, so that an attempt that times
 /// out can still be answered.
 const ANSWER_TICKS: f64 = 2.0;
@@ -218,25 +215,6 @@
         }
     }
 
-    /// Counts an established connection that broke. Where all of several break together, the
-    /// backend went down with them and warms up when it is back, whether or not the endpoint list
-    /// ever tells. One that holds others still is overloaded.
-    fn record_break(&mut self, now: Instant, backend_id: BackendId) {
-        let Some(backend) = self.backends.get_mut(&backend_id) else {
-            return;
-        };
-        backend.breaks.record(now);
-        if backend.connections <= 1 && backend.breaks.count >= RESTART_BREAKS {
-            backend.reset(backend.endpoint);
-            backend.outage = Some(Outage {
-                from: now,
-                until: now,
-            });
-        } else {
-            self.back_off_from(now, backend_id);
-        }
-    }
-
     /// After a failed attempt: the hedge goes on where one is under way; otherwise a retry follows
     /// after the backoff, or the final answer at once.
     fn retry(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -1,7 +1,9 @@
 //! Signs of a backend's health: load reports, health checks, late messages, and the failures that
 //! eject it as an outlier.
 use super::Balancer;
-use super::backend_state::{HOT_LOAD, LATE_OBJECTIVE_SHARE, LatencyObservation, REPORT_LAG};
+use super::backend_state::{
+    HOT_LOAD, LATE_OBJECTIVE_SHARE, LatencyObservation, Outage, REPORT_LAG,
+};
 use super::session_state::{Session, SessionState};
 use crate::attempt::{AttemptOutcome, LoadReport};
 use crate::driver::Driver;
@@ -9,6 +11,8 @@
 use crate::ids::{BackendId, SessionId};
 use crate::time::{Duration, Instant};
 
+/// Connections of one backend that break together without any left over show that it went down.
+const RESTART_BREAKS: u32 = 2;
 /// Failures in a row that eject a backend: a single one may be chance.
 const EJECTION_FAILURES: u32 = 2;
 /// One backend in so many may be ejected at a time.
@@ -200,6 +204,25 @@
         }
     }
 
+    /// Counts an established connection that broke. Where all of several break together, the
+    /// backend went down with them and warms up when it is back, whether or not the endpoint list
+    /// ever tells. One that holds others still is overloaded.
+    pub(super) fn record_break(&mut self, now: Instant, backend_id: BackendId) {
+        let Some(backend) = self.backends.get_mut(&backend_id) else {
+            return;
+        };
+        backend.breaks.record(now);
+        if backend.connections <= 1 && backend.breaks.count >= RESTART_BREAKS {
+            backend.reset(backend.endpoint);
+            backend.outage = Some(Outage {
+                from: now,
+                until: now,
+            });
+        } else {
+            self.back_off_from(now, backend_id);
+        }
+    }
+
     /// Forgets the failures and ejections of a backend that has set a connection up.
     pub(super) fn clear_failures(&mut self, backend_id: BackendId) {
         if let Some(backend) = self.backends.get_mut(&backend_id) {
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -9,7 +9,7 @@
 use crate::time::Instant;
 
 impl Balancer {
-    /// Schedules a hedge for the session's first attempts, where its route hedges.
+    /// Schedules a hedge of an attempt that has started, where its route hedges.
     pub(super) fn schedule_hedge(
         &mut self,
         now: Instant,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -175,26 +175,19 @@
             let opening = self.opening_load(backend_id, place, selection);
             let place = place as f64;
             let load_with_group = load + opening * place / (place + selection.group_span).max(1.0);
-            let rank = if selection.fleet.is_capacity_share() && load_with_group >= HOT_LOAD {
-                if self.is_presumed_free(now, backend_id) || load + opening < limit {
-                    Rank::Hot
-                } else if load >= limit || mean_load >= HOT_LOAD {
-                    // A backend beyond its capacity serves nobody, and clients that it drops come
-                    // back at once: what finds no capacity is rejected instead.
-                    continue;
-                } else {
-                    // While the fleet as a whole has capacity, a rejection would rest on a guess of
-                    // what the group costs.
-                    Rank::HotForGroup
-                }
+            let is_hot = selection.fleet.is_capacity_share() && load_with_group >= HOT_LOAD;
+            let rank = if !is_hot {
+                Some(self.rank_below_hot(now, backend_id))
+            } else if self.is_presumed_free(now, backend_id) {
+                Some(Rank::Hot)
             } else {
-                self.rank_below_hot(now, backend_id)
+                rank_hot(load, opening, limit, mean_load)
             };
-            candidates.push(Candidate {
+            candidates.extend(rank.map(|rank| Candidate {
                 backend_id,
                 load: load_with_group,
                 rank,
-            });
+            }));
         }
         candidates
     }
@@ -282,6 +275,22 @@
     }
 }
 
+/// The rank of a hot backend, by its load and by what opening the group there adds; none where it has
+/// no capacity for the session.
+fn rank_hot(load: f64, opening: f64, limit: f64, mean_load: f64) -> Option<Rank> {
+    if load + opening < limit {
+        Some(Rank::Hot)
+    } else if load >= limit || mean_load >= HOT_LOAD {
+        // A backend beyond its capacity serves nobody, and clients that it drops come back at once:
+        // what finds no capacity is rejected instead.
+        None
+    } else {
+        // While the fleet as a whole has capacity, a rejection would rest on a guess of what the
+        // group costs.
+        Some(Rank::HotForGroup)
+    }
+}
+
 /// Whether a backend recognises a repeat of a request that may have run at `first`.
 fn is_in_scope(idempotency: Idempotency, first: &Endpoint, endpoint: &Endpoint) -> bool {
     match idempotency {
--- a/src/balancer/sessions.rs
+++ b/src/balancer/sessions.rs
@@ -8,8 +8,8 @@
 use crate::ids::{BackendId, SessionId};
 use crate::time::{Duration, Instant};
 
-/// Part of the shutdown timeout after which no attempt may be under way.
-const SHUTDOWN_ATTEMPTS_TENTHS: f64 = 8.0;
+/// Tenths of the shutdown timeout after which no attempt may be under way.
+const SHUTDOWN_LAST_ATTEMPT_TENTHS: f64 = 8.0;
 /// Tenths of the shutdown timeout after which a part of the sessions is migrated. They are late
 /// ones, since the next relay may just have been stopped itself.
 const SHUTDOWN_STEPS_TENTHS: std::ops::RangeInclusive<usize> = 5..=9;
@@ -173,7 +173,7 @@
     /// them.
     pub fn shut_down(&mut self, now: Instant, driver: &mut dyn Driver) {
         let tenth = self.deployment.shutdown_timeout * 0.1;
-        self.shutdown_deadline = Some(now + tenth * SHUTDOWN_ATTEMPTS_TENTHS);
+        self.shutdown_deadline = Some(now + tenth * SHUTDOWN_LAST_ATTEMPT_TENTHS);
         for step in SHUTDOWN_STEPS_TENTHS {
             let steps_left = SHUTDOWN_STEPS_TENTHS.end() + 1 - step;
             self.schedule(now + tenth * step as f64, Task::Drain(steps_left), driver);
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -102,6 +102,27 @@
     }
 }
 
+#[test]
+fn repeated_ejection_doubles_health_checks() {
+    let mut harness = four_backends();
+    for expected in [2, 4, 8, 16, 16] {
+        (0..2).for_each(|_| harness.fail_health_check(0));
+        for left in (0..=expected).rev() {
+            let statistics = harness.balancer.snapshot().endpoints[0].1;
+            assert_eq!(statistics.pending_health_checks, left, "of {expected}");
+            harness.report(0, Some(10.0), Some(0.4));
+        }
+    }
+    // An attempt that becomes ready clears the ejections.
+    let connected = (100..200).any(|id| {
+        let target = harness.arrive(id, arrival(0, 0, ms(4_800))).unwrap();
+        harness.establish(id, 0);
+        target.backend == 0
+    });
+    assert!(connected, "one of a hundred sessions goes to backend 0");
+    assert_eq!(harness.balancer.snapshot().endpoints[0].1.ejections, 0);
+}
+
 /// Backend 0 reports hardly any load.
 #[test]
 fn late_messages_override_low_report() {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
 //! A balancer with a driver that records its actions, and a small deployment for it.
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![expect(dead_code, reason = "each test file uses a part of it")]
 use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::balancer::{
     ATTEMPT_TIMEOUT_FACTOR, BACKOFF_BASE, BACKOFF_CAP, Balancer, STABLE_AFTER,
