--- a/src/balancer/fleet_load.rs
+++ b/src/balancer/fleet_load.rs
@@ -96,7 +96,7 @@
             per_connection,
             counts_all_relays,
             warming_up,
-            departure_rate: self.departure_rate(true),
+            departure_rate: self.departure_rate(1.0),
         }
     }
 
@@ -133,9 +133,10 @@
         f64::from(warm.iter().sum::<u32>() * self.deployment.relay_count) / warm.len().max(1) as f64
     }
 
-    pub(super) fn departure_rate(&self, assumes_one: bool) -> f64 {
+    /// The part of the connections that depart by themselves within a second.
+    pub(super) fn departure_rate(&self, assumed_departures: f64) -> f64 {
         let warm_up = self.deployment.slow_start.warm_up;
-        self.traffic.departure_rate(assumes_one, warm_up)
+        self.traffic.departure_rate(assumed_departures, warm_up)
     }
 
     fn is_warming_up(&self, now: Instant, backend_id: BackendId) -> bool {
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -104,9 +104,9 @@
     /// One departure is assumed at first: by a rate of none all relays that hold few connections
     /// but one would keep off.
     fn warm_connection_rate(&self, fleet: FleetLoad) -> f64 {
-        let rate = self
-            .departure_rate(fleet.counts_all_relays)
-            .min(1.0 / self.deployment.slow_start.warm_up.as_secs_f64());
+        let assumed_departures = if fleet.counts_all_relays { 1.0 } else { 0.0 };
+        let fastest = 1.0 / self.deployment.slow_start.warm_up.as_secs_f64();
+        let rate = self.departure_rate(assumed_departures).min(fastest);
         if fleet.per_connection <= 0.0 {
             0.0
         } else {
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -83,12 +83,11 @@
         self.group_sessions.get(&group).unwrap_or(&0.0) / (self.grouped_sessions + PRIOR_SESSIONS)
     }
 
-    /// The part of the connections that depart by themselves within a second. `assumes_one` counts
-    /// one departure as seen from the start.
-    pub(super) fn departure_rate(&self, assumes_one: bool, warm_up: Duration) -> f64 {
+    /// The part of the connections that depart by themselves within a second, with so many
+    /// departures assumed before any is seen.
+    pub(super) fn departure_rate(&self, assumed_departures: f64, warm_up: Duration) -> f64 {
         let prior_seconds = PRIOR_WARM_UPS * warm_up.as_secs_f64();
-        (self.departures + f64::from(u8::from(assumes_one)))
-            / (self.connection_seconds + prior_seconds)
+        (self.departures + assumed_departures) / (self.connection_seconds + prior_seconds)
     }
 
     /// What a route's sessions are worth for the load they typically cause, as a part of that of
