--- /dev/null
+++ b/tests/health.rs
@@ -0,0 +1,354 @@
+//! Signs of health: late messages, untrue reports, overdue responses and failures.
+mod support;
+
+use support::{
+    Action, Harness, IDEMPOTENT, arrival, deployment, endpoint, ms, ready_endpoints, with_route,
+};
+use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::deployment::Deployment;
+use thistlecroft::endpoint::EndpointState;
+
+/// Four backends that have reported, with ten connections at each that share no work.
+fn four_backends() -> Harness {
+    let mut harness = Harness::new(
+        Deployment {
+            groups_share_work: false,
+            ..deployment(IDEMPOTENT)
+        },
+        &ready_endpoints(4),
+    );
+    (0..40).for_each(|id| harness.inherit(id, id % 4));
+    harness.advance(ms(20_000));
+    (0..4).for_each(|backend| harness.report(backend, Some(10.0), Some(0.4)));
+    harness
+}
+
+/// Messages at a backend take so many milliseconds, on every connection that stands there.
+fn observe_latency(harness: &mut Harness, backend: u32, latency: u64) {
+    for id in (backend..40).step_by(4) {
+        harness.observe_latency(id, ms(latency));
+    }
+}
+
+/// Messages at backend 0 take so long, and it reports this load meanwhile.
+fn late_for_four_seconds(harness: &mut Harness, latency: u64, load: f64) {
+    for _ in 0..4 {
+        observe_latency(harness, 0, latency);
+        harness.report(0, Some(1.0), Some(load));
+        harness.advance(ms(1_000));
+    }
+    observe_latency(harness, 0, latency);
+}
+
+/// How many of these sessions go to that backend.
+fn placed_at(harness: &mut Harness, backend: u32, ids: std::ops::Range<u32>) -> usize {
+    let placed = ids.filter(|&id| {
+        harness
+            .arrive(id, arrival(0, 0, ms(4_800)))
+            .is_some_and(|target| target.backend == backend)
+    });
+    placed.count()
+}
+
+#[test]
+fn failing_backend_ejected_unless_fleet_fails() {
+    // How many of six backends fail every attempt, and whether attempts still go there afterwards.
+    for (failing, still_used) in [(1, false), (2, false), (6, true)] {
+        let mut harness = Harness::new(
+            with_route(|route| route.max_attempts = 1, deployment(IDEMPOTENT)),
+            &ready_endpoints(6),
+        );
+        for id in 1..80 {
+            let backend = harness
+                .arrive(id, arrival(0, 0, ms(4_800)))
+                .unwrap()
+                .backend;
+            if backend < failing {
+                harness.end(id, 0, AttemptOutcome::Error, false);
+            } else {
+                harness.establish(id, 0);
+            }
+        }
+        let used = (80..140).any(|id| {
+            harness
+                .arrive(id, arrival(0, 0, ms(4_800)))
+                .unwrap()
+                .backend
+                < failing
+        });
+        assert_eq!(used, still_used, "{failing} failing");
+        // No time brings it back. Health checks that it passes do, here the fourth at the latest.
+        harness.advance(ms(40_000));
+        let still = (80..140).any(|id| {
+            harness
+                .arrive(200 + id, arrival(0, 0, ms(4_800)))
+                .unwrap()
+                .backend
+                < failing
+        });
+        assert_eq!(still, still_used, "{failing} failing: 40 s of silence");
+        for _ in 0..4 {
+            (0..failing).for_each(|backend| harness.report(backend, Some(1.0), Some(0.1)));
+            harness.advance(ms(100));
+        }
+        let again = (140..220).any(|id| {
+            harness
+                .arrive(id, arrival(0, 0, ms(4_800)))
+                .unwrap()
+                .backend
+                < failing
+        });
+        assert!(again, "{failing} failing: used again once it answers");
+    }
+}
+
+#[test]
+fn repeated_ejection_doubles_health_checks() {
+    let mut harness = four_backends();
+    for expected in [2, 4, 8, 16, 16] {
+        (0..2).for_each(|_| harness.fail_health_check(0));
+        for left in (0..=expected).rev() {
+            let statistics = harness.balancer.snapshot().endpoints[0].1;
+            assert_eq!(statistics.pending_health_checks, left, "of {expected}");
+            harness.report(0, Some(10.0), Some(0.4));
+        }
+    }
+    // An attempt that becomes ready clears the ejections.
+    let connected = (100..200).any(|id| {
+        let target = harness.arrive(id, arrival(0, 0, ms(4_800))).unwrap();
+        harness.establish(id, 0);
+        target.backend == 0
+    });
+    assert!(connected, "one of a hundred sessions goes to backend 0");
+    assert_eq!(harness.balancer.snapshot().endpoints[0].1.ejections, 0);
+}
+
+/// Backend 0 reports hardly any load.
+#[test]
+fn late_messages_override_low_report() {
+    // Latency of its messages in milliseconds (the objective is 50), and whether it is selected.
+    for (latency, selected) in [(5, true), (8, true), (30, false), (2_000, false)] {
+        let mut harness = four_backends();
+        late_for_four_seconds(&mut harness, latency, 0.02);
+        assert_eq!(
+            placed_at(&mut harness, 0, 100..112) > 0,
+            selected,
+            "{latency} ms"
+        );
+    }
+}
+
+/// Connections have come and gone for long: half of them depart within fourteen seconds.
+#[test]
+fn untrue_report_believed_once_messages_in_time() {
+    // The load reported while messages were late, whether one in time is observed, how many seconds
+    // pass, and whether the backend is selected then.
+    let cases = [
+        (0.02, false, 3, false),
+        // It reported its true load, and is believed now.
+        (1.50, false, 3, true),
+        (0.02, true, 0, true),
+        // No connection stands there to observe it. What overloaded it has departed with time.
+        (0.02, false, 60, true),
+    ];
+    for (load, in_time, seconds, selected) in cases {
+        let mut harness = four_backends();
+        late_for_four_seconds(&mut harness, 500, load);
+        if in_time {
+            observe_latency(&mut harness, 0, 5);
+        }
+        // Other sessions come and depart by themselves meanwhile, three a second.
+        for id in 1_000..1_000 + seconds * 3 {
+            harness.advance(ms(if id % 3 == 0 { 400 } else { 300 }));
+            if let Some(target) = harness.arrive(id, arrival(0, 0, ms(4_800))) {
+                assert!(selected || target.backend != 0, "session {id}");
+                harness.establish(id, 0);
+                harness.end(id, 0, AttemptOutcome::Ok, true);
+            }
+        }
+        (1..4).for_each(|backend| harness.report(backend, Some(10.0), Some(0.4)));
+        harness.report(0, Some(1.0), Some(0.02));
+        let what = format!("load {load}, in time {in_time}, after {seconds} s");
+        assert_eq!(placed_at(&mut harness, 0, 900..912) > 0, selected, "{what}");
+    }
+}
+
+#[test]
+fn late_and_failing_backend_left_at_once() {
+    // Latency observed in milliseconds, health checks that fail, and how many of ten connections are
+    // migrated within the next second.
+    let cases = [
+        (800, 1, 10..=10),
+        (800, 2, 10..=10),
+        (10, 1, 0..=0),
+        (10, 2, 0..=0),
+        (800, 0, 2..=6),
+    ];
+    for (latency, failed, expected) in cases {
+        let mut harness = four_backends();
+        for _ in 0..failed {
+            harness.fail_health_check(0);
+        }
+        observe_latency(&mut harness, 0, latency);
+        harness.advance(ms(600));
+        let left = harness.migrations();
+        assert!(
+            expected.contains(&left),
+            "{latency} ms, {failed} failed: {left}"
+        );
+        let others = |action: &&Action| matches!(action, Action::Migrate(id) if id % 4 != 0);
+        assert_eq!(
+            harness.recorder.actions.iter().filter(others).count(),
+            0,
+            "others stay"
+        );
+    }
+}
+
+/// When a backend started, by a list that comes after its connections have ended.
+#[derive(Clone, Copy)]
+enum Listed {
+    Not,
+    WithoutStart,
+    MillisAgo(u64),
+}
+
+/// One of four relays, of which each backend has ten connections.
+fn one_of_four_relays() -> Harness {
+    let deployment = Deployment {
+        groups_share_work: false,
+        relay_count: 4,
+        ..deployment(IDEMPOTENT)
+    };
+    let mut harness = Harness::new(deployment, &ready_endpoints(4));
+    (0..40).for_each(|id| harness.inherit(id, id % 4));
+    harness.advance(ms(20_000));
+    harness
+}
+
+/// Backend 0 takes many sessions where it is warm and few where it warms up.
+#[test]
+fn broken_connections_imply_restart() {
+    use AttemptOutcome::{Ok, Reset};
+    use Listed::{MillisAgo, Not, WithoutStart};
+    // The connections of backend 0 that depart before, how the others end but so many, the list
+    // afterwards, and whether the backend counts as warming up.
+    let cases = [
+        ("all broke", 0, Reset, 0, Not, true),
+        ("an older start", 0, Reset, 0, MillisAgo(60_000), true),
+        ("no start listed", 0, Reset, 0, WithoutStart, true),
+        ("one did not break", 0, Reset, 1, Not, false),
+        ("nine departed before", 9, Reset, 0, Not, false),
+        ("all departed", 0, Ok, 0, Not, false),
+        ("a newer start", 0, Reset, 0, MillisAgo(1), true),
+    ];
+    for (what, departed, outcome, unbroken, listed, warms_up) in cases {
+        let mut harness = one_of_four_relays();
+        let connections: Vec<u32> = (0..40).step_by(4).collect();
+        for &id in &connections[..departed] {
+            harness.end(id, 0, Ok, true);
+        }
+        for &id in &connections[departed + unbroken..] {
+            harness.end(id, 0, outcome, true);
+        }
+        let started_at = match listed {
+            MillisAgo(age) => Some(harness.now - ms(age)),
+            Not | WithoutStart => None,
+        };
+        if !matches!(listed, Not) {
+            harness.update(endpoint(0, EndpointState::Ready, started_at));
+        }
+        harness.advance(ms(100));
+        (1..4).for_each(|backend| harness.report(backend, Some(40.0), Some(0.55)));
+        harness.report(0, Some(0.0), Some(0.0));
+        let placed = placed_at(&mut harness, 0, 100..108);
+        assert_eq!(placed < 3, warms_up, "{what}: {placed} of 8 placed there");
+    }
+}
+
+#[test]
+fn overstated_report_disbelieved_while_in_time() {
+    // Whether latency is observed, the load that backend 0 reports, the latency there, whether own
+    // connections stand there, and whether it is selected while the others are nearly full.
+    let cases = [
+        (true, 3.0, 5, true, true),
+        (true, 0.9, 5, true, false),
+        (true, 3.0, 400, true, false),
+        (true, 3.0, 5, false, false),
+        (false, 3.0, 5, true, false),
+    ];
+    for (is_observed, load, latency, has_own, selected) in cases {
+        let plain = Deployment {
+            groups_share_work: false,
+            observes_latency: is_observed,
+            ..deployment(IDEMPOTENT)
+        };
+        let mut harness = Harness::new(plain, &ready_endpoints(4));
+        (0..40)
+            .filter(|id| has_own || id % 4 != 0)
+            .for_each(|id| harness.inherit(id, id % 4));
+        harness.advance(ms(20_000));
+        for _ in 0..3 {
+            observe_latency(&mut harness, 0, latency);
+            (1..4).for_each(|backend| harness.report(backend, Some(100.0), Some(0.75)));
+            harness.report(0, Some(100.0), Some(load));
+            harness.advance(ms(100));
+        }
+        let what = format!("{is_observed}, load {load}, {latency} ms, own {has_own}");
+        assert_eq!(placed_at(&mut harness, 0, 100..106) > 0, selected, "{what}");
+    }
+}
+
+#[test]
+fn overdue_response_migrates_and_counts_failure() {
+    // For how long a response is overdue, in milliseconds, and whether the client is migrated.
+    for (waited, migrated) in [(250, false), (750, false), (1_000, true), (5_000, true)] {
+        let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(4));
+        let backend = harness.arrive(1, arrival(1, 0, ms(1_000))).unwrap().backend;
+        harness.establish(1, 0);
+        harness.response_overdue(1, ms(waited));
+        assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
+        // The same event again, or of a session that is gone, migrates nobody.
+        harness.response_overdue(1, ms(waited));
+        harness.response_overdue(9, ms(waited));
+        assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
+        // One more failure in a row ejects it.
+        harness.fail_health_check(backend);
+        let again = (10..30).any(|id| {
+            harness
+                .arrive(id, arrival(u64::from(id), 0, ms(1_000)))
+                .unwrap()
+                .backend
+                == backend
+        });
+        assert_eq!(again, !migrated, "{waited} ms");
+    }
+}
+
+#[test]
+fn overdue_response_of_ejected_backend_migrates_all() {
+    // Health checks of backend 1 that fail, for how long a response is overdue, in milliseconds, and
+    // how many of its three connections are migrated.
+    for (failed, waited, migrated) in [
+        (0, 250, 0),
+        (1, 250, 0),
+        (2, 250, 3),
+        (0, 1_000, 1),
+        (1, 1_000, 1),
+    ] {
+        let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(4));
+        for id in 0..12 {
+            harness.inherit(id, id % 4);
+        }
+        for _ in 0..failed {
+            harness.fail_health_check(1);
+        }
+        harness.response_overdue(5, ms(waited));
+        assert_eq!(harness.migrations(), migrated, "{failed} {waited}");
+        let elsewhere = |action: &Action| matches!(action, Action::Migrate(id) if id % 4 != 1);
+        assert!(
+            !harness.recorder.actions.iter().any(elsewhere),
+            "{failed} {waited}"
+        );
+    }
+}
