--- a/cli/src/checks.rs
+++ b/cli/src/checks.rs
@@ -136,7 +136,7 @@
                 Some(_) => "sound for this configuration",
                 None => "sound by itself; --config holds it against a relay's configuration",
             };
-            format!("a charter: {} routes, {held}", charter.routes.len())
+            format!("a charter: {} routes, {held}", charter.route_count())
         }
         Sound::Budget(budget) => format!("a budget for lab scale: {} limits", budget.limits()),
     }
--- a/operator_config/src/keys.rs
+++ b/operator_config/src/keys.rs
@@ -1,332 +1,344 @@
-//! Every key of the file: what it is called, what it holds, what it means, and what holds without
-//! it. The reader, the reference page and the search for the nearest known key all go by these
-//! tables.
+//! The table of all keys that a file may hold. The parser, the reference page and the suggestions
+//! for misspelt keys all use it.
+use crate::key_names::{file, hedging, matching, peers, route};
 
+/// The kind of value that a key holds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
-    /// Text of a name.
+pub enum ValueKind {
+    /// A name of letters, digits and hyphens.
     Name,
-    /// A list of names, or one.
+    /// A name or a list of names.
     Names,
-    /// Text such as `"250ms"`.
+    /// Text with a unit, such as `"250ms"`.
     Duration,
-    /// A whole number, 1 or more.
+    /// An integer of at least 1.
     Count,
     /// A number from 0 to 1.
-    Part,
+    Fraction,
     /// A number above 0.
     Factor,
-    /// Hexadecimal digits, 1 to 16.
-    Hex,
-    /// A list of hexadecimal numbers of sixteen digits, or one.
-    HexList,
+    /// Up to sixteen hexadecimal digits.
+    KeyPrefix,
+    /// A hexadecimal number of sixteen digits, or a list of such.
+    Keys,
     /// Text that is not empty.
     Text,
     /// An IP address with a port.
     Address,
-    /// A list of such, or one.
+    /// An IP address with a port, or a list of such.
     Addresses,
-    /// A table of its own.
+    /// A table, or an array of tables.
     Table,
 }
 
-impl Kind {
-    pub fn says(self) -> &'static str {
+impl ValueKind {
+    /// The kind as errors and the reference page describe it.
+    pub fn description(self) -> &'static str {
         match self {
-            Kind::Name => "text: letters, digits and hyphens",
-            Kind::Names => "a name or a list of names",
-            Kind::Duration => "a span of time such as \"250ms\", \"1.5s\" or \"2m\"",
-            Kind::Count => "a whole number, 1 or more",
-            Kind::Part => "a number from 0 to 1",
-            Kind::Factor => "a number above 0",
-            Kind::Hex => "1 to 16 hexadecimal digits",
-            Kind::HexList => "sixteen hexadecimal digits, or a list of such",
-            Kind::Text => "text",
-            Kind::Address => "an address with a port such as \"10.0.0.7:7946\"",
-            Kind::Addresses => "an address with a port, or a list of such",
-            Kind::Table => "a table",
+            ValueKind::Name => "text: letters, digits and hyphens",
+            ValueKind::Names => "a name or a list of names",
+            ValueKind::Duration => "a span of time such as \"250ms\", \"1.5s\" or \"2m\"",
+            ValueKind::Count => "a whole number, 1 or more",
+            ValueKind::Fraction => "a number from 0 to 1",
+            ValueKind::Factor => "a number above 0",
+            ValueKind::KeyPrefix => "1 to 16 hexadecimal digits",
+            ValueKind::Keys => "sixteen hexadecimal digits, or a list of such",
+            ValueKind::Text => "text",
+            ValueKind::Address => "an address with a port such as \"10.0.0.7:7946\"",
+            ValueKind::Addresses => "an address with a port, or a list of such",
+            ValueKind::Table => "a table",
         }
     }
 }
 
+/// One key of a section.
 #[derive(Clone, Copy, Debug)]
 pub struct Key {
+    /// The key as operators write it.
     pub name: &'static str,
-    pub kind: Kind,
-    pub about: &'static str,
-    /// What holds where it is not stated.
-    pub unstated: &'static str,
+    /// The kind of its value.
+    pub kind: ValueKind,
+    /// The meaning of the value, for the reference page.
+    pub description: &'static str,
+    /// What is in force where a file leaves the key out, for the reference page.
+    pub default: &'static str,
 }
 
+/// One table of a file.
 #[derive(Clone, Copy, Debug)]
 pub struct Section {
-    /// As its header is written.
+    /// The header as operators write it; empty for the top level of the file.
     pub header: &'static str,
-    pub about: &'static str,
+    /// The purpose of the section, for the reference page.
+    pub description: &'static str,
+    /// All keys of the section, in the order of the reference page.
     pub keys: &'static [Key],
 }
 
-const fn key(name: &'static str, kind: Kind, about: &'static str, unstated: &'static str) -> Key {
+const fn key(
+    name: &'static str,
+    kind: ValueKind,
+    description: &'static str,
+    default: &'static str,
+) -> Key {
     Key {
         name,
         kind,
-        about,
-        unstated,
+        description,
+        default,
     }
 }
 
-pub const TOP: Section = Section {
+/// All sections, in the order of the reference page.
+pub const SECTIONS: &[Section] = &[FILE, ROUTE, MATCH, HEDGING, PEERS];
+
+pub(crate) const FILE: Section = Section {
     header: "",
-    about: "The file holds tables only.",
+    description: "The file holds tables only.",
     keys: &[
         key(
-            "route",
-            Kind::Table,
+            file::ROUTES,
+            ValueKind::Table,
             "Routes, tried in the order of the file; the first that matches counts.",
             "none",
         ),
         key(
-            "peers",
-            Kind::Table,
-            "Relays that know of one another; see below.",
+            file::PEERS,
+            ValueKind::Table,
+            "The link between relays; see below.",
             "this relay is alone",
         ),
     ],
 };
 
-pub const PEERS: Section = Section {
+pub(crate) const PEERS: Section = Section {
     header: "[peers]",
-    about: "Who the other relays are. Only where the settings allow talk between instances; see `peers.md`.",
+    description: "The link between the relays of a fleet. Permitted only where the settings allow relays to exchange messages; see `peers.md`.",
     keys: &[
         key(
-            "fleet",
-            Kind::Name,
-            "The fleet's name; datagrams of another one are refused.",
+            peers::FLEET,
+            ValueKind::Name,
+            "The fleet's name; datagrams of another fleet are dropped.",
             "must be stated",
         ),
         key(
-            "listen",
-            Kind::Address,
+            peers::LISTEN,
+            ValueKind::Address,
             "Datagrams are received here (UDP).",
             "must be stated",
         ),
         key(
-            "advertise",
-            Kind::Address,
-            "Others reach this relay here.",
+            peers::ADVERTISE,
+            ValueKind::Address,
+            "The address at which other relays reach this one.",
             "`listen`",
         ),
         key(
-            "key_file",
-            Kind::Text,
+            peers::KEY_FILE,
+            ValueKind::Text,
             "A file that holds the fleet's key, 16 bytes or more.",
             "must be stated",
         ),
         key(
-            "seeds",
-            Kind::Addresses,
-            "Where some of the fleet may be found; 32 at most.",
-            "none: others name this one",
+            peers::SEEDS,
+            ValueKind::Addresses,
+            "Addresses of some relays of the fleet, contacted to join it; 32 at most.",
+            "none: other relays contact this one",
         ),
         key(
-            "period",
-            Kind::Duration,
-            "One other relay is probed in each, 50ms to 10s; all times of membership follow it.",
+            peers::PROBE_INTERVAL,
+            ValueKind::Duration,
+            "The interval between health checks of other relays, 50ms to 10s; all timeouts of the membership protocol are multiples of it.",
             "1s",
         ),
         key(
-            "rate",
-            Kind::Count,
-            "Bytes a second that this relay sends at most, 4096 or more.",
+            peers::MAX_BYTES_PER_SECOND,
+            ValueKind::Count,
+            "The most bytes per second that this relay sends to others, 4096 or more.",
             "32768",
         ),
         key(
-            "voters",
-            Kind::Names,
-            "The relays that grant leases, by their names; 7 at most.",
+            peers::VOTERS,
+            ValueKind::Names,
+            "The names of the relays that vote on leases; 7 at most.",
             "none: there are no leases",
         ),
         key(
-            "voters_before",
-            Kind::Names,
-            "While voters are changed: those until now.",
+            peers::PREVIOUS_VOTERS,
+            ValueKind::Names,
+            "During a change of voters: the previous ones.",
             "none",
         ),
         key(
-            "generation",
-            Kind::Count,
-            "One more with each change of the voters.",
+            peers::GENERATION,
+            ValueKind::Count,
+            "The configuration generation, incremented with each change of the voters.",
             "1",
         ),
         key(
-            "lease",
-            Kind::Duration,
-            "A lease's time, 500ms to 1m, the same at all relays.",
+            peers::LEASE_DURATION,
+            ValueKind::Duration,
+            "The duration of a lease, 500ms to 1m, the same at all relays.",
             "10s",
         ),
     ],
 };
 
-pub const ROUTE: Section = Section {
+pub(crate) const ROUTE: Section = Section {
     header: "[[route]]",
-    about: "Figures for the sessions that it matches. What a route does not state holds for them as for all others.",
+    description: "Limits of the sessions that it matches. What a route leaves out has the same value as for all other sessions.",
     keys: &[
         key(
-            "name",
-            Kind::Name,
-            "What logs and reports call it; each once.",
+            route::NAME,
+            ValueKind::Name,
+            "The unique name of the route in logs and reports.",
             "must be stated",
         ),
         key(
-            "match",
-            Kind::Table,
-            "Which sessions it is for; see below.",
+            route::MATCH,
+            ValueKind::Table,
+            "The sessions that it applies to; see below.",
             "all",
         ),
         key(
-            "handshake_target",
-            Kind::Duration,
-            "A set-up within this earns the whole; a dial is given this long at least before another is thought of.",
+            route::HANDSHAKE_OBJECTIVE,
+            ValueKind::Duration,
+            "The latency objective of a handshake. An attempt gets at least this long before a retry is considered.",
             "the settings' of the listener",
         ),
         key(
-            "dial_timeout",
-            Kind::Duration,
-            "The answer is due after this, or when the client stops waiting if that is sooner.",
+            route::HANDSHAKE_TIMEOUT,
+            ValueKind::Duration,
+            "The handshake timeout: the client is answered by then, or when it stops waiting if that is sooner.",
             "as long as the client waits",
         ),
         key(
-            "connect_time",
-            Kind::Duration,
-            "A connection that is not up by then has failed.",
+            route::CONNECT_TIMEOUT,
+            ValueKind::Duration,
+            "The connect timeout: an attempt whose connection is not up by then has failed.",
             "the settings' dialTimeoutUs",
         ),
         key(
-            "dials",
-            Kind::Count,
-            "Dials at most for a session.",
+            route::MAX_ATTEMPTS,
+            ValueKind::Count,
+            "The most attempts of a session, the first included.",
             "the settings' maxDials",
         ),
         key(
-            "patience",
-            Kind::Factor,
-            "A dial is given up after so many times what set-ups take of late, but not before the handshake target; the last one has all the time left.",
+            route::ATTEMPT_TIMEOUT_FACTOR,
+            ValueKind::Factor,
+            "The attempt timeout as a multiple of the recent handshake time, but never below the latency objective; the last attempt has all the time that is left.",
             "4",
         ),
         key(
-            "base",
-            Kind::Duration,
-            "The delay before a further dial, and the time to stay away that a refusal tells, are drawn from 0 up to base x 2^failures of the client.",
+            route::BACKOFF_BASE,
+            ValueKind::Duration,
+            "The base of the exponential backoff. The delay before a retry, and the `Retry-After` of a rejection, are drawn from 0 up to base x 2^failures of the client.",
             "1s",
         ),
-        key("cap", Kind::Duration, "...and up to this at most.", "30s"),
         key(
-            "cool_down",
-            Kind::Duration,
-            "A connection that stood so long clears its client's count of failures.",
+            route::BACKOFF_CAP,
+            ValueKind::Duration,
+            "The cap of the backoff.",
+            "30s",
+        ),
+        key(
+            route::STABLE_AFTER,
+            ValueKind::Duration,
+            "A connection that was up for this long resets its client's failure count.",
             "5s",
         ),
         key(
-            "retry_after",
-            Kind::Duration,
-            "No refusal tells a client to stay away for longer.",
+            route::MAX_RETRY_AFTER,
+            ValueKind::Duration,
+            "The longest `Retry-After` of a rejection.",
             "the settings' maxRetryAfterUs",
         ),
         key(
-            "idle",
-            Kind::Duration,
-            "A connection on which no line has passed for so long is told to move.",
+            route::IDLE_TIMEOUT,
+            ValueKind::Duration,
+            "The idle timeout: a client whose connection carried no message for this long is asked to reconnect.",
             "never",
         ),
         key(
-            "retry_share",
-            Kind::Part,
-            "Further dials at most, as a part of the sessions, over the last hundred of them; a ration of the settings binds beside it.",
+            route::RETRY_SHARE,
+            ValueKind::Fraction,
+            "The retry budget: retries as a fraction of the last hundred sessions. A retry budget of the settings applies as well.",
             "no limit",
         ),
         key(
-            "at_once",
-            Kind::Count,
-            "Sessions at once in this relay; more are refused.",
+            route::MAX_SESSIONS,
+            ValueKind::Count,
+            "The most concurrent sessions in this relay; more are rejected.",
             "no limit",
         ),
         key(
-            "second_copy",
-            Kind::Table,
-            "A second dial while the first is out; see below. For repeatable sessions only, where the settings allow two.",
+            route::HEDGING,
+            ValueKind::Table,
+            "A hedged attempt while the first is pending; see below. For idempotent sessions only, where the settings allow two attempts at once.",
             "none",
         ),
     ],
 };
 
-pub const MATCH: Section = Section {
+pub(crate) const MATCH: Section = Section {
     header: "[route.match]",
-    about: "All that is stated must hold. The place of a matching language is here, as a key `when`; it does not exist yet.",
+    description: "A session matches if it satisfies every condition that is stated.",
     keys: &[
         key(
-            "listener",
-            Kind::Names,
+            matching::LISTENERS,
+            ValueKind::Names,
             "The session's listener is one of these.",
             "any",
         ),
         key(
-            "zone",
-            Kind::Names,
-            "The relay stands in one of these zones.",
+            matching::ZONES,
+            ValueKind::Names,
+            "The relay is in one of these zones.",
             "any",
         ),
         key(
-            "key_prefix",
-            Kind::Hex,
-            "The client's key begins so.",
+            matching::KEY_PREFIX,
+            ValueKind::KeyPrefix,
+            "The client's key begins with these digits.",
             "any",
         ),
         key(
-            "group",
-            Kind::HexList,
+            matching::GROUPS,
+            ValueKind::Keys,
             "The session's group is one of these.",
             "any, or none",
         ),
     ],
 };
 
-pub const SECOND: Section = Section {
+pub(crate) const HEDGING: Section = Section {
     header: "[route.second_copy]",
-    about: "The second dial goes to another backend, never to a cold or draining one; the first `UP` wins and the other is given up.",
+    description: "The hedged attempt goes to another backend, never to one that is warming up or draining. The first `UP` wins and the other attempt is cancelled.",
     keys: &[
         key(
-            "quantile",
-            Kind::Part,
-            "It goes out when the first has taken longer than this part of the route's recent set-ups took...",
+            hedging::QUANTILE,
+            ValueKind::Fraction,
+            "The hedged attempt starts when the first has taken longer than this quantile of the route's recent handshakes,",
             "0.95",
         ),
         key(
-            "least",
-            Kind::Duration,
-            "...but not sooner than this...",
+            hedging::MIN_DELAY,
+            ValueKind::Duration,
+            "but not sooner than this,",
             "20ms",
         ),
         key(
-            "most",
-            Kind::Duration,
-            "...and not later than this.",
-            "the handshake target",
+            hedging::MAX_DELAY,
+            ValueKind::Duration,
+            "and not later than this.",
+            "`handshake_target`",
         ),
         key(
-            "share",
-            Kind::Part,
-            "Second dials at most, as a part of the sessions.",
+            hedging::SHARE,
+            ValueKind::Fraction,
+            "The hedging budget: hedged attempts as a fraction of the sessions.",
             "0.05",
         ),
     ],
 };
-
-pub const SECTIONS: &[Section] = &[TOP, ROUTE, MATCH, SECOND, PEERS];
-
-/// The known key that is most like another, if any is much like it.
-pub fn nearest<'a>(names: impl Iterator<Item = &'a str>, meant: &str) -> Option<&'a str> {
-    let near = names.map(|name| (strsim::jaro_winkler(name, meant), name));
-    near.filter(|(like, _)| *like > 0.7)
-        .max_by(|one, two| one.0.total_cmp(&two.0))
-        .map(|(_, name)| name)
-}
--- a/operator_config/src/lib.rs
+++ b/operator_config/src/lib.rs
@@ -1,57 +1,82 @@
-//! The charter: an operator's own file beside the platform's settings. Its text is read by the keys
-//! that `keys` lists, which are also its reference page (`page`); what it says is checked against
-//! the rules (`rules`) and worked out into rows for the decisions and for the relay's front
-//! (`routing`). Every fault of a file is found at once, each with its line, column and key. No I/O.
+//! The operators' TOML file, which refines the platform's settings for some sessions.
+//!
+//! A file passes through three steps:
+//!
+//! 1. `parsing` turns the text into [`OperatorConfig`]: typed sections whose values keep their
+//!    location in the file. The table of keys is [`keys`]; [`reference`] prints it for people.
+//! 2. `rules` checks the sections against the deployment of one relay, a [`RelayContext`].
+//! 3. The result is a [`RouteTable`] for sessions and a [`PeersConfig`] for the link between relays.
+//!
+//! Each step reports every error of a file at once. The crate does no I/O.
+mod context;
+mod effective;
+mod error;
+mod key_names;
 pub mod keys;
 mod parsing;
-pub mod peers;
+mod peers;
 pub mod reference;
-pub mod route_table;
+mod route_table;
 mod rules;
+mod sections;
+mod suggestion;
+mod value;
 
-pub use parsing::{ConfigError, Located, Matching, PeersText, RouteText, SecondText};
+pub use context::{ListenerDefaults, RelayContext};
+pub use effective::{DEFAULT_ROUTE, EffectiveValue, SessionTimeouts, ValueOrigin};
+pub use error::ConfigError;
 pub use peers::PeersConfig;
-pub use route_table::{
-    DEFAULT_ROUTE, EffectiveValue, LimitsIds, ListenerDefaults, RelayContext, RouteTable,
-    SessionTimeouts, ValueOrigin,
-};
+pub use route_table::{LimitsIds, RouteTable};
 
-/// A file as read, not yet held against a deployment.
+use sections::{PeersSection, RouteSection};
+
+/// A parsed file that has not been checked against a deployment.
 #[derive(Clone, Debug, Default)]
 pub struct OperatorConfig {
-    pub routes: Vec<RouteText>,
-    pub peers: Option<PeersText>,
+    routes: Vec<RouteSection>,
+    peers: Option<PeersSection>,
 }
 
 impl OperatorConfig {
+    /// The number of routes that the file states.
+    pub fn route_count(&self) -> usize {
+        self.routes.len()
+    }
+
+    /// Parses the text of `file`, whose name appears in errors only.
+    ///
     /// # Errors
-    /// All that is wrong with the text by itself.
+    /// Everything that is wrong with the text by itself, in the order of the file.
     pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
         parsing::parse(file, text)
     }
 
-    /// What it says of peers, with what holds where it does not; none where it says nothing.
+    /// The configuration of the link between relays with defaults filled in, or `None` where the
+    /// file has no such section.
     ///
     /// # Errors
-    /// All that is wrong with it there.
-    pub fn peers_config(&self, of: &RelayContext) -> Result<Option<PeersConfig>, Vec<ConfigError>> {
+    /// Everything in the section that the deployment does not permit.
+    pub fn peers_config(
+        &self,
+        context: &RelayContext,
+    ) -> Result<Option<PeersConfig>, Vec<ConfigError>> {
         self.peers
             .as_ref()
-            .map(|text| peers::resolve(text, of))
+            .map(|section| peers::resolve(section, context))
             .transpose()
     }
 
-    /// Rows for a deployment.
+    /// The routes of this file under the settings of a deployment.
     ///
     /// # Errors
-    /// All that is wrong with it there: unknown names, and what would break a rule.
+    /// Everything that the deployment does not permit: unknown names and broken rules.
     pub fn resolve(
         &self,
-        of: &RelayContext,
-        lanes: &mut LimitsIds,
+        context: &RelayContext,
+        limits_ids: &mut LimitsIds,
     ) -> Result<RouteTable, Vec<ConfigError>> {
-        rules::check(self, of)?;
-        self.peers_config(of)?;
-        Ok(RouteTable::new(self, of, lanes))
+        rules::check(&self.routes, context)?;
+        self.peers_config(context)?;
+        Ok(RouteTable::new(&self.routes, context, limits_ids))
     }
 }
--- a/operator_config/src/parsing.rs
+++ b/operator_config/src/parsing.rs
@@ -1,536 +1,325 @@
-//! From text to values, each with its place. Nothing here knows a deployment.
+//! From text to sections. Nothing here knows a deployment.
 use crate::OperatorConfig;
-use crate::keys::{Key, Kind, MATCH, PEERS, ROUTE, SECOND, Section, TOP, nearest};
+use crate::error::{ConfigError, Located, Location, sorted, value_unless};
+use crate::key_names::{file, hedging, matching, peers, route};
+use crate::keys::{self, Section};
+use crate::sections::{HedgingSection, KeyPrefix, MatchSection, PeersSection, RouteSection};
+use crate::suggestion::closest_name;
+use crate::value::{self, Value};
 use std::collections::BTreeMap;
-use std::fmt;
 use std::net::SocketAddr;
 use std::ops::Range;
 use thistlecroft::time::Duration;
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// What is wrong, and where.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConfigError {
-    pub file: String,
-    pub line: usize,
-    pub column: usize,
-    pub key: String,
-    pub why: String,
-}
-
-impl fmt::Display for ConfigError {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(
-            out,
-            "{}:{}:{}: {}: {}",
-            self.file, self.line, self.column, self.key, self.why
-        )
-    }
-}
-
-/// Where something stands in the file.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
-    pub file: String,
-    pub line: usize,
-    pub column: usize,
-}
-
-/// A value with its place.
-#[derive(Clone, Debug)]
-pub struct Located<T> {
-    pub value: T,
-    pub place: Place,
-}
-
-impl Place {
-    pub fn fault(&self, key: &str, why: String) -> ConfigError {
-        ConfigError {
-            file: self.file.clone(),
-            line: self.line,
-            column: self.column,
-            key: key.into(),
-            why,
-        }
+/// Parses a whole file.
+///
+/// # Errors
+/// Everything that is wrong with the text by itself, sorted by location.
+pub(crate) fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
+    let mut parser = Parser {
+        file,
+        text,
+        errors: Vec::new(),
+    };
+    let (table, syntax_errors) = DeTable::parse_recoverable(text);
+    for error in &syntax_errors {
+        let reason = error.message().replace('\n', " ");
+        parser.error(error.span().unwrap_or(0..0), "syntax", reason);
     }
+    let config = if syntax_errors.is_empty() {
+        parser.file(&table)
+    } else {
+        OperatorConfig::default()
+    };
+    value_unless(sorted(parser.errors), config)
 }
 
-#[derive(Clone, Debug, Default)]
-pub struct Matching {
-    pub listener: Option<Located<Vec<String>>>,
-    pub zone: Option<Located<Vec<String>>>,
-    /// The digits, and how many there are.
-    pub key_prefix: Option<Located<(u64, u32)>>,
-    pub group: Option<Located<Vec<u64>>>,
-}
-
-#[derive(Clone, Debug, Default)]
-pub struct SecondText {
-    pub quantile: Option<Located<f64>>,
-    pub least: Option<Located<Duration>>,
-    pub most: Option<Located<Duration>>,
-    pub share: Option<Located<f64>>,
-}
-
-/// A route as stated.
-#[derive(Clone, Debug)]
-pub struct RouteText {
-    pub name: String,
-    pub place: Place,
-    pub matching: Matching,
-    pub handshake_target: Option<Located<Duration>>,
-    pub dial_timeout: Option<Located<Duration>>,
-    pub connect_time: Option<Located<Duration>>,
-    pub dials: Option<Located<u32>>,
-    pub patience: Option<Located<f64>>,
-    pub base: Option<Located<Duration>>,
-    pub cap: Option<Located<Duration>>,
-    pub cool_down: Option<Located<Duration>>,
-    pub retry_after: Option<Located<Duration>>,
-    pub idle: Option<Located<Duration>>,
-    pub retry_share: Option<Located<f64>>,
-    pub at_once: Option<Located<u32>>,
-    pub second_copy: Option<Located<SecondText>>,
-}
-
-/// Relays that know of one another, as stated.
-#[derive(Clone, Debug)]
-pub struct PeersText {
-    pub place: Place,
-    pub fleet: Located<String>,
-    pub listen: Located<SocketAddr>,
-    pub key_file: Located<String>,
-    pub advertise: Option<Located<SocketAddr>>,
-    pub seeds: Option<Located<Vec<SocketAddr>>>,
-    pub period: Option<Located<Duration>>,
-    pub rate: Option<Located<u32>>,
-    pub voters: Option<Located<Vec<String>>>,
-    pub voters_before: Option<Located<Vec<String>>>,
-    pub generation: Option<Located<u32>>,
-    pub lease: Option<Located<Duration>>,
-}
-
-/// A value as its key's kind has it.
-#[derive(Clone, Debug)]
-enum Value {
-    Names(Vec<String>),
-    Duration(Duration),
-    Count(u32),
-    Number(f64),
-    Hex(u64, u32),
-    HexList(Vec<u64>),
-    Addresses(Vec<SocketAddr>),
-    Table,
-}
-
-struct Reader<'a> {
+struct Parser<'a> {
     file: &'a str,
     text: &'a str,
-    faults: Vec<ConfigError>,
+    errors: Vec<ConfigError>,
 }
 
-/// The values of one table, by key.
-struct Read {
-    values: BTreeMap<&'static str, (Value, Place)>,
-    place: Place,
-}
-
-pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
-    let mut reader = Reader {
-        file,
-        text,
-        faults: Vec::new(),
-    };
-    let (table, errors) = DeTable::parse_recoverable(text);
-    for error in &errors {
-        let place = reader.place(error.span().unwrap_or(0..0));
-        reader
-            .faults
-            .push(place.fault("syntax", error.message().replace('\n', " ")));
-    }
-    let mut charter = OperatorConfig::default();
-    if errors.is_empty() {
-        let top = table.get_ref();
-        reader.table(top, table.span(), &TOP, "");
-        for (name, value) in top.iter() {
-            if name.get_ref() == "route" {
-                reader.routes(value, &mut charter);
-            }
-            if name.get_ref() == "peers" {
-                charter.peers = reader.peers(value);
-            }
+impl Parser<'_> {
+    fn location(&self, span: Range<usize>) -> Location {
+        let before = &self.text[..span.start.min(self.text.len())];
+        let last_line = before.rsplit('\n').next().unwrap_or_default();
+        Location {
+            file: self.file.into(),
+            line: before.matches('\n').count() + 1,
+            column: last_line.chars().count() + 1,
         }
     }
-    let mut faults = reader.faults;
-    faults.sort();
-    faults.dedup();
-    if faults.is_empty() {
-        Ok(charter)
-    } else {
-        Err(faults)
-    }
-}
 
-impl Reader<'_> {
-    fn place(&self, at: Range<usize>) -> Place {
-        let before = &self.text[..at.start.min(self.text.len())];
-        let line = before.matches('\n').count() + 1;
-        let column = before
-            .rsplit('\n')
-            .next()
-            .unwrap_or_default()
-            .chars()
-            .count()
-            + 1;
-        Place {
-            file: self.file.into(),
-            line,
-            column,
-        }
+    fn error(&mut self, span: Range<usize>, key: &str, reason: impl Into<String>) {
+        let error = self.location(span).error(key, reason);
+        self.errors.push(error);
     }
 
-    fn fault(&mut self, at: Range<usize>, key: &str, why: String) {
-        let fault = self.place(at).fault(key, why);
-        self.faults.push(fault);
+    fn file(&mut self, table: &Spanned<DeTable>) -> OperatorConfig {
+        let mut config = OperatorConfig::default();
+        self.section(table.get_ref(), table.span(), &keys::FILE, "");
+        for (name, value) in table.get_ref().iter() {
+            match name.get_ref().as_ref() {
+                file::ROUTES => config.routes = self.routes(value),
+                file::PEERS => config.peers = self.peers(value),
+                _ => {}
+            }
+        }
+        config
     }
 
-    fn routes(&mut self, value: &Spanned<DeValue>, charter: &mut OperatorConfig) {
-        let DeValue::Array(rows) = value.get_ref() else {
-            // What is no table at all has its fault by then.
+    fn routes(&mut self, value: &Spanned<DeValue>) -> Vec<RouteSection> {
+        const NOT_A_HEADED_TABLE: &str = "routes are tables headed [[route]]";
+        let mut routes: Vec<RouteSection> = Vec::new();
+        let DeValue::Array(items) = value.get_ref() else {
+            // Any other value was reported as not being a table when the file's keys were parsed.
             if let DeValue::Table(_) = value.get_ref() {
-                self.fault(
-                    value.span(),
-                    "route",
-                    "routes are tables headed [[route]]".into(),
-                );
+                self.error(value.span(), file::ROUTES, NOT_A_HEADED_TABLE);
             }
-            return;
+            return routes;
         };
-        for row in rows.iter() {
-            let DeValue::Table(table) = row.get_ref() else {
-                self.fault(
-                    row.span(),
-                    "route",
-                    "routes are tables headed [[route]]".into(),
-                );
+        for item in items.iter() {
+            let DeValue::Table(table) = item.get_ref() else {
+                self.error(item.span(), file::ROUTES, NOT_A_HEADED_TABLE);
+                continue;
+            };
+            let Some(parsed) = self.route(table, item.span(), routes.len()) else {
                 continue;
             };
-            let named = charter.routes.len();
-            if let Some(route) = self.route(table, row.span(), named) {
-                if let Some(other) = charter.routes.iter().find(|other| other.name == route.name) {
-                    let why = format!("the route of line {} has the same name", other.place.line);
-                    self.faults.push(
-                        route
-                            .place
-                            .fault(&format!("route {}.name", route.name), why),
-                    );
-                }
-                charter.routes.push(route);
+            if let Some(same) = routes.iter().find(|other| other.name == parsed.name) {
+                let reason = format!("the route of line {} has the same name", same.location.line);
+                let error = parsed.location.error(&parsed.full_key(route::NAME), reason);
+                self.errors.push(error);
             }
+            routes.push(parsed);
         }
+        routes
     }
 
-    fn peers(&mut self, value: &Spanned<DeValue>) -> Option<PeersText> {
-        let DeValue::Table(table) = value.get_ref() else {
-            if let DeValue::Array(_) = value.get_ref() {
-                self.fault(value.span(), "peers", "one table headed [peers]".into());
-            }
+    fn route(&mut self, table: &DeTable, span: Range<usize>, index: usize) -> Option<RouteSection> {
+        let name = table
+            .iter()
+            .find(|(key, _)| key.get_ref() == route::NAME)
+            .and_then(|(_, value)| match value.get_ref() {
+                DeValue::String(name) => Some(name.to_string()),
+                _ => None,
+            });
+        let label = name.clone().unwrap_or_else(|| (index + 1).to_string());
+        let prefix = format!("route {label}");
+        let mut values = self.section(table, span.clone(), &keys::ROUTE, &prefix);
+        let Some(name) = name else {
+            self.error(span, &prefix, "name: it must be stated");
             return None;
         };
-        let mut read = self.table(table, value.span(), &PEERS, "peers");
-        for key in ["fleet", "listen", "key_file"] {
-            if !table.iter().any(|(name, _)| name.get_ref() == key) {
-                self.fault(value.span(), "peers", format!("{key}: it must be stated"));
-            }
-        }
-        let one = |stated: Located<Vec<String>>| {
-            let value = stated.value.into_iter().next().unwrap_or_default();
-            Located {
-                value,
-                place: stated.place,
-            }
+        Some(RouteSection {
+            name,
+            matching: self.matching(table, &prefix),
+            handshake_objective: values.duration(route::HANDSHAKE_OBJECTIVE),
+            handshake_timeout: values.duration(route::HANDSHAKE_TIMEOUT),
+            connect_timeout: values.duration(route::CONNECT_TIMEOUT),
+            max_attempts: values.count(route::MAX_ATTEMPTS),
+            attempt_timeout_factor: values.number(route::ATTEMPT_TIMEOUT_FACTOR),
+            backoff_base: values.duration(route::BACKOFF_BASE),
+            backoff_cap: values.duration(route::BACKOFF_CAP),
+            stable_after: values.duration(route::STABLE_AFTER),
+            max_retry_after: values.duration(route::MAX_RETRY_AFTER),
+            idle_timeout: values.duration(route::IDLE_TIMEOUT),
+            retry_share: values.number(route::RETRY_SHARE),
+            max_sessions: values.count(route::MAX_SESSIONS),
+            hedging: self.hedging(table, &prefix),
+            location: values.location,
+        })
+    }
+
+    fn matching(&mut self, route: &DeTable, prefix: &str) -> MatchSection {
+        let Some((table, span)) = inner_table(route, route::MATCH) else {
+            return MatchSection::default();
         };
-        let first = |stated: Located<Vec<SocketAddr>>| {
-            Some(Located {
-                value: *stated.value.first()?,
-                place: stated.place,
-            })
+        let prefix = format!("{prefix}.{}", route::MATCH);
+        let mut values = self.section(table, span, &keys::MATCH, &prefix);
+        MatchSection {
+            listeners: values.texts(matching::LISTENERS),
+            zones: values.texts(matching::ZONES),
+            key_prefix: values.key_prefix(matching::KEY_PREFIX),
+            groups: values.keys(matching::GROUPS),
+        }
+    }
+
+    fn hedging(&mut self, route: &DeTable, prefix: &str) -> Option<Located<HedgingSection>> {
+        let (table, span) = inner_table(route, route::HEDGING)?;
+        let prefix = format!("{prefix}.{}", route::HEDGING);
+        let mut values = self.section(table, span, &keys::HEDGING, &prefix);
+        let section = HedgingSection {
+            quantile: values.number(hedging::QUANTILE),
+            min_delay: values.duration(hedging::MIN_DELAY),
+            max_delay: values.duration(hedging::MAX_DELAY),
+            share: values.number(hedging::SHARE),
         };
-        Some(PeersText {
-            fleet: read.names("fleet").map(one)?,
-            listen: read.addresses("listen").and_then(first)?,
-            key_file: read.names("key_file").map(one)?,
-            advertise: read.addresses("advertise").and_then(first),
-            seeds: read.addresses("seeds"),
-            period: read.span("period"),
-            rate: read.count("rate"),
-            voters: read.names("voters"),
-            voters_before: read.names("voters_before"),
-            generation: read.count("generation"),
-            lease: read.span("lease"),
-            place: read.place,
+        Some(Located {
+            value: section,
+            location: values.location,
         })
     }
 
-    fn route(&mut self, table: &DeTable, at: Range<usize>, number: usize) -> Option<RouteText> {
-        let name = table
-            .iter()
-            .find(|(key, _)| key.get_ref() == "name")
-            .and_then(|(_, value)| {
-                let DeValue::String(name) = value.get_ref() else {
-                    return None;
-                };
-                Some(name.to_string())
-            });
-        let called = format!(
-            "route {}",
-            name.clone().unwrap_or_else(|| (number + 1).to_string())
-        );
-        let mut read = self.table(table, at.clone(), &ROUTE, &called);
-        let Some(name) = name else {
-            self.fault(at, &called, "name: it must be stated".into());
+    fn peers(&mut self, value: &Spanned<DeValue>) -> Option<PeersSection> {
+        let DeValue::Table(table) = value.get_ref() else {
+            if let DeValue::Array(_) = value.get_ref() {
+                self.error(value.span(), file::PEERS, "one table headed [peers]");
+            }
             return None;
         };
-        let inner = |key: &str| {
-            let found = table.iter().find(|(name, _)| name.get_ref() == key)?;
-            let DeValue::Table(table) = found.1.get_ref() else {
-                return None;
-            };
-            Some((table, found.1.span()))
-        };
-        let mut matching = Matching::default();
-        if let Some((table, at)) = inner("match") {
-            let mut read = self.table(table, at, &MATCH, &format!("{called}.match"));
-            matching = Matching {
-                listener: read.names("listener"),
-                zone: read.names("zone"),
-                key_prefix: read.hex("key_prefix"),
-                group: read.hex_list("group"),
-            };
-        }
-        let second_copy = inner("second_copy").map(|(table, at)| {
-            let mut read = self.table(table, at, &SECOND, &format!("{called}.second_copy"));
-            let value = SecondText {
-                quantile: read.number("quantile"),
-                least: read.span("least"),
-                most: read.span("most"),
-                share: read.number("share"),
-            };
-            Located {
-                value,
-                place: read.place,
+        let mut values = self.section(table, value.span(), &keys::PEERS, file::PEERS);
+        for key in [peers::FLEET, peers::LISTEN, peers::KEY_FILE] {
+            if !table.iter().any(|(name, _)| name.get_ref() == key) {
+                let reason = format!("{key}: it must be stated");
+                self.error(value.span(), file::PEERS, reason);
             }
-        });
-        Some(RouteText {
-            name,
-            matching,
-            handshake_target: read.span("handshake_target"),
-            dial_timeout: read.span("dial_timeout"),
-            connect_time: read.span("connect_time"),
-            dials: read.count("dials"),
-            patience: read.number("patience"),
-            base: read.span("base"),
-            cap: read.span("cap"),
-            cool_down: read.span("cool_down"),
-            retry_after: read.span("retry_after"),
-            idle: read.span("idle"),
-            retry_share: read.number("retry_share"),
-            at_once: read.count("at_once"),
-            second_copy,
-            place: read.place,
+        }
+        Some(PeersSection {
+            fleet: values.text(peers::FLEET)?,
+            listen: values.address(peers::LISTEN)?,
+            key_file: values.text(peers::KEY_FILE)?,
+            advertise: values.address(peers::ADVERTISE),
+            seeds: values.addresses(peers::SEEDS),
+            probe_interval: values.duration(peers::PROBE_INTERVAL),
+            max_bytes_per_second: values.count(peers::MAX_BYTES_PER_SECOND),
+            voters: values.texts(peers::VOTERS),
+            previous_voters: values.texts(peers::PREVIOUS_VOTERS),
+            generation: values.count(peers::GENERATION),
+            lease_duration: values.duration(peers::LEASE_DURATION),
+            location: values.location,
         })
     }
 
-    /// All values of a table that are as their keys have them; what is not is a fault.
-    fn table(
+    /// Parses the values of one table; unknown keys and values of another kind become errors.
+    /// `prefix` is what errors print before each key.
+    fn section(
         &mut self,
         table: &DeTable,
-        at: Range<usize>,
+        span: Range<usize>,
         section: &'static Section,
-        called: &str,
-    ) -> Read {
-        let mut read = Read {
-            values: BTreeMap::new(),
-            place: self.place(at),
-        };
+        prefix: &str,
+    ) -> SectionValues {
+        let mut values = BTreeMap::new();
         for (name, value) in table.iter() {
-            let full = if called.is_empty() {
-                name.get_ref().to_string()
-            } else {
-                format!("{called}.{}", name.get_ref())
+            let full_key = match prefix {
+                "" => name.get_ref().to_string(),
+                prefix => format!("{prefix}.{}", name.get_ref()),
             };
             let Some(key) = section.keys.iter().find(|key| key.name == name.get_ref()) else {
-                let like = nearest(section.keys.iter().map(|key| key.name), name.get_ref());
-                let why = match like {
-                    Some(like) => format!("there is no such key; is it `{like}`?"),
-                    None => "there is no such key".into(),
-                };
-                self.fault(name.span(), &full, why);
+                let reason = unknown_key(section, name.get_ref());
+                self.error(name.span(), &full_key, reason);
                 continue;
             };
-            match value_of(key, value.get_ref()) {
-                Some(found) => {
-                    read.values
-                        .insert(key.name, (found, self.place(value.span())));
-                }
-                None => self.fault(value.span(), &full, format!("it holds {}", key.kind.says())),
-            }
+            let Some(parsed) = value::parse(key.kind, value.get_ref()) else {
+                let reason = format!("it holds {}", key.kind.description());
+                self.error(value.span(), &full_key, reason);
+                continue;
+            };
+            let location = self.location(value.span());
+            values.insert(
+                key.name,
+                Located {
+                    value: parsed,
+                    location,
+                },
+            );
+        }
+        SectionValues {
+            values,
+            location: self.location(span),
         }
-        read
     }
 }
 
-fn value_of(key: &Key, value: &DeValue) -> Option<Value> {
-    let text = |value: &DeValue| match value {
-        DeValue::String(text) => Some(text.to_string()),
-        _ => None,
-    };
-    let list = |value: &DeValue| match value {
-        DeValue::Array(rows) if !rows.is_empty() => rows
-            .iter()
-            .map(|row| text(row.get_ref()))
-            .collect::<Option<Vec<_>>>(),
-        _ => text(value).map(|one| vec![one]),
-    };
-    let number = |value: &DeValue| match value {
-        DeValue::Integer(figure) => figure.as_str().parse::<f64>().ok(),
-        DeValue::Float(figure) => figure.as_str().parse::<f64>().ok(),
+fn unknown_key(section: &Section, name: &str) -> String {
+    match closest_name(section.keys.iter().map(|key| key.name), name) {
+        Some(known) => format!("there is no such key; is it `{known}`?"),
+        None => "there is no such key".into(),
+    }
+}
+
+fn inner_table<'a>(table: &'a DeTable<'a>, key: &str) -> Option<(&'a DeTable<'a>, Range<usize>)> {
+    let (_, value) = table.iter().find(|(name, _)| name.get_ref() == key)?;
+    match value.get_ref() {
+        DeValue::Table(inner) => Some((inner, value.span())),
         _ => None,
-    };
-    let named = |name: &String| {
-        !name.is_empty()
-            && name
-                .bytes()
-                .all(|byte| byte.is_ascii_alphanumeric() || byte == b'-')
-    };
-    let digits = |text: &str| {
-        (!text.is_empty() && text.len() <= 16)
-            .then(|| u64::from_str_radix(text, 16).ok())
-            .flatten()
-    };
-    Some(match key.kind {
-        Kind::Name => Value::Names(vec![text(value).filter(|name| named(name))?]),
-        Kind::Names => Value::Names(list(value).filter(|names| names.iter().all(named))?),
-        Kind::Duration => {
-            let span = Duration::parse(&text(value)?)?;
-            Value::Duration(Some(span).filter(|span| *span > Duration::ZERO && *span <= LONGEST)?)
-        }
-        Kind::Count => match value {
-            DeValue::Integer(figure) => {
-                Value::Count(figure.as_str().parse().ok().filter(|count| *count > 0)?)
-            }
-            _ => return None,
-        },
-        Kind::Part => Value::Number(number(value).filter(|part| (0.0..=1.0).contains(part))?),
-        Kind::Factor => {
-            Value::Number(number(value).filter(|factor| *factor > 0.0 && factor.is_finite())?)
-        }
-        Kind::Hex => {
-            let text =
-                text(value).filter(|text| text.bytes().all(|byte| byte.is_ascii_hexdigit()))?;
-            Value::Hex(digits(&text)?, text.len() as u32)
-        }
-        Kind::HexList => {
-            let all = list(value)?;
-            let sound = |text: &String| {
-                (text.len() == 16 && !text.starts_with('+'))
-                    .then(|| digits(text))
-                    .flatten()
-            };
-            Value::HexList(all.iter().map(sound).collect::<Option<Vec<u64>>>()?)
-        }
-        Kind::Text => Value::Names(vec![text(value).filter(|text| !text.is_empty())?]),
-        Kind::Address => Value::Addresses(vec![text(value)?.parse().ok()?]),
-        Kind::Addresses => Value::Addresses(
-            list(value)?
-                .iter()
-                .map(|one| one.parse().ok())
-                .collect::<Option<_>>()?,
-        ),
-        Kind::Table => match value {
-            DeValue::Table(_) | DeValue::Array(_) => Value::Table,
-            _ => return None,
-        },
-    })
+    }
 }
 
-/// Longer than any wait that the protocol can state.
-const LONGEST: Duration = Duration::from_millis(86_400_000);
+/// The well-formed values of one table, by key. Each method takes the value of one key out.
+struct SectionValues {
+    values: BTreeMap<&'static str, Located<Value>>,
+    location: Location,
+}
 
-impl Read {
-    fn take<T>(&mut self, name: &str, of: impl Fn(Value) -> Option<T>) -> Option<Located<T>> {
-        let (value, place) = self.values.remove(name)?;
-        of(value).map(|value| Located { value, place })
+impl SectionValues {
+    fn take<T>(
+        &mut self,
+        key: &str,
+        convert: impl FnOnce(Value) -> Option<T>,
+    ) -> Option<Located<T>> {
+        self.values.remove(key)?.and_then(convert)
     }
 
-    fn names(&mut self, name: &str) -> Option<Located<Vec<String>>> {
-        self.take(name, |value| {
-            if let Value::Names(names) = value {
-                Some(names)
-            } else {
-                None
-            }
+    fn texts(&mut self, key: &str) -> Option<Located<Vec<String>>> {
+        self.take(key, |value| match value {
+            Value::Texts(texts) => Some(texts),
+            _ => None,
         })
     }
 
-    fn span(&mut self, name: &str) -> Option<Located<Duration>> {
-        self.take(name, |value| {
-            if let Value::Duration(span) = value {
-                Some(span)
-            } else {
-                None
-            }
+    fn text(&mut self, key: &str) -> Option<Located<String>> {
+        self.texts(key)?.and_then(|texts| texts.into_iter().next())
+    }
+
+    fn duration(&mut self, key: &str) -> Option<Located<Duration>> {
+        self.take(key, |value| match value {
+            Value::Duration(duration) => Some(duration),
+            _ => None,
         })
     }
 
-    fn count(&mut self, name: &str) -> Option<Located<u32>> {
-        self.take(name, |value| {
-            if let Value::Count(count) = value {
-                Some(count)
-            } else {
-                None
-            }
+    fn count(&mut self, key: &str) -> Option<Located<u32>> {
+        self.take(key, |value| match value {
+            Value::Count(count) => Some(count),
+            _ => None,
         })
     }
 
-    fn number(&mut self, name: &str) -> Option<Located<f64>> {
-        self.take(name, |value| {
-            if let Value::Number(number) = value {
-                Some(number)
-            } else {
-                None
-            }
+    fn number(&mut self, key: &str) -> Option<Located<f64>> {
+        self.take(key, |value| match value {
+            Value::Number(number) => Some(number),
+            _ => None,
         })
     }
 
-    fn addresses(&mut self, name: &str) -> Option<Located<Vec<SocketAddr>>> {
-        self.take(name, |value| {
-            if let Value::Addresses(list) = value {
-                Some(list)
-            } else {
-                None
-            }
+    fn addresses(&mut self, key: &str) -> Option<Located<Vec<SocketAddr>>> {
+        self.take(key, |value| match value {
+            Value::Addresses(addresses) => Some(addresses),
+            _ => None,
         })
     }
 
-    fn hex(&mut self, name: &str) -> Option<Located<(u64, u32)>> {
-        self.take(name, |value| {
-            if let Value::Hex(digits, count) = value {
-                Some((digits, count))
-            } else {
-                None
-            }
+    fn address(&mut self, key: &str) -> Option<Located<SocketAddr>> {
+        self.addresses(key)?
+            .and_then(|addresses| addresses.into_iter().next())
+    }
+
+    fn key_prefix(&mut self, key: &str) -> Option<Located<KeyPrefix>> {
+        self.take(key, |value| match value {
+            Value::KeyPrefix(prefix) => Some(prefix),
+            _ => None,
         })
     }
 
-    fn hex_list(&mut self, name: &str) -> Option<Located<Vec<u64>>> {
-        self.take(name, |value| {
-            if let Value::HexList(list) = value {
-                Some(list)
-            } else {
-                None
-            }
+    fn keys(&mut self, key: &str) -> Option<Located<Vec<u64>>> {
+        self.take(key, |value| match value {
+            Value::Keys(keys) => Some(keys),
+            _ => None,
         })
     }
 }
--- a/operator_config/src/peers.rs
+++ b/operator_config/src/peers.rs
@@ -1,138 +1,182 @@
-//! What a charter may say of relays that know of one another, and what holds where it does not.
-use crate::RelayContext;
-use crate::parsing::{ConfigError, Located, PeersText, Place};
-use crate::route_table::say;
+//! The configuration of the link between relays: checks and defaults.
+use crate::context::RelayContext;
+use crate::effective::format_duration;
+use crate::error::{ConfigError, Located, Location, value_unless};
+use crate::key_names::{file, peers as key};
+use crate::sections::PeersSection;
 use std::net::SocketAddr;
+use std::ops::RangeInclusive;
 use thistlecroft::time::Duration;
 
-/// In force.
+/// The configuration of the link between relays, with defaults filled in.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeersConfig {
+    /// The fleet's name. Relays drop datagrams of other fleets.
     pub fleet: String,
+    /// The address that datagrams are received at.
     pub listen: SocketAddr,
+    /// The address at which other relays reach this one.
     pub advertise: SocketAddr,
+    /// The path of the file with the fleet's key.
     pub key_file: String,
+    /// Addresses of relays that are contacted to join the fleet.
     pub seeds: Vec<SocketAddr>,
-    pub period: Duration,
-    pub rate: u32,
+    /// The interval between health checks of other relays.
+    pub probe_interval: Duration,
+    /// The most bytes per second that this relay sends to others.
+    pub max_bytes_per_second: u32,
+    /// The names of the relays that vote on leases.
     pub voters: Vec<String>,
-    pub voters_before: Vec<String>,
+    /// The voters of the previous generation, during a change of voters.
+    pub previous_voters: Vec<String>,
+    /// Incremented with each change of the voters.
     pub generation: u32,
-    pub lease: Duration,
+    /// The duration of a lease.
+    pub lease_duration: Duration,
 }
 
-const PERIOD: Duration = Duration::from_millis(1_000);
-const LEASE: Duration = Duration::from_millis(10_000);
-const RATE: u32 = 32_768;
-const MOST_SEEDS: usize = 32;
-const MOST_VOTERS: usize = 7;
-const LEAST_RATE: u32 = 4_096;
-const PERIODS: (Duration, Duration) = (Duration::from_millis(50), Duration::from_millis(10_000));
-const LEASES: (Duration, Duration) = (Duration::from_millis(500), Duration::from_millis(60_000));
+const DEFAULT_PROBE_INTERVAL: Duration = Duration::from_millis(1_000);
+const DEFAULT_LEASE_DURATION: Duration = Duration::from_millis(10_000);
+const DEFAULT_BYTES_PER_SECOND: u32 = 32_768;
+const FIRST_GENERATION: u32 = 1;
 
+const PROBE_INTERVALS: RangeInclusive<Duration> =
+    Duration::from_millis(50)..=Duration::from_millis(10_000);
+const LEASE_DURATIONS: RangeInclusive<Duration> =
+    Duration::from_millis(500)..=Duration::from_millis(60_000);
+const MIN_BYTES_PER_SECOND: u32 = 4_096;
+const MAX_SEEDS: usize = 32;
+const MAX_VOTERS: usize = 7;
+
+/// Checks a section and fills in defaults.
 pub(crate) fn resolve(
-    text: &PeersText,
-    of: &RelayContext,
+    section: &PeersSection,
+    context: &RelayContext,
 ) -> Result<PeersConfig, Vec<ConfigError>> {
-    let mut faults = Vec::new();
-    let mut blame = |place: &Place, key: &str, why: String| faults.push(place.fault(key, why));
-    if !of.may_use_peers {
-        let why = "the settings do not allow talk between instances (permissions.peers)";
-        blame(&text.place, "peers", why.into());
+    let mut errors = Vec::new();
+    check_permission(section, context, &mut errors);
+    check_advertise(section, &mut errors);
+    check_durations(section, &mut errors);
+    check_counts(section, &mut errors);
+    check_voters(key::VOTERS, &section.voters, &mut errors);
+    check_voters(key::PREVIOUS_VOTERS, &section.previous_voters, &mut errors);
+    check_previous_voters(section, &mut errors);
+    value_unless(errors, with_defaults(section))
+}
+
+fn with_defaults(section: &PeersSection) -> PeersConfig {
+    PeersConfig {
+        fleet: section.fleet.value.clone(),
+        listen: section.listen.value,
+        advertise: advertise(section).value,
+        key_file: section.key_file.value.clone(),
+        seeds: value_or(&section.seeds, Vec::new()),
+        probe_interval: value_or(&section.probe_interval, DEFAULT_PROBE_INTERVAL),
+        max_bytes_per_second: value_or(&section.max_bytes_per_second, DEFAULT_BYTES_PER_SECOND),
+        voters: value_or(&section.voters, Vec::new()),
+        previous_voters: value_or(&section.previous_voters, Vec::new()),
+        generation: generation(section),
+        lease_duration: value_or(&section.lease_duration, DEFAULT_LEASE_DURATION),
     }
-    let advertise = text.advertise.as_ref().unwrap_or(&text.listen);
-    if advertise.value.ip().is_unspecified() || advertise.value.port() == 0 {
-        let why = format!(
-            "others can't reach {}: `advertise` has to say where they can",
-            advertise.value
-        );
-        blame(&advertise.place, "peers.advertise", why);
+}
+
+fn value_or<T: Clone>(stated: &Option<Located<T>>, default: T) -> T {
+    stated
+        .as_ref()
+        .map_or(default, |stated| stated.value.clone())
+}
+
+fn advertise(section: &PeersSection) -> &Located<SocketAddr> {
+    section.advertise.as_ref().unwrap_or(&section.listen)
+}
+
+fn generation(section: &PeersSection) -> u32 {
+    value_or(&section.generation, FIRST_GENERATION)
+}
+
+fn error(location: &Location, key: &str, reason: impl Into<String>) -> ConfigError {
+    location.error(&format!("{}.{key}", file::PEERS), reason)
+}
+
+fn check_permission(section: &PeersSection, context: &RelayContext, errors: &mut Vec<ConfigError>) {
+    if !context.may_use_peers {
+        let reason = "the settings do not allow talk between instances (permissions.peers)";
+        errors.push(section.location.error(file::PEERS, reason));
     }
-    let spans = [
-        ("period", &text.period, PERIODS),
-        ("lease", &text.lease, LEASES),
+}
+
+fn check_advertise(section: &PeersSection, errors: &mut Vec<ConfigError>) {
+    let Located { value, location } = advertise(section);
+    if value.ip().is_unspecified() || value.port() == 0 {
+        let reason = format!("others can't reach {value}: `advertise` has to say where they can");
+        errors.push(error(location, key::ADVERTISE, reason));
+    }
+}
+
+fn check_durations(section: &PeersSection, errors: &mut Vec<ConfigError>) {
+    let ranges = [
+        (
+            key::PROBE_INTERVAL,
+            &section.probe_interval,
+            PROBE_INTERVALS,
+        ),
+        (
+            key::LEASE_DURATION,
+            &section.lease_duration,
+            LEASE_DURATIONS,
+        ),
     ];
-    for (key, stated, (least, most)) in spans {
-        if let Some(stated) = stated
-            .as_ref()
-            .filter(|one| one.value < least || one.value > most)
-        {
-            let why = format!(
-                "{} is not between {} and {}",
-                say(stated.value),
-                say(least),
-                say(most)
+    for (key, stated, range) in ranges {
+        let Some(stated) = stated else { continue };
+        if !range.contains(&stated.value) {
+            let value = format_duration(stated.value);
+            let (min, max) = (
+                format_duration(*range.start()),
+                format_duration(*range.end()),
             );
-            blame(&stated.place, &format!("peers.{key}"), why);
+            let reason = format!("{value} is not between {min} and {max}");
+            errors.push(error(&stated.location, key, reason));
         }
     }
-    if let Some(rate) = text.rate.as_ref().filter(|rate| rate.value < LEAST_RATE) {
-        let why = format!(
-            "{} bytes a second are too few, {LEAST_RATE} at least",
-            rate.value
-        );
-        blame(&rate.place, "peers.rate", why);
+}
+
+fn check_counts(section: &PeersSection, errors: &mut Vec<ConfigError>) {
+    if let Some(stated) = &section.max_bytes_per_second
+        && stated.value < MIN_BYTES_PER_SECOND
+    {
+        let value = stated.value;
+        let reason = format!("{value} bytes a second are too few, {MIN_BYTES_PER_SECOND} at least");
+        errors.push(error(&stated.location, key::MAX_BYTES_PER_SECOND, reason));
     }
-    if let Some(seeds) = text
-        .seeds
-        .as_ref()
-        .filter(|seeds| seeds.value.len() > MOST_SEEDS)
+    if let Some(seeds) = &section.seeds
+        && seeds.value.len() > MAX_SEEDS
     {
-        blame(&seeds.place, "peers.seeds", format!("{MOST_SEEDS} at most"));
+        let reason = format!("{MAX_SEEDS} at most");
+        errors.push(error(&seeds.location, key::SEEDS, reason));
     }
-    for (key, stated) in [
-        ("voters", &text.voters),
-        ("voters_before", &text.voters_before),
-    ] {
-        let Some(stated) = stated else { continue };
-        let twice =
-            (1..stated.value.len()).find(|at| stated.value[..*at].contains(&stated.value[*at]));
-        if let Some(at) = twice {
-            blame(
-                &stated.place,
-                &format!("peers.{key}"),
-                format!("{} stands twice", stated.value[at]),
-            );
-        }
-        if stated.value.len() > MOST_VOTERS {
-            blame(
-                &stated.place,
-                &format!("peers.{key}"),
-                format!("{MOST_VOTERS} at most"),
-            );
-        }
+}
+
+fn check_voters(key: &str, voters: &Option<Located<Vec<String>>>, errors: &mut Vec<ConfigError>) {
+    let Some(Located { value, location }) = voters else {
+        return;
+    };
+    let repeated = (1..value.len()).find(|&index| value[..index].contains(&value[index]));
+    if let Some(index) = repeated {
+        let reason = format!("{} stands twice", value[index]);
+        errors.push(error(location, key, reason));
     }
-    let generation = text.generation.as_ref().map_or(1, |stated| stated.value);
-    if let Some(before) = text
-        .voters_before
-        .as_ref()
-        .filter(|_| generation < 2 || text.voters.is_none())
-    {
-        let why = "it goes with `voters` and a `generation` above 1".to_string();
-        blame(&before.place, "peers.voters_before", why);
+    if value.len() > MAX_VOTERS {
+        errors.push(error(location, key, format!("{MAX_VOTERS} at most")));
     }
-    if !faults.is_empty() {
-        return Err(faults);
+}
+
+/// Previous voters are stated during a change of voters only, which starts a later generation.
+fn check_previous_voters(section: &PeersSection, errors: &mut Vec<ConfigError>) {
+    let is_change = section.voters.is_some() && generation(section) > FIRST_GENERATION;
+    if let Some(previous) = &section.previous_voters
+        && !is_change
+    {
+        let reason = "it goes with `voters` and a `generation` above 1";
+        errors.push(error(&previous.location, key::PREVIOUS_VOTERS, reason));
     }
-    let names = |stated: &Option<Located<Vec<String>>>| {
-        stated
-            .as_ref()
-            .map_or(Vec::new(), |stated| stated.value.clone())
-    };
-    Ok(PeersConfig {
-        fleet: text.fleet.value.clone(),
-        listen: text.listen.value,
-        advertise: advertise.value,
-        key_file: text.key_file.value.clone(),
-        seeds: text
-            .seeds
-            .as_ref()
-            .map_or(Vec::new(), |stated| stated.value.clone()),
-        period: text.period.as_ref().map_or(PERIOD, |stated| stated.value),
-        rate: text.rate.as_ref().map_or(RATE, |stated| stated.value),
-        voters: names(&text.voters),
-        voters_before: names(&text.voters_before),
-        generation,
-        lease: text.lease.as_ref().map_or(LEASE, |stated| stated.value),
-    })
 }
--- a/operator_config/src/reference.rs
+++ b/operator_config/src/reference.rs
@@ -1,33 +1,35 @@
-//! The reference page, from the tables that the reader goes by.
-use crate::keys::SECTIONS;
+//! The reference page for operators, printed from the table of keys.
+use crate::keys::{SECTIONS, Section};
 use std::fmt::Write;
 
+const INTRODUCTION: &str = "\
+# Keys of the operator configuration
+
+Written by `thistlecroft charter reference`; a test compares this page with the table that the parser uses.
+`charter.md` describes how the file is used.
+";
+
+/// The whole page, in Markdown.
 pub fn reference_page() -> String {
-    let mut page = String::from(
-        "# The charter's keys\n\nWritten by `thistlecroft charter reference`; a test compares it with the reader's tables. How the file is used is told in\n\
-         `charter.md`.\n",
-    );
+    let mut page = String::from(INTRODUCTION);
     for section in SECTIONS {
-        let header = if section.header.is_empty() {
-            "The file"
-        } else {
-            section.header
-        };
-        let _ = write!(
-            page,
-            "\n## {header}\n\n{}\n\n| key | holds | meaning | not stated |\n| --- | --- | --- | --- |\n",
-            section.about
-        );
-        for key in section.keys {
-            let _ = writeln!(
-                page,
-                "| `{}` | {} | {} | {} |",
-                key.name,
-                key.kind.says(),
-                key.about,
-                key.unstated
-            );
-        }
+        write_section(&mut page, section).expect("writing to a string succeeds");
     }
     page
 }
+
+fn write_section(page: &mut String, section: &Section) -> std::fmt::Result {
+    let header = match section.header {
+        "" => "The file",
+        header => header,
+    };
+    writeln!(page, "\n## {header}\n\n{}\n", section.description)?;
+    writeln!(page, "| key | value | meaning | default |")?;
+    writeln!(page, "| --- | --- | --- | --- |")?;
+    for key in section.keys {
+        let (name, kind) = (key.name, key.kind.description());
+        let (meaning, default) = (key.description, key.default);
+        writeln!(page, "| `{name}` | {kind} | {meaning} | {default} |")?;
+    }
+    Ok(())
+}
--- a/operator_config/tests/golden.rs
+++ b/operator_config/tests/golden.rs
@@ -1,4 +1,5 @@
-//! The keys of an operator's charter, and what follows from the files that are shipped.
+//! Recorded results of the operator configuration: keys, errors, and the values that shipped files
+//! put in force.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -21,8 +22,8 @@
     golden_file::assert_unchanged(&folder.join(file), actual);
 }
 
-/// A relay with the listeners of the shipped example, and some of other effects.
-fn circumstances() -> RelayContext {
+/// A relay with the listeners of the shipped example, and some of other idempotency classes.
+fn context() -> RelayContext {
     let listener = |name: &str, effect| ListenerDefaults {
         name: name.into(),
         client_timeout: Duration::from_millis(4_800),
@@ -39,7 +40,7 @@
             ..Route::default()
         },
     };
-    let referenced = Idempotency::Keyed {
+    let keyed = Idempotency::Keyed {
         scope: DeduplicationScope::Zone,
         window: Duration::from_millis(500),
     };
@@ -49,7 +50,7 @@
             listener("slot-view", Idempotency::Idempotent),
             listener("queue-view", Idempotency::Idempotent),
             listener("pay", Idempotency::NonIdempotent),
-            listener("book", referenced),
+            listener("book", keyed),
         ],
         zones: vec!["ikeja".into(), "lekki".into()],
         zone: 1,
@@ -59,86 +60,86 @@
     }
 }
 
-fn listed(faults: &[ConfigError]) -> String {
-    let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
+fn joined(errors: &[ConfigError]) -> String {
+    let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
 /// Every value in force and where it is from, a line each.
 fn values_in_force(text: &str) -> String {
-    let charter = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|faults| {
-        panic!("{}", listed(&faults));
+    let config = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|errors| {
+        panic!("{}", joined(&errors));
     });
-    let routing = charter
-        .resolve(&circumstances(), &mut LimitsIds::default())
-        .unwrap_or_else(|faults| panic!("{}", listed(&faults)));
+    let table = config
+        .resolve(&context(), &mut LimitsIds::default())
+        .unwrap_or_else(|errors| panic!("{}", joined(&errors)));
     let mut lines = String::new();
-    for told in routing.effective_values() {
-        let origin = match told.origin {
+    for value in table.effective_values() {
+        let origin = match value.origin {
             ValueOrigin::File(line) => format!("line {line}"),
             ValueOrigin::Settings => "settings".into(),
             ValueOrigin::BuiltIn => "built in".into(),
         };
-        let place = format!("{} / {}", told.route, told.listener);
-        writeln!(lines, "{place}: {} = {} ({origin})", told.key, told.value).unwrap();
+        let place = format!("{} / {}", value.route, value.listener);
+        writeln!(lines, "{place}: {} = {} ({origin})", value.key, value.value).unwrap();
     }
     lines
 }
 
-/// What holds between relays, a line for each key.
-fn peering_in_force(text: &str) -> String {
-    let charter = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|faults| {
-        panic!("{}", listed(&faults));
+/// The configuration of the link between relays, a line for each key.
+fn peers_values_in_force(text: &str) -> String {
+    let config = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|errors| {
+        panic!("{}", joined(&errors));
     });
-    let peering = charter.peers_config(&circumstances()).unwrap().unwrap();
+    let peers_config = config.peers_config(&context()).unwrap().unwrap();
     [
-        format!("fleet = {}", peering.fleet),
-        format!("listen = {}", peering.listen),
-        format!("advertise = {}", peering.advertise),
-        format!("key_file = {}", peering.key_file),
-        format!("seeds = {:?}", peering.seeds),
-        format!("period = {} us", peering.period.as_micros()),
-        format!("rate = {}", peering.rate),
-        format!("voters = {:?}", peering.voters),
-        format!("voters_before = {:?}", peering.voters_before),
-        format!("generation = {}", peering.generation),
-        format!("lease = {} us\n", peering.lease.as_micros()),
+        format!("fleet = {}", peers_config.fleet),
+        format!("listen = {}", peers_config.listen),
+        format!("advertise = {}", peers_config.advertise),
+        format!("key_file = {}", peers_config.key_file),
+        format!("seeds = {:?}", peers_config.seeds),
+        format!("period = {} us", peers_config.probe_interval.as_micros()),
+        format!("rate = {}", peers_config.max_bytes_per_second),
+        format!("voters = {:?}", peers_config.voters),
+        format!("voters_before = {:?}", peers_config.previous_voters),
+        format!("generation = {}", peers_config.generation),
+        format!("lease = {} us\n", peers_config.lease_duration.as_micros()),
     ]
     .join("\n")
 }
 
 #[test]
-fn the_shipped_example_gives_the_recorded_values() {
+fn shipped_example_gives_the_recorded_values() {
     assert_unchanged("example.txt", &values_in_force(EXAMPLE));
 }
 
 #[test]
-fn the_shipped_charter_for_peers_gives_the_recorded_values() {
-    assert_unchanged("peers.txt", &peering_in_force(PEERS));
+fn shipped_peers_example_gives_the_recorded_values() {
+    assert_unchanged("peers.txt", &peers_values_in_force(PEERS));
 }
 
 #[test]
-fn a_charter_with_every_route_key_gives_the_recorded_values() {
+fn file_with_every_route_key_gives_the_recorded_values() {
     assert_unchanged("every_route_key.txt", &values_in_force(EVERY_ROUTE_KEY));
 }
 
 #[test]
-fn a_charter_with_every_peers_key_gives_the_recorded_values() {
-    assert_unchanged("every_peers_key.txt", &peering_in_force(EVERY_PEERS_KEY));
+fn file_with_every_peers_key_gives_the_recorded_values() {
+    assert_unchanged(
+        "every_peers_key.txt",
+        &peers_values_in_force(EVERY_PEERS_KEY),
+    );
 }
 
 #[test]
-fn a_session_is_matched_by_listener_zone_key_and_group_together() {
+fn session_matches_by_listener_zone_key_and_group_together() {
     const KEY: u64 = 0x7f3a_0000_0000_0001;
     const GROUP: u64 = 0xff;
-    let charter = OperatorConfig::parse("charter.toml", EVERY_ROUTE_KEY).unwrap();
+    let config = OperatorConfig::parse("charter.toml", EVERY_ROUTE_KEY).unwrap();
     let dials = |zone, listener, key, group| {
-        let there = RelayContext {
-            zone,
-            ..circumstances()
-        };
-        let routing = charter.resolve(&there, &mut LimitsIds::default()).unwrap();
-        routing.rows()[routing.route_for(listener, key, group)].max_attempts
+        let there = RelayContext { zone, ..context() };
+        let table = config.resolve(&there, &mut LimitsIds::default()).unwrap();
+        table.rows()[table.route_for(listener, key, group)].max_attempts
     };
     assert_eq!(dials(1, 0, KEY, Some(GROUP)), 2, "all four hold");
     assert_eq!(dials(0, 0, KEY, Some(GROUP)), 3, "another zone");
@@ -163,42 +164,42 @@
     lines.join("\n") + "\n"
 }
 
-/// What is said of this text by itself, which has to be refused.
-fn refusal(text: &str) -> String {
+/// The errors of a text that has to be rejected by itself.
+fn rejection(text: &str) -> String {
     match OperatorConfig::parse("charter.toml", text) {
         Ok(_) => panic!("accepted:\n{text}"),
-        Err(faults) => listed(&faults),
+        Err(errors) => joined(&errors),
     }
 }
 
 #[test]
-fn a_misspelt_key_is_refused_in_the_recorded_words() {
+fn misspelt_key_gives_the_recorded_error() {
     let mut recording = String::new();
     for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY, EXAMPLE, PEERS] {
         for (place, key) in stated_keys(text) {
             let line = text.lines().nth(place).unwrap();
             let misspelt = with_line(text, place, &format!("q{line}"));
-            writeln!(recording, "q{key}\n{}", refusal(&misspelt)).unwrap();
+            writeln!(recording, "q{key}\n{}", rejection(&misspelt)).unwrap();
         }
     }
     assert_unchanged("unknown_keys.txt", &recording);
 }
 
 #[test]
-fn a_key_that_holds_something_else_is_refused_in_the_recorded_words() {
+fn value_of_another_kind_gives_the_recorded_error() {
     let mut recording = String::new();
     for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY] {
         for (place, key) in stated_keys(text) {
             // A date is what no key holds.
             let wrong = with_line(text, place, &format!("{key} = 2026-01-01"));
-            writeln!(recording, "{}", refusal(&wrong)).unwrap();
+            writeln!(recording, "{}", rejection(&wrong)).unwrap();
         }
     }
     assert_unchanged("wrong_values.txt", &recording);
 }
 
 #[test]
-fn every_key_that_the_reference_lists_is_stated_in_the_tests() {
+fn every_key_of_the_reference_is_covered_by_these_tests() {
     let texts = [EVERY_ROUTE_KEY, EVERY_PEERS_KEY];
     let stated: Vec<&str> = texts
         .iter()
@@ -209,7 +210,7 @@
     for section in SECTIONS {
         for key in section.keys {
             writeln!(recording, "{} {}", section.header, key.name).unwrap();
-            let is_table = key.kind.says() == "a table";
+            let is_table = key.kind.description() == "a table";
             assert!(is_table || stated.contains(&key.name), "{}", key.name);
         }
     }
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -79,7 +79,7 @@
                     "peers: {} is the process's before, {at} until it has ended",
                     peering.listen
                 );
-                (link, at, Some(now + peering.period))
+                (link, at, Some(now + peering.probe_interval))
             }
             Err(fault) => return Err(fault),
         };
@@ -93,9 +93,9 @@
             fleet: peering.fleet.clone(),
             secret: key.to_vec(),
             pace: Pace {
-                period: peering.period,
+                period: peering.probe_interval,
             },
-            rate: peering.rate,
+            rate: peering.max_bytes_per_second,
         };
         let node = Node::new(
             me.clone(),
@@ -136,11 +136,11 @@
         }
         let voters = (
             peering.voters.clone(),
-            peering.voters_before.clone(),
+            peering.previous_voters.clone(),
             peering.generation,
         );
         let mut known = self.peering.clone();
-        (known.voters, known.voters_before, known.generation) = voters;
+        (known.voters, known.previous_voters, known.generation) = voters;
         let switched = self.leases.is_some() == peering.voters.is_empty();
         if known != *peering || switched {
             log::warn!("changes of peers but for a change of voters need a restart");
@@ -194,11 +194,11 @@
             Ok(link) => {
                 log::info!("peers: at {} from now on", self.peering.advertise);
                 let before = std::mem::replace(&mut self.link, link);
-                self.former = Some((before, works.now + self.peering.period * FORMER));
+                self.former = Some((before, works.now + self.peering.probe_interval * FORMER));
                 self.wanted_at = None;
                 self.node.move_to(self.peering.advertise, works.now);
             }
-            Err(_) => self.wanted_at = Some(works.now + self.peering.period),
+            Err(_) => self.wanted_at = Some(works.now + self.peering.probe_interval),
         }
     }
 
@@ -322,7 +322,7 @@
     }
 
     fn lease(&mut self, subject: &str, now: Instant) -> Result<String, String> {
-        let term = self.peering.lease;
+        let term = self.peering.lease_duration;
         let leases = self.leases.as_mut().ok_or(NO_VOTERS)?;
         let until = now + term * ASKED_AFTER;
         leases
@@ -417,12 +417,12 @@
     let electorate = Electorate {
         generation: peering.generation,
         voters: names(&peering.voters),
-        before: names(&peering.voters_before),
+        before: names(&peering.previous_voters),
     };
     LeaseConfig {
         electorate,
-        term: peering.lease,
-        update_rate: peering.rate / UPDATE_SHARE,
+        term: peering.lease_duration,
+        update_rate: peering.max_bytes_per_second / UPDATE_SHARE,
     }
 }
 
--- a/tests/golden_file/mod.rs
+++ b/tests/golden_file/mod.rs
@@ -9,7 +9,7 @@
 /// # Panics
 /// Where they differ, with the first line that does; where there is no recorded file; and after
 /// recording.
-pub fn assert_unchanged(file: &Path, actual: &str) {
+pub(crate) fn assert_unchanged(file: &Path, actual: &str) {
     if std::env::var_os("RECORD_GOLDEN").is_some() {
         std::fs::write(file, actual).expect("the golden file can be written");
         panic!(
