--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -83,7 +83,7 @@
                     deployment,
                     report_fields: places,
                     ..
-                } = facts::parse(text)?;
+                } = facts::parse(text).map_err(|error| error.to_string())?;
                 let mut names = Names::default();
                 let listeners = deployment.routes.len();
                 let mut door = Door {
--- a/relay/src/startup_config.rs
+++ b/relay/src/startup_config.rs
@@ -265,7 +265,8 @@
             text.limits.memory_mb
         ));
     }
-    let site = facts::parse(text.settings.to_string().as_bytes())?;
+    let site =
+        facts::parse(text.settings.to_string().as_bytes()).map_err(|error| error.to_string())?;
     let of = relay_context(&site, text.limits.sockets);
     let routing = RouteTable::from_settings(&of);
     let bound = OperatorConfigFile {
--- /dev/null
+++ b/settings/src/listeners.rs
@@ -0,0 +1,96 @@
+//! The section `listeners`: the kinds of sessions, and the limits of each.
+use crate::SettingsError;
+use crate::permissions::PermissionsText;
+use serde::Deserialize;
+use thistlecroft::balancer::{ATTEMPT_TIMEOUT_FACTOR, BACKOFF_BASE, BACKOFF_CAP, STABLE_AFTER};
+use thistlecroft::deployment::{DeduplicationScope, Idempotency, Route};
+use thistlecroft::time::Duration;
+
+#[derive(Deserialize)]
+pub(crate) struct ListenerText {
+    #[serde(default)]
+    pub(crate) name: String,
+    #[serde(rename = "deadlineUs")]
+    client_timeout_us: u64,
+    #[serde(rename = "handshakeTargetUs")]
+    handshake_objective_us: u64,
+    #[serde(rename = "effect")]
+    idempotency: IdempotencyText,
+    #[serde(default, rename = "dedupScope")]
+    deduplication_scope: Option<ScopeText>,
+    #[serde(default, rename = "dedupWindowUs")]
+    deduplication_window_us: u64,
+    #[serde(rename = "utility")]
+    priority_weight: f64,
+}
+
+#[derive(Clone, Copy, Deserialize)]
+enum IdempotencyText {
+    #[serde(rename = "retryable")]
+    Idempotent,
+    #[serde(rename = "dedup")]
+    Keyed,
+    #[serde(rename = "fragile")]
+    NonIdempotent,
+}
+
+#[derive(Clone, Copy, Deserialize)]
+#[serde(rename_all = "camelCase")]
+enum ScopeText {
+    All,
+    Zone,
+    Cell,
+}
+
+impl ListenerText {
+    pub(crate) fn client_timeout(&self) -> Duration {
+        Duration::from_micros(self.client_timeout_us)
+    }
+
+    pub(crate) fn route(&self, permissions: &PermissionsText) -> Route {
+        Route {
+            handshake_objective: Duration::from_micros(self.handshake_objective_us),
+            idempotency: self.idempotency(),
+            priority_weight: self.priority_weight,
+            connect_timeout: permissions.connect_timeout(),
+            max_attempts: permissions.max_attempts,
+            max_retry_after: permissions.max_retry_after(),
+            attempt_timeout_factor: ATTEMPT_TIMEOUT_FACTOR,
+            backoff_base: BACKOFF_BASE,
+            backoff_cap: BACKOFF_CAP,
+            stable_after: STABLE_AFTER,
+            ..Route::default()
+        }
+    }
+
+    fn idempotency(&self) -> Idempotency {
+        match self.idempotency {
+            IdempotencyText::Idempotent => Idempotency::Idempotent,
+            IdempotencyText::NonIdempotent => Idempotency::NonIdempotent,
+            IdempotencyText::Keyed => Idempotency::Keyed {
+                scope: match self.deduplication_scope {
+                    Some(ScopeText::Zone) => DeduplicationScope::Zone,
+                    Some(ScopeText::Cell) => DeduplicationScope::Cell,
+                    Some(ScopeText::All) | None => DeduplicationScope::All,
+                },
+                window: Duration::from_micros(self.deduplication_window_us),
+            },
+        }
+    }
+}
+
+pub(crate) fn check(listeners: &[ListenerText]) -> Result<(), SettingsError> {
+    if listeners.is_empty() {
+        return Err(SettingsError::NoListeners);
+    }
+    for (index, ListenerText { name, .. }) in listeners.iter().enumerate() {
+        if listeners[index].client_timeout_us == 0 {
+            return Err(SettingsError::ZeroDeadline { name: name.clone() });
+        }
+        let is_repeated = listeners[..index].iter().any(|other| other.name == *name);
+        if !name.is_empty() && is_repeated {
+            return Err(SettingsError::RepeatedListener { name: name.clone() });
+        }
+    }
+    Ok(())
+}
--- a/settings/tests/golden.rs
+++ b/settings/tests/golden.rs
@@ -1,8 +1,7 @@
-//! The keys of the settings text: each one that is read changes what is read, and one that must be
-//! there is missed by its name.
+//! The keys of the settings: each key has an effect, and a required key that is missing is named.
 use serde_json::{Value, json};
 
-/// Settings that state every key that is read.
+/// Settings that state every known key.
 fn every_key() -> Value {
     json!({
         "az": 1,
@@ -33,7 +32,7 @@
     })
 }
 
-/// Every key that is read, by its path, with another value that it may hold.
+/// Every known key, by its path, with another valid value.
 fn other_values() -> Vec<(&'static str, Value)> {
     vec![
         ("/az", json!(0)),
@@ -80,7 +79,7 @@
     ]
 }
 
-/// Keys without which settings are refused.
+/// Keys without which settings are rejected.
 const REQUIRED: &[&str] = &[
     "/az",
     "/balancers",
@@ -107,7 +106,7 @@
     "/permissions/retryAfter",
 ];
 
-/// Keys that may be left out, with the value that holds then.
+/// Optional keys, with their defaults.
 fn defaults() -> Vec<(&'static str, Value)> {
     vec![
         ("/zones", json!([])),
@@ -137,28 +136,29 @@
     ]
 }
 
-/// What a text was read as; only ever compared with another one of the same build.
-fn read_as(settings: &Value) -> Result<String, String> {
-    let site = thistlecroft_settings::parse(settings.to_string().as_bytes())?;
-    let places = site.report_fields;
-    let text = format!("{:?} {:?}", site.deployment, site.zones)
+/// Everything that the text was parsed into, for comparison with another text.
+fn parsed(settings: &Value) -> Result<String, String> {
+    let settings = thistlecroft_settings::parse(settings.to_string().as_bytes())
+        .map_err(|error| error.to_string())?;
+    let fields = settings.report_fields;
+    let text = format!("{:?} {:?}", settings.deployment, settings.zones)
         + &format!(
             "{:?} {:?} {:?}",
-            site.listeners, site.client_timeouts, site.backend_idle_timeout
+            settings.listeners, settings.client_timeouts, settings.backend_idle_timeout
         )
         + &format!(
             "{:?} {} {}",
-            site.drain_grace, site.may_use_peers, site.notes_carry_latency
+            settings.drain_grace, settings.may_use_peers, settings.notes_carry_latency
         )
-        + &format!("{:?} {:?}", places.connections, places.load)
-        + &format!("{}", places.weight(7.0));
+        + &format!("{:?} {:?}", fields.connections, fields.load)
+        + &format!("{}", fields.weight(7.0));
     Ok(text)
 }
 
 fn with(path: &str, value: &Value) -> Value {
     let mut settings = every_key();
-    let place = settings.pointer_mut(path);
-    *place.unwrap_or_else(|| panic!("{path} is not stated")) = value.clone();
+    let stated = settings.pointer_mut(path);
+    *stated.unwrap_or_else(|| panic!("{path} is not stated")) = value.clone();
     settings
 }
 
@@ -172,18 +172,18 @@
 }
 
 #[test]
-fn a_key_with_another_value_is_read_as_something_else() {
-    let as_stated = read_as(&every_key()).unwrap();
+fn key_with_another_value_changes_the_settings() {
+    let as_stated = parsed(&every_key()).unwrap();
     for (path, value) in other_values() {
-        let otherwise = read_as(&with(path, &value)).unwrap();
-        assert_ne!(otherwise, as_stated, "{path} is not read");
+        let otherwise = parsed(&with(path, &value)).unwrap();
+        assert_ne!(otherwise, as_stated, "{path} has no effect");
     }
 }
 
 #[test]
-fn figures_are_read_in_the_units_of_the_settings() {
-    let site = thistlecroft_settings::parse(every_key().to_string().as_bytes()).unwrap();
-    let deployment = site.deployment;
+fn numbers_are_parsed_in_their_units() {
+    let settings = thistlecroft_settings::parse(every_key().to_string().as_bytes()).unwrap();
+    let deployment = settings.deployment;
     let microseconds = [
         (deployment.tick, 2_000),
         (deployment.connect_timeout, 50_000),
@@ -195,46 +195,53 @@
         (deployment.routes[0].handshake_objective, 300_000),
         (deployment.routes[0].max_retry_after, 2_000_000),
         (deployment.shutdown_timeout, 3_100_000),
-        (site.client_timeouts[1], 2_400_000),
-        (site.backend_idle_timeout, 9_000_000),
-        (site.drain_grace, 2_000_000),
+        (settings.client_timeouts[1], 2_400_000),
+        (settings.backend_idle_timeout, 9_000_000),
+        (settings.drain_grace, 2_000_000),
     ];
-    for (place, (span, expected)) in microseconds.into_iter().enumerate() {
-        assert_eq!(span.as_micros(), expected, "row {place}");
+    for (index, (duration, expected)) in microseconds.into_iter().enumerate() {
+        assert_eq!(duration.as_micros(), expected, "row {index}");
     }
-    let ration = deployment.retry_budget.unwrap();
-    assert_eq!((ration.free, ration.share), (10.0, 0.1));
-    let cold = deployment.slow_start;
-    assert_eq!((cold.initial_share, cold.overload_factor), (0.3, 3.0));
-    let prices = [
+    let retry_budget = deployment.retry_budget.unwrap();
+    assert_eq!((retry_budget.free, retry_budget.share), (10.0, 0.1));
+    let slow_start = deployment.slow_start;
+    assert_eq!(
+        (slow_start.initial_share, slow_start.overload_factor),
+        (0.3, 3.0)
+    );
+    let costs = [
         deployment.cross_zone_cost,
         deployment.migration_cost,
         deployment.health_check_cost,
     ];
-    assert_eq!(prices, [0.1, 0.2, 0.3]);
+    assert_eq!(costs, [0.1, 0.2, 0.3]);
 }
 
 #[test]
-fn a_required_key_that_is_missing_is_named() {
+fn missing_required_key_is_named() {
     for path in REQUIRED {
         let key = path.rsplit('/').next().unwrap();
-        let fault = read_as(&without(path)).expect_err(path);
+        let error = parsed(&without(path)).expect_err(path);
         let expected = format!("settings: missing field `{key}`");
-        assert!(fault.starts_with(&expected), "{path}: {fault}");
+        assert!(error.starts_with(&expected), "{path}: {error}");
     }
 }
 
 #[test]
-fn a_key_that_may_be_missing_holds_its_default() {
+fn missing_optional_key_has_its_default() {
     for (path, default) in defaults() {
-        let left_out = read_as(&without(path)).unwrap_or_else(|fault| panic!("{path}: {fault}"));
-        assert_eq!(left_out, read_as(&with(path, &default)).unwrap(), "{path}");
+        let without_key = parsed(&without(path)).unwrap_or_else(|error| panic!("{path}: {error}"));
+        assert_eq!(
+            without_key,
+            parsed(&with(path, &default)).unwrap(),
+            "{path}"
+        );
     }
 }
 
 #[test]
-fn words_that_settings_may_hold_are_those_recorded() {
-    let words = [
+fn accepted_variants_are_those_recorded() {
+    let variants = [
         (
             "/discovery",
             "unknown variant `other`, expected `automatic` or `subscribe`",
@@ -248,24 +255,24 @@
             "unknown variant `other`, expected one of `all`, `zone`, `cell`",
         ),
     ];
-    for (path, expected) in words {
-        let fault = read_as(&with(path, &json!("other"))).expect_err(path);
+    for (path, expected) in variants {
+        let error = parsed(&with(path, &json!("other"))).expect_err(path);
         assert!(
-            fault.starts_with(&format!("settings: {expected}")),
-            "{fault}"
+            error.starts_with(&format!("settings: {expected}")),
+            "{error}"
         );
     }
     for names in [["rif", "x0"], ["inflight", "busy"], ["inflight", "util"]] {
-        let read = read_as(&with("/report/fields", &json!(names)));
-        assert_eq!(read, read_as(&every_key()), "{names:?}");
+        let read = parsed(&with("/report/fields", &json!(names)));
+        assert_eq!(read, parsed(&every_key()), "{names:?}");
     }
 }
 
 #[test]
-fn a_key_that_is_not_known_is_passed_over() {
+fn unknown_key_is_ignored() {
     let mut settings = every_key();
     for path in ["", "/listeners/0", "/invariants", "/permissions", "/extra"] {
         settings.pointer_mut(path).unwrap()["unheardOf"] = json!(1);
     }
-    assert_eq!(read_as(&settings), read_as(&every_key()));
+    assert_eq!(parsed(&settings), parsed(&every_key()));
 }
