--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -176,7 +176,7 @@
         let electorate = Electorate {
             generation: 1,
             voters,
-            before: Vec::new(),
+            previous_voters: Vec::new(),
         };
         LeaseConfig {
             electorate,
--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -1,34 +1,37 @@
-//! One subject that this process wants: at which voters it is attached, with which epoch, and until
-//! when it may be acted on.
+//! The claim of this process to one subject: the voters that have it attached, its epoch, and until
+//! when this process may act on it.
 use crate::electorate::{Quorums, VoterSet};
 use crate::message::Reason;
 use thistlecroft::time::Instant;
 
-/// The right to act.
+/// The right to act on a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Held {
-    /// Grows with each new holding; whoever keeps state for a holder refuses an older one.
+    /// The fencing token: grows with each new holding, so that others can reject an older holder.
     pub epoch: u64,
-    /// Not at or after this moment of the holder's clock.
+    /// When the right ends, by the holder's clock.
     pub until: Instant,
 }
 
+/// What has become of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum State {
+    /// This process may act on the subject.
     Held(Held),
-    /// Asked for; what the last refusal said, where there was one.
+    /// It is requested, and was rejected for this reason, if at all.
     Wanted(Option<Reason>),
+    /// This process does not claim the subject.
     Unwanted,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// It is to be attached at a majority. The attempt ends at that time, counted from when it was
-    /// first sent.
+    /// A majority has to attach it before this time, which is set with the first request.
     Attaching {
         ends: Option<Instant>,
     },
-    /// These have attached it; the epoch is chosen and has to be kept by a majority of them.
+    /// A majority has attached it; the epoch is chosen and a majority of the same voters has to
+    /// confirm it.
     Confirming {
         epoch: u64,
         quorum: VoterSet,
@@ -37,55 +40,55 @@
     Holding {
         epoch: u64,
     },
-    /// The attempt was lost: detached everywhere, and tried again at that time.
+    /// The attempt has failed: it is detached everywhere, and the next one starts at this time.
     Waiting {
         until: Instant,
     },
-    /// It is wanted no more, and is forgotten once it is detached everywhere.
+    /// It is not wanted any more, and is removed once it is detached everywhere.
     Releasing,
 }
 
-/// What is known of a voter when a claim is looked at.
+/// What a claim needs to know of a voter.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoterView {
-    /// Until when it stands by what is attached there.
-    pub stands_until: Option<Instant>,
-    /// The highest epoch that it said it keeps, in the session in force.
-    pub epoch: u64,
+    /// Until when it keeps what is attached there.
+    pub(crate) valid_until: Option<Instant>,
+    /// The highest epoch that it has confirmed in the current session.
+    pub(crate) epoch: u64,
 }
 
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
-    pub stage: Stage,
-    /// Voters that said it is attached, in their session in force.
-    pub attached: VoterSet,
-    /// Voters that were asked to attach it and have not said since that they did not, or that it is
-    /// detached.
-    pub sent: VoterSet,
-    /// Voters that refused it in this attempt.
-    pub refused: VoterSet,
-    /// Attempts lost in a row to others who tried at the same time.
-    pub lost: u32,
-    pub until: Instant,
-    pub reason: Option<Reason>,
-    pub wanted_until: Instant,
+    pub(crate) stage: Stage,
+    /// Voters that have confirmed the attachment in the current session.
+    pub(crate) attached: VoterSet,
+    /// Voters that may have it attached: the request is sent, and neither a rejection nor a
+    /// detachment confirmed since.
+    pub(crate) sent: VoterSet,
+    /// Voters that rejected it in this attempt.
+    pub(crate) refused: VoterSet,
+    /// Consecutive attempts that failed against processes that tried at the same time.
+    pub(crate) contended_attempts: u32,
+    pub(crate) until: Instant,
+    pub(crate) reason: Option<Reason>,
+    pub(crate) wanted_until: Instant,
 }
 
 impl Claim {
-    pub fn new(wanted_until: Instant, now: Instant) -> Claim {
+    pub(crate) fn new(wanted_until: Instant, now: Instant) -> Claim {
         Claim {
             stage: Stage::Attaching { ends: None },
             attached: VoterSet::EMPTY,
             sent: VoterSet::EMPTY,
             refused: VoterSet::EMPTY,
-            lost: 0,
+            contended_attempts: 0,
             until: now,
             reason: None,
             wanted_until,
         }
     }
 
-    pub fn held(&self, now: Instant) -> Option<Held> {
+    pub(crate) fn held(&self, now: Instant) -> Option<Held> {
         match self.stage {
             Stage::Holding { epoch } if now < self.until => Some(Held {
                 epoch,
@@ -95,7 +98,7 @@
         }
     }
 
-    pub fn state(&self, now: Instant) -> State {
+    pub(crate) fn state(&self, now: Instant) -> State {
         match (self.held(now), self.stage) {
             (Some(held), _) => State::Held(held),
             (None, Stage::Releasing) => State::Unwanted,
@@ -103,13 +106,13 @@
         }
     }
 
-    /// If it is to be attached where it is not yet.
-    pub fn wants_attaching(&self) -> bool {
+    /// Whether voters that have not attached it should.
+    pub(crate) fn wants_attaching(&self) -> bool {
         !matches!(self.stage, Stage::Waiting { .. } | Stage::Releasing)
     }
 
-    /// When something has to be done about it whatever comes.
-    pub fn due(&self) -> Instant {
+    /// When the claim has to be checked, even if no message arrives.
+    pub(crate) fn due(&self) -> Instant {
         let own = match self.stage {
             Stage::Attaching { ends: Some(ends) } | Stage::Confirming { ends, .. } => ends,
             Stage::Waiting { until } => until,
@@ -122,8 +125,8 @@
         }
     }
 
-    /// A voter has forgotten it, or never had it.
-    pub fn forget_voter(&mut self, voter: usize) {
+    /// The voter does not have the subject attached any more.
+    pub(crate) fn forget_voter(&mut self, voter: usize) {
         self.attached.remove(voter);
         self.sent.remove(voter);
         self.refused.remove(voter);
@@ -132,9 +135,9 @@
         }
     }
 
-    /// The right that ran out is not taken up again with its epoch: another may have held it
-    /// meanwhile.
-    pub fn expire(&mut self, now: Instant) {
+    /// Ends a right that has expired. It does not come back with the same epoch, since another
+    /// process may have held the subject meanwhile.
+    pub(crate) fn expire(&mut self, now: Instant) {
         match self.stage {
             Stage::Holding { .. } if self.until <= now => {
                 self.stage = Stage::Attaching { ends: None }
@@ -146,23 +149,28 @@
         }
     }
 
-    pub fn is_attached_by_majority(&self, quorums: &Quorums) -> bool {
+    pub(crate) fn is_attached_by_majority(&self, quorums: &Quorums) -> bool {
         matches!(self.stage, Stage::Attaching { .. }) && quorums.carries(self.attached)
     }
 
-    /// Takes up what voters have confirmed; `view` says it for a voter by its position.
-    pub fn advance(&mut self, quorums: &Quorums, view: impl Fn(usize) -> VoterView, now: Instant) {
-        let (epoch, by) = match self.stage {
+    /// Moves the claim on by what voters have confirmed; `view` is given the index of a voter.
+    pub(crate) fn advance(
+        &mut self,
+        quorums: &Quorums,
+        view: impl Fn(usize) -> VoterView,
+        now: Instant,
+    ) {
+        let (epoch, confirmed_by) = match self.stage {
             Stage::Confirming { epoch, quorum, .. } => (epoch, self.attached.and(quorum)),
             Stage::Holding { epoch } => (epoch, self.attached),
             _ => return,
         };
-        let stands = |voter: usize| {
+        let valid_until = |voter: usize| {
             let view = view(voter);
-            view.stands_until.filter(|_| view.epoch >= epoch)
+            view.valid_until.filter(|_| view.epoch >= epoch)
         };
         let Some(until) = quorums
-            .carried_until(by, stands)
+            .carried_until(confirmed_by, valid_until)
             .filter(|until| *until > now)
         else {
             return;
@@ -171,13 +179,13 @@
             Stage::Holding { .. } => self.until = self.until.max(until),
             _ => {
                 (self.stage, self.until) = (Stage::Holding { epoch }, until);
-                (self.lost, self.reason) = (0, None);
+                (self.contended_attempts, self.reason) = (0, None);
             }
         }
     }
 
-    /// If a majority can't be had in this attempt any more.
-    pub fn is_lost(&self, quorums: &Quorums, all: VoterSet) -> bool {
+    /// Whether a majority is out of reach in this attempt.
+    pub(crate) fn has_failed(&self, quorums: &Quorums, all: VoterSet) -> bool {
         matches!(self.stage, Stage::Attaching { .. }) && !quorums.carries(all.without(self.refused))
     }
 }
--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -9,56 +9,60 @@
 /// set and of the new one are both needed; each step raises `generation`.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Electorate {
+    /// The number of this configuration.
     pub generation: u32,
+    /// The names of the voters.
     pub voters: Vec<CompactString>,
-    /// The set before, whose majority is needed as well; empty outside of a change.
-    pub before: Vec<CompactString>,
+    /// During a change, the voters until now, whose majority is needed as well; otherwise empty.
+    pub previous_voters: Vec<CompactString>,
 }
 
 impl Electorate {
-    pub fn majority(of: &[CompactString]) -> usize {
-        of.len() / 2 + 1
+    /// The least number of voters that are a majority of this set.
+    pub fn majority(voters: &[CompactString]) -> usize {
+        voters.len() / 2 + 1
     }
 
     /// Every voter of both sets, once.
     pub fn all(&self) -> impl Iterator<Item = &CompactString> {
         self.voters.iter().chain(
-            self.before
+            self.previous_voters
                 .iter()
                 .filter(|name| !self.voters.contains(name)),
         )
     }
 
-    /// Whether those for whom `yes` holds are a majority of each set.
-    pub fn carries(&self, yes: impl Fn(&str) -> bool) -> bool {
-        let enough = |set: &[CompactString]| {
-            set.iter().filter(|name| yes(name)).count() >= Electorate::majority(set)
+    /// Whether the voters that agree are a majority of each set.
+    pub fn carries(&self, agrees: impl Fn(&str) -> bool) -> bool {
+        let has_majority = |set: &[CompactString]| {
+            set.iter().filter(|name| agrees(name)).count() >= Electorate::majority(set)
         };
         !self.voters.is_empty()
-            && enough(&self.voters)
-            && (self.before.is_empty() || enough(&self.before))
+            && has_majority(&self.voters)
+            && (self.previous_voters.is_empty() || has_majority(&self.previous_voters))
     }
 
-    /// The same sets by position in `all`.
-    pub fn quorums(&self) -> Quorums {
+    /// The same sets by index in `all`.
+    pub(crate) fn quorums(&self) -> Quorums {
         let position = |name: &CompactString| self.all().position(|one| one == name);
         let set = |names: &[CompactString]| names.iter().filter_map(position).collect();
         let mut sets: Vec<VoterSet> = vec![set(&self.voters)];
-        if !self.before.is_empty() {
-            sets.push(set(&self.before));
+        if !self.previous_voters.is_empty() {
+            sets.push(set(&self.previous_voters));
         }
         Quorums { sets }
     }
 }
 
-/// A lease's length and who grants it.
+/// The duration of leases, and who grants them. The same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
+    /// The processes that grant leases.
     pub electorate: Electorate,
-    /// How long a voter stands by what it granted, counted from when it received the request.
+    /// How long a voter keeps what it granted, counted from when it received the request.
     pub term: Duration,
-    /// Bytes a second that this process spends on attaching and detaching subjects. Renewals do not
-    /// count.
+    /// The bytes per second that this process spends on attaching and detaching subjects. Renewals
+    /// do not count.
     pub update_rate: u32,
 }
 
@@ -68,56 +72,57 @@
         self.term * ((1.0 - DRIFT) / (1.0 + DRIFT))
     }
 
-    /// After so long by this process's clock, what any voter granted before is over by its own.
+    /// After this time on this process's clock, everything that any voter granted before has
+    /// expired by the voter's clock.
     pub fn settling_time(&self) -> Duration {
         self.term * ((1.0 + DRIFT) / (1.0 - DRIFT))
     }
 }
 
-/// Voters by their position in the electorate.
+/// Voters by their index in the electorate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
-pub struct VoterSet(u32);
+pub(crate) struct VoterSet(u32);
 
 impl VoterSet {
-    pub const EMPTY: VoterSet = VoterSet(0);
+    pub(crate) const EMPTY: VoterSet = VoterSet(0);
 
-    pub fn contains(self, voter: usize) -> bool {
+    pub(crate) fn contains(self, voter: usize) -> bool {
         self.0 >> voter & 1 == 1
     }
 
-    pub fn insert(&mut self, voter: usize) {
+    pub(crate) fn insert(&mut self, voter: usize) {
         self.0 |= 1 << voter;
     }
 
-    pub fn remove(&mut self, voter: usize) {
+    pub(crate) fn remove(&mut self, voter: usize) {
         self.0 &= !(1 << voter);
     }
 
-    pub fn is_empty(self) -> bool {
+    pub(crate) fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    pub fn count(self) -> usize {
+    pub(crate) fn count(self) -> usize {
         self.0.count_ones() as usize
     }
 
     #[must_use]
-    pub fn and(self, other: VoterSet) -> VoterSet {
+    pub(crate) fn and(self, other: VoterSet) -> VoterSet {
         VoterSet(self.0 & other.0)
     }
 
     #[must_use]
-    pub fn without(self, other: VoterSet) -> VoterSet {
+    pub(crate) fn without(self, other: VoterSet) -> VoterSet {
         VoterSet(self.0 & !other.0)
     }
 
-    pub fn iter(self) -> impl Iterator<Item = usize> {
+    pub(crate) fn iter(self) -> impl Iterator<Item = usize> {
         (0..u32::BITS as usize).filter(move |voter| self.contains(*voter))
     }
 
-    /// The same voters after a change of electorate; `to[old]` is a voter's new position.
+    /// The same voters after a change of electorate; `to[old]` is a voter's new index.
     #[must_use]
-    pub fn moved(self, to: &[Option<usize>]) -> VoterSet {
+    pub(crate) fn moved(self, to: &[Option<usize>]) -> VoterSet {
         self.iter()
             .filter_map(|voter| to.get(voter).copied().flatten())
             .collect()
@@ -132,22 +137,21 @@
     }
 }
 
-/// The sets whose majorities are needed.
+/// The sets of voters whose majorities are all needed.
 #[derive(Clone, Debug)]
-pub struct Quorums {
+pub(crate) struct Quorums {
     sets: Vec<VoterSet>,
 }
 
 impl Quorums {
-    pub fn carries(&self, yes: VoterSet) -> bool {
+    pub(crate) fn carries(&self, agreeing: VoterSet) -> bool {
         self.sets
             .iter()
-            .all(|set| yes.and(*set).count() > set.count() / 2)
+            .all(|set| agreeing.and(*set).count() > set.count() / 2)
     }
 
-    /// Until when a majority of each set stands by its grant, where `until` says it for each of
-    /// `granted`.
-    pub fn carried_until(
+    /// Until when a majority of each set keeps its grant, given the time for each of `granted`.
+    pub(crate) fn carried_until(
         &self,
         granted: VoterSet,
         until: impl Fn(usize) -> Option<Instant>,
--- a/leases/src/legacy.rs
+++ b/leases/src/legacy.rs
@@ -1,64 +1,100 @@
-//! The lease protocol before sessions, as far as a process needs it during an upgrade: to tell an
-//! older process of the own name that it votes no more, to take over the highest epoch, and to
-//! refuse older requests in words that they understand. Nothing is ever granted in it.
-use crate::message::Subject;
+//! The lease protocol before sessions, as far as a process needs it during an upgrade: to notify an
+//! older process of its own name that it must stop voting, to learn the highest epoch, and to reject
+//! older requests in a form that older processes understand. Nothing is ever granted in it.
+use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::Identity;
 
-/// The channel of the protocol before.
+/// The channel of these messages.
 pub const CHANNEL: u8 = 1;
 
-/// The messages of the protocol before, in its order on the wire.
+/// The generation that older requests are rejected with. No electorate has it, and an older process
+/// shows it to its operator.
+pub const NO_GENERATION: u32 = 0;
+
+/// A message of the legacy protocol. The order of variants and fields is that of the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LegacyMessage {
-    Ask {
+    /// Asks a voter for one subject.
+    Request {
+        /// The sender's generation.
         generation: u32,
+        /// What the sender wants to hold.
         subject: Subject,
+        /// The number of the attempt.
         round: u32,
+        /// The epoch that the sender proposes.
         epoch: u64,
     },
-    Promise {
+    /// The voter grants the subject.
+    Granted {
+        /// The voter's generation.
         generation: u32,
+        /// The subject of the request.
         subject: Subject,
+        /// The round of the request.
         round: u32,
+        /// The highest epoch known to the voter.
         epoch: u64,
     },
-    Refuse {
+    /// The voter does not grant the subject.
+    Rejected {
+        /// The subject of the request.
         subject: Subject,
+        /// The round of the request.
         round: u32,
-        why: LegacyReason,
+        /// Why it is not granted.
+        reason: LegacyReason,
     },
+    /// The sender does not hold the subject any more.
     Release {
+        /// What it held.
         subject: Subject,
+        /// The round in which it was granted.
         round: u32,
     },
+    /// The sender has started without any state, or asks how far a change of voters has come.
     Recall {
+        /// The sender's generation.
         generation: u32,
-        starts: bool,
+        /// The sender has started and may not vote yet.
+        starting: bool,
     },
+    /// The answer to [`LegacyMessage::Recall`].
     Remembered {
+        /// The sender's generation.
         generation: u32,
+        /// The sender is a voter that knows the highest epoch of its electorate.
         established: bool,
+        /// The highest epoch known to the sender.
         epoch: u64,
     },
 }
 
+/// Why an older voter does not grant a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LegacyReason {
-    Held { by: Identity },
+    /// Another process holds the subject.
+    Held {
+        /// The holder.
+        by: Identity,
+    },
+    /// The voter started recently, and may have granted the subject before.
     Silent,
-    Generation { here: u32 },
+    /// The voter has another generation.
+    Generation {
+        /// The voter's generation.
+        here: u32,
+    },
 }
 
-/// The generation that older requests are refused with: none has it, and an older process shows it
-/// to its operator.
-pub const NO_GENERATION: u32 = 0;
-
 impl LegacyMessage {
+    /// The bytes of this message on [`CHANNEL`].
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("messages are plain values")
     }
 
+    /// `None` for bytes that are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Option<LegacyMessage> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Some(message),
@@ -66,18 +102,17 @@
         }
     }
 
-    /// The refusal of an older request; `None` for other messages.
-    pub fn refusal(&self) -> Option<LegacyMessage> {
-        let LegacyMessage::Ask { subject, round, .. } = self else {
+    /// The rejection of an older request; `None` for other messages.
+    pub fn rejection(&self) -> Option<LegacyMessage> {
+        let LegacyMessage::Request { subject, round, .. } = self else {
             return None;
         };
-        let why = LegacyReason::Generation {
-            here: NO_GENERATION,
-        };
-        Some(LegacyMessage::Refuse {
+        Some(LegacyMessage::Rejected {
             subject: subject.clone(),
             round: *round,
-            why,
+            reason: LegacyReason::Generation {
+                here: NO_GENERATION,
+            },
         })
     }
 }
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -1,16 +1,17 @@
-//! What comes in: answers of voters, requests to this process as a voter, and messages of the
-//! protocol before.
-use super::{Leases, UNANSWERED};
+//! Received messages: answers of voters, requests to this process as a voter, and messages of the
+//! legacy protocol.
+use super::{LEGACY_CHECK_AFTER, Leases};
 use crate::claim::{Claim, Stage};
-use crate::legacy;
-use crate::legacy::LegacyMessage;
+use crate::legacy::{self, LegacyMessage};
 use crate::link::Link;
-use crate::message::{CHANNEL, Message, Outgoing, Reason, SessionToken, Subject, To, Updated};
+use crate::message::{CHANNEL, Message, Reason, SessionToken, Updated};
+use crate::outgoing::To;
+use crate::subject::Subject;
 use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
 impl Leases {
-    /// Bytes from another process on one of the channels of leases.
+    /// Takes bytes from another process. Other channels than those of leases are ignored.
     pub fn receive(&mut self, from: &Identity, channel: u8, bytes: &[u8], now: Instant) {
         match channel {
             CHANNEL => {
@@ -27,16 +28,17 @@
         }
     }
 
+    /// Takes a message from another process.
     pub fn receive_message(&mut self, from: &Identity, message: Message, now: Instant) {
-        // Two processes of one voter's name: what the one granted the other does not know.
+        // The other process of this name may have granted what this one does not know.
         if self.is_duplicate(from) {
             let starting = matches!(message, Message::Recall { starting: true, .. });
-            self.voter.duplicate_heard(starting, now);
+            self.voter.note_duplicate(starting, now);
         }
         match message {
             Message::Update(_) | Message::Close { .. } => self.receive_as_voter(from, message, now),
             Message::Updated(_) | Message::Refused { .. } => {
-                self.answered(from, message, now);
+                self.receive_answer(from, message, now);
                 self.proceed(now);
             }
             Message::Recall { generation, .. } => {
@@ -54,27 +56,29 @@
                 epoch,
             } => {
                 self.voter.generations.insert(from.name.clone(), generation);
-                self.remembered(from, established, epoch, now);
+                self.receive_remembered(from, established, epoch, now);
             }
         }
         self.refresh_settled(now);
     }
 
+    /// Whether it is another process of the same name.
     pub(super) fn is_duplicate(&self, from: &Identity) -> bool {
         from.name == self.me.name && from.run != self.me.run
     }
 
-    pub(super) fn remembered(
+    pub(super) fn receive_remembered(
         &mut self,
         from: &Identity,
         established: bool,
         epoch: u64,
         now: Instant,
     ) {
-        self.voter.remembered(from, established, epoch);
+        self.voter.note_remembered(from, established, epoch);
         self.voter.settle(&self.me, &self.config, now);
     }
 
+    /// Handles a request as a voter, also one of this process itself.
     pub(super) fn receive_as_voter(&mut self, from: &Identity, message: Message, now: Instant) {
         let answer = match message {
             Message::Update(update) if self.is_voter() => {
@@ -101,13 +105,13 @@
         };
         let Some(answer) = answer else { return };
         if *from == self.me {
-            self.local.push_back(answer);
+            self.own_answers.push_back(answer);
         } else {
             self.send(To::Process(from.clone()), &answer);
         }
     }
 
-    pub(super) fn answered(&mut self, from: &Identity, message: Message, now: Instant) {
+    pub(super) fn receive_answer(&mut self, from: &Identity, message: Message, now: Instant) {
         let Some(voter) = self.links.iter().position(|link| link.voter == from.name) else {
             return;
         };
@@ -117,7 +121,7 @@
                 self.voter
                     .generations
                     .insert(from.name.clone(), updated.generation);
-                self.updated(voter, from, updated, now);
+                self.receive_updated(voter, from, updated, now);
             }
             Message::Refused {
                 generation,
@@ -125,13 +129,13 @@
                 reason,
             } => {
                 self.voter.generations.insert(from.name.clone(), generation);
-                self.refused(voter, from, sequence, reason, now);
+                self.receive_refused(voter, from, sequence, reason, now);
             }
             _ => {}
         }
     }
 
-    pub(super) fn updated(
+    pub(super) fn receive_updated(
         &mut self,
         voter: usize,
         from: &Identity,
@@ -152,25 +156,26 @@
         (link.confirmed_at, link.epoch, link.unanswered) =
             (Some(request.sent_at), updated.epoch, 0);
         self.epoch = self.epoch.max(updated.epoch);
-        for subject in &request.detach {
-            self.detached(voter, subject);
+        for subject in &request.changes.detach {
+            self.note_detached(voter, subject);
         }
         let mut refused = updated.refused.into_iter().peekable();
-        for (position, subject) in (0..).zip(request.attach) {
+        for (position, subject) in (0..).zip(request.changes.attach) {
             let reason = refused
                 .next_if(|(place, _)| *place == position)
                 .map(|(_, reason)| reason);
-            self.attached(voter, subject, reason, now);
+            self.note_attached(voter, subject, reason, now);
         }
     }
 
-    /// Nothing is attached to the new session yet.
+    /// Starts a new session, to which nothing is attached yet.
     pub(super) fn begin_session(&mut self, voter: usize, from: &Identity, session: SessionToken) {
         self.forget_session(voter);
         let link = &mut self.links[voter];
         (link.process, link.session) = (Some(from.clone()), Some(session));
     }
 
+    /// Gives up the session at a voter with everything that was attached to it.
     pub(super) fn forget_session(&mut self, voter: usize) {
         if self.links[voter].session.is_some() {
             self.counts.sessions_lost += 1;
@@ -189,7 +194,7 @@
         self.queue_unattached(voter);
     }
 
-    pub(super) fn detached(&mut self, voter: usize, subject: &Subject) {
+    pub(super) fn note_detached(&mut self, voter: usize, subject: &Subject) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
         };
@@ -200,7 +205,7 @@
         self.forget_released(subject);
     }
 
-    pub(super) fn attached(
+    pub(super) fn note_attached(
         &mut self,
         voter: usize,
         subject: Subject,
@@ -212,8 +217,7 @@
         };
         let link = &mut self.links[voter];
         let Some(reason) = refused else {
-            // What is not wanted any more is to be detached first, and attached anew if it is
-            // wanted again.
+            // A subject that is released meanwhile is detached first, also if it is wanted again.
             if claim.wants_attaching() {
                 claim.attached.insert(voter);
             } else {
@@ -234,7 +238,7 @@
         }
     }
 
-    pub(super) fn refused(
+    pub(super) fn receive_refused(
         &mut self,
         voter: usize,
         from: &Identity,
@@ -258,23 +262,24 @@
             self.forget_session(voter);
             return;
         }
-        // It is asked again when its time to answer is over; another process of its name may answer
-        // this request yet.
-        let asked = request.attach.clone();
+        // The request is kept until it times out, since another process of the voter's name may still
+        // grant it.
+        let requested = request.changes.attach.clone();
         let note = |claim: &mut Claim| {
             if !matches!(claim.stage, Stage::Holding { .. }) {
                 claim.reason = Some(reason.clone());
             }
         };
-        match asked.is_empty() {
-            true => self.claims.values_mut().for_each(note),
-            false => asked
-                .iter()
-                .for_each(|subject| self.claims.get_mut(subject).into_iter().for_each(note)),
+        if requested.is_empty() {
+            self.claims.values_mut().for_each(note);
+        } else {
+            for subject in &requested {
+                self.claims.get_mut(subject).into_iter().for_each(note);
+            }
         }
     }
 
-    /// Nothing is granted in the protocol before, and nothing taken.
+    /// Nothing is granted in the legacy protocol, and no grant accepted.
     pub(super) fn receive_legacy(
         &mut self,
         from: &Identity,
@@ -283,42 +288,36 @@
     ) {
         self.counts.older_protocol += 1;
         if self.is_duplicate(from) {
-            let starting = matches!(message, LegacyMessage::Recall { starts: true, .. });
-            self.voter.duplicate_heard(starting, now);
+            let starting = matches!(message, LegacyMessage::Recall { starting: true, .. });
+            self.voter.note_duplicate(starting, now);
         }
-        if let Some(refusal) = message.refusal() {
-            self.outgoing.push(Outgoing::legacy(
-                To::Process(from.clone()),
-                refusal.encode(),
-            ));
+        if let Some(rejection) = message.rejection() {
+            self.send_legacy(To::Process(from.clone()), &rejection);
         }
         match message {
             LegacyMessage::Recall { .. } => {
-                let (established, epoch) =
-                    (self.voter.established, self.voter.epoch.max(self.epoch));
-                let generation = self.config.electorate.generation;
                 let answer = LegacyMessage::Remembered {
-                    generation,
-                    established,
-                    epoch,
-                }
-                .encode();
-                self.outgoing
-                    .push(Outgoing::legacy(To::Process(from.clone()), answer));
+                    generation: self.config.electorate.generation,
+                    established: self.voter.established,
+                    epoch: self.voter.epoch.max(self.epoch),
+                };
+                self.send_legacy(To::Process(from.clone()), &answer);
             }
-            LegacyMessage::Ask { epoch, .. } => self.voter.epoch = self.voter.epoch.max(*epoch),
+            LegacyMessage::Request { epoch, .. } => self.voter.epoch = self.voter.epoch.max(*epoch),
             LegacyMessage::Remembered {
                 established, epoch, ..
             } => {
-                self.remembered(from, *established, *epoch, now);
+                self.receive_remembered(from, *established, *epoch, now);
                 self.note_older_voter(from);
             }
             _ => {}
         }
     }
 
+    /// Names the legacy protocol as the reason where the voter answers in nothing else.
     pub(super) fn note_older_voter(&mut self, from: &Identity) {
-        let unanswered = |link: &Link| link.voter == from.name && link.unanswered >= UNANSWERED;
+        let unanswered =
+            |link: &Link| link.voter == from.name && link.unanswered >= LEGACY_CHECK_AFTER;
         if self.links.iter().any(unanswered) {
             for claim in self.claims.values_mut() {
                 if claim.reason.is_none() {
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -1,4 +1,4 @@
-//! A change of the voters, by joint majorities.
+//! A change of the voters, in two steps through a joint majority.
 use super::{ChangeError, Leases};
 use crate::claim::Stage;
 use crate::electorate::LeaseConfig;
@@ -7,6 +7,8 @@
 use thistlecroft::time::Instant;
 
 impl Leases {
+    /// Takes a new configuration into force.
+    ///
     /// # Errors
     /// Unless it is a step that can't leave two majorities that do not meet.
     pub fn change(&mut self, config: LeaseConfig, now: Instant) -> Result<(), ChangeError> {
@@ -17,12 +19,12 @@
         let names: Vec<CompactString> = config.electorate.all().cloned().collect();
         let position = |link: &Link| names.iter().position(|name| *name == link.voter);
         let moved: Vec<Option<usize>> = self.links.iter().map(position).collect();
-        let mut before = std::mem::take(&mut self.links);
+        let mut old_links = std::mem::take(&mut self.links);
         self.links = names
             .into_iter()
             .map(
-                |name| match before.iter().position(|link| link.voter == name) {
-                    Some(place) => before.swap_remove(place),
+                |name| match old_links.iter().position(|link| link.voter == name) {
+                    Some(index) => old_links.swap_remove(index),
                     None => Link::new(name, now),
                 },
             )
@@ -30,7 +32,7 @@
         self.quorums = config.electorate.quorums();
         (self.config, self.settled_since, self.next_link) = (config, None, 0);
         for claim in self.claims.values_mut() {
-            // What is held stays so until its time; what is not is asked for anew.
+            // Leases stay valid until they expire; unfinished attempts start again.
             (claim.attached, claim.sent) = (claim.attached.moved(&moved), claim.sent.moved(&moved));
             claim.refused = claim.refused.moved(&moved);
             if let Stage::Confirming { .. } = claim.stage {
@@ -51,48 +53,51 @@
         config: &LeaseConfig,
         now: Instant,
     ) -> Result<(), ChangeError> {
-        let (was, is) = (&self.config.electorate, &config.electorate);
+        let (old, new) = (&self.config.electorate, &config.electorate);
         if config.term != self.config.term {
             return Err(ChangeError::TermChanged);
         }
-        if is.generation != was.generation + 1 {
+        if new.generation != old.generation + 1 {
             return Err(ChangeError::WrongGeneration {
-                expected: was.generation + 1,
-                here: was.generation,
+                expected: old.generation + 1,
+                here: old.generation,
             });
         }
         let same = |one: &[CompactString], other: &[CompactString]| {
             one.len() == other.len() && one.iter().all(|name| other.contains(name))
         };
-        let begins = was.before.is_empty() && same(&is.before, &was.voters);
-        let ends = !was.before.is_empty() && is.before.is_empty() && same(&is.voters, &was.voters);
-        match (begins, ends, was.before.is_empty()) {
+        let begins = old.previous_voters.is_empty() && same(&new.previous_voters, &old.voters);
+        let ends = !old.previous_voters.is_empty()
+            && new.previous_voters.is_empty()
+            && same(&new.voters, &old.voters);
+        match (begins, ends, old.previous_voters.is_empty()) {
             (false, false, true) => Err(ChangeError::VotersBeforeMissing {
-                voters: was.voters.clone(),
+                voters: old.voters.clone(),
             }),
             (false, false, false) => Err(ChangeError::VotersChanged {
-                voters: was.voters.clone(),
+                voters: old.voters.clone(),
             }),
             (_, true, _) if !self.is_settled(now) => Err(ChangeError::NotSettled),
             _ => Ok(()),
         }
     }
 
-    /// Whether a majority of the sets before and after was heard to go by this generation, a term
-    /// ago: what a majority of the set before alone had granted is over by then.
+    /// Whether a majority of both sets has used this generation for a term. What a majority of the
+    /// previous voters alone had granted has expired by then.
     pub fn is_settled(&self, now: Instant) -> bool {
-        let joint = !self.config.electorate.before.is_empty();
+        let joint = !self.config.electorate.previous_voters.is_empty();
         self.settled_since
             .is_some_and(|since| !joint || now.duration_since(since) >= self.config.settling_time())
     }
 
+    /// Notes since when a majority of both sets has used this generation.
     pub(super) fn refresh_settled(&mut self, now: Instant) {
-        let (heard, of) = (&self.voter.generations, self.config.electorate.generation);
-        let own = |name: &str| *name == *self.me.name;
+        let (known, current) = (&self.voter.generations, self.config.electorate.generation);
+        let is_own = |name: &str| *name == *self.me.name;
         let settled = self
             .config
             .electorate
-            .carries(|name| own(name) || heard.get(name).is_some_and(|one| *one >= of));
+            .carries(|name| is_own(name) || known.get(name).is_some_and(|one| *one >= current));
         match (settled, self.settled_since) {
             (true, None) => self.settled_since = Some(now),
             (false, Some(_)) => self.settled_since = None,
--- a/leases/src/manager/claims.rs
+++ b/leases/src/manager/claims.rs
@@ -1,12 +1,64 @@
-//! What is wanted here: attempts, holdings that run out, what is given back.
-use super::{AGAIN_AFTER, ATTEMPT, FIRST_DELAY, JITTER, Leases, MAX_DOUBLINGS, NEVER};
+//! The claims of this process: attempts, holdings and releases.
+use super::{
+    ATTEMPT_TIMEOUT_TERMS, AcquireError, BACKOFF_BASE_TERMS, HELD_RETRY_TERMS, JITTER, Leases,
+    MAX_BACKOFF_DOUBLINGS, MAX_CLAIMS, NEVER,
+};
 use crate::claim::{Claim, Stage, VoterView};
 use crate::electorate::VoterSet;
-use crate::message::Subject;
+use crate::subject::{MAX_SUBJECT_BYTES, Subject};
 use thistlecroft::time::{Duration, Instant};
 
 impl Leases {
-    /// Looks at each claim: rights that ran out, attempts that are over, subjects wanted no more.
+    /// Claims a subject: requests the lease and renews it until `until` or its release.
+    ///
+    /// # Errors
+    /// The subject is too long, or this process has too many claims.
+    pub fn acquire(
+        &mut self,
+        subject: &[u8],
+        until: Instant,
+        now: Instant,
+    ) -> Result<(), AcquireError> {
+        if subject.len() > MAX_SUBJECT_BYTES {
+            return Err(AcquireError::SubjectTooLong);
+        }
+        let has_capacity = self.claims.len() < MAX_CLAIMS;
+        match self.claims.get_mut(subject) {
+            Some(claim) if claim.stage == Stage::Releasing => {
+                // Not all voters know of the release yet, but this is a new holding.
+                claim.stage = Stage::Attaching { ends: None };
+                claim.wanted_until = until;
+                (claim.contended_attempts, claim.reason) = (0, None);
+            }
+            Some(claim) => {
+                claim.wanted_until = claim.wanted_until.max(until);
+                return Ok(());
+            }
+            None if !has_capacity => return Err(AcquireError::TooManyClaims),
+            None => {
+                let claim = Claim::new(until, now);
+                self.claims.insert(subject.to_vec(), claim);
+            }
+        }
+        self.queue_everywhere(subject);
+        self.claims_due = self.claims_due.min(now);
+        Ok(())
+    }
+
+    /// Releases a subject: this process does not act on it from here on. Voters are notified until
+    /// they confirm.
+    pub fn release(&mut self, subject: &[u8], now: Instant) {
+        let Some(claim) = self.claims.get_mut(subject) else {
+            return;
+        };
+        claim.stage = Stage::Releasing;
+        self.queue_detach(subject);
+        self.forget_released(subject);
+        self.claims_due = self.claims_due.min(now);
+    }
+
+    /// Handles claims that are due: expired leases, failed attempts and subjects not wanted any
+    /// more.
     pub(super) fn check_claims(&mut self, now: Instant) {
         let subjects: Vec<Subject> = self
             .claims
@@ -31,35 +83,37 @@
                     self.queue_everywhere(&subject);
                 }
                 Stage::Attaching { ends: Some(ends) } if ends <= now => {
-                    self.lose_attempt(&subject, now)
+                    self.fail_attempt(&subject, now)
                 }
                 _ => claim.expire(now),
             }
         }
     }
 
-    /// Detaches what was attached in vain, or those who ask at the same time would keep one another
-    /// from it. What several ask for at once is tried again after a full-jitter delay, what
-    /// somebody holds at a steady pace.
-    pub(super) fn lose_attempt(&mut self, subject: &[u8], now: Instant) {
-        let drawn = self.chance.unit_f64();
+    /// Ends an attempt without a majority and schedules the next one. What was attached is detached,
+    /// or processes that try at the same time would block one another. A subject that several try
+    /// for at once is retried with exponential backoff and full jitter, a held one at a steady
+    /// interval.
+    pub(super) fn fail_attempt(&mut self, subject: &[u8], now: Instant) {
+        let random = self.rng.unit_f64();
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
         };
-        let wait = if claim.attached.is_empty() {
-            self.config.term * (AGAIN_AFTER * (1.0 - JITTER * drawn))
+        let delay = if claim.attached.is_empty() {
+            self.config.term * (HELD_RETRY_TERMS * (1.0 - JITTER * random))
         } else {
-            claim.lost += 1;
-            let doublings = f64::from(1_u32 << claim.lost.min(MAX_DOUBLINGS));
-            (self.config.term * FIRST_DELAY * doublings).min(self.config.term) * drawn
+            claim.contended_attempts += 1;
+            let doublings = f64::from(1_u32 << claim.contended_attempts.min(MAX_BACKOFF_DOUBLINGS));
+            (self.config.term * BACKOFF_BASE_TERMS * doublings).min(self.config.term) * random
         };
         claim.stage = Stage::Waiting {
-            until: now + wait.max(Duration::from_millis(1)),
+            until: now + delay.max(Duration::from_millis(1)),
         };
         self.queue_detach(subject);
     }
 
-    /// From here on nothing counts as attached, whatever the voters still have to be told.
+    /// Queues the detachment at all voters that may have the subject attached. From here on nothing
+    /// counts as attached.
     pub(super) fn queue_detach(&mut self, subject: &[u8]) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
@@ -70,12 +124,14 @@
         }
     }
 
+    /// Queues the subject for the next update to every voter.
     pub(super) fn queue_everywhere(&mut self, subject: &[u8]) {
         for link in &mut self.links {
             link.pending.insert(subject.to_vec());
         }
     }
 
+    /// Queues all wanted subjects that this voter has not attached.
     pub(super) fn queue_unattached(&mut self, voter: usize) {
         let unattached = |(_, claim): &(&Subject, &Claim)| {
             claim.wants_attaching() && !claim.attached.contains(voter)
@@ -88,50 +144,52 @@
         self.links[voter].pending.extend(subjects);
     }
 
+    /// Removes a claim that is released at all voters.
     pub(super) fn forget_released(&mut self, subject: &[u8]) {
-        let over = |claim: &Claim| claim.stage == Stage::Releasing && claim.sent.is_empty();
-        if self.claims.get(subject).is_some_and(over) {
+        let is_released = |claim: &Claim| claim.stage == Stage::Releasing && claim.sent.is_empty();
+        if self.claims.get(subject).is_some_and(is_released) {
             self.claims.remove(subject);
         }
     }
 
+    /// Moves all claims on by what voters have confirmed.
     pub(super) fn advance_claims(&mut self, now: Instant) {
         let holding_time = self.config.holding_time();
         let views: Vec<VoterView> = self
             .links
             .iter()
             .map(|link| VoterView {
-                stands_until: link.confirmed_at.map(|at| at + holding_time),
+                valid_until: link.confirmed_at.map(|at| at + holding_time),
                 epoch: link.epoch,
             })
             .collect();
         let all: VoterSet = (0..self.links.len()).collect();
-        let (mut chosen, mut lost, mut due) = (None, Vec::new(), NEVER);
+        let (mut chosen_epoch, mut failed, mut due) = (None, Vec::new(), NEVER);
         for (subject, claim) in &mut self.claims {
             claim.expire(now);
             if claim.is_attached_by_majority(&self.quorums) {
-                // One epoch for all that are attached now: above all that their voters knew.
-                let epoch = *chosen.get_or_insert(self.epoch + 1);
-                let ends = now + self.config.term * ATTEMPT;
+                // One new epoch for all claims that have a majority now, above every known epoch.
+                let epoch = *chosen_epoch.get_or_insert(self.epoch + 1);
+                let ends = now + self.config.term * ATTEMPT_TIMEOUT_TERMS;
                 claim.stage = Stage::Confirming {
                     epoch,
                     quorum: claim.attached,
                     ends,
                 };
             }
-            if claim.is_lost(&self.quorums, all) {
-                lost.push(subject.clone());
+            if claim.has_failed(&self.quorums, all) {
+                failed.push(subject.clone());
             }
             claim.advance(&self.quorums, |voter| views[voter], now);
             due = due.min(claim.due());
         }
         self.claims_due = due;
-        for subject in lost {
-            self.lose_attempt(&subject, now);
+        for subject in failed {
+            self.fail_attempt(&subject, now);
             let due = self.claims.get(&subject).map_or(NEVER, Claim::due);
             self.claims_due = self.claims_due.min(due);
         }
-        if let Some(epoch) = chosen {
+        if let Some(epoch) = chosen_epoch {
             self.epoch = epoch;
             self.links
                 .iter_mut()
--- /dev/null
+++ b/leases/src/manager/queries.rs
@@ -0,0 +1,138 @@
+//! What callers can read of the manager's state.
+use super::{Leases, NEVER};
+use crate::claim::{Claim, Held, Stage, State};
+use crate::electorate::LeaseConfig;
+use crate::outgoing::Outgoing;
+use crate::subject::Subject;
+use thistlecroft::time::Instant;
+
+/// Whether a process votes at the moment.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Vote {
+    /// The electorate does not name this process.
+    NoVoter,
+    /// Another process of the same name votes in its place, or this one is shutting down.
+    Retired,
+    /// It started recently and can't vote yet.
+    Silent,
+    /// It votes.
+    Votes,
+}
+
+impl Vote {
+    /// The name of this state in reports to operators.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Vote::NoVoter => "none",
+            Vote::Retired => "yielded",
+            Vote::Silent => "silent",
+            Vote::Votes => "votes",
+        }
+    }
+}
+
+/// Counters since the start, and the size of the voter's state.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct LeaseCounts {
+    /// Requests of this process to voters.
+    pub requests: u64,
+    /// Requests that were sent again.
+    pub retries: u64,
+    /// Answers that rejected a request.
+    pub refusals: u64,
+    /// Sessions that a voter did not know any more.
+    pub sessions_lost: u64,
+    /// Messages of the legacy protocol.
+    pub older_protocol: u64,
+    /// As a voter: subjects attached now.
+    pub voter_subjects: usize,
+    /// As a voter: sessions kept now.
+    pub voter_sessions: usize,
+    /// As a voter: requests rejected for want of capacity.
+    pub voter_full: u64,
+}
+
+impl Leases {
+    /// The configuration in force.
+    pub fn config(&self) -> &LeaseConfig {
+        &self.config
+    }
+
+    /// Whether this process votes at this moment.
+    pub fn vote(&self, now: Instant) -> Vote {
+        match (self.is_voter(), self.voter.established, self.voter.retired) {
+            (false, ..) => Vote::NoVoter,
+            (_, _, true) => Vote::Retired,
+            (_, true, _) if !self.voter.is_silent(&self.config, now) => Vote::Votes,
+            _ => Vote::Silent,
+        }
+    }
+
+    pub(super) fn is_voter(&self) -> bool {
+        self.config
+            .electorate
+            .all()
+            .any(|name| *name == self.me.name)
+    }
+
+    /// Counters and sizes for reports.
+    pub fn counts(&self) -> LeaseCounts {
+        LeaseCounts {
+            voter_subjects: self.voter.subject_count(),
+            voter_sessions: self.voter.session_count(),
+            voter_full: self.voter.counts.full,
+            ..self.counts
+        }
+    }
+
+    /// The right to act on a subject at this moment. Callers check it before each act.
+    pub fn held(&self, subject: &[u8], now: Instant) -> Option<Held> {
+        self.claims.get(subject)?.held(now)
+    }
+
+    /// All subjects that this process may act on at this moment.
+    pub fn holdings(&self, now: Instant) -> impl Iterator<Item = (&[u8], Held)> {
+        self.claims
+            .iter()
+            .filter_map(move |(subject, claim)| Some((subject.as_slice(), claim.held(now)?)))
+    }
+
+    /// What has become of the claim to a subject.
+    pub fn state(&self, subject: &[u8], now: Instant) -> State {
+        self.claims
+            .get(subject)
+            .map_or(State::Unwanted, |claim| claim.state(now))
+    }
+
+    /// The subjects that this process wants to hold.
+    pub fn subjects(&self) -> impl Iterator<Item = &[u8]> {
+        let wanted = |(_, claim): &(&Subject, &Claim)| claim.stage != Stage::Releasing;
+        self.claims
+            .iter()
+            .filter(wanted)
+            .map(|(subject, _)| subject.as_slice())
+    }
+
+    /// When [`Leases::tick`] has to be called next; `None` while there is nothing to do.
+    pub fn due(&self, now: Instant) -> Option<Instant> {
+        let links = (0..self.links.len()).filter_map(|voter| self.link_due(voter));
+        let claims = (self.claims_due < NEVER).then_some(self.claims_due);
+        links
+            .chain(claims)
+            .chain(self.next_recall())
+            .min()
+            .map(|due| due.max(now))
+    }
+
+    pub(super) fn next_recall(&self) -> Option<Instant> {
+        let changing =
+            !self.config.electorate.previous_voters.is_empty() && self.settled_since.is_none();
+        self.voter
+            .next_recall(self.is_voter(), changing, &self.config)
+    }
+
+    /// Takes the messages to send.
+    pub fn take_outgoing(&mut self) -> Vec<Outgoing> {
+        std::mem::take(&mut self.outgoing)
+    }
+}
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -1,21 +1,30 @@
-//! What goes out to voters: one request a voter at a time, subjects within the update rate,
-//! renewals in time.
+//! Requests to voters: one at a time to each, subjects within the update rate, renewals in time.
 use super::{
-    ATTEMPT, BURST, JITTER, Leases, RENEW_AFTER, RETRY_AFTER, SESSION_FORGOTTEN, UNANSWERED,
-    UPDATE_OVERHEAD,
+    ATTEMPT_TIMEOUT_TERMS, BURST_SECONDS, JITTER, LEGACY_CHECK_AFTER, Leases, RENEWAL_FRACTION,
+    REQUEST_TIMEOUT_TERMS, SESSION_TIMEOUT_TERMS, UPDATE_OVERHEAD_BYTES,
 };
 use crate::claim::Stage;
 use crate::legacy::LegacyMessage;
-use crate::link::Request;
-use crate::message::{MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, Outgoing, Subject, To};
+use crate::link::{Changes, Request};
+use crate::message::Message;
+use crate::outgoing::{Outgoing, To};
 use thistlecroft::time::{Duration, Instant};
 
+/// What a subject that is pending at a voter needs there.
+enum PendingChange {
+    Attach,
+    Detach,
+    /// The voter has rejected the subject; it is requested again with the next renewal.
+    WaitForRenewal,
+    None,
+}
+
 impl Leases {
-    pub(super) fn is_active(&self) -> bool {
+    fn is_active(&self) -> bool {
         !self.claims.is_empty()
     }
 
-    /// When the link has something to do; `None` while it waits for nothing.
+    /// When the link to a voter is due; `None` while it waits for nothing.
     pub(super) fn link_due(&self, voter: usize) -> Option<Instant> {
         let link = &self.links[voter];
         if let Some(request) = &link.request {
@@ -24,139 +33,162 @@
         if !self.is_active() {
             return None;
         }
-        let updates =
-            (link.session.is_some() && !link.pending.is_empty()).then(|| self.allowed_again());
-        Some(updates.map_or(link.next_renewal, |at| at.min(link.next_renewal)))
+        let has_updates = link.session.is_some() && !link.pending.is_empty();
+        let update_at = has_updates.then(|| self.budget_available_at());
+        Some(update_at.map_or(link.next_renewal, |at| at.min(link.next_renewal)))
     }
 
-    pub(super) fn allowed_again(&self) -> Instant {
-        let missing = (-self.allowance).max(0.0) / f64::from(self.config.update_rate.max(1));
-        self.allowed_at + Duration::from_micros((missing * 1e6).ceil() as u64)
+    fn budget_available_at(&self) -> Instant {
+        let missing_bytes = (-self.update_budget).max(0.0);
+        let seconds = missing_bytes / f64::from(self.config.update_rate.max(1));
+        self.budget_refilled_at + Duration::from_micros((seconds * 1e6).ceil() as u64)
     }
 
-    pub(super) fn refill(&mut self, now: Instant) {
+    fn refill_budget(&mut self, now: Instant) {
         let rate = f64::from(self.config.update_rate);
-        let saved = self.allowance + rate * now.duration_since(self.allowed_at).as_secs_f64();
-        (self.allowance, self.allowed_at) = (saved.min(rate * BURST), now);
+        let elapsed = now.duration_since(self.budget_refilled_at);
+        let saved = self.update_budget + rate * elapsed.as_secs_f64();
+        self.update_budget = saved.min(rate * BURST_SECONDS);
+        self.budget_refilled_at = now;
     }
 
+    /// Sends a request to a voter, if one is due and none is pending.
     pub(super) fn send_request(&mut self, voter: usize, now: Instant) {
         if self.links[voter].request.is_some() || !self.is_active() {
             return;
         }
-        self.refill(now);
-        let own = self.links[voter].voter == self.me.name;
-        let may_update = self.links[voter].session.is_some() && (own || self.allowance >= 0.0);
-        let (mut detach, mut attach, mut bytes) = (Vec::new(), Vec::new(), 0);
-        if self.links[voter].next_renewal <= now {
+        self.refill_budget(now);
+        let is_own = self.links[voter].voter == self.me.name;
+        let is_renewal = self.links[voter].next_renewal <= now;
+        if is_renewal {
             let refused = std::mem::take(&mut self.links[voter].refused);
             self.links[voter].pending.extend(refused);
         }
-        if may_update {
-            bytes = self.take_pending(voter, now, &mut detach, &mut attach);
-        }
-        let updates = !detach.is_empty() || !attach.is_empty();
-        if !updates && self.links[voter].next_renewal > now {
+        let has_budget = is_own || self.update_budget >= 0.0;
+        let changes = if self.links[voter].session.is_some() && has_budget {
+            self.take_pending(voter, now)
+        } else {
+            Changes::default()
+        };
+        if changes.is_empty() && !is_renewal {
             return;
         }
-        if updates && !own {
-            self.allowance -= (bytes + UPDATE_OVERHEAD) as f64;
+        if !changes.is_empty() && !is_own {
+            self.update_budget -= (changes.bytes() + UPDATE_OVERHEAD_BYTES) as f64;
             self.next_link = (voter + 1) % self.links.len();
         }
+        let message = self.open_request(voter, changes, now);
+        self.send(To::Voter(self.links[voter].voter.clone()), &message);
+        if is_own {
+            self.receive_as_voter(&self.me.clone(), message, now);
+        }
+    }
+
+    /// Notes a request as pending and schedules the next renewal.
+    fn open_request(&mut self, voter: usize, changes: Changes, now: Instant) -> Message {
         self.sequence += 1;
         self.counts.requests += 1;
-        let retry_at = now + self.config.term * RETRY_AFTER;
         let request = Request {
             sequence: self.sequence,
             sent_at: now,
-            retry_at,
-            detach,
-            attach,
+            retry_at: now + self.config.term * REQUEST_TIMEOUT_TERMS,
+            changes,
         };
         let link = &mut self.links[voter];
-        let message = request.message(self.config.electorate.generation, link.session, self.epoch);
-        let part = RENEW_AFTER * (1.0 - JITTER * self.chance.unit_f64());
-        link.next_renewal = now + self.config.holding_time() * part;
+        let generation = self.config.electorate.generation;
+        let message = request.message(generation, link.session, self.epoch);
+        let fraction = RENEWAL_FRACTION * (1.0 - JITTER * self.rng.unit_f64());
+        link.next_renewal = now + self.config.holding_time() * fraction;
         link.request = Some(request);
-        let to = To::Voter(link.voter.clone());
-        self.send(to, &message);
-        if own {
-            self.receive_as_voter(&self.me.clone(), message, now);
-        }
+        message
     }
 
-    /// As many subjects as one message takes.
-    pub(super) fn take_pending(
-        &mut self,
-        voter: usize,
-        now: Instant,
-        detach: &mut Vec<Subject>,
-        attach: &mut Vec<Subject>,
-    ) -> usize {
-        let mut bytes = 0;
-        while let Some(subject) = self.links[voter].pending.first() {
-            if bytes + subject.len() + 1 > MAX_UPDATE_BYTES
-                || detach.len() + attach.len() >= MAX_UPDATE_SUBJECTS
-            {
-                break;
+    /// Takes as many pending subjects of a voter as fit in one message.
+    fn take_pending(&mut self, voter: usize, now: Instant) -> Changes {
+        let mut changes = Changes::default();
+        loop {
+            let next = self.links[voter].pending.first();
+            if !next.is_some_and(|subject| changes.has_room_for(subject)) {
+                return changes;
             }
             let Some(subject) = self.links[voter].pending.pop_first() else {
-                break;
-            };
-            let Some(claim) = self.claims.get_mut(&subject) else {
-                continue;
+                return changes;
             };
-            if claim.wants_attaching() {
-                if claim.attached.contains(voter) {
-                    continue;
+            match self.pending_change(voter, &subject, now) {
+                PendingChange::Attach => {
+                    self.begin_attempt(voter, &subject, now);
+                    changes.attach.push(subject);
                 }
-                if claim.refused.contains(voter) && claim.held(now).is_none() {
+                PendingChange::Detach => changes.detach.push(subject),
+                PendingChange::WaitForRenewal => {
                     self.links[voter].refused.insert(subject);
-                    continue;
                 }
-                claim.sent.insert(voter);
-                if let Stage::Attaching { ends: ends @ None } = &mut claim.stage {
-                    let at = now + self.config.term * ATTEMPT;
-                    *ends = Some(at);
-                    self.claims_due = self.claims_due.min(at);
-                }
-                bytes += subject.len() + 1;
-                attach.push(subject);
-            } else if claim.sent.contains(voter) {
-                bytes += subject.len() + 1;
-                detach.push(subject);
+                PendingChange::None => {}
             }
         }
-        bytes
+    }
+
+    fn pending_change(&self, voter: usize, subject: &[u8], now: Instant) -> PendingChange {
+        let Some(claim) = self.claims.get(subject) else {
+            return PendingChange::None;
+        };
+        if !claim.wants_attaching() {
+            return if claim.sent.contains(voter) {
+                PendingChange::Detach
+            } else {
+                PendingChange::None
+            };
+        }
+        if claim.attached.contains(voter) {
+            PendingChange::None
+        } else if claim.refused.contains(voter) && claim.held(now).is_none() {
+            PendingChange::WaitForRenewal
+        } else {
+            PendingChange::Attach
+        }
+    }
+
+    /// Notes that the voter is asked to attach the subject. The time of an attempt counts from its
+    /// first request.
+    fn begin_attempt(&mut self, voter: usize, subject: &[u8], now: Instant) {
+        let Some(claim) = self.claims.get_mut(subject) else {
+            return;
+        };
+        claim.sent.insert(voter);
+        if let Stage::Attaching { ends: ends @ None } = &mut claim.stage {
+            let deadline = now + self.config.term * ATTEMPT_TIMEOUT_TERMS;
+            *ends = Some(deadline);
+            self.claims_due = self.claims_due.min(deadline);
+        }
     }
 
     pub(super) fn send(&mut self, to: To, message: &Message) {
-        self.outgoing.push(Outgoing::message(to, message));
+        self.outgoing.push(Outgoing::new(to, message));
+    }
+
+    pub(super) fn send_legacy(&mut self, to: To, message: &LegacyMessage) {
+        self.outgoing.push(Outgoing::legacy(to, message));
     }
 
+    /// Gives up a request without an answer; what it requested is pending again.
     pub(super) fn retry(&mut self, voter: usize, now: Instant) {
-        let forgotten = self.config.term * SESSION_FORGOTTEN;
+        let session_timeout = self.config.term * SESSION_TIMEOUT_TERMS;
         let link = &mut self.links[voter];
         link.give_up_request();
         link.unanswered += 1;
         self.counts.retries += 1;
-        if link.unanswered >= UNANSWERED {
-            let generation = self.config.electorate.generation;
-            let bytes = LegacyMessage::Recall {
-                generation,
-                starts: false,
-            }
-            .encode();
-            self.outgoing
-                .push(Outgoing::legacy(To::Voter(link.voter.clone()), bytes));
+        if link.unanswered >= LEGACY_CHECK_AFTER {
+            let recipient = To::Voter(link.voter.clone());
+            let recall = LegacyMessage::Recall {
+                generation: self.config.electorate.generation,
+                starting: false,
+            };
+            self.send_legacy(recipient, &recall);
         }
-        // The voter has dropped it by now, and what was to be detached there is free.
         let link = &self.links[voter];
-        if link.session.is_some()
-            && link
-                .confirmed_at
-                .is_none_or(|at| now.duration_since(at) >= forgotten)
-        {
+        let is_recent = |at: Instant| now.duration_since(at) < session_timeout;
+        // The voter has dropped the session by now, with everything attached to it.
+        if link.session.is_some() && !link.confirmed_at.is_some_and(is_recent) {
             self.forget_session(voter);
         }
     }
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -1,106 +1,130 @@
-//! What processes send each other about leases.
-use crate::legacy;
-use compact_str::CompactString;
+//! The messages of the lease protocol.
+use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
-use thistlecroft_peers::{Identity, MemberState, Node, View};
+use thistlecroft_peers::Identity;
 
-/// The channel of these messages. Processes that know only the protocol before (`legacy`) do not
-/// read it.
+/// The channel of these messages. Processes that know only the [legacy protocol](crate::legacy) do
+/// not read it.
 pub const CHANNEL: u8 = 2;
 
-/// What may be held. Bytes, at most `MAX_SUBJECT_BYTES` of them.
-pub type Subject = Vec<u8>;
-
-/// The longest subject, in bytes.
-pub const MAX_SUBJECT_BYTES: usize = 48;
-/// Bytes of subjects in one message, so that it fits a datagram; and how many, so that its answer
-/// does.
+/// The most bytes of subjects in one message, so that it fits in a datagram.
 pub const MAX_UPDATE_BYTES: usize = 880;
+/// The most subjects in one message, so that its answer fits in a datagram.
 pub const MAX_UPDATE_SUBJECTS: usize = 128;
-/// Refusals of one answer that name the holder.
-pub const MAX_NAMED_HOLDERS: usize = 8;
+/// The most rejections of one answer that name the holder.
+pub(crate) const MAX_NAMED_HOLDERS: usize = 8;
 
 /// A voter's name for one process's session, unique among all sessions of all runs of that voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionToken(pub u64);
 
+/// A message of the lease protocol. The order of variants and fields is that of the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
     /// Opens a session (`session: None`) or renews it, and changes what is attached to it.
     Update(Update),
-    /// The session stands for another term from now, with all that is attached.
+    /// The session is valid for another term from now, with everything that is attached.
     Updated(Updated),
     /// Nothing of the update was done.
     Refused {
+        /// The voter's generation.
         generation: u32,
+        /// The sequence number of the update.
         sequence: u32,
+        /// Why nothing was done.
         reason: Reason,
     },
-    /// The sender ends and acts for nothing any more but for what it names.
+    /// The sender shuts down and acts on no subject any more, except for those that it names.
     Close {
+        /// A sequence number as in an update.
         sequence: u32,
+        /// The session to close.
         session: SessionToken,
+        /// Subjects that stay attached until the session lapses.
         keep: Vec<Subject>,
     },
-    /// The sender has started and remembers nothing, or asks how far a change of voters has come.
-    Recall { generation: u32, starting: bool },
-    /// The highest epoch known here, and whether this is a voter that knows all that was known
-    /// before.
+    /// The sender has started without any state, or asks how far a change of voters has come.
+    Recall {
+        /// The sender's generation.
+        generation: u32,
+        /// The sender has started and may not vote yet.
+        starting: bool,
+    },
+    /// The answer to [`Message::Recall`].
     Remembered {
+        /// The sender's generation.
         generation: u32,
+        /// The sender is a voter that knows the highest epoch of its electorate.
         established: bool,
+        /// The highest epoch known to the sender.
         epoch: u64,
     },
 }
 
+/// A request for changes to a session.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Update {
+    /// The sender's generation.
     pub generation: u32,
-    /// Grows with each request of a process; a voter passes over one that comes after a later one.
+    /// Grows with each request of a process; a voter ignores one that arrives after a later one.
     pub sequence: u32,
+    /// The session to renew; `None` opens one.
     pub session: Option<SessionToken>,
     /// The highest epoch that the sender has chosen; the voter keeps it.
     pub epoch: u64,
-    /// Detached first, then attached.
+    /// Subjects to detach, before any is attached.
     pub detach: Vec<Subject>,
+    /// Subjects to attach.
     pub attach: Vec<Subject>,
 }
 
+/// The answer to an [`Update`] that was done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Updated {
+    /// The voter's generation.
     pub generation: u32,
+    /// The sequence number of the update.
     pub sequence: u32,
+    /// The session that was opened or renewed.
     pub session: SessionToken,
     /// The highest epoch known to the voter.
     pub epoch: u64,
-    /// Positions in `attach` that were not attached, and why. All others are.
+    /// Indices into `attach` of the subjects that were not attached, and why. All others are.
     pub refused: Vec<(u16, Reason)>,
 }
 
+/// Why a voter does not grant a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Reason {
-    /// Attached to another's session.
-    Held { by: Identity },
-    /// The same, the holder not named for want of room.
+    /// The subject is attached to the session of another process.
+    Held {
+        /// The holder.
+        by: Identity,
+    },
+    /// The same, without the holder's name, which would not fit in the answer.
     HeldByAnother,
-    /// The voter started lately, and may have granted it before.
+    /// The voter started recently, and may have granted the subject before.
     Silent,
-    /// Not of the electorate that is asked, or of another one than here.
-    Generation { here: u32 },
+    /// The process is not a voter, or one of another electorate.
+    Generation {
+        /// The voter's generation.
+        here: u32,
+    },
     /// The voter holds as many subjects or sessions as it may.
     Full,
     /// The session is not known: the voter has restarted, or it lapsed and was dropped.
     UnknownSession,
-    /// The voter speaks only the protocol before (`legacy`).
+    /// The voter speaks only the [legacy protocol](crate::legacy).
     OlderProtocol,
 }
 
 impl Message {
+    /// The bytes of this message on [`CHANNEL`].
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("messages are plain values")
     }
 
-    /// `None` for bytes that are no message.
+    /// `None` for bytes that are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Some(message),
@@ -108,60 +132,3 @@
         }
     }
 }
-
-/// Where a message goes.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum To {
-    /// All processes of that name: there are two during an upgrade.
-    Voter(CompactString),
-    Process(Identity),
-    /// Every `of`-th of the processes that are alive, beginning with the `part`-th.
-    Share {
-        part: usize,
-        of: usize,
-    },
-}
-
-impl To {
-    pub fn processes(&self, node: &Node) -> Vec<Identity> {
-        let live = || {
-            node.members()
-                .filter(|view| view.state <= MemberState::Suspect)
-        };
-        let id = |view: View<'_>| view.id.clone();
-        match self {
-            To::Process(id) => vec![id.clone()],
-            To::Voter(name) => live()
-                .filter(|view| view.id.name == *name)
-                .map(id)
-                .collect(),
-            To::Share { part, of } => live().skip(*part).step_by((*of).max(1)).map(id).collect(),
-        }
-    }
-}
-
-/// Bytes for another process.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Outgoing {
-    pub to: To,
-    pub channel: u8,
-    pub bytes: Vec<u8>,
-}
-
-impl Outgoing {
-    pub fn message(to: To, message: &Message) -> Outgoing {
-        Outgoing {
-            to,
-            channel: CHANNEL,
-            bytes: message.encode(),
-        }
-    }
-
-    pub fn legacy(to: To, bytes: Vec<u8>) -> Outgoing {
-        Outgoing {
-            to,
-            channel: legacy::CHANNEL,
-            bytes,
-        }
-    }
-}
--- /dev/null
+++ b/leases/src/subject.rs
@@ -0,0 +1,7 @@
+//! What a lease is about.
+
+/// What may be held: an opaque name of at most [`MAX_SUBJECT_BYTES`] bytes.
+pub type Subject = Vec<u8>;
+
+/// The longest subject, in bytes.
+pub const MAX_SUBJECT_BYTES: usize = 48;
--- a/leases/src/voter.rs
+++ b/leases/src/voter.rs
@@ -1,72 +1,82 @@
-//! A process that grants: which subjects are attached to whose session, until when by its own
-//! clock, and the highest epoch that it knows. It keeps nothing on disk: one that starts is silent
-//! for a term, until all that it may have granted is over.
+//! A voter: the sessions that it keeps, the subjects attached to them, and the highest epoch that it
+//! knows. It stores nothing on disk: after a start it grants nothing for a term, until everything
+//! that it may have granted before has expired.
 use crate::electorate::{Electorate, LeaseConfig};
-use crate::message::{MAX_NAMED_HOLDERS, Message, Reason, SessionToken, Subject, Update, Updated};
+use crate::message::{MAX_NAMED_HOLDERS, Message, Reason, SessionToken, Update, Updated};
+use crate::subject::Subject;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::Identity;
 
-/// Subjects attached at once, and sessions.
+/// The most subjects attached at one voter.
 pub const MAX_VOTER_SUBJECTS: usize = 131_072;
+/// The most sessions of one voter.
 pub const MAX_SESSIONS: usize = 4_096;
-/// Until it knows what was known before, a voter asks others so often.
-pub const RECALL_EVERY: Duration = Duration::from_millis(500);
-/// A lapsed session is kept for so many terms: its process may come back before anybody else took a
-/// subject of it.
-const LAPSED_KEPT: f64 = 4.0;
+/// How often a voter asks for the highest epoch until it knows it.
+const RECALL_INTERVAL: Duration = Duration::from_millis(500);
+/// A lapsed session is kept for this many terms, since its process may return before another one
+/// takes a subject of it.
+const LAPSED_SESSION_TERMS: f64 = 4.0;
 
 #[derive(Clone, Debug)]
 struct Session {
     owner: Identity,
-    /// Not at or after this moment of the voter's clock.
+    /// When the session lapses, by the voter's clock.
     expires: Instant,
     subjects: BTreeSet<Subject>,
 }
 
-/// A process's session in force, and the last request of it that was heard.
+/// A process's current session, and its last request.
 #[derive(Clone, Copy, Debug)]
-struct Current {
+struct CurrentSession {
     token: SessionToken,
     sequence: u32,
 }
 
-/// Requests refused since the start.
+/// Requests rejected since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VoterCounts {
+    /// No capacity for another subject or session.
     pub full: u64,
+    /// The session is not known.
     pub unknown_session: u64,
+    /// Another process holds the subject.
     pub held: u64,
 }
 
+/// The state of a voter.
 #[derive(Clone, Debug)]
 pub struct Voter {
     sessions: BTreeMap<SessionToken, Session>,
-    current: BTreeMap<Identity, Current>,
+    current: BTreeMap<Identity, CurrentSession>,
     holders: BTreeMap<Subject, SessionToken>,
     tokens: Rng,
     next_sweep: Instant,
+    /// The highest epoch that it knows.
     pub epoch: u64,
-    /// It may have granted before its start, which it does not know; it is silent for a term from
-    /// here.
+    /// It grants nothing for a term from here, since it may have granted something before its
+    /// start.
     silent_from: Instant,
-    /// It knows the highest epoch that a majority may have been given.
+    /// It knows the highest epoch that any majority may have confirmed.
     pub established: bool,
-    /// Another process of this name votes in its place, or this one has ended.
+    /// Another process of this name votes in its place, or this one is shutting down.
     pub retired: bool,
-    recalled_at: Option<Instant>,
-    recalls: usize,
+    last_recall: Option<Instant>,
+    recall_count: usize,
+    /// Voters that have answered a recall, and those among them that are established.
     established_others: BTreeSet<CompactString>,
     others: BTreeSet<CompactString>,
-    /// Which generation others were heard to go by.
+    /// The last generation that other processes have sent.
     pub generations: BTreeMap<CompactString, u32>,
+    /// Rejected requests.
     pub counts: VoterCounts,
 }
 
 impl Voter {
-    /// `run`: the process's own number, from which its sessions' tokens are drawn.
+    /// A voter that has just started. `run` is the number of the process's run, which seeds the
+    /// tokens of its sessions.
     pub fn new(run: u64, now: Instant) -> Voter {
         Voter {
             sessions: BTreeMap::new(),
@@ -78,8 +88,8 @@
             silent_from: now,
             established: false,
             retired: false,
-            recalled_at: None,
-            recalls: 0,
+            last_recall: None,
+            recall_count: 0,
             established_others: BTreeSet::new(),
             others: BTreeSet::new(),
             generations: BTreeMap::new(),
@@ -87,21 +97,22 @@
         }
     }
 
+    /// Whether the voter may still have granted something before its start.
     pub fn is_silent(&self, config: &LeaseConfig, now: Instant) -> bool {
         now < self.silent_from + config.term
     }
 
+    /// The number of attached subjects.
     pub fn subject_count(&self) -> usize {
         self.holders.len()
     }
 
+    /// The number of sessions, lapsed ones included.
     pub fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    // ---- grants ----
-
-    /// `None` for a request that came after a later one, or twice.
+    /// Handles a request. `None` for one that arrives twice or after a later one.
     pub fn update(
         &mut self,
         from: &Identity,
@@ -109,59 +120,45 @@
         config: &LeaseConfig,
         now: Instant,
     ) -> Option<Message> {
-        let here = config.electorate.generation;
+        let generation = config.electorate.generation;
+        let sequence = update.sequence;
         self.generations
             .insert(from.name.clone(), update.generation);
-        let sequence = update.sequence;
         let refused = |reason| {
             Some(Message::Refused {
-                generation: here,
+                generation,
                 sequence,
                 reason,
             })
         };
-        // Of a newer electorate this one has not been told; of an older one it must not help a
-        // majority that is none any more.
-        if update.generation != here {
-            return refused(Reason::Generation { here });
+        // A newer electorate is not known here, and an older one may not have majorities any more.
+        if update.generation != generation {
+            return refused(Reason::Generation { here: generation });
         }
         self.epoch = self.epoch.max(update.epoch);
         if self.retired || !self.established || self.is_silent(config, now) {
             return refused(Reason::Silent);
         }
         self.sweep(config, now);
-        let known = self.current.get(from).copied();
-        if known.is_some_and(|known| sequence <= known.sequence) {
+        let current = self.current.get(from).copied();
+        if current.is_some_and(|current| sequence <= current.sequence) {
             return None;
         }
-        let token = match (update.session, known) {
-            (Some(asked), Some(known)) if asked == known.token => asked,
-            (Some(_), _) => {
-                self.counts.unknown_session += 1;
-                return refused(Reason::UnknownSession);
-            }
-            // Its answer was lost, and nothing is attached to it yet.
-            (None, Some(known)) if self.is_empty(known.token) => known.token,
-            (None, _) if self.sessions.len() >= MAX_SESSIONS => {
-                self.counts.full += 1;
-                return refused(Reason::Full);
-            }
-            // One that stood before keeps its subjects until its time is over: its process may
-            // still act on them.
-            (None, _) => self.open(from, config, now),
+        let token = match self.session_for(from, update.session, current, config, now) {
+            Ok(token) => token,
+            Err(reason) => return refused(reason),
         };
-        self.current
-            .insert(from.clone(), Current { token, sequence });
-        update
-            .detach
-            .iter()
-            .for_each(|subject| self.detach(token, subject));
+        let session = CurrentSession { token, sequence };
+        self.current.insert(from.clone(), session);
+        for subject in &update.detach {
+            self.detach(token, subject);
+        }
         let refused = self.attach_all(from, token, update.attach, now);
         if let Some(session) = self.sessions.get_mut(&token) {
             session.expires = now + config.term;
         }
         Some(Message::Updated(Updated {
-            generation: here,
+            generation,
             sequence,
             session: token,
             epoch: self.epoch,
@@ -169,6 +166,33 @@
         }))
     }
 
+    /// The session that a request is about: the current one of its sender, or a new one.
+    fn session_for(
+        &mut self,
+        from: &Identity,
+        requested: Option<SessionToken>,
+        current: Option<CurrentSession>,
+        config: &LeaseConfig,
+        now: Instant,
+    ) -> Result<SessionToken, Reason> {
+        match (requested, current) {
+            (Some(requested), Some(current)) if requested == current.token => Ok(requested),
+            (Some(_), _) => {
+                self.counts.unknown_session += 1;
+                Err(Reason::UnknownSession)
+            }
+            // The answer that opened this session was lost, and nothing is attached to it yet.
+            (None, Some(current)) if self.is_empty(current.token) => Ok(current.token),
+            (None, _) if self.sessions.len() >= MAX_SESSIONS => {
+                self.counts.full += 1;
+                Err(Reason::Full)
+            }
+            // An earlier session keeps its subjects until it lapses, since its process may still
+            // act on them.
+            (None, _) => Ok(self.open(from, config, now)),
+        }
+    }
+
     fn is_empty(&self, token: SessionToken) -> bool {
         self.sessions
             .get(&token)
@@ -227,7 +251,7 @@
             if holder == token {
                 return Ok(());
             }
-            self.take(holder, &subject, from, now)?;
+            self.free_for(from, &subject, holder, now)?;
         }
         if self.holders.len() >= MAX_VOTER_SUBJECTS {
             self.counts.full += 1;
@@ -240,13 +264,13 @@
         Ok(())
     }
 
-    /// Frees a subject from the session that holds it, if that is over or an earlier one of the
-    /// same process.
-    fn take(
+    /// Frees a subject for a process, if the session that holds it has lapsed or is an earlier one
+    /// of the same process.
+    fn free_for(
         &mut self,
-        holder: SessionToken,
-        subject: &Subject,
         from: &Identity,
+        subject: &Subject,
+        holder: SessionToken,
         now: Instant,
     ) -> Result<(), Reason> {
         let Some(session) = self.sessions.get(&holder) else {
@@ -262,7 +286,7 @@
                 by: session.owner.clone(),
             });
         }
-        // What it had attached is not whole any more: it can't be taken up again by its token.
+        // Without this subject the session is incomplete, so its process may not renew it.
         self.drop_session(holder);
         Ok(())
     }
@@ -292,7 +316,8 @@
         }
     }
 
-    /// Frees all of a process that ends but for what it keeps, which runs out by itself.
+    /// Detaches everything of a process that shuts down, except for what it keeps until the session
+    /// lapses.
     pub fn close(&mut self, from: &Identity, sequence: u32, token: SessionToken, keep: &[Subject]) {
         let Some(current) = self
             .current
@@ -317,13 +342,13 @@
         freed.iter().for_each(|subject| self.detach(token, subject));
     }
 
-    /// Drops sessions that lapsed long ago, now and then.
+    /// Drops sessions that lapsed long ago, at most once in a term.
     fn sweep(&mut self, config: &LeaseConfig, now: Instant) {
         if now < self.next_sweep {
             return;
         }
         self.next_sweep = now + config.term;
-        let over = |session: &Session| session.expires + config.term * LAPSED_KEPT <= now;
+        let over = |session: &Session| session.expires + config.term * LAPSED_SESSION_TERMS <= now;
         let lapsed: Vec<SessionToken> = self
             .sessions
             .iter()
@@ -335,12 +360,10 @@
             .for_each(|token| self.drop_session(token));
     }
 
-    // ---- starting ----
-
-    /// Another process of this name was heard. One that has started asks to know, and the one that
-    /// knew votes no more; the one that goes on is silent for a term from the last that it heard of
-    /// the other.
-    pub fn duplicate_heard(&mut self, starting: bool, now: Instant) {
+    /// Handles the presence of another process of this name. When that one is starting, an
+    /// established voter stops voting in its favour. One that is not established yet waits for a
+    /// term after the last message of the other.
+    pub fn note_duplicate(&mut self, starting: bool, now: Instant) {
         match (self.established, starting) {
             (true, true) => self.retired = true,
             (true, false) => {}
@@ -348,7 +371,8 @@
         }
     }
 
-    /// `changing`: the voters are being changed, and how far that has come is asked for.
+    /// When to ask other processes next. While voters are `changing`, every process asks for the
+    /// generations of the others.
     pub fn next_recall(
         &self,
         votes: bool,
@@ -357,32 +381,34 @@
     ) -> Option<Instant> {
         if changing {
             return Some(
-                self.recalled_at
-                    .map_or(self.silent_from, |at| at + RECALL_EVERY),
+                self.last_recall
+                    .map_or(self.silent_from, |at| at + RECALL_INTERVAL),
             );
         }
         if !votes || self.retired {
             return None;
         }
         let settled = self.silent_from + config.term;
-        match (self.established, self.recalled_at) {
+        match (self.established, self.last_recall) {
             (true, _) => None,
             (false, None) => Some(self.silent_from),
-            // At the end of its silence too, which may be all that it waited for.
-            (false, Some(at)) if at < settled => Some((at + RECALL_EVERY).min(settled)),
-            (false, Some(at)) => Some(at + RECALL_EVERY),
+            // The end of the silence may be all that it waits for.
+            (false, Some(at)) if at < settled => Some((at + RECALL_INTERVAL).min(settled)),
+            (false, Some(at)) => Some(at + RECALL_INTERVAL),
         }
     }
 
-    /// Which of the `of` shares of all processes is asked this time: each once in a term.
+    /// The share of all processes to ask this time, as an index and the number of shares. Each is
+    /// asked once in a term.
     pub fn recall_share(&mut self, config: &LeaseConfig, now: Instant) -> (usize, usize) {
-        self.recalled_at = Some(now);
-        let of = (config.term.as_micros() / RECALL_EVERY.as_micros()).max(1) as usize;
-        self.recalls += 1;
-        ((self.recalls - 1) % of, of)
+        self.last_recall = Some(now);
+        let of = (config.term.as_micros() / RECALL_INTERVAL.as_micros()).max(1) as usize;
+        self.recall_count += 1;
+        ((self.recall_count - 1) % of, of)
     }
 
-    pub fn remembered(&mut self, from: &Identity, established: bool, epoch: u64) {
+    /// Handles the answer to a recall.
+    pub fn note_remembered(&mut self, from: &Identity, established: bool, epoch: u64) {
         self.epoch = self.epoch.max(epoch);
         if established {
             self.established_others.insert(from.name.clone());
@@ -390,22 +416,29 @@
         self.others.insert(from.name.clone());
     }
 
-    /// It votes once its silence is over and it has heard enough to know the highest epoch: from so
-    /// many that know it that one of them was in every majority it can have been part of itself,
-    /// or, where all have forgotten, from all.
+    /// Starts to vote once the silence is over and the highest epoch is certain: when so many
+    /// established voters have answered that every majority that this one can have been part of
+    /// includes one of them, or when all other voters have answered.
     pub fn settle(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
         if self.established || self.is_silent(config, now) {
             return;
         }
-        let enough = |set: &[CompactString]| {
+        let is_certain = |set: &[CompactString]| {
             let others = set.iter().filter(|name| **name != me.name);
-            let of = |heard: &BTreeSet<CompactString>| {
-                others.clone().filter(|name| heard.contains(*name)).count()
+            let count_in = |answered: &BTreeSet<CompactString>| {
+                others
+                    .clone()
+                    .filter(|name| answered.contains(*name))
+                    .count()
             };
             let (all, majority) = (others.clone().count(), Electorate::majority(set));
-            of(&self.others) == all || of(&self.established_others) + majority > set.len()
+            count_in(&self.others) == all
+                || count_in(&self.established_others) + majority > set.len()
         };
-        let sets = [&config.electorate.voters, &config.electorate.before];
-        self.established = sets.iter().all(|set| set.is_empty() || enough(set));
+        let sets = [
+            &config.electorate.voters,
+            &config.electorate.previous_voters,
+        ];
+        self.established = sets.iter().all(|set| set.is_empty() || is_certain(set));
     }
 }
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -24,7 +24,7 @@
         let electorate = Electorate {
             generation: 1,
             voters,
-            before: Vec::new(),
+            previous_voters: Vec::new(),
         };
         let config = LeaseConfig {
             electorate,
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn it_is_held_once_a_majority_keeps_an_epoch_above_all_that_they_knew() {
+fn claim_is_held_once_a_majority_confirms_the_highest_epoch() {
     let mut script = Script::new();
     script.attached(&["r0"], 7);
     script.attached(&["r1"], 9);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_voter_that_attached_it_after_the_choice_does_not_confirm_it() {
+fn voter_that_attaches_after_the_epoch_is_chosen_does_not_confirm_it() {
     let mut script = Script::new();
     script.attached(&["r0", "r1"], 7);
     assert_eq!(script.asked["r0"].epoch, 8);
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_after_the_right_ran_out_does_not_bring_its_epoch_back() {
+fn late_answer_does_not_restore_an_expired_epoch() {
     let mut script = Script::new();
     script.attached(&["r0", "r1"], 7);
     script.confirm("r0", 8);
--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -111,15 +111,15 @@
 /// Every kind of message of the protocol before.
 fn legacy_messages() -> Vec<(&'static str, LegacyMessage)> {
     let subject = || b"work/7".to_vec();
-    let refuse = |why| LegacyMessage::Refuse {
+    let refuse = |reason| LegacyMessage::Rejected {
         subject: subject(),
         round: 300,
-        why,
+        reason,
     };
     vec![
         (
             "ask",
-            LegacyMessage::Ask {
+            LegacyMessage::Request {
                 generation: 2,
                 subject: subject(),
                 round: 300,
@@ -128,7 +128,7 @@
         ),
         (
             "promise",
-            LegacyMessage::Promise {
+            LegacyMessage::Granted {
                 generation: 2,
                 subject: subject(),
                 round: 300,
@@ -157,7 +157,7 @@
             "recall",
             LegacyMessage::Recall {
                 generation: 2,
-                starts: true,
+                starting: true,
             },
         ),
         (
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn messages_of_each_kind_are_encoded_into_the_recorded_bytes() {
+fn messages_encode_into_the_recorded_bytes() {
     let mut recording = format!("channel: {CHANNEL}\n");
     for (name, message) in messages() {
         writeln!(recording, "{name}: {}", hex(&message.encode())).unwrap();
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn recorded_messages_are_decoded_as_what_they_were() {
+fn recorded_messages_decode_into_the_originals() {
     let expected = messages();
     let lines: Vec<&str> = include_str!("golden/messages.txt")
         .lines()
@@ -200,20 +200,20 @@
 }
 
 #[test]
-fn legacy_messages_of_each_kind_are_encoded_into_the_recorded_bytes() {
+fn legacy_messages_encode_into_the_recorded_bytes() {
     let mut recording = format!("channel: {}\n", legacy::CHANNEL);
     for (name, message) in legacy_messages() {
         writeln!(recording, "{name}: {}", hex(&message.encode())).unwrap();
     }
     let (_, ask) = &legacy_messages()[0];
-    let refusal = ask.refusal().expect("an older request is refused");
+    let refusal = ask.rejection().expect("an older request is refused");
     writeln!(recording, "answer to ask: {}", hex(&refusal.encode())).unwrap();
     writeln!(recording, "generation of that answer: {NO_GENERATION}").unwrap();
     assert_unchanged("legacy_messages.txt", &recording);
 }
 
 #[test]
-fn recorded_legacy_messages_are_decoded_as_what_they_were() {
+fn recorded_legacy_messages_decode_into_the_originals() {
     let expected = legacy_messages();
     let recording = include_str!("golden/legacy_messages.txt");
     let lines: Vec<&str> = recording.lines().skip(1).take(expected.len()).collect();
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -1,32 +1,32 @@
-//! A small fleet over simulated links, and a witness that looks from outside at who may act on
-//! which of many subjects.
-#![allow(dead_code, reason = "each file of tests uses a part of it")]
+//! A small simulated network of processes, and a checker that sees from outside who may act on which
+//! subjects.
+#![allow(dead_code, reason = "each test binary uses some of the helpers")]
 use std::collections::BTreeMap;
 use thistlecroft::time::Duration;
 use thistlecroft_leases::{DRIFT, Electorate, LeaseConfig, Subject};
 use thistlecroft_peers::{Pace, Terms as PeerTerms};
 use thistlecroft_testbed::simulated_network::SimulatedNetwork;
 
-pub const PERIOD: Duration = Duration::from_millis(200);
-pub const TERM: Duration = Duration::from_millis(2_000);
-pub const RATE: u32 = 32_768;
-pub const VOTERS: [&str; 3] = ["r0", "r1", "r2"];
-/// Two processes whose clocks are both at an edge, and the rest between.
+pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(200);
+pub(crate) const TERM: Duration = Duration::from_millis(2_000);
+pub(crate) const UPDATE_RATE: u32 = 32_768;
+pub(crate) const VOTERS: [&str; 3] = ["r0", "r1", "r2"];
+/// Clock speeds at both limits of the permitted drift, and between them.
 const SPEEDS: [f64; 5] = [1.0 - DRIFT, 1.0 + DRIFT, 1.0, 1.0 - DRIFT, 1.0 + DRIFT];
-const FOR_LONG: Duration = Duration::from_millis(3_600_000);
-/// Between two looks of the witness.
-const LOOK: Duration = Duration::from_millis(10);
+const ONE_HOUR: Duration = Duration::from_millis(3_600_000);
+/// Between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-pub fn electorate(generation: u32, voters: &[&str], before: &[&str]) -> Electorate {
+pub(crate) fn electorate(generation: u32, voters: &[&str], before: &[&str]) -> Electorate {
     let names = |all: &[&str]| all.iter().map(|name| (*name).into()).collect();
     Electorate {
         generation,
         voters: names(voters),
-        before: names(before),
+        previous_voters: names(before),
     }
 }
 
-pub fn config(voters: &[&str], update_rate: u32) -> LeaseConfig {
+pub(crate) fn config(voters: &[&str], update_rate: u32) -> LeaseConfig {
     LeaseConfig {
         electorate: electorate(1, voters, &[]),
         term: TERM,
@@ -34,37 +34,44 @@
     }
 }
 
-pub fn fleet(size: usize, voters: &[&str], update_rate: u32, seed: u64) -> SimulatedNetwork {
+pub(crate) fn start_network(
+    size: usize,
+    voters: &[&str],
+    update_rate: u32,
+    seed: u64,
+) -> SimulatedNetwork {
     let peers = PeerTerms {
         fleet: "test".into(),
         secret: vec![1],
-        pace: Pace { period: PERIOD },
+        pace: Pace {
+            period: PROBE_INTERVAL,
+        },
         rate: 65_536,
     };
     let mut network = SimulatedNetwork::new(peers, Some(config(voters, update_rate)), 3, seed);
-    for number in 0..size {
-        network.start(&format!("r{number}"), SPEEDS[number % SPEEDS.len()]);
+    for index in 0..size {
+        network.start(&format!("r{index}"), SPEEDS[index % SPEEDS.len()]);
     }
     network
 }
 
-pub fn subjects(count: usize) -> Vec<Subject> {
+pub(crate) fn subjects(count: usize) -> Vec<Subject> {
     (0..count)
-        .map(|number| format!("shard-{number}").into_bytes())
+        .map(|index| format!("shard-{index}").into_bytes())
         .collect()
 }
 
-pub fn acquire(network: &mut SimulatedNetwork, number: usize, subjects: &[Subject]) {
-    network.act(number, |host, now| {
+pub(crate) fn acquire(network: &mut SimulatedNetwork, index: usize, subjects: &[Subject]) {
+    network.act(index, |host, now| {
         let leases = host.leases.as_mut().unwrap();
         subjects
             .iter()
-            .for_each(|subject| leases.acquire(subject, now + FOR_LONG, now).unwrap());
+            .for_each(|subject| leases.acquire(subject, now + ONE_HOUR, now).unwrap());
     });
 }
 
-pub fn release(network: &mut SimulatedNetwork, number: usize, subjects: &[Subject]) {
-    network.act(number, |host, now| {
+pub(crate) fn release(network: &mut SimulatedNetwork, index: usize, subjects: &[Subject]) {
+    network.act(index, |host, now| {
         let leases = host.leases.as_mut().unwrap();
         subjects
             .iter()
@@ -72,9 +79,9 @@
     });
 }
 
-/// What a process may act on now, with the epochs.
-pub fn held(network: &SimulatedNetwork, number: usize) -> BTreeMap<Subject, u64> {
-    let host = &network.hosts[number];
+/// The subjects that a process may act on now, with their epochs.
+pub(crate) fn held(network: &SimulatedNetwork, index: usize) -> BTreeMap<Subject, u64> {
+    let host = &network.hosts[index];
     if !host.alive {
         return BTreeMap::new();
     }
@@ -87,24 +94,23 @@
         .collect()
 }
 
-/// Asserts at each look that nobody acts beside another, and that epochs grow from one holding to
-/// the next.
+/// Asserts that no subject has two holders, and that epochs grow from one holding to the next.
 #[derive(Default)]
-pub struct Witness {
+pub(crate) struct HolderChecker {
     last: BTreeMap<Subject, (usize, u64)>,
     pub holdings: usize,
 }
 
-impl Witness {
+impl HolderChecker {
     /// `paused` processes do not act.
-    pub fn look(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
+    pub(crate) fn check(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
         let mut now: BTreeMap<Subject, (usize, u64)> = BTreeMap::new();
-        for number in (0..network.hosts.len()).filter(|number| !paused.contains(number)) {
-            for (subject, epoch) in held(network, number) {
-                let other = now.insert(subject.clone(), (number, epoch));
+        for index in (0..network.hosts.len()).filter(|index| !paused.contains(index)) {
+            for (subject, epoch) in held(network, index) {
+                let other = now.insert(subject.clone(), (index, epoch));
                 assert_eq!(
                     other, None,
-                    "two hold {subject:?} at {:?}, one of them {number}",
+                    "two hold {subject:?} at {:?}, one of them {index}",
                     network.now
                 );
             }
@@ -123,27 +129,32 @@
         }
     }
 
-    pub fn watch(&mut self, network: &mut SimulatedNetwork, span: Duration, paused: &[usize]) {
-        let until = network.now + span;
+    pub(crate) fn check_for(
+        &mut self,
+        network: &mut SimulatedNetwork,
+        duration: Duration,
+        paused: &[usize],
+    ) {
+        let until = network.now + duration;
         while network.now < until {
-            network.run_for(LOOK);
-            self.look(network, paused);
+            network.run_for(CHECK_INTERVAL);
+            self.check(network, paused);
         }
     }
 
-    /// Until that is so, looked at all the time; how long it took.
-    pub fn until(
+    /// Checks until a condition holds, and returns how long that took; `None` after `within`.
+    pub(crate) fn wait_until(
         &mut self,
         network: &mut SimulatedNetwork,
         within: Duration,
-        so: impl Fn(&SimulatedNetwork) -> bool,
+        condition: impl Fn(&SimulatedNetwork) -> bool,
     ) -> Option<Duration> {
         let began = network.now;
-        while !so(network) {
+        while !condition(network) {
             if network.now.duration_since(began) >= within {
                 return None;
             }
-            self.watch(network, LOOK, &[]);
+            self.check_for(network, CHECK_INTERVAL, &[]);
         }
         Some(network.now.duration_since(began))
     }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -1,9 +1,10 @@
-//! Many subjects attached to one session a process: who owns what through faults, over simulated
-//! links and some hundreds of seeds; and what a renewal, an attachment and a take-over cost.
+//! Many subjects attached to one session per process: ownership under faults in a simulated network,
+//! and the cost of a renewal, an attachment and a takeover.
 mod helper;
 
 use helper::{
-    RATE, TERM, VOTERS, Witness, acquire, config, electorate, fleet, held, release, subjects,
+    HolderChecker, TERM, UPDATE_RATE, VOTERS, acquire, config, electorate, held, release,
+    start_network, subjects,
 };
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
@@ -15,37 +16,37 @@
 use thistlecroft_peers::Identity;
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
-/// After a silence from a start, and the rounds that an attachment takes.
+/// The initial silence, and the round trips of an attachment.
 const START: Duration = Duration::from_millis(3_000);
 const SEEDS: u64 = 100;
 
-fn count(network: &SimulatedNetwork, number: usize) -> usize {
-    held(network, number).len()
+fn count(network: &SimulatedNetwork, index: usize) -> usize {
+    held(network, index).len()
 }
 
 fn total(network: &SimulatedNetwork) -> usize {
     (0..network.hosts.len())
-        .map(|number| count(network, number))
+        .map(|index| count(network, index))
         .sum()
 }
 
 #[test]
-fn two_that_want_the_same_subjects_share_them_out_and_both_go_on() {
+fn contenders_for_the_same_subjects_split_them_and_keep_their_parts() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(40),
         );
         network.link_fault.spread = Duration::from_millis(40);
         acquire(&mut network, 3, &all);
         acquire(&mut network, 4, &all);
-        let owned = witness.until(&mut network, START + TERM * 4.0, |network| {
+        let owned = checker.wait_until(&mut network, START + TERM * 4.0, |network| {
             total(network) == all.len()
         });
         assert!(owned.is_some(), "seed {seed}: {} owned", total(&network));
         let before = (held(&network, 3), held(&network, 4));
-        witness.watch(&mut network, TERM * 2.0, &[]);
+        checker.check_for(&mut network, TERM * 2.0, &[]);
         assert_eq!(
             (held(&network, 3), held(&network, 4)),
             before,
@@ -55,24 +56,24 @@
 }
 
 #[test]
-fn an_owner_that_gives_back_a_part_keeps_the_rest_without_a_break() {
+fn owner_that_releases_a_part_keeps_the_rest_without_interruption() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(60),
         );
         network.link_fault.loss = 0.02;
         acquire(&mut network, 3, &all);
-        witness
-            .until(&mut network, START + TERM, |network| {
+        checker
+            .wait_until(&mut network, START + TERM, |network| {
                 count(network, 3) == 60
             })
             .expect("owned");
         let before = held(&network, 3);
         release(&mut network, 3, &all[..20]);
         acquire(&mut network, 4, &all[..20]);
-        let moved = witness.until(&mut network, TERM * 2.0, |network| count(network, 4) == 20);
+        let moved = checker.wait_until(&mut network, TERM * 2.0, |network| count(network, 4) == 20);
         assert!(moved.is_some(), "seed {seed}");
         let kept = held(&network, 3);
         assert!(
@@ -86,27 +87,27 @@
 }
 
 #[test]
-fn a_session_that_lapsed_comes_back_by_a_renewal_with_higher_epochs_if_nobody_took_of_it() {
+fn lapsed_session_is_renewed_with_higher_epochs_if_it_is_complete() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(200),
         );
         acquire(&mut network, 3, &all);
-        witness
-            .until(&mut network, START + TERM, |network| {
+        checker
+            .wait_until(&mut network, START + TERM, |network| {
                 count(network, 3) == 200
             })
             .expect("owned");
         let before = held(&network, 3);
         network.cut(&[3], &[0, 1, 2, 4]);
-        witness.watch(&mut network, TERM * 1.5, &[]);
+        checker.check_for(&mut network, TERM * 1.5, &[]);
         assert_eq!(count(&network, 3), 0, "it stops by its own clock");
         network.heal();
         let sent = network.hosts[3].leases.as_ref().unwrap().counts();
-        witness
-            .until(&mut network, TERM * 2.0, |network| count(network, 3) == 200)
+        checker
+            .wait_until(&mut network, TERM * 2.0, |network| count(network, 3) == 200)
             .expect("owned again");
         assert!(
             held(&network, 3)
@@ -128,65 +129,66 @@
 }
 
 #[test]
-fn a_voter_that_is_lost_and_back_while_hundreds_of_subjects_move_delays_and_doubles_nothing() {
+fn voter_restart_during_a_large_takeover_neither_delays_nor_duplicates() {
     for seed in 1..=SEEDS {
         // At this rate 600 subjects take some seconds.
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, 16_384, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, 16_384, seed),
+            HolderChecker::default(),
             subjects(600),
         );
         network.link_fault.loss = 0.005;
         acquire(&mut network, 3, &all);
-        witness
-            .until(&mut network, START + TERM * 6.0, |network| {
+        checker
+            .wait_until(&mut network, START + TERM * 6.0, |network| {
                 count(network, 3) == 600
             })
             .expect("owned");
         network.kill(3);
         acquire(&mut network, 4, &all);
-        let some = witness.until(&mut network, TERM * 4.0, |network| count(network, 4) > 100);
+        let some = checker.wait_until(&mut network, TERM * 4.0, |network| count(network, 4) > 100);
         assert!(
             some.is_some_and(|_| count(&network, 4) < 600),
             "seed {seed}: in the midst"
         );
         let voter = seed as usize % 3;
         network.kill(voter);
-        witness.watch(&mut network, TERM * 0.2, &[]);
+        checker.check_for(&mut network, TERM * 0.2, &[]);
         network.restart(voter);
-        let taken = witness.until(&mut network, TERM * 6.0, |network| count(network, 4) == 600);
+        let taken =
+            checker.wait_until(&mut network, TERM * 6.0, |network| count(network, 4) == 600);
         assert!(taken.is_some(), "seed {seed}: {}", count(&network, 4));
         // The voter that forgot is told all of it again: another may be lost now.
-        witness.watch(&mut network, TERM * 4.0, &[]);
+        checker.check_for(&mut network, TERM * 4.0, &[]);
         let before = held(&network, 4);
         network.kill((voter + 1) % 3);
-        witness.watch(&mut network, TERM * 2.0, &[]);
+        checker.check_for(&mut network, TERM * 2.0, &[]);
         assert_eq!(held(&network, 4), before, "seed {seed}");
     }
 }
 
 #[test]
-fn with_the_last_majority_lost_nobody_owns_and_once_it_is_back_all_is_owned_with_higher_epochs() {
+fn lost_majority_ends_all_leases_until_it_returns_with_higher_epochs() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(80),
         );
         acquire(&mut network, 3, &all[..40]);
         acquire(&mut network, 4, &all[40..]);
-        witness
-            .until(&mut network, START + TERM, |network| total(network) == 80)
+        checker
+            .wait_until(&mut network, START + TERM, |network| total(network) == 80)
             .expect("owned");
         let before = (held(&network, 3), held(&network, 4));
         network.kill(1);
         network.kill(2);
-        witness.watch(&mut network, TERM * 1.1, &[]);
+        checker.check_for(&mut network, TERM * 1.1, &[]);
         assert_eq!(total(&network), 0, "seed {seed}");
         network.restart(1);
         network.restart(2);
-        witness
-            .until(&mut network, START + TERM * 2.0, |network| {
+        checker
+            .wait_until(&mut network, START + TERM * 2.0, |network| {
                 total(network) == 80
             })
             .expect("owned again");
@@ -206,16 +208,16 @@
 }
 
 #[test]
-fn a_renewal_keeps_nothing_alive_that_its_voter_has_forgotten() {
+fn renewal_does_not_extend_what_its_voter_has_forgotten() {
     for seed in 1..=SEEDS {
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(30),
         );
         acquire(&mut network, 3, &all);
-        witness
-            .until(&mut network, START + TERM, |network| {
+        checker
+            .wait_until(&mut network, START + TERM, |network| {
                 count(network, 3) == 30
             })
             .expect("owned");
@@ -226,79 +228,84 @@
         for voter in [0, 1] {
             network.kill(voter);
             network.restart(voter);
-            witness.watch(&mut network, TERM * 1.6, &[]);
+            checker.check_for(&mut network, TERM * 1.6, &[]);
         }
         network.heal();
-        witness.watch(&mut network, TERM * 3.0, &[]);
+        checker.check_for(&mut network, TERM * 3.0, &[]);
         assert_eq!(total(&network), 30, "seed {seed}");
     }
 }
 
-/// Faults, releases and wishes drawn at random.
-fn shake(network: &mut SimulatedNetwork, witness: &mut Witness, chance: &mut Rng, all: &[Vec<u8>]) {
-    let number = chance.below(5) as usize;
-    let some = chance.below(all.len() as u64) as usize;
+/// Applies a random fault, release or request.
+fn apply_random_fault(
+    network: &mut SimulatedNetwork,
+    checker: &mut HolderChecker,
+    rng: &mut Rng,
+    all: &[Vec<u8>],
+) {
+    let index = rng.below(5) as usize;
+    let some = rng.below(all.len() as u64) as usize;
     let mut paused = Vec::new();
-    match chance.below(8) {
+    match rng.below(8) {
         0 => drop(
             network
                 .links
-                .insert((number, chance.below(5) as usize), LinkFault::CUT),
+                .insert((index, rng.below(5) as usize), LinkFault::CUT),
         ),
         1 => {
-            network.pause(number);
-            paused.push(number);
+            network.pause(index);
+            paused.push(index);
         }
         2 | 3 => {
-            network.kill(number);
-            network.restart(number);
-            acquire(network, number, &all[some..]);
+            network.kill(index);
+            network.restart(index);
+            acquire(network, index, &all[some..]);
         }
-        4 => release(network, number, &all[..some]),
+        4 => release(network, index, &all[..some]),
         5 => {
-            release(network, number, &all[some..]);
-            acquire(network, number, &all[some / 2..]);
+            release(network, index, &all[some..]);
+            acquire(network, index, &all[some / 2..]);
         }
-        6 => acquire(network, number, all),
+        6 => acquire(network, index, all),
         _ => network.heal(),
     }
-    let span = Duration::from_millis(100 + chance.below(2_500));
-    witness.watch(network, span, &paused);
+    let duration = Duration::from_millis(100 + rng.below(2_500));
+    checker.check_for(network, duration, &paused);
     if !paused.is_empty() {
-        network.resume(number);
-        // From the very moment on: it goes on with its old state.
-        witness.look(network, &[]);
+        network.resume(index);
+        // The resumed process continues with its old state.
+        checker.check(network, &[]);
     }
 }
 
 #[test]
-fn faults_releases_and_wishes_drawn_at_random_never_give_two_owners() {
+fn random_faults_and_requests_never_give_two_owners() {
     let mut holdings = 0;
     for seed in 1..=300 {
-        let (mut network, mut witness, all) = (
-            fleet(5, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(5, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(6),
         );
-        let mut chance = Rng::from_seed(seed * 7_919);
+        let mut rng = Rng::from_seed(seed * 7_919);
         network.link_fault = LinkFault {
             loss: 0.05,
             doubled: 0.05,
             spread: Duration::from_millis(150),
             ..network.link_fault
         };
-        (0..5).for_each(|number| acquire(&mut network, number, &all[number..]));
-        witness.watch(&mut network, START, &[]);
+        (0..5).for_each(|index| acquire(&mut network, index, &all[index..]));
+        checker.check_for(&mut network, START, &[]);
         for _ in 0..16 {
-            shake(&mut network, &mut witness, &mut chance, &all);
+            apply_random_fault(&mut network, &mut checker, &mut rng, &all);
         }
         network.heal();
         network.link_fault = LinkFault {
             delay: Duration::from_micros(200),
             ..LinkFault::default()
         };
-        (0..5).for_each(|number| acquire(&mut network, number, &all));
-        let owned = witness.until(&mut network, TERM * 8.0, |network| {
+        (0..5).for_each(|index| acquire(&mut network, index, &all));
+        let owned = checker.wait_until(&mut network, TERM * 8.0, |network| {
             total(network) == all.len()
         });
         assert!(
@@ -306,7 +313,7 @@
             "seed {seed}: {} owned once all is well",
             total(&network)
         );
-        holdings += witness.holdings;
+        holdings += checker.holdings;
     }
     assert!(
         holdings > 6 * 300 * 2,
@@ -315,39 +322,39 @@
 }
 
 #[test]
-fn the_last_step_of_a_change_of_voters_waits_until_what_the_old_ones_granted_is_over() {
+fn last_step_of_a_voter_change_waits_for_earlier_grants_to_expire() {
     for seed in 1..=20 {
-        let (mut network, mut witness, all) = (
-            fleet(6, &VOTERS, RATE, seed),
-            Witness::default(),
+        let (mut network, mut checker, all) = (
+            start_network(6, &VOTERS, UPDATE_RATE, seed),
+            HolderChecker::default(),
             subjects(10),
         );
         acquire(&mut network, 5, &all);
-        witness
-            .until(&mut network, START + TERM, |network| {
+        checker
+            .wait_until(&mut network, START + TERM, |network| {
                 count(network, 5) == 10
             })
             .expect("owned");
         let next = ["r2", "r3", "r4"];
         let joint = LeaseConfig {
             electorate: electorate(2, &next, &VOTERS),
-            ..config(&VOTERS, RATE)
+            ..config(&VOTERS, UPDATE_RATE)
         };
         let last = LeaseConfig {
             electorate: electorate(3, &next, &[]),
-            ..config(&VOTERS, RATE)
+            ..config(&VOTERS, UPDATE_RATE)
         };
-        let change = |network: &mut SimulatedNetwork, number: usize, to: &LeaseConfig| {
+        let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
             let mut done = Ok(());
-            network.act(number, |host, now| {
+            network.act(index, |host, now| {
                 done = host.leases.as_mut().unwrap().change(to.clone(), now)
             });
             done
         };
         // The owner is told of nothing and hears nobody; all others go on as fast as they are let.
         network.cut(&[5], &[0, 1, 2, 3, 4]);
-        (0..5).for_each(|number| change(&mut network, number, &joint).unwrap());
-        witness.watch(&mut network, TERM * 0.4, &[]);
+        (0..5).for_each(|index| change(&mut network, index, &joint).unwrap());
+        checker.check_for(&mut network, TERM * 0.4, &[]);
         assert_eq!(
             change(&mut network, 3, &last),
             Err(ChangeError::NotSettled),
@@ -355,38 +362,38 @@
         );
         acquire(&mut network, 4, &all);
         let began = network.now;
-        while !(0..5).all(|number| change(&mut network, number, &last).is_ok()) {
+        while !(0..5).all(|index| change(&mut network, index, &last).is_ok()) {
             assert!(
                 network.now.duration_since(began) < TERM * 3.0,
                 "seed {seed}: never settled"
             );
-            witness.watch(&mut network, TERM * 0.02, &[]);
+            checker.check_for(&mut network, TERM * 0.02, &[]);
         }
-        witness
-            .until(&mut network, TERM * 2.0, |network| count(network, 4) == 10)
+        checker
+            .wait_until(&mut network, TERM * 2.0, |network| count(network, 4) == 10)
             .expect("owned by the next");
     }
 }
 
 /// Bytes that a process's leases send in so long, and requests.
-fn spent(network: &mut SimulatedNetwork, number: usize, span: Duration) -> (u64, u64) {
+fn spent(network: &mut SimulatedNetwork, index: usize, duration: Duration) -> (u64, u64) {
     let look = |network: &SimulatedNetwork| {
-        let host = &network.hosts[number];
+        let host = &network.hosts[index];
         (
             host.node.counts.sent_bytes,
             host.leases.as_ref().unwrap().counts().requests,
         )
     };
     let before = look(network);
-    network.run_for(span);
+    network.run_for(duration);
     let after = look(network);
     (after.0 - before.0, after.1 - before.1)
 }
 
 #[test]
-fn a_renewal_costs_the_same_whatever_is_owned() {
+fn renewal_cost_is_independent_of_owned_subjects() {
     let cost = |owned: usize| {
-        let mut network = fleet(5, &VOTERS, 1_000_000, 1);
+        let mut network = start_network(5, &VOTERS, 1_000_000, 1);
         acquire(&mut network, 4, &subjects(owned));
         network
             .run_until(START + TERM * 4.0, |network| count(network, 4) == owned)
@@ -409,10 +416,10 @@
 }
 
 #[test]
-fn a_take_over_stays_within_its_rate_and_takes_the_time_that_the_page_says() {
+fn takeover_stays_within_its_rate_and_documented_time() {
     const SUBJECTS: usize = 2_000;
     for rate in [8_192_u32, 32_768] {
-        let (mut network, all) = (fleet(5, &VOTERS, rate, 3), subjects(SUBJECTS));
+        let (mut network, all) = (start_network(5, &VOTERS, rate, 3), subjects(SUBJECTS));
         network.run_for(START * 4.0);
         acquire(&mut network, 4, &all);
         let began = network.now;
@@ -441,8 +448,8 @@
 }
 
 #[test]
-fn what_is_over_a_limit_is_refused_with_a_reason_and_counted() {
-    let mut network = fleet(4, &["r0"], 100_000_000, 1);
+fn request_over_a_limit_is_rejected_with_a_reason_and_counted() {
+    let mut network = start_network(4, &["r0"], 100_000_000, 1);
     let all = subjects(MAX_CLAIMS);
     acquire(&mut network, 3, &all);
     let (mut over, mut long) = (Ok(()), Ok(()));
@@ -463,10 +470,10 @@
 }
 
 #[test]
-fn a_voter_takes_131072_subjects_and_says_that_it_is_full() {
+fn voter_at_its_subject_limit_rejects_more() {
     use thistlecroft_leases::{MAX_VOTER_SUBJECTS, Update};
     let at = |ms: u64| Instant::from_micros(1_000_000 + ms * 1_000);
-    let mut voter = Leases::new(Identity::new("r0", 1), config(&["r0"], RATE), at(0));
+    let mut voter = Leases::new(Identity::new("r0", 1), config(&["r0"], UPDATE_RATE), at(0));
     voter.tick(at(2_000));
     voter.take_outgoing();
     let answer = |voter: &mut Leases, from: &Identity, update: Update| {
@@ -490,7 +497,7 @@
         };
         let session = Some(answer(&mut voter, &from, empty.clone()).session);
         let attach: Vec<Vec<u8>> = (0..each)
-            .map(|number| format!("{relay}-{number}").into_bytes())
+            .map(|index| format!("{relay}-{index}").into_bytes())
             .collect();
         for (sequence, attach) in (2..).zip(attach.chunks(128)) {
             let update = Update {
@@ -512,89 +519,103 @@
     );
 }
 
+const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
+    generation: 1,
+    established: true,
+    epoch: 41,
+};
+
+fn at(ms: u64) -> Instant {
+    Instant::from_micros(1_000_000 + ms * 1_000)
+}
+
+/// The answers in the legacy protocol to a legacy message.
+fn legacy_answers(
+    voter: &mut Leases,
+    from: &Identity,
+    message: &LegacyMessage,
+    ms: u64,
+) -> Vec<LegacyMessage> {
+    voter.receive(from, legacy::CHANNEL, &message.encode(), at(ms));
+    let outgoing = voter.take_outgoing().into_iter();
+    let answers = outgoing
+        .filter(|one| one.channel == legacy::CHANNEL && one.to == To::Process(from.clone()));
+    answers
+        .filter_map(|one| LegacyMessage::decode(&one.bytes))
+        .collect()
+}
+
 #[test]
-fn processes_of_the_protocol_before_are_refused_in_their_words_and_grant_nothing_here() {
-    let at = |ms: u64| Instant::from_micros(1_000_000 + ms * 1_000);
-    let mut voter = Leases::new(Identity::new("r0", 2), config(&["r0"], RATE), at(0));
+fn legacy_processes_are_rejected_in_their_protocol_and_grant_nothing() {
+    let mut voter = Leases::new(Identity::new("r0", 2), config(&["r0"], UPDATE_RATE), at(0));
     let (older, twin) = (Identity::new("a", 1), Identity::new("r0", 1));
-    let legacy_answers = |voter: &mut Leases, from: &Identity, message: &LegacyMessage, ms: u64| {
-        voter.receive(from, legacy::CHANNEL, &message.encode(), at(ms));
-        let out = voter.take_outgoing();
-        let own = out
-            .into_iter()
-            .filter(|one| one.channel == legacy::CHANNEL && one.to == To::Process(from.clone()));
-        own.filter_map(|one| LegacyMessage::decode(&one.bytes))
-            .collect::<Vec<_>>()
-    };
-    // It starts: an older process of its name is told in its own words, and is to vote no more.
+    // At its start it notifies an older process of its name, in the older protocol, to stop voting.
     voter.tick(at(0));
-    let told = voter
+    let sent = voter
         .take_outgoing()
         .into_iter()
         .filter(|one| one.channel == legacy::CHANNEL);
     let recall = LegacyMessage::Recall {
         generation: 1,
-        starts: true,
+        starting: true,
     };
     assert!(
-        told.filter_map(|one| LegacyMessage::decode(&one.bytes))
+        sent.filter_map(|one| LegacyMessage::decode(&one.bytes))
             .any(|message| message == recall)
     );
-    // While that one answers this one is silent, and takes its epoch over.
-    let remembered = LegacyMessage::Remembered {
-        generation: 1,
-        established: true,
-        epoch: 41,
-    };
-    legacy_answers(&mut voter, &twin, &remembered, 1_500);
+    // It is silent while that one answers, and takes over its epoch.
+    legacy_answers(&mut voter, &twin, &REMEMBERED, 1_500);
     voter.tick(at(2_100));
     assert_eq!(voter.vote(at(2_100)), Vote::Silent);
     voter.tick(at(3_500));
     assert_eq!(voter.vote(at(3_500)), Vote::Votes);
     voter.take_outgoing();
-    let ask = LegacyMessage::Ask {
+    let request = LegacyMessage::Request {
         generation: 1,
         subject: b"turn".to_vec(),
         round: 7,
         epoch: 50,
     };
-    let answers = legacy_answers(&mut voter, &older, &ask, 3_600);
-    let why = LegacyReason::Generation {
+    let answers = legacy_answers(&mut voter, &older, &request, 3_600);
+    let reason = LegacyReason::Generation {
         here: NO_GENERATION,
     };
     assert_eq!(
         answers,
-        [LegacyMessage::Refuse {
+        [LegacyMessage::Rejected {
             subject: b"turn".to_vec(),
             round: 7,
-            why
+            reason
         }]
     );
-    let promise = LegacyMessage::Promise {
+    let grant = LegacyMessage::Granted {
         generation: 1,
         subject: b"turn".to_vec(),
         round: 7,
         epoch: 1,
     };
-    assert_eq!(legacy_answers(&mut voter, &older, &promise, 3_600), []);
+    assert_eq!(legacy_answers(&mut voter, &older, &grant, 3_600), []);
     assert_eq!(voter.counts().older_protocol, 3);
     assert_eq!(voter.state(b"turn", at(3_600)), State::Unwanted);
-    // A relay whose voter is older says so.
-    let mut relay = Leases::new(Identity::new("b", 1), config(&["r0"], RATE), at(0));
-    relay.acquire(b"turn", at(60_000), at(0)).unwrap();
+}
+
+#[test]
+fn claim_at_a_legacy_voter_names_the_older_protocol() {
+    let mut process = Leases::new(Identity::new("b", 1), config(&["r0"], UPDATE_RATE), at(0));
+    process.acquire(b"turn", at(60_000), at(0)).unwrap();
     let older_voter = Identity::new("r0", 1);
     for ms in (0..2_000).step_by(50) {
-        relay.tick(at(ms));
-        for outgoing in relay.take_outgoing() {
-            let asked = (outgoing.channel == legacy::CHANNEL)
+        process.tick(at(ms));
+        for outgoing in process.take_outgoing() {
+            let recall = (outgoing.channel == legacy::CHANNEL)
                 .then(|| LegacyMessage::decode(&outgoing.bytes));
-            if let Some(Some(LegacyMessage::Recall { .. })) = asked {
-                relay.receive(&older_voter, legacy::CHANNEL, &remembered.encode(), at(ms));
+            if let Some(Some(LegacyMessage::Recall { .. })) = recall {
+                process.receive(&older_voter, legacy::CHANNEL, &REMEMBERED.encode(), at(ms));
             }
         }
     }
     assert_eq!(
-        relay.state(b"turn", at(2_000)),
+        process.state(b"turn", at(2_000)),
         State::Wanted(Some(Reason::OlderProtocol))
     );
 }
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -9,10 +9,10 @@
 use thistlecroft_peers::{Identity, Pace, Terms as PeerTerms};
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
-const PERIOD: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 const TERM: Duration = Duration::from_millis(2_000);
-const TURN: &[u8] = b"turn";
-/// Two processes whose clocks are both at an edge, and the rest between.
+const SUBJECT: &[u8] = b"turn";
+/// Clock speeds at both limits of the permitted drift, and between them.
 const SPEEDS: [f64; 5] = [1.0 - DRIFT, 1.0 + DRIFT, 1.0, 1.0 - DRIFT, 1.0 + DRIFT];
 
 fn electorate(generation: u32, voters: &[&str], before: &[&str]) -> Electorate {
@@ -20,7 +20,7 @@
     Electorate {
         generation,
         voters: names(voters),
-        before: names(before),
+        previous_voters: names(before),
     }
 }
 
@@ -36,32 +36,37 @@
     let peers = PeerTerms {
         fleet: "test".into(),
         secret: vec![1],
-        pace: Pace { period: PERIOD },
+        pace: Pace {
+            period: PROBE_INTERVAL,
+        },
         rate: 65_536,
     };
     let mut network = SimulatedNetwork::new(peers, Some(config(voters)), 3, seed);
-    for number in 0..count {
-        network.start(&format!("r{number}"), SPEEDS[number % SPEEDS.len()]);
+    for index in 0..count {
+        network.start(&format!("r{index}"), SPEEDS[index % SPEEDS.len()]);
     }
     network
 }
 
-/// Who acts, looked at from outside at each step of true time.
+/// Sees from outside, at each step of true time, who acts.
 #[derive(Default)]
-struct Witness {
+struct HolderChecker {
     holder: Option<(String, u64)>,
     epochs: u64,
     holdings: usize,
-    /// For how long in all, by name.
+    /// The number of steps in which each process acted, by name.
     held: BTreeMap<String, usize>,
 }
 
-impl Witness {
+impl HolderChecker {
     /// `paused` processes do not act; all others that think they may, do.
-    fn look(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
-        let acts = |(number, host): (usize, &thistlecroft_testbed::simulated_network::Host)| {
-            let held = host.leases.as_ref()?.held(TURN, host.clock(network.now))?;
-            (host.alive && !paused.contains(&number)).then(|| (host.name.clone(), held.epoch))
+    fn check(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
+        let acts = |(index, host): (usize, &thistlecroft_testbed::simulated_network::Host)| {
+            let held = host
+                .leases
+                .as_ref()?
+                .held(SUBJECT, host.clock(network.now))?;
+            (host.alive && !paused.contains(&index)).then(|| (host.name.clone(), held.epoch))
         };
         let all: Vec<(String, u64)> = network.hosts.iter().enumerate().filter_map(acts).collect();
         assert!(all.len() <= 1, "{all:?} at {:?}", network.now);
@@ -77,21 +82,21 @@
         }
     }
 
-    fn watch(&mut self, network: &mut SimulatedNetwork, span: Duration, paused: &[usize]) {
-        let until = network.now + span;
+    fn check_for(&mut self, network: &mut SimulatedNetwork, duration: Duration, paused: &[usize]) {
+        let until = network.now + duration;
         while network.now < until {
             network.run_for(Duration::from_millis(5));
-            self.look(network, paused);
+            self.check(network, paused);
         }
     }
 }
 
-fn all_want(network: &mut SimulatedNetwork) {
-    for number in 0..network.hosts.len() {
-        network.act(number, |host, now| {
+fn all_acquire(network: &mut SimulatedNetwork) {
+    for index in 0..network.hosts.len() {
+        network.act(index, |host, now| {
             if let Some(leases) = &mut host.leases {
                 leases
-                    .acquire(TURN, now + Duration::from_millis(3_600_000), now)
+                    .acquire(SUBJECT, now + Duration::from_millis(3_600_000), now)
                     .unwrap();
             }
         });
@@ -104,33 +109,32 @@
             && host
                 .leases
                 .as_ref()
-                .is_some_and(|one| one.held(TURN, host.clock(network.now)).is_some())
+                .is_some_and(|one| one.held(SUBJECT, host.clock(network.now)).is_some())
     })
 }
 
 const VOTERS: [&str; 3] = ["r0", "r1", "r2"];
 
 #[test]
-fn one_holds_after_the_first_silence_and_goes_on_holding() {
+fn first_holder_appears_after_the_initial_silence_and_renews() {
     let mut network = network(5, &VOTERS, 1);
-    let mut witness = Witness::default();
-    all_want(&mut network);
-    witness.watch(&mut network, TERM, &[]);
+    let mut checker = HolderChecker::default();
+    all_acquire(&mut network);
+    checker.check_for(&mut network, TERM, &[]);
     assert_eq!(
-        witness.holdings, 0,
+        checker.holdings, 0,
         "voters that have just started are silent"
     );
-    witness.watch(&mut network, TERM, &[]);
-    assert_eq!(witness.holdings, 1);
-    witness.watch(&mut network, TERM * 10.0, &[]);
-    assert_eq!(witness.holdings, 1, "renewed in time, ten terms long");
+    checker.check_for(&mut network, TERM, &[]);
+    assert_eq!(checker.holdings, 1);
+    checker.check_for(&mut network, TERM * 10.0, &[]);
+    assert_eq!(checker.holdings, 1, "renewed in time, ten terms long");
 }
 
 #[test]
-fn a_holder_that_is_killed_or_released_or_paused_gives_way_and_nobody_acts_beside_it() {
+fn lost_holder_is_replaced_by_exactly_one_other() {
     type Lose = fn(&mut SimulatedNetwork, usize);
-    // What becomes of the holder, and how long others wait at most: its promise, and what an ask
-    // takes.
+    // What happens to the holder, and the longest time to the next one.
     let cases: &[(&str, Lose, Duration)] = &[
         (
             "killed",
@@ -142,7 +146,7 @@
             "released",
             |network, holder| {
                 network.act(holder, |host, now| {
-                    host.leases.as_mut().unwrap().release(TURN, now)
+                    host.leases.as_mut().unwrap().release(SUBJECT, now)
                 })
             },
             TERM * 0.2,
@@ -160,153 +164,152 @@
     for (what, lose, within) in cases {
         for seed in 1..=5 {
             let mut network = network(5, &VOTERS, seed);
-            // Those who do not vote hold, so that a majority stays.
-            let mut witness = Witness::default();
-            for number in [3, 4] {
-                network.act(number, |host, now| {
+            // Processes that do not vote hold the lease, so that a majority of the voters remains.
+            let mut checker = HolderChecker::default();
+            for index in [3, 4] {
+                network.act(index, |host, now| {
                     host.leases
                         .as_mut()
                         .unwrap()
-                        .acquire(TURN, now + Duration::from_millis(3_600_000), now)
+                        .acquire(SUBJECT, now + Duration::from_millis(3_600_000), now)
                         .unwrap();
                 });
             }
-            witness.watch(&mut network, TERM * 3.0, &[]);
+            checker.check_for(&mut network, TERM * 3.0, &[]);
             let holder = held_by(&network).expect("one holds");
             lose(&mut network, holder);
             let paused: &[usize] = if *what == "paused" { &[holder] } else { &[] };
-            witness.watch(&mut network, *within, paused);
+            checker.check_for(&mut network, *within, paused);
             let next = held_by(&network).filter(|next| *next != holder);
             assert!(
-                next.is_some() || *what == "paused" && witness.holdings == 2,
+                next.is_some() || *what == "paused" && checker.holdings == 2,
                 "{what}, seed {seed}"
             );
-            assert_eq!(witness.holdings, 2, "{what}, seed {seed}");
+            assert_eq!(checker.holdings, 2, "{what}, seed {seed}");
             if *what == "paused" {
                 network.run_for(TERM * 10.0);
                 network.resume(holder);
-                // From the very moment on: it goes on with its old state.
-                witness.look(&network, &[]);
-                witness.watch(&mut network, TERM * 3.0, &[]);
-                assert_eq!(witness.holdings, 2, "the one who took over goes on");
+                // The resumed process continues with its old state.
+                checker.check(&network, &[]);
+                checker.check_for(&mut network, TERM * 3.0, &[]);
+                assert_eq!(checker.holdings, 2, "the one who took over goes on");
             }
         }
     }
 }
 
 #[test]
-fn the_side_without_a_majority_gets_none_however_long_and_the_other_goes_on() {
+fn minority_partition_gets_no_lease_while_the_majority_continues() {
     for seed in 1..=5 {
         let mut network = network(5, &["r0", "r1", "r2", "r3", "r4"], seed);
-        let mut witness = Witness::default();
-        all_want(&mut network);
-        witness.watch(&mut network, TERM * 3.0, &[]);
+        let mut checker = HolderChecker::default();
+        all_acquire(&mut network);
+        checker.check_for(&mut network, TERM * 3.0, &[]);
         let holder = held_by(&network).expect("one holds");
         // The holder is on the small side.
         let other = (holder + 1) % 5;
         let rest: Vec<usize> = (0..5)
-            .filter(|number| ![holder, other].contains(number))
+            .filter(|index| ![holder, other].contains(index))
             .collect();
         network.cut(&[holder, other], &rest);
-        // All three that are left have to promise it to the same one of them.
-        witness.watch(&mut network, TERM * 4.0, &[]);
+        // All three remaining voters have to grant it to the same one of them.
+        checker.check_for(&mut network, TERM * 4.0, &[]);
         let next = held_by(&network).expect("the majority has a new one");
         assert!(rest.contains(&next), "seed {seed}");
-        let before = witness.held.clone();
-        witness.watch(&mut network, TERM * 20.0, &[]);
-        for number in [holder, other] {
-            let name = format!("r{number}");
-            assert_eq!(witness.held.get(&name), before.get(&name), "seed {seed}");
+        let before = checker.held.clone();
+        checker.check_for(&mut network, TERM * 20.0, &[]);
+        for index in [holder, other] {
+            let name = format!("r{index}");
+            assert_eq!(checker.held.get(&name), before.get(&name), "seed {seed}");
         }
         network.heal();
-        witness.watch(&mut network, TERM * 5.0, &[]);
-        assert_eq!(witness.holdings, 2);
+        checker.check_for(&mut network, TERM * 5.0, &[]);
+        assert_eq!(checker.holdings, 2);
     }
 }
 
 #[test]
-fn voters_that_restart_one_after_the_other_break_no_promise_and_repeat_no_epoch() {
+fn rolling_voter_restarts_break_no_grant_and_repeat_no_epoch() {
     for seed in 1..=5 {
         let mut network = network(5, &VOTERS, seed);
-        let mut witness = Witness::default();
-        all_want(&mut network);
-        witness.watch(&mut network, TERM * 3.0, &[]);
+        let mut checker = HolderChecker::default();
+        all_acquire(&mut network);
+        checker.check_for(&mut network, TERM * 3.0, &[]);
         for round in 0..6 {
             let voter = round % 3;
             network.kill(voter);
-            witness.watch(&mut network, TERM * 0.3, &[]);
+            checker.check_for(&mut network, TERM * 0.3, &[]);
             network.restart(voter);
-            all_want(&mut network);
-            witness.watch(&mut network, TERM * 2.5, &[]);
+            all_acquire(&mut network);
+            checker.check_for(&mut network, TERM * 2.5, &[]);
         }
-        // And all of them at once: what they promised and knew is forgotten by all, what others
-        // hold is not.
+        // All voters at once: they forget what they granted, but holders still hold it.
         (0..3).for_each(|voter| network.kill(voter));
         (0..3).for_each(|voter| network.restart(voter));
-        all_want(&mut network);
-        witness.watch(&mut network, TERM * 4.0, &[]);
+        all_acquire(&mut network);
+        checker.check_for(&mut network, TERM * 4.0, &[]);
         assert!(held_by(&network).is_some(), "seed {seed}");
     }
 }
 
 #[test]
-fn cuts_pauses_kills_losses_and_doubles_drawn_at_random_never_give_two() {
+fn random_faults_never_give_two_holders() {
     for seed in 1..=12 {
         let mut network = network(5, &VOTERS, seed);
-        let mut witness = Witness::default();
-        let mut chance = Rng::from_seed(seed * 77);
+        let mut checker = HolderChecker::default();
+        let mut rng = Rng::from_seed(seed * 77);
         network.link_fault = LinkFault {
             loss: 0.05,
             doubled: 0.05,
             spread: Duration::from_millis(150),
             ..network.link_fault
         };
-        all_want(&mut network);
+        all_acquire(&mut network);
         for _ in 0..30 {
-            let number = chance.below(5) as usize;
+            let index = rng.below(5) as usize;
             let mut paused = Vec::new();
-            match chance.below(5) {
+            match rng.below(5) {
                 0 => {
-                    let other = chance.below(5) as usize;
-                    network.links.insert((number, other), LinkFault::CUT);
+                    let other = rng.below(5) as usize;
+                    network.links.insert((index, other), LinkFault::CUT);
                 }
                 1 => {
-                    network.pause(number);
-                    paused.push(number);
+                    network.pause(index);
+                    paused.push(index);
                 }
                 2 => {
-                    network.kill(number);
-                    network.restart(number);
-                    all_want(&mut network);
+                    network.kill(index);
+                    network.restart(index);
+                    all_acquire(&mut network);
                 }
                 3 => {
-                    network.act(number, |host, now| {
+                    network.act(index, |host, now| {
                         let leases = host.leases.as_mut().unwrap();
-                        leases.release(TURN, now);
+                        leases.release(SUBJECT, now);
                         leases
-                            .acquire(TURN, now + Duration::from_millis(3_600_000), now)
+                            .acquire(SUBJECT, now + Duration::from_millis(3_600_000), now)
                             .unwrap();
                     });
                 }
                 _ => network.heal(),
             }
-            let span = Duration::from_millis(200 + chance.below(4_000));
-            witness.watch(&mut network, span, &paused);
+            let duration = Duration::from_millis(200 + rng.below(4_000));
+            checker.check_for(&mut network, duration, &paused);
             if !paused.is_empty() {
-                network.resume(number);
-                witness.look(&network, &[]);
+                network.resume(index);
+                checker.check(&network, &[]);
             }
         }
-        assert!(witness.holdings > 0, "seed {seed}");
+        assert!(checker.holdings > 0, "seed {seed}");
     }
 }
 
 #[test]
-fn voters_change_in_two_steps_and_nobody_holds_twice_meanwhile() {
+fn voter_change_in_two_steps_never_gives_two_holders() {
     let mut network = network(5, &VOTERS, 4);
-    let mut witness = Witness::default();
-    all_want(&mut network);
-    witness.watch(&mut network, TERM * 3.0, &[]);
+    let mut checker = HolderChecker::default();
+    all_acquire(&mut network);
+    checker.check_for(&mut network, TERM * 3.0, &[]);
     let joint = LeaseConfig {
         electorate: electorate(2, &["r2", "r3", "r4"], &VOTERS),
         ..config(&VOTERS)
@@ -315,15 +318,15 @@
         electorate: electorate(3, &["r2", "r3", "r4"], &[]),
         ..config(&VOTERS)
     };
-    let change = |network: &mut SimulatedNetwork, number: usize, to: &LeaseConfig| {
+    let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
         let mut done = Ok(());
-        network.act(number, |host, now| {
+        network.act(index, |host, now| {
             let changed = host.leases.as_mut().unwrap().change(to.clone(), now);
             done = changed.map_err(|fault| fault.to_string());
         });
         done
     };
-    // One relay is told late, and one step may not be left out.
+    // One process changes late, and no step may be skipped.
     let skipped = change(&mut network, 0, &last).unwrap_err();
     assert!(skipped.contains("generation: 2 follows 1"), "{skipped}");
     let odd = LeaseConfig {
@@ -342,22 +345,22 @@
             .contains("majority"),
         "nobody else has it yet"
     );
-    witness.watch(&mut network, TERM, &[]);
-    for number in [0, 1, 2, 4] {
-        assert_eq!(change(&mut network, number, &joint), Ok(()));
-        witness.watch(&mut network, TERM * 0.4, &[]);
+    checker.check_for(&mut network, TERM, &[]);
+    for index in [0, 1, 2, 4] {
+        assert_eq!(change(&mut network, index, &joint), Ok(()));
+        checker.check_for(&mut network, TERM * 0.4, &[]);
     }
-    witness.watch(&mut network, TERM * 3.0, &[]);
+    checker.check_for(&mut network, TERM * 3.0, &[]);
     assert!(held_by(&network).is_some());
-    for number in 0..5 {
-        assert_eq!(change(&mut network, number, &last), Ok(()), "r{number}");
-        witness.watch(&mut network, TERM * 0.4, &[]);
+    for index in 0..5 {
+        assert_eq!(change(&mut network, index, &last), Ok(()), "r{index}");
+        checker.check_for(&mut network, TERM * 0.4, &[]);
     }
-    witness.watch(&mut network, TERM * 3.0, &[]);
+    checker.check_for(&mut network, TERM * 3.0, &[]);
     assert!(held_by(&network).is_some());
     network.kill(0);
     network.kill(1);
-    witness.watch(&mut network, TERM * 4.0, &[]);
+    checker.check_for(&mut network, TERM * 4.0, &[]);
     assert!(
         held_by(&network).is_some(),
         "the voters before are not needed any more"
@@ -365,26 +368,31 @@
 }
 
 #[test]
-fn the_inequality_at_its_edges() {
-    // The holder's clock as slow as may be and the voter's as fast, asked and heard at the same
-    // moment, the worst case.
+fn holding_time_is_safe_at_the_drift_limit() {
+    // In the worst case the holder's clock is as slow and the voter's as fast as permitted, and the
+    // request takes no time.
     let held = TERM * ((1.0 - DRIFT) / (1.0 + DRIFT));
     assert_eq!(config(&VOTERS).holding_time(), held);
     let (slow, fast) = (1.0 - DRIFT, 1.0 + DRIFT);
     let true_end = |own: Duration, speed: f64| own.as_micros() as f64 / speed;
     assert!(true_end(held, slow) <= true_end(TERM, fast) + 1.0);
-    // With twice the drift that is allowed it would not hold: the margin is no larger than what is
-    // stated.
+    // Twice the permitted drift would be unsafe: the margin is no larger than necessary.
     let (slower, faster) = (1.0 - 2.0 * DRIFT, 1.0 + 2.0 * DRIFT);
     assert!(true_end(held, slower) > true_end(TERM, faster));
 }
 
-/// A voter alone, asked directly.
+/// A single voter that is sent requests directly.
 struct LoneVoter {
     leases: Leases,
 }
 
 impl LoneVoter {
+    fn new() -> LoneVoter {
+        LoneVoter {
+            leases: Leases::new(Identity::new("r0", 1), config(&["r0"]), at(0)),
+        }
+    }
+
     /// Its answer to that process, if it gives one.
     fn answer(&mut self, from: &Identity, message: Message, ms: u64) -> Option<Message> {
         self.leases.tick(at(ms));
@@ -436,16 +444,13 @@
     matches!(answer, Some(Message::Updated(updated)) if updated.refused.iter().any(held))
 }
 
-fn is_refused_for(answer: Option<Message>, why: &Reason) -> bool {
-    matches!(answer, Some(Message::Refused { reason, .. }) if reason == *why)
+fn is_refused_for(answer: Option<Message>, expected: &Reason) -> bool {
+    matches!(answer, Some(Message::Refused { reason, .. }) if reason == *expected)
 }
 
 #[test]
-fn messages_that_come_late_or_twice_or_with_an_unknown_token_attach_and_free_nothing() {
-    let me = Identity::new("r0", 1);
-    let mut voter = LoneVoter {
-        leases: Leases::new(me, config(&["r0"]), at(0)),
-    };
+fn late_repeated_or_unknown_requests_change_nothing() {
+    let mut voter = LoneVoter::new();
     let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
     let early = voter.answer(&one, update(1, None, &[], &[]), 1_999);
     assert!(
@@ -455,48 +460,48 @@
     let session = voter.session(&one, 2, 2_000);
     assert!(is_attached(voter.answer(
         &one,
-        update(5, Some(session), &[TURN], &[]),
+        update(5, Some(session), &[SUBJECT], &[]),
         2_000
     )));
-    // A detaching that was sent earlier comes later, and the same once more.
+    // An earlier detachment arrives late, and the last request arrives again.
     assert_eq!(
-        voter.answer(&one, update(4, Some(session), &[], &[TURN]), 2_010),
+        voter.answer(&one, update(4, Some(session), &[], &[SUBJECT]), 2_010),
         None
     );
     assert_eq!(
-        voter.answer(&one, update(5, Some(session), &[], &[TURN]), 2_010),
+        voter.answer(&one, update(5, Some(session), &[], &[SUBJECT]), 2_010),
         None
     );
     let others = voter.session(&other, 1, 2_020);
     assert!(is_held_by_another(voter.answer(
         &other,
-        update(2, Some(others), &[TURN], &[]),
+        update(2, Some(others), &[SUBJECT], &[]),
         2_020
     )));
-    // Somebody else's detaching frees nothing, nor does another's token.
+    // A detachment by another process frees nothing, nor does one with another's token.
     assert!(is_attached(voter.answer(
         &other,
-        update(3, Some(others), &[], &[TURN]),
+        update(3, Some(others), &[], &[SUBJECT]),
         2_030
     )));
-    let stolen = voter.answer(&other, update(4, Some(session), &[], &[TURN]), 2_030);
+    let stolen = voter.answer(&other, update(4, Some(session), &[], &[SUBJECT]), 2_030);
     assert!(is_refused_for(stolen, &Reason::UnknownSession));
     assert!(is_held_by_another(voter.answer(
         &other,
-        update(5, Some(others), &[TURN], &[]),
+        update(5, Some(others), &[SUBJECT], &[]),
         2_040
     )));
     assert!(is_attached(voter.answer(
         &one,
-        update(6, Some(session), &[], &[TURN]),
+        update(6, Some(session), &[], &[SUBJECT]),
         2_050
     )));
     assert!(is_attached(voter.answer(
         &other,
-        update(6, Some(others), &[TURN], &[]),
+        update(6, Some(others), &[SUBJECT], &[]),
         2_060
     )));
-    // An attaching that was sent before the detaching comes after it.
+    // An attachment that was sent before a detachment arrives after it.
     assert_eq!(
         voter.answer(&one, update(3, Some(session), &[b"late"], &[]), 2_070),
         None
@@ -506,32 +511,40 @@
         update(7, Some(others), &[b"late"], &[]),
         2_080
     )));
-    // An older generation, and a newer one than is known here.
+}
+
+#[test]
+fn request_of_another_generation_is_rejected() {
+    let mut voter = LoneVoter::new();
+    let one = Identity::new("a", 1);
+    let session = voter.session(&one, 2, 2_000);
     for generation in [0, 2] {
-        let Message::Update(mut asked) = update(9, Some(session), &[], &[]) else {
+        let Message::Update(mut other) = update(9, Some(session), &[], &[]) else {
             unreachable!()
         };
-        asked.generation = generation;
-        let answer = voter.answer(&one, Message::Update(asked), 2_090);
+        other.generation = generation;
+        let answer = voter.answer(&one, Message::Update(other), 2_090);
         assert!(is_refused_for(answer, &Reason::Generation { here: 1 }));
     }
+}
+
+#[test]
+fn malformed_bytes_are_no_message() {
     assert!(Message::decode(&[250, 1, 2]).is_none() && Message::decode(&[]).is_none());
 }
 
 #[test]
-fn a_lapsed_session_goes_on_while_it_is_whole_and_not_after_somebody_took_of_it() {
-    let mut voter = LoneVoter {
-        leases: Leases::new(Identity::new("r0", 1), config(&["r0"]), at(0)),
-    };
+fn lapsed_session_is_renewable_only_while_complete() {
+    let mut voter = LoneVoter::new();
     let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
     let session = voter.session(&one, 1, 2_000);
     assert!(is_attached(voter.answer(
         &one,
-        update(2, Some(session), &[TURN, b"more"], &[]),
+        update(2, Some(session), &[SUBJECT, b"more"], &[]),
         2_000
     )));
     let others = voter.session(&other, 1, 2_000);
-    // Lapsed at 4,000, nobody asked: the same token serves.
+    // The session lapsed at 4,000 ms, but it is still complete: its token is valid.
     assert!(is_attached(voter.answer(
         &one,
         update(3, Some(session), &[], &[]),
@@ -539,33 +552,33 @@
     )));
     assert!(is_held_by_another(voter.answer(
         &other,
-        update(2, Some(others), &[TURN], &[]),
+        update(2, Some(others), &[SUBJECT], &[]),
         6_499
     )));
-    // Lapsed again, and one of two subjects taken: what is left is not to be renewed by the token.
+    // It lapsed again and one of two subjects was taken: its token is not valid any more.
     assert!(is_attached(voter.answer(
         &other,
-        update(3, Some(others), &[TURN], &[]),
+        update(3, Some(others), &[SUBJECT], &[]),
         6_500
     )));
     let renewed = voter.answer(&one, update(4, Some(session), &[], &[]), 6_510);
     assert!(is_refused_for(renewed, &Reason::UnknownSession));
     let anew = voter.session(&one, 5, 6_520);
     assert_ne!(anew, session);
-    let both = voter.answer(&one, update(6, Some(anew), &[TURN, b"more"], &[]), 6_530);
+    let both = voter.answer(&one, update(6, Some(anew), &[SUBJECT, b"more"], &[]), 6_530);
     assert!(matches!(both, Some(Message::Updated(updated)) if updated.refused.len() == 1));
 }
 
 #[test]
-fn of_two_processes_of_one_name_one_votes() {
+fn one_of_two_processes_with_the_same_name_votes() {
     let me = Identity::new("r0", 1);
     let mut voter = LoneVoter {
         leases: Leases::new(me.clone(), config(&["r0"]), at(0)),
     };
     let one = Identity::new("a", 1);
     voter.session(&one, 1, 2_000);
-    // The next process of its name starts: this one votes no more, and that one is silent for a
-    // term from the last word.
+    // When the next process of its name starts, this one stops voting, and that one is silent for a
+    // term after the last message.
     let next = Identity::new("r0", 2);
     voter.answer(
         &next,
@@ -597,5 +610,5 @@
     ));
     let answer = next.answer(&one, update(4, None, &[], &[]), 4_500);
     assert!(matches!(answer, Some(Message::Updated(updated)) if updated.epoch == 9));
-    assert_eq!(next.leases.state(TURN, at(4_500)), State::Unwanted);
+    assert_eq!(next.leases.state(SUBJECT, at(4_500)), State::Unwanted);
 }
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -371,7 +371,7 @@
                     "left_ms": held.until.duration_since(now).as_millis()}),
                 )
             });
-            json!({"vote": leases.vote(now).word(), "generation": electorate.generation,
+            json!({"vote": leases.vote(now).as_str(), "generation": electorate.generation,
                 "settled": leases.is_settled(now), "held": held.collect::<Vec<_>>(), "counts": {
                     "requests": of.requests, "retries": of.retries, "refusals": of.refusals,
                     "sessions_lost": of.sessions_lost, "older_protocol": of.older_protocol,
@@ -417,7 +417,7 @@
     let electorate = Electorate {
         generation: peering.generation,
         voters: names(&peering.voters),
-        before: names(&peering.previous_voters),
+        previous_voters: names(&peering.previous_voters),
     };
     LeaseConfig {
         electorate,
