--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -6,7 +6,9 @@
 //! What it says of a process is an opinion: fast, sometimes wrong, different on either side of a
 //! split. It gives nobody the right to act in another's place; that is a lease
 //! (`thistlecroft-leases`).
+#[path = "snapshots.rs"]
 mod chunks;
+#[path = "shared_state.rs"]
 pub mod facts;
 pub mod gossip;
 pub mod identity;
