--- a/experiments/src/peers.rs
+++ b/experiments/src/peers.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use thistlecroft::time::Duration;
-use thistlecroft_peers::{Kind, MemberState, Pace, Terms};
+use thistlecroft_peers::{EntryKind, MemberState, NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::link_fault::LinkFault;
 use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
@@ -52,19 +52,21 @@
         seed,
         period,
     } = trial;
-    let pace = Pace { period };
-    let terms = Terms {
+    let pace = ProtocolTiming {
+        probe_interval: period,
+    };
+    let terms = NodeConfig {
         fleet: "network".into(),
         secret: vec![7; 16],
-        pace,
-        rate: 32_768,
+        timing: pace,
+        max_bytes_per_second: 32_768,
     };
     let mut network = SimulatedNetwork::new(terms, None, 3, seed);
     for number in 0..size {
         network.start(&format!("r{number}"), 1.0);
     }
     let mut found = Found {
-        bound: pace.gone_within(size, 0).as_micros() as f64 / period.as_micros() as f64,
+        bound: pace.detection_bound(size, 0).as_micros() as f64 / period.as_micros() as f64,
         ..Found::default()
     };
     found.join = in_periods(
@@ -100,13 +102,14 @@
     found.suspicions = (turns(&network, MemberState::Suspect) - before.1) / quiet * 3_600.0;
     found.false_gone = (turns(&network, MemberState::Dead) - before.2) / quiet * 3_600.0;
     network.act(size / 2, |host, now| {
-        host.node.announce(Kind::Note, b"subject", b"value", now);
+        host.node
+            .announce(EntryKind::Note, b"subject", b"value", now);
     });
     let known = |network: &SimulatedNetwork| {
         let knows = |host: &Host| {
             host.node
-                .facts()
-                .of_kind(Kind::Note, host.clock(network.now))
+                .shared_state()
+                .of_kind(EntryKind::Note, host.clock(network.now))
                 .next()
                 .is_some()
         };
@@ -154,7 +157,9 @@
         seed,
         period,
     } = trial;
-    let pace = Pace { period };
+    let pace = ProtocolTiming {
+        probe_interval: period,
+    };
     let folder = folder.join(format!("peers-{size}"));
     let lease = Duration::from_millis(2_000);
     let mut plan = ClusterPlan::small(program.to_vec(), size, 3.min(size), (period, lease), folder);
@@ -167,7 +172,7 @@
         views.filter_map(|view| view["counts"][name].as_u64()).sum()
     };
     let mut found = Found {
-        bound: pace.gone_within(size, 0).as_micros() as f64 / period.as_micros() as f64,
+        bound: pace.detection_bound(size, 0).as_micros() as f64 / period.as_micros() as f64,
         ..Found::default()
     };
     found.join = in_periods(rig.wait(period * 400.0, |rig| rig.agree(&all)), period);
--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -2,7 +2,7 @@
 use serde::{Deserialize, Serialize};
 use thistlecroft::time::Duration;
 use thistlecroft_leases::{Electorate, LeaseConfig, MAX_VOTER_SUBJECTS};
-use thistlecroft_peers::{Pace, Terms};
+use thistlecroft_peers::{NodeConfig, ProtocolTiming};
 
 /// The part of a relay's rate that attaching and detaching subjects may take, as in the relay.
 const UPDATE_SHARE: u32 = 2;
@@ -157,14 +157,14 @@
         }
     }
 
-    pub fn peer_terms(&self, role: Role) -> Terms {
-        Terms {
+    pub fn peer_terms(&self, role: Role) -> NodeConfig {
+        NodeConfig {
             fleet: "scale".into(),
             secret: b"a key for scale tests alone".to_vec(),
-            pace: Pace {
-                period: self.period(),
+            timing: ProtocolTiming {
+                probe_interval: self.period(),
             },
-            rate: self.rate_of(role),
+            max_bytes_per_second: self.rate_of(role),
         }
     }
 
--- a/experiments/src/scale/meter.rs
+++ b/experiments/src/scale/meter.rs
@@ -30,13 +30,13 @@
     pub fn second(&mut self, counts: &Counts) {
         let sent =
             bytes(counts.sent_bytes, counts.sent) - bytes(self.before.sent_bytes, self.before.sent);
-        let received = bytes(counts.heard_bytes, counts.heard)
-            - bytes(self.before.heard_bytes, self.before.heard);
+        let received = bytes(counts.received_bytes, counts.received)
+            - bytes(self.before.received_bytes, self.before.received);
         let phase = &mut self.phase;
         (phase.sent, phase.received) = (phase.sent + sent, phase.received + received);
         phase.worst_sent = phase.worst_sent.max(sent);
         phase.worst_received = phase.worst_received.max(received);
-        phase.held_back += counts.held_back - self.before.held_back;
+        phase.held_back += counts.rate_limited - self.before.rate_limited;
         phase.seconds += 1;
         self.before = *counts;
     }
--- a/experiments/src/scale/real.rs
+++ b/experiments/src/scale/real.rs
@@ -99,7 +99,10 @@
             };
             let (new, old) = (&now.counts, &before.counts);
             let sent = bytes(new.sent_bytes - old.sent_bytes, new.sent - old.sent);
-            let received = bytes(new.heard_bytes - old.heard_bytes, new.heard - old.heard);
+            let received = bytes(
+                new.received_bytes - old.received_bytes,
+                new.received - old.received,
+            );
             figures.sent_least = figures.sent_least.min(sent);
             figures.sent_most = figures.sent_most.max(sent);
             figures.sent_mean += sent / each;
@@ -125,8 +128,8 @@
         let counts = Counts {
             sent: count(&view, "sent"),
             sent_bytes: count(&view, "sent_bytes"),
-            heard: count(&view, "heard"),
-            heard_bytes: count(&view, "heard_bytes"),
+            received: count(&view, "heard"),
+            received_bytes: count(&view, "heard_bytes"),
             ..Counts::default()
         };
         Sample { counts, cpu_s }
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -101,7 +101,7 @@
         for member in 0..layout.size() {
             if member == config.voters {
                 network.set_rates(
-                    config.peer_terms(Role::Relay).rate,
+                    config.peer_terms(Role::Relay).max_bytes_per_second,
                     config.lease_config(Role::Relay).update_rate,
                 );
             }
--- a/experiments/src/scale/worker.rs
+++ b/experiments/src/scale/worker.rs
@@ -14,7 +14,7 @@
 use std::sync::mpsc::{Receiver, channel};
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
-use thistlecroft_peers::wire::MOST;
+use thistlecroft_peers::wire::MAX_DATAGRAM_BYTES;
 use thistlecroft_peers::{Event as PeerEvent, Identity, Node};
 
 /// Datagrams of one socket read in a turn.
@@ -67,7 +67,7 @@
     }
 
     fn read(&mut self) {
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..DATAGRAMS {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, source)) => self.node.receive(&bytes[..length], source, now()),
--- a/leases/src/outgoing.rs
+++ b/leases/src/outgoing.rs
@@ -2,7 +2,7 @@
 use crate::legacy::{self, LegacyMessage};
 use crate::message::{CHANNEL, Message};
 use compact_str::CompactString;
-use thistlecroft_peers::{Identity, MemberState, Node, View};
+use thistlecroft_peers::{Identity, MemberState, MemberView, Node};
 
 /// The recipients of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -27,7 +27,7 @@
             let members = node.members();
             members.filter(|view| view.state <= MemberState::Suspect)
         };
-        let id = |view: View<'_>| view.id.clone();
+        let id = |view: MemberView<'_>| view.id.clone();
         match self {
             To::Process(id) => vec![id.clone()],
             To::Voter(name) => live()
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::Duration;
 use thistlecroft_leases::{DRIFT, Electorate, LeaseConfig, Subject};
-use thistlecroft_peers::{Pace, Terms as PeerTerms};
+use thistlecroft_peers::{NodeConfig as PeerTerms, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::SimulatedNetwork;
 
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(200);
@@ -43,10 +43,10 @@
     let peers = PeerTerms {
         fleet: "test".into(),
         secret: vec![1],
-        pace: Pace {
-            period: PROBE_INTERVAL,
+        timing: ProtocolTiming {
+            probe_interval: PROBE_INTERVAL,
         },
-        rate: 65_536,
+        max_bytes_per_second: 65_536,
     };
     let mut network = SimulatedNetwork::new(peers, Some(config(voters, update_rate)), 3, seed);
     for index in 0..size {
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -6,7 +6,7 @@
 use thistlecroft_leases::{
     DRIFT, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update,
 };
-use thistlecroft_peers::{Identity, Pace, Terms as PeerTerms};
+use thistlecroft_peers::{Identity, NodeConfig as PeerTerms, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
@@ -36,10 +36,10 @@
     let peers = PeerTerms {
         fleet: "test".into(),
         secret: vec![1],
-        pace: Pace {
-            period: PROBE_INTERVAL,
+        timing: ProtocolTiming {
+            probe_interval: PROBE_INTERVAL,
         },
-        rate: 65_536,
+        max_bytes_per_second: 65_536,
     };
     let mut network = SimulatedNetwork::new(peers, Some(config(voters)), 3, seed);
     for index in 0..count {
--- a/peers/src/gossip.rs
+++ b/peers/src/gossip.rs
@@ -1,72 +1,80 @@
-//! What is new and how often it was passed on: the least often first, each some times the logarithm
-//! of the fleet's size.
-use crate::facts::Key;
+//! The queue of updates to spread by gossip. Each is sent a number of times that grows with the
+//! logarithm of the fleet's size; the updates that were sent least often go first.
 use crate::identity::Identity;
+use crate::shared_state::EntryKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// About what; the row itself is looked up when it is sent, so that it is always the newest.
+/// What an update is about. Its content is looked up when it is sent, so that it is always current.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum About {
+pub(crate) enum Update {
     Member(Identity),
-    Fact(Key),
+    Entry(EntryKey),
 }
 
-/// Times the logarithm (base 2) of the size.
-const TIMES: u32 = 3;
+/// An update is sent this many times the binary logarithm of the fleet's size.
+const RETRANSMIT_FACTOR: u32 = 3;
+
+/// The position of an update in the queue.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Position {
+    times_sent: u32,
+    /// Falls with each update, so that newer ones go first among those sent equally often.
+    reverse_serial: u64,
+}
 
 #[derive(Clone, Debug, Default)]
-pub struct Gossip {
-    order: BTreeSet<(u32, u64, About)>,
-    places: BTreeMap<About, (u32, u64)>,
+pub(crate) struct Gossip {
+    queue: BTreeSet<(Position, Update)>,
+    positions: BTreeMap<Update, Position>,
     serial: u64,
 }
 
-/// How often a piece of news is passed on by one relay in a fleet of that size.
-pub fn times(size: usize) -> u32 {
-    TIMES * (usize::BITS - size.leading_zeros()).max(1)
+/// How often one relay sends an update in a fleet of this size.
+fn max_transmissions(size: usize) -> u32 {
+    RETRANSMIT_FACTOR * (usize::BITS - size.leading_zeros()).max(1)
 }
 
 impl Gossip {
-    pub fn add(&mut self, about: About) {
-        self.remove(&about);
-        self.put(0, about);
+    /// Queues an update, as one that was never sent.
+    pub(crate) fn add(&mut self, update: Update) {
+        self.remove(&update);
+        self.insert(0, update);
     }
 
-    pub fn remove(&mut self, about: &About) {
-        if let Some((count, serial)) = self.places.remove(about) {
-            self.order.remove(&(count, serial, about.clone()));
+    pub(crate) fn remove(&mut self, update: &Update) {
+        if let Some(position) = self.positions.remove(update) {
+            self.queue.remove(&(position, update.clone()));
         }
     }
 
-    fn put(&mut self, count: u32, about: About) {
-        // Among the equally often sent the newest first.
+    fn insert(&mut self, times_sent: u32, update: Update) {
         self.serial += 1;
-        let serial = u64::MAX - self.serial;
-        self.places.insert(about.clone(), (count, serial));
-        self.order.insert((count, serial, about));
-    }
-
-    pub fn is_empty(&self) -> bool {
-        self.order.is_empty()
+        let position = Position {
+            times_sent,
+            reverse_serial: u64::MAX - self.serial,
+        };
+        self.positions.insert(update.clone(), position);
+        self.queue.insert((position, update));
     }
 
-    pub fn len(&self) -> usize {
-        self.order.len()
+    pub(crate) fn is_empty(&self) -> bool {
+        self.queue.is_empty()
     }
 
-    /// In the order in which they are to go.
-    pub fn iter(&self) -> impl Iterator<Item = &About> {
-        self.order.iter().map(|(.., about)| about)
+    /// All updates, in the order in which to send them.
+    pub(crate) fn iter(&self) -> impl Iterator<Item = &Update> {
+        self.queue.iter().map(|(_, update)| update)
     }
 
-    pub fn sent(&mut self, all: &[About], size: usize) {
-        for about in all {
-            let Some(&(count, _)) = self.places.get(about) else {
+    /// Counts a transmission of these updates and drops those that were sent often enough.
+    pub(crate) fn note_sent(&mut self, updates: &[Update], size: usize) {
+        for update in updates {
+            let Some(&Position { times_sent, .. }) = self.positions.get(update) else {
                 continue;
             };
-            self.remove(about);
-            if count + 1 < times(size) {
-                self.put(count + 1, about.clone());
+            self.remove(update);
+            if times_sent + 1 < max_transmissions(size) {
+                self.insert(times_sent + 1, update.clone());
             }
         }
     }
--- a/peers/src/identity.rs
+++ b/peers/src/identity.rs
@@ -1,21 +1,24 @@
-//! Who is meant. A process, not a machine: each start draws a run number, so that two processes of
-//! one name are told apart.
+//! The identity of a process, and what other processes think of it.
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
 /// The longest name, in bytes.
-pub const LONGEST_NAME: usize = 32;
+pub const MAX_NAME_BYTES: usize = 32;
 
-/// A process of the fleet: its relay's name and a number drawn at its start.
+/// A process of the fleet. Each start draws a run number, which distinguishes processes of the same
+/// name.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Identity {
+    /// The relay's name.
     pub name: CompactString,
+    /// A random number drawn at the start of the process.
     pub run: u64,
 }
 
 impl Identity {
+    /// The process with this name and run number.
     pub fn new(name: &str, run: u64) -> Identity {
         Identity {
             name: name.into(),
@@ -30,21 +33,23 @@
     }
 }
 
-/// What is thought of a process. Of two opinions of one incarnation the later in this order counts.
+/// The state of a member. Of two opinions about the same incarnation, the one with the later state
+/// in this order counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
     /// It answers.
     Alive,
-    /// It did not answer some of late: others prepare, nobody acts in its place.
+    /// Some relay got no answer from it. Others prepare, but nobody acts in its place.
     Suspect,
-    /// It has not answered for as long as was allowed: what it held may be asked for, by lease.
+    /// It did not refute a suspicion in time. Its duties may be taken over, by lease.
     Dead,
-    /// It said that it leaves, or another process has its address: it does not come back.
+    /// It has shut down, or another process has its address. It does not come back.
     Left,
 }
 
 impl MemberState {
-    pub fn word(self) -> &'static str {
+    /// The name of this state in logs and reports.
+    pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "here",
             MemberState::Suspect => "suspected",
@@ -54,13 +59,17 @@
     }
 }
 
-/// An opinion as it is passed on.
+/// An opinion about a member, as relays exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Row {
+pub struct MemberRecord {
+    /// The member.
     pub id: Identity,
+    /// Where it receives datagrams.
     pub at: SocketAddr,
+    /// The incarnation that the opinion is about. A process raises its own to refute an opinion.
     pub incarnation: u32,
+    /// The opinion.
     pub state: MemberState,
-    /// Whose suspicion it is.
+    /// Who raised the suspicion, if it is one.
     pub accuser: Option<Identity>,
 }
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -1,103 +1,164 @@
-//! Who is here, suspected, gone: opinions merged as SWIM has it, with Lifeguard's suspicions, whose
-//! time shortens the more accuse.
-use crate::Pace;
-use crate::identity::{Identity, MemberState, Row};
+//! The members of the fleet. Opinions are merged as in SWIM, with the suspicions of Lifeguard, which
+//! time out sooner the more members accuse.
+use crate::ProtocolTiming;
+use crate::identity::{Identity, MemberRecord, MemberState};
 use crate::wire::ReplayWindow;
+use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
 
-/// Accusers beside the first that shorten a suspicion to its least.
-const ENOUGH: usize = 3;
+/// Accusers in addition to the first that shorten a suspicion to its shortest time.
+const CONFIRMING_ACCUSERS: usize = 3;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Suspicion {
-    began: Instant,
+pub(crate) struct Suspicion {
+    started: Instant,
     accusers: BTreeSet<Identity>,
-    least: Duration,
-    most: Duration,
+    shortest: Duration,
+    longest: Duration,
 }
 
 impl Suspicion {
-    /// `most` with one accuser, `least` with as many as are enough, by the logarithm in between.
-    pub fn until(&self) -> Instant {
+    fn new(record: &MemberRecord, size: usize, timing: &ProtocolTiming, now: Instant) -> Suspicion {
+        let (shortest, longest) = timing.suspicion_timeouts(size);
+        Suspicion {
+            started: now,
+            accusers: record.accuser.iter().cloned().collect(),
+            shortest,
+            longest,
+        }
+    }
+
+    /// The longest time with one accuser, the shortest with enough, interpolated by the logarithm.
+    pub(crate) fn until(&self) -> Instant {
         let others = self.accusers.len().saturating_sub(1) as f64;
-        let part = (others + 1.0).ln() / (ENOUGH as f64 + 1.0).ln();
-        self.began + (self.most - (self.most - self.least) * part).max(self.least)
+        let part = (others + 1.0).ln() / (CONFIRMING_ACCUSERS as f64 + 1.0).ln();
+        self.started + (self.longest - (self.longest - self.shortest) * part).max(self.shortest)
     }
 }
 
 #[derive(Clone, Debug)]
-pub struct Member {
+pub(crate) struct Member {
     pub at: SocketAddr,
     pub incarnation: u32,
     pub state: MemberState,
-    /// Since when it stands so here.
+    /// Since when it has this state.
     pub since: Instant,
-    /// When it was last heard from directly.
-    pub heard: Option<Instant>,
+    /// When its last datagram arrived.
+    pub last_received: Option<Instant>,
     pub suspicion: Option<Suspicion>,
     pub window: ReplayWindow,
 }
 
-/// What an opinion came to.
+impl Member {
+    /// A member that becomes known by this opinion.
+    fn new(record: &MemberRecord, size: usize, timing: &ProtocolTiming, now: Instant) -> Member {
+        let is_suspicion = record.state == MemberState::Suspect;
+        Member {
+            at: record.at,
+            incarnation: record.incarnation,
+            state: record.state,
+            since: now,
+            last_received: None,
+            suspicion: is_suspicion.then(|| Suspicion::new(record, size, timing, now)),
+            window: ReplayWindow::default(),
+        }
+    }
+
+    /// Adds an accuser to a suspicion that has not enough of them.
+    fn add_accuser(&mut self, accuser: Option<&Identity>) -> Merged {
+        let (Some(suspicion), Some(accuser)) = (&mut self.suspicion, accuser) else {
+            return Merged::Unchanged;
+        };
+        let has_enough = suspicion.accusers.len() > CONFIRMING_ACCUSERS;
+        if !has_enough && suspicion.accusers.insert(accuser.clone()) {
+            Merged::Updated
+        } else {
+            Merged::Unchanged
+        }
+    }
+
+    /// Replaces an older opinion.
+    fn update(
+        &mut self,
+        record: &MemberRecord,
+        size: usize,
+        timing: &ProtocolTiming,
+        now: Instant,
+    ) -> Merged {
+        if record.incarnation > self.incarnation {
+            self.at = record.at;
+        }
+        self.incarnation = record.incarnation;
+        let is_suspicion = record.state == MemberState::Suspect;
+        self.suspicion = is_suspicion.then(|| Suspicion::new(record, size, timing, now));
+        if self.state == record.state {
+            return Merged::Updated;
+        }
+        (self.state, self.since) = (record.state, now);
+        Merged::StateChanged
+    }
+}
+
+/// The effect of an opinion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
+pub(crate) enum Merged {
     Unchanged,
-    /// It is to be passed on.
+    /// It is news, to be spread.
     Updated,
-    /// And the member is in another state than before.
+    /// It is news and has changed the state of the member.
     StateChanged,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct MemberList {
+pub(crate) struct MemberList {
     members: BTreeMap<Identity, Member>,
-    /// Of them those that are here or suspected, counted; and those that are suspected.
+    /// The number of members that are alive or suspect.
     live: usize,
     suspects: BTreeSet<Identity>,
 }
 
 impl MemberList {
-    pub fn members(&self) -> impl Iterator<Item = (&Identity, &Member)> {
+    pub(crate) fn members(&self) -> impl Iterator<Item = (&Identity, &Member)> {
         self.members.iter()
     }
 
-    pub fn get(&self, id: &Identity) -> Option<&Member> {
+    pub(crate) fn get(&self, id: &Identity) -> Option<&Member> {
         self.members.get(id)
     }
 
-    /// A datagram of it has come; false for one that came before.
-    pub fn heard(&mut self, id: &Identity, serial: u64, now: Instant) -> bool {
+    /// Notes a datagram of a member; false for one that arrived before.
+    pub(crate) fn note_received(&mut self, id: &Identity, serial: u64, now: Instant) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return true;
         };
-        let fresh = member.window.accept(serial);
-        if fresh {
-            member.heard = Some(now);
+        let is_new = member.window.accept(serial);
+        if is_new {
+            member.last_received = Some(now);
         }
-        fresh
+        is_new
     }
 
-    pub fn live_count(&self) -> usize {
+    pub(crate) fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Those that may be counted on to answer, or may yet.
-    pub fn live(&self) -> impl Iterator<Item = (&Identity, &Member)> {
+    /// The members that are alive or suspect.
+    pub(crate) fn live(&self) -> impl Iterator<Item = (&Identity, &Member)> {
         self.members
             .iter()
             .filter(|(_, member)| member.state <= MemberState::Suspect)
     }
 
-    pub fn row(&self, id: &Identity) -> Option<Row> {
+    pub(crate) fn record(&self, id: &Identity) -> Option<MemberRecord> {
         let member = self.members.get(id)?;
         let accuser = member
             .suspicion
             .as_ref()
             .and_then(|one| one.accusers.first().cloned());
         let (at, incarnation, state) = (member.at, member.incarnation, member.state);
-        Some(Row {
+        Some(MemberRecord {
             id: id.clone(),
             at,
             incarnation,
@@ -106,93 +167,66 @@
         })
     }
 
-    /// An opinion about another process. The one function in which a member changes its state.
-    pub fn merge(&mut self, row: &Row, pace: &Pace, now: Instant) -> Merged {
-        let live =
+    /// Merges an opinion about another process. No other function changes the state of a member.
+    pub(crate) fn merge(
+        &mut self,
+        record: &MemberRecord,
+        timing: &ProtocolTiming,
+        now: Instant,
+    ) -> Merged {
+        let is_live =
             |member: Option<&Member>| member.is_some_and(|one| one.state <= MemberState::Suspect);
-        let was = live(self.members.get(&row.id));
-        let merged = self.merged(row, self.live + 1, pace, now);
-        let member = self.members.get(&row.id);
-        self.live = self.live + usize::from(live(member)) - usize::from(was);
+        let was_live = is_live(self.members.get(&record.id));
+        let merged = self.merge_opinion(record, self.live + 1, timing, now);
+        let member = self.members.get(&record.id);
+        self.live = self.live + usize::from(is_live(member)) - usize::from(was_live);
         if member.is_some_and(|member| member.suspicion.is_some()) {
-            self.suspects.insert(row.id.clone());
+            self.suspects.insert(record.id.clone());
         } else {
-            self.suspects.remove(&row.id);
+            self.suspects.remove(&record.id);
         }
         merged
     }
 
-    fn merged(&mut self, row: &Row, size: usize, pace: &Pace, now: Instant) -> Merged {
-        let Some(member) = self.members.get_mut(&row.id) else {
-            let mut member = Member {
-                at: row.at,
-                incarnation: row.incarnation,
-                state: row.state,
-                since: now,
-                heard: None,
-                suspicion: None,
-                window: ReplayWindow::default(),
-            };
-            if row.state == MemberState::Suspect {
-                member.suspicion = Some(suspicion(row, size, pace, now));
-            }
-            self.members.insert(row.id.clone(), member);
+    fn merge_opinion(
+        &mut self,
+        record: &MemberRecord,
+        size: usize,
+        timing: &ProtocolTiming,
+        now: Instant,
+    ) -> Merged {
+        let Some(member) = self.members.get_mut(&record.id) else {
+            let member = Member::new(record, size, timing, now);
+            self.members.insert(record.id.clone(), member);
             return Merged::StateChanged;
         };
-        let (old, new) = (
-            (member.incarnation, member.state),
-            (row.incarnation, row.state),
-        );
-        // Who has left does not come back, whatever is still under way; who was thought gone may,
-        // by saying so.
+        // A member that has left does not come back, whatever arrives late. A dead one may, with a
+        // higher incarnation.
         if member.state == MemberState::Left {
             return Merged::Unchanged;
         }
-        if row.state == MemberState::Left {
-            (member.incarnation, member.state) =
-                (row.incarnation.max(member.incarnation), MemberState::Left);
-            (member.since, member.suspicion) = (now, None);
+        if record.state == MemberState::Left {
+            member.incarnation = record.incarnation.max(member.incarnation);
+            (member.state, member.since) = (MemberState::Left, now);
+            member.suspicion = None;
             return Merged::StateChanged;
         }
-        if new == old {
-            return match (&mut member.suspicion, &row.accuser) {
-                (Some(suspicion), Some(accuser)) if suspicion.accusers.len() <= ENOUGH => {
-                    if suspicion.accusers.insert(accuser.clone()) {
-                        Merged::Updated
-                    } else {
-                        Merged::Unchanged
-                    }
-                }
-                _ => Merged::Unchanged,
-            };
-        }
-        if new < old {
-            return Merged::Unchanged;
-        }
-        if row.incarnation > member.incarnation {
-            member.at = row.at;
-        }
-        member.incarnation = row.incarnation;
-        let turned = member.state != row.state;
-        let resuspected = row.state == MemberState::Suspect;
-        member.suspicion = resuspected.then(|| suspicion(row, size, pace, now));
-        if turned {
-            (member.state, member.since) = (row.state, now);
-        }
-        if turned {
-            Merged::StateChanged
-        } else {
-            Merged::Updated
+        let old = (member.incarnation, member.state);
+        let new = (record.incarnation, record.state);
+        match new.cmp(&old) {
+            Ordering::Less => Merged::Unchanged,
+            Ordering::Equal => member.add_accuser(record.accuser.as_ref()),
+            Ordering::Greater => member.update(record, size, timing, now),
         }
     }
 
-    /// Whose time to answer for itself is over.
-    pub fn overdue(&self, now: Instant) -> Vec<Identity> {
-        let over = |id: &&Identity| self.suspicion(id).is_some_and(|one| one.until() <= now);
-        self.suspects.iter().filter(over).cloned().collect()
+    /// The members whose suspicion has timed out.
+    pub(crate) fn expired_suspicions(&self, now: Instant) -> Vec<Identity> {
+        let is_expired = |id: &&Identity| self.suspicion(id).is_some_and(|one| one.until() <= now);
+        self.suspects.iter().filter(is_expired).cloned().collect()
     }
 
-    pub fn next_overdue(&self) -> Option<Instant> {
+    pub(crate) fn next_suspicion_expiry(&self) -> Option<Instant> {
         self.suspects
             .iter()
             .filter_map(|id| self.suspicion(id))
@@ -204,38 +238,28 @@
         self.members.get(id)?.suspicion.as_ref()
     }
 
-    /// This process stood still for so long, in which it could not have heard a refutation.
-    pub fn put_off(&mut self, by: Duration) {
+    /// Extends all suspicions by the time of a pause, in which no refutation could arrive.
+    pub(crate) fn extend_suspicions(&mut self, by: Duration) {
         for member in self.members.values_mut() {
             member
                 .suspicion
                 .iter_mut()
-                .for_each(|one| one.began = one.began + by);
+                .for_each(|one| one.started = one.started + by);
         }
     }
 
-    /// Rows of the dead are kept so that what is still under way does not bring them back.
-    pub fn reap(&mut self, kept: Duration, now: Instant) -> Vec<Identity> {
-        let over = |member: &Member| {
-            member.state >= MemberState::Dead && now.duration_since(member.since) >= kept
+    /// Removes dead members after the retention time. Until then late datagrams can't revive them.
+    pub(crate) fn remove_expired(&mut self, retention: Duration, now: Instant) -> Vec<Identity> {
+        let is_expired = |member: &Member| {
+            member.state >= MemberState::Dead && now.duration_since(member.since) >= retention
         };
         let gone = self
             .members
             .iter()
-            .filter(|(_, member)| over(member))
+            .filter(|(_, member)| is_expired(member))
             .map(|(id, _)| id.clone());
         let gone: Vec<Identity> = gone.collect();
         gone.iter().for_each(|id| drop(self.members.remove(id)));
         gone
     }
 }
-
-fn suspicion(row: &Row, size: usize, pace: &Pace, now: Instant) -> Suspicion {
-    let (least, most) = pace.suspicion(size);
-    Suspicion {
-        began: now,
-        accusers: row.accuser.iter().cloned().collect(),
-        least,
-        most,
-    }
-}
--- /dev/null
+++ b/peers/src/node/commands.rs
@@ -0,0 +1,84 @@
+//! What callers make a node do.
+use super::{INDIRECT_PROBE_HELPERS, Node};
+use crate::gossip::Update;
+use crate::identity::{Identity, MemberState};
+use crate::shared_state::{EntryKey, EntryKind};
+use crate::wire::Body;
+use std::net::SocketAddr;
+use thistlecroft::time::Instant;
+
+/// How many members a shutdown is announced to; gossip carries it on from there.
+const LEAVE_FANOUT: usize = INDIRECT_PROBE_HELPERS * 4;
+
+impl Node {
+    /// Announces an entry of the shared state to the fleet, or a new value of one. False where it is
+    /// too long, or this process has too many.
+    pub fn announce(
+        &mut self,
+        kind: EntryKind,
+        subject: &[u8],
+        value: &[u8],
+        now: Instant,
+    ) -> bool {
+        let state = &mut self.shared_state;
+        let is_accepted = state.announce(&self.me, kind, subject, value, now);
+        if is_accepted {
+            self.gossip.add(Update::Entry(EntryKey {
+                kind,
+                subject: subject.to_vec(),
+                owner: self.me.clone(),
+            }));
+        }
+        is_accepted
+    }
+
+    /// Withdraws an entry: this process forgets it at once, and others when it expires because it is
+    /// not refreshed any more.
+    pub fn withdraw(&mut self, kind: EntryKind, subject: &[u8]) {
+        self.shared_state.withdraw(&self.me, kind, subject);
+    }
+
+    /// Sends a message of a protocol above membership to one process. False where the process is
+    /// not known, or the rate limit is reached.
+    pub fn send_message(
+        &mut self,
+        to: &Identity,
+        channel: u8,
+        bytes: Vec<u8>,
+        now: Instant,
+    ) -> bool {
+        let Some(at) = self.members.get(to).map(|member| member.at) else {
+            return false;
+        };
+        self.send(at, Some(to), Body::Message { channel, bytes }, true, now)
+    }
+
+    /// Changes this process's own address. Others accept it only with a higher incarnation.
+    pub fn move_to(&mut self, at: SocketAddr, now: Instant) {
+        self.at = at;
+        self.seeds.retain(|seed| *seed != at);
+        self.incarnation += 1;
+        self.gossip.add(Update::Member(self.me.clone()));
+        self.next_gossip = now;
+    }
+
+    /// Announces a graceful shutdown. Nothing is sent afterwards.
+    pub fn leave(&mut self, now: Instant) {
+        if self.left {
+            return;
+        }
+        let mut record = self.own_record();
+        record.state = MemberState::Left;
+        let live = self.members.live();
+        let mut recipients: Vec<SocketAddr> = live.map(|(_, member)| member.at).collect();
+        while recipients.len() > LEAVE_FANOUT {
+            let index = self.rng.below(recipients.len() as u64) as usize;
+            recipients.swap_remove(index);
+        }
+        for at in recipients {
+            let datagram = self.datagram(Body::Gossip, vec![record.clone()], Vec::new());
+            self.transmit(at, &datagram, true, now);
+        }
+        self.left = true;
+    }
+}
--- /dev/null
+++ b/peers/src/node/events.rs
@@ -0,0 +1,102 @@
+//! What a node reports: events, counters and views of members.
+use crate::identity::{Identity, MemberState};
+use crate::shared_state::EntryKind;
+use std::net::SocketAddr;
+use thistlecroft::time::{Duration, Instant};
+
+/// Something that a caller may act on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Event {
+    /// A member has changed its state.
+    MemberChanged {
+        /// The member.
+        id: Identity,
+        /// Its new state.
+        state: MemberState,
+    },
+    /// This process was suspected or dead for others and has refuted that.
+    Refuted {
+        /// Its new incarnation.
+        incarnation: u32,
+    },
+    /// An entry of the shared state is new, has changed, or has expired.
+    EntryChanged {
+        /// The kind of the entry.
+        kind: EntryKind,
+        /// What it is about.
+        subject: Vec<u8>,
+        /// Who announced it.
+        owner: Identity,
+    },
+    /// A message for a protocol above membership.
+    Message {
+        /// The sender.
+        from: Identity,
+        /// The channel, which identifies the protocol.
+        channel: u8,
+        /// The encoded message.
+        bytes: Vec<u8>,
+    },
+    /// Datagrams of another format arrive; reported once per address and format.
+    UnknownFormat {
+        /// The source address.
+        from: SocketAddr,
+        /// The number of the format.
+        format: u8,
+    },
+    /// This process was paused, for example by its host.
+    Paused {
+        /// For how long.
+        duration: Duration,
+    },
+}
+
+/// Counters since the start.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub struct Counts {
+    /// Datagrams sent.
+    pub sent: u64,
+    /// Their bytes.
+    pub sent_bytes: u64,
+    /// Datagrams accepted.
+    pub received: u64,
+    /// Their bytes.
+    pub received_bytes: u64,
+    /// Rejected datagrams whose size is impossible.
+    pub wrong_size: u64,
+    /// Rejected datagrams of another format.
+    pub unknown_format: u64,
+    /// Rejected datagrams of another fleet or key, and altered ones.
+    pub foreign: u64,
+    /// Rejected datagrams that are authentic but can't be decoded.
+    pub malformed: u64,
+    /// Rejected datagrams that arrived before.
+    pub repeated: u64,
+    /// Datagrams not sent because of the rate limit.
+    pub rate_limited: u64,
+    /// Probes started.
+    pub probes: u64,
+    /// Probes without an answer.
+    pub probes_failed: u64,
+    /// Members that became suspect.
+    pub suspected: u64,
+    /// Opinions about this process that it refuted.
+    pub refuted: u64,
+}
+
+/// A member as this process sees it.
+#[derive(Clone, Debug)]
+pub struct MemberView<'a> {
+    /// The member.
+    pub id: &'a Identity,
+    /// Where it receives datagrams.
+    pub at: SocketAddr,
+    /// Its state.
+    pub state: MemberState,
+    /// Its incarnation.
+    pub incarnation: u32,
+    /// Since when it has this state.
+    pub since: Instant,
+    /// When its last datagram arrived.
+    pub last_received: Option<Instant>,
+}
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -1,156 +1,174 @@
-//! Probes: each period one other is pinged, by others where it does not answer itself, and
-//! suspected where nobody reaches it.
-use super::{HELPERS, IndirectProbe, MAX_INDIRECT_PROBES, Node, Probe, change_health};
-use crate::identity::{Identity, MemberState, Row};
+//! Failure detection: in each interval one member is probed. Where it does not answer, others are
+//! asked to ping it; where nobody reaches it, it becomes suspect.
+use super::{
+    INDIRECT_PROBE_HELPERS, IndirectProbe, MAX_INDIRECT_PROBES, Node, Probe, change_health,
+};
+use crate::identity::{Identity, MemberRecord, MemberState};
 use crate::members::Member;
 use crate::wire::Body;
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
 impl Node {
-    pub(super) fn indirect(
+    fn next_probe_number(&mut self) -> u32 {
+        self.last_probe_number = self.last_probe_number.wrapping_add(1);
+        self.last_probe_number
+    }
+
+    /// Pings a target for another member, which has number `probe` for it.
+    pub(super) fn ping_for(
         &mut self,
+        (requester, requester_at): (&Identity, SocketAddr),
         probe: u32,
-        target: Identity,
-        of: SocketAddr,
-        from: &Identity,
-        at: SocketAddr,
+        (target, target_at): (&Identity, SocketAddr),
         now: Instant,
     ) {
         if self.indirect_probes.len() >= MAX_INDIRECT_PROBES {
             return;
         }
-        self.numbers = self.numbers.wrapping_add(1);
-        let until = now + self.pace.answer_within();
-        self.indirect_probes.insert(
-            self.numbers,
-            IndirectProbe {
-                of: from.clone(),
-                at,
-                probe,
-                until,
-            },
-        );
+        let number = self.next_probe_number();
+        let indirect = IndirectProbe {
+            requester: requester.clone(),
+            requester_at,
+            probe,
+            until: now + self.timing.ack_timeout(),
+        };
+        self.indirect_probes.insert(number, indirect);
         let body = Body::Ping {
-            probe: self.numbers,
+            probe: number,
             to: target.clone(),
         };
-        self.send(of, Some(&target), body, true, now);
+        self.send(target_at, Some(target), body, true, now);
     }
 
-    pub(super) fn acked(&mut self, number: u32, now: Instant) {
+    pub(super) fn handle_ack(&mut self, number: u32, now: Instant) {
         if let Some(indirect) = self.indirect_probes.remove(&number) {
-            let (at, probe) = (indirect.at, indirect.probe);
-            self.send(at, Some(&indirect.of), Body::Ack { probe }, true, now);
+            let ack = Body::Ack {
+                probe: indirect.probe,
+            };
+            let requester = Some(&indirect.requester);
+            self.send(indirect.requester_at, requester, ack, true, now);
             return;
         }
-        // From the target itself or from one who was asked: either saw it answer.
+        // The acknowledgement comes from the target or from a helper that reached it.
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else {
             return;
         };
-        if !probe.answered {
-            probe.answered = true;
+        if !probe.is_answered {
+            probe.is_answered = true;
             change_health(&mut self.health, -1);
         }
     }
 
-    /// The address leads to another process now: the one that was there has ended.
-    pub(super) fn not_me(&mut self, number: u32, from: &Identity, at: SocketAddr, now: Instant) {
-        let target = match (&self.probe, self.indirect_probes.get(&number)) {
-            (Some(probe), _) if probe.number == number => probe.target.clone(),
-            _ => return,
+    /// A helper has reached the target no better.
+    pub(super) fn handle_nack(&mut self, number: u32) {
+        if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) {
+            probe.nacks += 1;
+        }
+    }
+
+    /// Another process has the address of the target now, so the target has ended.
+    pub(super) fn handle_wrong_target(
+        &mut self,
+        number: u32,
+        from: &Identity,
+        at: SocketAddr,
+        now: Instant,
+    ) {
+        let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else {
+            return;
         };
+        let target = probe.target.clone();
         let Some(member) = self.members.get(&target) else {
             return;
         };
         if member.at != at || target == *from || member.state >= MemberState::Dead {
             return;
         }
-        let (incarnation, state) = (member.incarnation, MemberState::Left);
-        let row = Row {
+        let record = MemberRecord {
             id: target,
             at,
-            incarnation,
-            state,
+            incarnation: member.incarnation,
+            state: MemberState::Left,
             accuser: None,
         };
-        self.merge(&row, now);
+        self.merge(&record, now);
         self.probe = None;
     }
 
-    pub(super) fn probing(&mut self, now: Instant) {
+    /// Moves the current probe on, and starts the next one when it is time.
+    pub(super) fn advance_probe(&mut self, now: Instant) {
         if let Some(probe) = &self.probe {
-            if probe.answered {
+            if probe.is_answered {
                 self.probe = None;
             } else if probe.ends <= now {
-                self.probe_failed(now);
-            } else if !probe.asked && probe.asks_others <= now {
-                self.ask_others(now);
+                self.fail_probe(now);
+            } else if !probe.is_indirect && probe.indirect_at <= now {
+                self.send_indirect_pings(now);
             }
         }
         if self.probe.is_none() && now >= self.next_probe {
-            let stretch = f64::from(self.health + 1);
-            self.next_probe = now + self.pace.period * stretch;
-            let Some(target) = self.next_of_round() else {
-                return;
-            };
-            self.numbers = self.numbers.wrapping_add(1);
-            let number = self.numbers;
-            self.probe = Some(Probe {
-                number,
-                target: target.clone(),
-                asks_others: now + self.pace.answer_within() * stretch,
-                ends: now + self.pace.period * stretch,
-                helpers: 0,
-                nacks: 0,
-                asked: false,
-                answered: false,
-            });
-            self.counts.probes += 1;
-            let Some(at) = self.members.get(&target).map(|member| member.at) else {
-                return;
-            };
-            self.send(
-                at,
-                Some(&target),
-                Body::Ping {
-                    probe: number,
-                    to: target.clone(),
-                },
-                true,
-                now,
-            );
+            self.start_probe(now);
         }
     }
 
-    pub(super) fn next_of_round(&mut self) -> Option<Identity> {
+    fn start_probe(&mut self, now: Instant) {
+        let stretch = f64::from(self.health + 1);
+        let ends = now + self.timing.probe_interval * stretch;
+        self.next_probe = ends;
+        let Some(target) = self.next_probe_target() else {
+            return;
+        };
+        let number = self.next_probe_number();
+        self.probe = Some(Probe {
+            number,
+            target: target.clone(),
+            indirect_at: now + self.timing.ack_timeout() * stretch,
+            ends,
+            helpers: 0,
+            nacks: 0,
+            is_indirect: false,
+            is_answered: false,
+        });
+        self.counts.probes += 1;
+        let Some(at) = self.members.get(&target).map(|member| member.at) else {
+            return;
+        };
+        let ping = Body::Ping {
+            probe: number,
+            to: target.clone(),
+        };
+        self.send(at, Some(&target), ping, true, now);
+    }
+
+    /// Each live member once in random order, and then again.
+    fn next_probe_target(&mut self) -> Option<Identity> {
         for _ in 0..2 {
-            while let Some(id) = self.round.pop() {
-                if self
-                    .members
-                    .get(&id)
-                    .is_some_and(|member| member.state <= MemberState::Suspect)
-                {
+            while let Some(id) = self.probe_queue.pop() {
+                let member = self.members.get(&id);
+                if member.is_some_and(|member| member.state <= MemberState::Suspect) {
                     return Some(id);
                 }
             }
-            self.round = self.members.live().map(|(id, _)| id.clone()).collect();
-            for place in (1..self.round.len()).rev() {
-                let other = self.chance.below(place as u64 + 1) as usize;
-                self.round.swap(place, other);
+            self.probe_queue = self.members.live().map(|(id, _)| id.clone()).collect();
+            for index in (1..self.probe_queue.len()).rev() {
+                let other = self.rng.below(index as u64 + 1) as usize;
+                self.probe_queue.swap(index, other);
             }
         }
         None
     }
 
-    pub(super) fn ask_others(&mut self, now: Instant) {
+    /// Asks helpers to ping the target of the current probe.
+    fn send_indirect_pings(&mut self, now: Instant) {
         let Some(probe) = &mut self.probe else { return };
-        probe.asked = true;
+        probe.is_indirect = true;
         let (number, target) = (probe.number, probe.target.clone());
-        let Some(of) = self.members.get(&target).map(|member| member.at) else {
+        let Some(target_at) = self.members.get(&target).map(|member| member.at) else {
             return;
         };
-        let helpers = self.some(HELPERS, MemberState::Alive, Some(&target));
+        let helpers =
+            self.random_members(INDIRECT_PROBE_HELPERS, MemberState::Alive, Some(&target));
         if let Some(probe) = &mut self.probe {
             probe.helpers = helpers.len() as u32;
         }
@@ -158,61 +176,77 @@
             let Some(at) = self.members.get(&id).map(|member| member.at) else {
                 continue;
             };
-            let body = Body::PingFor {
+            let body = Body::IndirectPing {
                 probe: number,
                 target: target.clone(),
-                at: of,
+                at: target_at,
             };
             self.send(at, Some(&id), body, true, now);
         }
     }
 
-    pub(super) fn probe_failed(&mut self, now: Instant) {
+    fn fail_probe(&mut self, now: Instant) {
         let Some(probe) = self.probe.take() else {
             return;
         };
         self.counts.probes_failed += 1;
-        // Those who were asked and did not even say no: it may be this one that is not heard.
-        let unsaid = probe.helpers.saturating_sub(probe.nacks);
-        let step = if probe.helpers == 0 { 1 } else { unsaid as i32 };
-        change_health(&mut self.health, step);
+        // Helpers that sent neither an ack nor a nack suggest that the fault is on this side.
+        let silent_helpers = probe.helpers.saturating_sub(probe.nacks);
+        let decline = match probe.helpers {
+            0 => 1,
+            _ => silent_helpers as i32,
+        };
+        change_health(&mut self.health, decline);
         let Some(member) = self.members.get(&probe.target) else {
             return;
         };
         if member.state > MemberState::Suspect {
             return;
         }
-        let row = Row {
+        let record = MemberRecord {
             id: probe.target,
             at: member.at,
             incarnation: member.incarnation,
             state: MemberState::Suspect,
             accuser: Some(self.me.clone()),
         };
-        self.merge(&row, now);
+        self.merge(&record, now);
+    }
+
+    /// Notifies requesters whose targets have not answered in time.
+    pub(super) fn expire_indirect_probes(&mut self, now: Instant) {
+        let probes = self.indirect_probes.iter();
+        let expired: Vec<u32> = probes
+            .filter(|(_, indirect)| indirect.until <= now)
+            .map(|(number, _)| *number)
+            .collect();
+        for number in expired {
+            if let Some(indirect) = self.indirect_probes.remove(&number) {
+                let nack = Body::Nack {
+                    probe: indirect.probe,
+                };
+                let requester = Some(&indirect.requester);
+                self.send(indirect.requester_at, requester, nack, true, now);
+            }
+        }
     }
 
-    /// Some of those that stand so at the worst, drawn anew each time.
-    pub(super) fn some(
+    /// Up to `count` random members whose state is no worse than `worst`.
+    pub(super) fn random_members(
         &mut self,
         count: usize,
         worst: MemberState,
-        but: Option<&Identity>,
+        except: Option<&Identity>,
     ) -> Vec<Identity> {
-        let fits = |(id, member): &(&Identity, &Member)| member.state <= worst && Some(*id) != but;
-        let mut all: Vec<&Identity> = self
-            .members
-            .members()
-            .filter(fits)
-            .map(|(id, _)| id)
-            .collect();
-        let mut some = Vec::new();
-        while some.len() < count && !all.is_empty() {
-            some.push(
-                all.swap_remove(self.chance.below(all.len() as u64) as usize)
-                    .clone(),
-            );
+        let is_eligible =
+            |(id, member): &(&Identity, &Member)| member.state <= worst && Some(*id) != except;
+        let members = self.members.members();
+        let mut eligible: Vec<&Identity> = members.filter(is_eligible).map(|(id, _)| id).collect();
+        let mut chosen = Vec::new();
+        while chosen.len() < count && !eligible.is_empty() {
+            let index = self.rng.below(eligible.len() as u64) as usize;
+            chosen.push(eligible.swap_remove(index).clone());
         }
-        some
+        chosen
     }
 }
--- /dev/null
+++ b/peers/src/node/queries.rs
@@ -0,0 +1,97 @@
+//! What callers can read of a node's state.
+use super::{Event, MemberView, Node};
+use crate::identity::{Identity, MemberState};
+use crate::members::Member;
+use crate::shared_state::SharedState;
+use std::net::SocketAddr;
+use thistlecroft::time::Instant;
+
+impl Node {
+    /// This process.
+    pub fn me(&self) -> &Identity {
+        &self.me
+    }
+
+    /// The state that relays share by gossip.
+    pub fn shared_state(&self) -> &SharedState {
+        &self.shared_state
+    }
+
+    /// The own health, 0 being best. All timeouts for others are multiplied by this plus one.
+    pub fn health(&self) -> u32 {
+        self.health
+    }
+
+    /// This process's own incarnation.
+    pub fn incarnation(&self) -> u32 {
+        self.incarnation
+    }
+
+    /// All other members that are known, dead ones included.
+    pub fn members(&self) -> impl Iterator<Item = MemberView<'_>> {
+        self.members.members().map(|(id, member)| MemberView {
+            id,
+            at: member.at,
+            state: member.state,
+            incarnation: member.incarnation,
+            since: member.since,
+            last_received: member.last_received,
+        })
+    }
+
+    /// The state of a member, if it is known.
+    pub fn state_of(&self, id: &Identity) -> Option<MemberState> {
+        self.members.get(id).map(|member| member.state)
+    }
+
+    /// The number of relays that are suspect or dead without a newer run that is alive. Readers of
+    /// the shared state may miss entries of that many.
+    pub fn unreachable(&self) -> usize {
+        let has_live_run = |name: &str| {
+            self.members
+                .members()
+                .any(|(id, member)| id.name == name && member.state == MemberState::Alive)
+        };
+        let is_missing = |(id, member): &(&Identity, &Member)| {
+            matches!(member.state, MemberState::Suspect | MemberState::Dead)
+                && id.name != self.me.name
+                && !has_live_run(&id.name)
+        };
+        self.members.members().filter(is_missing).count()
+    }
+
+    /// The number of live members, this process and suspects included.
+    pub fn size(&self) -> usize {
+        self.members.live_count() + 1
+    }
+
+    /// When [`Node::tick`] has to be called next.
+    pub fn due(&self) -> Instant {
+        let mut due = self.next_probe.min(self.next_contact).min(self.next_sync);
+        if !self.gossip.is_empty() {
+            due = due.min(self.next_gossip);
+        }
+        if let Some(probe) = &self.probe {
+            due = due.min(if probe.is_indirect {
+                probe.ends
+            } else {
+                probe.indirect_at
+            });
+        }
+        let indirect_probes = self.indirect_probes.values().map(|indirect| indirect.until);
+        let others = indirect_probes
+            .chain(self.members.next_suspicion_expiry())
+            .chain(self.snapshots.due());
+        others.fold(due, Instant::min)
+    }
+
+    /// Takes the datagrams to send, with their destinations.
+    pub fn take_datagrams(&mut self) -> Vec<(SocketAddr, Vec<u8>)> {
+        std::mem::take(&mut self.outgoing)
+    }
+
+    /// Takes the events since the last call.
+    pub fn take_events(&mut self) -> Vec<Event> {
+        std::mem::take(&mut self.events)
+    }
+}
--- /dev/null
+++ b/peers/src/node/receiving.rs
@@ -0,0 +1,189 @@
+//! Received datagrams.
+use super::{Event, MAX_INDIRECT_PROBES, Node, change_health};
+use crate::gossip::Update;
+use crate::identity::{Identity, MemberRecord, MemberState};
+use crate::members::Merged;
+use crate::shared_state::{Entry, EntryKey};
+use crate::wire::{Body, Datagram, Rejection};
+use std::net::SocketAddr;
+use thistlecroft::time::Instant;
+
+/// How many pairs of address and unknown format are remembered.
+const MAX_UNKNOWN_FORMATS: usize = MAX_INDIRECT_PROBES;
+
+impl Node {
+    /// Handles a datagram. One that is not of this fleet is counted, and costs no more than its
+    /// hash.
+    pub fn receive(&mut self, bytes: &[u8], source: SocketAddr, now: Instant) {
+        let datagram = match self.seal.open(bytes) {
+            Ok(datagram) => datagram,
+            Err(rejection) => return self.count_rejection(rejection, source),
+        };
+        if datagram.from == self.me {
+            return;
+        }
+        let is_new = self
+            .members
+            .note_received(&datagram.from, datagram.serial, now);
+        if !is_new {
+            self.counts.repeated += 1;
+            return;
+        }
+        self.counts.received += 1;
+        self.counts.received_bytes += bytes.len() as u64;
+        if !self.left {
+            self.handle_datagram(datagram, now);
+        }
+    }
+
+    fn handle_datagram(&mut self, datagram: Datagram, now: Instant) {
+        let from = datagram.from;
+        let is_leaving = datagram
+            .members
+            .iter()
+            .any(|record| record.id == from && record.state == MemberState::Left);
+        if !is_leaving {
+            let sender = MemberRecord {
+                id: from.clone(),
+                at: datagram.at,
+                incarnation: datagram.incarnation,
+                state: MemberState::Alive,
+                accuser: None,
+            };
+            self.merge(&sender, now);
+        }
+        // A sender that was not known before is known by now.
+        self.members.note_received(&from, datagram.serial, now);
+        for record in &datagram.members {
+            self.merge(record, now);
+        }
+        for entry in &datagram.entries {
+            self.merge_entry(entry, now);
+        }
+        self.handle_body(datagram.body, &from, datagram.at, now);
+    }
+
+    fn count_rejection(&mut self, rejection: Rejection, source: SocketAddr) {
+        match rejection {
+            Rejection::Size => self.counts.wrong_size += 1,
+            Rejection::Foreign => self.counts.foreign += 1,
+            Rejection::Malformed => self.counts.malformed += 1,
+            Rejection::Format(format) => {
+                self.counts.unknown_format += 1;
+                self.report_unknown_format(source, format);
+            }
+        }
+    }
+
+    fn report_unknown_format(&mut self, source: SocketAddr, format: u8) {
+        let is_reported = self.unknown_formats.contains(&(source, format));
+        if is_reported || self.unknown_formats.len() >= MAX_UNKNOWN_FORMATS {
+            return;
+        }
+        self.unknown_formats.push((source, format));
+        self.events.push(Event::UnknownFormat {
+            from: source,
+            format,
+        });
+    }
+
+    fn handle_body(&mut self, body: Body, from: &Identity, at: SocketAddr, now: Instant) {
+        match body {
+            Body::Ping { probe, to } if to == self.me => {
+                self.send(at, Some(from), Body::Ack { probe }, true, now);
+            }
+            Body::Ping { probe, .. } => {
+                self.send(at, Some(from), Body::WrongTarget { probe }, true, now);
+            }
+            Body::IndirectPing {
+                probe,
+                target,
+                at: target_at,
+            } => self.ping_for((from, at), probe, (&target, target_at), now),
+            Body::Ack { probe } => self.handle_ack(probe, now),
+            Body::Nack { probe } => self.handle_nack(probe),
+            Body::WrongTarget { probe } => self.handle_wrong_target(probe, from, at, now),
+            Body::Gossip | Body::InSync => {}
+            Body::SyncRequest { digest } if digest == self.digest() => {
+                self.send(at, Some(from), Body::InSync, false, now);
+            }
+            Body::SyncRequest { .. } => self.send_snapshot(at, from, true, now),
+            Body::Chunk {
+                exchange,
+                number,
+                of,
+                back,
+            } => {
+                let timeout = self.timing.probe_interval;
+                let snapshots = &mut self.snapshots;
+                let is_first = snapshots.note_chunk(from, exchange, number, of, timeout, now);
+                if is_first && back {
+                    self.send_snapshot(at, from, false, now);
+                }
+            }
+            Body::Missing { exchange, numbers } => {
+                self.resend_chunks(from, at, exchange, &numbers, now);
+            }
+            Body::Message { channel, bytes } => {
+                self.events.push(Event::Message {
+                    from: from.clone(),
+                    channel,
+                    bytes,
+                });
+            }
+        }
+    }
+
+    /// Merges an opinion about a member and spreads it if it changed anything.
+    pub(super) fn merge(&mut self, record: &MemberRecord, now: Instant) {
+        if record.id == self.me {
+            return self.refute(record, now);
+        }
+        match self.members.merge(record, &self.timing, now) {
+            Merged::Unchanged => {}
+            Merged::Updated => self.gossip.add(Update::Member(record.id.clone())),
+            Merged::StateChanged => {
+                self.counts.suspected += u64::from(record.state == MemberState::Suspect);
+                self.gossip.add(Update::Member(record.id.clone()));
+                self.events.push(Event::MemberChanged {
+                    id: record.id.clone(),
+                    state: record.state,
+                });
+            }
+        }
+    }
+
+    /// Refutes an opinion about this process by a higher incarnation.
+    fn refute(&mut self, record: &MemberRecord, now: Instant) {
+        let is_outdated = record.incarnation < self.incarnation;
+        if record.state == MemberState::Alive || is_outdated || self.left {
+            return;
+        }
+        self.incarnation = record.incarnation + 1;
+        self.counts.refuted += 1;
+        change_health(&mut self.health, 1);
+        self.events.push(Event::Refuted {
+            incarnation: self.incarnation,
+        });
+        self.gossip.add(Update::Member(self.me.clone()));
+        self.next_gossip = now;
+    }
+
+    fn merge_entry(&mut self, entry: &Entry, now: Instant) {
+        // This process knows its own entries best; a withdrawn one is not restored by others.
+        if entry.owner == self.me || !self.shared_state.merge(entry, now) {
+            return;
+        }
+        let key = entry.key();
+        self.gossip.add(Update::Entry(key.clone()));
+        self.report_entry_changed(key);
+    }
+
+    pub(super) fn report_entry_changed(&mut self, key: EntryKey) {
+        self.events.push(Event::EntryChanged {
+            kind: key.kind,
+            subject: key.subject,
+            owner: key.owner,
+        });
+    }
+}
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -1,30 +1,87 @@
-//! Datagrams that go out: gossip rides on them as it fits, and a bucket of bytes bounds them.
-use super::{Node, RESERVED, ROOM, fact_cost, row_cost};
-use crate::facts::FactRow;
-use crate::gossip::About;
-use crate::identity::{Identity, MemberState, Row};
-use crate::wire::{Body, Datagram, MOST};
+//! Sent datagrams: gossip is added where it fits, and a token bucket limits the bytes per second.
+use super::{MAX_PAYLOAD_BYTES, Node, RESERVED_SHARE, entry_bytes, member_bytes};
+use crate::gossip::Update;
+use crate::identity::{Identity, MemberRecord, MemberState};
+use crate::shared_state::Entry;
+use crate::wire::{Body, Datagram, MAX_DATAGRAM_BYTES};
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
+/// The bytes that a chunk's number is estimated at.
+const CHUNK_NUMBER_BYTES: usize = 3;
+
+/// The records and entries that one datagram carries.
+struct Payload {
+    members: Vec<MemberRecord>,
+    entries: Vec<Entry>,
+    /// The updates among them that come from the gossip queue.
+    updates: Vec<Update>,
+    bytes_left: usize,
+}
+
+/// The content of an update.
+enum UpdateContent {
+    Member(MemberRecord),
+    Entry(Entry),
+}
+
+impl Payload {
+    fn for_body(body: &Body) -> Payload {
+        let body_bytes = match body {
+            Body::Message { bytes, .. } => bytes.len(),
+            Body::Missing { numbers, .. } => numbers.len() * CHUNK_NUMBER_BYTES,
+            _ => 0,
+        };
+        Payload {
+            members: Vec::new(),
+            entries: Vec::new(),
+            updates: Vec::new(),
+            bytes_left: MAX_PAYLOAD_BYTES.saturating_sub(body_bytes),
+        }
+    }
+
+    /// Adds an update if it fits.
+    fn try_add(&mut self, update: &Update, content: UpdateContent) -> bool {
+        let bytes = match &content {
+            UpdateContent::Member(record) => member_bytes(record),
+            UpdateContent::Entry(entry) => entry_bytes(entry),
+        };
+        if bytes > self.bytes_left {
+            return false;
+        }
+        self.bytes_left -= bytes;
+        match content {
+            UpdateContent::Member(record) => self.members.push(record),
+            UpdateContent::Entry(entry) => self.entries.push(entry),
+        }
+        self.updates.push(update.clone());
+        true
+    }
+}
+
 impl Node {
-    pub(super) fn datagram(&mut self, body: Body, rows: Vec<Row>, facts: Vec<FactRow>) -> Datagram {
+    /// The next datagram of this process, with its next serial number.
+    pub(super) fn datagram(
+        &mut self,
+        body: Body,
+        members: Vec<MemberRecord>,
+        entries: Vec<Entry>,
+    ) -> Datagram {
         self.serial += 1;
-        let (from, at, incarnation, serial) =
-            (self.me.clone(), self.at, self.incarnation, self.serial);
         Datagram {
-            from,
-            at,
-            incarnation,
-            serial,
+            from: self.me.clone(),
+            at: self.at,
+            incarnation: self.incarnation,
+            serial: self.serial,
             body,
-            rows,
-            facts,
+            members,
+            entries,
         }
     }
 
-    /// With what news fits. The receiver first hears what is thought of itself, so that it can say
-    /// otherwise.
+    /// Sends a datagram with as much gossip as fits. The first record is what this process thinks
+    /// of the receiver, if anything is wrong, so that the receiver can refute it. False where the
+    /// rate limit is reached.
     pub(super) fn send(
         &mut self,
         at: SocketAddr,
@@ -33,74 +90,63 @@
         urgent: bool,
         now: Instant,
     ) -> bool {
-        let carried = match &body {
-            Body::Message { bytes, .. } => bytes.len(),
-            Body::Missing { numbers, .. } => numbers.len() * 3,
-            _ => 0,
-        };
-        let mut room = ROOM.saturating_sub(carried);
-        let (mut rows, mut facts, mut passed) = (Vec::new(), Vec::new(), Vec::new());
-        let of_receiver = to
-            .and_then(|id| self.members.row(id))
-            .filter(|row| row.state != MemberState::Alive);
-        if let Some(row) = of_receiver {
-            room = room.saturating_sub(row_cost(&row));
-            rows.push(row);
+        let mut payload = Payload::for_body(&body);
+        let receiver = to.and_then(|id| self.members.record(id));
+        if let Some(record) = receiver.filter(|record| record.state != MemberState::Alive) {
+            let bytes = member_bytes(&record);
+            payload.bytes_left = payload.bytes_left.saturating_sub(bytes);
+            payload.members.push(record);
         }
-        self.allow(now);
-        // With little left to send, probes and answers go bare.
-        let may_gossip = self.allowance > f64::from(self.rate) * RESERVED + MOST as f64;
-        if may_gossip {
-            for about in self.gossip.iter() {
-                let cost = match about {
-                    About::Member(id) => {
-                        let row = if *id == self.me {
-                            Some(self.own_row())
-                        } else {
-                            self.members.row(id)
-                        };
-                        let Some(row) = row else { continue };
-                        let cost = row_cost(&row);
-                        if cost <= room {
-                            rows.push(row);
-                        }
-                        cost
-                    }
-                    About::Fact(key) => {
-                        let Some(row) = self.facts.row(key, now) else {
-                            continue;
-                        };
-                        let cost = fact_cost(&row);
-                        if cost <= room {
-                            facts.push(row);
-                        }
-                        cost
-                    }
-                };
-                if cost > room {
-                    break;
-                }
-                room -= cost;
-                passed.push(about.clone());
-            }
+        self.refill_budget(now);
+        // Close to the rate limit, probes and their answers carry no gossip.
+        if self.send_budget > self.reserved_budget() + MAX_DATAGRAM_BYTES as f64 {
+            self.add_gossip(&mut payload, now);
         }
-        let datagram = self.datagram(body, rows, facts);
-        let gone = self.put(at, &datagram, urgent, now);
-        if gone {
+        let datagram = self.datagram(body, payload.members, payload.entries);
+        let is_sent = self.transmit(at, &datagram, urgent, now);
+        if is_sent {
             let size = self.size();
-            self.gossip.sent(&passed, size);
+            self.gossip.note_sent(&payload.updates, size);
+        }
+        is_sent
+    }
+
+    fn add_gossip(&self, payload: &mut Payload, now: Instant) {
+        for update in self.gossip.iter() {
+            let Some(content) = self.content_of(update, now) else {
+                continue;
+            };
+            if !payload.try_add(update, content) {
+                return;
+            }
         }
-        gone
     }
 
-    pub(super) fn allow(&mut self, now: Instant) {
+    fn content_of(&self, update: &Update, now: Instant) -> Option<UpdateContent> {
+        match update {
+            Update::Member(id) if *id == self.me => Some(UpdateContent::Member(self.own_record())),
+            Update::Member(id) => self.members.record(id).map(UpdateContent::Member),
+            Update::Entry(key) => {
+                let entry = self.shared_state.entry(key, now);
+                entry.map(UpdateContent::Entry)
+            }
+        }
+    }
+
+    /// The bytes that only urgent datagrams may use.
+    fn reserved_budget(&self) -> f64 {
+        f64::from(self.rate) * RESERVED_SHARE
+    }
+
+    fn refill_budget(&mut self, now: Instant) {
         let rate = f64::from(self.rate);
-        self.allowance =
-            (self.allowance + rate * now.duration_since(self.allowed_at).as_secs_f64()).min(rate);
-        self.allowed_at = now;
+        let elapsed = now.duration_since(self.budget_refilled_at);
+        self.send_budget = (self.send_budget + rate * elapsed.as_secs_f64()).min(rate);
+        self.budget_refilled_at = now;
     }
 
-    pub(super) fn put(
+    /// Sends a complete datagram. False where the rate limit is reached.
+    pub(super) fn transmit(
         &mut self,
         at: SocketAddr,
         datagram: &Datagram,
@@ -111,23 +157,19 @@
             return false;
         }
         let Some(bytes) = self.seal.close(datagram) else {
-            self.counts.held_back += 1;
+            self.counts.rate_limited += 1;
             return false;
         };
-        self.allow(now);
-        let kept = if urgent {
-            0.0
-        } else {
-            f64::from(self.rate) * RESERVED
-        };
-        if self.allowance < bytes.len() as f64 + kept {
-            self.counts.held_back += 1;
+        self.refill_budget(now);
+        let reserved = if urgent { 0.0 } else { self.reserved_budget() };
+        if self.send_budget < bytes.len() as f64 + reserved {
+            self.counts.rate_limited += 1;
             return false;
         }
-        self.allowance -= bytes.len() as f64;
+        self.send_budget -= bytes.len() as f64;
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.out.push((at, bytes));
+        self.outgoing.push((at, bytes));
         true
     }
 }
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -1,88 +1,118 @@
-//! Anti-entropy: digests of all that is known are compared now and then, and it is sent in chunks
-//! where they differ. Lost relays and seeds are looked for again.
-use super::{Event, MAX_INDIRECT_PROBES, Node, ROOM, SEEK_EVERY, SYNC_EVERY, fact_cost, row_cost};
-use crate::chunks::Content;
-use crate::facts::Key;
-use crate::gossip::About;
-use crate::identity::{Identity, MemberState, Row};
+//! Anti-entropy: members compare digests of everything that they know at intervals and exchange
+//! snapshots where these differ. Seeds and dead members are contacted again, so that the parts of a
+//! divided fleet find each other.
+use super::{
+    CONTACT_INTERVAL, MAX_INDIRECT_PROBES, MAX_PAYLOAD_BYTES, Node, SYNC_INTERVAL, entry_bytes,
+    member_bytes,
+};
+use crate::gossip::Update;
+use crate::identity::{Identity, MemberRecord, MemberState};
+use crate::snapshots::Content;
 use crate::wire::Body;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
+/// The most seeds that are contacted at once.
+const MAX_CONTACTS: usize = MAX_INDIRECT_PROBES;
+
+/// Fills chunks up to the size of a datagram.
+struct ChunkBuilder {
+    chunks: Vec<Content>,
+    bytes_left: usize,
+}
+
+impl ChunkBuilder {
+    fn new() -> ChunkBuilder {
+        ChunkBuilder {
+            chunks: vec![Content::default()],
+            bytes_left: MAX_PAYLOAD_BYTES,
+        }
+    }
+
+    /// The chunk that has room for this many bytes.
+    fn chunk_for(&mut self, bytes: usize) -> &mut Content {
+        if bytes > self.bytes_left {
+            self.chunks.push(Content::default());
+            self.bytes_left = MAX_PAYLOAD_BYTES;
+        }
+        self.bytes_left -= bytes;
+        self.chunks
+            .last_mut()
+            .expect("a builder starts with one chunk")
+    }
+}
+
 impl Node {
-    /// Looks for the fleet at its seeds until somebody is here, and after that for those it has
-    /// lost: so two halves that took each other for gone find one another again.
-    pub(super) fn seek(&mut self, now: Instant) {
-        if now < self.next_seek {
+    /// Contacts seeds until any member is alive, and after that one dead member or seed at a time.
+    pub(super) fn contact_missing(&mut self, now: Instant) {
+        if now < self.next_contact {
             return;
         }
-        let alone = !self
-            .members
-            .members()
-            .map(|(_, member)| member)
-            .any(|member| member.state == MemberState::Alive);
-        self.next_seek = now + self.pace.period * if alone { 1.0 } else { SEEK_EVERY };
-        let of = |state: MemberState| {
-            let members = self.members.members().map(|(_, member)| member);
-            members
-                .filter(move |member| member.state == state)
-                .map(|member| member.at)
-        };
-        let here: BTreeSet<SocketAddr> = of(MemberState::Alive).collect();
-        let mut lost: Vec<SocketAddr> = self
-            .seeds
-            .iter()
-            .copied()
-            .chain(of(MemberState::Dead))
-            .collect();
-        lost.retain(|at| !here.contains(at));
-        lost.sort_unstable();
-        lost.dedup();
+        let is_alone = self.addresses(MemberState::Alive).next().is_none();
+        let intervals = if is_alone { 1.0 } else { CONTACT_INTERVAL };
+        self.next_contact = now + self.timing.probe_interval * intervals;
+        let mut missing = self.missing_addresses();
         let digest = self.digest();
-        let most = if alone { self.seeds.len().max(1) } else { 1 };
-        for _ in 0..most.min(MAX_INDIRECT_PROBES) {
-            if lost.is_empty() {
+        let count = if is_alone { self.seeds.len().max(1) } else { 1 };
+        for _ in 0..count.min(MAX_CONTACTS) {
+            if missing.is_empty() {
                 return;
             }
-            let at = lost.swap_remove(self.chance.below(lost.len() as u64) as usize);
-            // One that is taken for gone is told so, and can say otherwise.
-            let id = self
-                .members
-                .members()
-                .find(|(_, member)| member.at == at)
-                .map(|(id, _)| id.clone());
+            let index = self.rng.below(missing.len() as u64) as usize;
+            let at = missing.swap_remove(index);
+            // A datagram to a dead member carries that opinion, which the member can refute.
+            let id = self.member_at(at).cloned();
             self.send(at, id.as_ref(), Body::SyncRequest { digest }, false, now);
         }
     }
 
-    pub(super) fn housekeep(&mut self, now: Instant) {
+    fn addresses(&self, state: MemberState) -> impl Iterator<Item = SocketAddr> {
+        let members = self.members.members().map(|(_, member)| member);
+        let in_state = members.filter(move |member| member.state == state);
+        in_state.map(|member| member.at)
+    }
+
+    fn member_at(&self, at: SocketAddr) -> Option<&Identity> {
+        let mut members = self.members.members();
+        members
+            .find(|(_, member)| member.at == at)
+            .map(|(id, _)| id)
+    }
+
+    /// The addresses of seeds and dead members where no member is alive.
+    fn missing_addresses(&self) -> Vec<SocketAddr> {
+        let alive: BTreeSet<SocketAddr> = self.addresses(MemberState::Alive).collect();
+        let seeds = self.seeds.iter().copied();
+        let mut missing: Vec<SocketAddr> = seeds.chain(self.addresses(MemberState::Dead)).collect();
+        missing.retain(|at| !alive.contains(at));
+        missing.sort_unstable();
+        missing.dedup();
+        missing
+    }
+
+    /// At intervals, expires what is old, refreshes this process's own entries, and compares digests
+    /// with a random member.
+    pub(super) fn sync_and_expire(&mut self, now: Instant) {
         if now < self.next_sync {
             return;
         }
-        self.next_sync = now + self.pace.period * (SYNC_EVERY * (0.5 + self.chance.unit_f64()));
-        for id in self.members.reap(self.pace.dead_kept(), now) {
-            self.gossip.remove(&About::Member(id));
+        let jitter = 0.5 + self.rng.unit_f64();
+        self.next_sync = now + self.timing.probe_interval * (SYNC_INTERVAL * jitter);
+        let retention = self.timing.dead_retention();
+        for id in self.members.remove_expired(retention, now) {
+            self.gossip.remove(&Update::Member(id));
         }
-        for key in self.facts.forget(now) {
-            let Key {
-                kind,
-                subject,
-                owner,
-            } = key.clone();
-            self.gossip.remove(&About::Fact(key));
-            self.events.push(Event::Fact {
-                kind,
-                subject,
-                owner,
-            });
+        for key in self.shared_state.remove_expired(now) {
+            self.gossip.remove(&Update::Entry(key.clone()));
+            self.report_entry_changed(key);
         }
-        for key in self.facts.stale_of(&self.me, now) {
-            self.facts.refresh(&key, now);
-            self.gossip.add(About::Fact(key));
+        for key in self.shared_state.entries_to_refresh(&self.me, now) {
+            self.shared_state.refresh(&key, now);
+            self.gossip.add(Update::Entry(key));
         }
         let digest = self.digest();
-        for id in self.some(1, MemberState::Alive, None) {
+        for id in self.random_members(1, MemberState::Alive, None) {
             let Some(at) = self.members.get(&id).map(|member| member.at) else {
                 continue;
             };
@@ -90,81 +120,113 @@
         }
     }
 
-    /// Of all that two relays have to agree on.
+    /// A digest of everything that two members have to agree on.
     pub(super) fn digest(&self) -> u64 {
-        let own = [(&self.me, self.incarnation, MemberState::Alive)];
+        let own = (&self.me, self.incarnation, MemberState::Alive);
         let others = self
             .members
-            .members()
+            .live()
             .map(|(id, member)| (id, member.incarnation, member.state));
-        let others = others.filter(|(.., state)| *state <= MemberState::Suspect);
-        let members = own
-            .into_iter()
+        let members = std::iter::once(own)
             .chain(others)
-            .fold(0, |sum, (id, incarnation, state)| {
-                let mut hasher = blake3::Hasher::new();
-                hasher
-                    .update(id.name.as_bytes())
-                    .update(&id.run.to_le_bytes());
-                hasher
-                    .update(&incarnation.to_le_bytes())
-                    .update(&[state as u8]);
-                sum ^ crate::first_eight(hasher.finalize().as_bytes())
+            .fold(0, |digest, (id, incarnation, state)| {
+                digest ^ member_digest(id, incarnation, state)
             });
-        members ^ self.facts.digest()
+        members ^ self.shared_state.digest()
     }
 
-    pub(super) fn own_row(&self) -> Row {
-        let (id, at, incarnation) = (self.me.clone(), self.at, self.incarnation);
-        Row {
-            id,
-            at,
-            incarnation,
+    pub(super) fn own_record(&self) -> MemberRecord {
+        MemberRecord {
+            id: self.me.clone(),
+            at: self.at,
+            incarnation: self.incarnation,
             state: MemberState::Alive,
             accuser: None,
         }
     }
 
-    pub(super) fn send_all(&mut self, at: SocketAddr, to: &Identity, back: bool, now: Instant) {
-        let ids: Vec<Identity> = self.members.members().map(|(id, _)| id.clone()).collect();
-        let keys: Vec<Key> = self.facts.keys().cloned().collect();
-        let mut pieces = vec![Content::default()];
-        let mut room = ROOM;
-        let mut fit = |cost: usize, pieces: &mut Vec<Content>| {
-            if cost > room {
-                pieces.push(Content::default());
-                room = ROOM;
-            }
-            room -= cost;
-        };
-        for id in ids {
-            let Some(row) = self.members.row(&id) else {
-                continue;
+    /// Sends everything that this process knows. With `back`, the receiver is asked for the same.
+    pub(super) fn send_snapshot(
+        &mut self,
+        at: SocketAddr,
+        to: &Identity,
+        back: bool,
+        now: Instant,
+    ) {
+        let chunks = self.snapshot(now);
+        let of = chunks.len() as u16;
+        let exchange = self.snapshots.keep(to.clone(), chunks.clone());
+        for (number, content) in (0..).zip(chunks) {
+            let body = Body::Chunk {
+                exchange,
+                number,
+                of,
+                back,
             };
-            fit(row_cost(&row), &mut pieces);
-            pieces.last_mut().expect("there is one").rows.push(row);
+            let datagram = self.datagram(body, content.members, content.entries);
+            self.transmit(at, &datagram, false, now);
+        }
+    }
+
+    fn snapshot(&self, now: Instant) -> Vec<Content> {
+        let mut builder = ChunkBuilder::new();
+        let ids = self.members.members().map(|(id, _)| id);
+        for record in ids.filter_map(|id| self.members.record(id)) {
+            let chunk = builder.chunk_for(member_bytes(&record));
+            chunk.members.push(record);
+        }
+        let keys = self.shared_state.keys();
+        for entry in keys.filter_map(|key| self.shared_state.entry(key, now)) {
+            let chunk = builder.chunk_for(entry_bytes(&entry));
+            chunk.entries.push(entry);
         }
-        for key in keys {
-            let Some(row) = self.facts.row(&key, now) else {
+        builder.chunks
+    }
+
+    /// Sends chunks of a snapshot again that did not arrive.
+    pub(super) fn resend_chunks(
+        &mut self,
+        to: &Identity,
+        at: SocketAddr,
+        exchange: u32,
+        numbers: &[u16],
+        now: Instant,
+    ) {
+        for &number in numbers {
+            let Some((content, of)) = self.snapshots.sent_chunk(to, exchange, number) else {
                 continue;
             };
-            fit(fact_cost(&row), &mut pieces);
-            pieces.last_mut().expect("there is one").facts.push(row);
+            let content = content.clone();
+            let body = Body::Chunk {
+                exchange,
+                number,
+                of,
+                back: false,
+            };
+            let datagram = self.datagram(body, content.members, content.entries);
+            self.transmit(at, &datagram, false, now);
         }
-        let of = pieces.len() as u16;
-        let exchange = self.chunks.keep(to.clone(), pieces.clone());
-        for (number, content) in (0..).zip(pieces) {
-            let datagram = self.datagram(
-                Body::Chunk {
-                    exchange,
-                    number,
-                    of,
-                    back,
-                },
-                content.rows,
-                content.facts,
-            );
-            self.put(at, &datagram, false, now);
+    }
+
+    pub(super) fn request_missing_chunks(&mut self, now: Instant) {
+        let timeout = self.timing.probe_interval;
+        for missing in self.snapshots.take_missing(timeout, now) {
+            if let Some(at) = self.members.get(&missing.from).map(|member| member.at) {
+                let body = Body::Missing {
+                    exchange: missing.exchange,
+                    numbers: missing.numbers,
+                };
+                self.send(at, Some(&missing.from), body, false, now);
+            }
         }
     }
 }
+
+fn member_digest(id: &Identity, incarnation: u32, state: MemberState) -> u64 {
+    let mut hasher = blake3::Hasher::new();
+    hasher.update(id.name.as_bytes());
+    hasher.update(&id.run.to_le_bytes());
+    hasher.update(&incarnation.to_le_bytes());
+    hasher.update(&[state as u8]);
+    crate::first_eight(hasher.finalize().as_bytes())
+}
--- /dev/null
+++ b/peers/src/node/ticking.rs
@@ -0,0 +1,68 @@
+//! What a node does as time passes.
+use super::{Event, GOSSIP_FANOUT, GOSSIP_INTERVAL, Node, change_health};
+use crate::identity::MemberState;
+use crate::wire::Body;
+use thistlecroft::time::{Duration, Instant};
+
+/// A call that is later than this, in probe intervals, means that the process was paused.
+const PAUSE_THRESHOLD: f64 = 0.5;
+/// The first probe after a pause starts after this time, in probe intervals.
+const PROBE_DELAY_AFTER_PAUSE: f64 = 0.5;
+
+impl Node {
+    /// Does everything that is due. A call that comes much later than [`Node::due`] blames no
+    /// member, since this process could not receive anything meanwhile.
+    pub fn tick(&mut self, now: Instant) {
+        let delay = now.duration_since(self.due().max(self.last_tick));
+        if delay > self.timing.probe_interval * PAUSE_THRESHOLD {
+            self.recover_from_pause(delay, now);
+        }
+        self.last_tick = now;
+        if self.left {
+            return;
+        }
+        self.advance_probe(now);
+        self.expire_suspicions(now);
+        self.expire_indirect_probes(now);
+        self.request_missing_chunks(now);
+        self.contact_missing(now);
+        self.sync_and_expire(now);
+        if !self.gossip.is_empty() && now >= self.next_gossip {
+            self.spread_gossip(now);
+        }
+    }
+
+    fn expire_suspicions(&mut self, now: Instant) {
+        for id in self.members.expired_suspicions(now) {
+            let Some(mut record) = self.members.record(&id) else {
+                continue;
+            };
+            record.state = MemberState::Dead;
+            record.accuser = Some(self.me.clone());
+            self.merge(&record, now);
+        }
+    }
+
+    fn spread_gossip(&mut self, now: Instant) {
+        self.next_gossip = now + self.timing.probe_interval * GOSSIP_INTERVAL;
+        // Suspects are included, since only they can refute a suspicion.
+        for id in self.random_members(GOSSIP_FANOUT, MemberState::Suspect, None) {
+            if self.gossip.is_empty() {
+                break;
+            }
+            let Some(at) = self.members.get(&id).map(|member| member.at) else {
+                continue;
+            };
+            self.send(at, Some(&id), Body::Gossip, false, now);
+        }
+    }
+
+    fn recover_from_pause(&mut self, duration: Duration, now: Instant) {
+        self.events.push(Event::Paused { duration });
+        change_health(&mut self.health, 1);
+        self.members.extend_suspicions(duration);
+        self.probe = None;
+        self.indirect_probes.clear();
+        self.next_probe = now + self.timing.probe_interval * PROBE_DELAY_AFTER_PAUSE;
+    }
+}
--- a/peers/src/shared_state.rs
+++ b/peers/src/shared_state.rs
@@ -1,186 +1,212 @@
-//! What relays tell each other: rows `(kind, subject, owner, epoch, value, age)`. Merging commutes,
-//! associates and repeats harmlessly: of one key the greater `(epoch, value)` stays, and of one row
-//! the greater age, which every way it came bounds from below. Which keys a full table keeps
-//! depends on the keys alone, so that bounded tables merge alike too.
+//! State that relays share by gossip: a bounded, replicated table of entries with an owner and a time
+//! to live.
+//!
+//! Merging is commutative, associative and idempotent. Of two entries with one key, the one with the
+//! greater `(epoch, value)` stays; of two equal ones, the greater age. The age of an entry is a lower
+//! bound, since its time on the way is not counted. Which entries a full table keeps depends on
+//! their keys alone, so that full tables converge as well.
 use crate::identity::Identity;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 
-/// What rows may be about. The number is the wire's.
+/// What an entry is about. The order of the variants is that of the wire.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Kind {
-    /// A backend taken out by hand.
+pub enum EntryKind {
+    /// A backend that an operator has banned.
     Ban,
-    /// A backend judged unwell.
+    /// A backend ejected as an outlier.
     Ejection,
-    /// A start of a backend, seen by evidence.
+    /// The observed start of a backend.
     Start,
-    /// Part of a limit.
+    /// A part of a shared quota.
     Share,
-    /// Work in hand.
+    /// Load in flight.
     Work,
-    /// An operator's own note.
+    /// An operator's note.
     Note,
 }
 
-impl Kind {
-    pub const ALL: [Kind; 6] = [
-        Kind::Ban,
-        Kind::Ejection,
-        Kind::Start,
-        Kind::Share,
-        Kind::Work,
-        Kind::Note,
+impl EntryKind {
+    /// All kinds.
+    pub const ALL: [EntryKind; 6] = [
+        EntryKind::Ban,
+        EntryKind::Ejection,
+        EntryKind::Start,
+        EntryKind::Share,
+        EntryKind::Work,
+        EntryKind::Note,
     ];
 
-    /// A row that its owner has not said again for so long is forgotten, in periods.
-    fn life(self) -> f64 {
+    /// How long an entry is kept without a refresh by its owner, in probe intervals.
+    fn time_to_live(self) -> f64 {
         match self {
-            Kind::Ban => 600.0,
-            Kind::Ejection | Kind::Start => 60.0,
-            Kind::Share | Kind::Work | Kind::Note => 120.0,
+            EntryKind::Ban => 600.0,
+            EntryKind::Ejection | EntryKind::Start => 60.0,
+            EntryKind::Share | EntryKind::Work | EntryKind::Note => 120.0,
         }
     }
 }
 
-pub const LONGEST_SUBJECT: usize = 48;
-pub const LONGEST_VALUE: usize = 96;
-/// Rows of one table, and of one owner: more than these cost every relay memory and datagrams.
-pub const MOST_ROWS: usize = 4_096;
-pub const MOST_OWN: usize = 1_024;
+/// The longest subject, in bytes.
+pub const MAX_SUBJECT_BYTES: usize = 48;
+/// The longest value, in bytes.
+pub const MAX_VALUE_BYTES: usize = 96;
+/// The most entries of a table. Each costs every relay memory and datagrams.
+pub const MAX_ENTRIES: usize = 4_096;
+/// The most entries that one owner announces.
+pub const MAX_OWN_ENTRIES: usize = 1_024;
 
-/// Of what row there is one at most.
+/// The identity of an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key {
-    pub kind: Kind,
+pub struct EntryKey {
+    /// What it is about.
+    pub kind: EntryKind,
+    /// The thing that it is about, such as a backend.
     pub subject: Vec<u8>,
+    /// Who announces it.
     pub owner: Identity,
 }
 
-/// A row as it is passed on.
+/// An entry as relays exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct FactRow {
-    pub kind: Kind,
+pub struct Entry {
+    /// What it is about.
+    pub kind: EntryKind,
+    /// The thing that it is about, such as a backend.
     pub subject: Vec<u8>,
+    /// Who announces it.
     pub owner: Identity,
+    /// Grows with each announcement of its owner.
     pub epoch: u64,
+    /// The value.
     pub value: Vec<u8>,
-    /// Milliseconds since its owner said it, at least.
+    /// At least this many milliseconds have passed since its owner announced it.
     pub age_ms: u32,
 }
 
-impl FactRow {
-    pub(crate) fn is_sound(&self) -> bool {
-        self.subject.len() <= LONGEST_SUBJECT && self.value.len() <= LONGEST_VALUE
+impl Entry {
+    /// The key of this entry.
+    pub(crate) fn key(&self) -> EntryKey {
+        EntryKey {
+            kind: self.kind,
+            subject: self.subject.clone(),
+            owner: self.owner.clone(),
+        }
+    }
+
+    pub(crate) fn is_valid(&self) -> bool {
+        self.subject.len() <= MAX_SUBJECT_BYTES && self.value.len() <= MAX_VALUE_BYTES
     }
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Held {
+struct StoredEntry {
     epoch: u64,
     value: Vec<u8>,
-    /// Not later than this it was said, by this relay's clock.
-    said: Instant,
+    /// The latest time at which its owner can have announced it, by this relay's clock.
+    announced: Instant,
 }
 
-/// A fact as it is read.
+/// An entry as callers read it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fact<'a> {
+pub struct EntryView<'a> {
+    /// The thing that it is about, such as a backend.
     pub subject: &'a [u8],
+    /// Who announced it.
     pub owner: &'a Identity,
+    /// Grows with each announcement of its owner.
     pub epoch: u64,
+    /// The value.
     pub value: &'a [u8],
-    /// At least so long ago its owner said it: the times on the way are not counted.
+    /// At least this long ago its owner announced it.
     pub age: Duration,
 }
 
+/// The table of entries.
 #[derive(Clone, Debug)]
-pub struct Facts {
-    rows: BTreeMap<Key, Held>,
-    period: Duration,
-    /// Own sayings so far: an epoch is never used twice, also not for what was withdrawn and is
-    /// said again, which others may still hold.
-    said: u64,
-    /// Rows that did not fit.
-    pub refused: u64,
+pub struct SharedState {
+    entries: BTreeMap<EntryKey, StoredEntry>,
+    probe_interval: Duration,
+    /// The epoch of this relay's last announcement. No epoch is used twice, not even after an entry
+    /// was withdrawn, since others may still have the old one.
+    last_epoch: u64,
+    /// Entries rejected for want of capacity.
+    pub rejected: u64,
 }
 
-impl Facts {
-    pub fn new(period: Duration) -> Facts {
-        Facts {
-            rows: BTreeMap::new(),
-            period,
-            said: 0,
-            refused: 0,
+impl SharedState {
+    /// An empty table. Entries live for a multiple of the probe interval.
+    pub fn new(probe_interval: Duration) -> SharedState {
+        SharedState {
+            entries: BTreeMap::new(),
+            probe_interval,
+            last_epoch: 0,
+            rejected: 0,
         }
     }
 
-    fn life(&self, kind: Kind) -> Duration {
-        self.period * kind.life()
+    fn time_to_live(&self, kind: EntryKind) -> Duration {
+        self.probe_interval * kind.time_to_live()
     }
 
-    /// Takes a row in; if that changed anything but an age.
-    pub fn merge(&mut self, row: &FactRow, now: Instant) -> bool {
-        let age = Duration::from_millis(u64::from(row.age_ms));
-        if age >= self.life(row.kind) {
+    /// Merges an entry. True if that changed more than an age.
+    pub fn merge(&mut self, entry: &Entry, now: Instant) -> bool {
+        let age = Duration::from_millis(u64::from(entry.age_ms));
+        if age >= self.time_to_live(entry.kind) {
             return false;
         }
-        let said = now - age;
-        let key = Key {
-            kind: row.kind,
-            subject: row.subject.clone(),
-            owner: row.owner.clone(),
-        };
-        if let Some(held) = self.rows.get_mut(&key) {
-            let (old, new) = ((held.epoch, &held.value), (row.epoch, &row.value));
+        let announced = now - age;
+        let key = entry.key();
+        if let Some(stored) = self.entries.get_mut(&key) {
+            let (old, new) = ((stored.epoch, &stored.value), (entry.epoch, &entry.value));
             if new < old {
                 return false;
             }
             if new == old {
-                held.said = held.said.min(said);
+                stored.announced = stored.announced.min(announced);
                 return false;
             }
-            *held = Held {
-                epoch: row.epoch,
-                value: row.value.clone(),
-                said,
+            *stored = StoredEntry {
+                epoch: entry.epoch,
+                value: entry.value.clone(),
+                announced,
             };
             return true;
         }
-        self.rows.insert(
+        self.entries.insert(
             key.clone(),
-            Held {
-                epoch: row.epoch,
-                value: row.value.clone(),
-                said,
+            StoredEntry {
+                epoch: entry.epoch,
+                value: entry.value.clone(),
+                announced,
             },
         );
-        if self.rows.len() > MOST_ROWS {
-            // The last in the order of keys, whichever came first.
-            self.refused += 1;
-            return self.rows.pop_last().is_some_and(|(last, _)| last != key);
+        if self.entries.len() > MAX_ENTRIES {
+            // The last one in the order of keys is dropped, whatever the order of arrival.
+            self.rejected += 1;
+            return self.entries.pop_last().is_some_and(|(last, _)| last != key);
         }
         true
     }
 
-    /// Says a fact as its owner; false where the owner has too many, or it is too long.
+    /// Announces an entry as its owner. False where the owner has too many, or it is too long.
     pub fn announce(
         &mut self,
         owner: &Identity,
-        kind: Kind,
+        kind: EntryKind,
         subject: &[u8],
         value: &[u8],
         now: Instant,
     ) -> bool {
-        let key = Key {
+        let key = EntryKey {
             kind,
             subject: subject.to_vec(),
             owner: owner.clone(),
         };
-        let fresh = !self.rows.contains_key(&key);
-        let epoch = self.said + 1;
-        let row = FactRow {
+        let is_new = !self.entries.contains_key(&key);
+        let epoch = self.last_epoch + 1;
+        let entry = Entry {
             kind,
             subject: key.subject,
             owner: key.owner,
@@ -188,99 +214,113 @@
             value: value.to_vec(),
             age_ms: 0,
         };
-        let own = self.rows.keys().filter(|key| key.owner == *owner).count();
-        if !row.is_sound() || fresh && own >= MOST_OWN {
-            self.refused += 1;
+        let own = self
+            .entries
+            .keys()
+            .filter(|key| key.owner == *owner)
+            .count();
+        if !entry.is_valid() || is_new && own >= MAX_OWN_ENTRIES {
+            self.rejected += 1;
             return false;
         }
-        self.said = epoch;
-        self.merge(&row, now)
+        self.last_epoch = epoch;
+        self.merge(&entry, now)
     }
 
-    /// Rows of an owner that want saying again: a third of their life has passed.
-    pub fn stale_of(&self, owner: &Identity, now: Instant) -> Vec<Key> {
-        let old = |(key, held): &(&Key, &Held)| {
+    /// The entries of an owner that are due for a refresh, after a third of their time to live.
+    pub fn entries_to_refresh(&self, owner: &Identity, now: Instant) -> Vec<EntryKey> {
+        let is_due = |(key, stored): &(&EntryKey, &StoredEntry)| {
             key.owner == *owner
-                && now.duration_since(held.said) >= self.life(key.kind) * (1.0 / 3.0)
+                && now.duration_since(stored.announced) >= self.time_to_live(key.kind) * (1.0 / 3.0)
         };
-        self.rows
+        self.entries
             .iter()
-            .filter(old)
+            .filter(is_due)
             .map(|(key, _)| key.clone())
             .collect()
     }
 
-    /// Said again, with nothing changed but epoch and age.
-    pub fn refresh(&mut self, key: &Key, now: Instant) {
-        if let Some(held) = self.rows.get_mut(key) {
-            self.said += 1;
-            (held.epoch, held.said) = (self.said, now);
+    /// Announces an entry again with the same value.
+    pub fn refresh(&mut self, key: &EntryKey, now: Instant) {
+        if let Some(stored) = self.entries.get_mut(key) {
+            self.last_epoch += 1;
+            (stored.epoch, stored.announced) = (self.last_epoch, now);
         }
     }
 
-    /// Not said any more by its owner: forgotten here now, and elsewhere by age.
-    pub fn withdraw(&mut self, owner: &Identity, kind: Kind, subject: &[u8]) -> bool {
-        let key = Key {
+    /// Removes an entry of this relay. Other relays remove it when it expires.
+    pub fn withdraw(&mut self, owner: &Identity, kind: EntryKind, subject: &[u8]) -> bool {
+        let key = EntryKey {
             kind,
             subject: subject.to_vec(),
             owner: owner.clone(),
         };
-        self.rows.remove(&key).is_some()
+        self.entries.remove(&key).is_some()
     }
 
-    pub fn forget(&mut self, now: Instant) -> Vec<Key> {
-        let over =
-            |(key, held): &(&Key, &Held)| now.duration_since(held.said) >= self.life(key.kind);
-        let gone: Vec<Key> = self
-            .rows
+    /// Removes expired entries and returns their keys.
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<EntryKey> {
+        let is_expired = |(key, stored): &(&EntryKey, &StoredEntry)| {
+            now.duration_since(stored.announced) >= self.time_to_live(key.kind)
+        };
+        let expired: Vec<EntryKey> = self
+            .entries
             .iter()
-            .filter(over)
+            .filter(is_expired)
             .map(|(key, _)| key.clone())
             .collect();
-        gone.iter().for_each(|key| drop(self.rows.remove(key)));
-        gone
+        expired
+            .iter()
+            .for_each(|key| drop(self.entries.remove(key)));
+        expired
     }
 
-    pub fn row(&self, key: &Key, now: Instant) -> Option<FactRow> {
-        let held = self.rows.get(key)?;
-        Some(FactRow {
+    /// An entry with its current age, to send.
+    pub fn entry(&self, key: &EntryKey, now: Instant) -> Option<Entry> {
+        let stored = self.entries.get(key)?;
+        Some(Entry {
             kind: key.kind,
             subject: key.subject.clone(),
             owner: key.owner.clone(),
-            epoch: held.epoch,
-            value: held.value.clone(),
-            age_ms: u32::try_from(now.duration_since(held.said).as_millis()).unwrap_or(u32::MAX),
+            epoch: stored.epoch,
+            value: stored.value.clone(),
+            age_ms: u32::try_from(now.duration_since(stored.announced).as_millis())
+                .unwrap_or(u32::MAX),
         })
     }
 
-    pub fn keys(&self) -> impl Iterator<Item = &Key> {
-        self.rows.keys()
+    /// The keys of all entries.
+    pub fn keys(&self) -> impl Iterator<Item = &EntryKey> {
+        self.entries.keys()
     }
 
-    pub fn of_kind(&self, kind: Kind, now: Instant) -> impl Iterator<Item = Fact<'_>> {
-        self.rows
+    /// All entries of a kind.
+    pub fn of_kind(&self, kind: EntryKind, now: Instant) -> impl Iterator<Item = EntryView<'_>> {
+        self.entries
             .iter()
             .filter(move |(key, _)| key.kind == kind)
-            .map(move |(key, held)| Fact {
+            .map(move |(key, stored)| EntryView {
                 subject: &key.subject,
                 owner: &key.owner,
-                epoch: held.epoch,
-                value: &held.value,
-                age: now.duration_since(held.said),
+                epoch: stored.epoch,
+                value: &stored.value,
+                age: now.duration_since(stored.announced),
             })
     }
 
+    /// The number of entries.
     pub fn len(&self) -> usize {
-        self.rows.len()
+        self.entries.len()
     }
 
+    /// Whether there are no entries.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty()
+        self.entries.is_empty()
     }
 
-    /// Of all rows, ages left out.
+    /// A digest of all entries without their ages.
     pub(crate) fn digest(&self) -> u64 {
-        self.rows.iter().fold(0, |sum, (key, held)| {
+        self.entries.iter().fold(0, |sum, (key, stored)| {
             let mut hasher = blake3::Hasher::new();
             hasher
                 .update(&[key.kind as u8])
@@ -288,8 +328,8 @@
                 .update(key.owner.name.as_bytes());
             hasher
                 .update(&key.owner.run.to_le_bytes())
-                .update(&held.epoch.to_le_bytes())
-                .update(&held.value);
+                .update(&stored.epoch.to_le_bytes())
+                .update(&stored.value);
             sum ^ crate::first_eight(hasher.finalize().as_bytes())
         })
     }
--- a/peers/src/snapshots.rs
+++ b/peers/src/snapshots.rs
@@ -1,124 +1,144 @@
-//! All that is known, in pieces of a datagram each. Every piece can be taken in alone; one that
-//! does not come is asked for.
-use crate::facts::FactRow;
-use crate::identity::{Identity, Row};
+//! Snapshots of everything that a relay knows, exchanged in chunks of a datagram each. A chunk can
+//! be merged by itself; chunks that do not arrive are requested again.
+use crate::identity::{Identity, MemberRecord};
+use crate::shared_state::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::time::{Duration, Instant};
 
-/// Exchanges that are kept at once, each way; the oldest gives way.
-const KEPT: usize = 4;
-/// A missing piece is asked for so often.
-const ASKED: u32 = 5;
-/// Missing pieces named in one datagram.
-const NAMED: usize = 64;
+/// The most exchanges that are kept in each direction. The oldest one is dropped for a new one.
+const MAX_EXCHANGES: usize = 4;
+/// How often missing chunks are requested.
+const MAX_REQUESTS: u32 = 5;
+/// The most missing chunks that are named in one datagram.
+const MAX_NAMED_CHUNKS: usize = 64;
+/// How long a finished exchange is remembered, in timeouts.
+const RETENTION_TIMEOUTS: f64 = 8.0;
 
+/// The content of one chunk.
 #[derive(Clone, Debug, Default)]
-pub struct Content {
-    pub rows: Vec<Row>,
-    pub facts: Vec<FactRow>,
+pub(crate) struct Content {
+    pub(crate) members: Vec<MemberRecord>,
+    pub(crate) entries: Vec<Entry>,
+}
+
+/// Chunks to request again from one process.
+pub(crate) struct MissingChunks {
+    pub(crate) from: Identity,
+    pub(crate) exchange: u32,
+    pub(crate) numbers: Vec<u16>,
 }
 
 #[derive(Clone, Debug)]
-struct Sent {
+struct SentSnapshot {
     to: Identity,
-    pieces: Vec<Content>,
+    chunks: Vec<Content>,
 }
 
 #[derive(Clone, Debug)]
-struct Coming {
+struct IncomingSnapshot {
     missing: BTreeSet<u16>,
-    ask_at: Instant,
-    asked: u32,
+    /// When the missing chunks are requested next.
+    request_at: Instant,
+    requests: u32,
+}
+
+impl IncomingSnapshot {
+    fn is_finished(&self) -> bool {
+        self.missing.is_empty() || self.requests >= MAX_REQUESTS
+    }
 }
 
+/// The exchanges of snapshots that are under way.
 #[derive(Clone, Debug, Default)]
-pub struct Chunks {
-    sent: BTreeMap<u32, Sent>,
-    coming: BTreeMap<(Identity, u32), Coming>,
-    next: u32,
+pub(crate) struct Snapshots {
+    sent: BTreeMap<u32, SentSnapshot>,
+    incoming: BTreeMap<(Identity, u32), IncomingSnapshot>,
+    last_exchange: u32,
 }
 
-impl Chunks {
-    /// Keeps them to be asked for again; their number.
-    pub fn keep(&mut self, to: Identity, pieces: Vec<Content>) -> u32 {
-        self.next = self.next.wrapping_add(1);
-        while self.sent.len() >= KEPT {
+impl Snapshots {
+    /// Keeps the chunks of a snapshot in case some are requested again. Returns the number of the
+    /// exchange.
+    pub(crate) fn keep(&mut self, to: Identity, chunks: Vec<Content>) -> u32 {
+        self.last_exchange = self.last_exchange.wrapping_add(1);
+        while self.sent.len() >= MAX_EXCHANGES {
             self.sent.pop_first();
         }
-        self.sent.insert(self.next, Sent { to, pieces });
-        self.next
+        self.sent
+            .insert(self.last_exchange, SentSnapshot { to, chunks });
+        self.last_exchange
     }
 
-    /// One that was sent to that process, and of how many.
-    pub fn again(&self, to: &Identity, exchange: u32, number: u16) -> Option<(&Content, u16)> {
+    /// A chunk that was sent to this process before, and the number of chunks of its snapshot.
+    pub(crate) fn sent_chunk(
+        &self,
+        to: &Identity,
+        exchange: u32,
+        number: u16,
+    ) -> Option<(&Content, u16)> {
         let sent = self.sent.get(&exchange).filter(|sent| sent.to == *to)?;
-        Some((
-            sent.pieces.get(usize::from(number))?,
-            sent.pieces.len() as u16,
-        ))
+        let chunk = sent.chunks.get(usize::from(number))?;
+        Some((chunk, sent.chunks.len() as u16))
     }
 
-    /// A piece has come; true with the first of its exchange.
-    pub fn came(
+    /// Notes an arrived chunk. True for the first one of its exchange.
+    pub(crate) fn note_chunk(
         &mut self,
         from: &Identity,
         exchange: u32,
         number: u16,
         of: u16,
-        wait: Duration,
+        timeout: Duration,
         now: Instant,
     ) -> bool {
         let key = (from.clone(), exchange);
-        let first = !self.coming.contains_key(&key);
-        if first {
-            while self.coming.len() >= KEPT {
-                self.coming.pop_first();
+        let is_first = !self.incoming.contains_key(&key);
+        if is_first {
+            while self.incoming.len() >= MAX_EXCHANGES {
+                self.incoming.pop_first();
             }
-            let missing = (0..of).collect();
-            self.coming.insert(
-                key.clone(),
-                Coming {
-                    missing,
-                    ask_at: now + wait,
-                    asked: 0,
-                },
-            );
-        }
-        if let Some(coming) = self.coming.get_mut(&key) {
-            coming.missing.remove(&number);
-            coming.ask_at = now + wait;
         }
-        first
+        let incoming = self
+            .incoming
+            .entry(key)
+            .or_insert_with(|| IncomingSnapshot {
+                missing: (0..of).collect(),
+                request_at: now + timeout,
+                requests: 0,
+            });
+        incoming.missing.remove(&number);
+        incoming.request_at = now + timeout;
+        is_first
     }
 
-    /// Whom to ask for what again. An exchange that is whole, or was asked for often enough, is
-    /// kept for a while as known, so that a late piece does not begin it anew.
-    pub fn ask(&mut self, wait: Duration, now: Instant) -> Vec<(Identity, u32, Vec<u16>)> {
+    /// The chunks to request again now. An exchange that is finished is remembered for a while, so
+    /// that a late chunk does not start it anew.
+    pub(crate) fn take_missing(&mut self, timeout: Duration, now: Instant) -> Vec<MissingChunks> {
         let mut all = Vec::new();
-        self.coming.retain(|(from, exchange), coming| {
-            if coming.ask_at > now {
+        self.incoming.retain(|(from, exchange), incoming| {
+            if incoming.request_at > now {
                 return true;
             }
-            if coming.missing.is_empty() || coming.asked >= ASKED {
-                return now.duration_since(coming.ask_at) < wait * 8.0;
+            if incoming.is_finished() {
+                let age = now.duration_since(incoming.request_at);
+                return age < timeout * RETENTION_TIMEOUTS;
             }
-            (coming.asked, coming.ask_at) = (coming.asked + 1, now + wait);
-            all.push((
-                from.clone(),
-                *exchange,
-                coming.missing.iter().copied().take(NAMED).collect(),
-            ));
+            incoming.requests += 1;
+            incoming.request_at = now + timeout;
+            let missing = incoming.missing.iter().copied();
+            all.push(MissingChunks {
+                from: from.clone(),
+                exchange: *exchange,
+                numbers: missing.take(MAX_NAMED_CHUNKS).collect(),
+            });
             true
         });
         all
     }
 
-    pub fn due(&self) -> Option<Instant> {
-        let wants = |coming: &&Coming| !coming.missing.is_empty() && coming.asked < ASKED;
-        self.coming
-            .values()
-            .filter(wants)
-            .map(|coming| coming.ask_at)
-            .min()
+    /// When missing chunks have to be requested next.
+    pub(crate) fn due(&self) -> Option<Instant> {
+        let unfinished = self.incoming.values().filter(|one| !one.is_finished());
+        unfinished.map(|incoming| incoming.request_at).min()
     }
 }
--- a/peers/src/wire.rs
+++ b/peers/src/wire.rs
@@ -1,99 +1,126 @@
-//! Datagrams: what is in one, how it is written (a byte for the format, `postcard`, a keyed hash)
-//! and what is refused.
-use crate::facts::FactRow;
-use crate::identity::{Identity, LONGEST_NAME, Row};
+//! Datagrams and their encoding: a byte for the format, `postcard`, and a keyed hash.
+use crate::identity::{Identity, MAX_NAME_BYTES, MemberRecord};
+use crate::shared_state::Entry;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Raised with every change of `Datagram`.
+/// The number of the format, incremented with every change of [`Datagram`].
 pub const FORMAT: u8 = 1;
-/// The longest datagram, in bytes, so that no link on the way has to cut it.
-pub const MOST: usize = 1_200;
-/// Of the keyed hash so many bytes are sent.
-const TAG: usize = 16;
+/// The longest datagram, in bytes. It passes every common link without fragmentation.
+pub const MAX_DATAGRAM_BYTES: usize = 1_200;
+/// The bytes of the keyed hash that are sent.
+const TAG_BYTES: usize = 16;
 
+/// A datagram. The order of fields and variants is that of the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Datagram {
+    /// The sender.
     pub from: Identity,
-    /// Where the sender is reached.
+    /// Where the sender receives datagrams.
     pub at: SocketAddr,
+    /// The sender's incarnation.
     pub incarnation: u32,
-    /// Grows with each datagram of a process; one that was seen is refused.
+    /// Grows with each datagram of a process. A receiver rejects one that it has seen.
     pub serial: u64,
+    /// What the datagram is for.
     pub body: Body,
-    pub rows: Vec<Row>,
-    pub facts: Vec<FactRow>,
+    /// Opinions about members.
+    pub members: Vec<MemberRecord>,
+    /// Entries of the shared state.
+    pub entries: Vec<Entry>,
 }
 
+/// The purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
+    /// Asks a process for an [`Body::Ack`].
     Ping {
+        /// The sender's number of the probe.
         probe: u32,
+        /// The process that is meant.
         to: Identity,
     },
-    /// Ping that one for me.
-    PingFor {
+    /// Asks the receiver to ping a target.
+    IndirectPing {
+        /// The sender's number of the probe.
         probe: u32,
+        /// The process to ping.
         target: Identity,
+        /// Its address.
         at: SocketAddr,
     },
+    /// The process was pinged, or the target has acknowledged an indirect ping.
     Ack {
+        /// The number of the probe.
         probe: u32,
     },
-    /// The one who was asked to ping has had no answer either.
+    /// The target of an indirect ping has not answered either.
     Nack {
+        /// The number of the probe.
         probe: u32,
     },
-    /// The process that was pinged is not here any more; another one is.
-    NotMe {
+    /// Another process than the pinged one is at this address now.
+    WrongTarget {
+        /// The number of the probe.
         probe: u32,
     },
-    /// Only what rides on it.
+    /// Nothing but the records and entries of the datagram.
     Gossip,
-    /// Asks for all that is known if it is not this; the answer comes in pieces, or as `Same`.
+    /// Asks for a snapshot, unless the receiver has the same digest.
     SyncRequest {
+        /// The digest of everything that the sender knows.
         digest: u64,
     },
+    /// The digest of a [`Body::SyncRequest`] is the same here.
     InSync,
-    /// A part of all that is known. `back`: the receiver is asked for its own.
+    /// A part of a snapshot, in the records and entries of the datagram.
     Chunk {
+        /// The sender's number of the snapshot.
         exchange: u32,
+        /// The index of the chunk.
         number: u16,
+        /// The number of chunks.
         of: u16,
+        /// The receiver is asked for its own snapshot.
         back: bool,
     },
-    /// These did not come.
+    /// Asks for chunks that did not arrive.
     Missing {
+        /// The receiver's number of the snapshot.
         exchange: u32,
+        /// The indices of the chunks.
         numbers: Vec<u16>,
     },
-    /// For the parts above membership: a channel and its bytes.
+    /// A message of a protocol above membership.
     Message {
+        /// The channel, which identifies the protocol.
         channel: u8,
+        /// The encoded message.
         bytes: Vec<u8>,
     },
 }
 
-/// Why a datagram is refused.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
     /// Too short or too long to be one.
     Size,
     /// Of another format.
     Format(u8),
-    /// Of another fleet, with another key, or changed on its way.
+    /// Of another fleet or key, or altered on its way.
     Foreign,
-    /// Sealed well and not to be understood.
+    /// Authentic, but it can't be decoded.
     Malformed,
 }
 
-/// The key and the fleet's name.
+/// Encodes and authenticates the datagrams of one fleet.
 #[derive(Clone, Debug)]
 pub struct Seal {
     key: [u8; 32],
 }
 
 impl Seal {
+    /// The seal of a fleet with this key and name.
     pub fn new(secret: &[u8], fleet: &str) -> Seal {
         let mut all = fleet.as_bytes().to_vec();
         all.push(0);
@@ -103,69 +130,70 @@
         }
     }
 
-    fn tag(&self, bytes: &[u8]) -> [u8; TAG] {
+    fn tag(&self, bytes: &[u8]) -> [u8; TAG_BYTES] {
         let hash = blake3::keyed_hash(&self.key, bytes);
-        let mut tag = [0; TAG];
-        tag.copy_from_slice(&hash.as_bytes()[..TAG]);
+        let mut tag = [0; TAG_BYTES];
+        tag.copy_from_slice(&hash.as_bytes()[..TAG_BYTES]);
         tag
     }
 
-    /// None where it would be longer than a datagram may be.
+    /// Encodes a datagram; `None` where it would be too long.
     pub fn close(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(datagram, vec![FORMAT]).ok()?;
-        self.sealed(bytes).filter(|bytes| bytes.len() <= MOST)
+        self.with_tag(bytes)
+            .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
     }
 
-    fn sealed(&self, mut bytes: Vec<u8>) -> Option<Vec<u8>> {
+    fn with_tag(&self, mut bytes: Vec<u8>) -> Option<Vec<u8>> {
         let tag = self.tag(&bytes);
         bytes.extend_from_slice(&tag);
         Some(bytes)
     }
 
+    /// Decodes a datagram.
+    ///
     /// # Errors
     /// Why these bytes are no datagram of this fleet.
     pub fn open(&self, bytes: &[u8]) -> Result<Datagram, Rejection> {
-        if bytes.len() <= 1 + TAG || bytes.len() > MOST {
+        if bytes.len() <= 1 + TAG_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejection::Size);
         }
-        let (text, tag) = bytes.split_at(bytes.len() - TAG);
+        let (text, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
         if text[0] != FORMAT {
             return Err(Rejection::Format(text[0]));
         }
-        // In constant time, as the crate compares whole hashes: how much was right is not told by
-        // how long it took.
-        let (own, said) = (self.tag(text), tag);
-        if own
+        // The comparison takes constant time, so that its duration does not reveal how many bytes
+        // were right.
+        let expected = self.tag(text);
+        let difference = expected
             .iter()
-            .zip(said)
-            .fold(0, |differs, (one, other)| differs | (one ^ other))
-            != 0
-        {
+            .zip(tag)
+            .fold(0, |difference, (one, other)| difference | (one ^ other));
+        if difference != 0 {
             return Err(Rejection::Foreign);
         }
         match postcard::take_from_bytes::<Datagram>(&text[1..]) {
-            Ok((datagram, [])) if datagram.is_sound() => Ok(datagram),
+            Ok((datagram, [])) if datagram.is_valid() => Ok(datagram),
             _ => Err(Rejection::Malformed),
         }
     }
 }
 
 impl Datagram {
-    fn is_sound(&self) -> bool {
-        let named = |id: &Identity| !id.name.is_empty() && id.name.len() <= LONGEST_NAME;
-        named(&self.from)
+    fn is_valid(&self) -> bool {
+        let has_valid_name = |id: &Identity| !id.name.is_empty() && id.name.len() <= MAX_NAME_BYTES;
+        has_valid_name(&self.from)
+            && self.members.iter().all(|record| {
+                has_valid_name(&record.id) && record.accuser.as_ref().is_none_or(has_valid_name)
+            })
             && self
-                .rows
+                .entries
                 .iter()
-                .all(|row| named(&row.id) && row.accuser.as_ref().is_none_or(named))
-            && self
-                .facts
-                .iter()
-                .all(|fact| named(&fact.owner) && fact.is_sound())
+                .all(|entry| has_valid_name(&entry.owner) && entry.is_valid())
     }
 }
 
-/// Which serials of a sender were seen: all below `top - 64`, and those marked.
+/// The serial numbers of a sender that were seen: all below `top - 64`, and those marked in `seen`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ReplayWindow {
     top: u64,
@@ -173,7 +201,7 @@
 }
 
 impl ReplayWindow {
-    /// False for one that was seen, or is too old to tell.
+    /// Marks a serial number. False for one that was seen, or is too old to tell.
     pub fn accept(&mut self, serial: u64) -> bool {
         if serial > self.top {
             let step = serial - self.top;
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_peers::facts::FactRow;
-use thistlecroft_peers::identity::Row;
+use thistlecroft_peers::identity::MemberRecord;
+use thistlecroft_peers::shared_state::Entry;
 use thistlecroft_peers::wire::{Body, Datagram, FORMAT, Seal};
-use thistlecroft_peers::{Identity, Kind, MemberState, Node, Pace, Terms};
+use thistlecroft_peers::{EntryKind, Identity, MemberState, Node, NodeConfig, ProtocolTiming};
 
 const FLEET: &str = "golden";
 const SECRET: &[u8] = b"sixteen bytes or more";
-const PERIOD: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
 fn assert_unchanged(file: &str, actual: &str) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
@@ -43,8 +43,8 @@
         incarnation: 3,
         serial: 300,
         body,
-        rows: Vec::new(),
-        facts: Vec::new(),
+        members: Vec::new(),
+        entries: Vec::new(),
     }
 }
 
@@ -61,7 +61,7 @@
         ),
         (
             "ping for another",
-            Body::PingFor {
+            Body::IndirectPing {
                 probe: 9,
                 target: other,
                 at: address(2),
@@ -69,7 +69,7 @@
         ),
         ("acknowledgement", Body::Ack { probe: 300 }),
         ("negative acknowledgement", Body::Nack { probe: 300 }),
-        ("not the pinged process", Body::NotMe { probe: 300 }),
+        ("not the pinged process", Body::WrongTarget { probe: 300 }),
         ("gossip", Body::Gossip),
         (
             "sync request",
@@ -115,7 +115,7 @@
     ];
     let members = states.map(|(name, state)| {
         let mut gossip = datagram(Body::Gossip);
-        gossip.rows.push(Row {
+        gossip.members.push(MemberRecord {
             id: Identity::new("relay-2", 7),
             at: "[2001:db8::2]:7946".parse().unwrap(),
             incarnation: 2,
@@ -125,16 +125,16 @@
         (format!("member {name}"), gossip)
     });
     let kinds = [
-        ("ban", Kind::Ban),
-        ("ejection", Kind::Ejection),
-        ("start", Kind::Start),
-        ("share", Kind::Share),
-        ("work", Kind::Work),
-        ("note", Kind::Note),
+        ("ban", EntryKind::Ban),
+        ("ejection", EntryKind::Ejection),
+        ("start", EntryKind::Start),
+        ("share", EntryKind::Share),
+        ("work", EntryKind::Work),
+        ("note", EntryKind::Note),
     ];
     let facts = kinds.map(|(name, kind)| {
         let mut gossip = datagram(Body::Gossip);
-        gossip.facts.push(FactRow {
+        gossip.entries.push(Entry {
             kind,
             subject: b"10.0.0.9:80".to_vec(),
             owner: Identity::new("relay-3", 8),
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn datagrams_of_each_kind_are_sealed_into_the_recorded_bytes() {
+fn datagrams_encode_into_the_recorded_bytes() {
     let seal = Seal::new(SECRET, FLEET);
     let mut recording = format!("format: {FORMAT}\n");
     let kinds = datagrams_of_each_kind();
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn recorded_datagrams_are_opened_as_what_they_were() {
+fn recorded_datagrams_decode_into_the_originals() {
     let seal = Seal::new(SECRET, FLEET);
     let kinds = datagrams_of_each_kind();
     let rows = datagrams_of_each_row();
@@ -190,11 +190,13 @@
 
 impl Fleet {
     fn start() -> Fleet {
-        let terms = Terms {
+        let config = NodeConfig {
             fleet: FLEET.into(),
             secret: SECRET.to_vec(),
-            pace: Pace { period: PERIOD },
-            rate: 32_768,
+            timing: ProtocolTiming {
+                probe_interval: PROBE_INTERVAL,
+            },
+            max_bytes_per_second: 32_768,
         };
         let now = Instant::from_micros(1_000_000_000);
         let node = |number: u8| {
@@ -204,7 +206,7 @@
                 id,
                 address(number),
                 seeds,
-                &terms,
+                &config,
                 u64::from(number) + 40,
                 now,
             )
@@ -258,16 +260,16 @@
 }
 
 #[test]
-fn a_fleet_that_meets_tells_loses_and_leaves_sends_the_recorded_datagrams() {
+fn fleet_lifecycle_sends_the_recorded_datagrams() {
     let mut fleet = Fleet::start();
-    fleet.run_for(PERIOD * 6.0);
+    fleet.run_for(PROBE_INTERVAL * 6.0);
     let now = fleet.now;
-    assert!(fleet.nodes[0].announce(Kind::Ban, b"10.0.0.9:80", b"by hand", now));
+    assert!(fleet.nodes[0].announce(EntryKind::Ban, b"10.0.0.9:80", b"by hand", now));
     let second = fleet.nodes[1].me().clone();
     fleet.nodes[0].send_message(&second, 2, b"lease".to_vec(), now);
-    fleet.run_for(PERIOD * 4.0);
+    fleet.run_for(PROBE_INTERVAL * 4.0);
     fleet.down = Some(2);
-    fleet.run_for(PERIOD * 20.0);
+    fleet.run_for(PROBE_INTERVAL * 20.0);
     let third = fleet.nodes[2].me().clone();
     assert_eq!(fleet.nodes[0].state_of(&third), Some(MemberState::Dead));
     let now = fleet.now;
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -1,68 +1,72 @@
-//! Membership over simulated links: deaths, cuts, pauses, losses, growth, and what the bounds say
-//! of them.
+//! Membership in simulated networks: failures, partitions, pauses, losses and growth, within the
+//! documented bounds.
 use std::collections::BTreeSet;
+use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_peers::identity::Row;
-use thistlecroft_peers::wire::{Body, Datagram, MOST, Rejection, ReplayWindow, Seal};
-use thistlecroft_peers::{Identity, Kind, MemberState, Node, Pace, Terms};
+use thistlecroft_peers::identity::MemberRecord;
+use thistlecroft_peers::wire::{Body, Datagram, MAX_DATAGRAM_BYTES, Rejection, ReplayWindow, Seal};
+use thistlecroft_peers::{EntryKind, Identity, MemberState, Node, NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::{Host, LinkFault, SimulatedNetwork};
 
-const PERIOD: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 
-fn terms() -> Terms {
-    let pace = Pace { period: PERIOD };
-    Terms {
+fn config() -> NodeConfig {
+    let timing = ProtocolTiming {
+        probe_interval: PROBE_INTERVAL,
+    };
+    NodeConfig {
         fleet: "test".into(),
         secret: b"of the test".to_vec(),
-        pace,
-        rate: 32_768,
+        timing,
+        max_bytes_per_second: 32_768,
     }
 }
 
 fn network(count: usize, seed: u64) -> SimulatedNetwork {
-    let mut network = SimulatedNetwork::new(terms(), None, 3, seed);
+    let mut network = SimulatedNetwork::new(config(), None, 3, seed);
     for number in 0..count {
         network.start(&format!("r{number}"), 1.0);
     }
     network
 }
 
-fn together(count: usize, seed: u64) -> SimulatedNetwork {
+fn joined_network(count: usize, seed: u64) -> SimulatedNetwork {
     let mut network = network(count, seed);
     network
-        .run_until(PERIOD * 40.0, SimulatedNetwork::agree)
-        .expect("all see all");
+        .run_until(PROBE_INTERVAL * 40.0, SimulatedNetwork::agree)
+        .expect("all members see each other");
     network
 }
 
-/// All that one process was seen as by the others, in order.
+/// The states that the others saw one process in, in order.
 fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
     let turns = network.hosts.iter().flat_map(|host| &host.turns);
     turns
         .filter(|(_, id, _)| id.name == name)
-        .map(|(.., standing)| *standing)
+        .map(|(.., state)| *state)
         .collect()
 }
 
 #[test]
-fn started_at_once_with_seeds_that_start_themselves_all_see_all() {
+fn relays_started_together_find_each_other() {
     for (count, seed) in [(2, 1), (5, 2), (12, 3), (48, 4)] {
-        let took = network(count, seed).run_until(PERIOD * 40.0, SimulatedNetwork::agree);
-        assert!(took.is_some(), "{count} relays");
+        let duration =
+            network(count, seed).run_until(PROBE_INTERVAL * 40.0, SimulatedNetwork::agree);
+        assert!(duration.is_some(), "{count} relays");
     }
 }
 
 #[test]
-fn a_death_is_known_to_all_within_the_stated_time_and_never_before_it_was_suspected() {
+fn dead_member_is_suspected_and_detected_within_the_bound() {
     for (count, seed) in [(3, 1), (5, 2), (12, 3), (24, 4)] {
-        let mut network = together(count, seed);
+        let mut network = joined_network(count, seed);
         network.kill(1);
-        let bound = terms().pace.gone_within(count, 0);
+        let bound = config().timing.detection_bound(count, 0);
         let dead = network.hosts[1].node.me().clone();
         let gone =
             |host: &Host| !host.alive || host.node.state_of(&dead) == Some(MemberState::Dead);
-        let took = network.run_until(bound, |network| network.hosts.iter().all(gone));
-        assert!(took.is_some(), "{count} relays, {bound:?}");
+        let duration = network.run_until(bound, |network| network.hosts.iter().all(gone));
+        assert!(duration.is_some(), "{count} relays, {bound:?}");
         let seen = seen_as(&network, "r1");
         assert!(
             seen.contains(&MemberState::Suspect) && seen.contains(&MemberState::Dead),
@@ -81,59 +85,62 @@
     }
 }
 
+/// Changes the links of a network.
+type ChangeLinks = fn(&mut SimulatedNetwork);
+
+/// The faults of the links, and the members that are dead for the rest at the end.
+const LINK_FAULTS: &[(&str, ChangeLinks, &[&str])] = &[
+    (
+        "hears all, is heard by none",
+        |network| {
+            for other in 1..5 {
+                network.links.insert((0, other), LinkFault::CUT);
+            }
+        },
+        &["r0"],
+    ),
+    (
+        "is heard by all, hears none",
+        |network| {
+            for other in 1..5 {
+                network.links.insert((other, 0), LinkFault::CUT);
+            }
+        },
+        &["r0"],
+    ),
+    (
+        "one direction of one pair",
+        |network| {
+            network.links.insert((0, 1), LinkFault::CUT);
+        },
+        &[],
+    ),
+    (
+        "two on either side, one reaches both",
+        |network| network.cut(&[0, 1], &[3, 4]),
+        &[],
+    ),
+    (
+        "a tenth lost, 100 ms late",
+        |network| {
+            network.link_fault = LinkFault {
+                loss: 0.1,
+                delay: Duration::from_millis(40),
+                spread: Duration::from_millis(20),
+                ..network.link_fault
+            };
+        },
+        &[],
+    ),
+];
+
 #[test]
-fn one_way_cuts_bridges_and_losses_end_in_the_verdict_that_is_stated() {
-    // What is cut, from whom to whom; and who is gone for the rest at the end.
-    type Cut = fn(&mut SimulatedNetwork);
-    let cases: &[(&str, Cut, &[&str])] = &[
-        (
-            "hears all, is heard by none",
-            |network| {
-                for other in 1..5 {
-                    network.links.insert((0, other), LinkFault::CUT);
-                }
-            },
-            &["r0"],
-        ),
-        (
-            "is heard by all, hears none",
-            |network| {
-                for other in 1..5 {
-                    network.links.insert((other, 0), LinkFault::CUT);
-                }
-            },
-            &["r0"],
-        ),
-        (
-            "one direction of one pair",
-            |network| {
-                network.links.insert((0, 1), LinkFault::CUT);
-            },
-            &[],
-        ),
-        (
-            "two on either side, one reaches both",
-            |network| network.cut(&[0, 1], &[3, 4]),
-            &[],
-        ),
-        (
-            "a tenth lost, 100 ms late",
-            |network| {
-                network.link_fault = LinkFault {
-                    loss: 0.1,
-                    delay: Duration::from_millis(40),
-                    spread: Duration::from_millis(20),
-                    ..network.link_fault
-                };
-            },
-            &[],
-        ),
-    ];
-    for (what, cut, gone) in cases {
+fn partial_partitions_and_losses_end_in_the_documented_states() {
+    for (what, change_links, gone) in LINK_FAULTS {
         for seed in 1..=4 {
-            let mut network = together(5, seed);
-            cut(&mut network);
-            network.run_for(terms().pace.gone_within(5, 8));
+            let mut network = joined_network(5, seed);
+            change_links(&mut network);
+            network.run_for(config().timing.detection_bound(5, 8));
             let left: BTreeSet<String> = (0..5)
                 .map(|number| format!("r{number}"))
                 .filter(|name| !gone.contains(&name.as_str()))
@@ -142,7 +149,7 @@
                 .hosts
                 .iter()
                 .filter(|host| left.contains(&host.name));
-            // A suspicion that is answered in time is no verdict.
+            // A suspicion that is refuted in time does not count.
             for host in rest {
                 let views = host
                     .node
@@ -151,7 +158,7 @@
                 let found: Vec<&str> = views.map(|view| view.id.name.as_str()).collect();
                 assert_eq!(&found, gone, "{what}, seed {seed}, seen by {}", host.name);
             }
-            // Others reach whom one does not: nobody is even suspected.
+            // Helpers reach the target, so nobody is even suspected.
             if gone.is_empty() && network.link_fault.loss == 0.0 {
                 let suspected = network
                     .hosts
@@ -165,23 +172,23 @@
 }
 
 #[test]
-fn a_process_that_stood_still_blames_nobody_and_is_back_after_its_own_refutation() {
+fn paused_process_blames_nobody_and_returns_by_refutation() {
     for (still, gone) in [
         (Duration::from_millis(1_000), false),
         (Duration::from_millis(20_000), true),
     ] {
-        let mut network = together(6, 9);
+        let mut network = joined_network(6, 9);
         network.pause(2);
         network.run_for(still);
         network.resume(2);
-        let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::agree);
-        assert!(took.is_some(), "{still:?}");
+        let duration = network.run_until(PROBE_INTERVAL * 60.0, SimulatedNetwork::agree);
+        assert!(duration.is_some(), "{still:?}");
         assert_eq!(
             seen_as(&network, "r2").contains(&MemberState::Dead),
             gone,
             "{still:?}"
         );
-        // Nobody else was ever taken for gone by it, or by anybody.
+        // No other process was ever dead for anybody.
         for name in ["r0", "r1", "r3", "r4", "r5"] {
             assert!(
                 !seen_as(&network, name).contains(&MemberState::Dead),
@@ -193,27 +200,27 @@
 }
 
 #[test]
-fn a_suspicion_from_before_it_stood_still_is_no_verdict_after_it() {
-    let mut network = together(6, 12);
+fn suspicion_from_before_a_pause_does_not_expire_in_it() {
+    let mut network = joined_network(6, 12);
     network.cut(&[4], &[0, 1, 2, 3, 5]);
     let accused = network.hosts[4].node.me().clone();
     let suspects = |network: &SimulatedNetwork| {
         network.hosts[2].node.state_of(&accused) == Some(MemberState::Suspect)
     };
     network
-        .run_until(PERIOD * 20.0, suspects)
+        .run_until(PROBE_INTERVAL * 20.0, suspects)
         .expect("suspected");
     network.pause(2);
-    // The others hear that it is well; this one does not, and nothing waits for it.
+    // The others receive that it is well; this one does not, and nothing waits for it.
     network.heal();
     network.cut(&[2], &[0, 1, 3, 4, 5]);
-    network.run_for(PERIOD * 100.0);
+    network.run_for(PROBE_INTERVAL * 100.0);
     network.heal();
     network.resume(2);
     let turns = network.hosts[2].turns.len();
     network
-        .run_until(PERIOD * 60.0, SimulatedNetwork::agree)
-        .expect("all see all");
+        .run_until(PROBE_INTERVAL * 60.0, SimulatedNetwork::agree)
+        .expect("all members see each other");
     let later = &network.hosts[2].turns[turns.saturating_sub(1)..];
     assert!(
         later
@@ -224,13 +231,13 @@
 }
 
 #[test]
-fn a_restart_within_the_suspicion_time_is_a_new_process_and_the_old_one_has_left() {
-    let mut network = together(5, 3);
+fn restart_within_the_suspicion_timeout_replaces_the_old_process() {
+    let mut network = joined_network(5, 3);
     let old = network.hosts[1].node.me().clone();
     network.kill(1);
-    network.run_for(PERIOD);
+    network.run_for(PROBE_INTERVAL);
     network.restart(1);
-    let took = network.run_until(terms().pace.gone_within(5, 0), |network| {
+    let duration = network.run_until(config().timing.detection_bound(5, 0), |network| {
         network.agree()
             && network
                 .hosts
@@ -239,10 +246,10 @@
                 .all(|host| {
                     host.node
                         .state_of(&old)
-                        .is_some_and(|standing| standing >= MemberState::Dead)
+                        .is_some_and(|state| state >= MemberState::Dead)
                 })
     });
-    assert!(took.is_some());
+    assert!(duration.is_some());
     assert_eq!(
         network.hosts[0].node.unreachable(),
         0,
@@ -251,47 +258,47 @@
 }
 
 #[test]
-fn halves_that_took_each_other_for_gone_and_grew_find_one_another_again() {
-    let mut network = together(6, 5);
+fn divided_fleet_merges_after_growing_on_both_sides() {
+    let mut network = joined_network(6, 5);
     network.cut(&[0, 1, 2], &[3, 4, 5]);
-    network.run_for(PERIOD * 60.0);
+    network.run_for(PROBE_INTERVAL * 60.0);
     assert_eq!(network.hosts[0].node.unreachable(), 3);
-    // One joins on either side meanwhile; each reaches its own side's seeds only.
+    // One process joins on each side, and reaches the seeds of its own side only.
     let (left, right) = (network.start("r6", 1.0), network.start("r7", 1.0));
     network.cut(&[left], &[3, 4, 5, right]);
     network.cut(&[right], &[0, 1, 2]);
-    network.run_for(PERIOD * 240.0);
+    network.run_for(PROBE_INTERVAL * 240.0);
     assert!(!network.agree());
     network.heal();
-    let took = network.run_until(PERIOD * 60.0, SimulatedNetwork::agree);
-    assert!(took.is_some());
+    let duration = network.run_until(PROBE_INTERVAL * 60.0, SimulatedNetwork::agree);
+    assert!(duration.is_some());
     assert_eq!(network.hosts[0].node.unreachable(), 0);
 }
 
 #[test]
-fn who_leaves_is_gone_at_once_and_does_not_come_back() {
-    let mut network = together(12, 6);
+fn leaving_member_is_known_at_once_and_stays_away() {
+    let mut network = joined_network(12, 6);
     network.act(4, |host, now| host.node.leave(now));
     network.kill(4);
-    let took = network
-        .run_until(PERIOD * 10.0, SimulatedNetwork::agree)
-        .expect("told, not found out");
-    assert!(took <= PERIOD * 10.0);
+    let duration = network
+        .run_until(PROBE_INTERVAL * 10.0, SimulatedNetwork::agree)
+        .expect("announced, not detected");
+    assert!(duration <= PROBE_INTERVAL * 10.0);
     assert!(!seen_as(&network, "r4").contains(&MemberState::Suspect));
-    network.run_for(PERIOD * 40.0);
+    network.run_for(PROBE_INTERVAL * 40.0);
     assert!(network.agree());
 }
 
 #[test]
-fn what_is_still_under_way_of_one_that_left_does_not_bring_it_back() {
+fn late_datagrams_do_not_revive_a_member_that_left() {
     let (now, at) = (
         Instant::from_micros(1_000_000),
         "127.0.0.1:9".parse().unwrap(),
     );
-    let mut node = Node::new(Identity::new("me", 1), at, Vec::new(), &terms(), 1, now);
+    let mut node = Node::new(Identity::new("me", 1), at, Vec::new(), &config(), 1, now);
     let seal = Seal::new(b"of the test", "test");
     let you = Identity::new("you", 2);
-    let row = |incarnation, state| Row {
+    let row = |incarnation, state| MemberRecord {
         id: you.clone(),
         at,
         incarnation,
@@ -299,7 +306,7 @@
         accuser: None,
     };
     let mut serial = 10;
-    let mut hear = |node: &mut Node, from: &Identity, rows: Vec<Row>| {
+    let mut receive = |node: &mut Node, from: &Identity, rows: Vec<MemberRecord>| {
         serial += 1;
         let (from, body) = (from.clone(), Body::Gossip);
         let datagram = Datagram {
@@ -308,123 +315,125 @@
             incarnation: 0,
             serial,
             body,
-            rows,
-            facts: Vec::new(),
+            members: rows,
+            entries: Vec::new(),
         };
         node.receive(&seal.close(&datagram).unwrap(), at, now);
     };
-    hear(&mut node, &you, Vec::new());
+    receive(&mut node, &you, Vec::new());
     assert_eq!(node.state_of(&you), Some(MemberState::Alive));
-    // Taken for gone it may come back by a higher incarnation; having left it may not.
+    // A dead member may come back with a higher incarnation; one that has left may not.
     let other = Identity::new("other", 3);
-    hear(&mut node, &other, vec![row(0, MemberState::Dead)]);
-    hear(&mut node, &other, vec![row(0, MemberState::Alive)]);
+    receive(&mut node, &other, vec![row(0, MemberState::Dead)]);
+    receive(&mut node, &other, vec![row(0, MemberState::Alive)]);
     assert_eq!(node.state_of(&you), Some(MemberState::Dead));
-    hear(&mut node, &other, vec![row(1, MemberState::Alive)]);
+    receive(&mut node, &other, vec![row(1, MemberState::Alive)]);
     assert_eq!(node.state_of(&you), Some(MemberState::Alive));
-    hear(&mut node, &you, vec![row(1, MemberState::Left)]);
+    receive(&mut node, &you, vec![row(1, MemberState::Left)]);
     for rows in [
         vec![],
         vec![row(1, MemberState::Alive)],
         vec![row(2, MemberState::Suspect)],
         vec![row(9, MemberState::Alive)],
     ] {
-        hear(&mut node, &other, rows.clone());
-        hear(&mut node, &you, Vec::new());
+        receive(&mut node, &other, rows.clone());
+        receive(&mut node, &you, Vec::new());
         assert_eq!(node.state_of(&you), Some(MemberState::Left), "{rows:?}");
     }
 }
 
 #[test]
-fn a_fact_reaches_all_and_a_lost_one_by_comparing() {
-    let mut network = together(24, 7);
+fn entry_reaches_all_members_by_gossip_or_sync() {
+    let mut network = joined_network(24, 7);
     network.link_fault.loss = 0.2;
     network.act(3, |host, now| {
-        assert!(host.node.announce(Kind::Ban, b"box-1", b"out", now))
+        assert!(host.node.announce(EntryKind::Ban, b"box-1", b"out", now))
     });
     let known = |network: &SimulatedNetwork| {
         let has = |host: &Host| {
             host.node
-                .facts()
-                .of_kind(Kind::Ban, host.clock(network.now))
-                .any(|fact| fact.value == b"out")
+                .shared_state()
+                .of_kind(EntryKind::Ban, host.clock(network.now))
+                .any(|entry| entry.value == b"out")
         };
         network.hosts.iter().all(has)
     };
-    let took = network.run_until(PERIOD * 20.0, known).expect("all know");
-    // One who was cut off all that while has it by an exchange; its age is at least what passed.
+    let duration = network
+        .run_until(PROBE_INTERVAL * 20.0, known)
+        .expect("all members have it");
+    // A member that was cut off gets the entry by a sync, with an age that includes the time since.
     network.cut(&[20], &(0..20).chain(21..24).collect::<Vec<_>>());
     network.act(3, |host, now| {
-        assert!(host.node.announce(Kind::Note, b"n", b"later", now))
+        assert!(host.node.announce(EntryKind::Note, b"n", b"later", now))
     });
-    network.run_for(PERIOD * 30.0);
+    network.run_for(PROBE_INTERVAL * 30.0);
     network.heal();
     let has = |network: &SimulatedNetwork| {
         let host = &network.hosts[20];
         host.node
-            .facts()
-            .of_kind(Kind::Note, host.clock(network.now))
-            .any(|fact| fact.age >= PERIOD * 30.0)
+            .shared_state()
+            .of_kind(EntryKind::Note, host.clock(network.now))
+            .any(|entry| entry.age >= PROBE_INTERVAL * 30.0)
     };
     assert!(
-        network.run_until(PERIOD * 60.0, has).is_some(),
-        "after {took:?}"
+        network.run_until(PROBE_INTERVAL * 60.0, has).is_some(),
+        "after {duration:?}"
     );
 }
 
 #[test]
-fn what_is_said_no_more_is_forgotten_everywhere_and_what_is_said_stays() {
-    let mut network = together(5, 8);
+fn withdrawn_entry_expires_everywhere_and_others_stay() {
+    let mut network = joined_network(5, 8);
     network.act(0, |host, now| {
-        assert!(host.node.announce(Kind::Ejection, b"b", b"1", now))
+        assert!(host.node.announce(EntryKind::Ejection, b"b", b"1", now))
     });
     network.act(1, |host, now| {
-        assert!(host.node.announce(Kind::Ejection, b"c", b"2", now))
+        assert!(host.node.announce(EntryKind::Ejection, b"c", b"2", now))
     });
-    network.run_for(PERIOD * 10.0);
-    network.act(0, |host, _| host.node.withdraw(Kind::Ejection, b"b"));
-    network.run_for(PERIOD * 200.0);
+    network.run_for(PROBE_INTERVAL * 10.0);
+    network.act(0, |host, _| host.node.withdraw(EntryKind::Ejection, b"b"));
+    network.run_for(PROBE_INTERVAL * 200.0);
     for host in &network.hosts {
         let now = host.clock(network.now);
         let subjects: Vec<&[u8]> = host
             .node
-            .facts()
-            .of_kind(Kind::Ejection, now)
-            .map(|fact| fact.subject)
+            .shared_state()
+            .of_kind(EntryKind::Ejection, now)
+            .map(|entry| entry.subject)
             .collect();
         assert_eq!(subjects, [b"c"], "{}", host.name);
     }
 }
 
 #[test]
-fn a_big_table_comes_in_pieces_and_what_is_lost_is_asked_for_again() {
-    let mut network = together(3, 10);
+fn large_snapshot_arrives_in_chunks_despite_losses() {
+    let mut network = joined_network(3, 10);
     for number in 0..200_u32 {
         let subject = format!("a subject of some length, {number}");
         let value = [7; 90];
         network.act(0, |host, now| {
             assert!(
                 host.node
-                    .announce(Kind::Share, subject.as_bytes(), &value, now)
+                    .announce(EntryKind::Share, subject.as_bytes(), &value, now)
             )
         });
     }
     network.link_fault.loss = 0.3;
     let late = network.start("late", 1.0);
-    let whole = |network: &SimulatedNetwork| network.hosts[late].node.facts().len() == 200;
+    let whole = |network: &SimulatedNetwork| network.hosts[late].node.shared_state().len() == 200;
     assert!(
-        network.run_until(PERIOD * 150.0, whole).is_some(),
+        network.run_until(PROBE_INTERVAL * 150.0, whole).is_some(),
         "{}",
-        network.hosts[late].node.facts().len()
+        network.hosts[late].node.shared_state().len()
     );
 }
 
 #[test]
-fn a_relay_never_sends_more_than_its_rate() {
+fn relay_never_exceeds_its_send_rate() {
     let mut network = SimulatedNetwork::new(
-        Terms {
-            rate: 4_096,
-            ..terms()
+        NodeConfig {
+            max_bytes_per_second: 4_096,
+            ..config()
         },
         None,
         3,
@@ -444,7 +453,7 @@
             let text = format!("{:?}", network.now);
             network.act(number, |host, now| {
                 host.node
-                    .announce(Kind::Note, text.as_bytes(), &[1; 90], now);
+                    .announce(EntryKind::Note, text.as_bytes(), &[1; 90], now);
             });
         }
         network.run_for(Duration::from_millis(1_000));
@@ -455,34 +464,44 @@
             .map(|(host, before)| host.node.counts.sent_bytes - before);
         most = most.max(sent.max().unwrap_or_default());
     }
-    // What was saved up in a second comes on top once.
+    // The budget saved up in one second comes on top once.
     assert!(most <= 2 * 4_096, "{most} bytes in a second");
     assert!(
         network
             .hosts
             .iter()
-            .any(|host| host.node.counts.held_back > 0),
+            .any(|host| host.node.counts.rate_limited > 0),
         "the cap was met"
     );
 }
 
-#[test]
-fn datagrams_of_strangers_are_counted_and_do_nothing_else() {
-    let (now, at) = (
-        Instant::from_micros(1_000_000),
-        "127.0.0.1:9".parse().unwrap(),
-    );
-    let node = |terms: &Terms| Node::new(Identity::new("me", 1), at, Vec::new(), terms, 1, now);
-    let seal = Seal::new(b"of the test", "test");
-    let datagram = Datagram {
+const START: Instant = Instant::from_micros(1_000_000);
+
+fn source() -> SocketAddr {
+    "127.0.0.1:9".parse().unwrap()
+}
+
+fn node() -> Node {
+    let me = Identity::new("me", 1);
+    Node::new(me, source(), Vec::new(), &config(), 1, START)
+}
+
+fn valid_datagram() -> Datagram {
+    Datagram {
         from: Identity::new("you", 2),
         at: "127.0.0.1:10".parse().unwrap(),
         incarnation: 0,
         serial: 1,
         body: Body::Gossip,
-        rows: Vec::new(),
-        facts: Vec::new(),
-    };
+        members: Vec::new(),
+        entries: Vec::new(),
+    }
+}
+
+#[test]
+fn foreign_datagrams_are_counted_and_ignored() {
+    let seal = Seal::new(b"of the test", "test");
+    let datagram = valid_datagram();
     let good = seal.close(&datagram).unwrap();
     let mut flipped = good.clone();
     flipped[5] ^= 1;
@@ -494,13 +513,15 @@
     };
     type Count = fn(&Node) -> u64;
     let cases: &[(&str, Vec<u8>, Count)] = &[
-        ("nothing", Vec::new(), |node| node.counts.odd_size),
-        ("too long", vec![1; MOST + 1], |node| node.counts.odd_size),
+        ("nothing", Vec::new(), |node| node.counts.wrong_size),
+        ("too long", vec![1; MAX_DATAGRAM_BYTES + 1], |node| {
+            node.counts.wrong_size
+        }),
         ("cut off", good[..good.len() - 1].to_vec(), |node| {
             node.counts.foreign
         }),
         ("changed", flipped, |node| node.counts.foreign),
-        ("an older format", older, |node| node.counts.other_format),
+        ("an older format", older, |node| node.counts.unknown_format),
         (
             "another fleet",
             Seal::new(b"of the test", "other").close(&datagram).unwrap(),
@@ -516,22 +537,33 @@
         }),
     ];
     for (what, bytes, count) in cases {
-        let mut node = node(&terms());
-        node.receive(bytes, at, now);
+        let mut node = node();
+        node.receive(bytes, source(), START);
         assert_eq!(
-            (count(&node), node.counts.heard, node.members().count()),
+            (count(&node), node.counts.received, node.members().count()),
             (1, 0, 0),
             "{what}"
         );
         assert!(node.take_datagrams().is_empty(), "{what}");
     }
-    let mut node = node(&terms());
+}
+
+#[test]
+fn repeated_datagram_is_accepted_once() {
+    let seal = Seal::new(b"of the test", "test");
+    let datagram = valid_datagram();
+    let good = seal.close(&datagram).unwrap();
+    let mut node = node();
     for _ in 0..3 {
-        node.receive(&good, at, now);
+        node.receive(&good, source(), START);
     }
-    assert_eq!((node.counts.heard, node.counts.repeated), (1, 2));
+    assert_eq!((node.counts.received, node.counts.repeated), (1, 2));
     assert_eq!(seal.open(&good), Ok(datagram));
     assert_eq!(seal.open(&[0; 40]), Err(Rejection::Format(0)));
+}
+
+#[test]
+fn replay_window_accepts_each_serial_once() {
     let mut window = ReplayWindow::default();
     let serials = [
         (5, true),
@@ -544,7 +576,7 @@
         (1 << 40, true),
         (70, false),
     ];
-    for (serial, taken) in serials {
-        assert_eq!(window.accept(serial), taken, "{serial}");
+    for (serial, is_accepted) in serials {
+        assert_eq!(window.accept(serial), is_accepted, "{serial}");
     }
 }
--- a/peers/tests/shared_state.rs
+++ b/peers/tests/shared_state.rs
@@ -1,13 +1,15 @@
-//! Merging facts commutes, associates and repeats harmlessly, over random schedules; bounded tables
-//! too.
+//! The shared state: merging is commutative, associative and idempotent, also for full tables; entries
+//! expire.
 use proptest::prelude::*;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::Identity;
-use thistlecroft_peers::facts::{FactRow, Facts, Kind, MOST_OWN, MOST_ROWS};
+use thistlecroft_peers::shared_state::{
+    Entry, EntryKind, MAX_ENTRIES, MAX_OWN_ENTRIES, SharedState,
+};
 
 const NOW: Instant = Instant::from_micros(1_000_000_000);
 
-fn row() -> impl Strategy<Value = FactRow> {
+fn entry() -> impl Strategy<Value = Entry> {
     (
         0..6_usize,
         0..3_u8,
@@ -16,8 +18,8 @@
         0..3_u8,
         0..9_000_u32,
     )
-        .prop_map(|(kind, subject, run, epoch, value, age_ms)| FactRow {
-            kind: Kind::ALL[kind],
+        .prop_map(|(kind, subject, run, epoch, value, age_ms)| Entry {
+            kind: EntryKind::ALL[kind],
             subject: vec![subject],
             owner: Identity::new("r", run),
             epoch,
@@ -26,116 +28,128 @@
         })
 }
 
-fn taken<'a>(rows: impl Iterator<Item = &'a FactRow>) -> Vec<FactRow> {
-    let mut facts = Facts::new(Duration::from_millis(1_000));
-    for row in rows {
-        facts.merge(row, NOW);
+fn merged<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Entry> {
+    let mut table = SharedState::new(Duration::from_millis(1_000));
+    for entry in entries {
+        table.merge(entry, NOW);
     }
-    let keys: Vec<_> = facts.keys().cloned().collect();
-    keys.iter().filter_map(|key| facts.row(key, NOW)).collect()
+    let keys: Vec<_> = table.keys().cloned().collect();
+    keys.iter()
+        .filter_map(|key| table.entry(key, NOW))
+        .collect()
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(256) })]
 
     #[test]
-    fn any_order_and_any_repeats_give_the_same_table(rows in prop::collection::vec(row(), 1..60), order in any::<u64>()) {
-        let whole = taken(rows.iter());
-        let mut chance = thistlecroft::random::Rng::from_seed(order);
-        let mut other: Vec<&FactRow> = rows.iter().chain(rows.iter().filter(|row| row.epoch % 2 == 0)).collect();
-        for place in (1..other.len()).rev() {
-            other.swap(place, chance.below(place as u64 + 1) as usize);
+    fn merge_is_independent_of_order_and_repetition(entries in prop::collection::vec(entry(), 1..60), order in any::<u64>()) {
+        let expected = merged(entries.iter());
+        let mut rng = thistlecroft::random::Rng::from_seed(order);
+        let mut other: Vec<&Entry> = entries.iter().chain(entries.iter().filter(|entry| entry.epoch % 2 == 0)).collect();
+        for index in (1..other.len()).rev() {
+            other.swap(index, rng.below(index as u64 + 1) as usize);
         }
-        prop_assert_eq!(&whole, &taken(other.into_iter()));
-        // In two parts, each merged by itself and then together.
-        let (one, two) = rows.split_at(rows.len() / 2);
-        let (one, two) = (taken(one.iter()), taken(two.iter()));
-        prop_assert_eq!(&whole, &taken(two.iter().chain(one.iter())));
+        prop_assert_eq!(&expected, &merged(other.into_iter()));
+        // Two parts, merged separately and then together.
+        let (one, two) = entries.split_at(entries.len() / 2);
+        let (one, two) = (merged(one.iter()), merged(two.iter()));
+        prop_assert_eq!(&expected, &merged(two.iter().chain(one.iter())));
     }
 }
 
 #[test]
-fn a_full_table_keeps_the_same_rows_whatever_the_order() {
-    let row = |number: u32| FactRow {
-        kind: Kind::Note,
+fn full_table_keeps_the_same_entries_in_any_order() {
+    let entry = |number: u32| Entry {
+        kind: EntryKind::Note,
         subject: number.to_be_bytes().to_vec(),
         owner: Identity::new("r", 1),
         epoch: 1,
         value: Vec::new(),
         age_ms: 0,
     };
-    let rows: Vec<FactRow> = (0..MOST_ROWS as u32 + 100).map(row).collect();
-    let forward = taken(rows.iter());
-    assert_eq!(forward.len(), MOST_ROWS);
-    assert_eq!(forward, taken(rows.iter().rev()));
-    let mut facts = Facts::new(Duration::from_millis(1_000));
+    let entries: Vec<Entry> = (0..MAX_ENTRIES as u32 + 100).map(entry).collect();
+    let forward = merged(entries.iter());
+    assert_eq!(forward.len(), MAX_ENTRIES);
+    assert_eq!(forward, merged(entries.iter().rev()));
+    let mut table = SharedState::new(Duration::from_millis(1_000));
     let me = Identity::new("me", 1);
-    for number in 0..MOST_OWN as u32 {
-        assert!(facts.announce(&me, Kind::Note, &number.to_be_bytes(), b"", NOW));
+    for number in 0..MAX_OWN_ENTRIES as u32 {
+        assert!(table.announce(&me, EntryKind::Note, &number.to_be_bytes(), b"", NOW));
     }
-    assert!(!facts.announce(&me, Kind::Note, b"one more", b"", NOW));
+    assert!(!table.announce(&me, EntryKind::Note, b"one more", b"", NOW));
     assert!(
-        facts.announce(&me, Kind::Note, &7_u32.to_be_bytes(), b"again", NOW),
-        "of its own it may change any"
+        table.announce(&me, EntryKind::Note, &7_u32.to_be_bytes(), b"again", NOW),
+        "an owner may change any of its entries"
     );
     assert!(
-        !facts.announce(&me, Kind::Note, &[0; 49], b"", NOW),
+        !table.announce(&me, EntryKind::Note, &[0; 49], b"", NOW),
         "too long"
     );
-    assert_eq!(facts.refused, 2);
+    assert_eq!(table.rejected, 2);
 }
 
 #[test]
-fn what_is_said_again_after_it_was_withdrawn_is_newer_for_those_who_still_hold_it() {
+fn entry_announced_after_its_withdrawal_replaces_the_old_one() {
     let (mut own, mut other) = (
-        Facts::new(Duration::from_millis(1_000)),
-        Facts::new(Duration::from_millis(1_000)),
+        SharedState::new(Duration::from_millis(1_000)),
+        SharedState::new(Duration::from_millis(1_000)),
     );
     let me = Identity::new("me", 1);
-    let pass = |own: &Facts, other: &mut Facts| {
+    let pass = |own: &SharedState, other: &mut SharedState| {
         let key = own.keys().next().unwrap().clone();
-        other.merge(&own.row(&key, NOW).unwrap(), NOW)
+        other.merge(&own.entry(&key, NOW).unwrap(), NOW)
     };
     assert!(
-        own.announce(&me, Kind::Ban, b"b", b"out", NOW)
-            && own.announce(&me, Kind::Ban, b"b", b"z", NOW)
+        own.announce(&me, EntryKind::Ban, b"b", b"out", NOW)
+            && own.announce(&me, EntryKind::Ban, b"b", b"z", NOW)
     );
     assert!(pass(&own, &mut other));
-    assert!(own.withdraw(&me, Kind::Ban, b"b"));
-    assert!(own.announce(&me, Kind::Ban, b"b", b"a", NOW));
-    assert!(pass(&own, &mut other), "a smaller value by a later saying");
-    assert_eq!(other.of_kind(Kind::Ban, NOW).next().unwrap().value, b"a");
+    assert!(own.withdraw(&me, EntryKind::Ban, b"b"));
+    assert!(own.announce(&me, EntryKind::Ban, b"b", b"a", NOW));
+    assert!(
+        pass(&own, &mut other),
+        "a later announcement replaces a greater value"
+    );
+    assert_eq!(
+        other.of_kind(EntryKind::Ban, NOW).next().unwrap().value,
+        b"a"
+    );
 }
 
 #[test]
-fn a_fact_is_read_with_its_age_and_forgotten_by_it() {
-    let mut facts = Facts::new(Duration::from_millis(1_000));
+fn entry_has_an_age_and_expires_by_it() {
+    let mut table = SharedState::new(Duration::from_millis(1_000));
     let me = Identity::new("me", 1);
-    assert!(facts.announce(&me, Kind::Ejection, b"b", b"x", NOW));
+    assert!(table.announce(&me, EntryKind::Ejection, b"b", b"x", NOW));
     let at = |secs: u64| NOW + Duration::from_millis(secs * 1_000);
     assert_eq!(
-        facts.of_kind(Kind::Ejection, at(7)).next().unwrap().age,
+        table
+            .of_kind(EntryKind::Ejection, at(7))
+            .next()
+            .unwrap()
+            .age,
         Duration::from_millis(7_000)
     );
-    assert!(facts.stale_of(&me, at(19)).is_empty());
+    assert!(table.entries_to_refresh(&me, at(19)).is_empty());
     assert_eq!(
-        facts.stale_of(&me, at(20)).len(),
+        table.entries_to_refresh(&me, at(20)).len(),
         1,
-        "said again after a third of its life"
+        "refreshed after a third of its time to live"
     );
-    assert!(facts.forget(at(59)).is_empty());
-    let late = facts
-        .row(&facts.keys().next().unwrap().clone(), at(59))
+    assert!(table.remove_expired(at(59)).is_empty());
+    let late = table
+        .entry(&table.keys().next().unwrap().clone(), at(59))
         .unwrap();
-    assert_eq!(facts.forget(at(60)).len(), 1);
+    assert_eq!(table.remove_expired(at(60)).len(), 1);
     assert!(
-        !facts.merge(
-            &FactRow {
+        !table.merge(
+            &Entry {
                 age_ms: 60_000,
                 ..late
             },
             at(60)
         ),
-        "what is too old does not come back"
+        "an expired entry is not merged"
     );
 }
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -12,8 +12,10 @@
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{Electorate, LeaseConfig, Leases, Reason, State};
 use thistlecroft_operator_config::PeersConfig;
-use thistlecroft_peers::wire::MOST;
-use thistlecroft_peers::{Event, Identity, Kind, MemberState, Node, Pace, Terms};
+use thistlecroft_peers::wire::MAX_DATAGRAM_BYTES;
+use thistlecroft_peers::{
+    EntryKind, Event, Identity, MemberState, Node, NodeConfig, ProtocolTiming,
+};
 
 /// Datagrams read in one turn.
 const DATAGRAMS: usize = 64;
@@ -89,13 +91,13 @@
         let [run, seed] =
             [0, 8].map(|at| u64::from_le_bytes(run[at..at + 8].try_into().expect("eight")));
         let me = Identity::new(name, run);
-        let terms = Terms {
+        let terms = NodeConfig {
             fleet: peering.fleet.clone(),
             secret: key.to_vec(),
-            pace: Pace {
-                period: peering.probe_interval,
+            timing: ProtocolTiming {
+                probe_interval: peering.probe_interval,
             },
-            rate: peering.max_bytes_per_second,
+            max_bytes_per_second: peering.max_bytes_per_second,
         };
         let node = Node::new(
             me.clone(),
@@ -152,7 +154,7 @@
     }
 
     pub fn event(&mut self, works: &mut IoContext) {
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         let links = std::iter::once(&self.link).chain(self.former.iter().map(|(link, _)| link));
         for link in links {
             for _ in 0..DATAGRAMS {
@@ -250,16 +252,16 @@
 
     fn told(&mut self, event: Event, now: Instant) {
         match event {
-            Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.word()),
+            Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.as_str()),
             Event::Refuted { incarnation } => {
                 log::info!(
                     "peers: others thought this relay gone or going; says otherwise ({incarnation})"
                 );
             }
-            Event::OtherFormat { from, format } => {
+            Event::UnknownFormat { from, format } => {
                 log::warn!("peers: datagrams of format {format} from {from} are not read");
             }
-            Event::StoodStill { by } => {
+            Event::Paused { duration: by } => {
                 log::warn!("peers: this process stood still for {} ms", by.as_millis());
             }
             Event::Message {
@@ -271,7 +273,7 @@
                     leases.receive(&from, channel, &bytes, now);
                 }
             }
-            Event::Fact { .. } => {}
+            Event::EntryChanged { .. } => {}
         }
     }
 
@@ -297,7 +299,7 @@
             AdminCommand::Note(subject, value) => {
                 match self
                     .node
-                    .announce(Kind::Note, subject.as_bytes(), value.as_bytes(), now)
+                    .announce(EntryKind::Note, subject.as_bytes(), value.as_bytes(), now)
                 {
                     true => Ok("told".into()),
                     false => Err("too long, or too many notes of this relay".into()),
@@ -346,7 +348,7 @@
 
     fn notes(&self, now: Instant) -> serde_json::Value {
         let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let notes = self.node.facts().of_kind(Kind::Note, now).map(|fact| {
+        let notes = self.node.shared_state().of_kind(EntryKind::Note, now).map(|fact| {
             json!({"subject": text(fact.subject), "value": text(fact.value), "owner": fact.owner.to_string(),
                 "epoch": fact.epoch, "age_ms": fact.age.as_millis()})
         });
@@ -358,8 +360,8 @@
         let ago = |at: Instant| now.duration_since(at).as_millis();
         let peers = self.node.members().map(|view| {
             json!({"id": view.id.to_string(), "name": view.id.name.as_str(), "at": view.at.to_string(),
-                "standing": view.state.word(), "incarnation": view.incarnation, "since_ms": ago(view.since),
-                "heard_ms": view.heard.map(ago)})
+                "standing": view.state.as_str(), "incarnation": view.incarnation, "since_ms": ago(view.since),
+                "heard_ms": view.last_received.map(ago)})
         });
         let counts = &self.node.counts;
         let leases = self.leases.as_ref().map(|leases| {
@@ -379,12 +381,12 @@
                     "voter_full": of.voter_full}})
         });
         json!({"me": self.node.me().to_string(), "name": self.node.me().name.as_str(), "health": self.node.health(),
-            "unheard": self.node.unreachable(), "facts": self.node.facts().len(), "peers": peers.collect::<Vec<_>>(),
+            "unheard": self.node.unreachable(), "facts": self.node.shared_state().len(), "peers": peers.collect::<Vec<_>>(),
             "leases": leases, "counts": {
-                "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
-                "heard_bytes": counts.heard_bytes, "odd_size": counts.odd_size,
-                "other_format": counts.other_format, "foreign": counts.foreign, "malformed": counts.malformed,
-                "repeated": counts.repeated, "held_back": counts.held_back, "probes": counts.probes,
+                "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.received,
+                "heard_bytes": counts.received_bytes, "odd_size": counts.wrong_size,
+                "other_format": counts.unknown_format, "foreign": counts.foreign, "malformed": counts.malformed,
+                "repeated": counts.repeated, "held_back": counts.rate_limited, "probes": counts.probes,
                 "probes_failed": counts.probes_failed, "suspected": counts.suspected,
                 "refuted": counts.refuted, "send_failures": self.send_failures}})
     }
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::net::UdpSocket;
 use std::path::PathBuf;
 use thistlecroft::time::Duration;
-use thistlecroft_peers::Pace;
+use thistlecroft_peers::ProtocolTiming;
 use thistlecroft_testbed::cluster_invariants::{ClusterLimits, check_cluster_invariants};
 use thistlecroft_testbed::event_recorder::{Observation, RelayNumber};
 use thistlecroft_testbed::link_fault::LinkFault;
@@ -17,7 +17,11 @@
 const BUSY: Duration = Duration::from_millis(10_000);
 
 fn gone_within(size: usize) -> Duration {
-    Pace { period: PERIOD }.gone_within(size, 1) + BUSY
+    ProtocolTiming {
+        probe_interval: PERIOD,
+    }
+    .detection_bound(size, 1)
+        + BUSY
 }
 
 fn folder(name: &str) -> PathBuf {
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network.rs
@@ -6,7 +6,7 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{LeaseConfig, Leases};
-use thistlecroft_peers::{Event, Identity, MemberState, Node, Terms};
+use thistlecroft_peers::{Event, Identity, MemberState, Node, NodeConfig};
 
 pub use crate::link_fault::LinkFault;
 
@@ -69,7 +69,7 @@
     /// What holds where nothing else is said.
     pub link_fault: LinkFault,
     pub links: BTreeMap<(usize, usize), LinkFault>,
-    terms: Terms,
+    terms: NodeConfig,
     lease_config: Option<LeaseConfig>,
     seeds: usize,
 }
@@ -82,7 +82,7 @@
 impl SimulatedNetwork {
     /// `seeds`: the first so many processes are named to all as seeds.
     pub fn new(
-        terms: Terms,
+        terms: NodeConfig,
         lease_config: Option<LeaseConfig>,
         seeds: usize,
         seed: u64,
@@ -108,7 +108,7 @@
     /// Bytes a second, in all and for attaching subjects, of processes that are started from now
     /// on.
     pub fn set_rates(&mut self, rate: u32, update_rate: u32) {
-        self.terms.rate = rate;
+        self.terms.max_bytes_per_second = rate;
         self.lease_config
             .iter_mut()
             .for_each(|config| config.update_rate = update_rate);
@@ -202,7 +202,7 @@
         within: Duration,
         so: impl Fn(&SimulatedNetwork) -> bool,
     ) -> Option<Duration> {
-        let (began, step) = (self.now, self.terms.pace.period * 0.1);
+        let (began, step) = (self.now, self.terms.timing.probe_interval * 0.1);
         while !so(self) {
             if self.now.duration_since(began) >= within {
                 return None;
