--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -133,7 +133,7 @@
                 Some(_) => "sound for this configuration",
                 None => "sound by itself; --config holds it against a relay's configuration",
             };
-            let routes = config.routes.len();
+            let routes = config.route_count();
             format!("an operator configuration: {routes} routes, {soundness}")
         }
         CheckedFile::Budget(budget) => {
--- a/experiments/src/membership/processes.rs
+++ b/experiments/src/membership/processes.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use thiserror::Error;
 use thistlecroft::time::Duration;
-use thistlecroft_peers::Pace;
+use thistlecroft_peers::ProtocolTiming;
 use thistlecroft_testbed::clock::to_std;
 use thistlecroft_testbed::link_fault::LinkFault;
 use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
@@ -30,7 +30,7 @@
 ) -> Result<Measured, MembershipError> {
     let mut cluster = Cluster::start(trial, program, folder)?;
     let mut measured = Measured {
-        detection_bound: trial.in_periods(cluster.pace().gone_within(trial.size, 0)),
+        detection_bound: trial.in_periods(cluster.pace().detection_bound(trial.size, 0)),
         ..Measured::default()
     };
     let relays = cluster.relays.clone();
@@ -77,9 +77,9 @@
         })
     }
 
-    fn pace(&self) -> Pace {
-        Pace {
-            period: self.trial.period,
+    fn pace(&self) -> ProtocolTiming {
+        ProtocolTiming {
+            probe_interval: self.trial.period,
         }
     }
 
--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -2,7 +2,7 @@
 use super::{MAX_NOTE_PERIODS, MAX_PERIODS, Measured, SECONDS_PER_HOUR, Trial};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
-use thistlecroft_peers::{Kind, MemberState, Pace, Terms};
+use thistlecroft_peers::{EntryKind, MemberState, NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
 /// Bytes a second that a relay sends at most.
@@ -39,13 +39,15 @@
 
 fn simulated(trial: Trial) -> Measured {
     let Trial { size, period, .. } = trial;
-    let pace = Pace { period };
+    let pace = ProtocolTiming {
+        probe_interval: period,
+    };
     let mut network = SimulatedNetwork::new(
-        Terms {
+        NodeConfig {
             fleet: "network".into(),
             secret: vec![7; 16],
-            pace,
-            rate: RATE,
+            timing: pace,
+            max_bytes_per_second: RATE,
         },
         None,
         SEEDS,
@@ -61,7 +63,7 @@
     network.default_link_fault.loss = trial.loss;
     network.run_for(period * SETTLING_PERIODS);
     let mut measured = Measured {
-        detection_bound: trial.in_periods(pace.gone_within(size, 0)),
+        detection_bound: trial.in_periods(pace.detection_bound(size, 0)),
         join: trial.optional_in_periods(join),
         ..Measured::default()
     };
@@ -101,12 +103,17 @@
 /// How long a note takes to reach all.
 fn measure_note(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measured) {
     network.act(trial.size / 2, |host, now| {
-        host.node.announce(Kind::Note, b"subject", b"value", now);
+        host.node
+            .announce(EntryKind::Note, b"subject", b"value", now);
     });
     let is_known = |network: &SimulatedNetwork| {
         network.hosts.iter().all(|host| {
             let now = host.clock(network.now);
-            host.node.facts().of_kind(Kind::Note, now).next().is_some()
+            host.node
+                .shared_state()
+                .of_kind(EntryKind::Note, now)
+                .next()
+                .is_some()
         })
     };
     let time = network.run_until(trial.period * MAX_NOTE_PERIODS, is_known);
--- a/experiments/src/scale/worker/hollow_relay.rs
+++ b/experiments/src/scale/worker/hollow_relay.rs
@@ -7,7 +7,7 @@
 use std::net::{SocketAddr, UdpSocket};
 use thistlecroft::time::Instant;
 use thistlecroft_leases::Leases;
-use thistlecroft_peers::wire::MOST;
+use thistlecroft_peers::wire::MAX_DATAGRAM_BYTES;
 use thistlecroft_peers::{Event as PeerEvent, Identity, Node};
 
 /// Datagrams of one socket read in a turn.
@@ -60,7 +60,7 @@
     }
 
     pub(super) fn read(&mut self) {
-        let mut bytes = [0; MOST + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         for _ in 0..MAX_DATAGRAMS {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, source)) => self.node.receive(&bytes[..length], source, now()),
