--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -1,136 +1,160 @@
-//! What a box can do and what is asked of it, and the store that every set-up calls. No I/O: the
-//! yard tells it what happens and when.
+//! The load model of a simulated backend, and the store that every set-up calls. No I/O: the
+//! simulated backends tell it what happens and when.
 use std::collections::{BTreeMap, VecDeque};
 use thistlecroft::time::{Duration, Instant};
 
-/// How a box that has just started is weak, and what pushes it over.
+/// How a backend warms up after its start, and what overloads it meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// What it can do at its start, as a part of its capacity.
+    /// The part of its capacity that it has at its start.
     pub initial_share: f64,
-    /// Its share rises evenly to the whole over this time.
+    /// That part rises evenly to the whole over this time.
     pub duration: Duration,
-    /// It falls over when sent more than this multiple of what it can do...
+    /// It is overloaded when attempts ask for more than this multiple of what it can take...
     pub overload_factor: f64,
     /// ...within any such time...
     pub overload_window: Duration,
-    /// ...where what it can do is its capacity, taken anew once in each such time.
+    /// ...where it can take its present capacity once in each such time.
     pub turnover_time: Duration,
 }
 
-/// A kind of box.
+/// What a kind of backend can serve.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendCapacity {
-    /// The load that fills it.
+    /// The load that saturates it.
     pub full_load: f64,
-    /// Connections that it holds at most.
+    /// The greatest number of sessions.
     pub max_sessions: usize,
-    /// Own work of a set-up, besides the store's.
+    /// Its own work for a set-up, besides the store's.
     pub setup_time: Duration,
-    /// What a group costs each box that holds any of it, in load.
+    /// The load that each group with any session there adds.
     pub group_load: f64,
+    /// Its slow start.
     pub warm_up: WarmUp,
 }
 
-/// Piled-up work counts up to this: nobody waits for longer.
-const MOST_PILED: f64 = 30.0;
-
-/// The work of one box from its start to its end.
+/// Seconds of queued work at most: no message waits for longer.
+const MAX_QUEUED_SECONDS: f64 = 30.0;
+/// Set-ups are slowed down by load up to this.
+const MAX_LOAD_AT_SETUP: f64 = 4.0;
+/// Set-ups are slowed down as if at least this part of the capacity were there.
+const MIN_SHARE_AT_SETUP: f64 = 0.05;
+/// Avoids divisions by zero.
+const MIN_SECONDS: f64 = 1e-6;
+const MIN_LOAD: f64 = 1e-9;
+
+/// The work of one backend from its start to its end.
 pub struct BackendModel {
-    make: BackendCapacity,
-    cold_since: Option<Instant>,
-    own: f64,
-    held: usize,
+    capacity: BackendCapacity,
+    /// Since when it warms up; none where it was warm from the beginning.
+    warming_since: Option<Instant>,
+    /// The load of its sessions, without that of groups.
+    session_load: f64,
+    sessions: usize,
+    /// Sessions by group.
     groups: BTreeMap<u64, u32>,
-    piled: f64,
-    reckoned: Instant,
-    sent: VecDeque<(Instant, f64)>,
-    pub worst_push: f64,
-    /// How many times slower than its make it runs.
+    /// Work that waits to be done, in seconds.
+    queued_seconds: f64,
+    /// As of when the queued work is known.
+    updated_at: Instant,
+    /// Attempts of the overload window, with their loads.
+    recent_attempts: VecDeque<(Instant, f64)>,
+    /// The greatest used part of what it can take within a window while it warms up.
+    pub max_warm_up_budget_used: f64,
+    /// How many times slower than usual it runs.
     pub slowness: f64,
 }
 
 impl BackendModel {
-    pub fn start(make: BackendCapacity, now: Instant, cold: bool) -> BackendModel {
+    /// A backend that starts now and, where it is cold, warms up.
+    pub fn start(capacity: BackendCapacity, now: Instant, cold: bool) -> BackendModel {
         BackendModel {
-            make,
-            cold_since: cold.then_some(now),
-            own: 0.0,
-            held: 0,
+            capacity,
+            warming_since: cold.then_some(now),
+            session_load: 0.0,
+            sessions: 0,
             groups: BTreeMap::new(),
-            piled: 0.0,
-            reckoned: now,
-            sent: VecDeque::new(),
-            worst_push: 0.0,
+            queued_seconds: 0.0,
+            updated_at: now,
+            recent_attempts: VecDeque::new(),
+            max_warm_up_budget_used: 0.0,
             slowness: 1.0,
         }
     }
 
-    /// What it can do, as a part of its capacity.
-    pub fn share(&self, now: Instant) -> f64 {
-        let Some(since) = self.cold_since else {
+    /// The present part of its full capacity.
+    pub fn capacity_share(&self, now: Instant) -> f64 {
+        let Some(since) = self.warming_since else {
             return 1.0;
         };
-        let cold = &self.make.warm_up;
-        let part = (now.duration_since(since).as_secs_f64()
-            / cold.duration.as_secs_f64().max(1e-6))
-        .min(1.0);
-        cold.initial_share + (1.0 - cold.initial_share) * part
+        let warm_up = &self.capacity.warm_up;
+        let passed = now.duration_since(since).as_secs_f64();
+        let progress = (passed / warm_up.duration.as_secs_f64().max(MIN_SECONDS)).min(1.0);
+        warm_up.initial_share + (1.0 - warm_up.initial_share) * progress
     }
 
-    pub fn held(&self) -> usize {
-        self.held
+    /// Established sessions.
+    pub fn sessions(&self) -> usize {
+        self.sessions
     }
 
-    pub fn is_full(&self) -> bool {
-        self.held >= self.make.max_sessions
+    /// Whether it rejects further sessions.
+    pub fn is_saturated(&self) -> bool {
+        self.sessions >= self.capacity.max_sessions
     }
 
-    /// Load asked over what it can do now.
+    /// Requested load over present capacity.
     pub fn load(&self, now: Instant) -> f64 {
-        let asked = self.own + self.make.group_load * self.groups.len() as f64;
-        asked * self.slowness / (self.make.full_load * self.share(now)).max(1e-9)
-    }
-
-    /// A dial came, whatever is made of it; true if that pushed the box over. The largest one
-    /// within the window is let pass, since a single connection may be larger than the budget of a
-    /// small box.
-    pub fn sent(&mut self, now: Instant, load: f64) -> bool {
-        let cold = self.make.warm_up;
-        let share = self.share(now);
+        let requested = self.session_load + self.capacity.group_load * self.groups.len() as f64;
+        requested * self.slowness
+            / (self.capacity.full_load * self.capacity_share(now)).max(MIN_LOAD)
+    }
+
+    /// Counts an attempt, whatever becomes of it; true if it overloads the backend.
+    ///
+    /// The largest attempt within the window doesn't count, since a single session may be larger
+    /// than the budget of a small backend.
+    pub fn record_attempt(&mut self, now: Instant, load: f64) -> bool {
+        let warm_up = self.capacity.warm_up;
+        let share = self.capacity_share(now);
         if share >= 1.0 {
             return false;
         }
-        self.sent.push_back((now, load));
+        self.recent_attempts.push_back((now, load));
         while self
-            .sent
+            .recent_attempts
             .front()
-            .is_some_and(|&(at, _)| now.duration_since(at) > cold.overload_window)
+            .is_some_and(|&(at, _)| now.duration_since(at) > warm_up.overload_window)
         {
-            self.sent.pop_front();
+            self.recent_attempts.pop_front();
         }
-        let sum: f64 = self.sent.iter().map(|&(_, load)| load).sum();
-        let largest = self.sent.iter().map(|&(_, load)| load).fold(0.0, f64::max);
-        let a_second = self.make.full_load * share / cold.turnover_time.as_secs_f64().max(1e-6);
-        let pushed = (sum - largest)
-            / (cold.overload_factor * a_second * cold.overload_window.as_secs_f64()).max(1e-9);
-        self.worst_push = self.worst_push.max(pushed);
-        pushed > 1.0
-    }
-
-    pub fn take(&mut self, now: Instant, load: f64, group: Option<u64>) {
-        self.reckon(now);
-        self.own += load;
-        self.held += 1;
+        let loads = || self.recent_attempts.iter().map(|&(_, load)| load);
+        let sum: f64 = loads().sum();
+        let largest = loads().fold(0.0, f64::max);
+        let turnover_seconds = warm_up.turnover_time.as_secs_f64().max(MIN_SECONDS);
+        let load_per_second = self.capacity.full_load * share / turnover_seconds;
+        let window_seconds = warm_up.overload_window.as_secs_f64();
+        let budget = (warm_up.overload_factor * load_per_second * window_seconds).max(MIN_LOAD);
+        let used = (sum - largest) / budget;
+        self.max_warm_up_budget_used = self.max_warm_up_budget_used.max(used);
+        used > 1.0
+    }
+
+    /// Adds an established session.
+    pub fn add_session(&mut self, now: Instant, load: f64, group: Option<u64>) {
+        self.update_queue(now);
+        self.session_load += load;
+        self.sessions += 1;
         if let Some(group) = group {
             *self.groups.entry(group).or_default() += 1;
         }
     }
 
-    pub fn leave(&mut self, now: Instant, load: f64, group: Option<u64>) {
-        self.reckon(now);
-        self.own = (self.own - load).max(0.0);
-        self.held = self.held.saturating_sub(1);
+    /// Removes an established session.
+    pub fn remove_session(&mut self, now: Instant, load: f64, group: Option<u64>) {
+        self.update_queue(now);
+        self.session_load = (self.session_load - load).max(0.0);
+        self.sessions = self.sessions.saturating_sub(1);
         if let Some(group) = group
             && let Some(count) = self.groups.get_mut(&group)
         {
@@ -141,120 +165,57 @@
         }
     }
 
-    /// Work that could not be done piles up and is worked off.
-    fn reckon(&mut self, now: Instant) {
-        let passed = now.duration_since(self.reckoned).as_secs_f64();
-        self.piled = (self.piled + passed * (self.load(now) - 1.0)).clamp(0.0, MOST_PILED);
-        self.reckoned = now;
+    /// Work that could not be done has been queued since the last update, or was worked off.
+    fn update_queue(&mut self, now: Instant) {
+        let passed = now.duration_since(self.updated_at).as_secs_f64();
+        let queued = self.queued_seconds + passed * (self.load(now) - 1.0);
+        self.queued_seconds = queued.clamp(0.0, MAX_QUEUED_SECONDS);
+        self.updated_at = now;
     }
 
-    /// How long a message takes here now.
-    pub fn delay(&mut self, now: Instant) -> Duration {
-        self.reckon(now);
-        Duration::from_millis(1_000) * self.piled
+    /// How long a message takes now.
+    pub fn message_delay(&mut self, now: Instant) -> Duration {
+        self.update_queue(now);
+        Duration::from_millis(1_000) * self.queued_seconds
     }
 
-    /// Own work of a set-up now: slower the more is asked, and while cold.
-    pub fn setup(&mut self, now: Instant) -> Duration {
-        let delay = self.delay(now);
-        let busy = 1.0 + self.load(now).min(4.0);
-        delay + self.make.setup_time * (self.slowness * busy / self.share(now).max(0.05))
+    /// Its own work for a set-up that begins now: it is slower under load and while warming up.
+    pub fn setup_time(&mut self, now: Instant) -> Duration {
+        let delay = self.message_delay(now);
+        let load_factor = 1.0 + self.load(now).min(MAX_LOAD_AT_SETUP);
+        let share = self.capacity_share(now).max(MIN_SHARE_AT_SETUP);
+        delay + self.capacity.setup_time * (self.slowness * load_factor / share)
     }
 }
 
-/// What every set-up calls: so many calls in work at once, each for so long; the others wait their
-/// turn.
+/// The store that every set-up calls: it serves a few calls at once, each for the same time, and
+/// queues the others.
 pub struct SetupStore {
-    each: Duration,
+    call_time: Duration,
+    /// When each of its workers is free.
     free_at: Vec<Instant>,
 }
 
 impl SetupStore {
-    /// `lanes` at least one.
-    pub fn new(lanes: usize, each: Duration) -> SetupStore {
+    /// A store with that concurrency, which is at least one.
+    pub fn new(concurrency: usize, call_time: Duration) -> SetupStore {
         SetupStore {
-            each,
-            free_at: vec![Instant::default(); lanes.max(1)],
+            call_time,
+            free_at: vec![Instant::default(); concurrency.max(1)],
         }
     }
 
     /// When a call made now is answered.
     pub fn call(&mut self, now: Instant) -> Instant {
-        let first = self.free_at.iter_mut().min().expect("one lane at least");
-        *first = now.max(*first) + self.each;
-        *first
+        let first_free = self
+            .free_at
+            .iter_mut()
+            .min()
+            .expect("the store has at least one worker");
+        *first_free = now.max(*first_free) + self.call_time;
+        *first_free
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    const MAKE: BackendCapacity = BackendCapacity {
-        full_load: 18.0,
-        max_sessions: 100,
-        setup_time: Duration::from_millis(2),
-        group_load: 1.5,
-        warm_up: WarmUp {
-            initial_share: 0.3,
-            duration: Duration::from_millis(9_000),
-            overload_factor: 3.0,
-            overload_window: Duration::from_millis(3_000),
-            turnover_time: Duration::from_millis(9_000),
-        },
-    };
-
-    fn at(ms: u64) -> Instant {
-        Instant::from_micros(ms * 1_000)
-    }
-
-    #[test]
-    fn a_cold_box_falls_when_pushed_and_only_then() {
-        // Connections of load 1, their distance in milliseconds, cold or not, and whether it falls:
-        // at its start it can do 0.6 a second, and 5.4 within three seconds is the most that it
-        // bears.
-        let cases = [
-            (6, 100, true, false),
-            (8, 100, true, true),
-            (40, 100, false, false),
-            (60, 1_500, true, false),
-            (3, 0, true, false),
-        ];
-        for (count, distance, cold, falls) in cases {
-            let mut work = BackendModel::start(MAKE, at(0), cold);
-            let fell = (0..count).any(|number| work.sent(at(number * distance), 1.0));
-            assert_eq!(fell, falls, "{count} each {distance} ms, cold: {cold}");
-        }
-        // One alone may be larger than the budget.
-        assert!(!BackendModel::start(MAKE, at(0), true).sent(at(0), 50.0));
-    }
-
-    #[test]
-    fn load_and_piled_up_work_follow_what_is_asked() {
-        let mut work = BackendModel::start(MAKE, at(0), false);
-        for number in 0..18 {
-            work.take(at(0), 1.0, Some(number % 2));
-        }
-        // Eighteen connections and two groups of one and a half.
-        assert!((work.load(at(0)) - 21.0 / 18.0).abs() < 1e-9);
-        assert_eq!(work.delay(at(0)), Duration::ZERO);
-        let late = work.delay(at(6_000));
-        assert!((late.as_secs_f64() - 1.0).abs() < 0.01, "{late:?}");
-        for number in 0..18 {
-            work.leave(at(6_000), 1.0, Some(number % 2));
-        }
-        assert_eq!((work.held(), work.load(at(6_000))), (0, 0.0));
-        assert_eq!(work.delay(at(8_000)), Duration::ZERO);
-        work.slowness = 8.0;
-        work.take(at(8_000), 9.0, None);
-        assert!((work.load(at(8_000)) - 4.0).abs() < 1e-9);
-    }
-
-    #[test]
-    fn the_store_serves_in_turn() {
-        let mut store = SetupStore::new(2, Duration::from_millis(10));
-        let answered: Vec<u64> = (0..5).map(|_| store.call(at(0)).as_millis()).collect();
-        assert_eq!(answered, [10, 10, 20, 20, 30]);
-        assert_eq!(store.call(at(100)), at(110));
-    }
-}
+mod tests;
--- a/testbed/src/event_loop.rs
+++ b/testbed/src/event_loop.rs
@@ -1,149 +1,169 @@
-//! The loop that every thread of the stand-ins runs: sockets, alarms, and cues from the one who
-//! directs.
+//! The event loop that each thread of the testbed runs: readiness of sockets, timers, and commands
+//! from the thread that runs the experiment.
 use crate::clock::{Stopwatch, to_std};
 use crate::event_recorder::{EventRecorder, Observation};
 use polling::{Events, Poller};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::Arc;
-use std::sync::mpsc::{Receiver, Sender, channel};
+use std::sync::mpsc::{Receiver, Sender, TryRecvError, channel};
 use std::thread::JoinHandle;
 use thistlecroft::time::{Duration, Instant};
 
-/// A turn longer than this is noted: what was seen in it was seen late.
+/// A longer turn is recorded, since what was observed in it was observed late.
 const LATE_TURN: Duration = Duration::from_millis(20);
-const ALARMS: usize = 4_096;
+/// Sockets are polled again after so many timers.
+const TIMERS_PER_TURN: usize = 4_096;
+/// Added to each wait, so that a timer is due when its wait is over.
+const WAIT_MARGIN: std::time::Duration = std::time::Duration::from_micros(20);
 
-/// What a loop works with.
-pub struct LoopContext<A> {
+/// What a handler can use of its loop: the time, the poller, the recorder and timers of type `T`.
+pub struct LoopContext<T> {
+    /// The time of the event that is being handled.
     pub now: Instant,
+    /// The clock of the run.
     pub clock: Stopwatch,
+    /// Where the handler registers its sockets.
     pub poller: Arc<Poller>,
+    /// Where observations are recorded.
     pub recorder: EventRecorder,
-    alarms: BTreeMap<(Instant, u64), A>,
-    serial: u64,
+    /// By when they are due, and in the order in which they were set.
+    timers: BTreeMap<(Instant, u64), T>,
+    last_timer: u64,
     /// The longest turn so far.
     pub longest_turn: Duration,
-    /// Time spent working and not waiting.
+    /// Time spent handling events rather than waiting for them.
     pub busy_time: Duration,
 }
 
-impl<A> LoopContext<A> {
-    pub fn set(&mut self, at: Instant, alarm: A) {
-        self.serial += 1;
-        self.alarms.insert((at, self.serial), alarm);
+impl<T> LoopContext<T> {
+    /// Has the handler called with this timer once that time has come.
+    pub fn set_timer(&mut self, at: Instant, timer: T) {
+        self.last_timer += 1;
+        self.timers.insert((at, self.last_timer), timer);
     }
 
-    pub fn note(&self, seen: Observation) {
-        self.recorder.record(self.now, seen);
+    /// Records an observation made now.
+    pub fn record(&self, observation: Observation) {
+        self.recorder.record(self.now, observation);
+    }
+
+    fn until_next_timer(&self) -> Option<std::time::Duration> {
+        let ((due, _), _) = self.timers.first_key_value()?;
+        Some(to_std(due.duration_since(self.clock.now())) + WAIT_MARGIN)
+    }
+
+    fn record_turn(&mut self, began: Instant) {
+        let took = self.clock.now().duration_since(began);
+        self.busy_time += took;
+        self.longest_turn = self.longest_turn.max(took);
+        if took > LATE_TURN {
+            self.record(Observation::TestbedDelayed { delay: took });
+        }
     }
 }
 
-/// What is played on a loop.
+/// What runs on an event loop.
 pub trait EventHandler {
-    type Alarm;
+    /// What a timer is about.
+    type Timer;
+    /// What another thread may order.
     type Command: Send + 'static;
-    /// Told by the loop's end.
-    type Sums: Send + 'static;
-    fn event(&mut self, key: usize, writable: bool, works: &mut LoopContext<Self::Alarm>);
-    fn alarm(&mut self, alarm: Self::Alarm, works: &mut LoopContext<Self::Alarm>);
-    /// False ends the loop.
-    fn cue(&mut self, cue: Self::Command, works: &mut LoopContext<Self::Alarm>) -> bool;
-    fn sums(self, works: &LoopContext<Self::Alarm>) -> Self::Sums;
+    /// What the handler returns at the end of the loop.
+    type Totals: Send + 'static;
+    /// A socket registered under this key is ready.
+    fn on_ready(&mut self, key: usize, writable: bool, context: &mut LoopContext<Self::Timer>);
+    /// A timer is due.
+    fn on_timer(&mut self, timer: Self::Timer, context: &mut LoopContext<Self::Timer>);
+    /// A command has come.
+    fn on_command(&mut self, command: Self::Command, context: &mut LoopContext<Self::Timer>);
+    /// The loop has ended.
+    fn into_totals(self, context: &LoopContext<Self::Timer>) -> Self::Totals;
 }
 
-/// A loop on its thread. Dropped, it ends.
-pub struct EventLoop<P: EventHandler> {
-    cues: Option<Sender<P::Command>>,
+/// An event loop on its own thread, which ends when this is dropped.
+pub struct EventLoop<H: EventHandler> {
+    commands: Option<Sender<H::Command>>,
     poller: Arc<Poller>,
-    thread: Option<JoinHandle<P::Sums>>,
+    /// Returns nothing where the handler could not be opened.
+    thread: Option<JoinHandle<Option<H::Totals>>>,
 }
 
-impl<P: EventHandler + 'static> EventLoop<P> {
+impl<H: EventHandler + 'static> EventLoop<H> {
+    /// Starts a thread of this name whose handler is made there by `open`.
+    ///
     /// # Errors
-    /// Where there is no poller or thread to be had, or what `open` says.
+    /// If the system gives no poller or thread, or `open` fails.
     pub fn open(
         name: &str,
         clock: Stopwatch,
-        tape: EventRecorder,
-        open: impl FnOnce(&mut LoopContext<P::Alarm>) -> io::Result<P> + Send + 'static,
-    ) -> io::Result<EventLoop<P>> {
+        recorder: EventRecorder,
+        open: impl FnOnce(&mut LoopContext<H::Timer>) -> io::Result<H> + Send + 'static,
+    ) -> io::Result<EventLoop<H>> {
         let poller = Arc::new(Poller::new()?);
-        let (cues, heard) = channel();
-        let (opened, is_open) = channel();
-        let own = poller.clone();
+        let (commands, received_commands) = channel();
+        let (open_result, opened) = channel();
+        let loop_poller = poller.clone();
         let thread = std::thread::Builder::new()
             .name(name.to_string())
             .spawn(move || {
-                let (alarms, now) = (BTreeMap::new(), clock.now());
-                let (worst_turn, worked) = (Duration::ZERO, Duration::ZERO);
-                let mut works = LoopContext {
-                    now,
+                let mut context = LoopContext {
+                    now: clock.now(),
                     clock,
-                    poller: own,
-                    recorder: tape,
-                    alarms,
-                    serial: 0,
-                    longest_turn: worst_turn,
-                    busy_time: worked,
+                    poller: loop_poller,
+                    recorder,
+                    timers: BTreeMap::new(),
+                    last_timer: 0,
+                    longest_turn: Duration::ZERO,
+                    busy_time: Duration::ZERO,
                 };
-                match open(&mut works) {
-                    Ok(mut play) => {
-                        let _ = opened.send(Ok(()));
-                        run(&mut play, &mut works, &heard);
-                        Some(play.sums(&works))
+                match open(&mut context) {
+                    Ok(mut handler) => {
+                        let _ = open_result.send(Ok(()));
+                        run(&mut handler, &mut context, &received_commands);
+                        Some(handler.into_totals(&context))
                     }
-                    Err(fault) => {
-                        let _ = opened.send(Err(fault));
+                    Err(error) => {
+                        let _ = open_result.send(Err(error));
                         None
                     }
                 }
             })?;
-        let opened = is_open
+        let opened = opened
             .recv()
             .unwrap_or_else(|_| Err(io::Error::other("the thread ended at once")));
-        let thread = match opened {
-            Ok(()) => std::thread::Builder::new()
-                .name(format!("{name}-end"))
-                .spawn(move || {
-                    thread
-                        .join()
-                        .ok()
-                        .flatten()
-                        .expect("a stand-in's loop has a fault")
-                })?,
-            Err(fault) => {
-                let _ = thread.join();
-                return Err(fault);
-            }
-        };
+        if let Err(error) = opened {
+            let _ = thread.join();
+            return Err(error);
+        }
         Ok(EventLoop {
-            cues: Some(cues),
+            commands: Some(commands),
             poller,
             thread: Some(thread),
         })
     }
 
-    /// Carried out soon, in the order given.
-    pub fn command(&self, cue: P::Command) {
-        if let Some(cues) = &self.cues {
-            let _ = cues.send(cue);
+    /// Has the handler carry out this command soon; commands keep their order.
+    pub fn command(&self, command: H::Command) {
+        if let Some(commands) = &self.commands {
+            let _ = commands.send(command);
             let _ = self.poller.notify();
         }
     }
 
-    /// Ends the loop and has its sums.
-    pub fn close(mut self) -> P::Sums {
-        self.cues = None;
+    /// Ends the loop and returns the handler's totals.
+    pub fn close(mut self) -> H::Totals {
+        self.commands = None;
         let _ = self.poller.notify();
-        let thread = self.thread.take().expect("closed once");
-        thread.join().expect("a stand-in's loop has a fault")
+        let thread = self.thread.take().expect("only close takes the thread");
+        let totals = thread.join().ok().flatten();
+        totals.expect("the handler was opened and did not panic")
     }
 }
 
-impl<P: EventHandler> Drop for EventLoop<P> {
+impl<H: EventHandler> Drop for EventLoop<H> {
     fn drop(&mut self) {
-        self.cues = None;
+        self.commands = None;
         let _ = self.poller.notify();
         if let Some(thread) = self.thread.take() {
             let _ = thread.join();
@@ -151,57 +171,55 @@
     }
 }
 
-fn run<P: EventHandler>(
-    play: &mut P,
-    works: &mut LoopContext<P::Alarm>,
-    cues: &Receiver<P::Command>,
+/// Runs until the other end of `commands` is dropped.
+fn run<H: EventHandler>(
+    handler: &mut H,
+    context: &mut LoopContext<H::Timer>,
+    commands: &Receiver<H::Command>,
 ) {
     let mut events = Events::new();
     loop {
         loop {
-            match cues.try_recv() {
-                Ok(cue) => {
-                    if !play.cue(cue, works) {
-                        return;
-                    }
+            match commands.try_recv() {
+                Ok(command) => {
+                    context.now = context.clock.now();
+                    handler.on_command(command, context);
                 }
-                Err(std::sync::mpsc::TryRecvError::Empty) => break,
-                Err(std::sync::mpsc::TryRecvError::Disconnected) => return,
+                Err(TryRecvError::Empty) => break,
+                Err(TryRecvError::Disconnected) => return,
             }
         }
-        let first = works.alarms.first_key_value().map(|((at, _), _)| *at);
-        let wait = first.map(|at| {
-            to_std(at.duration_since(works.clock.now())) + std::time::Duration::from_micros(20)
-        });
+        let wait = context.until_next_timer();
         events.clear();
-        if let Err(fault) = works.poller.wait(&mut events, wait)
-            && fault.kind() != io::ErrorKind::Interrupted
+        if let Err(error) = context.poller.wait(&mut events, wait)
+            && error.kind() != io::ErrorKind::Interrupted
         {
-            log::error!("poller: {fault}");
+            log::error!("event loop can't poll: {error}");
             return;
         }
-        let began = works.clock.now();
-        works.now = began;
+        let began = context.clock.now();
+        context.now = began;
         for event in events.iter() {
-            play.event(event.key, event.writable, works);
-            works.now = works.clock.now();
-        }
-        for _ in 0..ALARMS {
-            let Some(entry) = works
-                .alarms
-                .first_entry()
-                .filter(|entry| entry.key().0 <= works.now)
-            else {
-                break;
-            };
-            let alarm = entry.remove();
-            play.alarm(alarm, works);
-        }
-        let took = works.clock.now().duration_since(began);
-        works.busy_time += took;
-        works.longest_turn = works.longest_turn.max(took);
-        if took > LATE_TURN {
-            works.note(Observation::TestbedDelayed { delay: took });
+            handler.on_ready(event.key, event.writable, context);
+            context.now = context.clock.now();
         }
+        run_due_timers(handler, context);
+        context.record_turn(began);
+    }
+}
+
+/// Calls the handler for each timer that was due when the last event had been handled.
+fn run_due_timers<H: EventHandler>(handler: &mut H, context: &mut LoopContext<H::Timer>) {
+    for _ in 0..TIMERS_PER_TURN {
+        let now = context.now;
+        let Some(entry) = context
+            .timers
+            .first_entry()
+            .filter(|entry| entry.key().0 <= now)
+        else {
+            return;
+        };
+        let timer = entry.remove();
+        handler.on_timer(timer, context);
     }
 }
--- a/testbed/src/load_generator/mod.rs
+++ b/testbed/src/load_generator/mod.rs
@@ -273,7 +273,7 @@
         clock: Stopwatch,
         tape: EventRecorder,
     ) -> io::Result<EventLoop<LoadGenerator>> {
-        EventLoop::open("crowd", clock, tape, move |works| {
+        EventLoop::open("clients", clock, tape, move |works| {
             let kinds = bill.traffic.profiles.iter().map(|kind| ListenerTotals {
                 name: kind.name.clone(),
                 priority_weight: kind.priority_weight,
@@ -300,7 +300,7 @@
                 busy_time: Duration::ZERO,
             };
             if let Some((_, first)) = bill.arrivals.first() {
-                works.set(first.due, Alarm::Arrive);
+                works.set_timer(first.due, Alarm::Arrive);
             }
             Ok(LoadGenerator {
                 own: vec![0; bill.endpoints.len()],
@@ -329,7 +329,7 @@
                 return;
             }
             if arrival.due > works.now {
-                return works.set(arrival.due, Alarm::Arrive);
+                return works.set_timer(arrival.due, Alarm::Arrive);
             }
             let (number, seed, due) = (*number, arrival.seed, arrival.due);
             let sums = &mut self.sums.listeners[usize::from(arrival.profile)];
@@ -371,7 +371,7 @@
     fn note_idle(&mut self, works: &mut LoopContext<Alarm>) {
         if self.finishing && self.clients.is_empty() && !self.idle_noted {
             self.idle_noted = true;
-            works.note(Observation::Note {
+            works.record(Observation::Note {
                 text: ALL_CLIENTS_GONE.into(),
             });
         }
@@ -395,7 +395,7 @@
         }
         let serial = self.turn(id, Part::Away);
         self.clients[id].due = works.now + span;
-        works.set(works.now + span, Alarm::Come(id, serial));
+        works.set_timer(works.now + span, Alarm::Come(id, serial));
     }
 
     fn deal(&mut self, id: usize) -> Option<usize> {
@@ -441,7 +441,7 @@
         self.clients[id].door = door;
         match LineSocket::connect(self.doors[door].address, &works.poller, id) {
             Ok(mut wire) => {
-                wire.settle(true);
+                wire.await_connect();
                 self.own[door] += 1;
                 self.clients[id].wire = Some(wire);
                 let serial = self.turn(id, Part::Connecting);
@@ -451,12 +451,12 @@
                     }
                     Some(_) => Duration::from_millis(10_000),
                 };
-                works.set(works.now + wait, Alarm::Late(id, serial));
+                works.set_timer(works.now + wait, Alarm::Late(id, serial));
             }
             Err(fault) => {
                 if !std::mem::replace(&mut self.exhausted, true) {
                     log::warn!("a client can't connect: {fault}");
-                    works.note(Observation::TestbedExhausted);
+                    works.record(Observation::TestbedExhausted);
                 }
                 self.never_taken(id, works);
             }
@@ -469,7 +469,7 @@
             .doors
             .get(self.clients[id].door)
             .and_then(|door| door.relay);
-        works.note(Observation::ConnectFailed { relay });
+        works.record(Observation::ConnectFailed { relay });
         let client = &mut self.clients[id];
         client.doors_tried += 1;
         if client.doors_tried > DOORS_TRIED || client.rude.is_some() {
@@ -507,8 +507,8 @@
             Some(Misbehavior::NeverReads) | None => {}
         }
         let Some(wire) = &mut client.wire else { return };
-        let done = wire.say(line.as_bytes()).is_ok();
-        wire.settle(false);
+        let done = wire.send(line.as_bytes()).is_ok();
+        wire.update_interest();
         if !done {
             return self.never_taken(id, works);
         }
@@ -537,7 +537,7 @@
         let client = &self.clients[id];
         let (session, due, again) = (client.tag, client.due, client.again);
         let relay = self.doors[client.door].relay;
-        works.note(Observation::SessionRequested {
+        works.record(Observation::SessionRequested {
             session,
             relay,
             listener,
@@ -545,9 +545,9 @@
             due,
             reconnecting: again,
         });
-        works.set(works.now + wait + SLACK + PATIENCE, Alarm::Late(id, serial));
+        works.set_timer(works.now + wait + SLACK + PATIENCE, Alarm::Late(id, serial));
         if let (Some(after), false) = (leaves, client.has_stood) {
-            works.set(works.now + after, Alarm::Leave(id, serial));
+            works.set_timer(works.now + after, Alarm::Leave(id, serial));
         }
     }
 
@@ -555,7 +555,7 @@
         while let Some(line) = self
             .clients
             .get_mut(id)
-            .and_then(|client| client.wire.as_mut()?.line())
+            .and_then(|client| client.wire.as_mut()?.next_line())
         {
             let client = &self.clients[id];
             let session = client.tag;
@@ -566,7 +566,7 @@
             match client.stage {
                 Part::Waiting => self.answered(id, &line, works),
                 Part::Standing | Part::Ending => self.line_back(id, &line, works),
-                Part::Told => works.note(Observation::DataAfterAnswer { session }),
+                Part::Told => works.record(Observation::DataAfterAnswer { session }),
                 _ => {}
             }
         }
@@ -577,7 +577,7 @@
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
         match word {
             "UP" => {
-                works.note(Observation::Answered {
+                works.record(Observation::Answered {
                     session,
                     answer: Answer::Accepted,
                 });
@@ -598,11 +598,11 @@
                 let first = beat * client.chance.unit_f64();
                 client.before = first;
                 let serial = self.turn(id, Part::Standing);
-                works.set(works.now + first, Alarm::Beat(id, serial));
+                works.set_timer(works.now + first, Alarm::Beat(id, serial));
             }
             "BUSY" => {
                 let told = rest.trim().parse().ok().map(Duration::from_millis);
-                works.note(Observation::Answered {
+                works.record(Observation::Answered {
                     session,
                     answer: Answer::Rejected(told),
                 });
@@ -610,7 +610,7 @@
                 self.turned_down(id, told, works);
             }
             _ => {
-                works.note(Observation::Answered {
+                works.record(Observation::Answered {
                     session,
                     answer: Answer::Failed,
                 });
@@ -631,7 +631,7 @@
             .filter(|_| heeds)
             .unwrap_or(back_off * (0.5 + client.chance.unit_f64()));
         client.due = works.now + wait;
-        works.set(
+        works.set_timer(
             works.now + Duration::from_millis(500),
             Alarm::Closed(id, serial),
         );
@@ -662,12 +662,12 @@
         match word {
             "LOAD" => {}
             "MOVE" => {
-                works.note(Observation::Migrated { session });
+                works.record(Observation::Migrated { session });
                 self.kind(id).migrated += 1;
                 self.rejoin(id, works);
             }
             "BYE" => {
-                works.note(Observation::SessionClosed { session });
+                works.record(Observation::SessionClosed { session });
                 self.gone(id, works);
             }
             _ => {
@@ -677,7 +677,7 @@
                 {
                     Some((_, at)) => self.line_right(id, at, works),
                     None => {
-                        works.note(Observation::MessageMismatched { session });
+                        works.record(Observation::MessageMismatched { session });
                         self.sums.mismatched_messages += 1;
                     }
                 }
@@ -704,7 +704,7 @@
             sums.served_seconds += spoken_for;
         }
         if waited > Duration::from_millis(1_000) {
-            works.note(Observation::MessageLate { session, waited });
+            works.record(Observation::MessageLate { session, waited });
         }
     }
 
@@ -715,16 +715,16 @@
         if self.finishing || client.life_ends.is_some_and(|ends| works.now >= ends) {
             wire.finish_sending();
             let serial = self.turn(id, Part::Ending);
-            return works.set(works.now + LAST, Alarm::Closed(id, serial));
+            return works.set_timer(works.now + LAST, Alarm::Closed(id, serial));
         }
         client.next_line += 1;
         client.out.push_back((client.next_line, works.now));
         let line = format!("M {:016x} {}\r\n", client.tag.0, client.next_line);
-        if wire.say(line.as_bytes()).is_err() {
+        if wire.send(line.as_bytes()).is_err() {
             return self.ended(id, works);
         }
-        wire.settle(false);
-        works.set(works.now + beat, Alarm::Beat(id, client.serial));
+        wire.update_interest();
+        works.set_timer(works.now + beat, Alarm::Beat(id, client.serial));
     }
 
     /// The other side has ended the connection, or broken it.
@@ -738,18 +738,18 @@
         match stage {
             Part::Connecting | Part::Sending => self.never_taken(id, works),
             Part::Waiting => {
-                works.note(Observation::ClosedUnanswered { session });
+                works.record(Observation::ClosedUnanswered { session });
                 self.kind(id).failed += 1;
                 self.turned_down(id, None, works);
                 self.come_again(id, works);
             }
             Part::Standing => {
-                works.note(Observation::ConnectionLost { session });
+                works.record(Observation::ConnectionLost { session });
                 self.kind(id).connections_lost += 1;
                 self.rejoin(id, works);
             }
             Part::Ending => {
-                works.note(Observation::SessionClosed { session });
+                works.record(Observation::SessionClosed { session });
                 self.gone(id, works);
             }
             Part::Told => self.come_again(id, works),
@@ -770,11 +770,11 @@
         for number in 0..count {
             let id = standing[number * standing.len() / count];
             let client = &mut self.clients[id];
-            works.note(Observation::SessionClosed {
+            works.record(Observation::SessionClosed {
                 session: client.tag,
             });
             if let Some(wire) = &client.wire {
-                wire.break_off();
+                wire.reset_on_close();
             }
             (client.again, client.retries) = (true, false);
             let span = over * self.chance.unit_f64();
@@ -807,7 +807,7 @@
     ) {
         if rude == Misbehavior::NeverReads && line.starts_with("UP") {
             let serial = self.turn(id, Part::Standing);
-            works.set(works.now, Alarm::Beat(id, serial));
+            works.set_timer(works.now, Alarm::Beat(id, serial));
         } else {
             self.sums.misbehaving_answered += 1;
             self.gone(id, works);
@@ -818,16 +818,16 @@
     fn flood(&mut self, id: usize, works: &mut LoopContext<Alarm>) {
         let client = &mut self.clients[id];
         let Some(wire) = &mut client.wire else { return };
-        wire.freeze(false);
+        wire.set_frozen(false);
         let said = if wire.is_flushed() {
             let line = format!("{}\r\n", "f".repeat(FLOOD_LINE));
-            wire.say(line.repeat(64).as_bytes())
+            wire.send(line.repeat(64).as_bytes())
         } else {
             wire.flush()
         };
-        wire.freeze(true);
+        wire.set_frozen(true);
         match said {
-            Ok(()) => works.set(
+            Ok(()) => works.set_timer(
                 works.now + Duration::from_millis(20),
                 Alarm::Beat(id, client.serial),
             ),
@@ -864,11 +864,11 @@
 pub const ALL_CLIENTS_GONE: &str = "all clients have gone";
 
 impl EventHandler for LoadGenerator {
-    type Alarm = Alarm;
+    type Timer = Alarm;
     type Command = LoadCommand;
-    type Sums = LoadTotals;
+    type Totals = LoadTotals;
 
-    fn event(&mut self, id: usize, writable: bool, works: &mut LoopContext<Alarm>) {
+    fn on_ready(&mut self, id: usize, writable: bool, works: &mut LoopContext<Alarm>) {
         let Some(client) = self.clients.get_mut(id) else {
             return;
         };
@@ -878,23 +878,28 @@
             if !writable {
                 return;
             }
-            return match wire.is_up() {
+            return match wire.is_connected() {
                 Ok(true) => self.say_first(id, works),
                 Ok(false) => {}
                 Err(_) => self.never_taken(id, works),
             };
         }
         let broke = wire.read().and_then(|_| wire.flush()).is_err();
-        wire.settle(false);
+        wire.update_interest();
         self.sent(id, works);
         self.lines(id, works);
-        let over = |client: &Client| client.wire.as_ref().is_some_and(|wire| broke || wire.ended);
+        let over = |client: &Client| {
+            client
+                .wire
+                .as_ref()
+                .is_some_and(|wire| broke || wire.peer_closed)
+        };
         if self.clients.get(id).is_some_and(over) {
             self.ended(id, works);
         }
     }
 
-    fn alarm(&mut self, alarm: Alarm, works: &mut LoopContext<Alarm>) {
+    fn on_timer(&mut self, alarm: Alarm, works: &mut LoopContext<Alarm>) {
         match alarm {
             Alarm::Arrive => self.arrive(works),
             Alarm::Come(id, serial) if self.current(id, serial) => self.connect(id, works),
@@ -902,7 +907,7 @@
                 if self.clients[id].stage == Part::Connecting {
                     return self.never_taken(id, works);
                 }
-                works.note(Observation::AnswerTimedOut {
+                works.record(Observation::AnswerTimedOut {
                     session: self.clients[id].tag,
                 });
                 self.kind(id).unanswered += 1;
@@ -910,11 +915,11 @@
                 self.come_again(id, works);
             }
             Alarm::Leave(id, serial) if self.current(id, serial) => {
-                works.note(Observation::ClientLeft {
+                works.record(Observation::ClientLeft {
                     session: self.clients[id].tag,
                 });
                 if let Some(wire) = &self.clients[id].wire {
-                    wire.break_off();
+                    wire.reset_on_close();
                 }
                 self.gone(id, works);
             }
@@ -928,7 +933,7 @@
             Alarm::Closed(id, serial) if self.current(id, serial) => match self.clients[id].stage {
                 Part::Told => self.come_again(id, works),
                 _ => {
-                    works.note(Observation::SessionClosed {
+                    works.record(Observation::SessionClosed {
                         session: self.clients[id].tag,
                     });
                     self.gone(id, works);
@@ -938,18 +943,16 @@
         }
     }
 
-    fn cue(&mut self, cue: LoadCommand, works: &mut LoopContext<Alarm>) -> bool {
-        works.now = works.clock.now();
+    fn on_command(&mut self, cue: LoadCommand, works: &mut LoopContext<Alarm>) {
         match cue {
             LoadCommand::SetEndpointEnabled(door, open) => self.doors[door].enabled = open,
             LoadCommand::DropConnections(count, over) => self.drop_some(count, over, works),
             LoadCommand::AddMisbehaving(rude, count) => self.come_rudely(rude, count, works),
             LoadCommand::Finish => self.finish(works),
         }
-        true
     }
 
-    fn sums(mut self, works: &LoopContext<Alarm>) -> LoadTotals {
+    fn into_totals(mut self, works: &LoopContext<Alarm>) -> LoadTotals {
         (self.sums.longest_turn, self.sums.busy_time) = (works.longest_turn, works.busy_time);
         self.sums
     }
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -100,7 +100,7 @@
             .map(|(number, way)| (way.own, number))
             .collect();
         let of = ways.clone();
-        let stage = EventLoop::open("net", clock, tape, move |works| {
+        let stage = EventLoop::open("network", clock, tape, move |works| {
             for (number, socket) in sockets.iter().enumerate() {
                 // SAFETY: the sockets live as long as the play, and the poller is dropped with it.
                 unsafe {
@@ -147,11 +147,11 @@
 }
 
 impl EventHandler for RelayNetwork {
-    type Alarm = Delivery;
+    type Timer = Delivery;
     type Command = NetworkCommand;
-    type Sums = NetworkTotals;
+    type Totals = NetworkTotals;
 
-    fn event(&mut self, to: usize, _writable: bool, works: &mut LoopContext<Delivery>) {
+    fn on_ready(&mut self, to: usize, _writable: bool, works: &mut LoopContext<Delivery>) {
         let mut bytes = [0; 2_048];
         for _ in 0..DATAGRAMS {
             let Some((length, source)) = self
@@ -188,18 +188,17 @@
                 if after == Duration::ZERO {
                     self.deliver(&one);
                 } else {
-                    works.set(works.now + after, one);
+                    works.set_timer(works.now + after, one);
                 }
             }
         }
     }
 
-    fn alarm(&mut self, one: Delivery, _works: &mut LoopContext<Delivery>) {
+    fn on_timer(&mut self, one: Delivery, _works: &mut LoopContext<Delivery>) {
         self.deliver(&one);
     }
 
-    fn cue(&mut self, cue: NetworkCommand, works: &mut LoopContext<Delivery>) -> bool {
-        works.now = works.clock.now();
+    fn on_command(&mut self, cue: NetworkCommand, works: &mut LoopContext<Delivery>) {
         let NetworkCommand::SetLinkFault(links, fault, name) = cue;
         for (from, to) in links {
             let link = (usize::from(from.0), usize::from(to.0));
@@ -207,17 +206,16 @@
                 Some(fault) => drop(self.link_faults.insert(link, fault)),
                 None => drop(self.link_faults.remove(&link)),
             }
-            works.note(Observation::LinkFault {
+            works.record(Observation::LinkFault {
                 from,
                 to,
                 name,
                 active: fault.is_some(),
             });
         }
-        true
     }
 
-    fn sums(self, works: &LoopContext<Delivery>) -> NetworkTotals {
+    fn into_totals(self, works: &LoopContext<Delivery>) -> NetworkTotals {
         for socket in &self.sockets {
             let _ = works.poller.delete(socket.as_fd());
         }
--- /dev/null
+++ b/testbed/src/simulated_backends/accept.rs
@@ -0,0 +1,81 @@
+//! Accepting connections to backends and discovery agents.
+use super::connection::{BackendConnection, Role, WatchConnection};
+use super::faults::BackendFault;
+use super::listener::{Listener, ListenerKey};
+use super::state::SimulatedBackends;
+use super::timer::Timer;
+use crate::event_loop::LoopContext;
+use crate::event_recorder::{BackendIndex, Observation, RelayIndex};
+use socket2::SockRef;
+use std::io;
+use std::net::TcpStream;
+use thistlecroft::time::Duration;
+
+const MAX_ACCEPTS_PER_EVENT: usize = 256;
+/// Nothing is accepted for so long after descriptors ran out, so that the backlog causes no busy
+/// loop.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+
+impl SimulatedBackends {
+    pub(super) fn accept(&mut self, key: ListenerKey, context: &mut LoopContext<Timer>) {
+        for _ in 0..MAX_ACCEPTS_PER_EVENT {
+            let Some(socket) = &self.listener(key).socket else {
+                return;
+            };
+            match socket.accept() {
+                Ok((stream, _)) => self.accepted(stream, key, context),
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
+                Err(error) => return self.pause_accepting(key, &error, context),
+            }
+        }
+    }
+
+    fn listener(&self, key: ListenerKey) -> &Listener {
+        match key {
+            ListenerKey::Backend(index) => &self.backends[index].listener,
+            ListenerKey::Agent(index) => &self.agents[index].listener,
+        }
+    }
+
+    fn accepted(&mut self, stream: TcpStream, key: ListenerKey, context: &mut LoopContext<Timer>) {
+        let role = match key {
+            ListenerKey::Agent(index) => {
+                Role::Agent(WatchConnection::new(RelayIndex(index as u16)))
+            }
+            ListenerKey::Backend(index) => {
+                if self.backends[index].fault == Some(BackendFault::ResetOnAccept) {
+                    let _ = SockRef::from(&stream).set_linger(Some(std::time::Duration::ZERO));
+                    return;
+                }
+                let backend = BackendIndex(index as u16);
+                Role::Backend(BackendConnection::new(backend, context.now))
+            }
+        };
+        self.add_connection(stream, role, context);
+    }
+
+    /// Descriptors have run out, which is recorded once.
+    fn pause_accepting(
+        &mut self,
+        key: ListenerKey,
+        error: &io::Error,
+        context: &mut LoopContext<Timer>,
+    ) {
+        if !std::mem::replace(&mut self.is_exhausted, true) {
+            log::warn!("simulated backends can't accept a connection: {error}");
+            context.record(Observation::TestbedExhausted);
+        }
+        self.listener(key).set_accepting(false, &context.poller);
+        context.set_timer(context.now + ACCEPT_PAUSE, Timer::ResumeAccepting(key));
+    }
+
+    pub(super) fn resume_accepting(&mut self, key: ListenerKey, context: &LoopContext<Timer>) {
+        let is_paused = match key {
+            ListenerKey::Backend(index) => self.backends[index].is_paused,
+            ListenerKey::Agent(_) => false,
+        };
+        self.listener(key)
+            .set_accepting(!is_paused, &context.poller);
+    }
+}
--- /dev/null
+++ b/testbed/src/traffic/tests.rs
@@ -0,0 +1,56 @@
+use super::*;
+
+fn traffic() -> Traffic {
+    let kind = |name: &str, share| ClientProfile {
+        name: name.into(),
+        share,
+        answer_timeout: Duration::from_millis(1_000),
+        handshake_target: Duration::from_millis(300),
+        message_target: Duration::from_millis(50),
+        load: (1.0, 3.0),
+        mean_lifetime: Duration::from_millis(20_000),
+        priority_weight: 1.0,
+    };
+    Traffic {
+        profiles: vec![kind("one", 3.0), kind("two", 1.0)],
+        rate: vec![
+            (Instant::default(), 0.0),
+            (Instant::from_micros(10_000_000), 200.0),
+        ],
+        bursts: vec![(
+            Instant::from_micros(12_000_000),
+            500,
+            Duration::from_millis(1_000),
+        )],
+        keys: 1_000,
+        groups: Some(50),
+        retries: 3,
+        heeds_retry_after: 0.5,
+        backoff: Duration::from_millis(100),
+        reconnect_delay: (Duration::from_millis(100), Duration::from_millis(200)),
+        impatient_share: 0.1,
+        message_interval: Duration::from_millis(2_000),
+    }
+}
+
+#[test]
+fn the_same_seed_gives_the_same_clients() {
+    let until = Instant::from_micros(20_000_000);
+    let clients = arrivals(&traffic(), until, 7);
+    assert_eq!(clients, arrivals(&traffic(), until, 7));
+    assert_ne!(clients, arrivals(&traffic(), until, 8));
+    // A ramp of ten seconds, ten at its height, and the rush.
+    assert!((3_300..3_700).contains(&clients.len()), "{}", clients.len());
+    assert!(clients.windows(2).all(|pair| pair[0].due <= pair[1].due));
+    let ones =
+        clients.iter().filter(|client| client.profile == 0).count() as f64 / clients.len() as f64;
+    assert!((0.70..0.80).contains(&ones), "{ones}");
+    let in_rush = |client: &&Arrival| (12_000_000..13_000_000).contains(&client.due.as_micros());
+    assert!((640..760).contains(&clients.iter().filter(in_rush).count()));
+    let mean = clients
+        .iter()
+        .map(|client| client.lifetime.as_secs_f64())
+        .sum::<f64>()
+        / clients.len() as f64;
+    assert!((18.0..22.0).contains(&mean), "{mean}");
+}
