--- /dev/null
+++ b/testbed/src/load_generator/protocol.rs
@@ -0,0 +1,89 @@
+//! The lines that a client and a relay exchange: the one place that knows their words.
+use super::client::Client;
+use super::plan::Misbehavior;
+use crate::event_recorder::{Answer, SessionId};
+use crate::traffic::{Arrival, ClientProfile};
+use thistlecroft::time::Duration;
+
+/// Bytes of a line of a client that never reads, without its ending.
+const FLOOD_LINE_BYTES: usize = 1_000;
+/// Lines that it writes at once.
+const FLOOD_LINES: usize = 64;
+
+/// The first line of a connection, as the client's misbehavior makes it.
+pub(super) fn request(client: &Client, arrival: &Arrival, profile: &ClientProfile) -> String {
+    let mut line = format!(
+        "OPEN {:016x} {:016x} c={},d={}",
+        client.session.0,
+        arrival.key,
+        profile.name,
+        profile.answer_timeout.as_millis()
+    );
+    if let Some(group) = arrival.group {
+        line += &format!(",g={group:016x}");
+    }
+    line += &format!(",h={:.3}", arrival.load);
+    line += if client.is_retrying { ",r=1" } else { "" };
+    line += if client.is_reconnecting {
+        ",again=1"
+    } else {
+        ""
+    };
+    line += "\r\n";
+    match client.misbehavior {
+        Some(Misbehavior::Silent) => line.clear(),
+        Some(Misbehavior::PartialLine) => line.truncate(line.len() / 2),
+        Some(Misbehavior::Garbage) => line = "what is this\r\n".into(),
+        Some(Misbehavior::EarlyData) => line += "M 0 0\r\n",
+        Some(Misbehavior::NeverReads) | None => {}
+    }
+    line
+}
+
+/// The answer to a request.
+pub(super) fn parse_answer(line: &str) -> Answer {
+    let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
+    match word {
+        "UP" => Answer::Accepted,
+        "BUSY" => Answer::Rejected(rest.trim().parse().ok().map(Duration::from_millis)),
+        _ => Answer::Failed,
+    }
+}
+
+/// Whether a client that misbehaves is established by this line.
+pub(super) fn is_accepted(line: &str) -> bool {
+    line.starts_with("UP")
+}
+
+/// A line of an established session.
+pub(super) enum SessionLine {
+    /// The load of the session, which clients ignore.
+    Load,
+    /// The client is asked to connect again.
+    Migrate,
+    /// The session ends.
+    Closing,
+    /// Anything else, which has to be a message that comes back.
+    Message,
+}
+
+impl SessionLine {
+    pub(super) fn parse(line: &str) -> SessionLine {
+        match line.split(' ').next().unwrap_or_default() {
+            "LOAD" => SessionLine::Load,
+            "MOVE" => SessionLine::Migrate,
+            "BYE" => SessionLine::Closing,
+            _ => SessionLine::Message,
+        }
+    }
+}
+
+/// A message, without its line ending.
+pub(super) fn message(session: SessionId, number: u64) -> String {
+    format!("M {:016x} {number}", session.0)
+}
+
+/// What a client that never reads writes at once.
+pub(super) fn flood() -> String {
+    format!("{}\r\n", "f".repeat(FLOOD_LINE_BYTES)).repeat(FLOOD_LINES)
+}
