--- a/testbed/src/event_recorder.rs
+++ b/testbed/src/event_recorder.rs
@@ -267,6 +267,7 @@
         paused: bool,
     },
     /// A fault was injected into a backend or cleared.
+    #[serde(rename = "ailment")]
     BackendFault {
         /// The backend.
         #[serde(rename = "at")]
