--- a/experiments/src/run.rs
+++ b/experiments/src/run.rs
@@ -650,6 +650,7 @@
         let next = admin.and_then(|admin| {
             stand.orders.admin = Some(admin);
             RelayProcess::start(&stand.program, &self.plan.terms, &stand.orders, self.folder)
+                .map_err(String::from)
         });
         match next {
             Ok(post) => {
@@ -812,7 +813,9 @@
             }
             Err(why) => {
                 self.crashes += 1;
-                self.note(Observation::Note { text: why });
+                self.note(Observation::Note {
+                    text: why.to_string(),
+                });
             }
         }
     }
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -387,19 +387,19 @@
 #[test]
 fn where_it_may_not_or_can_not_be_it_ends_with_one_line() {
     let mut rig = rig_with("refused", 2, 1, false);
-    let fault = rig.start(0).unwrap_err();
+    let fault = rig.start(0).unwrap_err().to_string();
     assert!(fault.contains("permissions.peers"), "{fault}");
     assert_eq!(rig.log(0).lines().count(), 1, "{}", rig.log(0));
     let mut rig = rig_with("faults", 2, 1, true);
     let taken = UdpSocket::bind(rig.network.addresses[0].own).unwrap();
-    let fault = rig.start(0).unwrap_err();
+    let fault = rig.start(0).unwrap_err().to_string();
     assert!(
         fault.contains("peers:") && fault.contains("in use"),
         "{fault}"
     );
     drop(taken);
     let without_key = rig.operator_config(0).replace("peers.key", "no.key");
-    let fault = rig.start_with(0, without_key).unwrap_err();
+    let fault = rig.start_with(0, without_key).unwrap_err().to_string();
     assert!(fault.contains("peers.key_file"), "{fault}");
     // Switched off it says so, and has no socket for it.
     rig.start_with(1, "\n".into()).unwrap();
--- /dev/null
+++ b/testbed/src/cluster_invariants/sessions.rs
@@ -0,0 +1,123 @@
+//! A session belongs to one relay and is established at one backend.
+use super::invariant::{ClusterInvariant, ClusterLimits, ClusterViolation, ORDER_TOLERANCE};
+use crate::event_recorder::{
+    BackendIndex, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
+};
+use std::collections::{BTreeMap, BTreeSet};
+use thistlecroft::time::Instant;
+
+pub(super) fn check(events: &[RecordedEvent], limits: &ClusterLimits) -> Vec<ClusterViolation> {
+    let mut history = SessionHistory {
+        allows_takeover: limits.allows_takeover,
+        ..SessionHistory::default()
+    };
+    for event in events {
+        history.replay(event.at, &event.observation);
+    }
+    history.violations
+}
+
+#[derive(Default)]
+struct SessionHistory {
+    allows_takeover: bool,
+    relay_of: BTreeMap<SessionId, RelayIndex>,
+    killed_at: BTreeMap<RelayIndex, Instant>,
+    /// Attempts after the relay of the session was killed.
+    takeovers: BTreeMap<SessionId, usize>,
+    /// Where a session is established.
+    established: BTreeMap<SessionId, BTreeSet<BackendIndex>>,
+    violations: Vec<ClusterViolation>,
+}
+
+impl SessionHistory {
+    fn replay(&mut self, at: Instant, observation: &Observation) {
+        match observation {
+            Observation::SessionRequested {
+                session,
+                relay: Some(relay),
+                ..
+            } => {
+                self.relay_of.insert(*session, *relay);
+                // A relay that takes a client after its kill is another process.
+                self.killed_at.remove(relay);
+            }
+            Observation::RelayKilled { relay } => {
+                self.killed_at.insert(*relay, at);
+            }
+            Observation::AttemptReceived {
+                session,
+                backend,
+                first_byte_at,
+            } => self.on_attempt(at, *session, *backend, *first_byte_at),
+            Observation::AttemptAnswered {
+                session,
+                backend,
+                reply: Reply::Accepted,
+            } => self.on_established(at, *session, *backend),
+            Observation::AttemptAbandoned { session, backend }
+            | Observation::BackendClosedSession { session, backend } => {
+                self.established
+                    .entry(*session)
+                    .or_default()
+                    .remove(backend);
+            }
+            Observation::BackendStopped { backend } => {
+                for backends in self.established.values_mut() {
+                    backends.remove(backend);
+                }
+            }
+            _ => {}
+        }
+    }
+
+    fn report(&mut self, invariant: ClusterInvariant, at: Instant, description: String) {
+        self.violations.push(ClusterViolation {
+            invariant,
+            at,
+            description,
+        });
+    }
+
+    /// An attempt for a session whose relay was killed before is a takeover.
+    fn on_attempt(
+        &mut self,
+        at: Instant,
+        session: SessionId,
+        backend: BackendIndex,
+        first_byte_at: Instant,
+    ) {
+        let Some(relay) = self.relay_of.get(&session) else {
+            return;
+        };
+        let Some(killed_at) = self
+            .killed_at
+            .get(relay)
+            .filter(|killed_at| first_byte_at > **killed_at + ORDER_TOLERANCE)
+        else {
+            return;
+        };
+        let after = first_byte_at.duration_since(*killed_at).as_millis();
+        let description = format!(
+            "box {} is dialled for a session of relay {}, dead for {after} ms",
+            backend.0, relay.0
+        );
+        let takeovers = self.takeovers.entry(session).or_default();
+        *takeovers += 1;
+        if !self.allows_takeover {
+            self.report(ClusterInvariant::OneRelayPerSession, at, description);
+        } else if *takeovers > 1 {
+            let description = format!("{description}, again");
+            self.report(ClusterInvariant::SingleTakeover, at, description);
+        }
+    }
+
+    fn on_established(&mut self, at: Instant, session: SessionId, backend: BackendIndex) {
+        let backends = self.established.entry(session).or_default();
+        backends.insert(backend);
+        if backends.len() > 1 {
+            let numbers: Vec<String> = backends.iter().map(|one| one.0.to_string()).collect();
+            let description = format!("boxes {} hold one session", numbers.join(" and "));
+            self.report(ClusterInvariant::OneBackendPerSession, at, description);
+        }
+    }
+}
--- a/testbed/src/endpoint_list/tests.rs
+++ b/testbed/src/endpoint_list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn who_asks_has_what_changed_since_or_the_whole() {
+fn request_with_known_version_gets_changes_and_others_a_snapshot() {
     let row = |lifecycle| EndpointRow {
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "a".into(),
@@ -21,23 +21,23 @@
         (Some(3), false, vec![]),
         (Some(9), true, vec![(1, Ready)]),
     ];
-    for (held, reset, rows) in cases {
-        let (text, told) = list.text_since(held);
-        let told: Vec<_> = told
+    for (version, reset, rows) in cases {
+        let (text, states) = list.text_since(version);
+        let states: Vec<_> = states
             .iter()
-            .map(|(at, lifecycle)| (at.0, *lifecycle))
+            .map(|(backend, lifecycle)| (backend.0, *lifecycle))
             .collect();
-        assert_eq!(told, rows, "{held:?}");
+        assert_eq!(states, rows, "{version:?}");
         assert!(
             text.contains(&format!("\"reset\":{reset}")),
-            "{held:?}: {text}"
+            "{version:?}: {text}"
         );
     }
     list.forget_versions();
     assert_eq!(
         list.text_since(Some(3)).1.len(),
         1,
-        "the whole, since its versions are others now"
+        "a snapshot, since the versions have started anew"
     );
     assert_eq!(list.text_since(Some(1)).1.len(), 0);
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,10 +1,13 @@
-//! Stand-ins on loopback sockets for everything that a relay meets: boxes, discovery, a set-up
-//! store and clients by the thousand, with named faults; and the referee, who reads what they saw
-//! and says of each of the four rules whether it was kept. Boxes, discovery and store share a
-//! thread (`yard`), clients have one or more of their own (`crowd`); relays are processes (`post`)
-//! or whatever listens at an address.
+//! Stand-ins on loopback sockets for everything that a relay meets, and checkers of what they
+//! observed.
 //!
-//! What the stand-ins work out (`model`, `traffic`, `listing`, `referee`) is free of I/O.
+//! Backends with their set-up store and the discovery agents share a thread
+//! ([`simulated_backends`]), clients have one or more threads of their own ([`load_generator`]),
+//! and relays are processes ([`relay_process`], [`process_cluster`]). Each thread records what it
+//! observes ([`event_recorder`]); [`invariant_checker`] and [`cluster_invariants`] judge the record.
+//!
+//! The models and checkers ([`backend_model`], [`traffic`], [`endpoint_list`], [`link_fault`],
+//! [`simulated_network`], both checkers) are free of I/O.
 pub mod backend_model;
 pub mod clock;
 pub mod cluster_invariants;
--- a/testbed/src/link_fault.rs
+++ b/testbed/src/link_fault.rs
@@ -2,21 +2,24 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::Duration;
 
+/// The fault of a link; the default one passes everything at once.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// The part that is lost.
+    /// The part of the datagrams that is lost.
     pub loss: f64,
+    /// The delay of each datagram.
     pub delay: Duration,
-    /// Added, drawn evenly from nothing up to this; greater than the time between two datagrams, it
-    /// reorders them.
+    /// Added to the delay, drawn evenly from nothing up to this; where it is greater than the time
+    /// between two datagrams, it reorders them.
     pub jitter: Duration,
-    /// The part that comes twice.
+    /// The part of the datagrams that is duplicated.
     pub duplication: f64,
-    /// Bytes a second that pass; what is above is lost. 0: no limit.
+    /// Bytes that pass in a second, beyond which datagrams are lost; 0 for no limit.
     pub bytes_per_second: u64,
 }
 
 impl LinkFault {
+    /// Nothing passes.
     pub const CUT: LinkFault = LinkFault {
         loss: 1.0,
         delay: Duration::ZERO,
@@ -25,19 +28,19 @@
         bytes_per_second: 0,
     };
 
-    /// After how long it arrives, once, twice or never.
-    pub fn passes(&self, chance: &mut Rng) -> Vec<Duration> {
-        let copies = if chance.unit_f64() < self.duplication {
+    /// Draws the delays of a datagram's copies that arrive: one, two or none.
+    pub fn delays(&self, rng: &mut Rng) -> Vec<Duration> {
+        let copies = if rng.unit_f64() < self.duplication {
             2
         } else {
             1
         };
-        let mut after = Vec::new();
+        let mut delays = Vec::new();
         for _ in 0..copies {
-            if chance.unit_f64() >= self.loss {
-                after.push(self.delay + self.jitter * chance.unit_f64());
+            if rng.unit_f64() >= self.loss {
+                delays.push(self.delay + self.jitter * rng.unit_f64());
             }
         }
-        after
+        delays
     }
 }
--- a/testbed/src/load_generator/sessions.rs
+++ b/testbed/src/load_generator/sessions.rs
@@ -159,12 +159,7 @@
         }
     }
 
-    fn on_message_returned(
-        &mut self,
-        key: usize,
-        sent_at: Instant,
-        context: &LoopContext<Timer>,
-    ) {
+    fn on_message_returned(&mut self, key: usize, sent_at: Instant, context: &LoopContext<Timer>) {
         let interval = self.traffic.message_interval;
         let target = self.profile(key).message_target;
         let client = &mut self.clients[key];
@@ -172,9 +167,9 @@
         let session = client.session;
         let waited = context.now.duration_since(sent_at);
         // A message stands for the interval that it begins, or for what is left of the session.
-        let left = client
-            .leaves_at
-            .map_or(Duration::ZERO, |leaves_at| leaves_at.duration_since(sent_at));
+        let left = client.leaves_at.map_or(Duration::ZERO, |leaves_at| {
+            leaves_at.duration_since(sent_at)
+        });
         let before = std::mem::take(&mut client.time_before_first_message);
         let stands_for = (before + interval.min(left)).as_secs_f64();
         let totals = self.listener_totals(key);
--- /dev/null
+++ b/testbed/src/process_cluster/cluster.rs
@@ -0,0 +1,333 @@
+//! A running cluster: its relays, the network between them, and what is waited for.
+use super::error::ProcessClusterError;
+use super::plan::ClusterPlan;
+use crate::clock::{Stopwatch, from_std, to_std};
+use crate::event_recorder::{EventLog, EventRecorder, Observation, RelayIndex, event_recorder};
+use crate::link_fault::LinkFault;
+use crate::relay_network::{NetworkCommand, OpenedNetwork, RelayNetwork};
+use crate::relay_observer::{RelayObserver, parse_members_seen};
+use crate::relay_process::{
+    ADMIN_COMMAND_TIMEOUT, PeersConfig, RelayOptions, RelayProcess, free_address,
+};
+use crate::simulated_backends::{OpenedBackends, SimulatedBackends};
+use crate::socket_holder::send_admin_command;
+use crate::traffic::scattered_id;
+use std::collections::BTreeSet;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Instant;
+use thistlecroft::time::Duration;
+
+const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
+/// The name of the fault between partitioned relays in recorded events.
+const LINK_FAULT_NAME: &str = "bent";
+/// Seeds of two starts differ by this.
+const SEEDS_PER_START: u64 = 1_000;
+
+/// A cluster whose relays are killed when this is dropped.
+pub struct ProcessCluster {
+    /// The clock of the run.
+    pub clock: Stopwatch,
+    /// Where observations are recorded.
+    pub recorder: EventRecorder,
+    /// What was observed.
+    pub events: EventLog,
+    /// The backends and discovery agents.
+    pub backends: OpenedBackends,
+    /// The network between the relays.
+    pub network: OpenedNetwork,
+    plan: ClusterPlan,
+    peers: PeersConfig,
+    /// None where a relay does not run.
+    relays: Vec<Option<RelayProcess>>,
+    admin_addresses: Vec<SocketAddr>,
+    listen_addresses: Vec<SocketAddr>,
+    /// Relays that were started so far.
+    starts: u64,
+}
+
+impl ProcessCluster {
+    /// Sets up everything but the relays.
+    ///
+    /// # Errors
+    /// If the system gives no socket, thread or file.
+    pub fn open(plan: ClusterPlan) -> Result<ProcessCluster, ProcessClusterError> {
+        let (recorder, events) = event_recorder();
+        let clock = Stopwatch::start();
+        let relays = plan.backends.relays;
+        let backends = SimulatedBackends::open(plan.backends.clone(), clock, recorder.clone())?;
+        let network = RelayNetwork::open(relays, plan.seed, clock, recorder.clone())?;
+        std::fs::create_dir_all(&plan.folder)?;
+        let key_file = plan.folder.join("peers.key");
+        std::fs::write(&key_file, "a key for the rig alone\n")?;
+        let peers = PeersConfig {
+            period: plan.period,
+            lease: plan.lease,
+            voters: plan.voters,
+            key_file,
+        };
+        let free_addresses = |first: usize| -> io::Result<Vec<SocketAddr>> {
+            (first..first + relays).map(free_address).collect()
+        };
+        Ok(ProcessCluster {
+            clock,
+            recorder,
+            events,
+            backends,
+            network,
+            plan,
+            peers,
+            relays: (0..relays).map(|_| None).collect(),
+            listen_addresses: free_addresses(0)?,
+            admin_addresses: free_addresses(relays)?,
+            starts: 0,
+        })
+    }
+
+    fn record(&self, observation: Observation) {
+        self.recorder.record(self.clock.now(), observation);
+    }
+
+    /// Starts all of these at once, each while the others are starting too.
+    ///
+    /// # Errors
+    /// As [`ProcessCluster::start`], for the first that is not ready.
+    pub fn start_all(&mut self, indices: &[usize]) -> Result<(), ProcessClusterError> {
+        for &index in indices {
+            self.spawn(index, self.operator_config(index))?;
+        }
+        for &index in indices {
+            self.wait_ready(index)?;
+        }
+        Ok(())
+    }
+
+    /// Starts a relay and waits until it is ready.
+    ///
+    /// # Errors
+    /// If it can't be started, or is not ready in time.
+    pub fn start(&mut self, index: usize) -> Result<(), ProcessClusterError> {
+        self.start_with(index, self.operator_config(index))
+    }
+
+    /// Starts a relay with this operator configuration and waits until it is ready.
+    ///
+    /// # Errors
+    /// As [`ProcessCluster::start`].
+    pub fn start_with(
+        &mut self,
+        index: usize,
+        operator_config: String,
+    ) -> Result<(), ProcessClusterError> {
+        self.spawn(index, operator_config)?;
+        let ready = self.wait_ready(index);
+        if ready.is_err() {
+            self.relays[index] = None;
+        }
+        ready
+    }
+
+    fn wait_ready(&mut self, index: usize) -> Result<(), ProcessClusterError> {
+        if let Some(relay) = &mut self.relays[index] {
+            relay.wait_ready()?;
+        }
+        self.record(Observation::RelayStarted {
+            relay: relay_index(index),
+        });
+        Ok(())
+    }
+
+    fn spawn(&mut self, index: usize, operator_config: String) -> Result<(), ProcessClusterError> {
+        self.starts += 1;
+        let start_seed = self.starts * SEEDS_PER_START + index as u64;
+        let options = RelayOptions {
+            name: relay_name(index),
+            index,
+            relays: self.relays.len(),
+            zone: 0,
+            listen: self.listen_addresses[index],
+            discovery: self.backends.agent_addresses[index],
+            seed: scattered_id(self.plan.seed.wrapping_add(start_seed)),
+            cached_endpoints: None,
+            operator_config: Some(operator_config),
+            admin: Some(self.admin_addresses[index]),
+            socket_holder: None,
+        };
+        let relay = RelayProcess::spawn(
+            &self.plan.program,
+            &self.plan.config,
+            &options,
+            &self.plan.folder,
+        )?;
+        self.relays[index] = Some(relay);
+        Ok(())
+    }
+
+    /// The usual operator configuration of a relay.
+    pub fn operator_config(&self, index: usize) -> String {
+        let addresses = &self.network.addresses;
+        self.peers.table(&addresses[index], addresses)
+    }
+
+    /// Replaces the operator configuration of a running relay and has it read again.
+    ///
+    /// # Errors
+    /// If the file can't be written.
+    pub fn replace_operator_config(&self, index: usize, text: &str) -> io::Result<()> {
+        self.relays[index]
+            .as_ref()
+            .map_or(Ok(()), |relay| relay.replace_operator_config(text))
+    }
+
+    /// Kills a relay's process.
+    pub fn kill(&mut self, index: usize) {
+        if let Some(mut relay) = self.relays[index].take() {
+            self.record(Observation::RelayKilled {
+                relay: relay_index(index),
+            });
+            relay.kill();
+        }
+    }
+
+    /// Pauses a relay's process, or resumes it.
+    pub fn set_paused(&mut self, index: usize, paused: bool) {
+        let Some(relay) = &self.relays[index] else {
+            return;
+        };
+        self.record(Observation::RelayPaused {
+            relay: relay_index(index),
+            paused,
+        });
+        relay.set_paused(paused);
+    }
+
+    /// Requests a graceful shutdown; whether it ended successfully within that time.
+    pub fn stop(&mut self, index: usize, within: Duration) -> bool {
+        let Some(mut relay) = self.relays[index].take() else {
+            return false;
+        };
+        self.record(Observation::RelayStopRequested {
+            relay: relay_index(index),
+        });
+        relay.request_stop();
+        let status = relay.wait_for_exit(within);
+        self.record(Observation::RelayStopped {
+            relay: relay_index(index),
+        });
+        status.is_some_and(|status| status.success())
+    }
+
+    /// Sets the fault of the links from each of these to each of those, in this direction only;
+    /// none clears it.
+    pub fn set_link_fault(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
+        let links = from
+            .iter()
+            .flat_map(|one| to.iter().map(move |other| (*one, *other)))
+            .filter(|(one, other)| one != other)
+            .map(|(one, other)| (relay_index(one), relay_index(other)))
+            .collect();
+        self.network
+            .event_loop
+            .command(NetworkCommand::SetLinkFault(links, fault, LINK_FAULT_NAME));
+    }
+
+    /// Cuts these off from those, in both directions.
+    pub fn partition(&self, these: &[usize], those: &[usize]) {
+        self.set_link_fault(these, those, Some(LinkFault::CUT));
+        self.set_link_fault(those, these, Some(LinkFault::CUT));
+    }
+
+    /// Clears the faults of all links.
+    pub fn heal_partitions(&self) {
+        let all: Vec<usize> = (0..self.relays.len()).collect();
+        self.set_link_fault(&all, &all, None);
+    }
+
+    /// Where a relay listens for admin commands.
+    pub fn admin_address(&self, index: usize) -> SocketAddr {
+        self.admin_addresses[index]
+    }
+
+    /// Records from now on what a relay answers about its peers, and about the lease of this
+    /// subject.
+    pub fn observe(&self, index: usize, lease: Option<&'static str>) -> RelayObserver {
+        RelayObserver::open(
+            relay_index(index),
+            self.admin_addresses[index],
+            lease,
+            self.clock,
+            self.recorder.clone(),
+        )
+    }
+
+    /// A relay's answer to an admin command; none where it does not answer.
+    pub fn admin_command(&self, index: usize, command: &str) -> Option<String> {
+        send_admin_command(self.admin_addresses[index], command, ADMIN_COMMAND_TIMEOUT).ok()
+    }
+
+    /// What a relay knows of its peers.
+    pub fn membership(&self, index: usize) -> Option<serde_json::Value> {
+        let answer = self.admin_command(index, "PEERS")?;
+        serde_json::from_str(answer.strip_prefix("200 ")?).ok()
+    }
+
+    /// Whether a relay sees exactly these alive.
+    pub fn sees_exactly(&self, index: usize, expected: &[usize]) -> bool {
+        let expected: BTreeSet<String> = expected.iter().copied().map(relay_name).collect();
+        let answer = self.admin_command(index, "PEERS");
+        let members = answer.as_deref().and_then(parse_members_seen);
+        members.is_some_and(|members| members.into_iter().collect::<BTreeSet<_>>() == expected)
+    }
+
+    /// Whether each of these sees exactly these alive.
+    pub fn membership_is_consistent(&self, indices: &[usize]) -> bool {
+        indices
+            .iter()
+            .all(|index| self.sees_exactly(*index, indices))
+    }
+
+    /// Waits until the predicate holds; how long it took, or none where it does not within that
+    /// time.
+    pub fn wait_until(
+        &self,
+        within: Duration,
+        predicate: impl Fn(&ProcessCluster) -> bool,
+    ) -> Option<Duration> {
+        let began = Instant::now();
+        loop {
+            if predicate(self) {
+                return Some(from_std(began.elapsed()));
+            }
+            if began.elapsed() > to_std(within) {
+                return None;
+            }
+            std::thread::sleep(POLL_INTERVAL);
+        }
+    }
+
+    /// CPU time of a relay so far; none where it does not run.
+    pub fn cpu_time(&self, index: usize) -> Option<Duration> {
+        let (cpu_time, _) = self.relays[index].as_ref()?.cost()?;
+        Some(cpu_time)
+    }
+
+    /// Resident memory of a relay; none where it does not run.
+    pub fn resident_bytes(&self, index: usize) -> Option<u64> {
+        let (_, resident_bytes) = self.relays[index].as_ref()?.cost()?;
+        Some(resident_bytes)
+    }
+
+    /// The log of a relay, over all its starts.
+    pub fn log(&self, index: usize) -> String {
+        let file = format!("{}.log", relay_name(index));
+        std::fs::read_to_string(self.plan.folder.join(file)).unwrap_or_default()
+    }
+}
+
+fn relay_index(index: usize) -> RelayIndex {
+    RelayIndex(index as u16)
+}
+
+fn relay_name(index: usize) -> String {
+    format!("relay-{index}")
+}
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -1,6 +1,5 @@
-//! The network between relays, for their datagrams: one address a relay at which the others reach
-//! it, and a fault for each directed pair. A relay's datagrams come from its own socket, so that
-//! who speaks to whom is seen here.
+//! The network between relays, for their datagrams: one public address a relay, and a fault for
+//! each directed link. A relay's datagrams come from its own socket, which tells who sent them.
 use crate::clock::Stopwatch;
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
 use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
@@ -13,8 +12,8 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// Datagrams read at once.
-const DATAGRAMS: usize = 256;
+const MAX_DATAGRAMS_PER_EVENT: usize = 256;
+const MAX_DATAGRAM_BYTES: usize = 2_048;
 
 /// Both ends of a relay's way to the others.
 #[derive(Clone, Copy, Debug)]
@@ -25,8 +24,10 @@
     pub own: SocketAddr,
 }
 
+/// What can be ordered while a run goes on.
 pub enum NetworkCommand {
-    /// From whom to whom, and how; none is as at first.
+    /// Sets the fault of these links, from one relay to another, under this name in recorded
+    /// events; none clears it.
     SetLinkFault(
         Vec<(RelayIndex, RelayIndex)>,
         Option<LinkFault>,
@@ -34,59 +35,78 @@
     ),
 }
 
-/// What passed and what did not, over all links.
+/// What passed over all links and what did not.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetworkTotals {
+    /// Datagrams that passed.
     pub passed: u64,
+    /// Their bytes.
     pub bytes: u64,
+    /// Datagrams that were lost.
     pub lost: u64,
-    /// From nobody that is known here.
+    /// Datagrams from an address of no relay.
     pub unknown_source: u64,
 }
 
+/// A link by the indices of its sender and its receiver.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct Link {
+    from: usize,
+    to: usize,
+}
+
+/// What the limit of a link's rate still allows.
+struct RateAllowance {
+    bytes: f64,
+    updated_at: Instant,
+}
+
+/// The network as an event handler.
 pub struct RelayNetwork {
+    /// The public sockets, by relay.
     sockets: Vec<UdpSocket>,
-    ways: Vec<PeerAddress>,
-    by_source: BTreeMap<SocketAddr, usize>,
-    link_faults: BTreeMap<(usize, usize), LinkFault>,
-    /// What a link's rate still allows, and as of when.
-    allowed: BTreeMap<(usize, usize), (f64, Instant)>,
-    chance: Rng,
-    sums: NetworkTotals,
+    addresses: Vec<PeerAddress>,
+    relay_of_source: BTreeMap<SocketAddr, usize>,
+    link_faults: BTreeMap<Link, LinkFault>,
+    allowances: BTreeMap<Link, RateAllowance>,
+    rng: Rng,
+    totals: NetworkTotals,
 }
 
+/// A datagram that arrives later.
 pub struct Delivery {
-    from: usize,
-    to: usize,
+    link: Link,
     bytes: Vec<u8>,
 }
 
+/// The network on its thread, and the addresses of its relays.
 pub struct OpenedNetwork {
+    /// The event loop, for commands and the totals.
     pub event_loop: EventLoop<RelayNetwork>,
+    /// By relay.
     pub addresses: Vec<PeerAddress>,
 }
 
 impl RelayNetwork {
-    /// For so many relays.
+    /// Opens a network for so many relays.
     ///
     /// # Errors
-    /// Where the system gives no socket or thread.
+    /// If the system gives no socket or thread.
     pub fn open(
         relays: usize,
         seed: u64,
         clock: Stopwatch,
-        tape: EventRecorder,
+        recorder: EventRecorder,
     ) -> io::Result<OpenedNetwork> {
         let mut sockets = Vec::new();
-        let mut ways = Vec::new();
-        // Held until all are found, so that no two are the same.
+        let mut addresses = Vec::new();
+        // The relays' own ports are held until all are found, so that no two are the same.
         let mut held = Vec::new();
-        for number in 0..relays {
-            let [.., high, low] = (number as u32 + 1).to_be_bytes();
-            let ip = Ipv4Addr::new(127, 70 + (std::process::id() % 50) as u8, high, low);
+        for index in 0..relays {
+            let ip = loopback_address(index);
             let (public, own) = (UdpSocket::bind((ip, 0))?, UdpSocket::bind((ip, 0))?);
             public.set_nonblocking(true)?;
-            ways.push(PeerAddress {
+            addresses.push(PeerAddress {
                 public: public.local_addr()?,
                 own: own.local_addr()?,
             });
@@ -94,55 +114,101 @@
             held.push(own);
         }
         drop(held);
-        let by_source = ways
-            .iter()
-            .enumerate()
-            .map(|(number, way)| (way.own, number))
-            .collect();
-        let of = ways.clone();
-        let stage = EventLoop::open("network", clock, tape, move |works| {
-            for (number, socket) in sockets.iter().enumerate() {
-                // SAFETY: the sockets live as long as the play, and the poller is dropped with it.
-                unsafe {
-                    works
-                        .poller
-                        .add_with_mode(socket, Event::readable(number), PollMode::Level)?
-                };
-            }
-            Ok(RelayNetwork {
-                sockets,
-                ways: of,
-                by_source,
-                link_faults: BTreeMap::new(),
-                allowed: BTreeMap::new(),
-                chance: Rng::from_seed(seed),
-                sums: NetworkTotals::default(),
-            })
+        let network = RelayNetwork {
+            sockets,
+            addresses: addresses.clone(),
+            relay_of_source: (0..)
+                .zip(&addresses)
+                .map(|(index, address)| (address.own, index))
+                .collect(),
+            link_faults: BTreeMap::new(),
+            allowances: BTreeMap::new(),
+            rng: Rng::from_seed(seed),
+            totals: NetworkTotals::default(),
+        };
+        let event_loop = EventLoop::open("network", clock, recorder, move |context| {
+            network.register_sockets(context)?;
+            Ok(network)
         })?;
         Ok(OpenedNetwork {
-            event_loop: stage,
-            addresses: ways,
+            event_loop,
+            addresses,
         })
     }
 
-    fn allows(&mut self, link: (usize, usize), rate: u64, bytes: usize, now: Instant) -> bool {
+    fn register_sockets(&self, context: &LoopContext<Delivery>) -> io::Result<()> {
+        for (index, socket) in self.sockets.iter().enumerate() {
+            let event = Event::readable(index);
+            // SAFETY: the sockets live as long as this, and are deleted from the poller before
+            // they are closed, or closed with it.
+            unsafe {
+                context
+                    .poller
+                    .add_with_mode(socket, event, PollMode::Level)?;
+            }
+        }
+        Ok(())
+    }
+
+    /// The relay that sends from this address.
+    fn relay_of(&self, source: SocketAddr) -> Option<usize> {
+        // The next process of a relay sends from another port of its address.
+        let by_ip = || {
+            self.addresses
+                .iter()
+                .position(|address| address.own.ip() == source.ip())
+        };
+        self.relay_of_source.get(&source).copied().or_else(by_ip)
+    }
+
+    /// Whether the rate of a link allows so many bytes now; if so, they are taken from it.
+    fn take_allowance(&mut self, link: Link, rate: u64, bytes: usize, now: Instant) -> bool {
         if rate == 0 {
             return true;
         }
-        let rate = rate as f64;
-        let (left, at) = self.allowed.get(&link).copied().unwrap_or((rate, now));
-        let left = (left + rate * now.duration_since(at).as_secs_f64()).min(rate);
-        let fits = left >= bytes as f64;
-        let left = if fits { left - bytes as f64 } else { left };
-        self.allowed.insert(link, (left, now));
-        fits
+        let (rate, bytes) = (rate as f64, bytes as f64);
+        let allowance = self.allowances.entry(link).or_insert(RateAllowance {
+            bytes: rate,
+            updated_at: now,
+        });
+        let passed = now.duration_since(allowance.updated_at).as_secs_f64();
+        allowance.bytes = (allowance.bytes + rate * passed).min(rate);
+        allowance.updated_at = now;
+        let is_allowed = allowance.bytes >= bytes;
+        if is_allowed {
+            allowance.bytes -= bytes;
+        }
+        is_allowed
+    }
+
+    fn on_datagram(&mut self, link: Link, bytes: &[u8], context: &mut LoopContext<Delivery>) {
+        let fault = self.link_faults.get(&link).copied().unwrap_or_default();
+        let rate = fault.bytes_per_second;
+        let delays = if self.take_allowance(link, rate, bytes.len(), context.now) {
+            fault.delays(&mut self.rng)
+        } else {
+            Vec::new()
+        };
+        self.totals.lost += u64::from(delays.is_empty());
+        for delay in delays {
+            let delivery = Delivery {
+                link,
+                bytes: bytes.to_vec(),
+            };
+            if delay == Duration::ZERO {
+                self.deliver(&delivery);
+            } else {
+                context.set_timer(context.now + delay, delivery);
+            }
+        }
     }
 
-    fn deliver(&mut self, one: &Delivery) {
-        self.sums.passed += 1;
-        self.sums.bytes += one.bytes.len() as u64;
-        // A relay that does not run now does not hear it.
-        let _ = self.sockets[one.from].send_to(&one.bytes, self.ways[one.to].own);
+    fn deliver(&mut self, delivery: &Delivery) {
+        self.totals.passed += 1;
+        self.totals.bytes += delivery.bytes.len() as u64;
+        let Link { from, to } = delivery.link;
+        // A relay that does not run now does not get it.
+        let _ = self.sockets[from].send_to(&delivery.bytes, self.addresses[to].own);
     }
 }
 
@@ -151,9 +217,9 @@
     type Command = NetworkCommand;
     type Totals = NetworkTotals;
 
-    fn on_ready(&mut self, to: usize, _writable: bool, works: &mut LoopContext<Delivery>) {
-        let mut bytes = [0; 2_048];
-        for _ in 0..DATAGRAMS {
+    fn on_ready(&mut self, to: usize, _writable: bool, context: &mut LoopContext<Delivery>) {
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
+        for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let Some((length, source)) = self
                 .sockets
                 .get(to)
@@ -161,52 +227,29 @@
             else {
                 return;
             };
-            // The next process of a relay sends from another port of its address.
-            let by_address = || self.ways.iter().position(|way| way.own.ip() == source.ip());
-            let Some(from) = self.by_source.get(&source).copied().or_else(by_address) else {
-                self.sums.unknown_source += 1;
-                continue;
-            };
-            let fault = self
-                .link_faults
-                .get(&(from, to))
-                .copied()
-                .unwrap_or_default();
-            let allowed = self.allows((from, to), fault.bytes_per_second, length, works.now);
-            let passes = if allowed {
-                fault.passes(&mut self.chance)
-            } else {
-                Vec::new()
-            };
-            self.sums.lost += u64::from(passes.is_empty());
-            for after in passes {
-                let one = Delivery {
-                    from,
-                    to,
-                    bytes: bytes[..length].to_vec(),
-                };
-                if after == Duration::ZERO {
-                    self.deliver(&one);
-                } else {
-                    works.set_timer(works.now + after, one);
-                }
+            match self.relay_of(source) {
+                Some(from) => self.on_datagram(Link { from, to }, &bytes[..length], context),
+                None => self.totals.unknown_source += 1,
             }
         }
     }
 
-    fn on_timer(&mut self, one: Delivery, _works: &mut LoopContext<Delivery>) {
-        self.deliver(&one);
+    fn on_timer(&mut self, delivery: Delivery, _context: &mut LoopContext<Delivery>) {
+        self.deliver(&delivery);
     }
 
-    fn on_command(&mut self, cue: NetworkCommand, works: &mut LoopContext<Delivery>) {
-        let NetworkCommand::SetLinkFault(links, fault, name) = cue;
+    fn on_command(&mut self, command: NetworkCommand, context: &mut LoopContext<Delivery>) {
+        let NetworkCommand::SetLinkFault(links, fault, name) = command;
         for (from, to) in links {
-            let link = (usize::from(from.0), usize::from(to.0));
+            let link = Link {
+                from: usize::from(from.0),
+                to: usize::from(to.0),
+            };
             match fault {
                 Some(fault) => drop(self.link_faults.insert(link, fault)),
                 None => drop(self.link_faults.remove(&link)),
             }
-            works.record(Observation::LinkFault {
+            context.record(Observation::LinkFault {
                 from,
                 to,
                 name,
@@ -215,10 +258,16 @@
         }
     }
 
-    fn into_totals(self, works: &LoopContext<Delivery>) -> NetworkTotals {
+    fn into_totals(self, context: &LoopContext<Delivery>) -> NetworkTotals {
         for socket in &self.sockets {
-            let _ = works.poller.delete(socket.as_fd());
+            let _ = context.poller.delete(socket.as_fd());
         }
-        self.sums
+        self.totals
     }
 }
+
+/// An address for the relay of this index, other than those of concurrent runs.
+fn loopback_address(index: usize) -> Ipv4Addr {
+    let [.., high, low] = (index as u32 + 1).to_be_bytes();
+    Ipv4Addr::new(127, 70 + (std::process::id() % 50) as u8, high, low)
+}
--- a/testbed/src/relay_observer.rs
+++ b/testbed/src/relay_observer.rs
@@ -1,5 +1,6 @@
-//! One who asks a relay again and again what it thinks of the others and whether it holds a lease,
-//! from a thread of its own: a relay that stands still keeps only its own witness waiting.
+//! An observer at a relay's admin port, who asks again and again which peers the relay sees and
+//! whether it holds a lease. Each has a thread of its own: a paused relay keeps only its own
+//! observer waiting.
 use crate::clock::Stopwatch;
 use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
 use crate::socket_holder::send_admin_command;
@@ -9,66 +10,49 @@
 use std::thread::JoinHandle;
 use thistlecroft::time::Duration;
 
-/// Between two askings, and how many of them go by between two of the views.
-const EVERY: std::time::Duration = std::time::Duration::from_millis(40);
-const VIEWS: usize = 6;
-const WAIT: Duration = Duration::from_millis(1_000);
+const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(40);
+/// Peers are asked for once in so many rounds.
+const ROUNDS_PER_MEMBERSHIP: usize = 6;
+const TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Dropped, it asks no more.
+/// An observer, which ends when this is dropped.
 pub struct RelayObserver {
-    over: Arc<AtomicBool>,
+    is_over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl RelayObserver {
-    /// `lease`: the subject that it asks for, if any.
+    /// Starts to ask at this admin port; `lease` is the subject that it asks for, if any.
     pub fn open(
         relay: RelayIndex,
-        door: SocketAddr,
+        admin: SocketAddr,
         lease: Option<&'static str>,
         clock: Stopwatch,
-        tape: EventRecorder,
+        recorder: EventRecorder,
     ) -> RelayObserver {
-        let over = Arc::new(AtomicBool::new(false));
-        let until = over.clone();
+        let is_over = Arc::new(AtomicBool::new(false));
+        let observer = Observer {
+            relay,
+            admin,
+            clock,
+            recorder,
+        };
+        let ends = is_over.clone();
         let thread = std::thread::spawn(move || {
             let mut round = 0;
-            while !until.load(Ordering::Relaxed) {
+            while !ends.load(Ordering::Relaxed) {
                 round += 1;
                 if let Some(subject) = lease {
-                    let asked = clock.now();
-                    let said = send_admin_command(door, &format!("LEASE {subject}"), WAIT).ok();
-                    let held = said.as_deref().and_then(parse_held_lease);
-                    if let Some((epoch, left)) = held {
-                        tape.record(
-                            clock.now(),
-                            Observation::LeaseClaimed {
-                                relay,
-                                subject,
-                                epoch,
-                                requested_at: asked,
-                                valid_until: asked + left,
-                            },
-                        );
-                    }
+                    observer.observe_lease(subject);
                 }
-                if round % VIEWS == 0
-                    && let Ok(said) = send_admin_command(door, "PEERS", WAIT)
-                    && let Some(here) = parse_members_seen(&said)
-                {
-                    tape.record(
-                        clock.now(),
-                        Observation::MembersSeen {
-                            relay,
-                            members: here,
-                        },
-                    );
+                if round % ROUNDS_PER_MEMBERSHIP == 0 {
+                    observer.observe_membership();
                 }
-                std::thread::park_timeout(EVERY);
+                std::thread::park_timeout(POLL_INTERVAL);
             }
         });
         RelayObserver {
-            over,
+            is_over,
             thread: Some(thread),
         }
     }
@@ -76,7 +60,7 @@
 
 impl Drop for RelayObserver {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.is_over.store(true, Ordering::Relaxed);
         if let Some(thread) = self.thread.take() {
             thread.thread().unpark();
             let _ = thread.join();
@@ -84,26 +68,65 @@
     }
 }
 
-/// `200 held EPOCH MS`
-pub fn parse_held_lease(said: &str) -> Option<(u64, Duration)> {
-    let mut words = said.strip_prefix("200 held ")?.split(' ');
+/// What the thread of an observer works with.
+struct Observer {
+    relay: RelayIndex,
+    admin: SocketAddr,
+    clock: Stopwatch,
+    recorder: EventRecorder,
+}
+
+impl Observer {
+    fn observe_lease(&self, subject: &'static str) {
+        let requested_at = self.clock.now();
+        let answer = send_admin_command(self.admin, &format!("LEASE {subject}"), TIMEOUT).ok();
+        if let Some((epoch, left)) = answer.as_deref().and_then(parse_held_lease) {
+            self.record(Observation::LeaseClaimed {
+                relay: self.relay,
+                subject,
+                epoch,
+                requested_at,
+                valid_until: requested_at + left,
+            });
+        }
+    }
+
+    fn observe_membership(&self) {
+        if let Ok(answer) = send_admin_command(self.admin, "PEERS", TIMEOUT)
+            && let Some(members) = parse_members_seen(&answer)
+        {
+            self.record(Observation::MembersSeen {
+                relay: self.relay,
+                members,
+            });
+        }
+    }
+
+    fn record(&self, observation: Observation) {
+        self.recorder.record(self.clock.now(), observation);
+    }
+}
+
+/// The epoch of a held lease and the time that is left of it, of the answer `200 held EPOCH MS`.
+pub fn parse_held_lease(answer: &str) -> Option<(u64, Duration)> {
+    let mut words = answer.strip_prefix("200 held ")?.split(' ');
     let epoch = words.next()?.parse().ok()?;
     Some((epoch, Duration::from_millis(words.next()?.parse().ok()?)))
 }
 
-/// The names that a relay sees here, its own among them, in order.
-pub fn parse_members_seen(said: &str) -> Option<Vec<String>> {
-    let view: serde_json::Value = serde_json::from_str(said.strip_prefix("200 ")?).ok()?;
-    let here = view["peers"]
+/// The names of the peers that a relay sees alive, its own among them, in order.
+pub fn parse_members_seen(answer: &str) -> Option<Vec<String>> {
+    let membership: serde_json::Value = serde_json::from_str(answer.strip_prefix("200 ")?).ok()?;
+    let alive = membership["peers"]
         .as_array()?
         .iter()
         .filter(|peer| peer["standing"] == "here");
-    let mut here: Vec<String> = here
+    let mut members: Vec<String> = alive
         .filter_map(|peer| peer["name"].as_str())
-        .chain(view["name"].as_str())
+        .chain(membership["name"].as_str())
         .map(String::from)
         .collect();
-    here.sort();
-    here.dedup();
-    Some(here)
+    members.sort();
+    members.dedup();
+    Some(members)
 }
--- /dev/null
+++ b/testbed/src/relay_process/config.rs
@@ -0,0 +1,221 @@
+//! The configuration of a relay in the platform's form: the one place that knows its keys.
+use crate::relay_network::PeerAddress;
+use crate::socket_holder::SocketHolder;
+use serde_json::{Value, json};
+use std::net::SocketAddr;
+use std::path::PathBuf;
+use std::sync::Arc;
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
+use thistlecroft::time::Duration;
+
+/// A listener of the settings.
+#[derive(Clone, Debug)]
+pub struct ListenerConfig {
+    /// The listener's name.
+    pub name: String,
+    /// How long its clients wait for their answers.
+    pub answer_timeout: Duration,
+    /// The latency objective of set-ups.
+    pub handshake_target: Duration,
+    /// The latency objective of messages.
+    pub message_target: Duration,
+    /// Whether its sessions may be attempted again.
+    pub idempotency: Idempotency,
+    /// The worth of its sessions against those of others.
+    pub priority_weight: f64,
+}
+
+/// The settings that all relays of a run share.
+#[derive(Clone, Debug)]
+pub struct FleetConfig {
+    /// The availability zones.
+    pub zones: Vec<String>,
+    /// The listeners.
+    pub listeners: Vec<ListenerConfig>,
+    /// An attempt that was not accepted by the backend's machine within this has failed.
+    pub connect_timeout: Duration,
+    /// The greatest number of attempts of a session.
+    pub max_attempts: u32,
+    /// The longest time that a rejection may ask a client to wait; none where it may not ask.
+    pub max_retry_after: Option<Duration>,
+    /// Relays may send health checks.
+    pub health_checks: bool,
+    /// Clients belong to groups.
+    pub groups: bool,
+    /// Backends report each session's load.
+    pub reports_load: bool,
+    /// The part of its capacity that a backend has at its start.
+    pub warm_up_initial_share: f64,
+    /// The time in which a backend warms up.
+    pub warm_up: Duration,
+    /// The multiple of its present capacity that overloads a backend while it warms up.
+    pub warm_up_overload_factor: f64,
+    /// The time in which attempts count for that.
+    pub warm_up_overload_window: Duration,
+    /// The memory of a relay in MiB.
+    pub memory_mb: u64,
+    /// The sockets of a relay.
+    pub sockets: u64,
+    /// A session may have two attempts under way at once.
+    pub hedging: bool,
+    /// Relays may exchange messages with one another.
+    pub peers: bool,
+}
+
+/// What the operator configuration says of peers, apart from each relay's own addresses.
+#[derive(Clone, Debug)]
+pub struct PeersConfig {
+    /// The period of the membership protocol.
+    pub period: Duration,
+    /// The duration of leases.
+    pub lease: Duration,
+    /// So many of the first relays grant leases and are the seeds.
+    pub voters: usize,
+    /// The file of the key that the relays share.
+    pub key_file: PathBuf,
+}
+
+impl PeersConfig {
+    /// The table of the operator configuration for the relay of this address, in a fleet of these.
+    pub fn table(&self, own: &PeerAddress, fleet: &[PeerAddress]) -> String {
+        let seeds = fleet
+            .iter()
+            .take(self.voters.max(1))
+            .map(|address| address.public.to_string());
+        let voters = (0..self.voters.min(fleet.len())).map(|index| format!("relay-{index}"));
+        let voters = match self.voters {
+            0 => String::new(),
+            _ => format!("voters = [{}]\n", quoted_list(voters)),
+        };
+        format!(
+            "\n[peers]\nfleet = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{voters}period = \"{}us\"\nlease = \"{}us\"\n",
+            own.own,
+            own.public,
+            self.key_file.display(),
+            quoted_list(seeds),
+            self.period.as_micros(),
+            self.lease.as_micros()
+        )
+    }
+}
+
+fn quoted_list(items: impl Iterator<Item = String>) -> String {
+    let quoted: Vec<String> = items.map(|item| format!("\"{item}\"")).collect();
+    quoted.join(", ")
+}
+
+/// What one relay is given besides the shared settings.
+#[derive(Clone, Debug)]
+pub struct RelayOptions {
+    /// The relay's name.
+    pub name: String,
+    /// Its place among the relays.
+    pub index: usize,
+    /// The number of relays.
+    pub relays: usize,
+    /// Its availability zone, by its place in the settings.
+    pub zone: usize,
+    /// Where it listens for clients.
+    pub listen: SocketAddr,
+    /// The address of its discovery agent.
+    pub discovery: SocketAddr,
+    /// Seeds everything that it draws.
+    pub seed: u64,
+    /// The endpoint list as it last had it, in discovery's form.
+    pub cached_endpoints: Option<Value>,
+    /// The text of its operator configuration, where it has one.
+    pub operator_config: Option<String>,
+    /// Where it listens for admin commands, if it does.
+    pub admin: Option<SocketAddr>,
+    /// Holds its listening socket, if more than one process of it may run at a time.
+    pub socket_holder: Option<Arc<SocketHolder>>,
+}
+
+/// The text of the file that `ROUTER_CONFIG` names.
+pub fn configuration(fleet: &FleetConfig, relay: &RelayOptions) -> String {
+    let mut text = json!({
+        "name": relay.name,
+        "listen": relay.listen.to_string(),
+        "discovery": relay.discovery.to_string(),
+        "seed": format!("{:016x}", relay.seed),
+        "limits": {"cores": 1.0, "memory_mb": fleet.memory_mb, "sockets": fleet.sockets},
+        "known": relay.cached_endpoints,
+        "settings": settings(fleet, relay),
+    });
+    if let Some(admin) = relay.admin {
+        text["admin_addr"] = json!(admin.to_string());
+    }
+    text.to_string()
+}
+
+fn settings(fleet: &FleetConfig, relay: &RelayOptions) -> Value {
+    let listeners: Vec<Value> = fleet.listeners.iter().map(listener).collect();
+    let message_targets: Vec<u64> = fleet
+        .listeners
+        .iter()
+        .map(|listener| listener.message_target.as_micros())
+        .collect();
+    json!({
+        "az": relay.zone,
+        "zones": fleet.zones,
+        "balancers": relay.relays,
+        "me": relay.index,
+        "tickUs": 2_000,
+        "discovery": "automatic",
+        "listeners": listeners,
+        "extra": {
+            "groups": fleet.groups,
+            "tellsDelay": false,
+            "tellsLoad": fleet.reports_load,
+            "messageAimUs": message_targets,
+        },
+        "invariants": {
+            "askWithinUs": 1,
+            "coldUs": fleet.warm_up.as_micros(),
+            "fallUs": fleet.warm_up_overload_window.as_micros(),
+            "overloadFactor": fleet.warm_up_overload_factor,
+            "startCapacity": fleet.warm_up_initial_share,
+        },
+        "permissions": permissions(fleet),
+        "report": {"fields": ["inflight", "x0"], "how": "pull"},
+    })
+}
+
+fn permissions(fleet: &FleetConfig) -> Value {
+    let max_retry_after = fleet.max_retry_after.unwrap_or(Duration::ZERO);
+    json!({
+        "connIdleUs": 9_000_000,
+        "dialTimeoutUs": fleet.connect_timeout.as_micros(),
+        "maxDials": fleet.max_attempts,
+        "maxRetryAfterUs": max_retry_after.as_micros(),
+        "peers": fleet.peers,
+        "mayCancel": true,
+        "parallelTries": fleet.hedging,
+        "probes": fleet.health_checks,
+        "retryAfter": fleet.max_retry_after.is_some(),
+    })
+}
+
+fn listener(listener: &ListenerConfig) -> Value {
+    let (effect, scope, window) = match listener.idempotency {
+        Idempotency::Idempotent => ("retryable", "all", Duration::ZERO),
+        Idempotency::NonIdempotent => ("fragile", "all", Duration::ZERO),
+        Idempotency::Keyed { scope, window } => {
+            let scope = match scope {
+                DeduplicationScope::All => "all",
+                DeduplicationScope::Zone => "zone",
+                DeduplicationScope::Cell => "cell",
+            };
+            ("dedup", scope, window)
+        }
+    };
+    json!({
+        "name": listener.name,
+        "deadlineUs": listener.answer_timeout.as_micros(),
+        "handshakeTargetUs": listener.handshake_target.as_micros(),
+        "effect": effect,
+        "dedupScope": scope,
+        "dedupWindowUs": window.as_micros(),
+        "utility": listener.priority_weight,
+    })
+}
--- /dev/null
+++ b/testbed/src/relay_process/mod.rs
@@ -0,0 +1,11 @@
+//! Relays as processes: their configuration, their start, their signals, what they cost and their
+//! end.
+mod config;
+mod error;
+mod process;
+mod resources;
+
+pub use config::{FleetConfig, ListenerConfig, PeersConfig, RelayOptions, configuration};
+pub use error::RelayProcessError;
+pub use process::{ADMIN_COMMAND_TIMEOUT, RelayProcess, free_address};
+pub use resources::{DescriptorLimitError, ensure_descriptor_limit, process_cost};
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network.rs
@@ -1,6 +1,6 @@
 //! Membership and leases of many processes over simulated links: the same code as on sockets, on a
-//! clock that is stepped. Each directed pair has its own link fault; each process its own clock,
-//! off by a part; processes pause, die and start. No I/O.
+//! simulated clock. Each directed link has its own fault, and each process a clock of its own speed;
+//! processes start, pause and end. No I/O.
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use thistlecroft::random::Rng;
@@ -12,46 +12,53 @@
 
 /// A process of the network.
 pub struct Host {
+    /// Its name among the members.
     pub name: String,
+    /// Its membership.
     pub node: Node,
+    /// Its leases, if it has any.
     pub leases: Option<Leases>,
-    /// Its clock's speed, 1 being true, and what it showed at true time zero.
+    /// The speed of its clock against simulated time.
     speed: f64,
+    /// What its clock shows at the start of simulated time.
     offset: Duration,
-    paused: bool,
-    /// What came while it stood still.
+    is_paused: bool,
+    /// Datagrams that came while it was paused, with their senders.
     inbox: Vec<(usize, Vec<u8>)>,
+    /// The process runs, or is paused.
     pub alive: bool,
-    /// When others were seen to stand otherwise, in true time.
+    /// The changes of other members' states that it saw, in simulated time.
     pub member_changes: Vec<(Instant, Identity, MemberState)>,
-    /// The time for which a wake is set.
-    wakes: Option<Instant>,
+    /// When it is to be woken, in simulated time.
+    wake_at: Option<Instant>,
 }
 
 impl Host {
-    /// Its own clock at a true moment.
+    /// What its clock shows at a simulated time.
     pub fn clock(&self, now: Instant) -> Instant {
         Instant::from_micros(self.offset.as_micros() + (now.as_micros() as f64 * self.speed) as u64)
     }
 
-    fn true_time(&self, own: Instant) -> Instant {
+    /// When its clock shows this, in simulated time.
+    fn simulated_time(&self, own: Instant) -> Instant {
         let passed = own.as_micros().saturating_sub(self.offset.as_micros());
         Instant::from_micros((passed as f64 / self.speed).ceil() as u64)
     }
 
-    /// If it sees exactly these here.
+    /// Whether it sees exactly these alive, itself among them.
     pub fn sees_exactly(&self, names: &BTreeSet<String>) -> bool {
-        let here = self
+        let alive = self
             .node
             .members()
             .filter(|view| view.state == MemberState::Alive);
-        let mut here: BTreeSet<String> = here.map(|view| view.id.name.to_string()).collect();
-        here.insert(self.name.clone());
-        here == *names
+        let mut seen: BTreeSet<String> = alive.map(|view| view.id.name.to_string()).collect();
+        seen.insert(self.name.clone());
+        seen == *names
     }
 }
 
-enum Flight {
+/// Something that happens at a later simulated time.
+enum ScheduledEvent {
     Datagram {
         from: usize,
         to: usize,
@@ -60,27 +67,38 @@
     Wake(usize),
 }
 
+/// Processes on a simulated clock.
 pub struct SimulatedNetwork {
+    /// The simulated time.
     pub now: Instant,
+    /// The processes, by their numbers.
     pub hosts: Vec<Host>,
-    flights: BTreeMap<(Instant, u64), Flight>,
+    /// By their times, and in the order in which they were scheduled.
+    schedule: BTreeMap<(Instant, u64), ScheduledEvent>,
     serial: u64,
+    /// What is drawn by the links.
     pub rng: Rng,
-    /// What holds where nothing else is said.
+    /// The fault of links that have none of their own.
     pub default_link_fault: LinkFault,
+    /// Faults of links, by the numbers of sender and receiver.
     pub link_faults: BTreeMap<(usize, usize), LinkFault>,
     terms: Terms,
     lease_config: Option<LeaseConfig>,
     seeds: usize,
 }
 
+/// Datagrams that the socket of a paused process holds.
+const MAX_INBOX_DATAGRAMS: usize = 256;
+const PORT: u16 = 7_946;
+
 fn address(number: usize) -> SocketAddr {
     let [.., high, low] = (number as u32 + 1).to_be_bytes();
-    SocketAddr::from((Ipv4Addr::new(127, 1, high, low), 7_946))
+    SocketAddr::from((Ipv4Addr::new(127, 1, high, low), PORT))
 }
 
 impl SimulatedNetwork {
-    /// `seeds`: the first so many processes are named to all as seeds.
+    /// A network without processes. The first `seeds` processes are the seeds of the membership;
+    /// `seed` is what everything is drawn from.
     pub fn new(
         terms: Terms,
         lease_config: Option<LeaseConfig>,
@@ -90,7 +108,7 @@
         SimulatedNetwork {
             now: Instant::default(),
             hosts: Vec::new(),
-            flights: BTreeMap::new(),
+            schedule: BTreeMap::new(),
             serial: 0,
             rng: Rng::from_seed(seed),
             default_link_fault: LinkFault {
@@ -105,8 +123,8 @@
         }
     }
 
-    /// Bytes a second, in all and for attaching subjects, of processes that are started from now
-    /// on.
+    /// Sets the bytes that a process sends in a second, in all and for lease updates, for processes
+    /// that are started from now on.
     pub fn set_rates(&mut self, rate: u32, update_rate: u32) {
         self.terms.rate = rate;
         self.lease_config
@@ -114,27 +132,26 @@
             .for_each(|config| config.update_rate = update_rate);
     }
 
-    /// Starts a process; its number. `speed`: its clock's.
+    /// Starts a process whose clock has this speed; returns its number.
     pub fn start(&mut self, name: &str, speed: f64) -> usize {
         let number = self.hosts.len();
         self.hosts.push(self.process(name, number, speed));
-        self.set_wake(number);
+        self.schedule_wake(number);
         number
     }
 
-    /// Another process in the place of that one, at its address.
+    /// Starts another process in the place of that one, at its address.
     pub fn restart(&mut self, number: usize) {
         let (name, speed) = (self.hosts[number].name.clone(), self.hosts[number].speed);
         self.hosts[number] = self.process(&name, number, speed);
-        self.set_wake(number);
+        self.schedule_wake(number);
     }
 
     fn process(&self, name: &str, number: usize, speed: f64) -> Host {
-        // Drawn from the network's own course, which is the same for the same seed and acts.
-        let mut chance = self.rng.clone();
-        let draw = chance.below(u64::MAX)
-            ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15)
-            ^ number as u64;
+        // Drawn from a copy, so that a start changes nothing of what the links draw.
+        let mut rng = self.rng.clone();
+        let draw =
+            rng.below(u64::MAX) ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
         let offset = Duration::from_micros(1_000_000 + draw % 5_000_000);
         let me = Identity::new(name, draw | 1);
         let own =
@@ -151,32 +168,34 @@
             leases,
             speed,
             offset,
-            paused: false,
+            is_paused: false,
             inbox: Vec::new(),
             alive: true,
             member_changes: Vec::new(),
-            wakes: None,
+            wake_at: None,
         }
     }
 
+    /// Ends a process.
     pub fn kill(&mut self, number: usize) {
-        (self.hosts[number].alive, self.hosts[number].wakes) = (false, None);
+        (self.hosts[number].alive, self.hosts[number].wake_at) = (false, None);
     }
 
+    /// Pauses a process.
     pub fn pause(&mut self, number: usize) {
-        self.hosts[number].paused = true;
+        self.hosts[number].is_paused = true;
     }
 
-    /// What waited is heard before its timers run, as on sockets.
+    /// Resumes a process. It receives what waited before its timers run, as on sockets.
     pub fn resume(&mut self, number: usize) {
-        self.hosts[number].paused = false;
+        self.hosts[number].is_paused = false;
         for (from, bytes) in std::mem::take(&mut self.hosts[number].inbox) {
             self.deliver(from, number, &bytes);
         }
-        self.set_wake(number);
+        self.schedule_wake(number);
     }
 
-    /// Both directions between every one of these and every one of those.
+    /// Cuts these off from those, in both directions.
     pub fn partition(&mut self, these: &[usize], those: &[usize]) {
         for &one in these {
             for &other in those {
@@ -186,24 +205,27 @@
         }
     }
 
+    /// Clears the faults of all links.
     pub fn heal_partitions(&mut self) {
         self.link_faults.clear();
     }
 
-    pub fn run_for(&mut self, span: Duration) {
-        let until = self.now + span;
+    /// Has this time pass.
+    pub fn run_for(&mut self, duration: Duration) {
+        let until = self.now + duration;
         while self.step(until) {}
         self.now = until;
     }
 
-    /// Until that is so, looked at each tenth of a period; when it was, or none within the span.
+    /// Has time pass until the predicate holds, which is evaluated in each tenth of a period; how
+    /// long it took, or none where it does not hold within that time.
     pub fn run_until(
         &mut self,
         within: Duration,
-        so: impl Fn(&SimulatedNetwork) -> bool,
+        predicate: impl Fn(&SimulatedNetwork) -> bool,
     ) -> Option<Duration> {
         let (began, step) = (self.now, self.terms.pace.period * 0.1);
-        while !so(self) {
+        while !predicate(self) {
             if self.now.duration_since(began) >= within {
                 return None;
             }
@@ -212,7 +234,7 @@
         Some(self.now.duration_since(began))
     }
 
-    /// If all that run see each other and nobody else.
+    /// Whether all processes that run see each other and nobody else.
     pub fn membership_is_consistent(&self) -> bool {
         let live = || self.hosts.iter().filter(|host| host.alive);
         let names: BTreeSet<String> = live().map(|host| host.name.clone()).collect();
@@ -221,7 +243,7 @@
 
     fn step(&mut self, until: Instant) -> bool {
         let Some(entry) = self
-            .flights
+            .schedule
             .first_entry()
             .filter(|entry| entry.key().0 <= until)
         else {
@@ -229,24 +251,23 @@
         };
         self.now = self.now.max(entry.key().0);
         match entry.remove() {
-            Flight::Datagram { from, to, bytes } => {
-                if self.hosts[to].paused {
-                    // As much as a socket holds.
-                    if self.hosts[to].inbox.len() < 256 {
+            ScheduledEvent::Datagram { from, to, bytes } => {
+                if self.hosts[to].is_paused {
+                    if self.hosts[to].inbox.len() < MAX_INBOX_DATAGRAMS {
                         self.hosts[to].inbox.push((from, bytes));
                     }
                 } else {
                     self.deliver(from, to, &bytes);
-                    self.set_wake(to);
+                    self.schedule_wake(to);
                 }
             }
-            Flight::Wake(number) => {
+            ScheduledEvent::Wake(number) => {
                 let host = &mut self.hosts[number];
-                if host.wakes.is_some_and(|at| at <= self.now) {
-                    host.wakes = None;
-                    if host.alive && !host.paused {
+                if host.wake_at.is_some_and(|at| at <= self.now) {
+                    host.wake_at = None;
+                    if host.alive && !host.is_paused {
                         self.wake(number);
-                        self.set_wake(number);
+                        self.schedule_wake(number);
                     }
                 }
             }
@@ -260,7 +281,7 @@
         if host.alive {
             let own = host.clock(now);
             host.node.receive(bytes, address(from), own);
-            self.turn(to);
+            self.exchange(to);
         }
     }
 
@@ -276,19 +297,25 @@
         {
             leases.tick(own);
         }
-        self.turn(number);
+        self.exchange(number);
     }
 
-    /// Acts of a process that is not to be left waiting for its next wake.
+    /// Has a process act now, rather than with its next wake.
     pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Host, Instant)) {
         let own = self.hosts[number].clock(self.now);
         act(&mut self.hosts[number], own);
-        self.turn(number);
-        self.set_wake(number);
+        self.exchange(number);
+        self.schedule_wake(number);
+    }
+
+    /// Passes received messages on to the leases of a process, and sends what it has to send.
+    fn exchange(&mut self, number: usize) {
+        self.handle_events(number);
+        self.send_lease_messages(number);
+        self.send_datagrams(number);
     }
 
-    /// What a process has to say goes out; what it was told for its leases is heard by them.
-    fn turn(&mut self, number: usize) {
+    fn handle_events(&mut self, number: usize) {
         let now = self.now;
         let host = &mut self.hosts[number];
         let own = host.clock(now);
@@ -307,15 +334,25 @@
                 _ => {}
             }
         }
-        if let Some(leases) = &mut host.leases {
-            for outgoing in leases.take_outgoing() {
-                for id in outgoing.to.processes(&host.node) {
-                    host.node
-                        .send_message(&id, outgoing.channel, outgoing.bytes.clone(), own);
-                }
+    }
+
+    fn send_lease_messages(&mut self, number: usize) {
+        let host = &mut self.hosts[number];
+        let own = host.clock(self.now);
+        let Some(leases) = &mut host.leases else {
+            return;
+        };
+        for outgoing in leases.take_outgoing() {
+            for id in outgoing.to.processes(&host.node) {
+                host.node
+                    .send_message(&id, outgoing.channel, outgoing.bytes.clone(), own);
             }
         }
-        for (to, bytes) in host.node.take_datagrams() {
+    }
+
+    fn send_datagrams(&mut self, number: usize) {
+        let now = self.now;
+        for (to, bytes) in self.hosts[number].node.take_datagrams() {
             let Some(to) = self.number_of(to) else {
                 continue;
             };
@@ -324,14 +361,14 @@
                 .get(&(number, to))
                 .copied()
                 .unwrap_or(self.default_link_fault);
-            for after in link_fault.passes(&mut self.rng) {
+            for delay in link_fault.delays(&mut self.rng) {
                 self.serial += 1;
-                let flight = Flight::Datagram {
+                let event = ScheduledEvent::Datagram {
                     from: number,
                     to,
                     bytes: bytes.clone(),
                 };
-                self.flights.insert((now + after, self.serial), flight);
+                self.schedule.insert((now + delay, self.serial), event);
             }
         }
     }
@@ -343,20 +380,21 @@
         (number < self.hosts.len()).then_some(number)
     }
 
-    fn set_wake(&mut self, number: usize) {
+    fn schedule_wake(&mut self, number: usize) {
         let now = self.now;
         let host = &mut self.hosts[number];
-        if !host.alive || host.paused {
+        if !host.alive || host.is_paused {
             return;
         }
         let own = host.clock(now);
         let due = host.leases.as_ref().and_then(|leases| leases.due(own));
         let due = due.map_or(host.node.due(), |due| due.min(host.node.due()));
-        let at = host.true_time(due).max(now + Duration::from_micros(1));
-        if host.wakes != Some(at) {
-            host.wakes = Some(at);
+        let at = host.simulated_time(due).max(now + Duration::from_micros(1));
+        if host.wake_at != Some(at) {
+            host.wake_at = Some(at);
             self.serial += 1;
-            self.flights.insert((at, self.serial), Flight::Wake(number));
+            self.schedule
+                .insert((at, self.serial), ScheduledEvent::Wake(number));
         }
     }
 }
--- a/testbed/src/socket_holder.rs
+++ b/testbed/src/socket_holder.rs
@@ -1,6 +1,5 @@
-//! What the platform holds for one relay that its operators replace beside itself: the clients'
-//! listening socket, which every process inherits, and the folder that its processes share. And a
-//! caller at the operators' door.
+//! What the platform holds for a relay that is replaced while it runs (a hot restart), and the
+//! commands that are sent to a relay's admin port.
 use crate::clock::to_std;
 use rustix::io::{FdFlags, fcntl_setfd};
 use std::io::{Error, ErrorKind, Read, Result, Write};
@@ -9,7 +8,9 @@
 use std::path::{Path, PathBuf};
 use thistlecroft::time::Duration;
 
-/// Dropped, the socket is closed here; processes that hold it go on.
+/// The clients' listening socket, which every process of the relay inherits, and the folder that
+/// its processes share. When this is dropped the socket is closed here; processes that inherited
+/// it go on.
 #[derive(Debug)]
 pub struct SocketHolder {
     listener: TcpListener,
@@ -17,13 +18,13 @@
 }
 
 impl SocketHolder {
-    /// Listens at a free port of this address; the folder is made.
+    /// Listens at a free port of this address and makes the folder.
     ///
     /// # Errors
-    /// Where either can't be had.
-    pub fn open(at: SocketAddr, folder: &Path) -> Result<SocketHolder> {
-        let listener = TcpListener::bind((at.ip(), 0))?;
-        // Every process started from here inherits it.
+    /// If the system gives no socket or folder.
+    pub fn open(address: SocketAddr, folder: &Path) -> Result<SocketHolder> {
+        let listener = TcpListener::bind((address.ip(), 0))?;
+        // Every process that is started from here inherits the socket.
         fcntl_setfd(&listener, FdFlags::empty())?;
         std::fs::create_dir_all(folder)?;
         Ok(SocketHolder {
@@ -32,36 +33,41 @@
         })
     }
 
+    /// Where the socket listens.
+    ///
     /// # Errors
-    /// Where the system does not say.
+    /// If the system does not tell.
     pub fn address(&self) -> Result<SocketAddr> {
         self.listener.local_addr()
     }
 
+    /// The descriptor that processes inherit.
     pub fn descriptor(&self) -> RawFd {
         self.listener.as_raw_fd()
     }
 
+    /// The folder that the processes share.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 }
 
-/// Says one line at a relay's door; what is answered, without its ending.
+/// Sends one command to a relay's admin port and returns the line that is answered, without its
+/// ending.
 ///
 /// # Errors
-/// Nobody is there, or no whole line came in time.
-pub fn send_admin_command(at: SocketAddr, line: &str, within: Duration) -> Result<String> {
-    let mut stream = TcpStream::connect_timeout(&at, to_std(within))?;
+/// If nobody listens there, or no complete line was answered in time.
+pub fn send_admin_command(address: SocketAddr, command: &str, within: Duration) -> Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, to_std(within))?;
     stream.set_read_timeout(Some(to_std(within)))?;
-    stream.write_all(format!("{line}\r\n").as_bytes())?;
-    let mut said = String::new();
-    stream.read_to_string(&mut said)?;
-    match said.strip_suffix("\r\n") {
-        Some(answer) if !answer.contains('\n') => Ok(answer.to_string()),
+    stream.write_all(format!("{command}\r\n").as_bytes())?;
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer)?;
+    match answer.strip_suffix("\r\n") {
+        Some(line) if !line.contains('\n') => Ok(line.to_string()),
         _ => Err(Error::new(
             ErrorKind::InvalidData,
-            format!("no line: {said:?}"),
+            format!("no line: {answer:?}"),
         )),
     }
 }
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -1,137 +1,162 @@
-//! Who comes when, and with what: worked out beforehand from a seed, so that the same seed gives
-//! the same clients whatever the relays do. No I/O.
+//! Which clients arrive when, and with what: drawn beforehand from a seed, so that the same seed
+//! gives the same clients whatever the relays do. No I/O.
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// Clients of one listener.
+/// The clients of one listener.
 #[derive(Clone, Debug)]
 pub struct ClientProfile {
+    /// The listener's name.
     pub name: String,
-    /// Its part of the arrivals, against the others' parts.
+    /// Its part of the arrivals, against the parts of others.
     pub share: f64,
     /// How long such a client waits for its answer.
     pub answer_timeout: Duration,
+    /// The latency objective of set-ups.
     pub handshake_target: Duration,
     /// A message that takes no longer is well served.
     pub message_target: Duration,
-    /// A connection's load, drawn evenly between the two.
+    /// A session's load, drawn evenly between the two.
     pub load: (f64, f64),
-    /// Mean life, and the mean of the exponential distribution it is drawn from.
+    /// The mean lifetime, which has an exponential distribution.
     pub mean_lifetime: Duration,
+    /// The worth of its sessions against those of others.
     pub priority_weight: f64,
 }
 
+/// How clients arrive and behave.
 #[derive(Clone, Debug)]
 pub struct Traffic {
+    /// The clients of each listener.
     pub profiles: Vec<ClientProfile>,
-    /// Arrivals a second, from each moment on; evenly changing between two of them.
+    /// Arrivals a second at each of these times, changing evenly between two of them.
     pub rate: Vec<(Instant, f64)>,
-    /// Extra arrivals: from when, how many, evenly over how long.
+    /// Extra arrivals: from when, how many, and evenly over which time.
     pub bursts: Vec<(Instant, usize, Duration)>,
+    /// The number of different keys.
     pub keys: u64,
-    /// None where clients belong to no group.
+    /// The number of groups; none where clients belong to no group.
     pub groups: Option<u64>,
-    /// Retries of a client that was refused or failed.
+    /// Retries of a client that was rejected or failed.
     pub retries: u32,
-    /// The part of clients that stay away for as long as they are told.
+    /// The part of the clients that wait for as long as a rejection asks them to.
     pub heeds_retry_after: f64,
-    /// What the others wait.
+    /// The mean wait of the others.
     pub backoff: Duration,
-    /// A client whose connection broke or was moved comes again within these.
+    /// The least and the greatest time after which a client connects again whose established
+    /// session was lost or migrated.
     pub reconnect_delay: (Duration, Duration),
-    /// The part of clients that leave before their wait is over.
+    /// The part of the clients that leave before their answer.
     pub impatient_share: f64,
-    /// Between two lines of a client.
+    /// The time between two messages of a client.
     pub message_interval: Duration,
 }
 
-/// A client as it comes: all its chance is drawn before the run.
+/// The arrival of a client with all that was drawn for it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
+    /// When it arrives.
     pub due: Instant,
+    /// Its profile, by its place in the traffic.
     pub profile: u16,
+    /// Its key.
     pub key: u64,
+    /// Its group, if it belongs to one.
     pub group: Option<u64>,
+    /// The load of its session.
     pub load: f64,
+    /// How long it wants to be connected.
     pub lifetime: Duration,
+    /// It waits for as long as a rejection asks it to.
     pub heeds_retry_after: bool,
+    /// It leaves so long after its request if it has no answer by then.
     pub leaves_after: Option<Duration>,
-    /// For all that is drawn for it while it lives.
+    /// Seeds what is drawn for it during the run.
     pub seed: u64,
 }
 
-/// Arrivals up to a moment, in their order.
+/// All arrivals before this time, in their order.
 pub fn arrivals(traffic: &Traffic, until: Instant, seed: u64) -> Vec<Arrival> {
-    let mut chance = Rng::from_seed(seed);
-    let mut due = Vec::new();
-    // Thinning: drawn at the highest rate, kept by the rate of the moment.
-    let highest = traffic
+    let mut rng = Rng::from_seed(seed);
+    let mut due = steady_arrivals(traffic, until, &mut rng);
+    for &(from, count, duration) in &traffic.bursts {
+        due.extend((0..count).map(|number| from + duration * (number as f64 / count as f64)));
+    }
+    due.retain(|&at| at < until);
+    due.sort();
+    due.into_iter()
+        .map(|due| arrival(traffic, due, &mut rng))
+        .collect()
+}
+
+/// Arrivals of a Poisson process by thinning: drawn at the highest rate, and kept with the part
+/// that the rate of their time is of it.
+fn steady_arrivals(traffic: &Traffic, until: Instant, rng: &mut Rng) -> Vec<Instant> {
+    let highest_rate = traffic
         .rate
         .iter()
         .map(|&(_, rate)| rate)
         .fold(0.0, f64::max);
+    let mut due = Vec::new();
     let mut at = Instant::default();
-    let between = if highest > 0.0 {
-        Duration::from_millis(1_000) * (1.0 / highest)
+    let mean_interval = if highest_rate > 0.0 {
+        Duration::from_millis(1_000) * (1.0 / highest_rate)
     } else {
         until.duration_since(at)
     };
     loop {
-        at = at + exponential(&mut chance, between).max(Duration::from_micros(1));
-        if at >= until || highest <= 0.0 {
-            break;
+        at = at + exponential(rng, mean_interval).max(Duration::from_micros(1));
+        if at >= until || highest_rate <= 0.0 {
+            return due;
         }
-        if chance.unit_f64() * highest < rate_at(&traffic.rate, at) {
+        if rng.unit_f64() * highest_rate < rate_at(&traffic.rate, at) {
             due.push(at);
         }
     }
-    for &(from, count, over) in &traffic.bursts {
-        due.extend((0..count).map(|number| from + over * (number as f64 / count as f64)));
-    }
-    due.retain(|&at| at < until);
-    due.sort();
-    due.into_iter()
-        .map(|due| arrival(traffic, due, &mut chance))
-        .collect()
 }
 
-fn arrival(traffic: &Traffic, due: Instant, chance: &mut Rng) -> Arrival {
-    let shares: f64 = traffic.profiles.iter().map(|kind| kind.share).sum();
-    let mut drawn = chance.unit_f64() * shares;
-    let past = |kind: &ClientProfile| {
-        drawn -= kind.share;
+fn arrival(traffic: &Traffic, due: Instant, rng: &mut Rng) -> Arrival {
+    let shares: f64 = traffic.profiles.iter().map(|profile| profile.share).sum();
+    let mut drawn = rng.unit_f64() * shares;
+    let is_drawn = |profile: &ClientProfile| {
+        drawn -= profile.share;
         drawn < 0.0
     };
     let place = traffic
         .profiles
         .iter()
-        .position(past)
+        .position(is_drawn)
         .unwrap_or(traffic.profiles.len() - 1);
-    let kind = &traffic.profiles[place];
-    let (low, high) = kind.load;
-    // Some keys come far oftener than others.
-    let key = ((chance.unit_f64() * chance.unit_f64()) * traffic.keys as f64) as u64;
+    let profile = &traffic.profiles[place];
+    let (low, high) = profile.load;
+    let key = skewed(rng, traffic.keys);
     Arrival {
         due,
         profile: place as u16,
         key: scattered_id(key),
-        group: traffic.groups.map(|groups| {
-            scattered_id((chance.unit_f64() * chance.unit_f64() * groups as f64) as u64)
-        }),
-        load: low + (high - low) * chance.unit_f64(),
-        lifetime: exponential(chance, kind.mean_lifetime),
-        heeds_retry_after: chance.unit_f64() < traffic.heeds_retry_after,
-        leaves_after: (chance.unit_f64() < traffic.impatient_share)
-            .then(|| kind.answer_timeout * chance.unit_f64()),
-        seed: chance.below(u64::MAX),
+        group: traffic
+            .groups
+            .map(|groups| scattered_id(skewed(rng, groups))),
+        load: low + (high - low) * rng.unit_f64(),
+        lifetime: exponential(rng, profile.mean_lifetime),
+        heeds_retry_after: rng.unit_f64() < traffic.heeds_retry_after,
+        leaves_after: (rng.unit_f64() < traffic.impatient_share)
+            .then(|| profile.answer_timeout * rng.unit_f64()),
+        seed: rng.below(u64::MAX),
     }
 }
 
-fn exponential(chance: &mut Rng, mean: Duration) -> Duration {
-    mean * -(1.0 - chance.unit_f64()).ln()
+/// A number below the limit; small ones are drawn far more often.
+fn skewed(rng: &mut Rng, limit: u64) -> u64 {
+    (rng.unit_f64() * rng.unit_f64() * limit as f64) as u64
+}
+
+/// Draws from an exponential distribution.
+fn exponential(rng: &mut Rng, mean: Duration) -> Duration {
+    mean * -(1.0 - rng.unit_f64()).ln()
 }
 
-/// Evenly between the stated moments, and as last stated after them.
+/// The rate at a time: it changes evenly between two stated times, and stays after the last.
 fn rate_at(rates: &[(Instant, f64)], at: Instant) -> f64 {
     let next = rates.iter().position(|&(from, _)| from > at);
     match next {
@@ -146,7 +171,7 @@
     }
 }
 
-/// Small numbers as the sixteen digits of an id, far apart (the finalizer of splitmix64).
+/// Turns successive numbers into ids that are far apart, by the finalizer of splitmix64.
 pub fn scattered_id(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/testbed/src/traffic/tests.rs
+++ b/testbed/src/traffic/tests.rs
@@ -34,19 +34,19 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_clients() {
+fn same_seed_gives_same_arrivals() {
     let until = Instant::from_micros(20_000_000);
     let clients = arrivals(&traffic(), until, 7);
     assert_eq!(clients, arrivals(&traffic(), until, 7));
     assert_ne!(clients, arrivals(&traffic(), until, 8));
-    // A ramp of ten seconds, ten at its height, and the rush.
+    // A ramp of ten seconds, ten seconds at its height, and the burst.
     assert!((3_300..3_700).contains(&clients.len()), "{}", clients.len());
     assert!(clients.windows(2).all(|pair| pair[0].due <= pair[1].due));
     let ones =
         clients.iter().filter(|client| client.profile == 0).count() as f64 / clients.len() as f64;
     assert!((0.70..0.80).contains(&ones), "{ones}");
-    let in_rush = |client: &&Arrival| (12_000_000..13_000_000).contains(&client.due.as_micros());
-    assert!((640..760).contains(&clients.iter().filter(in_rush).count()));
+    let in_burst = |client: &&Arrival| (12_000_000..13_000_000).contains(&client.due.as_micros());
+    assert!((640..760).contains(&clients.iter().filter(in_burst).count()));
     let mean = clients
         .iter()
         .map(|client| client.lifetime.as_secs_f64())
