--- a/testbed/tests/cluster_invariants.rs
+++ b/testbed/tests/cluster_invariants.rs
@@ -1,5 +1,5 @@
-//! The judge of what relays do together: it names each way of being wrong together, and says
-//! nothing of a right fleet.
+//! The checker of cluster invariants names each kind of violation in constructed events, and finds
+//! none in those of a correct cluster.
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::cluster_invariants::{
     ClusterInvariant, ClusterLimits, check_cluster_invariants,
@@ -12,125 +12,111 @@
     Instant::from_micros(ms * 1_000)
 }
 
-fn seen(ms: u64, seen: Observation) -> RecordedEvent {
+fn event(ms: u64, observation: Observation) -> RecordedEvent {
     RecordedEvent {
         at: at(ms),
-        observation: seen,
+        observation,
     }
 }
 
-/// Asked then, answered 10 ms later, held for so long from the asking.
-fn held(ms: u64, relay: u16, epoch: u64, lasts: u64) -> RecordedEvent {
-    let (asked, until) = (at(ms), at(ms + lasts));
-    seen(
-        ms + 10,
-        Observation::LeaseClaimed {
-            relay: RelayIndex(relay),
-            subject: "turn",
-            epoch,
-            requested_at: asked,
-            valid_until: until,
-        },
-    )
+/// A relay is asked then, and answers 10 ms later that it holds the lease for so long from the
+/// asking.
+fn lease_held(ms: u64, relay: u16, epoch: u64, duration_ms: u64) -> RecordedEvent {
+    let claimed = Observation::LeaseClaimed {
+        relay: RelayIndex(relay),
+        subject: "turn",
+        epoch,
+        requested_at: at(ms),
+        valid_until: at(ms + duration_ms),
+    };
+    event(ms + 10, claimed)
+}
+
+fn session_requested(ms: u64, session: u64, relay: u16) -> RecordedEvent {
+    let requested = Observation::SessionRequested {
+        session: SessionId(session),
+        relay: Some(RelayIndex(relay)),
+        listener: 0,
+        timeout: Duration::from_millis(2_000),
+        due: at(ms),
+        reconnecting: false,
+    };
+    event(ms, requested)
+}
+
+fn attempt(ms: u64, session: u64, backend: u16) -> RecordedEvent {
+    let received = Observation::AttemptReceived {
+        backend: BackendIndex(backend),
+        session: SessionId(session),
+        first_byte_at: at(ms),
+    };
+    event(ms, received)
 }
 
-fn asked(ms: u64, session: u64, relay: u16) -> RecordedEvent {
-    let (relay, wait) = (Some(RelayIndex(relay)), Duration::from_millis(2_000));
-    seen(
-        ms,
-        Observation::SessionRequested {
-            session: SessionId(session),
-            relay,
-            listener: 0,
-            timeout: wait,
-            due: at(ms),
-            reconnecting: false,
-        },
-    )
+fn attempt_accepted(ms: u64, session: u64, backend: u16) -> RecordedEvent {
+    let answered = Observation::AttemptAnswered {
+        backend: BackendIndex(backend),
+        session: SessionId(session),
+        reply: Reply::Accepted,
+    };
+    event(ms, answered)
 }
 
-fn dial(ms: u64, session: u64, of: u16) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::AttemptReceived {
-            backend: BackendIndex(of),
-            session: SessionId(session),
-            first_byte_at: at(ms),
-        },
-    )
+fn backend_closed_session(ms: u64, session: u64, backend: u16) -> RecordedEvent {
+    let closed = Observation::BackendClosedSession {
+        backend: BackendIndex(backend),
+        session: SessionId(session),
+    };
+    event(ms, closed)
 }
 
-fn replied(ms: u64, session: u64, of: u16) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::AttemptAnswered {
-            backend: BackendIndex(of),
-            session: SessionId(session),
-            reply: Reply::Accepted,
-        },
-    )
+fn session_established(ms: u64, session: u64) -> RecordedEvent {
+    let answered = Observation::Answered {
+        session: SessionId(session),
+        answer: Answer::Accepted,
+    };
+    event(ms, answered)
 }
 
-fn up(ms: u64, session: u64) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::Answered {
-            session: SessionId(session),
-            answer: Answer::Accepted,
-        },
-    )
+fn session_closed(ms: u64, session: u64) -> RecordedEvent {
+    let session = SessionId(session);
+    event(ms, Observation::SessionClosed { session })
 }
 
-fn ended(ms: u64, session: u64) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::SessionClosed {
-            session: SessionId(session),
-        },
-    )
+fn relay_started(ms: u64, relay: u16) -> RecordedEvent {
+    let relay = RelayIndex(relay);
+    event(ms, Observation::RelayStarted { relay })
 }
 
-fn killed(ms: u64, relay: u16) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::RelayKilled {
-            relay: RelayIndex(relay),
-        },
-    )
+fn relay_stop_requested(ms: u64, relay: u16) -> RecordedEvent {
+    let relay = RelayIndex(relay);
+    event(ms, Observation::RelayStopRequested { relay })
 }
 
-fn banned(ms: u64, relay: u16, of: u16, out: bool) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::BackendBanned {
-            relay: RelayIndex(relay),
-            backend: BackendIndex(of),
-            banned: out,
-        },
-    )
+fn relay_killed(ms: u64, relay: u16) -> RecordedEvent {
+    let relay = RelayIndex(relay);
+    event(ms, Observation::RelayKilled { relay })
 }
 
-fn started(ms: u64, relay: u16) -> RecordedEvent {
-    seen(
-        ms,
-        Observation::RelayStarted {
-            relay: RelayIndex(relay),
-        },
-    )
+fn ban(ms: u64, relay: u16, backend: u16, banned: bool) -> RecordedEvent {
+    let changed = Observation::BackendBanned {
+        relay: RelayIndex(relay),
+        backend: BackendIndex(backend),
+        banned,
+    };
+    event(ms, changed)
 }
 
-fn sees(ms: u64, relay: u16, here: &[u16]) -> RecordedEvent {
-    let here = here.iter().map(|one| format!("relay-{one}")).collect();
-    seen(
-        ms,
-        Observation::MembersSeen {
-            relay: RelayIndex(relay),
-            members: here,
-        },
-    )
+fn members_seen(ms: u64, relay: u16, members: &[u16]) -> RecordedEvent {
+    let names = members.iter().map(|index| format!("relay-{index}"));
+    let seen = Observation::MembersSeen {
+        relay: RelayIndex(relay),
+        members: names.collect(),
+    };
+    event(ms, seen)
 }
 
-fn pact() -> ClusterLimits {
+fn limits() -> ClusterLimits {
     ClusterLimits {
         max_sessions: Some((2, Duration::from_millis(500))),
         max_attempts_per_second: Some(3),
@@ -140,223 +126,269 @@
     }
 }
 
+/// The violated invariants in the order of time.
+fn violated(mut events: Vec<RecordedEvent>, limits: &ClusterLimits) -> Vec<ClusterInvariant> {
+    events.sort_by_key(|event| event.at);
+    check_cluster_invariants(&events, limits)
+        .iter()
+        .map(|violation| violation.invariant)
+        .collect()
+}
+
+fn assert_first_violated(name: &str, events: Vec<RecordedEvent>, expected: ClusterInvariant) {
+    let found = violated(events, &limits());
+    assert_eq!(found.first(), Some(&expected), "{name}: {found:?}");
+}
+
+fn assert_none_violated(name: &str, mut events: Vec<RecordedEvent>) {
+    events.sort_by_key(|event| event.at);
+    assert_eq!(check_cluster_invariants(&events, &limits()), [], "{name}");
+}
+
 #[test]
-fn each_way_of_being_wrong_together_is_named() {
-    let cases: Vec<(&str, Vec<RecordedEvent>, ClusterInvariant)> = vec![
+fn lease_with_two_holders_at_once_is_a_violation() {
+    let cases = vec![
         (
             "two hold one lease",
-            vec![held(0, 0, 1, 1_000), held(500, 1, 2, 1_000)],
-            ClusterInvariant::SingleLeaseHolder,
+            vec![lease_held(0, 0, 1, 1_000), lease_held(500, 1, 2, 1_000)],
         ),
         (
-            "one that stood still goes on by its old lease",
+            "a relay that was paused goes on by its old lease",
             vec![
-                held(0, 0, 1, 1_000),
-                held(1_500, 1, 2, 1_000),
-                held(1_900, 0, 1, 1_000),
+                lease_held(0, 0, 1, 1_000),
+                lease_held(1_500, 1, 2, 1_000),
+                lease_held(1_900, 0, 1, 1_000),
             ],
-            ClusterInvariant::SingleLeaseHolder,
         ),
         (
-            "a holder at its end beside the next",
-            vec![held(0, 0, 1, 1_000), held(980, 1, 2, 1_000)],
-            ClusterInvariant::SingleLeaseHolder,
+            "the next one begins just before the end",
+            vec![lease_held(0, 0, 1, 1_000), lease_held(980, 1, 2, 1_000)],
         ),
         (
-            "given back by one that stops while somebody was told that it is held",
+            "it was given back by a relay that stops while an answer says that it is held",
             vec![
-                held(0, 0, 1, 1_000),
-                seen(
-                    100,
-                    Observation::RelayStopRequested {
-                        relay: RelayIndex(0),
-                    },
-                ),
-                held(300, 1, 2, 1_000),
+                lease_held(0, 0, 1, 1_000),
+                relay_stop_requested(100, 0),
+                lease_held(300, 1, 2, 1_000),
             ],
-            ClusterInvariant::SingleLeaseHolder,
         ),
+    ];
+    for (name, events) in cases {
+        assert_first_violated(name, events, ClusterInvariant::SingleLeaseHolder);
+    }
+}
+
+#[test]
+fn lease_epoch_that_does_not_grow_is_a_violation() {
+    let cases = vec![
         (
             "one epoch for two holders",
-            vec![held(0, 0, 4, 1_000), held(2_000, 1, 4, 1_000)],
-            ClusterInvariant::IncreasingEpochs,
-        ),
-        (
-            "an epoch that falls",
-            vec![held(0, 0, 4, 1_000), held(2_000, 1, 3, 1_000)],
-            ClusterInvariant::IncreasingEpochs,
+            vec![lease_held(0, 0, 4, 1_000), lease_held(2_000, 1, 4, 1_000)],
         ),
         (
-            "a session of a dead relay is acted on",
-            vec![asked(0, 1, 0), killed(100, 0), dial(400, 1, 2)],
-            ClusterInvariant::OneRelayPerSession,
-        ),
-        (
-            "two boxes hold one session",
-            vec![
-                asked(0, 1, 0),
-                dial(10, 1, 0),
-                replied(20, 1, 0),
-                dial(30, 1, 1),
-                replied(40, 1, 1),
-            ],
-            ClusterInvariant::OneBackendPerSession,
-        ),
-        (
-            "more sessions at once than all together may have, for too long",
-            vec![up(0, 1), up(10, 2), up(20, 3), ended(800, 1)],
-            ClusterInvariant::SessionLimit,
-        ),
-        (
-            "more dials in a second over all",
-            vec![
-                dial(0, 1, 0),
-                dial(300, 2, 0),
-                dial(600, 3, 0),
-                dial(999, 4, 0),
-            ],
-            ClusterInvariant::AttemptRate,
-        ),
-        (
-            "a ban at one relay is unknown to another",
-            vec![banned(0, 0, 5, true), asked(100, 1, 1), dial(1_200, 1, 5)],
-            ClusterInvariant::BansReplicated,
-        ),
-        (
-            "one relay does not see another that runs",
-            vec![
-                started(0, 0),
-                started(0, 1),
-                sees(900, 0, &[0, 1]),
-                sees(900, 1, &[1]),
-            ],
-            ClusterInvariant::ConsistentMembership,
-        ),
-        (
-            "a dead relay is still seen here",
-            vec![
-                started(0, 0),
-                started(0, 1),
-                killed(100, 1),
-                sees(900, 0, &[0, 1]),
-            ],
-            ClusterInvariant::ConsistentMembership,
+            "a lower epoch",
+            vec![lease_held(0, 0, 4, 1_000), lease_held(2_000, 1, 3, 1_000)],
         ),
     ];
-    for (what, mut entries, rule) in cases {
-        entries.sort_by_key(|entry| entry.at);
-        let found: Vec<ClusterInvariant> = check_cluster_invariants(&entries, &pact())
-            .iter()
-            .map(|breach| breach.invariant)
-            .collect();
-        assert_eq!(found.first(), Some(&rule), "{what}: {found:?}");
+    for (name, events) in cases {
+        assert_first_violated(name, events, ClusterInvariant::IncreasingEpochs);
     }
-    let twice = vec![
-        asked(0, 1, 0),
-        killed(100, 0),
-        dial(400, 1, 2),
-        dial(900, 1, 3),
-    ];
-    let takes_over = ClusterLimits {
+}
+
+#[test]
+fn session_of_two_relays_or_backends_is_a_violation() {
+    assert_first_violated(
+        "an attempt for a session of a killed relay",
+        vec![
+            session_requested(0, 1, 0),
+            relay_killed(100, 0),
+            attempt(400, 1, 2),
+        ],
+        ClusterInvariant::OneRelayPerSession,
+    );
+    assert_first_violated(
+        "two backends hold one session",
+        vec![
+            session_requested(0, 1, 0),
+            attempt(10, 1, 0),
+            attempt_accepted(20, 1, 0),
+            attempt(30, 1, 1),
+            attempt_accepted(40, 1, 1),
+        ],
+        ClusterInvariant::OneBackendPerSession,
+    );
+}
+
+#[test]
+fn session_taken_over_twice_is_a_violation() {
+    let limits = ClusterLimits {
         allows_takeover: true,
-        ..pact()
+        ..limits()
     };
-    let found = check_cluster_invariants(&twice, &takes_over);
+    let events = vec![
+        session_requested(0, 1, 0),
+        relay_killed(100, 0),
+        attempt(400, 1, 2),
+        attempt(900, 1, 3),
+    ];
     assert_eq!(
-        found.iter().map(|one| one.invariant).collect::<Vec<_>>(),
-        [ClusterInvariant::SingleTakeover],
-        "taken over twice"
+        violated(events, &limits),
+        [ClusterInvariant::SingleTakeover]
     );
 }
 
 #[test]
-fn a_right_fleet_is_told_nothing() {
-    let cases: Vec<(&str, Vec<RecordedEvent>)> = vec![
-        (
-            "one after the other",
-            vec![
-                held(0, 0, 1, 1_000),
-                held(300, 0, 1, 1_000),
-                held(1_400, 1, 2, 1_000),
-            ],
-        ),
-        // It was stopped between looking and saying: what it said is over when it is heard.
-        (
-            "said late",
-            vec![
-                held(0, 0, 1, 1_000),
-                seen(
-                    5_000,
-                    Observation::LeaseClaimed {
-                        relay: RelayIndex(0),
-                        subject: "turn",
-                        epoch: 1,
-                        requested_at: at(900),
-                        valid_until: at(1_800),
-                    },
-                ),
-                held(4_900, 1, 2, 1_000),
-            ],
-        ),
-        (
-            "over the sum for less than may be",
-            vec![up(0, 1), up(10, 2), up(20, 3), ended(400, 1)],
-        ),
-        (
-            "a second's dials",
-            vec![
-                dial(0, 1, 0),
-                dial(300, 2, 0),
-                dial(600, 3, 0),
-                dial(1_000, 4, 0),
-            ],
-        ),
-        (
-            "the ban has come in time, and is taken back",
-            vec![
-                banned(0, 0, 5, true),
-                dial(1_000, 1, 5),
-                banned(2_000, 0, 5, false),
-                dial(3_500, 2, 5),
-            ],
-        ),
-        (
-            "a relay that was killed serves again",
-            vec![
-                asked(0, 1, 0),
-                killed(100, 0),
-                asked(900, 2, 0),
-                dial(1_000, 2, 1),
-            ],
-        ),
+fn total_beyond_its_limit_is_a_violation() {
+    assert_first_violated(
+        "more sessions than allowed for too long",
+        vec![
+            session_established(0, 1),
+            session_established(10, 2),
+            session_established(20, 3),
+            session_closed(800, 1),
+        ],
+        ClusterInvariant::SessionLimit,
+    );
+    assert_first_violated(
+        "more attempts in a second than allowed",
+        vec![
+            attempt(0, 1, 0),
+            attempt(300, 2, 0),
+            attempt(600, 3, 0),
+            attempt(999, 4, 0),
+        ],
+        ClusterInvariant::AttemptRate,
+    );
+}
+
+#[test]
+fn ban_unknown_to_another_relay_is_a_violation() {
+    assert_first_violated(
+        "an attempt after the replication time",
+        vec![
+            ban(0, 0, 5, true),
+            session_requested(100, 1, 1),
+            attempt(1_200, 1, 5),
+        ],
+        ClusterInvariant::BansReplicated,
+    );
+}
+
+#[test]
+fn membership_that_differs_from_running_relays_is_a_violation() {
+    let cases = vec![
         (
-            "moved to another box",
+            "one relay does not see another that runs",
             vec![
-                asked(0, 1, 0),
-                replied(20, 1, 0),
-                seen(
-                    30,
-                    Observation::BackendClosedSession {
-                        backend: BackendIndex(0),
-                        session: SessionId(1),
-                    },
-                ),
-                replied(50, 1, 1),
+                relay_started(0, 0),
+                relay_started(0, 1),
+                members_seen(900, 0, &[0, 1]),
+                members_seen(900, 1, &[1]),
             ],
         ),
         (
-            "all see all that run",
+            "a killed relay is still seen",
             vec![
-                started(0, 0),
-                started(0, 1),
-                killed(100, 1),
-                sees(50, 1, &[0, 1]),
-                sees(900, 0, &[0]),
+                relay_started(0, 0),
+                relay_started(0, 1),
+                relay_killed(100, 1),
+                members_seen(900, 0, &[0, 1]),
             ],
         ),
     ];
-    for (what, mut entries) in cases {
-        entries.sort_by_key(|entry| entry.at);
-        assert_eq!(check_cluster_invariants(&entries, &pact()), [], "{what}");
+    for (name, events) in cases {
+        assert_first_violated(name, events, ClusterInvariant::ConsistentMembership);
     }
 }
+
+#[test]
+fn leases_in_turn_have_no_violation() {
+    assert_none_violated(
+        "one after the other",
+        vec![
+            lease_held(0, 0, 1, 1_000),
+            lease_held(300, 0, 1, 1_000),
+            lease_held(1_400, 1, 2, 1_000),
+        ],
+    );
+    // The relay was paused between its look at the lease and its answer, which is outdated when it
+    // comes.
+    let late_answer = Observation::LeaseClaimed {
+        relay: RelayIndex(0),
+        subject: "turn",
+        epoch: 1,
+        requested_at: at(900),
+        valid_until: at(1_800),
+    };
+    assert_none_violated(
+        "a late answer",
+        vec![
+            lease_held(0, 0, 1, 1_000),
+            event(5_000, late_answer),
+            lease_held(4_900, 1, 2, 1_000),
+        ],
+    );
+}
+
+#[test]
+fn totals_within_their_limits_have_no_violation() {
+    assert_none_violated(
+        "more sessions than allowed within the tolerance",
+        vec![
+            session_established(0, 1),
+            session_established(10, 2),
+            session_established(20, 3),
+            session_closed(400, 1),
+        ],
+    );
+    assert_none_violated(
+        "as many attempts in a second as allowed",
+        vec![
+            attempt(0, 1, 0),
+            attempt(300, 2, 0),
+            attempt(600, 3, 0),
+            attempt(1_000, 4, 0),
+        ],
+    );
+}
+
+#[test]
+fn correct_sessions_bans_and_memberships_have_no_violation() {
+    assert_none_violated(
+        "the ban is replicated in time and lifted later",
+        vec![
+            ban(0, 0, 5, true),
+            attempt(1_000, 1, 5),
+            ban(2_000, 0, 5, false),
+            attempt(3_500, 2, 5),
+        ],
+    );
+    assert_none_violated(
+        "a relay that was killed serves again",
+        vec![
+            session_requested(0, 1, 0),
+            relay_killed(100, 0),
+            session_requested(900, 2, 0),
+            attempt(1_000, 2, 1),
+        ],
+    );
+    assert_none_violated(
+        "a session migrates to another backend",
+        vec![
+            session_requested(0, 1, 0),
+            attempt_accepted(20, 1, 0),
+            backend_closed_session(30, 1, 0),
+            attempt_accepted(50, 1, 1),
+        ],
+    );
+    assert_none_violated(
+        "all see all that run",
+        vec![
+            relay_started(0, 0),
+            relay_started(0, 1),
+            relay_killed(100, 1),
+            members_seen(50, 1, &[0, 1]),
+            members_seen(900, 0, &[0]),
+        ],
+    );
+}
--- /dev/null
+++ b/testbed/tests/faulty_relays/cluster_invariants.rs
@@ -0,0 +1,70 @@
+//! The cluster invariants of small relays that are each correct alone, or attempt twice at once.
+use super::faulty_relay::RelayFault;
+use super::scenario::Scenario;
+use thistlecroft::time::Duration;
+use thistlecroft_testbed::cluster_invariants::{
+    ClusterInvariant, ClusterLimits, check_cluster_invariants,
+};
+use thistlecroft_testbed::event_recorder::{BackendIndex, Observation, RecordedEvent, RelayIndex};
+
+/// The violated invariants, each once where its violations follow one another.
+fn violated(events: &[RecordedEvent], limits: &ClusterLimits) -> Vec<ClusterInvariant> {
+    let mut invariants: Vec<ClusterInvariant> = check_cluster_invariants(events, limits)
+        .iter()
+        .map(|violation| violation.invariant)
+        .collect();
+    invariants.dedup();
+    invariants
+}
+
+#[test]
+fn relays_correct_alone_violate_limits_of_the_cluster() {
+    let scenario = Scenario {
+        relays: 2,
+        arrivals_per_second: 30.0,
+        ..Scenario::new(RelayFault::None)
+    };
+    let (result, mut events) = scenario.run();
+    assert!(result.holds(), "{}", result.summary());
+    let bans = ClusterLimits {
+        ban_replication_time: Some(Duration::from_millis(300)),
+        ..ClusterLimits::default()
+    };
+    assert_eq!(violated(&events, &bans), []);
+    // Each relay alone would keep these limits.
+    let sessions = ClusterLimits {
+        max_sessions: Some((10, Duration::from_millis(200))),
+        ..ClusterLimits::default()
+    };
+    assert_eq!(
+        violated(&events, &sessions),
+        [ClusterInvariant::SessionLimit]
+    );
+    let attempts = ClusterLimits {
+        max_attempts_per_second: Some(15),
+        ..ClusterLimits::default()
+    };
+    assert_eq!(
+        violated(&events, &attempts),
+        [ClusterInvariant::AttemptRate]
+    );
+    // One of the relays gets to know of a ban, and the other does not.
+    let half = events[events.len() / 2].at;
+    events.push(RecordedEvent {
+        at: half,
+        observation: Observation::BackendBanned {
+            relay: RelayIndex(0),
+            backend: BackendIndex(1),
+            banned: true,
+        },
+    });
+    events.sort_by_key(|event| event.at);
+    assert_eq!(violated(&events, &bans), [ClusterInvariant::BansReplicated]);
+}
+
+#[test]
+fn concurrent_attempts_establish_a_session_at_two_backends() {
+    let (_, events) = Scenario::new(RelayFault::ConcurrentAttempts).run();
+    let violated = violated(&events, &ClusterLimits::default());
+    assert!(violated.contains(&ClusterInvariant::OneBackendPerSession));
+}
--- /dev/null
+++ b/testbed/tests/faulty_relays/invariants.rs
@@ -0,0 +1,387 @@
+//! The invariant checker names the violated invariant of a relay with one fault, and finds nothing
+//! where the relay is correct among the same backend faults.
+use super::faulty_relay::RelayFault;
+use super::scenario::Scenario;
+use std::thread;
+use thistlecroft::deployment::{DeduplicationScope, Idempotency};
+use thistlecroft::time::{Duration, Instant};
+use thistlecroft_testbed::event_recorder::{
+    Answer, BackendIndex, Lifecycle, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
+};
+use thistlecroft_testbed::invariant_checker::{CheckResult, PlatformRules, check_invariants};
+use thistlecroft_testbed::simulated_backends::{AgentFault, BackendCommand, BackendFault};
+
+const ALL_BACKENDS: [BackendIndex; 3] = [BackendIndex(0), BackendIndex(1), BackendIndex(2)];
+
+/// The invariant that has to be violated, and a part of the first violation's description.
+type Expected = Option<(usize, &'static str)>;
+
+struct Case {
+    scenario: Scenario,
+    expected: Expected,
+}
+
+impl Case {
+    /// The relay's fault violates this invariant.
+    fn violated(rule: usize, description: &'static str, scenario: Scenario) -> Case {
+        Case {
+            scenario,
+            expected: Some((rule, description)),
+        }
+    }
+
+    fn correct(scenario: Scenario) -> Case {
+        Case {
+            scenario,
+            expected: None,
+        }
+    }
+
+    /// Runs the scenario; what was found where that is not as expected.
+    fn run(&self) -> Result<(), String> {
+        let (result, _) = self.scenario.run();
+        if is_expected(&result, self.expected) {
+            return Ok(());
+        }
+        let found: Vec<_> = result
+            .first_violations
+            .iter()
+            .flatten()
+            .map(|violation| (&violation.description, &violation.timeline))
+            .collect();
+        Err(format!(
+            "{:?} with {:?}: expected {:?}, {} sessions: {found:#?}",
+            self.scenario.fault, self.scenario.idempotency, self.expected, result.sessions
+        ))
+    }
+}
+
+/// Whether the expected invariant alone is violated, with that description and a timeline.
+fn is_expected(result: &CheckResult, expected: Expected) -> bool {
+    let Some((rule, description)) = expected else {
+        return result.holds() && result.sessions > 10;
+    };
+    let is_only_violated = (1..)
+        .zip(result.violation_counts)
+        .all(|(number, count)| (count > 0) == (number == rule));
+    is_only_violated
+        && result.first_violations[rule - 1]
+            .as_ref()
+            .is_some_and(|violation| {
+                violation.description.contains(description)
+                    && (!violation.timeline.is_empty() || description.contains("no client"))
+            })
+}
+
+fn with_commands(fault: RelayFault, commands: Vec<(u64, BackendCommand)>) -> Scenario {
+    Scenario {
+        commands,
+        ..Scenario::new(fault)
+    }
+}
+
+fn with_idempotency(fault: RelayFault, idempotency: Idempotency) -> Scenario {
+    Scenario {
+        idempotency,
+        commands: fault_at_all_backends(BackendFault::ErrorRate(0.5)),
+        ..Scenario::new(fault)
+    }
+}
+
+fn keyed(fault: RelayFault, scope: DeduplicationScope, window_ms: u64) -> Scenario {
+    let window = Duration::from_millis(window_ms);
+    Scenario {
+        zones: &["a", "b"],
+        ..with_idempotency(fault, Idempotency::Keyed { scope, window })
+    }
+}
+
+/// Draining that no relay gets to know of.
+fn with_unannounced_drain(fault: RelayFault) -> Scenario {
+    Scenario {
+        commands: unannounced_drain(),
+        duration_ms: 8_500,
+        arrivals_per_second: 8.0,
+        ..Scenario::new(fault)
+    }
+}
+
+fn with_cold_restart(fault: RelayFault, relays: usize, arrivals_per_second: f64) -> Scenario {
+    Scenario {
+        relays,
+        arrivals_per_second,
+        ..with_commands(fault, cold_restart())
+    }
+}
+
+fn fault_at_all_backends(fault: BackendFault) -> Vec<(u64, BackendCommand)> {
+    ALL_BACKENDS
+        .iter()
+        .map(|&backend| (0, BackendCommand::InjectFault(backend, fault)))
+        .collect()
+}
+
+fn drain() -> Vec<(u64, BackendCommand)> {
+    let duration = Duration::from_millis(6_000);
+    vec![(300, BackendCommand::Drain(BackendIndex(1), duration))]
+}
+
+/// The agent becomes silent before the drain.
+fn unannounced_drain() -> Vec<(u64, BackendCommand)> {
+    let silence = BackendCommand::SetAgentFault(RelayIndex(0), AgentFault::Silent, true);
+    let duration = Duration::from_millis(60_000);
+    let drain = BackendCommand::Drain(BackendIndex(1), duration);
+    vec![(0, silence), (100, drain)]
+}
+
+/// The last backend crashes, restarts and warms up.
+fn cold_restart() -> Vec<(u64, BackendCommand)> {
+    let restart_after = Some(Duration::from_millis(200));
+    vec![(100, BackendCommand::Crash(BackendIndex(2), restart_after))]
+}
+
+fn many_faults() -> Vec<(u64, BackendCommand)> {
+    let inject = |index, fault| BackendCommand::InjectFault(BackendIndex(index), fault);
+    let ms = Duration::from_millis;
+    vec![
+        (0, inject(0, BackendFault::ErrorRate(0.3))),
+        (0, inject(1, BackendFault::PeriodicPause(ms(600), ms(150)))),
+        (400, BackendCommand::ClearFault(BackendIndex(0))),
+        (500, inject(0, BackendFault::ResetOnRequest)),
+        (700, inject(0, BackendFault::ResetOnAccept)),
+        (900, inject(0, BackendFault::ResetAfterSetup)),
+        (1_100, inject(0, BackendFault::PartialAnswer)),
+        (1_400, inject(0, BackendFault::Unresponsive)),
+        (1_600, BackendCommand::Drain(BackendIndex(1), ms(600))),
+    ]
+}
+
+fn final_answer_cases() -> Vec<Case> {
+    let violated = |description, fault| Case::violated(1, description, Scenario::new(fault));
+    let crash = vec![(1_000, BackendCommand::Crash(BackendIndex(2), None))];
+    vec![
+        violated("it had no answer within its wait", RelayFault::NeverAnswers),
+        violated(
+            "its connection ended without an answer",
+            RelayFault::ClosesUnanswered,
+        ),
+        violated(
+            "more was said after the final answer",
+            RelayFault::AnswersTwice,
+        ),
+        violated("after its wait was over", RelayFault::AnswersLate),
+        violated("kept back", RelayFault::WithholdsAnswer),
+        violated("cut off without MOVE", RelayFault::DropsConnections),
+        violated("its box had answered before", RelayFault::DelaysMessages),
+        violated(
+            "a line came back that was not sent",
+            RelayFault::AltersMessages,
+        ),
+        violated("no client sent", RelayFault::SendsOwnRequest),
+        Case::violated(
+            1,
+            "its box had ended it",
+            with_commands(RelayFault::KeepsOrphans, crash),
+        ),
+    ]
+}
+
+fn single_effect_cases() -> Vec<Case> {
+    let non_idempotent = |fault| with_idempotency(fault, Idempotency::NonIdempotent);
+    vec![
+        Case::violated(
+            2,
+            "had a dial of it at once",
+            Scenario::new(RelayFault::ConcurrentAttempts),
+        ),
+        Case::violated(
+            2,
+            "was dialled again",
+            non_idempotent(RelayFault::RetriesNonIdempotent),
+        ),
+        Case::violated(
+            2,
+            "may have run was refused",
+            non_idempotent(RelayFault::RejectsNonIdempotent),
+        ),
+        Case::violated(
+            2,
+            "where its mark is not known",
+            keyed(
+                RelayFault::RetriesOutOfScope,
+                DeduplicationScope::Zone,
+                60_000,
+            ),
+        ),
+        Case::violated(
+            2,
+            "after its mark was forgotten",
+            keyed(RelayFault::RetriesTooLate, DeduplicationScope::All, 100),
+        ),
+    ]
+}
+
+fn drain_and_warm_up_cases() -> Vec<Case> {
+    let dialled = "after its drain was told";
+    let overloaded = "was pushed over while cold";
+    vec![
+        Case::violated(
+            3,
+            dialled,
+            with_commands(RelayFault::IgnoresDrains, drain()),
+        ),
+        Case::violated(
+            3,
+            dialled,
+            with_unannounced_drain(RelayFault::IgnoresDrains),
+        ),
+        Case::violated(
+            4,
+            overloaded,
+            with_cold_restart(RelayFault::OverloadsNewest, 1, 20.0),
+        ),
+        Case::violated(
+            4,
+            overloaded,
+            with_cold_restart(RelayFault::OverloadsNewest, 3, 20.0),
+        ),
+    ]
+}
+
+/// The correct relay, among all that the faulty ones met.
+fn correct_cases() -> Vec<Case> {
+    let none = RelayFault::None;
+    [
+        Scenario::new(none),
+        with_idempotency(none, Idempotency::NonIdempotent),
+        keyed(none, DeduplicationScope::Zone, 100),
+        // Everywhere the key is known, a retry elsewhere is correct.
+        keyed(
+            RelayFault::RetriesOutOfScope,
+            DeduplicationScope::All,
+            60_000,
+        ),
+        with_commands(none, drain()),
+        with_cold_restart(none, 2, 10.0),
+        with_commands(none, many_faults()),
+    ]
+    .into_iter()
+    .map(Case::correct)
+    .collect()
+}
+
+#[test]
+fn faulty_relay_violates_its_invariant_alone() {
+    let cases = [
+        final_answer_cases(),
+        single_effect_cases(),
+        drain_and_warm_up_cases(),
+        correct_cases(),
+    ];
+    let runs: Vec<_> = cases
+        .into_iter()
+        .flatten()
+        .map(|case| thread::spawn(move || case.run()))
+        .collect();
+    let failures: Vec<String> = runs
+        .into_iter()
+        .filter_map(|run| run.join().unwrap().err())
+        .collect();
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
+}
+
+/// A session that is attempted once, at this many milliseconds of the run, and accepted.
+fn accepted_session(ms: u64, relay: RelayIndex, backend: BackendIndex) -> Vec<(u64, Observation)> {
+    let session = SessionId(7);
+    let requested = Observation::SessionRequested {
+        session,
+        relay: Some(relay),
+        listener: 0,
+        timeout: Duration::from_millis(1_000),
+        due: Instant::from_micros((ms - 5) * 1_000),
+        reconnecting: false,
+    };
+    let received = Observation::AttemptReceived {
+        backend,
+        session,
+        first_byte_at: Instant::from_micros(ms * 1_000),
+    };
+    let replied = Observation::AttemptAnswered {
+        backend,
+        session,
+        reply: Reply::Accepted,
+    };
+    let answered = Observation::Answered {
+        session,
+        answer: Answer::Accepted,
+    };
+    vec![
+        (ms - 5, requested),
+        (ms, received),
+        (ms + 1, replied),
+        (ms + 2, answered),
+        (ms + 50, Observation::SessionClosed { session }),
+    ]
+}
+
+fn check_with_two_seconds_of_grace(events: &[RecordedEvent]) -> CheckResult {
+    let rules = PlatformRules {
+        idempotency: vec![Idempotency::Idempotent],
+        hedged: vec![false],
+        drain_grace: Duration::from_millis(2_000),
+        backend_locations: vec![("a".into(), 0); 3],
+    };
+    check_invariants(events, &rules)
+}
+
+#[test]
+fn attempt_at_banned_backend_after_grace_is_a_violation() {
+    let (relay, backend) = (RelayIndex(0), BackendIndex(1));
+    let ban = |relay, banned| Observation::BackendBanned {
+        relay,
+        backend,
+        banned,
+    };
+    let restarted = Observation::BackendStarted {
+        backend,
+        cold: true,
+    };
+    let listed = Observation::EndpointAnnounced {
+        relay,
+        backend,
+        lifecycle: Lifecycle::Ready,
+    };
+    // What came before the attempt, when the attempt came, and whether it is a violation.
+    let cases = [
+        (vec![(0, ban(relay, true))], 1_900, false),
+        (vec![(0, ban(relay, true))], 2_500, true),
+        (vec![(0, ban(RelayIndex(1), true))], 2_500, false),
+        (
+            vec![(0, ban(relay, true)), (2_000, ban(relay, false))],
+            2_500,
+            false,
+        ),
+        (
+            vec![(0, ban(relay, true)), (1_500, ban(relay, true))],
+            2_500,
+            true,
+        ),
+        (vec![(0, ban(relay, true)), (1_000, restarted)], 2_500, true),
+        (vec![(0, ban(relay, true)), (1_000, listed)], 2_500, true),
+    ];
+    for (before, attempt_ms, is_violation) in cases {
+        let mut observations = vec![(0, Observation::RelayStarted { relay })];
+        observations.extend(before);
+        observations.extend(accepted_session(attempt_ms, relay, backend));
+        let events: Vec<RecordedEvent> = observations
+            .into_iter()
+            .map(|(ms, observation)| RecordedEvent {
+                at: Instant::from_micros(ms * 1_000),
+                observation,
+            })
+            .collect();
+        let result = check_with_two_seconds_of_grace(&events);
+        let expected = [0, 0, usize::from(is_violation), 0];
+        assert_eq!(result.violation_counts, expected, "{events:?}");
+    }
+}
--- a/testbed/tests/recorded_form.rs
+++ b/testbed/tests/recorded_form.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn client_events_keep_their_recorded_form() {
+fn requests_and_answers_keep_their_recorded_form() {
     let (session, relay) = (SESSION, Some(RELAY));
     let requested = Observation::SessionRequested {
         session,
@@ -37,10 +37,6 @@
         reconnecting: true,
     };
     let answered = |answer| Observation::Answered { session, answer };
-    let late = Observation::MessageLate {
-        session,
-        waited: WAIT,
-    };
     assert_forms(vec![
         (
             requested,
@@ -62,6 +58,17 @@
             answered(Answer::Failed),
             r#""event":"answered","session":"00000000000000ab","answer":"failed""#,
         ),
+    ]);
+}
+
+#[test]
+fn events_after_an_answer_keep_their_recorded_form() {
+    let session = SESSION;
+    let late = Observation::MessageLate {
+        session,
+        waited: WAIT,
+    };
+    assert_forms(vec![
         (
             Observation::DataAfterAnswer { session },
             r#""event":"said-more","session":"00000000000000ab""#,
@@ -219,30 +226,13 @@
 }
 
 #[test]
-fn relay_and_run_events_keep_their_recorded_form() {
+fn relay_process_and_run_events_keep_their_recorded_form() {
     let relay = RELAY;
     let agent_fault = Observation::AgentFault {
         relay,
         fault: "discovery-stale",
         active: false,
     };
-    let link_fault = Observation::LinkFault {
-        from: RELAY,
-        to: RelayIndex(2),
-        name: "bent",
-        active: true,
-    };
-    let lease = Observation::LeaseClaimed {
-        relay,
-        subject: "turn",
-        epoch: 4,
-        requested_at: instant(),
-        valid_until: instant(),
-    };
-    let members = Observation::MembersSeen {
-        relay,
-        members: vec!["relay-1".into()],
-    };
     let cost = Observation::RelayCost {
         relay,
         cpu_time: WAIT,
@@ -274,15 +264,6 @@
             r#""event":"relay-stopped","relay":1"#,
         ),
         (paused, r#""event":"relay-still","relay":1,"on":true"#),
-        (
-            link_fault,
-            r#""event":"link","from":1,"to":2,"name":"bent","on":true"#,
-        ),
-        (
-            lease,
-            r#""event":"lease-said","relay":1,"subject":"turn","epoch":4,"asked":1.5,"until":1.5"#,
-        ),
-        (members, r#""event":"sees","relay":1,"here":["relay-1"]"#),
         (
             cost,
             r#""event":"relay-cost","relay":1,"cpu":600.0,"resident":4096"#,
@@ -298,3 +279,36 @@
         ),
     ]);
 }
+
+#[test]
+fn events_between_relays_keep_their_recorded_form() {
+    let relay = RELAY;
+    let link_fault = Observation::LinkFault {
+        from: RELAY,
+        to: RelayIndex(2),
+        name: "bent",
+        active: true,
+    };
+    let lease = Observation::LeaseClaimed {
+        relay,
+        subject: "turn",
+        epoch: 4,
+        requested_at: instant(),
+        valid_until: instant(),
+    };
+    let members = Observation::MembersSeen {
+        relay,
+        members: vec!["relay-1".into()],
+    };
+    assert_forms(vec![
+        (
+            link_fault,
+            r#""event":"link","from":1,"to":2,"name":"bent","on":true"#,
+        ),
+        (
+            lease,
+            r#""event":"lease-said","relay":1,"subject":"turn","epoch":4,"asked":1.5,"until":1.5"#,
+        ),
+        (members, r#""event":"sees","relay":1,"here":["relay-1"]"#),
+    ]);
+}
--- /dev/null
+++ b/testbed/tests/relay_observer.rs
@@ -0,0 +1,197 @@
+//! Observers at admin ports record answers of relays that conflict, which are violations of cluster
+//! invariants.
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::thread;
+use thistlecroft_testbed::clock::Stopwatch;
+use thistlecroft_testbed::cluster_invariants::{
+    ClusterInvariant, ClusterLimits, check_cluster_invariants,
+};
+use thistlecroft_testbed::event_recorder::{
+    EventLog, EventRecorder, Observation, RecordedEvent, RelayIndex, event_recorder,
+};
+use thistlecroft_testbed::relay_observer::RelayObserver;
+
+const NOT_HELD: &str = "400 held by another";
+/// So many lease requests are refused before the second relay answers by its script: the first one
+/// has surely been asked by then.
+const LATER: usize = 12;
+const MEMBERS_OF_0: &[&str] = &["relay-0", "relay-1"];
+const MEMBERS_OF_1: &[&str] = &["relay-1", "relay-0"];
+
+/// An admin port that answers by a script.
+#[derive(Clone, Copy)]
+struct Script {
+    /// So many lease requests are refused first.
+    refusals: usize,
+    /// The answers to lease requests in turn, the last of them for ever.
+    leases: &'static [&'static str],
+    /// Its own name and those of the others that it sees.
+    members: &'static [&'static str],
+}
+
+impl Script {
+    const fn new(leases: &'static [&'static str], members: &'static [&'static str]) -> Script {
+        Script {
+            refusals: 0,
+            leases,
+            members,
+        }
+    }
+
+    const fn later(leases: &'static [&'static str], members: &'static [&'static str]) -> Script {
+        Script {
+            refusals: LATER,
+            leases,
+            members,
+        }
+    }
+
+    fn listen(self) -> SocketAddr {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        let address = listener.local_addr().unwrap();
+        thread::spawn(move || {
+            let mut lease_requests = 0;
+            for mut stream in listener.incoming().map_while(Result::ok) {
+                let mut line = String::new();
+                let _ = BufReader::new(&stream).read_line(&mut line);
+                let answer = if line.starts_with("LEASE") {
+                    lease_requests += 1;
+                    self.lease_answer(lease_requests)
+                } else {
+                    self.members_answer()
+                };
+                let _ = stream.write_all(format!("{answer}\r\n").as_bytes());
+            }
+        });
+        address
+    }
+
+    fn lease_answer(self, request: usize) -> String {
+        if request <= self.refusals {
+            return NOT_HELD.into();
+        }
+        let place = (request - self.refusals - 1).min(self.leases.len() - 1);
+        self.leases[place].to_string()
+    }
+
+    fn members_answer(self) -> String {
+        let others: Vec<String> = self.members[1..]
+            .iter()
+            .map(|name| format!("{{\"name\":\"{name}\",\"standing\":\"here\"}}"))
+            .collect();
+        let (name, others) = (self.members[0], others.join(","));
+        format!("200 {{\"name\":\"{name}\",\"peers\":[{others}]}}")
+    }
+}
+
+fn observe(scripts: [Script; 2], recorder: &EventRecorder) -> Vec<RelayObserver> {
+    let clock = Stopwatch::start();
+    (0..)
+        .zip(scripts)
+        .map(|(index, script)| {
+            let relay = RelayIndex(index);
+            recorder.record(clock.now(), Observation::RelayStarted { relay });
+            let admin = script.listen();
+            RelayObserver::open(relay, admin, Some("turn"), clock, recorder.clone())
+        })
+        .collect()
+}
+
+/// Waits until both memberships were observed three times, and so many lease answers before them.
+fn wait_for_observations(log: &mut EventLog) -> bool {
+    let is_observed = |events: &[RecordedEvent], index: u16| {
+        let is_membership = |event: &&RecordedEvent| matches!(&event.observation, Observation::MembersSeen { relay, .. } if relay.0 == index);
+        events.iter().filter(is_membership).count() >= 3
+    };
+    log.wait_until(std::time::Duration::from_secs(20), |events| {
+        is_observed(events, 0) && is_observed(events, 1)
+    })
+}
+
+/// What two admin ports answer, and the invariant that this violates.
+const CASES: &[(&str, [Script; 2], Option<ClusterInvariant>)] = &[
+    (
+        "both hold the lease",
+        [
+            Script::new(&["200 held 1 900"], MEMBERS_OF_0),
+            Script::new(&["200 held 2 900"], MEMBERS_OF_1),
+        ],
+        Some(ClusterInvariant::SingleLeaseHolder),
+    ),
+    (
+        "the second begins while the first still holds by its answer",
+        [
+            Script::new(&["200 held 1 5000", NOT_HELD], MEMBERS_OF_0),
+            Script::later(&["200 held 2 900"], MEMBERS_OF_1),
+        ],
+        Some(ClusterInvariant::SingleLeaseHolder),
+    ),
+    (
+        "the second has the same epoch later",
+        [
+            Script::new(&["200 held 7 1", NOT_HELD], MEMBERS_OF_0),
+            Script::later(&["200 held 7 1"], MEMBERS_OF_1),
+        ],
+        Some(ClusterInvariant::IncreasingEpochs),
+    ),
+    (
+        "the second has a lower epoch later",
+        [
+            Script::new(&["200 held 7 1", NOT_HELD], MEMBERS_OF_0),
+            Script::later(&["200 held 6 1"], MEMBERS_OF_1),
+        ],
+        Some(ClusterInvariant::IncreasingEpochs),
+    ),
+    (
+        "one does not see the other",
+        [
+            Script::new(&[NOT_HELD], MEMBERS_OF_0),
+            Script::new(&[NOT_HELD], &["relay-1"]),
+        ],
+        Some(ClusterInvariant::ConsistentMembership),
+    ),
+    (
+        "one sees a relay that does not run",
+        [
+            Script::new(&[NOT_HELD], &["relay-0", "relay-1", "relay-2"]),
+            Script::new(&[NOT_HELD], MEMBERS_OF_1),
+        ],
+        Some(ClusterInvariant::ConsistentMembership),
+    ),
+    (
+        "the second holds after the first",
+        [
+            Script::new(&["200 held 1 1", NOT_HELD], MEMBERS_OF_0),
+            Script::later(&["200 held 2 1"], MEMBERS_OF_1),
+        ],
+        None,
+    ),
+];
+
+/// What the checker finds by the observations at two admin ports.
+fn observed_violations(name: &str, scripts: [Script; 2]) -> Vec<ClusterInvariant> {
+    let (recorder, mut log) = event_recorder();
+    let observers = observe(scripts, &recorder);
+    assert!(wait_for_observations(&mut log), "{name}");
+    drop(observers);
+    let limits = ClusterLimits {
+        requires_consistent_membership: true,
+        ..ClusterLimits::default()
+    };
+    check_cluster_invariants(&log.into_sorted(), &limits)
+        .iter()
+        .map(|violation| violation.invariant)
+        .collect()
+}
+
+#[test]
+fn conflicting_answers_at_admin_ports_are_violations() {
+    for (name, scripts, expected) in CASES {
+        let found = observed_violations(name, *scripts);
+        match expected {
+            Some(invariant) => assert!(found.contains(invariant), "{name}: {found:?}"),
+            None => assert_eq!(found, [], "{name}"),
+        }
+    }
+}
