--- a/src/failure_counts/tests.rs
+++ b/src/failure_counts/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the table of failure counts.
 use super::*;
 
 fn at(ms: u64) -> Instant {
--- a/src/route_limits/tests.rs
+++ b/src/route_limits/tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the limits on sessions and extra attempts.
 use super::window::MAX_POSITIONS;
 use super::*;
 use crate::deployment::Hedging;
