--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,6 +1,7 @@
 //! The relay on sockets, for a process of its own or inside another: read a `Posting`, start a
 //! `Service`, run it.
 mod admin;
+mod attempt;
 mod bans;
 mod buffers;
 mod counters;
--- /dev/null
+++ b/relay/src/protocol/mod.rs
@@ -0,0 +1,4 @@
+//! The line protocol.
+mod first_line;
+
+pub use first_line::*;
