--- a/relay/src/buffers.rs
+++ b/relay/src/buffers.rs
@@ -1,37 +1,45 @@
-//! Buffers of one size from a pool. A connection holds one only while bytes wait in it, so that
-//! standing connections cost no memory beyond their sockets.
+//! A pool of buffers of one size. A connection holds one only while bytes wait in it, so that
+//! connections on which nothing happens cost no memory beyond their sockets.
 
-pub const SIZE: usize = 8 * 1024;
+/// Bytes that a buffer holds.
+pub(crate) const SIZE: usize = 8 * 1024;
 
-pub type Buffer = Box<[u8; SIZE]>;
+/// A buffer of the pool.
+pub(crate) type Buffer = Box<[u8; SIZE]>;
 
-pub struct Pool {
+/// A limited number of buffers, made when they are first needed.
+pub(crate) struct Pool {
     spare: Vec<Buffer>,
-    left: usize,
+    /// How many more may be made.
+    remaining: usize,
 }
 
 impl Pool {
-    pub fn new(most: usize) -> Pool {
+    /// A pool that makes at most `capacity` buffers.
+    pub(crate) fn new(capacity: usize) -> Pool {
         Pool {
             spare: Vec::new(),
-            left: most,
+            remaining: capacity,
         }
     }
 
-    /// None where the limit is reached: whoever asks stops reading until one comes back.
-    pub fn take(&mut self) -> Option<Buffer> {
+    /// A buffer, or none where the limit is reached: whoever asked stops reading until one comes
+    /// back.
+    pub(crate) fn take(&mut self) -> Option<Buffer> {
         if let Some(buffer) = self.spare.pop() {
             return Some(buffer);
         }
-        self.left = self.left.checked_sub(1)?;
+        self.remaining = self.remaining.checked_sub(1)?;
         Some(Box::new([0; SIZE]))
     }
 
-    pub fn give_back(&mut self, buffer: Buffer) {
+    /// Returns a buffer that [`Pool::take`] gave out.
+    pub(crate) fn give_back(&mut self, buffer: Buffer) {
         self.spare.push(buffer);
     }
 
-    pub fn has_some(&self) -> bool {
-        self.left > 0 || !self.spare.is_empty()
+    /// Whether [`Pool::take`] would give a buffer.
+    pub(crate) fn has_available(&self) -> bool {
+        self.remaining > 0 || !self.spare.is_empty()
     }
 }
--- a/relay/src/line_buffer.rs
+++ b/relay/src/line_buffer.rs
@@ -1,41 +1,84 @@
-//! Lines of text that wait on their way through: read in pieces split anywhere, passed on whole, so
-//! that a word of our own can always go between two of them.
+//! One direction of a connection: lines that wait on their way through. They are read in pieces
+//! split anywhere and passed on whole, so that a line of the relay's own fits between any two.
 use crate::buffers::{Buffer, Pool, SIZE};
-use std::io::{ErrorKind, Read, Result, Write};
+use crate::output_buffer::write_available;
+use std::io::{ErrorKind, Read, Write};
 
-/// The longest line, its ending included.
-pub const LINE: usize = 4 * 1024;
+// Where other modules still look for it.
+pub(crate) use crate::output_buffer::OutputBuffer;
 
-/// A line longer than the protocol has.
-#[derive(Debug, PartialEq, Eq)]
-pub struct TooLong;
+/// The longest line in bytes, its ending included.
+pub(crate) const MAX_LINE_BYTES: usize = 4 * 1024;
+
+/// A line is longer than the protocol allows.
+#[derive(Debug, PartialEq, Eq, thiserror::Error)]
+#[error("a line of more than {MAX_LINE_BYTES} bytes")]
+pub(crate) struct LineTooLong;
 
+/// What a read brought.
 #[derive(Debug, PartialEq, Eq)]
-pub enum ReadOutcome {
+pub(crate) enum ReadOutcome {
+    /// So many bytes.
     Bytes(usize),
-    /// Nothing to be had at present.
+    /// Nothing at present.
     Nothing,
-    /// The other end has finished its sending.
+    /// The other side has finished its sending.
     End,
-    /// The pool has no buffer.
+    /// The pool has no buffer to read into.
     Starved,
 }
 
-/// One direction of a connection. Bytes between `start` and `whole` are lines seen; those up to
-/// `end` are the beginning of a line.
+/// The bytes that wait in one direction of a connection.
+///
+/// Those between `start` and `line_end` are lines that have been looked at; those up to `end` are
+/// lines not looked at yet, and the beginning of one.
 #[derive(Default)]
-pub struct LineBuffer {
+pub(crate) struct LineBuffer {
+    /// Taken from the pool for as long as bytes wait.
     buffer: Option<Buffer>,
     start: usize,
-    whole: usize,
+    line_end: usize,
     end: usize,
     /// Nothing more will be read.
-    pub ended: bool,
+    pub(crate) has_ended: bool,
 }
 
 impl LineBuffer {
-    /// One read, so that no connection takes a turn for itself.
-    pub fn take(&mut self, from: &mut impl Read, pool: &mut Pool) -> Result<ReadOutcome> {
+    /// A buffer with what waited in another process, of which `line_bytes` are whole lines; none
+    /// where the pool has no buffer.
+    pub(crate) fn restore(bytes: &[u8], line_bytes: usize, pool: &mut Pool) -> Option<LineBuffer> {
+        if bytes.is_empty() {
+            return Some(LineBuffer::default());
+        }
+        let mut buffer = pool.take()?;
+        buffer.get_mut(..bytes.len())?.copy_from_slice(bytes);
+        Some(LineBuffer {
+            buffer: Some(buffer),
+            start: 0,
+            line_end: line_bytes,
+            end: bytes.len(),
+            has_ended: false,
+        })
+    }
+
+    /// The bytes that wait, and how many of them are lines that have been looked at.
+    pub(crate) fn waiting(&self) -> (&[u8], usize) {
+        let bytes = self
+            .buffer
+            .as_ref()
+            .map_or(&[][..], |buffer| &buffer[self.start..self.end]);
+        (bytes, self.line_end - self.start)
+    }
+
+    /// Reads once, so that no connection takes a turn of the loop for itself.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub(crate) fn read_from(
+        &mut self,
+        from: &mut impl Read,
+        pool: &mut Pool,
+    ) -> std::io::Result<ReadOutcome> {
         if self.buffer.is_none() {
             self.buffer = pool.take();
         }
@@ -44,176 +87,124 @@
         };
         if self.start > 0 {
             buffer.copy_within(self.start..self.end, 0);
-            self.whole -= self.start;
+            self.line_end -= self.start;
             self.end -= self.start;
             self.start = 0;
         }
         if self.end == SIZE {
             return Ok(ReadOutcome::Nothing);
         }
-        let took = match from.read(&mut buffer[self.end..]) {
+        let outcome = match from.read(&mut buffer[self.end..]) {
             Ok(0) => {
-                self.ended = true;
+                self.has_ended = true;
                 Ok(ReadOutcome::End)
             }
-            Ok(more) => {
-                self.end += more;
-                Ok(ReadOutcome::Bytes(more))
+            Ok(length) => {
+                self.end += length;
+                Ok(ReadOutcome::Bytes(length))
             }
-            Err(fault)
-                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            Err(error)
+                if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
                 Ok(ReadOutcome::Nothing)
             }
-            Err(fault) => Err(fault),
+            Err(error) => Err(error),
         };
-        self.tidy(pool);
-        took
-    }
-
-    /// Bytes that wait, and how many of them are lines seen.
-    pub fn held(&self) -> (&[u8], usize) {
-        let bytes = self
-            .buffer
-            .as_ref()
-            .map_or(&[][..], |buffer| &buffer[self.start..self.end]);
-        (bytes, self.whole - self.start)
+        self.release_if_empty(pool);
+        outcome
     }
 
-    /// With what waited in another process; none where the pool has no buffer.
-    pub fn holding(bytes: &[u8], whole: usize, pool: &mut Pool) -> Option<LineBuffer> {
-        if bytes.is_empty() {
-            return Some(LineBuffer::default());
-        }
-        let mut buffer = pool.take()?;
-        buffer.get_mut(..bytes.len())?.copy_from_slice(bytes);
-        Some(LineBuffer {
-            buffer: Some(buffer),
-            start: 0,
-            whole,
-            end: bytes.len(),
-            ended: false,
-        })
-    }
-
-    /// The next whole line, without its ending.
-    pub fn next_line(&mut self) -> std::result::Result<Option<&[u8]>, TooLong> {
+    /// The next whole line, without its ending; from then on it may be written.
+    ///
+    /// # Errors
+    /// The line is too long, whether its ending has come or not.
+    pub(crate) fn next_line(&mut self) -> Result<Option<&[u8]>, LineTooLong> {
         let Some(buffer) = self.buffer.as_ref() else {
             return Ok(None);
         };
-        let rest = &buffer[self.whole..self.end];
-        let Some(at) = rest.iter().position(|&byte| byte == b'\n') else {
-            return if rest.len() >= LINE {
-                Err(TooLong)
+        let rest = &buffer[self.line_end..self.end];
+        let Some(length) = rest.iter().position(|&byte| byte == b'\n') else {
+            return if rest.len() >= MAX_LINE_BYTES {
+                Err(LineTooLong)
             } else {
                 Ok(None)
             };
         };
-        if at >= LINE {
-            return Err(TooLong);
+        if length >= MAX_LINE_BYTES {
+            return Err(LineTooLong);
         }
-        self.whole += at + 1;
-        let line = &rest[..at];
+        self.line_end += length + 1;
+        let line = &rest[..length];
         Ok(Some(line.strip_suffix(b"\r").unwrap_or(line)))
     }
 
-    /// The lines seen so far were meant for us.
-    pub fn consume(&mut self, pool: &mut Pool) {
-        self.start = self.whole;
-        self.tidy(pool);
+    /// Drops the lines that have been looked at: they were meant for the relay.
+    pub(crate) fn discard_lines(&mut self, pool: &mut Pool) {
+        self.start = self.line_end;
+        self.release_if_empty(pool);
     }
 
-    pub fn clear(&mut self, pool: &mut Pool) {
-        self.whole = self.end;
-        self.consume(pool);
+    /// Drops everything.
+    pub(crate) fn clear(&mut self, pool: &mut Pool) {
+        self.line_end = self.end;
+        self.discard_lines(pool);
     }
 
     /// Drops the beginning of a line whose rest will not be waited for.
-    pub fn cut(&mut self, pool: &mut Pool) {
-        self.end = self.whole;
-        self.tidy(pool);
+    pub(crate) fn discard_partial_line(&mut self, pool: &mut Pool) {
+        self.end = self.line_end;
+        self.release_if_empty(pool);
     }
 
-    /// The last line may lack its ending: it passes once nothing can follow.
-    fn due(&self) -> usize {
-        if self.ended { self.end } else { self.whole }
+    /// Whether bytes wait that may be written.
+    pub(crate) fn has_writable(&self) -> bool {
+        self.start < self.writable_end()
     }
 
-    pub fn waits(&self) -> bool {
-        self.start < self.due()
-    }
-
-    pub fn has_bytes(&self) -> bool {
+    /// Whether any bytes wait, be it the beginning of a line.
+    pub(crate) fn has_bytes(&self) -> bool {
         self.start < self.end
     }
 
-    pub fn has_room(&self) -> bool {
-        self.end - self.start < SIZE && !self.ended
+    /// Whether more can be read.
+    pub(crate) fn has_room(&self) -> bool {
+        self.end - self.start < SIZE && !self.has_ended
+    }
+
+    /// Writes once; true once nothing waits that may be written.
+    ///
+    /// # Errors
+    /// The connection is broken.
+    pub(crate) fn write_to(
+        &mut self,
+        to: &mut impl Write,
+        pool: &mut Pool,
+    ) -> std::io::Result<bool> {
+        let writable_end = self.writable_end();
+        if let Some(buffer) = self.buffer.as_ref().filter(|_| self.start < writable_end) {
+            self.start += write_available(to, &buffer[self.start..writable_end])?;
+            self.line_end = self.line_end.max(self.start);
+            self.release_if_empty(pool);
+        }
+        Ok(!self.has_writable())
     }
 
-    /// One write; true once nothing waits.
-    pub fn give(&mut self, to: &mut impl Write, pool: &mut Pool) -> Result<bool> {
-        let due = self.due();
-        if let Some(buffer) = self.buffer.as_ref().filter(|_| self.start < due) {
-            self.start += write_some(to, &buffer[self.start..due])?;
-            self.whole = self.whole.max(self.start);
-            self.tidy(pool);
+    /// Up to where bytes may be written. The last line may lack its ending: it passes once nothing
+    /// can follow.
+    fn writable_end(&self) -> usize {
+        if self.has_ended {
+            self.end
+        } else {
+            self.line_end
         }
-        Ok(!self.waits())
     }
 
-    fn tidy(&mut self, pool: &mut Pool) {
+    fn release_if_empty(&mut self, pool: &mut Pool) {
         if self.start == self.end
             && let Some(buffer) = self.buffer.take()
         {
-            (self.start, self.whole, self.end) = (0, 0, 0);
+            (self.start, self.line_end, self.end) = (0, 0, 0);
             pool.give_back(buffer);
         }
     }
 }
-
-/// How much of `bytes` could be written at present.
-pub fn write_some(to: &mut impl Write, bytes: &[u8]) -> Result<usize> {
-    match to.write(bytes) {
-        Ok(0) => Err(ErrorKind::WriteZero.into()),
-        Ok(some) => Ok(some),
-        Err(fault) if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) => {
-            Ok(0)
-        }
-        Err(fault) => Err(fault),
-    }
-}
-
-/// A short text of our own on its way out.
-#[derive(Default)]
-pub struct OutputBuffer {
-    text: Vec<u8>,
-    written: usize,
-}
-
-impl OutputBuffer {
-    pub fn add(&mut self, line: &str) {
-        self.text.extend_from_slice(line.as_bytes());
-        self.text.extend_from_slice(b"\r\n");
-    }
-
-    pub fn waits(&self) -> bool {
-        self.written < self.text.len()
-    }
-
-    /// Some of it has been written.
-    pub fn is_begun(&self) -> bool {
-        self.written > 0
-    }
-
-    /// One write; true once nothing waits.
-    pub fn give(&mut self, to: &mut impl Write) -> Result<bool> {
-        if self.waits() {
-            self.written += write_some(to, &self.text[self.written..])?;
-        }
-        if !self.waits() {
-            *self = OutputBuffer::default();
-        }
-        Ok(self.text.is_empty())
-    }
-}
--- /dev/null
+++ b/relay/src/protocol/backend_message.rs
@@ -0,0 +1,69 @@
+//! The lines that backends send.
+use thistlecroft::attempt::{AttemptOutcome, LoadReport};
+use thistlecroft_settings::{CONNECTION_FIELDS, LOAD_FIELDS};
+
+/// What a line from a backend means to the relay.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum BackendMessage {
+    /// The session is accepted.
+    Accepted,
+    /// The connection's load or, where the settings say so, how many milliseconds a message takes.
+    Load(f64),
+    /// The last message on a connection: how the session ended, and the backend's own load.
+    Final(AttemptOutcome, LoadReport),
+    /// A line that only the client understands.
+    Data,
+}
+
+impl BackendMessage {
+    /// Reads a line without its ending; one that makes no sense is [`BackendMessage::Data`].
+    pub(crate) fn parse(line: &[u8]) -> BackendMessage {
+        let text = std::str::from_utf8(line).unwrap_or_default();
+        let (keyword, rest) = text.split_once(' ').unwrap_or((text, ""));
+        match keyword {
+            "UP" => BackendMessage::Accepted,
+            "LOAD" => rest
+                .trim()
+                .parse()
+                .ok()
+                .filter(|load: &f64| load.is_finite())
+                .map_or(BackendMessage::Data, BackendMessage::Load),
+            "BYE" => BackendMessage::Final(AttemptOutcome::Ok, parse_load_report(rest)),
+            "MOVE" => BackendMessage::Final(AttemptOutcome::Cancelled, parse_load_report(rest)),
+            "ERR" => BackendMessage::Final(AttemptOutcome::Error, parse_load_report(rest)),
+            "BUSY" => BackendMessage::Final(AttemptOutcome::Saturated, parse_load_report(rest)),
+            _ => BackendMessage::Data,
+        }
+    }
+}
+
+/// Reads a backend's answer to a health check.
+pub(crate) fn parse_health_check_response(line: &[u8]) -> (AttemptOutcome, LoadReport) {
+    let text = std::str::from_utf8(line).unwrap_or_default();
+    match text.split_once(' ').unwrap_or((text, "")) {
+        ("PONG", rest) => (AttemptOutcome::Ok, parse_load_report(rest)),
+        _ => (AttemptOutcome::Error, LoadReport::default()),
+    }
+}
+
+fn parse_load_report(text: &str) -> LoadReport {
+    LoadReport {
+        connections: find_field(text, CONNECTION_FIELDS),
+        load: find_field(text, LOAD_FIELDS),
+    }
+}
+
+/// The value of the first of these names that the report has; negative ones count as zero.
+fn find_field(report: &str, names: &[&str]) -> Option<f64> {
+    let value_of = |name: &&str| {
+        report.split(',').find_map(|field| {
+            let value = field.trim().strip_prefix(name)?.strip_prefix('=')?;
+            value.parse().ok()
+        })
+    };
+    names
+        .iter()
+        .find_map(value_of)
+        .filter(|value: &f64| value.is_finite())
+        .map(|value| value.max(0.0))
+}
--- a/relay/src/session/accept.rs
+++ b/relay/src/session/accept.rs
@@ -1,153 +1,175 @@
-//! Listener.
-use super::stage::Fate::Over;
+//! Accepting clients, and shedding idle ones when file descriptors run out.
+use super::idle::IdleKind;
+use super::shared::Shared;
+use super::stage::Disposition::{self, Remove};
 use super::stage::Stage;
 use super::state::Session;
-use super::table::{Accepting, Sessions, TELLING};
+use super::table::Sessions;
 use crate::discovery::watch::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::protocol::{self};
-use crate::sockets::SocketOwner;
-use crate::timers::Timer;
+use crate::protocol;
+use crate::sockets::{Connection, SocketOwner};
 use std::io::ErrorKind;
-use thistlecroft::time::Duration;
+use thistlecroft::time::{Duration, Instant};
 
-/// Accepts in one turn, so that a rush of clients can't keep the standing ones waiting.
-pub(super) const ACCEPTS: usize = 64;
+/// So that a rush of clients can't keep the established sessions waiting.
+const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// After an accept that failed for want of anything; trying at once would only spin.
-pub(super) const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Descriptors beyond the limit that serve to reject clients for want of one.
+const DESCRIPTORS_FOR_REJECTIONS: usize = 8;
 
 /// While descriptors lack, a connection that says nothing makes room after this; a usual client's
 /// first line is there long before.
-pub(super) const SHED_AFTER: Duration = Duration::from_millis(20);
+const MIN_SILENCE_BEFORE_SHEDDING: Duration = Duration::from_millis(20);
 
 impl Sessions {
-    pub fn open_door(&mut self) {
-        self.entry = Accepting::Open;
-        self.door.want(true);
+    /// Accepts clients from now on.
+    pub(crate) fn open_door(&mut self) {
+        self.listener.start();
     }
 
-    /// Whoever waits to be accepted is left to another process.
-    pub fn shut_door(&mut self) {
-        self.entry = Accepting::Shut;
-        self.door.want(false);
+    /// Accepts no more clients: those in the backlog are left to another process.
+    pub(crate) fn shut_door(&mut self) {
+        self.listener.stop();
     }
 
-    pub fn takes_clients(&self) -> bool {
-        self.entry == Accepting::Open
+    /// Whether clients are accepted.
+    pub(crate) fn takes_clients(&self) -> bool {
+        self.listener.is_accepting()
     }
 
-    /// Takes connections in, each with what it has said already, so that one that means to be
-    /// served is never among those that make room.
-    pub fn accept(&mut self, book: &EndpointRegistry, works: &mut IoContext) {
-        if self.entry == Accepting::Shut {
+    /// Ends a pause in accepting.
+    pub(crate) fn resume_accepting(&mut self) {
+        self.listener.resume();
+    }
+
+    /// Accepts the connections that wait. Each is read at once, so that a client that means to be
+    /// served is never among the idle ones that make room.
+    pub(crate) fn accept(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
+        if !self.listener.is_accepting() {
             return;
         }
-        for _ in 0..ACCEPTS {
-            let open = works.sockets.open();
-            if open >= self.shared.most_sockets
-                && !self.shed(SHED_AFTER, book, works)
-                && open >= self.shared.most_sockets + TELLING
-            {
-                self.full = true;
-                return self.pause_accepting(works);
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
+            if !self.can_accept(registry, io) {
+                return self.listener.pause_saturated(io);
             }
-            let id = self.next;
-            match self
-                .door
+            let id = self.next_id;
+            let accepted = self
+                .listener
                 .accept()
-                .and_then(|stream| works.sockets.adopt(SocketOwner::Client(id), stream))
-            {
-                Ok(mut client) => {
-                    works.counters.connections += 1;
-                    client.want(true, false);
-                    let since = self.behind_since.unwrap_or(works.now);
-                    self.map.insert(id, Session::new(id, client, since, works));
-                    self.next = self.next.wrapping_add(1);
-                    self.step(id, works, |session, shared, works| {
-                        session.client_event(shared, book, works)
-                    });
-                }
-                Err(fault) => match fault.kind() {
-                    ErrorKind::WouldBlock => {
-                        self.behind_since = None;
-                        return;
-                    }
+                .and_then(|stream| io.sockets.adopt(SocketOwner::Client(id), stream));
+            match accepted {
+                Ok(client) => self.add_client(client, registry, io),
+                Err(error) => match error.kind() {
+                    ErrorKind::WouldBlock => return self.listener.caught_up(),
                     ErrorKind::ConnectionAborted
                     | ErrorKind::Interrupted
                     | ErrorKind::ConnectionReset => {}
                     _ => {
-                        // No descriptor or memory left: the clients stay in the backlog for a
-                        // moment.
-                        works.counters.accept_failures += 1;
-                        log::debug!("accept: {fault}");
-                        return self.pause_accepting(works);
+                        // No descriptor or memory is left.
+                        io.counters.accept_failures += 1;
+                        log::debug!("accept failed error=\"{error}\"");
+                        return self.listener.pause(io);
                     }
                 },
             }
         }
-        self.behind_since.get_or_insert(works.now);
+        self.listener.fell_behind(io.now);
+    }
+
+    /// Whether there is a descriptor for one more client, if need be by shedding an idle one or, to
+    /// reject it, beyond the limit.
+    fn can_accept(&mut self, registry: &EndpointRegistry, io: &mut IoContext) -> bool {
+        let open = io.sockets.open();
+        open < self.shared.max_descriptors
+            || self.shed_idle(MIN_SILENCE_BEFORE_SHEDDING, registry, io)
+            || open < self.shared.max_descriptors + DESCRIPTORS_FOR_REJECTIONS
     }
 
-    pub(super) fn pause_accepting(&mut self, works: &mut IoContext) {
-        self.behind_since.get_or_insert(works.now);
-        self.door.want(false);
-        works
-            .alarms
-            .set(works.now + ACCEPT_PAUSE, Timer::ResumeAccepting);
+    fn add_client(
+        &mut self,
+        mut client: Connection,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) {
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        io.counters.connections += 1;
+        client.want(true, false);
+        let connected = self.listener.connected_since(io.now);
+        let mut session = Session::new(id, client, connected, io.now);
+        session.start_handshake_timer(io);
+        self.sessions.insert(id, session);
+        self.step(id, io, |session, shared, io| {
+            session.client_event(shared, registry, io)
+        });
     }
 
-    pub fn resume_accepting(&mut self) {
-        self.full = false;
-        self.door.want(self.entry == Accepting::Open);
+    /// Makes room for as long as descriptors lack: connections that only wait never keep an attempt
+    /// from its descriptor.
+    pub(super) fn make_room(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
+        while io.sockets.open() >= self.shared.max_descriptors
+            && self.shed_idle(Duration::ZERO, registry, io)
+        {}
     }
 
-    /// Ends the connection that is needed least: one that has had its last word, else the one that
-    /// has been silent for longest, if for so long; true where that made room. What a silent one
-    /// has said by now is read first: a line that came since the turn began is a session taken, and
-    /// owed its answer.
-    pub(super) fn shed(
+    /// Closes the connection that is needed least: one that has had its last line, else the one
+    /// that has been silent for longest, if for at least this long. True where that made room.
+    fn shed_idle(
         &mut self,
-        silent: Duration,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
+        min_silence: Duration,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
     ) -> bool {
-        while let Some(&first) = self.shared.idle.first() {
-            let (waits, heard, id) = first;
-            if waits && works.now.duration_since(heard) < silent {
+        while let Some(&entry) = self.shared.idle.first() {
+            let is_unanswered = entry.kind == IdleKind::Unanswered;
+            if is_unanswered && io.now.duration_since(entry.silent_since) < min_silence {
                 return false;
             }
-            self.step(id, works, |session, shared, works| {
-                if session.stage != Stage::Opening {
-                    return Over;
-                }
-                let fate = session.client_event(shared, book, works);
-                match session.stage {
-                    // Half a line, whose rest may be on its way: told so that it can't be missed.
-                    Stage::Opening if session.up.waits() => {
-                        session.part(&protocol::refusal(None), works)
-                    }
-                    Stage::Opening => {
-                        // Accepted just now it may speak at this very moment: then this is its
-                        // answer, though the break that follows leaves no time for more.
-                        if works.now.duration_since(heard) < SHED_AFTER {
-                            session.words.add(&protocol::refusal(None));
-                            let _ = session.words.give(&mut session.client);
-                        }
-                        Over
-                    }
-                    _ => fate,
-                }
+            self.step(entry.session, io, |session, shared, io| {
+                session.shed(entry.silent_since, shared, registry, io)
             });
-            if !self.map.contains_key(&id) {
-                works.counters.shed += u64::from(waits);
+            if !self.sessions.contains_key(&entry.session) {
+                io.counters.shed += u64::from(is_unanswered);
                 return true;
             }
-            // It has spoken and has its place elsewhere; one that has not can't be got rid of.
-            if self.shared.idle.first() == Some(&first) {
+            // One that has spoken has left its place; another that can't be shed keeps it.
+            if self.shared.idle.first() == Some(&entry) {
                 return false;
             }
         }
         false
     }
 }
+
+impl Session {
+    /// Makes room, unless it is served after all: what its client has sent by now is read first,
+    /// for a line that came since the turn began is a session that is owed its answer.
+    fn shed(
+        &mut self,
+        silent_since: Instant,
+        shared: &mut Shared,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
+        if self.stage != Stage::Handshake {
+            return Remove;
+        }
+        let disposition = self.client_event(shared, registry, io);
+        if self.stage != Stage::Handshake {
+            return disposition;
+        }
+        let rejection = protocol::rejection_line(None);
+        if self.to_backend.has_writable() {
+            // Half a line, whose rest may be on its way: the client is given time to read this.
+            return self.close_with(&rejection, io);
+        }
+        if io.now.duration_since(silent_since) < MIN_SILENCE_BEFORE_SHEDDING {
+            // Accepted just now, the client may be sending at this very moment: then this is its
+            // answer, though closing right after it may lose it.
+            self.output.add(&rejection);
+            let _ = self.output.give(&mut self.client);
+        }
+        Remove
+    }
+}
--- a/relay/src/session/actions.rs
+++ b/relay/src/session/actions.rs
@@ -1,133 +1,136 @@
-//! Commands.
-use super::stage::Fate::{Goes, Over};
+//! What the balancer decides about sessions, carried out.
+use super::stage::Disposition::Keep;
 use super::stage::Stage;
 use super::state::Session;
 use super::table::Sessions;
+use crate::attempt::{Attempt, AttemptStage, FailureCause};
 use crate::counters::Counters;
 use crate::discovery::watch::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::protocol::{self, Cause};
-use crate::upstream::{Attempt, AttemptStage};
+use crate::protocol;
 use thistlecroft::ids::{BackendId, SessionId};
 use thistlecroft::time::Duration;
 
 impl Sessions {
-    /// A list or an operator has taken backends out: what is on its way there and has sent nothing
-    /// yet ends, since it could come up after the grace. Asked once the turn's own dials are under
-    /// way.
-    pub fn recall(&mut self, book: &EndpointRegistry, works: &mut IoContext) {
-        let there = |dial: &Attempt| dial.is_unsent() && book.is_out(dial.backend);
-        let any = |session: &Session| {
-            let other = session.other.as_ref().map(|other| &other.dial);
-            session.stage == Stage::Placing && session.dial.iter().chain(other).any(there)
-        };
-        let ids: Vec<u32> = self
-            .map
-            .iter()
-            .filter(|(_, session)| any(session))
-            .map(|(&id, _)| id)
-            .collect();
-        for id in ids {
-            self.step(id, works, |session, _, works| {
-                let mut fate = Goes;
-                while fate == Goes && session.lead(there) {
-                    let fault = session
-                        .dial
-                        .as_ref()
-                        .map(|dial| dial.failed(Cause::Withdrawn));
-                    fate = fault.map_or(Over, |fault| session.dial_ended(fault, works));
-                }
-                fate
-            });
-        }
-    }
-
-    pub fn dial(
+    /// Attempts to connect a session to a backend, which has this long to answer.
+    pub(crate) fn dial(
         &mut self,
         id: SessionId,
         backend: BackendId,
-        give_up_after: Duration,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
+        timeout: Duration,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
     ) {
-        // Connections that only wait never keep a dial from its descriptor.
-        while works.sockets.open() >= self.shared.most_sockets
-            && self.shed(Duration::ZERO, book, works)
-        {}
-        self.step(id.0, works, |session, shared, works| {
-            let number = session.dials;
-            session.dials += 1;
-            session.dial(number, backend, give_up_after, shared, book, works)
+        self.make_room(registry, io);
+        self.step(id.0, io, |session, shared, io| {
+            let number = session.attempts_requested;
+            session.attempts_requested += 1;
+            session.start_attempt(number, backend, timeout, shared, registry, io)
         });
     }
 
-    pub fn withdraw(&mut self, id: SessionId, number: u32, works: &mut IoContext) {
-        self.step(id.0, works, |session, _, works| {
-            if let Some(mut loser) = session.other.take_if(|other| other.dial.number == number) {
-                loser.down.clear(&mut works.pool);
-                session.tell_dial_end(number, loser.dial.failed(Cause::Withdrawn), works);
-                return Goes;
-            }
-            let dial = session.dial.as_ref().filter(|dial| dial.number == number);
-            match dial.filter(|dial| dial.stage != AttemptStage::Standing) {
-                Some(dial) => {
-                    let fault = dial.failed(Cause::Withdrawn);
-                    session.dial_ended(fault, works)
-                }
-                None => Goes,
-            }
+    /// Cancels an attempt that no backend has accepted yet.
+    pub(crate) fn withdraw(&mut self, id: SessionId, number: u32, io: &mut IoContext) {
+        self.step(id.0, io, |session, _, io| {
+            session.cancel_attempt(number, io);
+            Keep
         });
     }
 
-    pub fn refuse(&mut self, id: SessionId, retry_after: Option<Duration>, works: &mut IoContext) {
-        self.answer(
-            id,
-            &protocol::refusal(retry_after),
-            |counters| &mut counters.refused,
-            works,
-        );
+    /// Rejects a session that waits, with the time to stay away where there is one.
+    pub(crate) fn refuse(
+        &mut self,
+        id: SessionId,
+        retry_after: Option<Duration>,
+        io: &mut IoContext,
+    ) {
+        let line = protocol::rejection_line(retry_after);
+        self.answer(id, &line, |counters| &mut counters.refused, io);
     }
 
-    pub fn tear_down(&mut self, id: SessionId, works: &mut IoContext) {
-        self.answer(
-            id,
-            protocol::FAILED,
-            |counters| &mut counters.torn_down,
-            works,
-        );
+    /// Fails a session that waits.
+    pub(crate) fn tear_down(&mut self, id: SessionId, io: &mut IoContext) {
+        let line = protocol::FAILED_LINE;
+        self.answer(id, line, |counters| &mut counters.torn_down, io);
     }
 
-    /// The final answer of a session that was not accepted; one that has its answer gets no second.
-    pub(super) fn answer(
+    /// The final answer to a session that no backend accepted; one that has its answer gets no
+    /// second.
+    fn answer(
         &mut self,
         id: SessionId,
-        word: &str,
-        count: fn(&mut Counters) -> &mut u64,
-        works: &mut IoContext,
+        line: &str,
+        counter: fn(&mut Counters) -> &mut u64,
+        io: &mut IoContext,
     ) {
-        self.step(id.0, works, |session, _, works| {
+        self.step(id.0, io, |session, _, io| {
             if session.stage != Stage::Placing {
-                return Goes;
+                return Keep;
             }
-            *count(&mut works.counters) += 1;
-            session.part(word, works)
+            *counter(&mut io.counters) += 1;
+            session.close_with(line, io)
         });
     }
 
-    pub fn send_away(&mut self, id: SessionId, works: &mut IoContext) {
-        self.step(id.0, works, |session, _, works| {
-            match (session.stage, &mut session.about) {
-                (Stage::Standing, _) => session.send_away(works),
-                (Stage::Handing, Some(about)) => {
-                    about.sent_away = true;
-                    Goes
+    /// Migrates an established session: its client is to connect again. One that is offered to the
+    /// successor is migrated if it stays.
+    pub(crate) fn send_away(&mut self, id: SessionId, io: &mut IoContext) {
+        self.step(id.0, io, |session, _, io| {
+            match (session.stage, &mut session.metadata) {
+                (Stage::Established, _) => session.migrate(io),
+                (Stage::HandingOver, Some(metadata)) => {
+                    metadata.is_migration_due = true;
+                    Keep
                 }
-                _ => Goes,
+                _ => Keep,
             }
         });
     }
 
-    pub fn give_up(&mut self, id: SessionId, works: &mut IoContext) {
-        self.step(id.0, works, |session, _, works| session.give_up(works));
+    /// The balancer failed over this session: it is answered without it.
+    pub(crate) fn give_up(&mut self, id: SessionId, io: &mut IoContext) {
+        self.step(id.0, io, |session, _, io| session.fail(io));
+    }
+
+    /// An endpoint list or an operator has taken backends out: attempts there that have sent
+    /// nothing yet end, since they could come up after the backend's grace. Called once the turn's
+    /// own attempts are under way.
+    pub(crate) fn recall(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
+        let is_recalled =
+            |attempt: &Attempt| attempt.is_unsent() && registry.is_out(attempt.backend);
+        let has_recalled = |session: &Session| {
+            session.stage == Stage::Placing && session.attempts().any(is_recalled)
+        };
+        let ids: Vec<u32> = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| has_recalled(session))
+            .map(|(&id, _)| id)
+            .collect();
+        for id in ids {
+            self.step(id, io, |session, _, io| {
+                while session.promote_attempt(is_recalled) {
+                    session.end_attempt(FailureCause::Cancelled, io);
+                }
+                Keep
+            });
+        }
+    }
+}
+
+impl Session {
+    fn cancel_attempt(&mut self, number: u32, io: &mut IoContext) {
+        let hedge = self.hedge.take_if(|hedge| hedge.attempt.number == number);
+        if let Some(mut hedge) = hedge {
+            hedge.to_client.clear(&mut io.pool);
+            let failure = hedge.attempt.failure(FailureCause::Cancelled);
+            return self.report_attempt_end(number, failure, io);
+        }
+        let is_pending = |attempt: &Attempt| {
+            attempt.number == number && attempt.stage != AttemptStage::Established
+        };
+        if self.attempt.as_ref().is_some_and(is_pending) {
+            self.end_attempt(FailureCause::Cancelled, io);
+        }
     }
 }
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -1,168 +1,185 @@
-//! Connection attempts.
-use super::inherited::INHERITED_AGAIN;
+//! The attempts of a session to connect to backends: one at a time, or two where its route has
+//! hedged attempts.
 use super::shared::Shared;
-use super::stage::Fate::{Goes, Over};
-use super::stage::{Fate, Stage};
-use super::state::{Other, Session};
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
+use super::state::{HedgedAttempt, Session};
+use crate::attempt::{Attempt, AttemptFailure, AttemptPlan, AttemptProgress, FailureCause};
 use crate::buffers::Pool;
 use crate::discovery::watch::EndpointRegistry;
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use crate::line_buffer::LineBuffer;
-use crate::protocol::{AttemptFailure, AttemptProgress, Cause};
-use crate::timers::Timer;
-use crate::upstream::{Attempt, AttemptPlan};
 use thistlecroft::attempt::{AttemptEnd, AttemptOutcome};
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::Duration;
 
+/// An attempt that did not even begin, for a reason of this process.
+const NOT_BEGUN: AttemptFailure = AttemptFailure {
+    progress: AttemptProgress::Unconnected,
+    cause: FailureCause::LocalFault,
+};
+
 impl Session {
-    pub(super) fn dial(
+    /// The attempts that are under way.
+    pub(super) fn attempts(&self) -> impl Iterator<Item = &Attempt> {
+        let hedge = self.hedge.as_ref().map(|hedge| &hedge.attempt);
+        self.attempt.iter().chain(hedge)
+    }
+
+    /// Starts an attempt, beside the one that is under way if there is one.
+    pub(super) fn start_attempt(
         &mut self,
         number: u32,
         backend: BackendId,
-        give_up_after: Duration,
+        timeout: Duration,
         shared: &Shared,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Fate {
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
         if self.stage == Stage::Placing {
-            // Its end may stand behind hundreds of events that this turn does not come to: nothing
-            // begins for it.
-            let fate = self.look_at_client(works);
-            if fate == Over || !self.is_waiting() {
-                self.tell_dial_end(
-                    number,
-                    AttemptFailure {
-                        reach: AttemptProgress::Nothing,
-                        cause: Cause::Ours,
-                    },
-                    works,
-                );
-                return fate;
+            // The client's end may stand behind hundreds of events that this turn does not reach:
+            // nothing is started for a client that has left.
+            let disposition = self.check_waiting_client(io);
+            if disposition == Remove || !self.awaits_backend() {
+                self.report_attempt_end(number, NOT_BEGUN, io);
+                return disposition;
             }
         }
-        let Some(open) = self.open.as_ref().filter(|_| self.other.is_none()) else {
-            return Goes;
-        };
-        self.serial += 1;
-        let plan = AttemptPlan {
-            number,
-            serial: self.serial,
-            backend,
-            address: book.address(backend),
-            line: open.line(give_up_after),
-            connect_within: self
-                .front
-                .map_or(Duration::ZERO, |front| front.connect_timeout),
-            give_up_after,
+        let Some(plan) = self.plan_attempt(number, backend, timeout, registry) else {
+            return Keep;
         };
-        works.counters.dials += 1;
-        if works.sockets.open() >= shared.most_sockets {
-            // Many first lines in one turn all find room before the first of their dials takes any.
-            return self.dial_failed(
-                number,
-                AttemptFailure {
-                    reach: AttemptProgress::Nothing,
-                    cause: Cause::Ours,
-                },
-                works,
-            );
+        io.counters.dials += 1;
+        if io.sockets.open() >= shared.max_descriptors {
+            // Many first lines in one turn find room before the first of their attempts takes any.
+            self.attempt_not_accepted(number, NOT_BEGUN, io);
+            return Keep;
         }
-        match Attempt::begin(self.id, plan, works) {
-            Ok(dial) if self.dial.is_some() => {
-                works.counters.second_dials += 1;
-                self.other = Some(Box::new(Other {
-                    dial,
-                    down: LineBuffer::default(),
+        match Attempt::begin(self.id, plan, io) {
+            Ok(attempt) if self.attempt.is_some() => {
+                io.counters.second_dials += 1;
+                self.hedge = Some(Box::new(HedgedAttempt {
+                    attempt,
+                    to_client: LineBuffer::default(),
                 }));
-                Goes
-            }
-            Ok(dial) => {
-                self.dial = Some(dial);
-                Goes
             }
-            Err(fault) => self.dial_failed(number, fault, works),
-        }
-    }
-
-    pub(super) fn dial_ended(&mut self, fault: AttemptFailure, works: &mut IoContext) -> Fate {
-        let Some(dial) = self.dial.take() else {
-            return Goes;
-        };
-        self.down.clear(&mut works.pool);
-        self.down = LineBuffer::default();
-        if let Some(other) = self.other.take() {
-            (self.dial, self.down) = (Some(other.dial), other.down);
+            Ok(attempt) => self.attempt = Some(attempt),
+            Err(failure) => self.attempt_not_accepted(number, failure, io),
         }
-        self.dial_failed(dial.number, fault, works)
+        Keep
     }
 
-    pub(super) fn dial_failed(
+    /// None where the session needs no attempt, or has two under way.
+    fn plan_attempt(
         &mut self,
         number: u32,
-        fault: AttemptFailure,
-        works: &mut IoContext,
-    ) -> Fate {
-        if self.stage == Stage::Inheriting {
-            log::debug!("inherited connection {}: {fault:?}", self.id);
-            works
-                .alarms
-                .set(works.now + INHERITED_AGAIN, Timer::RetryInherited(self.id));
-            return Goes;
-        }
-        self.tell_dial_end(number, fault, works);
-        Goes
-    }
-
-    pub(super) fn tell_dial_end(
-        &mut self,
-        number: u32,
-        fault: AttemptFailure,
-        works: &mut IoContext,
-    ) {
-        let verdict = fault.verdict();
-        let counter = &mut works.counters;
-        *match verdict {
-            AttemptOutcome::Ok => &mut counter.ended_well,
-            AttemptOutcome::Error => &mut counter.dials_error,
-            AttemptOutcome::Saturated => &mut counter.dials_full,
-            AttemptOutcome::TimedOut => &mut counter.dials_timeout,
-            AttemptOutcome::Unreachable => &mut counter.dials_unreachable,
-            AttemptOutcome::Reset => &mut counter.dials_reset,
-            AttemptOutcome::Cancelled => &mut counter.dials_withdrawn,
-            AttemptOutcome::NotSent => &mut counter.dials_never_sent,
-        } += 1;
-        let ending = AttemptEnd {
-            attempt: number,
-            outcome: verdict,
-            is_answered: false,
-            report: fault.report(),
-        };
-        works
-            .news
-            .push_back(Event::AttemptEnded(self.session_id(), ending));
+        backend: BackendId,
+        timeout: Duration,
+        registry: &EndpointRegistry,
+    ) -> Option<AttemptPlan> {
+        let request = self.request.as_ref().filter(|_| self.hedge.is_none())?;
+        self.attempt_serial += 1;
+        let connect_timeout = self
+            .route
+            .as_ref()
+            .map_or(Duration::ZERO, |route| route.timeouts.connect_timeout);
+        Some(AttemptPlan {
+            number,
+            serial: self.attempt_serial,
+            backend,
+            address: registry.address(backend),
+            request: request.line(timeout),
+            connect_timeout,
+            timeout,
+        })
     }
 
-    /// If such a dial is out; while two are, it becomes the first of them.
-    pub(super) fn lead(&mut self, such: impl Fn(&Attempt) -> bool) -> bool {
-        if self.dial.as_ref().is_some_and(&such) {
+    /// Whether such an attempt is under way. Where two are, it becomes the first of them, on which
+    /// the session then acts.
+    pub(super) fn promote_attempt(&mut self, is_meant: impl Fn(&Attempt) -> bool) -> bool {
+        if self.attempt.as_ref().is_some_and(&is_meant) {
             return true;
         }
-        let Some(other) = self.other.as_mut().filter(|other| such(&other.dial)) else {
+        let Some(hedge) = self.hedge.as_mut().filter(|hedge| is_meant(&hedge.attempt)) else {
             return false;
         };
-        let Some(dial) = self.dial.as_mut().filter(|_| self.stage == Stage::Placing) else {
+        let is_placing = self.stage == Stage::Placing;
+        let Some(attempt) = self.attempt.as_mut().filter(|_| is_placing) else {
             return false;
         };
-        std::mem::swap(dial, &mut other.dial);
-        std::mem::swap(&mut self.down, &mut other.down);
+        std::mem::swap(attempt, &mut hedge.attempt);
+        std::mem::swap(&mut self.to_client, &mut hedge.to_client);
         true
     }
 
-    pub(super) fn drop_other(&mut self, pool: &mut Pool) {
-        if let Some(mut other) = self.other.take() {
-            other.down.clear(pool);
+    /// Ends the first attempt for this cause; a hedged one takes its place.
+    pub(super) fn end_attempt(&mut self, cause: FailureCause, io: &mut IoContext) {
+        if let Some(attempt) = &self.attempt {
+            let failure = attempt.failure(cause);
+            self.attempt_failed(failure, io);
+        }
+    }
+
+    /// The first attempt has failed; a hedged one takes its place.
+    pub(super) fn attempt_failed(&mut self, failure: AttemptFailure, io: &mut IoContext) {
+        let Some(attempt) = self.attempt.take() else {
+            return;
+        };
+        self.to_client.clear(&mut io.pool);
+        self.to_client = LineBuffer::default();
+        if let Some(hedge) = self.hedge.take() {
+            self.attempt = Some(hedge.attempt);
+            self.to_client = hedge.to_client;
+        }
+        self.attempt_not_accepted(attempt.number, failure, io);
+    }
+
+    /// Forgets a hedged attempt without a word to the balancer.
+    pub(super) fn drop_hedge(&mut self, pool: &mut Pool) {
+        if let Some(mut hedge) = self.hedge.take() {
+            hedge.to_client.clear(pool);
+        }
+    }
+
+    /// The balancer decides what follows; an inherited session tries again.
+    fn attempt_not_accepted(&mut self, number: u32, failure: AttemptFailure, io: &mut IoContext) {
+        if self.stage == Stage::Inherited {
+            log::debug!(
+                "inherited session not accepted session={} failure={failure:?}",
+                self.id
+            );
+            self.retry_inherited_later(io);
+        } else {
+            self.report_attempt_end(number, failure, io);
         }
     }
+
+    /// Tells the balancer of an attempt that no backend accepted.
+    pub(super) fn report_attempt_end(
+        &mut self,
+        number: u32,
+        failure: AttemptFailure,
+        io: &mut IoContext,
+    ) {
+        let outcome = failure.outcome();
+        let counters = &mut io.counters;
+        *match outcome {
+            AttemptOutcome::Ok => &mut counters.ended_well,
+            AttemptOutcome::Error => &mut counters.dials_error,
+            AttemptOutcome::Saturated => &mut counters.dials_full,
+            AttemptOutcome::TimedOut => &mut counters.dials_timeout,
+            AttemptOutcome::Unreachable => &mut counters.dials_unreachable,
+            AttemptOutcome::Reset => &mut counters.dials_reset,
+            AttemptOutcome::Cancelled => &mut counters.dials_withdrawn,
+            AttemptOutcome::NotSent => &mut counters.dials_never_sent,
+        } += 1;
+        let end = AttemptEnd {
+            attempt: number,
+            outcome,
+            is_answered: false,
+            report: failure.report(),
+        };
+        io.news
+            .push_back(Event::AttemptEnded(self.session_id(), end));
+    }
 }
--- a/relay/src/session/backend.rs
+++ b/relay/src/session/backend.rs
@@ -1,147 +1,170 @@
-//! Events of the backend's connection.
-use super::established::BACKEND_ENDED;
+//! The backend's connection: its events by the session's stage, and what is written to it.
 use super::shared::Shared;
-use super::stage::Fate::{Goes, Over};
-use super::stage::{Fate, Stage};
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
 use super::state::Session;
+use crate::attempt::{Attempt, AttemptStage, FailureCause};
 use crate::discovery::watch::EndpointRegistry;
-use crate::driver::Event;
 use crate::io_context::IoContext;
-use crate::line_buffer::{ReadOutcome, TooLong};
-use crate::protocol::{self, BackendMessage, Cause};
-use crate::upstream::{Attempt, AttemptStage};
+use crate::line_buffer::ReadOutcome;
+use crate::protocol::BackendMessage;
+use std::ops::ControlFlow;
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::time::Duration;
 
+/// How long a session lasts after its backend has ended it; the protocol allows a second.
+const BACKEND_ENDED_TIMEOUT: Duration = Duration::from_millis(700);
+
 impl Session {
-    pub(super) fn dial_event(
+    /// The socket of the first attempt is ready.
+    pub(super) fn backend_event(
         &mut self,
         shared: &Shared,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Fate {
-        if self.is_waiting() && self.dial.as_ref().is_some_and(Attempt::is_unsent) {
-            // Its client may have left in this very turn, or long before a late one; then nothing
-            // is sent on.
-            let fate = self.look_at_client(works);
-            if fate == Over || !self.is_waiting() {
-                return fate;
-            }
-            // As late as this only where the loop itself was kept: its alarm is met behind it in
-            // this turn.
-            let stale = |dial: &&Attempt| book.is_out(dial.backend) || dial.overdue(works.now);
-            if let Some(dial) = self.dial.as_ref().filter(stale)
-                && self.stage == Stage::Placing
-            {
-                let fault = dial.failed(Cause::Withdrawn);
-                return self.dial_ended(fault, works);
-            }
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
+        let is_unsent = self.attempt.as_ref().is_some_and(Attempt::is_unsent);
+        if self.awaits_backend()
+            && is_unsent
+            && let ControlFlow::Break(disposition) = self.check_before_sending(registry, io)
+        {
+            return disposition;
+        }
+        if self.stage == Stage::HandingOver {
+            return Keep;
         }
-        let Some(dial) = self.dial.as_mut().filter(|_| self.stage != Stage::Handing) else {
-            return Goes;
+        let Some(attempt) = &mut self.attempt else {
+            return Keep;
         };
-        if let Err(fault) = dial.advance() {
-            return self.dial_ended(fault, works);
+        if let Err(failure) = attempt.advance() {
+            self.attempt_failed(failure, io);
+            return Keep;
         }
-        if dial.stage != AttemptStage::Connecting && self.down.has_room() {
-            match self.down.take(&mut dial.sock, &mut works.pool) {
-                Ok(ReadOutcome::Bytes(_)) => return self.backend_lines(shared, works),
+        if attempt.stage != AttemptStage::Connecting && self.to_client.has_room() {
+            match self
+                .to_client
+                .read_from(&mut attempt.connection, &mut io.pool)
+            {
+                Ok(ReadOutcome::Bytes(_)) => return self.take_backend_lines(shared, io),
                 Ok(ReadOutcome::Nothing) => {}
-                Ok(ReadOutcome::Starved) => self.starve(works),
-                Ok(ReadOutcome::End) => return self.backend_end(works),
-                Err(_) => return self.backend_broke(works),
+                Ok(ReadOutcome::Starved) => self.wait_for_buffer(io),
+                Ok(ReadOutcome::End) => return self.backend_ended(io),
+                Err(_) => return self.backend_broken(io),
             }
         }
-        if self.stage == Stage::Standing {
-            self.pass_up(works)
+        if self.stage == Stage::Established {
+            self.write_to_backend(io)
         } else {
-            Goes
+            Keep
+        }
+    }
+
+    /// Looks once more before the first byte of a request leaves: between the decision and this
+    /// moment the client may have left, the backend may be out, and the loop may have been kept. An
+    /// attempt that ends here has never been sent.
+    fn check_before_sending(
+        &mut self,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> ControlFlow<Disposition> {
+        let disposition = self.check_waiting_client(io);
+        if disposition == Remove || !self.awaits_backend() {
+            return ControlFlow::Break(disposition);
         }
+        // Its timer, if that is due, comes behind the sockets' events of this turn.
+        let is_stale =
+            |attempt: &Attempt| registry.is_out(attempt.backend) || attempt.is_overdue(io.now);
+        if self.stage == Stage::Placing && self.attempt.as_ref().is_some_and(is_stale) {
+            self.end_attempt(FailureCause::Cancelled, io);
+            return ControlFlow::Break(Keep);
+        }
+        ControlFlow::Continue(())
     }
 
-    pub(super) fn backend_lines(&mut self, shared: &Shared, works: &mut IoContext) -> Fate {
+    fn take_backend_lines(&mut self, shared: &Shared, io: &mut IoContext) -> Disposition {
         loop {
-            let said = match self.down.next_line() {
-                Ok(None) => break,
-                Ok(Some(line)) => Some(protocol::backend_line(line)),
-                Err(TooLong) => None,
+            let line = self.to_client.next_line();
+            let message = line.map(|line| line.map(BackendMessage::parse));
+            let Some(message) = message.transpose() else {
+                break;
             };
-            if self.stage == Stage::Standing {
-                self.heard = works.now;
-                match said {
-                    None => return self.send_away(works),
-                    Some(BackendMessage::Load(ms)) if shared.names.notes_tell_delay => {
-                        self.told_delay = Duration::from_millis(1) * ms;
-                        works
-                            .news
-                            .push_back(Event::LatencyObserved(self.session_id(), self.told_delay));
-                    }
-                    Some(BackendMessage::Load(load)) => {
-                        self.about
-                            .iter_mut()
-                            .for_each(|about| about.load = Some(load));
-                        works
-                            .news
-                            .push_back(Event::LoadObserved(self.session_id(), load));
-                    }
-                    Some(BackendMessage::Last(verdict, report)) => {
-                        self.said = Some((verdict, report))
-                    }
-                    Some(BackendMessage::Up | BackendMessage::Other) => {
-                        if let Some(asked) = self.asked.take() {
-                            // A quick line back must not hide that the backend's own work is late.
-                            let delay = works.now.duration_since(asked).max(self.told_delay);
-                            works
-                                .news
-                                .push_back(Event::LatencyObserved(self.session_id(), delay));
-                        }
-                    }
+            if self.stage != Stage::Established {
+                if self.take_answer(message, io).is_break() {
+                    return Keep;
                 }
-                works.counters.lines_down += 1;
-            } else if self.first_said(said, works) {
-                return Goes;
+                continue;
             }
+            self.last_activity = io.now;
+            let Ok(message) = message else {
+                return self.migrate(io);
+            };
+            self.observe_backend_message(message, shared, io);
+            io.counters.lines_down += 1;
         }
-        if self.stage == Stage::Standing {
-            self.pass_down(works)
+        if self.stage == Stage::Established {
+            self.write_to_client(io)
         } else {
-            Goes
+            Keep
         }
     }
 
-    pub(super) fn backend_end(&mut self, works: &mut IoContext) -> Fate {
-        if self.stage != Stage::Standing {
-            let fault = self.dial.as_ref().map(|dial| dial.failed(Cause::Broken));
-            return fault.map_or(Goes, |fault| self.dial_ended(fault, works));
+    /// The backend has ended its sending.
+    fn backend_ended(&mut self, io: &mut IoContext) -> Disposition {
+        if self.stage != Stage::Established {
+            self.end_attempt(FailureCause::ConnectionLost, io);
+            return Keep;
         }
-        self.tell_end(
-            if self.up.ended {
-                AttemptOutcome::Ok
-            } else {
-                AttemptOutcome::Reset
-            },
-            works,
-        );
-        self.close_within(BACKEND_ENDED, works);
-        self.pass_down(works)
+        self.report_session_end(self.outcome_without_final_message(), io);
+        self.close_after(BACKEND_ENDED_TIMEOUT, io);
+        self.write_to_client(io)
     }
 
-    pub(super) fn backend_broke(&mut self, works: &mut IoContext) -> Fate {
-        if self.stage != Stage::Standing {
-            return self.backend_end(works);
+    /// The backend's connection is broken, which the client is to see as well.
+    fn backend_broken(&mut self, io: &mut IoContext) -> Disposition {
+        if self.stage != Stage::Established {
+            return self.backend_ended(io);
+        }
+        if self.final_message.is_some() || self.to_backend.has_ended {
+            // The session had ended on one side: an end, whatever the system makes of it.
+            self.to_client.has_ended = true;
+            return self.backend_ended(io);
+        }
+        self.report_session_end(AttemptOutcome::Reset, io);
+        // Lines that came before the break pass before it. Where they can't at once the client gets
+        // an end instead, since a break would throw them away.
+        match self.to_client.write_to(&mut self.client, &mut io.pool) {
+            Ok(false) => self.close(io),
+            Ok(true) | Err(_) => {
+                self.client.break_off();
+                Remove
+            }
         }
-        if self.said.is_some() || self.up.ended {
-            // It had said its last word, or the client had: an end, whatever the system made of it.
-            self.down.ended = true;
-            return self.backend_end(works);
+    }
+
+    /// Writes the client's lines that wait for the backend, and their end behind them.
+    pub(super) fn write_to_backend(&mut self, io: &mut IoContext) -> Disposition {
+        if self.is_backend_shut {
+            return Keep;
         }
-        self.tell_end(AttemptOutcome::Reset, works);
-        // Lines that came before the break pass before it; where they can't at once, an end has to
-        // do, since a break would throw them away.
-        if !matches!(self.down.give(&mut self.client, &mut works.pool), Ok(false)) {
-            self.client.break_off();
-            return Over;
+        let Some(attempt) = &mut self.attempt else {
+            return Keep;
+        };
+        match self
+            .to_backend
+            .write_to(&mut attempt.connection, &mut io.pool)
+        {
+            Ok(true) if self.to_backend.has_ended => {
+                attempt.connection.finish_sending();
+                self.is_backend_shut = true;
+            }
+            Ok(_) => {}
+            Err(_) => {
+                // Nothing more gets there; what the backend sent before is still to be read, then
+                // its end.
+                self.to_backend.clear(&mut io.pool);
+                self.is_backend_shut = self.to_backend.has_ended;
+            }
         }
-        self.part("", works)
+        self.remove_if_both_ended(io)
     }
 }
--- a/relay/src/session/client.rs
+++ b/relay/src/session/client.rs
@@ -1,120 +1,154 @@
-//! Events of the client's connection.
-use super::established::CLIENT_ENDED;
+//! The client's connection: its events by the session's stage, and what is written to it.
+use super::handshake::HandshakeError;
 use super::shared::Shared;
-use super::stage::Fate::{Goes, Over};
-use super::stage::{Fate, Stage};
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
 use super::state::Session;
 use crate::discovery::watch::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::line_buffer::ReadOutcome;
-use crate::protocol::{self};
+use crate::protocol;
 use thistlecroft::attempt::AttemptOutcome;
+use thistlecroft::time::Duration;
+
+/// How long an established session lasts after its client has ended its sending.
+const CLIENT_ENDED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl Session {
+    /// The client's socket is ready.
     pub(super) fn client_event(
         &mut self,
         shared: &mut Shared,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Fate {
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
         match self.stage {
-            Stage::Parted => return self.drop_rest(works),
-            Stage::Handing => return Goes,
-            Stage::Placing | Stage::Inheriting => return self.look_at_client(works),
-            _ => {}
+            Stage::Draining => return self.drain(io),
+            Stage::HandingOver => return Keep,
+            Stage::Placing | Stage::Inherited => return self.check_waiting_client(io),
+            Stage::Handshake | Stage::Established | Stage::Closing => {}
         }
-        if self.up.has_room() {
-            match self.up.take(&mut self.client, &mut works.pool) {
-                Ok(ReadOutcome::Bytes(_)) => {
-                    self.heard = works.now;
-                    if self.client_bytes(shared, book, works) == Over {
-                        return Over;
-                    }
-                }
-                Ok(ReadOutcome::Nothing) => {}
-                Ok(ReadOutcome::Starved) => self.starve(works),
-                Ok(ReadOutcome::End) => {
-                    if self.client_end(works) == Over {
-                        return Over;
-                    }
-                }
-                Err(_) => return self.client_broke(works),
+        if self.to_backend.has_room() && self.read_client(shared, registry, io) == Remove {
+            return Remove;
+        }
+        self.write_to_client(io)
+    }
+
+    fn read_client(
+        &mut self,
+        shared: &mut Shared,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
+        match self.to_backend.read_from(&mut self.client, &mut io.pool) {
+            Ok(ReadOutcome::Bytes(_)) => {
+                self.last_activity = io.now;
+                self.take_client_bytes(shared, registry, io)
+            }
+            Ok(ReadOutcome::Nothing) => Keep,
+            Ok(ReadOutcome::Starved) => {
+                self.wait_for_buffer(io);
+                Keep
             }
+            Ok(ReadOutcome::End) => self.client_ended(io),
+            Err(_) => self.client_broken(io),
         }
-        self.pass_down(works)
     }
 
-    pub(super) fn client_bytes(
+    fn take_client_bytes(
         &mut self,
         shared: &mut Shared,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Fate {
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
         match self.stage {
-            Stage::Opening => self.first_lines(shared, book, works),
-            Stage::Standing => self.client_lines(works),
-            Stage::Placing | Stage::Inheriting | Stage::Handing => Goes,
-            Stage::Leaving | Stage::Parted => {
-                self.up.clear(&mut works.pool);
-                Goes
+            Stage::Handshake => self.read_first_lines(shared, registry, io),
+            Stage::Established => self.relay_client_lines(io),
+            Stage::Placing | Stage::Inherited | Stage::HandingOver => Keep,
+            Stage::Closing | Stage::Draining => {
+                self.to_backend.clear(&mut io.pool);
+                Keep
             }
         }
     }
 
     /// The client has ended its sending.
-    pub(super) fn client_end(&mut self, works: &mut IoContext) -> Fate {
+    pub(super) fn client_ended(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
-            Stage::Opening if self.up.waits() => self.bad_line("cut off", works),
-            Stage::Opening if self.words.waits() => self.part("", works),
-            Stage::Opening | Stage::Parted => Over,
-            // It may have gone, or only have no more to send: the last word is owed in the second
-            // case and harmless in the first.
-            Stage::Placing | Stage::Inheriting => {
-                self.client_left(works);
-                self.part(protocol::FAILED, works)
+            Stage::Handshake if self.to_backend.has_writable() => {
+                self.fail_handshake(HandshakeError::Truncated, io)
             }
-            Stage::Standing => {
-                self.close_within(CLIENT_ENDED, works);
-                self.pass_up(works)
+            Stage::Handshake if self.output.waits() => self.close(io),
+            Stage::Handshake | Stage::Draining => Remove,
+            // It may have gone, or only have no more to send: it is owed an answer in the second
+            // case, which does no harm in the first.
+            Stage::Placing | Stage::Inherited => {
+                self.cancel_placement(io);
+                self.close_with(protocol::FAILED_LINE, io)
             }
-            Stage::Leaving | Stage::Handing => Goes,
+            Stage::Established => {
+                self.close_after(CLIENT_ENDED_TIMEOUT, io);
+                self.write_to_backend(io)
+            }
+            Stage::Closing | Stage::HandingOver => Keep,
         }
     }
 
-    pub(super) fn client_broke(&mut self, works: &mut IoContext) -> Fate {
+    /// The client's connection is broken.
+    pub(super) fn client_broken(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
-            Stage::Placing | Stage::Inheriting => self.client_left(works),
-            Stage::Standing => {
-                self.tell_end(AttemptOutcome::Cancelled, works);
-                if let Some(dial) = &self.dial {
-                    dial.sock.break_off();
+            Stage::Placing | Stage::Inherited => self.cancel_placement(io),
+            Stage::Established => {
+                self.report_session_end(AttemptOutcome::Cancelled, io);
+                if let Some(attempt) = &self.attempt {
+                    attempt.connection.break_off();
                 }
             }
-            _ => {}
+            Stage::Handshake | Stage::HandingOver | Stage::Closing | Stage::Draining => {}
         }
-        Over
+        Remove
     }
 
-    pub(super) fn client_alarm(&mut self, works: &mut IoContext) -> Fate {
-        if self.close_by.is_none_or(|at| at > works.now) {
-            return Goes;
+    /// The time may have come at which the session is closed.
+    pub(super) fn close_timer_fired(&mut self, io: &mut IoContext) -> Disposition {
+        if self.close_at.is_none_or(|at| at > io.now) {
+            return Keep;
         }
-        self.close_by = None;
+        self.close_at = None;
         match self.stage {
-            Stage::Opening if self.up.has_bytes() => self.bad_line("slow", works),
-            Stage::Standing => {
-                self.tell_end(
-                    if self.up.ended {
-                        AttemptOutcome::Ok
-                    } else {
-                        AttemptOutcome::Reset
-                    },
-                    works,
-                );
-                Over
+            Stage::Handshake if self.to_backend.has_bytes() => {
+                self.fail_handshake(HandshakeError::TimedOut, io)
+            }
+            Stage::Established => {
+                self.report_session_end(self.outcome_without_final_message(), io);
+                Remove
             }
-            Stage::Placing | Stage::Inheriting | Stage::Handing => Goes,
-            Stage::Opening | Stage::Leaving | Stage::Parted => Over,
+            Stage::Placing | Stage::Inherited | Stage::HandingOver => Keep,
+            Stage::Handshake | Stage::Closing | Stage::Draining => Remove,
+        }
+    }
+
+    /// Writes what waits for the client: first the backend's lines, then the relay's own.
+    pub(super) fn write_to_client(&mut self, io: &mut IoContext) -> Disposition {
+        if matches!(self.stage, Stage::Established | Stage::Closing) {
+            match self.to_client.write_to(&mut self.client, &mut io.pool) {
+                Ok(true) => {}
+                Ok(false) => return Keep,
+                Err(_) => return self.client_broken(io),
+            }
+        }
+        match self.output.give(&mut self.client) {
+            Ok(true) => {}
+            Ok(false) => return Keep,
+            Err(_) => return self.client_broken(io),
+        }
+        if self.stage == Stage::Closing {
+            return self.start_draining(io);
+        }
+        if self.stage == Stage::Established && self.to_client.has_ended && !self.is_client_shut {
+            self.client.finish_sending();
+            self.is_client_shut = true;
         }
+        self.remove_if_both_ended(io)
     }
 }
--- a/relay/src/session/closing.rs
+++ b/relay/src/session/closing.rs
@@ -1,104 +1,133 @@
-//! Closing.
-use super::stage::Fate::{Goes, Over};
-use super::stage::{Fate, Stage};
+//! The last stages: the relay's last line is written, and the client's end awaited.
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
 use super::state::Session;
 use crate::driver::Event;
 use crate::io_context::IoContext;
-use crate::protocol::{self};
+use crate::protocol;
 use std::io::{ErrorKind, Read};
 use thistlecroft::attempt::{AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::time::Duration;
 
-/// After our last word a client is given this long to end its side; the protocol allows a second in
-/// all.
-pub(super) const PARTING: Duration = Duration::from_millis(400);
+/// After the relay's last line a client is given this long to end its side; the protocol allows a
+/// second in all.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The same while it still sends, which is dropped: closed with bytes unread, the connection would
-/// be reset and the last word with it lost.
-pub(super) const DROPPING: Duration = Duration::from_millis(3_000);
+/// The longest draining of a client that goes on sending. What it sends is dropped: closed with
+/// bytes unread, the connection would be reset and the last line lost with it.
+const MAX_DRAIN_TIME: Duration = Duration::from_millis(3_000);
 
-/// Dropped at one go: a megabyte a turn, so that sixty of them pass in time, and no more.
-pub(super) const DROPS: usize = 16;
+/// Bytes that are dropped with one read.
+const DRAIN_READ_BYTES: usize = 64 * 1024;
 
-pub(super) const DROP: usize = 64 * 1024;
+/// Reads in one turn: a megabyte in all, which leaves time for others.
+const MAX_DRAIN_READS_PER_TURN: usize = 16;
 
 impl Session {
-    /// Our last word; empty where there is none but the end itself.
-    pub(super) fn part(&mut self, word: &str, works: &mut IoContext) -> Fate {
-        self.stage = Stage::Leaving;
-        self.dial = None;
-        self.drop_other(&mut works.pool);
-        self.down.cut(&mut works.pool);
-        self.up.clear(&mut works.pool);
-        if !word.is_empty() {
-            self.words.add(word);
-        }
-        self.close_within(PARTING, works);
-        self.pass_down(works)
+    /// Closes the session behind this last line.
+    pub(super) fn close_with(&mut self, line: &str, io: &mut IoContext) -> Disposition {
+        self.output.add(line);
+        self.close(io)
+    }
+
+    /// Closes the session behind the lines that wait for the client.
+    pub(super) fn close(&mut self, io: &mut IoContext) -> Disposition {
+        self.stage = Stage::Closing;
+        self.attempt = None;
+        self.drop_hedge(&mut io.pool);
+        self.to_client.discard_partial_line(&mut io.pool);
+        self.to_backend.clear(&mut io.pool);
+        self.close_after(DRAIN_TIMEOUT, io);
+        self.write_to_client(io)
     }
 
-    pub(super) fn send_away(&mut self, works: &mut IoContext) -> Fate {
-        works.counters.sent_away += 1;
-        self.tell_end(AttemptOutcome::Cancelled, works);
-        if let Some(dial) = &mut self.dial {
-            // What the client has said passes before the end, as far as the backend takes it.
-            let _ = self.up.give(&mut dial.sock, &mut works.pool);
-            dial.sock.finish_sending();
+    /// Migrates an established session: its client is to connect again.
+    pub(super) fn migrate(&mut self, io: &mut IoContext) -> Disposition {
+        io.counters.sent_away += 1;
+        self.report_session_end(AttemptOutcome::Cancelled, io);
+        if let Some(attempt) = &mut self.attempt {
+            // What the client has sent passes before the end, as far as the backend takes it.
+            let _ = self
+                .to_backend
+                .write_to(&mut attempt.connection, &mut io.pool);
+            attempt.connection.finish_sending();
         }
-        self.part(protocol::MOVED, works)
+        self.close_with(protocol::MIGRATED_LINE, io)
     }
 
-    /// The code failed over this session: it still has its answer.
-    pub(super) fn give_up(&mut self, works: &mut IoContext) -> Fate {
+    /// The code failed over this session: it still gets its answer.
+    pub(super) fn fail(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
-            Stage::Placing | Stage::Inheriting => {
-                self.client_left(works);
-                self.part(protocol::FAILED, works)
+            Stage::Placing | Stage::Inherited => {
+                self.cancel_placement(io);
+                self.close_with(protocol::FAILED_LINE, io)
             }
-            Stage::Standing => self.send_away(works),
-            _ => Goes,
+            Stage::Established => self.migrate(io),
+            Stage::Handshake | Stage::HandingOver | Stage::Closing | Stage::Draining => Keep,
         }
     }
 
-    /// What a client still sends behind our last word. Each piece gives it a little longer to read
-    /// that word, up to a limit from when the word was said.
-    pub(super) fn drop_rest(&mut self, works: &mut IoContext) -> Fate {
-        let mut piece = [0; DROP];
-        for _ in 0..DROPS {
-            match self.client.read(&mut piece) {
-                Ok(0) => return Over,
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => break,
-                Err(fault) if fault.kind() != ErrorKind::Interrupted => return Over,
+    /// Everything is written: the client is to end its side.
+    pub(super) fn start_draining(&mut self, io: &mut IoContext) -> Disposition {
+        self.client.finish_sending();
+        self.stage = Stage::Draining;
+        self.phase_started = io.now;
+        if self.to_backend.has_ended {
+            return Remove;
+        }
+        self.close_after(DRAIN_TIMEOUT, io);
+        Keep
+    }
+
+    /// Drops what a client still sends behind the relay's last line. Each piece gives it a little
+    /// longer to read that line, up to a limit.
+    pub(super) fn drain(&mut self, io: &mut IoContext) -> Disposition {
+        let mut dropped = [0; DRAIN_READ_BYTES];
+        for _ in 0..MAX_DRAIN_READS_PER_TURN {
+            match self.client.read(&mut dropped) {
+                Ok(0) => return Remove,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break,
+                Err(error) if error.kind() != ErrorKind::Interrupted => return Remove,
                 _ => {}
             }
         }
-        self.close_within(
-            PARTING.min(DROPPING - works.now.duration_since(self.began)),
-            works,
-        );
-        Goes
+        let remaining = MAX_DRAIN_TIME - io.now.duration_since(self.phase_started);
+        self.close_after(DRAIN_TIMEOUT.min(remaining), io);
+        Keep
+    }
+
+    /// How an established session ended where its backend did not say so: well, if the client had
+    /// ended it.
+    pub(super) fn outcome_without_final_message(&self) -> AttemptOutcome {
+        if self.to_backend.has_ended {
+            AttemptOutcome::Ok
+        } else {
+            AttemptOutcome::Reset
+        }
     }
 
-    /// The end of a connection that stood, told once.
-    pub(super) fn tell_end(&mut self, verdict: AttemptOutcome, works: &mut IoContext) {
-        let Some(dial) = self.dial.as_ref().filter(|_| !self.end_told) else {
+    /// Tells the balancer once of the end of an established session. What the backend said of it
+    /// goes before `outcome`.
+    pub(super) fn report_session_end(&mut self, outcome: AttemptOutcome, io: &mut IoContext) {
+        let Some(attempt) = self.attempt.as_ref().filter(|_| !self.is_end_reported) else {
             return;
         };
-        self.end_told = true;
-        let (verdict, report) = self.said.unwrap_or((verdict, LoadReport::default()));
-        if verdict == AttemptOutcome::Ok {
-            works.counters.ended_well += 1;
-        } else if verdict == AttemptOutcome::Reset {
-            works.counters.ended_broken += 1;
+        self.is_end_reported = true;
+        let (outcome, report) = self
+            .final_message
+            .unwrap_or((outcome, LoadReport::default()));
+        match outcome {
+            AttemptOutcome::Ok => io.counters.ended_well += 1,
+            AttemptOutcome::Reset => io.counters.ended_broken += 1,
+            _ => {}
         }
-        let ending = AttemptEnd {
-            attempt: dial.number,
-            outcome: verdict,
+        let end = AttemptEnd {
+            attempt: attempt.number,
+            outcome,
             is_answered: true,
             report,
         };
-        works
-            .news
-            .push_back(Event::AttemptEnded(self.session_id(), ending));
+        io.news
+            .push_back(Event::AttemptEnded(self.session_id(), end));
     }
 }
--- /dev/null
+++ b/relay/src/session/config_generations.rs
@@ -0,0 +1,58 @@
+//! How many sessions go by which reading of the configuration.
+use std::collections::BTreeMap;
+use std::fmt;
+
+/// Counts the sessions of each generation of the configuration.
+pub(super) struct ConfigGenerations {
+    current: u32,
+    sessions: BTreeMap<u32, usize>,
+}
+
+impl ConfigGenerations {
+    /// The configuration of the start is the first generation.
+    pub(super) fn new() -> ConfigGenerations {
+        ConfigGenerations {
+            current: 1,
+            sessions: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn current(&self) -> u32 {
+        self.current
+    }
+
+    /// A changed configuration is in force.
+    pub(super) fn advance(&mut self) {
+        self.current += 1;
+    }
+
+    /// Counts a session in, and returns the generation that it goes by.
+    pub(super) fn add_session(&mut self) -> u32 {
+        *self.sessions.entry(self.current).or_default() += 1;
+        self.current
+    }
+
+    /// Counts a session of this generation out.
+    pub(super) fn remove_session(&mut self, generation: u32) {
+        let Some(count) = self.sessions.get_mut(&generation) else {
+            return;
+        };
+        *count -= 1;
+        if *count == 0 {
+            self.sessions.remove(&generation);
+            if generation != self.current {
+                log::debug!(generation; "last session of an earlier configuration ended generation={generation}");
+            }
+        }
+    }
+}
+
+impl fmt::Display for ConfigGenerations {
+    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (index, (generation, count)) in self.sessions.iter().enumerate() {
+            let separator = if index == 0 { "" } else { ", " };
+            write!(out, "{separator}{count} by generation {generation}")?;
+        }
+        Ok(())
+    }
+}
--- a/relay/src/session/established.rs
+++ b/relay/src/session/established.rs
@@ -1,112 +1,134 @@
-//! Relaying lines.
-use super::closing::PARTING;
-use super::stage::Fate::{Goes, Over};
-use super::stage::{Fate, Stage};
+//! The stage in which lines are relayed both ways: what is observed of them, and the timers.
+use super::shared::Shared;
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
 use super::state::Session;
+use crate::driver::Event;
 use crate::io_context::IoContext;
-use crate::line_buffer::TooLong;
+use crate::line_buffer::LineTooLong;
+use crate::protocol::BackendMessage;
 use crate::timers::Timer;
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::time::Duration;
 
-/// After its backend has ended, or its client has; the protocol allows a second for the former.
-pub(super) const BACKEND_ENDED: Duration = Duration::from_millis(700);
-
-pub(super) const CLIENT_ENDED: Duration = Duration::from_millis(2_000);
+/// A line that has waited for an answer for so long is reported, and again after each such
+/// interval.
+const RESPONSE_OVERDUE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Session {
-    pub(super) fn client_lines(&mut self, works: &mut IoContext) -> Fate {
+    /// Relays the whole lines that the client has sent.
+    pub(super) fn relay_client_lines(&mut self, io: &mut IoContext) -> Disposition {
         loop {
-            match self.up.next_line() {
+            match self.to_backend.next_line() {
                 Ok(Some(_)) => {
-                    works.counters.lines_up += 1;
-                    if self.asked.is_none() {
-                        self.asked = Some(works.now);
-                        self.watch(works);
+                    io.counters.lines_up += 1;
+                    if self.latency.request_relayed(io.now) {
+                        self.watch_response(io);
                     }
                 }
-                Ok(None) => return self.pass_up(works),
-                Err(TooLong) => {
-                    works.counters.bad_lines += 1;
-                    return self.send_away(works);
+                Ok(None) => return self.write_to_backend(io),
+                Err(LineTooLong) => {
+                    io.counters.bad_lines += 1;
+                    return self.migrate(io);
                 }
             }
         }
     }
 
-    pub(super) fn pass_up(&mut self, works: &mut IoContext) -> Fate {
-        let Some(dial) = self.dial.as_mut().filter(|_| !self.up_shut) else {
-            return Goes;
-        };
-        match self.up.give(&mut dial.sock, &mut works.pool) {
-            Ok(true) if self.up.ended => {
-                dial.sock.finish_sending();
-                self.up_shut = true;
+    /// Notes what a relayed line of the backend tells of the session.
+    pub(super) fn observe_backend_message(
+        &mut self,
+        message: BackendMessage,
+        shared: &Shared,
+        io: &mut IoContext,
+    ) {
+        let id = self.session_id();
+        match message {
+            BackendMessage::Load(latency_ms) if shared.names.notes_tell_delay => {
+                self.latency.reported = Duration::from_millis(1) * latency_ms;
+                io.news
+                    .push_back(Event::LatencyObserved(id, self.latency.reported));
             }
-            Ok(_) => {}
-            Err(_) => {
-                // Nothing more gets there; what it sent before is still to be read, then its end.
-                self.up.clear(&mut works.pool);
-                self.up_shut = self.up.ended;
+            BackendMessage::Load(load) => {
+                if let Some(metadata) = &mut self.metadata {
+                    metadata.load = Some(load);
+                }
+                io.news.push_back(Event::LoadObserved(id, load));
+            }
+            BackendMessage::Final(outcome, report) => self.final_message = Some((outcome, report)),
+            BackendMessage::Accepted | BackendMessage::Data => {
+                if let Some(latency) = self.latency.response_relayed(io.now) {
+                    io.news.push_back(Event::LatencyObserved(id, latency));
+                }
             }
         }
-        self.both_ended(works)
     }
 
-    pub(super) fn pass_down(&mut self, works: &mut IoContext) -> Fate {
-        if matches!(self.stage, Stage::Standing | Stage::Leaving) {
-            match self.down.give(&mut self.client, &mut works.pool) {
-                Ok(true) => {}
-                Ok(false) => return Goes,
-                Err(_) => return self.client_broke(works),
-            }
-        }
-        match self.words.give(&mut self.client) {
-            Ok(true) => {}
-            Ok(false) => return Goes,
-            Err(_) => return self.client_broke(works),
+    /// Sets the timer that watches a line of the client without an answer.
+    pub(super) fn watch_response(&mut self, io: &mut IoContext) {
+        if !self.latency.is_timer_set && self.latency.pending_since.is_some() {
+            self.latency.is_timer_set = true;
+            io.alarms.set(
+                io.now + RESPONSE_OVERDUE_INTERVAL,
+                Timer::ResponseOverdue(self.id),
+            );
         }
-        match self.stage {
-            Stage::Leaving => {
-                self.client.finish_sending();
-                self.stage = Stage::Parted;
-                self.began = works.now;
-                if self.up.ended {
-                    return Over;
-                }
-                self.close_within(PARTING, works);
-            }
-            Stage::Standing if self.down.ended && !self.down_shut => {
-                self.client.finish_sending();
-                self.down_shut = true;
+    }
+
+    /// A line of the client may have waited too long for an answer.
+    pub(super) fn response_timer_fired(&mut self, io: &mut IoContext) {
+        self.latency.is_timer_set = false;
+        let (Some(pending_since), Stage::Established) = (self.latency.pending_since, self.stage)
+        else {
+            return;
+        };
+        let waited = io.now.duration_since(pending_since);
+        let next = if waited >= RESPONSE_OVERDUE_INTERVAL {
+            if !self.is_end_reported {
+                io.news
+                    .push_back(Event::ResponseOverdue(self.session_id(), waited));
             }
-            _ => {}
-        }
-        self.both_ended(works)
+            io.now + RESPONSE_OVERDUE_INTERVAL
+        } else {
+            // The timer was set for an earlier line.
+            pending_since + RESPONSE_OVERDUE_INTERVAL
+        };
+        self.latency.is_timer_set = true;
+        io.alarms.set(next, Timer::ResponseOverdue(self.id));
     }
 
-    pub(super) fn both_ended(&mut self, works: &mut IoContext) -> Fate {
-        if self.stage == Stage::Standing && self.up_shut && self.down_shut {
-            self.tell_end(AttemptOutcome::Ok, works);
-            return Over;
-        }
-        Goes
+    /// How long no line may pass, where the route limits that.
+    pub(super) fn idle_timeout(&self) -> Option<Duration> {
+        self.route
+            .as_ref()
+            .and_then(|route| route.timeouts.idle_timeout)
     }
 
-    pub(super) fn idle_alarm(&mut self, works: &mut IoContext) -> Fate {
-        let Some(idle) = self.front.and_then(|front| front.idle_timeout) else {
-            return Goes;
+    /// No line may have passed for as long as the route allows.
+    pub(super) fn idle_timer_fired(&mut self, io: &mut IoContext) -> Disposition {
+        let Some(idle_timeout) = self.idle_timeout() else {
+            return Keep;
         };
-        if self.stage != Stage::Standing {
-            return Goes;
+        if self.stage != Stage::Established {
+            return Keep;
+        }
+        if io.now.duration_since(self.last_activity) >= idle_timeout {
+            io.counters.idle += 1;
+            return self.migrate(io);
         }
-        if works.now.duration_since(self.heard) >= idle {
-            works.counters.idle += 1;
-            return self.send_away(works);
+        io.alarms.set(
+            self.last_activity + idle_timeout,
+            Timer::IdleTimeout(self.id),
+        );
+        Keep
+    }
+
+    /// Removes the session once both ends have passed to the other side.
+    pub(super) fn remove_if_both_ended(&mut self, io: &mut IoContext) -> Disposition {
+        if self.stage == Stage::Established && self.is_backend_shut && self.is_client_shut {
+            self.report_session_end(AttemptOutcome::Ok, io);
+            return Remove;
         }
-        works
-            .alarms
-            .set(self.heard + idle, Timer::IdleTimeout(self.id));
-        Goes
+        Keep
     }
 }
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -1,266 +1,307 @@
-//! Handover.
-use super::stage::Fate::{Goes, Over};
-use super::stage::{Fate, Stage};
-use super::state::{About, Session};
+//! Sessions that go to the successor process, and those that come from the predecessor. Client and
+//! backend don't notice.
+use super::shared::Shared;
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
+use super::state::{Session, SessionMetadata};
 use super::table::Sessions;
+use crate::attempt::Attempt;
 use crate::discovery::watch::EndpointRegistry;
 use crate::driver::Event;
 use crate::hot_restart::channel::Channel;
 use crate::hot_restart::messages::{Message, SessionHandover};
 use crate::io_context::IoContext;
 use crate::line_buffer::LineBuffer;
-use crate::sockets::SocketOwner;
+use crate::sockets::{Connection, SocketOwner};
 use crate::timers::Timer;
-use crate::upstream::Attempt;
 use std::os::fd::OwnedFd;
 use thistlecroft::attempt::{Arrival, AttemptOutcome};
-use thistlecroft::ids::{RouteId, SessionId};
+use thistlecroft::ids::{BackendId, RouteId, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-/// Connections on their way to the next process at once: each is held twice for that time.
-pub(super) const OFFERS: usize = 16;
+/// Sessions that are looked at in one turn, for one that may go.
+const MAX_OFFER_CANDIDATES_PER_TURN: usize = 64;
 
-/// Looked at in one turn, for one that may go.
-pub(super) const OFFER_LOOKS: usize = 64;
+/// Between two looks at the sessions that are still to go.
+const OFFER_INTERVAL: Duration = Duration::from_millis(10);
 
-pub(super) const OFFER_AGAIN: Duration = Duration::from_millis(10);
+/// Without an answer for so long the session stays, and is migrated as if there were no successor.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Without an answer it is kept, and moved as if there were no next process.
-pub(super) const OFFERED_WITHIN: Duration = Duration::from_millis(500);
+/// Descriptors of a session that is handed over: its client's and its backend's.
+const DESCRIPTORS_PER_SESSION: usize = 2;
+
+/// Whether a session can be offered to the successor.
+enum Readiness {
+    Ready,
+    /// It may be later.
+    NotYet,
+    Never,
+}
 
 impl Sessions {
-    /// All that stands, and what will stand, is to go to the next process.
-    pub fn hand_over_to_successor(&mut self, works: &mut IoContext) {
-        self.offers = self.map.keys().copied().collect();
-        works.alarms.set(works.now, Timer::OfferSessions);
+    /// All sessions that are established, or will be, are to go to the successor.
+    pub(crate) fn hand_over_to_successor(&mut self, io: &mut IoContext) {
+        self.offers.waiting = self.sessions.keys().copied().collect();
+        io.alarms.set(io.now, Timer::OfferSessions);
     }
 
-    /// Offers as many as may be on their way.
+    /// Offers as many sessions as may be on their way at once.
     ///
     /// # Errors
-    /// The next process is gone.
-    pub fn offer(
+    /// The successor is gone.
+    pub(crate) fn offer(
         &mut self,
         successor: &Channel,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
     ) -> std::io::Result<()> {
-        for _ in 0..self.offers.len().min(OFFER_LOOKS) {
-            if self.on_way >= OFFERS {
+        let candidates = self.offers.waiting.len().min(MAX_OFFER_CANDIDATES_PER_TURN);
+        for _ in 0..candidates {
+            if self.offers.is_full() {
                 break;
             }
-            let Some(id) = self.offers.pop_front() else {
+            let Some(id) = self.offers.waiting.pop_front() else {
                 break;
             };
-            let Some(session) = self.map.get_mut(&id) else {
+            let Some(session) = self.sessions.get_mut(&id) else {
                 continue;
             };
-            match session.heritable() {
-                Some(true) if session.offer(successor, book)? => {
-                    self.on_way += 1;
-                    works
-                        .alarms
-                        .set(works.now + OFFERED_WITHIN, Timer::OfferTimeout(id));
+            match session.handover_readiness() {
+                Readiness::Ready if session.send_offer(successor, registry)? => {
+                    self.offers.offer_sent();
+                    io.alarms
+                        .set(io.now + OFFER_TIMEOUT, Timer::OfferTimeout(id));
                 }
-                Some(_) => self.offers.push_back(id),
-                None => {}
+                Readiness::Ready | Readiness::NotYet => self.offers.waiting.push_back(id),
+                Readiness::Never => {}
             }
         }
-        if !self.offers.is_empty() {
-            works
-                .alarms
-                .set(works.now + OFFER_AGAIN, Timer::OfferSessions);
+        if !self.offers.waiting.is_empty() {
+            io.alarms.set(io.now + OFFER_INTERVAL, Timer::OfferSessions);
         }
         Ok(())
     }
 
-    /// The next process holds it: this one lets go, without a word to either side.
-    pub fn handed(
+    /// The successor holds the session: this process lets go, without a word to either side.
+    ///
+    /// # Errors
+    /// The successor is gone, or does not read.
+    pub(crate) fn handed(
         &mut self,
         id: u32,
         successor: &Channel,
-        works: &mut IoContext,
+        io: &mut IoContext,
     ) -> std::io::Result<()> {
-        if self
-            .map
-            .get(&id)
-            .is_none_or(|session| session.stage != Stage::Handing)
-        {
+        if !self.is_offered(id) {
             return Ok(());
         }
         if !successor.send(&Message::Yours { serial: id }, &[], &[])? {
-            return Err(std::io::Error::other("it does not read"));
+            return Err(std::io::Error::other("the successor does not read"));
         }
-        self.on_way -= 1;
-        self.step(id, works, |session, _, works| {
-            works.counters.handed += 1;
-            session.tell_end(AttemptOutcome::Cancelled, works);
-            Over
+        self.offers.offer_settled();
+        self.step(id, io, |session, _, io| {
+            io.counters.handed += 1;
+            session.report_session_end(AttemptOutcome::Cancelled, io);
+            Remove
         });
         Ok(())
     }
 
-    /// It stays after all; true where it had been on its way.
-    pub fn keep(&mut self, id: u32, works: &mut IoContext) -> bool {
-        let offered = self
-            .map
-            .get(&id)
-            .is_some_and(|session| session.stage == Stage::Handing);
-        if offered {
-            self.on_way -= 1;
-            self.step(id, works, |session, _, works| session.keep(works));
+    /// The session stays after all; true where it had been offered.
+    pub(crate) fn keep(&mut self, id: u32, io: &mut IoContext) -> bool {
+        let is_offered = self.is_offered(id);
+        if is_offered {
+            self.offers.offer_settled();
+            self.step(id, io, |session, _, io| session.resume_after_offer(io));
         }
-        offered
+        is_offered
     }
 
-    /// There is no next process any more.
-    pub fn keep_all(&mut self, works: &mut IoContext) {
-        self.offers.clear();
-        let offered = self
-            .map
+    /// There is no successor any more: all sessions stay.
+    pub(crate) fn keep_all(&mut self, io: &mut IoContext) {
+        self.offers.waiting.clear();
+        let offered: Vec<u32> = self
+            .sessions
             .iter()
-            .filter(|(_, session)| session.stage == Stage::Handing);
-        let offered: Vec<u32> = offered.map(|(&id, _)| id).collect();
+            .filter(|(_, session)| session.stage == Stage::HandingOver)
+            .map(|(&id, _)| id)
+            .collect();
         for id in offered {
-            self.keep(id, works);
+            self.keep(id, io);
         }
     }
 
-    /// If two more descriptors fit in. What the other process holds does not count: what comes from
-    /// there is less over there.
-    pub fn has_room(&self, works: &IoContext) -> bool {
-        works.sockets.own() + 2 <= self.shared.most_sockets
+    fn is_offered(&self, id: u32) -> bool {
+        let session = self.sessions.get(&id);
+        session.is_some_and(|session| session.stage == Stage::HandingOver)
     }
 
-    /// A connection that the process before has let go of: client and backend don't notice.
-    pub fn adopt(
+    /// Whether a session of the predecessor fits in. What that holds does not count: a session that
+    /// comes from there is one less over there.
+    pub(crate) fn has_room(&self, io: &IoContext) -> bool {
+        io.sockets.own() + DESCRIPTORS_PER_SESSION <= self.shared.max_descriptors
+    }
+
+    /// Takes over a session that the predecessor has let go of, with the bytes that waited on their
+    /// way to the backend and to the client.
+    ///
+    /// # Errors
+    /// The system can't take a connection up, or there is no buffer for the bytes: the session is
+    /// lost.
+    pub(crate) fn adopt(
         &mut self,
-        of: &SessionHandover,
+        handover: &SessionHandover,
         [client, backend]: [OwnedFd; 2],
-        (up, down): (&[u8], &[u8]),
-        book: &mut EndpointRegistry,
-        works: &mut IoContext,
+        (to_backend, to_client): (&[u8], &[u8]),
+        registry: &mut EndpointRegistry,
+        io: &mut IoContext,
     ) -> std::io::Result<()> {
-        let id = self.next;
-        let at = book.enter(&of.backend);
-        let client = works
-            .sockets
-            .adopt(SocketOwner::Client(id), client.into())?;
-        let backend = works
-            .sockets
-            .adopt(SocketOwner::Attempt(id), backend.into())?;
-        let no_buffer = || std::io::Error::other("no buffer");
-        let up = LineBuffer::holding(up, of.up.1, &mut works.pool).ok_or_else(no_buffer)?;
-        let down = LineBuffer::holding(down, of.down.1, &mut works.pool).ok_or_else(no_buffer)?;
-        self.next = self.next.wrapping_add(1);
-        let mut session = Session::new(id, client, works.now, works);
-        // A listener that these settings don't have any more: all that its row is asked for is how
-        // to move it.
-        let listener = self
-            .shared
-            .names
-            .listeners
-            .iter()
-            .position(|name| *name == of.listener)
-            .unwrap_or(0);
-        let row = self
-            .shared
-            .routing
-            .route_for(listener, of.key.unwrap_or_default(), of.group);
-        let front = self.shared.routing.timeouts(row);
-        let arrival = Arrival {
-            route: RouteId(row as u16),
-            client_key: of.key,
-            group: of.group.filter(|_| self.shared.names.groups),
-            timeout: Duration::ZERO,
+        let id = self.next_id;
+        let backend_id = registry.enter(&handover.backend);
+        let client = io.sockets.adopt(SocketOwner::Client(id), client.into())?;
+        let backend = io.sockets.adopt(SocketOwner::Attempt(id), backend.into())?;
+        let mut restore = |bytes, line_bytes| {
+            LineBuffer::restore(bytes, line_bytes, &mut io.pool)
+                .ok_or_else(|| std::io::Error::other("no buffer"))
         };
-        session.stage = Stage::Standing;
-        session.dial = Some(Attempt::standing(at, backend, works.now));
-        (session.up, session.down, session.stood) = (up, down, true);
-        (session.front, session.generation) = (Some(front), Some(self.shared.enter()));
-        session.close_by = None;
-        session.heard = Instant::from_micros(of.heard_us);
-        session.asked = of.asked_us.map(Instant::from_micros);
-        session.told_delay = Duration::from_micros(of.told_delay_us);
-        session.claimed = self.shared.claimed.insert(of.id).then_some(of.id);
-        let (key, group, load) = (of.key, of.group, of.load);
-        session.about = Some(Box::new(About {
-            listener: of.listener.clone(),
-            key,
-            group,
-            load,
-            sent_away: false,
-        }));
-        session.watch(works);
-        self.map.insert(id, session);
-        works.counters.adopted += 1;
-        works
-            .news
-            .push_back(Event::SessionInherited(SessionId(id), at, arrival));
-        if let Some(load) = load {
-            works
-                .news
-                .push_back(Event::LoadObserved(SessionId(id), load));
+        let to_backend = restore(to_backend, handover.up.1)?;
+        let to_client = restore(to_client, handover.down.1)?;
+        self.next_id = self.next_id.wrapping_add(1);
+
+        let mut session = Session::new(id, client, io.now, io.now);
+        (session.to_backend, session.to_client) = (to_backend, to_client);
+        session.restore(handover, backend_id, backend, io.now);
+        let arrival = session.restore_route(handover, &mut self.shared);
+        session.watch_response(io);
+        self.sessions.insert(id, session);
+        io.counters.adopted += 1;
+        let id = SessionId(id);
+        io.news
+            .push_back(Event::SessionInherited(id, backend_id, arrival));
+        if let Some(load) = handover.load {
+            io.news.push_back(Event::LoadObserved(id, load));
         }
-        self.step(id, works, |_, _, _| Goes);
+        self.step(id.0, io, |_, _, _| Keep);
         Ok(())
     }
 }
 
 impl Session {
-    /// If it may go to the next process now, or may later; none where it never will.
-    pub(super) fn heritable(&self) -> Option<bool> {
+    fn handover_readiness(&self) -> Readiness {
         match self.stage {
-            Stage::Opening | Stage::Placing | Stage::Inheriting => Some(false),
-            Stage::Standing => {
-                let ends = self.end_told || self.up.ended || self.down.ended || self.said.is_some();
-                (!ends && self.close_by.is_none())
-                    .then_some(!self.words.waits() && self.other.is_none())
+            Stage::Handshake | Stage::Placing | Stage::Inherited => Readiness::NotYet,
+            Stage::Established => {
+                let is_ending = self.is_end_reported
+                    || self.to_backend.has_ended
+                    || self.to_client.has_ended
+                    || self.final_message.is_some()
+                    || self.close_at.is_some();
+                if is_ending {
+                    Readiness::Never
+                } else if self.output.waits() || self.hedge.is_some() {
+                    Readiness::NotYet
+                } else {
+                    Readiness::Ready
+                }
             }
-            Stage::Handing | Stage::Leaving | Stage::Parted => None,
+            Stage::HandingOver | Stage::Closing | Stage::Draining => Readiness::Never,
         }
     }
 
-    /// True where the offer went out.
-    pub(super) fn offer(
+    /// Offers the session to the successor; true where the offer went out.
+    fn send_offer(
         &mut self,
         successor: &Channel,
-        book: &EndpointRegistry,
+        registry: &EndpointRegistry,
     ) -> std::io::Result<bool> {
-        let (Some(dial), Some(about), Some(id)) = (&self.dial, &self.about, self.claimed) else {
+        let (Some(attempt), Some(metadata), Some(open_id)) =
+            (&self.attempt, &self.metadata, self.open_id)
+        else {
             return Ok(false);
         };
-        let ((up, up_whole), (down, down_whole)) = (self.up.held(), self.down.held());
-        let word = Message::Session(SessionHandover {
+        let (to_backend, to_backend_lines) = self.to_backend.waiting();
+        let (to_client, to_client_lines) = self.to_client.waiting();
+        let message = Message::Session(SessionHandover {
             serial: self.id,
-            id,
-            listener: about.listener.clone(),
-            key: about.key,
-            group: about.group,
-            backend: book.name(dial.backend).to_string(),
-            heard_us: self.heard.as_micros(),
-            asked_us: self.asked.map(Instant::as_micros),
-            told_delay_us: self.told_delay.as_micros(),
-            load: about.load,
-            up: (up.len(), up_whole),
-            down: (down.len(), down_whole),
+            id: open_id,
+            listener: metadata.listener.clone(),
+            key: metadata.key,
+            group: metadata.group,
+            backend: registry.name(attempt.backend).to_string(),
+            heard_us: self.last_activity.as_micros(),
+            asked_us: self.latency.pending_since.map(Instant::as_micros),
+            told_delay_us: self.latency.reported.as_micros(),
+            load: metadata.load,
+            up: (to_backend.len(), to_backend_lines),
+            down: (to_client.len(), to_client_lines),
         });
-        let descriptors = [self.client.descriptor(), dial.sock.descriptor()];
-        if !successor.send(&word, &[up, down], &descriptors)? {
+        let descriptors = [self.client.descriptor(), attempt.connection.descriptor()];
+        if !successor.send(&message, &[to_backend, to_client], &descriptors)? {
             return Ok(false);
         }
-        self.stage = Stage::Handing;
-        self.settle();
+        self.stage = Stage::HandingOver;
+        self.update_interests();
         Ok(true)
     }
 
-    pub(super) fn keep(&mut self, works: &mut IoContext) -> Fate {
-        self.stage = Stage::Standing;
-        if self.about.as_ref().is_some_and(|about| about.sent_away) {
-            return self.send_away(works);
+    /// The session was offered and stays.
+    fn resume_after_offer(&mut self, io: &mut IoContext) -> Disposition {
+        self.stage = Stage::Established;
+        let metadata = self.metadata.as_ref();
+        if metadata.is_some_and(|metadata| metadata.is_migration_due) {
+            return self.migrate(io);
+        }
+        self.latency.is_timer_set = false;
+        self.watch_response(io);
+        Keep
+    }
+
+    /// Makes this the session that the predecessor held, with its backend's connection.
+    fn restore(
+        &mut self,
+        handover: &SessionHandover,
+        backend: BackendId,
+        connection: Connection,
+        now: Instant,
+    ) {
+        self.stage = Stage::Established;
+        self.was_established = true;
+        self.attempt = Some(Attempt::adopted(backend, connection, now));
+        self.last_activity = Instant::from_micros(handover.heard_us);
+        self.latency.pending_since = handover.asked_us.map(Instant::from_micros);
+        self.latency.reported = Duration::from_micros(handover.told_delay_us);
+        self.metadata = Some(Box::new(SessionMetadata {
+            listener: handover.listener.clone(),
+            key: handover.key,
+            group: handover.group,
+            load: handover.load,
+            is_migration_due: false,
+        }));
+    }
+
+    /// Finds the session's route in this process, and what the balancer is told of it.
+    fn restore_route(&mut self, handover: &SessionHandover, shared: &mut Shared) -> Arrival {
+        // A listener that these settings don't have any more: the route only says how the session
+        // may be migrated, for which any does.
+        let listener = shared
+            .names
+            .listeners
+            .iter()
+            .position(|name| *name == handover.listener)
+            .unwrap_or(0);
+        let row =
+            shared
+                .routes
+                .route_for(listener, handover.key.unwrap_or_default(), handover.group);
+        self.route = Some(shared.bind_route(row));
+        let is_new = shared.open_ids.insert(handover.id);
+        self.open_id = is_new.then_some(handover.id);
+        Arrival {
+            route: RouteId(row as u16),
+            client_key: handover.key,
+            group: handover.group.filter(|_| shared.names.groups),
+            timeout: Duration::ZERO,
         }
-        self.watched = false;
-        self.watch(works);
-        Goes
     }
 }
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -1,94 +1,153 @@
-//! First line.
+//! The first stage: the client's first line is read.
 use super::shared::Shared;
-use super::stage::Fate::Goes;
-use super::stage::{Fate, Stage};
-use super::state::{About, Session};
+use super::stage::Disposition::{self, Keep};
+use super::stage::Stage;
+use super::state::{Session, SessionMetadata};
 use crate::discovery::watch::EndpointRegistry;
 use crate::driver::Event;
 use crate::io_context::IoContext;
-use crate::line_buffer::TooLong;
-use crate::protocol::{self, FirstLine};
+use crate::line_buffer::LineTooLong;
+use crate::protocol::{self, FirstLine, FirstLineError, OpenRequest};
 use thistlecroft::ids::RouteId;
+use thistlecroft::time::Duration;
+
+/// From its connecting, for all that a client sends before its request is read whole. It is owed an
+/// answer within three seconds, and a connection that says nothing holds a descriptor.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2_000);
+
+/// A connection accepted late has at least this, to be read at all.
+const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(200);
+
+/// What a client did that ends its session before it is placed.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+pub(super) enum HandshakeError {
+    /// The first line can't be read.
+    #[error(transparent)]
+    InvalidLine(#[from] FirstLineError),
+    /// The first line has no end.
+    #[error("too long")]
+    LineTooLong,
+    /// Bytes follow the request.
+    #[error("more than one line")]
+    TrailingData,
+    /// Bytes came while the client was to wait for its answer.
+    #[error("more than one line before the answer")]
+    DataBeforeAnswer,
+    /// Another session has the same id.
+    #[error("an id that is open already")]
+    DuplicateId,
+    /// The client ended its sending within the line.
+    #[error("cut off")]
+    Truncated,
+    /// The line was not whole in time.
+    #[error("slow")]
+    TimedOut,
+}
 
 impl Session {
-    pub(super) fn first_lines(
+    /// Limits the time until the request is read.
+    pub(super) fn start_handshake_timer(&mut self, io: &mut IoContext) {
+        let remaining = FIRST_LINE_TIMEOUT - io.now.duration_since(self.phase_started);
+        self.close_after(remaining.max(MIN_FIRST_LINE_TIMEOUT), io);
+    }
+
+    /// Reads first lines: any number of pings, then a request.
+    pub(super) fn read_first_lines(
         &mut self,
         shared: &mut Shared,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Fate {
-        while self.stage == Stage::Opening {
-            let first = match self.up.next_line() {
-                Ok(None) => return Goes,
-                Ok(Some(line)) => protocol::first_line(line, &shared.names),
-                Err(TooLong) => Err("too long"),
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
+        loop {
+            let first_line = match self.to_backend.next_line() {
+                Ok(None) => return Keep,
+                Ok(Some(line)) => {
+                    protocol::parse_first_line(line, &shared.names).map_err(HandshakeError::from)
+                }
+                Err(LineTooLong) => Err(HandshakeError::LineTooLong),
             };
-            match first {
+            match first_line {
                 Ok(FirstLine::Ping) => {
-                    works.counters.pings += 1;
-                    self.up.consume(&mut works.pool);
-                    self.words.add(protocol::ALIVE);
-                }
-                Ok(FirstLine::Open(mut open)) => {
-                    self.up.consume(&mut works.pool);
-                    if self.up.has_bytes() {
-                        return self.bad_line("more than one line", works);
-                    }
-                    if !shared.claimed.insert(open.id) {
-                        return self.bad_line("an id that is open already", works);
-                    }
-                    self.claimed = Some(open.id);
-                    self.close_by = None;
-                    self.began = works.now;
-                    let idle_others = shared.idle.iter().any(|&(.., id)| id != self.id);
-                    if works.sockets.open() >= shared.most_sockets && !idle_others {
-                        // No descriptor for a dial: told before accepting itself would fail.
-                        works.counters.turned_away += 1;
-                        return self.part(&protocol::refusal(None), works);
-                    }
-                    let inherited = open.at.is_some();
-                    let arrival = &mut open.arrival;
-                    let listener = shared.names.listeners[usize::from(arrival.route.0)].clone();
-                    let (key, group) = (arrival.client_key, open.group);
-                    self.about = Some(Box::new(About {
-                        listener,
-                        key,
-                        group,
-                        load: None,
-                        sent_away: false,
-                    }));
-                    let row = shared.routing.route_for(
-                        usize::from(arrival.route.0),
-                        arrival.client_key.unwrap_or_default(),
-                        open.group,
-                    );
-                    let front = shared.routing.timeouts(row);
-                    arrival.route = RouteId(row as u16);
-                    let within = front.handshake_timeout.unwrap_or(arrival.timeout);
-                    arrival.timeout = arrival.timeout.min(within);
-                    (self.front, self.generation) = (Some(front), Some(shared.enter()));
-                    let arrival = open.arrival;
-                    self.open = Some(open);
-                    if inherited {
-                        self.stage = Stage::Inheriting;
-                        return self.inherit(shared, book, works);
-                    }
-                    works.counters.sessions += 1;
-                    self.stage = Stage::Placing;
-                    works
-                        .news
-                        .push_back(Event::SessionArrived(self.session_id(), arrival));
+                    io.counters.pings += 1;
+                    self.to_backend.discard_lines(&mut io.pool);
+                    self.output.add(protocol::PONG_LINE);
                 }
-                Err(why) => return self.bad_line(why, works),
+                Ok(FirstLine::Open(request)) => return self.open(request, shared, registry, io),
+                Err(error) => return self.fail_handshake(error, io),
             }
         }
-        Goes
     }
 
-    pub(super) fn bad_line(&mut self, why: &str, works: &mut IoContext) -> Fate {
-        works.counters.bad_lines += 1;
-        log::debug!("a client's first line: {why}");
-        self.up.clear(&mut works.pool);
-        self.part(protocol::FAILED, works)
+    /// Takes a request up: the session goes to the balancer, or back to the backend that it names.
+    fn open(
+        &mut self,
+        mut request: Box<OpenRequest>,
+        shared: &mut Shared,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
+        self.to_backend.discard_lines(&mut io.pool);
+        if self.to_backend.has_bytes() {
+            return self.fail_handshake(HandshakeError::TrailingData, io);
+        }
+        if !shared.open_ids.insert(request.id) {
+            return self.fail_handshake(HandshakeError::DuplicateId, io);
+        }
+        self.open_id = Some(request.id);
+        self.close_at = None;
+        self.phase_started = io.now;
+        if io.sockets.open() >= shared.max_descriptors && !shared.has_idle_besides(self.id) {
+            // No descriptor for an attempt: said now, before accepting itself fails.
+            io.counters.turned_away += 1;
+            return self.close_with(&protocol::rejection_line(None), io);
+        }
+        self.choose_route(&mut request, shared);
+        let arrival = request.arrival;
+        let is_inherited = request.at.is_some();
+        self.request = Some(request);
+        if is_inherited {
+            self.stage = Stage::Inherited;
+            return self.attempt_inherited(shared, registry, io);
+        }
+        io.counters.sessions += 1;
+        self.stage = Stage::Placing;
+        io.news
+            .push_back(Event::SessionArrived(self.session_id(), arrival));
+        Keep
+    }
+
+    /// Finds the row of the routes that the request takes. Until then the request has the index of
+    /// its listener in that row's place.
+    fn choose_route(&mut self, request: &mut OpenRequest, shared: &mut Shared) {
+        let listener = usize::from(request.arrival.route.0);
+        let key = request.arrival.client_key;
+        self.metadata = Some(Box::new(SessionMetadata {
+            listener: shared.names.listeners[listener].clone(),
+            key,
+            group: request.group,
+            load: None,
+            is_migration_due: false,
+        }));
+        let row = shared
+            .routes
+            .route_for(listener, key.unwrap_or_default(), request.group);
+        let route = shared.bind_route(row);
+        request.arrival.route = RouteId(row as u16);
+        if let Some(timeout) = route.timeouts.handshake_timeout {
+            request.arrival.timeout = request.arrival.timeout.min(timeout);
+        }
+        self.route = Some(route);
+    }
+
+    /// Answers a client that did what it may not.
+    pub(super) fn fail_handshake(
+        &mut self,
+        error: HandshakeError,
+        io: &mut IoContext,
+    ) -> Disposition {
+        io.counters.bad_lines += 1;
+        log::debug!("handshake failed session={} error=\"{error}\"", self.id);
+        self.to_backend.clear(&mut io.pool);
+        self.close_with(protocol::FAILED_LINE, io)
     }
 }
--- /dev/null
+++ b/relay/src/session/idle.rs
@@ -0,0 +1,21 @@
+//! Which connections make room first when file descriptors run out.
+use thistlecroft::time::Instant;
+
+/// What an idle connection is still owed, the least first.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum IdleKind {
+    /// It has had its last line.
+    Answered,
+    /// It has not said what it wants, or its last line is still being written.
+    Unanswered,
+}
+
+/// A connection that holds a descriptor without being served. The order is that in which such
+/// connections make room: by kind, then the one that has been silent for longest.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct IdleEntry {
+    pub(super) kind: IdleKind,
+    /// When the client last sent anything.
+    pub(super) silent_since: Instant,
+    pub(super) session: u32,
+}
--- a/relay/src/session/inherited.rs
+++ b/relay/src/session/inherited.rs
@@ -1,56 +1,63 @@
-//! Inherited.
+//! Sessions that were open before this process started: each goes back to the backend that it
+//! names, without the balancer.
 use super::shared::Shared;
-use super::stage::Fate::Goes;
-use super::stage::{Fate, Stage};
+use super::stage::Disposition::{self, Keep};
+use super::stage::Stage;
 use super::state::Session;
 use crate::discovery::watch::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::protocol::{self};
+use crate::protocol;
 use crate::timers::Timer;
 use thistlecroft::time::Duration;
 
-/// Connections from before the start are tried again after this, and given up after the other: lost
-/// after 40 s.
-pub(super) const INHERITED_AGAIN: Duration = Duration::from_millis(200);
+/// Between an attempt that failed and the next.
+const INHERITED_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-pub(super) const INHERITED_WITHIN: Duration = Duration::from_millis(38_000);
+/// After this the session fails; its client would count it as lost after 40 s.
+const INHERITED_TIMEOUT: Duration = Duration::from_millis(38_000);
 
-/// The same where the list does not know the backend: it may be about to come, once.
-pub(super) const UNKNOWN_WITHIN: Duration = Duration::from_millis(2_000);
+/// The same where the backend is unknown: it may be in the next endpoint list.
+const UNKNOWN_BACKEND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl Session {
-    pub(super) fn inherit(
+    /// Attempts to connect to the backend that held the session.
+    pub(super) fn attempt_inherited(
         &mut self,
         shared: &Shared,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Fate {
-        if self.stage != Stage::Inheriting || self.dial.is_some() {
-            return Goes;
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Disposition {
+        if self.stage != Stage::Inherited || self.attempt.is_some() {
+            return Keep;
         }
-        let at = self
-            .open
+        let name = self
+            .request
             .as_ref()
-            .and_then(|open| open.at.as_deref())
-            .and_then(|name| book.named(name));
-        let within = if at.is_some() {
-            INHERITED_WITHIN
-        } else {
-            UNKNOWN_WITHIN
+            .and_then(|request| request.at.as_deref());
+        let backend = name.and_then(|name| registry.named(name));
+        let timeout = match backend {
+            Some(_) => INHERITED_TIMEOUT,
+            None => UNKNOWN_BACKEND_TIMEOUT,
         };
-        let left = within - works.now.duration_since(self.began);
-        if left == Duration::ZERO {
-            works.counters.torn_down += 1;
-            return self.part(protocol::FAILED, works);
+        let remaining = timeout - io.now.duration_since(self.phase_started);
+        if remaining == Duration::ZERO {
+            io.counters.torn_down += 1;
+            return self.close_with(protocol::FAILED_LINE, io);
         }
-        match at {
-            Some(backend) => self.dial(0, backend, left, shared, book, works),
+        match backend {
+            Some(backend) => self.start_attempt(0, backend, remaining, shared, registry, io),
             None => {
-                works
-                    .alarms
-                    .set(works.now + INHERITED_AGAIN, Timer::RetryInherited(self.id));
-                Goes
+                self.retry_inherited_later(io);
+                Keep
             }
         }
     }
+
+    /// Sets the timer of the next attempt.
+    pub(super) fn retry_inherited_later(&mut self, io: &mut IoContext) {
+        io.alarms.set(
+            io.now + INHERITED_RETRY_INTERVAL,
+            Timer::RetryInherited(self.id),
+        );
+    }
 }
--- a/relay/src/session/placement.rs
+++ b/relay/src/session/placement.rs
@@ -1,106 +1,115 @@
-//! Waiting for the balancer.
-use super::stage::{Fate, Stage};
+//! The stages in which a backend is still to accept the session: its client is watched, and the
+//! backends' answers are taken.
+use super::handshake::HandshakeError;
+use super::stage::Disposition;
+use super::stage::Stage;
 use super::state::Session;
+use crate::attempt::{AttemptStage, FailureCause};
 use crate::driver::Event;
 use crate::io_context::IoContext;
-use crate::protocol::{BackendMessage, Cause};
+use crate::line_buffer::LineTooLong;
+use crate::protocol::BackendMessage;
 use crate::timers::Timer;
-use crate::upstream::AttemptStage;
 use std::io::{ErrorKind, Read};
+use std::ops::ControlFlow;
 use thistlecroft::attempt::AttemptOutcome;
-use thistlecroft::ids::SessionId;
 
 impl Session {
-    /// A client that was to wait: it may have left, or says what it should not. Passed on once it
-    /// is up, another command would have the backend close, and kept, sixty megabytes would have no
-    /// end.
-    pub(super) fn look_at_client(&mut self, works: &mut IoContext) -> Fate {
+    /// Looks whether a client that waits for its answer has left, or sends what it should not:
+    /// relayed later, another command would have the backend close the session, and kept, there
+    /// would be no end of it.
+    pub(super) fn check_waiting_client(&mut self, io: &mut IoContext) -> Disposition {
         match self.client.read(&mut [0]) {
             Ok(0) => {
-                self.up.ended = true;
-                self.client_end(works)
+                self.to_backend.has_ended = true;
+                self.client_ended(io)
             }
             Ok(_) => {
-                self.client_left(works);
-                self.bad_line("more than one line before the answer", works)
+                self.cancel_placement(io);
+                self.fail_handshake(HandshakeError::DataBeforeAnswer, io)
             }
-            Err(fault)
-                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            Err(error)
+                if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
-                self.pass_down(works)
+                self.write_to_client(io)
             }
-            Err(_) => self.client_broke(works),
+            Err(_) => self.client_broken(io),
         }
     }
 
-    /// Gone before its answer: the dial that is out ends with it.
-    pub(super) fn client_left(&mut self, works: &mut IoContext) {
-        works.counters.clients_left += 1;
-        let told = self.stage == Stage::Placing;
-        if told {
-            works.news.push_back(Event::SessionLeft(self.session_id()));
+    /// The client has left before its answer: its attempts end with it.
+    pub(super) fn cancel_placement(&mut self, io: &mut IoContext) {
+        io.counters.clients_left += 1;
+        let is_known_to_balancer = self.stage == Stage::Placing;
+        if is_known_to_balancer {
+            io.news.push_back(Event::SessionLeft(self.session_id()));
         }
-        if let Some(mut other) = self.other.take() {
-            other.down.clear(&mut works.pool);
-            self.tell_dial_end(
-                other.dial.number,
-                other.dial.failed(Cause::Withdrawn),
-                works,
-            );
+        if let Some(mut hedge) = self.hedge.take() {
+            hedge.to_client.clear(&mut io.pool);
+            let failure = hedge.attempt.failure(FailureCause::Cancelled);
+            self.report_attempt_end(hedge.attempt.number, failure, io);
         }
-        if let Some(dial) = self.dial.take() {
-            self.down.clear(&mut works.pool);
-            if told {
-                self.tell_dial_end(dial.number, dial.failed(Cause::Withdrawn), works);
+        if let Some(attempt) = self.attempt.take() {
+            self.to_client.clear(&mut io.pool);
+            if is_known_to_balancer {
+                let failure = attempt.failure(FailureCause::Cancelled);
+                self.report_attempt_end(attempt.number, failure, io);
             }
         }
     }
 
-    /// What a backend answers a dial; true where that ended it.
-    pub(super) fn first_said(
+    /// Takes a line with which a backend answers the request; a break is the attempt's end.
+    pub(super) fn take_answer(
         &mut self,
-        said: Option<BackendMessage>,
-        works: &mut IoContext,
-    ) -> bool {
-        let Some(dial) = &mut self.dial else {
-            return true;
+        message: Result<BackendMessage, LineTooLong>,
+        io: &mut IoContext,
+    ) -> ControlFlow<()> {
+        let Some(attempt) = &self.attempt else {
+            return ControlFlow::Break(());
         };
-        let cause = match said {
-            Some(BackendMessage::Up) if dial.stage == AttemptStage::Waiting => {
-                dial.stage = AttemptStage::Standing;
-                let (id, number, backend) = (SessionId(self.id), dial.number, dial.backend);
-                works.news.push_back(match (self.stage, &self.open) {
-                    (Stage::Inheriting, Some(open)) => {
-                        works.counters.inherited += 1;
-                        Event::SessionInherited(id, backend, open.arrival)
-                    }
-                    _ => Event::AttemptReady(id, number),
-                });
-                works.counters.accepted += 1;
-                self.stage = Stage::Standing;
-                (self.open, self.stood) = (None, true);
-                if let Some(idle) = self.front.and_then(|front| front.idle_timeout) {
-                    works
-                        .alarms
-                        .set(works.now + idle, Timer::IdleTimeout(self.id));
-                }
-                return false;
+        let cause = match message {
+            Ok(BackendMessage::Accepted) if attempt.stage == AttemptStage::AwaitingAnswer => {
+                self.become_established(io);
+                return ControlFlow::Continue(());
             }
-            Some(BackendMessage::Load(_)) => {
-                self.down.consume(&mut works.pool);
-                return false;
+            Ok(BackendMessage::Load(_)) => {
+                self.to_client.discard_lines(&mut io.pool);
+                return ControlFlow::Continue(());
             }
-            // Served to its end without having begun is no answer that a client could use.
-            Some(
-                BackendMessage::Last(AttemptOutcome::Ok, _)
-                | BackendMessage::Up
-                | BackendMessage::Other,
+            // A session that ends well without having begun is no answer that a client could use.
+            Ok(
+                BackendMessage::Final(AttemptOutcome::Ok, _)
+                | BackendMessage::Accepted
+                | BackendMessage::Data,
             )
-            | None => Cause::BadLine,
-            Some(BackendMessage::Last(verdict, report)) => Cause::BackendMessage(verdict, report),
+            | Err(LineTooLong) => FailureCause::InvalidAnswer,
+            Ok(BackendMessage::Final(outcome, report)) => FailureCause::Answered(outcome, report),
         };
-        let fault = dial.failed(cause);
-        self.dial_ended(fault, works);
-        true
+        self.end_attempt(cause, io);
+        ControlFlow::Break(())
+    }
+
+    /// A backend has accepted the session.
+    fn become_established(&mut self, io: &mut IoContext) {
+        let id = self.session_id();
+        let Some(attempt) = &mut self.attempt else {
+            return;
+        };
+        attempt.stage = AttemptStage::Established;
+        io.news.push_back(match (self.stage, &self.request) {
+            (Stage::Inherited, Some(request)) => {
+                io.counters.inherited += 1;
+                Event::SessionInherited(id, attempt.backend, request.arrival)
+            }
+            _ => Event::AttemptReady(id, attempt.number),
+        });
+        io.counters.accepted += 1;
+        self.stage = Stage::Established;
+        self.request = None;
+        self.was_established = true;
+        if let Some(idle_timeout) = self.idle_timeout() {
+            io.alarms
+                .set(io.now + idle_timeout, Timer::IdleTimeout(self.id));
+        }
     }
 }
--- a/relay/src/session/shared.rs
+++ b/relay/src/session/shared.rs
@@ -1,45 +1,47 @@
-//! What all sessions share.
+//! What the sessions of a relay share.
+use super::config_generations::ConfigGenerations;
+use super::idle::IdleEntry;
+use super::state::SessionRoute;
 use crate::protocol::Names;
-use std::collections::{BTreeMap, BTreeSet};
-use thistlecroft::time::Instant;
+use std::collections::BTreeSet;
 use thistlecroft_operator_config::RouteTable;
 
 /// What a session needs to know of the whole.
 pub(super) struct Shared {
     pub(super) names: Names,
-    pub(super) routing: RouteTable,
-    /// How often routes have been read, and sessions by the reading that they go by.
-    pub(super) generation: u32,
-    pub(super) generations: BTreeMap<u32, usize>,
+    pub(super) routes: RouteTable,
+    pub(super) generations: ConfigGenerations,
     /// Descriptors that sessions may take together.
-    pub(super) most_sockets: usize,
-    /// Ids of sessions that are open: a backend turns a second one of the same id away, and the
-    /// blame would fall on it.
-    pub(super) claimed: BTreeSet<u64>,
-    /// Sessions that hold a descriptor for nothing: first those that have had their last word, then
-    /// the others, the longest silent first.
-    pub(super) idle: BTreeSet<Idle>,
+    pub(super) max_descriptors: usize,
+    /// Ids of the sessions that are open: a backend rejects a second one of the same id, and would
+    /// be blamed for it.
+    pub(super) open_ids: BTreeSet<u64>,
+    /// Connections that hold a descriptor without being served.
+    pub(super) idle: BTreeSet<IdleEntry>,
 }
 
-/// Not parted yet, silent since, and whose.
-pub(super) type Idle = (bool, Instant, u32);
-
 impl Shared {
-    pub(super) fn enter(&mut self) -> u32 {
-        *self.generations.entry(self.generation).or_default() += 1;
-        self.generation
+    pub(super) fn new(names: Names, routes: RouteTable, max_descriptors: usize) -> Shared {
+        Shared {
+            names,
+            routes,
+            generations: ConfigGenerations::new(),
+            max_descriptors,
+            open_ids: BTreeSet::new(),
+            idle: BTreeSet::new(),
+        }
+    }
+
+    /// Whether a connection other than this session's could make room.
+    pub(super) fn has_idle_besides(&self, session: u32) -> bool {
+        self.idle.iter().any(|entry| entry.session != session)
     }
 
-    pub(super) fn forget(&mut self, generation: u32) {
-        let Some(count) = self.generations.get_mut(&generation) else {
-            return;
-        };
-        *count -= 1;
-        if *count == 0 {
-            self.generations.remove(&generation);
-            if generation != self.generation {
-                log::debug!(generation; "the last session by generation {generation} of the charter has ended");
-            }
+    /// Counts a session in that takes this row of the routes.
+    pub(super) fn bind_route(&mut self, row: usize) -> SessionRoute {
+        SessionRoute {
+            timeouts: self.routes.timeouts(row),
+            generation: self.generations.add_session(),
         }
     }
 }
--- a/relay/src/session/stage.rs
+++ b/relay/src/session/stage.rs
@@ -1,25 +1,29 @@
-//! Stages of a session.
+//! The stages of a session's life.
 
+/// The stage that a session is in, which decides what an event means to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// Its first line is awaited.
-    Opening,
-    /// Known to the decisions, which owe it an answer.
+    /// The client's first line is awaited.
+    Handshake,
+    /// The balancer owes the session an answer; attempts to connect to backends may be under way.
     Placing,
-    /// It was open before this process was: the backend is given, not decided.
-    Inheriting,
-    /// Up: lines pass both ways.
-    Standing,
-    /// Up, and offered to the next process: nobody reads until it has answered.
-    Handing,
-    /// Our last words are on their way out.
-    Leaving,
-    /// All is said; only the client's end of the connection is awaited.
-    Parted,
+    /// The session was open before this process started: it names its backend itself.
+    Inherited,
+    /// A backend has accepted the session; lines are relayed both ways.
+    Established,
+    /// Established, and offered to the successor process: nobody reads until that has answered.
+    HandingOver,
+    /// The relay's last line is being written.
+    Closing,
+    /// Everything is written; only the client's end of the connection is awaited.
+    Draining,
 }
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Fate {
-    Goes,
-    Over,
+/// What becomes of a session after one of its steps.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Disposition {
+    /// It goes on.
+    Keep,
+    /// It is over: its connections are closed.
+    Remove,
 }
--- a/relay/src/session/state.rs
+++ b/relay/src/session/state.rs
@@ -1,185 +1,190 @@
-//! One session.
-use super::shared::Idle;
+//! What is kept of one session.
+use super::idle::{IdleEntry, IdleKind};
+use super::response_latency::ResponseLatency;
 use super::stage::Stage;
+use crate::attempt::{Attempt, AttemptStage};
 use crate::io_context::IoContext;
-use crate::line_buffer::{LineBuffer, OutputBuffer};
+use crate::line_buffer::LineBuffer;
+use crate::output_buffer::OutputBuffer;
 use crate::protocol::OpenRequest;
 use crate::sockets::Connection;
 use crate::timers::Timer;
-use crate::upstream::{Attempt, AttemptStage};
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 use thistlecroft::ids::SessionId;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_operator_config::SessionTimeouts;
 
-/// From its connecting, for all that a client says before its `OPEN` is read whole: an answer or an
-/// end is owed within three seconds, and a connection that says nothing holds a descriptor that
-/// others need. With 2.7 s nobody more was served on crowded days (docs/results.md).
-pub(super) const FIRST_LINE: Duration = Duration::from_millis(2_000);
-
-/// One accepted late has at least this, to be read at all.
-pub(super) const FIRST_LINE_LEAST: Duration = Duration::from_millis(200);
-
+/// A session: it owns its client's connection and the attempts that are under way for it.
 pub(super) struct Session {
     pub(super) id: u32,
     pub(super) stage: Stage,
     pub(super) client: Connection,
-    pub(super) open: Option<Box<OpenRequest>>,
-    /// What the next process needs to know of it.
-    pub(super) about: Option<Box<About>>,
-    /// What its route says, and by which reading of the file.
-    pub(super) front: Option<SessionTimeouts>,
-    pub(super) generation: Option<u32>,
-    pub(super) dial: Option<Attempt>,
-    /// Out beside the first, until one of them is up.
-    pub(super) other: Option<Box<Other>>,
-    pub(super) dials: u32,
-    pub(super) serial: u32,
-    /// From the client to its backend, and back.
-    pub(super) up: LineBuffer,
-    pub(super) down: LineBuffer,
-    /// What the relay itself says to the client, behind the lines that wait in `down`.
-    pub(super) words: OutputBuffer,
-    pub(super) began: Instant,
-    /// When the client last said anything.
-    pub(super) heard: Instant,
-    /// Its id, as long as no other connection may have the same.
-    pub(super) claimed: Option<u64>,
-    /// It has been up: cutting it off would lose what is still on its way.
-    pub(super) stood: bool,
-    /// When the first client line without a line back came.
-    pub(super) asked: Option<Instant>,
-    pub(super) watched: bool,
-    /// How long its messages take as its backend told it last.
-    pub(super) told_delay: Duration,
-    /// The backend's last word, and whether the decisions have been told of the end.
-    pub(super) said: Option<(AttemptOutcome, LoadReport)>,
-    pub(super) end_told: bool,
-    pub(super) up_shut: bool,
-    pub(super) down_shut: bool,
-    pub(super) close_by: Option<Instant>,
-    pub(super) starved: bool,
+    /// What the client asked for, until a backend has accepted it.
+    pub(super) request: Option<Box<OpenRequest>>,
+    /// What the successor process needs to know of it.
+    pub(super) metadata: Option<Box<SessionMetadata>>,
+    /// Known once the first line is read.
+    pub(super) route: Option<SessionRoute>,
+    pub(super) attempt: Option<Attempt>,
+    /// A second attempt beside the first, until one of them is accepted.
+    pub(super) hedge: Option<Box<HedgedAttempt>>,
+    /// How many attempts the balancer has asked for.
+    pub(super) attempts_requested: u32,
+    /// Serial of the latest attempt.
+    pub(super) attempt_serial: u32,
+    /// Lines from the client on their way to the backend.
+    pub(super) to_backend: LineBuffer,
+    /// Lines from the backend on their way to the client.
+    pub(super) to_client: LineBuffer,
+    /// The relay's own lines for the client, written behind those that wait in `to_client`.
+    pub(super) output: OutputBuffer,
+    /// When the connection was made, its request came or it began to drain, whichever was last.
+    pub(super) phase_started: Instant,
+    /// When the client last sent anything or, once established, the backend did.
+    pub(super) last_activity: Instant,
+    /// The id from its request, for as long as no other session may have the same.
+    pub(super) open_id: Option<u64>,
+    /// It has been established: shedding it would lose what is still on its way.
+    pub(super) was_established: bool,
+    pub(super) latency: ResponseLatency,
+    /// How the backend ended the session by its own account.
+    pub(super) final_message: Option<(AttemptOutcome, LoadReport)>,
+    /// The balancer knows that the session has ended.
+    pub(super) is_end_reported: bool,
+    /// The backend has been told that the client sends nothing more.
+    pub(super) is_backend_shut: bool,
+    /// The client has been told that the backend sends nothing more.
+    pub(super) is_client_shut: bool,
+    /// When it is closed, whatever is still on its way.
+    pub(super) close_at: Option<Instant>,
+    /// It waits for a buffer of the pool.
+    pub(super) is_starved: bool,
 }
 
-/// A second dial, and what its backend has said.
-pub(super) struct Other {
-    pub(super) dial: Attempt,
-    pub(super) down: LineBuffer,
+/// A second attempt, and what its backend has sent.
+pub(super) struct HedgedAttempt {
+    pub(super) attempt: Attempt,
+    pub(super) to_client: LineBuffer,
 }
 
-/// What stays of an `OpenRequest` once it is up.
-pub(super) struct About {
+/// The route that a session takes, as it was when its first line was read.
+pub(super) struct SessionRoute {
+    pub(super) timeouts: SessionTimeouts,
+    /// The reading of the configuration that it goes by.
+    pub(super) generation: u32,
+}
+
+/// What stays of a request once the session is established.
+pub(super) struct SessionMetadata {
     pub(super) listener: String,
     pub(super) key: Option<u64>,
     pub(super) group: Option<u64>,
+    /// The connection's load as the backend told it last.
     pub(super) load: Option<f64>,
-    /// The decisions sent it away while it was offered.
-    pub(super) sent_away: bool,
+    /// The balancer migrated it while it was offered to the successor.
+    pub(super) is_migration_due: bool,
 }
 
 impl Session {
-    pub(super) fn new(
-        id: u32,
-        client: Connection,
-        since: Instant,
-        works: &mut IoContext,
-    ) -> Session {
-        let mut session = Session {
+    /// A connection that has said nothing yet. `connected` is when it may have been made.
+    pub(super) fn new(id: u32, client: Connection, connected: Instant, now: Instant) -> Session {
+        Session {
             id,
-            stage: Stage::Opening,
+            stage: Stage::Handshake,
             client,
-            open: None,
-            about: None,
-            front: None,
-            generation: None,
-            dial: None,
-            other: None,
-            dials: 0,
-            serial: 0,
-            up: LineBuffer::default(),
-            down: LineBuffer::default(),
-            words: OutputBuffer::default(),
-            began: since,
-            heard: works.now,
-            claimed: None,
-            stood: false,
-            asked: None,
-            watched: false,
-            told_delay: Duration::ZERO,
-            said: None,
-            end_told: false,
-            up_shut: false,
-            down_shut: false,
-            close_by: None,
-            starved: false,
-        };
-        let left = FIRST_LINE - works.now.duration_since(since);
-        session.close_within(left.max(FIRST_LINE_LEAST), works);
-        // Into the list of the idle by its first step, which follows.
-        session
-    }
-
-    /// Its place among those that hold a descriptor for nothing.
-    pub(super) fn idle_since(&self) -> Option<Idle> {
-        let idle =
-            matches!(self.stage, Stage::Opening | Stage::Leaving | Stage::Parted) && !self.stood;
-        idle.then_some((self.stage != Stage::Parted, self.heard, self.id))
+            request: None,
+            metadata: None,
+            route: None,
+            attempt: None,
+            hedge: None,
+            attempts_requested: 0,
+            attempt_serial: 0,
+            to_backend: LineBuffer::default(),
+            to_client: LineBuffer::default(),
+            output: OutputBuffer::default(),
+            phase_started: connected,
+            last_activity: now,
+            open_id: None,
+            was_established: false,
+            latency: ResponseLatency::default(),
+            final_message: None,
+            is_end_reported: false,
+            is_backend_shut: false,
+            is_client_shut: false,
+            close_at: None,
+            is_starved: false,
+        }
     }
 
+    /// Its id as the balancer knows it.
     pub(super) fn session_id(&self) -> SessionId {
         SessionId(self.id)
     }
 
-    pub(super) fn close_within(&mut self, span: Duration, works: &mut IoContext) {
-        self.close_by = Some(works.now + span);
-        works.alarms.set(works.now + span, Timer::Client(self.id));
+    /// Whether a backend is still to accept it.
+    pub(super) fn awaits_backend(&self) -> bool {
+        matches!(self.stage, Stage::Placing | Stage::Inherited)
+    }
+
+    /// Its place among those that hold a descriptor without being served, if it is one.
+    pub(super) fn idle_entry(&self) -> Option<IdleEntry> {
+        let kind = match self.stage {
+            Stage::Handshake | Stage::Closing => IdleKind::Unanswered,
+            Stage::Draining => IdleKind::Answered,
+            _ => return None,
+        };
+        (!self.was_established).then_some(IdleEntry {
+            kind,
+            silent_since: self.last_activity,
+            session: self.id,
+        })
+    }
+
+    /// Sets the time at which it is closed.
+    pub(super) fn close_after(&mut self, delay: Duration, io: &mut IoContext) {
+        self.close_at = Some(io.now + delay);
+        io.alarms.set(io.now + delay, Timer::Client(self.id));
+    }
+
+    /// It stops reading until a buffer comes back to the pool.
+    pub(super) fn wait_for_buffer(&mut self, io: &mut IoContext) {
+        io.counters.starved += 1;
+        self.is_starved = true;
+        io.starved.push_back(self.id);
     }
 
-    /// What the poller is to wait for, from the stage and what waits.
-    pub(super) fn settle(&mut self) {
-        if self.stage == Stage::Handing {
+    /// Tells the poller what to wait for, by the stage and by what is on its way.
+    pub(super) fn update_interests(&mut self) {
+        if self.stage == Stage::HandingOver {
             self.client.want(false, false);
-            return self
-                .dial
-                .iter_mut()
-                .for_each(|dial| dial.sock.want(false, false));
+            if let Some(attempt) = &mut self.attempt {
+                attempt.connection.want(false, false);
+            }
+            return;
         }
-        let passing = matches!(self.stage, Stage::Standing | Stage::Leaving);
-        let to_client = passing && self.down.waits() || self.words.waits();
-        // While it waits nothing of its is kept, so that no lack of buffers can hide that it
-        // leaves.
-        let reads = self.is_waiting() || !self.starved;
-        self.client.want(self.up.has_room() && reads, to_client);
-        if let Some(dial) = &mut self.dial {
-            let to_backend = match dial.stage {
-                AttemptStage::Connecting | AttemptStage::Sending => true,
-                AttemptStage::Waiting => false,
-                AttemptStage::Standing => self.up.waits() && !self.up_shut,
-            };
-            dial.sock
-                .want(self.down.has_room() && !self.starved, to_backend);
+        let is_relaying = matches!(self.stage, Stage::Established | Stage::Closing);
+        let has_output = is_relaying && self.to_client.has_writable() || self.output.waits();
+        // While it awaits a backend nothing that it sends is kept: no lack of buffers may hide that
+        // it leaves.
+        let can_read = self.awaits_backend() || !self.is_starved;
+        self.client
+            .want(self.to_backend.has_room() && can_read, has_output);
+        if let Some(attempt) = &mut self.attempt {
+            let has_lines = attempt.stage == AttemptStage::Established
+                && self.to_backend.has_writable()
+                && !self.is_backend_shut;
+            attempt.connection.want(
+                self.to_client.has_room() && !self.is_starved,
+                attempt.is_sending() || has_lines,
+            );
         }
-        if let Some(other) = &mut self.other {
-            let sending = matches!(
-                other.dial.stage,
-                AttemptStage::Connecting | AttemptStage::Sending
+        if let Some(hedge) = &mut self.hedge {
+            // Once the other attempt is accepted, this one only waits to be cancelled.
+            let is_placing = self.stage == Stage::Placing;
+            hedge.attempt.connection.want(
+                is_placing && hedge.to_client.has_room() && !self.is_starved,
+                is_placing && hedge.attempt.is_sending(),
             );
-            // Once the first is up, the other only waits to be given up.
-            let reading = self.stage == Stage::Placing && other.down.has_room() && !self.starved;
-            other
-                .dial
-                .sock
-                .want(reading, sending && self.stage == Stage::Placing);
         }
     }
-
-    pub(super) fn is_waiting(&self) -> bool {
-        matches!(self.stage, Stage::Placing | Stage::Inheriting)
-    }
-
-    pub(super) fn starve(&mut self, works: &mut IoContext) {
-        works.counters.starved += 1;
-        self.starved = true;
-        works.starved.push_back(self.id);
-    }
 }
--- a/relay/src/session/table.rs
+++ b/relay/src/session/table.rs
@@ -1,244 +1,224 @@
-//! The table of sessions.
+//! The table of sessions: hands each event and timer to the session that it is about.
+use super::listener::ClientListener;
+use super::offer_queue::OfferQueue;
 use super::shared::Shared;
-use super::stage::Fate;
-use super::stage::Fate::{Goes, Over};
+use super::stage::Disposition::{self, Keep, Remove};
 use super::state::Session;
+use crate::attempt::{Attempt, FailureCause};
 use crate::discovery::watch::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::protocol::{Cause, Names};
+use crate::protocol::Names;
 use crate::sockets::ListenerSocket;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
-use thistlecroft::time::Instant;
 use thistlecroft_operator_config::RouteTable;
 
-/// Descriptors that sessions never take: discovery, probes, signals, the door, the poller, the log.
-pub const RESERVE: usize = 40;
-
-/// And these few more serve to tell clients that there is no room.
-pub(super) const TELLING: usize = 8;
-
-pub struct Sessions {
-    pub(super) map: BTreeMap<u32, Session>,
-    pub(super) next: u32,
-    pub(super) door: ListenerSocket,
-    pub(super) entry: Accepting,
-    /// Since when connections may have waited to be accepted.
-    pub(super) behind_since: Option<Instant>,
-    /// Accepting pauses until a descriptor is free.
-    pub(super) full: bool,
-    /// To be handed to the next process, and how many are on their way.
-    pub(super) offers: VecDeque<u32>,
-    pub(super) on_way: usize,
+/// Descriptors that sessions never take: discovery, health checks, signals, listeners, the poller,
+/// the log.
+pub(crate) const RESERVE: usize = 40;
+
+/// All sessions of this process, and the listener from which they come.
+pub(crate) struct Sessions {
+    pub(super) sessions: BTreeMap<u32, Session>,
+    /// The id of the next session.
+    pub(super) next_id: u32,
+    pub(super) listener: ClientListener,
+    pub(super) offers: OfferQueue,
     pub(super) shared: Shared,
 }
 
-#[derive(Clone, Copy, PartialEq, Eq)]
-pub(super) enum Accepting {
-    Shut,
-    Open,
-}
-
 impl Sessions {
-    /// No client is taken before `open_door`.
-    pub fn new(
-        door: ListenerSocket,
+    /// No client is accepted before [`Sessions::open_door`]. `descriptors` is what the process may
+    /// have open in all.
+    pub(crate) fn new(
+        listener: ListenerSocket,
         names: Names,
-        routing: RouteTable,
-        sockets: usize,
+        routes: RouteTable,
+        descriptors: usize,
     ) -> Sessions {
-        let most_sockets = sockets.saturating_sub(RESERVE);
-        let (claimed, idle) = (BTreeSet::new(), BTreeSet::new());
-        let (generation, generations) = (1, BTreeMap::new());
-        let shared = Shared {
-            names,
-            routing,
-            generation,
-            generations,
-            most_sockets,
-            claimed,
-            idle,
-        };
-        let (map, entry, offers) = (BTreeMap::new(), Accepting::Shut, VecDeque::new());
+        let max_descriptors = descriptors.saturating_sub(RESERVE);
         Sessions {
-            map,
-            next: 0,
-            door,
-            entry,
-            behind_since: None,
-            full: false,
-            offers,
-            on_way: 0,
-            shared,
+            sessions: BTreeMap::new(),
+            next_id: 0,
+            listener: ClientListener::new(listener),
+            offers: OfferQueue::default(),
+            shared: Shared::new(names, routes, max_descriptors),
         }
     }
 
-    pub fn is_empty(&self) -> bool {
-        self.map.is_empty()
+    /// Whether there is no session.
+    pub(crate) fn is_empty(&self) -> bool {
+        self.sessions.is_empty()
     }
 
-    pub fn len(&self) -> usize {
-        self.map.len()
+    /// How many sessions there are, in whatever stage.
+    pub(crate) fn len(&self) -> usize {
+        self.sessions.len()
     }
 
     /// Other names and routes, for the sessions that come from now on.
-    pub fn reroute(&mut self, names: Names, routing: RouteTable) {
-        let same = self.shared.names.listeners == names.listeners && self.shared.routing == routing;
-        (self.shared.names, self.shared.routing) = (names, routing);
-        self.shared.generation += u32::from(!same);
+    pub(crate) fn reroute(&mut self, names: Names, routes: RouteTable) {
+        let is_changed =
+            self.shared.names.listeners != names.listeners || self.shared.routes != routes;
+        (self.shared.names, self.shared.routes) = (names, routes);
+        if is_changed {
+            self.shared.generations.advance();
+        }
     }
 
-    pub fn routing(&self) -> &RouteTable {
-        &self.shared.routing
+    /// The routes of the sessions that come now.
+    pub(crate) fn routing(&self) -> &RouteTable {
+        &self.shared.routes
     }
 
-    pub fn generation(&self) -> u32 {
-        self.shared.generation
+    /// The number of the configuration that is in force.
+    pub(crate) fn generation(&self) -> u32 {
+        self.shared.generations.current()
     }
 
-    /// How many sessions go by which reading of the file, for people.
-    pub fn generations(&self) -> String {
-        let each = self
-            .shared
-            .generations
-            .iter()
-            .map(|(number, count)| format!("{count} by generation {number}"));
-        each.collect::<Vec<_>>().join(", ")
+    /// How many sessions go by which generation of the configuration, for people.
+    pub(crate) fn generations(&self) -> String {
+        self.shared.generations.to_string()
     }
 
-    /// Runs one step of a session, for an event, an alarm or an order; whatever comes of it, what
-    /// is waited for is settled in this one place. A fault in the code costs the session that met
-    /// it, not the process.
+    /// Runs one step of a session, for an event, a timer or an action, and tells the poller
+    /// afterwards what to wait for. A panic costs the session that met it, not the process.
     pub(super) fn step(
         &mut self,
         id: u32,
-        works: &mut IoContext,
-        step: impl FnOnce(&mut Session, &mut Shared, &mut IoContext) -> Fate,
+        io: &mut IoContext,
+        step: impl FnOnce(&mut Session, &mut Shared, &mut IoContext) -> Disposition,
     ) {
-        let Some(session) = self.map.get_mut(&id) else {
+        let Some(session) = self.sessions.get_mut(&id) else {
             return;
         };
-        let was_idle = session.idle_since();
-        let done = catch_unwind(AssertUnwindSafe(|| step(session, &mut self.shared, works)));
-        let fate = done.unwrap_or_else(|_| {
-            works.counters.panics += 1;
-            session.give_up(works)
+        let idle_before = session.idle_entry();
+        let result = catch_unwind(AssertUnwindSafe(|| step(session, &mut self.shared, io)));
+        let disposition = result.unwrap_or_else(|_| {
+            io.counters.panics += 1;
+            session.fail(io)
         });
-        let idle = session.idle_since().filter(|_| fate == Goes);
-        if let Some(place) = was_idle {
-            self.shared.idle.remove(&place);
+        let idle_after = session.idle_entry().filter(|_| disposition == Keep);
+        if let Some(entry) = idle_before {
+            self.shared.idle.remove(&entry);
+        }
+        if let Some(entry) = idle_after {
+            self.shared.idle.insert(entry);
         }
-        if let Some(place) = idle {
-            self.shared.idle.insert(place);
+        match disposition {
+            Keep => session.update_interests(),
+            Remove => self.remove(id, io),
         }
-        match fate {
-            Goes => session.settle(),
-            Over => {
-                if let Some(mut session) = self.map.remove(&id) {
-                    session.up.clear(&mut works.pool);
-                    session.down.clear(&mut works.pool);
-                    session.drop_other(&mut works.pool);
-                    session.claimed.map(|id| self.shared.claimed.remove(&id));
-                    if let Some(generation) = session.generation {
-                        self.shared.forget(generation);
-                    }
-                }
-                // Who waits in the backlog is answered as soon as there is room.
-                if self.full {
-                    self.resume_accepting();
-                }
+    }
+
+    fn remove(&mut self, id: u32, io: &mut IoContext) {
+        if let Some(mut session) = self.sessions.remove(&id) {
+            session.to_backend.clear(&mut io.pool);
+            session.to_client.clear(&mut io.pool);
+            session.drop_hedge(&mut io.pool);
+            if let Some(open_id) = session.open_id {
+                self.shared.open_ids.remove(&open_id);
+            }
+            if let Some(route) = &session.route {
+                self.shared.generations.remove_session(route.generation);
             }
         }
+        // A connection in the backlog is answered as soon as there is a descriptor for it.
+        if self.listener.is_saturated() {
+            self.listener.resume();
+        }
     }
 
-    pub fn client_event(
+    /// The client's socket with this key is ready.
+    pub(crate) fn client_event(
         &mut self,
         id: u32,
         key: usize,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
     ) {
-        self.step(id, works, |session, shared, works| {
+        self.step(id, io, |session, shared, io| {
             if session.client.is(key) {
-                session.client_event(shared, book, works)
+                session.client_event(shared, registry, io)
             } else {
-                Goes
+                Keep
             }
         });
     }
 
-    pub fn dial_event(
+    /// The socket of an attempt with this key is ready.
+    pub(crate) fn dial_event(
         &mut self,
         id: u32,
         key: usize,
-        book: &EndpointRegistry,
-        works: &mut IoContext,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
     ) {
-        self.step(id, works, |session, shared, works| {
-            if session.lead(|dial| dial.sock.is(key)) {
-                session.dial_event(shared, book, works)
+        self.step(id, io, |session, shared, io| {
+            if session.promote_attempt(|attempt| attempt.connection.is(key)) {
+                session.backend_event(shared, registry, io)
             } else {
-                Goes
+                Keep
             }
         });
     }
 
-    pub fn dial_alarm(&mut self, id: u32, serial: u32, works: &mut IoContext) {
-        self.step(id, works, |session, _, works| {
-            let late = session.lead(|dial| dial.serial == serial && dial.overdue(works.now));
-            match session
-                .dial
-                .as_ref()
-                .filter(|_| late)
-                .map(|dial| dial.failed(Cause::TimedOut))
-            {
-                Some(fault) => session.dial_ended(fault, works),
-                None => Goes,
+    /// The attempt with this serial may have taken too long.
+    pub(crate) fn dial_alarm(&mut self, id: u32, serial: u32, io: &mut IoContext) {
+        self.step(id, io, |session, _, io| {
+            let is_late =
+                |attempt: &Attempt| attempt.serial == serial && attempt.is_overdue(io.now);
+            if session.promote_attempt(is_late) {
+                session.end_attempt(FailureCause::TimedOut, io);
             }
+            Keep
         });
     }
 
-    pub fn client_alarm(&mut self, id: u32, works: &mut IoContext) {
-        self.step(id, works, |session, _, works| session.client_alarm(works));
+    /// The client's first line is late, or its end after the relay's last line is.
+    pub(crate) fn client_alarm(&mut self, id: u32, io: &mut IoContext) {
+        self.step(id, io, |session, _, io| session.close_timer_fired(io));
     }
 
-    pub fn overdue_alarm(&mut self, id: u32, works: &mut IoContext) {
-        self.step(id, works, |session, _, works| {
-            session.overdue(works);
-            Goes
+    /// A line of the client may have waited too long for an answer.
+    pub(crate) fn overdue_alarm(&mut self, id: u32, io: &mut IoContext) {
+        self.step(id, io, |session, _, io| {
+            session.response_timer_fired(io);
+            Keep
         });
     }
 
-    pub fn idle_alarm(&mut self, id: u32, works: &mut IoContext) {
-        self.step(id, works, |session, _, works| session.idle_alarm(works));
+    /// No line may have passed for as long as the route allows.
+    pub(crate) fn idle_alarm(&mut self, id: u32, io: &mut IoContext) {
+        self.step(id, io, |session, _, io| session.idle_timer_fired(io));
     }
 
-    pub fn again_alarm(&mut self, id: u32, book: &EndpointRegistry, works: &mut IoContext) {
-        self.step(id, works, |session, shared, works| {
-            session.inherit(shared, book, works)
+    /// An inherited session is to try its backend again.
+    pub(crate) fn again_alarm(&mut self, id: u32, registry: &EndpointRegistry, io: &mut IoContext) {
+        self.step(id, io, |session, shared, io| {
+            session.attempt_inherited(shared, registry, io)
         });
     }
 
     /// Sessions that stopped for want of a buffer read on.
-    pub fn feed(&mut self, works: &mut IoContext) {
-        for _ in 0..works.starved.len() {
-            if !works.pool.has_some() {
+    pub(crate) fn feed(&mut self, io: &mut IoContext) {
+        for _ in 0..io.starved.len() {
+            if !io.pool.has_available() {
                 return;
             }
-            let Some(id) = works.starved.pop_front() else {
+            let Some(id) = io.starved.pop_front() else {
                 return;
             };
-            self.step(id, works, |session, _, _| {
-                session.starved = false;
-                Goes
+            self.step(id, io, |session, _, _| {
+                session.is_starved = false;
+                Keep
             });
         }
     }
 
+    /// A step that panics.
     #[cfg(test)]
-    pub fn fail(&mut self, id: u32, works: &mut IoContext) {
-        self.step(id, works, |_, _, _| {
-            panic!("a fault in a step, for the test")
-        });
+    pub(crate) fn fail(&mut self, id: u32, io: &mut IoContext) {
+        self.step(id, io, |_, _, _| panic!("a fault in a step, for the test"));
     }
 }
--- a/relay/src/tests.rs
+++ b/relay/src/tests.rs
@@ -1,11 +1,11 @@
 //! Tables on the parts that need no other program.
+use crate::attempt::{AttemptFailure, AttemptProgress, FailureCause};
 use crate::buffers::{Pool, SIZE};
 use crate::discovery::watch::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::line_buffer::{LINE, LineBuffer, ReadOutcome, TooLong};
+use crate::line_buffer::{LineBuffer, LineTooLong, MAX_LINE_BYTES, ReadOutcome};
 use crate::protocol::{
-    AttemptFailure, AttemptProgress, BackendMessage, Cause, FirstLine, Names, backend_line,
-    first_line, probe_line, refusal,
+    BackendMessage, FirstLine, Names, parse_first_line, parse_health_check_response, rejection_line,
 };
 use crate::session::table::Sessions;
 use crate::sockets::{SocketOwner, Sockets, key_of, owner_of};
@@ -48,7 +48,8 @@
     for (items, listener, left, group, onward) in cases {
         for groups in [true, false] {
             let line = format!("{START}{items}");
-            let Ok(FirstLine::Open(open)) = first_line(line.as_bytes(), &names(groups)) else {
+            let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &names(groups))
+            else {
                 panic!("{line}")
             };
             assert_eq!(open.arrival.route, RouteId(listener), "{line}");
@@ -66,7 +67,7 @@
         }
     }
     let line = format!("{START}c=chat,d=4294967,at=s-5be");
-    let Ok(FirstLine::Open(open)) = first_line(line.as_bytes(), &names(true)) else {
+    let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &names(true)) else {
         panic!()
     };
     assert_eq!(open.at.as_deref(), Some("s-5be"));
@@ -83,7 +84,7 @@
         "c=chat,d=2000,g=5c0f6e1a2b3d4c59",
     );
     let line = |(id, key, items): (&str, &str, &str)| format!("OPEN {id} {key} {items}");
-    assert!(first_line(line(good).as_bytes(), &names(true)).is_ok());
+    assert!(parse_first_line(line(good).as_bytes(), &names(true)).is_ok());
     let words = [
         "",
         "9b1f",
@@ -96,7 +97,7 @@
     for word in words {
         for bad in [(word, good.1, good.2), (good.0, word, good.2)] {
             assert!(
-                first_line(line(bad).as_bytes(), &names(true)).is_err(),
+                parse_first_line(line(bad).as_bytes(), &names(true)).is_err(),
                 "{bad:?}"
             );
         }
@@ -129,7 +130,7 @@
     for items in items {
         let bad = (good.0, good.1, items);
         assert!(
-            first_line(line(bad).as_bytes(), &names(true)).is_err(),
+            parse_first_line(line(bad).as_bytes(), &names(true)).is_err(),
             "{items}"
         );
     }
@@ -137,23 +138,31 @@
 
 #[test]
 fn a_dials_end_proves_what_its_reach_allows() {
-    use Cause::{BadLine, Broken, Ours, TimedOut, Withdrawn};
+    use FailureCause::{Cancelled, ConnectionLost, InvalidAnswer, LocalFault, TimedOut};
     let cases = [
-        (AttemptProgress::Nothing, Ours, AttemptOutcome::NotSent),
         (
-            AttemptProgress::Nothing,
-            Broken,
+            AttemptProgress::Unconnected,
+            LocalFault,
+            AttemptOutcome::NotSent,
+        ),
+        (
+            AttemptProgress::Unconnected,
+            ConnectionLost,
             AttemptOutcome::Unreachable,
         ),
         (
-            AttemptProgress::Nothing,
+            AttemptProgress::Unconnected,
             TimedOut,
             AttemptOutcome::Unreachable,
         ),
-        (AttemptProgress::Nothing, Withdrawn, AttemptOutcome::NotSent),
+        (
+            AttemptProgress::Unconnected,
+            Cancelled,
+            AttemptOutcome::NotSent,
+        ),
         (
             AttemptProgress::Connected,
-            Broken,
+            ConnectionLost,
             AttemptOutcome::Unreachable,
         ),
         (
@@ -163,34 +172,54 @@
         ),
         (
             AttemptProgress::Connected,
-            Withdrawn,
+            Cancelled,
             AttemptOutcome::NotSent,
         ),
-        (AttemptProgress::Sent, Broken, AttemptOutcome::Reset),
-        (AttemptProgress::Sent, TimedOut, AttemptOutcome::TimedOut),
-        (AttemptProgress::Sent, Withdrawn, AttemptOutcome::Cancelled),
-        (AttemptProgress::Sent, BadLine, AttemptOutcome::Error),
+        (
+            AttemptProgress::RequestSent,
+            ConnectionLost,
+            AttemptOutcome::Reset,
+        ),
+        (
+            AttemptProgress::RequestSent,
+            TimedOut,
+            AttemptOutcome::TimedOut,
+        ),
+        (
+            AttemptProgress::RequestSent,
+            Cancelled,
+            AttemptOutcome::Cancelled,
+        ),
+        (
+            AttemptProgress::RequestSent,
+            InvalidAnswer,
+            AttemptOutcome::Error,
+        ),
         // An answer to a line that was not all sent yet: it may have run all the same.
-        (AttemptProgress::Connected, BadLine, AttemptOutcome::Error),
         (
-            AttemptProgress::Sent,
-            Cause::BackendMessage(AttemptOutcome::Saturated, LoadReport::default()),
+            AttemptProgress::Connected,
+            InvalidAnswer,
+            AttemptOutcome::Error,
+        ),
+        (
+            AttemptProgress::RequestSent,
+            FailureCause::Answered(AttemptOutcome::Saturated, LoadReport::default()),
             AttemptOutcome::Saturated,
         ),
     ];
-    for (reach, cause, expected) in cases {
+    for (progress, cause, expected) in cases {
         assert_eq!(
-            AttemptFailure { reach, cause }.verdict(),
+            AttemptFailure { progress, cause }.outcome(),
             expected,
-            "{reach:?} {cause:?}"
+            "{progress:?} {cause:?}"
         );
     }
 }
 
 #[test]
 fn backends_lines_are_told_apart() {
-    let last = |line: &str| match backend_line(line.as_bytes()) {
-        BackendMessage::Last(verdict, report) => Some((verdict, report.connections, report.load)),
+    let last = |line: &str| match BackendMessage::parse(line.as_bytes()) {
+        BackendMessage::Final(verdict, report) => Some((verdict, report.connections, report.load)),
         _ => None,
     };
     let cases = [
@@ -214,12 +243,25 @@
     for (line, expected) in cases {
         assert_eq!(last(line), expected, "{line}");
     }
-    assert!(matches!(backend_line(b"LOAD 12.5"), BackendMessage::Load(load) if load == 12.5));
-    assert!(matches!(backend_line(b"LOAD much"), BackendMessage::Other));
-    assert!(matches!(backend_line(b"UP"), BackendMessage::Up));
-    assert_eq!(probe_line(b"PONG inflight=2").1.connections, Some(2.0));
-    assert_eq!(probe_line(b"NO").0, AttemptOutcome::Error);
-    assert_eq!(refusal(Some(Duration::from_micros(1_001))), "BUSY 2");
+    assert!(
+        matches!(BackendMessage::parse(b"LOAD 12.5"), BackendMessage::Load(load) if load == 12.5)
+    );
+    assert!(matches!(
+        BackendMessage::parse(b"LOAD much"),
+        BackendMessage::Data
+    ));
+    assert!(matches!(
+        BackendMessage::parse(b"UP"),
+        BackendMessage::Accepted
+    ));
+    assert_eq!(
+        parse_health_check_response(b"PONG inflight=2")
+            .1
+            .connections,
+        Some(2.0)
+    );
+    assert_eq!(parse_health_check_response(b"NO").0, AttemptOutcome::Error);
+    assert_eq!(rejection_line(Some(Duration::from_micros(1_001))), "BUSY 2");
 }
 
 #[test]
@@ -232,47 +274,54 @@
         for mut piece in text.chunks(size) {
             let length = piece.len();
             assert_eq!(
-                flow.take(&mut piece, &mut pool).unwrap(),
+                flow.read_from(&mut piece, &mut pool).unwrap(),
                 ReadOutcome::Bytes(length)
             );
             while let Some(line) = flow.next_line().unwrap() {
                 lines.push(line.to_vec());
             }
             // Only whole lines go on, so that a word of ours fits between.
-            flow.give(&mut out, &mut pool).unwrap();
+            flow.write_to(&mut out, &mut pool).unwrap();
             assert!(out.is_empty() || out.ends_with(b"\n"), "pieces of {size}");
         }
         assert_eq!(lines, [&b"one"[..], b"two", b""]);
-        assert!(!pool.has_some(), "a waiting beginning holds the buffer");
+        assert!(
+            !pool.has_available(),
+            "a waiting beginning holds the buffer"
+        );
         assert_eq!(
-            flow.take(&mut &b""[..], &mut pool).unwrap(),
+            flow.read_from(&mut &b""[..], &mut pool).unwrap(),
             ReadOutcome::End
         );
-        assert!(flow.give(&mut out, &mut pool).unwrap());
+        assert!(flow.write_to(&mut out, &mut pool).unwrap());
         assert_eq!(out, text, "pieces of {size}");
-        assert!(pool.has_some(), "nothing waits, nothing is held");
+        assert!(pool.has_available(), "nothing waits, nothing is held");
     }
 }
 
 #[test]
 fn lines_are_bounded_and_so_is_the_pool() {
     // Length of a line with its ending, and whether it passes.
-    for (length, passes) in [(LINE, true), (LINE + 1, false), (SIZE, false)] {
+    for (length, passes) in [
+        (MAX_LINE_BYTES, true),
+        (MAX_LINE_BYTES + 1, false),
+        (SIZE, false),
+    ] {
         let line: Vec<u8> = [vec![b'x'; length - 1], vec![b'\n']].concat();
         let (mut flow, mut pool) = (LineBuffer::default(), Pool::new(1));
-        flow.take(&mut &line[..], &mut pool).unwrap();
+        flow.read_from(&mut &line[..], &mut pool).unwrap();
         assert_eq!(
             flow.next_line().map(|line| line.is_some()),
-            if passes { Ok(true) } else { Err(TooLong) }
+            if passes { Ok(true) } else { Err(LineTooLong) }
         );
         let mut other = LineBuffer::default();
         assert_eq!(
-            other.take(&mut &b"x\n"[..], &mut pool).unwrap(),
+            other.read_from(&mut &b"x\n"[..], &mut pool).unwrap(),
             ReadOutcome::Starved
         );
         flow.clear(&mut pool);
         assert_eq!(
-            other.take(&mut &b"x\n"[..], &mut pool).unwrap(),
+            other.read_from(&mut &b"x\n"[..], &mut pool).unwrap(),
             ReadOutcome::Bytes(2)
         );
     }
--- a/relay/src/upstream.rs
+++ b/relay/src/upstream.rs
@@ -1,2 +1,2 @@
-//! The former path of [`crate::attempt`].
-pub use crate::attempt::*;
+//! The former path of [`crate::health_check`].
+pub(crate) use crate::health_check::HealthChecks;
