--- /dev/null
+++ b/relay/tests/discovery/lists.rs
@@ -0,0 +1,167 @@
+//! What endpoint lists say, and in what form they come.
+use crate::helper::*;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+#[test]
+fn lists_that_are_old_empty_shrunken_or_name_a_known_id_anew_are_taken_as_they_say() {
+    let (here, _met) = backend(Play::Echo);
+    let dead = nobody();
+    let ready = |id, at| (id, at, "Ready");
+    let cached: Vec<(String, SocketAddr)> = (0..10).map(|id| (format!("old{id}"), dead)).collect();
+    let cached: Vec<_> = cached
+        .iter()
+        .map(|(id, at)| ready(id.as_str(), *at))
+        .collect();
+    // What is known at start, the lists that come, and how many of them count.
+    let first = list(7, true, &[ready("one", here)]);
+    let cases = [
+        (
+            "an older one",
+            "null",
+            vec![first.clone(), list(5, false, &[("one", here, "Gone")])],
+            1,
+            "UP",
+        ),
+        (
+            "a repeated one",
+            "null",
+            vec![first.clone(), list(7, false, &[("one", here, "Gone")])],
+            1,
+            "UP",
+        ),
+        (
+            "an empty one",
+            "null",
+            vec![first.clone(), list(8, true, &[])],
+            2,
+            "BUSY",
+        ),
+        (
+            "the last one gone",
+            "null",
+            vec![first.clone(), list(8, false, &[("one", here, "Gone")])],
+            2,
+            "BUSY",
+        ),
+        (
+            "a shrunken one",
+            "null",
+            vec![
+                list(
+                    7,
+                    true,
+                    &[ready("one", here), ready("b", dead), ready("c", dead)],
+                ),
+                list(8, true, &[ready("one", here)]),
+            ],
+            2,
+            "UP",
+        ),
+        (
+            "a known id elsewhere",
+            "null",
+            vec![
+                list(7, true, &[ready("one", dead)]),
+                list(8, false, &[ready("one", here)]),
+            ],
+            2,
+            "UP",
+        ),
+        (
+            "a cached one of boxes that are gone",
+            &list(3, true, &cached),
+            vec![first.clone()],
+            1,
+            "UP",
+        ),
+    ];
+    for (name, known, lists, counting, expected) in cases {
+        let mut pieces = vec![HEAD.to_string()];
+        pieces.extend(lists.iter().map(|text| chunk(text)));
+        // Once this one counts all before it have been read.
+        pieces.push(chunk(&list(9, false, &[("last", dead, "Terminating")])));
+        let (at, _asked) = discovery(vec![Script {
+            pieces,
+            ends: false,
+        }]);
+        let relay = start(at, 1_000, known, false);
+        let until = Instant::now() + LONG;
+        loop {
+            relay.signal("USR1");
+            let count = counted(&relay.logged(" lists="), "lists");
+            if count == counting + 1 {
+                break;
+            }
+            assert!(
+                count <= counting && Instant::now() < until,
+                "{name}: {count} lists"
+            );
+        }
+        let mut client = relay.open("safe", 1_000);
+        let answer = client.hears();
+        assert!(answer.starts_with(expected), "{name}: {answer}");
+    }
+}
+
+#[test]
+fn lists_may_be_indented_and_spoilt_ones_cost_their_call_alone() {
+    let (one, _met) = backend(Play::Echo);
+    let whole = list(
+        7,
+        true,
+        &[("one", one, "Ready"), ("a \\\"{[\\\\", one, "Terminating")],
+    );
+    let value: serde_json::Value = serde_json::from_str(&whole).unwrap();
+    let indented = serde_json::to_string_pretty(&value).unwrap();
+    let crossed = indented.replace('\n', "\r\n\t");
+    let plain_head = "HTTP/1.1 200 OK\r\n\r\n".to_string();
+    let cut = |at: &str| format!("{}\n", &whole[..whole.find(at).unwrap()]);
+    let good = |text: &str| (format!("{HEAD}{}", chunk(text)), true);
+    let bad = |text: String| (format!("{HEAD}{}{}", chunk(&text), chunk(&whole)), false);
+    let cases = [
+        ("on one line", good(&whole)),
+        ("indented", good(&indented)),
+        ("indented otherwise", good(&crossed)),
+        ("two in one piece", good(&format!("{indented}{whole}"))),
+        ("not in chunks", (format!("{plain_head}{crossed}"), true)),
+        ("cut off in a word", bad(cut("stanceId"))),
+        ("cut off between two words", bad(cut("\"hostPort"))),
+        (
+            "cut off by an empty line",
+            bad(format!("{{\"generation\":\n{}", "\n")),
+        ),
+        ("no list", bad("what".into())),
+        ("a list of another kind", bad("[7]".into())),
+        (
+            "a row that can't be read",
+            bad(whole.replace("Ready", "Steady")),
+        ),
+    ];
+    for (name, (text, taken)) in cases {
+        let agent = Agent::new();
+        let relay = start_changed(agent.at, "null", &[]);
+        let (watch, _) = agent.call();
+        // In pieces, so that each part of a list is met by itself as well.
+        for piece in text.as_bytes().chunks(97) {
+            if (&watch).write_all(piece).is_err() {
+                break;
+            }
+        }
+        if taken {
+            relay.counts("lists", 1);
+            assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt", "{name}");
+        } else {
+            relay.counts("list_failures", 1);
+            let mut client = relay.open("safe", 1_000);
+            assert!(
+                client.hears().starts_with("BUSY"),
+                "{name}: nothing of it counts"
+            );
+            let (watch, _) = agent.call();
+            says(&watch, &format!("{HEAD}{}", chunk(&whole)));
+            relay.counts("lists", 1);
+        }
+    }
+}
--- /dev/null
+++ b/relay/tests/discovery/polling.rs
@@ -0,0 +1,56 @@
+//! How often discovery is called while it fails.
+use crate::helper::*;
+use std::time::{Duration, Instant};
+
+#[test]
+fn a_discovery_that_stays_down_is_not_asked_ever_faster() {
+    let scripts = (0..10_000)
+        .map(|_| Script {
+            pieces: Vec::new(),
+            ends: true,
+        })
+        .collect();
+    let (at, asked) = discovery(scripts);
+    let relay = start(at, 1_000, "null", false);
+    let until = Instant::now() + Duration::from_secs(7);
+    let left = || until.saturating_duration_since(Instant::now());
+    let count = std::iter::repeat_with(|| asked.recv_timeout(left()))
+        .take_while(Result::is_ok)
+        .count();
+    // It takes each call and breaks it off: full jitter over 2, 4, 8 s.
+    assert!((2..=12).contains(&count), "{count}");
+    drop(relay);
+}
+
+#[test]
+fn a_discovery_that_is_not_there_is_asked_often_and_one_without_time_is_left_alone() {
+    // Whether it answers, and the calls within 4 s.
+    for (answers, expected) in [(false, 5..=20), (true, 1..=5)] {
+        let answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string();
+        let busy = (0..100)
+            .map(|_| Script {
+                pieces: vec![answer.clone()],
+                ends: true,
+            })
+            .collect();
+        let (at, asked) = discovery(busy);
+        let relay = start(if answers { at } else { nobody() }, 1_000, "null", false);
+        let until = Instant::now() + Duration::from_secs(4);
+        let left = || until.saturating_duration_since(Instant::now());
+        let met = std::iter::repeat_with(|| asked.recv_timeout(left()))
+            .take_while(Result::is_ok)
+            .count();
+        relay.signal("USR1");
+        let line = relay.logged("list_failures=");
+        let count = line
+            .split("list_failures=")
+            .nth(1)
+            .and_then(|rest| rest.split(' ').next());
+        let failures: usize = count.and_then(|count| count.parse().ok()).unwrap();
+        assert!(
+            expected.contains(&failures),
+            "answers {answers}: {failures} failures"
+        );
+        assert!(!answers || met >= failures, "{met} met");
+    }
+}
--- /dev/null
+++ b/relay/tests/discovery/watch.rs
@@ -0,0 +1,367 @@
+//! The watch on the endpoint list: followed, lost, and opened again.
+use crate::helper::*;
+use std::io::Write;
+use std::net::{TcpListener, TcpStream};
+use std::time::{Duration, Instant};
+
+/// A relay that follows its agent's watch and has version 7, with one backend that nobody is sent
+/// to.
+fn watching() -> (Agent, Relay, TcpStream) {
+    let agent = Agent::new();
+    let relay = start_changed(agent.at, "null", &[]);
+    let (watch, _) = agent.call();
+    says(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(7, true, &[("one", nobody(), "Ready")]))
+        ),
+    );
+    relay.counts("lists", 1);
+    (agent, relay, watch)
+}
+
+#[test]
+fn the_watch_is_followed_lost_and_taken_up_again() {
+    let (one, one_met) = backend(Play::Echo);
+    let (two, two_met) = backend(Play::Echo);
+    let whole = list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
+    let drains = list(8, false, &[("one", one, "Terminating")]);
+    // Split anywhere: within the head, a size line and a row.
+    let all = format!("{HEAD}{}{}", chunk(&whole), chunk(""));
+    let pieces: Vec<String> = all
+        .as_bytes()
+        .chunks(7)
+        .map(|piece| String::from_utf8_lossy(piece).into())
+        .collect();
+    let scripts = vec![
+        Script {
+            pieces: vec!["no HTTP at all\r\n\r\n".into()],
+            ends: true,
+        },
+        Script { pieces, ends: true },
+        Script {
+            pieces: vec![HEAD.into(), chunk("{\"generation\": nonsense")],
+            ends: false,
+        },
+        Script {
+            pieces: vec![HEAD.into(), chunk(&drains)],
+            ends: false,
+        },
+    ];
+    let (at, asked) = discovery(scripts);
+    let relay = start(at, 1_000, &list(3, true, &[("one", one, "Ready")]), true);
+    let expected = [
+        "follow=1 ",
+        "follow=1 ",
+        "follow=1&since=7 ",
+        "follow=1&since=7 ",
+    ];
+    for query in expected {
+        let line = next(&asked);
+        assert!(
+            line.starts_with(&format!("GET /api/targets?{query}")),
+            "{line}"
+        );
+    }
+    // A silent watch is given up and asked for again, with what is now held.
+    assert!(next(&asked).contains("since=8 "));
+    // One drains: all that is new goes to two.
+    for _ in 0..8 {
+        let mut client = relay.open("safe", 1_000);
+        assert_eq!(client.hears(), "UP receipt");
+    }
+    let opened = |met: &Met| {
+        met.try_iter()
+            .filter(|line| line.starts_with("OPEN"))
+            .count()
+    };
+    assert_eq!((opened(&one_met), opened(&two_met)), (0, 8));
+}
+
+#[test]
+fn a_new_discovery_address_is_taken_up_and_the_old_one_heard_until_then() {
+    let (one, one_met) = backend(Play::Echo);
+    let (two, two_met) = backend(Play::Echo);
+    let open = |pieces: Vec<String>| {
+        vec![Script {
+            pieces,
+            ends: false,
+        }]
+    };
+    let list_of = |version, which, at| chunk(&list(version, true, &[(which, at, "Ready")]));
+    // The first goes on with empty lines for a second and then tells of a drain.
+    let mut pieces = vec![HEAD.to_string(), list_of(70, "one", one)];
+    pieces.extend((0..500).map(|_| chunk("")));
+    pieces.push(chunk(&list(
+        71,
+        false,
+        &[("one", one, "Terminating"), ("two", two, "Ready")],
+    )));
+    let (first, first_asked) = discovery(open(pieces));
+    let (silent, silent_asked) = discovery(Vec::new());
+    // Its versions are lower, and it does not know of two.
+    let (last, last_asked) = discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
+    let relay = start(first, 1_000, "null", false);
+    assert!(next(&first_asked).contains("follow=1 "));
+    let mut standing = Vec::new();
+    let mut goes_to = |met: &Met| {
+        let until = Instant::now() + LONG;
+        while !met.try_iter().any(|line| line.starts_with("OPEN")) {
+            assert!(
+                Instant::now() < until,
+                "nothing came to the backend that was listed last"
+            );
+            let mut client = relay.open("safe", 1_000);
+            if client.hears() == "UP receipt" && standing.len() < 3 {
+                standing.push(client);
+            }
+        }
+    };
+    goes_to(&one_met);
+    relay.told(&first.to_string(), &silent.to_string());
+    assert!(next(&silent_asked).contains("follow=1 "));
+    goes_to(&two_met);
+    // Told of another while the one before has said nothing: asked at once, for all.
+    let began = Instant::now();
+    relay.told(&first.to_string(), &last.to_string());
+    assert!(next(&last_asked).contains("follow=1 "));
+    relay.logged(&format!("discovery at {last}: 1 backends"));
+    assert!(
+        began.elapsed() < Duration::from_secs(3),
+        "{:?}",
+        began.elapsed()
+    );
+    one_met.try_iter().count();
+    goes_to(&one_met);
+    for client in &mut standing {
+        client.say("still here\r\n");
+        assert_eq!(client.hears(), "still here");
+    }
+}
+
+#[test]
+fn a_new_process_sends_nothing_by_an_old_list_before_its_agent_has_answered() {
+    let agent = Agent::new();
+    let ((old, old_met), (new, new_met)) = (backend(Play::Echo), backend(Play::Echo));
+    let known = list(1, true, &[("old", old, "Ready")]);
+    // Long enough for any machine; an agent that says nothing at all is not waited for any longer.
+    let grace = (
+        "\"askWithinUs\": 1",
+        "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
+    );
+    let relay = start_changed(agent.at, &known, &[grace]);
+    let (watch, _) = agent.call();
+    let mut client = relay.open("safe", 9_000);
+    // The loop has turned since the line was there.
+    for _ in 0..3 {
+        relay.signal("USR1");
+        relay.logged(" connections=");
+    }
+    let rows = [("old", old, "Terminating"), ("new", new, "Ready")];
+    says(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
+    assert_eq!(client.hears(), "UP receipt");
+    assert!(next(&new_met).starts_with("OPEN"));
+    assert!(
+        old_met.try_iter().next().is_none(),
+        "nothing came to the one that drains"
+    );
+}
+
+#[test]
+fn a_call_that_hangs_unanswered_does_not_keep_the_relay_from_what_the_agent_has() {
+    let agent = Agent::new();
+    let (one, _met) = backend(Play::Echo);
+    let (two, two_met) = backend(Play::Echo);
+    let relay = start_changed(agent.at, "null", &[GRACE]);
+    let (watch, _) = agent.call();
+    says(
+        &watch,
+        &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))),
+    );
+    relay.counts("lists", 1);
+    // It goes away: the watch breaks, and a call hangs.
+    breaks_off(&watch);
+    drop(watch);
+    let (hanging, line) = agent.call();
+    assert!(line.contains("since=7 "), "{line}");
+    let (back, line) = agent.call();
+    assert!(line.contains("since=7 "), "{line}");
+    assert!(
+        is_quiet(&hanging),
+        "the one that hangs is not given up for it"
+    );
+    // Back again, it answers whoever calls now.
+    let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
+    says(&back, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
+    relay.counts("lists", 2);
+    assert_eq!(all_of(&hanging), "", "one watch is left");
+    let mut client = relay.open("safe", 1_000);
+    assert_eq!(client.hears(), "UP receipt");
+    assert!(next(&two_met).starts_with("OPEN"));
+    // And the hanging one may be the first that is answered.
+    breaks_off(&back);
+    drop(back);
+    let (hanging, _) = agent.call();
+    let (beside, _) = agent.call();
+    says(
+        &hanging,
+        &format!("{HEAD}{}", chunk(&list(9, false, &rows))),
+    );
+    relay.counts("lists", 3);
+    assert_eq!(all_of(&beside), "", "one watch is left");
+}
+
+#[test]
+fn a_good_watch_that_breaks_is_asked_for_again_within_a_drains_grace() {
+    let (agent, relay, watch) = watching();
+    let broken = Instant::now();
+    breaks_off(&watch);
+    drop(watch);
+    let (watch, _) = agent.call();
+    assert!(
+        broken.elapsed() < Duration::from_millis(600),
+        "{:?}",
+        broken.elapsed()
+    );
+    // One that breaks as often as it is answered is called no faster than any that has no time.
+    says(&watch, &format!("{HEAD}{}", chunk("")));
+    breaks_off(&watch);
+    drop(watch);
+    relay.counts("list_failures", 2);
+    agent.listener.set_nonblocking(true).unwrap();
+    assert!(agent.listener.accept().is_err(), "asked again at once");
+}
+
+/// How calls to discovery come to nothing.
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Away {
+    Refused,
+    Reset,
+    Unavailable,
+    HalfAList,
+    NoList,
+    Silent,
+}
+
+/// Whatever a row of calls met, what discovery has when it can be reached again is the relay's
+/// within six seconds.
+#[test]
+fn what_discovery_has_at_its_return_is_known_in_time_whatever_calls_met_before() {
+    use Away::*;
+    let kinds = [Refused, Reset, Unavailable, HalfAList, NoList, Silent];
+    let all = kinds
+        .iter()
+        .chain(&kinds[1..5])
+        .map(|&away| std::thread::spawn(move || returns(away)));
+    // All are awaited before one may fail, since each ends its own relay.
+    let ended: Vec<_> = all
+        .collect::<Vec<_>>()
+        .into_iter()
+        .map(std::thread::JoinHandle::join)
+        .collect();
+    assert!(
+        ended.iter().all(Result::is_ok),
+        "a relay did not know in time"
+    );
+}
+
+fn returns(away: Away) {
+    use Away::*;
+    let mut agent = Agent::new();
+    let (one, one_met) = backend(Play::Echo);
+    let (two, two_met) = backend(Play::Echo);
+    let relay = start_changed(agent.at, "null", &[]);
+    let (watch, _) = agent.call();
+    says(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(
+                7,
+                true,
+                &[("one", one, "Ready"), ("two", two, "Ready")]
+            ))
+        ),
+    );
+    relay.counts("lists", 1);
+    let mut refused = (away == Refused).then(|| std::mem::replace(&mut agent, Agent::new()));
+    let at = refused.as_ref().map_or(agent.at, |gone| gone.at);
+    drop(refused.take());
+    breaks_off(&watch);
+    drop(watch);
+    // The first of a watch that had been good comes at once; from the fourth on pauses are the
+    // longest.
+    let mut hanging = Vec::new();
+    for _ in 0..4 {
+        if away == Refused {
+            break;
+        }
+        let (call, _) = agent.call();
+        let half = &list(8, false, &[("one", one, "Terminating")])[..60];
+        match away {
+            Refused => {}
+            Reset => breaks_off(&call),
+            Unavailable => says(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+            HalfAList => says(&call, &format!("{HEAD}{:x}\r\n{half}\r\n", half.len() + 2)),
+            NoList => says(&call, &format!("{HEAD}{}", chunk("{\"generation\":true}"))),
+            Silent => hanging.push(call),
+        }
+    }
+    if away == Refused {
+        relay.counts("list_failures", 8);
+        agent = Agent {
+            listener: TcpListener::bind(at).unwrap(),
+            at,
+        };
+    }
+    // From here on it has the drain, and answers whoever calls.
+    let back = Instant::now();
+    let rows = [("one", one, "Terminating")];
+    let (watch, _) = agent.call();
+    says(&watch, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
+    relay.counts("lists", 2);
+    assert!(
+        back.elapsed() < Duration::from_millis(5_500),
+        "{away:?}: {:?}",
+        back.elapsed()
+    );
+    let mut clients: Vec<_> = (0..6).map(|_| relay.open("safe", 1_000)).collect();
+    for client in &mut clients {
+        assert_eq!(client.hears(), "UP receipt", "{away:?}");
+        assert!(next(&two_met).starts_with("OPEN"), "{away:?}");
+    }
+    assert!(
+        one_met.try_recv().is_err(),
+        "{away:?}: sent to a backend that drains"
+    );
+}
+
+#[test]
+fn a_list_that_trickles_without_end_is_no_sign_of_life() {
+    let (agent, _relay, watch) = watching();
+    // A byte at a time, of a list that never ends: given up like a silent one.
+    let out = watch.try_clone().unwrap();
+    let trickle = std::thread::spawn(move || {
+        let until = Instant::now() + LONG;
+        let mut bytes = "{\"generation\":8,\"instances\":["
+            .chars()
+            .chain(std::iter::repeat(' '));
+        while Instant::now() < until {
+            let byte = bytes.next().unwrap();
+            if (&out)
+                .write_all(format!("1\r\n{byte}\r\n").as_bytes())
+                .is_err()
+            {
+                return true;
+            }
+            std::thread::sleep(Duration::from_millis(20));
+        }
+        false
+    });
+    let (again, line) = agent.call();
+    assert!(line.contains("since=7 "), "{line}");
+    drop(watch);
+    assert!(trickle.join().unwrap(), "the trickling watch was closed");
+    drop(again);
+}
--- /dev/null
+++ b/relay/tests/helper/backend.rs
@@ -0,0 +1,158 @@
+//! Stand-ins for backends.
+use super::wait::*;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+use std::time::Duration;
+
+/// What a backend does with the first line of a connection.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Play {
+    /// Up, then each line comes back; the client's end is answered `BYE`.
+    Echo,
+    /// Up in pieces.
+    Split,
+    Say(&'static str),
+    /// Up, then this, then the end.
+    UpThen(&'static str),
+    UpThenReset,
+    /// Up, then one note after another that messages take long; answers probes with a load of 0.7.
+    Late,
+    /// Up, then never a word.
+    UpMute,
+    Mute,
+    End,
+    TooLong,
+    /// Up, then so many lines without waiting for any.
+    Flood(usize),
+}
+
+/// What a backend met, in order: first lines, and how later ones and the end came.
+pub type Met = Receiver<String>;
+
+pub fn backend(play: Play) -> (SocketAddr, Met) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let (tell, met) = channel();
+    thread::spawn(move || {
+        for stream in listener.incoming() {
+            let tell = tell.clone();
+            thread::spawn(move || drop(serve(stream.unwrap(), play, tell)));
+        }
+    });
+    (address, met)
+}
+
+pub fn serve(stream: TcpStream, play: Play, tell: Sender<String>) -> std::io::Result<()> {
+    stream.set_nodelay(true)?;
+    let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
+    let mut line = String::new();
+    lines.read_line(&mut line)?;
+    while line == "STATS\r\n" {
+        let _ = tell.send(std::mem::take(&mut line));
+        let load = if play == Play::Late { "0.7" } else { "0.25" };
+        out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
+        lines.read_line(&mut line)?;
+    }
+    let _ = tell.send(line.clone());
+    match play {
+        Play::Say(word) => return out.write_all(word.as_bytes()),
+        Play::Mute => return lines.read_to_string(&mut line).map(drop),
+        Play::End => return Ok(()),
+        Play::TooLong => return out.write_all(&[b'x'; 9_000]),
+        Play::Split => {
+            for piece in ["U", "P re", "ceipt\r", "\n"] {
+                out.write_all(piece.as_bytes())?;
+                thread::sleep(Duration::from_millis(5));
+            }
+        }
+        _ => out.write_all(b"UP receipt\r\n")?,
+    }
+    match play {
+        Play::UpThen(words) => return out.write_all(words.as_bytes()),
+        Play::UpThenReset => {
+            out.write_all(b"last\r\n")?;
+            // Closing with the client's line unread makes the system send a reset.
+            while stream.peek(&mut [0; 1])? == 0 {}
+            return Ok(());
+        }
+        Play::Late => loop {
+            out.write_all(b"LOAD 1242.441\r\n")?;
+            thread::sleep(Duration::from_millis(100));
+        },
+        Play::UpMute => return lines.read_to_string(&mut line).map(drop),
+        Play::Flood(count) => {
+            for number in 0..count {
+                out.write_all(format!("line {number}\r\n").as_bytes())?;
+            }
+        }
+        _ => {}
+    }
+    loop {
+        line.clear();
+        let end = match lines.read_line(&mut line) {
+            Ok(0) => "end",
+            Err(_) => "reset",
+            Ok(_) => {
+                let _ = tell.send(line.clone());
+                out.write_all(line.as_bytes())?;
+                continue;
+            }
+        };
+        let _ = tell.send(end.into());
+        return if end == "end" {
+            out.write_all(b"BYE inflight=1\r\n")
+        } else {
+            Ok(())
+        };
+    }
+}
+
+pub fn next(met: &Met) -> String {
+    met.recv_timeout(LONG)
+        .expect("the backend met nothing more")
+}
+
+/// A backend at which connections come up late: its queue is full until somebody takes them in.
+pub struct Late {
+    pub listener: TcpListener,
+    pub at: SocketAddr,
+    pub fillers: Vec<TcpStream>,
+}
+
+impl Late {
+    pub fn new() -> Late {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
+        socket.listen(0).unwrap();
+        let listener = TcpListener::from(socket);
+        let at = listener.local_addr().unwrap();
+        let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
+        let fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
+        assert!((1..64).contains(&fillers.len()), "the queue fills");
+        Late {
+            listener,
+            at,
+            fillers,
+        }
+    }
+
+    /// Takes all in that fill the queue, and then the one that waited.
+    pub fn comes_up(&mut self) -> TcpStream {
+        let ours: Vec<SocketAddr> = self
+            .fillers
+            .iter()
+            .map(|one| one.local_addr().unwrap())
+            .collect();
+        loop {
+            let stream = accepted(&self.listener);
+            if !ours.contains(&stream.peer_addr().unwrap()) && is_quiet(&stream) {
+                return stream;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/client.rs
@@ -0,0 +1,39 @@
+//! Clients.
+use super::wait::*;
+use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::atomic::{AtomicU16, Ordering};
+
+/// With an id that is new, as each connection's is.
+pub fn open_line(items: &str) -> String {
+    static LAST: AtomicU16 = AtomicU16::new(0);
+    format!(
+        "OPEN {:016x} 7f3a9c21e0b4d655 {items}\r\n",
+        LAST.fetch_add(1, Ordering::Relaxed)
+    )
+}
+
+pub struct Client {
+    pub lines: BufReader<TcpStream>,
+}
+
+impl Client {
+    pub fn say(&mut self, text: &str) {
+        self.lines.get_mut().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// The next line; "end" or "reset" where the connection is over.
+    pub fn hears(&mut self) -> String {
+        let mut line = String::new();
+        match self.lines.read_line(&mut line) {
+            Ok(0) => "end".into(),
+            Ok(_) => line.trim_end().into(),
+            Err(fault) if fault.kind() == ErrorKind::ConnectionReset => "reset".into(),
+            Err(fault) => panic!("{fault}"),
+        }
+    }
+
+    pub fn ends_sending(&self) {
+        self.lines.get_ref().shutdown(Shutdown::Write).unwrap();
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/discovery.rs
@@ -0,0 +1,104 @@
+//! Stand-ins for discovery's agent.
+use super::backend::Met;
+use super::wait::*;
+use socket2::Type;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::channel;
+use std::thread;
+use std::time::Duration;
+
+/// One that accepts and never says a word is `None`; else each watch gets the next script of
+/// pieces, and then stays open or ends.
+pub struct Script {
+    pub pieces: Vec<String>,
+    pub ends: bool,
+}
+
+pub fn discovery(scripts: Vec<Script>) -> (SocketAddr, Met) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let (tell, met) = channel();
+    thread::spawn(move || {
+        let mut scripts = scripts.into_iter();
+        let mut open = Vec::new();
+        for stream in listener.incoming() {
+            let mut stream = stream.unwrap();
+            stream.set_nodelay(true).unwrap();
+            let mut line = String::new();
+            let mut lines = BufReader::new(stream.try_clone().unwrap());
+            lines.read_line(&mut line).unwrap();
+            tell.send(line).unwrap();
+            let Some(script) = scripts.next() else {
+                open.push(stream);
+                continue;
+            };
+            for piece in script.pieces {
+                let _ = stream.write_all(piece.as_bytes());
+                thread::sleep(Duration::from_millis(2));
+            }
+            if !script.ends {
+                open.push(stream);
+            }
+        }
+    });
+    (address, met)
+}
+
+pub const HEAD: &str =
+    "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
+
+pub fn chunk(text: &str) -> String {
+    format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
+}
+
+pub fn list(generation: u64, reset: bool, rows: &[(&str, SocketAddr, &str)]) -> String {
+    let rows: Vec<String> = rows
+        .iter()
+        .map(|(name, at, lifecycle)| {
+            format!(
+                r#"{{"instanceId":"{name}","hostPort":"{at}","zone":"a","machineType":"m","cell":0,
+                "lifecycle":"{lifecycle}","weight":1.0,"startedAtMs":0}}"#
+            )
+            .replace('\n', "")
+        })
+        .collect();
+    format!(
+        r#"{{"generation":{generation},"reset":{reset},"instances":[{}]}}"#,
+        rows.join(",")
+    )
+}
+
+/// Discovery's agent, whose every step is the test's.
+pub struct Agent {
+    pub listener: TcpListener,
+    pub at: SocketAddr,
+}
+
+impl Agent {
+    pub fn new() -> Agent {
+        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        Agent {
+            at: listener.local_addr().unwrap(),
+            listener,
+        }
+    }
+
+    /// The next call, and what it asks for.
+    pub fn call(&self) -> (TcpStream, String) {
+        loop {
+            let stream = accepted(&self.listener);
+            let (mut lines, mut first, mut line) =
+                (BufReader::new(&stream), String::new(), String::new());
+            let mut came = lines.read_line(&mut first).unwrap();
+            while came > 0 && line != "\r\n" {
+                line.clear();
+                came = lines.read_line(&mut line).unwrap();
+            }
+            // One that ended before it had asked was given up meanwhile.
+            if came > 0 {
+                return (stream, first);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/wait.rs
@@ -0,0 +1,85 @@
+//! Waiting for what a test needs, and looking at connections from outside.
+
+use socket2::SockRef;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU16, Ordering};
+use std::time::{Duration, Instant};
+
+pub const LONG: Duration = Duration::from_secs(10);
+
+/// An address at which nobody listens, and which no connection's own end can take in the meantime.
+pub fn nobody() -> SocketAddr {
+    static LAST: AtomicU16 = AtomicU16::new(0);
+    let [high, low] = (LAST.fetch_add(1, Ordering::Relaxed) + 1).to_be_bytes();
+    let process = 64 + (std::process::id() % 128) as u8;
+    SocketAddr::from(([127, process, high, low], 8080))
+}
+
+pub fn in_time<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
+    let until = Instant::now() + LONG;
+    loop {
+        if let Some(done) = step() {
+            return done;
+        }
+        assert!(Instant::now() < until, "in time: {what}");
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+pub fn accepted(listener: &TcpListener) -> TcpStream {
+    listener.set_nonblocking(true).unwrap();
+    let stream = in_time("a connection", || listener.accept().ok()).0;
+    stream.set_nonblocking(false).unwrap();
+    stream.set_nodelay(true).unwrap();
+    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream
+}
+
+/// Nothing has come on it, its end neither.
+pub fn is_quiet(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).unwrap();
+    let quiet =
+        matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
+    stream.set_nonblocking(false).unwrap();
+    quiet
+}
+
+/// All that comes up to the end, or to the reset that it ends with.
+pub fn all_of(mut stream: &TcpStream) -> String {
+    let mut text = Vec::new();
+    match stream.read_to_end(&mut text) {
+        Err(fault) if fault.kind() != ErrorKind::ConnectionReset => panic!("no end came: {fault}"),
+        _ => String::from_utf8(text).unwrap(),
+    }
+}
+
+/// What the system knows at the end `here` of a connection: if it stands, and if something waits to
+/// be read. On a busy machine even loopback brings things late.
+pub fn at_end(here: SocketAddr, there: SocketAddr) -> (bool, bool) {
+    let hex = |at: SocketAddr| match at.ip() {
+        std::net::IpAddr::V4(ip) => {
+            format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), at.port())
+        }
+        std::net::IpAddr::V6(_) => unreachable!("tests use IPv4"),
+    };
+    let ends = format!(" {} {} 01 ", hex(here), hex(there));
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let queues = table
+        .split(&ends)
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next());
+    let unread = queues.is_some_and(|queues| !queues.ends_with(":00000000"));
+    (queues.is_some(), unread)
+}
+
+/// Ends with a reset in place of an end.
+pub fn breaks_off(stream: &TcpStream) {
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
+}
+
+pub fn says(mut stream: &TcpStream, text: &str) {
+    stream.write_all(text.as_bytes()).unwrap();
+}
--- /dev/null
+++ b/relay/tests/service/configuration.rs
@@ -0,0 +1,121 @@
+//! The configuration file: at the start, and read again.
+use crate::helper::*;
+use std::io::Read;
+
+#[test]
+fn malformed_configurations_are_one_plain_line() {
+    let good = config(nobody(), nobody(), 1_000, "null", false);
+    let cases = [
+        ("no JSON", "{".to_string(), "EOF"),
+        (
+            "no seed",
+            good.replace("\"seed\"", "\"seeds\""),
+            "missing field `seed`",
+        ),
+        ("seed", good.replace("8c1f30d27a5be964", "xyz"), "seed"),
+        (
+            "sockets",
+            good.replace("\"sockets\":1000", "\"sockets\":10"),
+            "sockets",
+        ),
+        (
+            "memory",
+            good.replace("\"memory_mb\":64", "\"memory_mb\":1"),
+            "memory",
+        ),
+        (
+            "listen",
+            good.replace("\"listen\":\"127.", "\"listen\":\"here."),
+            "listen",
+        ),
+        ("settings", good.replace("\"maxDials\": 1,", ""), "maxDials"),
+    ];
+    for (name, text, expected) in cases {
+        let mut child = start_with(&text, 256);
+        let status = end_of(&mut child);
+        let mut told = String::new();
+        child
+            .stderr
+            .take()
+            .unwrap()
+            .read_to_string(&mut told)
+            .unwrap();
+        assert!(!status.success(), "{name}");
+        assert_eq!(told.lines().count(), 1, "{name}: {told}");
+        assert!(told.contains(expected), "{name}: {told}");
+    }
+}
+
+#[test]
+fn a_file_read_again_changes_only_what_it_can() {
+    let (address, _met) = backend(Play::Echo);
+    let relay = start(
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut client = relay.open("safe", 1_000);
+    assert_eq!(client.hears(), "UP receipt");
+    let cases = [
+        ("\"name\"", "", "what was read before stays"),
+        (
+            "\"seed\":\"8c",
+            "\"seed\":\"xy",
+            "what was read before stays",
+        ),
+        (
+            "\"memory_mb\":64",
+            "\"memory_mb\":96",
+            "changes of limits need a restart",
+        ),
+        ("\"r0\"", "\"r1\"", "changes of name need a restart"),
+    ];
+    for (from, to, expected) in cases {
+        relay.told(from, to);
+        relay.logged(expected);
+        client.say("still here\r\n");
+        assert_eq!(client.hears(), "still here", "{expected}");
+    }
+}
+
+#[test]
+fn settings_that_change_while_a_session_waits_are_not_its_own() {
+    let (mute, met) = backend(Play::Mute);
+    let mut relay = start_changed(nobody(), &list(1, true, &[("mute", mute, "Ready")]), &[]);
+    let mut waits = relay.open("once", 1_500);
+    while !next(&met).starts_with("OPEN") {}
+    // The order of the listeners, the effect and the deadline of each are others, and one is new.
+    let mut later = relay.text.clone();
+    let swaps = [
+        (
+            "\"name\": \"safe\", \"deadlineUs\": 1500000",
+            "\"name\": \"new\", \"deadlineUs\": 700000",
+        ),
+        ("\"name\": \"once\"", "\"name\": \"safe\""),
+        (
+            "\"effect\": \"fragile\", \"utility\": 1.0}",
+            "\"effect\": \"fragile\", \"utility\": 1.0}, {\"name\": \"once\", \"deadlineUs\": 400000, \"handshakeTargetUs\": 300000, \"effect\": \"retryable\", \"utility\": 1.0}",
+        ),
+    ];
+    for (from, to) in swaps {
+        assert!(later.contains(from), "{from}");
+        later = later.replace(from, to);
+    }
+    write_config(&later);
+    relay.signal("HUP");
+    relay.logged("generation 2");
+    // While both may bind the stricter holds, so that each is torn down: the one that waits as it
+    // came, the others anew.
+    let mut others = [relay.open("once", 400), relay.open("safe", 400)];
+    for client in &mut others {
+        assert_eq!(client.hears(), "ERR");
+    }
+    assert!(
+        relay.open("new", 300).hears().starts_with("BUSY"),
+        "repeatable in the settings that know it"
+    );
+    assert_eq!([waits.hears(), waits.hears()], ["ERR", "end"]);
+    relay.signal("TERM");
+    assert!(end_of(&mut relay.child).success());
+}
--- /dev/null
+++ b/relay/tests/service/health_check.rs
@@ -0,0 +1,57 @@
+//! Health checks of backends.
+use crate::helper::*;
+use std::io::{BufRead, BufReader};
+use std::net::{TcpListener, TcpStream};
+
+#[test]
+fn probes_use_one_connection_again() {
+    let (address, met) = backend(Play::Echo);
+    let relay = start(
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        true,
+    );
+    assert_eq!([next(&met), next(&met)], ["STATS\r\n", "STATS\r\n"]);
+    relay.signal("USR1");
+    let line = relay.logged("probes=");
+    assert!(line.contains("probes_failed=0 "), "{line}");
+    assert!(!line.contains("probes=0 "), "{line}");
+}
+
+#[test]
+fn a_probe_on_a_connection_closed_as_it_is_used_again_is_asked_on_a_new_one() {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let known = list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
+    let relay = start_changed(
+        nobody(),
+        &known,
+        &[("\"probes\": false", "\"probes\": true")],
+    );
+    let asks = |stream: &TcpStream| {
+        let mut line = String::new();
+        BufReader::new(stream).read_line(&mut line).unwrap();
+        assert_eq!(line, "STATS\r\n");
+    };
+    let mut stream = accepted(&listener);
+    asks(&stream);
+    for reset in [false, true] {
+        says(&stream, "PONG inflight=1,x0=0.1\r\n");
+        asks(&stream);
+        if reset {
+            breaks_off(&stream);
+        }
+        drop(stream);
+        stream = accepted(&listener);
+        asks(&stream);
+        relay.signal("USR1");
+        assert_eq!(
+            counted(&relay.logged(" probes_failed="), "probes_failed"),
+            0,
+            "reset {reset}"
+        );
+    }
+    // A new one that ends without an answer is its backend's doing.
+    drop(stream);
+    relay.counts("probes_failed", 1);
+}
--- /dev/null
+++ b/relay/tests/service/main.rs
@@ -0,0 +1,7 @@
+//! The relay's process: configuration, start and health checks.
+#[path = "../helper/mod.rs"]
+mod helper;
+
+mod configuration;
+mod health_check;
+mod startup;
--- /dev/null
+++ b/relay/tests/service/startup.rs
@@ -0,0 +1,100 @@
+//! The start of a relay.
+use crate::helper::*;
+use std::io::{BufRead, BufReader, Write};
+use std::net::{SocketAddr, TcpListener};
+use std::time::{Duration, Instant};
+
+/// Twenty that start at once, with a list of 1,024 backends: nine in ten answer `PING` within ten
+/// seconds, whatever their discovery does.
+#[test]
+fn nine_in_ten_of_twenty_started_at_once_are_ready_in_time() {
+    let rows: Vec<(String, SocketAddr)> = (0..1_024)
+        .map(|id| (format!("backend-{id:08x}"), nobody()))
+        .collect();
+    let rows: Vec<_> = rows
+        .iter()
+        .map(|(name, at)| (name.as_str(), *at, "Ready"))
+        .collect();
+    let known = list(1, true, &rows);
+    // One that answers all, one that takes calls and is silent, one where nobody is.
+    let up = TcpListener::bind("127.0.0.1:0").unwrap();
+    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
+    let all = [
+        up.local_addr().unwrap(),
+        silent.local_addr().unwrap(),
+        nobody(),
+    ];
+    let answer = format!("{HEAD}{}", chunk(&list(2, true, &rows)));
+    std::thread::spawn(move || {
+        for stream in up.incoming() {
+            let answer = answer.clone();
+            std::thread::spawn(move || {
+                let stream = stream.unwrap();
+                let mut lines = BufReader::new(&stream);
+                let mut line = String::new();
+                while line != "\r\n" {
+                    line.clear();
+                    lines.read_line(&mut line).unwrap();
+                }
+                says(&stream, &answer);
+                lines.read_line(&mut line)
+            });
+        }
+    });
+    for discovery in all {
+        let one = |known: String| {
+            std::thread::spawn(move || {
+                let began = Instant::now();
+                let relay = start(discovery, 1_000, &known, false);
+                let mut client = relay.client();
+                client.say("PING\r\n");
+                (client.hears() == "PONG").then(|| began.elapsed())
+            })
+        };
+        let relays: Vec<_> = (0..20).map(|_| one(known.clone())).collect();
+        let ended: Vec<_> = relays
+            .into_iter()
+            .map(std::thread::JoinHandle::join)
+            .collect();
+        let mut times: Vec<Duration> = ended
+            .into_iter()
+            .filter_map(|one| one.ok().flatten())
+            .collect();
+        times.sort();
+        println!(
+            "{discovery}: {:?} {:?} {:?}",
+            times.get(9),
+            times.get(17),
+            times.last()
+        );
+        assert!(
+            times.len() >= 18 && times[17] < Duration::from_secs(10),
+            "{discovery}: {times:?}"
+        );
+    }
+}
+
+#[test]
+fn told_to_stop_while_its_configuration_is_read_it_ends_well() {
+    // The file is a pipe: the one who writes has it open once the program reads.
+    let path = std::env::temp_dir().join(format!("thistlecroft-{}-pipe.json", std::process::id()));
+    let made = std::process::Command::new("mkfifo")
+        .arg(&path)
+        .status()
+        .unwrap();
+    assert!(made.success());
+    let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
+        .env("ROUTER_CONFIG", &path)
+        .spawn()
+        .unwrap();
+    let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
+    let kill = std::process::Command::new("kill")
+        .args(["-TERM", &child.id().to_string()])
+        .status();
+    assert!(kill.unwrap().success());
+    let _ = file.write_all(config(nobody(), nobody(), 1_000, "null", false).as_bytes());
+    drop(file);
+    let end = end_of(&mut child);
+    std::fs::remove_file(path).unwrap();
+    assert!(end.success(), "{end}");
+}
--- /dev/null
+++ b/relay/tests/session/descriptors.rs
@@ -0,0 +1,169 @@
+//! File descriptors that run out.
+use crate::helper::*;
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+#[test]
+fn connections_that_say_nothing_make_room_for_those_that_mean_to_be_served() {
+    let (address, _met) = backend(Play::Echo);
+    // Room for 24 descriptors of sessions; the silent ones come by hundreds, and again as they are
+    // sent away.
+    let relay = start(
+        nobody(),
+        64,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut silent: Vec<Client> = (0..200).map(|_| relay.client()).collect();
+    for round in 0..8 {
+        let began = Instant::now();
+        let mut client = relay.open("safe", 1_500);
+        assert_eq!(client.hears(), "UP receipt", "{round}");
+        assert!(
+            began.elapsed() < Duration::from_millis(1_500),
+            "{round}: {:?}",
+            began.elapsed()
+        );
+        client.say("through\r\n");
+        assert_eq!(client.hears(), "through", "{round}");
+        silent.extend((0..20).map(|_| relay.client()));
+    }
+    for client in &mut silent {
+        // One that had come just before might have been about to speak, and is answered.
+        let word = client.hears();
+        assert!(
+            word == "end" || word == "BUSY" && ["end", "reset"].contains(&client.hears().as_str()),
+            "{word}"
+        );
+    }
+}
+
+#[test]
+fn without_descriptors_clients_are_told_so_and_served_again_later() {
+    let (address, _met) = backend(Play::Echo);
+    let relay = start(
+        nobody(),
+        64,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut served = Vec::new();
+    let mut told = 0;
+    for _ in 0..30 {
+        let mut client = relay.open("safe", 2_000);
+        match client.hears().as_str() {
+            "UP receipt" => served.push(client),
+            busy if busy.starts_with("BUSY") => told += 1,
+            other => panic!("{other}"),
+        }
+    }
+    assert!(
+        told > 0 && served.len() >= 5,
+        "{told} told, {} served",
+        served.len()
+    );
+    served[0].say("still here\r\n");
+    assert_eq!(served[0].hears(), "still here");
+    for client in &mut served {
+        client.ends_sending();
+        while client.hears() != "end" {}
+    }
+    assert_eq!(relay.open("safe", 2_000).hears(), "UP receipt");
+    relay.signal("USR1");
+    let line = relay.logged("turned_away=");
+    assert_eq!(
+        counted(&line, "turned_away") + counted(&line, "refused"),
+        told,
+        "{line}"
+    );
+    assert!(line.contains("accept_failures=0 "), "{line}");
+}
+
+#[test]
+fn when_the_system_has_no_descriptor_left_nothing_ends_and_nothing_spins() {
+    let (address, _met) = backend(Play::Echo);
+    // The configuration promises more than the system gives.
+    let relay = start_within(
+        40,
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut clients = vec![relay.open("safe", 2_000)];
+    assert_eq!(clients[0].hears(), "UP receipt");
+    clients.extend((0..60).map(|_| relay.open("safe", 2_000)));
+    relay.signal("USR1");
+    let mut line = relay.logged("accept_failures=");
+    let until = Instant::now() + LONG;
+    while line.contains("accept_failures=0 ") && Instant::now() < until {
+        relay.signal("USR1");
+        line = relay.logged("accept_failures=");
+    }
+    let count = counted(&line, "accept_failures");
+    // One try each 20 ms; a loop that spins makes thousands at once.
+    assert!((1..1_000).contains(&count), "{count}");
+    clients[0].say("still here\r\n");
+    assert_eq!(clients[0].hears(), "still here");
+    drop(clients);
+    let mut heard = String::new();
+    while heard != "UP receipt" && Instant::now() < until {
+        heard = relay.open("safe", 2_000).hears();
+    }
+    assert_eq!(heard, "UP receipt");
+}
+
+/// Clients that say nothing take every descriptor that they can get, while discovery is away.
+#[test]
+fn idle_clients_that_fill_the_descriptors_keep_nobody_out_while_discovery_is_away() {
+    let (known, known_met) = backend(Play::Echo);
+    let (told, told_met) = backend(Play::Echo);
+    let (at, gone) = (nobody(), Agent::new().at);
+    let relay = started(
+        at,
+        config(
+            at,
+            gone,
+            100,
+            &list(1, true, &[("known", known, "Ready")]),
+            false,
+        ),
+    );
+    relay.counts("list_failures", 2);
+    let open = || {
+        let path = format!("/proc/{}/fd", relay.child.id());
+        std::fs::read_dir(path).unwrap().count()
+    };
+    let mut idle: Vec<Client> = Vec::new();
+    in_time("all that there is are taken", || {
+        idle.push(relay.client());
+        (idle.len() >= 200).then_some(())
+    });
+    assert!(open() <= 100, "{} descriptors", open());
+    // Whoever talks is served, and what else the relay needs it still gets: its file, discovery.
+    let mut standing = relay.open("safe", 7_000);
+    assert_eq!(standing.hears(), "UP receipt");
+    assert!(next(&known_met).starts_with("OPEN"));
+    relay.told("\"cores\":1.0", "\"cores\":1.5");
+    relay.logged("limits");
+    let agent = Agent {
+        listener: TcpListener::bind(gone).unwrap(),
+        at: gone,
+    };
+    let (watch, _) = agent.call();
+    says(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(2, true, &[("told", told, "Ready")]))
+        ),
+    );
+    relay.counts("lists", 1);
+    idle.extend((0..100).map(|_| relay.client()));
+    let mut client = relay.open("safe", 7_000);
+    assert_eq!(client.hears(), "UP receipt");
+    assert!(next(&told_met).starts_with("OPEN"));
+    standing.say("still here\r\n");
+    assert_eq!(standing.hears(), "still here");
+    assert!(open() <= 100, "{} descriptors", open());
+}
--- /dev/null
+++ b/relay/tests/session/established.rs
@@ -0,0 +1,129 @@
+//! Established sessions: lines, ends and migration.
+use crate::helper::*;
+use std::sync::mpsc::channel;
+use std::thread;
+use std::time::{Duration, Instant};
+
+#[test]
+fn lines_pass_both_ways_and_ends_come_across() {
+    let (address, met) = backend(Play::Echo);
+    let relay = relay_with(&[address]);
+    let mut client = relay.open("safe", 1_000);
+    assert_eq!(client.hears(), "UP receipt");
+    next(&met);
+    client.say("one\r\ntwo\r\nth");
+    assert_eq!([client.hears(), client.hears()], ["one", "two"]);
+    client.say("ree\r\nlast without an ending");
+    client.ends_sending();
+    assert_eq!(
+        [client.hears(), client.hears()],
+        ["three", "last without an endingBYE inflight=1"]
+    );
+    assert_eq!(client.hears(), "end");
+    let passed: Vec<String> = (0..5).map(|_| next(&met)).collect();
+    assert_eq!(
+        passed,
+        [
+            "one\r\n",
+            "two\r\n",
+            "three\r\n",
+            "last without an ending",
+            "end"
+        ]
+    );
+
+    // A client that breaks off breaks its backend's connection off.
+    let mut breaks = relay.open("safe", 1_000);
+    breaks.hears();
+    next(&met);
+    breaks.say("unread answer\r\n");
+    next(&met);
+    breaks.lines.get_ref().peek(&mut [0; 1]).unwrap();
+    drop(breaks);
+    assert_eq!(next(&met), "reset");
+}
+
+#[test]
+fn a_backends_end_comes_across_with_its_last_lines() {
+    let cases = [
+        (
+            Play::UpThen("a\r\nBYE\r\n"),
+            &["UP receipt", "a", "BYE", "end"][..],
+        ),
+        (Play::UpThen("MOVE\r\n"), &["UP receipt", "MOVE", "end"]),
+        (Play::UpThen("half"), &["UP receipt", "half", "end"]),
+    ];
+    for (play, expected) in cases {
+        let (address, _met) = backend(play);
+        let relay = relay_with(&[address]);
+        let mut client = relay.open("safe", 1_000);
+        for word in expected {
+            assert_eq!(client.hears(), *word, "{play:?}");
+        }
+    }
+    let (address, _met) = backend(Play::UpThenReset);
+    let relay = relay_with(&[address]);
+    let mut client = relay.open("safe", 1_000);
+    assert_eq!([client.hears(), client.hears()], ["UP receipt", "last"]);
+    client.say("never read\r\n");
+    assert_eq!(client.hears(), "reset");
+}
+
+#[test]
+fn a_client_that_does_not_read_holds_its_backend_back_and_loses_nothing() {
+    const COUNT: usize = 1_000_000;
+    let (address, _met) = backend(Play::Flood(COUNT));
+    let relay = relay_with(&[address]);
+    let mut client = relay.open("safe", 1_000);
+    assert_eq!(client.hears(), "UP receipt");
+    // Others are served while this one's lines wait.
+    assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt");
+    for number in 0..COUNT {
+        assert_eq!(client.hears(), format!("line {number}"));
+    }
+}
+
+#[test]
+fn a_silent_backends_clients_are_moved_in_time() {
+    let (address, _met) = backend(Play::UpMute);
+    let relay = relay_with(&[address]);
+    let mut client = relay.open("safe", 1_000);
+    assert_eq!(client.hears(), "UP receipt");
+    let asked = Instant::now();
+    client.say("anybody\r\n");
+    assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
+    assert!(
+        asked.elapsed() < Duration::from_secs(5),
+        "{:?}",
+        asked.elapsed()
+    );
+}
+
+#[test]
+fn a_backend_that_tells_of_late_messages_is_relieved() {
+    // At this load alone it would not be: the note decides, and a relay that took it for the load
+    // of a connection never sent anybody away.
+    let (address, _met) = backend(Play::Late);
+    let relay = start(
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        true,
+    );
+    let mut clients: Vec<Client> = (0..10).map(|_| relay.client()).collect();
+    for client in &mut clients {
+        client.say(&open_line("c=safe,d=1000,at=b"));
+    }
+    let (moved, all) = channel();
+    for mut client in clients {
+        let moved = moved.clone();
+        thread::spawn(move || {
+            let last = std::iter::repeat_with(|| client.hears())
+                .find(|line| !line.starts_with(['U', 'L']));
+            if last.as_deref() == Some("MOVE") {
+                let _ = moved.send(());
+            }
+        });
+    }
+    all.recv_timeout(LONG).expect("nobody was moved");
+}
--- /dev/null
+++ b/relay/tests/session/handshake.rs
@@ -0,0 +1,153 @@
+//! A client's first line, and what clients may not do before they have their answer.
+use crate::helper::*;
+use std::io::Write;
+use std::thread;
+use std::time::{Duration, Instant};
+
+#[test]
+fn clients_first_lines() {
+    let relay = relay_with(&[]);
+    let cases: &[(&[&str], &[&str])] = &[
+        (&["PING\r\n"], &["PONG"]),
+        (
+            &["PI", "NG", "\r", "\nPING\r\nPING\r\n"],
+            &["PONG", "PONG", "PONG"],
+        ),
+        (&["PING\r\nhello\r\n"], &["PONG", "ERR", "end"]),
+        (&["hello\r\n"], &["ERR", "end"]),
+        (&["\r\n"], &["ERR", "end"]),
+        // No backend is known, so nothing was sent.
+        (&[&open_line("c=safe,d=1000")], &["BUSY", "end"]),
+    ];
+    for (pieces, expected) in cases {
+        let mut client = relay.client();
+        for piece in *pieces {
+            client.say(piece);
+        }
+        for word in *expected {
+            assert_eq!(client.hears().split(' ').next(), Some(*word), "{pieces:?}");
+        }
+    }
+    let mut cut_off = relay.client();
+    cut_off.say("OPEN 1 2 c=sa");
+    cut_off.ends_sending();
+    assert_eq!([cut_off.hears(), cut_off.hears()], ["ERR", "end"]);
+}
+
+#[test]
+fn what_clients_do_wrong_is_answered_in_time_and_reaches_no_backend() {
+    let (address, met) = backend(Play::Echo);
+    let relay = relay_with(&[address]);
+    let good = open_line("c=safe,d=1000");
+    let mut owner = relay.client();
+    owner.say(&good);
+    assert_eq!(owner.hears(), "UP receipt");
+    let (id, huge) = (good.split(' ').nth(1).unwrap(), "x".repeat(60_000_000));
+    let several = (0..300)
+        .map(|_| open_line("c=safe,d=1000"))
+        .collect::<String>();
+    let cases = [
+        ("nothing", String::new(), &["end"][..]),
+        (
+            "a question and then nothing",
+            "PING\r\n".into(),
+            &["PONG", "end"],
+        ),
+        ("half a line", "OPEN 1 2 c=sa".into(), &["ERR", "end"]),
+        (
+            "another's id",
+            format!("OPEN {id} 0000000000000001 c=safe,d=1000\r\n"),
+            &["ERR", "end"],
+        ),
+        (
+            "no id",
+            "OPEN 7f3a9c21e0b4d655 c=safe,d=1000\r\n".into(),
+            &["ERR", "end"],
+        ),
+        (
+            "a name twice",
+            open_line("c=safe,d=1000,c=safe"),
+            &["ERR", "end"],
+        ),
+        (
+            "a wait that is none",
+            open_line("c=safe,d=-1"),
+            &["ERR", "end"],
+        ),
+        (
+            "an unknown listener",
+            open_line("c=safer,d=1000"),
+            &["ERR", "end"],
+        ),
+        (
+            "an unknown backend",
+            open_line("c=safe,d=1000,at=b7"),
+            &["ERR", "end"],
+        ),
+        ("hundreds at once", several, &["ERR", "end"]),
+        (
+            "a value of 60 MB",
+            open_line(&format!("c=safe,d=1000,x={huge}")),
+            &["ERR", "end"],
+        ),
+        (
+            "60 MB behind a bad line",
+            format!("what\r\n{huge}"),
+            &["ERR", "end"],
+        ),
+    ];
+    for (name, text, expected) in cases {
+        let (began, mut client) = (Instant::now(), relay.client());
+        let mut out = client.lines.get_ref().try_clone().unwrap();
+        let writer = thread::spawn(move || out.write_all(text.as_bytes()));
+        for word in expected {
+            assert_eq!(client.hears(), *word, "{name}");
+        }
+        assert!(
+            began.elapsed() < Duration::from_secs(3),
+            "{name}: {:?}",
+            began.elapsed()
+        );
+        // All was read, so nothing could destroy the answer.
+        writer
+            .join()
+            .unwrap()
+            .unwrap_or_else(|fault| panic!("{name}: {fault}"));
+        owner.say("still here\r\n");
+        assert_eq!(owner.hears(), "still here", "{name}");
+    }
+    let firsts = met
+        .try_iter()
+        .filter(|line| line.starts_with("OPEN"))
+        .count();
+    assert_eq!(firsts, 1, "only the owner's came to the backend");
+}
+
+#[test]
+fn a_client_that_does_not_wait_for_its_answer_has_an_error_and_costs_its_backend_nothing() {
+    let (address, met) = backend(Play::Mute);
+    let relay = relay_with(&[address]);
+    for more in [
+        open_line("c=safe,d=1000"),
+        "x".repeat(10_000),
+        "M 1 2\r\n".repeat(300),
+    ] {
+        let mut client = relay.client();
+        client.say(&open_line("c=once,d=3000"));
+        while !next(&met).starts_with("OPEN") {}
+        let began = Instant::now();
+        client.say(&more);
+        assert_eq!([client.hears(), client.hears()], ["ERR", "end"]);
+        assert!(
+            began.elapsed() < Duration::from_millis(300),
+            "{:?}",
+            began.elapsed()
+        );
+    }
+    relay.signal("USR1");
+    let line = relay.logged("dials_withdrawn=");
+    assert!(
+        line.contains("dials_withdrawn=3 ") && line.contains("bad_lines=3 "),
+        "{line}"
+    );
+}
--- /dev/null
+++ b/relay/tests/session/inherited.rs
@@ -0,0 +1,15 @@
+//! Sessions that were open before the relay started.
+use crate::helper::*;
+
+#[test]
+fn connections_from_before_the_start_go_where_they_were() {
+    let (first, _) = backend(Play::Mute);
+    let (second, met) = backend(Play::Echo);
+    let relay = relay_with(&[first, second]);
+    let mut client = relay.client();
+    client.say(&open_line("c=safe,d=1000,at=b1"));
+    assert_eq!(client.hears(), "UP receipt");
+    assert!(next(&met).ends_with(",at=b1\r\n"));
+    client.say("on\r\n");
+    assert_eq!(client.hears(), "on");
+}
--- /dev/null
+++ b/relay/tests/session/shutdown.rs
@@ -0,0 +1,163 @@
+//! Sessions of a relay that is told to stop.
+use crate::helper::*;
+use std::time::{Duration, Instant};
+
+#[test]
+fn sigterm_moves_what_stands_answers_what_waits_and_exits_well() {
+    let (echo, _) = backend(Play::Echo);
+    let (mute, mute_met) = backend(Play::Mute);
+    let mut relay = relay_with(&[echo]);
+    let mut standing: Vec<Client> = (0..7).map(|_| relay.open("safe", 1_000)).collect();
+    for client in &mut standing {
+        assert_eq!(client.hears(), "UP receipt");
+    }
+    let began = Instant::now();
+    relay.signal("TERM");
+    relay.logged("told to stop");
+    // New ones are still taken, and moved with the rest.
+    standing.push(relay.open("safe", 1_000));
+    assert_eq!(standing.last_mut().unwrap().hears(), "UP receipt");
+    for client in &mut standing {
+        assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
+    }
+    assert!(end_of(&mut relay.child).success());
+    // The longest dial timeout, 1.5 s, and 0.7 s more; and as much again for a busy machine.
+    assert!(
+        began.elapsed() < Duration::from_millis(2_900),
+        "{:?}",
+        began.elapsed()
+    );
+    relay.logged("sent_away=8");
+
+    let mut relay = relay_with(&[mute]);
+    let mut waiting = [relay.open("safe", 60_000), relay.open("once", 60_000)];
+    next(&mute_met);
+    next(&mute_met);
+    let began = Instant::now();
+    relay.signal("TERM");
+    assert!(waiting[0].hears().starts_with("BUSY"));
+    assert_eq!(waiting[1].hears(), "ERR");
+    assert!(end_of(&mut relay.child).success());
+    assert!(
+        began.elapsed() < Duration::from_millis(2_900),
+        "{:?}",
+        began.elapsed()
+    );
+}
+
+#[derive(Clone, Copy, Debug, PartialEq)]
+enum Told {
+    /// It is told to stop, and again.
+    Twice,
+    /// Before its agent has told a list, and no backend is known.
+    BeforeAnyList,
+    /// While settings read a moment ago do not hold yet.
+    AfterSettings,
+    /// In the turn in which a whole first line is met.
+    InOneTurn,
+}
+
+#[test]
+fn told_to_stop_at_a_bad_moment_all_are_answered_and_it_ends_well_in_time() {
+    for told in [
+        Told::Twice,
+        Told::BeforeAnyList,
+        Told::AfterSettings,
+        Told::InOneTurn,
+    ] {
+        let agent = Agent::new();
+        let ((echo, _met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
+        let known = list(1, true, &[("mute", mute, "Ready")]);
+        let lists = told != Told::BeforeAnyList;
+        let mut relay = start_changed(agent.at, if lists { &known } else { "null" }, &[GRACE]);
+        let (watch, _) = agent.call();
+        // One whose backend hangs, one with half a line.
+        let mut hangs = relay.open("once", 1_500);
+        let mut half = relay.client();
+        half.say("OPEN ffffffffffffffaa 7f3a9c2");
+        if lists {
+            while !next(&mute_met).starts_with("OPEN") {}
+            let rows = [("mute", mute, "Terminating"), ("echo", echo, "Ready")];
+            says(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
+            relay.counts("lists", 1);
+        }
+        let mut inside = (told == Told::AfterSettings).then(|| relay.open("safe", 1_500));
+        inside
+            .iter_mut()
+            .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+        if told == Told::AfterSettings {
+            relay.told("\"maxDials\": 1", "\"maxDials\": 2");
+        }
+        let began = Instant::now();
+        relay.stops();
+        let mut late = relay.open("safe", 1_500);
+        relay.signal("TERM");
+        relay.signal("CONT");
+        relay.logged("told to stop");
+        if told == Told::Twice {
+            relay.signal("TERM");
+        }
+        half.say("1e0b4d655 c=safe,d=1500\r\n");
+        let up = if lists { "UP" } else { "BUSY" };
+        for client in [&mut half, &mut late] {
+            assert_eq!(client.hears().split(' ').next(), Some(up), "{told:?}");
+        }
+        // A dial that may have run is not refused; one never sent is.
+        let answer = hangs.hears();
+        assert!(
+            answer.starts_with(if lists { "ERR" } else { "BUSY" }),
+            "{told:?}: {answer}"
+        );
+        for client in inside.iter_mut().chain(
+            lists
+                .then_some([&mut half, &mut late])
+                .into_iter()
+                .flatten(),
+        ) {
+            assert_eq!(
+                [client.hears(), client.hears()],
+                ["MOVE", "end"],
+                "{told:?}"
+            );
+        }
+        drop((inside, half, late, hangs));
+        assert!(end_of(&mut relay.child).success(), "{told:?}");
+        assert!(
+            began.elapsed() < Duration::from_millis(2_200),
+            "{told:?}: {:?}",
+            began.elapsed()
+        );
+    }
+}
+
+#[test]
+fn told_to_stop_while_a_client_does_not_read_its_lines_and_its_move_come_whole_and_in_order() {
+    let (address, _met) = backend(Play::Flood(400_000));
+    let mut relay = start_changed(nobody(), &list(1, true, &[("b", address, "Ready")]), &[]);
+    let mut client = relay.open("safe", 1_500);
+    assert_eq!(client.hears(), "UP receipt");
+    // Its window is shut: nothing more passes, and what waits is unread.
+    let (mut before, mut same) = (0, 0);
+    in_time("the lines stand still", || {
+        relay.signal("USR1");
+        let now = counted(&relay.logged(" lines_down="), "lines_down");
+        same = if now == before { same + 1 } else { 0 };
+        before = now;
+        (now > 0 && same > 20).then_some(())
+    });
+    relay.signal("TERM");
+    relay.logged("told to stop");
+    let mut number = 0;
+    loop {
+        let line = client.hears();
+        if line == "MOVE" {
+            break;
+        }
+        assert_eq!(line, format!("line {number}"));
+        number += 1;
+    }
+    assert_eq!(client.hears(), "end");
+    assert!(number > 0);
+    drop(client);
+    assert!(end_of(&mut relay.child).success());
+}
