--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -5,7 +5,7 @@
 use std::time::Instant;
 
 #[test]
-fn lists_that_are_old_empty_shrunken_or_name_a_known_id_anew_are_taken_as_they_say() {
+fn list_old_empty_shrunken_or_readdressed_is_taken_as_it_says() {
     let (here, _met) = backend(Play::Echo);
     let dead = nobody();
     let ready = |id, at| (id, at, "Ready");
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn lists_may_be_indented_and_spoilt_ones_cost_their_call_alone() {
+fn list_indented_is_taken_and_malformed_one_fails_its_request_alone() {
     let (one, _met) = backend(Play::Echo);
     let whole = list(
         7,
@@ -140,8 +140,8 @@
         ),
     ];
     for (name, (text, taken)) in cases {
-        let agent = Agent::new();
-        let relay = start_changed(agent.at, "null", &[]);
+        let agent = DiscoveryAgent::new();
+        let relay = start_with_settings(agent.at, "null", &[]);
         let (watch, _) = agent.call();
         // In pieces, so that each part of a list is met by itself as well.
         for piece in text.as_bytes().chunks(97) {
@@ -150,18 +150,18 @@
             }
         }
         if taken {
-            relay.counts("lists", 1);
+            relay.wait_for_counter("lists", 1);
             assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt", "{name}");
         } else {
-            relay.counts("list_failures", 1);
+            relay.wait_for_counter("list_failures", 1);
             let mut client = relay.open("safe", 1_000);
             assert!(
                 client.hears().starts_with("BUSY"),
                 "{name}: nothing of it counts"
             );
             let (watch, _) = agent.call();
-            says(&watch, &format!("{HEAD}{}", chunk(&whole)));
-            relay.counts("lists", 1);
+            send(&watch, &format!("{HEAD}{}", chunk(&whole)));
+            relay.wait_for_counter("lists", 1);
         }
     }
 }
--- a/relay/tests/discovery/polling.rs
+++ b/relay/tests/discovery/polling.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn a_discovery_that_stays_down_is_not_asked_ever_faster() {
+fn discovery_staying_down_is_not_polled_faster() {
     let scripts = (0..10_000)
         .map(|_| Script {
             pieces: Vec::new(),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_discovery_that_is_not_there_is_asked_often_and_one_without_time_is_left_alone() {
+fn discovery_absent_is_polled_often_and_overloaded_one_seldom() {
     // Whether it answers, and the calls within 4 s.
     for (answers, expected) in [(false, 5..=20), (true, 1..=5)] {
         let answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string();
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -6,23 +6,23 @@
 
 /// A relay that follows its agent's watch and has version 7, with one backend that nobody is sent
 /// to.
-fn watching() -> (Agent, Relay, TcpStream) {
-    let agent = Agent::new();
-    let relay = start_changed(agent.at, "null", &[]);
+fn follow_watch() -> (DiscoveryAgent, Relay, TcpStream) {
+    let agent = DiscoveryAgent::new();
+    let relay = start_with_settings(agent.at, "null", &[]);
     let (watch, _) = agent.call();
-    says(
+    send(
         &watch,
         &format!(
             "{HEAD}{}",
             chunk(&list(7, true, &[("one", nobody(), "Ready")]))
         ),
     );
-    relay.counts("lists", 1);
+    relay.wait_for_counter("lists", 1);
     (agent, relay, watch)
 }
 
 #[test]
-fn the_watch_is_followed_lost_and_taken_up_again() {
+fn watch_lost_is_opened_again_with_the_version_held() {
     let (one, one_met) = backend(Play::Echo);
     let (two, two_met) = backend(Play::Echo);
     let whole = list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_new_discovery_address_is_taken_up_and_the_old_one_heard_until_then() {
+fn new_discovery_address_replaces_the_old_with_its_first_list() {
     let (one, one_met) = backend(Play::Echo);
     let (two, two_met) = backend(Play::Echo);
     let open = |pieces: Vec<String>| {
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn a_new_process_sends_nothing_by_an_old_list_before_its_agent_has_answered() {
-    let agent = Agent::new();
+fn cached_list_at_start_is_not_used_before_the_agent_answers() {
+    let agent = DiscoveryAgent::new();
     let ((old, old_met), (new, new_met)) = (backend(Play::Echo), backend(Play::Echo));
     let known = list(1, true, &[("old", old, "Ready")]);
     // Long enough for any machine; an agent that says nothing at all is not waited for any longer.
@@ -150,7 +150,7 @@
         "\"askWithinUs\": 1",
         "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
     );
-    let relay = start_changed(agent.at, &known, &[grace]);
+    let relay = start_with_settings(agent.at, &known, &[grace]);
     let (watch, _) = agent.call();
     let mut client = relay.open("safe", 9_000);
     // The loop has turned since the line was there.
@@ -159,7 +159,7 @@
         relay.logged(" connections=");
     }
     let rows = [("old", old, "Terminating"), ("new", new, "Ready")];
-    says(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
+    send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
     assert_eq!(client.hears(), "UP receipt");
     assert!(next(&new_met).starts_with("OPEN"));
     assert!(
@@ -169,54 +169,54 @@
 }
 
 #[test]
-fn a_call_that_hangs_unanswered_does_not_keep_the_relay_from_what_the_agent_has() {
-    let agent = Agent::new();
+fn watch_request_hanging_does_not_delay_updates() {
+    let agent = DiscoveryAgent::new();
     let (one, _met) = backend(Play::Echo);
     let (two, two_met) = backend(Play::Echo);
-    let relay = start_changed(agent.at, "null", &[GRACE]);
+    let relay = start_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.call();
-    says(
+    send(
         &watch,
         &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))),
     );
-    relay.counts("lists", 1);
+    relay.wait_for_counter("lists", 1);
     // It goes away: the watch breaks, and a call hangs.
-    breaks_off(&watch);
+    reset_on_close(&watch);
     drop(watch);
     let (hanging, line) = agent.call();
     assert!(line.contains("since=7 "), "{line}");
     let (back, line) = agent.call();
     assert!(line.contains("since=7 "), "{line}");
     assert!(
-        is_quiet(&hanging),
+        has_nothing_to_read(&hanging),
         "the one that hangs is not given up for it"
     );
     // Back again, it answers whoever calls now.
     let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
-    says(&back, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
-    relay.counts("lists", 2);
-    assert_eq!(all_of(&hanging), "", "one watch is left");
+    send(&back, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
+    relay.wait_for_counter("lists", 2);
+    assert_eq!(read_to_end_of(&hanging), "", "one watch is left");
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
     assert!(next(&two_met).starts_with("OPEN"));
     // And the hanging one may be the first that is answered.
-    breaks_off(&back);
+    reset_on_close(&back);
     drop(back);
     let (hanging, _) = agent.call();
     let (beside, _) = agent.call();
-    says(
+    send(
         &hanging,
         &format!("{HEAD}{}", chunk(&list(9, false, &rows))),
     );
-    relay.counts("lists", 3);
-    assert_eq!(all_of(&beside), "", "one watch is left");
+    relay.wait_for_counter("lists", 3);
+    assert_eq!(read_to_end_of(&beside), "", "one watch is left");
 }
 
 #[test]
-fn a_good_watch_that_breaks_is_asked_for_again_within_a_drains_grace() {
-    let (agent, relay, watch) = watching();
+fn good_watch_broken_is_opened_again_within_the_drain_grace() {
+    let (agent, relay, watch) = follow_watch();
     let broken = Instant::now();
-    breaks_off(&watch);
+    reset_on_close(&watch);
     drop(watch);
     let (watch, _) = agent.call();
     assert!(
@@ -225,17 +225,17 @@
         broken.elapsed()
     );
     // One that breaks as often as it is answered is called no faster than any that has no time.
-    says(&watch, &format!("{HEAD}{}", chunk("")));
-    breaks_off(&watch);
+    send(&watch, &format!("{HEAD}{}", chunk("")));
+    reset_on_close(&watch);
     drop(watch);
-    relay.counts("list_failures", 2);
+    relay.wait_for_counter("list_failures", 2);
     agent.listener.set_nonblocking(true).unwrap();
     assert!(agent.listener.accept().is_err(), "asked again at once");
 }
 
 /// How calls to discovery come to nothing.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Away {
+enum DiscoveryFailure {
     Refused,
     Reset,
     Unavailable,
@@ -247,13 +247,13 @@
 /// Whatever a row of calls met, what discovery has when it can be reached again is the relay's
 /// within six seconds.
 #[test]
-fn what_discovery_has_at_its_return_is_known_in_time_whatever_calls_met_before() {
-    use Away::*;
+fn discovery_returning_after_each_failure_is_followed_in_time() {
+    use DiscoveryFailure::*;
     let kinds = [Refused, Reset, Unavailable, HalfAList, NoList, Silent];
     let all = kinds
         .iter()
         .chain(&kinds[1..5])
-        .map(|&away| std::thread::spawn(move || returns(away)));
+        .map(|&away| std::thread::spawn(move || assert_followed_in_time_after(away)));
     // All are awaited before one may fail, since each ends its own relay.
     let ended: Vec<_> = all
         .collect::<Vec<_>>()
@@ -266,14 +266,14 @@
     );
 }
 
-fn returns(away: Away) {
-    use Away::*;
-    let mut agent = Agent::new();
+fn assert_followed_in_time_after(away: DiscoveryFailure) {
+    use DiscoveryFailure::*;
+    let mut agent = DiscoveryAgent::new();
     let (one, one_met) = backend(Play::Echo);
     let (two, two_met) = backend(Play::Echo);
-    let relay = start_changed(agent.at, "null", &[]);
+    let relay = start_with_settings(agent.at, "null", &[]);
     let (watch, _) = agent.call();
-    says(
+    send(
         &watch,
         &format!(
             "{HEAD}{}",
@@ -284,11 +284,12 @@
             ))
         ),
     );
-    relay.counts("lists", 1);
-    let mut refused = (away == Refused).then(|| std::mem::replace(&mut agent, Agent::new()));
+    relay.wait_for_counter("lists", 1);
+    let mut refused =
+        (away == Refused).then(|| std::mem::replace(&mut agent, DiscoveryAgent::new()));
     let at = refused.as_ref().map_or(agent.at, |gone| gone.at);
     drop(refused.take());
-    breaks_off(&watch);
+    reset_on_close(&watch);
     drop(watch);
     // The first of a watch that had been good comes at once; from the fourth on pauses are the
     // longest.
@@ -301,16 +302,16 @@
         let half = &list(8, false, &[("one", one, "Terminating")])[..60];
         match away {
             Refused => {}
-            Reset => breaks_off(&call),
-            Unavailable => says(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-            HalfAList => says(&call, &format!("{HEAD}{:x}\r\n{half}\r\n", half.len() + 2)),
-            NoList => says(&call, &format!("{HEAD}{}", chunk("{\"generation\":true}"))),
+            Reset => reset_on_close(&call),
+            Unavailable => send(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+            HalfAList => send(&call, &format!("{HEAD}{:x}\r\n{half}\r\n", half.len() + 2)),
+            NoList => send(&call, &format!("{HEAD}{}", chunk("{\"generation\":true}"))),
             Silent => hanging.push(call),
         }
     }
     if away == Refused {
-        relay.counts("list_failures", 8);
-        agent = Agent {
+        relay.wait_for_counter("list_failures", 8);
+        agent = DiscoveryAgent {
             listener: TcpListener::bind(at).unwrap(),
             at,
         };
@@ -319,8 +320,8 @@
     let back = Instant::now();
     let rows = [("one", one, "Terminating")];
     let (watch, _) = agent.call();
-    says(&watch, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
-    relay.counts("lists", 2);
+    send(&watch, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
+    relay.wait_for_counter("lists", 2);
     assert!(
         back.elapsed() < Duration::from_millis(5_500),
         "{away:?}: {:?}",
@@ -338,8 +339,8 @@
 }
 
 #[test]
-fn a_list_that_trickles_without_end_is_no_sign_of_life() {
-    let (agent, _relay, watch) = watching();
+fn watch_with_endless_list_is_given_up() {
+    let (agent, _relay, watch) = follow_watch();
     // A byte at a time, of a list that never ends: given up like a silent one.
     let out = watch.try_clone().unwrap();
     let trickle = std::thread::spawn(move || {
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -19,7 +19,7 @@
     UpThen(&'static str),
     UpThenReset,
     /// Up, then one note after another that messages take long; answers probes with a load of 0.7.
-    Late,
+    ReportsHighLatency,
     /// Up, then never a word.
     UpMute,
     Mute,
@@ -32,6 +32,7 @@
 /// What a backend met, in order: first lines, and how later ones and the end came.
 pub type Met = Receiver<String>;
 
+/// Starts a backend; its address, and what it meets.
 pub fn backend(play: Play) -> (SocketAddr, Met) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -45,6 +46,7 @@
     (address, met)
 }
 
+/// Serves one connection.
 pub fn serve(stream: TcpStream, play: Play, tell: Sender<String>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
@@ -52,7 +54,10 @@
     lines.read_line(&mut line)?;
     while line == "STATS\r\n" {
         let _ = tell.send(std::mem::take(&mut line));
-        let load = if play == Play::Late { "0.7" } else { "0.25" };
+        let load = match play {
+            Play::ReportsHighLatency => "0.7",
+            _ => "0.25",
+        };
         out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
         lines.read_line(&mut line)?;
     }
@@ -78,7 +83,7 @@
             while stream.peek(&mut [0; 1])? == 0 {}
             return Ok(());
         }
-        Play::Late => loop {
+        Play::ReportsHighLatency => loop {
             out.write_all(b"LOAD 1242.441\r\n")?;
             thread::sleep(Duration::from_millis(100));
         },
@@ -90,40 +95,50 @@
         }
         _ => {}
     }
+    echo(&mut lines, &mut out, &tell)
+}
+
+/// Sends each line back, and answers the end.
+fn echo(
+    lines: &mut BufReader<TcpStream>,
+    out: &mut TcpStream,
+    tell: &Sender<String>,
+) -> std::io::Result<()> {
+    let mut line = String::new();
     loop {
         line.clear();
-        let end = match lines.read_line(&mut line) {
-            Ok(0) => "end",
-            Err(_) => "reset",
+        match lines.read_line(&mut line) {
+            Ok(0) => {
+                let _ = tell.send("end".into());
+                return out.write_all(b"BYE inflight=1\r\n");
+            }
             Ok(_) => {
                 let _ = tell.send(line.clone());
                 out.write_all(line.as_bytes())?;
-                continue;
             }
-        };
-        let _ = tell.send(end.into());
-        return if end == "end" {
-            out.write_all(b"BYE inflight=1\r\n")
-        } else {
-            Ok(())
-        };
+            Err(_) => {
+                let _ = tell.send("reset".into());
+                return Ok(());
+            }
+        }
     }
 }
 
+/// The next line or event that a backend or discovery met.
 pub fn next(met: &Met) -> String {
     met.recv_timeout(LONG)
         .expect("the backend met nothing more")
 }
 
 /// A backend at which connections come up late: its queue is full until somebody takes them in.
-pub struct Late {
+pub struct SlowBackend {
     pub listener: TcpListener,
     pub at: SocketAddr,
-    pub fillers: Vec<TcpStream>,
+    pub queue_fillers: Vec<TcpStream>,
 }
 
-impl Late {
-    pub fn new() -> Late {
+impl SlowBackend {
+    pub fn new() -> SlowBackend {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
         socket
             .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
@@ -132,25 +147,25 @@
         let listener = TcpListener::from(socket);
         let at = listener.local_addr().unwrap();
         let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
-        let fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
-        assert!((1..64).contains(&fillers.len()), "the queue fills");
-        Late {
+        let queue_fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
+        assert!((1..64).contains(&queue_fillers.len()), "the queue fills");
+        SlowBackend {
             listener,
             at,
-            fillers,
+            queue_fillers,
         }
     }
 
     /// Takes all in that fill the queue, and then the one that waited.
-    pub fn comes_up(&mut self) -> TcpStream {
+    pub fn accept_connection(&mut self) -> TcpStream {
         let ours: Vec<SocketAddr> = self
-            .fillers
+            .queue_fillers
             .iter()
             .map(|one| one.local_addr().unwrap())
             .collect();
         loop {
-            let stream = accepted(&self.listener);
-            if !ours.contains(&stream.peer_addr().unwrap()) && is_quiet(&stream) {
+            let stream = accept(&self.listener);
+            if !ours.contains(&stream.peer_addr().unwrap()) && has_nothing_to_read(&stream) {
                 return stream;
             }
         }
--- /dev/null
+++ b/relay/tests/helper/config.rs
@@ -0,0 +1,59 @@
+//! The configuration files of the relays under test.
+use std::net::SocketAddr;
+use std::thread;
+
+/// The settings; `PROBES` stands where it says whether health checks are allowed.
+pub const SETTINGS: &str = r#"{"az": 0, "zones": ["a"], "balancers": 1, "me": 0, "tickUs": 2000,
+ "discovery": "automatic",
+ "extra": {"groups": true, "tellsDelay": true, "tellsLoad": false, "messageAimUs": [50000, 50000]},
+ "listeners": [
+  {"name": "safe", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "retryable", "utility": 1.0},
+  {"name": "once", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "fragile", "utility": 1.0}],
+ "invariants": {"askWithinUs": 1, "coldUs": 9000000, "fallUs": 3000000, "overloadFactor": 3.0,
+  "startCapacity": 0.3},
+ "permissions": {"connIdleUs": 9000000, "dialTimeoutUs": 250000, "maxDials": 1, "maxRetryAfterUs": 2000000,
+  "mayCancel": true, "probes": PROBES, "retryAfter": true},
+ "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
+
+/// A configuration that `ROUTER_CONFIG` may name: `known` is the endpoint list of the start, or null.
+pub fn config(
+    at: SocketAddr,
+    discovery: SocketAddr,
+    sockets: usize,
+    known: &str,
+    probes: bool,
+) -> String {
+    let settings = SETTINGS.replace("PROBES", if probes { "true" } else { "false" });
+    format!(
+        r#"{{"name":"r0","listen":"{at}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
+        "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
+    )
+}
+
+/// Replaced as a whole, so that nobody reads half of it.
+pub fn write_config(text: &str) -> std::path::PathBuf {
+    let name = format!(
+        "thistlecroft-{}-{:?}.json",
+        std::process::id(),
+        thread::current().id()
+    );
+    let path = std::env::temp_dir().join(name);
+    let fresh = path.with_extension("fresh");
+    std::fs::write(&fresh, text).unwrap();
+    std::fs::rename(&fresh, &path).unwrap();
+    path
+}
+
+/// Establishing a connection may take four seconds, as a change of the settings: what stands in
+/// their text, and what is to.
+pub const LONG_CONNECT_TIMEOUT: (&str, &str) =
+    ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 4000000");
+
+/// A drain is obeyed four seconds after discovery has it.
+pub const LONG_DRAIN_GRACE: (&str, &str) = (
+    "\"askWithinUs\": 1",
+    "\"askWithinUs\": 1, \"drainGraceUs\": 4000000",
+);
+
+/// A session may have three attempts.
+pub const THREE_ATTEMPTS: (&str, &str) = ("\"maxDials\": 1", "\"maxDials\": 3");
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -70,15 +70,15 @@
 }
 
 /// Discovery's agent, whose every step is the test's.
-pub struct Agent {
+pub struct DiscoveryAgent {
     pub listener: TcpListener,
     pub at: SocketAddr,
 }
 
-impl Agent {
-    pub fn new() -> Agent {
+impl DiscoveryAgent {
+    pub fn new() -> DiscoveryAgent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-        Agent {
+        DiscoveryAgent {
             at: listener.local_addr().unwrap(),
             listener,
         }
@@ -87,7 +87,7 @@
     /// The next call, and what it asks for.
     pub fn call(&self) -> (TcpStream, String) {
         loop {
-            let stream = accepted(&self.listener);
+            let stream = accept(&self.listener);
             let (mut lines, mut first, mut line) =
                 (BufReader::new(&stream), String::new(), String::new());
             let mut came = lines.read_line(&mut first).unwrap();
--- a/relay/tests/helper/mod.rs
+++ b/relay/tests/helper/mod.rs
@@ -7,6 +7,7 @@
 )]
 mod backend;
 mod client;
+mod config;
 mod discovery;
 pub mod host;
 mod relay;
@@ -14,6 +15,7 @@
 
 pub use backend::*;
 pub use client::*;
+pub use config::*;
 pub use discovery::*;
 pub use relay::*;
 pub use wait::*;
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -1,6 +1,7 @@
 //! The relay's process.
 use super::backend::Met;
 use super::client::{Client, open_line};
+use super::config::{config, write_config};
 use super::discovery::list;
 use super::wait::*;
 use std::io::{BufRead, BufReader};
@@ -10,53 +11,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// A running relay, which is killed when it is dropped.
 pub struct Relay {
     pub child: Child,
+    /// Where it accepts clients.
     pub at: SocketAddr,
+    /// The lines that it logs.
     pub log: Met,
+    /// Its configuration.
     pub text: String,
 }
 
-pub const SETTINGS: &str = r#"{"az": 0, "zones": ["a"], "balancers": 1, "me": 0, "tickUs": 2000,
- "discovery": "automatic",
- "extra": {"groups": true, "tellsDelay": true, "tellsLoad": false, "messageAimUs": [50000, 50000]},
- "listeners": [
-  {"name": "safe", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "retryable", "utility": 1.0},
-  {"name": "once", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "fragile", "utility": 1.0}],
- "invariants": {"askWithinUs": 1, "coldUs": 9000000, "fallUs": 3000000, "overloadFactor": 3.0,
-  "startCapacity": 0.3},
- "permissions": {"connIdleUs": 9000000, "dialTimeoutUs": 250000, "maxDials": 1, "maxRetryAfterUs": 2000000,
-  "mayCancel": true, "probes": PROBES, "retryAfter": true},
- "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
-
-pub fn config(
-    at: SocketAddr,
-    discovery: SocketAddr,
-    sockets: usize,
-    known: &str,
-    probes: bool,
-) -> String {
-    let settings = SETTINGS.replace("PROBES", if probes { "true" } else { "false" });
-    format!(
-        r#"{{"name":"r0","listen":"{at}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
-        "limits":{{"cores":1.0,"memory_mb":64,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
-    )
-}
-
-/// Replaced as a whole, so that nobody reads half of it.
-pub fn write_config(text: &str) -> std::path::PathBuf {
-    let name = format!(
-        "thistlecroft-{}-{:?}.json",
-        std::process::id(),
-        thread::current().id()
-    );
-    let path = std::env::temp_dir().join(name);
-    let fresh = path.with_extension("fresh");
-    std::fs::write(&fresh, text).unwrap();
-    std::fs::rename(&fresh, &path).unwrap();
-    path
-}
-
+/// Starts the program with this configuration, and so many descriptors from the system.
 pub fn start_with(text: &str, descriptors: usize) -> Child {
     let path = write_config(text);
     Command::new("sh")
@@ -74,10 +40,12 @@
         .unwrap()
 }
 
+/// Starts a relay that accepts clients; see [`config`].
 pub fn start(discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> Relay {
     start_within(1_000, discovery, sockets, known, probes)
 }
 
+/// The same with so many descriptors from the system.
 pub fn start_within(
     descriptors: usize,
     discovery: SocketAddr,
@@ -93,10 +61,12 @@
     )
 }
 
+/// Starts a relay with this configuration, by which it serves at `at`.
 pub fn started(at: SocketAddr, text: String) -> Relay {
     started_within(1_000, at, text)
 }
 
+/// The same with so many descriptors from the system.
 pub fn started_within(descriptors: usize, at: SocketAddr, text: String) -> Relay {
     let mut child = start_with(&text, descriptors);
     let (tell, log) = channel();
@@ -129,8 +99,8 @@
     start(nobody(), 1_000, &list(1, true, &rows), false)
 }
 
-/// With other settings: each pair is what stands in their text and what is to stand there.
-pub fn start_changed(discovery: SocketAddr, known: &str, changes: &[(&str, &str)]) -> Relay {
+/// Starts a relay with changed settings: each pair is what stands in their text, and what is to.
+pub fn start_with_settings(discovery: SocketAddr, known: &str, changes: &[(&str, &str)]) -> Relay {
     let at = nobody();
     let mut text = config(at, discovery, 1_000, known, false);
     for (from, to) in changes {
@@ -140,15 +110,6 @@
     started(at, text)
 }
 
-pub const LATE: (&str, &str) = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 4000000");
-
-pub const GRACE: (&str, &str) = (
-    "\"askWithinUs\": 1",
-    "\"askWithinUs\": 1, \"drainGraceUs\": 4000000",
-);
-
-pub const THREE: (&str, &str) = ("\"maxDials\": 1", "\"maxDials\": 3");
-
 impl Relay {
     /// Reads the log up to a line that holds this.
     pub fn logged(&self, text: &str) -> String {
@@ -160,6 +121,7 @@
         lines.take(10_000).find(|line| line.contains(text)).unwrap()
     }
 
+    /// Sends a signal, by its name without `SIG`.
     pub fn signal(&self, name: &str) {
         let done = Command::new("kill")
             .args([format!("-{name}"), self.child.id().to_string()])
@@ -167,13 +129,14 @@
         assert!(done.unwrap().success());
     }
 
-    /// Another configuration, and word of it.
+    /// Changes the configuration, and has the relay read it again.
     pub fn told(&self, from: &str, to: &str) {
         assert!(self.text.contains(from));
         write_config(&self.text.replace(from, to));
         self.signal("HUP");
     }
 
+    /// Connects to it.
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -183,6 +146,7 @@
         }
     }
 
+    /// Connects, and asks for a session with a wait in milliseconds.
     pub fn open(&self, listener: &str, wait: u32) -> Client {
         let mut client = self.client();
         client.say(&open_line(&format!(
@@ -190,14 +154,12 @@
         )));
         client
     }
-}
 
-impl Relay {
-    /// Until it is seen to stand still.
-    pub fn stops(&self) {
+    /// Stops the process, and waits until it stands still.
+    pub fn suspend(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
-        in_time("the stop", || {
+        wait_for("the stop", || {
             let text = std::fs::read_to_string(&path).unwrap();
             text.rsplit(')')
                 .next()
@@ -208,9 +170,9 @@
         });
     }
 
-    /// Until a counter has come so far.
-    pub fn counts(&self, name: &str, least: u32) {
-        in_time(name, || {
+    /// Waits until a counter has come so far.
+    pub fn wait_for_counter(&self, name: &str, least: u32) {
+        wait_for(name, || {
             self.signal("USR1");
             (counted(&self.logged(&format!(" {name}=")), name) >= least).then_some(())
         });
--- a/relay/tests/helper/wait.rs
+++ b/relay/tests/helper/wait.rs
@@ -1,11 +1,11 @@
-//! Waiting for what a test needs, and looking at connections from outside.
-
+//! Sockets and waits of the tests.
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
+/// How long any wait may take on a busy machine.
 pub const LONG: Duration = Duration::from_secs(10);
 
 /// An address at which nobody listens, and which no connection's own end can take in the meantime.
@@ -16,7 +16,8 @@
     SocketAddr::from(([127, process, high, low], 8080))
 }
 
-pub fn in_time<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
+/// Repeats a step until it gives something.
+pub fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + LONG;
     loop {
         if let Some(done) = step() {
@@ -27,17 +28,18 @@
     }
 }
 
-pub fn accepted(listener: &TcpListener) -> TcpStream {
+/// The next connection.
+pub fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
-    let stream = in_time("a connection", || listener.accept().ok()).0;
+    let stream = wait_for("a connection", || listener.accept().ok()).0;
     stream.set_nonblocking(false).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(LONG)).unwrap();
     stream
 }
 
-/// Nothing has come on it, its end neither.
-pub fn is_quiet(stream: &TcpStream) -> bool {
+/// Whether nothing has come, its end neither.
+pub fn has_nothing_to_read(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let quiet =
         matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
@@ -45,8 +47,8 @@
     quiet
 }
 
-/// All that comes up to the end, or to the reset that it ends with.
-pub fn all_of(mut stream: &TcpStream) -> String {
+/// All that comes up to the end, or to a reset.
+pub fn read_to_end_of(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     match stream.read_to_end(&mut text) {
         Err(fault) if fault.kind() != ErrorKind::ConnectionReset => panic!("no end came: {fault}"),
@@ -54,9 +56,15 @@
     }
 }
 
-/// What the system knows at the end `here` of a connection: if it stands, and if something waits to
-/// be read. On a busy machine even loopback brings things late.
-pub fn at_end(here: SocketAddr, there: SocketAddr) -> (bool, bool) {
+/// What the system knows of one end of a connection.
+pub struct SocketState {
+    pub is_established: bool,
+    pub has_unread_bytes: bool,
+}
+
+/// Looks at the end `here` of a connection from outside: on a busy machine even loopback brings
+/// things late.
+pub fn socket_state(here: SocketAddr, there: SocketAddr) -> SocketState {
     let hex = |at: SocketAddr| match at.ip() {
         std::net::IpAddr::V4(ip) => {
             format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), at.port())
@@ -69,17 +77,20 @@
         .split(&ends)
         .nth(1)
         .and_then(|rest| rest.split(' ').next());
-    let unread = queues.is_some_and(|queues| !queues.ends_with(":00000000"));
-    (queues.is_some(), unread)
+    SocketState {
+        is_established: queues.is_some(),
+        has_unread_bytes: queues.is_some_and(|queues| !queues.ends_with(":00000000")),
+    }
 }
 
-/// Ends with a reset in place of an end.
-pub fn breaks_off(stream: &TcpStream) {
+/// When it is closed the other side sees a reset in place of an end.
+pub fn reset_on_close(stream: &TcpStream) {
     SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
-pub fn says(mut stream: &TcpStream, text: &str) {
+/// Writes a text.
+pub fn send(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).unwrap();
 }
--- a/relay/tests/scenarios.rs
+++ b/relay/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The program among the stand-ins of `fleet`, with the failures that it is meant for; the referee
-//! judges.
+//! The built relay in a simulated deployment with the failures that it is meant for; the cluster's
+//! invariants are checked.
 use std::sync::atomic::AtomicBool;
 use std::sync::{Mutex, PoisonError};
 use std::thread;
@@ -31,18 +31,28 @@
 struct Case {
     name: &'static str,
     text: &'static str,
-    /// What must have happened, so that the run shows something.
+    /// What must have happened for the run to prove anything.
     shows: fn(&Summary) -> bool,
 }
 
 #[test]
-fn the_rules_are_kept_through_failures() {
-    let cases = vec![
-        Case {
-            // Those who say nothing are sent away for those who speak; nobody who spoke loses his
-            // answer by that.
-            name: "descriptors",
-            text: r#"
+fn invariants_hold_through_failures() {
+    judged(vec![
+        descriptors_run_out(),
+        backends_fail(),
+        endpoint_list_fails(),
+        relays_are_replaced(),
+        operator_configurations_are_swapped(),
+        backends_are_warming_up(),
+    ]);
+}
+
+/// Those who say nothing are sent away for those who speak; nobody who spoke loses his
+/// answer by that.
+fn descriptors_run_out() -> Case {
+    Case {
+        name: "descriptors",
+        text: r#"
 [relays]
 sockets = 128
 [[fault]]
@@ -59,11 +69,14 @@
 what = "clients-half-a-line"
 clients = 100
 "#,
-            shows: |summary| summary.busy > 100 && summary.up > 50 && summary.rude_answered > 300,
-        },
-        Case {
-            name: "boxes",
-            text: r#"
+        shows: |summary| summary.busy > 100 && summary.up > 50 && summary.rude_answered > 300,
+    }
+}
+
+fn backends_fail() -> Case {
+    Case {
+        name: "boxes",
+        text: r#"
 [[fault]]
 at = "500ms"
 what = "mute"
@@ -94,11 +107,14 @@
 boxes = 2
 back = "500ms"
 "#,
-            shows: |summary| summary.moved + summary.cut_off > 5 && summary.most_dials > 1,
-        },
-        Case {
-            name: "list",
-            text: r#"
+        shows: |summary| summary.moved + summary.cut_off > 5 && summary.most_dials > 1,
+    }
+}
+
+fn endpoint_list_fails() -> Case {
+    Case {
+        name: "list",
+        text: r#"
 [fleet]
 grace = "500ms"
 [[fault]]
@@ -120,11 +136,14 @@
 boxes = 2
 over = "1s"
 "#,
-            shows: |summary| summary.moved > 3,
-        },
-        Case {
-            name: "replaced",
-            text: r#"
+        shows: |summary| summary.moved > 3,
+    }
+}
+
+fn relays_are_replaced() -> Case {
+    Case {
+        name: "replaced",
+        text: r#"
 [[fault]]
 at = "1s"
 what = "relay-replaced"
@@ -141,12 +160,15 @@
 relays = [1]
 back = "200ms"
 "#,
-            shows: |summary| summary.moved > 5 && summary.relays.len() == 2,
-        },
-        Case {
-            // Three routes, swapped under traffic, one of the files bad; and limits that bind.
-            name: "charters",
-            text: r#"
+        shows: |summary| summary.moved > 5 && summary.relays.len() == 2,
+    }
+}
+
+/// Three routes, swapped under traffic, one of the files bad; and limits that bind.
+fn operator_configurations_are_swapped() -> Case {
+    Case {
+        name: "charters",
+        text: r#"
 [relays]
 two_dials = true
 charters = [
@@ -184,13 +206,14 @@
 boxes = 4
 for = "3s"
 "#,
-            shows: |summary| {
-                summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0
-            },
-        },
-        Case {
-            name: "cold",
-            text: r#"
+        shows: |summary| summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0,
+    }
+}
+
+fn backends_are_warming_up() -> Case {
+    Case {
+        name: "cold",
+        text: r#"
 [fleet]
 boxes = 5
 later = 2
@@ -205,14 +228,12 @@
 what = "join"
 boxes = [3, 4]
 "#,
-            shows: |summary| summary.cold_push > 0.0 && summary.busy > 0,
-        },
-    ];
-    judged(cases);
+        shows: |summary| summary.cold_push > 0.0 && summary.busy > 0,
+    }
 }
 
 #[test]
-fn the_rules_are_kept_while_operators_are_at_it() {
+fn invariants_hold_through_operator_actions() {
     judged(vec![Case {
         // Replaced beside themselves and with boxes out by hand, over a rush: nobody who stands is
         // moved by it.
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -3,7 +3,7 @@
 use std::io::Read;
 
 #[test]
-fn malformed_configurations_are_one_plain_line() {
+fn malformed_configuration_is_reported_on_one_line() {
     let good = config(nobody(), nobody(), 1_000, "null", false);
     let cases = [
         ("no JSON", "{".to_string(), "EOF"),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_file_read_again_changes_only_what_it_can() {
+fn reloaded_file_changes_only_what_it_can() {
     let (address, _met) = backend(Play::Echo);
     let relay = start(
         nobody(),
@@ -80,9 +80,9 @@
 }
 
 #[test]
-fn settings_that_change_while_a_session_waits_are_not_its_own() {
+fn reloaded_settings_leave_waiting_session_unchanged() {
     let (mute, met) = backend(Play::Mute);
-    let mut relay = start_changed(nobody(), &list(1, true, &[("mute", mute, "Ready")]), &[]);
+    let mut relay = start_with_settings(nobody(), &list(1, true, &[("mute", mute, "Ready")]), &[]);
     let mut waits = relay.open("once", 1_500);
     while !next(&met).starts_with("OPEN") {}
     // The order of the listeners, the effect and the deadline of each are others, and one is new.
--- a/relay/tests/service/health_check.rs
+++ b/relay/tests/service/health_check.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 
 #[test]
-fn probes_use_one_connection_again() {
+fn health_checks_reuse_one_connection() {
     let (address, met) = backend(Play::Echo);
     let relay = start(
         nobody(),
@@ -20,10 +20,10 @@
 }
 
 #[test]
-fn a_probe_on_a_connection_closed_as_it_is_used_again_is_asked_on_a_new_one() {
+fn health_check_on_connection_closed_meanwhile_is_repeated_on_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let known = list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
-    let relay = start_changed(
+    let relay = start_with_settings(
         nobody(),
         &known,
         &[("\"probes\": false", "\"probes\": true")],
@@ -33,16 +33,16 @@
         BufReader::new(stream).read_line(&mut line).unwrap();
         assert_eq!(line, "STATS\r\n");
     };
-    let mut stream = accepted(&listener);
+    let mut stream = accept(&listener);
     asks(&stream);
     for reset in [false, true] {
-        says(&stream, "PONG inflight=1,x0=0.1\r\n");
+        send(&stream, "PONG inflight=1,x0=0.1\r\n");
         asks(&stream);
         if reset {
-            breaks_off(&stream);
+            reset_on_close(&stream);
         }
         drop(stream);
-        stream = accepted(&listener);
+        stream = accept(&listener);
         asks(&stream);
         relay.signal("USR1");
         assert_eq!(
@@ -53,5 +53,5 @@
     }
     // A new one that ends without an answer is its backend's doing.
     drop(stream);
-    relay.counts("probes_failed", 1);
+    relay.wait_for_counter("probes_failed", 1);
 }
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -7,7 +7,7 @@
 /// Twenty that start at once, with a list of 1,024 backends: nine in ten answer `PING` within ten
 /// seconds, whatever their discovery does.
 #[test]
-fn nine_in_ten_of_twenty_started_at_once_are_ready_in_time() {
+fn nine_in_ten_of_twenty_simultaneous_starts_are_ready_in_time() {
     let rows: Vec<(String, SocketAddr)> = (0..1_024)
         .map(|id| (format!("backend-{id:08x}"), nobody()))
         .collect();
@@ -36,7 +36,7 @@
                     line.clear();
                     lines.read_line(&mut line).unwrap();
                 }
-                says(&stream, &answer);
+                send(&stream, &answer);
                 lines.read_line(&mut line)
             });
         }
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn told_to_stop_while_its_configuration_is_read_it_ends_well() {
+fn sigterm_while_configuration_is_read_exits_cleanly() {
     // The file is a pipe: the one who writes has it open once the program reads.
     let path = std::env::temp_dir().join(format!("thistlecroft-{}-pipe.json", std::process::id()));
     let made = std::process::Command::new("mkfifo")
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn connections_that_say_nothing_make_room_for_those_that_mean_to_be_served() {
+fn silent_connections_are_shed_for_clients_that_speak() {
     let (address, _met) = backend(Play::Echo);
     // Room for 24 descriptors of sessions; the silent ones come by hundreds, and again as they are
     // sent away.
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn without_descriptors_clients_are_told_so_and_served_again_later() {
+fn clients_without_descriptor_are_rejected_and_served_again_later() {
     let (address, _met) = backend(Play::Echo);
     let relay = start(
         nobody(),
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn when_the_system_has_no_descriptor_left_nothing_ends_and_nothing_spins() {
+fn system_without_descriptors_ends_no_session_and_does_not_spin() {
     let (address, _met) = backend(Play::Echo);
     // The configuration promises more than the system gives.
     let relay = start_within(
@@ -115,10 +115,10 @@
 
 /// Clients that say nothing take every descriptor that they can get, while discovery is away.
 #[test]
-fn idle_clients_that_fill_the_descriptors_keep_nobody_out_while_discovery_is_away() {
+fn idle_clients_filling_descriptors_without_discovery_keep_nobody_out() {
     let (known, known_met) = backend(Play::Echo);
     let (told, told_met) = backend(Play::Echo);
-    let (at, gone) = (nobody(), Agent::new().at);
+    let (at, gone) = (nobody(), DiscoveryAgent::new().at);
     let relay = started(
         at,
         config(
@@ -129,13 +129,13 @@
             false,
         ),
     );
-    relay.counts("list_failures", 2);
+    relay.wait_for_counter("list_failures", 2);
     let open = || {
         let path = format!("/proc/{}/fd", relay.child.id());
         std::fs::read_dir(path).unwrap().count()
     };
     let mut idle: Vec<Client> = Vec::new();
-    in_time("all that there is are taken", || {
+    wait_for("all that there is are taken", || {
         idle.push(relay.client());
         (idle.len() >= 200).then_some(())
     });
@@ -146,19 +146,19 @@
     assert!(next(&known_met).starts_with("OPEN"));
     relay.told("\"cores\":1.0", "\"cores\":1.5");
     relay.logged("limits");
-    let agent = Agent {
+    let agent = DiscoveryAgent {
         listener: TcpListener::bind(gone).unwrap(),
         at: gone,
     };
     let (watch, _) = agent.call();
-    says(
+    send(
         &watch,
         &format!(
             "{HEAD}{}",
             chunk(&list(2, true, &[("told", told, "Ready")]))
         ),
     );
-    relay.counts("lists", 1);
+    relay.wait_for_counter("lists", 1);
     idle.extend((0..100).map(|_| relay.client()));
     let mut client = relay.open("safe", 7_000);
     assert_eq!(client.hears(), "UP receipt");
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn lines_pass_both_ways_and_ends_come_across() {
+fn lines_and_ends_are_relayed_both_ways() {
     let (address, met) = backend(Play::Echo);
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_backends_end_comes_across_with_its_last_lines() {
+fn backend_end_is_relayed_behind_its_last_lines() {
     let cases = [
         (
             Play::UpThen("a\r\nBYE\r\n"),
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_read_holds_its_backend_back_and_loses_nothing() {
+fn client_not_reading_holds_its_backend_back_and_loses_nothing() {
     const COUNT: usize = 1_000_000;
     let (address, _met) = backend(Play::Flood(COUNT));
     let relay = relay_with(&[address]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_silent_backends_clients_are_moved_in_time() {
+fn session_with_silent_backend_is_migrated_in_time() {
     let (address, _met) = backend(Play::UpMute);
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
@@ -100,10 +100,10 @@
 }
 
 #[test]
-fn a_backend_that_tells_of_late_messages_is_relieved() {
+fn backend_reporting_high_latency_is_relieved() {
     // At this load alone it would not be: the note decides, and a relay that took it for the load
     // of a connection never sent anybody away.
-    let (address, _met) = backend(Play::Late);
+    let (address, _met) = backend(Play::ReportsHighLatency);
     let relay = start(
         nobody(),
         1_000,
--- a/relay/tests/session/handshake.rs
+++ b/relay/tests/session/handshake.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn clients_first_lines() {
+fn first_line_of_each_form_is_answered() {
     let relay = relay_with(&[]);
     let cases: &[(&[&str], &[&str])] = &[
         (&["PING\r\n"], &["PONG"]),
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn what_clients_do_wrong_is_answered_in_time_and_reaches_no_backend() {
+fn invalid_client_is_answered_in_time_and_reaches_no_backend() {
     let (address, met) = backend(Play::Echo);
     let relay = relay_with(&[address]);
     let good = open_line("c=safe,d=1000");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_client_that_does_not_wait_for_its_answer_has_an_error_and_costs_its_backend_nothing() {
+fn client_sending_before_its_answer_fails_without_harm_to_the_backend() {
     let (address, met) = backend(Play::Mute);
     let relay = relay_with(&[address]);
     for more in [
--- a/relay/tests/session/inherited.rs
+++ b/relay/tests/session/inherited.rs
@@ -2,7 +2,7 @@
 use crate::helper::*;
 
 #[test]
-fn connections_from_before_the_start_go_where_they_were() {
+fn inherited_session_returns_to_its_backend() {
     let (first, _) = backend(Play::Mute);
     let (second, met) = backend(Play::Echo);
     let relay = relay_with(&[first, second]);
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn each_first_word_of_a_backend_has_its_answer() {
+fn backend_answer_of_each_form_is_passed_on() {
     // What the backend does, and the client's answer where a session may run again and where it may
     // not.
     let cases = [
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn what_a_backend_does_to_a_referenced_session_is_answered_by_who_may_hold_the_reference() {
+fn keyed_session_after_backend_failure_is_answered_by_scope_of_its_key() {
     // What the backend does, and if the dial may have run then.
     let plays = [
         (Play::Say("BUSY\r\n"), false),
@@ -96,7 +96,8 @@
         for (play, may_have_run) in plays {
             let (address, _met) = backend(play);
             let known = list(1, true, &[("b", address, "Ready")]);
-            let relay = start_changed(nobody(), &known, &[("\"effect\": \"fragile\"", &effect)]);
+            let relay =
+                start_with_settings(nobody(), &known, &[("\"effect\": \"fragile\"", &effect)]);
             let mut client = relay.open("once", 400);
             let word = if anywhere || !may_have_run {
                 "BUSY"
@@ -119,51 +120,51 @@
 }
 
 #[test]
-fn a_client_that_left_while_its_dial_came_up_is_not_sent_on() {
+fn client_leaving_while_its_attempt_connects_is_not_forwarded() {
     // Its end, and if that comes before the dial is up or just after, all in one turn.
     for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
-        let mut late = Late::new();
+        let mut late = SlowBackend::new();
         let known = list(1, true, &[("late", late.at, "Ready")]);
-        let relay = start_changed(nobody(), &known, &[LATE]);
+        let relay = start_with_settings(nobody(), &known, &[LONG_CONNECT_TIMEOUT]);
         let client = relay.open("once", 7_000);
-        relay.counts("dials", 1);
-        relay.stops();
+        relay.wait_for_counter("dials", 1);
+        relay.suspend();
         let leave = |client: Client| {
             let from = client.lines.get_ref().local_addr().unwrap();
             if reset {
-                breaks_off(client.lines.get_ref());
+                reset_on_close(client.lines.get_ref());
             }
             drop(client);
-            in_time("the relay's end of it knows", || {
-                (!at_end(relay.at, from).0).then_some(())
+            wait_for("the relay's end of it knows", || {
+                (!socket_state(relay.at, from).is_established).then_some(())
             });
         };
         let mut client = Some(client);
         if !after {
             client.take().map(leave);
         }
-        let dial = late.comes_up();
+        let dial = late.accept_connection();
         client.take().map(leave);
         relay.signal("CONT");
-        assert_eq!(all_of(&dial), "", "reset {reset}, after {after}");
-        relay.counts("dials_never_sent", 1);
+        assert_eq!(read_to_end_of(&dial), "", "reset {reset}, after {after}");
+        relay.wait_for_counter("dials_never_sent", 1);
     }
 }
 
 #[test]
-fn a_client_that_leaves_is_seen_to_though_no_buffer_is_left() {
-    let agent = Agent::new();
+fn client_leaving_while_no_buffer_is_free_is_noticed() {
+    let agent = DiscoveryAgent::new();
     let ((echo, _echo_met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
-    let relay = start_changed(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
+    let relay = start_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
     let (watch, _) = agent.call();
-    says(
+    send(
         &watch,
         &format!(
             "{HEAD}{}",
             chunk(&list(1, true, &[("echo", echo, "Ready")]))
         ),
     );
-    relay.counts("lists", 1);
+    relay.wait_for_counter("lists", 1);
     // Each that stands and has said half a line holds a buffer for as long as it likes.
     let mut holding = Vec::new();
     for _ in 0..300 {
@@ -172,23 +173,23 @@
         holding.push(client);
     }
     let rows = [("echo", echo, "Terminating"), ("mute", mute, "Ready")];
-    says(&watch, &chunk(&list(2, false, &rows)));
-    relay.counts("lists", 2);
+    send(&watch, &chunk(&list(2, false, &rows)));
+    relay.wait_for_counter("lists", 2);
     let client = relay.open("safe", 7_000);
     while !next(&mute_met).starts_with("OPEN") {}
     holding
         .iter_mut()
         .for_each(|client| client.say("half a line"));
-    relay.counts("starved", 1);
+    relay.wait_for_counter("starved", 1);
     client.ends_sending();
-    relay.counts("clients_left", 1);
-    relay.counts("dials_withdrawn", 1);
+    relay.wait_for_counter("clients_left", 1);
+    relay.wait_for_counter("dials_withdrawn", 1);
 }
 
 /// More ends than one turn comes to, beside the alarms of all that wait: not even a connection
 /// begins for one that left.
 #[test]
-fn nothing_begins_for_a_client_that_left_behind_hundreds_of_others() {
+fn client_leaving_behind_hundreds_of_events_starts_no_attempt() {
     const CLIENTS: u32 = 900;
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let (busy, begun) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
@@ -219,19 +220,19 @@
         client.say(&open_line("c=safe,d=9000").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
         clients.push(client);
     }
-    relay.counts("dials_full", CLIENTS);
-    relay.stops();
+    relay.wait_for_counter("dials_full", CLIENTS);
+    relay.suspend();
     for (place, client) in clients.into_iter().enumerate() {
         if place % 2 == 0 {
-            breaks_off(client.lines.get_ref());
+            reset_on_close(client.lines.get_ref());
         }
     }
     // The alarms of the first two delays come due while nothing is met.
     std::thread::sleep(Duration::from_millis(2_100));
     let before = begun.load(Ordering::SeqCst);
     relay.signal("CONT");
-    relay.counts("clients_left", CLIENTS * 9 / 10);
-    relay.counts("dials_never_sent", 1);
+    relay.wait_for_counter("clients_left", CLIENTS * 9 / 10);
+    relay.wait_for_counter("dials_never_sent", 1);
     let after = begun.load(Ordering::SeqCst);
     assert_eq!(
         after - before,
@@ -241,27 +242,27 @@
 }
 
 #[test]
-fn a_dial_that_came_up_in_time_is_not_sent_when_the_loop_meets_it_too_late() {
-    let mut late = Late::new();
+fn attempt_connected_in_time_but_met_late_is_not_sent() {
+    let mut late = SlowBackend::new();
     let known = list(1, true, &[("late", late.at, "Ready")]);
     let limit = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
-    let relay = start_changed(nobody(), &known, &[limit]);
+    let relay = start_with_settings(nobody(), &known, &[limit]);
     let mut client = relay.open("once", 7_000);
-    relay.counts("dials", 1);
+    relay.wait_for_counter("dials", 1);
     let began = Instant::now();
-    relay.stops();
-    let dial = late.comes_up();
-    in_time("the time to come up is over", || {
+    relay.suspend();
+    let dial = late.accept_connection();
+    wait_for("the time to come up is over", || {
         (began.elapsed() > Duration::from_millis(1_600)).then_some(())
     });
     relay.signal("CONT");
-    assert_eq!(all_of(&dial), "");
+    assert_eq!(read_to_end_of(&dial), "");
     // Never sent, so nothing is said against trying again, for a once-only session neither.
     assert!(client.hears().starts_with("BUSY"));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Out {
+enum Removal {
     /// The drain and the connection's coming up are met in one turn.
     InOneTurn,
     Listed,
@@ -271,48 +272,59 @@
 }
 
 #[test]
-fn a_dial_that_has_sent_nothing_does_not_go_where_nothing_new_may_go() {
-    for out in [Out::InOneTurn, Out::Listed, Out::Missing, Out::ByHand] {
-        let (mut late, agent) = (Late::new(), Agent::new());
+fn unsent_attempt_to_removed_backend_goes_elsewhere() {
+    for out in [
+        Removal::InOneTurn,
+        Removal::Listed,
+        Removal::Missing,
+        Removal::ByHand,
+    ] {
+        let (mut late, agent) = (SlowBackend::new(), DiscoveryAgent::new());
         let (two, two_met) = backend(Play::Echo);
         let door = nobody();
         let with_door = format!("\"name\":\"r0\",\"admin_addr\":\"{door}\"");
-        let relay = start_changed(
+        let relay = start_with_settings(
             agent.at,
             "null",
-            &[LATE, THREE, ("\"name\":\"r0\"", &with_door)],
+            &[
+                LONG_CONNECT_TIMEOUT,
+                THREE_ATTEMPTS,
+                ("\"name\":\"r0\"", &with_door),
+            ],
         );
         let (watch, _) = agent.call();
-        says(
+        send(
             &watch,
             &format!(
                 "{HEAD}{}",
                 chunk(&list(1, true, &[("late", late.at, "Ready")]))
             ),
         );
-        relay.counts("lists", 1);
+        relay.wait_for_counter("lists", 1);
         let mut client = relay.open("once", 9_000);
-        relay.counts("dials", 1);
+        relay.wait_for_counter("dials", 1);
         let rows = [("two", two, "Ready"), ("late", late.at, "Terminating")];
         let mut dial = None;
         match out {
-            Out::InOneTurn => {
-                relay.stops();
-                dial = Some(late.comes_up());
-                says(&watch, &chunk(&list(2, false, &rows)));
-                in_time("the relay's end of the watch has it", || {
-                    at_end(watch.peer_addr().unwrap(), agent.at).1.then_some(())
+            Removal::InOneTurn => {
+                relay.suspend();
+                dial = Some(late.accept_connection());
+                send(&watch, &chunk(&list(2, false, &rows)));
+                wait_for("the relay's end of the watch has it", || {
+                    socket_state(watch.peer_addr().unwrap(), agent.at)
+                        .has_unread_bytes
+                        .then_some(())
                 });
                 relay.signal("CONT");
             }
-            Out::Listed => says(&watch, &chunk(&list(2, false, &rows))),
-            Out::Missing => says(&watch, &chunk(&list(2, true, &rows[..1]))),
-            Out::ByHand => {
-                says(&watch, &chunk(&list(2, false, &rows[..1])));
-                relay.counts("lists", 2);
+            Removal::Listed => send(&watch, &chunk(&list(2, false, &rows))),
+            Removal::Missing => send(&watch, &chunk(&list(2, true, &rows[..1]))),
+            Removal::ByHand => {
+                send(&watch, &chunk(&list(2, false, &rows[..1])));
+                relay.wait_for_counter("lists", 2);
                 let operator = TcpStream::connect(door).unwrap();
                 operator.set_read_timeout(Some(LONG)).unwrap();
-                says(&operator, "DISABLE late\r\n");
+                send(&operator, "DISABLE late\r\n");
                 let mut answer = String::new();
                 BufReader::new(&operator).read_line(&mut answer).unwrap();
                 assert!(answer.starts_with("200"), "{answer}");
@@ -322,7 +334,7 @@
         assert_eq!(client.hears(), "UP receipt", "{out:?}");
         assert!(next(&two_met).starts_with("OPEN"));
         if let Some(dial) = dial {
-            assert_eq!(all_of(&dial), "", "{out:?}");
+            assert_eq!(read_to_end_of(&dial), "", "{out:?}");
         }
     }
 }
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn sigterm_moves_what_stands_answers_what_waits_and_exits_well() {
+fn sigterm_migrates_established_answers_waiting_and_exits_cleanly() {
     let (echo, _) = backend(Play::Echo);
     let (mute, mute_met) = backend(Play::Mute);
     let mut relay = relay_with(&[echo]);
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Told {
+enum StopMoment {
     /// It is told to stop, and again.
     Twice,
     /// Before its agent has told a list, and no backend is known.
@@ -58,18 +58,22 @@
 }
 
 #[test]
-fn told_to_stop_at_a_bad_moment_all_are_answered_and_it_ends_well_in_time() {
+fn sigterm_at_each_awkward_moment_answers_all_and_exits_in_time() {
     for told in [
-        Told::Twice,
-        Told::BeforeAnyList,
-        Told::AfterSettings,
-        Told::InOneTurn,
+        StopMoment::Twice,
+        StopMoment::BeforeAnyList,
+        StopMoment::AfterSettings,
+        StopMoment::InOneTurn,
     ] {
-        let agent = Agent::new();
+        let agent = DiscoveryAgent::new();
         let ((echo, _met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
         let known = list(1, true, &[("mute", mute, "Ready")]);
-        let lists = told != Told::BeforeAnyList;
-        let mut relay = start_changed(agent.at, if lists { &known } else { "null" }, &[GRACE]);
+        let lists = told != StopMoment::BeforeAnyList;
+        let mut relay = start_with_settings(
+            agent.at,
+            if lists { &known } else { "null" },
+            &[LONG_DRAIN_GRACE],
+        );
         let (watch, _) = agent.call();
         // One whose backend hangs, one with half a line.
         let mut hangs = relay.open("once", 1_500);
@@ -78,23 +82,23 @@
         if lists {
             while !next(&mute_met).starts_with("OPEN") {}
             let rows = [("mute", mute, "Terminating"), ("echo", echo, "Ready")];
-            says(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
-            relay.counts("lists", 1);
+            send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
+            relay.wait_for_counter("lists", 1);
         }
-        let mut inside = (told == Told::AfterSettings).then(|| relay.open("safe", 1_500));
+        let mut inside = (told == StopMoment::AfterSettings).then(|| relay.open("safe", 1_500));
         inside
             .iter_mut()
             .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-        if told == Told::AfterSettings {
+        if told == StopMoment::AfterSettings {
             relay.told("\"maxDials\": 1", "\"maxDials\": 2");
         }
         let began = Instant::now();
-        relay.stops();
+        relay.suspend();
         let mut late = relay.open("safe", 1_500);
         relay.signal("TERM");
         relay.signal("CONT");
         relay.logged("told to stop");
-        if told == Told::Twice {
+        if told == StopMoment::Twice {
             relay.signal("TERM");
         }
         half.say("1e0b4d655 c=safe,d=1500\r\n");
@@ -131,14 +135,14 @@
 }
 
 #[test]
-fn told_to_stop_while_a_client_does_not_read_its_lines_and_its_move_come_whole_and_in_order() {
+fn sigterm_while_a_client_does_not_read_delivers_its_lines_before_its_migration() {
     let (address, _met) = backend(Play::Flood(400_000));
-    let mut relay = start_changed(nobody(), &list(1, true, &[("b", address, "Ready")]), &[]);
+    let mut relay = start_with_settings(nobody(), &list(1, true, &[("b", address, "Ready")]), &[]);
     let mut client = relay.open("safe", 1_500);
     assert_eq!(client.hears(), "UP receipt");
     // Its window is shut: nothing more passes, and what waits is unread.
     let (mut before, mut same) = (0, 0);
-    in_time("the lines stand still", || {
+    wait_for("the lines stand still", || {
         relay.signal("USR1");
         let now = counted(&relay.logged(" lines_down="), "lines_down");
         same = if now == before { same + 1 } else { 0 };
