--- a/relay/src/attempt/mod.rs
+++ b/relay/src/attempt/mod.rs
@@ -1,5 +1,7 @@
 //! One attempt of a session to connect to a backend, and the connection that comes of it.
 mod failure;
+#[cfg(test)]
+mod tests;
 
 pub(crate) use failure::{AttemptFailure, AttemptProgress, FailureCause};
 
--- a/relay/src/line_buffer.rs
+++ b/relay/src/line_buffer.rs
@@ -208,3 +208,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/relay/src/protocol/mod.rs
+++ b/relay/src/protocol/mod.rs
@@ -5,6 +5,8 @@
 //! [`FirstLine`]s and [`BackendMessage`]s.
 mod backend_message;
 mod first_line;
+#[cfg(test)]
+pub(crate) mod tests;
 
 pub(crate) use backend_message::{BackendMessage, parse_health_check_response};
 pub(crate) use first_line::{FirstLine, FirstLineError, Names, OpenRequest, parse_first_line};
--- a/relay/src/session/mod.rs
+++ b/relay/src/session/mod.rs
@@ -37,3 +37,5 @@
 mod stage;
 mod state;
 pub(crate) mod table;
+#[cfg(test)]
+mod tests;
--- a/relay/src/session/table.rs
+++ b/relay/src/session/table.rs
@@ -218,7 +218,7 @@
 
     /// A step that panics.
     #[cfg(test)]
-    pub(crate) fn fail(&mut self, id: u32, io: &mut IoContext) {
+    pub(crate) fn panic_in_step(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |_, _, _| panic!("a fault in a step, for the test"));
     }
 }
--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -14,94 +14,106 @@
         .iter()
         .map(|(id, at)| ready(id.as_str(), *at))
         .collect();
-    // What is known at start, the lists that come, and how many of them count.
     let first = list(7, true, &[ready("one", here)]);
+    let three = list(
+        7,
+        true,
+        &[ready("one", here), ready("b", dead), ready("c", dead)],
+    );
     let cases = [
-        (
-            "an older one",
-            "null",
-            vec![first.clone(), list(5, false, &[("one", here, "Gone")])],
-            1,
-            "UP",
-        ),
-        (
-            "a repeated one",
-            "null",
-            vec![first.clone(), list(7, false, &[("one", here, "Gone")])],
-            1,
-            "UP",
-        ),
-        (
-            "an empty one",
-            "null",
-            vec![first.clone(), list(8, true, &[])],
-            2,
-            "BUSY",
-        ),
-        (
-            "the last one gone",
-            "null",
-            vec![first.clone(), list(8, false, &[("one", here, "Gone")])],
-            2,
-            "BUSY",
-        ),
-        (
-            "a shrunken one",
-            "null",
-            vec![
-                list(
-                    7,
-                    true,
-                    &[ready("one", here), ready("b", dead), ready("c", dead)],
-                ),
-                list(8, true, &[ready("one", here)]),
-            ],
-            2,
-            "UP",
-        ),
-        (
-            "a known id elsewhere",
-            "null",
-            vec![
+        UpdateCase {
+            name: "an older one",
+            lists: vec![first.clone(), list(5, false, &[("one", here, "Gone")])],
+            ..UpdateCase::new(1, "UP")
+        },
+        UpdateCase {
+            name: "a repeated one",
+            lists: vec![first.clone(), list(7, false, &[("one", here, "Gone")])],
+            ..UpdateCase::new(1, "UP")
+        },
+        UpdateCase {
+            name: "an empty one",
+            lists: vec![first.clone(), list(8, true, &[])],
+            ..UpdateCase::new(2, "BUSY")
+        },
+        UpdateCase {
+            name: "the last one gone",
+            lists: vec![first.clone(), list(8, false, &[("one", here, "Gone")])],
+            ..UpdateCase::new(2, "BUSY")
+        },
+        UpdateCase {
+            name: "a shrunken one",
+            lists: vec![three, list(8, true, &[ready("one", here)])],
+            ..UpdateCase::new(2, "UP")
+        },
+        UpdateCase {
+            name: "a known id elsewhere",
+            lists: vec![
                 list(7, true, &[ready("one", dead)]),
                 list(8, false, &[ready("one", here)]),
             ],
-            2,
-            "UP",
-        ),
-        (
-            "a cached one of boxes that are gone",
-            &list(3, true, &cached),
-            vec![first.clone()],
-            1,
-            "UP",
-        ),
+            ..UpdateCase::new(2, "UP")
+        },
+        UpdateCase {
+            name: "a cached one of backends that are gone",
+            known: list(3, true, &cached),
+            lists: vec![first.clone()],
+            ..UpdateCase::new(1, "UP")
+        },
     ];
-    for (name, known, lists, counting, expected) in cases {
+    for case in cases {
+        case.check();
+    }
+}
+
+/// Lists that come one after the other.
+struct UpdateCase {
+    name: &'static str,
+    /// What is known at the start.
+    known: String,
+    lists: Vec<String>,
+    /// How many of the lists count.
+    counted: u32,
+    /// How the first word of the answer to a client begins.
+    answer: &'static str,
+}
+
+impl UpdateCase {
+    fn new(counted: u32, answer: &'static str) -> UpdateCase {
+        UpdateCase {
+            name: "",
+            known: "null".into(),
+            lists: Vec::new(),
+            counted,
+            answer,
+        }
+    }
+
+    fn check(&self) {
+        let name = self.name;
         let mut pieces = vec![HEAD.to_string()];
-        pieces.extend(lists.iter().map(|text| chunk(text)));
+        pieces.extend(self.lists.iter().map(|text| chunk(text)));
         // Once this one counts all before it have been read.
-        pieces.push(chunk(&list(9, false, &[("last", dead, "Terminating")])));
-        let (at, _asked) = discovery(vec![Script {
+        pieces.push(chunk(&list(9, false, &[("last", nobody(), "Terminating")])));
+        let (at, _requests) = discovery(vec![Script {
             pieces,
             ends: false,
         }]);
-        let relay = start(at, 1_000, known, false);
+        let relay = start(at, 1_000, &self.known, false);
         let until = Instant::now() + LONG;
         loop {
             relay.signal("USR1");
             let count = counted(&relay.logged(" lists="), "lists");
-            if count == counting + 1 {
+            if count == self.counted + 1 {
                 break;
             }
             assert!(
-                count <= counting && Instant::now() < until,
+                count <= self.counted && Instant::now() < until,
                 "{name}: {count} lists"
             );
         }
-        let mut client = relay.open("safe", 1_000);
-        let answer = client.hears();
-        assert!(answer.starts_with(expected), "{name}: {answer}");
+        let answer = relay.open("safe", 1_000).hears();
+        assert!(answer.starts_with(self.answer), "{name}: {answer}");
     }
 }
 
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -1,4 +1,5 @@
 //! The watch on the endpoint list: followed, lost, and opened again.
+use self::DiscoveryFailure::*;
 use crate::helper::*;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -180,7 +181,7 @@
         &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))),
     );
     relay.wait_for_counter("lists", 1);
-    // It goes away: the watch breaks, and a call hangs.
+    // The agent goes away: the watch breaks, and a call hangs.
     reset_on_close(&watch);
     drop(watch);
     let (hanging, line) = agent.call();
@@ -244,16 +245,33 @@
     Silent,
 }
 
+impl DiscoveryFailure {
+    /// Fails a call so; gives it back where it stays open.
+    fn fail(self, call: TcpStream, half_a_list: &str) -> Option<TcpStream> {
+        match self {
+            Refused => {}
+            Reset => reset_on_close(&call),
+            Unavailable => send(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+            HalfAList => send(
+                &call,
+                &format!("{HEAD}{:x}\r\n{half_a_list}\r\n", half_a_list.len() + 2),
+            ),
+            NoList => send(&call, &format!("{HEAD}{}", chunk("{\"generation\":true}"))),
+            Silent => return Some(call),
+        }
+        None
+    }
+}
+
 /// Whatever a row of calls met, what discovery has when it can be reached again is the relay's
 /// within six seconds.
 #[test]
 fn discovery_returning_after_each_failure_is_followed_in_time() {
-    use DiscoveryFailure::*;
     let kinds = [Refused, Reset, Unavailable, HalfAList, NoList, Silent];
     let all = kinds
         .iter()
         .chain(&kinds[1..5])
-        .map(|&away| std::thread::spawn(move || assert_followed_in_time_after(away)));
+        .map(|&failure| std::thread::spawn(move || assert_followed_in_time_after(failure)));
     // All are awaited before one may fail, since each ends its own relay.
     let ended: Vec<_> = all
         .collect::<Vec<_>>()
@@ -266,8 +284,7 @@
     );
 }
 
-fn assert_followed_in_time_after(away: DiscoveryFailure) {
-    use DiscoveryFailure::*;
+fn assert_followed_in_time_after(failure: DiscoveryFailure) {
     let mut agent = DiscoveryAgent::new();
     let (one, one_met) = backend(Play::Echo);
     let (two, two_met) = backend(Play::Echo);
@@ -285,36 +302,29 @@
         ),
     );
     relay.wait_for_counter("lists", 1);
-    let mut refused =
-        (away == Refused).then(|| std::mem::replace(&mut agent, DiscoveryAgent::new()));
-    let at = refused.as_ref().map_or(agent.at, |gone| gone.at);
-    drop(refused.take());
+    let mut refused_at = None;
+    if failure == Refused {
+        refused_at = Some(agent.at);
+        agent = DiscoveryAgent::new();
+    }
     reset_on_close(&watch);
     drop(watch);
-    // The first of a watch that had been good comes at once; from the fourth on pauses are the
-    // longest.
-    let mut hanging = Vec::new();
-    for _ in 0..4 {
-        if away == Refused {
-            break;
-        }
-        let (call, _) = agent.call();
-        let half = &list(8, false, &[("one", one, "Terminating")])[..60];
-        match away {
-            Refused => {}
-            Reset => reset_on_close(&call),
-            Unavailable => send(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-            HalfAList => send(&call, &format!("{HEAD}{:x}\r\n{half}\r\n", half.len() + 2)),
-            NoList => send(&call, &format!("{HEAD}{}", chunk("{\"generation\":true}"))),
-            Silent => hanging.push(call),
-        }
-    }
-    if away == Refused {
+    let half = &list(8, false, &[("one", one, "Terminating")])[..60];
+    // Kept open, since closing them would end the silence.
+    let mut silent_calls = Vec::new();
+    if let Some(at) = refused_at {
         relay.wait_for_counter("list_failures", 8);
         agent = DiscoveryAgent {
             listener: TcpListener::bind(at).unwrap(),
             at,
         };
+    } else {
+        // The first of a watch that had been good comes at once; from the fourth on pauses are the
+        // longest.
+        for _ in 0..4 {
+            let (call, _) = agent.call();
+            silent_calls.extend(failure.fail(call, half));
+        }
     }
     // From here on it has the drain, and answers whoever calls.
     let back = Instant::now();
@@ -324,17 +334,17 @@
     relay.wait_for_counter("lists", 2);
     assert!(
         back.elapsed() < Duration::from_millis(5_500),
-        "{away:?}: {:?}",
+        "{failure:?}: {:?}",
         back.elapsed()
     );
     let mut clients: Vec<_> = (0..6).map(|_| relay.open("safe", 1_000)).collect();
     for client in &mut clients {
-        assert_eq!(client.hears(), "UP receipt", "{away:?}");
-        assert!(next(&two_met).starts_with("OPEN"), "{away:?}");
+        assert_eq!(client.hears(), "UP receipt", "{failure:?}");
+        assert!(next(&two_met).starts_with("OPEN"), "{failure:?}");
     }
     assert!(
         one_met.try_recv().is_err(),
-        "{away:?}: sent to a backend that drains"
+        "{failure:?}: sent to a backend that drains"
     );
 }
 
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -9,7 +9,7 @@
 
 /// What a backend does with the first line of a connection.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Play {
+pub(crate) enum Play {
     /// Up, then each line comes back; the client's end is answered `BYE`.
     Echo,
     /// Up in pieces.
@@ -30,10 +30,10 @@
 }
 
 /// What a backend met, in order: first lines, and how later ones and the end came.
-pub type Met = Receiver<String>;
+pub(crate) type Met = Receiver<String>;
 
 /// Starts a backend; its address, and what it meets.
-pub fn backend(play: Play) -> (SocketAddr, Met) {
+pub(crate) fn backend(play: Play) -> (SocketAddr, Met) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (tell, met) = channel();
@@ -47,7 +47,7 @@
 }
 
 /// Serves one connection.
-pub fn serve(stream: TcpStream, play: Play, tell: Sender<String>) -> std::io::Result<()> {
+pub(crate) fn serve(stream: TcpStream, play: Play, tell: Sender<String>) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
     let mut line = String::new();
@@ -125,20 +125,20 @@
 }
 
 /// The next line or event that a backend or discovery met.
-pub fn next(met: &Met) -> String {
+pub(crate) fn next(met: &Met) -> String {
     met.recv_timeout(LONG)
         .expect("the backend met nothing more")
 }
 
 /// A backend at which connections come up late: its queue is full until somebody takes them in.
-pub struct SlowBackend {
-    pub listener: TcpListener,
-    pub at: SocketAddr,
-    pub queue_fillers: Vec<TcpStream>,
+pub(crate) struct SlowBackend {
+    pub(crate) listener: TcpListener,
+    pub(crate) at: SocketAddr,
+    pub(crate) queue_fillers: Vec<TcpStream>,
 }
 
 impl SlowBackend {
-    pub fn new() -> SlowBackend {
+    pub(crate) fn new() -> SlowBackend {
         let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
         socket
             .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
@@ -157,7 +157,7 @@
     }
 
     /// Takes all in that fill the queue, and then the one that waited.
-    pub fn accept_connection(&mut self) -> TcpStream {
+    pub(crate) fn accept_connection(&mut self) -> TcpStream {
         let ours: Vec<SocketAddr> = self
             .queue_fillers
             .iter()
--- a/relay/tests/helper/client.rs
+++ b/relay/tests/helper/client.rs
@@ -5,7 +5,7 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 
 /// With an id that is new, as each connection's is.
-pub fn open_line(items: &str) -> String {
+pub(crate) fn open_line(items: &str) -> String {
     static LAST: AtomicU16 = AtomicU16::new(0);
     format!(
         "OPEN {:016x} 7f3a9c21e0b4d655 {items}\r\n",
@@ -13,17 +13,17 @@
     )
 }
 
-pub struct Client {
-    pub lines: BufReader<TcpStream>,
+pub(crate) struct Client {
+    pub(crate) lines: BufReader<TcpStream>,
 }
 
 impl Client {
-    pub fn say(&mut self, text: &str) {
+    pub(crate) fn say(&mut self, text: &str) {
         self.lines.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// The next line; "end" or "reset" where the connection is over.
-    pub fn hears(&mut self) -> String {
+    pub(crate) fn hears(&mut self) -> String {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(0) => "end".into(),
@@ -33,7 +33,7 @@
         }
     }
 
-    pub fn ends_sending(&self) {
+    pub(crate) fn ends_sending(&self) {
         self.lines.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 }
--- a/relay/tests/helper/config.rs
+++ b/relay/tests/helper/config.rs
@@ -3,7 +3,7 @@
 use std::thread;
 
 /// The settings; `PROBES` stands where it says whether health checks are allowed.
-pub const SETTINGS: &str = r#"{"az": 0, "zones": ["a"], "balancers": 1, "me": 0, "tickUs": 2000,
+pub(crate) const SETTINGS: &str = r#"{"az": 0, "zones": ["a"], "balancers": 1, "me": 0, "tickUs": 2000,
  "discovery": "automatic",
  "extra": {"groups": true, "tellsDelay": true, "tellsLoad": false, "messageAimUs": [50000, 50000]},
  "listeners": [
@@ -16,7 +16,7 @@
  "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
 /// A configuration that `ROUTER_CONFIG` may name: `known` is the endpoint list of the start, or null.
-pub fn config(
+pub(crate) fn config(
     at: SocketAddr,
     discovery: SocketAddr,
     sockets: usize,
@@ -31,7 +31,7 @@
 }
 
 /// Replaced as a whole, so that nobody reads half of it.
-pub fn write_config(text: &str) -> std::path::PathBuf {
+pub(crate) fn write_config(text: &str) -> std::path::PathBuf {
     let name = format!(
         "thistlecroft-{}-{:?}.json",
         std::process::id(),
@@ -46,14 +46,14 @@
 
 /// Establishing a connection may take four seconds, as a change of the settings: what stands in
 /// their text, and what is to.
-pub const LONG_CONNECT_TIMEOUT: (&str, &str) =
+pub(crate) const LONG_CONNECT_TIMEOUT: (&str, &str) =
     ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 4000000");
 
 /// A drain is obeyed four seconds after discovery has it.
-pub const LONG_DRAIN_GRACE: (&str, &str) = (
+pub(crate) const LONG_DRAIN_GRACE: (&str, &str) = (
     "\"askWithinUs\": 1",
     "\"askWithinUs\": 1, \"drainGraceUs\": 4000000",
 );
 
 /// A session may have three attempts.
-pub const THREE_ATTEMPTS: (&str, &str) = ("\"maxDials\": 1", "\"maxDials\": 3");
+pub(crate) const THREE_ATTEMPTS: (&str, &str) = ("\"maxDials\": 1", "\"maxDials\": 3");
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -10,12 +10,12 @@
 
 /// One that accepts and never says a word is `None`; else each watch gets the next script of
 /// pieces, and then stays open or ends.
-pub struct Script {
-    pub pieces: Vec<String>,
-    pub ends: bool,
+pub(crate) struct Script {
+    pub(crate) pieces: Vec<String>,
+    pub(crate) ends: bool,
 }
 
-pub fn discovery(scripts: Vec<Script>) -> (SocketAddr, Met) {
+pub(crate) fn discovery(scripts: Vec<Script>) -> (SocketAddr, Met) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let (tell, met) = channel();
@@ -45,14 +45,14 @@
     (address, met)
 }
 
-pub const HEAD: &str =
+pub(crate) const HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
-pub fn chunk(text: &str) -> String {
+pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
 }
 
-pub fn list(generation: u64, reset: bool, rows: &[(&str, SocketAddr, &str)]) -> String {
+pub(crate) fn list(generation: u64, reset: bool, rows: &[(&str, SocketAddr, &str)]) -> String {
     let rows: Vec<String> = rows
         .iter()
         .map(|(name, at, lifecycle)| {
@@ -70,13 +70,13 @@
 }
 
 /// Discovery's agent, whose every step is the test's.
-pub struct DiscoveryAgent {
-    pub listener: TcpListener,
-    pub at: SocketAddr,
+pub(crate) struct DiscoveryAgent {
+    pub(crate) listener: TcpListener,
+    pub(crate) at: SocketAddr,
 }
 
 impl DiscoveryAgent {
-    pub fn new() -> DiscoveryAgent {
+    pub(crate) fn new() -> DiscoveryAgent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         DiscoveryAgent {
             at: listener.local_addr().unwrap(),
@@ -85,7 +85,7 @@
     }
 
     /// The next call, and what it asks for.
-    pub fn call(&self) -> (TcpStream, String) {
+    pub(crate) fn call(&self) -> (TcpStream, String) {
         loop {
             let stream = accept(&self.listener);
             let (mut lines, mut first, mut line) =
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -12,18 +12,18 @@
 use std::time::{Duration, Instant};
 
 /// A running relay, which is killed when it is dropped.
-pub struct Relay {
-    pub child: Child,
+pub(crate) struct Relay {
+    pub(crate) child: Child,
     /// Where it accepts clients.
-    pub at: SocketAddr,
+    pub(crate) at: SocketAddr,
     /// The lines that it logs.
-    pub log: Met,
+    pub(crate) log: Met,
     /// Its configuration.
-    pub text: String,
+    pub(crate) text: String,
 }
 
 /// Starts the program with this configuration, and so many descriptors from the system.
-pub fn start_with(text: &str, descriptors: usize) -> Child {
+pub(crate) fn start_with(text: &str, descriptors: usize) -> Child {
     let path = write_config(text);
     Command::new("sh")
         .args([
@@ -41,12 +41,12 @@
 }
 
 /// Starts a relay that accepts clients; see [`config`].
-pub fn start(discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> Relay {
+pub(crate) fn start(discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> Relay {
     start_within(1_000, discovery, sockets, known, probes)
 }
 
 /// The same with so many descriptors from the system.
-pub fn start_within(
+pub(crate) fn start_within(
     descriptors: usize,
     discovery: SocketAddr,
     sockets: usize,
@@ -62,12 +62,12 @@
 }
 
 /// Starts a relay with this configuration, by which it serves at `at`.
-pub fn started(at: SocketAddr, text: String) -> Relay {
+pub(crate) fn started(at: SocketAddr, text: String) -> Relay {
     started_within(1_000, at, text)
 }
 
 /// The same with so many descriptors from the system.
-pub fn started_within(descriptors: usize, at: SocketAddr, text: String) -> Relay {
+pub(crate) fn started_within(descriptors: usize, at: SocketAddr, text: String) -> Relay {
     let mut child = start_with(&text, descriptors);
     let (tell, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -87,7 +87,7 @@
 }
 
 /// A relay that knows these backends and whose discovery is dead.
-pub fn relay_with(backends: &[SocketAddr]) -> Relay {
+pub(crate) fn relay_with(backends: &[SocketAddr]) -> Relay {
     let names: Vec<String> = (0..backends.len())
         .map(|number| format!("b{number}"))
         .collect();
@@ -100,7 +100,11 @@
 }
 
 /// Starts a relay with changed settings: each pair is what stands in their text, and what is to.
-pub fn start_with_settings(discovery: SocketAddr, known: &str, changes: &[(&str, &str)]) -> Relay {
+pub(crate) fn start_with_settings(
+    discovery: SocketAddr,
+    known: &str,
+    changes: &[(&str, &str)],
+) -> Relay {
     let at = nobody();
     let mut text = config(at, discovery, 1_000, known, false);
     for (from, to) in changes {
@@ -112,7 +116,7 @@
 
 impl Relay {
     /// Reads the log up to a line that holds this.
-    pub fn logged(&self, text: &str) -> String {
+    pub(crate) fn logged(&self, text: &str) -> String {
         let lines = std::iter::repeat_with(|| {
             self.log
                 .recv_timeout(LONG)
@@ -122,7 +126,7 @@
     }
 
     /// Sends a signal, by its name without `SIG`.
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         let done = Command::new("kill")
             .args([format!("-{name}"), self.child.id().to_string()])
             .status();
@@ -130,14 +134,14 @@
     }
 
     /// Changes the configuration, and has the relay read it again.
-    pub fn told(&self, from: &str, to: &str) {
+    pub(crate) fn told(&self, from: &str, to: &str) {
         assert!(self.text.contains(from));
         write_config(&self.text.replace(from, to));
         self.signal("HUP");
     }
 
     /// Connects to it.
-    pub fn client(&self) -> Client {
+    pub(crate) fn client(&self) -> Client {
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
@@ -147,7 +151,7 @@
     }
 
     /// Connects, and asks for a session with a wait in milliseconds.
-    pub fn open(&self, listener: &str, wait: u32) -> Client {
+    pub(crate) fn open(&self, listener: &str, wait: u32) -> Client {
         let mut client = self.client();
         client.say(&open_line(&format!(
             "c={listener},d={wait},g=5c0f6e1a2b3d4c59"
@@ -156,7 +160,7 @@
     }
 
     /// Stops the process, and waits until it stands still.
-    pub fn suspend(&self) {
+    pub(crate) fn suspend(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
         wait_for("the stop", || {
@@ -171,7 +175,7 @@
     }
 
     /// Waits until a counter has come so far.
-    pub fn wait_for_counter(&self, name: &str, least: u32) {
+    pub(crate) fn wait_for_counter(&self, name: &str, least: u32) {
         wait_for(name, || {
             self.signal("USR1");
             (counted(&self.logged(&format!(" {name}=")), name) >= least).then_some(())
@@ -180,7 +184,7 @@
 }
 
 /// A counter, from the line in the log that has them all.
-pub fn counted(line: &str, name: &str) -> u32 {
+pub(crate) fn counted(line: &str, name: &str) -> u32 {
     let figure = line
         .split(&format!(" {name}="))
         .nth(1)
@@ -189,7 +193,7 @@
 }
 
 /// How the program ended; one that doesn't is killed, which is no success.
-pub fn end_of(child: &mut Child) -> std::process::ExitStatus {
+pub(crate) fn end_of(child: &mut Child) -> std::process::ExitStatus {
     let until = Instant::now() + LONG;
     while Instant::now() < until {
         if let Some(status) = child.try_wait().unwrap() {
--- a/relay/tests/helper/wait.rs
+++ b/relay/tests/helper/wait.rs
@@ -6,10 +6,10 @@
 use std::time::{Duration, Instant};
 
 /// How long any wait may take on a busy machine.
-pub const LONG: Duration = Duration::from_secs(10);
+pub(crate) const LONG: Duration = Duration::from_secs(10);
 
 /// An address at which nobody listens, and which no connection's own end can take in the meantime.
-pub fn nobody() -> SocketAddr {
+pub(crate) fn nobody() -> SocketAddr {
     static LAST: AtomicU16 = AtomicU16::new(0);
     let [high, low] = (LAST.fetch_add(1, Ordering::Relaxed) + 1).to_be_bytes();
     let process = 64 + (std::process::id() % 128) as u8;
@@ -17,7 +17,7 @@
 }
 
 /// Repeats a step until it gives something.
-pub fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
+pub(crate) fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + LONG;
     loop {
         if let Some(done) = step() {
@@ -29,7 +29,7 @@
 }
 
 /// The next connection.
-pub fn accept(listener: &TcpListener) -> TcpStream {
+pub(crate) fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let stream = wait_for("a connection", || listener.accept().ok()).0;
     stream.set_nonblocking(false).unwrap();
@@ -39,7 +39,7 @@
 }
 
 /// Whether nothing has come, its end neither.
-pub fn has_nothing_to_read(stream: &TcpStream) -> bool {
+pub(crate) fn has_nothing_to_read(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let quiet =
         matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
@@ -48,7 +48,7 @@
 }
 
 /// All that comes up to the end, or to a reset.
-pub fn read_to_end_of(mut stream: &TcpStream) -> String {
+pub(crate) fn read_to_end_of(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     match stream.read_to_end(&mut text) {
         Err(fault) if fault.kind() != ErrorKind::ConnectionReset => panic!("no end came: {fault}"),
@@ -57,14 +57,14 @@
 }
 
 /// What the system knows of one end of a connection.
-pub struct SocketState {
-    pub is_established: bool,
-    pub has_unread_bytes: bool,
+pub(crate) struct SocketState {
+    pub(crate) is_established: bool,
+    pub(crate) has_unread_bytes: bool,
 }
 
 /// Looks at the end `here` of a connection from outside: on a busy machine even loopback brings
 /// things late.
-pub fn socket_state(here: SocketAddr, there: SocketAddr) -> SocketState {
+pub(crate) fn socket_state(here: SocketAddr, there: SocketAddr) -> SocketState {
     let hex = |at: SocketAddr| match at.ip() {
         std::net::IpAddr::V4(ip) => {
             format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), at.port())
@@ -84,13 +84,13 @@
 }
 
 /// When it is closed the other side sees a reset in place of an end.
-pub fn reset_on_close(stream: &TcpStream) {
+pub(crate) fn reset_on_close(stream: &TcpStream) {
     SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
 /// Writes a text.
-pub fn send(mut stream: &TcpStream, text: &str) {
+pub(crate) fn send(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).unwrap();
 }
