--- a/relay/src/attempt/failure.rs
+++ b/relay/src/attempt/failure.rs
@@ -1,4 +1,4 @@
-//! How a connection attempt failed, and what that proves to the balancer.
+//! How a connection attempt failed, and what that proves about the session.
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 
 /// How far an attempt had come when it ended: what its end proves depends on that.
@@ -15,7 +15,7 @@
 /// Why an attempt ended.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum FailureCause {
-    /// This process could not begin it, for want of a descriptor, say.
+    /// This process could not begin it, for example for lack of a descriptor.
     LocalFault,
     /// The connection was refused or broke.
     ConnectionLost,
@@ -25,7 +25,7 @@
     Cancelled,
     /// The backend's answer made no sense.
     InvalidAnswer,
-    /// The backend ended the session itself, and said how.
+    /// The backend answered that the session has ended.
     Answered(AttemptOutcome, LoadReport),
 }
 
@@ -39,8 +39,8 @@
 }
 
 impl AttemptFailure {
-    /// What the balancer is told. Before the request's last byte is written a session never ran,
-    /// after that it may have.
+    /// The outcome that is reported to the balancer. A session can't have run before the last byte
+    /// of its request was written; after that it may have.
     pub(crate) fn outcome(self) -> AttemptOutcome {
         match (self.cause, self.progress) {
             (FailureCause::LocalFault, _) => AttemptOutcome::NotSent,
@@ -56,7 +56,7 @@
         }
     }
 
-    /// What the backend told of its load, if it answered.
+    /// The load that the backend reported, if it answered.
     pub(crate) fn report(self) -> LoadReport {
         match self.cause {
             FailureCause::Answered(_, report) => report,
--- a/relay/src/attempt/mod.rs
+++ b/relay/src/attempt/mod.rs
@@ -28,7 +28,7 @@
 
 /// A connection to a backend, from its beginning to its end.
 pub(crate) struct Attempt {
-    /// Its place among the attempts that the balancer asked for.
+    /// Its index among the attempts that the balancer requested.
     pub(crate) number: u32,
     /// Tells its timers from those of the session's other attempts.
     pub(crate) serial: u32,
@@ -48,7 +48,7 @@
     pub(crate) backend: BackendId,
     /// The backend's address, if it is known.
     pub(crate) address: Option<SocketAddr>,
-    /// The line that asks the backend for the session.
+    /// The line that requests the session of the backend.
     pub(crate) request: String,
     /// How long establishing the connection may take.
     pub(crate) connect_timeout: Duration,
--- a/relay/src/buffers.rs
+++ b/relay/src/buffers.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// A buffer, or none where the limit is reached: whoever asked stops reading until one comes
-    /// back.
+    /// A buffer, or none where the limit is reached: the caller stops reading until one is
+    /// returned.
     pub(crate) fn take(&mut self) -> Option<Buffer> {
         if let Some(buffer) = self.spare.pop() {
             return Some(buffer);
--- a/relay/src/health_check.rs
+++ b/relay/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: one connection to each backend that is checked, on which it is asked for its load.
+//! Health checks: one connection to each backend that is checked, on which its load is requested.
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use crate::line_buffer::{LineBuffer, ReadOutcome};
@@ -115,7 +115,7 @@
             }
             Err(AttemptOutcome::Reset) if check.is_reused && !check.answer.has_bytes() => {
                 // The backend closed the idle connection in the moment in which it was used again:
-                // that says nothing of its health.
+                // this reveals nothing about its health.
                 self.checks.remove(&id);
                 self.ask(id, address, io);
             }
@@ -191,8 +191,8 @@
         self.connection.want(true, true);
     }
 
-    /// Connects, writes and reads as far as the socket allows; the answer once it is there. A line
-    /// for which nobody asked is dropped.
+    /// Connects, writes and reads as far as the socket allows; the answer once it is there. An
+    /// unsolicited line is dropped.
     fn advance(
         &mut self,
         io: &mut IoContext,
--- a/relay/src/line_buffer/tests.rs
+++ b/relay/src/line_buffer/tests.rs
@@ -18,7 +18,7 @@
             while let Some(line) = buffer.next_line().unwrap() {
                 lines.push(line.to_vec());
             }
-            // Only whole lines go on, so that a word of ours fits between.
+            // Only whole lines are written, so that a line of the relay's own fits between.
             buffer.write_to(&mut out, &mut pool).unwrap();
             assert!(out.is_empty() || out.ends_with(b"\n"), "pieces of {size}");
         }
--- a/relay/src/protocol/first_line.rs
+++ b/relay/src/protocol/first_line.rs
@@ -14,56 +14,56 @@
 /// Digits of an id, a key or a group.
 const ID_DIGITS: usize = 16;
 
-/// What a client asks for with its first line.
+/// The request in a client's first line.
 #[derive(Debug)]
 pub(crate) enum FirstLine {
-    /// Is the relay alive? The connection goes on waiting for its first line.
+    /// A check that the relay is alive; another first line follows.
     Ping,
     /// Open a session.
     Open(Box<OpenRequest>),
 }
 
-/// Why a first line is none.
+/// Why a first line is invalid.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum FirstLineError {
     /// The line is no text.
     #[error("not UTF-8")]
     NotUtf8,
-    /// Neither command, or one with too few or too many words.
-    #[error("neither PING nor OPEN with three words")]
+    /// Neither command, or the wrong number of arguments.
+    #[error("neither PING nor OPEN with three arguments")]
     UnknownCommand,
     /// The session's id can't be read.
-    #[error("an id that is no number of sixteen digits")]
+    #[error("session id is not sixteen hexadecimal digits")]
     InvalidId,
     /// The client's key can't be read.
-    #[error("a key that is no number of sixteen digits")]
+    #[error("client key is not sixteen hexadecimal digits")]
     InvalidKey,
     /// An item lacks its equals sign.
-    #[error("an item that is no name and value")]
+    #[error("item without an equals sign")]
     InvalidItem,
     /// Two items have the same name.
-    #[error("a name twice")]
+    #[error("duplicate item")]
     DuplicateName,
-    /// An item's name is empty, or its value is empty or holds what no word may.
-    #[error("an empty name, or a value that is no word")]
+    /// An item's name is empty, or its value is empty or not printable ASCII.
+    #[error("empty or unprintable name or value")]
     InvalidValue,
     /// The time to wait can't be read or is too long.
-    #[error("d is no time to wait")]
+    #[error("wait is not a valid number of milliseconds")]
     InvalidWait,
     /// The group can't be read.
-    #[error("g is no number of sixteen digits")]
+    #[error("group is not sixteen hexadecimal digits")]
     InvalidGroup,
     /// The client's load can't be read.
-    #[error("h is no load")]
+    #[error("load is not a number")]
     InvalidLoad,
     /// The number of an earlier attempt can't be read.
-    #[error("a mark that is no number")]
+    #[error("attempt mark is not a number")]
     InvalidMark,
     /// No item names a listener of the settings.
-    #[error("no listener that is known")]
+    #[error("unknown listener")]
     UnknownListener,
-    /// No item says how long the client waits.
-    #[error("no d")]
+    /// No item gives the time that the client waits.
+    #[error("no wait given")]
     MissingWait,
 }
 
@@ -76,7 +76,7 @@
     before_wait: String,
     /// The line behind that figure.
     after_wait: String,
-    /// What the balancer is told of it.
+    /// The request as the balancer sees it.
     pub(crate) arrival: Arrival,
     /// The group as the client gave it, whatever the settings take it for.
     pub(crate) group: Option<u64>,
@@ -96,13 +96,13 @@
     }
 }
 
-/// What the settings say of names and figures in the protocol.
+/// How the settings define names and figures in the protocol.
 pub(crate) struct Names {
     /// Listeners by name, each at its index.
     pub(crate) listeners: Vec<String>,
     /// `g` names a group whose members share work; elsewhere it names the client.
     pub(crate) groups: bool,
-    /// `LOAD` tells the milliseconds that a message takes, elsewhere the connection's load.
+    /// `LOAD` reports the milliseconds that a message takes, elsewhere the connection's load.
     pub(crate) notes_tell_delay: bool,
 }
 
@@ -166,8 +166,9 @@
             if seen.contains(&name) {
                 return Err(FirstLineError::DuplicateName);
             }
-            let is_word = !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_graphic());
-            if name.is_empty() || !is_word {
+            let is_printable =
+                !value.is_empty() && value.bytes().all(|byte| byte.is_ascii_graphic());
+            if name.is_empty() || !is_printable {
                 return Err(FirstLineError::InvalidValue);
             }
             seen.push(name);
--- a/relay/src/protocol/mod.rs
+++ b/relay/src/protocol/mod.rs
@@ -1,7 +1,7 @@
 //! The platform's line protocol: what a line of text means, and the lines that the relay writes
 //! itself. Knows no sockets.
 //!
-//! The protocol's own words stand in this module alone; the rest of the relay speaks of
+//! The keywords of the protocol appear in this module only; the rest of the relay handles
 //! [`FirstLine`]s and [`BackendMessage`]s.
 mod backend_message;
 mod first_line;
--- a/relay/src/session/accept.rs
+++ b/relay/src/session/accept.rs
@@ -18,8 +18,8 @@
 /// Descriptors beyond the limit that serve to reject clients for want of one.
 const DESCRIPTORS_FOR_REJECTIONS: usize = 8;
 
-/// While descriptors lack, a connection that says nothing makes room after this; a usual client's
-/// first line is there long before.
+/// While descriptors are scarce, a silent connection may be shed after this; a usual client's first
+/// line arrives long before.
 const MIN_SILENCE_BEFORE_SHEDDING: Duration = Duration::from_millis(20);
 
 impl Sessions {
@@ -105,8 +105,8 @@
         });
     }
 
-    /// Makes room for as long as descriptors lack: connections that only wait never keep an attempt
-    /// from its descriptor.
+    /// Sheds idle connections until a descriptor is free, or none is left to shed: idle
+    /// connections never keep an attempt from its descriptor.
     pub(super) fn make_room(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
         while io.sockets.open() >= self.shared.max_descriptors
             && self.shed_idle(Duration::ZERO, registry, io)
@@ -133,7 +133,8 @@
                 io.counters.shed += u64::from(is_unanswered);
                 return true;
             }
-            // One that has spoken has left its place; another that can't be shed keeps it.
+            // A connection whose request came has left its place in the order; one that could not
+            // be shed keeps it.
             if self.shared.idle.first() == Some(&entry) {
                 return false;
             }
@@ -143,8 +144,8 @@
 }
 
 impl Session {
-    /// Makes room, unless it is served after all: what its client has sent by now is read first,
-    /// for a line that came since the turn began is a session that is owed its answer.
+    /// Makes room for others, unless a request has come meanwhile: what the client has sent since
+    /// the turn began is read first.
     fn shed(
         &mut self,
         silent_since: Instant,
--- a/relay/src/session/actions.rs
+++ b/relay/src/session/actions.rs
@@ -87,7 +87,7 @@
         });
     }
 
-    /// The balancer failed over this session: it is answered without it.
+    /// Answers a session about which the balancer panicked.
     pub(crate) fn give_up(&mut self, id: SessionId, io: &mut IoContext) {
         self.step(id.0, io, |session, _, io| session.fail(io));
     }
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -134,7 +134,7 @@
         self.attempt_not_accepted(attempt.number, failure, io);
     }
 
-    /// Forgets a hedged attempt without a word to the balancer.
+    /// Drops a hedged attempt without reporting its end.
     pub(super) fn drop_hedge(&mut self, pool: &mut Pool) {
         if let Some(mut hedge) = self.hedge.take() {
             hedge.to_client.clear(pool);
--- a/relay/src/session/client.rs
+++ b/relay/src/session/client.rs
@@ -80,8 +80,8 @@
             }
             Stage::Handshake if self.output.waits() => self.close(io),
             Stage::Handshake | Stage::Draining => Remove,
-            // It may have gone, or only have no more to send: it is owed an answer in the second
-            // case, which does no harm in the first.
+            // The client may have gone, or may only have no more to send and still wait for its
+            // answer; writing one does no harm in the first case.
             Stage::Placing | Stage::Inherited => {
                 self.cancel_placement(io);
                 self.close_with(protocol::FAILED_LINE, io)
--- a/relay/src/session/closing.rs
+++ b/relay/src/session/closing.rs
@@ -13,8 +13,8 @@
 /// second in all.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest draining of a client that goes on sending. What it sends is dropped: closed with
-/// bytes unread, the connection would be reset and the last line lost with it.
+/// The longest draining of a client that keeps sending. What it sends is read and dropped: a
+/// connection closed with unread bytes is reset, and the last line would be lost.
 const MAX_DRAIN_TIME: Duration = Duration::from_millis(3_000);
 
 /// Bytes that are dropped with one read.
@@ -55,7 +55,7 @@
         self.close_with(protocol::MIGRATED_LINE, io)
     }
 
-    /// The code failed over this session: it still gets its answer.
+    /// Answers the session after a panic in the code that handled it.
     pub(super) fn fail(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
             Stage::Placing | Stage::Inherited => {
@@ -96,8 +96,8 @@
         Keep
     }
 
-    /// How an established session ended where its backend did not say so: well, if the client had
-    /// ended it.
+    /// The outcome of an established session whose backend sent no final message: `Ok` if the
+    /// client had ended it.
     pub(super) fn outcome_without_final_message(&self) -> AttemptOutcome {
         if self.to_backend.has_ended {
             AttemptOutcome::Ok
@@ -106,8 +106,8 @@
         }
     }
 
-    /// Tells the balancer once of the end of an established session. What the backend said of it
-    /// goes before `outcome`.
+    /// Reports the end of an established session to the balancer, once. The backend's final
+    /// message, if there was one, takes precedence over `outcome`.
     pub(super) fn report_session_end(&mut self, outcome: AttemptOutcome, io: &mut IoContext) {
         let Some(attempt) = self.attempt.as_ref().filter(|_| !self.is_end_reported) else {
             return;
--- a/relay/src/session/config_generations.rs
+++ b/relay/src/session/config_generations.rs
@@ -1,4 +1,4 @@
-//! How many sessions go by which reading of the configuration.
+//! How many sessions were opened under which generation of the configuration.
 use std::collections::BTreeMap;
 use std::fmt;
 
@@ -26,7 +26,7 @@
         self.current += 1;
     }
 
-    /// Counts a session in, and returns the generation that it goes by.
+    /// Counts a session in, and returns its generation.
     pub(super) fn add_session(&mut self) -> u32 {
         *self.sessions.entry(self.current).or_default() += 1;
         self.current
@@ -41,7 +41,7 @@
         if *count == 0 {
             self.sessions.remove(&generation);
             if generation != self.current {
-                log::debug!(generation; "last session of an earlier configuration ended generation={generation}");
+                log::debug!(generation; "former configuration unused generation={generation}");
             }
         }
     }
--- a/relay/src/session/established.rs
+++ b/relay/src/session/established.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Notes what a relayed line of the backend tells of the session.
+    /// Reports what a relayed line of the backend reveals about the session.
     pub(super) fn observe_backend_message(
         &mut self,
         message: BackendMessage,
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -1,5 +1,5 @@
-//! Sessions that go to the successor process, and those that come from the predecessor. Client and
-//! backend don't notice.
+//! Handing sessions over to the successor process and adopting those of the predecessor, without
+//! the client or the backend noticing.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep, Remove};
 use super::stage::Stage;
@@ -83,7 +83,7 @@
         Ok(())
     }
 
-    /// The successor holds the session: this process lets go, without a word to either side.
+    /// The successor holds the session: this process drops it without writing to either side.
     ///
     /// # Errors
     /// The successor is gone, or does not read.
@@ -280,10 +280,10 @@
         }));
     }
 
-    /// Finds the session's route in this process, and what the balancer is told of it.
+    /// Finds the session's route in this process, and returns what the balancer needs to know.
     fn restore_route(&mut self, handover: &SessionHandover, shared: &mut Shared) -> Arrival {
-        // A listener that these settings don't have any more: the route only says how the session
-        // may be migrated, for which any does.
+        // The listener may be gone from these settings. The route then only decides how the session
+        // may be migrated, and any will do.
         let listener = shared
             .names
             .listeners
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -11,36 +11,36 @@
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 
-/// From its connecting, for all that a client sends before its request is read whole. It is owed an
-/// answer within three seconds, and a connection that says nothing holds a descriptor.
+/// From connecting until the request has been read. The protocol allows three seconds for an
+/// answer, and a silent connection holds a descriptor.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 /// A connection accepted late has at least this, to be read at all.
 const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// What a client did that ends its session before it is placed.
+/// A violation of the protocol by a client that has no answer yet.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(super) enum HandshakeError {
     /// The first line can't be read.
     #[error(transparent)]
     InvalidLine(#[from] FirstLineError),
     /// The first line has no end.
-    #[error("too long")]
+    #[error("line too long")]
     LineTooLong,
     /// Bytes follow the request.
-    #[error("more than one line")]
+    #[error("data after the request")]
     TrailingData,
     /// Bytes came while the client was to wait for its answer.
-    #[error("more than one line before the answer")]
+    #[error("data before the answer")]
     DataBeforeAnswer,
     /// Another session has the same id.
-    #[error("an id that is open already")]
+    #[error("session id already in use")]
     DuplicateId,
     /// The client ended its sending within the line.
-    #[error("cut off")]
+    #[error("connection ended within the line")]
     Truncated,
     /// The line was not whole in time.
-    #[error("slow")]
+    #[error("line not complete in time")]
     TimedOut,
 }
 
@@ -78,7 +78,8 @@
         }
     }
 
-    /// Takes a request up: the session goes to the balancer, or back to the backend that it names.
+    /// Opens a session: it is handed to the balancer or, if inherited, to the backend that it
+    /// names.
     fn open(
         &mut self,
         mut request: Box<OpenRequest>,
@@ -97,7 +98,8 @@
         self.close_at = None;
         self.phase_started = io.now;
         if io.sockets.open() >= shared.max_descriptors && !shared.has_idle_besides(self.id) {
-            // No descriptor for an attempt: said now, before accepting itself fails.
+            // There is no descriptor for an attempt. Rejecting now leaves some for accepting
+            // others.
             io.counters.turned_away += 1;
             return self.close_with(&protocol::rejection_line(None), io);
         }
@@ -116,8 +118,8 @@
         Keep
     }
 
-    /// Finds the row of the routes that the request takes. Until then the request has the index of
-    /// its listener in that row's place.
+    /// Finds the row of the routes that the request takes. Until then the request's route is the
+    /// index of its listener.
     fn choose_route(&mut self, request: &mut OpenRequest, shared: &mut Shared) {
         let listener = usize::from(request.arrival.route.0);
         let key = request.arrival.client_key;
@@ -139,7 +141,7 @@
         self.route = Some(route);
     }
 
-    /// Answers a client that did what it may not.
+    /// Answers a client that violated the protocol, and closes the session.
     pub(super) fn fail_handshake(
         &mut self,
         error: HandshakeError,
--- a/relay/src/session/idle.rs
+++ b/relay/src/session/idle.rs
@@ -1,12 +1,12 @@
 //! Which connections make room first when file descriptors run out.
 use thistlecroft::time::Instant;
 
-/// What an idle connection is still owed, the least first.
+/// Whether an idle connection has had its answer; those that have come first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum IdleKind {
     /// It has had its last line.
     Answered,
-    /// It has not said what it wants, or its last line is still being written.
+    /// Its request has not come, or its last line is still being written.
     Unanswered,
 }
 
--- a/relay/src/session/inherited.rs
+++ b/relay/src/session/inherited.rs
@@ -1,5 +1,5 @@
-//! Sessions that were open before this process started: each goes back to the backend that it
-//! names, without the balancer.
+//! Sessions that were open before this process started: each returns to the backend that it
+//! names, without a decision of the balancer.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep};
 use super::stage::Stage;
--- a/relay/src/session/mod.rs
+++ b/relay/src/session/mod.rs
@@ -10,9 +10,9 @@
 //! | [`handshake`] | the first line is read |
 //! | [`placement`] | the balancer is to find a backend |
 //! | [`attempts`] | connections to backends are attempted |
-//! | [`inherited`] | a session from before the start goes back to its backend |
+//! | [`inherited`] | a session from before the start returns to its backend |
 //! | [`established`] | lines are relayed both ways |
-//! | [`handover`] | the session goes to the successor process |
+//! | [`handover`] | the session is handed over to the successor process |
 //! | [`closing`] | the last line is written, and the client's end awaited |
 //!
 //! [`client`] and [`backend`] take up the events of the two connections, [`actions`] carries out
--- a/relay/src/session/response_latency.rs
+++ b/relay/src/session/response_latency.rs
@@ -8,7 +8,7 @@
     pub(super) pending_since: Option<Instant>,
     /// A timer watches that line.
     pub(super) is_timer_set: bool,
-    /// How long a message takes by the backend's own account.
+    /// How long a message takes, as the backend reports it.
     pub(super) reported: Duration,
 }
 
--- a/relay/src/session/stage.rs
+++ b/relay/src/session/stage.rs
@@ -5,7 +5,7 @@
 pub(super) enum Stage {
     /// The client's first line is awaited.
     Handshake,
-    /// The balancer owes the session an answer; attempts to connect to backends may be under way.
+    /// The balancer has yet to place the session; attempts to connect to backends may be under way.
     Placing,
     /// The session was open before this process started: it names its backend itself.
     Inherited,
@@ -22,7 +22,7 @@
 /// What becomes of a session after one of its steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Disposition {
-    /// It goes on.
+    /// It continues.
     Keep,
     /// It is over: its connections are closed.
     Remove,
--- a/relay/src/session/state.rs
+++ b/relay/src/session/state.rs
@@ -19,7 +19,7 @@
     pub(super) id: u32,
     pub(super) stage: Stage,
     pub(super) client: Connection,
-    /// What the client asked for, until a backend has accepted it.
+    /// The client's request, until a backend has accepted it.
     pub(super) request: Option<Box<OpenRequest>>,
     /// What the successor process needs to know of it.
     pub(super) metadata: Option<Box<SessionMetadata>>,
@@ -28,7 +28,7 @@
     pub(super) attempt: Option<Attempt>,
     /// A second attempt beside the first, until one of them is accepted.
     pub(super) hedge: Option<Box<HedgedAttempt>>,
-    /// How many attempts the balancer has asked for.
+    /// How many attempts the balancer has requested.
     pub(super) attempts_requested: u32,
     /// Serial of the latest attempt.
     pub(super) attempt_serial: u32,
@@ -38,7 +38,8 @@
     pub(super) to_client: LineBuffer,
     /// The relay's own lines for the client, written behind those that wait in `to_client`.
     pub(super) output: OutputBuffer,
-    /// When the connection was made, its request came or it began to drain, whichever was last.
+    /// When the connection was established, its request was read, or draining began: the last of
+    /// these.
     pub(super) phase_started: Instant,
     /// When the client last sent anything or, once established, the backend did.
     pub(super) last_activity: Instant,
@@ -47,13 +48,13 @@
     /// It has been established: shedding it would lose what is still on its way.
     pub(super) was_established: bool,
     pub(super) latency: ResponseLatency,
-    /// How the backend ended the session by its own account.
+    /// How the backend itself said that the session ended.
     pub(super) final_message: Option<(AttemptOutcome, LoadReport)>,
     /// The balancer knows that the session has ended.
     pub(super) is_end_reported: bool,
-    /// The backend has been told that the client sends nothing more.
+    /// The client's end has been passed on to the backend.
     pub(super) is_backend_shut: bool,
-    /// The client has been told that the backend sends nothing more.
+    /// The backend's end has been passed on to the client.
     pub(super) is_client_shut: bool,
     /// When it is closed, whatever is still on its way.
     pub(super) close_at: Option<Instant>,
@@ -70,7 +71,7 @@
 /// The route that a session takes, as it was when its first line was read.
 pub(super) struct SessionRoute {
     pub(super) timeouts: SessionTimeouts,
-    /// The reading of the configuration that it goes by.
+    /// Generation of the configuration under which it was opened.
     pub(super) generation: u32,
 }
 
@@ -79,14 +80,14 @@
     pub(super) listener: String,
     pub(super) key: Option<u64>,
     pub(super) group: Option<u64>,
-    /// The connection's load as the backend told it last.
+    /// The connection's load as the backend last reported it.
     pub(super) load: Option<f64>,
     /// The balancer migrated it while it was offered to the successor.
     pub(super) is_migration_due: bool,
 }
 
 impl Session {
-    /// A connection that has said nothing yet. `connected` is when it may have been made.
+    /// A connection that has sent nothing yet. `connected` is when it may have been established.
     pub(super) fn new(id: u32, client: Connection, connected: Instant, now: Instant) -> Session {
         Session {
             id,
--- a/relay/src/session/table.rs
+++ b/relay/src/session/table.rs
@@ -76,13 +76,13 @@
         self.shared.generations.current()
     }
 
-    /// How many sessions go by which generation of the configuration, for people.
+    /// How many sessions belong to which generation of the configuration, for the log.
     pub(crate) fn generations(&self) -> String {
         self.shared.generations.to_string()
     }
 
-    /// Runs one step of a session, for an event, a timer or an action, and tells the poller
-    /// afterwards what to wait for. A panic costs the session that met it, not the process.
+    /// Runs one step of a session, for an event, a timer or an action, and updates what the
+    /// poller waits for afterwards. A panic costs the session that met it, not the process.
     pub(super) fn step(
         &mut self,
         id: u32,
--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn list_old_empty_shrunken_or_readdressed_is_taken_as_it_says() {
-    let (here, _met) = backend(Play::Echo);
+    let (here, _received) = backend(Play::Echo);
     let dead = nobody();
     let ready = |id, at| (id, at, "Ready");
     let cached: Vec<(String, SocketAddr)> = (0..10).map(|id| (format!("old{id}"), dead)).collect();
@@ -119,7 +119,7 @@
 
 #[test]
 fn list_indented_is_taken_and_malformed_one_fails_its_request_alone() {
-    let (one, _met) = backend(Play::Echo);
+    let (one, _received) = backend(Play::Echo);
     let whole = list(
         7,
         true,
@@ -151,7 +151,7 @@
             bad(whole.replace("Ready", "Steady")),
         ),
     ];
-    for (name, (text, taken)) in cases {
+    for (name, (text, is_accepted)) in cases {
         let agent = DiscoveryAgent::new();
         let relay = start_with_settings(agent.at, "null", &[]);
         let (watch, _) = agent.call();
@@ -161,7 +161,7 @@
                 break;
             }
         }
-        if taken {
+        if is_accepted {
             relay.wait_for_counter("lists", 1);
             assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt", "{name}");
         } else {
--- a/relay/tests/discovery/polling.rs
+++ b/relay/tests/discovery/polling.rs
@@ -10,11 +10,11 @@
             ends: true,
         })
         .collect();
-    let (at, asked) = discovery(scripts);
+    let (at, requests) = discovery(scripts);
     let relay = start(at, 1_000, "null", false);
     let until = Instant::now() + Duration::from_secs(7);
     let left = || until.saturating_duration_since(Instant::now());
-    let count = std::iter::repeat_with(|| asked.recv_timeout(left()))
+    let count = std::iter::repeat_with(|| requests.recv_timeout(left()))
         .take_while(Result::is_ok)
         .count();
     // It takes each call and breaks it off: full jitter over 2, 4, 8 s.
@@ -33,11 +33,11 @@
                 ends: true,
             })
             .collect();
-        let (at, asked) = discovery(busy);
+        let (at, requests) = discovery(busy);
         let relay = start(if answers { at } else { nobody() }, 1_000, "null", false);
         let until = Instant::now() + Duration::from_secs(4);
         let left = || until.saturating_duration_since(Instant::now());
-        let met = std::iter::repeat_with(|| asked.recv_timeout(left()))
+        let received = std::iter::repeat_with(|| requests.recv_timeout(left()))
             .take_while(Result::is_ok)
             .count();
         relay.signal("USR1");
@@ -51,6 +51,6 @@
             expected.contains(&failures),
             "answers {answers}: {failures} failures"
         );
-        assert!(!answers || met >= failures, "{met} met");
+        assert!(!answers || received >= failures, "{received} met");
     }
 }
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -24,8 +24,8 @@
 
 #[test]
 fn watch_lost_is_opened_again_with_the_version_held() {
-    let (one, one_met) = backend(Play::Echo);
-    let (two, two_met) = backend(Play::Echo);
+    let (one, one_received) = backend(Play::Echo);
+    let (two, two_received) = backend(Play::Echo);
     let whole = list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
     let drains = list(8, false, &[("one", one, "Terminating")]);
     // Split anywhere: within the head, a size line and a row.
@@ -50,7 +50,7 @@
             ends: false,
         },
     ];
-    let (at, asked) = discovery(scripts);
+    let (at, requests) = discovery(scripts);
     let relay = start(at, 1_000, &list(3, true, &[("one", one, "Ready")]), true);
     let expected = [
         "follow=1 ",
@@ -59,31 +59,32 @@
         "follow=1&since=7 ",
     ];
     for query in expected {
-        let line = next(&asked);
+        let line = next(&requests);
         assert!(
             line.starts_with(&format!("GET /api/targets?{query}")),
             "{line}"
         );
     }
     // A silent watch is given up and asked for again, with what is now held.
-    assert!(next(&asked).contains("since=8 "));
+    assert!(next(&requests).contains("since=8 "));
     // One drains: all that is new goes to two.
     for _ in 0..8 {
         let mut client = relay.open("safe", 1_000);
         assert_eq!(client.hears(), "UP receipt");
     }
-    let opened = |met: &Met| {
-        met.try_iter()
+    let opened = |received: &Met| {
+        received
+            .try_iter()
             .filter(|line| line.starts_with("OPEN"))
             .count()
     };
-    assert_eq!((opened(&one_met), opened(&two_met)), (0, 8));
+    assert_eq!((opened(&one_received), opened(&two_received)), (0, 8));
 }
 
 #[test]
 fn new_discovery_address_replaces_the_old_with_its_first_list() {
-    let (one, one_met) = backend(Play::Echo);
-    let (two, two_met) = backend(Play::Echo);
+    let (one, one_received) = backend(Play::Echo);
+    let (two, two_received) = backend(Play::Echo);
     let open = |pieces: Vec<String>| {
         vec![Script {
             pieces,
@@ -99,43 +100,43 @@
         false,
         &[("one", one, "Terminating"), ("two", two, "Ready")],
     )));
-    let (first, first_asked) = discovery(open(pieces));
-    let (silent, silent_asked) = discovery(Vec::new());
+    let (first, first_requests) = discovery(open(pieces));
+    let (silent, silent_requests) = discovery(Vec::new());
     // Its versions are lower, and it does not know of two.
-    let (last, last_asked) = discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
+    let (last, last_requests) = discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
     let relay = start(first, 1_000, "null", false);
-    assert!(next(&first_asked).contains("follow=1 "));
-    let mut standing = Vec::new();
-    let mut goes_to = |met: &Met| {
+    assert!(next(&first_requests).contains("follow=1 "));
+    let mut established = Vec::new();
+    let mut goes_to = |received: &Met| {
         let until = Instant::now() + LONG;
-        while !met.try_iter().any(|line| line.starts_with("OPEN")) {
+        while !received.try_iter().any(|line| line.starts_with("OPEN")) {
             assert!(
                 Instant::now() < until,
                 "nothing came to the backend that was listed last"
             );
             let mut client = relay.open("safe", 1_000);
-            if client.hears() == "UP receipt" && standing.len() < 3 {
-                standing.push(client);
+            if client.hears() == "UP receipt" && established.len() < 3 {
+                established.push(client);
             }
         }
     };
-    goes_to(&one_met);
+    goes_to(&one_received);
     relay.told(&first.to_string(), &silent.to_string());
-    assert!(next(&silent_asked).contains("follow=1 "));
-    goes_to(&two_met);
+    assert!(next(&silent_requests).contains("follow=1 "));
+    goes_to(&two_received);
     // Told of another while the one before has said nothing: asked at once, for all.
     let began = Instant::now();
     relay.told(&first.to_string(), &last.to_string());
-    assert!(next(&last_asked).contains("follow=1 "));
+    assert!(next(&last_requests).contains("follow=1 "));
     relay.logged(&format!("discovery at {last}: 1 backends"));
     assert!(
         began.elapsed() < Duration::from_secs(3),
         "{:?}",
         began.elapsed()
     );
-    one_met.try_iter().count();
-    goes_to(&one_met);
-    for client in &mut standing {
+    one_received.try_iter().count();
+    goes_to(&one_received);
+    for client in &mut established {
         client.say("still here\r\n");
         assert_eq!(client.hears(), "still here");
     }
@@ -144,7 +145,7 @@
 #[test]
 fn cached_list_at_start_is_not_used_before_the_agent_answers() {
     let agent = DiscoveryAgent::new();
-    let ((old, old_met), (new, new_met)) = (backend(Play::Echo), backend(Play::Echo));
+    let ((old, old_received), (new, new_received)) = (backend(Play::Echo), backend(Play::Echo));
     let known = list(1, true, &[("old", old, "Ready")]);
     // Long enough for any machine; an agent that says nothing at all is not waited for any longer.
     let grace = (
@@ -162,9 +163,9 @@
     let rows = [("old", old, "Terminating"), ("new", new, "Ready")];
     send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
     assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&new_met).starts_with("OPEN"));
+    assert!(next(&new_received).starts_with("OPEN"));
     assert!(
-        old_met.try_iter().next().is_none(),
+        old_received.try_iter().next().is_none(),
         "nothing came to the one that drains"
     );
 }
@@ -172,8 +173,8 @@
 #[test]
 fn watch_request_hanging_does_not_delay_updates() {
     let agent = DiscoveryAgent::new();
-    let (one, _met) = backend(Play::Echo);
-    let (two, two_met) = backend(Play::Echo);
+    let (one, _received) = backend(Play::Echo);
+    let (two, two_received) = backend(Play::Echo);
     let relay = start_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.call();
     send(
@@ -199,7 +200,7 @@
     assert_eq!(read_to_end_of(&hanging), "", "one watch is left");
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&two_met).starts_with("OPEN"));
+    assert!(next(&two_received).starts_with("OPEN"));
     // And the hanging one may be the first that is answered.
     reset_on_close(&back);
     drop(back);
@@ -286,8 +287,8 @@
 
 fn assert_followed_in_time_after(failure: DiscoveryFailure) {
     let mut agent = DiscoveryAgent::new();
-    let (one, one_met) = backend(Play::Echo);
-    let (two, two_met) = backend(Play::Echo);
+    let (one, one_received) = backend(Play::Echo);
+    let (two, two_received) = backend(Play::Echo);
     let relay = start_with_settings(agent.at, "null", &[]);
     let (watch, _) = agent.call();
     send(
@@ -340,10 +341,10 @@
     let mut clients: Vec<_> = (0..6).map(|_| relay.open("safe", 1_000)).collect();
     for client in &mut clients {
         assert_eq!(client.hears(), "UP receipt", "{failure:?}");
-        assert!(next(&two_met).starts_with("OPEN"), "{failure:?}");
+        assert!(next(&two_received).starts_with("OPEN"), "{failure:?}");
     }
     assert!(
-        one_met.try_recv().is_err(),
+        one_received.try_recv().is_err(),
         "{failure:?}: sent to a backend that drains"
     );
 }
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -33,22 +33,22 @@
     for (name, text, expected) in cases {
         let mut child = start_with(&text, 256);
         let status = end_of(&mut child);
-        let mut told = String::new();
+        let mut output = String::new();
         child
             .stderr
             .take()
             .unwrap()
-            .read_to_string(&mut told)
+            .read_to_string(&mut output)
             .unwrap();
         assert!(!status.success(), "{name}");
-        assert_eq!(told.lines().count(), 1, "{name}: {told}");
-        assert!(told.contains(expected), "{name}: {told}");
+        assert_eq!(output.lines().count(), 1, "{name}: {output}");
+        assert!(output.contains(expected), "{name}: {output}");
     }
 }
 
 #[test]
 fn reloaded_file_changes_only_what_it_can() {
-    let (address, _met) = backend(Play::Echo);
+    let (address, _received) = backend(Play::Echo);
     let relay = start(
         nobody(),
         1_000,
@@ -81,10 +81,10 @@
 
 #[test]
 fn reloaded_settings_leave_waiting_session_unchanged() {
-    let (mute, met) = backend(Play::Mute);
+    let (mute, received) = backend(Play::Mute);
     let mut relay = start_with_settings(nobody(), &list(1, true, &[("mute", mute, "Ready")]), &[]);
     let mut waits = relay.open("once", 1_500);
-    while !next(&met).starts_with("OPEN") {}
+    while !next(&received).starts_with("OPEN") {}
     // The order of the listeners, the effect and the deadline of each are others, and one is new.
     let mut later = relay.text.clone();
     let swaps = [
--- a/relay/tests/service/health_check.rs
+++ b/relay/tests/service/health_check.rs
@@ -5,14 +5,17 @@
 
 #[test]
 fn health_checks_reuse_one_connection() {
-    let (address, met) = backend(Play::Echo);
+    let (address, received) = backend(Play::Echo);
     let relay = start(
         nobody(),
         1_000,
         &list(1, true, &[("b", address, "Ready")]),
         true,
     );
-    assert_eq!([next(&met), next(&met)], ["STATS\r\n", "STATS\r\n"]);
+    assert_eq!(
+        [next(&received), next(&received)],
+        ["STATS\r\n", "STATS\r\n"]
+    );
     relay.signal("USR1");
     let line = relay.logged("probes=");
     assert!(line.contains("probes_failed=0 "), "{line}");
@@ -28,22 +31,22 @@
         &known,
         &[("\"probes\": false", "\"probes\": true")],
     );
-    let asks = |stream: &TcpStream| {
+    let expect_health_check = |stream: &TcpStream| {
         let mut line = String::new();
         BufReader::new(stream).read_line(&mut line).unwrap();
         assert_eq!(line, "STATS\r\n");
     };
     let mut stream = accept(&listener);
-    asks(&stream);
+    expect_health_check(&stream);
     for reset in [false, true] {
         send(&stream, "PONG inflight=1,x0=0.1\r\n");
-        asks(&stream);
+        expect_health_check(&stream);
         if reset {
             reset_on_close(&stream);
         }
         drop(stream);
         stream = accept(&listener);
-        asks(&stream);
+        expect_health_check(&stream);
         relay.signal("USR1");
         assert_eq!(
             counted(&relay.logged(" probes_failed="), "probes_failed"),
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn silent_connections_are_shed_for_clients_that_speak() {
-    let (address, _met) = backend(Play::Echo);
+    let (address, _received) = backend(Play::Echo);
     // Room for 24 descriptors of sessions; the silent ones come by hundreds, and again as they are
     // sent away.
     let relay = start(
@@ -40,7 +40,7 @@
 
 #[test]
 fn clients_without_descriptor_are_rejected_and_served_again_later() {
-    let (address, _met) = backend(Play::Echo);
+    let (address, _received) = backend(Play::Echo);
     let relay = start(
         nobody(),
         64,
@@ -48,18 +48,18 @@
         false,
     );
     let mut served = Vec::new();
-    let mut told = 0;
+    let mut rejected = 0;
     for _ in 0..30 {
         let mut client = relay.open("safe", 2_000);
         match client.hears().as_str() {
             "UP receipt" => served.push(client),
-            busy if busy.starts_with("BUSY") => told += 1,
+            busy if busy.starts_with("BUSY") => rejected += 1,
             other => panic!("{other}"),
         }
     }
     assert!(
-        told > 0 && served.len() >= 5,
-        "{told} told, {} served",
+        rejected > 0 && served.len() >= 5,
+        "{rejected} rejected, {} served",
         served.len()
     );
     served[0].say("still here\r\n");
@@ -73,7 +73,7 @@
     let line = relay.logged("turned_away=");
     assert_eq!(
         counted(&line, "turned_away") + counted(&line, "refused"),
-        told,
+        rejected,
         "{line}"
     );
     assert!(line.contains("accept_failures=0 "), "{line}");
@@ -81,7 +81,7 @@
 
 #[test]
 fn system_without_descriptors_ends_no_session_and_does_not_spin() {
-    let (address, _met) = backend(Play::Echo);
+    let (address, _received) = backend(Play::Echo);
     // The configuration promises more than the system gives.
     let relay = start_within(
         40,
@@ -106,18 +106,18 @@
     clients[0].say("still here\r\n");
     assert_eq!(clients[0].hears(), "still here");
     drop(clients);
-    let mut heard = String::new();
-    while heard != "UP receipt" && Instant::now() < until {
-        heard = relay.open("safe", 2_000).hears();
+    let mut answer = String::new();
+    while answer != "UP receipt" && Instant::now() < until {
+        answer = relay.open("safe", 2_000).hears();
     }
-    assert_eq!(heard, "UP receipt");
+    assert_eq!(answer, "UP receipt");
 }
 
 /// Clients that say nothing take every descriptor that they can get, while discovery is away.
 #[test]
 fn idle_clients_filling_descriptors_without_discovery_keep_nobody_out() {
-    let (known, known_met) = backend(Play::Echo);
-    let (told, told_met) = backend(Play::Echo);
+    let (known, known_received) = backend(Play::Echo);
+    let (listed, listed_received) = backend(Play::Echo);
     let (at, gone) = (nobody(), DiscoveryAgent::new().at);
     let relay = started(
         at,
@@ -141,9 +141,9 @@
     });
     assert!(open() <= 100, "{} descriptors", open());
     // Whoever talks is served, and what else the relay needs it still gets: its file, discovery.
-    let mut standing = relay.open("safe", 7_000);
-    assert_eq!(standing.hears(), "UP receipt");
-    assert!(next(&known_met).starts_with("OPEN"));
+    let mut established = relay.open("safe", 7_000);
+    assert_eq!(established.hears(), "UP receipt");
+    assert!(next(&known_received).starts_with("OPEN"));
     relay.told("\"cores\":1.0", "\"cores\":1.5");
     relay.logged("limits");
     let agent = DiscoveryAgent {
@@ -155,15 +155,15 @@
         &watch,
         &format!(
             "{HEAD}{}",
-            chunk(&list(2, true, &[("told", told, "Ready")]))
+            chunk(&list(2, true, &[("listed", listed, "Ready")]))
         ),
     );
     relay.wait_for_counter("lists", 1);
     idle.extend((0..100).map(|_| relay.client()));
     let mut client = relay.open("safe", 7_000);
     assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&told_met).starts_with("OPEN"));
-    standing.say("still here\r\n");
-    assert_eq!(standing.hears(), "still here");
+    assert!(next(&listed_received).starts_with("OPEN"));
+    established.say("still here\r\n");
+    assert_eq!(established.hears(), "still here");
     assert!(open() <= 100, "{} descriptors", open());
 }
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -6,11 +6,11 @@
 
 #[test]
 fn lines_and_ends_are_relayed_both_ways() {
-    let (address, met) = backend(Play::Echo);
+    let (address, received) = backend(Play::Echo);
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
-    next(&met);
+    next(&received);
     client.say("one\r\ntwo\r\nth");
     assert_eq!([client.hears(), client.hears()], ["one", "two"]);
     client.say("ree\r\nlast without an ending");
@@ -20,7 +20,7 @@
         ["three", "last without an endingBYE inflight=1"]
     );
     assert_eq!(client.hears(), "end");
-    let passed: Vec<String> = (0..5).map(|_| next(&met)).collect();
+    let passed: Vec<String> = (0..5).map(|_| next(&received)).collect();
     assert_eq!(
         passed,
         [
@@ -35,12 +35,12 @@
     // A client that breaks off breaks its backend's connection off.
     let mut breaks = relay.open("safe", 1_000);
     breaks.hears();
-    next(&met);
+    next(&received);
     breaks.say("unread answer\r\n");
-    next(&met);
+    next(&received);
     breaks.lines.get_ref().peek(&mut [0; 1]).unwrap();
     drop(breaks);
-    assert_eq!(next(&met), "reset");
+    assert_eq!(next(&received), "reset");
 }
 
 #[test]
@@ -54,14 +54,14 @@
         (Play::UpThen("half"), &["UP receipt", "half", "end"]),
     ];
     for (play, expected) in cases {
-        let (address, _met) = backend(play);
+        let (address, _received) = backend(play);
         let relay = relay_with(&[address]);
         let mut client = relay.open("safe", 1_000);
         for word in expected {
             assert_eq!(client.hears(), *word, "{play:?}");
         }
     }
-    let (address, _met) = backend(Play::UpThenReset);
+    let (address, _received) = backend(Play::UpThenReset);
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
     assert_eq!([client.hears(), client.hears()], ["UP receipt", "last"]);
@@ -72,7 +72,7 @@
 #[test]
 fn client_not_reading_holds_its_backend_back_and_loses_nothing() {
     const COUNT: usize = 1_000_000;
-    let (address, _met) = backend(Play::Flood(COUNT));
+    let (address, _received) = backend(Play::Flood(COUNT));
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
@@ -85,17 +85,17 @@
 
 #[test]
 fn session_with_silent_backend_is_migrated_in_time() {
-    let (address, _met) = backend(Play::UpMute);
+    let (address, _received) = backend(Play::UpMute);
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     client.say("anybody\r\n");
     assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
     assert!(
-        asked.elapsed() < Duration::from_secs(5),
+        sent_at.elapsed() < Duration::from_secs(5),
         "{:?}",
-        asked.elapsed()
+        sent_at.elapsed()
     );
 }
 
@@ -103,7 +103,7 @@
 fn backend_reporting_high_latency_is_relieved() {
     // At this load alone it would not be: the note decides, and a relay that took it for the load
     // of a connection never sent anybody away.
-    let (address, _met) = backend(Play::ReportsHighLatency);
+    let (address, _received) = backend(Play::ReportsHighLatency);
     let relay = start(
         nobody(),
         1_000,
@@ -114,16 +114,16 @@
     for client in &mut clients {
         client.say(&open_line("c=safe,d=1000,at=b"));
     }
-    let (moved, all) = channel();
+    let (migrated, migrations) = channel();
     for mut client in clients {
-        let moved = moved.clone();
+        let migrated = migrated.clone();
         thread::spawn(move || {
             let last = std::iter::repeat_with(|| client.hears())
                 .find(|line| !line.starts_with(['U', 'L']));
             if last.as_deref() == Some("MOVE") {
-                let _ = moved.send(());
+                let _ = migrated.send(());
             }
         });
     }
-    all.recv_timeout(LONG).expect("nobody was moved");
+    migrations.recv_timeout(LONG).expect("nobody was moved");
 }
--- a/relay/tests/session/handshake.rs
+++ b/relay/tests/session/handshake.rs
@@ -36,7 +36,7 @@
 
 #[test]
 fn invalid_client_is_answered_in_time_and_reaches_no_backend() {
-    let (address, met) = backend(Play::Echo);
+    let (address, received) = backend(Play::Echo);
     let relay = relay_with(&[address]);
     let good = open_line("c=safe,d=1000");
     let mut owner = relay.client();
@@ -116,7 +116,7 @@
         owner.say("still here\r\n");
         assert_eq!(owner.hears(), "still here", "{name}");
     }
-    let firsts = met
+    let firsts = received
         .try_iter()
         .filter(|line| line.starts_with("OPEN"))
         .count();
@@ -125,7 +125,7 @@
 
 #[test]
 fn client_sending_before_its_answer_fails_without_harm_to_the_backend() {
-    let (address, met) = backend(Play::Mute);
+    let (address, received) = backend(Play::Mute);
     let relay = relay_with(&[address]);
     for more in [
         open_line("c=safe,d=1000"),
@@ -134,7 +134,7 @@
     ] {
         let mut client = relay.client();
         client.say(&open_line("c=once,d=3000"));
-        while !next(&met).starts_with("OPEN") {}
+        while !next(&received).starts_with("OPEN") {}
         let began = Instant::now();
         client.say(&more);
         assert_eq!([client.hears(), client.hears()], ["ERR", "end"]);
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -23,7 +23,7 @@
         (Play::Mute, "BUSY", "ERR"),
     ];
     for (play, again, once) in cases {
-        let (address, met) = backend(play);
+        let (address, received) = backend(play);
         // Loads come with the ends: where none are told, one that turned a dial away would be left
         // alone meanwhile.
         let at = nobody();
@@ -36,20 +36,20 @@
         );
         let relay = started(at, text.replace("\"pull\"", "\"piggyback\""));
         for (listener, expected) in [("safe", again), ("once", once)] {
-            let (asked, mut client) = (Instant::now(), relay.open(listener, 400));
-            let heard = client.hears();
+            let (sent_at, mut client) = (Instant::now(), relay.open(listener, 400));
+            let answer = client.hears();
             assert!(
-                asked.elapsed() < Duration::from_millis(450),
+                sent_at.elapsed() < Duration::from_millis(450),
                 "{play:?} {listener}: {:?}",
-                asked.elapsed()
+                sent_at.elapsed()
             );
             assert_eq!(
-                heard.split(' ').next(),
+                answer.split(' ').next(),
                 expected.split(' ').next(),
-                "{play:?} {listener}: {heard}"
+                "{play:?} {listener}: {answer}"
             );
             // The line goes on as it came, but for the wait that is left.
-            let line = std::iter::repeat_with(|| next(&met))
+            let line = std::iter::repeat_with(|| next(&received))
                 .find(|line| line.starts_with("OPEN"))
                 .unwrap();
             let wait = line
@@ -78,7 +78,7 @@
 #[test]
 fn keyed_session_after_backend_failure_is_answered_by_scope_of_its_key() {
     // What the backend does, and if the dial may have run then.
-    let plays = [
+    let behaviors = [
         (Play::Say("BUSY\r\n"), false),
         (Play::Say("BUSY\r\nUP receipt\r\n"), false),
         (Play::Say("ERR inflight=7\r\n"), true),
@@ -93,8 +93,8 @@
         let effect = format!(
             "\"effect\": \"dedup\", \"dedupScope\": \"{scope}\", \"dedupWindowUs\": 700000"
         );
-        for (play, may_have_run) in plays {
-            let (address, _met) = backend(play);
+        for (play, may_have_run) in behaviors {
+            let (address, _received) = backend(play);
             let known = list(1, true, &[("b", address, "Ready")]);
             let relay =
                 start_with_settings(nobody(), &known, &[("\"effect\": \"fragile\"", &effect)]);
@@ -104,11 +104,11 @@
             } else {
                 "ERR"
             };
-            let heard = client.hears();
+            let answer = client.hears();
             assert_eq!(
-                heard.split(' ').next(),
+                answer.split(' ').next(),
                 Some(word),
-                "{scope} {play:?}: {heard}"
+                "{scope} {play:?}: {answer}"
             );
             assert_eq!(
                 client.hears(),
@@ -123,8 +123,8 @@
 fn client_leaving_while_its_attempt_connects_is_not_forwarded() {
     // Its end, and if that comes before the dial is up or just after, all in one turn.
     for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
-        let mut late = SlowBackend::new();
-        let known = list(1, true, &[("late", late.at, "Ready")]);
+        let mut slow = SlowBackend::new();
+        let known = list(1, true, &[("late", slow.at, "Ready")]);
         let relay = start_with_settings(nobody(), &known, &[LONG_CONNECT_TIMEOUT]);
         let client = relay.open("once", 7_000);
         relay.wait_for_counter("dials", 1);
@@ -143,10 +143,10 @@
         if !after {
             client.take().map(leave);
         }
-        let dial = late.accept_connection();
+        let attempt = slow.accept_connection();
         client.take().map(leave);
         relay.signal("CONT");
-        assert_eq!(read_to_end_of(&dial), "", "reset {reset}, after {after}");
+        assert_eq!(read_to_end_of(&attempt), "", "reset {reset}, after {after}");
         relay.wait_for_counter("dials_never_sent", 1);
     }
 }
@@ -154,7 +154,8 @@
 #[test]
 fn client_leaving_while_no_buffer_is_free_is_noticed() {
     let agent = DiscoveryAgent::new();
-    let ((echo, _echo_met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
+    let ((echo, _echo_received), (mute, mute_received)) =
+        (backend(Play::Echo), backend(Play::Mute));
     let relay = start_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
     let (watch, _) = agent.call();
     send(
@@ -176,7 +177,7 @@
     send(&watch, &chunk(&list(2, false, &rows)));
     relay.wait_for_counter("lists", 2);
     let client = relay.open("safe", 7_000);
-    while !next(&mute_met).starts_with("OPEN") {}
+    while !next(&mute_received).starts_with("OPEN") {}
     holding
         .iter_mut()
         .for_each(|client| client.say("half a line"));
@@ -243,20 +244,20 @@
 
 #[test]
 fn attempt_connected_in_time_but_met_late_is_not_sent() {
-    let mut late = SlowBackend::new();
-    let known = list(1, true, &[("late", late.at, "Ready")]);
+    let mut slow = SlowBackend::new();
+    let known = list(1, true, &[("late", slow.at, "Ready")]);
     let limit = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
     let relay = start_with_settings(nobody(), &known, &[limit]);
     let mut client = relay.open("once", 7_000);
     relay.wait_for_counter("dials", 1);
     let began = Instant::now();
     relay.suspend();
-    let dial = late.accept_connection();
+    let attempt = slow.accept_connection();
     wait_for("the time to come up is over", || {
         (began.elapsed() > Duration::from_millis(1_600)).then_some(())
     });
     relay.signal("CONT");
-    assert_eq!(read_to_end_of(&dial), "");
+    assert_eq!(read_to_end_of(&attempt), "");
     // Never sent, so nothing is said against trying again, for a once-only session neither.
     assert!(client.hears().starts_with("BUSY"));
 }
@@ -273,23 +274,23 @@
 
 #[test]
 fn unsent_attempt_to_removed_backend_goes_elsewhere() {
-    for out in [
+    for removal in [
         Removal::InOneTurn,
         Removal::Listed,
         Removal::Missing,
         Removal::ByHand,
     ] {
-        let (mut late, agent) = (SlowBackend::new(), DiscoveryAgent::new());
-        let (two, two_met) = backend(Play::Echo);
-        let door = nobody();
-        let with_door = format!("\"name\":\"r0\",\"admin_addr\":\"{door}\"");
+        let (mut slow, agent) = (SlowBackend::new(), DiscoveryAgent::new());
+        let (two, two_received) = backend(Play::Echo);
+        let admin = nobody();
+        let with_admin = format!("\"name\":\"r0\",\"admin_addr\":\"{admin}\"");
         let relay = start_with_settings(
             agent.at,
             "null",
             &[
                 LONG_CONNECT_TIMEOUT,
                 THREE_ATTEMPTS,
-                ("\"name\":\"r0\"", &with_door),
+                ("\"name\":\"r0\"", &with_admin),
             ],
         );
         let (watch, _) = agent.call();
@@ -297,18 +298,18 @@
             &watch,
             &format!(
                 "{HEAD}{}",
-                chunk(&list(1, true, &[("late", late.at, "Ready")]))
+                chunk(&list(1, true, &[("late", slow.at, "Ready")]))
             ),
         );
         relay.wait_for_counter("lists", 1);
         let mut client = relay.open("once", 9_000);
         relay.wait_for_counter("dials", 1);
-        let rows = [("two", two, "Ready"), ("late", late.at, "Terminating")];
-        let mut dial = None;
-        match out {
+        let rows = [("two", two, "Ready"), ("late", slow.at, "Terminating")];
+        let mut attempt = None;
+        match removal {
             Removal::InOneTurn => {
                 relay.suspend();
-                dial = Some(late.accept_connection());
+                attempt = Some(slow.accept_connection());
                 send(&watch, &chunk(&list(2, false, &rows)));
                 wait_for("the relay's end of the watch has it", || {
                     socket_state(watch.peer_addr().unwrap(), agent.at)
@@ -322,7 +323,7 @@
             Removal::ByHand => {
                 send(&watch, &chunk(&list(2, false, &rows[..1])));
                 relay.wait_for_counter("lists", 2);
-                let operator = TcpStream::connect(door).unwrap();
+                let operator = TcpStream::connect(admin).unwrap();
                 operator.set_read_timeout(Some(LONG)).unwrap();
                 send(&operator, "DISABLE late\r\n");
                 let mut answer = String::new();
@@ -331,10 +332,10 @@
             }
         }
         // Never sent there, so also one that may not be repeated goes elsewhere.
-        assert_eq!(client.hears(), "UP receipt", "{out:?}");
-        assert!(next(&two_met).starts_with("OPEN"));
-        if let Some(dial) = dial {
-            assert_eq!(read_to_end_of(&dial), "", "{out:?}");
+        assert_eq!(client.hears(), "UP receipt", "{removal:?}");
+        assert!(next(&two_received).starts_with("OPEN"));
+        if let Some(attempt) = attempt {
+            assert_eq!(read_to_end_of(&attempt), "", "{removal:?}");
         }
     }
 }
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -5,19 +5,19 @@
 #[test]
 fn sigterm_migrates_established_answers_waiting_and_exits_cleanly() {
     let (echo, _) = backend(Play::Echo);
-    let (mute, mute_met) = backend(Play::Mute);
+    let (mute, mute_received) = backend(Play::Mute);
     let mut relay = relay_with(&[echo]);
-    let mut standing: Vec<Client> = (0..7).map(|_| relay.open("safe", 1_000)).collect();
-    for client in &mut standing {
+    let mut established: Vec<Client> = (0..7).map(|_| relay.open("safe", 1_000)).collect();
+    for client in &mut established {
         assert_eq!(client.hears(), "UP receipt");
     }
     let began = Instant::now();
     relay.signal("TERM");
     relay.logged("told to stop");
     // New ones are still taken, and moved with the rest.
-    standing.push(relay.open("safe", 1_000));
-    assert_eq!(standing.last_mut().unwrap().hears(), "UP receipt");
-    for client in &mut standing {
+    established.push(relay.open("safe", 1_000));
+    assert_eq!(established.last_mut().unwrap().hears(), "UP receipt");
+    for client in &mut established {
         assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
     }
     assert!(end_of(&mut relay.child).success());
@@ -31,8 +31,8 @@
 
     let mut relay = relay_with(&[mute]);
     let mut waiting = [relay.open("safe", 60_000), relay.open("once", 60_000)];
-    next(&mute_met);
-    next(&mute_met);
+    next(&mute_received);
+    next(&mute_received);
     let began = Instant::now();
     relay.signal("TERM");
     assert!(waiting[0].hears().starts_with("BUSY"));
@@ -59,16 +59,16 @@
 
 #[test]
 fn sigterm_at_each_awkward_moment_answers_all_and_exits_in_time() {
-    for told in [
+    for moment in [
         StopMoment::Twice,
         StopMoment::BeforeAnyList,
         StopMoment::AfterSettings,
         StopMoment::InOneTurn,
     ] {
         let agent = DiscoveryAgent::new();
-        let ((echo, _met), (mute, mute_met)) = (backend(Play::Echo), backend(Play::Mute));
+        let ((echo, _received), (mute, mute_received)) = (backend(Play::Echo), backend(Play::Mute));
         let known = list(1, true, &[("mute", mute, "Ready")]);
-        let lists = told != StopMoment::BeforeAnyList;
+        let lists = moment != StopMoment::BeforeAnyList;
         let mut relay = start_with_settings(
             agent.at,
             if lists { &known } else { "null" },
@@ -80,16 +80,16 @@
         let mut half = relay.client();
         half.say("OPEN ffffffffffffffaa 7f3a9c2");
         if lists {
-            while !next(&mute_met).starts_with("OPEN") {}
+            while !next(&mute_received).starts_with("OPEN") {}
             let rows = [("mute", mute, "Terminating"), ("echo", echo, "Ready")];
             send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
             relay.wait_for_counter("lists", 1);
         }
-        let mut inside = (told == StopMoment::AfterSettings).then(|| relay.open("safe", 1_500));
+        let mut inside = (moment == StopMoment::AfterSettings).then(|| relay.open("safe", 1_500));
         inside
             .iter_mut()
             .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-        if told == StopMoment::AfterSettings {
+        if moment == StopMoment::AfterSettings {
             relay.told("\"maxDials\": 1", "\"maxDials\": 2");
         }
         let began = Instant::now();
@@ -98,19 +98,19 @@
         relay.signal("TERM");
         relay.signal("CONT");
         relay.logged("told to stop");
-        if told == StopMoment::Twice {
+        if moment == StopMoment::Twice {
             relay.signal("TERM");
         }
         half.say("1e0b4d655 c=safe,d=1500\r\n");
         let up = if lists { "UP" } else { "BUSY" };
         for client in [&mut half, &mut late] {
-            assert_eq!(client.hears().split(' ').next(), Some(up), "{told:?}");
+            assert_eq!(client.hears().split(' ').next(), Some(up), "{moment:?}");
         }
         // A dial that may have run is not refused; one never sent is.
         let answer = hangs.hears();
         assert!(
             answer.starts_with(if lists { "ERR" } else { "BUSY" }),
-            "{told:?}: {answer}"
+            "{moment:?}: {answer}"
         );
         for client in inside.iter_mut().chain(
             lists
@@ -121,14 +121,14 @@
             assert_eq!(
                 [client.hears(), client.hears()],
                 ["MOVE", "end"],
-                "{told:?}"
+                "{moment:?}"
             );
         }
         drop((inside, half, late, hangs));
-        assert!(end_of(&mut relay.child).success(), "{told:?}");
+        assert!(end_of(&mut relay.child).success(), "{moment:?}");
         assert!(
             began.elapsed() < Duration::from_millis(2_200),
-            "{told:?}: {:?}",
+            "{moment:?}: {:?}",
             began.elapsed()
         );
     }
@@ -136,7 +136,7 @@
 
 #[test]
 fn sigterm_while_a_client_does_not_read_delivers_its_lines_before_its_migration() {
-    let (address, _met) = backend(Play::Flood(400_000));
+    let (address, _received) = backend(Play::Flood(400_000));
     let mut relay = start_with_settings(nobody(), &list(1, true, &[("b", address, "Ready")]), &[]);
     let mut client = relay.open("safe", 1_500);
     assert_eq!(client.hears(), "UP receipt");
