--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -25,22 +25,7 @@
         nobody(),
     ];
     let answer = format!("{HEAD}{}", chunk(&list(2, true, &rows)));
-    std::thread::spawn(move || {
-        for stream in up.incoming() {
-            let answer = answer.clone();
-            std::thread::spawn(move || {
-                let stream = stream.unwrap();
-                let mut lines = BufReader::new(&stream);
-                let mut line = String::new();
-                while line != "\r\n" {
-                    line.clear();
-                    lines.read_line(&mut line).unwrap();
-                }
-                send(&stream, &answer);
-                lines.read_line(&mut line)
-            });
-        }
-    });
+    answer_each_call(up, answer);
     for discovery in all {
         let one = |known: String| {
             std::thread::spawn(move || {
@@ -74,6 +59,26 @@
     }
 }
 
+/// Discovery that answers each call with this text, and then keeps the connection open.
+fn answer_each_call(listener: TcpListener, answer: String) {
+    std::thread::spawn(move || {
+        for stream in listener.incoming() {
+            let answer = answer.clone();
+            std::thread::spawn(move || {
+                let stream = stream.unwrap();
+                let mut lines = BufReader::new(&stream);
+                let mut line = String::new();
+                while line != "\r\n" {
+                    line.clear();
+                    lines.read_line(&mut line).unwrap();
+                }
+                send(&stream, &answer);
+                lines.read_line(&mut line)
+            });
+        }
+    });
+}
+
 #[test]
 fn sigterm_while_configuration_is_read_exits_cleanly() {
     // The file is a pipe: the one who writes has it open once the program reads.
