--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -66,15 +66,15 @@
     }
 }
 
-/// Lists that come one after the other.
+/// A sequence of endpoint lists.
 struct UpdateCase {
     name: &'static str,
-    /// What is known at the start.
+    /// The list known at the start.
     known: String,
     lists: Vec<String>,
-    /// How many of the lists count.
+    /// How many of the lists are accepted.
     counted: u32,
-    /// How the first word of the answer to a client begins.
+    /// The beginning of the answer to a client.
     answer: &'static str,
 }
 
@@ -93,7 +93,7 @@
         let name = self.name;
         let mut pieces = vec![HEAD.to_string()];
         pieces.extend(self.lists.iter().map(|text| chunk(text)));
-        // Once this one counts all before it have been read.
+        // Once this list is counted, all before it have been read.
         pieces.push(chunk(&list(9, false, &[("last", nobody(), "Terminating")])));
         let (at, _requests) = discovery(vec![Script {
             pieces,
@@ -155,7 +155,7 @@
         let agent = DiscoveryAgent::new();
         let relay = start_with_settings(agent.at, "null", &[]);
         let (watch, _) = agent.call();
-        // In pieces, so that each part of a list is met by itself as well.
+        // Sent in pieces, so that every part of a list is also parsed across reads.
         for piece in text.as_bytes().chunks(97) {
             if (&watch).write_all(piece).is_err() {
                 break;
--- a/relay/tests/discovery/polling.rs
+++ b/relay/tests/discovery/polling.rs
@@ -17,14 +17,14 @@
     let count = std::iter::repeat_with(|| requests.recv_timeout(left()))
         .take_while(Result::is_ok)
         .count();
-    // It takes each call and breaks it off: full jitter over 2, 4, 8 s.
+    // Each request is accepted and closed: full jitter over 2, 4, 8 s.
     assert!((2..=12).contains(&count), "{count}");
     drop(relay);
 }
 
 #[test]
 fn discovery_absent_is_polled_often_and_overloaded_one_seldom() {
-    // Whether it answers, and the calls within 4 s.
+    // Whether discovery answers, and the expected requests within 4 s.
     for (answers, expected) in [(false, 5..=20), (true, 1..=5)] {
         let answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string();
         let busy = (0..100)
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -5,8 +5,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A relay that follows its agent's watch and has version 7, with one backend that nobody is sent
-/// to.
+/// A relay that follows its agent's watch at version 7, with one backend that gets no sessions.
 fn follow_watch() -> (DiscoveryAgent, Relay, TcpStream) {
     let agent = DiscoveryAgent::new();
     let relay = start_with_settings(agent.at, "null", &[]);
@@ -28,7 +27,7 @@
     let (two, two_received) = backend(Play::Echo);
     let whole = list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
     let drains = list(8, false, &[("one", one, "Terminating")]);
-    // Split anywhere: within the head, a size line and a row.
+    // Split within the head, a chunk size and a row.
     let all = format!("{HEAD}{}{}", chunk(&whole), chunk(""));
     let pieces: Vec<String> = all
         .as_bytes()
@@ -65,9 +64,9 @@
             "{line}"
         );
     }
-    // A silent watch is given up and asked for again, with what is now held.
+    // A silent watch is given up and opened again from the version held.
     assert!(next(&requests).contains("since=8 "));
-    // One drains: all that is new goes to two.
+    // The first backend drains: all new sessions go to the second.
     for _ in 0..8 {
         let mut client = relay.open("safe", 1_000);
         assert_eq!(client.hears(), "UP receipt");
@@ -92,7 +91,7 @@
         }]
     };
     let list_of = |version, which, at| chunk(&list(version, true, &[(which, at, "Ready")]));
-    // The first goes on with empty lines for a second and then tells of a drain.
+    // The first address sends empty lines for a second, then a drain.
     let mut pieces = vec![HEAD.to_string(), list_of(70, "one", one)];
     pieces.extend((0..500).map(|_| chunk("")));
     pieces.push(chunk(&list(
@@ -102,7 +101,7 @@
     )));
     let (first, first_requests) = discovery(open(pieces));
     let (silent, silent_requests) = discovery(Vec::new());
-    // Its versions are lower, and it does not know of two.
+    // Its versions are lower, and it does not list the second backend.
     let (last, last_requests) = discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
     let relay = start(first, 1_000, "null", false);
     assert!(next(&first_requests).contains("follow=1 "));
@@ -124,7 +123,8 @@
     relay.told(&first.to_string(), &silent.to_string());
     assert!(next(&silent_requests).contains("follow=1 "));
     goes_to(&two_received);
-    // Told of another while the one before has said nothing: asked at once, for all.
+    // The address changes while the one before has sent nothing: the new one is asked at once for a
+    // full list.
     let began = Instant::now();
     relay.told(&first.to_string(), &last.to_string());
     assert!(next(&last_requests).contains("follow=1 "));
@@ -147,7 +147,7 @@
     let agent = DiscoveryAgent::new();
     let ((old, old_received), (new, new_received)) = (backend(Play::Echo), backend(Play::Echo));
     let known = list(1, true, &[("old", old, "Ready")]);
-    // Long enough for any machine; an agent that says nothing at all is not waited for any longer.
+    // Long enough for any machine; a silent agent is not waited for any longer.
     let grace = (
         "\"askWithinUs\": 1",
         "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
@@ -155,7 +155,7 @@
     let relay = start_with_settings(agent.at, &known, &[grace]);
     let (watch, _) = agent.call();
     let mut client = relay.open("safe", 9_000);
-    // The loop has turned since the line was there.
+    // The loop has completed turns since the line arrived.
     for _ in 0..3 {
         relay.signal("USR1");
         relay.logged(" connections=");
@@ -182,7 +182,7 @@
         &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))),
     );
     relay.wait_for_counter("lists", 1);
-    // The agent goes away: the watch breaks, and a call hangs.
+    // The agent becomes unreachable: the watch breaks, and a request hangs.
     reset_on_close(&watch);
     drop(watch);
     let (hanging, line) = agent.call();
@@ -193,7 +193,7 @@
         has_nothing_to_read(&hanging),
         "the one that hangs is not given up for it"
     );
-    // Back again, it answers whoever calls now.
+    // Reachable again, it answers the latest request.
     let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
     send(&back, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
     relay.wait_for_counter("lists", 2);
@@ -201,7 +201,7 @@
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
     assert!(next(&two_received).starts_with("OPEN"));
-    // And the hanging one may be the first that is answered.
+    // The hanging request may also be the first to be answered.
     reset_on_close(&back);
     drop(back);
     let (hanging, _) = agent.call();
@@ -226,7 +226,7 @@
         "{:?}",
         broken.elapsed()
     );
-    // One that breaks as often as it is answered is called no faster than any that has no time.
+    // A watch that breaks as soon as it is answered is opened no more often than a failing one.
     send(&watch, &format!("{HEAD}{}", chunk("")));
     reset_on_close(&watch);
     drop(watch);
@@ -235,7 +235,7 @@
     assert!(agent.listener.accept().is_err(), "asked again at once");
 }
 
-/// How calls to discovery come to nothing.
+/// How requests to discovery fail.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DiscoveryFailure {
     Refused,
@@ -247,7 +247,7 @@
 }
 
 impl DiscoveryFailure {
-    /// Fails a call so; gives it back where it stays open.
+    /// Makes a request fail; returns the connection where it stays open.
     fn fail(self, call: TcpStream, half_a_list: &str) -> Option<TcpStream> {
         match self {
             Refused => {}
@@ -264,8 +264,8 @@
     }
 }
 
-/// Whatever a row of calls met, what discovery has when it can be reached again is the relay's
-/// within six seconds.
+/// Whatever the requests before met, the relay has the list within six seconds of discovery's
+/// return.
 #[test]
 fn discovery_returning_after_each_failure_is_followed_in_time() {
     let kinds = [Refused, Reset, Unavailable, HalfAList, NoList, Silent];
@@ -273,7 +273,7 @@
         .iter()
         .chain(&kinds[1..5])
         .map(|&failure| std::thread::spawn(move || assert_followed_in_time_after(failure)));
-    // All are awaited before one may fail, since each ends its own relay.
+    // All threads are joined before the test fails, since each stops its own relay.
     let ended: Vec<_> = all
         .collect::<Vec<_>>()
         .into_iter()
@@ -311,7 +311,7 @@
     reset_on_close(&watch);
     drop(watch);
     let half = &list(8, false, &[("one", one, "Terminating")])[..60];
-    // Kept open, since closing them would end the silence.
+    // Kept open: closing one would end the silence.
     let mut silent_calls = Vec::new();
     if let Some(at) = refused_at {
         relay.wait_for_counter("list_failures", 8);
@@ -320,14 +320,14 @@
             at,
         };
     } else {
-        // The first of a watch that had been good comes at once; from the fourth on pauses are the
+        // After a good watch the first request comes at once; from the fourth on delays are
         // longest.
         for _ in 0..4 {
             let (call, _) = agent.call();
             silent_calls.extend(failure.fail(call, half));
         }
     }
-    // From here on it has the drain, and answers whoever calls.
+    // From here on discovery has the drain, and answers every request.
     let back = Instant::now();
     let rows = [("one", one, "Terminating")];
     let (watch, _) = agent.call();
@@ -352,7 +352,7 @@
 #[test]
 fn watch_with_endless_list_is_given_up() {
     let (agent, _relay, watch) = follow_watch();
-    // A byte at a time, of a list that never ends: given up like a silent one.
+    // A list that arrives byte by byte without end is given up like a silent watch.
     let out = watch.try_clone().unwrap();
     let trickle = std::thread::spawn(move || {
         let until = Instant::now() + LONG;
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -7,32 +7,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// What a backend does with the first line of a connection.
+/// What a backend does with a connection, after the first line.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Play {
-    /// Up, then each line comes back; the client's end is answered `BYE`.
+    /// Accepts, then sends each line back and answers the client's end with `BYE`.
     Echo,
-    /// Up in pieces.
+    /// Accepts with an answer in pieces.
     Split,
     Say(&'static str),
-    /// Up, then this, then the end.
+    /// Accepts, sends this and ends the connection.
     UpThen(&'static str),
     UpThenReset,
-    /// Up, then one note after another that messages take long; answers probes with a load of 0.7.
+    /// Accepts, then reports a high latency every 100 ms; answers health checks with a load of 0.7.
     ReportsHighLatency,
-    /// Up, then never a word.
+    /// Accepts, then sends nothing.
     UpMute,
     Mute,
     End,
     TooLong,
-    /// Up, then so many lines without waiting for any.
+    /// Accepts, then sends so many lines without waiting for any.
     Flood(usize),
 }
 
-/// What a backend met, in order: first lines, and how later ones and the end came.
+/// What a backend received, in order: first lines, later lines, and `end` or `reset`.
 pub(crate) type Met = Receiver<String>;
 
-/// Starts a backend; its address, and what it meets.
+/// Starts a backend; returns its address and what it receives.
 pub(crate) fn backend(play: Play) -> (SocketAddr, Met) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -124,13 +124,13 @@
     }
 }
 
-/// The next line or event that a backend or discovery met.
+/// The next that a backend or discovery received.
 pub(crate) fn next(met: &Met) -> String {
     met.recv_timeout(LONG)
         .expect("the backend met nothing more")
 }
 
-/// A backend at which connections come up late: its queue is full until somebody takes them in.
+/// A backend whose connections are established late: its accept queue is full until it is emptied.
 pub(crate) struct SlowBackend {
     pub(crate) listener: TcpListener,
     pub(crate) at: SocketAddr,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Takes all in that fill the queue, and then the one that waited.
+    /// Accepts the connections that fill the queue, and returns the one that waited behind them.
     pub(crate) fn accept_connection(&mut self) -> TcpStream {
         let ours: Vec<SocketAddr> = self
             .queue_fillers
--- a/relay/tests/helper/client.rs
+++ b/relay/tests/helper/client.rs
@@ -1,10 +1,9 @@
 //! Clients.
-use super::wait::*;
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// With an id that is new, as each connection's is.
+/// A request with a new session id.
 pub(crate) fn open_line(items: &str) -> String {
     static LAST: AtomicU16 = AtomicU16::new(0);
     format!(
@@ -22,7 +21,7 @@
         self.lines.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next line; "end" or "reset" where the connection is over.
+    /// The next line; `end` or `reset` where the connection is over.
     pub(crate) fn hears(&mut self) -> String {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
--- a/relay/tests/helper/config.rs
+++ b/relay/tests/helper/config.rs
@@ -2,7 +2,7 @@
 use std::net::SocketAddr;
 use std::thread;
 
-/// The settings; `PROBES` stands where it says whether health checks are allowed.
+/// The settings; `PROBES` is replaced by whether health checks are allowed.
 pub(crate) const SETTINGS: &str = r#"{"az": 0, "zones": ["a"], "balancers": 1, "me": 0, "tickUs": 2000,
  "discovery": "automatic",
  "extra": {"groups": true, "tellsDelay": true, "tellsLoad": false, "messageAimUs": [50000, 50000]},
@@ -15,7 +15,8 @@
   "mayCancel": true, "probes": PROBES, "retryAfter": true},
  "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
-/// A configuration that `ROUTER_CONFIG` may name: `known` is the endpoint list of the start, or null.
+/// A configuration that `ROUTER_CONFIG` may name: `known` is the endpoint list of the start, or
+/// null.
 pub(crate) fn config(
     at: SocketAddr,
     discovery: SocketAddr,
@@ -30,7 +31,7 @@
     )
 }
 
-/// Replaced as a whole, so that nobody reads half of it.
+/// Replaces the file as a whole, so that nobody reads half of it; returns its path.
 pub(crate) fn write_config(text: &str) -> std::path::PathBuf {
     let name = format!(
         "thistlecroft-{}-{:?}.json",
@@ -44,16 +45,15 @@
     path
 }
 
-/// Establishing a connection may take four seconds, as a change of the settings: what stands in
-/// their text, and what is to.
+/// A change of the settings: establishing a connection may take four seconds.
 pub(crate) const LONG_CONNECT_TIMEOUT: (&str, &str) =
     ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 4000000");
 
-/// A drain is obeyed four seconds after discovery has it.
+/// A change of the settings: a drain must be obeyed within four seconds.
 pub(crate) const LONG_DRAIN_GRACE: (&str, &str) = (
     "\"askWithinUs\": 1",
     "\"askWithinUs\": 1, \"drainGraceUs\": 4000000",
 );
 
-/// A session may have three attempts.
+/// A change of the settings: a session may have three attempts.
 pub(crate) const THREE_ATTEMPTS: (&str, &str) = ("\"maxDials\": 1", "\"maxDials\": 3");
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -1,20 +1,20 @@
 //! Stand-ins for discovery's agent.
 use super::backend::Met;
 use super::wait::*;
-use socket2::Type;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::channel;
 use std::thread;
 use std::time::Duration;
 
-/// One that accepts and never says a word is `None`; else each watch gets the next script of
-/// pieces, and then stays open or ends.
+/// The answer to one request: pieces of a response, after which the connection stays open or ends.
 pub(crate) struct Script {
     pub(crate) pieces: Vec<String>,
     pub(crate) ends: bool,
 }
 
+/// Starts a discovery that gives each request the next script, and those behind the last no answer;
+/// returns its address and the first lines of the requests.
 pub(crate) fn discovery(scripts: Vec<Script>) -> (SocketAddr, Met) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -69,7 +69,7 @@
     )
 }
 
-/// Discovery's agent, whose every step is the test's.
+/// A discovery agent that does each step when the test says so.
 pub(crate) struct DiscoveryAgent {
     pub(crate) listener: TcpListener,
     pub(crate) at: SocketAddr,
@@ -84,7 +84,7 @@
         }
     }
 
-    /// The next call, and what it asks for.
+    /// The next request that was sent whole; the connection, and its first line.
     pub(crate) fn call(&self) -> (TcpStream, String) {
         loop {
             let stream = accept(&self.listener);
@@ -95,7 +95,7 @@
                 line.clear();
                 came = lines.read_line(&mut line).unwrap();
             }
-            // One that ended before it had asked was given up meanwhile.
+            // The relay gave up a connection that ended before its request.
             if came > 0 {
                 return (stream, first);
             }
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -22,7 +22,7 @@
     pub(crate) text: String,
 }
 
-/// Starts the program with this configuration, and so many descriptors from the system.
+/// Starts the program with this configuration and limit on descriptors.
 pub(crate) fn start_with(text: &str, descriptors: usize) -> Child {
     let path = write_config(text);
     Command::new("sh")
@@ -45,7 +45,7 @@
     start_within(1_000, discovery, sockets, known, probes)
 }
 
-/// The same with so many descriptors from the system.
+/// Starts a relay with this limit on descriptors.
 pub(crate) fn start_within(
     descriptors: usize,
     discovery: SocketAddr,
@@ -61,12 +61,12 @@
     )
 }
 
-/// Starts a relay with this configuration, by which it serves at `at`.
+/// Starts a relay with this configuration, which makes it listen at `at`.
 pub(crate) fn started(at: SocketAddr, text: String) -> Relay {
     started_within(1_000, at, text)
 }
 
-/// The same with so many descriptors from the system.
+/// Starts a relay with this configuration and limit on descriptors.
 pub(crate) fn started_within(descriptors: usize, at: SocketAddr, text: String) -> Relay {
     let mut child = start_with(&text, descriptors);
     let (tell, log) = channel();
@@ -86,7 +86,7 @@
     relay
 }
 
-/// A relay that knows these backends and whose discovery is dead.
+/// Starts a relay that knows these backends, without discovery.
 pub(crate) fn relay_with(backends: &[SocketAddr]) -> Relay {
     let names: Vec<String> = (0..backends.len())
         .map(|number| format!("b{number}"))
@@ -99,7 +99,7 @@
     start(nobody(), 1_000, &list(1, true, &rows), false)
 }
 
-/// Starts a relay with changed settings: each pair is what stands in their text, and what is to.
+/// Starts a relay with changed settings: each pair is a part of their text, and its replacement.
 pub(crate) fn start_with_settings(
     discovery: SocketAddr,
     known: &str,
@@ -115,7 +115,7 @@
 }
 
 impl Relay {
-    /// Reads the log up to a line that holds this.
+    /// Reads the log up to a line that contains this text.
     pub(crate) fn logged(&self, text: &str) -> String {
         let lines = std::iter::repeat_with(|| {
             self.log
@@ -140,7 +140,7 @@
         self.signal("HUP");
     }
 
-    /// Connects to it.
+    /// Connects to the relay.
     pub(crate) fn client(&self) -> Client {
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Connects, and asks for a session with a wait in milliseconds.
+    /// Connects and requests a session, with the client's wait in milliseconds.
     pub(crate) fn open(&self, listener: &str, wait: u32) -> Client {
         let mut client = self.client();
         client.say(&open_line(&format!(
@@ -159,7 +159,7 @@
         client
     }
 
-    /// Stops the process, and waits until it stands still.
+    /// Suspends the process, and waits until it is suspended.
     pub(crate) fn suspend(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
@@ -174,7 +174,7 @@
         });
     }
 
-    /// Waits until a counter has come so far.
+    /// Waits until a counter reaches this value.
     pub(crate) fn wait_for_counter(&self, name: &str, least: u32) {
         wait_for(name, || {
             self.signal("USR1");
@@ -183,7 +183,7 @@
     }
 }
 
-/// A counter, from the line in the log that has them all.
+/// A counter's value, from the log line with all counters.
 pub(crate) fn counted(line: &str, name: &str) -> u32 {
     let figure = line
         .split(&format!(" {name}="))
@@ -192,7 +192,7 @@
     figure.unwrap().parse().unwrap()
 }
 
-/// How the program ended; one that doesn't is killed, which is no success.
+/// The exit status; a program that does not end in time is killed, and the test fails.
 pub(crate) fn end_of(child: &mut Child) -> std::process::ExitStatus {
     let until = Instant::now() + LONG;
     while Instant::now() < until {
--- a/relay/tests/helper/wait.rs
+++ b/relay/tests/helper/wait.rs
@@ -8,7 +8,7 @@
 /// How long any wait may take on a busy machine.
 pub(crate) const LONG: Duration = Duration::from_secs(10);
 
-/// An address at which nobody listens, and which no connection's own end can take in the meantime.
+/// An address at which nobody listens, and which no outgoing connection can take meanwhile.
 pub(crate) fn nobody() -> SocketAddr {
     static LAST: AtomicU16 = AtomicU16::new(0);
     let [high, low] = (LAST.fetch_add(1, Ordering::Relaxed) + 1).to_be_bytes();
@@ -16,7 +16,7 @@
     SocketAddr::from(([127, process, high, low], 8080))
 }
 
-/// Repeats a step until it gives something.
+/// Repeats a step until it returns a value.
 pub(crate) fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + LONG;
     loop {
@@ -28,7 +28,7 @@
     }
 }
 
-/// The next connection.
+/// Accepts the next connection.
 pub(crate) fn accept(listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let stream = wait_for("a connection", || listener.accept().ok()).0;
@@ -38,7 +38,7 @@
     stream
 }
 
-/// Whether nothing has come, its end neither.
+/// Whether neither bytes nor the end have arrived.
 pub(crate) fn has_nothing_to_read(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
     let quiet =
@@ -47,7 +47,7 @@
     quiet
 }
 
-/// All that comes up to the end, or to a reset.
+/// All bytes up to the end, or to a reset.
 pub(crate) fn read_to_end_of(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     match stream.read_to_end(&mut text) {
@@ -56,14 +56,14 @@
     }
 }
 
-/// What the system knows of one end of a connection.
+/// The kernel's view of one end of a connection.
 pub(crate) struct SocketState {
     pub(crate) is_established: bool,
     pub(crate) has_unread_bytes: bool,
 }
 
-/// Looks at the end `here` of a connection from outside: on a busy machine even loopback brings
-/// things late.
+/// Looks at the end `here` of a connection from outside the process: even loopback delivers late on
+/// a busy machine.
 pub(crate) fn socket_state(here: SocketAddr, there: SocketAddr) -> SocketState {
     let hex = |at: SocketAddr| match at.ip() {
         std::net::IpAddr::V4(ip) => {
@@ -83,7 +83,7 @@
     }
 }
 
-/// When it is closed the other side sees a reset in place of an end.
+/// Closing the connection will reset it.
 pub(crate) fn reset_on_close(stream: &TcpStream) {
     SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -85,7 +85,7 @@
     let mut relay = start_with_settings(nobody(), &list(1, true, &[("mute", mute, "Ready")]), &[]);
     let mut waits = relay.open("once", 1_500);
     while !next(&received).starts_with("OPEN") {}
-    // The order of the listeners, the effect and the deadline of each are others, and one is new.
+    // Listeners are reordered, each has another effect and deadline, and one is new.
     let mut later = relay.text.clone();
     let swaps = [
         (
@@ -105,8 +105,8 @@
     write_config(&later);
     relay.signal("HUP");
     relay.logged("generation 2");
-    // While both may bind the stricter holds, so that each is torn down: the one that waits as it
-    // came, the others anew.
+    // While both configurations may apply the stricter holds, so each session fails: the waiting
+    // one under its own settings, the others under the new ones.
     let mut others = [relay.open("once", 400), relay.open("safe", 400)];
     for client in &mut others {
         assert_eq!(client.hears(), "ERR");
--- a/relay/tests/service/health_check.rs
+++ b/relay/tests/service/health_check.rs
@@ -54,7 +54,7 @@
             "reset {reset}"
         );
     }
-    // A new one that ends without an answer is its backend's doing.
+    // A new connection that ends without an answer is the backend's failure.
     drop(stream);
     relay.wait_for_counter("probes_failed", 1);
 }
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -4,8 +4,8 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Twenty that start at once, with a list of 1,024 backends: nine in ten answer `PING` within ten
-/// seconds, whatever their discovery does.
+/// Of twenty relays started at once with a list of 1,024 backends, nine in ten answer `PING` within
+/// ten seconds, whatever discovery does.
 #[test]
 fn nine_in_ten_of_twenty_simultaneous_starts_are_ready_in_time() {
     let rows: Vec<(String, SocketAddr)> = (0..1_024)
@@ -16,7 +16,7 @@
         .map(|(name, at)| (name.as_str(), *at, "Ready"))
         .collect();
     let known = list(1, true, &rows);
-    // One that answers all, one that takes calls and is silent, one where nobody is.
+    // Discovery that answers, that accepts and stays silent, and that does not listen.
     let up = TcpListener::bind("127.0.0.1:0").unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let all = [
@@ -59,7 +59,7 @@
     }
 }
 
-/// Discovery that answers each call with this text, and then keeps the connection open.
+/// Answers each request with this text, and then keeps the connection open.
 fn answer_each_call(listener: TcpListener, answer: String) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -81,7 +81,7 @@
 
 #[test]
 fn sigterm_while_configuration_is_read_exits_cleanly() {
-    // The file is a pipe: the one who writes has it open once the program reads.
+    // The file is a pipe: opening it for writing succeeds once the program reads it.
     let path = std::env::temp_dir().join(format!("thistlecroft-{}-pipe.json", std::process::id()));
     let made = std::process::Command::new("mkfifo")
         .arg(&path)
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -6,8 +6,8 @@
 #[test]
 fn silent_connections_are_shed_for_clients_that_speak() {
     let (address, _received) = backend(Play::Echo);
-    // Room for 24 descriptors of sessions; the silent ones come by hundreds, and again as they are
-    // sent away.
+    // Sessions may take 24 descriptors. Silent clients come by hundreds, and more while others are
+    // shed.
     let relay = start(
         nobody(),
         64,
@@ -29,7 +29,8 @@
         silent.extend((0..20).map(|_| relay.client()));
     }
     for client in &mut silent {
-        // One that had come just before might have been about to speak, and is answered.
+        // A client that connected a moment before may have been about to send, so it gets an
+        // answer.
         let word = client.hears();
         assert!(
             word == "end" || word == "BUSY" && ["end", "reset"].contains(&client.hears().as_str()),
@@ -82,7 +83,7 @@
 #[test]
 fn system_without_descriptors_ends_no_session_and_does_not_spin() {
     let (address, _received) = backend(Play::Echo);
-    // The configuration promises more than the system gives.
+    // The configuration allows more descriptors than the system does.
     let relay = start_within(
         40,
         nobody(),
@@ -101,7 +102,7 @@
         line = relay.logged("accept_failures=");
     }
     let count = counted(&line, "accept_failures");
-    // One try each 20 ms; a loop that spins makes thousands at once.
+    // One attempt every 20 ms; a loop that spins would make thousands.
     assert!((1..1_000).contains(&count), "{count}");
     clients[0].say("still here\r\n");
     assert_eq!(clients[0].hears(), "still here");
@@ -113,7 +114,7 @@
     assert_eq!(answer, "UP receipt");
 }
 
-/// Clients that say nothing take every descriptor that they can get, while discovery is away.
+/// Silent clients take every descriptor that they can get, while discovery is unreachable.
 #[test]
 fn idle_clients_filling_descriptors_without_discovery_keep_nobody_out() {
     let (known, known_received) = backend(Play::Echo);
@@ -140,7 +141,7 @@
         (idle.len() >= 200).then_some(())
     });
     assert!(open() <= 100, "{} descriptors", open());
-    // Whoever talks is served, and what else the relay needs it still gets: its file, discovery.
+    // Clients that send are served, and the relay can still open its file and connect to discovery.
     let mut established = relay.open("safe", 7_000);
     assert_eq!(established.hears(), "UP receipt");
     assert!(next(&known_received).starts_with("OPEN"));
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -32,7 +32,7 @@
         ]
     );
 
-    // A client that breaks off breaks its backend's connection off.
+    // A client's reset is passed on to its backend.
     let mut breaks = relay.open("safe", 1_000);
     breaks.hears();
     next(&received);
@@ -76,7 +76,7 @@
     let relay = relay_with(&[address]);
     let mut client = relay.open("safe", 1_000);
     assert_eq!(client.hears(), "UP receipt");
-    // Others are served while this one's lines wait.
+    // Other clients are served while this one's lines wait.
     assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt");
     for number in 0..COUNT {
         assert_eq!(client.hears(), format!("line {number}"));
@@ -101,8 +101,8 @@
 
 #[test]
 fn backend_reporting_high_latency_is_relieved() {
-    // At this load alone it would not be: the note decides, and a relay that took it for the load
-    // of a connection never sent anybody away.
+    // The load alone would not cause a migration; only the reported latency does. Taken for a
+    // connection's load, it would not either.
     let (address, _received) = backend(Play::ReportsHighLatency);
     let relay = start(
         nobody(),
--- a/relay/tests/session/handshake.rs
+++ b/relay/tests/session/handshake.rs
@@ -16,7 +16,7 @@
         (&["PING\r\nhello\r\n"], &["PONG", "ERR", "end"]),
         (&["hello\r\n"], &["ERR", "end"]),
         (&["\r\n"], &["ERR", "end"]),
-        // No backend is known, so nothing was sent.
+        // No backend is known, so the request was not sent anywhere.
         (&[&open_line("c=safe,d=1000")], &["BUSY", "end"]),
     ];
     for (pieces, expected) in cases {
@@ -108,7 +108,7 @@
             "{name}: {:?}",
             began.elapsed()
         );
-        // All was read, so nothing could destroy the answer.
+        // Everything was read, so the system had no reason to reset the connection.
         writer
             .join()
             .unwrap()
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -8,8 +8,8 @@
 
 #[test]
 fn backend_answer_of_each_form_is_passed_on() {
-    // What the backend does, and the client's answer where a session may run again and where it may
-    // not.
+    // What the backend does, and the client's answer where the session may be retried and where it
+    // may not.
     let cases = [
         (Play::Echo, "UP receipt", "UP receipt"),
         (Play::Split, "UP receipt", "UP receipt"),
@@ -24,8 +24,8 @@
     ];
     for (play, again, once) in cases {
         let (address, received) = backend(play);
-        // Loads come with the ends: where none are told, one that turned a dial away would be left
-        // alone meanwhile.
+        // Load reports come with each answer. Without any, a backend that rejected an attempt would
+        // be avoided for a while.
         let at = nobody();
         let text = config(
             at,
@@ -48,7 +48,7 @@
                 expected.split(' ').next(),
                 "{play:?} {listener}: {answer}"
             );
-            // The line goes on as it came, but for the wait that is left.
+            // The request is forwarded unchanged but for the remaining wait.
             let line = std::iter::repeat_with(|| next(&received))
                 .find(|line| line.starts_with("OPEN"))
                 .unwrap();
@@ -70,14 +70,14 @@
             }
         }
     }
-    // Nobody there: never sent, so trying again is harmless for all.
+    // Nobody listens there: nothing was sent, so every session may be retried.
     let relay = relay_with(&[nobody()]);
     assert!(relay.open("once", 400).hears().starts_with("BUSY"));
 }
 
 #[test]
 fn keyed_session_after_backend_failure_is_answered_by_scope_of_its_key() {
-    // What the backend does, and if the dial may have run then.
+    // What the backend does, and whether it may have acted on the request.
     let behaviors = [
         (Play::Say("BUSY\r\n"), false),
         (Play::Say("BUSY\r\nUP receipt\r\n"), false),
@@ -121,7 +121,8 @@
 
 #[test]
 fn client_leaving_while_its_attempt_connects_is_not_forwarded() {
-    // Its end, and if that comes before the dial is up or just after, all in one turn.
+    // How the client leaves, and whether before or after the connection is established; the relay
+    // meets both in one turn.
     for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
         let mut slow = SlowBackend::new();
         let known = list(1, true, &[("late", slow.at, "Ready")]);
@@ -166,7 +167,7 @@
         ),
     );
     relay.wait_for_counter("lists", 1);
-    // Each that stands and has said half a line holds a buffer for as long as it likes.
+    // Each established session with half a line holds a buffer for as long as it likes.
     let mut holding = Vec::new();
     for _ in 0..300 {
         let mut client = relay.open("safe", 7_000);
@@ -187,8 +188,8 @@
     relay.wait_for_counter("dials_withdrawn", 1);
 }
 
-/// More ends than one turn comes to, beside the alarms of all that wait: not even a connection
-/// begins for one that left.
+/// More clients leave than one turn handles, and timers are due for all: not even a connection may
+/// be started for one that left.
 #[test]
 fn client_leaving_behind_hundreds_of_events_starts_no_attempt() {
     const CLIENTS: u32 = 900;
@@ -217,7 +218,7 @@
     let mut clients = Vec::new();
     for key in 1..=CLIENTS {
         let mut client = relay.client();
-        // Each with a key of its own: its delays are its own, the first of up to a second.
+        // Each has a key of its own, hence backoff delays of its own, the first of up to a second.
         client.say(&open_line("c=safe,d=9000").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
         clients.push(client);
     }
@@ -228,7 +229,7 @@
             reset_on_close(client.lines.get_ref());
         }
     }
-    // The alarms of the first two delays come due while nothing is met.
+    // The timers of the first two backoff delays expire while the relay is suspended.
     std::thread::sleep(Duration::from_millis(2_100));
     let before = begun.load(Ordering::SeqCst);
     relay.signal("CONT");
@@ -258,16 +259,16 @@
     });
     relay.signal("CONT");
     assert_eq!(read_to_end_of(&attempt), "");
-    // Never sent, so nothing is said against trying again, for a once-only session neither.
+    // Nothing was sent, so even a non-idempotent session may be retried.
     assert!(client.hears().starts_with("BUSY"));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Removal {
-    /// The drain and the connection's coming up are met in one turn.
+    /// The relay meets the drain and the established connection in one turn.
     InOneTurn,
     Listed,
-    /// A whole list does not name it.
+    /// A full list does not contain it.
     Missing,
     ByHand,
 }
@@ -331,7 +332,7 @@
                 assert!(answer.starts_with("200"), "{answer}");
             }
         }
-        // Never sent there, so also one that may not be repeated goes elsewhere.
+        // Nothing was sent to the first backend, so even a non-idempotent session may go elsewhere.
         assert_eq!(client.hears(), "UP receipt", "{removal:?}");
         assert!(next(&two_received).starts_with("OPEN"));
         if let Some(attempt) = attempt {
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -14,14 +14,14 @@
     let began = Instant::now();
     relay.signal("TERM");
     relay.logged("told to stop");
-    // New ones are still taken, and moved with the rest.
+    // New sessions are still accepted, and migrated with the rest.
     established.push(relay.open("safe", 1_000));
     assert_eq!(established.last_mut().unwrap().hears(), "UP receipt");
     for client in &mut established {
         assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
     }
     assert!(end_of(&mut relay.child).success());
-    // The longest dial timeout, 1.5 s, and 0.7 s more; and as much again for a busy machine.
+    // The longest connect timeout, 1.5 s, and 0.7 s more; twice that on a busy machine.
     assert!(
         began.elapsed() < Duration::from_millis(2_900),
         "{:?}",
@@ -47,13 +47,13 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum StopMoment {
-    /// It is told to stop, and again.
+    /// SIGTERM comes twice.
     Twice,
-    /// Before its agent has told a list, and no backend is known.
+    /// No endpoint list has come, and no backend is known.
     BeforeAnyList,
-    /// While settings read a moment ago do not hold yet.
+    /// Reloaded settings are not in force yet.
     AfterSettings,
-    /// In the turn in which a whole first line is met.
+    /// A first line becomes complete in the turn that handles SIGTERM.
     InOneTurn,
 }
 
@@ -75,7 +75,7 @@
             &[LONG_DRAIN_GRACE],
         );
         let (watch, _) = agent.call();
-        // One whose backend hangs, one with half a line.
+        // One client whose backend hangs, one that has sent half a line.
         let mut hangs = relay.open("once", 1_500);
         let mut half = relay.client();
         half.say("OPEN ffffffffffffffaa 7f3a9c2");
@@ -106,7 +106,7 @@
         for client in [&mut half, &mut late] {
             assert_eq!(client.hears().split(' ').next(), Some(up), "{moment:?}");
         }
-        // A dial that may have run is not refused; one never sent is.
+        // A session that may have run fails; one that was never sent is rejected.
         let answer = hangs.hears();
         assert!(
             answer.starts_with(if lists { "ERR" } else { "BUSY" }),
@@ -140,7 +140,7 @@
     let mut relay = start_with_settings(nobody(), &list(1, true, &[("b", address, "Ready")]), &[]);
     let mut client = relay.open("safe", 1_500);
     assert_eq!(client.hears(), "UP receipt");
-    // Its window is shut: nothing more passes, and what waits is unread.
+    // The client's receive window is full, and bytes wait on the way.
     let (mut before, mut same) = (0, 0);
     wait_for("the lines stand still", || {
         relay.signal("USR1");
