--- a/relay/src/session/actions.rs
+++ b/relay/src/session/actions.rs
@@ -23,8 +23,8 @@
     ) {
         self.make_room(registry, io);
         self.step(id.0, io, |session, shared, io| {
-            let number = session.attempts_requested;
-            session.attempts_requested += 1;
+            let number = session.placement.attempts_requested;
+            session.placement.attempts_requested += 1;
             session.start_attempt(number, backend, timeout, shared, registry, io)
         });
     }
@@ -120,7 +120,10 @@
 
 impl Session {
     fn cancel_attempt(&mut self, number: u32, io: &mut IoContext) {
-        let hedge = self.hedge.take_if(|hedge| hedge.attempt.number == number);
+        let hedge = self
+            .placement
+            .hedge
+            .take_if(|hedge| hedge.attempt.number == number);
         if let Some(mut hedge) = hedge {
             hedge.to_client.clear(&mut io.pool);
             let failure = hedge.attempt.failure(FailureCause::Cancelled);
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -23,7 +23,7 @@
 impl Session {
     /// The attempts that are under way.
     pub(super) fn attempts(&self) -> impl Iterator<Item = &Attempt> {
-        let hedge = self.hedge.as_ref().map(|hedge| &hedge.attempt);
+        let hedge = self.placement.hedge.as_ref().map(|hedge| &hedge.attempt);
         self.attempt.iter().chain(hedge)
     }
 
@@ -58,7 +58,7 @@
         match Attempt::begin(self.id, plan, io) {
             Ok(attempt) if self.attempt.is_some() => {
                 io.counters.second_dials += 1;
-                self.hedge = Some(Box::new(HedgedAttempt {
+                self.placement.hedge = Some(Box::new(HedgedAttempt {
                     attempt,
                     to_client: LineBuffer::default(),
                 }));
@@ -77,15 +77,19 @@
         timeout: Duration,
         registry: &EndpointRegistry,
     ) -> Option<AttemptPlan> {
-        let request = self.request.as_ref().filter(|_| self.hedge.is_none())?;
-        self.attempt_serial += 1;
+        let request = self
+            .placement
+            .request
+            .as_ref()
+            .filter(|_| self.placement.hedge.is_none())?;
+        self.placement.attempt_serial += 1;
         let connect_timeout = self
             .route
             .as_ref()
             .map_or(Duration::ZERO, |route| route.timeouts.connect_timeout);
         Some(AttemptPlan {
             number,
-            serial: self.attempt_serial,
+            serial: self.placement.attempt_serial,
             backend,
             address: registry.address(backend),
             request: request.line(timeout),
@@ -100,7 +104,12 @@
         if self.attempt.as_ref().is_some_and(&is_meant) {
             return true;
         }
-        let Some(hedge) = self.hedge.as_mut().filter(|hedge| is_meant(&hedge.attempt)) else {
+        let Some(hedge) = self
+            .placement
+            .hedge
+            .as_mut()
+            .filter(|hedge| is_meant(&hedge.attempt))
+        else {
             return false;
         };
         let is_placing = self.stage == Stage::Placing;
@@ -127,7 +136,7 @@
         };
         self.to_client.clear(&mut io.pool);
         self.to_client = LineBuffer::default();
-        if let Some(hedge) = self.hedge.take() {
+        if let Some(hedge) = self.placement.hedge.take() {
             self.attempt = Some(hedge.attempt);
             self.to_client = hedge.to_client;
         }
@@ -136,7 +145,7 @@
 
     /// Drops a hedged attempt without reporting its end.
     pub(super) fn drop_hedge(&mut self, pool: &mut Pool) {
-        if let Some(mut hedge) = self.hedge.take() {
+        if let Some(mut hedge) = self.placement.hedge.take() {
             hedge.to_client.clear(pool);
         }
     }
--- a/relay/src/session/backend.rs
+++ b/relay/src/session/backend.rs
@@ -124,7 +124,7 @@
         if self.stage != Stage::Established {
             return self.backend_ended(io);
         }
-        if self.final_message.is_some() || self.to_backend.has_ended {
+        if self.relaying.final_message.is_some() || self.to_backend.has_ended {
             // The session had ended on one side: an end, whatever the system makes of it.
             self.to_client.has_ended = true;
             return self.backend_ended(io);
@@ -143,7 +143,7 @@
 
     /// Writes the client's lines that wait for the backend, and their end behind them.
     pub(super) fn write_to_backend(&mut self, io: &mut IoContext) -> Disposition {
-        if self.is_backend_shut {
+        if self.relaying.is_backend_shut {
             return Keep;
         }
         let Some(attempt) = &mut self.attempt else {
@@ -155,14 +155,14 @@
         {
             Ok(true) if self.to_backend.has_ended => {
                 attempt.connection.finish_sending();
-                self.is_backend_shut = true;
+                self.relaying.is_backend_shut = true;
             }
             Ok(_) => {}
             Err(_) => {
                 // Nothing more gets there; what the backend sent before is still to be read, then
                 // its end.
                 self.to_backend.clear(&mut io.pool);
-                self.is_backend_shut = self.to_backend.has_ended;
+                self.relaying.is_backend_shut = self.to_backend.has_ended;
             }
         }
         self.remove_if_both_ended(io)
--- a/relay/src/session/client.rs
+++ b/relay/src/session/client.rs
@@ -145,9 +145,12 @@
         if self.stage == Stage::Closing {
             return self.start_draining(io);
         }
-        if self.stage == Stage::Established && self.to_client.has_ended && !self.is_client_shut {
+        if self.stage == Stage::Established
+            && self.to_client.has_ended
+            && !self.relaying.is_client_shut
+        {
             self.client.finish_sending();
-            self.is_client_shut = true;
+            self.relaying.is_client_shut = true;
         }
         self.remove_if_both_ended(io)
     }
--- a/relay/src/session/closing.rs
+++ b/relay/src/session/closing.rs
@@ -109,11 +109,16 @@
     /// Reports the end of an established session to the balancer, once. The backend's final
     /// message, if there was one, takes precedence over `outcome`.
     pub(super) fn report_session_end(&mut self, outcome: AttemptOutcome, io: &mut IoContext) {
-        let Some(attempt) = self.attempt.as_ref().filter(|_| !self.is_end_reported) else {
+        let Some(attempt) = self
+            .attempt
+            .as_ref()
+            .filter(|_| !self.relaying.is_end_reported)
+        else {
             return;
         };
-        self.is_end_reported = true;
+        self.relaying.is_end_reported = true;
         let (outcome, report) = self
+            .relaying
             .final_message
             .unwrap_or((outcome, LoadReport::default()));
         match outcome {
--- a/relay/src/session/established.rs
+++ b/relay/src/session/established.rs
@@ -22,7 +22,7 @@
             match self.to_backend.next_line() {
                 Ok(Some(_)) => {
                     io.counters.lines_up += 1;
-                    if self.latency.request_relayed(io.now) {
+                    if self.relaying.latency.request_relayed(io.now) {
                         self.watch_response(io);
                     }
                 }
@@ -45,9 +45,9 @@
         let id = self.session_id();
         match message {
             BackendMessage::Load(latency_ms) if shared.names.notes_tell_delay => {
-                self.latency.reported = Duration::from_millis(1) * latency_ms;
+                self.relaying.latency.reported = Duration::from_millis(1) * latency_ms;
                 io.news
-                    .push_back(Event::LatencyObserved(id, self.latency.reported));
+                    .push_back(Event::LatencyObserved(id, self.relaying.latency.reported));
             }
             BackendMessage::Load(load) => {
                 if let Some(metadata) = &mut self.metadata {
@@ -55,9 +55,11 @@
                 }
                 io.news.push_back(Event::LoadObserved(id, load));
             }
-            BackendMessage::Final(outcome, report) => self.final_message = Some((outcome, report)),
+            BackendMessage::Final(outcome, report) => {
+                self.relaying.final_message = Some((outcome, report))
+            }
             BackendMessage::Accepted | BackendMessage::Data => {
-                if let Some(latency) = self.latency.response_relayed(io.now) {
+                if let Some(latency) = self.relaying.latency.response_relayed(io.now) {
                     io.news.push_back(Event::LatencyObserved(id, latency));
                 }
             }
@@ -66,8 +68,8 @@
 
     /// Sets the timer that watches a line of the client without an answer.
     pub(super) fn watch_response(&mut self, io: &mut IoContext) {
-        if !self.latency.is_timer_set && self.latency.pending_since.is_some() {
-            self.latency.is_timer_set = true;
+        if !self.relaying.latency.is_timer_set && self.relaying.latency.pending_since.is_some() {
+            self.relaying.latency.is_timer_set = true;
             io.alarms.set(
                 io.now + RESPONSE_OVERDUE_INTERVAL,
                 Timer::ResponseOverdue(self.id),
@@ -77,14 +79,15 @@
 
     /// A line of the client may have waited too long for an answer.
     pub(super) fn response_timer_fired(&mut self, io: &mut IoContext) {
-        self.latency.is_timer_set = false;
-        let (Some(pending_since), Stage::Established) = (self.latency.pending_since, self.stage)
+        self.relaying.latency.is_timer_set = false;
+        let (Some(pending_since), Stage::Established) =
+            (self.relaying.latency.pending_since, self.stage)
         else {
             return;
         };
         let waited = io.now.duration_since(pending_since);
         let next = if waited >= RESPONSE_OVERDUE_INTERVAL {
-            if !self.is_end_reported {
+            if !self.relaying.is_end_reported {
                 io.news
                     .push_back(Event::ResponseOverdue(self.session_id(), waited));
             }
@@ -93,7 +96,7 @@
             // The timer was set for an earlier line.
             pending_since + RESPONSE_OVERDUE_INTERVAL
         };
-        self.latency.is_timer_set = true;
+        self.relaying.latency.is_timer_set = true;
         io.alarms.set(next, Timer::ResponseOverdue(self.id));
     }
 
@@ -125,7 +128,10 @@
 
     /// Removes the session once both ends have passed to the other side.
     pub(super) fn remove_if_both_ended(&mut self, io: &mut IoContext) -> Disposition {
-        if self.stage == Stage::Established && self.is_backend_shut && self.is_client_shut {
+        if self.stage == Stage::Established
+            && self.relaying.is_backend_shut
+            && self.relaying.is_client_shut
+        {
             self.report_session_end(AttemptOutcome::Ok, io);
             return Remove;
         }
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -192,14 +192,14 @@
         match self.stage {
             Stage::Handshake | Stage::Placing | Stage::Inherited => Readiness::NotYet,
             Stage::Established => {
-                let is_ending = self.is_end_reported
+                let is_ending = self.relaying.is_end_reported
                     || self.to_backend.has_ended
                     || self.to_client.has_ended
-                    || self.final_message.is_some()
+                    || self.relaying.final_message.is_some()
                     || self.close_at.is_some();
                 if is_ending {
                     Readiness::Never
-                } else if self.output.waits() || self.hedge.is_some() {
+                } else if self.output.waits() || self.placement.hedge.is_some() {
                     Readiness::NotYet
                 } else {
                     Readiness::Ready
@@ -230,8 +230,8 @@
             group: metadata.group,
             backend: registry.name(attempt.backend).to_string(),
             heard_us: self.last_activity.as_micros(),
-            asked_us: self.latency.pending_since.map(Instant::as_micros),
-            told_delay_us: self.latency.reported.as_micros(),
+            asked_us: self.relaying.latency.pending_since.map(Instant::as_micros),
+            told_delay_us: self.relaying.latency.reported.as_micros(),
             load: metadata.load,
             up: (to_backend.len(), to_backend_lines),
             down: (to_client.len(), to_client_lines),
@@ -252,7 +252,7 @@
         if metadata.is_some_and(|metadata| metadata.is_migration_due) {
             return self.migrate(io);
         }
-        self.latency.is_timer_set = false;
+        self.relaying.latency.is_timer_set = false;
         self.watch_response(io);
         Keep
     }
@@ -269,8 +269,8 @@
         self.was_established = true;
         self.attempt = Some(Attempt::adopted(backend, connection, now));
         self.last_activity = Instant::from_micros(handover.heard_us);
-        self.latency.pending_since = handover.asked_us.map(Instant::from_micros);
-        self.latency.reported = Duration::from_micros(handover.told_delay_us);
+        self.relaying.latency.pending_since = handover.asked_us.map(Instant::from_micros);
+        self.relaying.latency.reported = Duration::from_micros(handover.told_delay_us);
         self.metadata = Some(Box::new(SessionMetadata {
             listener: handover.listener.clone(),
             key: handover.key,
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -106,7 +106,7 @@
         self.choose_route(&mut request, shared);
         let arrival = request.arrival;
         let is_inherited = request.at.is_some();
-        self.request = Some(request);
+        self.placement.request = Some(request);
         if is_inherited {
             self.stage = Stage::Inherited;
             return self.attempt_inherited(shared, registry, io);
--- a/relay/src/session/inherited.rs
+++ b/relay/src/session/inherited.rs
@@ -31,6 +31,7 @@
             return Keep;
         }
         let name = self
+            .placement
             .request
             .as_ref()
             .and_then(|request| request.at.as_deref());
--- a/relay/src/session/placement.rs
+++ b/relay/src/session/placement.rs
@@ -44,7 +44,7 @@
         if is_known_to_balancer {
             io.news.push_back(Event::SessionLeft(self.session_id()));
         }
-        if let Some(mut hedge) = self.hedge.take() {
+        if let Some(mut hedge) = self.placement.hedge.take() {
             hedge.to_client.clear(&mut io.pool);
             let failure = hedge.attempt.failure(FailureCause::Cancelled);
             self.report_attempt_end(hedge.attempt.number, failure, io);
@@ -96,16 +96,17 @@
             return;
         };
         attempt.stage = AttemptStage::Established;
-        io.news.push_back(match (self.stage, &self.request) {
-            (Stage::Inherited, Some(request)) => {
-                io.counters.inherited += 1;
-                Event::SessionInherited(id, attempt.backend, request.arrival)
-            }
-            _ => Event::AttemptReady(id, attempt.number),
-        });
+        io.news
+            .push_back(match (self.stage, &self.placement.request) {
+                (Stage::Inherited, Some(request)) => {
+                    io.counters.inherited += 1;
+                    Event::SessionInherited(id, attempt.backend, request.arrival)
+                }
+                _ => Event::AttemptReady(id, attempt.number),
+            });
         io.counters.accepted += 1;
         self.stage = Stage::Established;
-        self.request = None;
+        self.placement.request = None;
         self.was_established = true;
         if let Some(idle_timeout) = self.idle_timeout() {
             io.alarms
--- a/relay/src/session/state.rs
+++ b/relay/src/session/state.rs
@@ -19,19 +19,16 @@
     pub(super) id: u32,
     pub(super) stage: Stage,
     pub(super) client: Connection,
-    /// The client's request, until a backend has accepted it.
-    pub(super) request: Option<Box<OpenRequest>>,
     /// What the successor process needs to know of it.
     pub(super) metadata: Option<Box<SessionMetadata>>,
     /// Known once the first line is read.
     pub(super) route: Option<SessionRoute>,
+    /// What finds it a backend.
+    pub(super) placement: PlacementState,
+    /// The attempt under way or, once established, the connection to the backend.
     pub(super) attempt: Option<Attempt>,
-    /// A second attempt beside the first, until one of them is accepted.
-    pub(super) hedge: Option<Box<HedgedAttempt>>,
-    /// How many attempts the balancer has requested.
-    pub(super) attempts_requested: u32,
-    /// Serial of the latest attempt.
-    pub(super) attempt_serial: u32,
+    /// What is known of it once it is established.
+    pub(super) relaying: RelayingState,
     /// Lines from the client on their way to the backend.
     pub(super) to_backend: LineBuffer,
     /// Lines from the backend on their way to the client.
@@ -47,6 +44,28 @@
     pub(super) open_id: Option<u64>,
     /// It has been established: shedding it would lose what is still on its way.
     pub(super) was_established: bool,
+    /// When it is closed, whatever is still on its way.
+    pub(super) close_at: Option<Instant>,
+    /// It waits for a buffer of the pool.
+    pub(super) is_starved: bool,
+}
+
+/// State of a session that a backend is still to accept.
+#[derive(Default)]
+pub(super) struct PlacementState {
+    /// The client's request, until a backend has accepted it.
+    pub(super) request: Option<Box<OpenRequest>>,
+    /// A second attempt beside the first, until one of them is accepted.
+    pub(super) hedge: Option<Box<HedgedAttempt>>,
+    /// How many attempts the balancer has requested.
+    pub(super) attempts_requested: u32,
+    /// Serial of the latest attempt.
+    pub(super) attempt_serial: u32,
+}
+
+/// State of an established session.
+#[derive(Default)]
+pub(super) struct RelayingState {
     pub(super) latency: ResponseLatency,
     /// How the backend itself said that the session ended.
     pub(super) final_message: Option<(AttemptOutcome, LoadReport)>,
@@ -56,10 +75,6 @@
     pub(super) is_backend_shut: bool,
     /// The backend's end has been passed on to the client.
     pub(super) is_client_shut: bool,
-    /// When it is closed, whatever is still on its way.
-    pub(super) close_at: Option<Instant>,
-    /// It waits for a buffer of the pool.
-    pub(super) is_starved: bool,
 }
 
 /// A second attempt, and what its backend has sent.
@@ -93,13 +108,11 @@
             id,
             stage: Stage::Handshake,
             client,
-            request: None,
             metadata: None,
             route: None,
+            placement: PlacementState::default(),
             attempt: None,
-            hedge: None,
-            attempts_requested: 0,
-            attempt_serial: 0,
+            relaying: RelayingState::default(),
             to_backend: LineBuffer::default(),
             to_client: LineBuffer::default(),
             output: OutputBuffer::default(),
@@ -107,11 +120,6 @@
             last_activity: now,
             open_id: None,
             was_established: false,
-            latency: ResponseLatency::default(),
-            final_message: None,
-            is_end_reported: false,
-            is_backend_shut: false,
-            is_client_shut: false,
             close_at: None,
             is_starved: false,
         }
@@ -173,13 +181,13 @@
         if let Some(attempt) = &mut self.attempt {
             let has_lines = attempt.stage == AttemptStage::Established
                 && self.to_backend.has_writable()
-                && !self.is_backend_shut;
+                && !self.relaying.is_backend_shut;
             attempt.connection.want(
                 self.to_client.has_room() && !self.is_starved,
                 attempt.is_sending() || has_lines,
             );
         }
-        if let Some(hedge) = &mut self.hedge {
+        if let Some(hedge) = &mut self.placement.hedge {
             // Once the other attempt is accepted, this one only waits to be cancelled.
             let is_placing = self.stage == Stage::Placing;
             hedge.attempt.connection.want(
