--- a/relay/tests/session/handshake.rs
+++ b/relay/tests/session/handshake.rs
@@ -46,55 +46,28 @@
     let several = (0..300)
         .map(|_| open_line("c=safe,d=1000"))
         .collect::<String>();
+    let fails = |name, text: String| (name, text, &["ERR", "end"][..]);
+    let open_fails = |name, items: &str| fails(name, open_line(items));
     let cases = [
         ("nothing", String::new(), &["end"][..]),
         (
-            "a question and then nothing",
+            "a ping and then nothing",
             "PING\r\n".into(),
             &["PONG", "end"],
         ),
-        ("half a line", "OPEN 1 2 c=sa".into(), &["ERR", "end"]),
-        (
+        fails("half a line", "OPEN 1 2 c=sa".into()),
+        fails(
             "another's id",
             format!("OPEN {id} 0000000000000001 c=safe,d=1000\r\n"),
-            &["ERR", "end"],
-        ),
-        (
-            "no id",
-            "OPEN 7f3a9c21e0b4d655 c=safe,d=1000\r\n".into(),
-            &["ERR", "end"],
-        ),
-        (
-            "a name twice",
-            open_line("c=safe,d=1000,c=safe"),
-            &["ERR", "end"],
-        ),
-        (
-            "a wait that is none",
-            open_line("c=safe,d=-1"),
-            &["ERR", "end"],
-        ),
-        (
-            "an unknown listener",
-            open_line("c=safer,d=1000"),
-            &["ERR", "end"],
-        ),
-        (
-            "an unknown backend",
-            open_line("c=safe,d=1000,at=b7"),
-            &["ERR", "end"],
-        ),
-        ("hundreds at once", several, &["ERR", "end"]),
-        (
-            "a value of 60 MB",
-            open_line(&format!("c=safe,d=1000,x={huge}")),
-            &["ERR", "end"],
-        ),
-        (
-            "60 MB behind a bad line",
-            format!("what\r\n{huge}"),
-            &["ERR", "end"],
         ),
+        fails("no id", "OPEN 7f3a9c21e0b4d655 c=safe,d=1000\r\n".into()),
+        open_fails("a name twice", "c=safe,d=1000,c=safe"),
+        open_fails("an invalid wait", "c=safe,d=-1"),
+        open_fails("an unknown listener", "c=safer,d=1000"),
+        open_fails("an unknown backend", "c=safe,d=1000,at=b7"),
+        fails("hundreds at once", several),
+        open_fails("a value of 60 MB", &format!("c=safe,d=1000,x={huge}")),
+        fails("60 MB behind a bad line", format!("what\r\n{huge}")),
     ];
     for (name, text, expected) in cases {
         let (began, mut client) = (Instant::now(), relay.client());
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -1,7 +1,7 @@
 //! Sessions that wait for a backend: answers, and attempts that are given up.
 use crate::helper::*;
 use std::io::{BufRead, BufReader};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
@@ -324,12 +324,7 @@
             Removal::ByHand => {
                 send(&watch, &chunk(&list(2, false, &rows[..1])));
                 relay.wait_for_counter("lists", 2);
-                let operator = TcpStream::connect(admin).unwrap();
-                operator.set_read_timeout(Some(LONG)).unwrap();
-                send(&operator, "DISABLE late\r\n");
-                let mut answer = String::new();
-                BufReader::new(&operator).read_line(&mut answer).unwrap();
-                assert!(answer.starts_with("200"), "{answer}");
+                ban_by_hand("late", admin);
             }
         }
         // Nothing was sent to the first backend, so even a non-idempotent session may go elsewhere.
@@ -340,3 +335,13 @@
         }
     }
 }
+
+/// Bans a backend at the admin port.
+fn ban_by_hand(backend: &str, admin: SocketAddr) {
+    let operator = TcpStream::connect(admin).unwrap();
+    operator.set_read_timeout(Some(LONG)).unwrap();
+    send(&operator, &format!("DISABLE {backend}\r\n"));
+    let mut answer = String::new();
+    BufReader::new(&operator).read_line(&mut answer).unwrap();
+    assert!(answer.starts_with("200"), "{answer}");
+}
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -65,73 +65,71 @@
         StopMoment::AfterSettings,
         StopMoment::InOneTurn,
     ] {
-        let agent = DiscoveryAgent::new();
-        let ((echo, _received), (mute, mute_received)) = (backend(Play::Echo), backend(Play::Mute));
-        let known = list(1, true, &[("mute", mute, "Ready")]);
-        let lists = moment != StopMoment::BeforeAnyList;
-        let mut relay = start_with_settings(
-            agent.at,
-            if lists { &known } else { "null" },
-            &[LONG_DRAIN_GRACE],
-        );
-        let (watch, _) = agent.call();
-        // One client whose backend hangs, one that has sent half a line.
-        let mut hangs = relay.open("once", 1_500);
-        let mut half = relay.client();
-        half.say("OPEN ffffffffffffffaa 7f3a9c2");
-        if lists {
-            while !next(&mute_received).starts_with("OPEN") {}
-            let rows = [("mute", mute, "Terminating"), ("echo", echo, "Ready")];
-            send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
-            relay.wait_for_counter("lists", 1);
-        }
-        let mut inside = (moment == StopMoment::AfterSettings).then(|| relay.open("safe", 1_500));
-        inside
-            .iter_mut()
-            .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-        if moment == StopMoment::AfterSettings {
-            relay.told("\"maxDials\": 1", "\"maxDials\": 2");
-        }
-        let began = Instant::now();
-        relay.suspend();
-        let mut late = relay.open("safe", 1_500);
+        assert_all_answered_in_time(moment);
+    }
+}
+
+fn assert_all_answered_in_time(moment: StopMoment) {
+    let agent = DiscoveryAgent::new();
+    let ((echo, _received), (mute, mute_received)) = (backend(Play::Echo), backend(Play::Mute));
+    let lists = moment != StopMoment::BeforeAnyList;
+    let known = if lists {
+        list(1, true, &[("mute", mute, "Ready")])
+    } else {
+        "null".into()
+    };
+    let mut relay = start_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
+    let (watch, _) = agent.call();
+    // One client whose backend hangs, one that has sent half a line.
+    let mut hangs = relay.open("once", 1_500);
+    let mut half = relay.client();
+    half.say("OPEN ffffffffffffffaa 7f3a9c2");
+    if lists {
+        while !next(&mute_received).starts_with("OPEN") {}
+        let rows = [("mute", mute, "Terminating"), ("echo", echo, "Ready")];
+        send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
+        relay.wait_for_counter("lists", 1);
+    }
+    let mut established = Vec::new();
+    if moment == StopMoment::AfterSettings {
+        let mut client = relay.open("safe", 1_500);
+        assert_eq!(client.hears(), "UP receipt");
+        established.push(client);
+        relay.told("\"maxDials\": 1", "\"maxDials\": 2");
+    }
+    let began = Instant::now();
+    relay.suspend();
+    let mut late = relay.open("safe", 1_500);
+    relay.signal("TERM");
+    relay.signal("CONT");
+    relay.logged("told to stop");
+    if moment == StopMoment::Twice {
         relay.signal("TERM");
-        relay.signal("CONT");
-        relay.logged("told to stop");
-        if moment == StopMoment::Twice {
-            relay.signal("TERM");
-        }
-        half.say("1e0b4d655 c=safe,d=1500\r\n");
-        let up = if lists { "UP" } else { "BUSY" };
-        for client in [&mut half, &mut late] {
-            assert_eq!(client.hears().split(' ').next(), Some(up), "{moment:?}");
-        }
-        // A session that may have run fails; one that was never sent is rejected.
-        let answer = hangs.hears();
-        assert!(
-            answer.starts_with(if lists { "ERR" } else { "BUSY" }),
-            "{moment:?}: {answer}"
-        );
-        for client in inside.iter_mut().chain(
-            lists
-                .then_some([&mut half, &mut late])
-                .into_iter()
-                .flatten(),
-        ) {
-            assert_eq!(
-                [client.hears(), client.hears()],
-                ["MOVE", "end"],
-                "{moment:?}"
-            );
-        }
-        drop((inside, half, late, hangs));
-        assert!(end_of(&mut relay.child).success(), "{moment:?}");
-        assert!(
-            began.elapsed() < Duration::from_millis(2_200),
-            "{moment:?}: {:?}",
-            began.elapsed()
-        );
     }
+    half.say("1e0b4d655 c=safe,d=1500\r\n");
+    let up = if lists { "UP" } else { "BUSY" };
+    for client in [&mut half, &mut late] {
+        assert_eq!(client.hears().split(' ').next(), Some(up), "{moment:?}");
+    }
+    // A session that may have run fails; one that was never sent is rejected.
+    let (answer, expected) = (hangs.hears(), if lists { "ERR" } else { "BUSY" });
+    assert!(answer.starts_with(expected), "{moment:?}: {answer}");
+    if lists {
+        established.extend([half, late]);
+    } else {
+        drop((half, late));
+    }
+    for client in &mut established {
+        let end = [client.hears(), client.hears()];
+        assert_eq!(end, ["MOVE", "end"], "{moment:?}");
+    }
+    drop((established, hangs));
+    assert!(end_of(&mut relay.child).success(), "{moment:?}");
+    assert!(
+        began.elapsed() < Duration::from_millis(2_200),
+        "{moment:?}: {:?}",
+        began.elapsed()
+    );
 }
 
 #[test]
