--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,14 +1,17 @@
 //! The relay on sockets, for a process of its own or inside another: read a `Posting`, start a
 //! `Service`, run it.
 mod admin;
+mod attempt;
 mod bans;
 mod buffers;
 mod counters;
 mod discovery;
 mod driver;
+mod health_check;
 mod hot_restart;
 mod io_context;
 mod line_buffer;
+mod output_buffer;
 mod peers;
 mod protocol;
 mod service;
--- /dev/null
+++ b/relay/src/session/handover.rs
@@ -0,0 +1,307 @@
+//! Handing sessions over to the successor process and adopting those of the predecessor, without
+//! the client or the backend noticing.
+use super::shared::Shared;
+use super::stage::Disposition::{self, Keep, Remove};
+use super::stage::Stage;
+use super::state::{Session, SessionMetadata};
+use super::table::Sessions;
+use crate::attempt::Attempt;
+use crate::discovery::watch::EndpointRegistry;
+use crate::driver::Event;
+use crate::hot_restart::channel::Channel;
+use crate::hot_restart::messages::{Message, SessionHandover};
+use crate::io_context::IoContext;
+use crate::line_buffer::LineBuffer;
+use crate::sockets::{Connection, SocketOwner};
+use crate::timers::Timer;
+use std::os::fd::OwnedFd;
+use thistlecroft::attempt::{Arrival, AttemptOutcome};
+use thistlecroft::ids::{BackendId, RouteId, SessionId};
+use thistlecroft::time::{Duration, Instant};
+
+/// Sessions that are looked at in one turn, for one that may go.
+const MAX_OFFER_CANDIDATES_PER_TURN: usize = 64;
+
+/// Between two looks at the sessions that are still to go.
+const OFFER_INTERVAL: Duration = Duration::from_millis(10);
+
+/// Without an answer for so long the session stays, and is migrated as if there were no successor.
+const OFFER_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Descriptors of a session that is handed over: its client's and its backend's.
+const DESCRIPTORS_PER_SESSION: usize = 2;
+
+/// Whether a session can be offered to the successor.
+enum Readiness {
+    Ready,
+    /// It may be later.
+    NotYet,
+    Never,
+}
+
+impl Sessions {
+    /// All sessions that are established, or will be, are to go to the successor.
+    pub(crate) fn hand_over_to_successor(&mut self, io: &mut IoContext) {
+        self.offers.waiting = self.sessions.keys().copied().collect();
+        io.alarms.set(io.now, Timer::OfferSessions);
+    }
+
+    /// Offers as many sessions as may be on their way at once.
+    ///
+    /// # Errors
+    /// The successor is gone.
+    pub(crate) fn offer(
+        &mut self,
+        successor: &Channel,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) -> std::io::Result<()> {
+        let candidates = self.offers.waiting.len().min(MAX_OFFER_CANDIDATES_PER_TURN);
+        for _ in 0..candidates {
+            if self.offers.is_full() {
+                break;
+            }
+            let Some(id) = self.offers.waiting.pop_front() else {
+                break;
+            };
+            let Some(session) = self.sessions.get_mut(&id) else {
+                continue;
+            };
+            match session.handover_readiness() {
+                Readiness::Ready if session.send_offer(successor, registry)? => {
+                    self.offers.offer_sent();
+                    io.alarms
+                        .set(io.now + OFFER_TIMEOUT, Timer::OfferTimeout(id));
+                }
+                Readiness::Ready | Readiness::NotYet => self.offers.waiting.push_back(id),
+                Readiness::Never => {}
+            }
+        }
+        if !self.offers.waiting.is_empty() {
+            io.alarms.set(io.now + OFFER_INTERVAL, Timer::OfferSessions);
+        }
+        Ok(())
+    }
+
+    /// The successor holds the session: this process drops it without writing to either side.
+    ///
+    /// # Errors
+    /// The successor is gone, or does not read.
+    pub(crate) fn handed(
+        &mut self,
+        id: u32,
+        successor: &Channel,
+        io: &mut IoContext,
+    ) -> std::io::Result<()> {
+        if !self.is_offered(id) {
+            return Ok(());
+        }
+        if !successor.send(&Message::Yours { serial: id }, &[], &[])? {
+            return Err(std::io::Error::other("the successor does not read"));
+        }
+        self.offers.offer_settled();
+        self.step(id, io, |session, _, io| {
+            io.counters.handed += 1;
+            session.report_session_end(AttemptOutcome::Cancelled, io);
+            Remove
+        });
+        Ok(())
+    }
+
+    /// The session stays after all; true where it had been offered.
+    pub(crate) fn keep(&mut self, id: u32, io: &mut IoContext) -> bool {
+        let is_offered = self.is_offered(id);
+        if is_offered {
+            self.offers.offer_settled();
+            self.step(id, io, |session, _, io| session.resume_after_offer(io));
+        }
+        is_offered
+    }
+
+    /// There is no successor any more: all sessions stay.
+    pub(crate) fn keep_all(&mut self, io: &mut IoContext) {
+        self.offers.waiting.clear();
+        let offered: Vec<u32> = self
+            .sessions
+            .iter()
+            .filter(|(_, session)| session.stage == Stage::HandingOver)
+            .map(|(&id, _)| id)
+            .collect();
+        for id in offered {
+            self.keep(id, io);
+        }
+    }
+
+    fn is_offered(&self, id: u32) -> bool {
+        let session = self.sessions.get(&id);
+        session.is_some_and(|session| session.stage == Stage::HandingOver)
+    }
+
+    /// Whether a session of the predecessor fits in. What that holds does not count: a session that
+    /// comes from there is one less over there.
+    pub(crate) fn has_room(&self, io: &IoContext) -> bool {
+        io.sockets.own() + DESCRIPTORS_PER_SESSION <= self.shared.max_descriptors
+    }
+
+    /// Takes over a session that the predecessor has let go of, with the bytes that waited on their
+    /// way to the backend and to the client.
+    ///
+    /// # Errors
+    /// The system can't take a connection up, or there is no buffer for the bytes: the session is
+    /// lost.
+    pub(crate) fn adopt(
+        &mut self,
+        handover: &SessionHandover,
+        [client, backend]: [OwnedFd; 2],
+        (to_backend, to_client): (&[u8], &[u8]),
+        registry: &mut EndpointRegistry,
+        io: &mut IoContext,
+    ) -> std::io::Result<()> {
+        let id = self.next_id;
+        let backend_id = registry.enter(&handover.backend);
+        let client = io.sockets.adopt(SocketOwner::Client(id), client.into())?;
+        let backend = io.sockets.adopt(SocketOwner::Attempt(id), backend.into())?;
+        let mut restore = |bytes, line_bytes| {
+            LineBuffer::restore(bytes, line_bytes, &mut io.pool)
+                .ok_or_else(|| std::io::Error::other("no buffer"))
+        };
+        let to_backend = restore(to_backend, handover.up.1)?;
+        let to_client = restore(to_client, handover.down.1)?;
+        self.next_id = self.next_id.wrapping_add(1);
+
+        let mut session = Session::new(id, client, io.now, io.now);
+        (session.to_backend, session.to_client) = (to_backend, to_client);
+        session.restore(handover, backend_id, backend, io.now);
+        let arrival = session.restore_route(handover, &mut self.shared);
+        session.watch_response(io);
+        self.sessions.insert(id, session);
+        io.counters.adopted += 1;
+        let id = SessionId(id);
+        io.news
+            .push_back(Event::SessionInherited(id, backend_id, arrival));
+        if let Some(load) = handover.load {
+            io.news.push_back(Event::LoadObserved(id, load));
+        }
+        self.step(id.0, io, |_, _, _| Keep);
+        Ok(())
+    }
+}
+
+impl Session {
+    fn handover_readiness(&self) -> Readiness {
+        match self.stage {
+            Stage::Handshake | Stage::Placing | Stage::Inherited => Readiness::NotYet,
+            Stage::Established => {
+                let is_ending = self.relaying.is_end_reported
+                    || self.to_backend.has_ended
+                    || self.to_client.has_ended
+                    || self.relaying.final_message.is_some()
+                    || self.close_at.is_some();
+                if is_ending {
+                    Readiness::Never
+                } else if self.output.waits() || self.placement.hedge.is_some() {
+                    Readiness::NotYet
+                } else {
+                    Readiness::Ready
+                }
+            }
+            Stage::HandingOver | Stage::Closing | Stage::Draining => Readiness::Never,
+        }
+    }
+
+    /// Offers the session to the successor; true where the offer went out.
+    fn send_offer(
+        &mut self,
+        successor: &Channel,
+        registry: &EndpointRegistry,
+    ) -> std::io::Result<bool> {
+        let (Some(attempt), Some(metadata), Some(open_id)) =
+            (&self.attempt, &self.metadata, self.open_id)
+        else {
+            return Ok(false);
+        };
+        let (to_backend, to_backend_lines) = self.to_backend.waiting();
+        let (to_client, to_client_lines) = self.to_client.waiting();
+        let message = Message::Session(SessionHandover {
+            serial: self.id,
+            id: open_id,
+            listener: metadata.listener.clone(),
+            key: metadata.key,
+            group: metadata.group,
+            backend: registry.name(attempt.backend).to_string(),
+            heard_us: self.last_activity.as_micros(),
+            asked_us: self.relaying.latency.pending_since.map(Instant::as_micros),
+            told_delay_us: self.relaying.latency.reported.as_micros(),
+            load: metadata.load,
+            up: (to_backend.len(), to_backend_lines),
+            down: (to_client.len(), to_client_lines),
+        });
+        let descriptors = [self.client.descriptor(), attempt.connection.descriptor()];
+        if !successor.send(&message, &[to_backend, to_client], &descriptors)? {
+            return Ok(false);
+        }
+        self.stage = Stage::HandingOver;
+        self.update_interests();
+        Ok(true)
+    }
+
+    /// The session was offered and stays.
+    fn resume_after_offer(&mut self, io: &mut IoContext) -> Disposition {
+        self.stage = Stage::Established;
+        let metadata = self.metadata.as_ref();
+        if metadata.is_some_and(|metadata| metadata.is_migration_due) {
+            return self.migrate(io);
+        }
+        self.relaying.latency.is_timer_set = false;
+        self.watch_response(io);
+        Keep
+    }
+
+    /// Makes this the session that the predecessor held, with its backend's connection.
+    fn restore(
+        &mut self,
+        handover: &SessionHandover,
+        backend: BackendId,
+        connection: Connection,
+        now: Instant,
+    ) {
+        self.stage = Stage::Established;
+        self.was_established = true;
+        self.attempt = Some(Attempt::adopted(backend, connection, now));
+        self.last_activity = Instant::from_micros(handover.heard_us);
+        self.relaying.latency.pending_since = handover.asked_us.map(Instant::from_micros);
+        self.relaying.latency.reported = Duration::from_micros(handover.told_delay_us);
+        self.metadata = Some(Box::new(SessionMetadata {
+            listener: handover.listener.clone(),
+            key: handover.key,
+            group: handover.group,
+            load: handover.load,
+            is_migration_due: false,
+        }));
+    }
+
+    /// Finds the session's route in this process, and returns what the balancer needs to know.
+    fn restore_route(&mut self, handover: &SessionHandover, shared: &mut Shared) -> Arrival {
+        // The listener may be gone from these settings. The route then only decides how the session
+        // may be migrated, and any will do.
+        let listener = shared
+            .names
+            .listeners
+            .iter()
+            .position(|name| *name == handover.listener)
+            .unwrap_or(0);
+        let row =
+            shared
+                .routes
+                .route_for(listener, handover.key.unwrap_or_default(), handover.group);
+        self.route = Some(shared.bind_route(row));
+        let is_new = shared.open_ids.insert(handover.id);
+        self.open_id = is_new.then_some(handover.id);
+        Arrival {
+            route: RouteId(row as u16),
+            client_key: handover.key,
+            group: handover.group.filter(|_| shared.names.groups),
+            timeout: Duration::ZERO,
+        }
+    }
+}
--- /dev/null
+++ b/relay/tests/discovery/lists.rs
@@ -0,0 +1,179 @@
+//! What endpoint lists say, and in what form they come.
+use crate::helper::*;
+use std::io::Write;
+use std::net::SocketAddr;
+use std::time::Instant;
+
+#[test]
+fn list_old_empty_shrunken_or_readdressed_is_taken_as_it_says() {
+    let (here, _received) = backend(Play::Echo);
+    let dead = nobody();
+    let ready = |id, at| (id, at, "Ready");
+    let cached: Vec<(String, SocketAddr)> = (0..10).map(|id| (format!("old{id}"), dead)).collect();
+    let cached: Vec<_> = cached
+        .iter()
+        .map(|(id, at)| ready(id.as_str(), *at))
+        .collect();
+    let first = list(7, true, &[ready("one", here)]);
+    let three = list(
+        7,
+        true,
+        &[ready("one", here), ready("b", dead), ready("c", dead)],
+    );
+    let cases = [
+        UpdateCase {
+            name: "an older one",
+            lists: vec![first.clone(), list(5, false, &[("one", here, "Gone")])],
+            ..UpdateCase::new(1, "UP")
+        },
+        UpdateCase {
+            name: "a repeated one",
+            lists: vec![first.clone(), list(7, false, &[("one", here, "Gone")])],
+            ..UpdateCase::new(1, "UP")
+        },
+        UpdateCase {
+            name: "an empty one",
+            lists: vec![first.clone(), list(8, true, &[])],
+            ..UpdateCase::new(2, "BUSY")
+        },
+        UpdateCase {
+            name: "the last one gone",
+            lists: vec![first.clone(), list(8, false, &[("one", here, "Gone")])],
+            ..UpdateCase::new(2, "BUSY")
+        },
+        UpdateCase {
+            name: "a shrunken one",
+            lists: vec![three, list(8, true, &[ready("one", here)])],
+            ..UpdateCase::new(2, "UP")
+        },
+        UpdateCase {
+            name: "a known id elsewhere",
+            lists: vec![
+                list(7, true, &[ready("one", dead)]),
+                list(8, false, &[ready("one", here)]),
+            ],
+            ..UpdateCase::new(2, "UP")
+        },
+        UpdateCase {
+            name: "a cached one of backends that are gone",
+            known: list(3, true, &cached),
+            lists: vec![first.clone()],
+            ..UpdateCase::new(1, "UP")
+        },
+    ];
+    for case in cases {
+        case.check();
+    }
+}
+
+/// A sequence of endpoint lists.
+struct UpdateCase {
+    name: &'static str,
+    /// The list known at the start.
+    known: String,
+    lists: Vec<String>,
+    /// How many of the lists are accepted.
+    counted: u32,
+    /// The beginning of the answer to a client.
+    answer: &'static str,
+}
+
+impl UpdateCase {
+    fn new(counted: u32, answer: &'static str) -> UpdateCase {
+        UpdateCase {
+            name: "",
+            known: "null".into(),
+            lists: Vec::new(),
+            counted,
+            answer,
+        }
+    }
+
+    fn check(&self) {
+        let name = self.name;
+        let mut pieces = vec![HEAD.to_string()];
+        pieces.extend(self.lists.iter().map(|text| chunk(text)));
+        // Once this list is counted, all before it have been read.
+        pieces.push(chunk(&list(9, false, &[("last", nobody(), "Terminating")])));
+        let (at, _requests) = discovery(vec![Script {
+            pieces,
+            ends: false,
+        }]);
+        let relay = start(at, 1_000, &self.known, false);
+        let until = Instant::now() + LONG;
+        loop {
+            relay.signal("USR1");
+            let count = counted(&relay.logged(" lists="), "lists");
+            if count == self.counted + 1 {
+                break;
+            }
+            assert!(
+                count <= self.counted && Instant::now() < until,
+                "{name}: {count} lists"
+            );
+        }
+        let answer = relay.open("safe", 1_000).hears();
+        assert!(answer.starts_with(self.answer), "{name}: {answer}");
+    }
+}
+
+#[test]
+fn list_indented_is_taken_and_malformed_one_fails_its_request_alone() {
+    let (one, _received) = backend(Play::Echo);
+    let whole = list(
+        7,
+        true,
+        &[("one", one, "Ready"), ("a \\\"{[\\\\", one, "Terminating")],
+    );
+    let value: serde_json::Value = serde_json::from_str(&whole).unwrap();
+    let indented = serde_json::to_string_pretty(&value).unwrap();
+    let crossed = indented.replace('\n', "\r\n\t");
+    let plain_head = "HTTP/1.1 200 OK\r\n\r\n".to_string();
+    let cut = |at: &str| format!("{}\n", &whole[..whole.find(at).unwrap()]);
+    let good = |text: &str| (format!("{HEAD}{}", chunk(text)), true);
+    let bad = |text: String| (format!("{HEAD}{}{}", chunk(&text), chunk(&whole)), false);
+    let cases = [
+        ("on one line", good(&whole)),
+        ("indented", good(&indented)),
+        ("indented otherwise", good(&crossed)),
+        ("two in one piece", good(&format!("{indented}{whole}"))),
+        ("not in chunks", (format!("{plain_head}{crossed}"), true)),
+        ("cut off in a word", bad(cut("stanceId"))),
+        ("cut off between two words", bad(cut("\"hostPort"))),
+        (
+            "cut off by an empty line",
+            bad(format!("{{\"generation\":\n{}", "\n")),
+        ),
+        ("no list", bad("what".into())),
+        ("a list of another kind", bad("[7]".into())),
+        (
+            "a row that can't be read",
+            bad(whole.replace("Ready", "Steady")),
+        ),
+    ];
+    for (name, (text, is_accepted)) in cases {
+        let agent = DiscoveryAgent::new();
+        let relay = start_with_settings(agent.at, "null", &[]);
+        let (watch, _) = agent.call();
+        // Sent in pieces, so that every part of a list is also parsed across reads.
+        for piece in text.as_bytes().chunks(97) {
+            if (&watch).write_all(piece).is_err() {
+                break;
+            }
+        }
+        if is_accepted {
+            relay.wait_for_counter("lists", 1);
+            assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt", "{name}");
+        } else {
+            relay.wait_for_counter("list_failures", 1);
+            let mut client = relay.open("safe", 1_000);
+            assert!(
+                client.hears().starts_with("BUSY"),
+                "{name}: nothing of it counts"
+            );
+            let (watch, _) = agent.call();
+            send(&watch, &format!("{HEAD}{}", chunk(&whole)));
+            relay.wait_for_counter("lists", 1);
+        }
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/backend.rs
@@ -0,0 +1,173 @@
+//! Stand-ins for backends.
+use super::wait::*;
+use socket2::{Domain, Protocol, Socket, Type};
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::mpsc::{Receiver, Sender, channel};
+use std::thread;
+use std::time::Duration;
+
+/// What a backend does with a connection, after the first line.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub(crate) enum Play {
+    /// Accepts, then sends each line back and answers the client's end with `BYE`.
+    Echo,
+    /// Accepts with an answer in pieces.
+    Split,
+    Say(&'static str),
+    /// Accepts, sends this and ends the connection.
+    UpThen(&'static str),
+    UpThenReset,
+    /// Accepts, then reports a high latency every 100 ms; answers health checks with a load of 0.7.
+    ReportsHighLatency,
+    /// Accepts, then sends nothing.
+    UpMute,
+    Mute,
+    End,
+    TooLong,
+    /// Accepts, then sends so many lines without waiting for any.
+    Flood(usize),
+}
+
+/// What a backend received, in order: first lines, later lines, and `end` or `reset`.
+pub(crate) type Met = Receiver<String>;
+
+/// Starts a backend; returns its address and what it receives.
+pub(crate) fn backend(play: Play) -> (SocketAddr, Met) {
+    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let address = listener.local_addr().unwrap();
+    let (tell, met) = channel();
+    thread::spawn(move || {
+        for stream in listener.incoming() {
+            let tell = tell.clone();
+            thread::spawn(move || drop(serve(stream.unwrap(), play, tell)));
+        }
+    });
+    (address, met)
+}
+
+/// Serves one connection.
+pub(crate) fn serve(stream: TcpStream, play: Play, tell: Sender<String>) -> std::io::Result<()> {
+    stream.set_nodelay(true)?;
+    let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
+    let mut line = String::new();
+    lines.read_line(&mut line)?;
+    while line == "STATS\r\n" {
+        let _ = tell.send(std::mem::take(&mut line));
+        let load = match play {
+            Play::ReportsHighLatency => "0.7",
+            _ => "0.25",
+        };
+        out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
+        lines.read_line(&mut line)?;
+    }
+    let _ = tell.send(line.clone());
+    match play {
+        Play::Say(word) => return out.write_all(word.as_bytes()),
+        Play::Mute => return lines.read_to_string(&mut line).map(drop),
+        Play::End => return Ok(()),
+        Play::TooLong => return out.write_all(&[b'x'; 9_000]),
+        Play::Split => {
+            for piece in ["U", "P re", "ceipt\r", "\n"] {
+                out.write_all(piece.as_bytes())?;
+                thread::sleep(Duration::from_millis(5));
+            }
+        }
+        _ => out.write_all(b"UP receipt\r\n")?,
+    }
+    match play {
+        Play::UpThen(words) => return out.write_all(words.as_bytes()),
+        Play::UpThenReset => {
+            out.write_all(b"last\r\n")?;
+            // Closing with the client's line unread makes the system send a reset.
+            while stream.peek(&mut [0; 1])? == 0 {}
+            return Ok(());
+        }
+        Play::ReportsHighLatency => loop {
+            out.write_all(b"LOAD 1242.441\r\n")?;
+            thread::sleep(Duration::from_millis(100));
+        },
+        Play::UpMute => return lines.read_to_string(&mut line).map(drop),
+        Play::Flood(count) => {
+            for number in 0..count {
+                out.write_all(format!("line {number}\r\n").as_bytes())?;
+            }
+        }
+        _ => {}
+    }
+    echo(&mut lines, &mut out, &tell)
+}
+
+/// Sends each line back, and answers the end.
+fn echo(
+    lines: &mut BufReader<TcpStream>,
+    out: &mut TcpStream,
+    tell: &Sender<String>,
+) -> std::io::Result<()> {
+    let mut line = String::new();
+    loop {
+        line.clear();
+        match lines.read_line(&mut line) {
+            Ok(0) => {
+                let _ = tell.send("end".into());
+                return out.write_all(b"BYE inflight=1\r\n");
+            }
+            Ok(_) => {
+                let _ = tell.send(line.clone());
+                out.write_all(line.as_bytes())?;
+            }
+            Err(_) => {
+                let _ = tell.send("reset".into());
+                return Ok(());
+            }
+        }
+    }
+}
+
+/// The next that a backend or discovery received.
+pub(crate) fn next(met: &Met) -> String {
+    met.recv_timeout(LONG)
+        .expect("the backend met nothing more")
+}
+
+/// A backend whose connections are established late: its accept queue is full until it is emptied.
+pub(crate) struct SlowBackend {
+    pub(crate) listener: TcpListener,
+    pub(crate) at: SocketAddr,
+    pub(crate) queue_fillers: Vec<TcpStream>,
+}
+
+impl SlowBackend {
+    pub(crate) fn new() -> SlowBackend {
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
+        socket
+            .bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into())
+            .unwrap();
+        socket.listen(0).unwrap();
+        let listener = TcpListener::from(socket);
+        let at = listener.local_addr().unwrap();
+        let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
+        let queue_fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
+        assert!((1..64).contains(&queue_fillers.len()), "the queue fills");
+        SlowBackend {
+            listener,
+            at,
+            queue_fillers,
+        }
+    }
+
+    /// Accepts the connections that fill the queue, and returns the one that waited behind them.
+    pub(crate) fn accept_connection(&mut self) -> TcpStream {
+        let ours: Vec<SocketAddr> = self
+            .queue_fillers
+            .iter()
+            .map(|one| one.local_addr().unwrap())
+            .collect();
+        loop {
+            let stream = accept(&self.listener);
+            if !ours.contains(&stream.peer_addr().unwrap()) && has_nothing_to_read(&stream) {
+                return stream;
+            }
+        }
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/client.rs
@@ -0,0 +1,38 @@
+//! Clients.
+use std::io::{BufRead, BufReader, ErrorKind, Write};
+use std::net::{Shutdown, TcpStream};
+use std::sync::atomic::{AtomicU16, Ordering};
+
+/// A request with a new session id.
+pub(crate) fn open_line(items: &str) -> String {
+    static LAST: AtomicU16 = AtomicU16::new(0);
+    format!(
+        "OPEN {:016x} 7f3a9c21e0b4d655 {items}\r\n",
+        LAST.fetch_add(1, Ordering::Relaxed)
+    )
+}
+
+pub(crate) struct Client {
+    pub(crate) lines: BufReader<TcpStream>,
+}
+
+impl Client {
+    pub(crate) fn say(&mut self, text: &str) {
+        self.lines.get_mut().write_all(text.as_bytes()).unwrap();
+    }
+
+    /// The next line; `end` or `reset` where the connection is over.
+    pub(crate) fn hears(&mut self) -> String {
+        let mut line = String::new();
+        match self.lines.read_line(&mut line) {
+            Ok(0) => "end".into(),
+            Ok(_) => line.trim_end().into(),
+            Err(fault) if fault.kind() == ErrorKind::ConnectionReset => "reset".into(),
+            Err(fault) => panic!("{fault}"),
+        }
+    }
+
+    pub(crate) fn ends_sending(&self) {
+        self.lines.get_ref().shutdown(Shutdown::Write).unwrap();
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/relay.rs
@@ -0,0 +1,213 @@
+//! The relay's process.
+use super::backend::Met;
+use super::client::{Client, open_line};
+use super::config::{config, write_config};
+use super::discovery::list;
+use super::wait::*;
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpStream};
+use std::process::{Child, Command, Stdio};
+use std::sync::mpsc::channel;
+use std::thread;
+use std::time::{Duration, Instant};
+
+/// A running relay, which is killed when it is dropped.
+pub(crate) struct Relay {
+    pub(crate) child: Child,
+    /// Where it accepts clients.
+    pub(crate) at: SocketAddr,
+    /// The lines that it logs.
+    pub(crate) log: Met,
+    /// Its configuration.
+    pub(crate) text: String,
+}
+
+/// Starts the program with this configuration and limit on descriptors.
+pub(crate) fn start_with(text: &str, descriptors: usize) -> Child {
+    let path = write_config(text);
+    Command::new("sh")
+        .args([
+            "-c",
+            &format!(
+                "ulimit -n {descriptors}; exec {}",
+                env!("CARGO_BIN_EXE_thistlecroft-relay")
+            ),
+        ])
+        .env("ROUTER_CONFIG", &path)
+        .env("RUST_LOG", "info")
+        .stderr(Stdio::piped())
+        .spawn()
+        .unwrap()
+}
+
+/// Starts a relay that accepts clients; see [`config`].
+pub(crate) fn start(discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> Relay {
+    start_within(1_000, discovery, sockets, known, probes)
+}
+
+/// Starts a relay with this limit on descriptors.
+pub(crate) fn start_within(
+    descriptors: usize,
+    discovery: SocketAddr,
+    sockets: usize,
+    known: &str,
+    probes: bool,
+) -> Relay {
+    let at = nobody();
+    started_within(
+        descriptors,
+        at,
+        config(at, discovery, sockets, known, probes),
+    )
+}
+
+/// Starts a relay with this configuration, which makes it listen at `at`.
+pub(crate) fn started(at: SocketAddr, text: String) -> Relay {
+    started_within(1_000, at, text)
+}
+
+/// Starts a relay with this configuration and limit on descriptors.
+pub(crate) fn started_within(descriptors: usize, at: SocketAddr, text: String) -> Relay {
+    let mut child = start_with(&text, descriptors);
+    let (tell, log) = channel();
+    let lines = BufReader::new(child.stderr.take().unwrap()).lines();
+    thread::spawn(move || {
+        lines
+            .map_while(Result::ok)
+            .try_for_each(|line| tell.send(line))
+    });
+    let relay = Relay {
+        child,
+        at,
+        log,
+        text,
+    };
+    relay.logged("serves at");
+    relay
+}
+
+/// Starts a relay that knows these backends, without discovery.
+pub(crate) fn relay_with(backends: &[SocketAddr]) -> Relay {
+    let names: Vec<String> = (0..backends.len())
+        .map(|number| format!("b{number}"))
+        .collect();
+    let rows: Vec<_> = names
+        .iter()
+        .zip(backends)
+        .map(|(name, at)| (name.as_str(), *at, "Ready"))
+        .collect();
+    start(nobody(), 1_000, &list(1, true, &rows), false)
+}
+
+/// Starts a relay with changed settings: each pair is a part of their text, and its replacement.
+pub(crate) fn start_with_settings(
+    discovery: SocketAddr,
+    known: &str,
+    changes: &[(&str, &str)],
+) -> Relay {
+    let at = nobody();
+    let mut text = config(at, discovery, 1_000, known, false);
+    for (from, to) in changes {
+        assert!(text.contains(from), "{from}");
+        text = text.replace(from, to);
+    }
+    started(at, text)
+}
+
+impl Relay {
+    /// Reads the log up to a line that contains this text.
+    pub(crate) fn logged(&self, text: &str) -> String {
+        let lines = std::iter::repeat_with(|| {
+            self.log
+                .recv_timeout(LONG)
+                .expect("the log holds no such line")
+        });
+        lines.take(10_000).find(|line| line.contains(text)).unwrap()
+    }
+
+    /// Sends a signal, by its name without `SIG`.
+    pub(crate) fn signal(&self, name: &str) {
+        let done = Command::new("kill")
+            .args([format!("-{name}"), self.child.id().to_string()])
+            .status();
+        assert!(done.unwrap().success());
+    }
+
+    /// Changes the configuration, and has the relay read it again.
+    pub(crate) fn told(&self, from: &str, to: &str) {
+        assert!(self.text.contains(from));
+        write_config(&self.text.replace(from, to));
+        self.signal("HUP");
+    }
+
+    /// Connects to the relay.
+    pub(crate) fn client(&self) -> Client {
+        let stream = TcpStream::connect(self.at).unwrap();
+        stream.set_nodelay(true).unwrap();
+        stream.set_read_timeout(Some(LONG)).unwrap();
+        Client {
+            lines: BufReader::new(stream),
+        }
+    }
+
+    /// Connects and requests a session, with the client's wait in milliseconds.
+    pub(crate) fn open(&self, listener: &str, wait: u32) -> Client {
+        let mut client = self.client();
+        client.say(&open_line(&format!(
+            "c={listener},d={wait},g=5c0f6e1a2b3d4c59"
+        )));
+        client
+    }
+
+    /// Suspends the process, and waits until it is suspended.
+    pub(crate) fn suspend(&self) {
+        self.signal("STOP");
+        let path = format!("/proc/{}/stat", self.child.id());
+        wait_for("the stop", || {
+            let text = std::fs::read_to_string(&path).unwrap();
+            text.rsplit(')')
+                .next()
+                .unwrap()
+                .trim_start()
+                .starts_with('T')
+                .then_some(())
+        });
+    }
+
+    /// Waits until a counter reaches this value.
+    pub(crate) fn wait_for_counter(&self, name: &str, least: u32) {
+        wait_for(name, || {
+            self.signal("USR1");
+            (counted(&self.logged(&format!(" {name}=")), name) >= least).then_some(())
+        });
+    }
+}
+
+/// A counter's value, from the log line with all counters.
+pub(crate) fn counted(line: &str, name: &str) -> u32 {
+    let figure = line
+        .split(&format!(" {name}="))
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next());
+    figure.unwrap().parse().unwrap()
+}
+
+/// The exit status; a program that does not end in time is killed, and the test fails.
+pub(crate) fn end_of(child: &mut Child) -> std::process::ExitStatus {
+    let until = Instant::now() + LONG;
+    while Instant::now() < until {
+        if let Some(status) = child.try_wait().unwrap() {
+            return status;
+        }
+        thread::sleep(Duration::from_millis(5));
+    }
+    child.kill().unwrap();
+    panic!("the program did not end: {:?}", child.wait());
+}
+
+impl Drop for Relay {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- /dev/null
+++ b/relay/tests/helper/wait.rs
@@ -0,0 +1,96 @@
+//! Sockets and waits of the tests.
+use socket2::SockRef;
+use std::io::{ErrorKind, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::sync::atomic::{AtomicU16, Ordering};
+use std::time::{Duration, Instant};
+
+/// How long any wait may take on a busy machine.
+pub(crate) const LONG: Duration = Duration::from_secs(10);
+
+/// An address at which nobody listens, and which no outgoing connection can take meanwhile.
+pub(crate) fn nobody() -> SocketAddr {
+    static LAST: AtomicU16 = AtomicU16::new(0);
+    let [high, low] = (LAST.fetch_add(1, Ordering::Relaxed) + 1).to_be_bytes();
+    let process = 64 + (std::process::id() % 128) as u8;
+    SocketAddr::from(([127, process, high, low], 8080))
+}
+
+/// Repeats a step until it returns a value.
+pub(crate) fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
+    let until = Instant::now() + LONG;
+    loop {
+        if let Some(done) = step() {
+            return done;
+        }
+        assert!(Instant::now() < until, "in time: {what}");
+        std::thread::sleep(Duration::from_millis(1));
+    }
+}
+
+/// Accepts the next connection.
+pub(crate) fn accept(listener: &TcpListener) -> TcpStream {
+    listener.set_nonblocking(true).unwrap();
+    let stream = wait_for("a connection", || listener.accept().ok()).0;
+    stream.set_nonblocking(false).unwrap();
+    stream.set_nodelay(true).unwrap();
+    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream
+}
+
+/// Whether neither bytes nor the end have arrived.
+pub(crate) fn has_nothing_to_read(stream: &TcpStream) -> bool {
+    stream.set_nonblocking(true).unwrap();
+    let quiet =
+        matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
+    stream.set_nonblocking(false).unwrap();
+    quiet
+}
+
+/// All bytes up to the end, or to a reset.
+pub(crate) fn read_to_end_of(mut stream: &TcpStream) -> String {
+    let mut text = Vec::new();
+    match stream.read_to_end(&mut text) {
+        Err(fault) if fault.kind() != ErrorKind::ConnectionReset => panic!("no end came: {fault}"),
+        _ => String::from_utf8(text).unwrap(),
+    }
+}
+
+/// The kernel's view of one end of a connection.
+pub(crate) struct SocketState {
+    pub(crate) is_established: bool,
+    pub(crate) has_unread_bytes: bool,
+}
+
+/// Looks at the end `here` of a connection from outside the process: even loopback delivers late on
+/// a busy machine.
+pub(crate) fn socket_state(here: SocketAddr, there: SocketAddr) -> SocketState {
+    let hex = |at: SocketAddr| match at.ip() {
+        std::net::IpAddr::V4(ip) => {
+            format!("{:08X}:{:04X}", u32::from_le_bytes(ip.octets()), at.port())
+        }
+        std::net::IpAddr::V6(_) => unreachable!("tests use IPv4"),
+    };
+    let ends = format!(" {} {} 01 ", hex(here), hex(there));
+    let table = std::fs::read_to_string("/proc/net/tcp").unwrap();
+    let queues = table
+        .split(&ends)
+        .nth(1)
+        .and_then(|rest| rest.split(' ').next());
+    SocketState {
+        is_established: queues.is_some(),
+        has_unread_bytes: queues.is_some_and(|queues| !queues.ends_with(":00000000")),
+    }
+}
+
+/// Closing the connection will reset it.
+pub(crate) fn reset_on_close(stream: &TcpStream) {
+    SockRef::from(stream)
+        .set_linger(Some(Duration::ZERO))
+        .unwrap();
+}
+
+/// Writes a text.
+pub(crate) fn send(mut stream: &TcpStream, text: &str) {
+    stream.write_all(text.as_bytes()).unwrap();
+}
--- /dev/null
+++ b/relay/tests/session/descriptors.rs
@@ -0,0 +1,170 @@
+//! File descriptors that run out.
+use crate::helper::*;
+use std::net::TcpListener;
+use std::time::{Duration, Instant};
+
+#[test]
+fn silent_connections_are_shed_for_clients_that_speak() {
+    let (address, _received) = backend(Play::Echo);
+    // Sessions may take 24 descriptors. Silent clients come by hundreds, and more while others are
+    // shed.
+    let relay = start(
+        nobody(),
+        64,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut silent: Vec<Client> = (0..200).map(|_| relay.client()).collect();
+    for round in 0..8 {
+        let began = Instant::now();
+        let mut client = relay.open("safe", 1_500);
+        assert_eq!(client.hears(), "UP receipt", "{round}");
+        assert!(
+            began.elapsed() < Duration::from_millis(1_500),
+            "{round}: {:?}",
+            began.elapsed()
+        );
+        client.say("through\r\n");
+        assert_eq!(client.hears(), "through", "{round}");
+        silent.extend((0..20).map(|_| relay.client()));
+    }
+    for client in &mut silent {
+        // A client that connected a moment before may have been about to send, so it gets an
+        // answer.
+        let word = client.hears();
+        assert!(
+            word == "end" || word == "BUSY" && ["end", "reset"].contains(&client.hears().as_str()),
+            "{word}"
+        );
+    }
+}
+
+#[test]
+fn clients_without_descriptor_are_rejected_and_served_again_later() {
+    let (address, _received) = backend(Play::Echo);
+    let relay = start(
+        nobody(),
+        64,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut served = Vec::new();
+    let mut rejected = 0;
+    for _ in 0..30 {
+        let mut client = relay.open("safe", 2_000);
+        match client.hears().as_str() {
+            "UP receipt" => served.push(client),
+            busy if busy.starts_with("BUSY") => rejected += 1,
+            other => panic!("{other}"),
+        }
+    }
+    assert!(
+        rejected > 0 && served.len() >= 5,
+        "{rejected} rejected, {} served",
+        served.len()
+    );
+    served[0].say("still here\r\n");
+    assert_eq!(served[0].hears(), "still here");
+    for client in &mut served {
+        client.ends_sending();
+        while client.hears() != "end" {}
+    }
+    assert_eq!(relay.open("safe", 2_000).hears(), "UP receipt");
+    relay.signal("USR1");
+    let line = relay.logged("turned_away=");
+    assert_eq!(
+        counted(&line, "turned_away") + counted(&line, "refused"),
+        rejected,
+        "{line}"
+    );
+    assert!(line.contains("accept_failures=0 "), "{line}");
+}
+
+#[test]
+fn system_without_descriptors_ends_no_session_and_does_not_spin() {
+    let (address, _received) = backend(Play::Echo);
+    // The configuration allows more descriptors than the system does.
+    let relay = start_within(
+        40,
+        nobody(),
+        1_000,
+        &list(1, true, &[("b", address, "Ready")]),
+        false,
+    );
+    let mut clients = vec![relay.open("safe", 2_000)];
+    assert_eq!(clients[0].hears(), "UP receipt");
+    clients.extend((0..60).map(|_| relay.open("safe", 2_000)));
+    relay.signal("USR1");
+    let mut line = relay.logged("accept_failures=");
+    let until = Instant::now() + LONG;
+    while line.contains("accept_failures=0 ") && Instant::now() < until {
+        relay.signal("USR1");
+        line = relay.logged("accept_failures=");
+    }
+    let count = counted(&line, "accept_failures");
+    // One attempt every 20 ms; a loop that spins would make thousands.
+    assert!((1..1_000).contains(&count), "{count}");
+    clients[0].say("still here\r\n");
+    assert_eq!(clients[0].hears(), "still here");
+    drop(clients);
+    let mut answer = String::new();
+    while answer != "UP receipt" && Instant::now() < until {
+        answer = relay.open("safe", 2_000).hears();
+    }
+    assert_eq!(answer, "UP receipt");
+}
+
+/// Silent clients take every descriptor that they can get, while discovery is unreachable.
+#[test]
+fn idle_clients_filling_descriptors_without_discovery_keep_nobody_out() {
+    let (known, known_received) = backend(Play::Echo);
+    let (listed, listed_received) = backend(Play::Echo);
+    let (at, gone) = (nobody(), DiscoveryAgent::new().at);
+    let relay = started(
+        at,
+        config(
+            at,
+            gone,
+            100,
+            &list(1, true, &[("known", known, "Ready")]),
+            false,
+        ),
+    );
+    relay.wait_for_counter("list_failures", 2);
+    let open = || {
+        let path = format!("/proc/{}/fd", relay.child.id());
+        std::fs::read_dir(path).unwrap().count()
+    };
+    let mut idle: Vec<Client> = Vec::new();
+    wait_for("all that there is are taken", || {
+        idle.push(relay.client());
+        (idle.len() >= 200).then_some(())
+    });
+    assert!(open() <= 100, "{} descriptors", open());
+    // Clients that send are served, and the relay can still open its file and connect to discovery.
+    let mut established = relay.open("safe", 7_000);
+    assert_eq!(established.hears(), "UP receipt");
+    assert!(next(&known_received).starts_with("OPEN"));
+    relay.told("\"cores\":1.0", "\"cores\":1.5");
+    relay.logged("limits");
+    let agent = DiscoveryAgent {
+        listener: TcpListener::bind(gone).unwrap(),
+        at: gone,
+    };
+    let (watch, _) = agent.call();
+    send(
+        &watch,
+        &format!(
+            "{HEAD}{}",
+            chunk(&list(2, true, &[("listed", listed, "Ready")]))
+        ),
+    );
+    relay.wait_for_counter("lists", 1);
+    idle.extend((0..100).map(|_| relay.client()));
+    let mut client = relay.open("safe", 7_000);
+    assert_eq!(client.hears(), "UP receipt");
+    assert!(next(&listed_received).starts_with("OPEN"));
+    established.say("still here\r\n");
+    assert_eq!(established.hears(), "still here");
+    assert!(open() <= 100, "{} descriptors", open());
+}
