--- a/cli/src/checks.rs
+++ b/cli/src/checks.rs
@@ -64,7 +64,7 @@
     if file.extension().is_none_or(|ending| ending != "toml") {
         return read_file(&name)
             .map(|posting| Sound::Configuration(Box::new(posting)))
-            .map_err(|why| vec![why]);
+            .map_err(|error| vec![error.to_string()]);
     }
     let text = std::fs::read_to_string(file).map_err(|fault| vec![format!("{name}: {fault}")])?;
     // A scenario says how long it is; a charter never does.
@@ -88,8 +88,9 @@
 pub fn check(asked: &Asked) -> Result<(), End> {
     let of = match &asked.config {
         Some(config) => {
-            let posting = read_file(&config.to_string_lossy()).map_err(End::Wrong)?;
-            Some(relay_context(&posting.site, posting.sockets))
+            let config = read_file(&config.to_string_lossy())
+                .map_err(|error| End::Wrong(error.to_string()))?;
+            Some(relay_context(&config.settings, config.sockets))
         }
         None => None,
     };
@@ -118,7 +119,7 @@
 fn describe(read: &Sound) -> String {
     match read {
         Sound::Configuration(posting) => {
-            let listeners = posting.site.listeners.join(", ");
+            let listeners = posting.settings.listeners.join(", ");
             format!(
                 "a relay's configuration: {} at {}, listeners {listeners}",
                 posting.name, posting.listen
@@ -187,7 +188,7 @@
             "--against needs --config for charters: what they change depends on it".into(),
         )),
         [Sound::Configuration(old), Sound::Configuration(new)] => {
-            let differs = old.origin.differs(&new.origin);
+            let differs = old.source.differing_keys(&new.source);
             let moves = old.discovery != new.discovery;
             let moves = if moves {
                 new.discovery.to_string()
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -73,7 +73,7 @@
         Verb::Serve { config, charter } => {
             let charter = charter.map(|path| path.to_string_lossy().into_owned());
             let done = thistlecroft_relay::serve(&config.to_string_lossy(), charter.as_deref());
-            done.map_err(|faults| End::Failed(faults.join("\nthistlecroft: ")))
+            done.map_err(|error| End::Failed(error.lines().join("\nthistlecroft: ")))
         }
         Verb::Check(asked) => checks::check(&asked),
         Verb::Charter(verb) => checks::charter(verb),
--- a/relay/src/admin/commands.rs
+++ b/relay/src/admin/commands.rs
@@ -1,9 +1,10 @@
-//! What operators do by hand: their calls answered, and the backends they took out made known to
-//! the decisions and kept for the next process.
-use crate::admin::connections::AdminConnections;
-use crate::admin::protocol::{AdminCommand, Readiness};
+//! The operators' commands carried out, and the bans they make: announced to the balancer, and kept
+//! for the next process.
+use crate::admin::connections::{AdminConnections, ReceivedCommand};
+use crate::admin::error::AdminError;
+use crate::admin::protocol::{AdminCommand, PeerCommand, Readiness};
 use crate::bans::store::{BanStore, BanStoreError};
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use crate::peers::Peers;
@@ -12,166 +13,196 @@
 use thistlecroft::time::{Duration, Instant};
 
 /// What another process of this relay wrote is known here after so long.
-const LOOK_EVERY: Duration = Duration::from_millis(50);
-/// The list of bans is held by another process for the time of one write; one that holds it for
-/// longer hangs.
-const LOCKED: Duration = Duration::from_millis(500);
-const LOCKED_AGAIN: Duration = Duration::from_millis(5);
+const BAN_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
+/// The ban store is locked for the time of one write; a process that locks it for longer hangs.
+const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
+const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A call whose answer is worked out; it goes out once the decisions have been told.
-pub type Answer = (u32, Result<String, String>);
+/// The result of a command, to be sent once the balancer has been notified.
+pub(crate) struct Response {
+    connection: u32,
+    result: Result<String, AdminError>,
+}
 
-pub struct AdminCommands {
-    pub callers: Option<AdminConnections>,
-    shelf: Option<BanStore>,
-    /// As the decisions were told.
-    out: BTreeSet<String>,
-    /// Only one alarm for it is ever set, whoever else looks in between.
-    look_at: Instant,
-    /// Since when a change waits for the other process to let go of the list.
-    locked: Option<Instant>,
+/// The admin port, if there is one, and the bans.
+pub(crate) struct AdminCommands {
+    pub(crate) connections: Option<AdminConnections>,
+    store: Option<BanStore>,
+    /// The bans that the balancer knows of.
+    banned: BTreeSet<String>,
+    /// Only one timer for it is ever set, whoever else refreshes in between.
+    next_refresh: Instant,
+    /// Since when a ban waits for the other process to unlock the store.
+    locked_since: Option<Instant>,
 }
 
 impl AdminCommands {
-    pub fn new(
-        callers: Option<AdminConnections>,
-        shelf: Option<BanStore>,
-        book: &mut EndpointRegistry,
-        works: &mut IoContext,
+    pub(crate) fn new(
+        connections: Option<AdminConnections>,
+        store: Option<BanStore>,
+        registry: &mut EndpointRegistry,
+        io: &mut IoContext,
     ) -> AdminCommands {
-        let mut hand = AdminCommands {
-            callers,
-            shelf,
-            out: BTreeSet::new(),
-            look_at: works.now,
-            locked: None,
+        let mut commands = AdminCommands {
+            connections,
+            store,
+            banned: BTreeSet::new(),
+            next_refresh: io.now,
+            locked_since: None,
         };
-        hand.look(book, works);
-        hand
+        commands.refresh_bans(registry, io);
+        commands
+    }
+
+    pub(crate) fn banned_count(&self) -> usize {
+        self.banned.len()
     }
 
-    /// Reads what another process has changed.
-    pub fn look(&mut self, book: &mut EndpointRegistry, works: &mut IoContext) {
-        let Some(shelf) = &mut self.shelf else { return };
-        if shelf.refresh() {
-            let later = shelf.bans().out.clone();
-            for id in self.out.symmetric_difference(&later) {
-                let (backend, out) = (book.enter(id), later.contains(id));
-                book.ban(backend, out);
-                works.news.push_back(Event::BanChanged(backend, out));
+    /// Takes over what another process has changed.
+    pub(crate) fn refresh_bans(&mut self, registry: &mut EndpointRegistry, io: &mut IoContext) {
+        let Some(store) = &mut self.store else { return };
+        if store.refresh() {
+            let banned = store.list().banned.clone();
+            for name in self.banned.symmetric_difference(&banned) {
+                let is_banned = banned.contains(name);
+                let backend = registry.enter(name);
+                registry.set_banned(backend, is_banned);
+                io.news.push_back(Event::BanChanged(backend, is_banned));
             }
-            log::info!("bans of another process taken over: {} out", later.len());
-            self.out = later;
+            log::info!("bans of another process taken over: {} out", banned.len());
+            self.banned = banned;
         }
-        if works.now >= self.look_at {
-            self.look_at = works.now + LOOK_EVERY;
-            works.alarms.set(self.look_at, Timer::BanStore);
+        if io.now >= self.next_refresh {
+            self.next_refresh = io.now + BAN_REFRESH_INTERVAL;
+            io.alarms.set(self.next_refresh, Timer::BanStore);
         }
     }
 
-    /// IoContext out the answers to the calls of this turn.
-    pub fn answers(
+    /// Carries out the commands of this turn. One that has to wait for the ban store stays for the
+    /// next turn, and so do those behind it, since their order is the operators'.
+    pub(crate) fn execute(
         &mut self,
         readiness: Readiness,
         peers: &mut Option<Peers>,
-        book: &mut EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Vec<Answer> {
-        let Some(callers) = &mut self.callers else {
+        registry: &mut EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Vec<Response> {
+        let Some(connections) = &mut self.connections else {
             return Vec::new();
         };
-        let calls = std::mem::take(&mut callers.calls);
-        let (mut answers, mut waiting) = (Vec::new(), Vec::new());
-        for (caller, call) in calls {
-            let done = match &call {
-                AdminCommand::Ready => Some(
-                    readiness
-                        .told()
-                        .map(|()| "ready".into())
-                        .map_err(str::to_string),
-                ),
-                // While one waits all behind it do: their order is the operators'.
+        let received = std::mem::take(&mut connections.commands);
+        let (mut responses, mut waiting) = (Vec::new(), Vec::<ReceivedCommand>::new());
+        for ReceivedCommand {
+            connection,
+            command,
+        } in received
+        {
+            let result = match &command {
+                AdminCommand::Ready => Some(check_readiness(readiness)),
                 _ if !waiting.is_empty() => None,
-                AdminCommand::Disable(id) => self.change(id, true, book, works),
-                AdminCommand::Enable(id) => self.change(id, false, book, works),
-                asked => Some(match peers {
-                    Some(peers) => peers.answer(asked, works),
-                    None => Err("peers are not switched on ([peers] in the charter)".into()),
-                }),
+                AdminCommand::Disable(name) => self.set_banned(name, true, registry, io),
+                AdminCommand::Enable(name) => self.set_banned(name, false, registry, io),
+                AdminCommand::Peers(command) => Some(ask_peers(command, peers, io)),
             };
-            match done {
-                Some(done) => answers.push((caller, done)),
-                None => waiting.push((caller, call)),
+            match result {
+                Some(result) => responses.push(Response { connection, result }),
+                None => waiting.push(ReceivedCommand {
+                    connection,
+                    command,
+                }),
             }
         }
         if !waiting.is_empty() {
-            works.alarms.set(works.now + LOCKED_AGAIN, Timer::BanStore);
+            io.alarms.set(io.now + LOCK_RETRY_INTERVAL, Timer::BanStore);
         }
-        if let Some(callers) = &mut self.callers {
-            callers.calls = waiting;
+        if let Some(connections) = &mut self.connections {
+            connections.commands = waiting;
         }
-        answers
+        responses
     }
 
-    /// None while the other process holds the list.
-    fn change(
+    /// Bans a backend or ends its ban; none while the other process locks the store.
+    fn set_banned(
         &mut self,
-        id: &str,
-        out: bool,
-        book: &mut EndpointRegistry,
-        works: &mut IoContext,
-    ) -> Option<Result<String, String>> {
-        let Some(backend) = book.named(id) else {
-            return Some(Err(format!("no backend {id} was ever listed here")));
+        name: &str,
+        is_banned: bool,
+        registry: &mut EndpointRegistry,
+        io: &mut IoContext,
+    ) -> Option<Result<String, AdminError>> {
+        let Some(backend) = registry.named(name) else {
+            return Some(Err(AdminError::UnknownBackend(name.to_string())));
         };
-        if let Some(shelf) = &mut self.shelf {
-            match shelf.change(id, out) {
-                Ok(()) => self.locked = None,
-                Err(BanStoreError::Locked) => {
-                    let since = *self.locked.get_or_insert(works.now);
-                    if works.now.duration_since(since) < LOCKED {
-                        return None;
-                    }
-                    self.locked = None;
-                    return Some(Err(
-                        "another process holds the list of bans: nothing changed".into(),
-                    ));
-                }
-                Err(BanStoreError::Other(fault)) => {
-                    return Some(Err(format!("the ban can't be kept: {fault}")));
-                }
-            }
+        if let Err(error) = self.store_ban(name, is_banned, io.now)? {
+            return Some(Err(error));
         }
-        let changed = if out {
-            self.out.insert(id.to_string())
+        let has_changed = if is_banned {
+            self.banned.insert(name.to_string())
         } else {
-            self.out.remove(id)
+            self.banned.remove(name)
         };
-        if changed {
-            log::info!("{id} is {} by hand", if out { "out" } else { "back" });
-            book.ban(backend, out);
-            works.news.push_back(Event::BanChanged(backend, out));
+        if has_changed {
+            let state = if is_banned { "out" } else { "back" };
+            log::info!("{name} is {state} by hand");
+            registry.set_banned(backend, is_banned);
+            io.news.push_back(Event::BanChanged(backend, is_banned));
         }
-        let done = match (out, changed) {
+        let response = match (is_banned, has_changed) {
             (true, true) => "out",
             (true, false) => "already out",
             (false, true) => "back",
             (false, false) => "was not out",
         };
-        Some(Ok(done.into()))
+        Some(Ok(response.to_string()))
     }
 
-    /// Written after the decisions have been told.
-    pub fn answer(&mut self, answers: Vec<Answer>, works: &mut IoContext) {
-        let Some(callers) = &mut self.callers else {
-            return;
+    /// None while the other process locks the store, until that has taken too long.
+    fn store_ban(
+        &mut self,
+        name: &str,
+        is_banned: bool,
+        now: Instant,
+    ) -> Option<Result<(), AdminError>> {
+        let Some(store) = &mut self.store else {
+            return Some(Ok(()));
         };
-        for (caller, done) in answers {
-            callers.answer(caller, done.as_deref().map_err(String::as_str), works);
+        match store.set(name, is_banned) {
+            Ok(()) => {
+                self.locked_since = None;
+                Some(Ok(()))
+            }
+            Err(BanStoreError::Locked) => {
+                let since = *self.locked_since.get_or_insert(now);
+                if now.duration_since(since) < LOCK_TIMEOUT {
+                    return None;
+                }
+                self.locked_since = None;
+                Some(Err(AdminError::BanStoreLocked))
+            }
+            Err(BanStoreError::Io(error)) => Some(Err(AdminError::BanStore(error))),
         }
     }
 
-    pub fn out(&self) -> usize {
-        self.out.len()
+    /// Sends the responses; called once the balancer has been notified.
+    pub(crate) fn respond(&mut self, responses: Vec<Response>, io: &mut IoContext) {
+        let Some(connections) = &mut self.connections else {
+            return;
+        };
+        for Response { connection, result } in responses {
+            connections.respond(connection, result, io);
+        }
     }
 }
+
+fn check_readiness(readiness: Readiness) -> Result<String, AdminError> {
+    readiness.check()?;
+    Ok("ready".to_string())
+}
+
+fn ask_peers(
+    command: &PeerCommand,
+    peers: &mut Option<Peers>,
+    io: &mut IoContext,
+) -> Result<String, AdminError> {
+    let peers = peers.as_mut().ok_or(AdminError::PeersOff)?;
+    Ok(peers.execute(command, io)?)
+}
--- a/relay/src/admin/connections.rs
+++ b/relay/src/admin/connections.rs
@@ -1,227 +1,256 @@
-//! The operators' door: few callers at a time, each with one line and one answer. Whoever says
-//! nothing holds a place only while no other wants it.
-use crate::admin::protocol::{self, AdminCommand, LONGEST, ParsedLine};
+//! The connections of the admin port: few at a time, each with one command and one response. A
+//! connection that sends nothing keeps its place only while no other wants it.
+use crate::admin::error::AdminError;
+use crate::admin::protocol::{self, AdminCommand, MAX_LINE_BYTES};
 use crate::io_context::IoContext;
 use crate::line_buffer::OutputBuffer;
 use crate::sockets::{Connection, ListenerSocket, SocketOwner};
 use crate::timers::Timer;
 use std::collections::BTreeMap;
 use std::io::{ErrorKind, Read};
+use std::net::TcpStream;
 use thistlecroft::time::Duration;
 
-/// Descriptors that the door may take, its own and the kept list's among them.
-pub const RESERVE: usize = 24;
-/// AdminConnections at once.
-const PLACES: usize = 16;
-const ACCEPTS: usize = 32;
-/// A caller that has not said a whole line by then is sent away.
-const PATIENCE: Duration = Duration::from_millis(5_000);
-/// After its answer a caller has so long to end its side: closed with bytes unread the answer could
-/// be lost.
-const PARTING: Duration = Duration::from_millis(500);
+/// Descriptors that the admin port may take, those of its listener and of the ban store among them.
+pub(crate) const RESERVED_SOCKETS: usize = 24;
+const MAX_CONNECTIONS: usize = 16;
+/// Connections accepted in one turn.
+const MAX_ACCEPTS: usize = 32;
+/// A connection that has not sent a complete line by then is answered with an error.
+const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// After the response a connection has so long to end its side: closed with bytes unread, the
+/// response could be lost.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// The admin port's listener and its connections.
+pub(crate) struct AdminConnections {
+    listener: ListenerSocket,
+    /// By number, so that the oldest is the first.
+    connections: BTreeMap<u32, AdminConnection>,
+    next_id: u32,
+    /// The commands of this turn, and those that wait.
+    pub(crate) commands: Vec<ReceivedCommand>,
+}
+
+/// A command, and the connection that waits for its response.
+pub(crate) struct ReceivedCommand {
+    pub(crate) connection: u32,
+    pub(crate) command: AdminCommand,
+}
 
 struct AdminConnection {
-    sock: Connection,
-    heard: Vec<u8>,
-    words: OutputBuffer,
+    socket: Connection,
+    received: Vec<u8>,
+    response: OutputBuffer,
     stage: Stage,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
-    Calling,
-    /// Its call is with the service.
-    Asked,
-    Answered,
-    /// All is said; only the caller's end is awaited.
-    Parted,
+    ReadingCommand,
+    /// The command waits for its response.
+    Executing,
+    Responding,
+    /// The response is sent; only the other side's end is awaited.
+    Closing,
 }
 
-pub struct AdminConnections {
-    door: ListenerSocket,
-    /// The one that came first is the first.
-    map: BTreeMap<u32, AdminConnection>,
-    next: u32,
-    /// Whole calls of this turn, for the service to answer.
-    pub calls: Vec<(u32, AdminCommand)>,
+impl Stage {
+    /// The lowest loses its place first: the one whose response has been sent, then the one that
+    /// has sent nothing complete.
+    fn keep_rank(self) -> u8 {
+        match self {
+            Stage::Closing => 0,
+            Stage::Responding => 1,
+            Stage::ReadingCommand => 2,
+            Stage::Executing => 3,
+        }
+    }
 }
 
 impl AdminConnections {
-    pub fn new(mut door: ListenerSocket) -> AdminConnections {
-        door.want(true);
+    pub(crate) fn new(mut listener: ListenerSocket) -> AdminConnections {
+        listener.want(true);
         AdminConnections {
-            door,
-            map: BTreeMap::new(),
-            next: 0,
-            calls: Vec::new(),
+            listener,
+            connections: BTreeMap::new(),
+            next_id: 0,
+            commands: Vec::new(),
         }
     }
 
-    pub fn accept(&mut self, works: &mut IoContext) {
-        for _ in 0..ACCEPTS {
-            let id = self.next;
-            match self.door.accept().and_then(|stream| {
-                works
-                    .sockets
-                    .adopt(SocketOwner::AdminConnection(id), stream)
-            }) {
-                Ok(sock) => {
-                    self.make_room(works);
-                    self.next = self.next.wrapping_add(1);
-                    let caller = AdminConnection {
-                        sock,
-                        heard: Vec::new(),
-                        words: OutputBuffer::default(),
-                        stage: Stage::Calling,
-                    };
-                    self.map.insert(id, caller);
-                    works
-                        .alarms
-                        .set(works.now + PATIENCE, Timer::AdminConnection(id));
-                    self.read(id, works);
-                }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return,
-                Err(fault)
+    pub(crate) fn accept(&mut self, io: &mut IoContext) {
+        for _ in 0..MAX_ACCEPTS {
+            let accepted = self
+                .listener
+                .accept()
+                .and_then(|stream| self.adopt(stream, io));
+            match accepted {
+                Ok(socket) => self.open(socket, io),
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
+                Err(error)
                     if matches!(
-                        fault.kind(),
+                        error.kind(),
                         ErrorKind::ConnectionAborted | ErrorKind::Interrupted
                     ) => {}
-                Err(fault) => {
-                    // Readable again at the next turn; the clients' door pauses for the same
-                    // reason.
-                    log::debug!("the operators' door: {fault}");
+                Err(error) => {
+                    // Readable again at the next turn.
+                    log::debug!("the operators' door: {error}");
                     return;
                 }
             }
         }
     }
 
-    /// The caller that has had its answer longest goes first, then the one that has said nothing
-    /// whole for longest.
-    fn make_room(&mut self, works: &mut IoContext) {
-        if self.map.len() < PLACES {
+    fn adopt(&self, stream: TcpStream, io: &mut IoContext) -> std::io::Result<Connection> {
+        let owner = SocketOwner::AdminConnection(self.next_id);
+        io.sockets.adopt(owner, stream)
+    }
+
+    fn open(&mut self, socket: Connection, io: &mut IoContext) {
+        self.make_room(io);
+        let id = self.next_id;
+        self.next_id = self.next_id.wrapping_add(1);
+        let connection = AdminConnection {
+            socket,
+            received: Vec::new(),
+            response: OutputBuffer::default(),
+            stage: Stage::ReadingCommand,
+        };
+        self.connections.insert(id, connection);
+        io.alarms
+            .set(io.now + COMMAND_TIMEOUT, Timer::AdminConnection(id));
+        self.read(id, io);
+    }
+
+    /// Closes a connection if there are as many as may be, by the rank of its stage and then the
+    /// oldest.
+    fn make_room(&mut self, io: &mut IoContext) {
+        if self.connections.len() < MAX_CONNECTIONS {
             return;
         }
-        let place = |stage: Stage| match stage {
-            Stage::Parted => 0,
-            Stage::Answered => 1,
-            Stage::Calling => 2,
-            Stage::Asked => 3,
-        };
-        let first = self
-            .map
+        let first_to_go = self
+            .connections
             .iter()
-            .min_by_key(|(id, caller)| (place(caller.stage), **id));
-        let Some((&id, _)) = first else { return };
-        self.answer(id, Err("too many callers"), works);
-        self.map.remove(&id);
+            .min_by_key(|(id, connection)| (connection.stage.keep_rank(), **id));
+        let Some((&id, _)) = first_to_go else { return };
+        self.respond(id, Err(AdminError::TooManyConnections), io);
+        self.connections.remove(&id);
     }
 
-    pub fn event(&mut self, id: u32, key: usize, works: &mut IoContext) {
-        if !self.map.get(&id).is_some_and(|caller| caller.sock.is(key)) {
-            return;
+    pub(crate) fn handle_socket_event(&mut self, id: u32, key: usize, io: &mut IoContext) {
+        let connection = self.connections.get(&id);
+        if connection.is_some_and(|connection| connection.socket.is(key)) {
+            self.read(id, io);
+            self.write(id, io);
         }
-        self.read(id, works);
-        self.write(id, works);
     }
 
-    pub fn alarm(&mut self, id: u32, works: &mut IoContext) {
-        if self
-            .map
-            .get(&id)
-            .is_some_and(|caller| caller.stage == Stage::Calling)
-        {
-            self.answer(id, Err("no call came"), works);
-        } else if self
-            .map
-            .get(&id)
-            .is_some_and(|caller| caller.stage != Stage::Asked)
-        {
-            self.map.remove(&id);
+    pub(crate) fn handle_timeout(&mut self, id: u32, io: &mut IoContext) {
+        match self.connections.get(&id).map(|connection| connection.stage) {
+            Some(Stage::ReadingCommand) => self.respond(id, Err(AdminError::TimedOut), io),
+            Some(Stage::Responding | Stage::Closing) => {
+                self.connections.remove(&id);
+            }
+            Some(Stage::Executing) | None => {}
         }
     }
 
-    fn read(&mut self, id: u32, works: &mut IoContext) {
-        let Some(caller) = self.map.get_mut(&id) else {
+    fn read(&mut self, id: u32, io: &mut IoContext) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        let mut piece = [0; LONGEST];
-        let ended = match caller.sock.read(&mut piece) {
+        let mut bytes = [0; MAX_LINE_BYTES];
+        let is_end = match connection.socket.read(&mut bytes) {
             Ok(0) => true,
-            Ok(more) => {
-                if caller.stage == Stage::Calling {
-                    caller.heard.extend_from_slice(&piece[..more]);
+            Ok(length) => {
+                if connection.stage == Stage::ReadingCommand {
+                    connection.received.extend_from_slice(&bytes[..length]);
                 }
                 false
             }
-            Err(fault)
-                if matches!(fault.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
+            Err(error)
+                if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted) =>
             {
                 false
             }
-            Err(_) => return drop(self.map.remove(&id)),
+            Err(_) => {
+                self.connections.remove(&id);
+                return;
+            }
         };
-        match caller.stage {
-            Stage::Calling => match protocol::parse_line(&caller.heard, ended) {
-                ParsedLine::More => caller.sock.want(true, false),
-                ParsedLine::Bad(why) => self.answer(id, Err(why), works),
-                ParsedLine::Command(call) => {
-                    caller.stage = Stage::Asked;
-                    caller.sock.want(false, false);
-                    self.calls.push((id, call));
-                }
-            },
-            Stage::Parted if ended => drop(self.map.remove(&id)),
-            // Its end is known; what is left to say goes out by itself.
-            Stage::Answered if ended => caller.sock.want(false, true),
-            _ => {}
+        match connection.stage {
+            Stage::ReadingCommand => self.read_command(id, is_end, io),
+            Stage::Closing if is_end => {
+                self.connections.remove(&id);
+            }
+            // The other side has ended; what is left of the response goes out by itself.
+            Stage::Responding if is_end => connection.socket.want(false, true),
+            Stage::Executing | Stage::Responding | Stage::Closing => {}
         }
     }
 
-    pub fn answer(&mut self, id: u32, done: Result<&str, &str>, works: &mut IoContext) {
-        let Some(caller) = self
-            .map
-            .get_mut(&id)
-            .filter(|caller| caller.stage <= Stage::Asked)
-        else {
+    fn read_command(&mut self, id: u32, is_end: bool, io: &mut IoContext) {
+        let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        caller.words.add(&protocol::answer(done));
-        caller.stage = Stage::Answered;
-        works.counters.calls += 1;
-        works.counters.calls_denied += u64::from(done.is_err());
-        works
-            .alarms
-            .set(works.now + PARTING, Timer::AdminConnection(id));
-        self.write(id, works);
+        match protocol::read_command(&connection.received, is_end) {
+            Ok(None) => connection.socket.want(true, false),
+            Err(error) => self.respond(id, Err(error.into()), io),
+            Ok(Some(command)) => {
+                connection.stage = Stage::Executing;
+                connection.socket.want(false, false);
+                self.commands.push(ReceivedCommand {
+                    connection: id,
+                    command,
+                });
+            }
+        }
     }
 
-    fn write(&mut self, id: u32, works: &mut IoContext) {
-        let Some(caller) = self
-            .map
-            .get_mut(&id)
-            .filter(|caller| caller.stage == Stage::Answered)
-        else {
-            return;
-        };
-        match caller.words.give(&mut caller.sock) {
+    /// Sends the one response of a connection.
+    pub(crate) fn respond(
+        &mut self,
+        id: u32,
+        result: Result<String, AdminError>,
+        io: &mut IoContext,
+    ) {
+        let connection = self.connections.get_mut(&id);
+        let unanswered = connection.filter(|connection| connection.stage <= Stage::Executing);
+        let Some(connection) = unanswered else { return };
+        connection.response.add(&protocol::response_line(&result));
+        connection.stage = Stage::Responding;
+        io.counters.calls += 1;
+        io.counters.calls_denied += u64::from(result.is_err());
+        io.alarms
+            .set(io.now + CLOSE_TIMEOUT, Timer::AdminConnection(id));
+        self.write(id, io);
+    }
+
+    fn write(&mut self, id: u32, io: &mut IoContext) {
+        let connection = self.connections.get_mut(&id);
+        let responding = connection.filter(|connection| connection.stage == Stage::Responding);
+        let Some(connection) = responding else { return };
+        match connection.response.give(&mut connection.socket) {
             Ok(true) => {
-                caller.sock.finish_sending();
-                caller.stage = Stage::Parted;
-                caller.sock.want(true, false);
-                // It may have ended its side before it asked.
-                self.read(id, works);
+                connection.socket.finish_sending();
+                connection.stage = Stage::Closing;
+                connection.socket.want(true, false);
+                // The other side may have ended before the response.
+                self.read(id, io);
+            }
+            Ok(false) => connection.socket.want(true, true),
+            Err(_) => {
+                self.connections.remove(&id);
             }
-            Ok(false) => caller.sock.want(true, true),
-            Err(_) => drop(self.map.remove(&id)),
         }
     }
 
-    /// Nobody who has called waits for the answer.
-    pub fn is_quiet(&self) -> bool {
+    /// True if no command waits for its response.
+    pub(crate) fn is_idle(&self) -> bool {
         !self
-            .map
+            .connections
             .values()
-            .any(|caller| matches!(caller.stage, Stage::Asked | Stage::Answered))
+            .any(|connection| matches!(connection.stage, Stage::Executing | Stage::Responding))
     }
 }
--- a/relay/src/admin/mod.rs
+++ b/relay/src/admin/mod.rs
@@ -1,4 +1,5 @@
 //! The operators' admin port.
-pub mod commands;
-pub mod connections;
-pub mod protocol;
+pub(crate) mod commands;
+pub(crate) mod connections;
+mod error;
+pub(crate) mod protocol;
--- a/relay/src/admin/protocol.rs
+++ b/relay/src/admin/protocol.rs
@@ -1,202 +1,167 @@
-//! What operators may ask of a running relay, and how they are answered: one line to a call, one
-//! line back. No I/O.
+//! The lines of the admin port: one line to a command, one line back. No I/O.
+use std::fmt::Display;
 
-const NO_SUCH: &str = "no such call: READY, DISABLE ID, ENABLE ID, PEERS, LEASE SUBJECT, RELEASE SUBJECT, NOTE SUBJECT VALUE or NOTES";
-
-/// The longest call; ids are far shorter.
-pub const LONGEST: usize = 512;
+/// The longest line of a command, in bytes; names of backends are far shorter.
+pub(crate) const MAX_LINE_BYTES: usize = 512;
 
+/// What an operator asks of a running relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum AdminCommand {
+pub(crate) enum AdminCommand {
     /// Whether this process serves.
     Ready,
-    /// That backend is out until the call back.
+    /// Bans a backend until `Enable`.
     Disable(String),
     Enable(String),
-    /// What this relay thinks of the others.
-    Peers,
-    /// Whether this relay holds that lease; from the first call on it asks for it.
+    Peers(PeerCommand),
+}
+
+/// What an operator asks about the other relays, or of them.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub(crate) enum PeerCommand {
+    /// What this relay knows of the others.
+    Members,
+    /// Whether this relay holds that lease; from the first command on it requests it.
     Lease(String),
     Release(String),
-    /// Tells all relays something, and what has been told.
-    Note(String, String),
+    /// Announces a note to all relays.
+    Announce {
+        subject: String,
+        value: String,
+    },
+    /// The notes of all relays.
     Notes,
 }
 
-/// What has come of a call so far.
-#[derive(Debug, PartialEq, Eq)]
-pub enum ParsedLine {
-    /// No end of line yet.
-    More,
-    Command(AdminCommand),
-    Bad(&'static str),
+/// Why a line is no command.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum SyntaxError {
+    #[error("a line too long")]
+    LineTooLong,
+    #[error("the line has no end")]
+    UnterminatedLine,
+    #[error("not UTF-8")]
+    NotUtf8,
+    #[error("no call")]
+    Empty,
+    #[error("too many words")]
+    TooManyWords,
+    #[error("READY takes no more words")]
+    ReadyWithArgument,
+    #[error("which backend?")]
+    MissingBackend,
+    #[error("which lease?")]
+    MissingLease,
+    #[error("a subject and a value")]
+    IncompleteNote,
+    #[error(
+        "no such call: READY, DISABLE ID, ENABLE ID, PEERS, LEASE SUBJECT, RELEASE SUBJECT, NOTE SUBJECT VALUE or NOTES"
+    )]
+    UnknownCommand,
 }
 
-/// `ended`: no more bytes will come. A call whose line has no end may have been cut off in the
-/// middle of an id, so it is none.
-pub fn parse_line(bytes: &[u8], ended: bool) -> ParsedLine {
-    let Some(at) = bytes
-        .iter()
-        .position(|&byte| byte == b'\n')
-        .filter(|&at| at < LONGEST)
-    else {
-        return match (bytes.len() >= LONGEST, ended) {
-            (true, _) => ParsedLine::Bad("a line too long"),
-            (false, true) if bytes.is_empty() => ParsedLine::Bad("no call"),
-            (false, true) => ParsedLine::Bad("the line has no end"),
-            (false, false) => ParsedLine::More,
-        };
-    };
-    let line = bytes[..at].strip_suffix(b"\r").unwrap_or(&bytes[..at]);
-    let Ok(line) = std::str::from_utf8(line) else {
-        return ParsedLine::Bad("not UTF-8");
-    };
-    let mut words = line.split(' ').filter(|word| !word.is_empty());
-    let Some(word) = words.next() else {
-        return ParsedLine::Bad("no call");
-    };
-    let id = words.next();
-    match (word, id, words.next()) {
-        ("NOTE", Some(subject), Some(value)) if words.next().is_none() => {
-            ParsedLine::Command(AdminCommand::Note(subject.into(), value.into()))
-        }
-        (_, _, Some(_)) => ParsedLine::Bad("too many words"),
-        ("READY", None, _) => ParsedLine::Command(AdminCommand::Ready),
-        ("READY", Some(_), _) => ParsedLine::Bad("READY takes no more words"),
-        ("DISABLE" | "ENABLE", None, _) => ParsedLine::Bad("which backend?"),
-        ("DISABLE", Some(id), _) => ParsedLine::Command(AdminCommand::Disable(id.into())),
-        ("ENABLE", Some(id), _) => ParsedLine::Command(AdminCommand::Enable(id.into())),
-        ("PEERS", None, _) => ParsedLine::Command(AdminCommand::Peers),
-        ("NOTES", None, _) => ParsedLine::Command(AdminCommand::Notes),
-        ("LEASE" | "RELEASE", None, _) => ParsedLine::Bad("which lease?"),
-        ("LEASE", Some(subject), _) => ParsedLine::Command(AdminCommand::Lease(subject.into())),
-        ("RELEASE", Some(subject), _) => ParsedLine::Command(AdminCommand::Release(subject.into())),
-        ("NOTE", ..) => ParsedLine::Bad("a subject and a value"),
-        _ => ParsedLine::Bad(NO_SUCH),
+/// Reads the command that has come; none while its line is incomplete. With `is_end` no more bytes
+/// will come: a command whose line has no end may have been cut off in the middle of a name, so it
+/// is none.
+///
+/// # Errors
+/// The line is no command.
+pub(crate) fn read_command(
+    bytes: &[u8],
+    is_end: bool,
+) -> Result<Option<AdminCommand>, SyntaxError> {
+    let line_end = bytes.iter().position(|&byte| byte == b'\n');
+    match line_end.filter(|&position| position < MAX_LINE_BYTES) {
+        Some(position) => parse_line(&bytes[..position]).map(Some),
+        None if bytes.len() >= MAX_LINE_BYTES => Err(SyntaxError::LineTooLong),
+        None if !is_end => Ok(None),
+        None if bytes.is_empty() => Err(SyntaxError::Empty),
+        None => Err(SyntaxError::UnterminatedLine),
+    }
+}
+
+/// `line`: without its line feed.
+fn parse_line(line: &[u8]) -> Result<AdminCommand, SyntaxError> {
+    let line = line.strip_suffix(b"\r").unwrap_or(line);
+    let line = std::str::from_utf8(line).map_err(|_| SyntaxError::NotUtf8)?;
+    let words: Vec<&str> = line.split(' ').filter(|word| !word.is_empty()).collect();
+    match words[..] {
+        [] => Err(SyntaxError::Empty),
+        ["NOTE", subject, value] => Ok(AdminCommand::Peers(PeerCommand::Announce {
+            subject: subject.to_string(),
+            value: value.to_string(),
+        })),
+        [_, _, _, ..] => Err(SyntaxError::TooManyWords),
+        [verb] => parse_verb(verb),
+        [verb, argument] => parse_verb_with_argument(verb, argument.to_string()),
+    }
+}
+
+fn parse_verb(verb: &str) -> Result<AdminCommand, SyntaxError> {
+    match verb {
+        "READY" => Ok(AdminCommand::Ready),
+        "PEERS" => Ok(AdminCommand::Peers(PeerCommand::Members)),
+        "NOTES" => Ok(AdminCommand::Peers(PeerCommand::Notes)),
+        "DISABLE" | "ENABLE" => Err(SyntaxError::MissingBackend),
+        "LEASE" | "RELEASE" => Err(SyntaxError::MissingLease),
+        "NOTE" => Err(SyntaxError::IncompleteNote),
+        _ => Err(SyntaxError::UnknownCommand),
     }
 }
 
-/// What `READY` is answered by.
+fn parse_verb_with_argument(verb: &str, argument: String) -> Result<AdminCommand, SyntaxError> {
+    match verb {
+        "READY" => Err(SyntaxError::ReadyWithArgument),
+        "DISABLE" => Ok(AdminCommand::Disable(argument)),
+        "ENABLE" => Ok(AdminCommand::Enable(argument)),
+        "LEASE" => Ok(AdminCommand::Peers(PeerCommand::Lease(argument))),
+        "RELEASE" => Ok(AdminCommand::Peers(PeerCommand::Release(argument))),
+        "NOTE" => Err(SyntaxError::IncompleteNote),
+        _ => Err(SyntaxError::UnknownCommand),
+    }
+}
+
+/// What decides whether this process serves.
 #[derive(Clone, Copy, Debug)]
-pub struct Readiness {
-    pub stopping: bool,
-    /// A list of backends is held.
-    pub listed: bool,
-    /// Clients are taken.
-    pub accepting: bool,
+pub(crate) struct Readiness {
+    pub(crate) is_stopping: bool,
+    pub(crate) has_endpoints: bool,
+    pub(crate) accepts_clients: bool,
+}
+
+/// Why this process does not serve.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum NotReady {
+    #[error("stopping")]
+    Stopping,
+    #[error("no list of backends yet")]
+    NoEndpoints,
+    #[error("no clients are taken yet")]
+    NotAccepting,
 }
 
 impl Readiness {
     /// # Errors
-    /// Why this process does not serve.
-    pub fn told(self) -> Result<(), &'static str> {
-        match self {
-            Readiness { stopping: true, .. } => Err("stopping"),
-            Readiness { listed: false, .. } => Err("no list of backends yet"),
-            Readiness {
-                accepting: false, ..
-            } => Err("no clients are taken yet"),
-            _ => Ok(()),
+    /// This process does not serve.
+    pub(crate) fn check(self) -> Result<(), NotReady> {
+        if self.is_stopping {
+            Err(NotReady::Stopping)
+        } else if !self.has_endpoints {
+            Err(NotReady::NoEndpoints)
+        } else if !self.accepts_clients {
+            Err(NotReady::NotAccepting)
+        } else {
+            Ok(())
         }
     }
 }
 
-/// The one line that a caller is told.
-pub fn answer(done: Result<&str, &str>) -> String {
-    match done {
-        Ok(word) => format!("200 {word}"),
-        Err(why) => format!("400 {why}"),
+/// The line that answers a command.
+pub(crate) fn response_line<E: Display>(result: &Result<String, E>) -> String {
+    match result {
+        Ok(text) => format!("200 {text}"),
+        Err(error) => format!("400 {error}"),
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_line_is_a_call_or_a_fault_with_its_reason() {
-        let disable = |id: &str| ParsedLine::Command(AdminCommand::Disable(id.into()));
-        let long = [b'x'; LONGEST];
-        let cases: &[(&[u8], bool, ParsedLine)] = &[
-            (b"", false, ParsedLine::More),
-            (b"REA", false, ParsedLine::More),
-            (b"READY\n", false, ParsedLine::Command(AdminCommand::Ready)),
-            (
-                b"READY\r\n",
-                false,
-                ParsedLine::Command(AdminCommand::Ready),
-            ),
-            (
-                b"READY\nmore",
-                false,
-                ParsedLine::Command(AdminCommand::Ready),
-            ),
-            (b"DISABLE s-5be2a07c\r\n", false, disable("s-5be2a07c")),
-            (b"DISABLE  s-5be2a07c \n", true, disable("s-5be2a07c")),
-            (
-                b"ENABLE a\n",
-                false,
-                ParsedLine::Command(AdminCommand::Enable("a".into())),
-            ),
-            (b"ENABLE a", true, ParsedLine::Bad("the line has no end")),
-            (b"READY", true, ParsedLine::Bad("the line has no end")),
-            (b"", true, ParsedLine::Bad("no call")),
-            (b"\n", false, ParsedLine::Bad("no call")),
-            (b" \r\n", false, ParsedLine::Bad("no call")),
-            (b"ENABLE\n", false, ParsedLine::Bad("which backend?")),
-            (b"ENABLE a b\n", false, ParsedLine::Bad("too many words")),
-            (
-                b"READY now\n",
-                false,
-                ParsedLine::Bad("READY takes no more words"),
-            ),
-            (b"ready\n", false, ParsedLine::Bad(NO_SUCH)),
-            (b"PEERS\n", false, ParsedLine::Command(AdminCommand::Peers)),
-            (b"NOTES x\n", false, ParsedLine::Bad(NO_SUCH)),
-            (
-                b"LEASE turn\n",
-                false,
-                ParsedLine::Command(AdminCommand::Lease("turn".into())),
-            ),
-            (b"RELEASE\n", false, ParsedLine::Bad("which lease?")),
-            (
-                b"NOTE a b\n",
-                false,
-                ParsedLine::Command(AdminCommand::Note("a".into(), "b".into())),
-            ),
-            (b"NOTE a\n", false, ParsedLine::Bad("a subject and a value")),
-            (b"NOTE a b c\n", false, ParsedLine::Bad("too many words")),
-            (
-                b"GET / HTTP/1.1\r\n",
-                false,
-                ParsedLine::Bad("too many words"),
-            ),
-            (b"DISABLE \xff\xfe\n", false, ParsedLine::Bad("not UTF-8")),
-            (&long, false, ParsedLine::Bad("a line too long")),
-            (&long[1..], false, ParsedLine::More),
-        ];
-        for (bytes, ended, expected) in cases {
-            assert_eq!(
-                &parse_line(bytes, *ended),
-                expected,
-                "{:?}",
-                String::from_utf8_lossy(bytes)
-            );
-        }
-        for number in 0..8 {
-            let [stopping, listed, accepting] = [1, 2, 4].map(|bit| number & bit > 0);
-            let ready = Readiness {
-                stopping,
-                listed,
-                accepting,
-            };
-            assert_eq!(ready.told().is_ok(), number == 6, "{ready:?}");
-        }
-        for pieces in 1..b"DISABLE s-1\r\n".len() {
-            assert_eq!(
-                parse_line(&b"DISABLE s-1\r\n"[..pieces], false),
-                ParsedLine::More
-            );
-        }
-    }
-}
+mod tests;
--- a/relay/src/bans/mod.rs
+++ b/relay/src/bans/mod.rs
@@ -1,3 +1,3 @@
 //! Backends that operators have banned, kept for every process of this relay.
-pub mod list;
-pub mod store;
+pub(crate) mod list;
+pub(crate) mod store;
--- a/relay/src/bans/store.rs
+++ b/relay/src/bans/store.rs
@@ -1,168 +1,139 @@
-//! Where the list of bans is kept between processes of one relay: a file in `$TMPDIR`, replaced as
-//! a whole under a lock. A process that dies in the middle of a write leaves the list as it was,
-//! and its lock is free.
-use crate::bans::list::BanList;
-use std::fs::{File, OpenOptions};
+//! The ban store: a file in `$TMPDIR` that the processes of one relay share. It is replaced as a
+//! whole under a lock, so that a process that dies in the middle of a write leaves the list as it
+//! was, and its lock free.
+use crate::bans::list::{BanList, BanListError};
+use std::fs::{File, Metadata, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::MetadataExt;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 
-pub struct BanStore {
-    list: PathBuf,
-    fresh: PathBuf,
-    lock: PathBuf,
+/// The ban list as this process read or wrote it last.
+pub(crate) struct BanStore {
+    path: PathBuf,
+    /// Where the next list is written before it takes the place of the last one.
+    new_path: PathBuf,
+    lock_path: PathBuf,
     relay: String,
-    bans: BanList,
-    /// What tells one written list from the next.
-    seen: Option<(u64, i64, i64, u64)>,
+    list: BanList,
+    /// None until the file has been found.
+    version: Option<FileVersion>,
 }
 
-#[derive(Debug)]
-pub enum BanStoreError {
-    /// The other process is at it: to be tried again soon.
-    Locked,
-    Other(io::Error),
+/// Tells one written file from the next.
+#[derive(Clone, Copy, PartialEq, Eq)]
+struct FileVersion {
+    inode: u64,
+    modified_seconds: i64,
+    modified_nanos: i64,
+    size: u64,
 }
 
-impl From<io::Error> for BanStoreError {
-    fn from(fault: io::Error) -> BanStoreError {
-        BanStoreError::Other(fault)
+impl From<&Metadata> for FileVersion {
+    fn from(metadata: &Metadata) -> FileVersion {
+        FileVersion {
+            inode: metadata.ino(),
+            modified_seconds: metadata.mtime(),
+            modified_nanos: metadata.mtime_nsec(),
+            size: metadata.size(),
+        }
     }
 }
 
+/// Why a ban was not changed.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum BanStoreError {
+    /// The other process writes at present: worth another attempt soon.
+    #[error("another process holds the list of bans")]
+    Locked,
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+/// Why a list could not be read.
+#[derive(Debug, thiserror::Error)]
+enum ReadError {
+    #[error(transparent)]
+    Io(#[from] io::Error),
+    #[error(transparent)]
+    List(#[from] BanListError),
+}
+
 impl BanStore {
-    /// In this folder; nothing is read yet.
-    pub fn new(folder: &std::path::Path, relay: &str) -> BanStore {
-        let in_folder = |name: &str| folder.join(name);
+    /// A store in this folder; nothing is read yet.
+    pub(crate) fn new(folder: &Path, relay: &str) -> BanStore {
         BanStore {
-            list: in_folder("thistlecroft-bans"),
-            // Only the one that holds the lock writes here.
-            fresh: in_folder("thistlecroft-bans.fresh"),
-            lock: in_folder("thistlecroft-bans.lock"),
+            path: folder.join("thistlecroft-bans"),
+            new_path: folder.join("thistlecroft-bans.fresh"),
+            lock_path: folder.join("thistlecroft-bans.lock"),
             relay: relay.to_string(),
-            bans: BanList::default(),
-            seen: None,
+            list: BanList::default(),
+            version: None,
         }
     }
 
-    pub fn bans(&self) -> &BanList {
-        &self.bans
+    pub(crate) fn list(&self) -> &BanList {
+        &self.list
     }
 
-    /// Reads what another process has written since; true where that changed anything.
-    pub fn refresh(&mut self) -> bool {
-        let Ok(about) = std::fs::metadata(&self.list) else {
+    /// Reads what another process has written since; true if that changed the set of bans. A file
+    /// that can't be read changes nothing.
+    pub(crate) fn refresh(&mut self) -> bool {
+        let Ok(metadata) = std::fs::metadata(&self.path) else {
             return false;
         };
-        let seen = Some((about.ino(), about.mtime(), about.mtime_nsec(), about.size()));
-        if seen == self.seen {
+        let version = Some(FileVersion::from(&metadata));
+        if version == self.version {
             return false;
         }
-        self.seen = seen;
-        let text = std::fs::read_to_string(&self.list).map_err(|fault| fault.to_string());
-        match text.and_then(|text| BanList::read(&text, &self.relay).map_err(str::to_string)) {
-            Ok(bans) => {
-                let changed = bans.out != self.bans.out;
-                self.bans = bans;
-                changed
+        self.version = version;
+        match self.read() {
+            Ok(list) => {
+                let has_changed = list.banned != self.list.banned;
+                self.list = list;
+                has_changed
             }
-            Err(why) => {
-                log::warn!("{}: {why}; the bans known so far stay", self.list.display());
+            Err(error) => {
+                let path = self.path.display();
+                log::warn!("{path}: {error}; the bans known so far stay");
                 false
             }
         }
     }
 
+    fn read(&self) -> Result<BanList, ReadError> {
+        let text = std::fs::read_to_string(&self.path)?;
+        Ok(BanList::parse(&text, &self.relay)?)
+    }
+
+    /// Bans a backend or ends its ban, for every process of this relay.
+    ///
     /// # Errors
-    /// Nothing has changed.
-    pub fn change(&mut self, id: &str, out: bool) -> Result<(), BanStoreError> {
-        let lock = OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(&self.lock)?;
-        match lock.try_lock() {
-            Ok(()) => {}
-            Err(std::fs::TryLockError::WouldBlock) => return Err(BanStoreError::Locked),
-            Err(std::fs::TryLockError::Error(fault)) => return Err(fault.into()),
-        }
+    /// The store is locked or can't be written. Nothing has changed.
+    pub(crate) fn set(&mut self, backend: &str, is_banned: bool) -> Result<(), BanStoreError> {
+        let lock = self.lock()?;
         self.refresh();
-        let mut later = self.bans.clone();
-        if later.change(id, out) {
-            std::fs::write(&self.fresh, later.text(&self.relay))?;
-            std::fs::rename(&self.fresh, &self.list)?;
-            self.bans = later;
-            let about = std::fs::metadata(&self.list)?;
-            self.seen = Some((about.ino(), about.mtime(), about.mtime_nsec(), about.size()));
+        let mut list = self.list.clone();
+        if list.set(backend, is_banned) {
+            std::fs::write(&self.new_path, list.encode(&self.relay))?;
+            std::fs::rename(&self.new_path, &self.path)?;
+            self.list = list;
+            self.version = Some(FileVersion::from(&std::fs::metadata(&self.path)?));
         }
-        drop::<File>(lock);
-        Ok(())
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn folder(name: &str) -> PathBuf {
-        let folder =
-            std::env::temp_dir().join(format!("thistlecroft-shelf-{}-{name}", std::process::id()));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).unwrap();
-        folder
-    }
-
-    #[test]
-    fn two_processes_keep_one_list() {
-        let folder = folder("two");
-        let (mut old, mut new) = (BanStore::new(&folder, "n3"), BanStore::new(&folder, "n3"));
-        assert!(
-            !old.refresh() && old.bans().out.is_empty(),
-            "a missing list is an empty one"
-        );
-        old.change("a", true).unwrap();
-        assert!(new.refresh() && !new.refresh());
-        new.change("b", true).unwrap();
-        // It has not read what the other wrote: its own change must not undo that.
-        old.change("a", false).unwrap();
-        assert!(new.refresh());
-        assert_eq!(new.bans(), old.bans());
-        assert_eq!(new.bans().out.iter().collect::<Vec<_>>(), ["b"]);
-        // While one is at it the other is told so, and nothing changes.
-        let lock = OpenOptions::new()
-            .append(true)
-            .open(folder.join("thistlecroft-bans.lock"))
-            .unwrap();
-        lock.lock().unwrap();
-        assert!(matches!(old.change("c", true), Err(BanStoreError::Locked)));
-        assert_eq!(old.bans(), new.bans());
         drop(lock);
-        old.change("c", true).unwrap();
-        std::fs::remove_dir_all(&folder).unwrap();
+        Ok(())
     }
 
-    #[test]
-    fn a_torn_or_foreign_list_is_a_clean_start_and_the_next_change_mends_it() {
-        for (name, text) in [
-            ("torn", "thistlecroft bans 1\nrelay n3\nser"),
-            ("foreign", "{}"),
-            ("empty", ""),
-        ] {
-            let folder = folder(name);
-            std::fs::write(folder.join("thistlecroft-bans"), text).unwrap();
-            std::fs::write(folder.join("thistlecroft-bans.fresh"), "half of a li").unwrap();
-            let mut shelf = BanStore::new(&folder, "n3");
-            assert!(!shelf.refresh() && shelf.bans().out.is_empty(), "{name}");
-            shelf.change("a", true).unwrap();
-            let mut next = BanStore::new(&folder, "n3");
-            assert!(next.refresh());
-            assert_eq!(next.bans().out.iter().collect::<Vec<_>>(), ["a"], "{name}");
-            std::fs::remove_dir_all(&folder).unwrap();
+    /// Held until the file is dropped.
+    fn lock(&self) -> Result<File, BanStoreError> {
+        let mut options = OpenOptions::new();
+        let file = options.create(true).append(true).open(&self.lock_path)?;
+        match file.try_lock() {
+            Ok(()) => Ok(file),
+            Err(TryLockError::WouldBlock) => Err(BanStoreError::Locked),
+            Err(TryLockError::Error(error)) => Err(error.into()),
         }
-        let mut nowhere = BanStore::new(std::path::Path::new("/nowhere/at/all"), "n3");
-        assert!(!nowhere.refresh());
-        assert!(
-            matches!(nowhere.change("a", true), Err(BanStoreError::Other(_)))
-                && nowhere.bans().out.is_empty()
-        );
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/relay/src/discovery/mod.rs
+++ b/relay/src/discovery/mod.rs
@@ -1,3 +1,8 @@
-//! Service discovery: the endpoint list as the agent tells it.
-pub mod poll_schedule;
-pub mod watch;
+//! Service discovery: the endpoint list, as the discovery agent sends it.
+mod connection;
+pub(crate) mod decoding;
+mod error;
+mod http;
+mod poll_schedule;
+pub(crate) mod registry;
+pub(crate) mod watch;
--- a/relay/src/driver.rs
+++ b/relay/src/driver.rs
@@ -1,5 +1,5 @@
-//! The seam to the decisions: what a turn gathered is handed in at one go, and what they ask for is
-//! only written down, to be carried out after.
+//! The seam to the balancer: the events of a turn are delivered to it, and its actions are recorded,
+//! to be carried out after.
 use crate::timers::{Timer, TimerQueue};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
@@ -13,31 +13,39 @@
 
 /// What a turn gathered, in the order in which it came.
 #[derive(Debug)]
-pub enum Event {
+pub(crate) enum Event {
     EndpointsUpdated(UpdateKind, Vec<Endpoint>),
     SessionArrived(SessionId, Arrival),
+    /// A session that stands already was taken over from the predecessor.
     SessionInherited(SessionId, BackendId, Arrival),
+    /// An attempt, by its number, has come up.
     AttemptReady(SessionId, u32),
     AttemptEnded(SessionId, AttemptEnd),
     SessionLeft(SessionId),
     HealthChecked(BackendId, AttemptOutcome, LoadReport),
     LoadObserved(SessionId, f64),
     LatencyObserved(SessionId, Duration),
+    /// A client's line has had no line back for so long.
     ResponseOverdue(SessionId, Duration),
     Reconfigured(Box<Deployment>),
-    /// Taken out by hand, or put back.
+    /// An operator has banned a backend, or ended its ban.
     BanChanged(BackendId, bool),
-    /// What the process before knows, which still serves; and that it takes nothing new any more.
+    /// What the predecessor knows, which still serves.
     SnapshotReceived(BalancerSnapshot),
+    /// The predecessor takes nothing new any more.
     PredecessorEnded,
     Wake,
     ShutDown,
 }
 
+/// What the balancer asks for.
 #[derive(Debug)]
-pub enum Action {
+pub(crate) enum Action {
+    /// Begin an attempt, and give it up after so long.
     Connect(SessionId, BackendId, Duration),
+    /// Cancel an attempt, by its number.
     Cancel(SessionId, u32),
+    /// Reject a session, with how long it should wait before it comes again.
     Reject(SessionId, Option<Duration>),
     Fail(SessionId),
     Migrate(SessionId),
@@ -45,80 +53,118 @@
     Subscribe,
 }
 
-/// Writes down what the decisions ask for.
-pub struct ActionRecorder<'a> {
-    pub orders: &'a mut Vec<Action>,
-    pub alarms: &'a mut TimerQueue,
+/// Records what the balancer asks for.
+pub(crate) struct ActionRecorder<'a> {
+    pub(crate) actions: &'a mut Vec<Action>,
+    pub(crate) timers: &'a mut TimerQueue,
 }
 
 impl Driver for ActionRecorder<'_> {
-    fn connect(&mut self, session: SessionId, backend: BackendId, give_up_after: Duration) {
-        self.orders
-            .push(Action::Connect(session, backend, give_up_after));
+    fn connect(&mut self, session: SessionId, backend: BackendId, timeout: Duration) {
+        self.actions
+            .push(Action::Connect(session, backend, timeout));
     }
-    fn cancel(&mut self, session: SessionId, dial: u32) {
-        self.orders.push(Action::Cancel(session, dial));
+
+    fn cancel(&mut self, session: SessionId, attempt: u32) {
+        self.actions.push(Action::Cancel(session, attempt));
     }
+
     fn reject(&mut self, session: SessionId, retry_after: Option<Duration>) {
-        self.orders.push(Action::Reject(session, retry_after));
+        self.actions.push(Action::Reject(session, retry_after));
     }
+
     fn fail(&mut self, session: SessionId) {
-        self.orders.push(Action::Fail(session));
+        self.actions.push(Action::Fail(session));
     }
+
     fn migrate(&mut self, session: SessionId) {
-        self.orders.push(Action::Migrate(session));
+        self.actions.push(Action::Migrate(session));
     }
+
     fn check_health(&mut self, backend: BackendId) {
-        self.orders.push(Action::CheckHealth(backend));
+        self.actions.push(Action::CheckHealth(backend));
     }
+
     fn wake_at(&mut self, at: Instant) {
-        self.alarms.set(at, Timer::Balancer);
+        self.timers.set(at, Timer::Balancer);
     }
+
     fn subscribe(&mut self) {
-        self.orders.push(Action::Subscribe);
+        self.actions.push(Action::Subscribe);
     }
-    // Ids of sessions are never used again here, so nothing is kept that could be released.
+
+    // Session ids are never used again here, so nothing is kept that could be released.
     fn release(&mut self, _: SessionId) {}
 }
 
-/// Hands one piece of news in. A panic costs the session it is about, not the process: the
-/// session's id comes back, to be answered without the decisions.
-pub fn hand_in(
-    relay: &mut Balancer,
-    news: Event,
+/// The balancer panicked over an event.
+#[derive(Debug)]
+pub(crate) struct BalancerPanicked {
+    /// The session that the event was about, to be answered without the balancer.
+    pub(crate) session: Option<SessionId>,
+}
+
+/// Delivers one event to the balancer.
+///
+/// # Errors
+/// The balancer panicked: that costs the session that the event is about, not the process.
+pub(crate) fn deliver(
+    balancer: &mut Balancer,
+    event: Event,
     now: Instant,
-    desk: &mut ActionRecorder,
-) -> Result<(), Option<SessionId>> {
-    let about = match &news {
+    recorder: &mut ActionRecorder,
+) -> Result<(), BalancerPanicked> {
+    let session = session_of(&event);
+    catch_unwind(AssertUnwindSafe(|| {
+        dispatch(balancer, event, now, recorder)
+    }))
+    .map_err(|_| BalancerPanicked { session })
+}
+
+fn session_of(event: &Event) -> Option<SessionId> {
+    match event {
         Event::SessionArrived(id, _)
         | Event::SessionInherited(id, ..)
         | Event::AttemptReady(id, _)
-        | Event::AttemptEnded(id, _) => Some(*id),
-        Event::SessionLeft(id)
+        | Event::AttemptEnded(id, _)
+        | Event::SessionLeft(id)
         | Event::LoadObserved(id, _)
         | Event::LatencyObserved(id, _)
         | Event::ResponseOverdue(id, _) => Some(*id),
-        _ => None,
-    };
-    let done = catch_unwind(AssertUnwindSafe(|| match news {
-        Event::EndpointsUpdated(scope, rows) => relay.update_endpoints(scope, &rows),
-        Event::SessionArrived(id, arrival) => relay.session_arrived(now, id, arrival, desk),
-        Event::SessionInherited(id, at, arrival) => {
-            relay.session_inherited(now, id, at, arrival, desk)
+        Event::EndpointsUpdated(..)
+        | Event::HealthChecked(..)
+        | Event::Reconfigured(_)
+        | Event::BanChanged(..)
+        | Event::SnapshotReceived(_)
+        | Event::PredecessorEnded
+        | Event::Wake
+        | Event::ShutDown => None,
+    }
+}
+
+fn dispatch(balancer: &mut Balancer, event: Event, now: Instant, recorder: &mut ActionRecorder) {
+    match event {
+        Event::EndpointsUpdated(kind, endpoints) => balancer.update_endpoints(kind, &endpoints),
+        Event::SessionArrived(id, arrival) => balancer.session_arrived(now, id, arrival, recorder),
+        Event::SessionInherited(id, backend, arrival) => {
+            balancer.session_inherited(now, id, backend, arrival, recorder);
+        }
+        Event::AttemptReady(id, attempt) => balancer.attempt_ready(now, id, attempt, recorder),
+        Event::AttemptEnded(id, end) => balancer.attempt_ended(now, id, end, recorder),
+        Event::SessionLeft(id) => balancer.session_left(id, recorder),
+        Event::HealthChecked(id, outcome, report) => {
+            balancer.health_checked(now, id, outcome, report);
         }
-        Event::AttemptReady(id, dial) => relay.attempt_ready(now, id, dial, desk),
-        Event::AttemptEnded(id, ending) => relay.attempt_ended(now, id, ending, desk),
-        Event::SessionLeft(id) => relay.session_left(id, desk),
-        Event::HealthChecked(id, verdict, report) => relay.health_checked(now, id, verdict, report),
-        Event::LoadObserved(id, load) => relay.load_observed(id, load),
-        Event::LatencyObserved(id, delay) => relay.latency_observed(now, id, delay, desk),
-        Event::ResponseOverdue(id, waited) => relay.response_overdue(now, id, waited, desk),
-        Event::Reconfigured(deployment) => relay.reconfigure(*deployment),
-        Event::BanChanged(id, out) => relay.set_banned(now, id, out),
-        Event::SnapshotReceived(memory) => relay.restore(&memory, true),
-        Event::PredecessorEnded => relay.predecessor_ended(now),
-        Event::Wake => relay.wake(now, desk),
-        Event::ShutDown => relay.shut_down(now, desk),
-    }));
-    done.map_err(|_| about)
+        Event::LoadObserved(id, load) => balancer.load_observed(id, load),
+        Event::LatencyObserved(id, latency) => {
+            balancer.latency_observed(now, id, latency, recorder);
+        }
+        Event::ResponseOverdue(id, waited) => balancer.response_overdue(now, id, waited, recorder),
+        Event::Reconfigured(deployment) => balancer.reconfigure(*deployment),
+        Event::BanChanged(id, is_banned) => balancer.set_banned(now, id, is_banned),
+        Event::SnapshotReceived(snapshot) => balancer.restore(&snapshot, true),
+        Event::PredecessorEnded => balancer.predecessor_ended(now),
+        Event::Wake => balancer.wake(now, recorder),
+        Event::ShutDown => balancer.shut_down(now, recorder),
+    }
 }
--- a/relay/src/hot_restart/messages.rs
+++ b/relay/src/hot_restart/messages.rs
@@ -1,69 +1,124 @@
-//! What goes from a process of a relay to the next, as it is written on the way: one packet each, a
-//! line of JSON with a version, then raw bytes. No I/O.
+//! The packets that go from a process of a relay to the next: one message each, as a line of JSON,
+//! then raw bytes. The names in the JSON are those of the released versions. No I/O.
 use serde::{Deserialize, Serialize};
 use thistlecroft::attempt::LoadReport;
 use thistlecroft::ids::BackendId;
 use thistlecroft::snapshot::{BalancerSnapshot, EndpointStatistics};
 use thistlecroft::time::{Duration, Instant};
 
-/// Of the words below; a process that speaks another moves its clients instead.
-pub const VERSION: u32 = 2;
+/// The version of the messages below. To a process that speaks another no connection is handed over:
+/// its clients are migrated instead.
+pub(crate) const VERSION: u32 = 2;
 
-/// A standing connection; its two descriptors go beside it, the client's first.
+/// A standing session; its two descriptors go beside it, the client's first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SessionHandover {
-    /// Of its offer, for the answer.
-    pub serial: u32,
-    pub id: u64,
-    pub listener: String,
-    pub key: Option<u64>,
-    pub group: Option<u64>,
-    pub backend: String,
-    /// When a line last passed, and the first client's line without one back, Unix time in
-    /// microseconds.
-    pub heard_us: u64,
-    pub asked_us: Option<u64>,
-    pub told_delay_us: u64,
-    pub load: Option<f64>,
-    /// Bytes that wait on their way to the backend and to the client, and how many of them are
-    /// whole lines.
-    pub up: (usize, usize),
-    pub down: (usize, usize),
+pub(crate) struct SessionHandover {
+    /// The number of the offer, for its answer.
+    pub(crate) serial: u32,
+    pub(crate) id: u64,
+    pub(crate) listener: String,
+    pub(crate) key: Option<u64>,
+    pub(crate) group: Option<u64>,
+    pub(crate) backend: String,
+    /// When a line last passed, Unix time in microseconds.
+    pub(crate) heard_us: u64,
+    /// When the client sent the first line that has had none back, Unix time in microseconds.
+    pub(crate) asked_us: Option<u64>,
+    /// The latency that the backend reported last, in microseconds.
+    pub(crate) told_delay_us: u64,
+    pub(crate) load: Option<f64>,
+    /// Bytes that wait on their way to the backend, and how many of them are complete lines.
+    pub(crate) up: (usize, usize),
+    /// Bytes that wait on their way to the client, and how many of them are complete lines.
+    pub(crate) down: (usize, usize),
 }
 
-/// What a relay knows of one backend, by the id that is the same in both processes. Times are Unix
+/// What a relay knows of one backend, by the name that is the same in both processes. Times are Unix
 /// microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct EndpointMessage {
-    pub backend: String,
-    heard: Option<(u64, Option<f64>, Option<f64>)>,
-    weight_heard: f64,
-    strikes: u32,
+pub(crate) struct EndpointMessage {
+    backend: String,
+    #[serde(rename = "heard")]
+    last_report: Option<ReportMessage>,
+    #[serde(rename = "weight_heard")]
+    weight_at_report: f64,
+    #[serde(rename = "strikes")]
+    consecutive_failures: u32,
     ejections: u32,
-    owed: u32,
-    cold_turn: Option<(u64, u32)>,
+    #[serde(rename = "owed")]
+    pending_health_checks: u32,
+    /// The slow-start period and the sessions placed within it.
+    #[serde(rename = "cold_turn")]
+    slow_start_use: Option<(u64, u32)>,
 }
 
+/// A load report and when it came.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(from = "ReportArray", into = "ReportArray")]
+struct ReportMessage {
+    at_us: u64,
+    connections: Option<f64>,
+    load: Option<f64>,
+}
+
+/// The report's form in the JSON: time, connections, load.
+type ReportArray = (u64, Option<f64>, Option<f64>);
+
+impl From<ReportArray> for ReportMessage {
+    fn from((at_us, connections, load): ReportArray) -> ReportMessage {
+        ReportMessage {
+            at_us,
+            connections,
+            load,
+        }
+    }
+}
+
+impl From<ReportMessage> for ReportArray {
+    fn from(report: ReportMessage) -> ReportArray {
+        (report.at_us, report.connections, report.load)
+    }
+}
+
+/// What a balancer knows, or a part of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct SnapshotMessage {
-    pub sights: Vec<EndpointMessage>,
-    set_up_us: u64,
-    stood: f64,
-    left_alone: f64,
+pub(crate) struct SnapshotMessage {
+    #[serde(rename = "sights")]
+    endpoints: Vec<EndpointMessage>,
+    #[serde(rename = "set_up_us")]
+    connect_time_us: u64,
+    #[serde(rename = "stood")]
+    connection_seconds: f64,
+    #[serde(rename = "left_alone")]
+    departures: f64,
 }
 
 impl SnapshotMessage {
-    /// As many as are told at once, so that each part fits into a packet however many backends
-    /// there are.
-    const PART: usize = 128;
+    /// Endpoints in one part, so that each part fits into a packet however many there are.
+    const PART_ENDPOINTS: usize = 128;
 
-    /// The same in parts, each of which can be taken in alone; one at least.
-    pub fn parts(mut self) -> Vec<SnapshotMessage> {
+    pub(crate) fn new<'a>(
+        snapshot: &BalancerSnapshot,
+        name: impl Fn(BackendId) -> &'a str,
+    ) -> SnapshotMessage {
+        let endpoints = snapshot.endpoints.iter();
+        let endpoints =
+            endpoints.map(|(id, statistics)| EndpointMessage::new(name(*id), statistics));
+        SnapshotMessage {
+            endpoints: endpoints.collect(),
+            connect_time_us: snapshot.connect_time.as_micros(),
+            connection_seconds: snapshot.connection_seconds,
+            departures: snapshot.departures,
+        }
+    }
+
+    /// The same in parts, each of which can be restored alone; one at least.
+    pub(crate) fn into_parts(mut self) -> Vec<SnapshotMessage> {
         let mut parts = Vec::new();
-        while self.sights.len() > SnapshotMessage::PART {
-            let rest = self.sights.split_off(SnapshotMessage::PART);
+        while self.endpoints.len() > SnapshotMessage::PART_ENDPOINTS {
+            let rest = self.endpoints.split_off(SnapshotMessage::PART_ENDPOINTS);
             parts.push(SnapshotMessage {
-                sights: std::mem::replace(&mut self.sights, rest),
+                endpoints: std::mem::replace(&mut self.endpoints, rest),
                 ..self
             });
         }
@@ -71,195 +126,137 @@
         parts
     }
 
-    pub fn of<'a>(
-        memory: &BalancerSnapshot,
-        name: impl Fn(BackendId) -> &'a str,
-    ) -> SnapshotMessage {
-        let sight = |&(id, sight): &(BackendId, EndpointStatistics)| EndpointMessage {
-            backend: name(id).to_string(),
-            heard: sight
-                .last_report
-                .map(|(at, report)| (at.as_micros(), report.connections, report.load)),
-            weight_heard: sight.weight_at_report,
-            strikes: sight.consecutive_failures,
-            ejections: sight.ejections,
-            owed: sight.pending_health_checks,
-            cold_turn: sight.slow_start_use,
-        };
-        SnapshotMessage {
-            sights: memory.endpoints.iter().map(sight).collect(),
-            set_up_us: memory.connect_time.as_micros(),
-            stood: memory.connection_seconds,
-            left_alone: memory.departures,
+    pub(crate) fn to_snapshot(&self, mut id: impl FnMut(&str) -> BackendId) -> BalancerSnapshot {
+        let endpoints = self.endpoints.iter();
+        let endpoints = endpoints.map(|endpoint| (id(&endpoint.backend), endpoint.to_statistics()));
+        BalancerSnapshot {
+            endpoints: endpoints.collect(),
+            connect_time: Duration::from_micros(self.connect_time_us),
+            connection_seconds: self.connection_seconds,
+            departures: self.departures,
+        }
+    }
+}
+
+impl EndpointMessage {
+    fn new(backend: &str, statistics: &EndpointStatistics) -> EndpointMessage {
+        EndpointMessage {
+            backend: backend.to_string(),
+            last_report: statistics.last_report.map(|(at, report)| ReportMessage {
+                at_us: at.as_micros(),
+                connections: report.connections,
+                load: report.load,
+            }),
+            weight_at_report: statistics.weight_at_report,
+            consecutive_failures: statistics.consecutive_failures,
+            ejections: statistics.ejections,
+            pending_health_checks: statistics.pending_health_checks,
+            slow_start_use: statistics.slow_start_use,
         }
     }
 
-    pub fn memory(&self, mut id: impl FnMut(&str) -> BackendId) -> BalancerSnapshot {
-        let sights = self.sights.iter().map(|sight| {
+    fn to_statistics(&self) -> EndpointStatistics {
+        let last_report = self.last_report.map(|report| {
+            let ReportMessage {
+                at_us,
+                connections,
+                load,
+            } = report;
             (
-                id(&sight.backend),
-                EndpointStatistics {
-                    last_report: sight.heard.map(|(at, connections, load)| {
-                        (Instant::from_micros(at), LoadReport { connections, load })
-                    }),
-                    weight_at_report: sight.weight_heard,
-                    consecutive_failures: sight.strikes,
-                    ejections: sight.ejections,
-                    pending_health_checks: sight.owed,
-                    slow_start_use: sight.cold_turn,
-                },
+                Instant::from_micros(at_us),
+                LoadReport { connections, load },
             )
         });
-        let set_up = Duration::from_micros(self.set_up_us);
-        BalancerSnapshot {
-            endpoints: sights.collect(),
-            connect_time: set_up,
-            connection_seconds: self.stood,
-            departures: self.left_alone,
+        EndpointStatistics {
+            last_report,
+            weight_at_report: self.weight_at_report,
+            consecutive_failures: self.consecutive_failures,
+            ejections: self.ejections,
+            pending_health_checks: self.pending_health_checks,
+            slow_start_use: self.slow_start_use,
         }
     }
 }
 
-/// What either side says.
+/// What either process sends.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Message {
-    /// The new one's first.
-    Hello {
-        version: u32,
-        relay: String,
-    },
-    /// The old one's, at the beginning and when it leaves; in parts.
-    Memory(SnapshotMessage),
-    /// It takes nothing new any more.
+pub(crate) enum Message {
+    /// The successor's first message.
+    Hello { version: u32, relay: String },
+    /// The predecessor's, at the beginning and when it leaves; in parts.
+    #[serde(rename = "Memory")]
+    Snapshot(SnapshotMessage),
+    /// The predecessor takes nothing new any more.
     Leaving,
-    /// Descriptors that either holds: one limit is for both.
-    Holds {
-        sockets: usize,
+    /// Descriptors that the sender holds: one limit is for both processes.
+    #[serde(rename = "Holds")]
+    OpenDescriptors {
+        #[serde(rename = "sockets")]
+        count: usize,
     },
+    /// The predecessor offers a session.
     Session(SessionHandover),
-    /// The new one holds it and does not touch it yet.
-    Took {
-        serial: u32,
-    },
-    Declined {
-        serial: u32,
-    },
-    /// The old one has let go of it. Without this word the new one lets go: no connection ever has
-    /// two readers.
-    Yours {
-        serial: u32,
-    },
+    /// The successor holds an offered session and does not touch it yet.
+    #[serde(rename = "Took")]
+    Accepted { serial: u32 },
+    /// The successor does not take an offered session.
+    Declined { serial: u32 },
+    /// The predecessor has let go of an accepted session. Without this message the successor lets
+    /// go: no connection ever has two readers.
+    Yours { serial: u32 },
 }
 
-/// `bytes`: what a session has waiting, up then down.
-pub fn packet(word: &Message, bytes: &[&[u8]]) -> Vec<u8> {
-    let mut packet = serde_json::to_vec(word).expect("a word is text, numbers and names");
+/// A packet that can't be read.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum PacketError {
+    #[error("a packet without a line")]
+    NoLine,
+    #[error(transparent)]
+    Message(#[from] serde_json::Error),
+    #[error("bytes that don't add up")]
+    Length,
+}
+
+/// A packet that has been read: its message, and what a session has waiting in either direction.
+#[derive(Debug, PartialEq)]
+pub(crate) struct Packet<'a> {
+    pub(crate) message: Message,
+    pub(crate) to_backend: &'a [u8],
+    pub(crate) to_client: &'a [u8],
+}
+
+/// `waiting`: what a session has waiting, to the backend, then to the client.
+pub(crate) fn encode(message: &Message, waiting: &[&[u8]]) -> Vec<u8> {
+    let mut packet = serde_json::to_vec(message).expect("messages hold text and finite numbers");
     packet.push(b'\n');
-    bytes
-        .iter()
-        .for_each(|bytes| packet.extend_from_slice(bytes));
+    for bytes in waiting {
+        packet.extend_from_slice(bytes);
+    }
     packet
 }
 
 /// # Errors
-/// What is wrong with it.
-pub fn word(packet: &[u8]) -> Result<(Message, &[u8], &[u8]), String> {
-    let at = packet
-        .iter()
-        .position(|&byte| byte == b'\n')
-        .ok_or("a packet without a line")?;
-    let word: Message = serde_json::from_slice(&packet[..at]).map_err(|fault| fault.to_string())?;
-    let rest = &packet[at + 1..];
-    let (up, down) = match &word {
-        Message::Session(estate) => (estate.up, estate.down),
+/// The packet is cut, or holds an unknown message.
+pub(crate) fn decode(packet: &[u8]) -> Result<Packet<'_>, PacketError> {
+    let line_end = packet.iter().position(|&byte| byte == b'\n');
+    let line_end = line_end.ok_or(PacketError::NoLine)?;
+    let message: Message = serde_json::from_slice(&packet[..line_end])?;
+    let waiting = &packet[line_end + 1..];
+    let (up, down) = match &message {
+        Message::Session(session) => (session.up, session.down),
         _ => ((0, 0), (0, 0)),
     };
-    if up.0.checked_add(down.0) != Some(rest.len()) || up.1 > up.0 || down.1 > down.0 {
-        return Err("bytes that don't add up".into());
+    let has_all_bytes = up.0.checked_add(down.0) == Some(waiting.len());
+    if !has_all_bytes || up.1 > up.0 || down.1 > down.0 {
+        return Err(PacketError::Length);
     }
-    let (up, down) = rest.split_at(up.0);
-    Ok((word, up, down))
+    let (to_backend, to_client) = waiting.split_at(up.0);
+    Ok(Packet {
+        message,
+        to_backend,
+        to_client,
+    })
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn estate() -> SessionHandover {
-        SessionHandover {
-            serial: 7,
-            id: 0x9b1f_03aa_5c7e_2d41,
-            listener: "slot \"hold\"\n".into(),
-            key: Some(u64::MAX),
-            group: None,
-            backend: "s-5be2a07c".into(),
-            heard_us: 1_796_000_000_000_001,
-            asked_us: Some(3),
-            told_delay_us: 0,
-            load: Some(0.25),
-            up: (6, 4),
-            down: (0, 0),
-        }
-    }
-
-    #[test]
-    fn words_come_out_as_they_went_in() {
-        let heard = [None, Some((9, Some(3.0), None)), Some((8, None, Some(0.5)))];
-        let sights = heard.map(|heard| EndpointMessage {
-            backend: "b".into(),
-            heard,
-            weight_heard: 0.8,
-            strikes: 1,
-            ejections: 2,
-            owed: 11,
-            cold_turn: Some((5, 1)),
-        });
-        let memory = SnapshotMessage {
-            sights: sights.to_vec(),
-            set_up_us: 12,
-            stood: 1.5,
-            left_alone: 2.5,
-        };
-        let back = memory.memory(|_| BackendId(4));
-        assert_eq!(SnapshotMessage::of(&back, |_| "b"), memory);
-        let words = [
-            Message::Hello {
-                version: VERSION,
-                relay: "n3".into(),
-            },
-            Message::Memory(memory),
-            Message::Leaving,
-            Message::Holds { sockets: 300 },
-            Message::Took { serial: 1 },
-            Message::Declined { serial: 2 },
-            Message::Yours { serial: 3 },
-        ];
-        for one in words {
-            assert_eq!(word(&packet(&one, &[])), Ok((one, &b""[..], &b""[..])));
-        }
-        let session = Message::Session(estate());
-        let sent = packet(&session, &[b"a\r\nb\n\n", b""]);
-        assert_eq!(word(&sent), Ok((session, &b"a\r\nb\n\n"[..], &b""[..])));
-    }
-
-    #[test]
-    fn what_does_not_add_up_is_a_fault() {
-        let sound = packet(&Message::Session(estate()), &[b"a\r\nb\n\n", b""]);
-        for length in 0..sound.len() {
-            assert!(word(&sound[..length]).is_err(), "cut at {length}");
-        }
-        let huge = SessionHandover {
-            up: (usize::MAX, 0),
-            down: (usize::MAX, 0),
-            ..estate()
-        };
-        let more = SessionHandover {
-            up: (6, 7),
-            ..estate()
-        };
-        for bad in [huge, more] {
-            assert!(word(&packet(&Message::Session(bad), &[b"a\r\nb\n\n"])).is_err());
-        }
-        assert!(word(b"\xff\n").is_err() && word(b"{\"Leaving\":1}\n").is_err());
-    }
-}
+mod tests;
--- /dev/null
+++ b/relay/src/hot_restart/messages/tests.rs
@@ -0,0 +1,94 @@
+//! Tests of the packets: what is encoded is decoded again, and nothing else is.
+use super::*;
+
+fn handover() -> SessionHandover {
+    SessionHandover {
+        serial: 7,
+        id: 0x9b1f_03aa_5c7e_2d41,
+        listener: "slot \"hold\"\n".into(),
+        key: Some(u64::MAX),
+        group: None,
+        backend: "s-5be2a07c".into(),
+        heard_us: 1_796_000_000_000_001,
+        asked_us: Some(3),
+        told_delay_us: 0,
+        load: Some(0.25),
+        up: (6, 4),
+        down: (0, 0),
+    }
+}
+
+fn snapshot() -> SnapshotMessage {
+    let reports = [None, Some((9, Some(3.0), None)), Some((8, None, Some(0.5)))];
+    let endpoints = reports.map(|report| EndpointMessage {
+        backend: "b".into(),
+        last_report: report.map(ReportMessage::from),
+        weight_at_report: 0.8,
+        consecutive_failures: 1,
+        ejections: 2,
+        pending_health_checks: 11,
+        slow_start_use: Some((5, 1)),
+    });
+    SnapshotMessage {
+        endpoints: endpoints.to_vec(),
+        connect_time_us: 12,
+        connection_seconds: 1.5,
+        departures: 2.5,
+    }
+}
+
+#[test]
+fn packet_that_is_encoded_is_decoded_unchanged() {
+    let snapshot = snapshot();
+    let restored = snapshot.to_snapshot(|_| BackendId(4));
+    assert_eq!(SnapshotMessage::new(&restored, |_| "b"), snapshot);
+    let messages = [
+        Message::Hello {
+            version: VERSION,
+            relay: "n3".into(),
+        },
+        Message::Snapshot(snapshot),
+        Message::Leaving,
+        Message::OpenDescriptors { count: 300 },
+        Message::Accepted { serial: 1 },
+        Message::Declined { serial: 2 },
+        Message::Yours { serial: 3 },
+    ];
+    for message in messages {
+        let expected = Packet {
+            message: message.clone(),
+            to_backend: b"",
+            to_client: b"",
+        };
+        assert_eq!(decode(&encode(&message, &[])).unwrap(), expected);
+    }
+    let message = Message::Session(handover());
+    let packet = encode(&message, &[b"a\r\nb\n\n", b""]);
+    let expected = Packet {
+        message,
+        to_backend: b"a\r\nb\n\n",
+        to_client: b"",
+    };
+    assert_eq!(decode(&packet).unwrap(), expected);
+}
+
+#[test]
+fn packet_that_does_not_add_up_is_rejected() {
+    let sound = encode(&Message::Session(handover()), &[b"a\r\nb\n\n", b""]);
+    for length in 0..sound.len() {
+        assert!(decode(&sound[..length]).is_err(), "cut at {length}");
+    }
+    let overflowing = SessionHandover {
+        up: (usize::MAX, 0),
+        down: (usize::MAX, 0),
+        ..handover()
+    };
+    let more_lines_than_bytes = SessionHandover {
+        up: (6, 7),
+        ..handover()
+    };
+    for bad in [overflowing, more_lines_than_bytes] {
+        assert!(decode(&encode(&Message::Session(bad), &[b"a\r\nb\n\n"])).is_err());
+    }
+    assert!(decode(b"\xff\n").is_err() && decode(b"{\"Leaving\":1}\n").is_err());
+}
--- a/relay/src/hot_restart/mod.rs
+++ b/relay/src/hot_restart/mod.rs
@@ -1,3 +1,4 @@
 //! Hot restart: a successor process takes over from this one, connections and all.
-pub mod channel;
-pub mod messages;
+pub(crate) mod channel;
+pub(crate) mod messages;
+pub(crate) mod state;
--- a/relay/src/io_context.rs
+++ b/relay/src/io_context.rs
@@ -1,4 +1,4 @@
-//! What every part of the loop works with during a turn.
+//! What every part of the relay works with during a turn.
 use crate::buffers::Pool;
 use crate::counters::Counters;
 use crate::driver::Event;
@@ -7,14 +7,16 @@
 use std::collections::VecDeque;
 use thistlecroft::time::Instant;
 
-pub struct IoContext {
-    /// The turn's moment: what a turn gathers has all happened at once.
-    pub now: Instant,
-    pub sockets: Sockets,
-    pub pool: Pool,
-    pub alarms: TimerQueue,
-    pub news: VecDeque<Event>,
-    pub counters: Counters,
+/// The resources and queues of the event loop.
+pub(crate) struct IoContext {
+    /// The time of the turn: what a turn gathers has all happened at once.
+    pub(crate) now: Instant,
+    pub(crate) sockets: Sockets,
+    pub(crate) pool: Pool,
+    pub(crate) alarms: TimerQueue,
+    /// What the balancer is to be given at the end of the turn.
+    pub(crate) news: VecDeque<Event>,
+    pub(crate) counters: Counters,
     /// Sessions that stopped reading for want of a buffer.
-    pub starved: VecDeque<u32>,
+    pub(crate) starved: VecDeque<u32>,
 }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,5 +1,5 @@
-//! The relay on sockets, for a process of its own or inside another: read a `Posting`, start a
-//! `Service`, run it.
+//! The relay on sockets, round the decisions of `thistlecroft`: a process that accepts clients,
+//! connects them to backends, and is configured by files and signals.
 mod admin;
 mod bans;
 mod buffers;
@@ -19,29 +19,63 @@
 mod trace;
 mod upstream;
 
-pub use service::{Service, Signals};
-pub use startup_config::{StartupConfig, read, read_file, relay_context};
+use service::{Service, Signals};
+use std::io;
 
-/// Serves by a configuration, and a charter if there is one, until told to stop: what a main
-/// program does.
+pub use service::StartError;
+pub use startup_config::{
+    ConfigError, ConfigErrors, ConfigSource, InheritedSocketError, StartupConfig, read_file,
+    relay_context,
+};
+
+/// The environment variable that names the operator configuration.
+pub const CHARTER: &str = "THISTLECROFT_CHARTER";
+
+/// Why a relay did not serve, or no longer does.
+#[derive(Debug, thiserror::Error)]
+pub enum ServeError {
+    /// A file or the environment has faults.
+    #[error(transparent)]
+    Config(#[from] ConfigErrors),
+    /// A socket or another resource is not to be had.
+    #[error(transparent)]
+    Start(#[from] StartError),
+    /// The system refuses a signal handler, or polling failed.
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+impl From<ConfigError> for ServeError {
+    fn from(error: ConfigError) -> ServeError {
+        ServeError::Config(error.into())
+    }
+}
+
+impl ServeError {
+    /// A line for each fault.
+    pub fn lines(&self) -> Vec<String> {
+        match self {
+            ServeError::Config(errors) => errors.iter().map(ToString::to_string).collect(),
+            ServeError::Start(error) => vec![error.to_string()],
+            ServeError::Io(error) => vec![error.to_string()],
+        }
+    }
+}
+
+/// Serves by a configuration, and an operator configuration if there is one, until told to stop:
+/// what a main program does.
 ///
 /// # Errors
-/// A line for each fault of a file, or one: the address is taken, or the poller failed.
-pub fn serve(path: &str, charter: Option<&str>) -> Result<(), Vec<String>> {
-    let signals = Signals::install().map_err(|fault| vec![fault.to_string()])?;
-    let mut posting = read_file(path)
-        .and_then(StartupConfig::with_environment)
-        .map_err(|fault| vec![fault])?;
-    if let Some(charter) = charter {
-        posting = posting.with_operator_config(charter)?;
+/// A file has faults, an address is taken, or the system refuses something.
+pub fn serve(path: &str, operator_config: Option<&str>) -> Result<(), ServeError> {
+    let signals = Signals::install()?;
+    let mut config = read_file(path)?.with_environment()?;
+    if let Some(operator_config) = operator_config {
+        config = config.with_operator_config(operator_config)?;
     }
-    Service::start(posting, signals)
-        .and_then(Service::run)
-        .map_err(|fault| vec![fault.to_string()])
+    Service::start(config, signals)?.run()?;
+    Ok(())
 }
 
-/// The variable that names a charter.
-pub const CHARTER: &str = "THISTLECROFT_CHARTER";
-
 #[cfg(test)]
 mod tests;
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -1,16 +1,24 @@
+//! The relay as a program of its own: configured by environment variables, logging to the standard
+//! error.
 use std::process::ExitCode;
 
+/// The variable that names the configuration file.
+const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
+
 fn main() -> ExitCode {
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info")).init();
-    let charter = std::env::var(thistlecroft_relay::CHARTER).ok();
-    let path =
-        std::env::var("ROUTER_CONFIG").map_err(|_| vec!["ROUTER_CONFIG names no file".to_string()]);
-    match path.and_then(|path| thistlecroft_relay::serve(&path, charter.as_deref())) {
+    let operator_config = std::env::var(thistlecroft_relay::CHARTER).ok();
+    let result = match std::env::var(CONFIG_VARIABLE) {
+        Ok(path) => thistlecroft_relay::serve(&path, operator_config.as_deref())
+            .map_err(|error| error.lines()),
+        Err(_) => Err(vec![format!("{CONFIG_VARIABLE} names no file")]),
+    };
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(faults) => {
-            faults
-                .iter()
-                .for_each(|fault| eprintln!("thistlecroft-relay: {fault}"));
+        Err(lines) => {
+            for line in lines {
+                eprintln!("thistlecroft-relay: {line}");
+            }
             ExitCode::FAILURE
         }
     }
--- /dev/null
+++ b/relay/src/peers/commands.rs
@@ -0,0 +1,106 @@
+//! Operators' commands about the other relays.
+use super::Peers;
+use super::view::{MembersView, NotesView};
+use crate::admin::protocol::PeerCommand;
+use crate::io_context::IoContext;
+use thistlecroft::time::Instant;
+use thistlecroft_leases::{AcquireError, Reason, State};
+use thistlecroft_peers::Kind;
+
+/// A lease that no operator has asked for within so many terms is released.
+const LEASE_INTEREST_TERMS: f64 = 3.0;
+
+/// Why a command about the other relays is refused. The texts are the answers at the admin port.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum PeerCommandError {
+    #[error("too long, or too many notes of this relay")]
+    NoteRefused,
+    #[error("there are no leases (peers.voters in the charter)")]
+    NoVoters,
+    #[error("{0}")]
+    LeaseRefused(AcquireError),
+    /// No majority has attached the lease yet.
+    #[error("asked for")]
+    LeasePending,
+    #[error("{}", reason_text(.0))]
+    LeaseNotHeld(Reason),
+}
+
+fn reason_text(reason: &Reason) -> String {
+    match reason {
+        Reason::Held { by } => format!("held by {by}"),
+        Reason::HeldByAnother => "held by another relay".into(),
+        Reason::Silent => "voters are silent after their start".into(),
+        Reason::Generation { here } => format!("voters go by generation {here}"),
+        Reason::Full => "voters hold as many leases as they may".into(),
+        Reason::UnknownSession => "asked for anew: voters have restarted".into(),
+        Reason::OlderProtocol => "voters speak an older lease protocol: upgrade them".into(),
+    }
+}
+
+impl Peers {
+    /// Carries out a command.
+    ///
+    /// # Errors
+    /// Why it is refused, or why a lease is not held here.
+    pub(crate) fn execute(
+        &mut self,
+        command: &PeerCommand,
+        io: &mut IoContext,
+    ) -> Result<String, PeerCommandError> {
+        let now = io.now;
+        let result = match command {
+            PeerCommand::Members => Ok(MembersView::new(self, now).to_json()),
+            PeerCommand::Notes => Ok(NotesView::new(&self.node, now).to_json()),
+            PeerCommand::Announce { subject, value } => self.announce(subject, value, now),
+            PeerCommand::Lease(subject) => self.check_lease(subject),
+            PeerCommand::Release(subject) => self.release_lease(subject, now),
+        };
+        self.send_and_schedule(io);
+        result
+    }
+
+    fn announce(
+        &mut self,
+        subject: &str,
+        value: &str,
+        now: Instant,
+    ) -> Result<String, PeerCommandError> {
+        let (subject, value) = (subject.as_bytes(), value.as_bytes());
+        if self.node.announce(Kind::Note, subject, value, now) {
+            Ok("told".into())
+        } else {
+            Err(PeerCommandError::NoteRefused)
+        }
+    }
+
+    /// Whether this relay holds the lease at the moment of the answer: the turn's own time is too
+    /// early if the process was paused since.
+    fn check_lease(&mut self, subject: &str) -> Result<String, PeerCommandError> {
+        let now = self.clock.now();
+        let wanted_until = now + self.config.lease * LEASE_INTEREST_TERMS;
+        let leases = self.leases.as_mut().ok_or(PeerCommandError::NoVoters)?;
+        leases
+            .acquire(subject.as_bytes(), wanted_until, now)
+            .map_err(PeerCommandError::LeaseRefused)?;
+        match leases.state(subject.as_bytes(), now) {
+            State::Held(held) => {
+                // Only what may still bind is kept: as many as may be wanted at once, at most.
+                self.confirmed_until.retain(|_, until| *until > now);
+                self.confirmed_until
+                    .insert(subject.as_bytes().to_vec(), held.until);
+                let left = held.until.duration_since(now);
+                Ok(format!("held {} {}", held.epoch, left.as_millis()))
+            }
+            State::Wanted(Some(reason)) => Err(PeerCommandError::LeaseNotHeld(reason)),
+            State::Wanted(None) | State::Unwanted => Err(PeerCommandError::LeasePending),
+        }
+    }
+
+    fn release_lease(&mut self, subject: &str, now: Instant) -> Result<String, PeerCommandError> {
+        let leases = self.leases.as_mut().ok_or(PeerCommandError::NoVoters)?;
+        leases.release(subject.as_bytes(), now);
+        self.confirmed_until.remove(subject.as_bytes());
+        Ok("released".into())
+    }
+}
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -1,183 +1,147 @@
-//! The other relays: datagrams and timers for `thistlecroft-peers` and `thistlecroft-leases`, which
-//! decide. One socket, on the one loop; a bounded number of datagrams in a turn.
-use crate::admin::protocol::AdminCommand;
+//! The other relays: sockets and timers for `thistlecroft-peers` and `thistlecroft-leases`, which
+//! decide without I/O.
+mod commands;
+mod socket;
+mod view;
+
 use crate::io_context::IoContext;
-use crate::sockets::{Registration, SocketOwner, Sockets};
+use crate::sockets::Sockets;
 use crate::timers::{Clock, Timer};
-use serde_json::json;
+use socket::{BoundSocket, PeerSocket};
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
-use std::net::{SocketAddr, UdpSocket};
-use std::os::fd::AsRawFd;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_leases::{Electorate, LeaseConfig, Leases, Reason, State};
+use thistlecroft_leases::{ChangeError, Electorate, LeaseConfig, Leases};
 use thistlecroft_operator_config::PeersConfig;
 use thistlecroft_peers::wire::MOST;
-use thistlecroft_peers::{Event, Identity, Kind, MemberState, Node, Pace, Terms};
+use thistlecroft_peers::{Event, Identity, MemberState, Node, Pace, Terms};
+
+pub(crate) use commands::PeerCommandError;
+pub(crate) use socket::AddressConflict;
 
-/// Datagrams read in one turn.
-const DATAGRAMS: usize = 64;
-/// The address before is read for so many periods more.
-const FORMER: f64 = 20.0;
-/// A lease that nobody has asked after for so many terms is given back.
-const ASKED_AFTER: f64 = 3.0;
+/// Datagrams read from one socket in one turn.
+const MAX_DATAGRAMS: usize = 64;
+/// For so many periods after a change of address the former socket is read as well: the other relays
+/// learn of the change one after the other.
+const FORMER_SOCKET_PERIODS: f64 = 20.0;
+/// The part of `peers.rate` that attaching and detaching subjects may take: one in so many.
+const UPDATE_RATE_DIVISOR: u32 = 2;
+/// Timers are at least so far ahead.
+const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
 
-pub struct Peers {
-    link: Link,
-    /// The one before, still read for a while: others learn of the change by and by.
-    former: Option<(Link, Instant)>,
-    /// The address is the process's before, and is taken as soon as that has ended: seeds lead
-    /// there.
-    wanted_at: Option<Instant>,
+/// This relay's part among the others.
+pub(crate) struct Peers {
+    socket: PeerSocket,
+    /// The one before a change of address, and until when it is read.
+    former_socket: Option<(PeerSocket, Instant)>,
+    /// When to try for the configured address again, which the predecessor has: seeds lead there.
+    rebind_at: Option<Instant>,
     node: Node,
+    /// None where the operator configuration names no voters.
     leases: Option<Leases>,
-    peering: PeersConfig,
-    /// The next alarm that is set.
-    alarm: Option<Instant>,
+    config: PeersConfig,
+    /// The earliest timer that is set.
+    timer_at: Option<Instant>,
     send_failures: u64,
-    /// A lease is looked at by the moment of its saying: in a turn in which the process stood still
-    /// the turn's own is too early.
+    /// Read again within a turn, whose own time is too early once the process was paused.
     clock: Clock,
-    /// Until when somebody at the door was told that a lease is held here.
-    told: BTreeMap<Vec<u8>, Instant>,
-}
-
-struct Link {
-    watched: Registration,
-    socket: UdpSocket,
-}
-
-impl Link {
-    fn open(at: SocketAddr, sockets: &mut Sockets) -> io::Result<Link> {
-        let socket = UdpSocket::bind(at)?;
-        socket.set_nonblocking(true)?;
-        let mut watched = sockets.watched(SocketOwner::Peers, socket.as_raw_fd());
-        watched.want(true, false);
-        Ok(Link { watched, socket })
-    }
+    /// Until when operators were answered that a lease is held here.
+    confirmed_until: BTreeMap<Vec<u8>, Instant>,
 }
 
 impl Peers {
     /// # Errors
     /// The address is taken, or the system gives no socket.
-    pub fn start(
+    pub(crate) fn start(
         name: &str,
-        peering: &PeersConfig,
+        config: &PeersConfig,
         key: &[u8],
-        beside: bool,
+        on_conflict: AddressConflict,
         sockets: &mut Sockets,
         clock: Clock,
     ) -> io::Result<Peers> {
         let now = clock.now();
-        let (link, advertise, wanted_at) = match Link::open(peering.listen, sockets) {
-            Ok(link) => (link, peering.advertise, None),
-            // Another process of this relay may have it; others learn where this one is.
-            Err(fault) if beside && fault.kind() == ErrorKind::AddrInUse => {
-                let link = Link::open(SocketAddr::new(peering.listen.ip(), 0), sockets)?;
-                let at = SocketAddr::new(peering.advertise.ip(), link.socket.local_addr()?.port());
-                log::info!(
-                    "peers: {} is the process's before, {at} until it has ended",
-                    peering.listen
-                );
-                (link, at, Some(now + peering.period))
-            }
-            Err(fault) => return Err(fault),
-        };
-        // Drawn anew at each start, whatever the seed: that is how two processes are told apart.
-        let mut run = [0; 16];
-        getrandom::fill(&mut run).map_err(io::Error::other)?;
-        let [run, seed] =
-            [0, 8].map(|at| u64::from_le_bytes(run[at..at + 8].try_into().expect("eight")));
-        let me = Identity::new(name, run);
+        let BoundSocket {
+            socket,
+            advertised,
+            is_configured_address,
+        } = PeerSocket::bind_configured(config, on_conflict, sockets)?;
+        if !is_configured_address {
+            log::info!(
+                "peers: {} is the process's before, {advertised} until it has ended",
+                config.listen
+            );
+        }
+        let me = Identity::new(name, random_u64()?);
         let terms = Terms {
-            fleet: peering.fleet.clone(),
+            fleet: config.fleet.clone(),
             secret: key.to_vec(),
             pace: Pace {
-                period: peering.period,
+                period: config.period,
             },
-            rate: peering.rate,
+            rate: config.rate,
         };
-        let node = Node::new(
-            me.clone(),
-            advertise,
-            peering.seeds.clone(),
-            &terms,
-            seed,
-            now,
-        );
-        let leases = (!peering.voters.is_empty())
-            .then(|| Leases::new(me.clone(), lease_config(peering), now));
-        log::info!("peers: {me} of fleet {} at {advertise}", peering.fleet);
-        let (peering, former, alarm, send_failures) = (peering.clone(), None, None, 0);
-        let told = BTreeMap::new();
+        let seeds = config.seeds.clone();
+        let node = Node::new(me.clone(), advertised, seeds, &terms, random_u64()?, now);
+        let has_voters = !config.voters.is_empty();
+        let leases = has_voters.then(|| Leases::new(me.clone(), lease_config(config), now));
+        log::info!("peers: {me} of fleet {} at {advertised}", config.fleet);
         Ok(Peers {
-            link,
-            former,
-            wanted_at,
+            socket,
+            former_socket: None,
+            rebind_at: (!is_configured_address).then_some(now + config.period),
             node,
             leases,
-            peering,
-            alarm,
-            send_failures,
+            config: config.clone(),
+            timer_at: None,
+            send_failures: 0,
             clock,
-            told,
+            confirmed_until: BTreeMap::new(),
         })
     }
 
+    /// Takes up a change of voters; any other change needs a restart.
+    ///
     /// # Errors
-    /// One line: a step from one set of voters to another that is not allowed.
-    pub fn resettle(&mut self, peering: &PeersConfig) -> Result<(), String> {
+    /// The step from one set of voters to the other is not allowed. Nothing has changed.
+    pub(crate) fn reconfigure(&mut self, config: &PeersConfig) -> Result<(), ChangeError> {
+        let has_voters = !config.voters.is_empty();
         if let Some(leases) = &mut self.leases
-            && !peering.voters.is_empty()
+            && has_voters
         {
-            leases
-                .change(lease_config(peering), self.clock.now())
-                .map_err(|fault| fault.to_string())?;
+            leases.change(lease_config(config), self.clock.now())?;
         }
-        let voters = (
-            peering.voters.clone(),
-            peering.voters_before.clone(),
-            peering.generation,
-        );
-        let mut known = self.peering.clone();
-        (known.voters, known.voters_before, known.generation) = voters;
-        let switched = self.leases.is_some() == peering.voters.is_empty();
-        if known != *peering || switched {
+        let with_new_voters = PeersConfig {
+            voters: config.voters.clone(),
+            voters_before: config.voters_before.clone(),
+            generation: config.generation,
+            ..self.config.clone()
+        };
+        let turns_leases_on_or_off = self.leases.is_some() != has_voters;
+        if with_new_voters != *config || turns_leases_on_or_off {
             log::warn!("changes of peers but for a change of voters need a restart");
         }
-        if !switched {
-            self.peering = known;
+        if !turns_leases_on_or_off {
+            self.config = with_new_voters;
         }
         Ok(())
     }
 
-    pub fn event(&mut self, works: &mut IoContext) {
-        let mut bytes = [0; MOST + 1];
-        let links = std::iter::once(&self.link).chain(self.former.iter().map(|(link, _)| link));
-        for link in links {
-            for _ in 0..DATAGRAMS {
-                match link.socket.recv_from(&mut bytes) {
-                    Ok((length, source)) => self.node.receive(&bytes[..length], source, works.now),
-                    Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                    // Nothing more, or an earlier datagram met nobody, which the probes find out.
-                    Err(_) => break,
-                }
-            }
+    pub(crate) fn handle_socket_event(&mut self, io: &mut IoContext) {
+        let former = self.former_socket.iter().map(|(socket, _)| socket);
+        for socket in std::iter::once(&self.socket).chain(former) {
+            receive_datagrams(socket, &mut self.node, io.now);
         }
-        self.turn(works);
+        self.send_and_schedule(io);
     }
 
-    pub fn wake(&mut self, works: &mut IoContext) {
-        let now = works.now;
-        if self.alarm.is_some_and(|at| at <= now) {
-            self.alarm = None;
-        }
-        if self.wanted_at.is_some_and(|at| at <= now) {
-            self.take_address(works);
-        }
-        if self.former.as_ref().is_some_and(|(_, until)| *until <= now) {
-            self.former = None;
+    pub(crate) fn handle_timer(&mut self, io: &mut IoContext) {
+        let now = io.now;
+        self.timer_at.take_if(|at| *at <= now);
+        if self.rebind_at.is_some_and(|at| at <= now) {
+            self.rebind(io);
         }
+        self.former_socket.take_if(|(_, until)| *until <= now);
         if self.node.due() <= now {
             self.node.tick(now);
         }
@@ -186,50 +150,56 @@
         {
             leases.tick(now);
         }
-        self.turn(works);
+        self.send_and_schedule(io);
     }
 
-    fn take_address(&mut self, works: &mut IoContext) {
-        match Link::open(self.peering.listen, &mut works.sockets) {
-            Ok(link) => {
-                log::info!("peers: at {} from now on", self.peering.advertise);
-                let before = std::mem::replace(&mut self.link, link);
-                self.former = Some((before, works.now + self.peering.period * FORMER));
-                self.wanted_at = None;
-                self.node.move_to(self.peering.advertise, works.now);
+    /// Takes the configured address once the predecessor has ended.
+    fn rebind(&mut self, io: &mut IoContext) {
+        match PeerSocket::bind(self.config.listen, &mut io.sockets) {
+            Ok(socket) => {
+                log::info!("peers: at {} from now on", self.config.advertise);
+                let former = std::mem::replace(&mut self.socket, socket);
+                let until = io.now + self.config.period * FORMER_SOCKET_PERIODS;
+                self.former_socket = Some((former, until));
+                self.rebind_at = None;
+                self.node.move_to(self.config.advertise, io.now);
             }
-            Err(_) => self.wanted_at = Some(works.now + self.peering.period),
+            Err(_) => self.rebind_at = Some(io.now + self.config.period),
         }
     }
 
-    /// What they have to say goes out, and the next alarm is set.
-    fn turn(&mut self, works: &mut IoContext) {
-        // Read after what came was: a voter's promise dated from a turn in which the process stood
-        // still, for an asking that came meanwhile, would end before the holder's right does.
+    /// Handles what the node has made of the datagrams, sends what is to be sent, and sets the next
+    /// timer.
+    fn send_and_schedule(&mut self, io: &mut IoContext) {
+        // Read after the datagrams were: a voter's promise dated from a turn in which the process
+        // was paused, for a request that came meanwhile, would end before the holder's right does.
         let now = self.clock.now();
         for event in self.node.take_events() {
-            self.told(event, now);
+            self.handle_node_event(event, now);
         }
-        self.send_leases(now);
-        self.send();
-        let due = self.leases.as_ref().and_then(|leases| leases.due(now));
-        let own = [
-            due,
-            self.wanted_at,
-            self.former.as_ref().map(|(_, until)| *until),
+        self.queue_lease_messages(now);
+        self.send_datagrams();
+        self.schedule(now, io);
+    }
+
+    fn schedule(&mut self, now: Instant, io: &mut IoContext) {
+        let due = [
+            self.leases.as_ref().and_then(|leases| leases.due(now)),
+            self.rebind_at,
+            self.former_socket.as_ref().map(|(_, until)| *until),
         ];
-        let due = own
+        let earliest = due
             .into_iter()
             .flatten()
             .fold(self.node.due(), Instant::min)
-            .max(now + Duration::from_millis(1));
-        if self.alarm.is_none_or(|at| due < at) {
-            self.alarm = Some(due);
-            works.alarms.set(due, Timer::Peers);
+            .max(now + MIN_TIMER_DELAY);
+        if self.timer_at.is_none_or(|at| earliest < at) {
+            self.timer_at = Some(earliest);
+            io.alarms.set(earliest, Timer::Peers);
         }
     }
 
-    fn send_leases(&mut self, now: Instant) {
+    fn queue_lease_messages(&mut self, now: Instant) {
         let Some(leases) = &mut self.leases else {
             return;
         };
@@ -241,14 +211,14 @@
         }
     }
 
-    fn send(&mut self) {
+    fn send_datagrams(&mut self) {
         for (to, bytes) in self.node.take_datagrams() {
             // A datagram that can't be sent is one that is lost.
-            self.send_failures += u64::from(self.link.socket.send_to(&bytes, to).is_err());
+            self.send_failures += u64::from(!self.socket.send(&bytes, to));
         }
     }
 
-    fn told(&mut self, event: Event, now: Instant) {
+    fn handle_node_event(&mut self, event: Event, now: Instant) {
         match event {
             Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.word()),
             Event::Refuted { incarnation } => {
@@ -275,165 +245,67 @@
         }
     }
 
-    /// Gives back what it holds and has told nobody of, and says that it leaves; nothing is sent
-    /// after.
-    pub fn leave(&mut self, now: Instant) {
+    /// Announces that this relay leaves, and releases the leases that no operator was answered to be
+    /// held here. Nothing is sent after.
+    pub(crate) fn leave(&mut self, now: Instant) {
         if let Some(leases) = &mut self.leases {
-            leases.leave(|subject| self.told.get(subject).is_some_and(|until| *until > now));
+            let confirmed_until = &self.confirmed_until;
+            leases.leave(|subject| {
+                let until = confirmed_until.get(subject);
+                until.is_some_and(|until| *until > now)
+            });
         }
-        self.send_leases(now);
+        self.queue_lease_messages(now);
         self.node.leave(now);
-        self.send();
-        self.link.watched.want(false, false);
-        (self.former, self.wanted_at) = (None, None);
-    }
-
-    /// The answer to an operator's call. A lease is looked at here and now, at the act of saying
-    /// it.
-    pub fn answer(&mut self, call: &AdminCommand, works: &mut IoContext) -> Result<String, String> {
-        let now = works.now;
-        let done = match call {
-            AdminCommand::Peers => Ok(self.view(now).to_string()),
-            AdminCommand::Note(subject, value) => {
-                match self
-                    .node
-                    .announce(Kind::Note, subject.as_bytes(), value.as_bytes(), now)
-                {
-                    true => Ok("told".into()),
-                    false => Err("too long, or too many notes of this relay".into()),
-                }
-            }
-            AdminCommand::Notes => Ok(self.notes(now).to_string()),
-            AdminCommand::Lease(subject) => self.lease(subject, self.clock.now()),
-            AdminCommand::Release(subject) => match &mut self.leases {
-                Some(leases) => {
-                    leases.release(subject.as_bytes(), now);
-                    self.told.remove(subject.as_bytes());
-                    Ok("released".into())
-                }
-                None => Err(NO_VOTERS.into()),
-            },
-            AdminCommand::Ready | AdminCommand::Disable(_) | AdminCommand::Enable(_) => {
-                Err("not for peers".into())
-            }
-        };
-        self.turn(works);
-        done
-    }
-
-    fn lease(&mut self, subject: &str, now: Instant) -> Result<String, String> {
-        let term = self.peering.lease;
-        let leases = self.leases.as_mut().ok_or(NO_VOTERS)?;
-        let until = now + term * ASKED_AFTER;
-        leases
-            .acquire(subject.as_bytes(), until, now)
-            .map_err(|fault| fault.to_string())?;
-        match leases.state(subject.as_bytes(), now) {
-            State::Held(held) => {
-                // Only what may still bind is kept: as many as may be wanted at once, at most.
-                self.told.retain(|_, until| *until > now);
-                self.told.insert(subject.as_bytes().to_vec(), held.until);
-                Ok(format!(
-                    "held {} {}",
-                    held.epoch,
-                    held.until.duration_since(now).as_millis()
-                ))
-            }
-            State::Wanted(Some(reason)) => Err(refusal(&reason)),
-            State::Wanted(None) | State::Unwanted => Err("asked for".into()),
-        }
+        self.send_datagrams();
+        self.socket.stop_receiving();
+        self.former_socket = None;
+        self.rebind_at = None;
     }
 
-    fn notes(&self, now: Instant) -> serde_json::Value {
-        let text = |bytes: &[u8]| String::from_utf8_lossy(bytes).into_owned();
-        let notes = self.node.facts().of_kind(Kind::Note, now).map(|fact| {
-            json!({"subject": text(fact.subject), "value": text(fact.value), "owner": fact.owner.to_string(),
-                "epoch": fact.epoch, "age_ms": fact.age.as_millis()})
-        });
-        json!({"unheard": self.node.unreachable(), "notes": notes.collect::<Vec<_>>()})
-    }
-
-    /// One line for people and programs.
-    fn view(&self, now: Instant) -> serde_json::Value {
-        let ago = |at: Instant| now.duration_since(at).as_millis();
-        let peers = self.node.members().map(|view| {
-            json!({"id": view.id.to_string(), "name": view.id.name.as_str(), "at": view.at.to_string(),
-                "standing": view.state.word(), "incarnation": view.incarnation, "since_ms": ago(view.since),
-                "heard_ms": view.heard.map(ago)})
-        });
-        let counts = &self.node.counts;
-        let leases = self.leases.as_ref().map(|leases| {
-            let (electorate, of) = (&leases.config().electorate, leases.counts());
-            let held = leases.subjects().filter_map(|subject| {
-                let held = leases.held(subject, now)?;
-                Some(
-                    json!({"subject": String::from_utf8_lossy(subject), "epoch": held.epoch,
-                    "left_ms": held.until.duration_since(now).as_millis()}),
-                )
-            });
-            json!({"vote": leases.vote(now).word(), "generation": electorate.generation,
-                "settled": leases.is_settled(now), "held": held.collect::<Vec<_>>(), "counts": {
-                    "requests": of.requests, "retries": of.retries, "refusals": of.refusals,
-                    "sessions_lost": of.sessions_lost, "older_protocol": of.older_protocol,
-                    "voter_subjects": of.voter_subjects, "voter_sessions": of.voter_sessions,
-                    "voter_full": of.voter_full}})
-        });
-        json!({"me": self.node.me().to_string(), "name": self.node.me().name.as_str(), "health": self.node.health(),
-            "unheard": self.node.unreachable(), "facts": self.node.facts().len(), "peers": peers.collect::<Vec<_>>(),
-            "leases": leases, "counts": {
-                "sent": counts.sent, "sent_bytes": counts.sent_bytes, "heard": counts.heard,
-                "heard_bytes": counts.heard_bytes, "odd_size": counts.odd_size,
-                "other_format": counts.other_format, "foreign": counts.foreign, "malformed": counts.malformed,
-                "repeated": counts.repeated, "held_back": counts.held_back, "probes": counts.probes,
-                "probes_failed": counts.probes_failed, "suspected": counts.suspected,
-                "refuted": counts.refuted, "send_failures": self.send_failures}})
-    }
-
-    pub fn log(&self) {
-        let stand = |standing| {
-            self.node
-                .members()
-                .filter(|view| view.state == standing)
-                .count()
+    /// Logs how many of the others are in which state.
+    pub(crate) fn log(&self) {
+        let count = |state| {
+            let members = self.node.members();
+            members.filter(|member| member.state == state).count()
         };
         log::info!(
             "peers: {} here, {} suspected, {} gone; health {}; {:?}",
-            stand(MemberState::Alive),
-            stand(MemberState::Suspect),
-            stand(MemberState::Dead),
+            count(MemberState::Alive),
+            count(MemberState::Suspect),
+            count(MemberState::Dead),
             self.node.health(),
             self.node.counts
         );
     }
 }
 
-const NO_VOTERS: &str = "there are no leases (peers.voters in the charter)";
+fn receive_datagrams(socket: &PeerSocket, node: &mut Node, now: Instant) {
+    let mut bytes = [0; MOST + 1];
+    for _ in 0..MAX_DATAGRAMS {
+        match socket.receive(&mut bytes) {
+            Ok((length, source)) => node.receive(&bytes[..length], source, now),
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            // Nothing more, or an earlier datagram reached nobody, which health checks find out.
+            Err(_) => break,
+        }
+    }
+}
 
-/// The part of `peers.rate` that attaching and detaching subjects may take.
-const UPDATE_SHARE: u32 = 2;
+/// Drawn anew at each start, whatever the seed: that is how two processes are told apart.
+fn random_u64() -> io::Result<u64> {
+    getrandom::u64().map_err(io::Error::other)
+}
 
-fn lease_config(peering: &PeersConfig) -> LeaseConfig {
+fn lease_config(config: &PeersConfig) -> LeaseConfig {
     let names = |names: &[String]| names.iter().map(|name| name.as_str().into()).collect();
-    let electorate = Electorate {
-        generation: peering.generation,
-        voters: names(&peering.voters),
-        before: names(&peering.voters_before),
-    };
     LeaseConfig {
-        electorate,
-        term: peering.lease,
-        update_rate: peering.rate / UPDATE_SHARE,
-    }
-}
-
-fn refusal(reason: &Reason) -> String {
-    match reason {
-        Reason::Held { by } => format!("held by {by}"),
-        Reason::HeldByAnother => "held by another relay".into(),
-        Reason::Silent => "voters are silent after their start".into(),
-        Reason::Generation { here } => format!("voters go by generation {here}"),
-        Reason::Full => "voters hold as many leases as they may".into(),
-        Reason::UnknownSession => "asked for anew: voters have restarted".into(),
-        Reason::OlderProtocol => "voters speak an older lease protocol: upgrade them".into(),
+        electorate: Electorate {
+            generation: config.generation,
+            voters: names(&config.voters),
+            before: names(&config.voters_before),
+        },
+        term: config.lease,
+        update_rate: config.rate / UPDATE_RATE_DIVISOR,
     }
 }
--- /dev/null
+++ b/relay/src/service/actions.rs
@@ -0,0 +1,95 @@
+//! The end of a turn: the events gathered go to the balancer, and its actions are carried out.
+use super::Service;
+use crate::admin::protocol::Readiness;
+use crate::discovery::watch::Knowledge;
+use crate::driver::{Action, ActionRecorder, Event, deliver};
+use crate::trace;
+use thistlecroft::ids::SessionId;
+
+/// What the balancer made of one turn's events, beside its actions.
+#[derive(Default)]
+struct TurnOutcome {
+    /// Sessions over which the balancer panicked.
+    failed: Vec<SessionId>,
+    /// Backends may have been taken out of use, so that attempts on them have to be cancelled.
+    backends_withdrawn: bool,
+}
+
+impl Service {
+    /// Hands the turn's events to the balancer, then answers operators and carries out the
+    /// actions.
+    pub(super) fn run_balancer(&mut self) {
+        let readiness = self.readiness();
+        let responses = self.admin.execute(
+            readiness,
+            &mut self.peers,
+            &mut self.discovery.registry,
+            &mut self.io,
+        );
+        let outcome = self.deliver_events();
+        self.admin.respond(responses, &mut self.io);
+        for action in std::mem::take(&mut self.actions) {
+            trace::log_action(&action, &self.discovery.registry);
+            self.execute_action(action);
+        }
+        if outcome.backends_withdrawn {
+            self.sessions.recall(&self.discovery.registry, &mut self.io);
+        }
+        for session in outcome.failed {
+            self.sessions.give_up(session, &mut self.io);
+        }
+    }
+
+    fn readiness(&self) -> Readiness {
+        Readiness {
+            is_stopping: self.shutdown_started.is_some(),
+            has_endpoints: self.discovery.knowledge() != Knowledge::Nothing,
+            accepts_clients: self.sessions.takes_clients(),
+        }
+    }
+
+    fn deliver_events(&mut self) -> TurnOutcome {
+        let now = self.io.now;
+        let mut outcome = TurnOutcome::default();
+        while let Some(event) = self.io.news.pop_front() {
+            trace::log_event(&event, &self.discovery.registry);
+            outcome.backends_withdrawn |= matches!(
+                event,
+                Event::EndpointsUpdated(..) | Event::BanChanged(_, true)
+            );
+            let mut recorder = ActionRecorder {
+                actions: &mut self.actions,
+                timers: &mut self.io.alarms,
+            };
+            if let Err(panicked) = deliver(&mut self.balancer, event, now, &mut recorder) {
+                self.io.counters.panics += 1;
+                log::error!(
+                    target: super::LOG_TARGET,
+                    "the decisions failed over {:?}",
+                    panicked.session
+                );
+                outcome.failed.extend(panicked.session);
+            }
+        }
+        outcome
+    }
+
+    fn execute_action(&mut self, action: Action) {
+        let (registry, io) = (&self.discovery.registry, &mut self.io);
+        match action {
+            Action::Connect(session, backend, timeout) => {
+                self.sessions.dial(session, backend, timeout, registry, io);
+            }
+            Action::Cancel(session, attempt) => self.sessions.withdraw(session, attempt, io),
+            Action::Reject(session, retry_after) => self.sessions.refuse(session, retry_after, io),
+            Action::Fail(session) => self.sessions.tear_down(session, io),
+            Action::Migrate(session) => self.sessions.send_away(session, io),
+            Action::CheckHealth(backend) => {
+                self.health_checks
+                    .ask(backend, registry.address(backend), io);
+            }
+            // A subscription is always open or about to be, so that this makes no second one.
+            Action::Subscribe => self.discovery.subscribe(io),
+        }
+    }
+}
--- /dev/null
+++ b/relay/src/service/hot_restart.rs
@@ -0,0 +1,232 @@
+//! What is said between this process and its predecessor or successor, and done about it.
+use super::{LOG_TARGET, Service};
+use crate::discovery::registry::EndpointRegistry;
+use crate::driver::Event;
+use crate::hot_restart::channel::{Channel, Received, ReceivedPacket};
+use crate::hot_restart::messages::{Message, SnapshotMessage, VERSION};
+use crate::hot_restart::state::OfferedSession;
+use std::io;
+use std::ops::ControlFlow;
+use std::os::fd::OwnedFd;
+use thistlecroft::balancer::Balancer;
+
+/// Packets of one channel in one turn.
+const MAX_PACKETS: usize = 32;
+
+impl Service {
+    /// Sends the balancer's state and begins to hand over the sessions, if there is a successor.
+    pub(super) fn hand_over_to_successor(&mut self) {
+        let Some(successor) = &self.hot_restart.successor else {
+            return;
+        };
+        let sent = send_snapshot(&self.balancer, &self.discovery.registry, successor)
+            .and_then(|()| successor.send(&Message::Leaving, &[], &[]));
+        match sent {
+            Ok(true) => self.sessions.hand_over_to_successor(&mut self.io),
+            Ok(false) => self.lose_successor("it does not read"),
+            Err(error) => self.lose_successor(&error.to_string()),
+        }
+    }
+
+    /// Notifies the other processes of the descriptors that this one holds, if the number has
+    /// changed by so much: notified later, both would take the same free ones of the common limit.
+    pub(super) fn send_descriptor_count(&mut self, least_change: usize) {
+        let count = self.io.sockets.own();
+        self.hot_restart.send_descriptor_count(count, least_change);
+    }
+
+    /// Offers standing connections to the successor.
+    pub(super) fn offer_sessions(&mut self) {
+        let Some(successor) = &self.hot_restart.successor else {
+            return;
+        };
+        let registry = &self.discovery.registry;
+        if let Err(error) = self.sessions.offer(successor, registry, &mut self.io) {
+            self.lose_successor(&error.to_string());
+        }
+    }
+
+    /// A session whose offer the successor has not answered stays here.
+    pub(super) fn handle_offer_timeout(&mut self, session: u32) {
+        if self.sessions.keep(session, &mut self.io) {
+            self.lose_successor("it does not answer");
+        }
+    }
+
+    pub(super) fn accept_successor(&mut self) {
+        let Some(successor) = self.hot_restart.accept_successor(&mut self.io.sockets) else {
+            return;
+        };
+        self.lose_successor("another one has come");
+        self.hot_restart.set_successor(successor);
+    }
+
+    fn lose_successor(&mut self, reason: &str) {
+        if self.hot_restart.successor.take().is_some() {
+            log::info!(target: LOG_TARGET, "the next process: {reason}");
+            self.io.sockets.set_beside(0);
+            self.sessions.keep_all(&mut self.io);
+        }
+    }
+
+    /// The predecessor has ended, or sent what can't be read.
+    fn lose_predecessor(&mut self, reason: &str) {
+        log::info!(target: LOG_TARGET, "the process before: {reason}");
+        self.hot_restart.drop_predecessor();
+        self.io.sockets.set_beside(0);
+        self.io.news.push_back(Event::PredecessorEnded);
+        self.accept_clients_when_ready();
+    }
+
+    // ---- from the successor ----
+
+    pub(super) fn handle_successor_event(&mut self, key: usize) {
+        let successor = &self.hot_restart.successor;
+        if !successor.as_ref().is_some_and(|channel| channel.is(key)) {
+            return;
+        }
+        for _ in 0..MAX_PACKETS {
+            let Some(successor) = &self.hot_restart.successor else {
+                return;
+            };
+            match successor.receive() {
+                Received::Nothing => break,
+                Received::Closed(reason) => return self.lose_successor(&reason.to_string()),
+                Received::Packet(packet) => match self.handle_successor_message(packet.message) {
+                    Ok(ControlFlow::Continue(())) => {}
+                    Ok(ControlFlow::Break(())) => return,
+                    Err(error) => return self.lose_successor(&error.to_string()),
+                },
+            }
+        }
+        self.offer_sessions();
+    }
+
+    /// Breaks off the turn's reading where the handover begins.
+    ///
+    /// # Errors
+    /// The successor is gone, or sent what it should not.
+    fn handle_successor_message(&mut self, message: Message) -> io::Result<ControlFlow<()>> {
+        let Some(successor) = &self.hot_restart.successor else {
+            return Ok(ControlFlow::Break(()));
+        };
+        match message {
+            Message::Hello {
+                version: VERSION,
+                relay,
+            } if self.hot_restart.is_of_relay(&relay) => {
+                if self.shutdown_started.is_some() {
+                    self.hand_over_to_successor();
+                    return Ok(ControlFlow::Break(()));
+                }
+                send_snapshot(&self.balancer, &self.discovery.registry, successor)?;
+            }
+            Message::OpenDescriptors { count } => self.io.sockets.set_beside(count),
+            Message::Accepted { serial } => {
+                self.sessions.handed(serial, successor, &mut self.io)?;
+            }
+            Message::Declined { serial } => {
+                self.sessions.keep(serial, &mut self.io);
+            }
+            unexpected => return Err(io::Error::other(format!("unexpected: {unexpected:?}"))),
+        }
+        Ok(ControlFlow::Continue(()))
+    }
+
+    // ---- from the predecessor ----
+
+    pub(super) fn handle_predecessor_event(&mut self, key: usize) {
+        let predecessor = &self.hot_restart.predecessor;
+        if !predecessor.as_ref().is_some_and(|channel| channel.is(key)) {
+            return;
+        }
+        for _ in 0..MAX_PACKETS {
+            let Some(predecessor) = &self.hot_restart.predecessor else {
+                return;
+            };
+            match predecessor.receive() {
+                Received::Nothing => return,
+                Received::Closed(reason) => return self.lose_predecessor(&reason.to_string()),
+                Received::Packet(packet) => self.handle_predecessor_message(*packet),
+            }
+        }
+    }
+
+    fn handle_predecessor_message(&mut self, packet: ReceivedPacket) {
+        let registry = &mut self.discovery.registry;
+        match packet.message {
+            Message::Snapshot(message) => {
+                let snapshot = message.to_snapshot(|name| registry.enter(name));
+                self.io.news.push_back(Event::SnapshotReceived(snapshot));
+            }
+            Message::OpenDescriptors { count } => self.io.sockets.set_beside(count),
+            Message::Leaving => {
+                self.io.news.push_back(Event::PredecessorEnded);
+                // No other process accepts clients now, unless this one is to stop as well.
+                if self.shutdown_started.is_none() {
+                    self.sessions.open_door();
+                }
+            }
+            Message::Session(handover) => {
+                let serial = handover.serial;
+                let offered =
+                    <[OwnedFd; 2]>::try_from(packet.descriptors)
+                        .ok()
+                        .map(|descriptors| OfferedSession {
+                            handover,
+                            to_backend: packet.to_backend,
+                            to_client: packet.to_client,
+                            descriptors,
+                        });
+                self.answer_offer(serial, offered);
+            }
+            Message::Yours { serial } => self.adopt_session(serial),
+            unexpected => {
+                log::warn!(target: LOG_TARGET, "the process before: unexpected {unexpected:?}");
+            }
+        }
+    }
+
+    /// Accepts a session that the predecessor offers, if there is room for it.
+    fn answer_offer(&mut self, serial: u32, offered: Option<OfferedSession>) {
+        let can_take = self.shutdown_started.is_none() && self.sessions.has_room(&self.io);
+        match offered.filter(|_| can_take) {
+            Some(offered) => self.hot_restart.accept_offer(serial, offered),
+            None => self.hot_restart.decline_offer(serial),
+        }
+    }
+
+    /// The predecessor has let go of a session: it is this process's now.
+    fn adopt_session(&mut self, serial: u32) {
+        let Some(offered) = self.hot_restart.take_offer(serial) else {
+            return;
+        };
+        let adopted = self.sessions.adopt(
+            &offered.handover,
+            offered.descriptors,
+            (&offered.to_backend, &offered.to_client),
+            &mut self.discovery.registry,
+            &mut self.io,
+        );
+        if let Err(error) = adopted {
+            log::warn!(
+                target: LOG_TARGET,
+                "a connection of the process before is lost: {error}"
+            );
+        }
+    }
+}
+
+/// Sends what the balancer knows. A part for which the channel has no room at present is lost: the
+/// successor learns it anew.
+fn send_snapshot(
+    balancer: &Balancer,
+    registry: &EndpointRegistry,
+    successor: &Channel,
+) -> io::Result<()> {
+    let snapshot = SnapshotMessage::new(&balancer.snapshot(), |id| registry.name(id));
+    for part in snapshot.into_parts() {
+        successor.send(&Message::Snapshot(part), &[], &[])?;
+    }
+    Ok(())
+}
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -51,12 +51,12 @@
 }
 
 pub struct Connection {
-    watched: Registration,
+    registration: Registration,
     stream: TcpStream,
 }
 
 pub struct ListenerSocket {
-    watched: Registration,
+    registration: Registration,
     listener: TcpListener,
 }
 
@@ -120,7 +120,7 @@
         self.beside = count;
     }
 
-    pub fn watched(&mut self, owner: SocketOwner, fd: RawFd) -> Registration {
+    pub fn register(&mut self, owner: SocketOwner, fd: RawFd) -> Registration {
         self.serial = self.serial.wrapping_add(1);
         self.open.set(self.open.get() + 1);
         let key = key_of(owner, self.serial);
@@ -138,7 +138,7 @@
         // Lines are short and waited for.
         stream.set_nodelay(true)?;
         Ok(Connection {
-            watched: self.watched(owner, stream.as_raw_fd()),
+            registration: self.register(owner, stream.as_raw_fd()),
             stream,
         })
     }
@@ -159,16 +159,20 @@
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
         socket.listen(BACKLOG)?;
-        self.door(owner, socket.into())
+        self.adopt_listener(owner, socket.into())
     }
 
     /// Takes over a listening socket, which other processes may hold as well: they share its queue
     /// and its being non-blocking. It is closed at the end and never shut down, which would end it
     /// for all.
-    pub fn door(&mut self, owner: SocketOwner, listener: TcpListener) -> Result<ListenerSocket> {
+    pub fn adopt_listener(
+        &mut self,
+        owner: SocketOwner,
+        listener: TcpListener,
+    ) -> Result<ListenerSocket> {
         listener.set_nonblocking(true)?;
         Ok(ListenerSocket {
-            watched: self.watched(owner, listener.as_raw_fd()),
+            registration: self.register(owner, listener.as_raw_fd()),
             listener,
         })
     }
@@ -215,7 +219,7 @@
 
 impl Connection {
     pub fn is(&self, key: usize) -> bool {
-        self.watched.is(key)
+        self.registration.is(key)
     }
 
     /// For handing it to another process, which then holds the same connection.
@@ -224,7 +228,7 @@
     }
 
     pub fn want(&mut self, reading: bool, writing: bool) {
-        self.watched.want(reading, writing);
+        self.registration.want(reading, writing);
     }
 
     /// If the connection has come up; the fault where it can't.
@@ -267,6 +271,6 @@
     }
 
     pub fn want(&mut self, accepting: bool) {
-        self.watched.want(accepting, false);
+        self.registration.want(accepting, false);
     }
 }
--- /dev/null
+++ b/relay/src/startup_config/environment.rs
@@ -0,0 +1,74 @@
+//! What the environment adds to a configuration.
+use super::error::{ConfigError, InheritedSocketError};
+use super::{MIN_SOCKETS, StartupConfig};
+use crate::admin::connections;
+use socket2::{Domain, SockRef};
+use std::net::TcpListener;
+use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
+use std::path::PathBuf;
+
+/// The admin port's address, where the configuration gives none.
+const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_ADMIN_ADDR";
+/// The descriptor of the clients' listening socket, where the platform holds it.
+const INHERITED_SOCKET_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
+/// The folder that the processes of one relay share.
+const FOLDER_VARIABLE: &str = "TMPDIR";
+/// Below this are the standard streams.
+const FIRST_INHERITED_DESCRIPTOR: RawFd = 3;
+
+impl StartupConfig {
+    /// The same with what the environment adds.
+    ///
+    /// # Errors
+    /// A variable holds no address or no listening socket, or the limits leave no room for an admin
+    /// port.
+    pub(crate) fn with_environment(mut self) -> Result<StartupConfig, ConfigError> {
+        if self.admin.is_none()
+            && let Ok(value) = std::env::var(ADMIN_ADDRESS_VARIABLE)
+        {
+            let address = ConfigError::parse_address(ADMIN_ADDRESS_VARIABLE, &value)?;
+            self.admin = Some(address);
+        }
+        if let Ok(value) = std::env::var(INHERITED_SOCKET_VARIABLE) {
+            let listener =
+                inherited_listener(&value).map_err(|reason| ConfigError::InheritedSocket {
+                    name: INHERITED_SOCKET_VARIABLE,
+                    value,
+                    reason,
+                })?;
+            self.inherited_listener = Some(listener);
+        }
+        let needed = MIN_SOCKETS + connections::RESERVED_SOCKETS;
+        if self.admin.is_some() && self.sockets < needed {
+            return Err(ConfigError::TooFewSocketsForAdmin(self.sockets));
+        }
+        self.folder = std::env::var_os(FOLDER_VARIABLE)
+            .map(PathBuf::from)
+            .filter(|folder| folder.is_absolute());
+        Ok(self)
+    }
+}
+
+/// A listening socket that this process was started with. Other processes hold it as well; this one
+/// takes it over once.
+fn inherited_listener(value: &str) -> Result<TcpListener, InheritedSocketError> {
+    let descriptor: RawFd = value
+        .parse()
+        .ok()
+        .filter(|&descriptor| descriptor >= FIRST_INHERITED_DESCRIPTOR)
+        .ok_or(InheritedSocketError::NoDescriptor)?;
+    // SAFETY: it is only asked about; one that is not open is answered with an error.
+    let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
+    let socket = SockRef::from(&borrowed);
+    match socket.is_listener() {
+        Ok(true) if socket.domain().is_ok_and(|domain| domain != Domain::UNIX) => {}
+        Ok(true) => return Err(InheritedSocketError::NoTcpSocket),
+        Ok(false) => return Err(InheritedSocketError::NotListening),
+        Err(_) => return Err(InheritedSocketError::NotOpen),
+    }
+    socket
+        .set_cloexec(true)
+        .map_err(|_| InheritedSocketError::CannotKeep)?;
+    // SAFETY: it is open, and nothing else in this process knows of it.
+    Ok(unsafe { TcpListener::from_raw_fd(descriptor) })
+}
--- a/relay/src/trace.rs
+++ b/relay/src/trace.rs
@@ -1,61 +1,48 @@
-//! What the decisions are told and what they ask for, a line each at level debug, so that a fleet's
-//! logs can be counted together: backends by the name that is the same at every relay,
-//! `thistlecroft lab count` reads them.
-use crate::discovery::watch::EndpointRegistry;
+//! The balancer's events and actions as log lines, one each at level debug. They name backends by the
+//! name that is the same at every relay, so that a fleet's logs can be counted together: `lab count`
+//! reads them, and goes by the words and keys that stand here.
+use crate::discovery::registry::EndpointRegistry;
 use crate::driver::{Action, Event};
 use log::{Level, debug, log_enabled};
-use thistlecroft::endpoint::EndpointState;
+use thistlecroft::attempt::{Arrival, LoadReport};
+use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 
-pub fn news(news: &Event, book: &EndpointRegistry) {
+/// Logs an event that the balancer is about to be given.
+pub(crate) fn log_event(event: &Event, registry: &EndpointRegistry) {
     if !log_enabled!(Level::Debug) {
         return;
     }
-    match news {
-        Event::EndpointsUpdated(scope, rows) => {
-            let of = |standing| rows.iter().filter(|row| row.state == standing).count();
-            let [ready, draining, gone] = [
-                EndpointState::Ready,
-                EndpointState::Draining,
-                EndpointState::Removed,
-            ]
-            .map(of);
-            debug!("list scope={scope:?} ready={ready} draining={draining} gone={gone}");
-        }
+    match event {
+        Event::EndpointsUpdated(kind, endpoints) => log_endpoints(*kind, endpoints),
         Event::SessionArrived(id, arrival) => {
-            debug!(
-                "arrived session={} route={} group={:016x}",
-                id.0,
-                arrival.route.0,
-                arrival.group.unwrap_or(0)
-            );
+            let (route, group) = (arrival.route.0, group(arrival));
+            debug!("arrived session={} route={route} group={group:016x}", id.0);
         }
-        Event::SessionInherited(id, at, arrival) => {
-            let (route, group) = (arrival.route.0, arrival.group.unwrap_or(0));
+        Event::SessionInherited(id, backend, arrival) => {
+            let (route, group) = (arrival.route.0, group(arrival));
+            let backend = registry.name(*backend);
             debug!(
-                "inherited session={} box={} route={route} group={group:016x}",
-                id.0,
-                book.name(*at)
+                "inherited session={} box={backend} route={route} group={group:016x}",
+                id.0
             );
         }
-        Event::AttemptReady(id, dial) => debug!("ready session={} dial={dial}", id.0),
-        Event::AttemptEnded(id, ending) => {
+        Event::AttemptReady(id, attempt) => debug!("ready session={} dial={attempt}", id.0),
+        Event::AttemptEnded(id, end) => {
             debug!(
                 "ended session={} dial={} verdict={:?} over={}",
-                id.0, ending.attempt, ending.outcome, ending.is_answered
+                id.0, end.attempt, end.outcome, end.is_answered
             );
         }
         Event::SessionLeft(id) => debug!("left session={}", id.0),
-        Event::HealthChecked(at, verdict, report) => {
-            let (held, load) = (
-                report.connections.unwrap_or(-1.0),
-                report.load.unwrap_or(-1.0),
-            );
-            debug!(
-                "probed box={} verdict={verdict:?} held={held:.0} load={load:.3}",
-                book.name(*at)
-            );
+        Event::HealthChecked(backend, outcome, report) => {
+            let backend = registry.name(*backend);
+            let LoadReport { connections, load } = report;
+            let (connections, load) = (connections.unwrap_or(-1.0), load.unwrap_or(-1.0));
+            debug!("probed box={backend} verdict={outcome:?} held={connections:.0} load={load:.3}");
+        }
+        Event::BanChanged(backend, is_banned) => {
+            debug!("banned box={} out={is_banned}", registry.name(*backend));
         }
-        Event::BanChanged(at, out) => debug!("banned box={} out={out}", book.name(*at)),
         Event::LoadObserved(..)
         | Event::LatencyObserved(..)
         | Event::ResponseOverdue(..)
@@ -67,30 +54,41 @@
     }
 }
 
-pub fn order(order: &Action, book: &EndpointRegistry) {
+fn log_endpoints(kind: UpdateKind, endpoints: &[Endpoint]) {
+    let count = |state| {
+        let endpoints = endpoints.iter();
+        endpoints.filter(|endpoint| endpoint.state == state).count()
+    };
+    debug!(
+        "list scope={kind:?} ready={} draining={} gone={}",
+        count(EndpointState::Ready),
+        count(EndpointState::Draining),
+        count(EndpointState::Removed)
+    );
+}
+
+fn group(arrival: &Arrival) -> u64 {
+    arrival.group.unwrap_or(0)
+}
+
+/// Logs an action that is about to be carried out.
+pub(crate) fn log_action(action: &Action, registry: &EndpointRegistry) {
     if !log_enabled!(Level::Debug) {
         return;
     }
-    match order {
-        Action::Connect(id, at, wait) => {
-            debug!(
-                "dial session={} box={} wait_ms={}",
-                id.0,
-                book.name(*at),
-                wait.as_millis()
-            );
+    match action {
+        Action::Connect(id, backend, timeout) => {
+            let (backend, timeout_ms) = (registry.name(*backend), timeout.as_millis());
+            debug!("dial session={} box={backend} wait_ms={timeout_ms}", id.0);
         }
-        Action::Cancel(id, dial) => debug!("withdraw session={} dial={dial}", id.0),
-        Action::Reject(id, wait) => {
-            debug!(
-                "refuse session={} again_ms={}",
-                id.0,
-                wait.map_or(0, |wait| wait.as_millis())
-            );
+        Action::Cancel(id, attempt) => debug!("withdraw session={} dial={attempt}", id.0),
+        Action::Reject(id, retry_after) => {
+            let retry_after_ms = retry_after.map_or(0, |wait| wait.as_millis());
+            debug!("refuse session={} again_ms={retry_after_ms}", id.0);
         }
         Action::Fail(id) => debug!("torn_down session={}", id.0),
         Action::Migrate(id) => debug!("sent_away session={}", id.0),
-        Action::CheckHealth(at) => debug!("probe box={}", book.name(*at)),
+        Action::CheckHealth(backend) => debug!("probe box={}", registry.name(*backend)),
         Action::Subscribe => debug!("subscribe"),
     }
 }
