--- a/relay/src/io_context.rs
+++ b/relay/src/io_context.rs
@@ -1,5 +1,5 @@
 //! What every part of the relay works with during a turn.
-use crate::buffers::Pool;
+use crate::buffers::{Pool, SIZE};
 use crate::counters::Counters;
 use crate::driver::Event;
 use crate::sockets::Sockets;
@@ -20,3 +20,18 @@
     /// Sessions that stopped reading for want of a buffer.
     pub(crate) starved: VecDeque<u32>,
 }
+
+impl IoContext {
+    /// With buffers that may take so many bytes.
+    pub(crate) fn new(now: Instant, sockets: Sockets, buffer_bytes: usize) -> IoContext {
+        IoContext {
+            now,
+            sockets,
+            pool: Pool::new(buffer_bytes / SIZE),
+            alarms: TimerQueue::default(),
+            news: VecDeque::new(),
+            counters: Counters::default(),
+            starved: VecDeque::new(),
+        }
+    }
+}
--- a/relay/src/service/event_loop.rs
+++ b/relay/src/service/event_loop.rs
@@ -45,7 +45,7 @@
     ///
     /// # Errors
     /// The poller failed.
-    pub fn run(mut self) -> io::Result<()> {
+    pub(crate) fn run(mut self) -> io::Result<()> {
         let mut ready = Events::with_capacity(MAX_SOCKET_EVENTS);
         loop {
             self.run_balancer();
--- a/relay/src/service/signals.rs
+++ b/relay/src/service/signals.rs
@@ -8,7 +8,7 @@
 use std::os::unix::net::UnixStream;
 
 /// The signals that are answered, each with the end of a pipe that turns readable.
-pub struct Signals {
+pub(crate) struct Signals {
     shutdown: UnixStream,
     statistics: UnixStream,
     reload: UnixStream,
@@ -20,7 +20,7 @@
     ///
     /// # Errors
     /// The system refuses a pipe or a handler.
-    pub fn install() -> io::Result<Signals> {
+    pub(crate) fn install() -> io::Result<Signals> {
         Ok(Signals {
             shutdown: signal_pipe(&[SIGTERM, SIGINT])?,
             statistics: signal_pipe(&[SIGUSR1])?,
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -4,9 +4,6 @@
 use crate::admin::commands::AdminCommands;
 use crate::admin::connections::{self, AdminConnections};
 use crate::bans::store::BanStore;
-use crate::buffers::{Pool, SIZE};
-use crate::counters::Counters;
-use crate::discovery::decoding::EndpointList;
 use crate::discovery::registry::EndpointRegistry;
 use crate::discovery::watch::Watch;
 use crate::driver::ActionRecorder;
@@ -15,17 +12,16 @@
 use crate::peers::{AddressConflict, Peers};
 use crate::session::table::Sessions;
 use crate::sockets::{ListenerSocket, SocketOwner, Sockets};
-use crate::startup_config::{OperatorRoutes, StartupConfig};
-use crate::timers::{Clock, Timer, TimerQueue};
+use crate::startup_config::StartupConfig;
+use crate::timers::{Clock, Timer};
 use crate::upstream::HealthChecks;
 use polling::Poller;
-use std::collections::VecDeque;
 use std::io;
-use std::net::{SocketAddr, TcpListener};
+use std::net::SocketAddr;
 use std::rc::Rc;
 use thistlecroft::balancer::Balancer;
 use thistlecroft::deployment::Deployment;
-use thistlecroft_operator_config::PeersConfig;
+use thistlecroft_settings::Settings;
 
 /// The share of the memory limit that buffers may take: one in so many.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
@@ -33,16 +29,23 @@
 /// Why a relay could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
+    /// The clients' address or that of the admin port is not to be had.
     #[error("{address}: {source}")]
     Listen {
+        /// The address.
         address: SocketAddr,
+        /// What the system says.
         source: io::Error,
     },
+    /// The address for the other relays is not to be had.
     #[error("peers: {address}: {source}")]
     Peers {
+        /// The address.
         address: SocketAddr,
+        /// What the system says.
         source: io::Error,
     },
+    /// The system gives no poller, or does not accept a socket there.
     #[error(transparent)]
     Poller(#[from] io::Error),
 }
@@ -53,84 +56,29 @@
     ///
     /// # Errors
     /// An address is taken, or the system gives no socket or poller.
-    pub(crate) fn start(config: StartupConfig, signals: Signals) -> Result<Service, StartError> {
+    pub(crate) fn start(
+        mut config: StartupConfig,
+        signals: Signals,
+    ) -> Result<Service, StartError> {
         let clock = Clock::start();
         let now = clock.now();
         let poller = Rc::new(Poller::new()?);
-        let mut sockets = Sockets::new(poller.clone());
-        let listener_origin = match &config.inherited_listener {
-            Some(_) => ListenerOrigin::Inherited,
-            None => ListenerOrigin::Bound,
-        };
-        let shares_clients = listener_origin == ListenerOrigin::Inherited;
-        let OperatorRoutes {
-            routes,
-            file,
-            peers,
-        } = config.operator;
-        let settings = config.settings;
+        let buffer_bytes = (config.memory_mb << 20) / BUFFER_MEMORY_DIVISOR;
+        let mut io = IoContext::new(now, Sockets::new(poller.clone()), buffer_bytes);
+        let listener_origin = ListenerOrigin::of(&config);
+        let sockets = OpenSockets::open(&mut config, listener_origin, clock, &mut io.sockets)?;
+        let session_sockets = config.sockets - sockets.reserved();
+        let mut discovery = new_discovery(&config, &mut io);
+        let hot_restart = begin_hot_restart(&config, listener_origin, &mut io.sockets);
+        let ban_store = open_ban_store(&config, listener_origin, sockets.admin.is_some());
+        let admin = AdminCommands::new(sockets.admin, ban_store, &mut discovery.registry, &mut io);
+        let StartupConfig {
+            settings, operator, ..
+        } = config;
         let deployment = Deployment {
-            routes: routes.rows().to_vec(),
+            routes: operator.routes.rows().to_vec(),
             ..settings.deployment.clone()
         };
-        let (connect_timeout, shutdown_timeout) =
-            (deployment.connect_timeout, deployment.shutdown_timeout);
-
-        let listener = client_listener(config.inherited_listener, config.listen, &mut sockets)?;
-        let admin_connections = config
-            .admin
-            .map(|address| listen(SocketOwner::AdminListener, address, &mut sockets))
-            .transpose()?
-            .map(AdminConnections::new);
-        let peers = peers
-            .map(|(peers, key)| {
-                start_peers(
-                    &config.name,
-                    &peers,
-                    &key,
-                    listener_origin,
-                    &mut sockets,
-                    clock,
-                )
-            })
-            .transpose()?;
-        let session_sockets = config.sockets
-            - admin_connections
-                .as_ref()
-                .map_or(0, |_| connections::RESERVED_SOCKETS)
-            - usize::from(peers.is_some());
-
-        let mut io = IoContext {
-            now,
-            sockets,
-            pool: Pool::new((config.memory_mb << 20) / BUFFER_MEMORY_DIVISOR / SIZE),
-            alarms: TimerQueue::default(),
-            news: VecDeque::new(),
-            counters: Counters::default(),
-            starved: VecDeque::new(),
-        };
-        let registry = EndpointRegistry::new(settings.zones.clone(), settings.report_fields);
-        let mut discovery = Watch::new(
-            config.discovery,
-            config.seed,
-            registry,
-            settings.drain_grace,
-            now,
-        );
-        restore_cached_endpoints(config.known.as_ref(), &mut discovery, &mut io);
-        let shared_folder = config.folder.as_deref().filter(|_| shares_clients);
-        let hot_restart = shared_folder.map_or_else(HotRestart::default, |folder| {
-            HotRestart::begin(folder, &config.name, &mut io.sockets)
-        });
-        let keeps_bans = shares_clients || admin_connections.is_some();
-        let ban_folder = config.folder.as_deref().filter(|_| keeps_bans);
-        let ban_store = ban_folder.map(|folder| BanStore::new(folder, &config.name));
-        let admin = AdminCommands::new(
-            admin_connections,
-            ban_store,
-            &mut discovery.registry,
-            &mut io,
-        );
         let mut actions = Vec::new();
         let mut recorder = ActionRecorder {
             actions: &mut actions,
@@ -141,26 +89,27 @@
         // SAFETY: both live as long as the service.
         unsafe { signals.register(&poller)? };
         log::info!(target: LOG_TARGET, "{} serves at {}", config.name, config.listen);
+        let names = protocol_names(&settings);
         let mut service = Service {
             clock,
             poller,
             io,
-            sessions: Sessions::new(listener, protocol_names(&settings), routes, session_sockets),
-            health_checks: HealthChecks::new(connect_timeout, settings.backend_idle_timeout),
+            sessions: Sessions::new(sockets.clients, names, operator.routes, session_sockets),
+            health_checks: new_health_checks(&settings),
             discovery,
             admin,
-            peers,
+            peers: sockets.peers,
             hot_restart,
             balancer,
             started: now,
             listener_origin,
             actions,
-            shutdown_timeout,
+            shutdown_timeout: settings.deployment.shutdown_timeout,
             shutdown_started: None,
             signals,
             configuration: Reconfiguration {
                 source: config.source,
-                operator_config: file,
+                operator_config: operator.file,
                 settings,
                 pending: None,
                 socket_limit: config.sockets,
@@ -183,6 +132,63 @@
     }
 }
 
+impl ListenerOrigin {
+    fn of(config: &StartupConfig) -> ListenerOrigin {
+        match &config.inherited_listener {
+            Some(_) => ListenerOrigin::Inherited,
+            None => ListenerOrigin::Bound,
+        }
+    }
+}
+
+/// The sockets that a relay listens at.
+struct OpenSockets {
+    clients: ListenerSocket,
+    admin: Option<AdminConnections>,
+    peers: Option<Peers>,
+}
+
+impl OpenSockets {
+    fn open(
+        config: &mut StartupConfig,
+        listener_origin: ListenerOrigin,
+        clock: Clock,
+        sockets: &mut Sockets,
+    ) -> Result<OpenSockets, StartError> {
+        let clients = match config.inherited_listener.take() {
+            Some(listener) => sockets.adopt_listener(SocketOwner::Listener, listener)?,
+            None => listen(SocketOwner::Listener, config.listen, sockets)?,
+        };
+        let admin = match config.admin {
+            Some(address) => Some(listen(SocketOwner::AdminListener, address, sockets)?),
+            None => None,
+        };
+        let peers = match config.operator.peers.take() {
+            Some((peers, key)) => {
+                let on_conflict = match listener_origin {
+                    ListenerOrigin::Inherited => AddressConflict::WaitForPredecessor,
+                    ListenerOrigin::Bound => AddressConflict::Fail,
+                };
+                let started = Peers::start(&config.name, &peers, &key, on_conflict, sockets, clock);
+                let address = peers.listen;
+                Some(started.map_err(|source| StartError::Peers { address, source })?)
+            }
+            None => None,
+        };
+        Ok(OpenSockets {
+            clients,
+            admin: admin.map(AdminConnections::new),
+            peers,
+        })
+    }
+
+    /// Descriptors that are not for sessions.
+    fn reserved(&self) -> usize {
+        let admin = self.admin.as_ref();
+        admin.map_or(0, |_| connections::RESERVED_SOCKETS) + usize::from(self.peers.is_some())
+    }
+}
+
 fn listen(
     owner: SocketOwner,
     address: SocketAddr,
@@ -193,47 +199,54 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-/// The listening socket for clients: the platform's, or one of this process's own.
-fn client_listener(
-    inherited: Option<TcpListener>,
-    address: SocketAddr,
-    sockets: &mut Sockets,
-) -> Result<ListenerSocket, StartError> {
-    match inherited {
-        Some(listener) => Ok(sockets.adopt_listener(SocketOwner::Listener, listener)?),
-        None => listen(SocketOwner::Listener, address, sockets),
+/// The watch on the endpoint list. Until discovery has sent one, the relay serves by the list that
+/// the configuration carries.
+fn new_discovery(config: &StartupConfig, io: &mut IoContext) -> Watch {
+    let settings = &config.settings;
+    let registry = EndpointRegistry::new(settings.zones.clone(), settings.report_fields);
+    let mut discovery = Watch::new(
+        config.discovery,
+        config.seed,
+        registry,
+        settings.drain_grace,
+        io.now,
+    );
+    match config.known.as_ref().map(|list| discovery.restore(list)) {
+        Some(Ok(event)) => io.news.push_back(event),
+        Some(Err(error)) => {
+            log::warn!(target: LOG_TARGET, "the list known at start: {error}");
+        }
+        None => {}
     }
+    discovery
+}
+
+fn new_health_checks(settings: &Settings) -> HealthChecks {
+    let connect_timeout = settings.deployment.connect_timeout;
+    HealthChecks::new(connect_timeout, settings.backend_idle_timeout)
 }
 
-fn start_peers(
-    name: &str,
-    config: &PeersConfig,
-    key: &[u8],
+/// Takes part in hot restarts where another process may serve the same clients.
+fn begin_hot_restart(
+    config: &StartupConfig,
     listener_origin: ListenerOrigin,
     sockets: &mut Sockets,
-    clock: Clock,
-) -> Result<Peers, StartError> {
-    let on_conflict = match listener_origin {
-        ListenerOrigin::Inherited => AddressConflict::WaitForPredecessor,
-        ListenerOrigin::Bound => AddressConflict::Fail,
-    };
-    Peers::start(name, config, key, on_conflict, sockets, clock).map_err(|source| {
-        StartError::Peers {
-            address: config.listen,
-            source,
+) -> HotRestart {
+    match &config.folder {
+        Some(folder) if listener_origin == ListenerOrigin::Inherited => {
+            HotRestart::begin(folder, &config.name, sockets)
         }
-    })
+        _ => HotRestart::default(),
+    }
 }
 
-/// Serves by the endpoint list that the configuration carries, until discovery has sent one.
-fn restore_cached_endpoints(
-    cached: Option<&EndpointList>,
-    discovery: &mut Watch,
-    io: &mut IoContext,
-) {
-    let Some(list) = cached else { return };
-    match discovery.restore(list) {
-        Ok(event) => io.news.push_back(event),
-        Err(error) => log::warn!(target: LOG_TARGET, "the list known at start: {error}"),
-    }
+/// The ban store, where operators can ban a backend at this process or at another one of the relay.
+fn open_ban_store(
+    config: &StartupConfig,
+    listener_origin: ListenerOrigin,
+    has_admin_port: bool,
+) -> Option<BanStore> {
+    let is_needed = has_admin_port || listener_origin == ListenerOrigin::Inherited;
+    let folder = config.folder.as_ref().filter(|_| is_needed)?;
+    Some(BanStore::new(folder, &config.name))
 }
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Sockets as the loop knows them: one owner each, a key that is never used twice, and what is
-//! waited for.
+//! Sockets registered with the poller: each has an owner, a key that is never used twice, and the
+//! readiness that is waited for.
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::cell::Cell;
@@ -8,61 +8,47 @@
 use std::os::fd::{AsFd, AsRawFd, BorrowedFd, RawFd};
 use std::rc::Rc;
 
-/// Deeper than any rush between two turns; the system cuts it to its own limit.
+/// Connections that may wait between two turns; the system cuts it to its own limit.
 const BACKLOG: i32 = 4096;
+/// The system's error for a connection that does not come up at once.
+const IN_PROGRESS: i32 = 115;
+
+/// A key holds the kind of the owner in its highest bits, then the serial, then the owner's id.
+const KIND_SHIFT: u32 = 60;
+const SERIAL_SHIFT: u32 = 32;
+const SERIAL_MASK: usize = 0x0fff_ffff;
 
-/// Whose socket an event is about. The serial tells a closed socket's late event from its
-/// successor's.
+/// Whose socket an event is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SocketOwner {
+pub(crate) enum SocketOwner {
+    /// The clients' listening socket.
     Listener,
     Signals,
     Discovery,
+    /// A session's connection to its client.
     Client(u32),
+    /// A session's connection to a backend.
     Attempt(u32),
+    /// A health check of a backend.
     HealthCheck(u32),
-    /// The operators' door, and a caller there.
+    /// The admin port.
     AdminListener,
+    /// A connection at the admin port.
     AdminConnection(u32),
-    /// Where the next process of this relay finds this one; the channel to it, and to the one
-    /// before.
+    /// Where the next process of this relay finds this one.
     SuccessorListener,
+    /// The channel to the next process.
     Successor,
+    /// The channel to the process before.
     Predecessor,
     /// Datagrams of other relays.
     Peers,
 }
 
-pub struct Sockets {
-    poller: Rc<Poller>,
-    open: Rc<Cell<usize>>,
-    /// What the other process of this relay holds.
-    beside: usize,
-    serial: u32,
-}
-
-/// What is registered with the poller.
-pub struct Registration {
-    poller: Rc<Poller>,
-    open: Rc<Cell<usize>>,
-    fd: RawFd,
-    key: usize,
-    wants: Option<(bool, bool)>,
-}
-
-pub struct Connection {
-    registration: Registration,
-    stream: TcpStream,
-}
-
-pub struct ListenerSocket {
-    registration: Registration,
-    listener: TcpListener,
-}
-
-pub fn owner_of(key: usize) -> Option<SocketOwner> {
+/// The owner of a registered socket; none for a key that no owner has.
+pub(crate) fn owner_of(key: usize) -> Option<SocketOwner> {
     let id = key as u32;
-    Some(match key >> 60 {
+    Some(match key >> KIND_SHIFT {
         0 => SocketOwner::Listener,
         1 => SocketOwner::Signals,
         2 => SocketOwner::Discovery,
@@ -79,7 +65,8 @@
     })
 }
 
-pub fn key_of(owner: SocketOwner, serial: u32) -> usize {
+/// The key of a socket; the serial tells a closed socket's late event from its successor's.
+pub(crate) fn key_of(owner: SocketOwner, serial: u32) -> usize {
     let (kind, id) = match owner {
         SocketOwner::Listener => (0, 0),
         SocketOwner::Signals => (1, 0),
@@ -94,46 +81,58 @@
         SocketOwner::Predecessor => (10, 0),
         SocketOwner::Peers => (11, 0),
     };
-    kind << 60 | (serial as usize & 0x0fff_ffff) << 32 | id as usize
+    kind << KIND_SHIFT | (serial as usize & SERIAL_MASK) << SERIAL_SHIFT | id as usize
+}
+
+/// Opens sockets, and counts those that are open.
+pub(crate) struct Sockets {
+    poller: Rc<Poller>,
+    own: Rc<Cell<usize>>,
+    /// What the other process of this relay holds.
+    beside: usize,
+    serial: u32,
 }
 
 impl Sockets {
-    pub fn new(poller: Rc<Poller>) -> Sockets {
+    pub(crate) fn new(poller: Rc<Poller>) -> Sockets {
         Sockets {
             poller,
-            open: Rc::default(),
+            own: Rc::default(),
             beside: 0,
             serial: 0,
         }
     }
 
-    /// Of this process and the other one, for the limit that is both's.
-    pub fn open(&self) -> usize {
+    /// Open sockets of this process and the other one, for the limit that both share.
+    pub(crate) fn open(&self) -> usize {
         self.own() + self.beside
     }
 
-    pub fn own(&self) -> usize {
-        self.open.get()
+    /// Open sockets of this process.
+    pub(crate) fn own(&self) -> usize {
+        self.own.get()
     }
 
-    pub fn set_beside(&mut self, count: usize) {
+    /// Notes what the other process of this relay holds.
+    pub(crate) fn set_beside(&mut self, count: usize) {
         self.beside = count;
     }
 
-    pub fn register(&mut self, owner: SocketOwner, fd: RawFd) -> Registration {
+    /// Registers a descriptor, which must stay open as long as the registration.
+    pub(crate) fn register(&mut self, owner: SocketOwner, descriptor: RawFd) -> Registration {
         self.serial = self.serial.wrapping_add(1);
-        self.open.set(self.open.get() + 1);
-        let key = key_of(owner, self.serial);
+        self.own.set(self.own.get() + 1);
         Registration {
             poller: self.poller.clone(),
-            open: self.open.clone(),
-            fd,
-            key,
-            wants: None,
+            open_sockets: self.own.clone(),
+            descriptor,
+            key: key_of(owner, self.serial),
+            interest: None,
         }
     }
 
-    pub fn adopt(&mut self, owner: SocketOwner, stream: TcpStream) -> Result<Connection> {
+    /// Takes over a connection that is up.
+    pub(crate) fn adopt(&mut self, owner: SocketOwner, stream: TcpStream) -> Result<Connection> {
         stream.set_nonblocking(true)?;
         // Lines are short and waited for.
         stream.set_nodelay(true)?;
@@ -143,17 +142,17 @@
         })
     }
 
-    /// Begins a connection; whether it comes up is told by the socket's turning writable.
-    pub fn connect(&mut self, owner: SocketOwner, to: SocketAddr) -> Result<Connection> {
+    /// Begins a connection; the socket turns writable once it has come up or failed.
+    pub(crate) fn connect(&mut self, owner: SocketOwner, to: SocketAddr) -> Result<Connection> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
         match socket.connect(&to.into()) {
-            Err(fault) if fault.raw_os_error() != Some(IN_PROGRESS) => Err(fault),
+            Err(error) if error.raw_os_error() != Some(IN_PROGRESS) => Err(error),
             _ => self.adopt(owner, socket.into()),
         }
     }
 
-    pub fn listen(&mut self, owner: SocketOwner, at: SocketAddr) -> Result<ListenerSocket> {
+    pub(crate) fn listen(&mut self, owner: SocketOwner, at: SocketAddr) -> Result<ListenerSocket> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
         // A restart must not wait for the connections of the process before.
         socket.set_reuse_address(true)?;
@@ -165,7 +164,7 @@
     /// Takes over a listening socket, which other processes may hold as well: they share its queue
     /// and its being non-blocking. It is closed at the end and never shut down, which would end it
     /// for all.
-    pub fn adopt_listener(
+    pub(crate) fn adopt_listener(
         &mut self,
         owner: SocketOwner,
         listener: TcpListener,
@@ -178,34 +177,76 @@
     }
 }
 
-const IN_PROGRESS: i32 = 115;
+/// The readiness that a socket waits for.
+#[derive(Clone, Copy, PartialEq, Eq)]
+enum Interest {
+    Read,
+    Write,
+    ReadAndWrite,
+}
+
+impl Interest {
+    fn new(reading: bool, writing: bool) -> Option<Interest> {
+        match (reading, writing) {
+            (true, true) => Some(Interest::ReadAndWrite),
+            (true, false) => Some(Interest::Read),
+            (false, true) => Some(Interest::Write),
+            (false, false) => None,
+        }
+    }
+
+    fn event(self, key: usize) -> Event {
+        match self {
+            Interest::Read => Event::readable(key),
+            Interest::Write => Event::writable(key),
+            Interest::ReadAndWrite => Event::all(key),
+        }
+    }
+}
+
+/// A descriptor's registration with the poller, ended when it is dropped.
+pub(crate) struct Registration {
+    poller: Rc<Poller>,
+    open_sockets: Rc<Cell<usize>>,
+    descriptor: RawFd,
+    key: usize,
+    /// None while it is not with the poller.
+    interest: Option<Interest>,
+}
 
 impl Registration {
-    pub fn is(&self, key: usize) -> bool {
+    /// True if an event with this key is about this descriptor.
+    pub(crate) fn is(&self, key: usize) -> bool {
         self.key == key
     }
 
-    pub fn want(&mut self, reading: bool, writing: bool) {
-        let wants = (reading || writing).then_some((reading, writing));
-        if wants == self.wants {
+    /// Sets the readiness that is waited for.
+    pub(crate) fn want(&mut self, reading: bool, writing: bool) {
+        let interest = Interest::new(reading, writing);
+        if interest == self.interest {
             return;
         }
         // SAFETY: the owner drops its registration (below) before it closes the descriptor.
-        let fd = unsafe { BorrowedFd::borrow_raw(self.fd) };
-        let event = Event::new(self.key, reading, writing);
-        let done = match (self.wants, wants) {
+        let descriptor = unsafe { BorrowedFd::borrow_raw(self.descriptor) };
+        let result = match (self.interest, interest) {
             // SAFETY: as above; deleted on drop, which field order puts before the stream's.
-            (None, Some(_)) => unsafe {
-                self.poller.add_with_mode(self.fd, event, PollMode::Level)
+            (None, Some(interest)) => unsafe {
+                let event = interest.event(self.key);
+                self.poller
+                    .add_with_mode(self.descriptor, event, PollMode::Level)
             },
-            (Some(_), Some(_)) => self.poller.modify_with_mode(fd, event, PollMode::Level),
+            (Some(_), Some(interest)) => {
+                let event = interest.event(self.key);
+                self.poller
+                    .modify_with_mode(descriptor, event, PollMode::Level)
+            }
             // Taken out altogether: a reset would otherwise be reported without end while nothing
             // is wanted.
-            _ => self.poller.delete(fd),
+            (_, None) => self.poller.delete(descriptor),
         };
-        match done {
-            Ok(()) => self.wants = wants,
-            Err(fault) => log::error!("poller: {fault}"),
+        match result {
+            Ok(()) => self.interest = interest,
+            Err(error) => log::error!("poller: {error}"),
         }
     }
 }
@@ -213,39 +254,52 @@
 impl Drop for Registration {
     fn drop(&mut self) {
         self.want(false, false);
-        self.open.set(self.open.get() - 1);
+        self.open_sockets.set(self.open_sockets.get() - 1);
     }
 }
 
+/// A TCP connection, up or about to be.
+pub(crate) struct Connection {
+    // Before the stream, so that it is dropped first.
+    registration: Registration,
+    stream: TcpStream,
+}
+
 impl Connection {
-    pub fn is(&self, key: usize) -> bool {
+    /// True if an event with this key is about this connection.
+    pub(crate) fn is(&self, key: usize) -> bool {
         self.registration.is(key)
     }
 
     /// For handing it to another process, which then holds the same connection.
-    pub fn descriptor(&self) -> BorrowedFd<'_> {
+    pub(crate) fn descriptor(&self) -> BorrowedFd<'_> {
         self.stream.as_fd()
     }
 
-    pub fn want(&mut self, reading: bool, writing: bool) {
+    /// Sets the readiness that is waited for.
+    pub(crate) fn want(&mut self, reading: bool, writing: bool) {
         self.registration.want(reading, writing);
     }
 
-    /// If the connection has come up; the fault where it can't.
-    pub fn is_up(&self) -> Result<bool> {
+    /// Whether the connection has come up.
+    ///
+    /// # Errors
+    /// It can't come up.
+    pub(crate) fn is_up(&self) -> Result<bool> {
         match self.stream.take_error()? {
-            Some(fault) => Err(fault),
+            Some(error) => Err(error),
             None => Ok(self.stream.peer_addr().is_ok()),
         }
     }
 
-    pub fn finish_sending(&self) {
-        // Fails only where the other end has gone, which its own event tells.
+    /// Ends this side; the other side may go on sending.
+    pub(crate) fn finish_sending(&self) {
+        // Fails only where the other end has gone, which its own event reports.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// When it is closed the other end will see a break, not an end.
-    pub fn break_off(&self) {
+    /// When it is closed the other side will see a reset, not an end.
+    pub(crate) fn break_off(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
@@ -260,17 +314,28 @@
     fn write(&mut self, bytes: &[u8]) -> Result<usize> {
         self.stream.write(bytes)
     }
+
     fn flush(&mut self) -> Result<()> {
         Ok(())
     }
 }
 
+/// A listening TCP socket.
+pub(crate) struct ListenerSocket {
+    // Before the listener, so that it is dropped first.
+    registration: Registration,
+    listener: TcpListener,
+}
+
 impl ListenerSocket {
-    pub fn accept(&mut self) -> Result<TcpStream> {
+    /// # Errors
+    /// `WouldBlock` if no connection waits.
+    pub(crate) fn accept(&mut self) -> Result<TcpStream> {
         self.listener.accept().map(|(stream, _)| stream)
     }
 
-    pub fn want(&mut self, accepting: bool) {
+    /// Sets whether connections are waited for.
+    pub(crate) fn want(&mut self, accepting: bool) {
         self.registration.want(accepting, false);
     }
 }
