--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -19,6 +19,9 @@
 /// Pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
+/// An admin command is answered within this, whatever the load.
+const ADMIN_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
+
 const SOCKET_LIMIT: usize = 1_000;
 
 /// The program under test.
@@ -105,11 +108,43 @@
         RelayProcess { relay, admin }
     }
 
-    /// The one line that an admin call is answered with, without its line ending.
+    /// The one line that an admin command is answered with, without its line ending.
     pub fn call(&self, line: &str) -> String {
         self.try_call(line).unwrap()
     }
 
+    /// A new connection to the admin port.
+    pub fn connect_admin(&self) -> TcpStream {
+        let stream = TcpStream::connect(self.admin).unwrap();
+        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_nodelay(true).unwrap();
+        stream
+    }
+
+    /// The one line that these bytes are answered with, without its line ending.
+    pub fn send_to_admin(&self, bytes: &[u8]) -> String {
+        let mut stream = self.connect_admin();
+        stream.write_all(bytes).unwrap();
+        read_admin_response(&mut stream)
+    }
+
+    /// The command succeeds, within the time that operators are promised.
+    pub fn assert_accepted(&self, command: &str) {
+        let start = Instant::now();
+        let response = self.send_to_admin(format!("{command}\r\n").as_bytes());
+        assert!(
+            response.starts_with("200") && start.elapsed() < ADMIN_RESPONSE_TIMEOUT,
+            "{command}: {response} after {:?}",
+            start.elapsed()
+        );
+    }
+
+    /// The command is refused.
+    pub fn assert_refused(&self, command: &str) {
+        let response = self.send_to_admin(format!("{command}\n").as_bytes());
+        assert!(response.starts_with("400"), "{command}: {response}");
+    }
+
     pub fn wait_until_ready(&self) {
         wait_until("the relay is ready", || {
             self.try_call("READY")
@@ -121,12 +156,25 @@
         let mut stream = TcpStream::connect(self.admin)?;
         stream.set_read_timeout(Some(LONG))?;
         stream.write_all(format!("{line}\r\n").as_bytes())?;
-        let mut answer = String::new();
-        stream.read_to_string(&mut answer)?;
-        Ok(answer.trim_end().to_string())
+        try_read_admin_response(&mut stream)
     }
 }
 
+/// All that the admin port answers, which must be one line; without its line ending.
+pub fn read_admin_response(stream: &mut TcpStream) -> String {
+    try_read_admin_response(stream).unwrap()
+}
+
+fn try_read_admin_response(stream: &mut TcpStream) -> std::io::Result<String> {
+    let mut response = String::new();
+    stream.read_to_string(&mut response)?;
+    assert!(
+        response.ends_with("\r\n") && response.lines().count() == 1,
+        "one line: {response:?}"
+    );
+    Ok(response.trim_end().to_string())
+}
+
 fn log_lines(child: &mut Child) -> super::Met {
     let (sender, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
@@ -143,48 +191,74 @@
 pub struct Host {
     listener: TcpListener,
     folder: TestFolder,
+    discovery: SocketAddr,
     backends: String,
+    /// The limit on descriptors of the processes that are started.
+    pub socket_limit: usize,
 }
 
 impl Host {
+    /// With a list of backends known at the start, and no discovery.
     pub fn new(name: &str, backends: &[SocketAddr]) -> Host {
+        Host::with_list(name, nobody(), backend_list(backends))
+    }
+
+    /// With a discovery, and no list known at the start.
+    pub fn with_discovery(name: &str, discovery: SocketAddr) -> Host {
+        Host::with_list(name, discovery, "null".into())
+    }
+
+    fn with_list(name: &str, discovery: SocketAddr, backends: String) -> Host {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         // Each process that is started inherits the socket.
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
         Host {
             listener,
             folder: TestFolder::new(name),
-            backends: backend_list(backends),
+            discovery,
+            backends,
+            socket_limit: SOCKET_LIMIT,
         }
     }
 
+    /// The folder that the processes share.
+    pub fn folder(&self) -> &Path {
+        self.folder.path()
+    }
+
+    pub fn client_address(&self) -> SocketAddr {
+        self.listener.local_addr().unwrap()
+    }
+
+    /// The descriptor of the clients' listening socket, as the processes are given it.
+    pub fn listener_descriptor(&self) -> String {
+        self.listener.as_raw_fd().to_string()
+    }
+
+    /// The configuration of a process with this admin port.
+    pub fn configuration(&self, admin: SocketAddr) -> String {
+        let configuration = config(
+            self.client_address(),
+            self.discovery,
+            self.socket_limit,
+            &self.backends,
+            false,
+        );
+        with_admin(configuration, admin)
+    }
+
     /// Starts a process of this program beside those that run, and waits until it is ready.
     pub fn start(&self, program: &Path) -> RelayProcess {
-        let (client_address, admin) = (self.listener.local_addr().unwrap(), nobody());
-        let configuration = with_admin(
-            config(
-                client_address,
-                nobody(),
-                SOCKET_LIMIT,
-                &self.backends,
-                false,
-            ),
-            admin,
-        );
-        let path = self
-            .folder
-            .path()
-            .join(format!("config-{}.json", admin.ip()));
+        let admin = nobody();
+        let configuration = self.configuration(admin);
+        let path = self.folder().join(format!("config-{}.json", admin.ip()));
         std::fs::write(&path, &configuration).unwrap();
         let mut command = Command::new(program);
         command
             .env("ROUTER_CONFIG", &path)
-            .env(
-                "ROUTER_PASSED_SOCKET",
-                self.listener.as_raw_fd().to_string(),
-            )
-            .env("TMPDIR", self.folder.path());
-        let process = RelayProcess::launch(command, client_address, admin, configuration);
+            .env("ROUTER_PASSED_SOCKET", self.listener_descriptor())
+            .env("TMPDIR", self.folder());
+        let process = RelayProcess::launch(command, self.client_address(), admin, configuration);
         process.wait_until_ready();
         process
     }
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -1,193 +1,49 @@
-//! The relay as operators meet it: their door, bans, and a second process beside the first on a
-//! socket that the platform holds.
+//! The relay as operators meet it: the admin port, bans, and a second process beside the first on a
+//! listening socket that the platform holds.
 mod helper;
 
+use helper::host::{Host, RelayProcess, new_program, read_admin_response};
 use helper::*;
-use std::io::{BufRead, BufReader, Read, Write};
+use socket2::{Domain, SockAddr, Socket, Type};
+use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
-use std::path::PathBuf;
-use std::process::{Command, Stdio};
-use std::sync::mpsc::channel;
+use std::process::Command;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// An answer at the door is due within this, whatever the load.
-const DUE: Duration = Duration::from_secs(1);
+/// Pause between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Between two looks at what is waited for.
-const LOOK: Duration = Duration::from_millis(5);
-
-/// What the platform holds for one relay: the clients' socket, the folder that its processes share,
-/// its discovery.
-struct SocketHolder {
-    listener: TcpListener,
-    folder: PathBuf,
-    discovery: SocketAddr,
-    limits: usize,
-    known: String,
-}
-
-impl Drop for SocketHolder {
-    fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.folder);
-    }
+/// A host without discovery whose backends are named `b0`, `b1` and so on.
+fn new_host(name: &str, backends: &[SocketAddr]) -> Host {
+    Host::new(&format!("operators-{name}"), backends)
 }
 
-impl SocketHolder {
-    fn new(name: &str, discovery: SocketAddr, known: &str) -> SocketHolder {
-        let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        // Every process that is started inherits it, as on the platform.
-        rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
-        let folder = std::env::temp_dir().join(format!(
-            "thistlecroft-station-{}-{name}",
-            std::process::id()
-        ));
-        let _ = std::fs::remove_dir_all(&folder);
-        std::fs::create_dir_all(&folder).unwrap();
-        SocketHolder {
-            listener,
-            folder,
-            discovery,
-            limits: 1_000,
-            known: known.into(),
-        }
-    }
-
-    /// With backends that the list known at start names `b0`, `b1` and so on, and a dead discovery.
-    fn with(name: &str, backends: &[SocketAddr]) -> SocketHolder {
-        SocketHolder::new(name, nobody(), &known(backends))
-    }
-
-    fn text(&self, admin: SocketAddr) -> String {
-        let text = config(
-            self.listener.local_addr().unwrap(),
-            self.discovery,
-            self.limits,
-            &self.known,
-            false,
-        );
-        text.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1)
-    }
-
-    /// Another process of the relay, ready or not.
-    fn start(&self) -> Process {
-        let admin = nobody();
-        let text = self.text(admin);
-        let path = self.folder.join(format!("config-{}.json", admin.ip()));
-        std::fs::write(&path, &text).unwrap();
-        let mut child = Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
-            .env("ROUTER_CONFIG", &path)
-            .env(
-                "ROUTER_PASSED_SOCKET",
-                self.listener.as_raw_fd().to_string(),
-            )
-            .env("TMPDIR", &self.folder)
-            .env("RUST_LOG", "info")
-            .stderr(Stdio::piped())
-            .spawn()
-            .unwrap();
-        let (tell, log) = channel();
-        let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-        thread::spawn(move || {
-            lines
-                .map_while(Result::ok)
-                .try_for_each(|line| tell.send(line))
-        });
-        let relay = Relay {
-            child,
-            at: self.listener.local_addr().unwrap(),
-            log,
-            text,
-        };
-        relay.logged("serves at");
-        Process { relay, admin }
-    }
-
-    fn started(&self) -> Process {
-        let process = self.start();
-        process.until_ready();
-        process
-    }
-}
-
-fn known(backends: &[SocketAddr]) -> String {
-    let names: Vec<String> = (0..backends.len())
-        .map(|number| format!("b{number}"))
-        .collect();
-    let rows: Vec<_> = names
-        .iter()
-        .zip(backends)
-        .map(|(name, at)| (name.as_str(), *at, "Ready"))
-        .collect();
-    list(1, true, &rows)
-}
-
-struct Process {
-    relay: Relay,
-    admin: SocketAddr,
-}
-
-impl Process {
-    fn caller(&self) -> TcpStream {
-        let stream = TcpStream::connect(self.admin).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
-        stream.set_nodelay(true).unwrap();
-        stream
-    }
-
-    /// What a call is answered, all of it.
-    fn call(&self, bytes: &[u8]) -> String {
-        let mut stream = self.caller();
-        stream.write_all(bytes).unwrap();
-        answer(&mut stream)
-    }
-
-    fn says_yes(&self, call: &str) {
-        let asked = Instant::now();
-        let said = self.call(format!("{call}\r\n").as_bytes());
-        assert!(
-            said.starts_with("200") && asked.elapsed() < DUE,
-            "{call}: {said} after {:?}",
-            asked.elapsed()
-        );
-    }
-
-    fn says_no(&self, call: &str) {
-        let said = self.call(format!("{call}\n").as_bytes());
-        assert!(said.starts_with("400"), "{call}: {said}");
-    }
-
-    fn until_ready(&self) {
-        let until = Instant::now() + LONG;
-        while !self.call(b"READY\n").starts_with("200") {
-            assert!(Instant::now() < until, "never ready");
-            // Asked without a pause, tens of thousands of closed connections would hold up whatever
-            // runs next.
-            thread::sleep(LOOK);
-        }
+/// Opens so many sessions, each of which is accepted.
+fn open_sessions(relay: &Relay, count: usize) -> Vec<Client> {
+    let mut clients: Vec<_> = (0..count).map(|_| relay.open("safe", 1_000)).collect();
+    for client in &mut clients {
+        assert_eq!(client.hears(), "UP receipt");
     }
+    clients
 }
 
-/// A first line came to this backend.
-fn dialled(met: &Met) {
-    while !next(met).starts_with("OPEN") {}
+/// Waits until a first line comes to this backend.
+fn wait_for_attempt(received: &Met) {
+    while !next(received).starts_with("OPEN") {}
 }
 
-fn answer(stream: &mut TcpStream) -> String {
-    let mut said = String::new();
-    stream.read_to_string(&mut said).unwrap();
-    assert!(
-        said.ends_with("\r\n") && said.lines().count() == 1,
-        "one line: {said:?}"
-    );
-    said
+/// First lines that have come to this backend.
+fn count_attempts(received: &Met) -> usize {
+    let attempts = received.try_iter();
+    attempts.filter(|line| line.starts_with("OPEN")).count()
 }
 
 #[test]
-fn every_call_is_answered_by_one_line() {
-    let station = SocketHolder::with("calls", &[nobody()]);
-    let process = station.started();
+fn admin_command_is_answered_by_one_line() {
+    let host = new_host("calls", &[nobody()]);
+    let process = host.start(new_program());
     let long = [b'x'; 5_000];
     let cases: &[(&[u8], &str)] = &[
         (b"READY\r\n", "200 ready"),
@@ -205,34 +61,34 @@
     ];
     for (bytes, expected) in cases {
         assert_eq!(
-            process.call(bytes).trim_end(),
+            process.send_to_admin(bytes),
             *expected,
             "{:?}",
             String::from_utf8_lossy(bytes)
         );
     }
     // Byte by byte, and cut off before the line's end.
-    let mut slow = process.caller();
+    let mut slow = process.connect_admin();
     b"DISABLE b0\r\n"
         .iter()
         .for_each(|byte| slow.write_all(&[*byte]).unwrap());
-    assert_eq!(answer(&mut slow).trim_end(), "200 out");
-    let mut cut = process.caller();
+    assert_eq!(read_admin_response(&mut slow), "200 out");
+    let mut cut = process.connect_admin();
     cut.write_all(b"ENABLE b0").unwrap();
     cut.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(answer(&mut cut).trim_end(), "400 the line has no end");
+    assert_eq!(read_admin_response(&mut cut), "400 the line has no end");
 }
 
 #[test]
-fn callers_who_say_nothing_keep_nobody_out() {
-    let station = SocketHolder::with("silent-callers", &[nobody()]);
-    let process = station.started();
-    let mut silent: Vec<TcpStream> = (0..200).map(|_| process.caller()).collect();
+fn silent_admin_connections_keep_nobody_out() {
+    let host = new_host("silent-callers", &[nobody()]);
+    let process = host.start(new_program());
+    let mut silent: Vec<TcpStream> = (0..200).map(|_| process.connect_admin()).collect();
     silent
         .iter_mut()
         .step_by(2)
         .for_each(|stream| stream.write_all(b"DISAB").unwrap());
-    (0..20).for_each(|_| process.says_yes("READY"));
+    (0..20).for_each(|_| process.assert_accepted("READY"));
     // Most had to make room, and were told so; the descriptors of those that stay are few.
     let mut gone = 0;
     for stream in &mut silent {
@@ -243,88 +99,69 @@
 }
 
 #[test]
-fn a_banned_backend_gets_nothing_until_the_call_back() {
-    let ((first, met), (second, other)) = (backend(Play::Echo), backend(Play::Echo));
-    let (at, watched) = discovery(vec![Script {
-        pieces: vec![
-            HEAD.into(),
-            chunk(&list(
-                2,
-                true,
-                &[("b0", first, "Ready"), ("b1", second, "Ready")],
-            )),
-        ],
+fn banned_backend_gets_no_sessions_until_enabled() {
+    let (first, at_first) = backend(Play::Echo);
+    let (second, at_second) = backend(Play::Echo);
+    let endpoints = [("b0", first, "Ready"), ("b1", second, "Ready")];
+    let (address, requests) = discovery(vec![Script {
+        pieces: vec![HEAD.into(), chunk(&list(2, true, &endpoints))],
         ends: false,
     }]);
-    let station = SocketHolder::new("ban", at, "null");
-    let process = station.started();
-    next(&watched);
-    process.says_yes("DISABLE b0");
-    let mut clients: Vec<_> = (0..20).map(|_| process.relay.open("safe", 1_000)).collect();
-    clients
-        .iter_mut()
-        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-    assert_eq!(
-        other
-            .try_iter()
-            .filter(|line| line.starts_with("OPEN"))
-            .count(),
-        20
-    );
+    let host = Host::with_discovery("operators-ban", address);
+    let process = host.start(new_program());
+    next(&requests);
+    process.assert_accepted("DISABLE b0");
+    let _clients = open_sessions(&process.relay, 20);
+    assert_eq!(count_attempts(&at_second), 20);
     assert!(
-        met.try_recv().is_err(),
-        "nothing new at the one that is out"
+        at_first.try_recv().is_err(),
+        "nothing new at the one that is banned"
     );
-    // Out twice, back once; then it is the only one there is.
-    process.says_yes("DISABLE b0");
-    process.says_yes("ENABLE b0");
-    process.says_yes("DISABLE b1");
+    // Banned twice, enabled once; then it is the only one there is.
+    process.assert_accepted("DISABLE b0");
+    process.assert_accepted("ENABLE b0");
+    process.assert_accepted("DISABLE b1");
     assert_eq!(process.relay.open("safe", 1_000).hears(), "UP receipt");
-    dialled(&met);
+    wait_for_attempt(&at_first);
 }
 
 #[test]
-fn a_second_process_serves_beside_the_first_and_goes_by_its_bans() {
-    let ((first, met), (second, other)) = (backend(Play::Echo), backend(Play::Echo));
-    let station = SocketHolder::with("beside", &[first, second]);
-    let mut old = station.started();
-    old.says_yes("DISABLE b0");
-    let new = station.started();
-    // Whichever is told, both go by it.
-    new.says_yes("READY");
+fn second_process_serves_beside_the_first_and_shares_its_bans() {
+    let (first, at_first) = backend(Play::Echo);
+    let (second, at_second) = backend(Play::Echo);
+    let host = new_host("beside", &[first, second]);
+    let mut old = host.start(new_program());
+    old.assert_accepted("DISABLE b0");
+    let new = host.start(new_program());
+    // Whichever process gets the command, both go by it.
+    new.assert_accepted("READY");
     old.relay.signal("TERM");
     let status = end_of(&mut old.relay.child);
     assert!(status.success(), "{status}");
-    let mut clients: Vec<_> = (0..10).map(|_| new.relay.open("safe", 1_000)).collect();
-    clients
-        .iter_mut()
-        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-    assert!(met.try_recv().is_err() && other.try_iter().count() >= 10);
-    new.says_yes("ENABLE b0");
-    new.says_yes("DISABLE b1");
+    let _clients = open_sessions(&new.relay, 10);
+    assert!(at_first.try_recv().is_err() && at_second.try_iter().count() >= 10);
+    new.assert_accepted("ENABLE b0");
+    new.assert_accepted("DISABLE b1");
     assert_eq!(new.relay.open("safe", 1_000).hears(), "UP receipt");
-    dialled(&met);
-    // A third finds the list as the second left it, killed or not.
+    wait_for_attempt(&at_first);
+    // A third process finds the bans as the second left them, although that was killed.
     drop(new);
-    let third = station.started();
+    let third = host.start(new_program());
     assert_eq!(third.relay.open("safe", 1_000).hears(), "UP receipt");
-    dialled(&met);
-    third.says_no("DISABLE nobody");
+    wait_for_attempt(&at_first);
+    third.assert_refused("DISABLE nobody");
 }
 
 #[test]
-fn standing_connections_go_to_the_next_process_unnoticed() {
-    let (address, met) = backend(Play::Echo);
-    let station = SocketHolder::with("handed", &[address]);
-    let mut process = station.started();
-    let mut clients: Vec<_> = (0..40).map(|_| process.relay.open("safe", 1_000)).collect();
-    clients
-        .iter_mut()
-        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
+fn standing_sessions_on_hot_restart_go_to_the_successor_unnoticed() {
+    let (address, received) = backend(Play::Echo);
+    let host = new_host("handed", &[address]);
+    let mut process = host.start(new_program());
+    let mut clients = open_sessions(&process.relay, 40);
     // Half a line waits on its way when the process changes.
     clients[0].say("begun ");
     for round in 0..3 {
-        let next = station.started();
+        let next = host.start(new_program());
         process.relay.signal("TERM");
         assert!(end_of(&mut process.relay.child).success());
         assert!(process.relay.logged("stopped;").contains("handed=40 "));
@@ -336,13 +173,8 @@
     }
     clients[0].say("and ended\r\n");
     assert_eq!(clients[0].hears(), "begun and ended");
-    // One dial each, and none was moved.
-    assert_eq!(
-        met.try_iter()
-            .filter(|line| line.starts_with("OPEN"))
-            .count(),
-        40
-    );
+    // One attempt each, and none was migrated.
+    assert_eq!(count_attempts(&received), 40);
     clients[1].ends_sending();
     assert_eq!(
         (clients[1].hears().as_str(), clients[1].hears().as_str()),
@@ -351,116 +183,111 @@
 }
 
 #[test]
-fn two_processes_keep_within_one_limit_of_descriptors() {
+fn two_processes_share_one_limit_of_descriptors() {
     let (address, _met) = backend(Play::Echo);
     let limit = 200;
-    let mut station = SocketHolder::with("limit", &[address]);
-    station.limits = limit;
-    let old = station.started();
-    let mut standing: Vec<_> = (0..40).map(|_| old.relay.open("safe", 1_000)).collect();
-    standing
-        .iter_mut()
-        .for_each(|client| assert_eq!(client.hears(), "UP receipt"));
-    let new = station.started();
-    let held = |process: &Process| {
-        let folder = format!("/proc/{}/fd", process.relay.child.id());
-        std::fs::read_dir(folder).unwrap().count()
+    let mut host = new_host("limit", &[address]);
+    host.socket_limit = limit;
+    let old = host.start(new_program());
+    let _standing = open_sessions(&old.relay, 40);
+    let new = host.start(new_program());
+    let open_descriptors = || {
+        let count = |process: &RelayProcess| {
+            let folder = format!("/proc/{}/fd", process.relay.child.id());
+            std::fs::read_dir(folder).unwrap().count()
+        };
+        (count(&old), count(&new))
     };
     // Both take clients from the one socket; everybody is answered, and the limit holds for the two
     // together.
     let mut later = Vec::new();
     for _ in 0..60 {
         let mut client = new.relay.open("safe", 1_000);
-        let said = client.hears();
-        assert!(said == "UP receipt" || said.starts_with("BUSY"), "{said}");
+        let line = client.hears();
+        assert!(line == "UP receipt" || line.starts_with("BUSY"), "{line}");
         later.push(client);
+        let (old_count, new_count) = open_descriptors();
         assert!(
-            held(&old) + held(&new) <= limit,
-            "{} and {}",
-            held(&old),
-            held(&new)
+            old_count + new_count <= limit,
+            "{old_count} and {new_count}"
         );
     }
-    assert!(held(&old) + held(&new) > limit / 2);
-    // What the old one held goes over where alone it would be told that there is no room.
+    let (old_count, new_count) = open_descriptors();
+    assert!(old_count + new_count > limit / 2);
+    // The sessions of the old process go over, although the new one alone has no room for them.
     old.relay.signal("TERM");
     let stopped = old.relay.logged("stopped;");
     assert!(counted(&stopped, "handed") >= 40, "{stopped}");
 }
 
 #[test]
-fn without_a_next_process_that_takes_them_clients_are_moved() {
-    let (address, _met) = backend(Play::Echo);
-    for name in ["nobody", "foreign", "mute", "killed"] {
-        let station = SocketHolder::with(&format!("moved-{name}"), &[address]);
-        let process = station.started();
+fn clients_without_a_successor_that_takes_them_are_migrated() {
+    let (address, _received) = backend(Play::Echo);
+    for successor in ["none", "foreign", "mute", "killed"] {
+        let host = new_host(&format!("moved-{successor}"), &[address]);
+        let process = host.start(new_program());
         let mut client = process.relay.open("safe", 1_000);
         assert_eq!(client.hears(), "UP receipt");
-        let place = station.folder.join("thistlecroft-next");
-        let packets = || {
-            use socket2::{Domain, SockAddr, Socket, Type};
-            let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None).unwrap();
-            socket.connect(&SockAddr::unix(&place).unwrap()).unwrap();
-            socket
-        };
-        let hello =
-            |relay: &str| format!("{{\"Hello\":{{\"version\":1,\"relay\":\"{relay}\"}}}}\n");
-        // Each ends or keeps silent at another point of the way.
-        let mut beside = None;
-        match name {
-            "foreign" => drop(packets().send(hello("another").as_bytes()).unwrap()),
-            "mute" => {
-                let socket = packets();
-                socket.send(hello("r0").as_bytes()).unwrap();
-                beside = Some(socket);
-            }
-            "killed" => drop(station.started()),
+        // Each ends or keeps silent at another point of the handover.
+        let mut channel = None;
+        match successor {
+            "foreign" => drop(greet_as_successor(&host, "another")),
+            "mute" => channel = Some(greet_as_successor(&host, "r0")),
+            "killed" => drop(host.start(new_program())),
             _ => {}
         }
         process.relay.signal("TERM");
         assert_eq!(
             (client.hears().as_str(), client.hears().as_str()),
             ("MOVE", "end"),
-            "{name}"
+            "{successor}"
         );
-        drop(beside);
+        drop(channel);
     }
 }
 
+/// Connects to the process that serves, and sends the first message of a successor.
+fn greet_as_successor(host: &Host, relay: &str) -> Socket {
+    let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None).unwrap();
+    let path = host.folder().join("thistlecroft-next");
+    socket.connect(&SockAddr::unix(path).unwrap()).unwrap();
+    let hello = format!("{{\"Hello\":{{\"version\":1,\"relay\":\"{relay}\"}}}}\n");
+    socket.send(hello.as_bytes()).unwrap();
+    socket
+}
+
 /// A listener's row of the settings, as text.
-const PAY: &str = r#",{"name": "pay", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "fragile", "utility": 1.0}]"#;
+const PAY_LISTENER: &str = r#",{"name": "pay", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "fragile", "utility": 1.0}]"#;
 
 #[test]
-fn other_settings_are_taken_up_whole_or_not_at_all() {
-    let (address, met) = backend(Play::Echo);
+fn changed_settings_are_taken_up_whole_or_not_at_all() {
+    let (address, _received) = backend(Play::Echo);
     let relay = relay_with(&[address]);
-    let answered = |listener: &str| relay.open(listener, 1_000).hears();
-    let until = |listener: &str, word: &str| {
-        let began = Instant::now();
-        while answered(listener) != word {
+    let response = |listener: &str| relay.open(listener, 1_000).hears();
+    let time_until = |listener: &str, expected: &str| {
+        let start = Instant::now();
+        while response(listener) != expected {
             assert!(
-                began.elapsed() < LONG,
-                "{listener} is never answered {word}"
+                start.elapsed() < LONG,
+                "{listener} is never answered {expected}"
             );
-            thread::sleep(LOOK);
+            thread::sleep(CHECK_INTERVAL);
         }
-        began.elapsed()
+        start.elapsed()
     };
     let mut standing = relay.open("safe", 1_000);
     assert_eq!(standing.hears(), "UP receipt");
-    assert_eq!(answered("pay"), "ERR");
-    // A class is added: served at once, and the others still are.
-    relay.told(
+    assert_eq!(response("pay"), "ERR");
+    // A listener is added: it is served at once, and the others still are.
+    let (last_listener, with_pay) = (
         "}],\n \"invariants\"",
-        &format!("}}{PAY},\n \"invariants\""),
+        format!("}}{PAY_LISTENER},\n \"invariants\""),
     );
-    until("pay", "UP receipt");
-    assert_eq!(answered("safe"), "UP receipt");
+    relay.told(last_listener, &with_pay);
+    time_until("pay", "UP receipt");
+    assert_eq!(response("safe"), "UP receipt");
     // Files that are broken change nothing, of this or of what went before.
-    let with = relay.text.replace(
-        "}],\n \"invariants\"",
-        &format!("}}{PAY},\n \"invariants\""),
-    );
+    let with = relay.text.replace(last_listener, &with_pay);
     let broken = [
         String::new(),
         with[..with.len() - 40].to_string(),
@@ -478,63 +305,62 @@
         write_config(text);
         relay.signal("HUP");
         relay.logged("what was read before stays");
-        assert_eq!(answered("pay"), "UP receipt", "{text}");
-        assert_eq!(answered("other"), "ERR");
+        assert_eq!(response("pay"), "UP receipt", "{text}");
+        assert_eq!(response("other"), "ERR");
     }
-    // A class is dropped, and two files in a row: clients under way are served for a while, and
-    // then it is unknown.
+    // A listener is dropped, by the second of two files in a row: clients under way are served for
+    // a while, and then it is unknown.
     write_config(&with);
     relay.signal("HUP");
     let without = with.replace("\"name\": \"once\"", "\"name\": \"twice\"");
     write_config(&without);
     relay.signal("HUP");
-    until("twice", "UP receipt");
-    assert_eq!(answered("once"), "UP receipt", "clients under way");
-    let late = until("once", "ERR");
-    assert!(late < Duration::from_millis(1_300), "{late:?}");
-    assert_eq!(answered("pay"), "UP receipt");
+    time_until("twice", "UP receipt");
+    assert_eq!(response("once"), "UP receipt", "clients under way");
+    let lateness = time_until("once", "ERR");
+    assert!(lateness < Duration::from_millis(1_300), "{lateness:?}");
+    assert_eq!(response("pay"), "UP receipt");
     // What stood through all of it still does.
     standing.say("still here\r\n");
     assert_eq!(standing.hears(), "still here");
-    drop(met);
 }
 
 #[test]
-fn a_socket_that_does_not_listen_is_one_clear_line() {
-    let station = SocketHolder::with("bad-socket", &[]);
-    let client = TcpStream::connect(station.listener.local_addr().unwrap()).unwrap();
+fn unusable_socket_or_address_ends_with_one_line() {
+    let host = new_host("bad-socket", &[]);
+    let client = TcpStream::connect(host.client_address()).unwrap();
     rustix::io::fcntl_setfd(&client, rustix::io::FdFlags::empty()).unwrap();
-    let bound = TcpListener::bind(nobody()).unwrap();
-    let good = station.text(nobody());
     let connected = client.as_raw_fd().to_string();
-    let taken = good
+    let listening = host.listener_descriptor();
+    let other_listener = TcpListener::bind(nobody()).unwrap();
+    let good = host.configuration(nobody());
+    let without_address = good
         .replace("\"admin_addr\":\"127", "\"admin_addr\":\"")
         .replace("\"admin_addr\":\"", "\"admin_addr\":\"x");
-    let busy = station.text(bound.local_addr().unwrap());
-    let passed = station.listener.as_raw_fd().to_string();
+    let with_taken_address = host.configuration(other_listener.local_addr().unwrap());
     let cases = [
         (&good, connected.as_str(), "does not listen"),
         (&good, "900", "is no open socket"),
         (&good, "seven", "is no descriptor"),
         (&good, "1", "is no descriptor"),
-        (&taken, &passed, "admin_addr"),
-        (&busy, &passed, "in use"),
+        (&without_address, &listening, "admin_addr"),
+        (&with_taken_address, &listening, "in use"),
     ];
-    for (text, descriptor, expected) in cases {
-        let path = station.folder.join("bad.json");
-        std::fs::write(&path, text).unwrap();
-        let done = Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
+    for (configuration, descriptor, expected) in cases {
+        let path = host.folder().join("bad.json");
+        std::fs::write(&path, configuration).unwrap();
+        let output = Command::new(new_program())
             .env("ROUTER_CONFIG", &path)
             .env("ROUTER_PASSED_SOCKET", descriptor)
-            .env("TMPDIR", &station.folder)
+            .env("TMPDIR", host.folder())
             .env("RUST_LOG", "off")
             .output()
             .unwrap();
-        let said = String::from_utf8(done.stderr).unwrap();
+        let lines = String::from_utf8(output.stderr).unwrap();
         assert!(
-            !done.status.success() && said.lines().count() == 1,
-            "{descriptor}: {said}"
+            !output.status.success() && lines.lines().count() == 1,
+            "{descriptor}: {lines}"
         );
-        assert!(said.contains(expected), "{descriptor}: {said}");
+        assert!(lines.contains(expected), "{descriptor}: {lines}");
     }
 }
--- a/relay/tests/peers.rs
+++ b/relay/tests/peers.rs
@@ -1,5 +1,6 @@
-//! Several processes of the relay that know of one another, and faults between them: cuts, pauses,
-//! kills, restarts, strangers. Bounds are the stated ones; what is waited for is a condition.
+//! Several relay processes that know of one another, and faults between them: cuts, pauses, kills,
+//! restarts, strangers. Time limits are those that the documentation states; what is waited for is
+//! a condition.
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::path::PathBuf;
@@ -13,150 +14,179 @@
 
 const PERIOD: Duration = Duration::from_millis(200);
 const LEASE: Duration = Duration::from_millis(1_500);
-/// Beside a stated bound, for a machine that is busy with other things.
-const BUSY: Duration = Duration::from_millis(10_000);
+/// Added to each time limit, for a machine that is busy with other things.
+const BUSY_MACHINE_MARGIN: Duration = Duration::from_millis(10_000);
 
-fn gone_within(size: usize) -> Duration {
-    Pace { period: PERIOD }.gone_within(size, 1) + BUSY
+fn dead_within(size: usize) -> Duration {
+    Pace { period: PERIOD }.gone_within(size, 1) + BUSY_MACHINE_MARGIN
 }
 
-fn folder(name: &str) -> PathBuf {
+fn new_folder(name: &str) -> PathBuf {
     let path =
         std::env::temp_dir().join(format!("thistlecroft-peers-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     path
 }
 
-fn rig_with(name: &str, relays: usize, voters: usize, peers: bool) -> ProcessCluster {
+fn open_cluster(name: &str, relays: usize, voters: usize, peers: bool) -> ProcessCluster {
     let program = vec![env!("CARGO_BIN_EXE_thistlecroft-relay").to_string()];
-    let mut plan = ClusterPlan::small(program, relays, voters, (PERIOD, LEASE), folder(name));
+    let mut plan = ClusterPlan::small(program, relays, voters, (PERIOD, LEASE), new_folder(name));
     plan.terms.peers = peers;
     ProcessCluster::open(plan).unwrap()
 }
 
-/// So many relays of which the first are started and see each other.
-fn rig(name: &str, relays: usize, started: usize) -> ProcessCluster {
-    let mut rig = rig_with(name, relays, 3, true);
+/// A cluster of so many relays, of which the first are started and see each other.
+fn start_cluster(name: &str, relays: usize, started: usize) -> ProcessCluster {
+    let mut cluster = open_cluster(name, relays, 3, true);
     let all: Vec<usize> = (0..started).collect();
     // At once, so that seeds are themselves starting.
-    rig.start_all(&all).unwrap();
-    rig.wait(PERIOD * 40.0 + BUSY, |rig| rig.agree(&all))
+    cluster.start_all(&all).unwrap();
+    cluster
+        .wait(PERIOD * 40.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            cluster.agree(&all)
+        })
         .expect("all see all");
-    rig
+    cluster
 }
 
-fn number(view: &serde_json::Value, path: &[&str]) -> u64 {
+fn read_number(view: &serde_json::Value, path: &[&str]) -> u64 {
     path.iter()
         .fold(view, |at, key| &at[key])
         .as_u64()
         .unwrap_or_default()
 }
 
-fn count(rig: &ProcessCluster, relay: usize, name: &str) -> u64 {
-    rig.view(relay)
-        .map_or(0, |view| number(&view, &["counts", name]))
+fn count(cluster: &ProcessCluster, relay: usize, name: &str) -> u64 {
+    cluster
+        .view(relay)
+        .map_or(0, |view| read_number(&view, &["counts", name]))
 }
 
-/// Each of these has probed so often more than now: whatever it was to find out it has had the time
-/// to.
-fn probed(rig: &ProcessCluster, these: &[usize], more: u64) {
-    let of = |rig: &ProcessCluster| -> Vec<u64> {
-        these.iter().map(|one| count(rig, *one, "probes")).collect()
+/// Waits until each of these has made so many health checks more than now: whatever it was to find
+/// out it has had the time to.
+fn wait_for_probes(cluster: &ProcessCluster, relays: &[usize], more: u64) {
+    let counts = |cluster: &ProcessCluster| -> Vec<u64> {
+        relays
+            .iter()
+            .map(|relay| count(cluster, *relay, "probes"))
+            .collect()
     };
-    let before = of(rig);
-    let done = |rig: &ProcessCluster| {
-        of(rig)
+    let before = counts(cluster);
+    let done = |cluster: &ProcessCluster| {
+        counts(cluster)
             .iter()
             .zip(&before)
             .all(|(now, before)| *now >= before + more)
     };
-    rig.wait(PERIOD * (3.0 * more as f64) + BUSY, done)
+    cluster
+        .wait(PERIOD * (3.0 * more as f64) + BUSY_MACHINE_MARGIN, done)
         .expect("they probe");
 }
 
 #[test]
-fn a_killed_relay_is_gone_for_all_and_its_successor_another_process() {
-    let mut rig = rig("killed", 5, 5);
-    let run = |rig: &ProcessCluster| rig.view(1).map(|view| view["me"].to_string());
-    let first = run(&rig);
-    rig.kill(1);
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 2, 3, 4]))
+fn killed_relay_is_dead_for_all_and_its_successor_is_another_process() {
+    let mut cluster = start_cluster("killed", 5, 5);
+    let run = |cluster: &ProcessCluster| cluster.view(1).map(|view| view["me"].to_string());
+    let first = run(&cluster);
+    cluster.kill(1);
+    cluster
+        .wait(dead_within(5), |cluster| cluster.agree(&[0, 2, 3, 4]))
         .expect("gone for all");
-    assert_eq!(number(&rig.view(0).unwrap(), &["unheard"]), 1);
-    rig.start(1).unwrap();
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+    assert_eq!(read_number(&cluster.view(0).unwrap(), &["unheard"]), 1);
+    cluster.start(1).unwrap();
+    cluster
+        .wait(dead_within(5), |cluster| cluster.agree(&[0, 1, 2, 3, 4]))
         .expect("here again");
-    assert_ne!(run(&rig), first);
-    assert_eq!(number(&rig.view(0).unwrap(), &["unheard"]), 0);
+    assert_ne!(run(&cluster), first);
+    assert_eq!(read_number(&cluster.view(0).unwrap(), &["unheard"]), 0);
     // And once more, back before anybody can have noticed.
-    rig.kill(2);
-    rig.start(2).unwrap();
-    let settled = |rig: &ProcessCluster| {
-        rig.agree(&[0, 1, 2, 3, 4]) && number(&rig.view(0).unwrap(), &["unheard"]) == 0
+    cluster.kill(2);
+    cluster.start(2).unwrap();
+    let settled = |cluster: &ProcessCluster| {
+        cluster.agree(&[0, 1, 2, 3, 4]) && read_number(&cluster.view(0).unwrap(), &["unheard"]) == 0
     };
-    rig.wait(gone_within(5), settled)
+    cluster
+        .wait(dead_within(5), settled)
         .expect("two runs of one name are told apart");
 }
 
 #[test]
-fn who_is_told_to_stop_leaves_at_once_and_nobody_suspects_it() {
-    let mut rig = rig("leaves", 5, 5);
-    assert!(rig.stop(4, BUSY));
-    rig.wait(PERIOD * 10.0 + BUSY, |rig| rig.agree(&[0, 1, 2, 3]))
+fn stopped_relay_leaves_at_once_and_is_never_suspected() {
+    let mut cluster = start_cluster("leaves", 5, 5);
+    assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
+    cluster
+        .wait(PERIOD * 10.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            cluster.agree(&[0, 1, 2, 3])
+        })
         .expect("told");
-    let suspected: u64 = (0..4).map(|one| count(&rig, one, "suspected")).sum();
+    let suspected: u64 = (0..4)
+        .map(|relay| count(&cluster, relay, "suspected"))
+        .sum();
     assert_eq!(suspected, 0);
 }
 
 #[test]
-fn cut_in_one_direction_is_gone_for_the_rest_and_one_that_reaches_both_sides_keeps_all_together() {
-    let rig = rig("cuts", 5, 5);
+fn relay_cut_in_one_direction_is_dead_for_the_rest_and_a_relay_reaching_both_sides_keeps_all_alive()
+{
+    let cluster = start_cluster("cuts", 5, 5);
     let others = [1, 2, 3, 4];
     for (from, to) in [([0].as_slice(), others.as_slice()), (&others, &[0])] {
-        rig.fault_links(from, to, Some(LinkFault::CUT));
-        rig.wait(gone_within(5), |rig| rig.agree(&others))
+        cluster.fault_links(from, to, Some(LinkFault::CUT));
+        cluster
+            .wait(dead_within(5), |cluster| cluster.agree(&others))
             .expect("gone for the rest");
-        rig.heal();
-        rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+        cluster.heal();
+        cluster
+            .wait(dead_within(5), |cluster| cluster.agree(&[0, 1, 2, 3, 4]))
             .expect("healed");
     }
-    rig.cut(&[0, 1], &[3, 4]);
-    probed(&rig, &[0, 1, 2, 3, 4], 40);
-    let gone = |rig: &ProcessCluster, one: usize| {
-        rig.view(one)
-            .is_some_and(|view| number(&view, &["unheard"]) > 0)
+    cluster.cut(&[0, 1], &[3, 4]);
+    wait_for_probes(&cluster, &[0, 1, 2, 3, 4], 40);
+    let gone = |cluster: &ProcessCluster, relay: usize| {
+        cluster
+            .view(relay)
+            .is_some_and(|view| read_number(&view, &["unheard"]) > 0)
     };
-    rig.wait(BUSY, |rig| (0..5).all(|one| !gone(rig, one)))
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            (0..5).all(|relay| !gone(cluster, relay))
+        })
         .expect("2 reaches both");
-    rig.heal();
-    rig.wait(BUSY, |rig| rig.agree(&[0, 1, 2, 3, 4]))
+    cluster.heal();
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            cluster.agree(&[0, 1, 2, 3, 4])
+        })
         .expect("all see all");
 }
 
 #[test]
-fn halves_grow_apart_and_find_one_another_again() {
-    let mut rig = rig("halves", 8, 6);
+fn halves_of_a_split_fleet_rejoin_after_growing_apart() {
+    let mut cluster = start_cluster("halves", 8, 6);
     // The seeds are on one side; the other has only itself.
-    rig.cut(&[0, 1, 2, 6], &[3, 4, 5, 7]);
-    rig.start(6).unwrap();
-    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 6]))
+    cluster.cut(&[0, 1, 2, 6], &[3, 4, 5, 7]);
+    cluster.start(6).unwrap();
+    cluster
+        .wait(dead_within(6), |cluster| cluster.agree(&[0, 1, 2, 6]))
         .expect("one side, grown");
-    rig.wait(gone_within(6), |rig| rig.agree(&[3, 4, 5]))
+    cluster
+        .wait(dead_within(6), |cluster| cluster.agree(&[3, 4, 5]))
         .expect("the other");
-    rig.start(7).unwrap();
-    probed(&rig, &[0, 3], 30);
-    rig.heal();
+    cluster.start(7).unwrap();
+    wait_for_probes(&cluster, &[0, 3], 30);
+    cluster.heal();
     let all: Vec<usize> = (0..8).collect();
-    rig.wait(gone_within(8), |rig| rig.agree(&all))
+    cluster
+        .wait(dead_within(8), |cluster| cluster.agree(&all))
         .expect("together again");
 }
 
 #[test]
-fn with_a_tenth_lost_and_late_a_note_reaches_all_and_nobody_stays_gone() {
-    let rig = rig("lossy", 6, 6);
+fn note_on_lossy_links_reaches_all_and_nobody_stays_dead() {
+    let cluster = start_cluster("lossy", 6, 6);
     let all: Vec<usize> = (0..6).collect();
     let ms = Duration::from_millis;
-    rig.fault_links(
+    cluster.fault_links(
         &all,
         &all,
         Some(LinkFault {
@@ -167,63 +197,86 @@
             rate: 0,
         }),
     );
-    assert_eq!(rig.ask(3, "NOTE release 1.4").as_deref(), Some("200 told"));
-    let told = |rig: &ProcessCluster| {
-        all.iter().all(|one| {
-            let said = rig.ask(*one, "NOTES").unwrap_or_default();
-            said.contains("\"release\"") && said.contains("\"1.4\"") && said.contains("age_ms")
+    assert_eq!(
+        cluster.ask(3, "NOTE release 1.4").as_deref(),
+        Some("200 told")
+    );
+    let told = |cluster: &ProcessCluster| {
+        all.iter().all(|relay| {
+            let response = cluster.ask(*relay, "NOTES").unwrap_or_default();
+            response.contains("\"release\"")
+                && response.contains("\"1.4\"")
+                && response.contains("age_ms")
         })
     };
-    rig.wait(PERIOD * 30.0 + BUSY, told).expect("all know");
-    probed(&rig, &all, 60);
-    rig.heal();
-    rig.wait(BUSY, |rig| rig.agree(&all)).expect("all see all");
-    for one in all {
+    cluster
+        .wait(PERIOD * 30.0 + BUSY_MACHINE_MARGIN, told)
+        .expect("all know");
+    wait_for_probes(&cluster, &all, 60);
+    cluster.heal();
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| cluster.agree(&all))
+        .expect("all see all");
+    for relay in all {
         assert!(
-            count(&rig, one, "repeated") > 0,
-            "relay {one} had datagrams twice"
+            count(&cluster, relay, "repeated") > 0,
+            "relay {relay} had datagrams twice"
         );
         assert_eq!(
-            number(&rig.view(one).unwrap(), &["unheard"]),
+            read_number(&cluster.view(relay).unwrap(), &["unheard"]),
             0,
-            "relay {one}"
+            "relay {relay}"
         );
     }
 }
 
 #[test]
-fn a_paused_holder_never_acts_beside_its_successor() {
-    let mut rig = rig("paused", 5, 5);
+fn paused_lease_holder_never_acts_beside_its_successor() {
+    let mut cluster = start_cluster("paused", 5, 5);
     // Two that do not vote want it, so that a majority stays whoever is paused.
-    let holds = |rig: &ProcessCluster, one: usize| {
-        rig.ask(one, "LEASE turn")
-            .is_some_and(|said| said.starts_with("200 held"))
+    let holds = |cluster: &ProcessCluster, relay: usize| {
+        cluster
+            .ask(relay, "LEASE turn")
+            .is_some_and(|response| response.starts_with("200 held"))
     };
-    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 3))
+    cluster
+        .wait(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            holds(cluster, 3)
+        })
         .expect("held");
-    let witnesses: Vec<_> = [3, 4].map(|one| rig.witness(one, Some("turn"))).into();
-    rig.pause(3, true);
-    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 4))
+    let witnesses: Vec<_> = [3, 4]
+        .map(|relay| cluster.witness(relay, Some("turn")))
+        .into();
+    cluster.pause(3, true);
+    cluster
+        .wait(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            holds(cluster, 4)
+        })
         .expect("the other has it");
     // It is gone for the rest by then or soon; its own view and lease are as they were.
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 4]))
+    cluster
+        .wait(dead_within(5), |cluster| cluster.agree(&[0, 1, 2, 4]))
         .expect("gone for the rest");
-    rig.pause(3, false);
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+    cluster.pause(3, false);
+    cluster
+        .wait(dead_within(5), |cluster| cluster.agree(&[0, 1, 2, 3, 4]))
         .expect("back");
-    probed(&rig, &[3, 4], 10);
+    wait_for_probes(&cluster, &[3, 4], 10);
     drop(witnesses);
     // The holder leaves in good order, and the one that was paused has it without waiting for a
     // term.
-    assert!(rig.stop(4, BUSY));
-    rig.wait(LEASE * 4.0 + BUSY, |rig| holds(rig, 3))
+    assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
+    cluster
+        .wait(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            holds(cluster, 3)
+        })
         .expect("held again");
-    let entries = rig.reel.into_sorted();
-    let by = |relay: u16| {
+    let entries = cluster.reel.into_sorted();
+    let answers_of = |relay: u16| {
         let says = |seen: &Observation| matches!(seen, Observation::LeaseSaid { relay: of, .. } if of.0 == relay);
         entries.iter().filter(|entry| says(&entry.seen)).count()
     };
-    assert!(by(4) > 0, "the successor said so");
+    assert!(answers_of(4) > 0, "the successor said so");
     assert_eq!(
         check_cluster_invariants(&entries, &ClusterLimits::default()),
         []
@@ -231,146 +284,203 @@
 }
 
 #[test]
-fn the_side_without_a_majority_gets_no_lease_and_voters_that_restart_are_silent_first() {
-    let mut rig = rig("majority", 5, 5);
-    let said = |rig: &ProcessCluster, one: usize| rig.ask(one, "LEASE turn").unwrap_or_default();
-    let held = |rig: &ProcessCluster, one: usize| said(rig, one).starts_with("200 held");
-    rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 0))
+fn minority_gets_no_lease_and_restarted_voters_are_silent_first() {
+    let mut cluster = start_cluster("majority", 5, 5);
+    let ask = |cluster: &ProcessCluster, relay: usize| {
+        cluster.ask(relay, "LEASE turn").unwrap_or_default()
+    };
+    let held = |cluster: &ProcessCluster, relay: usize| ask(cluster, relay).starts_with("200 held");
+    cluster
+        .wait(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            held(cluster, 0)
+        })
         .expect("held");
     // One voter with the holder, two on the other side.
-    rig.cut(&[0, 3], &[1, 2, 4]);
-    rig.wait(LEASE * 4.0 + BUSY, |rig| !held(rig, 0))
+    cluster.cut(&[0, 3], &[1, 2, 4]);
+    cluster
+        .wait(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            !held(cluster, 0)
+        })
         .expect("it stops by its own clock");
-    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 4))
+    cluster
+        .wait(LEASE * 6.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            held(cluster, 4)
+        })
         .expect("the majority has it");
     for _ in 0..5 {
-        assert!(!held(&rig, 0) && !held(&rig, 3));
-        probed(&rig, &[0, 3], 2);
+        assert!(!held(&cluster, 0) && !held(&cluster, 3));
+        wait_for_probes(&cluster, &[0, 3], 2);
     }
-    rig.heal();
-    rig.wait(gone_within(5), |rig| rig.agree(&[0, 1, 2, 3, 4]))
+    cluster.heal();
+    cluster
+        .wait(dead_within(5), |cluster| cluster.agree(&[0, 1, 2, 3, 4]))
         .expect("healed");
-    let epoch = |rig: &ProcessCluster, one: usize| {
-        said(rig, one)
+    let epoch = |cluster: &ProcessCluster, relay: usize| {
+        ask(cluster, relay)
             .split(' ')
             .nth(2)
             .and_then(|word| word.parse::<u64>().ok())
     };
-    rig.wait(BUSY, |rig| epoch(rig, 4).is_some()).expect("held");
-    let before = epoch(&rig, 4).unwrap();
-    assert_eq!(rig.ask(4, "RELEASE turn").as_deref(), Some("200 released"));
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| epoch(cluster, 4).is_some())
+        .expect("held");
+    let before = epoch(&cluster, 4).unwrap();
+    assert_eq!(
+        cluster.ask(4, "RELEASE turn").as_deref(),
+        Some("200 released")
+    );
     // Two of three voters forget at once: nothing is granted until the silence is over, and no
     // epoch comes back.
-    (0..2).for_each(|one| rig.kill(one));
-    (0..2).for_each(|one| rig.start(one).unwrap());
-    assert!(!held(&rig, 3));
-    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 3))
+    (0..2).for_each(|relay| cluster.kill(relay));
+    (0..2).for_each(|relay| cluster.start(relay).unwrap());
+    assert!(!held(&cluster, 3));
+    cluster
+        .wait(LEASE * 6.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            held(cluster, 3)
+        })
         .expect("held after the silence");
-    assert!(epoch(&rig, 3).unwrap() > before);
+    assert!(epoch(&cluster, 3).unwrap() > before);
 }
 
 #[test]
-fn voters_change_by_two_steps_of_the_charter_and_no_other_way() {
-    let rig = rig("voters", 5, 5);
-    let held = |rig: &ProcessCluster, one: usize| {
-        rig.ask(one, "LEASE turn")
-            .is_some_and(|said| said.starts_with("200 held"))
+fn voters_change_only_by_two_steps_of_the_operator_configuration() {
+    let cluster = start_cluster("voters", 5, 5);
+    let held = |cluster: &ProcessCluster, relay: usize| {
+        cluster
+            .ask(relay, "LEASE turn")
+            .is_some_and(|response| response.starts_with("200 held"))
     };
-    rig.wait(LEASE * 4.0 + BUSY, |rig| held(rig, 4))
+    cluster
+        .wait(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            held(cluster, 4)
+        })
         .expect("held");
     let old = "voters = [\"relay-0\", \"relay-1\", \"relay-2\"]";
     let new = "voters = [\"relay-2\", \"relay-3\", \"relay-4\"]";
-    let with =
-        |rig: &ProcessCluster, number: usize, lines: &str| rig.charter(number).replace(old, lines);
-    let generation = |rig: &ProcessCluster, one: usize| {
-        number(&rig.view(one).unwrap(), &["leases", "generation"])
+    let with = |cluster: &ProcessCluster, number: usize, lines: &str| {
+        cluster.charter(number).replace(old, lines)
+    };
+    let generation = |cluster: &ProcessCluster, relay: usize| {
+        read_number(&cluster.view(relay).unwrap(), &["leases", "generation"])
     };
     // Straight to the new set: refused with a line, and nothing of it taken.
-    rig.recharter(0, &with(&rig, 0, &format!("{new}\ngeneration = 2")))
+    cluster
+        .recharter(0, &with(&cluster, 0, &format!("{new}\ngeneration = 2")))
         .unwrap();
-    rig.wait(BUSY, |rig| {
-        rig.log(0)
-            .contains("voters_before: names the voters until now")
-    })
-    .expect("refused");
-    assert_eq!(generation(&rig, 0), 1);
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            cluster
+                .log(0)
+                .contains("voters_before: names the voters until now")
+        })
+        .expect("refused");
+    assert_eq!(generation(&cluster, 0), 1);
     let joint =
         format!("{new}\nvoters_before = [\"relay-0\", \"relay-1\", \"relay-2\"]\ngeneration = 2");
-    for one in 0..5 {
-        rig.recharter(one, &with(&rig, one, &joint)).unwrap();
+    for relay in 0..5 {
+        cluster
+            .recharter(relay, &with(&cluster, relay, &joint))
+            .unwrap();
     }
-    rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 2))
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            (0..5).all(|relay| generation(cluster, relay) == 2)
+        })
         .expect("taken up");
-    let settled =
-        |rig: &ProcessCluster, one: usize| rig.view(one).unwrap()["leases"]["settled"] == true;
-    rig.wait(BUSY, |rig| (0..5).all(|one| settled(rig, one)))
+    let settled = |cluster: &ProcessCluster, relay: usize| {
+        cluster.view(relay).unwrap()["leases"]["settled"] == true
+    };
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            (0..5).all(|relay| settled(cluster, relay))
+        })
         .expect("settled");
-    for one in 0..5 {
-        rig.recharter(one, &with(&rig, one, &format!("{new}\ngeneration = 3")))
+    for relay in 0..5 {
+        cluster
+            .recharter(
+                relay,
+                &with(&cluster, relay, &format!("{new}\ngeneration = 3")),
+            )
             .unwrap();
     }
-    rig.wait(BUSY, |rig| (0..5).all(|one| generation(rig, one) == 3))
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            (0..5).all(|relay| generation(cluster, relay) == 3)
+        })
         .expect("taken up");
-    let mut rig = rig;
-    (0..2).for_each(|one| rig.kill(one));
-    rig.wait(LEASE * 6.0 + BUSY, |rig| held(rig, 4))
+    let mut cluster = cluster;
+    (0..2).for_each(|relay| cluster.kill(relay));
+    cluster
+        .wait(LEASE * 6.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            held(cluster, 4)
+        })
         .expect("the voters before are not needed");
 }
 
 #[test]
-fn strangers_and_a_fleet_at_a_reused_address_are_counted_and_not_seen() {
-    let mut rig = rig("strangers", 5, 5);
+fn datagrams_of_strangers_and_other_fleets_are_counted_and_ignored() {
+    let mut cluster = start_cluster("strangers", 5, 5);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = rig.net.ways[0].own;
+    let at = cluster.net.ways[0].own;
     for bytes in [vec![0; 100], vec![1; 100], vec![1; 3], vec![1; 1_400]] {
         stranger.send_to(&bytes, at).unwrap();
     }
-    let counted = |rig: &ProcessCluster| {
-        let one = |name| count(rig, 0, name);
-        one("other_format") == 1 && one("foreign") == 1 && one("odd_size") == 2
+    let counted = |cluster: &ProcessCluster| {
+        let counted = |name| count(cluster, 0, name);
+        counted("other_format") == 1 && counted("foreign") == 1 && counted("odd_size") == 2
     };
-    rig.wait(BUSY, counted).expect("each counted by its kind");
-    rig.wait(BUSY, |rig| rig.log(0).contains("datagrams of format 0"))
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, counted)
+        .expect("each counted by its kind");
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            cluster.log(0).contains("datagrams of format 0")
+        })
         .expect("and said");
     // Another fleet at the address of one that has left.
-    assert!(rig.stop(4, BUSY));
-    let other = rig
+    assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
+    let other = cluster
         .charter(4)
         .replace("fleet = \"rig\"", "fleet = \"other\"");
-    rig.start_with(4, other).unwrap();
-    rig.wait(BUSY, |rig| (0..4).any(|one| count(rig, one, "foreign") > 1))
+    cluster.start_with(4, other).unwrap();
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| {
+            (0..4).any(|relay| count(cluster, relay, "foreign") > 1)
+        })
         .expect("it asks the seeds");
-    probed(&rig, &[0, 1, 2, 3], 10);
-    rig.wait(BUSY, |rig| rig.agree(&[0, 1, 2, 3]))
+    wait_for_probes(&cluster, &[0, 1, 2, 3], 10);
+    cluster
+        .wait(BUSY_MACHINE_MARGIN, |cluster| cluster.agree(&[0, 1, 2, 3]))
         .expect("the others are together");
-    assert!(rig.sees(4, &[4]));
+    assert!(cluster.sees(4, &[4]));
 }
 
 #[test]
-fn where_it_may_not_or_can_not_be_it_ends_with_one_line() {
-    let mut rig = rig_with("refused", 2, 1, false);
-    let fault = rig.start(0).unwrap_err();
+fn peers_that_are_not_allowed_or_not_possible_end_the_start_with_one_line() {
+    let mut cluster = open_cluster("refused", 2, 1, false);
+    let fault = cluster.start(0).unwrap_err();
     assert!(fault.contains("permissions.peers"), "{fault}");
-    assert_eq!(rig.log(0).lines().count(), 1, "{}", rig.log(0));
-    let mut rig = rig_with("faults", 2, 1, true);
-    let taken = UdpSocket::bind(rig.net.ways[0].own).unwrap();
-    let fault = rig.start(0).unwrap_err();
+    assert_eq!(cluster.log(0).lines().count(), 1, "{}", cluster.log(0));
+    let mut cluster = open_cluster("faults", 2, 1, true);
+    let taken = UdpSocket::bind(cluster.net.ways[0].own).unwrap();
+    let fault = cluster.start(0).unwrap_err();
     assert!(
         fault.contains("peers:") && fault.contains("in use"),
         "{fault}"
     );
     drop(taken);
-    let without_key = rig.charter(0).replace("peers.key", "no.key");
-    let fault = rig.start_with(0, without_key).unwrap_err();
+    let without_key = cluster.charter(0).replace("peers.key", "no.key");
+    let fault = cluster.start_with(0, without_key).unwrap_err();
     assert!(fault.contains("peers.key_file"), "{fault}");
     // Switched off it says so, and has no socket for it.
-    rig.start_with(1, "\n".into()).unwrap();
+    cluster.start_with(1, "\n".into()).unwrap();
     assert!(
-        rig.ask(1, "PEERS")
+        cluster
+            .ask(1, "PEERS")
             .unwrap()
             .starts_with("400 peers are not switched on")
     );
-    UdpSocket::bind(rig.net.ways[1].own).expect("nobody listens there");
+    UdpSocket::bind(cluster.net.ways[1].own).expect("nobody listens there");
 }
 
 /// Subjects that many witnesses ask for at one relay each.
@@ -378,10 +488,10 @@
     "shard-0", "shard-1", "shard-2", "shard-3", "shard-4", "shard-5",
 ];
 
-/// Asks for a lease as a witness does: what is said is noted and judged with all the rest.
-fn holds(rig: &ProcessCluster, relay: usize, subject: &'static str) -> bool {
-    let asked = rig.clock.now();
-    let Some((epoch, left)) = rig
+/// Asks for a lease as a witness does: the answer is recorded and checked with all the rest.
+fn holds(cluster: &ProcessCluster, relay: usize, subject: &'static str) -> bool {
+    let asked = cluster.clock.now();
+    let Some((epoch, left)) = cluster
         .ask(relay, &format!("LEASE {subject}"))
         .as_deref()
         .and_then(held)
@@ -389,8 +499,8 @@
         return false;
     };
     let (relay, until) = (RelayNumber(relay as u16), asked + left);
-    rig.tape.note(
-        rig.clock.now(),
+    cluster.tape.note(
+        cluster.clock.now(),
         Observation::LeaseSaid {
             relay,
             subject,
@@ -402,53 +512,65 @@
     true
 }
 
-fn holds_all(rig: &ProcessCluster, relay: usize) -> bool {
+fn holds_all_shards(cluster: &ProcessCluster, relay: usize) -> bool {
     SHARDS
         .iter()
-        .filter(|subject| holds(rig, relay, subject))
+        .filter(|subject| holds(cluster, relay, subject))
         .count()
         == SHARDS.len()
 }
 
 #[test]
-fn many_leases_pass_on_as_their_owner_is_killed_and_a_voter_with_it_and_never_have_two_owners() {
-    let mut rig = rig("take-over", 6, 6);
+fn leases_pass_on_when_their_holder_dies_and_never_have_two_holders() {
+    let mut cluster = start_cluster("take-over", 6, 6);
     let witnesses: Vec<_> = SHARDS
         .iter()
-        .flat_map(|subject| [3, 4].map(|relay| rig.witness(relay, Some(subject))))
+        .flat_map(|subject| [3, 4].map(|relay| cluster.witness(relay, Some(subject))))
         .collect();
-    let shared = |rig: &ProcessCluster| {
+    let shared = |cluster: &ProcessCluster| {
         SHARDS
             .iter()
-            .all(|subject| holds(rig, 3, subject) || holds(rig, 4, subject))
+            .all(|subject| holds(cluster, 3, subject) || holds(cluster, 4, subject))
     };
-    rig.wait(LEASE * 6.0 + BUSY, shared)
+    cluster
+        .wait(LEASE * 6.0 + BUSY_MACHINE_MARGIN, shared)
         .expect("each has an owner");
-    rig.kill(3);
+    cluster.kill(3);
     // While the other asks for all, a voter is killed and starts again, and forgets.
-    rig.kill(0);
-    rig.start(0).unwrap();
-    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 4))
+    cluster.kill(0);
+    cluster.start(0).unwrap();
+    cluster
+        .wait(LEASE * 8.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            holds_all_shards(cluster, 4)
+        })
         .expect("taken over");
     // The next owner stands still past its term, and comes back.
-    rig.pause(4, true);
-    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 5))
+    cluster.pause(4, true);
+    cluster
+        .wait(LEASE * 8.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            holds_all_shards(cluster, 5)
+        })
         .expect("taken over again");
-    rig.pause(4, false);
-    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 4, 5]))
+    cluster.pause(4, false);
+    cluster
+        .wait(dead_within(6), |cluster| cluster.agree(&[0, 1, 2, 4, 5]))
         .expect("here again");
-    assert!(holds_all(&rig, 5), "who took over goes on");
+    assert!(holds_all_shards(&cluster, 5), "who took over goes on");
     // The fleet is split with two voters on the other side.
-    rig.cut(&[0, 5], &[1, 2, 4]);
-    rig.wait(LEASE * 8.0 + BUSY, |rig| holds_all(rig, 4))
+    cluster.cut(&[0, 5], &[1, 2, 4]);
+    cluster
+        .wait(LEASE * 8.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            holds_all_shards(cluster, 4)
+        })
         .expect("the side with a majority has them");
-    rig.heal();
-    rig.wait(gone_within(6), |rig| rig.agree(&[0, 1, 2, 4, 5]))
+    cluster.heal();
+    cluster
+        .wait(dead_within(6), |cluster| cluster.agree(&[0, 1, 2, 4, 5]))
         .expect("healed");
     drop(witnesses);
-    let entries = rig.reel.into_sorted();
+    let entries = cluster.reel.into_sorted();
     // Each of the two that took over was heard to hold all of them.
-    let said_by = |relay: u16| {
+    let held_by = |relay: u16| {
         let own = entries.iter().filter_map(|entry| match &entry.seen {
             Observation::LeaseSaid {
                 relay: of, subject, ..
@@ -457,7 +579,7 @@
         });
         own.collect::<BTreeSet<String>>().len()
     };
-    assert_eq!((said_by(4), said_by(5)), (SHARDS.len(), SHARDS.len()));
+    assert_eq!((held_by(4), held_by(5)), (SHARDS.len(), SHARDS.len()));
     assert_eq!(
         check_cluster_invariants(&entries, &ClusterLimits::default()),
         []
