--- a/relay/src/bans/list.rs
+++ b/relay/src/bans/list.rs
@@ -1,6 +1,6 @@
 //! The set of banned backends and its text form: a header with a version, a serial number, a line
 //! for each backend and a checksum over all of it. No I/O.
-use crate::discovery::registry::stable_hash;
+use crate::stable_hash::stable_hash;
 use std::collections::BTreeSet;
 
 const HEADER: &str = "thistlecroft bans 1";
--- a/relay/src/discovery/registry.rs
+++ b/relay/src/discovery/registry.rs
@@ -1,6 +1,7 @@
 //! The endpoint registry: which backend is which, and where each is to be found.
 use crate::discovery::decoding::EndpointText;
 use crate::discovery::error::EndpointError;
+use crate::stable_hash::stable_hash;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use thistlecroft::endpoint::{Endpoint, EndpointState};
@@ -159,12 +160,3 @@
         }
     }
 }
-
-/// FNV-1a: the same number for a name at every relay and in every release.
-pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
-    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0100_0000_01b3;
-    bytes.iter().fold(OFFSET_BASIS, |hash, &byte| {
-        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
-    })
-}
--- a/relay/src/hot_restart/state.rs
+++ b/relay/src/hot_restart/state.rs
@@ -3,6 +3,7 @@
 use crate::hot_restart::messages::{Message, SessionHandover, VERSION};
 use crate::sockets::Sockets;
 use std::collections::BTreeMap;
+use std::io;
 use std::os::fd::OwnedFd;
 use std::path::Path;
 
@@ -32,30 +33,32 @@
 }
 
 impl HotRestart {
-    /// Greets the process that serves from this folder, if one does, and takes its place there for
-    /// the next one.
-    pub(crate) fn begin(folder: &Path, relay: &str, sockets: &mut Sockets) -> HotRestart {
-        // Connected to before this process takes its place.
+    pub(crate) fn new(relay: &str) -> HotRestart {
+        HotRestart {
+            relay: relay.to_string(),
+            ..HotRestart::default()
+        }
+    }
+
+    /// Connects to the process that serves from this folder, if one does, and greets it. Called
+    /// before `listen`, with which this process takes its place.
+    pub(crate) fn greet_predecessor(&mut self, folder: &Path, sockets: &mut Sockets) {
         let predecessor = channel::connect_to_predecessor(folder, sockets);
         let hello = Message::Hello {
             version: VERSION,
-            relay: relay.to_string(),
+            relay: self.relay.clone(),
         };
-        let predecessor = predecessor
+        self.predecessor = predecessor
             .filter(|predecessor| matches!(predecessor.send(&hello, &[], &[]), Ok(true)));
-        let listener = SuccessorListener::open(folder, sockets);
-        if let Err(error) = &listener {
-            log::warn!(
-                target: "thistlecroft_relay::service",
-                "the next process will not be handed anything: {error}"
-            );
-        }
-        HotRestart {
-            relay: relay.to_string(),
-            listener: listener.ok(),
-            predecessor,
-            ..HotRestart::default()
-        }
+    }
+
+    /// Lets the next process find this one in the folder.
+    ///
+    /// # Errors
+    /// The socket can't be opened there: nothing will be handed over.
+    pub(crate) fn listen(&mut self, folder: &Path, sockets: &mut Sockets) -> io::Result<()> {
+        self.listener = Some(SuccessorListener::open(folder, sockets)?);
+        Ok(())
     }
 
     pub(crate) fn has_predecessor(&self) -> bool {
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -14,6 +14,7 @@
 mod service;
 mod session;
 mod sockets;
+mod stable_hash;
 mod startup_config;
 mod timers;
 mod trace;
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -6,6 +6,7 @@
 
 use crate::io_context::IoContext;
 use crate::sockets::Sockets;
+use crate::startup_config::PeersWithKey;
 use crate::timers::{Clock, Timer};
 use socket::{BoundSocket, PeerSocket};
 use std::collections::BTreeMap;
@@ -54,8 +55,7 @@
     /// The address is taken, or the system gives no socket.
     pub(crate) fn start(
         name: &str,
-        config: &PeersConfig,
-        key: &[u8],
+        PeersWithKey { config, key }: &PeersWithKey,
         on_conflict: AddressConflict,
         sockets: &mut Sockets,
         clock: Clock,
@@ -75,7 +75,7 @@
         let me = Identity::new(name, random_u64()?);
         let terms = Terms {
             fleet: config.fleet.clone(),
-            secret: key.to_vec(),
+            secret: key.clone(),
             pace: Pace {
                 period: config.period,
             },
--- a/relay/src/service/event_loop.rs
+++ b/relay/src/service/event_loop.rs
@@ -1,6 +1,7 @@
 //! The event loop: each turn polls, dispatches what is ready and what is due, and hands the events
 //! gathered to the balancer.
 use super::{LOG_TARGET, Service};
+use crate::driver::Event;
 use crate::sockets::{SocketOwner, owner_of};
 use crate::timers::Timer;
 use polling::Events;
@@ -145,46 +146,33 @@
     }
 
     fn dispatch_timer(&mut self, timer: Timer) {
-        let io = &mut self.io;
+        let (registry, io) = (&self.discovery.registry, &mut self.io);
         match timer {
-            Timer::Balancer => io.news.push_back(crate::driver::Event::Wake),
-            Timer::Discovery => self.discovery.handle_timer(io),
+            Timer::Balancer => io.news.push_back(Event::Wake),
+            Timer::ResumeAccepting => self.sessions.resume_accepting(),
+            Timer::Client(id) => self.sessions.client_alarm(id, io),
+            Timer::Attempt(id, serial) => self.sessions.dial_alarm(id, serial, io),
+            Timer::ResponseOverdue(id) => self.sessions.overdue_alarm(id, io),
+            Timer::IdleTimeout(id) => self.sessions.idle_alarm(id, io),
+            Timer::RetryInherited(id) => self.sessions.again_alarm(id, registry, io),
             Timer::HealthCheck(id, serial) => self.health_checks.alarm(id, serial, io),
-            Timer::Peers => self.wake_peers(),
-            Timer::BanStore => {
-                self.admin.refresh_bans(&mut self.discovery.registry, io);
-                self.send_descriptor_count(1);
-            }
+            Timer::Discovery => self.discovery.handle_timer(io),
+            Timer::StartAccepting => self.accept_clients_when_ready(),
             Timer::AdminConnection(id) => {
                 if let Some(connections) = &mut self.admin.connections {
                     connections.handle_timeout(id, io);
                 }
             }
+            Timer::BanStore => {
+                self.admin.refresh_bans(&mut self.discovery.registry, io);
+                self.send_descriptor_count(1);
+            }
             Timer::SettingsInForce => self.apply_pending_settings(),
-            Timer::StartAccepting => self.accept_clients_when_ready(),
             Timer::OfferSessions => self.offer_sessions(),
             Timer::OfferTimeout(id) => self.handle_offer_timeout(id),
+            Timer::Peers => self.wake_peers(),
             // It only wakes the loop, which looks after each turn whether the shutdown is complete.
             Timer::Stop => {}
-            Timer::ResumeAccepting
-            | Timer::Client(_)
-            | Timer::Attempt(..)
-            | Timer::ResponseOverdue(_)
-            | Timer::IdleTimeout(_)
-            | Timer::RetryInherited(_) => self.dispatch_session_timer(timer),
-        }
-    }
-
-    fn dispatch_session_timer(&mut self, timer: Timer) {
-        let (registry, io) = (&self.discovery.registry, &mut self.io);
-        match timer {
-            Timer::ResumeAccepting => self.sessions.resume_accepting(),
-            Timer::Client(id) => self.sessions.client_alarm(id, io),
-            Timer::Attempt(id, serial) => self.sessions.dial_alarm(id, serial, io),
-            Timer::ResponseOverdue(id) => self.sessions.overdue_alarm(id, io),
-            Timer::IdleTimeout(id) => self.sessions.idle_alarm(id, io),
-            Timer::RetryInherited(id) => self.sessions.again_alarm(id, registry, io),
-            _ => {}
         }
     }
 
--- a/relay/src/service/hot_restart.rs
+++ b/relay/src/service/hot_restart.rs
@@ -64,7 +64,7 @@
     fn lose_successor(&mut self, reason: &str) {
         if self.hot_restart.successor.take().is_some() {
             log::info!(target: LOG_TARGET, "the next process: {reason}");
-            self.io.sockets.set_beside(0);
+            self.io.sockets.set_open_in_other_process(0);
             self.sessions.keep_all(&mut self.io);
         }
     }
@@ -73,7 +73,7 @@
     fn lose_predecessor(&mut self, reason: &str) {
         log::info!(target: LOG_TARGET, "the process before: {reason}");
         self.hot_restart.drop_predecessor();
-        self.io.sockets.set_beside(0);
+        self.io.sockets.set_open_in_other_process(0);
         self.io.news.push_back(Event::PredecessorEnded);
         self.accept_clients_when_ready();
     }
@@ -121,7 +121,7 @@
                 }
                 send_snapshot(&self.balancer, &self.discovery.registry, successor)?;
             }
-            Message::OpenDescriptors { count } => self.io.sockets.set_beside(count),
+            Message::OpenDescriptors { count } => self.io.sockets.set_open_in_other_process(count),
             Message::Accepted { serial } => {
                 self.sessions.handed(serial, successor, &mut self.io)?;
             }
@@ -159,7 +159,7 @@
                 let snapshot = message.to_snapshot(|name| registry.enter(name));
                 self.io.news.push_back(Event::SnapshotReceived(snapshot));
             }
-            Message::OpenDescriptors { count } => self.io.sockets.set_beside(count),
+            Message::OpenDescriptors { count } => self.io.sockets.set_open_in_other_process(count),
             Message::Leaving => {
                 self.io.news.push_back(Event::PredecessorEnded);
                 // No other process accepts clients now, unless this one is to stop as well.
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -164,13 +164,13 @@
             None => None,
         };
         let peers = match config.operator.peers.take() {
-            Some((peers, key)) => {
+            Some(peers) => {
                 let on_conflict = match listener_origin {
                     ListenerOrigin::Inherited => AddressConflict::WaitForPredecessor,
                     ListenerOrigin::Bound => AddressConflict::Fail,
                 };
-                let started = Peers::start(&config.name, &peers, &key, on_conflict, sockets, clock);
-                let address = peers.listen;
+                let started = Peers::start(&config.name, &peers, on_conflict, sockets, clock);
+                let address = peers.config.listen;
                 Some(started.map_err(|source| StartError::Peers { address, source })?)
             }
             None => None,
@@ -232,12 +232,19 @@
     listener_origin: ListenerOrigin,
     sockets: &mut Sockets,
 ) -> HotRestart {
-    match &config.folder {
-        Some(folder) if listener_origin == ListenerOrigin::Inherited => {
-            HotRestart::begin(folder, &config.name, sockets)
-        }
-        _ => HotRestart::default(),
+    let takes_part = listener_origin == ListenerOrigin::Inherited;
+    let Some(folder) = config.folder.as_ref().filter(|_| takes_part) else {
+        return HotRestart::default();
+    };
+    let mut hot_restart = HotRestart::new(&config.name);
+    hot_restart.greet_predecessor(folder, sockets);
+    if let Err(error) = hot_restart.listen(folder, sockets) {
+        log::warn!(
+            target: LOG_TARGET,
+            "the next process will not be handed anything: {error}"
+        );
     }
+    hot_restart
 }
 
 /// The ban store, where operators can ban a backend at this process or at another one of the relay.
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -88,8 +88,7 @@
 pub(crate) struct Sockets {
     poller: Rc<Poller>,
     own: Rc<Cell<usize>>,
-    /// What the other process of this relay holds.
-    beside: usize,
+    open_in_other_process: usize,
     serial: u32,
 }
 
@@ -98,14 +97,14 @@
         Sockets {
             poller,
             own: Rc::default(),
-            beside: 0,
+            open_in_other_process: 0,
             serial: 0,
         }
     }
 
     /// Open sockets of this process and the other one, for the limit that both share.
     pub(crate) fn open(&self) -> usize {
-        self.own() + self.beside
+        self.own() + self.open_in_other_process
     }
 
     /// Open sockets of this process.
@@ -113,9 +112,9 @@
         self.own.get()
     }
 
-    /// Notes what the other process of this relay holds.
-    pub(crate) fn set_beside(&mut self, count: usize) {
-        self.beside = count;
+    /// Notes how many sockets the other process of this relay has open.
+    pub(crate) fn set_open_in_other_process(&mut self, count: usize) {
+        self.open_in_other_process = count;
     }
 
     /// Registers a descriptor, which must stay open as long as the registration.
--- /dev/null
+++ b/relay/src/stable_hash.rs
@@ -0,0 +1,10 @@
+//! A hash that is the same at every relay and in every release.
+
+/// FNV-1a, 64 bits.
+pub(crate) fn stable_hash(bytes: &[u8]) -> u64 {
+    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const PRIME: u64 = 0x0100_0000_01b3;
+    bytes.iter().fold(OFFSET_BASIS, |hash, &byte| {
+        (hash ^ u64::from(byte)).wrapping_mul(PRIME)
+    })
+}
--- a/relay/src/startup_config/environment.rs
+++ b/relay/src/startup_config/environment.rs
@@ -1,6 +1,6 @@
 //! What the environment adds to a configuration.
 use super::error::{ConfigError, InheritedSocketError};
-use super::{MIN_SOCKETS, StartupConfig};
+use super::{MIN_SOCKETS, StartupConfig, parse_address};
 use crate::admin::connections;
 use socket2::{Domain, SockRef};
 use std::net::TcpListener;
@@ -26,7 +26,7 @@
         if self.admin.is_none()
             && let Ok(value) = std::env::var(ADMIN_ADDRESS_VARIABLE)
         {
-            let address = ConfigError::parse_address(ADMIN_ADDRESS_VARIABLE, &value)?;
+            let address = parse_address(ADMIN_ADDRESS_VARIABLE, &value)?;
             self.admin = Some(address);
         }
         if let Ok(value) = std::env::var(INHERITED_SOCKET_VARIABLE) {
--- a/relay/src/startup_config/error.rs
+++ b/relay/src/startup_config/error.rs
@@ -1,7 +1,6 @@
 //! What is wrong with a configuration, each fault as one line.
 use std::fmt;
 use std::io;
-use std::net::SocketAddr;
 use thistlecroft_leases::ChangeError;
 
 /// One fault of a configuration, of the operator configuration, or of the environment.
@@ -118,19 +117,6 @@
     CannotKeep,
 }
 
-impl ConfigError {
-    /// The address that a key or a variable gives.
-    pub(super) fn parse_address(
-        name: &'static str,
-        value: &str,
-    ) -> Result<SocketAddr, ConfigError> {
-        value.parse().map_err(|_| ConfigError::Address {
-            name,
-            value: value.to_string(),
-        })
-    }
-}
-
 /// All that is wrong with a configuration: one fault at least.
 #[derive(Debug)]
 pub struct ConfigErrors(Vec<ConfigError>);
--- a/relay/src/startup_config/mod.rs
+++ b/relay/src/startup_config/mod.rs
@@ -13,7 +13,7 @@
 use thistlecroft_settings::Settings;
 
 pub use error::{ConfigError, ConfigErrors, InheritedSocketError};
-pub(crate) use operator_routes::{OperatorConfigFile, OperatorRoutes};
+pub(crate) use operator_routes::{OperatorConfigFile, OperatorRoutes, PeersWithKey};
 
 /// The fewest descriptors: the reserve for discovery and health checks, and room for a few clients.
 const MIN_SOCKETS: usize = 64;
@@ -144,6 +144,14 @@
     Ok(config)
 }
 
+/// The address that a key or a variable gives.
+fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
+    value.parse().map_err(|_| ConfigError::Address {
+        name,
+        value: value.to_string(),
+    })
+}
+
 fn parse(text: &[u8]) -> Result<StartupConfig, ConfigError> {
     let keys: serde_json::Map<_, _> = serde_json::from_slice(text)?;
     let text: ConfigText = serde_json::from_slice(text)?;
@@ -158,10 +166,10 @@
         file: OperatorConfigFile::none(),
         peers: None,
     };
-    let listen = ConfigError::parse_address("listen", &text.listen)?;
-    let discovery = ConfigError::parse_address("discovery", &text.discovery)?;
+    let listen = parse_address("listen", &text.listen)?;
+    let discovery = parse_address("discovery", &text.discovery)?;
     let admin = text.admin_addr.as_deref();
-    let admin = admin.map(|value| ConfigError::parse_address("admin_addr", value));
+    let admin = admin.map(|value| parse_address("admin_addr", value));
     Ok(StartupConfig {
         name: text.name,
         listen,
--- a/relay/src/startup_config/operator_routes.rs
+++ b/relay/src/startup_config/operator_routes.rs
@@ -13,8 +13,14 @@
 pub(crate) struct OperatorRoutes {
     pub(crate) routes: RouteTable,
     pub(crate) file: OperatorConfigFile,
-    /// With the key that the file named there holds.
-    pub(crate) peers: Option<(PeersConfig, Vec<u8>)>,
+    /// None where it has no peers.
+    pub(crate) peers: Option<PeersWithKey>,
+}
+
+/// The configuration of the peers, and the fleet's key, which is in a file of its own.
+pub(crate) struct PeersWithKey {
+    pub(crate) config: PeersConfig,
+    pub(crate) key: Vec<u8>,
 }
 
 /// Where the operator configuration is, to be read again, and the ids that its limits have.
@@ -72,10 +78,10 @@
         let config = self.operator.file.load()?;
         let context = relay_context(&self.settings, self.sockets);
         self.operator.peers = match config.peers_config(&context)? {
-            Some(peers) => {
-                let key = read_key(&peers.key_file)?;
-                Some((peers, key))
-            }
+            Some(config) => Some(PeersWithKey {
+                key: read_key(&config.key_file)?,
+                config,
+            }),
             None => None,
         };
         self.operator.routes = self.operator.file.routes(&config, &context)?;
