--- a/relay/src/admin/connections.rs
+++ b/relay/src/admin/connections.rs
@@ -95,7 +95,7 @@
                     ) => {}
                 Err(error) => {
                     // Readable again at the next turn.
-                    log::debug!("the operators' door: {error}");
+                    log::debug!("admin port: accepting failed; error={error}");
                     return;
                 }
             }
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -68,7 +68,7 @@
         } = PeerSocket::bind_configured(config, on_conflict, sockets)?;
         if !is_configured_address {
             log::info!(
-                "peers: {} is the process's before, {advertised} until it has ended",
+                "peers: the predecessor has address={}; advertised={advertised} until it has ended",
                 config.listen
             );
         }
@@ -223,7 +223,7 @@
             Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.word()),
             Event::Refuted { incarnation } => {
                 log::info!(
-                    "peers: others thought this relay gone or going; says otherwise ({incarnation})"
+                    "peers: refuted that this relay is dead or suspect; incarnation={incarnation}"
                 );
             }
             Event::OtherFormat { from, format } => {
--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -65,8 +65,8 @@
                 self.io.counters.panics += 1;
                 log::error!(
                     target: super::LOG_TARGET,
-                    "the decisions failed over {:?}",
-                    panicked.session
+                    "the balancer panicked; session={:?}",
+                    panicked.session.map(|session| session.0)
                 );
                 outcome.failed.extend(panicked.session);
             }
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -211,7 +211,11 @@
         settings.drain_grace,
         io.now,
     );
-    match config.known.as_ref().map(|list| discovery.restore(list)) {
+    match config
+        .cached_endpoints
+        .as_ref()
+        .map(|list| discovery.restore(list))
+    {
         Some(Ok(event)) => io.news.push_back(event),
         Some(Err(error)) => {
             log::warn!(target: LOG_TARGET, "the list known at start: {error}");
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -245,7 +245,7 @@
         };
         match result {
             Ok(()) => self.interest = interest,
-            Err(error) => log::error!("poller: {error}"),
+            Err(error) => log::error!("registering with the poller failed; error={error}"),
         }
     }
 }
--- a/relay/src/startup_config/mod.rs
+++ b/relay/src/startup_config/mod.rs
@@ -36,7 +36,7 @@
     pub(crate) seed: u64,
     pub(crate) memory_mb: usize,
     /// The endpoint list as it was before the start, where the configuration carries one.
-    pub(crate) known: Option<EndpointList>,
+    pub(crate) cached_endpoints: Option<EndpointList>,
     pub(crate) operator: OperatorRoutes,
     /// The admin port, if there is one.
     pub(crate) admin: Option<SocketAddr>,
@@ -178,7 +178,7 @@
         discovery,
         seed,
         memory_mb: text.limits.memory_mb as usize,
-        known: text.known,
+        cached_endpoints: text.known,
         source: ConfigSource { path: None, keys },
         operator,
         admin: admin.transpose()?,
