--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -71,7 +71,7 @@
 
 fn read_context(path: &Path) -> Result<RelayContext, CommandError> {
     let config = read_file(&path.to_string_lossy()).map_err(CommandError::invalid)?;
-    Ok(relay_context(&config.site, config.sockets))
+    Ok(relay_context(&config.settings, config.sockets))
 }
 
 fn lines(errors: Vec<ConfigError>) -> Vec<String> {
@@ -120,7 +120,7 @@
             "a relay's configuration: {} at {}, listeners {}",
             config.name,
             config.listen,
-            config.site.listeners.join(", ")
+            config.settings.listeners.join(", ")
         ),
         CheckedFile::Scenario(scenario) => format!(
             "a scenario: {} relays, {} boxes, {} faults",
@@ -224,7 +224,7 @@
         new.discovery.to_string()
     };
     println!("taken up on SIGHUP: discovery: {discovery}");
-    let keys = old.origin.differs(&new.origin);
+    let keys = old.source.differing_keys(&new.source);
     let keys = if keys.is_empty() {
         "nothing".into()
     } else {
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -26,5 +26,5 @@
         .map(|path| path.to_string_lossy().into_owned())
         .or_else(thistlecroft_relay::operator_config_from_environment);
     thistlecroft_relay::serve(&config, operator_config.as_deref())
-        .map_err(|errors| CommandError::Failed(CommandError::lines(&errors)))
+        .map_err(|error| CommandError::Failed(CommandError::lines(&error.lines())))
 }
--- /dev/null
+++ b/relay/src/service/startup.rs
@@ -0,0 +1,260 @@
+//! The start of a relay: from its configuration to a service that is ready to run.
+use super::reconfiguration::{Reconfiguration, protocol_names};
+use super::{CACHED_LIST_TIMEOUT, LOG_TARGET, ListenerOrigin, NO_LIST_TIMEOUT, Service, Signals};
+use crate::admin::commands::AdminCommands;
+use crate::admin::connections::{self, AdminConnections};
+use crate::bans::store::BanStore;
+use crate::discovery::registry::EndpointRegistry;
+use crate::discovery::watch::Watch;
+use crate::driver::ActionRecorder;
+use crate::hot_restart::state::HotRestart;
+use crate::io_context::IoContext;
+use crate::peers::{AddressConflict, Peers};
+use crate::session::table::Sessions;
+use crate::sockets::{ListenerSocket, SocketOwner, Sockets};
+use crate::startup_config::StartupConfig;
+use crate::timers::{Clock, Timer};
+use crate::upstream::HealthChecks;
+use polling::Poller;
+use std::io;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use thistlecroft::balancer::Balancer;
+use thistlecroft::deployment::Deployment;
+use thistlecroft_settings::Settings;
+
+/// The share of the memory limit that buffers may take: one in so many.
+const BUFFER_MEMORY_DIVISOR: usize = 4;
+
+/// Why a relay could not start.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The clients' address or that of the admin port is not to be had.
+    #[error("{address}: {source}")]
+    Listen {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The address for the other relays is not to be had.
+    #[error("peers: {address}: {source}")]
+    Peers {
+        /// The address.
+        address: SocketAddr,
+        /// What the system says.
+        source: io::Error,
+    },
+    /// The system gives no poller, or does not accept a socket there.
+    #[error(transparent)]
+    Poller(#[from] io::Error),
+}
+
+impl Service {
+    /// Opens every socket and file that the configuration names. Clients that connect are accepted
+    /// once `run` has been called.
+    ///
+    /// # Errors
+    /// An address is taken, or the system gives no socket or poller.
+    pub fn start(mut config: StartupConfig, signals: Signals) -> Result<Service, StartError> {
+        let clock = Clock::start();
+        let now = clock.now();
+        let poller = Rc::new(Poller::new()?);
+        let buffer_bytes = (config.memory_mb << 20) / BUFFER_MEMORY_DIVISOR;
+        let mut io = IoContext::new(now, Sockets::new(poller.clone()), buffer_bytes);
+        let listener_origin = ListenerOrigin::of(&config);
+        let sockets = OpenSockets::open(&mut config, listener_origin, clock, &mut io.sockets)?;
+        let session_sockets = config.sockets - sockets.reserved();
+        let mut discovery = new_discovery(&config, &mut io);
+        let hot_restart = begin_hot_restart(&config, listener_origin, &mut io.sockets);
+        let ban_store = open_ban_store(&config, listener_origin, sockets.admin.is_some());
+        let admin = AdminCommands::new(sockets.admin, ban_store, &mut discovery.registry, &mut io);
+        let StartupConfig {
+            settings, operator, ..
+        } = config;
+        let deployment = Deployment {
+            routes: operator.routes.rows().to_vec(),
+            ..settings.deployment.clone()
+        };
+        let mut actions = Vec::new();
+        let mut recorder = ActionRecorder {
+            actions: &mut actions,
+            timers: &mut io.alarms,
+        };
+        let balancer = Balancer::new(deployment, config.seed, now, &mut recorder);
+        discovery.subscribe(&mut io);
+        // SAFETY: both live as long as the service.
+        unsafe { signals.register(&poller)? };
+        log::info!(target: LOG_TARGET, "{} serves at {}", config.name, config.listen);
+        let names = protocol_names(&settings);
+        let mut service = Service {
+            clock,
+            poller,
+            io,
+            sessions: Sessions::new(sockets.clients, names, operator.routes, session_sockets),
+            health_checks: new_health_checks(&settings),
+            discovery,
+            admin,
+            peers: sockets.peers,
+            hot_restart,
+            balancer,
+            started: now,
+            listener_origin,
+            actions,
+            shutdown_timeout: settings.deployment.shutdown_timeout,
+            shutdown_started: None,
+            signals,
+            configuration: Reconfiguration {
+                source: config.source,
+                operator_config: operator.file,
+                settings,
+                pending: None,
+                socket_limit: config.sockets,
+            },
+        };
+        service.schedule_first_accept();
+        service.wake_peers();
+        Ok(service)
+    }
+
+    /// Accepts clients at once if they can be served, or looks again when they may be.
+    fn schedule_first_accept(&mut self) {
+        let response_timeout = self.discovery.response_timeout();
+        for wait in [response_timeout, CACHED_LIST_TIMEOUT, NO_LIST_TIMEOUT] {
+            self.io
+                .alarms
+                .set(self.started + wait, Timer::StartAccepting);
+        }
+        self.accept_clients_when_ready();
+    }
+}
+
+impl ListenerOrigin {
+    fn of(config: &StartupConfig) -> ListenerOrigin {
+        match &config.inherited_listener {
+            Some(_) => ListenerOrigin::Inherited,
+            None => ListenerOrigin::Bound,
+        }
+    }
+}
+
+/// The sockets that a relay listens at.
+struct OpenSockets {
+    clients: ListenerSocket,
+    admin: Option<AdminConnections>,
+    peers: Option<Peers>,
+}
+
+impl OpenSockets {
+    fn open(
+        config: &mut StartupConfig,
+        listener_origin: ListenerOrigin,
+        clock: Clock,
+        sockets: &mut Sockets,
+    ) -> Result<OpenSockets, StartError> {
+        let clients = match config.inherited_listener.take() {
+            Some(listener) => sockets.adopt_listener(SocketOwner::Listener, listener)?,
+            None => listen(SocketOwner::Listener, config.listen, sockets)?,
+        };
+        let admin = match config.admin {
+            Some(address) => Some(listen(SocketOwner::AdminListener, address, sockets)?),
+            None => None,
+        };
+        let peers = match config.operator.peers.take() {
+            Some(peers) => {
+                let on_conflict = match listener_origin {
+                    ListenerOrigin::Inherited => AddressConflict::WaitForPredecessor,
+                    ListenerOrigin::Bound => AddressConflict::Fail,
+                };
+                let started = Peers::start(&config.name, &peers, on_conflict, sockets, clock);
+                let address = peers.config.listen;
+                Some(started.map_err(|source| StartError::Peers { address, source })?)
+            }
+            None => None,
+        };
+        Ok(OpenSockets {
+            clients,
+            admin: admin.map(AdminConnections::new),
+            peers,
+        })
+    }
+
+    /// Descriptors that are not for sessions.
+    fn reserved(&self) -> usize {
+        let admin = self.admin.as_ref();
+        admin.map_or(0, |_| connections::RESERVED_SOCKETS) + usize::from(self.peers.is_some())
+    }
+}
+
+fn listen(
+    owner: SocketOwner,
+    address: SocketAddr,
+    sockets: &mut Sockets,
+) -> Result<ListenerSocket, StartError> {
+    sockets
+        .listen(owner, address)
+        .map_err(|source| StartError::Listen { address, source })
+}
+
+/// The watch on the endpoint list. Until discovery has sent one, the relay serves by the list that
+/// the configuration carries.
+fn new_discovery(config: &StartupConfig, io: &mut IoContext) -> Watch {
+    let settings = &config.settings;
+    let registry = EndpointRegistry::new(settings.zones.clone(), settings.report_fields);
+    let mut discovery = Watch::new(
+        config.discovery,
+        config.seed,
+        registry,
+        settings.drain_grace,
+        io.now,
+    );
+    match config
+        .cached_endpoints
+        .as_ref()
+        .map(|list| discovery.restore(list))
+    {
+        Some(Ok(event)) => io.news.push_back(event),
+        Some(Err(error)) => {
+            log::warn!(target: LOG_TARGET, "the list known at start: {error}");
+        }
+        None => {}
+    }
+    discovery
+}
+
+fn new_health_checks(settings: &Settings) -> HealthChecks {
+    let connect_timeout = settings.deployment.connect_timeout;
+    HealthChecks::new(connect_timeout, settings.backend_idle_timeout)
+}
+
+/// Takes part in hot restarts where another process may serve the same clients.
+fn begin_hot_restart(
+    config: &StartupConfig,
+    listener_origin: ListenerOrigin,
+    sockets: &mut Sockets,
+) -> HotRestart {
+    let takes_part = listener_origin == ListenerOrigin::Inherited;
+    let Some(folder) = config.folder.as_ref().filter(|_| takes_part) else {
+        return HotRestart::default();
+    };
+    let mut hot_restart = HotRestart::new(&config.name);
+    hot_restart.greet_predecessor(folder, sockets);
+    if let Err(error) = hot_restart.listen(folder, sockets) {
+        log::warn!(
+            target: LOG_TARGET,
+            "the next process will not be handed anything: {error}"
+        );
+    }
+    hot_restart
+}
+
+/// The ban store, where operators can ban a backend at this process or at another one of the relay.
+fn open_ban_store(
+    config: &StartupConfig,
+    listener_origin: ListenerOrigin,
+    has_admin_port: bool,
+) -> Option<BanStore> {
+    let is_needed = has_admin_port || listener_origin == ListenerOrigin::Inherited;
+    let folder = config.folder.as_ref().filter(|_| is_needed)?;
+    Some(BanStore::new(folder, &config.name))
+}
--- /dev/null
+++ b/relay/src/startup_config/mod.rs
@@ -0,0 +1,192 @@
+//! The configuration of a relay at its start: the platform's file, the environment and the operator
+//! configuration.
+mod environment;
+mod error;
+mod operator_routes;
+
+use crate::discovery::decoding::EndpointList;
+use crate::session::table::RESERVE;
+use serde::Deserialize;
+use std::net::{SocketAddr, TcpListener};
+use std::path::PathBuf;
+use thistlecroft_operator_config::{ListenerDefaults, RelayContext, RouteTable};
+use thistlecroft_settings::Settings;
+
+pub use error::{ConfigError, ConfigErrors, InheritedSocketError};
+pub(crate) use operator_routes::{OperatorConfigFile, OperatorRoutes, PeersWithKey};
+
+/// The fewest descriptors: the reserve for discovery and health checks, and room for a few clients.
+const MIN_SOCKETS: usize = 64;
+const MIN_MEMORY_MB: f64 = 8.0;
+
+/// Everything that a relay is configured with at its start.
+pub struct StartupConfig {
+    /// The relay's name, the same for every process of it.
+    pub name: String,
+    /// Where clients connect.
+    pub listen: SocketAddr,
+    /// The settings of the platform.
+    pub settings: Settings,
+    /// The limit on descriptors.
+    pub sockets: usize,
+    /// Where the discovery agent answers.
+    pub discovery: SocketAddr,
+    /// Where the configuration came from.
+    pub source: ConfigSource,
+    pub(crate) seed: u64,
+    pub(crate) memory_mb: usize,
+    /// The endpoint list as it was before the start, where the configuration carries one.
+    pub(crate) cached_endpoints: Option<EndpointList>,
+    pub(crate) operator: OperatorRoutes,
+    /// The admin port, if there is one.
+    pub(crate) admin: Option<SocketAddr>,
+    /// The clients' listening socket, where the platform holds it.
+    pub(crate) inherited_listener: Option<TcpListener>,
+    /// A folder that the next process of this relay finds as this one left it.
+    pub(crate) folder: Option<PathBuf>,
+}
+
+/// What an operator configuration is held against under such settings and so many descriptors.
+pub fn relay_context(settings: &Settings, sockets: usize) -> RelayContext {
+    let deployment = &settings.deployment;
+    let rows = deployment.routes.iter().zip(&settings.client_timeouts);
+    let listeners = settings.listeners.iter().zip(rows);
+    let listeners = listeners.map(|(name, (route, client_timeout))| ListenerDefaults {
+        name: name.clone(),
+        client_timeout: *client_timeout,
+        route: *route,
+    });
+    RelayContext {
+        listeners: listeners.collect(),
+        zones: settings.zones.clone(),
+        zone: usize::from(deployment.zone.0),
+        may_hedge: deployment.may_hedge && deployment.may_cancel,
+        may_use_peers: settings.may_use_peers,
+        descriptors: sockets.saturating_sub(RESERVE),
+    }
+}
+
+/// Where a configuration came from, to be read again.
+pub struct ConfigSource {
+    /// The file, where there is one.
+    pub(crate) path: Option<String>,
+    /// The top-level keys with their values.
+    keys: serde_json::Map<String, serde_json::Value>,
+}
+
+impl ConfigSource {
+    /// Keys of a later text that differ and that a running process can't take up. The list known at
+    /// the start is not among them: discovery sends it.
+    pub fn differing_keys(&self, later: &ConfigSource) -> Vec<String> {
+        let new_keys = later.keys.keys();
+        let new_keys = new_keys.filter(|key| !self.keys.contains_key(*key));
+        self.keys
+            .keys()
+            .chain(new_keys)
+            .filter(|key| !matches!(key.as_str(), "discovery" | "known" | "settings"))
+            .filter(|key| self.keys.get(*key) != later.keys.get(*key))
+            .cloned()
+            .collect()
+    }
+}
+
+/// The platform's file.
+#[derive(Deserialize)]
+struct ConfigText {
+    name: String,
+    listen: String,
+    discovery: String,
+    seed: String,
+    limits: LimitsText,
+    known: Option<EndpointList>,
+    admin_addr: Option<String>,
+    settings: serde_json::Value,
+}
+
+#[derive(Deserialize)]
+struct LimitsText {
+    memory_mb: f64,
+    sockets: usize,
+}
+
+impl LimitsText {
+    fn check(&self) -> Result<(), ConfigError> {
+        if self.sockets < MIN_SOCKETS {
+            return Err(ConfigError::TooFewSockets {
+                sockets: self.sockets,
+                needed: MIN_SOCKETS,
+            });
+        }
+        if self.memory_mb.is_nan() || self.memory_mb < MIN_MEMORY_MB {
+            return Err(ConfigError::TooLittleMemory {
+                megabytes: self.memory_mb,
+                needed: MIN_MEMORY_MB,
+            });
+        }
+        Ok(())
+    }
+}
+
+/// Reads the platform's file.
+///
+/// # Errors
+/// The file can't be read, or the first fault in it.
+pub fn read_file(path: &str) -> Result<StartupConfig, ConfigError> {
+    let text = std::fs::read(path).map_err(|source| ConfigError::Read {
+        path: path.to_string(),
+        source,
+    })?;
+    let mut config = parse(&text).map_err(|source| ConfigError::InFile {
+        path: path.to_string(),
+        source: Box::new(source),
+    })?;
+    config.source.path = Some(path.to_string());
+    Ok(config)
+}
+
+/// The address that a key or a variable gives.
+fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
+    value.parse().map_err(|_| ConfigError::Address {
+        name,
+        value: value.to_string(),
+    })
+}
+
+/// Reads the text of the platform's file.
+///
+/// # Errors
+/// The first fault in it.
+pub fn parse(text: &[u8]) -> Result<StartupConfig, ConfigError> {
+    let keys: serde_json::Map<_, _> = serde_json::from_slice(text)?;
+    let text: ConfigText = serde_json::from_slice(text)?;
+    let seed =
+        u64::from_str_radix(&text.seed, 16).map_err(|_| ConfigError::Seed(text.seed.clone()))?;
+    text.limits.check()?;
+    let settings = thistlecroft_settings::parse(text.settings.to_string().as_bytes())
+        .map_err(|error| ConfigError::Settings(error.to_string()))?;
+    let context = relay_context(&settings, text.limits.sockets);
+    let operator = OperatorRoutes {
+        routes: RouteTable::from_settings(&context),
+        file: OperatorConfigFile::none(),
+        peers: None,
+    };
+    let listen = parse_address("listen", &text.listen)?;
+    let discovery = parse_address("discovery", &text.discovery)?;
+    let admin = text.admin_addr.as_deref();
+    let admin = admin.map(|value| parse_address("admin_addr", value));
+    Ok(StartupConfig {
+        name: text.name,
+        listen,
+        settings,
+        sockets: text.limits.sockets,
+        discovery,
+        seed,
+        memory_mb: text.limits.memory_mb as usize,
+        cached_endpoints: text.known,
+        source: ConfigSource { path: None, keys },
+        operator,
+        admin: admin.transpose()?,
+        inherited_listener: None,
+        folder: None,
+    })
+}
