--- a/relay/src/admin/commands.rs
+++ b/relay/src/admin/commands.rs
@@ -65,16 +65,16 @@
             let banned = store.list().banned.clone();
             for name in self.banned.symmetric_difference(&banned) {
                 let is_banned = banned.contains(name);
-                let backend = registry.enter(name);
+                let backend = registry.find_or_insert(name);
                 registry.set_banned(backend, is_banned);
-                io.news.push_back(Event::BanChanged(backend, is_banned));
+                io.events.push_back(Event::BanChanged(backend, is_banned));
             }
             log::info!("bans of another process taken over: {} out", banned.len());
             self.banned = banned;
         }
         if io.now >= self.next_refresh {
             self.next_refresh = io.now + BAN_REFRESH_INTERVAL;
-            io.alarms.set(self.next_refresh, Timer::BanStore);
+            io.timers.set(self.next_refresh, Timer::BanStore);
         }
     }
 
@@ -113,7 +113,7 @@
             }
         }
         if !waiting.is_empty() {
-            io.alarms.set(io.now + LOCK_RETRY_INTERVAL, Timer::BanStore);
+            io.timers.set(io.now + LOCK_RETRY_INTERVAL, Timer::BanStore);
         }
         if let Some(connections) = &mut self.connections {
             connections.commands = waiting;
@@ -129,7 +129,7 @@
         registry: &mut EndpointRegistry,
         io: &mut IoContext,
     ) -> Option<Result<String, AdminError>> {
-        let Some(backend) = registry.named(name) else {
+        let Some(backend) = registry.find(name) else {
             return Some(Err(AdminError::UnknownBackend(name.to_string())));
         };
         if let Err(error) = self.store_ban(name, is_banned, io.now)? {
@@ -144,7 +144,7 @@
             let state = if is_banned { "out" } else { "back" };
             log::info!("{name} is {state} by hand");
             registry.set_banned(backend, is_banned);
-            io.news.push_back(Event::BanChanged(backend, is_banned));
+            io.events.push_back(Event::BanChanged(backend, is_banned));
         }
         let response = match (is_banned, has_changed) {
             (true, true) => "out",
--- a/relay/src/admin/connections.rs
+++ b/relay/src/admin/connections.rs
@@ -3,7 +3,7 @@
 use crate::admin::error::AdminError;
 use crate::admin::protocol::{self, AdminCommand, MAX_LINE_BYTES};
 use crate::io_context::IoContext;
-use crate::line_buffer::OutputBuffer;
+use crate::output_buffer::OutputBuffer;
 use crate::sockets::{Connection, ListenerSocket, SocketOwner};
 use crate::timers::Timer;
 use std::collections::BTreeMap;
@@ -70,7 +70,7 @@
 
 impl AdminConnections {
     pub(crate) fn new(mut listener: ListenerSocket) -> AdminConnections {
-        listener.want(true);
+        listener.set_interest(true);
         AdminConnections {
             listener,
             connections: BTreeMap::new(),
@@ -118,7 +118,7 @@
             stage: Stage::ReadingCommand,
         };
         self.connections.insert(id, connection);
-        io.alarms
+        io.timers
             .set(io.now + COMMAND_TIMEOUT, Timer::AdminConnection(id));
         self.read(id, io);
     }
@@ -140,7 +140,7 @@
 
     pub(crate) fn handle_socket_event(&mut self, id: u32, key: usize, io: &mut IoContext) {
         let connection = self.connections.get(&id);
-        if connection.is_some_and(|connection| connection.socket.is(key)) {
+        if connection.is_some_and(|connection| connection.socket.has_key(key)) {
             self.read(id, io);
             self.write(id, io);
         }
@@ -185,7 +185,7 @@
                 self.connections.remove(&id);
             }
             // The other side has ended; what is left of the response goes out by itself.
-            Stage::Responding if is_end => connection.socket.want(false, true),
+            Stage::Responding if is_end => connection.socket.set_interest(false, true),
             Stage::Executing | Stage::Responding | Stage::Closing => {}
         }
     }
@@ -195,11 +195,11 @@
             return;
         };
         match protocol::read_command(&connection.received, is_end) {
-            Ok(None) => connection.socket.want(true, false),
+            Ok(None) => connection.socket.set_interest(true, false),
             Err(error) => self.respond(id, Err(error.into()), io),
             Ok(Some(command)) => {
                 connection.stage = Stage::Executing;
-                connection.socket.want(false, false);
+                connection.socket.set_interest(false, false);
                 self.commands.push(ReceivedCommand {
                     connection: id,
                     command,
@@ -218,11 +218,13 @@
         let connection = self.connections.get_mut(&id);
         let unanswered = connection.filter(|connection| connection.stage <= Stage::Executing);
         let Some(connection) = unanswered else { return };
-        connection.response.add(&protocol::response_line(&result));
+        connection
+            .response
+            .push_line(&protocol::response_line(&result));
         connection.stage = Stage::Responding;
         io.counters.calls += 1;
         io.counters.calls_denied += u64::from(result.is_err());
-        io.alarms
+        io.timers
             .set(io.now + CLOSE_TIMEOUT, Timer::AdminConnection(id));
         self.write(id, io);
     }
@@ -231,15 +233,15 @@
         let connection = self.connections.get_mut(&id);
         let responding = connection.filter(|connection| connection.stage == Stage::Responding);
         let Some(connection) = responding else { return };
-        match connection.response.give(&mut connection.socket) {
+        match connection.response.write_to(&mut connection.socket) {
             Ok(true) => {
                 connection.socket.finish_sending();
                 connection.stage = Stage::Closing;
-                connection.socket.want(true, false);
+                connection.socket.set_interest(true, false);
                 // The other side may have ended before the response.
                 self.read(id, io);
             }
-            Ok(false) => connection.socket.want(true, true),
+            Ok(false) => connection.socket.set_interest(true, true),
             Err(_) => {
                 self.connections.remove(&id);
             }
--- a/relay/src/attempt/mod.rs
+++ b/relay/src/attempt/mod.rs
@@ -86,10 +86,10 @@
         let connect_deadline = io.now + plan.connect_timeout;
         let deadline = io.now + plan.timeout;
         let timer = Timer::Attempt(session, plan.serial);
-        io.alarms.set(connect_deadline.min(deadline), timer);
-        io.alarms.set(deadline, timer);
+        io.timers.set(connect_deadline.min(deadline), timer);
+        io.timers.set(deadline, timer);
         let mut request = OutputBuffer::default();
-        request.add(&plan.request);
+        request.push_line(&plan.request);
         Ok(Attempt {
             number: plan.number,
             serial: plan.serial,
@@ -132,7 +132,7 @@
     pub(crate) fn is_unsent(&self) -> bool {
         match self.stage {
             AttemptStage::Connecting => true,
-            AttemptStage::SendingRequest => !self.request.is_begun(),
+            AttemptStage::SendingRequest => !self.request.has_written(),
             AttemptStage::AwaitingAnswer | AttemptStage::Established => false,
         }
     }
@@ -151,14 +151,14 @@
     /// The connection is refused or breaks.
     pub(crate) fn advance(&mut self) -> Result<(), AttemptFailure> {
         if self.stage == AttemptStage::Connecting {
-            match self.connection.is_up() {
+            match self.connection.is_connected() {
                 Ok(true) => self.stage = AttemptStage::SendingRequest,
                 Ok(false) => return Ok(()),
                 Err(_) => return Err(self.failure(FailureCause::ConnectionLost)),
             }
         }
         if self.stage == AttemptStage::SendingRequest {
-            match self.request.give(&mut self.connection) {
+            match self.request.write_to(&mut self.connection) {
                 Ok(true) => self.stage = AttemptStage::AwaitingAnswer,
                 Ok(false) => {}
                 Err(_) => return Err(self.failure(FailureCause::ConnectionLost)),
--- a/relay/src/buffers.rs
+++ b/relay/src/buffers.rs
@@ -2,22 +2,22 @@
 //! connections on which nothing happens cost no memory beyond their sockets.
 
 /// Bytes that a buffer holds.
-pub(crate) const SIZE: usize = 8 * 1024;
+pub(crate) const BUFFER_SIZE: usize = 8 * 1024;
 
 /// A buffer of the pool.
-pub(crate) type Buffer = Box<[u8; SIZE]>;
+pub(crate) type Buffer = Box<[u8; BUFFER_SIZE]>;
 
 /// A limited number of buffers, made when they are first needed.
-pub(crate) struct Pool {
+pub(crate) struct BufferPool {
     spare: Vec<Buffer>,
     /// How many more may be made.
     remaining: usize,
 }
 
-impl Pool {
+impl BufferPool {
     /// A pool that makes at most `capacity` buffers.
-    pub(crate) fn new(capacity: usize) -> Pool {
-        Pool {
+    pub(crate) fn new(capacity: usize) -> BufferPool {
+        BufferPool {
             spare: Vec::new(),
             remaining: capacity,
         }
@@ -30,15 +30,15 @@
             return Some(buffer);
         }
         self.remaining = self.remaining.checked_sub(1)?;
-        Some(Box::new([0; SIZE]))
+        Some(Box::new([0; BUFFER_SIZE]))
     }
 
-    /// Returns a buffer that [`Pool::take`] gave out.
+    /// Returns a buffer that [`BufferPool::take`] gave out.
     pub(crate) fn give_back(&mut self, buffer: Buffer) {
         self.spare.push(buffer);
     }
 
-    /// Whether [`Pool::take`] would give a buffer.
+    /// Whether [`BufferPool::take`] would give a buffer.
     pub(crate) fn has_available(&self) -> bool {
         self.remaining > 0 || !self.spare.is_empty()
     }
--- a/relay/src/discovery/connection.rs
+++ b/relay/src/discovery/connection.rs
@@ -5,7 +5,7 @@
 use crate::discovery::http::{self, BodyDecoder};
 use crate::discovery::poll_schedule::PollSchedule;
 use crate::io_context::IoContext;
-use crate::line_buffer::OutputBuffer;
+use crate::output_buffer::OutputBuffer;
 use crate::sockets::{Connection, SocketOwner};
 use crate::timers::Timer;
 use std::io::{self, ErrorKind, Read};
@@ -78,7 +78,7 @@
         match &self.state {
             State::Connecting(connection, _)
             | State::Requested(connection)
-            | State::Streaming(connection, _) => connection.is(key),
+            | State::Streaming(connection, _) => connection.has_key(key),
             State::Idle => false,
         }
     }
@@ -113,7 +113,7 @@
         let request = http::watch_request(self.address, since);
         let connection = io.sockets.connect(SocketOwner::Discovery, self.address);
         let mut connection = connection.map_err(WatchError::Connect)?;
-        connection.want(true, true);
+        connection.set_interest(true, true);
         self.state = State::Connecting(connection, request);
         self.set_timer(io.now + self.silence_timeout.min(response_timeout), io);
         Ok(())
@@ -127,7 +127,7 @@
 
     pub(super) fn set_timer(&mut self, at: Instant, io: &mut IoContext) {
         self.wake_at = at;
-        io.alarms.set(at, Timer::Discovery);
+        io.timers.set(at, Timer::Discovery);
     }
 
     pub(super) fn handle_timer(&mut self, io: &mut IoContext) -> TimerOutcome {
@@ -162,12 +162,12 @@
 
     fn send_request(&mut self) -> io::Result<()> {
         if let State::Connecting(connection, request) = &mut self.state
-            && connection.is_up()?
-            && request.give(connection)?
+            && connection.is_connected()?
+            && request.write_to(connection)?
             && let State::Connecting(mut connection, _) =
                 std::mem::replace(&mut self.state, State::Idle)
         {
-            connection.want(true, false);
+            connection.set_interest(true, false);
             self.state = State::Requested(connection);
         }
         Ok(())
--- a/relay/src/discovery/http.rs
+++ b/relay/src/discovery/http.rs
@@ -1,7 +1,7 @@
 //! The HTTP/1.1 of a watch: its request, the head of the response, and the body without its chunks.
 //! No I/O.
 use crate::discovery::error::HttpError;
-use crate::line_buffer::OutputBuffer;
+use crate::output_buffer::OutputBuffer;
 use std::net::SocketAddr;
 
 /// The longest head of a response, in bytes.
@@ -17,10 +17,10 @@
     let since = since.map(|generation| format!("&since={generation}"));
     let since = since.unwrap_or_default();
     let mut request = OutputBuffer::default();
-    request.add(&format!("GET /api/targets?follow=1{since} HTTP/1.1"));
-    request.add(&format!("Host: {agent}"));
-    request.add("Accept: application/json");
-    request.add("");
+    request.push_line(&format!("GET /api/targets?follow=1{since} HTTP/1.1"));
+    request.push_line(&format!("Host: {agent}"));
+    request.push_line("Accept: application/json");
+    request.push_line("");
     request
 }
 
--- a/relay/src/discovery/registry.rs
+++ b/relay/src/discovery/registry.rs
@@ -41,7 +41,7 @@
     }
 
     /// True if nothing new may go there.
-    pub(crate) fn is_out(&self, id: BackendId) -> bool {
+    pub(crate) fn is_draining_or_banned(&self, id: BackendId) -> bool {
         let backend = &self.backends[id.index()];
         backend.is_leaving || backend.is_banned
     }
@@ -62,7 +62,7 @@
     }
 
     /// The id of a backend that is known by this name.
-    pub(crate) fn named(&self, name: &str) -> Option<BackendId> {
+    pub(crate) fn find(&self, name: &str) -> Option<BackendId> {
         self.ids.get(name).copied()
     }
 
@@ -74,8 +74,8 @@
     }
 
     /// The id for a name, known or not; a list that names it later finds the same.
-    pub(crate) fn enter(&mut self, name: &str) -> BackendId {
-        if let Some(id) = self.named(name) {
+    pub(crate) fn find_or_insert(&mut self, name: &str) -> BackendId {
+        if let Some(id) = self.find(name) {
             return id;
         }
         let id = BackendId(self.backends.len() as u32);
@@ -130,7 +130,7 @@
         address: SocketAddr,
         state: EndpointState,
     ) -> Endpoint {
-        let backend = self.enter(&endpoint.name);
+        let backend = self.find_or_insert(&endpoint.name);
         self.backends[backend.index()].address = Some(address);
         let started_at_ms = endpoint.started_at_ms.filter(|&ms| ms > 0);
         Endpoint {
--- a/relay/src/discovery/watch.rs
+++ b/relay/src/discovery/watch.rs
@@ -6,7 +6,7 @@
 use crate::discovery::poll_schedule::{
     ATTEMPT_INTERVAL, ATTEMPT_INTERVAL_AFTER_MOVE, Failure, FailureKind,
 };
-pub(crate) use crate::discovery::registry::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use std::net::SocketAddr;
@@ -323,7 +323,7 @@
         self.generation = Some(list.generation);
         self.current.schedule.reset();
         io.counters.lists += 1;
-        io.news
+        io.events
             .push_back(Event::EndpointsUpdated(update, endpoints));
         Ok(())
     }
--- a/relay/src/health_check.rs
+++ b/relay/src/health_check.rs
@@ -60,13 +60,13 @@
     }
 
     /// Other timeouts, for the checks from now on.
-    pub(crate) fn resettle(&mut self, connect_timeout: Duration, idle_timeout: Duration) {
+    pub(crate) fn set_timeouts(&mut self, connect_timeout: Duration, idle_timeout: Duration) {
         self.timeout = connect_timeout * CONNECT_TIMEOUTS_PER_CHECK;
         self.idle_timeout = idle_timeout;
     }
 
     /// Starts a check of a backend, unless one is under way or its address is unknown.
-    pub(crate) fn ask(&mut self, id: BackendId, address: Option<SocketAddr>, io: &mut IoContext) {
+    pub(crate) fn start(&mut self, id: BackendId, address: Option<SocketAddr>, io: &mut IoContext) {
         self.serial = self.serial.wrapping_add(1);
         let serial = self.serial;
         if let Some(check) = self.checks.get_mut(&id) {
@@ -83,12 +83,12 @@
             self.checks.insert(id, check);
         }
         io.counters.probes += 1;
-        io.alarms
+        io.timers
             .set(io.now + self.timeout, Timer::HealthCheck(id, serial));
     }
 
     /// The socket with this key is ready.
-    pub(crate) fn event(
+    pub(crate) fn handle_event(
         &mut self,
         id: BackendId,
         key: usize,
@@ -96,35 +96,36 @@
         io: &mut IoContext,
     ) {
         let check = self.checks.get_mut(&id);
-        let Some(check) = check.filter(|check| check.connection.is(key)) else {
+        let Some(check) = check.filter(|check| check.connection.has_key(key)) else {
             return;
         };
         match check.advance(io) {
             Ok(None) => {}
             Ok(Some((outcome, report))) => {
                 check.state = CheckState::Idle;
-                check.connection.want(true, false);
-                io.alarms.set(
+                check.connection.set_interest(true, false);
+                io.timers.set(
                     io.now + self.idle_timeout,
                     Timer::HealthCheck(id, check.serial),
                 );
                 if outcome != AttemptOutcome::Ok {
                     io.counters.probes_failed += 1;
                 }
-                io.news.push_back(Event::HealthChecked(id, outcome, report));
+                io.events
+                    .push_back(Event::HealthChecked(id, outcome, report));
             }
             Err(AttemptOutcome::Reset) if check.is_reused && !check.answer.has_bytes() => {
                 // The backend closed the idle connection in the moment in which it was used again:
                 // this reveals nothing about its health.
                 self.checks.remove(&id);
-                self.ask(id, address, io);
+                self.start(id, address, io);
             }
             Err(outcome) => self.close(id, outcome, io),
         }
     }
 
     /// A check takes too long, or a connection has been idle for too long.
-    pub(crate) fn alarm(&mut self, id: BackendId, serial: u32, io: &mut IoContext) {
+    pub(crate) fn timer_fired(&mut self, id: BackendId, serial: u32, io: &mut IoContext) {
         let check = self.checks.get(&id);
         let Some(check) = check.filter(|check| check.serial == serial) else {
             return;
@@ -144,7 +145,7 @@
         let Some(mut check) = self.checks.remove(&id) else {
             return;
         };
-        check.answer.clear(&mut io.pool);
+        check.answer.clear(&mut io.buffers);
         if check.state != CheckState::Idle {
             report_failure(id, outcome, io);
         }
@@ -153,7 +154,7 @@
 
 fn report_failure(id: BackendId, outcome: AttemptOutcome, io: &mut IoContext) {
     io.counters.probes_failed += 1;
-    io.news
+    io.events
         .push_back(Event::HealthChecked(id, outcome, LoadReport::default()));
 }
 
@@ -167,9 +168,9 @@
         let mut connection = io
             .sockets
             .connect(SocketOwner::HealthCheck(id.0), address)?;
-        connection.want(true, true);
+        connection.set_interest(true, true);
         let mut request = OutputBuffer::default();
-        request.add(HEALTH_CHECK_LINE);
+        request.push_line(HEALTH_CHECK_LINE);
         Ok(HealthCheck {
             connection,
             state: CheckState::Connecting,
@@ -183,12 +184,12 @@
 
     /// Starts the next check on an idle connection.
     fn reuse(&mut self, serial: u32, now: Instant) {
-        self.request.add(HEALTH_CHECK_LINE);
+        self.request.push_line(HEALTH_CHECK_LINE);
         self.serial = serial;
         self.started = now;
         self.state = CheckState::AwaitingAnswer;
         self.is_reused = true;
-        self.connection.want(true, true);
+        self.connection.set_interest(true, true);
     }
 
     /// Connects, writes and reads as far as the socket allows; the answer once it is there. An
@@ -198,21 +199,21 @@
         io: &mut IoContext,
     ) -> Result<Option<(AttemptOutcome, LoadReport)>, AttemptOutcome> {
         if self.state == CheckState::Connecting {
-            match self.connection.is_up() {
+            match self.connection.is_connected() {
                 Ok(true) => self.state = CheckState::AwaitingAnswer,
                 Ok(false) => return Ok(None),
                 Err(_) => return Err(AttemptOutcome::Unreachable),
             }
         }
-        if self.request.waits() {
-            let is_written = self.request.give(&mut self.connection);
+        if self.request.has_pending() {
+            let is_written = self.request.write_to(&mut self.connection);
             if is_written.map_err(|_| AttemptOutcome::Reset)? {
-                self.connection.want(true, false);
+                self.connection.set_interest(true, false);
             }
         }
         let read = self
             .answer
-            .read_from(&mut self.connection, &mut io.pool)
+            .read_from(&mut self.connection, &mut io.buffers)
             .map_err(|_| AttemptOutcome::Reset)?;
         let answer = match self.answer.next_line() {
             Ok(Some(line)) => protocol::parse_health_check_response(line),
@@ -220,7 +221,7 @@
             Ok(None) => return Ok(None),
             Err(_) => return Err(AttemptOutcome::Error),
         };
-        self.answer.clear(&mut io.pool);
+        self.answer.clear(&mut io.buffers);
         Ok((self.state == CheckState::AwaitingAnswer).then_some(answer))
     }
 }
--- a/relay/src/hot_restart/channel.rs
+++ b/relay/src/hot_restart/channel.rs
@@ -91,7 +91,7 @@
         std::fs::rename(&new_path, folder.join(SOCKET_NAME))?;
         let owner = SocketOwner::SuccessorListener;
         let mut registration = sockets.register(owner, socket.as_raw_fd());
-        registration.want(true, false);
+        registration.set_interest(true, false);
         Ok(SuccessorListener {
             _registration: registration,
             socket,
@@ -108,15 +108,15 @@
 impl Channel {
     fn new(socket: Socket, owner: SocketOwner, sockets: &mut Sockets) -> Channel {
         let mut registration = sockets.register(owner, socket.as_raw_fd());
-        registration.want(true, false);
+        registration.set_interest(true, false);
         Channel {
             registration,
             socket,
         }
     }
 
-    pub(crate) fn is(&self, key: usize) -> bool {
-        self.registration.is(key)
+    pub(crate) fn has_key(&self, key: usize) -> bool {
+        self.registration.has_key(key)
     }
 
     /// Sends a packet. True if it went out; false if there is no room for it at present.
--- a/relay/src/hot_restart/channel/tests.rs
+++ b/relay/src/hot_restart/channel/tests.rs
@@ -117,7 +117,7 @@
             assert!(successor.send(&message, &[], &[]).unwrap());
         }
         for serial in 0..3 {
-            let message = Message::Yours { serial };
+            let message = Message::Released { serial };
             assert!(predecessor.send(&message, &[], &[]).unwrap());
         }
         drop(predecessor);
@@ -125,7 +125,7 @@
             let Received::Packet(packet) = successor.receive() else {
                 panic!("{unread} unread: {expected} is lost")
             };
-            assert_eq!(packet.message, Message::Yours { serial: expected });
+            assert_eq!(packet.message, Message::Released { serial: expected });
         }
         assert!(matches!(successor.receive(), Received::Closed(_)));
     }
--- a/relay/src/hot_restart/messages.rs
+++ b/relay/src/hot_restart/messages.rs
@@ -17,20 +17,48 @@
     pub(crate) serial: u32,
     pub(crate) id: u64,
     pub(crate) listener: String,
-    pub(crate) key: Option<u64>,
+    #[serde(rename = "key")]
+    pub(crate) client_key: Option<u64>,
     pub(crate) group: Option<u64>,
     pub(crate) backend: String,
     /// When a line last passed, Unix time in microseconds.
-    pub(crate) heard_us: u64,
+    #[serde(rename = "heard_us")]
+    pub(crate) last_line_at_us: u64,
     /// When the client sent the first line that has had none back, Unix time in microseconds.
-    pub(crate) asked_us: Option<u64>,
+    #[serde(rename = "asked_us")]
+    pub(crate) awaiting_since_us: Option<u64>,
     /// The latency that the backend reported last, in microseconds.
-    pub(crate) told_delay_us: u64,
+    #[serde(rename = "told_delay_us")]
+    pub(crate) reported_latency_us: u64,
     pub(crate) load: Option<f64>,
-    /// Bytes that wait on their way to the backend, and how many of them are complete lines.
-    pub(crate) up: (usize, usize),
-    /// Bytes that wait on their way to the client, and how many of them are complete lines.
-    pub(crate) down: (usize, usize),
+    /// What waits on its way to the backend.
+    #[serde(rename = "up")]
+    pub(crate) to_backend: WaitingBytes,
+    /// What waits on its way to the client.
+    #[serde(rename = "down")]
+    pub(crate) to_client: WaitingBytes,
+}
+
+/// How much waits in one direction of a session.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
+#[serde(from = "(usize, usize)", into = "(usize, usize)")]
+pub(crate) struct WaitingBytes {
+    /// All bytes that wait.
+    pub(crate) total: usize,
+    /// Those of them that are complete lines.
+    pub(crate) complete: usize,
+}
+
+impl From<(usize, usize)> for WaitingBytes {
+    fn from((total, complete): (usize, usize)) -> WaitingBytes {
+        WaitingBytes { total, complete }
+    }
+}
+
+impl From<WaitingBytes> for (usize, usize) {
+    fn from(waiting: WaitingBytes) -> (usize, usize) {
+        (waiting.total, waiting.complete)
+    }
 }
 
 /// What a relay knows of one backend, by the name that is the same in both processes. Times are Unix
@@ -203,7 +231,8 @@
     Declined { serial: u32 },
     /// The predecessor has let go of an accepted session. Without this message the successor lets
     /// go: no connection ever has two readers.
-    Yours { serial: u32 },
+    #[serde(rename = "Yours")]
+    Released { serial: u32 },
 }
 
 /// A packet that can't be read.
@@ -242,15 +271,16 @@
     let line_end = line_end.ok_or(PacketError::NoLine)?;
     let message: Message = serde_json::from_slice(&packet[..line_end])?;
     let waiting = &packet[line_end + 1..];
-    let (up, down) = match &message {
-        Message::Session(session) => (session.up, session.down),
-        _ => ((0, 0), (0, 0)),
+    let (to_backend, to_client) = match &message {
+        Message::Session(session) => (session.to_backend, session.to_client),
+        _ => Default::default(),
     };
-    let has_all_bytes = up.0.checked_add(down.0) == Some(waiting.len());
-    if !has_all_bytes || up.1 > up.0 || down.1 > down.0 {
+    let total = to_backend.total.checked_add(to_client.total);
+    let is_sound = |waiting: WaitingBytes| waiting.complete <= waiting.total;
+    if total != Some(waiting.len()) || !is_sound(to_backend) || !is_sound(to_client) {
         return Err(PacketError::Length);
     }
-    let (to_backend, to_client) = waiting.split_at(up.0);
+    let (to_backend, to_client) = waiting.split_at(to_backend.total);
     Ok(Packet {
         message,
         to_backend,
--- a/relay/src/hot_restart/messages/tests.rs
+++ b/relay/src/hot_restart/messages/tests.rs
@@ -6,15 +6,21 @@
         serial: 7,
         id: 0x9b1f_03aa_5c7e_2d41,
         listener: "slot \"hold\"\n".into(),
-        key: Some(u64::MAX),
+        client_key: Some(u64::MAX),
         group: None,
         backend: "s-5be2a07c".into(),
-        heard_us: 1_796_000_000_000_001,
-        asked_us: Some(3),
-        told_delay_us: 0,
+        last_line_at_us: 1_796_000_000_000_001,
+        awaiting_since_us: Some(3),
+        reported_latency_us: 0,
         load: Some(0.25),
-        up: (6, 4),
-        down: (0, 0),
+        to_backend: WaitingBytes {
+            total: 6,
+            complete: 4,
+        },
+        to_client: WaitingBytes {
+            total: 0,
+            complete: 0,
+        },
     }
 }
 
@@ -52,7 +58,7 @@
         Message::OpenDescriptors { count: 300 },
         Message::Accepted { serial: 1 },
         Message::Declined { serial: 2 },
-        Message::Yours { serial: 3 },
+        Message::Released { serial: 3 },
     ];
     for message in messages {
         let expected = Packet {
@@ -79,12 +85,21 @@
         assert!(decode(&sound[..length]).is_err(), "cut at {length}");
     }
     let overflowing = SessionHandover {
-        up: (usize::MAX, 0),
-        down: (usize::MAX, 0),
+        to_backend: WaitingBytes {
+            total: usize::MAX,
+            complete: 0,
+        },
+        to_client: WaitingBytes {
+            total: usize::MAX,
+            complete: 0,
+        },
         ..handover()
     };
     let more_lines_than_bytes = SessionHandover {
-        up: (6, 7),
+        to_backend: WaitingBytes {
+            total: 6,
+            complete: 7,
+        },
         ..handover()
     };
     for bad in [overflowing, more_lines_than_bytes] {
--- a/relay/src/io_context.rs
+++ b/relay/src/io_context.rs
@@ -1,5 +1,5 @@
 //! What every part of the relay works with during a turn.
-use crate::buffers::{Pool, SIZE};
+use crate::buffers::{BUFFER_SIZE, BufferPool};
 use crate::counters::Counters;
 use crate::driver::Event;
 use crate::sockets::Sockets;
@@ -12,10 +12,10 @@
     /// The time of the turn: what a turn gathers has all happened at once.
     pub(crate) now: Instant,
     pub(crate) sockets: Sockets,
-    pub(crate) pool: Pool,
-    pub(crate) alarms: TimerQueue,
+    pub(crate) buffers: BufferPool,
+    pub(crate) timers: TimerQueue,
     /// What the balancer is to be given at the end of the turn.
-    pub(crate) news: VecDeque<Event>,
+    pub(crate) events: VecDeque<Event>,
     pub(crate) counters: Counters,
     /// Sessions that stopped reading for want of a buffer.
     pub(crate) starved: VecDeque<u32>,
@@ -27,9 +27,9 @@
         IoContext {
             now,
             sockets,
-            pool: Pool::new(buffer_bytes / SIZE),
-            alarms: TimerQueue::default(),
-            news: VecDeque::new(),
+            buffers: BufferPool::new(buffer_bytes / BUFFER_SIZE),
+            timers: TimerQueue::default(),
+            events: VecDeque::new(),
             counters: Counters::default(),
             starved: VecDeque::new(),
         }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -21,7 +21,6 @@
 mod startup_config;
 mod timers;
 mod trace;
-mod upstream;
 
 use std::io;
 
--- a/relay/src/line_buffer.rs
+++ b/relay/src/line_buffer.rs
@@ -1,11 +1,10 @@
 //! One direction of a connection: lines that wait on their way through. They are read in pieces
 //! split anywhere and passed on whole, so that a line of the relay's own fits between any two.
-use crate::buffers::{Buffer, Pool, SIZE};
+use crate::buffers::{BUFFER_SIZE, Buffer, BufferPool};
 use crate::output_buffer::write_available;
 use std::io::{ErrorKind, Read, Write};
 
 // Where other modules still look for it.
-pub(crate) use crate::output_buffer::OutputBuffer;
 
 /// The longest line in bytes, its ending included.
 pub(crate) const MAX_LINE_BYTES: usize = 4 * 1024;
@@ -46,7 +45,11 @@
 impl LineBuffer {
     /// A buffer with what waited in another process, of which `line_bytes` are whole lines; none
     /// where the pool has no buffer.
-    pub(crate) fn restore(bytes: &[u8], line_bytes: usize, pool: &mut Pool) -> Option<LineBuffer> {
+    pub(crate) fn restore(
+        bytes: &[u8],
+        line_bytes: usize,
+        pool: &mut BufferPool,
+    ) -> Option<LineBuffer> {
         if bytes.is_empty() {
             return Some(LineBuffer::default());
         }
@@ -77,7 +80,7 @@
     pub(crate) fn read_from(
         &mut self,
         from: &mut impl Read,
-        pool: &mut Pool,
+        pool: &mut BufferPool,
     ) -> std::io::Result<ReadOutcome> {
         if self.buffer.is_none() {
             self.buffer = pool.take();
@@ -91,7 +94,7 @@
             self.end -= self.start;
             self.start = 0;
         }
-        if self.end == SIZE {
+        if self.end == BUFFER_SIZE {
             return Ok(ReadOutcome::Nothing);
         }
         let outcome = match from.read(&mut buffer[self.end..]) {
@@ -139,19 +142,19 @@
     }
 
     /// Drops the lines that have been looked at: they were meant for the relay.
-    pub(crate) fn discard_lines(&mut self, pool: &mut Pool) {
+    pub(crate) fn discard_lines(&mut self, pool: &mut BufferPool) {
         self.start = self.line_end;
         self.release_if_empty(pool);
     }
 
     /// Drops everything.
-    pub(crate) fn clear(&mut self, pool: &mut Pool) {
+    pub(crate) fn clear(&mut self, pool: &mut BufferPool) {
         self.line_end = self.end;
         self.discard_lines(pool);
     }
 
     /// Drops the beginning of a line whose rest will not be waited for.
-    pub(crate) fn discard_partial_line(&mut self, pool: &mut Pool) {
+    pub(crate) fn discard_partial_line(&mut self, pool: &mut BufferPool) {
         self.end = self.line_end;
         self.release_if_empty(pool);
     }
@@ -168,7 +171,7 @@
 
     /// Whether more can be read.
     pub(crate) fn has_room(&self) -> bool {
-        self.end - self.start < SIZE && !self.has_ended
+        self.end - self.start < BUFFER_SIZE && !self.has_ended
     }
 
     /// Writes once; true once nothing waits that may be written.
@@ -178,7 +181,7 @@
     pub(crate) fn write_to(
         &mut self,
         to: &mut impl Write,
-        pool: &mut Pool,
+        pool: &mut BufferPool,
     ) -> std::io::Result<bool> {
         let writable_end = self.writable_end();
         if let Some(buffer) = self.buffer.as_ref().filter(|_| self.start < writable_end) {
@@ -199,7 +202,7 @@
         }
     }
 
-    fn release_if_empty(&mut self, pool: &mut Pool) {
+    fn release_if_empty(&mut self, pool: &mut BufferPool) {
         if self.start == self.end
             && let Some(buffer) = self.buffer.take()
         {
--- a/relay/src/line_buffer/tests.rs
+++ b/relay/src/line_buffer/tests.rs
@@ -1,12 +1,12 @@
 //! Lines in one direction of a connection.
 use super::{LineBuffer, LineTooLong, MAX_LINE_BYTES, ReadOutcome};
-use crate::buffers::{Pool, SIZE};
+use crate::buffers::{BUFFER_SIZE, BufferPool};
 
 #[test]
 fn lines_split_anywhere_come_out_whole() {
     let text = b"one\r\ntwo\n\r\nlast";
     for size in 1..text.len() {
-        let (mut buffer, mut pool) = (LineBuffer::default(), Pool::new(1));
+        let (mut buffer, mut pool) = (LineBuffer::default(), BufferPool::new(1));
         let mut lines: Vec<Vec<u8>> = Vec::new();
         let mut out = Vec::new();
         for mut piece in text.chunks(size) {
@@ -43,10 +43,10 @@
     for (length, passes) in [
         (MAX_LINE_BYTES, true),
         (MAX_LINE_BYTES + 1, false),
-        (SIZE, false),
+        (BUFFER_SIZE, false),
     ] {
         let line: Vec<u8> = [vec![b'x'; length - 1], vec![b'\n']].concat();
-        let (mut buffer, mut pool) = (LineBuffer::default(), Pool::new(1));
+        let (mut buffer, mut pool) = (LineBuffer::default(), BufferPool::new(1));
         buffer.read_from(&mut &line[..], &mut pool).unwrap();
         assert_eq!(
             buffer.next_line().map(|line| line.is_some()),
--- a/relay/src/output_buffer.rs
+++ b/relay/src/output_buffer.rs
@@ -10,18 +10,18 @@
 
 impl OutputBuffer {
     /// Adds a line, to which the ending is put.
-    pub(crate) fn add(&mut self, line: &str) {
+    pub(crate) fn push_line(&mut self, line: &str) {
         self.text.extend_from_slice(line.as_bytes());
         self.text.extend_from_slice(b"\r\n");
     }
 
     /// Whether bytes wait to be written.
-    pub(crate) fn waits(&self) -> bool {
+    pub(crate) fn has_pending(&self) -> bool {
         self.written < self.text.len()
     }
 
     /// Whether some of what waits has been written.
-    pub(crate) fn is_begun(&self) -> bool {
+    pub(crate) fn has_written(&self) -> bool {
         self.written > 0
     }
 
@@ -29,11 +29,11 @@
     ///
     /// # Errors
     /// The connection is broken.
-    pub(crate) fn give(&mut self, to: &mut impl Write) -> std::io::Result<bool> {
-        if self.waits() {
+    pub(crate) fn write_to(&mut self, to: &mut impl Write) -> std::io::Result<bool> {
+        if self.has_pending() {
             self.written += write_available(to, &self.text[self.written..])?;
         }
-        if !self.waits() {
+        if !self.has_pending() {
             *self = OutputBuffer::default();
         }
         Ok(self.text.is_empty())
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -195,7 +195,7 @@
             .max(now + MIN_TIMER_DELAY);
         if self.timer_at.is_none_or(|at| earliest < at) {
             self.timer_at = Some(earliest);
-            io.alarms.set(earliest, Timer::Peers);
+            io.timers.set(earliest, Timer::Peers);
         }
     }
 
--- a/relay/src/peers/socket.rs
+++ b/relay/src/peers/socket.rs
@@ -32,7 +32,7 @@
         let socket = UdpSocket::bind(address)?;
         socket.set_nonblocking(true)?;
         let mut registration = sockets.register(SocketOwner::Peers, socket.as_raw_fd());
-        registration.want(true, false);
+        registration.set_interest(true, false);
         Ok(PeerSocket {
             registration,
             socket,
@@ -83,6 +83,6 @@
 
     /// From now on it no longer wakes the event loop.
     pub(super) fn stop_receiving(&mut self) {
-        self.registration.want(false, false);
+        self.registration.set_interest(false, false);
     }
 }
--- a/relay/src/protocol/first_line.rs
+++ b/relay/src/protocol/first_line.rs
@@ -97,20 +97,23 @@
 }
 
 /// How the settings define names and figures in the protocol.
-pub(crate) struct Names {
+pub(crate) struct ProtocolSettings {
     /// Listeners by name, each at its index.
     pub(crate) listeners: Vec<String>,
     /// `g` names a group whose members share work; elsewhere it names the client.
-    pub(crate) groups: bool,
+    pub(crate) has_groups: bool,
     /// `LOAD` reports the milliseconds that a message takes, elsewhere the connection's load.
-    pub(crate) notes_tell_delay: bool,
+    pub(crate) load_reports_latency: bool,
 }
 
 /// Reads the first line of a client, without its ending.
 ///
 /// # Errors
 /// The line is no `PING`, and no `OPEN` that every backend could read.
-pub(crate) fn parse_first_line(line: &[u8], names: &Names) -> Result<FirstLine, FirstLineError> {
+pub(crate) fn parse_first_line(
+    line: &[u8],
+    names: &ProtocolSettings,
+) -> Result<FirstLine, FirstLineError> {
     let line = std::str::from_utf8(line).map_err(|_| FirstLineError::NotUtf8)?;
     if line == "PING" {
         return Ok(FirstLine::Ping);
@@ -128,7 +131,7 @@
     let arrival = Arrival {
         route: RouteId(listener as u16),
         client_key: Some(key),
-        group: items.group.filter(|_| names.groups),
+        group: items.group.filter(|_| names.has_groups),
         timeout: wait.duration - ANSWER_MARGIN,
     };
     Ok(FirstLine::Open(Box::new(OpenRequest {
@@ -157,7 +160,7 @@
 }
 
 impl Items {
-    fn parse(list: &str, names: &Names) -> Result<Items, FirstLineError> {
+    fn parse(list: &str, names: &ProtocolSettings) -> Result<Items, FirstLineError> {
         let mut items = Items::default();
         let mut seen: Vec<&str> = Vec::new();
         let mut item_start = 0;
@@ -185,7 +188,7 @@
         name: &str,
         value: &str,
         item_start: usize,
-        names: &Names,
+        names: &ProtocolSettings,
     ) -> Result<(), FirstLineError> {
         match name {
             "c" => self.listener = names.listeners.iter().position(|name| name == value),
--- a/relay/src/protocol/mod.rs
+++ b/relay/src/protocol/mod.rs
@@ -9,7 +9,9 @@
 pub(crate) mod tests;
 
 pub(crate) use backend_message::{BackendMessage, parse_health_check_response};
-pub(crate) use first_line::{FirstLine, FirstLineError, Names, OpenRequest, parse_first_line};
+pub(crate) use first_line::{
+    FirstLine, FirstLineError, OpenRequest, ProtocolSettings, parse_first_line,
+};
 
 use thistlecroft::time::Duration;
 
--- a/relay/src/protocol/tests.rs
+++ b/relay/src/protocol/tests.rs
@@ -1,17 +1,18 @@
 //! What lines of text mean, and how they are passed on.
 use super::{
-    BackendMessage, FirstLine, Names, parse_first_line, parse_health_check_response, rejection_line,
+    BackendMessage, FirstLine, ProtocolSettings, parse_first_line, parse_health_check_response,
+    rejection_line,
 };
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 
 /// Two listeners.
-pub(crate) fn names(groups: bool) -> Names {
-    Names {
+pub(crate) fn names(groups: bool) -> ProtocolSettings {
+    ProtocolSettings {
         listeners: vec!["chat".into(), "feed".into()],
-        groups,
-        notes_tell_delay: false,
+        has_groups: groups,
+        load_reports_latency: false,
     }
 }
 
--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -33,10 +33,11 @@
             self.execute_action(action);
         }
         if outcome.backends_withdrawn {
-            self.sessions.recall(&self.discovery.registry, &mut self.io);
+            self.sessions
+                .cancel_recalled_attempts(&self.discovery.registry, &mut self.io);
         }
         for session in outcome.failed {
-            self.sessions.give_up(session, &mut self.io);
+            self.sessions.fail_after_panic(session, &mut self.io);
         }
     }
 
@@ -44,14 +45,14 @@
         Readiness {
             is_stopping: self.shutdown_started.is_some(),
             has_endpoints: self.discovery.knowledge() != Knowledge::Nothing,
-            accepts_clients: self.sessions.takes_clients(),
+            accepts_clients: self.sessions.is_accepting(),
         }
     }
 
     fn deliver_events(&mut self) -> TurnOutcome {
         let now = self.io.now;
         let mut outcome = TurnOutcome::default();
-        while let Some(event) = self.io.news.pop_front() {
+        while let Some(event) = self.io.events.pop_front() {
             trace::log_event(&event, &self.discovery.registry);
             outcome.backends_withdrawn |= matches!(
                 event,
@@ -59,7 +60,7 @@
             );
             let mut recorder = ActionRecorder {
                 actions: &mut self.actions,
-                timers: &mut self.io.alarms,
+                timers: &mut self.io.timers,
             };
             if let Err(panicked) = deliver(&mut self.balancer, event, now, &mut recorder) {
                 self.io.counters.panics += 1;
@@ -78,15 +79,16 @@
         let (registry, io) = (&self.discovery.registry, &mut self.io);
         match action {
             Action::Connect(session, backend, timeout) => {
-                self.sessions.dial(session, backend, timeout, registry, io);
+                self.sessions
+                    .start_attempt(session, backend, timeout, registry, io);
             }
-            Action::Cancel(session, attempt) => self.sessions.withdraw(session, attempt, io),
-            Action::Reject(session, retry_after) => self.sessions.refuse(session, retry_after, io),
-            Action::Fail(session) => self.sessions.tear_down(session, io),
-            Action::Migrate(session) => self.sessions.send_away(session, io),
+            Action::Cancel(session, attempt) => self.sessions.cancel_attempt(session, attempt, io),
+            Action::Reject(session, retry_after) => self.sessions.reject(session, retry_after, io),
+            Action::Fail(session) => self.sessions.fail(session, io),
+            Action::Migrate(session) => self.sessions.migrate(session, io),
             Action::CheckHealth(backend) => {
                 self.health_checks
-                    .ask(backend, registry.address(backend), io);
+                    .start(backend, registry.address(backend), io);
             }
             // A subscription is always open or about to be, so that this makes no second one.
             Action::Subscribe => self.discovery.subscribe(io),
--- a/relay/src/service/event_loop.rs
+++ b/relay/src/service/event_loop.rs
@@ -60,7 +60,7 @@
             self.dispatch_socket_events(&ready);
             self.dispatch_timers();
             if !self.io.starved.is_empty() {
-                self.sessions.feed(&mut self.io);
+                self.sessions.resume_starved(&mut self.io);
             }
         }
     }
@@ -68,8 +68,8 @@
     /// Waits for a socket event, for the next timer, or not at all if events are queued already.
     fn poll(&mut self, ready: &mut Events) -> io::Result<()> {
         ready.clear();
-        let wait = if self.io.news.is_empty() {
-            self.io.alarms.wait(self.clock.now())
+        let wait = if self.io.events.is_empty() {
+            self.io.timers.wait(self.clock.now())
         } else {
             Some(std::time::Duration::ZERO)
         };
@@ -92,7 +92,7 @@
 
     fn dispatch_timers(&mut self) {
         for _ in 0..MAX_TIMERS {
-            let Some(timer) = self.io.alarms.due(self.io.now) else {
+            let Some(timer) = self.io.timers.due(self.io.now) else {
                 break;
             };
             self.catch_panic(|service| service.dispatch_timer(timer));
@@ -113,11 +113,11 @@
         match owner {
             SocketOwner::Listener => self.sessions.accept(registry, io),
             SocketOwner::Client(id) => self.sessions.client_event(id, key, registry, io),
-            SocketOwner::Attempt(id) => self.sessions.dial_event(id, key, registry, io),
+            SocketOwner::Attempt(id) => self.sessions.backend_event(id, key, registry, io),
             SocketOwner::HealthCheck(id) => {
                 let backend = BackendId(id);
                 let address = registry.address(backend);
-                self.health_checks.event(backend, key, address, io);
+                self.health_checks.handle_event(backend, key, address, io);
             }
             SocketOwner::Signals => self.handle_signals(),
             SocketOwner::Discovery => {
@@ -148,14 +148,14 @@
     fn dispatch_timer(&mut self, timer: Timer) {
         let (registry, io) = (&self.discovery.registry, &mut self.io);
         match timer {
-            Timer::Balancer => io.news.push_back(Event::Wake),
+            Timer::Balancer => io.events.push_back(Event::Wake),
             Timer::ResumeAccepting => self.sessions.resume_accepting(),
-            Timer::Client(id) => self.sessions.client_alarm(id, io),
-            Timer::Attempt(id, serial) => self.sessions.dial_alarm(id, serial, io),
-            Timer::ResponseOverdue(id) => self.sessions.overdue_alarm(id, io),
-            Timer::IdleTimeout(id) => self.sessions.idle_alarm(id, io),
-            Timer::RetryInherited(id) => self.sessions.again_alarm(id, registry, io),
-            Timer::HealthCheck(id, serial) => self.health_checks.alarm(id, serial, io),
+            Timer::Client(id) => self.sessions.close_timer_fired(id, io),
+            Timer::Attempt(id, serial) => self.sessions.attempt_timer_fired(id, serial, io),
+            Timer::ResponseOverdue(id) => self.sessions.response_timer_fired(id, io),
+            Timer::IdleTimeout(id) => self.sessions.idle_timer_fired(id, io),
+            Timer::RetryInherited(id) => self.sessions.retry_inherited(id, registry, io),
+            Timer::HealthCheck(id, serial) => self.health_checks.timer_fired(id, serial, io),
             Timer::Discovery => self.discovery.handle_timer(io),
             Timer::StartAccepting => self.accept_clients_when_ready(),
             Timer::AdminConnection(id) => {
--- a/relay/src/service/hot_restart.rs
+++ b/relay/src/service/hot_restart.rs
@@ -22,7 +22,7 @@
         let sent = send_snapshot(&self.balancer, &self.discovery.registry, successor)
             .and_then(|()| successor.send(&Message::Leaving, &[], &[]));
         match sent {
-            Ok(true) => self.sessions.hand_over_to_successor(&mut self.io),
+            Ok(true) => self.sessions.start_handover(&mut self.io),
             Ok(false) => self.lose_successor("it does not read"),
             Err(error) => self.lose_successor(&error.to_string()),
         }
@@ -31,7 +31,7 @@
     /// Notifies the other processes of the descriptors that this one holds, if the number has
     /// changed by so much: notified later, both would take the same free ones of the common limit.
     pub(super) fn send_descriptor_count(&mut self, least_change: usize) {
-        let count = self.io.sockets.own();
+        let count = self.io.sockets.open_here();
         self.hot_restart.send_descriptor_count(count, least_change);
     }
 
@@ -41,14 +41,17 @@
             return;
         };
         let registry = &self.discovery.registry;
-        if let Err(error) = self.sessions.offer(successor, registry, &mut self.io) {
+        if let Err(error) = self
+            .sessions
+            .offer_sessions(successor, registry, &mut self.io)
+        {
             self.lose_successor(&error.to_string());
         }
     }
 
     /// A session whose offer the successor has not answered stays here.
     pub(super) fn handle_offer_timeout(&mut self, session: u32) {
-        if self.sessions.keep(session, &mut self.io) {
+        if self.sessions.handover_declined(session, &mut self.io) {
             self.lose_successor("it does not answer");
         }
     }
@@ -65,7 +68,7 @@
         if self.hot_restart.successor.take().is_some() {
             log::info!(target: LOG_TARGET, "the next process: {reason}");
             self.io.sockets.set_open_in_other_process(0);
-            self.sessions.keep_all(&mut self.io);
+            self.sessions.cancel_handover(&mut self.io);
         }
     }
 
@@ -74,7 +77,7 @@
         log::info!(target: LOG_TARGET, "the process before: {reason}");
         self.hot_restart.drop_predecessor();
         self.io.sockets.set_open_in_other_process(0);
-        self.io.news.push_back(Event::PredecessorEnded);
+        self.io.events.push_back(Event::PredecessorEnded);
         self.accept_clients_when_ready();
     }
 
@@ -82,7 +85,10 @@
 
     pub(super) fn handle_successor_event(&mut self, key: usize) {
         let successor = &self.hot_restart.successor;
-        if !successor.as_ref().is_some_and(|channel| channel.is(key)) {
+        if !successor
+            .as_ref()
+            .is_some_and(|channel| channel.has_key(key))
+        {
             return;
         }
         for _ in 0..MAX_PACKETS {
@@ -123,10 +129,11 @@
             }
             Message::OpenDescriptors { count } => self.io.sockets.set_open_in_other_process(count),
             Message::Accepted { serial } => {
-                self.sessions.handed(serial, successor, &mut self.io)?;
+                self.sessions
+                    .handover_accepted(serial, successor, &mut self.io)?;
             }
             Message::Declined { serial } => {
-                self.sessions.keep(serial, &mut self.io);
+                self.sessions.handover_declined(serial, &mut self.io);
             }
             unexpected => return Err(io::Error::other(format!("unexpected: {unexpected:?}"))),
         }
@@ -137,7 +144,10 @@
 
     pub(super) fn handle_predecessor_event(&mut self, key: usize) {
         let predecessor = &self.hot_restart.predecessor;
-        if !predecessor.as_ref().is_some_and(|channel| channel.is(key)) {
+        if !predecessor
+            .as_ref()
+            .is_some_and(|channel| channel.has_key(key))
+        {
             return;
         }
         for _ in 0..MAX_PACKETS {
@@ -156,15 +166,15 @@
         let registry = &mut self.discovery.registry;
         match packet.message {
             Message::Snapshot(message) => {
-                let snapshot = message.to_snapshot(|name| registry.enter(name));
-                self.io.news.push_back(Event::SnapshotReceived(snapshot));
+                let snapshot = message.to_snapshot(|name| registry.find_or_insert(name));
+                self.io.events.push_back(Event::SnapshotReceived(snapshot));
             }
             Message::OpenDescriptors { count } => self.io.sockets.set_open_in_other_process(count),
             Message::Leaving => {
-                self.io.news.push_back(Event::PredecessorEnded);
+                self.io.events.push_back(Event::PredecessorEnded);
                 // No other process accepts clients now, unless this one is to stop as well.
                 if self.shutdown_started.is_none() {
-                    self.sessions.open_door();
+                    self.sessions.start_accepting();
                 }
             }
             Message::Session(handover) => {
@@ -180,7 +190,7 @@
                         });
                 self.answer_offer(serial, offered);
             }
-            Message::Yours { serial } => self.adopt_session(serial),
+            Message::Released { serial } => self.adopt_session(serial),
             unexpected => {
                 log::warn!(target: LOG_TARGET, "the process before: unexpected {unexpected:?}");
             }
@@ -189,7 +199,7 @@
 
     /// Accepts a session that the predecessor offers, if there is room for it.
     fn answer_offer(&mut self, serial: u32, offered: Option<OfferedSession>) {
-        let can_take = self.shutdown_started.is_none() && self.sessions.has_room(&self.io);
+        let can_take = self.shutdown_started.is_none() && self.sessions.can_adopt(&self.io);
         match offered.filter(|_| can_take) {
             Some(offered) => self.hot_restart.accept_offer(serial, offered),
             None => self.hot_restart.decline_offer(serial),
--- a/relay/src/service/mod.rs
+++ b/relay/src/service/mod.rs
@@ -11,12 +11,12 @@
 use crate::admin::commands::AdminCommands;
 use crate::discovery::watch::{Knowledge, Watch};
 use crate::driver::Action;
+use crate::health_check::HealthChecks;
 use crate::hot_restart::state::HotRestart;
 use crate::io_context::IoContext;
 use crate::peers::Peers;
 use crate::session::table::Sessions;
 use crate::timers::Clock;
-use crate::upstream::HealthChecks;
 use polling::Poller;
 use reconfiguration::Reconfiguration;
 use std::rc::Rc;
@@ -72,10 +72,10 @@
     /// Accepts clients as soon as they can be served.
     fn accept_clients_when_ready(&mut self) {
         if self.shutdown_started.is_none()
-            && !self.sessions.takes_clients()
+            && !self.sessions.is_accepting()
             && self.can_serve_clients()
         {
-            self.sessions.open_door();
+            self.sessions.start_accepting();
             if self.listener_origin == ListenerOrigin::Inherited {
                 log::info!(target: LOG_TARGET, "takes clients");
             }
--- a/relay/src/service/reconfiguration.rs
+++ b/relay/src/service/reconfiguration.rs
@@ -2,7 +2,7 @@
 //! configuration read again.
 use super::{LOG_TARGET, Service};
 use crate::driver::Event;
-use crate::protocol::Names;
+use crate::protocol::ProtocolSettings;
 use crate::startup_config::{
     ConfigError, ConfigErrors, ConfigSource, OperatorConfigFile, StartupConfig, read_file,
     relay_context,
@@ -111,7 +111,7 @@
             routes,
             in_force_at,
         });
-        self.io.alarms.set(in_force_at, Timer::SettingsInForce);
+        self.io.timers.set(in_force_at, Timer::SettingsInForce);
         Ok(())
     }
 
@@ -144,7 +144,7 @@
 
     /// All of it at once, for what comes from now on.
     fn put_in_force(&mut self, settings: Settings, routes: RouteTable) {
-        let changes = self.sessions.routing().changes_to(&routes);
+        let changes = self.sessions.routes().changes_to(&routes);
         let configured = settings.deployment.clone();
         let zone_name = settings.zones.get(usize::from(configured.zone.0)).cloned();
         let zone = zone_name.map_or(configured.zone, |name| self.discovery.registry.zone(&name));
@@ -157,13 +157,13 @@
             .registry
             .set_report_fields(settings.report_fields);
         self.health_checks
-            .resettle(deployment.connect_timeout, settings.backend_idle_timeout);
+            .set_timeouts(deployment.connect_timeout, settings.backend_idle_timeout);
         self.discovery.set_drain_grace(settings.drain_grace);
         self.shutdown_timeout = deployment.shutdown_timeout;
         self.io
-            .news
+            .events
             .push_back(Event::Reconfigured(Box::new(deployment)));
-        self.sessions.reroute(protocol_names(&settings), routes);
+        self.sessions.reconfigure(protocol_names(&settings), routes);
         let generation = self.sessions.generation();
         if !changes.is_empty() {
             log::info!(
@@ -178,10 +178,10 @@
 }
 
 /// What of the settings the clients' protocol depends on.
-pub(super) fn protocol_names(settings: &Settings) -> Names {
-    Names {
+pub(super) fn protocol_names(settings: &Settings) -> ProtocolSettings {
+    ProtocolSettings {
         listeners: settings.listeners.clone(),
-        groups: settings.deployment.groups_share_work,
-        notes_tell_delay: settings.notes_carry_latency,
+        has_groups: settings.deployment.groups_share_work,
+        load_reports_latency: settings.notes_carry_latency,
     }
 }
--- a/relay/src/service/shutdown.rs
+++ b/relay/src/service/shutdown.rs
@@ -16,21 +16,21 @@
         let now = self.io.now;
         log::info!(target: LOG_TARGET, "told to stop, {} sessions", self.sessions.len());
         self.shutdown_started = Some(now);
-        self.io.news.push_back(Event::ShutDown);
+        self.io.events.push_back(Event::ShutDown);
         if let Some(peers) = &mut self.peers {
             peers.leave(now);
         }
         match self.listener_origin {
             ListenerOrigin::Inherited => {
-                self.sessions.shut_door();
+                self.sessions.stop_accepting();
                 self.hand_over_to_successor();
             }
             // Clients that are already connecting may come before the first endpoint list; no
             // other process would answer them.
-            ListenerOrigin::Bound => self.sessions.open_door(),
+            ListenerOrigin::Bound => self.sessions.start_accepting(),
         }
         for wait in [ACCEPT_AFTER_SIGNAL, self.time_to_end()] {
-            self.io.alarms.set(now + wait, Timer::Stop);
+            self.io.timers.set(now + wait, Timer::Stop);
         }
     }
 
--- a/relay/src/service/signals.rs
+++ b/relay/src/service/signals.rs
@@ -73,7 +73,7 @@
     }
 
     fn log_statistics(&self) {
-        let (sessions, generations) = (self.sessions.len(), self.sessions.generations());
+        let (sessions, generations) = (self.sessions.len(), self.sessions.sessions_by_generation());
         let banned = self.admin.banned_count();
         log::info!(
             target: LOG_TARGET,
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -7,6 +7,7 @@
 use crate::discovery::registry::EndpointRegistry;
 use crate::discovery::watch::Watch;
 use crate::driver::ActionRecorder;
+use crate::health_check::HealthChecks;
 use crate::hot_restart::state::HotRestart;
 use crate::io_context::IoContext;
 use crate::peers::{AddressConflict, Peers};
@@ -14,7 +15,6 @@
 use crate::sockets::{ListenerSocket, SocketOwner, Sockets};
 use crate::startup_config::StartupConfig;
 use crate::timers::{Clock, Timer};
-use crate::upstream::HealthChecks;
 use polling::Poller;
 use std::io;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
         let mut actions = Vec::new();
         let mut recorder = ActionRecorder {
             actions: &mut actions,
-            timers: &mut io.alarms,
+            timers: &mut io.timers,
         };
         let balancer = Balancer::new(deployment, config.seed, now, &mut recorder);
         discovery.subscribe(&mut io);
@@ -122,7 +122,7 @@
         let response_timeout = self.discovery.response_timeout();
         for wait in [response_timeout, CACHED_LIST_TIMEOUT, NO_LIST_TIMEOUT] {
             self.io
-                .alarms
+                .timers
                 .set(self.started + wait, Timer::StartAccepting);
         }
         self.accept_clients_when_ready();
@@ -213,7 +213,7 @@
         .as_ref()
         .map(|list| discovery.restore(list))
     {
-        Some(Ok(event)) => io.news.push_back(event),
+        Some(Ok(event)) => io.events.push_back(event),
         Some(Err(error)) => {
             log::warn!(target: LOG_TARGET, "the list known at start: {error}");
         }
--- a/relay/src/session/accept.rs
+++ b/relay/src/session/accept.rs
@@ -5,7 +5,7 @@
 use super::stage::Stage;
 use super::state::Session;
 use super::table::Sessions;
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::protocol;
 use crate::sockets::{Connection, SocketOwner};
@@ -24,17 +24,17 @@
 
 impl Sessions {
     /// Accepts clients from now on.
-    pub(crate) fn open_door(&mut self) {
+    pub(crate) fn start_accepting(&mut self) {
         self.listener.start();
     }
 
     /// Accepts no more clients: those in the backlog are left to another process.
-    pub(crate) fn shut_door(&mut self) {
+    pub(crate) fn stop_accepting(&mut self) {
         self.listener.stop();
     }
 
     /// Whether clients are accepted.
-    pub(crate) fn takes_clients(&self) -> bool {
+    pub(crate) fn is_accepting(&self) -> bool {
         self.listener.is_accepting()
     }
 
@@ -80,7 +80,7 @@
     /// Whether there is a descriptor for one more client, if need be by shedding an idle one or, to
     /// reject it, beyond the limit.
     fn can_accept(&mut self, registry: &EndpointRegistry, io: &mut IoContext) -> bool {
-        let open = io.sockets.open();
+        let open = io.sockets.open_in_relay();
         open < self.shared.max_descriptors
             || self.shed_idle(MIN_SILENCE_BEFORE_SHEDDING, registry, io)
             || open < self.shared.max_descriptors + DESCRIPTORS_FOR_REJECTIONS
@@ -95,7 +95,7 @@
         let id = self.next_id;
         self.next_id = self.next_id.wrapping_add(1);
         io.counters.connections += 1;
-        client.want(true, false);
+        client.set_interest(true, false);
         let connected = self.listener.connected_since(io.now);
         let mut session = Session::new(id, client, connected, io.now);
         session.start_handshake_timer(io);
@@ -108,7 +108,7 @@
     /// Sheds idle connections until a descriptor is free, or none is left to shed: idle
     /// connections never keep an attempt from its descriptor.
     pub(super) fn make_room(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
-        while io.sockets.open() >= self.shared.max_descriptors
+        while io.sockets.open_in_relay() >= self.shared.max_descriptors
             && self.shed_idle(Duration::ZERO, registry, io)
         {}
     }
@@ -168,8 +168,8 @@
         if io.now.duration_since(silent_since) < MIN_SILENCE_BEFORE_SHEDDING {
             // Accepted just now, the client may be sending at this very moment: then this is its
             // answer, though closing right after it may lose it.
-            self.output.add(&rejection);
-            let _ = self.output.give(&mut self.client);
+            self.output.push_line(&rejection);
+            let _ = self.output.write_to(&mut self.client);
         }
         Remove
     }
--- a/relay/src/session/actions.rs
+++ b/relay/src/session/actions.rs
@@ -5,7 +5,7 @@
 use super::table::Sessions;
 use crate::attempt::{Attempt, AttemptStage, FailureCause};
 use crate::counters::Counters;
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::protocol;
 use thistlecroft::ids::{BackendId, SessionId};
@@ -13,7 +13,7 @@
 
 impl Sessions {
     /// Attempts to connect a session to a backend, which has this long to answer.
-    pub(crate) fn dial(
+    pub(crate) fn start_attempt(
         &mut self,
         id: SessionId,
         backend: BackendId,
@@ -30,7 +30,7 @@
     }
 
     /// Cancels an attempt that no backend has accepted yet.
-    pub(crate) fn withdraw(&mut self, id: SessionId, number: u32, io: &mut IoContext) {
+    pub(crate) fn cancel_attempt(&mut self, id: SessionId, number: u32, io: &mut IoContext) {
         self.step(id.0, io, |session, _, io| {
             session.cancel_attempt(number, io);
             Keep
@@ -38,7 +38,7 @@
     }
 
     /// Rejects a session that waits, with the time to stay away where there is one.
-    pub(crate) fn refuse(
+    pub(crate) fn reject(
         &mut self,
         id: SessionId,
         retry_after: Option<Duration>,
@@ -49,7 +49,7 @@
     }
 
     /// Fails a session that waits.
-    pub(crate) fn tear_down(&mut self, id: SessionId, io: &mut IoContext) {
+    pub(crate) fn fail(&mut self, id: SessionId, io: &mut IoContext) {
         let line = protocol::FAILED_LINE;
         self.answer(id, line, |counters| &mut counters.torn_down, io);
     }
@@ -74,7 +74,7 @@
 
     /// Migrates an established session: its client is to connect again. One that is offered to the
     /// successor is migrated if it stays.
-    pub(crate) fn send_away(&mut self, id: SessionId, io: &mut IoContext) {
+    pub(crate) fn migrate(&mut self, id: SessionId, io: &mut IoContext) {
         self.step(id.0, io, |session, _, io| {
             match (session.stage, &mut session.metadata) {
                 (Stage::Established, _) => session.migrate(io),
@@ -88,16 +88,21 @@
     }
 
     /// Answers a session about which the balancer panicked.
-    pub(crate) fn give_up(&mut self, id: SessionId, io: &mut IoContext) {
+    pub(crate) fn fail_after_panic(&mut self, id: SessionId, io: &mut IoContext) {
         self.step(id.0, io, |session, _, io| session.fail(io));
     }
 
     /// An endpoint list or an operator has taken backends out: attempts there that have sent
     /// nothing yet end, since they could come up after the backend's grace. Called once the turn's
     /// own attempts are under way.
-    pub(crate) fn recall(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
-        let is_recalled =
-            |attempt: &Attempt| attempt.is_unsent() && registry.is_out(attempt.backend);
+    pub(crate) fn cancel_recalled_attempts(
+        &mut self,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) {
+        let is_recalled = |attempt: &Attempt| {
+            attempt.is_unsent() && registry.is_draining_or_banned(attempt.backend)
+        };
         let has_recalled = |session: &Session| {
             session.stage == Stage::Placing && session.attempts().any(is_recalled)
         };
@@ -125,7 +130,7 @@
             .hedge
             .take_if(|hedge| hedge.attempt.number == number);
         if let Some(mut hedge) = hedge {
-            hedge.to_client.clear(&mut io.pool);
+            hedge.to_client.clear(&mut io.buffers);
             let failure = hedge.attempt.failure(FailureCause::Cancelled);
             return self.report_attempt_end(number, failure, io);
         }
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -5,8 +5,8 @@
 use super::stage::Stage;
 use super::state::{HedgedAttempt, Session};
 use crate::attempt::{Attempt, AttemptFailure, AttemptPlan, AttemptProgress, FailureCause};
-use crate::buffers::Pool;
-use crate::discovery::watch::EndpointRegistry;
+use crate::buffers::BufferPool;
+use crate::discovery::registry::EndpointRegistry;
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use crate::line_buffer::LineBuffer;
@@ -50,7 +50,7 @@
             return Keep;
         };
         io.counters.dials += 1;
-        if io.sockets.open() >= shared.max_descriptors {
+        if io.sockets.open_in_relay() >= shared.max_descriptors {
             // Many first lines in one turn find room before the first of their attempts takes any.
             self.attempt_not_accepted(number, NOT_BEGUN, io);
             return Keep;
@@ -134,7 +134,7 @@
         let Some(attempt) = self.attempt.take() else {
             return;
         };
-        self.to_client.clear(&mut io.pool);
+        self.to_client.clear(&mut io.buffers);
         self.to_client = LineBuffer::default();
         if let Some(hedge) = self.placement.hedge.take() {
             self.attempt = Some(hedge.attempt);
@@ -144,7 +144,7 @@
     }
 
     /// Drops a hedged attempt without reporting its end.
-    pub(super) fn drop_hedge(&mut self, pool: &mut Pool) {
+    pub(super) fn drop_hedge(&mut self, pool: &mut BufferPool) {
         if let Some(mut hedge) = self.placement.hedge.take() {
             hedge.to_client.clear(pool);
         }
@@ -188,7 +188,7 @@
             is_answered: false,
             report: failure.report(),
         };
-        io.news
+        io.events
             .push_back(Event::AttemptEnded(self.session_id(), end));
     }
 }
--- a/relay/src/session/backend.rs
+++ b/relay/src/session/backend.rs
@@ -4,7 +4,7 @@
 use super::stage::Stage;
 use super::state::Session;
 use crate::attempt::{Attempt, AttemptStage, FailureCause};
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::line_buffer::ReadOutcome;
 use crate::protocol::BackendMessage;
@@ -43,7 +43,7 @@
         if attempt.stage != AttemptStage::Connecting && self.to_client.has_room() {
             match self
                 .to_client
-                .read_from(&mut attempt.connection, &mut io.pool)
+                .read_from(&mut attempt.connection, &mut io.buffers)
             {
                 Ok(ReadOutcome::Bytes(_)) => return self.take_backend_lines(shared, io),
                 Ok(ReadOutcome::Nothing) => {}
@@ -72,8 +72,9 @@
             return ControlFlow::Break(disposition);
         }
         // Its timer, if that is due, comes behind the sockets' events of this turn.
-        let is_stale =
-            |attempt: &Attempt| registry.is_out(attempt.backend) || attempt.is_overdue(io.now);
+        let is_stale = |attempt: &Attempt| {
+            registry.is_draining_or_banned(attempt.backend) || attempt.is_overdue(io.now)
+        };
         if self.stage == Stage::Placing && self.attempt.as_ref().is_some_and(is_stale) {
             self.end_attempt(FailureCause::Cancelled, io);
             return ControlFlow::Break(Keep);
@@ -132,10 +133,10 @@
         self.report_session_end(AttemptOutcome::Reset, io);
         // Lines that came before the break pass before it. Where they can't at once the client gets
         // an end instead, since a break would throw them away.
-        match self.to_client.write_to(&mut self.client, &mut io.pool) {
+        match self.to_client.write_to(&mut self.client, &mut io.buffers) {
             Ok(false) => self.close(io),
             Ok(true) | Err(_) => {
-                self.client.break_off();
+                self.client.set_reset_on_close();
                 Remove
             }
         }
@@ -151,7 +152,7 @@
         };
         match self
             .to_backend
-            .write_to(&mut attempt.connection, &mut io.pool)
+            .write_to(&mut attempt.connection, &mut io.buffers)
         {
             Ok(true) if self.to_backend.has_ended => {
                 attempt.connection.finish_sending();
@@ -161,7 +162,7 @@
             Err(_) => {
                 // Nothing more gets there; what the backend sent before is still to be read, then
                 // its end.
-                self.to_backend.clear(&mut io.pool);
+                self.to_backend.clear(&mut io.buffers);
                 self.relaying.is_backend_shut = self.to_backend.has_ended;
             }
         }
--- a/relay/src/session/client.rs
+++ b/relay/src/session/client.rs
@@ -4,7 +4,7 @@
 use super::stage::Disposition::{self, Keep, Remove};
 use super::stage::Stage;
 use super::state::Session;
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::line_buffer::ReadOutcome;
 use crate::protocol;
@@ -40,7 +40,7 @@
         registry: &EndpointRegistry,
         io: &mut IoContext,
     ) -> Disposition {
-        match self.to_backend.read_from(&mut self.client, &mut io.pool) {
+        match self.to_backend.read_from(&mut self.client, &mut io.buffers) {
             Ok(ReadOutcome::Bytes(_)) => {
                 self.last_activity = io.now;
                 self.take_client_bytes(shared, registry, io)
@@ -66,7 +66,7 @@
             Stage::Established => self.relay_client_lines(io),
             Stage::Placing | Stage::Inherited | Stage::HandingOver => Keep,
             Stage::Closing | Stage::Draining => {
-                self.to_backend.clear(&mut io.pool);
+                self.to_backend.clear(&mut io.buffers);
                 Keep
             }
         }
@@ -78,7 +78,7 @@
             Stage::Handshake if self.to_backend.has_writable() => {
                 self.fail_handshake(HandshakeError::Truncated, io)
             }
-            Stage::Handshake if self.output.waits() => self.close(io),
+            Stage::Handshake if self.output.has_pending() => self.close(io),
             Stage::Handshake | Stage::Draining => Remove,
             // The client may have gone, or may only have no more to send and still wait for its
             // answer; writing one does no harm in the first case.
@@ -101,7 +101,7 @@
             Stage::Established => {
                 self.report_session_end(AttemptOutcome::Cancelled, io);
                 if let Some(attempt) = &self.attempt {
-                    attempt.connection.break_off();
+                    attempt.connection.set_reset_on_close();
                 }
             }
             Stage::Handshake | Stage::HandingOver | Stage::Closing | Stage::Draining => {}
@@ -131,13 +131,13 @@
     /// Writes what waits for the client: first the backend's lines, then the relay's own.
     pub(super) fn write_to_client(&mut self, io: &mut IoContext) -> Disposition {
         if matches!(self.stage, Stage::Established | Stage::Closing) {
-            match self.to_client.write_to(&mut self.client, &mut io.pool) {
+            match self.to_client.write_to(&mut self.client, &mut io.buffers) {
                 Ok(true) => {}
                 Ok(false) => return Keep,
                 Err(_) => return self.client_broken(io),
             }
         }
-        match self.output.give(&mut self.client) {
+        match self.output.write_to(&mut self.client) {
             Ok(true) => {}
             Ok(false) => return Keep,
             Err(_) => return self.client_broken(io),
--- a/relay/src/session/closing.rs
+++ b/relay/src/session/closing.rs
@@ -26,7 +26,7 @@
 impl Session {
     /// Closes the session behind this last line.
     pub(super) fn close_with(&mut self, line: &str, io: &mut IoContext) -> Disposition {
-        self.output.add(line);
+        self.output.push_line(line);
         self.close(io)
     }
 
@@ -34,9 +34,9 @@
     pub(super) fn close(&mut self, io: &mut IoContext) -> Disposition {
         self.stage = Stage::Closing;
         self.attempt = None;
-        self.drop_hedge(&mut io.pool);
-        self.to_client.discard_partial_line(&mut io.pool);
-        self.to_backend.clear(&mut io.pool);
+        self.drop_hedge(&mut io.buffers);
+        self.to_client.discard_partial_line(&mut io.buffers);
+        self.to_backend.clear(&mut io.buffers);
         self.close_after(DRAIN_TIMEOUT, io);
         self.write_to_client(io)
     }
@@ -49,7 +49,7 @@
             // What the client has sent passes before the end, as far as the backend takes it.
             let _ = self
                 .to_backend
-                .write_to(&mut attempt.connection, &mut io.pool);
+                .write_to(&mut attempt.connection, &mut io.buffers);
             attempt.connection.finish_sending();
         }
         self.close_with(protocol::MIGRATED_LINE, io)
@@ -132,7 +132,7 @@
             is_answered: true,
             report,
         };
-        io.news
+        io.events
             .push_back(Event::AttemptEnded(self.session_id(), end));
     }
 }
--- a/relay/src/session/established.rs
+++ b/relay/src/session/established.rs
@@ -44,23 +44,23 @@
     ) {
         let id = self.session_id();
         match message {
-            BackendMessage::Load(latency_ms) if shared.names.notes_tell_delay => {
+            BackendMessage::Load(latency_ms) if shared.names.load_reports_latency => {
                 self.relaying.latency.reported = Duration::from_millis(1) * latency_ms;
-                io.news
+                io.events
                     .push_back(Event::LatencyObserved(id, self.relaying.latency.reported));
             }
             BackendMessage::Load(load) => {
                 if let Some(metadata) = &mut self.metadata {
                     metadata.load = Some(load);
                 }
-                io.news.push_back(Event::LoadObserved(id, load));
+                io.events.push_back(Event::LoadObserved(id, load));
             }
             BackendMessage::Final(outcome, report) => {
                 self.relaying.final_message = Some((outcome, report))
             }
             BackendMessage::Accepted | BackendMessage::Data => {
                 if let Some(latency) = self.relaying.latency.response_relayed(io.now) {
-                    io.news.push_back(Event::LatencyObserved(id, latency));
+                    io.events.push_back(Event::LatencyObserved(id, latency));
                 }
             }
         }
@@ -70,7 +70,7 @@
     pub(super) fn watch_response(&mut self, io: &mut IoContext) {
         if !self.relaying.latency.is_timer_set && self.relaying.latency.pending_since.is_some() {
             self.relaying.latency.is_timer_set = true;
-            io.alarms.set(
+            io.timers.set(
                 io.now + RESPONSE_OVERDUE_INTERVAL,
                 Timer::ResponseOverdue(self.id),
             );
@@ -88,7 +88,7 @@
         let waited = io.now.duration_since(pending_since);
         let next = if waited >= RESPONSE_OVERDUE_INTERVAL {
             if !self.relaying.is_end_reported {
-                io.news
+                io.events
                     .push_back(Event::ResponseOverdue(self.session_id(), waited));
             }
             io.now + RESPONSE_OVERDUE_INTERVAL
@@ -97,7 +97,7 @@
             pending_since + RESPONSE_OVERDUE_INTERVAL
         };
         self.relaying.latency.is_timer_set = true;
-        io.alarms.set(next, Timer::ResponseOverdue(self.id));
+        io.timers.set(next, Timer::ResponseOverdue(self.id));
     }
 
     /// How long no line may pass, where the route limits that.
@@ -119,7 +119,7 @@
             io.counters.idle += 1;
             return self.migrate(io);
         }
-        io.alarms.set(
+        io.timers.set(
             self.last_activity + idle_timeout,
             Timer::IdleTimeout(self.id),
         );
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -6,10 +6,10 @@
 use super::state::{Session, SessionMetadata};
 use super::table::Sessions;
 use crate::attempt::Attempt;
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::driver::Event;
 use crate::hot_restart::channel::Channel;
-use crate::hot_restart::messages::{Message, SessionHandover};
+use crate::hot_restart::messages::{Message, SessionHandover, WaitingBytes};
 use crate::io_context::IoContext;
 use crate::line_buffer::LineBuffer;
 use crate::sockets::{Connection, SocketOwner};
@@ -41,16 +41,16 @@
 
 impl Sessions {
     /// All sessions that are established, or will be, are to go to the successor.
-    pub(crate) fn hand_over_to_successor(&mut self, io: &mut IoContext) {
+    pub(crate) fn start_handover(&mut self, io: &mut IoContext) {
         self.offers.waiting = self.sessions.keys().copied().collect();
-        io.alarms.set(io.now, Timer::OfferSessions);
+        io.timers.set(io.now, Timer::OfferSessions);
     }
 
     /// Offers as many sessions as may be on their way at once.
     ///
     /// # Errors
     /// The successor is gone.
-    pub(crate) fn offer(
+    pub(crate) fn offer_sessions(
         &mut self,
         successor: &Channel,
         registry: &EndpointRegistry,
@@ -70,7 +70,7 @@
             match session.handover_readiness() {
                 Readiness::Ready if session.send_offer(successor, registry)? => {
                     self.offers.offer_sent();
-                    io.alarms
+                    io.timers
                         .set(io.now + OFFER_TIMEOUT, Timer::OfferTimeout(id));
                 }
                 Readiness::Ready | Readiness::NotYet => self.offers.waiting.push_back(id),
@@ -78,7 +78,7 @@
             }
         }
         if !self.offers.waiting.is_empty() {
-            io.alarms.set(io.now + OFFER_INTERVAL, Timer::OfferSessions);
+            io.timers.set(io.now + OFFER_INTERVAL, Timer::OfferSessions);
         }
         Ok(())
     }
@@ -87,7 +87,7 @@
     ///
     /// # Errors
     /// The successor is gone, or does not read.
-    pub(crate) fn handed(
+    pub(crate) fn handover_accepted(
         &mut self,
         id: u32,
         successor: &Channel,
@@ -96,7 +96,7 @@
         if !self.is_offered(id) {
             return Ok(());
         }
-        if !successor.send(&Message::Yours { serial: id }, &[], &[])? {
+        if !successor.send(&Message::Released { serial: id }, &[], &[])? {
             return Err(std::io::Error::other("the successor does not read"));
         }
         self.offers.offer_settled();
@@ -109,7 +109,7 @@
     }
 
     /// The session stays after all; true where it had been offered.
-    pub(crate) fn keep(&mut self, id: u32, io: &mut IoContext) -> bool {
+    pub(crate) fn handover_declined(&mut self, id: u32, io: &mut IoContext) -> bool {
         let is_offered = self.is_offered(id);
         if is_offered {
             self.offers.offer_settled();
@@ -119,7 +119,7 @@
     }
 
     /// There is no successor any more: all sessions stay.
-    pub(crate) fn keep_all(&mut self, io: &mut IoContext) {
+    pub(crate) fn cancel_handover(&mut self, io: &mut IoContext) {
         self.offers.waiting.clear();
         let offered: Vec<u32> = self
             .sessions
@@ -128,7 +128,7 @@
             .map(|(&id, _)| id)
             .collect();
         for id in offered {
-            self.keep(id, io);
+            self.handover_declined(id, io);
         }
     }
 
@@ -139,8 +139,8 @@
 
     /// Whether a session of the predecessor fits in. What that holds does not count: a session that
     /// comes from there is one less over there.
-    pub(crate) fn has_room(&self, io: &IoContext) -> bool {
-        io.sockets.own() + DESCRIPTORS_PER_SESSION <= self.shared.max_descriptors
+    pub(crate) fn can_adopt(&self, io: &IoContext) -> bool {
+        io.sockets.open_here() + DESCRIPTORS_PER_SESSION <= self.shared.max_descriptors
     }
 
     /// Takes over a session that the predecessor has let go of, with the bytes that waited on their
@@ -158,15 +158,15 @@
         io: &mut IoContext,
     ) -> std::io::Result<()> {
         let id = self.next_id;
-        let backend_id = registry.enter(&handover.backend);
+        let backend_id = registry.find_or_insert(&handover.backend);
         let client = io.sockets.adopt(SocketOwner::Client(id), client.into())?;
         let backend = io.sockets.adopt(SocketOwner::Attempt(id), backend.into())?;
         let mut restore = |bytes, line_bytes| {
-            LineBuffer::restore(bytes, line_bytes, &mut io.pool)
+            LineBuffer::restore(bytes, line_bytes, &mut io.buffers)
                 .ok_or_else(|| std::io::Error::other("no buffer"))
         };
-        let to_backend = restore(to_backend, handover.up.1)?;
-        let to_client = restore(to_client, handover.down.1)?;
+        let to_backend = restore(to_backend, handover.to_backend.complete)?;
+        let to_client = restore(to_client, handover.to_client.complete)?;
         self.next_id = self.next_id.wrapping_add(1);
 
         let mut session = Session::new(id, client, io.now, io.now);
@@ -177,10 +177,10 @@
         self.sessions.insert(id, session);
         io.counters.adopted += 1;
         let id = SessionId(id);
-        io.news
+        io.events
             .push_back(Event::SessionInherited(id, backend_id, arrival));
         if let Some(load) = handover.load {
-            io.news.push_back(Event::LoadObserved(id, load));
+            io.events.push_back(Event::LoadObserved(id, load));
         }
         self.step(id.0, io, |_, _, _| Keep);
         Ok(())
@@ -199,7 +199,7 @@
                     || self.close_at.is_some();
                 if is_ending {
                     Readiness::Never
-                } else if self.output.waits() || self.placement.hedge.is_some() {
+                } else if self.output.has_pending() || self.placement.hedge.is_some() {
                     Readiness::NotYet
                 } else {
                     Readiness::Ready
@@ -226,15 +226,21 @@
             serial: self.id,
             id: open_id,
             listener: metadata.listener.clone(),
-            key: metadata.key,
+            client_key: metadata.key,
             group: metadata.group,
             backend: registry.name(attempt.backend).to_string(),
-            heard_us: self.last_activity.as_micros(),
-            asked_us: self.relaying.latency.pending_since.map(Instant::as_micros),
-            told_delay_us: self.relaying.latency.reported.as_micros(),
+            last_line_at_us: self.last_activity.as_micros(),
+            awaiting_since_us: self.relaying.latency.pending_since.map(Instant::as_micros),
+            reported_latency_us: self.relaying.latency.reported.as_micros(),
             load: metadata.load,
-            up: (to_backend.len(), to_backend_lines),
-            down: (to_client.len(), to_client_lines),
+            to_backend: WaitingBytes {
+                total: to_backend.len(),
+                complete: to_backend_lines,
+            },
+            to_client: WaitingBytes {
+                total: to_client.len(),
+                complete: to_client_lines,
+            },
         });
         let descriptors = [self.client.descriptor(), attempt.connection.descriptor()];
         if !successor.send(&message, &[to_backend, to_client], &descriptors)? {
@@ -268,12 +274,12 @@
         self.stage = Stage::Established;
         self.was_established = true;
         self.attempt = Some(Attempt::adopted(backend, connection, now));
-        self.last_activity = Instant::from_micros(handover.heard_us);
-        self.relaying.latency.pending_since = handover.asked_us.map(Instant::from_micros);
-        self.relaying.latency.reported = Duration::from_micros(handover.told_delay_us);
+        self.last_activity = Instant::from_micros(handover.last_line_at_us);
+        self.relaying.latency.pending_since = handover.awaiting_since_us.map(Instant::from_micros);
+        self.relaying.latency.reported = Duration::from_micros(handover.reported_latency_us);
         self.metadata = Some(Box::new(SessionMetadata {
             listener: handover.listener.clone(),
-            key: handover.key,
+            key: handover.client_key,
             group: handover.group,
             load: handover.load,
             is_migration_due: false,
@@ -290,17 +296,18 @@
             .iter()
             .position(|name| *name == handover.listener)
             .unwrap_or(0);
-        let row =
-            shared
-                .routes
-                .route_for(listener, handover.key.unwrap_or_default(), handover.group);
+        let row = shared.routes.route_for(
+            listener,
+            handover.client_key.unwrap_or_default(),
+            handover.group,
+        );
         self.route = Some(shared.bind_route(row));
         let is_new = shared.open_ids.insert(handover.id);
         self.open_id = is_new.then_some(handover.id);
         Arrival {
             route: RouteId(row as u16),
-            client_key: handover.key,
-            group: handover.group.filter(|_| shared.names.groups),
+            client_key: handover.client_key,
+            group: handover.group.filter(|_| shared.names.has_groups),
             timeout: Duration::ZERO,
         }
     }
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -3,7 +3,7 @@
 use super::stage::Disposition::{self, Keep};
 use super::stage::Stage;
 use super::state::{Session, SessionMetadata};
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use crate::line_buffer::LineTooLong;
@@ -69,8 +69,8 @@
             match first_line {
                 Ok(FirstLine::Ping) => {
                     io.counters.pings += 1;
-                    self.to_backend.discard_lines(&mut io.pool);
-                    self.output.add(protocol::PONG_LINE);
+                    self.to_backend.discard_lines(&mut io.buffers);
+                    self.output.push_line(protocol::PONG_LINE);
                 }
                 Ok(FirstLine::Open(request)) => return self.open(request, shared, registry, io),
                 Err(error) => return self.fail_handshake(error, io),
@@ -87,7 +87,7 @@
         registry: &EndpointRegistry,
         io: &mut IoContext,
     ) -> Disposition {
-        self.to_backend.discard_lines(&mut io.pool);
+        self.to_backend.discard_lines(&mut io.buffers);
         if self.to_backend.has_bytes() {
             return self.fail_handshake(HandshakeError::TrailingData, io);
         }
@@ -97,7 +97,8 @@
         self.open_id = Some(request.id);
         self.close_at = None;
         self.phase_started = io.now;
-        if io.sockets.open() >= shared.max_descriptors && !shared.has_idle_besides(self.id) {
+        if io.sockets.open_in_relay() >= shared.max_descriptors && !shared.has_idle_besides(self.id)
+        {
             // There is no descriptor for an attempt. Rejecting now leaves some for accepting
             // others.
             io.counters.turned_away += 1;
@@ -113,7 +114,7 @@
         }
         io.counters.sessions += 1;
         self.stage = Stage::Placing;
-        io.news
+        io.events
             .push_back(Event::SessionArrived(self.session_id(), arrival));
         Keep
     }
@@ -149,7 +150,7 @@
     ) -> Disposition {
         io.counters.bad_lines += 1;
         log::debug!("handshake failed session={} error=\"{error}\"", self.id);
-        self.to_backend.clear(&mut io.pool);
+        self.to_backend.clear(&mut io.buffers);
         self.close_with(protocol::FAILED_LINE, io)
     }
 }
--- a/relay/src/session/inherited.rs
+++ b/relay/src/session/inherited.rs
@@ -4,7 +4,7 @@
 use super::stage::Disposition::{self, Keep};
 use super::stage::Stage;
 use super::state::Session;
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::protocol;
 use crate::timers::Timer;
@@ -35,7 +35,7 @@
             .request
             .as_ref()
             .and_then(|request| request.at.as_deref());
-        let backend = name.and_then(|name| registry.named(name));
+        let backend = name.and_then(|name| registry.find(name));
         let timeout = match backend {
             Some(_) => INHERITED_TIMEOUT,
             None => UNKNOWN_BACKEND_TIMEOUT,
@@ -56,7 +56,7 @@
 
     /// Sets the timer of the next attempt.
     pub(super) fn retry_inherited_later(&mut self, io: &mut IoContext) {
-        io.alarms.set(
+        io.timers.set(
             io.now + INHERITED_RETRY_INTERVAL,
             Timer::RetryInherited(self.id),
         );
--- a/relay/src/session/listener.rs
+++ b/relay/src/session/listener.rs
@@ -37,13 +37,13 @@
 
     pub(super) fn start(&mut self) {
         self.accepting = Accepting::Started;
-        self.socket.want(true);
+        self.socket.set_interest(true);
     }
 
     /// Whoever waits in the backlog is left to another process.
     pub(super) fn stop(&mut self) {
         self.accepting = Accepting::Stopped;
-        self.socket.want(false);
+        self.socket.set_interest(false);
     }
 
     pub(super) fn is_accepting(&self) -> bool {
@@ -57,8 +57,8 @@
     /// Pauses for a moment; connections stay in the backlog.
     pub(super) fn pause(&mut self, io: &mut IoContext) {
         self.fell_behind(io.now);
-        self.socket.want(false);
-        io.alarms
+        self.socket.set_interest(false);
+        io.timers
             .set(io.now + ACCEPT_RETRY_INTERVAL, Timer::ResumeAccepting);
     }
 
@@ -75,7 +75,7 @@
     /// Ends a pause.
     pub(super) fn resume(&mut self) {
         self.is_saturated = false;
-        self.socket.want(self.is_accepting());
+        self.socket.set_interest(self.is_accepting());
     }
 
     /// The backlog is empty.
--- a/relay/src/session/placement.rs
+++ b/relay/src/session/placement.rs
@@ -42,15 +42,15 @@
         io.counters.clients_left += 1;
         let is_known_to_balancer = self.stage == Stage::Placing;
         if is_known_to_balancer {
-            io.news.push_back(Event::SessionLeft(self.session_id()));
+            io.events.push_back(Event::SessionLeft(self.session_id()));
         }
         if let Some(mut hedge) = self.placement.hedge.take() {
-            hedge.to_client.clear(&mut io.pool);
+            hedge.to_client.clear(&mut io.buffers);
             let failure = hedge.attempt.failure(FailureCause::Cancelled);
             self.report_attempt_end(hedge.attempt.number, failure, io);
         }
         if let Some(attempt) = self.attempt.take() {
-            self.to_client.clear(&mut io.pool);
+            self.to_client.clear(&mut io.buffers);
             if is_known_to_balancer {
                 let failure = attempt.failure(FailureCause::Cancelled);
                 self.report_attempt_end(attempt.number, failure, io);
@@ -73,7 +73,7 @@
                 return ControlFlow::Continue(());
             }
             Ok(BackendMessage::Load(_)) => {
-                self.to_client.discard_lines(&mut io.pool);
+                self.to_client.discard_lines(&mut io.buffers);
                 return ControlFlow::Continue(());
             }
             // A session that ends well without having begun is no answer that a client could use.
@@ -96,7 +96,7 @@
             return;
         };
         attempt.stage = AttemptStage::Established;
-        io.news
+        io.events
             .push_back(match (self.stage, &self.placement.request) {
                 (Stage::Inherited, Some(request)) => {
                     io.counters.inherited += 1;
@@ -109,7 +109,7 @@
         self.placement.request = None;
         self.was_established = true;
         if let Some(idle_timeout) = self.idle_timeout() {
-            io.alarms
+            io.timers
                 .set(io.now + idle_timeout, Timer::IdleTimeout(self.id));
         }
     }
--- a/relay/src/session/shared.rs
+++ b/relay/src/session/shared.rs
@@ -2,13 +2,13 @@
 use super::config_generations::ConfigGenerations;
 use super::idle::IdleEntry;
 use super::state::SessionRoute;
-use crate::protocol::Names;
+use crate::protocol::ProtocolSettings;
 use std::collections::BTreeSet;
 use thistlecroft_operator_config::RouteTable;
 
 /// What a session needs to know of the whole.
 pub(super) struct Shared {
-    pub(super) names: Names,
+    pub(super) names: ProtocolSettings,
     pub(super) routes: RouteTable,
     pub(super) generations: ConfigGenerations,
     /// Descriptors that sessions may take together.
@@ -21,7 +21,11 @@
 }
 
 impl Shared {
-    pub(super) fn new(names: Names, routes: RouteTable, max_descriptors: usize) -> Shared {
+    pub(super) fn new(
+        names: ProtocolSettings,
+        routes: RouteTable,
+        max_descriptors: usize,
+    ) -> Shared {
         Shared {
             names,
             routes,
--- a/relay/src/session/state.rs
+++ b/relay/src/session/state.rs
@@ -152,7 +152,7 @@
     /// Sets the time at which it is closed.
     pub(super) fn close_after(&mut self, delay: Duration, io: &mut IoContext) {
         self.close_at = Some(io.now + delay);
-        io.alarms.set(io.now + delay, Timer::Client(self.id));
+        io.timers.set(io.now + delay, Timer::Client(self.id));
     }
 
     /// It stops reading until a buffer comes back to the pool.
@@ -165,24 +165,24 @@
     /// Tells the poller what to wait for, by the stage and by what is on its way.
     pub(super) fn update_interests(&mut self) {
         if self.stage == Stage::HandingOver {
-            self.client.want(false, false);
+            self.client.set_interest(false, false);
             if let Some(attempt) = &mut self.attempt {
-                attempt.connection.want(false, false);
+                attempt.connection.set_interest(false, false);
             }
             return;
         }
         let is_relaying = matches!(self.stage, Stage::Established | Stage::Closing);
-        let has_output = is_relaying && self.to_client.has_writable() || self.output.waits();
+        let has_output = is_relaying && self.to_client.has_writable() || self.output.has_pending();
         // While it awaits a backend nothing that it sends is kept: no lack of buffers may hide that
         // it leaves.
         let can_read = self.awaits_backend() || !self.is_starved;
         self.client
-            .want(self.to_backend.has_room() && can_read, has_output);
+            .set_interest(self.to_backend.has_room() && can_read, has_output);
         if let Some(attempt) = &mut self.attempt {
             let has_lines = attempt.stage == AttemptStage::Established
                 && self.to_backend.has_writable()
                 && !self.relaying.is_backend_shut;
-            attempt.connection.want(
+            attempt.connection.set_interest(
                 self.to_client.has_room() && !self.is_starved,
                 attempt.is_sending() || has_lines,
             );
@@ -190,7 +190,7 @@
         if let Some(hedge) = &mut self.placement.hedge {
             // Once the other attempt is accepted, this one only waits to be cancelled.
             let is_placing = self.stage == Stage::Placing;
-            hedge.attempt.connection.want(
+            hedge.attempt.connection.set_interest(
                 is_placing && hedge.to_client.has_room() && !self.is_starved,
                 is_placing && hedge.attempt.is_sending(),
             );
--- a/relay/src/session/table.rs
+++ b/relay/src/session/table.rs
@@ -5,9 +5,9 @@
 use super::stage::Disposition::{self, Keep, Remove};
 use super::state::Session;
 use crate::attempt::{Attempt, FailureCause};
-use crate::discovery::watch::EndpointRegistry;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::protocol::Names;
+use crate::protocol::ProtocolSettings;
 use crate::sockets::ListenerSocket;
 use std::collections::BTreeMap;
 use std::panic::{AssertUnwindSafe, catch_unwind};
@@ -15,7 +15,7 @@
 
 /// Descriptors that sessions never take: discovery, health checks, signals, listeners, the poller,
 /// the log.
-pub(crate) const RESERVE: usize = 40;
+pub(crate) const RESERVED_DESCRIPTORS: usize = 40;
 
 /// All sessions of this process, and the listener from which they come.
 pub(crate) struct Sessions {
@@ -32,11 +32,11 @@
     /// have open in all.
     pub(crate) fn new(
         listener: ListenerSocket,
-        names: Names,
+        names: ProtocolSettings,
         routes: RouteTable,
         descriptors: usize,
     ) -> Sessions {
-        let max_descriptors = descriptors.saturating_sub(RESERVE);
+        let max_descriptors = descriptors.saturating_sub(RESERVED_DESCRIPTORS);
         Sessions {
             sessions: BTreeMap::new(),
             next_id: 0,
@@ -57,7 +57,7 @@
     }
 
     /// Other names and routes, for the sessions that come from now on.
-    pub(crate) fn reroute(&mut self, names: Names, routes: RouteTable) {
+    pub(crate) fn reconfigure(&mut self, names: ProtocolSettings, routes: RouteTable) {
         let is_changed =
             self.shared.names.listeners != names.listeners || self.shared.routes != routes;
         (self.shared.names, self.shared.routes) = (names, routes);
@@ -67,7 +67,7 @@
     }
 
     /// The routes of the sessions that come now.
-    pub(crate) fn routing(&self) -> &RouteTable {
+    pub(crate) fn routes(&self) -> &RouteTable {
         &self.shared.routes
     }
 
@@ -77,7 +77,7 @@
     }
 
     /// How many sessions belong to which generation of the configuration, for the log.
-    pub(crate) fn generations(&self) -> String {
+    pub(crate) fn sessions_by_generation(&self) -> String {
         self.shared.generations.to_string()
     }
 
@@ -113,9 +113,9 @@
 
     fn remove(&mut self, id: u32, io: &mut IoContext) {
         if let Some(mut session) = self.sessions.remove(&id) {
-            session.to_backend.clear(&mut io.pool);
-            session.to_client.clear(&mut io.pool);
-            session.drop_hedge(&mut io.pool);
+            session.to_backend.clear(&mut io.buffers);
+            session.to_client.clear(&mut io.buffers);
+            session.drop_hedge(&mut io.buffers);
             if let Some(open_id) = session.open_id {
                 self.shared.open_ids.remove(&open_id);
             }
@@ -138,7 +138,7 @@
         io: &mut IoContext,
     ) {
         self.step(id, io, |session, shared, io| {
-            if session.client.is(key) {
+            if session.client.has_key(key) {
                 session.client_event(shared, registry, io)
             } else {
                 Keep
@@ -147,7 +147,7 @@
     }
 
     /// The socket of an attempt with this key is ready.
-    pub(crate) fn dial_event(
+    pub(crate) fn backend_event(
         &mut self,
         id: u32,
         key: usize,
@@ -155,7 +155,7 @@
         io: &mut IoContext,
     ) {
         self.step(id, io, |session, shared, io| {
-            if session.promote_attempt(|attempt| attempt.connection.is(key)) {
+            if session.promote_attempt(|attempt| attempt.connection.has_key(key)) {
                 session.backend_event(shared, registry, io)
             } else {
                 Keep
@@ -164,7 +164,7 @@
     }
 
     /// The attempt with this serial may have taken too long.
-    pub(crate) fn dial_alarm(&mut self, id: u32, serial: u32, io: &mut IoContext) {
+    pub(crate) fn attempt_timer_fired(&mut self, id: u32, serial: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| {
             let is_late =
                 |attempt: &Attempt| attempt.serial == serial && attempt.is_overdue(io.now);
@@ -176,12 +176,12 @@
     }
 
     /// The client's first line is late, or its end after the relay's last line is.
-    pub(crate) fn client_alarm(&mut self, id: u32, io: &mut IoContext) {
+    pub(crate) fn close_timer_fired(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| session.close_timer_fired(io));
     }
 
     /// A line of the client may have waited too long for an answer.
-    pub(crate) fn overdue_alarm(&mut self, id: u32, io: &mut IoContext) {
+    pub(crate) fn response_timer_fired(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| {
             session.response_timer_fired(io);
             Keep
@@ -189,21 +189,26 @@
     }
 
     /// No line may have passed for as long as the route allows.
-    pub(crate) fn idle_alarm(&mut self, id: u32, io: &mut IoContext) {
+    pub(crate) fn idle_timer_fired(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| session.idle_timer_fired(io));
     }
 
     /// An inherited session is to try its backend again.
-    pub(crate) fn again_alarm(&mut self, id: u32, registry: &EndpointRegistry, io: &mut IoContext) {
+    pub(crate) fn retry_inherited(
+        &mut self,
+        id: u32,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) {
         self.step(id, io, |session, shared, io| {
             session.attempt_inherited(shared, registry, io)
         });
     }
 
     /// Sessions that stopped for want of a buffer read on.
-    pub(crate) fn feed(&mut self, io: &mut IoContext) {
+    pub(crate) fn resume_starved(&mut self, io: &mut IoContext) {
         for _ in 0..io.starved.len() {
-            if !io.pool.has_available() {
+            if !io.buffers.has_available() {
                 return;
             }
             let Some(id) = io.starved.pop_front() else {
--- a/relay/src/session/tests.rs
+++ b/relay/src/session/tests.rs
@@ -1,7 +1,7 @@
 //! Sessions over loopback, without the rest of the process.
 use super::table::Sessions;
-use crate::buffers::Pool;
-use crate::discovery::watch::EndpointRegistry;
+use crate::buffers::BufferPool;
+use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
 use crate::protocol::tests::names;
 use crate::sockets::{SocketOwner, Sockets, key_of};
@@ -16,9 +16,9 @@
     IoContext {
         now: Clock::start().now(),
         sockets: Sockets::new(poller),
-        pool: Pool::new(4),
-        alarms: Default::default(),
-        news: Default::default(),
+        buffers: BufferPool::new(4),
+        timers: Default::default(),
+        events: Default::default(),
         counters: Default::default(),
         starved: Default::default(),
     }
@@ -44,7 +44,7 @@
     };
     let routes = RouteTable::from_settings(&context);
     let mut sessions = Sessions::new(listener, names(false), routes, 1_000);
-    sessions.open_door();
+    sessions.start_accepting();
     sessions
 }
 
@@ -86,7 +86,7 @@
     clients[0].read_exact(&mut received).unwrap();
     assert_eq!(&received, b"ERR\r\n");
     assert_eq!(io.counters.panics, 1);
-    sessions.refuse(thistlecroft::ids::SessionId(1), None, &mut io);
+    sessions.reject(thistlecroft::ids::SessionId(1), None, &mut io);
     clients[1].read_exact(&mut received).unwrap();
     assert_eq!(&received, b"BUSY\r");
 }
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -103,12 +103,12 @@
     }
 
     /// Open sockets of this process and the other one, for the limit that both share.
-    pub(crate) fn open(&self) -> usize {
-        self.own() + self.open_in_other_process
+    pub(crate) fn open_in_relay(&self) -> usize {
+        self.open_here() + self.open_in_other_process
     }
 
     /// Open sockets of this process.
-    pub(crate) fn own(&self) -> usize {
+    pub(crate) fn open_here(&self) -> usize {
         self.own.get()
     }
 
@@ -215,12 +215,12 @@
 
 impl Registration {
     /// True if an event with this key is about this descriptor.
-    pub(crate) fn is(&self, key: usize) -> bool {
+    pub(crate) fn has_key(&self, key: usize) -> bool {
         self.key == key
     }
 
     /// Sets the readiness that is waited for.
-    pub(crate) fn want(&mut self, reading: bool, writing: bool) {
+    pub(crate) fn set_interest(&mut self, reading: bool, writing: bool) {
         let interest = Interest::new(reading, writing);
         if interest == self.interest {
             return;
@@ -252,7 +252,7 @@
 
 impl Drop for Registration {
     fn drop(&mut self) {
-        self.want(false, false);
+        self.set_interest(false, false);
         self.open_sockets.set(self.open_sockets.get() - 1);
     }
 }
@@ -266,8 +266,8 @@
 
 impl Connection {
     /// True if an event with this key is about this connection.
-    pub(crate) fn is(&self, key: usize) -> bool {
-        self.registration.is(key)
+    pub(crate) fn has_key(&self, key: usize) -> bool {
+        self.registration.has_key(key)
     }
 
     /// For handing it to another process, which then holds the same connection.
@@ -276,15 +276,15 @@
     }
 
     /// Sets the readiness that is waited for.
-    pub(crate) fn want(&mut self, reading: bool, writing: bool) {
-        self.registration.want(reading, writing);
+    pub(crate) fn set_interest(&mut self, reading: bool, writing: bool) {
+        self.registration.set_interest(reading, writing);
     }
 
     /// Whether the connection has come up.
     ///
     /// # Errors
     /// It can't come up.
-    pub(crate) fn is_up(&self) -> Result<bool> {
+    pub(crate) fn is_connected(&self) -> Result<bool> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
             None => Ok(self.stream.peer_addr().is_ok()),
@@ -298,7 +298,7 @@
     }
 
     /// When it is closed the other side will see a reset, not an end.
-    pub(crate) fn break_off(&self) {
+    pub(crate) fn set_reset_on_close(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
 }
@@ -334,7 +334,7 @@
     }
 
     /// Sets whether connections are waited for.
-    pub(crate) fn want(&mut self, accepting: bool) {
-        self.registration.want(accepting, false);
+    pub(crate) fn set_interest(&mut self, accepting: bool) {
+        self.registration.set_interest(accepting, false);
     }
 }
--- a/relay/src/startup_config/mod.rs
+++ b/relay/src/startup_config/mod.rs
@@ -5,7 +5,7 @@
 mod operator_routes;
 
 use crate::discovery::decoding::EndpointList;
-use crate::session::table::RESERVE;
+use crate::session::table::RESERVED_DESCRIPTORS;
 use serde::Deserialize;
 use std::net::{SocketAddr, TcpListener};
 use std::path::PathBuf;
@@ -62,7 +62,7 @@
         zone: usize::from(deployment.zone.0),
         may_hedge: deployment.may_hedge && deployment.may_cancel,
         may_use_peers: settings.may_use_peers,
-        descriptors: sockets.saturating_sub(RESERVE),
+        descriptors: sockets.saturating_sub(RESERVED_DESCRIPTORS),
     }
 }
 
