--- a/experiments/src/peers.rs
+++ b/experiments/src/peers.rs
@@ -85,7 +85,7 @@
         let turns = network.hosts.iter().map(|host| {
             host.member_changes
                 .iter()
-                .filter(|turn| turn.2 == to)
+                .filter(|turn| turn.state == to)
                 .count()
         });
         turns.sum::<usize>() as f64
--- a/experiments/src/plan.rs
+++ b/experiments/src/plan.rs
@@ -14,7 +14,7 @@
 use thistlecroft_testbed::simulated_backends::{
     AgentFault, BackendCommand, BackendFault, BackendPlan, BackendSpec,
 };
-use thistlecroft_testbed::traffic::{Arrival, ClientProfile, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{Arrival, Burst, ClientProfile, Traffic, arrivals};
 
 /// Something that the one who directs has done.
 #[derive(Clone, Debug)]
@@ -96,7 +96,11 @@
                 let over = fault
                     .over
                     .map_or(Duration::from_millis(1_000), |over| over.0);
-                rushes.push((from, fault.clients.unwrap_or_default(), over));
+                rushes.push(Burst {
+                    begin: from,
+                    clients: fault.clients.unwrap_or_default(),
+                    duration: over,
+                });
                 marks.push(Marked {
                     what: fault.what.clone(),
                     from,
@@ -177,7 +181,7 @@
     }
 }
 
-fn traffic_of(scenario: &Scenario, rushes: Vec<(Instant, usize, Duration)>) -> Traffic {
+fn traffic_of(scenario: &Scenario, rushes: Vec<Burst>) -> Traffic {
     let text = &scenario.traffic;
     let kinds = scenario
         .listeners
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -39,8 +39,8 @@
 fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
     let turns = network.hosts.iter().flat_map(|host| &host.member_changes);
     turns
-        .filter(|(_, id, _)| id.name == name)
-        .map(|(.., standing)| *standing)
+        .filter(|change| change.id.name == name)
+        .map(|change| change.state)
         .collect()
 }
 
@@ -76,8 +76,8 @@
             .flat_map(|host| &host.member_changes);
         assert!(
             others
-                .filter(|(_, id, _)| id.name != "r1")
-                .all(|(.., to)| *to == MemberState::Alive)
+                .filter(|change| change.id.name != "r1")
+                .all(|change| change.state == MemberState::Alive)
         );
     }
 }
@@ -219,7 +219,7 @@
     assert!(
         later
             .iter()
-            .all(|(_, id, to)| *id != accused || *to != MemberState::Dead),
+            .all(|change| change.id != accused || change.state != MemberState::Dead),
         "{later:?}"
     );
 }
--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -44,7 +44,7 @@
 const MIN_LOAD: f64 = 1e-9;
 
 /// The work of one backend from its start to its end.
-pub struct BackendModel {
+pub(crate) struct BackendModel {
     capacity: BackendCapacity,
     /// Since when it warms up; none where it was warm from the beginning.
     warming_since: Option<Instant>,
@@ -60,14 +60,14 @@
     /// Attempts of the overload window, with their loads.
     recent_attempts: VecDeque<(Instant, f64)>,
     /// The greatest used part of what it can take within a window while it warms up.
-    pub max_warm_up_budget_used: f64,
+    pub(crate) max_warm_up_budget_used: f64,
     /// How many times slower than usual it runs.
-    pub slowness: f64,
+    pub(crate) slowness: f64,
 }
 
 impl BackendModel {
     /// A backend that starts now and, where it is cold, warms up.
-    pub fn start(capacity: BackendCapacity, now: Instant, cold: bool) -> BackendModel {
+    pub(crate) fn start(capacity: BackendCapacity, now: Instant, cold: bool) -> BackendModel {
         BackendModel {
             capacity,
             warming_since: cold.then_some(now),
@@ -83,7 +83,7 @@
     }
 
     /// The present part of its full capacity.
-    pub fn capacity_share(&self, now: Instant) -> f64 {
+    pub(crate) fn capacity_share(&self, now: Instant) -> f64 {
         let Some(since) = self.warming_since else {
             return 1.0;
         };
@@ -94,17 +94,17 @@
     }
 
     /// Established sessions.
-    pub fn sessions(&self) -> usize {
+    pub(crate) fn sessions(&self) -> usize {
         self.sessions
     }
 
     /// Whether it rejects further sessions.
-    pub fn is_saturated(&self) -> bool {
+    pub(crate) fn is_saturated(&self) -> bool {
         self.sessions >= self.capacity.max_sessions
     }
 
     /// Requested load over present capacity.
-    pub fn load(&self, now: Instant) -> f64 {
+    pub(crate) fn load(&self, now: Instant) -> f64 {
         let requested = self.session_load + self.capacity.group_load * self.groups.len() as f64;
         requested * self.slowness
             / (self.capacity.full_load * self.capacity_share(now)).max(MIN_LOAD)
@@ -114,7 +114,7 @@
     ///
     /// The largest attempt within the window doesn't count, since a single session may be larger
     /// than the budget of a small backend.
-    pub fn record_attempt(&mut self, now: Instant, load: f64) -> bool {
+    pub(crate) fn record_attempt(&mut self, now: Instant, load: f64) -> bool {
         let warm_up = self.capacity.warm_up;
         let share = self.capacity_share(now);
         if share >= 1.0 {
@@ -141,7 +141,7 @@
     }
 
     /// Adds an established session.
-    pub fn add_session(&mut self, now: Instant, load: f64, group: Option<u64>) {
+    pub(crate) fn add_session(&mut self, now: Instant, load: f64, group: Option<u64>) {
         self.update_queue(now);
         self.session_load += load;
         self.sessions += 1;
@@ -151,7 +151,7 @@
     }
 
     /// Removes an established session.
-    pub fn remove_session(&mut self, now: Instant, load: f64, group: Option<u64>) {
+    pub(crate) fn remove_session(&mut self, now: Instant, load: f64, group: Option<u64>) {
         self.update_queue(now);
         self.session_load = (self.session_load - load).max(0.0);
         self.sessions = self.sessions.saturating_sub(1);
@@ -174,13 +174,13 @@
     }
 
     /// How long a message takes now.
-    pub fn message_delay(&mut self, now: Instant) -> Duration {
+    pub(crate) fn message_delay(&mut self, now: Instant) -> Duration {
         self.update_queue(now);
         Duration::from_millis(1_000) * self.queued_seconds
     }
 
     /// Its own work for a set-up that begins now: it is slower under load and while warming up.
-    pub fn setup_time(&mut self, now: Instant) -> Duration {
+    pub(crate) fn setup_time(&mut self, now: Instant) -> Duration {
         let delay = self.message_delay(now);
         let load_factor = 1.0 + self.load(now).min(MAX_LOAD_AT_SETUP);
         let share = self.capacity_share(now).max(MIN_SHARE_AT_SETUP);
@@ -190,7 +190,7 @@
 
 /// The store that every set-up calls: it serves a few calls at once, each for the same time, and
 /// queues the others.
-pub struct SetupStore {
+pub(crate) struct SetupStore {
     call_time: Duration,
     /// When each of its workers is free.
     free_at: Vec<Instant>,
@@ -198,7 +198,7 @@
 
 impl SetupStore {
     /// A store with that concurrency, which is at least one.
-    pub fn new(concurrency: usize, call_time: Duration) -> SetupStore {
+    pub(crate) fn new(concurrency: usize, call_time: Duration) -> SetupStore {
         SetupStore {
             call_time,
             free_at: vec![Instant::default(); concurrency.max(1)],
@@ -206,7 +206,7 @@
     }
 
     /// When a call made now is answered.
-    pub fn call(&mut self, now: Instant) -> Instant {
+    pub(crate) fn call(&mut self, now: Instant) -> Instant {
         let first_free = self
             .free_at
             .iter_mut()
--- a/testbed/src/clock.rs
+++ b/testbed/src/clock.rs
@@ -39,6 +39,6 @@
 }
 
 /// A duration of the standard library, in microseconds.
-pub fn from_std(duration: std::time::Duration) -> Duration {
+pub(crate) fn from_std(duration: std::time::Duration) -> Duration {
     Duration::from_micros(duration.as_micros() as u64)
 }
--- a/testbed/src/endpoint_list.rs
+++ b/testbed/src/endpoint_list.rs
@@ -53,7 +53,7 @@
     }
 
     /// Loses the versions, as an agent does that has lost its state.
-    pub fn forget_versions(&mut self) {
+    pub(crate) fn forget_versions(&mut self) {
         self.generation = 1;
         self.oldest_known_version = 1;
         self.rows
--- a/testbed/src/process_cluster/cluster.rs
+++ b/testbed/src/process_cluster/cluster.rs
@@ -243,11 +243,6 @@
         self.set_link_fault(&all, &all, None);
     }
 
-    /// Where a relay listens for admin commands.
-    pub fn admin_address(&self, index: usize) -> SocketAddr {
-        self.admin_addresses[index]
-    }
-
     /// Records from now on what a relay answers about its peers, and about the lease of this
     /// subject.
     pub fn observe(&self, index: usize, lease: Option<&'static str>) -> RelayObserver {
--- a/testbed/src/relay_observer.rs
+++ b/testbed/src/relay_observer.rs
@@ -115,7 +115,7 @@
 }
 
 /// The names of the peers that a relay sees alive, its own among them, in order.
-pub fn parse_members_seen(answer: &str) -> Option<Vec<String>> {
+pub(crate) fn parse_members_seen(answer: &str) -> Option<Vec<String>> {
     let membership: serde_json::Value = serde_json::from_str(answer.strip_prefix("200 ")?).ok()?;
     let alive = membership["peers"]
         .as_array()?
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network.rs
@@ -10,6 +10,17 @@
 
 pub use crate::link_fault::LinkFault;
 
+/// A change of a member's state as one process saw it.
+#[derive(Clone, Debug, PartialEq)]
+pub struct MemberChange {
+    /// When it was seen, in simulated time.
+    pub at: Instant,
+    /// The member.
+    pub id: Identity,
+    /// Its new state.
+    pub state: MemberState,
+}
+
 /// A process of the network.
 pub struct Host {
     /// Its name among the members.
@@ -28,7 +39,7 @@
     /// The process runs, or is paused.
     pub alive: bool,
     /// The changes of other members' states that it saw, in simulated time.
-    pub member_changes: Vec<(Instant, Identity, MemberState)>,
+    pub member_changes: Vec<MemberChange>,
     /// When it is to be woken, in simulated time.
     wake_at: Option<Instant>,
 }
@@ -321,7 +332,10 @@
         let own = host.clock(now);
         for event in host.node.take_events() {
             match event {
-                Event::MemberChanged { id, state } => host.member_changes.push((now, id, state)),
+                Event::MemberChanged { id, state } => {
+                    host.member_changes
+                        .push(MemberChange { at: now, id, state });
+                }
                 Event::Message {
                     from,
                     channel,
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -24,6 +24,17 @@
     pub priority_weight: f64,
 }
 
+/// Extra arrivals, evenly spread over a time.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Burst {
+    /// When the first client arrives.
+    pub begin: Instant,
+    /// The number of clients.
+    pub clients: usize,
+    /// The time over which they arrive.
+    pub duration: Duration,
+}
+
 /// How clients arrive and behave.
 #[derive(Clone, Debug)]
 pub struct Traffic {
@@ -31,8 +42,8 @@
     pub profiles: Vec<ClientProfile>,
     /// Arrivals a second at each of these times, changing evenly between two of them.
     pub rate: Vec<(Instant, f64)>,
-    /// Extra arrivals: from when, how many, and evenly over which time.
-    pub bursts: Vec<(Instant, usize, Duration)>,
+    /// Arrivals besides these.
+    pub bursts: Vec<Burst>,
     /// The number of different keys.
     pub keys: u64,
     /// The number of groups; none where clients belong to no group.
@@ -75,12 +86,19 @@
     pub seed: u64,
 }
 
+impl Burst {
+    fn arrivals(self) -> impl Iterator<Item = Instant> {
+        (0..self.clients)
+            .map(move |number| self.begin + self.duration * (number as f64 / self.clients as f64))
+    }
+}
+
 /// All arrivals before this time, in their order.
 pub fn arrivals(traffic: &Traffic, until: Instant, seed: u64) -> Vec<Arrival> {
     let mut rng = Rng::from_seed(seed);
     let mut due = steady_arrivals(traffic, until, &mut rng);
-    for &(from, count, duration) in &traffic.bursts {
-        due.extend((0..count).map(|number| from + duration * (number as f64 / count as f64)));
+    for burst in &traffic.bursts {
+        due.extend(burst.arrivals());
     }
     due.retain(|&at| at < until);
     due.sort();
--- a/testbed/src/traffic/tests.rs
+++ b/testbed/src/traffic/tests.rs
@@ -17,11 +17,11 @@
             (Instant::default(), 0.0),
             (Instant::from_micros(10_000_000), 200.0),
         ],
-        bursts: vec![(
-            Instant::from_micros(12_000_000),
-            500,
-            Duration::from_millis(1_000),
-        )],
+        bursts: vec![Burst {
+            begin: Instant::from_micros(12_000_000),
+            clients: 500,
+            duration: Duration::from_millis(1_000),
+        }],
         keys: 1_000,
         groups: Some(50),
         retries: 3,
