--- a/testbed/src/event_recorder.rs
+++ b/testbed/src/event_recorder/observation.rs
@@ -1,42 +1,8 @@
-//! Observations of a run: what clients, backends, the discovery agent and the run itself saw, sent
-//! from their threads to one log, in the order of time as far as threads allow.
+//! What is observed in a run. The serialized names are those of `events.jsonl`.
+use super::ids::{BackendIndex, RelayIndex, SessionId};
 use serde::{Serialize, Serializer};
-use std::sync::mpsc::{Receiver, Sender, channel};
 use thistlecroft::time::{Duration, Instant};
 
-/// The id in a session's first line: each connection of a client has a new one.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct SessionId(pub u64);
-
-impl Serialize for SessionId {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-        to.collect_str(&format_args!("{:016x}", self.0))
-    }
-}
-
-fn serialize_milliseconds<S: Serializer>(duration: &Duration, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_f64(duration.as_micros() as f64 / 1e3)
-}
-
-fn serialize_optional_milliseconds<S: Serializer>(
-    duration: &Option<Duration>,
-    to: S,
-) -> Result<S::Ok, S::Error> {
-    to.serialize_some(&duration.map(|duration| duration.as_micros() as f64 / 1e3))
-}
-
-fn serialize_instant<S: Serializer>(at: &Instant, to: S) -> Result<S::Ok, S::Error> {
-    to.serialize_f64(at.as_micros() as f64 / 1e3)
-}
-
-/// A simulated backend, by its place in the plan of the run.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct BackendIndex(pub u16);
-
-/// A relay, by its place among the relays of the run.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
-pub struct RelayIndex(pub u16);
-
 /// The final answer to a session, as its client read it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
@@ -438,79 +404,17 @@
     pub observation: Observation,
 }
 
-/// Records observations into an [`EventLog`]. Cheap to clone: each thread has its own.
-#[derive(Clone)]
-pub struct EventRecorder(Sender<RecordedEvent>);
-
-/// A recorder and the log that receives its events.
-pub fn event_recorder() -> (EventRecorder, EventLog) {
-    let (sender, receiver) = channel();
-    let log = EventLog {
-        receiver,
-        events: Vec::new(),
-    };
-    (EventRecorder(sender), log)
-}
-
-impl EventRecorder {
-    /// Records an observation made at that time.
-    pub fn record(&self, at: Instant, observation: Observation) {
-        // The log is dropped once a run is over, and later events are of no interest.
-        let _ = self.0.send(RecordedEvent { at, observation });
-    }
+fn serialize_milliseconds<S: Serializer>(duration: &Duration, to: S) -> Result<S::Ok, S::Error> {
+    to.serialize_f64(duration.as_micros() as f64 / 1e3)
 }
 
-/// All events recorded so far, in the order of their arrival.
-pub struct EventLog {
-    receiver: Receiver<RecordedEvent>,
-    /// The events received up to the last call of [`EventLog::receive`].
-    pub events: Vec<RecordedEvent>,
+fn serialize_optional_milliseconds<S: Serializer>(
+    duration: &Option<Duration>,
+    to: S,
+) -> Result<S::Ok, S::Error> {
+    to.serialize_some(&duration.map(|duration| duration.as_micros() as f64 / 1e3))
 }
 
-impl EventLog {
-    /// Receives the events recorded since the last call; returns the index of the first new one.
-    pub fn receive(&mut self) -> usize {
-        let first_new = self.events.len();
-        self.events.extend(self.receiver.try_iter());
-        first_new
-    }
-
-    /// Waits until any event satisfies the predicate, counting those already received; returns
-    /// false if none did within that time.
-    pub fn wait_for(
-        &mut self,
-        within: std::time::Duration,
-        predicate: impl Fn(&Observation) -> bool,
-    ) -> bool {
-        self.wait_until(within, |events| {
-            events.iter().any(|event| predicate(&event.observation))
-        })
-    }
-
-    /// Waits until the events together satisfy the predicate; returns false if they did not within
-    /// that time.
-    pub fn wait_until(
-        &mut self,
-        within: std::time::Duration,
-        predicate: impl Fn(&[RecordedEvent]) -> bool,
-    ) -> bool {
-        let deadline = std::time::Instant::now() + within;
-        self.receive();
-        while !predicate(&self.events) {
-            let left = deadline.saturating_duration_since(std::time::Instant::now());
-            match self.receiver.recv_timeout(left) {
-                Ok(event) => self.events.push(event),
-                Err(_) => return false,
-            }
-            self.receive();
-        }
-        true
-    }
-
-    /// All events in the order of time; threads deliver theirs at their own pace.
-    pub fn into_sorted(mut self) -> Vec<RecordedEvent> {
-        self.receive();
-        self.events.sort_by_key(|event| event.at);
-        self.events
-    }
+fn serialize_instant<S: Serializer>(at: &Instant, to: S) -> Result<S::Ok, S::Error> {
+    to.serialize_f64(at.as_micros() as f64 / 1e3)
 }
--- a/testbed/src/simulated_network.rs
+++ b/testbed/src/simulated_network/network.rs
@@ -1,72 +1,12 @@
-//! Membership and leases of many processes over simulated links: the same code as on sockets, on a
-//! simulated clock. Each directed link has its own fault, and each process a clock of its own speed;
-//! processes start, pause and end. No I/O.
+//! A simulated network: its links, its clock and what is scheduled on it.
+use super::host::{Host, MemberChange};
+use crate::link_fault::LinkFault;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddr};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{LeaseConfig, Leases};
-use thistlecroft_peers::{Event, Identity, MemberState, Node, Terms};
-
-pub use crate::link_fault::LinkFault;
-
-/// A change of a member's state as one process saw it.
-#[derive(Clone, Debug, PartialEq)]
-pub struct MemberChange {
-    /// When it was seen, in simulated time.
-    pub at: Instant,
-    /// The member.
-    pub id: Identity,
-    /// Its new state.
-    pub state: MemberState,
-}
-
-/// A process of the network.
-pub struct Host {
-    /// Its name among the members.
-    pub name: String,
-    /// Its membership.
-    pub node: Node,
-    /// Its leases, if it has any.
-    pub leases: Option<Leases>,
-    /// The speed of its clock against simulated time.
-    speed: f64,
-    /// What its clock shows at the start of simulated time.
-    offset: Duration,
-    is_paused: bool,
-    /// Datagrams that came while it was paused, with their senders.
-    inbox: Vec<(usize, Vec<u8>)>,
-    /// The process runs, or is paused.
-    pub alive: bool,
-    /// The changes of other members' states that it saw, in simulated time.
-    pub member_changes: Vec<MemberChange>,
-    /// When it is to be woken, in simulated time.
-    wake_at: Option<Instant>,
-}
-
-impl Host {
-    /// What its clock shows at a simulated time.
-    pub fn clock(&self, now: Instant) -> Instant {
-        Instant::from_micros(self.offset.as_micros() + (now.as_micros() as f64 * self.speed) as u64)
-    }
-
-    /// When its clock shows this, in simulated time.
-    fn simulated_time(&self, own: Instant) -> Instant {
-        let passed = own.as_micros().saturating_sub(self.offset.as_micros());
-        Instant::from_micros((passed as f64 / self.speed).ceil() as u64)
-    }
-
-    /// Whether it sees exactly these alive, itself among them.
-    pub fn sees_exactly(&self, names: &BTreeSet<String>) -> bool {
-        let alive = self
-            .node
-            .members()
-            .filter(|view| view.state == MemberState::Alive);
-        let mut seen: BTreeSet<String> = alive.map(|view| view.id.name.to_string()).collect();
-        seen.insert(self.name.clone());
-        seen == *names
-    }
-}
+use thistlecroft_peers::{Event, Identity, Node, Terms};
 
 /// Something that happens at a later simulated time.
 enum ScheduledEvent {
