--- a/testbed/src/relay_process/process.rs
+++ b/testbed/src/relay_process/process.rs
@@ -141,7 +141,7 @@
     }
 
     fn is_ready(&self) -> bool {
-        // Where another process takes clients too, only its own admin port tells that this one does.
+        // Where another process takes clients too, only the admin port tells whether this one does.
         match self.admin {
             Some(admin) => send_admin_command(admin, "READY", ADMIN_COMMAND_TIMEOUT)
                 .is_ok_and(|answer| answer.starts_with("200")),
--- a/testbed/src/simulated_network/mod.rs
+++ b/testbed/src/simulated_network/mod.rs
@@ -1,5 +1,5 @@
 //! Membership and leases of many processes over simulated links: the same code as on sockets, on a
-//! simulated clock. Each directed link has its own fault, and each process a clock of its own speed;
+//! simulated clock. Each directed link has its own fault, each process a clock of its own speed;
 //! processes start, pause and end. No I/O.
 mod host;
 mod network;
