--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -97,7 +97,7 @@
 /// How often any relay has taken another to be in this state.
 fn state_changes(network: &SimulatedNetwork, state: MemberState) -> f64 {
     let changes = network.hosts.iter().flat_map(|host| &host.member_changes);
-    changes.filter(|change| change.2 == state).count() as f64
+    changes.filter(|change| change.state == state).count() as f64
 }
 
 /// How long a note takes to reach all.
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -16,7 +16,7 @@
 use thistlecroft_testbed::invariant_checker::PlatformRules;
 use thistlecroft_testbed::relay_process::FleetConfig;
 use thistlecroft_testbed::simulated_backends::BackendPlan;
-use thistlecroft_testbed::traffic::{Arrival, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{Arrival, Burst, Traffic, arrivals};
 
 /// Clients come from here on, so that all is set up before.
 pub(crate) const PLAN_START: Instant = Instant::from_micros(500_000);
@@ -25,7 +25,7 @@
 const FAULT_SEED: u64 = 0x5ca1_ab1e;
 
 /// The time over which a rush is spread where the scenario does not say.
-const DEFAULT_RUSH: Duration = Duration::from_millis(1_000);
+const DEFAULT_BURST: Duration = Duration::from_millis(1_000);
 
 /// A fault as a report marks it.
 #[derive(Clone, Debug, PartialEq)]
@@ -52,9 +52,6 @@
     pub(crate) end: Instant,
 }
 
-/// Clients that come at once, spread over a time.
-type Rush = (Instant, usize, Duration);
-
 impl Plan {
     /// Works the scenario out.
     pub(crate) fn new(scenario: &Scenario, seed: u64) -> Plan {
@@ -62,18 +59,18 @@
         let end = PLAN_START + scenario.length.0;
         let mut actions: Vec<ScheduledAction> = Vec::new();
         let mut marks = Vec::new();
-        let mut rushes = Vec::new();
+        let mut bursts = Vec::new();
         for fault in &scenario.faults {
             let fault = fault.get_ref();
             marks.push(mark(fault));
             if fault.what == "rush" {
-                rushes.push(rush(fault));
+                bursts.push(burst(fault));
             } else {
                 actions.extend(fault_actions::actions_of(fault, scenario, &mut rng));
             }
         }
         actions.sort_by_key(|scheduled| scheduled.at);
-        let traffic = testbed_config::traffic(scenario, rushes);
+        let traffic = testbed_config::traffic(scenario, bursts);
         let arrivals = arrivals(&traffic, end, seed);
         let backends = testbed_config::backends(scenario, seed);
         Plan {
@@ -91,16 +88,18 @@
     }
 }
 
-fn rush(fault: &FaultText) -> Rush {
-    let over = fault.over.map_or(DEFAULT_RUSH, |over| over.0);
-    let clients = fault.clients.unwrap_or_default();
-    (PLAN_START + fault.at.0, clients, over)
+fn burst(fault: &FaultText) -> Burst {
+    Burst {
+        begin: PLAN_START + fault.at.0,
+        clients: fault.clients.unwrap_or_default(),
+        duration: fault.over.map_or(DEFAULT_BURST, |over| over.0),
+    }
 }
 
 fn mark(fault: &FaultText) -> FaultMark {
     let from = PLAN_START + fault.at.0;
     let lasts = if fault.what == "rush" {
-        Some(rush(fault).2)
+        Some(burst(fault).duration)
     } else {
         let lasts = fault.lasts.or(fault.over).or(fault.back);
         lasts.map(|lasts| lasts.0)
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -2,12 +2,12 @@
 use super::PLAN_START;
 use crate::scenario::{Baseline, EffectText, ListenerText, Rate, Scenario, ScopeText};
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
-use thistlecroft::time::{Duration, Instant};
+use thistlecroft::time::Duration;
 use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
 use thistlecroft_testbed::load_generator::ClientDistribution;
 use thistlecroft_testbed::relay_process::{FleetConfig, ListenerConfig};
 use thistlecroft_testbed::simulated_backends::{BackendPlan, BackendSpec};
-use thistlecroft_testbed::traffic::{ClientProfile, Traffic};
+use thistlecroft_testbed::traffic::{Burst, ClientProfile, Traffic};
 
 /// How clients choose where to connect.
 pub(crate) fn dealing(baseline: Option<Baseline>) -> ClientDistribution {
@@ -37,8 +37,8 @@
     }
 }
 
-/// Who comes when, with rushes of so many clients over so long.
-pub(super) fn traffic(scenario: &Scenario, rushes: Vec<(Instant, usize, Duration)>) -> Traffic {
+/// The scenario's arrivals, with `bursts` of further clients.
+pub(super) fn traffic(scenario: &Scenario, bursts: Vec<Burst>) -> Traffic {
     let text = &scenario.traffic;
     let kinds = scenario
         .listeners
@@ -64,7 +64,7 @@
     Traffic {
         profiles: kinds.collect(),
         rate,
-        bursts: rushes,
+        bursts,
         keys: text.keys.max(1),
         groups: text.groups,
         retries: text.retries,
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -45,8 +45,8 @@
 fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
     let turns = network.hosts.iter().flat_map(|host| &host.member_changes);
     turns
-        .filter(|(_, id, _)| id.name == name)
-        .map(|(.., state)| *state)
+        .filter(|change| change.id.name == name)
+        .map(|change| change.state)
         .collect()
 }
 
@@ -84,8 +84,8 @@
             .flat_map(|host| &host.member_changes);
         assert!(
             others
-                .filter(|(_, id, _)| id.name != "r1")
-                .all(|(.., to)| *to == MemberState::Alive)
+                .filter(|change| change.id.name != "r1")
+                .all(|change| change.state == MemberState::Alive)
         );
     }
 }
@@ -236,7 +236,7 @@
     assert!(
         later
             .iter()
-            .all(|(_, id, to)| *id != accused || *to != MemberState::Dead),
+            .all(|change| change.id != accused || change.state != MemberState::Dead),
         "{later:?}"
     );
 }
