--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,5 +1,6 @@
 //! Runs the decisions on a simulator's wire: batches on standard input, one reply for each on
 //! standard output.
+#[path = "wire/batch.rs"]
 mod frame;
 mod instance;
 
