--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,9 +1,20 @@
-//! Runs the decisions on a simulator's wire: batches on standard input, one reply for each on
-//! standard output.
-#[path = "wire/batch.rs"]
-mod frame;
+//! Connects the balancer to a simulator: batches of events on standard input, one reply with actions
+//! for each on standard output.
+//!
+//! [`wire`] encodes and decodes, [`host`] keeps the instances of the process, and [`instance`] applies
+//! events to the balancer of one instance, whose decisions return through [`driver`].
+mod driver;
+mod error;
+mod host;
+mod ids;
 mod instance;
+mod wire;
 
+#[cfg(test)]
+mod tests;
+
+use error::AdapterError;
+use host::Host;
 use std::io::{BufWriter, Read, Write};
 use std::process::ExitCode;
 
@@ -12,50 +23,51 @@
 Reads event batches on standard input and writes a reply for each on standard output, until input ends.
 Faults in the input are told on standard error, with exit code 1.";
 
+const EXIT_USAGE: u8 = 2;
+
 fn main() -> ExitCode {
     match std::env::args().nth(1).as_deref() {
-        None => {}
+        None => run(),
         Some("--help") => {
             println!("{USAGE}");
-            return ExitCode::SUCCESS;
+            ExitCode::SUCCESS
         }
         Some("--version") => {
             println!("thistlecroft-adapter {}", env!("CARGO_PKG_VERSION"));
-            return ExitCode::SUCCESS;
+            ExitCode::SUCCESS
         }
         Some(other) => {
             eprintln!("unknown argument: {other}\n{USAGE}");
-            return ExitCode::from(2);
+            ExitCode::from(EXIT_USAGE)
         }
     }
-    // A fault in the decisions goes to the wire as text; the default hook would only repeat it
-    // here.
+}
+
+fn run() -> ExitCode {
+    // The host reports a panic of the balancer on the wire; the default hook would print it as well.
     std::panic::set_hook(Box::new(|_| {}));
-    match serve(
-        std::io::stdin().lock(),
-        BufWriter::new(std::io::stdout().lock()),
-    ) {
+    let output = BufWriter::new(std::io::stdout().lock());
+    match serve(std::io::stdin().lock(), output) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("thistlecroft-adapter: {fault}");
+        Err(error) => {
+            eprintln!("thistlecroft-adapter: {error}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), String> {
-    let mut host = instance::Host::default();
-    while let Some(batch) = frame::read_batch(&mut input)? {
-        let reply = host
-            .answer(&batch)
-            .map_err(|fault| format!("batch {}: {fault}", batch.number))?;
+/// Answers batches until the input ends.
+fn serve(mut input: impl Read, mut output: impl Write) -> Result<(), AdapterError> {
+    let mut host = Host::default();
+    while let Some(batch) = wire::read_batch(&mut input)? {
+        let reply = host.answer(&batch).map_err(|source| AdapterError::Record {
+            batch: batch.number,
+            source,
+        })?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
-            .map_err(|fault| format!("output: {fault}"))?;
+            .map_err(AdapterError::Output)?;
     }
     Ok(())
 }
-
-#[cfg(test)]
-mod tests;
--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -1,6 +1,9 @@
-use crate::{frame, instance, serve};
+//! The program on the simulator's wire, from bytes to bytes.
+use crate::host::Host;
+use crate::serve;
+use crate::wire::{Reply, read_batch};
 
-/// From the wire page's tables by hand: a batch header, then records of 48 bytes, then the tail.
+/// A batch: a header, records of 48 bytes, and the tail.
 fn batch(number: u32, clock: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut body = (records.len() as u32).to_le_bytes().to_vec();
     for record in records {
@@ -34,7 +37,7 @@
  "permissions": {"dialTimeoutUs": 50000, "maxDials": 3, "maxRetryAfterUs": 2000000, "mayCancel": true,
  "probes": false, "retryAfter": true}, "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
-/// Begin for instance 3, and its cached list with one ready backend, 10.18.74.7:23323.
+/// Starts instance 3, with a cached list of one ready backend, 10.18.74.7:23323.
 fn start() -> Vec<u8> {
     let size = SETTINGS.len() as u32;
     let mut begin = bytes("e803 0300 0102030405060708 00000000");
@@ -51,13 +54,15 @@
     )
 }
 
-/// Session c4913a5d0d690f00 with 240 ms to its dial timeout, no key and no group.
-const INBOUND: &str =
+/// Session c4913a5d0d690f00, whose client waits for 240 ms, without key and group.
+const ARRIVAL: &str =
     "fc03 0300 c4913a5d0d690f00 0000 0000 0000000000000000 80a90300 00000000 0000000000000000";
 
 fn replies(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
-    serve(input, &mut output).map(|()| output)
+    serve(input, &mut output)
+        .map(|()| output)
+        .map_err(|error| error.to_string())
 }
 
 /// The records of the last reply, as hexadecimal text.
@@ -78,25 +83,25 @@
 }
 
 #[test]
-fn records_are_written_where_the_tables_put_them() {
-    // The last batch's records, and the one record each is answered with.
-    let dialled = "1a040300c4913a5d0d690f000a124a075b1be09903000000";
+fn records_are_laid_out_as_documented() {
+    // The records of the last batch, and the actions that answer it.
+    let connect = "1a040300c4913a5d0d690f000a124a075b1be09903000000";
     let cases: [(&[&str], Vec<&str>); 5] = [
-        // A single dial left of three waits for the target, cut to the time that is left.
-        (&[INBOUND], vec![dialled]),
+        // The attempt timeout is cut to the time that is left.
+        (&[ARRIVAL], vec![connect]),
         (
             &[
-                INBOUND,
+                ARRIVAL,
                 "5604 0300 c4913a5d0d690f00 0000 0a124a07 5b1b 01 0000003f",
             ],
-            vec![dialled],
+            vec![connect],
         ),
-        // The client leaves: dial 0 is withdrawn.
+        // The client leaves, so attempt 0 is cancelled.
         (
-            &[INBOUND, "1a04 0300 c4913a5d0d690f00"],
-            vec![dialled, "10040300c4913a5d0d690f00000000000000000000000000"],
+            &[ARRIVAL, "1a04 0300 c4913a5d0d690f00"],
+            vec![connect, "10040300c4913a5d0d690f00000000000000000000000000"],
         ),
-        // An id that is not held, and a peer's message.
+        // An unknown session, and a message of a peer.
         (
             &[
                 "1a04 0300 192b6f0ecce10200",
@@ -104,14 +109,14 @@
             ],
             vec![],
         ),
-        // A connection that stands: its verdict ends it without a word.
+        // The end of an established session needs no action.
         (
             &[
-                INBOUND,
+                ARRIVAL,
                 "0604 0300 c4913a5d0d690f00 0000 0a124a07 5b1b 22240000",
                 "1004 0300 c4913a5d0d690f00 44480000 6400 0a124a07 5b1b 0000 01 00",
             ],
-            vec![dialled],
+            vec![connect],
         ),
     ];
     for (records, expected) in cases {
@@ -124,16 +129,16 @@
 }
 
 #[test]
-fn refusals_carry_their_advice_and_stops_forget_all() {
+fn rejection_carries_retry_after_and_stop_forgets_the_instance() {
     let full = bytes("1004 0300 c4913a5d0d690f00 44480000 2e01 0a124a07 5b1b 0000 00 00");
-    let records = last_records(&[start(), batch(2, 2_000, &[bytes(INBOUND), full], &[])].concat());
-    // One second at most, so refused at once where that is more than is left, or held for a further
-    // dial.
-    let refused = records
+    let records = last_records(&[start(), batch(2, 2_000, &[bytes(ARRIVAL), full], &[])].concat());
+    // The backoff is one second at most: the session is rejected if that exceeds the time left, and
+    // retried otherwise.
+    let rejected = records
         .iter()
         .find(|record| record.starts_with("38040300c4913a5d0d690f00"));
     assert!(
-        refused.is_some() || records.iter().any(|record| record.starts_with("fc030300")),
+        rejected.is_some() || records.iter().any(|record| record.starts_with("fc030300")),
         "{records:?}"
     );
     let stop = bytes("4204 0300");
@@ -144,12 +149,12 @@
     ]
     .concat();
     assert!(replies(&again).is_ok());
-    let after_stop = [start(), batch(2, 2_000, &[stop, bytes(INBOUND)], &[])].concat();
+    let after_stop = [start(), batch(2, 2_000, &[stop, bytes(ARRIVAL)], &[])].concat();
     assert!(replies(&after_stop).unwrap_err().contains("not started"));
 }
 
 #[test]
-fn an_empty_batch_gets_the_empty_reply_of_the_page() {
+fn empty_batch_gets_an_empty_reply() {
     let input = bytes("01000000 5a5c800000000000 04000000 00000000");
     assert_eq!(
         replies(&input).unwrap(),
@@ -158,14 +163,27 @@
     assert_eq!(replies(&[]).unwrap(), Vec::<u8>::new());
 }
 
+/// A batch with this record, after the start of the instance.
+fn after_start(record: &str) -> Vec<u8> {
+    [start(), batch(2, 2_000, &[bytes(record)], &[])].concat()
+}
+
+/// A batch that starts an instance with these settings.
+fn start_with(settings: &str) -> Vec<u8> {
+    let mut begin = bytes("e803 0300 0102030405060708 00000000");
+    begin.extend((settings.len() as u32).to_le_bytes());
+    batch(1, 0, &[begin], settings.as_bytes())
+}
+
+fn assert_rejected(cases: &[(&str, Vec<u8>, &str)]) {
+    for (name, input, expected) in cases {
+        let error = replies(input).unwrap_err();
+        assert!(error.contains(expected), "{name}: {error}");
+    }
+}
+
 #[test]
-fn faults_of_the_input_are_named() {
-    let with = |record: &str| [start(), batch(2, 2_000, &[bytes(record)], &[])].concat();
-    let settings = |text: &str| {
-        let mut begin = bytes("e803 0300 0102030405060708 00000000");
-        begin.extend((text.len() as u32).to_le_bytes());
-        batch(1, 0, &[begin], text.as_bytes())
-    };
+fn malformed_batch_is_named() {
     let cases = [
         ("header cut off", bytes("0100"), "inside a batch header"),
         (
@@ -183,66 +201,84 @@
             bytes("01000000 5a5c800000000000 04000000 ffffffff"),
             "do not fit",
         ),
-        ("unknown code", with("0f27 0300"), "unknown event code 9999"),
+    ];
+    assert_rejected(&cases);
+}
+
+#[test]
+fn malformed_event_is_named() {
+    let cases = [
+        (
+            "unknown code",
+            after_start("0f27 0300"),
+            "unknown event code 9999",
+        ),
         (
             "unknown outcome",
-            with("1004 0300 c4913a5d0d690f00 44480000 0900 0a124a07 5b1b"),
+            after_start("1004 0300 c4913a5d0d690f00 44480000 0900 0a124a07 5b1b"),
             "unknown outcome 9",
         ),
         (
             "unknown listener",
-            with("fc03 0300 c4913a5d0d690f00 0700"),
+            after_start("fc03 0300 c4913a5d0d690f00 0700"),
             "listener 7 of 1",
         ),
         (
             "list past the tail",
-            with("f203 0300 00 2900000000000000 00000000 ffffffff"),
+            after_start("f203 0300 00 2900000000000000 00000000 ffffffff"),
             "past the tail",
         ),
-        ("unknown scope", with("f203 0300 09"), "unknown scope 9"),
+        (
+            "unknown scope",
+            after_start("f203 0300 09"),
+            "unknown scope 9",
+        ),
         (
             "not started",
-            batch(1, 0, &[bytes(INBOUND)], &[]),
+            batch(1, 0, &[bytes(ARRIVAL)], &[]),
             "instance 3, which is not started",
         ),
-        ("settings no JSON", settings("{"), "settings"),
+    ];
+    assert_rejected(&cases);
+}
+
+#[test]
+fn invalid_settings_are_named() {
+    let cases = [
+        ("settings no JSON", start_with("{"), "settings"),
         (
             "settings without a key",
-            settings("{\"az\": 0}"),
+            start_with("{\"az\": 0}"),
             "missing field",
         ),
         (
             "no relays",
-            settings(&SETTINGS.replace("\"balancers\": 1", "\"balancers\": 0")),
+            start_with(&SETTINGS.replace("\"balancers\": 1", "\"balancers\": 0")),
             "relay 0 of 0",
         ),
         (
             "relay out of range",
-            settings(&SETTINGS.replace("\"me\": 0", "\"me\": 1")),
+            start_with(&SETTINGS.replace("\"me\": 0", "\"me\": 1")),
             "relay 1 of 1",
         ),
         (
             "no listeners",
-            settings(&SETTINGS.replace(LISTENERS, "[]")),
+            start_with(&SETTINGS.replace(LISTENERS, "[]")),
             "no listeners",
         ),
     ];
-    for (name, input, expected) in cases {
-        let fault = replies(&input).unwrap_err();
-        assert!(fault.contains(expected), "{name}: {fault}");
-    }
+    assert_rejected(&cases);
 }
 
 #[test]
-fn a_fault_in_the_decisions_becomes_a_record() {
-    // An entry whose backend number no list can hold can't be made on the wire, so the guard itself
-    // is tried.
-    let mut host = instance::Host::default();
-    let frame = frame::read_batch(&mut &start()[..]).unwrap().unwrap();
+fn panic_of_the_balancer_becomes_a_record() {
+    // No input is known to make the balancer panic, so the record is written directly.
+    let mut host = Host::default();
+    let frame = read_batch(&mut &start()[..]).unwrap().unwrap();
     assert!(host.answer(&frame).is_ok());
-    let mut reply = frame::Reply::default();
-    reply.push_text(frame::Action::new(1120, 3), "index out of range");
+    let mut reply = Reply::default();
+    reply.push_panic(3, "index out of range");
     let expected = "0c000000 2e000000 01000000 6004 0300 00000000 12000000 000000000000000000000000
         696e646578206f7574206f662072616e6765";
-    assert_eq!(reply.bytes(12), bytes(expected));
+    assert_eq!(reply.encode(12), bytes(expected));
 }
--- a/adapter/src/wire/batch.rs
+++ b/adapter/src/wire/batch.rs
@@ -1,179 +1,158 @@
-//! Frames of the wire: checked reads from a batch, and the records of a reply.
+//! Batches: a header, event records of a fixed size, and a tail that events refer to.
+use crate::error::{BatchError, EventError};
 use std::io::{ErrorKind, Read};
 
-pub const EVENT: usize = 48;
-pub const ACTION: usize = 24;
-pub const ENTRY: usize = 24;
-const HEADER: usize = 20;
-
-pub struct Batch {
-    pub number: u32,
-    pub clock: u64,
+const EVENT_BYTES: usize = 48;
+const ENTRY_BYTES: usize = 24;
+const HEADER_BYTES: usize = 16;
+/// The number of records, at the start of the body.
+const COUNT_BYTES: usize = 4;
+
+/// A batch of events that happened at one moment.
+pub(crate) struct Batch {
+    pub(crate) number: u32,
+    /// In microseconds.
+    pub(crate) clock: u64,
     records: usize,
     body: Vec<u8>,
 }
 
-/// A record or entry of fixed size; the fields lie where the page's tables put them.
+/// A record or entry of fixed size. Numbers are in little-endian order.
 #[derive(Clone, Copy)]
-pub struct Fields<'a>(&'a [u8]);
+pub(crate) struct Fields<'a>(&'a [u8]);
 
 impl<'a> Fields<'a> {
-    pub fn u8(self, at: usize) -> u8 {
-        self.0[at]
+    pub(crate) fn u8(self, offset: usize) -> u8 {
+        self.0[offset]
     }
 
-    pub fn u16(self, at: usize) -> u16 {
-        u16::from_le_bytes(self.array(at))
+    pub(crate) fn u16(self, offset: usize) -> u16 {
+        u16::from_le_bytes(self.array(offset))
     }
 
-    pub fn u32(self, at: usize) -> u32 {
-        u32::from_le_bytes(self.array(at))
+    pub(crate) fn u32(self, offset: usize) -> u32 {
+        u32::from_le_bytes(self.array(offset))
     }
 
-    pub fn u64(self, at: usize) -> u64 {
-        u64::from_le_bytes(self.array(at))
+    pub(crate) fn u64(self, offset: usize) -> u64 {
+        u64::from_le_bytes(self.array(offset))
     }
 
-    pub fn f32(self, at: usize) -> f32 {
-        f32::from_le_bytes(self.array(at))
+    pub(crate) fn f32(self, offset: usize) -> f32 {
+        f32::from_le_bytes(self.array(offset))
     }
 
-    pub fn array<const N: usize>(self, at: usize) -> [u8; N] {
-        self.0[at..at + N]
+    pub(crate) fn array<const N: usize>(self, offset: usize) -> [u8; N] {
+        self.0[offset..offset + N]
             .try_into()
-            .expect("the field tables stay inside a record")
+            .expect("a slice of N bytes is an array of N bytes")
     }
 }
 
 impl Batch {
-    pub fn events(&self) -> impl Iterator<Item = Fields<'_>> {
-        self.body[4..4 + self.records * EVENT]
-            .chunks_exact(EVENT)
+    /// The event records.
+    pub(crate) fn events(&self) -> impl Iterator<Item = Fields<'_>> {
+        self.body[COUNT_BYTES..self.tail_offset()]
+            .chunks_exact(EVENT_BYTES)
             .map(Fields)
     }
 
-    fn tail(&self, at: u32, bytes: Option<usize>, what: &str) -> Result<&[u8], String> {
-        let tail = &self.body[4 + self.records * EVENT..];
-        let end = bytes.and_then(|bytes| bytes.checked_add(at as usize));
-        end.and_then(|end| tail.get(at as usize..end))
-            .ok_or_else(|| format!("{what} reaches past the tail"))
-    }
-
-    pub fn text(&self, at: u32, bytes: u32, what: &str) -> Result<&[u8], String> {
-        self.tail(at, Some(bytes as usize), what)
-    }
-
-    pub fn entries(&self, at: u32, count: u32) -> Result<impl Iterator<Item = Fields<'_>>, String> {
-        let bytes = (count as usize).checked_mul(ENTRY);
-        Ok(self
-            .tail(at, bytes, "list of entries")?
-            .chunks_exact(ENTRY)
-            .map(Fields))
+    fn tail_offset(&self) -> usize {
+        COUNT_BYTES + self.records * EVENT_BYTES
+    }
+
+    /// A part of the tail. `bytes` is `None` where the length does not fit in memory.
+    fn tail(
+        &self,
+        offset: u32,
+        bytes: Option<usize>,
+        part: &'static str,
+    ) -> Result<&[u8], EventError> {
+        let tail = &self.body[self.tail_offset()..];
+        let start = offset as usize;
+        let end = bytes.and_then(|bytes| bytes.checked_add(start));
+        end.and_then(|end| tail.get(start..end))
+            .ok_or(EventError::OutsideTail { part })
+    }
+
+    /// Text in the tail; `part` names it in errors.
+    pub(crate) fn text(
+        &self,
+        offset: u32,
+        bytes: u32,
+        part: &'static str,
+    ) -> Result<&[u8], EventError> {
+        self.tail(offset, Some(bytes as usize), part)
+    }
+
+    /// Entries of the endpoint list in the tail.
+    pub(crate) fn entries(
+        &self,
+        offset: u32,
+        count: u32,
+    ) -> Result<impl Iterator<Item = Fields<'_>>, EventError> {
+        let bytes = (count as usize).checked_mul(ENTRY_BYTES);
+        let entries = self.tail(offset, bytes, "list of entries")?;
+        Ok(entries.chunks_exact(ENTRY_BYTES).map(Fields))
     }
 }
 
-/// None where input ends between frames.
-pub fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, String> {
-    let mut header = [0u8; HEADER - 4];
-    let mut have = 0;
-    while have < header.len() {
-        match input.read(&mut header[have..]) {
-            Ok(0) if have == 0 => return Ok(None),
-            Ok(0) => {
-                return Err(format!(
-                    "input ends inside a batch header, after {have} bytes"
-                ));
-            }
-            Ok(more) => have += more,
-            Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-            Err(fault) => return Err(format!("input: {fault}")),
-        }
-    }
+/// Reads one batch; `None` where the input ends before it.
+pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, BatchError> {
+    let Some(header) = read_header(input)? else {
+        return Ok(None);
+    };
     let fields = Fields(&header);
-    let (number, clock, length) = (fields.u32(0), fields.u64(4), fields.u32(12) as usize);
-    // Grown as bytes come, so that a false length can't claim memory that is never filled.
-    let mut body = Vec::new();
-    input
-        .take(length as u64)
-        .read_to_end(&mut body)
-        .map_err(|fault| format!("input: {fault}"))?;
-    if body.len() < length {
-        return Err(format!(
-            "batch {number}: cut off after {} of {length} bytes",
-            body.len()
-        ));
-    }
-    if length < 4 {
-        return Err(format!(
-            "batch {number}: length {length} has no room for the record count"
-        ));
+    let (batch, clock, length) = (fields.u32(0), fields.u64(4), fields.u32(12) as usize);
+    let body = read_body(input, batch, length)?;
+    if length < COUNT_BYTES {
+        return Err(BatchError::NoRecordCount { batch, length });
     }
     let records = Fields(&body).u32(0) as usize;
-    if records
-        .checked_mul(EVENT)
-        .is_none_or(|bytes| bytes > length - 4)
-    {
-        return Err(format!(
-            "batch {number}: {records} records do not fit in {length} bytes"
-        ));
+    let fits = |bytes: usize| bytes <= length - COUNT_BYTES;
+    if !records.checked_mul(EVENT_BYTES).is_some_and(fits) {
+        return Err(BatchError::TooManyRecords {
+            batch,
+            records,
+            length,
+        });
     }
     Ok(Some(Batch {
-        number,
+        number: batch,
         clock,
         records,
         body,
     }))
 }
 
-#[derive(Default)]
-pub struct Reply {
-    records: Vec<u8>,
-    tail: Vec<u8>,
-}
-
-/// The fields of one action, from the byte behind its code; what is left out stays zero.
-pub struct Action {
-    bytes: [u8; ACTION],
-    used: usize,
-}
-
-impl Action {
-    pub fn new(code: u16, relay: u16) -> Action {
-        Action {
-            bytes: [0; ACTION],
-            used: 0,
+fn read_header(input: &mut impl Read) -> Result<Option<[u8; HEADER_BYTES]>, BatchError> {
+    let mut header = [0u8; HEADER_BYTES];
+    let mut filled = 0;
+    while filled < header.len() {
+        match input.read(&mut header[filled..]) {
+            Ok(0) if filled == 0 => return Ok(None),
+            Ok(0) => return Err(BatchError::IncompleteHeader { bytes: filled }),
+            Ok(count) => filled += count,
+            Err(error) if error.kind() == ErrorKind::Interrupted => {}
+            Err(error) => return Err(BatchError::Input(error)),
         }
-        .with(&code.to_le_bytes())
-        .with(&relay.to_le_bytes())
-    }
-
-    pub fn with(mut self, field: &[u8]) -> Action {
-        self.bytes[self.used..self.used + field.len()].copy_from_slice(field);
-        self.used += field.len();
-        self
     }
+    Ok(Some(header))
 }
 
-impl Reply {
-    pub fn push(&mut self, action: Action) {
-        self.records.extend_from_slice(&action.bytes);
-    }
-
-    pub fn push_text(&mut self, action: Action, text: &str) {
-        let at = (self.tail.len() as u32).to_le_bytes();
-        self.push(action.with(&at).with(&(text.len() as u32).to_le_bytes()));
-        self.tail.extend_from_slice(text.as_bytes());
-    }
-
-    pub fn bytes(&self, batch: u32) -> Vec<u8> {
-        let length = 4 + self.records.len() + self.tail.len();
-        let count = (self.records.len() / ACTION) as u32;
-        let header = [
-            batch.to_le_bytes(),
-            (length as u32).to_le_bytes(),
-            count.to_le_bytes(),
-        ]
-        .concat();
-        [header, self.records.clone(), self.tail.clone()].concat()
+fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, BatchError> {
+    // The buffer grows as bytes arrive, so that a wrong length can't claim memory.
+    let mut body = Vec::new();
+    input
+        .take(length as u64)
+        .read_to_end(&mut body)
+        .map_err(BatchError::Input)?;
+    if body.len() < length {
+        return Err(BatchError::IncompleteBody {
+            batch,
+            bytes: body.len(),
+            length,
+        });
     }
+    Ok(body)
 }
--- a/adapter/tests/golden.rs
+++ b/adapter/tests/golden.rs
@@ -1,5 +1,5 @@
-//! A session on the simulator's wire, as the program `thistlecroft-adapter` has it: every kind of
-//! event goes in, and both directions are compared with the recorded bytes.
+//! A recorded session on the simulator's wire with every kind of event, and the recorded errors of
+//! the program.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -17,7 +17,7 @@
 const INSTANCE: u16 = 3;
 const FIRST_BACKEND: [u8; 6] = [10, 18, 74, 7, 0x5b, 0x1b];
 const SECOND_BACKEND: [u8; 6] = [10, 144, 17, 242, 0x84, 0x1b];
-/// Backends whose list entries say so.
+/// The states of backends in list entries.
 const READY: u8 = 0;
 const GONE: u8 = 1;
 const DRAINING: u8 = 2;
@@ -178,11 +178,10 @@
     }
 }
 
-/// Sessions that end in every way, under a list that changes, fails and comes again.
+/// Sessions with every outcome, while the endpoint list changes, fails and recovers.
 fn session() -> Vec<Batch> {
     let both_ready = [(FIRST_BACKEND, 0, READY), (SECOND_BACKEND, 1, READY)];
     let first_draining = [(FIRST_BACKEND, 0, DRAINING)];
-    let first_gone = [(FIRST_BACKEND, 0, GONE)];
     vec![
         Batch::new(1, 1_000)
             .begin()
@@ -208,7 +207,7 @@
         Batch::new(6, 100_000)
             .inbound(4, 1, 2_400_000)
             .inbound(5, 0, 1_200_000),
-        // One of a kind that must not be tried again fails, and a client leaves with its dial out.
+        // A non-idempotent session fails, and a client leaves during an attempt.
         Batch::new(7, 120_000)
             .outcome(4, 0, FIRST_BACKEND, 301, false)
             .client_left(5)
@@ -220,17 +219,17 @@
             .outcome(100, 0, FIRST_BACKEND, 100, true)
             .timer(),
         Batch::new(11, 900_000)
-            .list(0, &first_gone)
+            .list(0, &[(FIRST_BACKEND, 0, GONE)])
             .inbound(7, 0, 1_200_000)
             .inbound(8, 1, 40_000),
         Batch::new(12, 930_000)
             .outcome(7, 0, SECOND_BACKEND, 307, false)
             .outcome(8, 0, SECOND_BACKEND, 303, false),
-        // A backend with far more load than it can carry: a connection there is moved.
+        // An overloaded backend, from which a session is migrated.
         Batch::new(13, 3_000_000).probed(SECOND_BACKEND, 100, 50.0),
         Batch::new(14, 3_200_000).timer(),
         Batch::new(15, 3_400_000).timer(),
-        // Discovery fails, and then lists nothing: what comes is turned away.
+        // Discovery fails, and then lists no backend: new sessions are rejected.
         Batch::new(16, 5_000_000).list(3, &[]).timer(),
         Batch::new(17, 5_100_000).list(1, &[]).timer(),
         Batch::new(18, 5_200_000)
@@ -301,7 +300,7 @@
 }
 
 #[test]
-fn a_session_with_every_event_is_answered_with_the_recorded_bytes() {
+fn session_with_every_event_gets_the_recorded_bytes() {
     let session = session();
     let frames: Vec<Vec<u8>> = session.iter().map(Batch::frame).collect();
     let output = run(&frames.concat());
@@ -320,7 +319,7 @@
 }
 
 #[test]
-fn the_recorded_session_has_every_action_that_is_ever_sent() {
+fn recorded_session_has_every_action() {
     let recording = include_str!("golden/session.txt");
     let records = recording
         .lines()
@@ -335,7 +334,7 @@
 }
 
 #[test]
-fn input_that_breaks_off_or_is_unknown_ends_the_program_with_the_recorded_words() {
+fn malformed_input_ends_the_program_with_the_recorded_errors() {
     let begun = Batch::new(1, 1_000).begin().list(2, &[]).frame();
     let unknown_event = Batch::new(2, 2_000).event(Record::event(9_999)).frame();
     let bare_event = Batch::new(1, 1_000).timer().frame();
