--- a/adapter/tests/golden.rs
+++ b/adapter/tests/golden.rs
@@ -119,9 +119,9 @@
         self.event(record.u32(at).u32(backends.len() as u32))
     }
 
-    fn inbound(self, id: u64, listener: u16, patience_us: u32) -> Batch {
+    fn inbound(self, id: u64, listener: u16, timeout_us: u32) -> Batch {
         let record = Record::event(1020).u64(id).u16(listener).u16(0);
-        let record = record.u64(0x1122_3344_5566_7788).u32(patience_us);
+        let record = record.u64(0x1122_3344_5566_7788).u32(timeout_us);
         self.event(record.u32(0).u64(0x99))
     }
 
@@ -131,14 +131,24 @@
         self.event(record.u64(0x1122_3344_5566_7788))
     }
 
-    fn established(self, id: u64, dial: u16, backend: [u8; 6]) -> Batch {
-        let record = Record::event(1030).u64(id).u16(dial).bytes(&backend);
+    fn established(self, id: u64, attempt: u16, backend: [u8; 6]) -> Batch {
+        let record = Record::event(1030).u64(id).u16(attempt).bytes(&backend);
         self.event(record.u32(9_250))
     }
 
-    fn outcome(self, id: u64, dial: u16, backend: [u8; 6], outcome: u16, over: bool) -> Batch {
+    fn outcome(
+        self,
+        id: u64,
+        attempt: u16,
+        backend: [u8; 6],
+        outcome: u16,
+        is_answered: bool,
+    ) -> Batch {
         let record = Record::event(1040).u64(id).u32(18_500).u16(outcome);
-        let record = record.bytes(&backend).u16(dial).u8(u8::from(over));
+        let record = record
+            .bytes(&backend)
+            .u16(attempt)
+            .u8(u8::from(is_answered));
         self.event(record.u8(2).f32(7.0).f32(0.4))
     }
 
@@ -263,7 +273,7 @@
         let mut output = Vec::new();
         stdout.read_to_end(&mut output).map(|_| output)
     });
-    // A program that ends at a fault in its input may leave the rest unread.
+    // A program that stops at malformed input may leave the rest unread.
     let written = stdin.write_all(input);
     drop(stdin);
     let mut output = child.wait_with_output().expect("it ends");
@@ -327,7 +337,8 @@
     let codes: std::collections::BTreeSet<u16> = records
         .map(|record| u16::from_str_radix(&record[..4], 16).unwrap().swap_bytes())
         .collect();
-    // Probe, timer, subscription, withdrawal, dial, refusal, move and failure; a fault's record
+    // Health check, timer, subscription, cancellation, connection, rejection, migration and failure;
+    // a panic's record
     // (1120) is left to the unit tests, since no input is known that leads to one.
     let expected = [1000, 1020, 1030, 1040, 1050, 1080, 1090, 1110];
     assert_eq!(codes, expected.into());
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -66,4 +66,4 @@
 };
 pub use outgoing::{Outgoing, To};
 pub use subject::{MAX_SUBJECT_BYTES, Subject};
-pub use voter::{MAX_SESSIONS, MAX_VOTER_SUBJECTS, Voter};
+pub use voter::{MAX_SESSIONS, MAX_VOTER_SUBJECTS};
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -124,11 +124,17 @@
             .map(|due| due.max(now))
     }
 
+    /// When to ask other processes for epochs or generations next.
     pub(super) fn next_recall(&self) -> Option<Instant> {
-        let changing =
-            !self.config.electorate.previous_voters.is_empty() && self.settled_since.is_none();
-        self.voter
-            .next_recall(self.is_voter(), changing, &self.config)
+        let is_joint = !self.config.electorate.previous_voters.is_empty();
+        if is_joint && self.settled_since.is_none() {
+            return Some(self.voter.next_generation_query());
+        }
+        if self.is_voter() {
+            self.voter.next_recall(&self.config)
+        } else {
+            None
+        }
     }
 
     /// Takes the messages to send.
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -1,21 +1,21 @@
 //! A voter: the sessions that it keeps, the subjects attached to them, and the highest epoch that it
 //! knows. It stores nothing on disk: after a start it grants nothing for a term, until everything
 //! that it may have granted before has expired.
-use crate::electorate::{Electorate, LeaseConfig};
+mod recall;
+
+use crate::electorate::LeaseConfig;
 use crate::message::{MAX_NAMED_HOLDERS, Message, Reason, SessionToken, Update, Updated};
 use crate::subject::Subject;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::random::Rng;
-use thistlecroft::time::{Duration, Instant};
+use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
 /// The most subjects attached at one voter.
 pub const MAX_VOTER_SUBJECTS: usize = 131_072;
 /// The most sessions of one voter.
 pub const MAX_SESSIONS: usize = 4_096;
-/// How often a voter asks for the highest epoch until it knows it.
-const RECALL_INTERVAL: Duration = Duration::from_millis(500);
 /// A lapsed session is kept for this many terms, since its process may return before another one
 /// takes a subject of it.
 const LAPSED_SESSION_TERMS: f64 = 4.0;
@@ -37,47 +37,47 @@
 
 /// Requests rejected since the start, by reason.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct VoterCounts {
+pub(crate) struct VoterCounts {
     /// No capacity for another subject or session.
-    pub full: u64,
+    pub(crate) full: u64,
     /// The session is not known.
-    pub unknown_session: u64,
+    pub(crate) unknown_session: u64,
     /// Another process holds the subject.
-    pub held: u64,
+    pub(crate) held: u64,
 }
 
 /// The state of a voter.
 #[derive(Clone, Debug)]
-pub struct Voter {
+pub(crate) struct Voter {
     sessions: BTreeMap<SessionToken, Session>,
     current: BTreeMap<Identity, CurrentSession>,
     holders: BTreeMap<Subject, SessionToken>,
     tokens: Rng,
     next_sweep: Instant,
     /// The highest epoch that it knows.
-    pub epoch: u64,
+    pub(crate) epoch: u64,
     /// It grants nothing for a term from here, since it may have granted something before its
     /// start.
     silent_from: Instant,
     /// It knows the highest epoch that any majority may have confirmed.
-    pub established: bool,
+    pub(crate) established: bool,
     /// Another process of this name votes in its place, or this one is shutting down.
-    pub retired: bool,
+    pub(crate) retired: bool,
     last_recall: Option<Instant>,
     recall_count: usize,
     /// Voters that have answered a recall, and those among them that are established.
     established_others: BTreeSet<CompactString>,
     others: BTreeSet<CompactString>,
     /// The last generation that other processes have sent.
-    pub generations: BTreeMap<CompactString, u32>,
+    pub(crate) generations: BTreeMap<CompactString, u32>,
     /// Rejected requests.
-    pub counts: VoterCounts,
+    pub(crate) counts: VoterCounts,
 }
 
 impl Voter {
     /// A voter that has just started. `run` is the number of the process's run, which seeds the
     /// tokens of its sessions.
-    pub fn new(run: u64, now: Instant) -> Voter {
+    pub(crate) fn new(run: u64, now: Instant) -> Voter {
         Voter {
             sessions: BTreeMap::new(),
             current: BTreeMap::new(),
@@ -98,22 +98,22 @@
     }
 
     /// Whether the voter may still have granted something before its start.
-    pub fn is_silent(&self, config: &LeaseConfig, now: Instant) -> bool {
+    pub(crate) fn is_silent(&self, config: &LeaseConfig, now: Instant) -> bool {
         now < self.silent_from + config.term
     }
 
     /// The number of attached subjects.
-    pub fn subject_count(&self) -> usize {
+    pub(crate) fn subject_count(&self) -> usize {
         self.holders.len()
     }
 
     /// The number of sessions, lapsed ones included.
-    pub fn session_count(&self) -> usize {
+    pub(crate) fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
     /// Handles a request. `None` for one that arrives twice or after a later one.
-    pub fn update(
+    pub(crate) fn update(
         &mut self,
         from: &Identity,
         update: Update,
@@ -318,7 +318,13 @@
 
     /// Detaches everything of a process that shuts down, except for what it keeps until the session
     /// lapses.
-    pub fn close(&mut self, from: &Identity, sequence: u32, token: SessionToken, keep: &[Subject]) {
+    pub(crate) fn close(
+        &mut self,
+        from: &Identity,
+        sequence: u32,
+        token: SessionToken,
+        keep: &[Subject],
+    ) {
         let Some(current) = self
             .current
             .get_mut(from)
@@ -359,86 +365,4 @@
             .into_iter()
             .for_each(|token| self.drop_session(token));
     }
-
-    /// Handles the presence of another process of this name. When that one is starting, an
-    /// established voter stops voting in its favour. One that is not established yet waits for a
-    /// term after the last message of the other.
-    pub fn note_duplicate(&mut self, starting: bool, now: Instant) {
-        match (self.established, starting) {
-            (true, true) => self.retired = true,
-            (true, false) => {}
-            (false, _) => self.silent_from = now,
-        }
-    }
-
-    /// When to ask other processes next. While voters are `changing`, every process asks for the
-    /// generations of the others.
-    pub fn next_recall(
-        &self,
-        votes: bool,
-        changing: bool,
-        config: &LeaseConfig,
-    ) -> Option<Instant> {
-        if changing {
-            return Some(
-                self.last_recall
-                    .map_or(self.silent_from, |at| at + RECALL_INTERVAL),
-            );
-        }
-        if !votes || self.retired {
-            return None;
-        }
-        let settled = self.silent_from + config.term;
-        match (self.established, self.last_recall) {
-            (true, _) => None,
-            (false, None) => Some(self.silent_from),
-            // The end of the silence may be all that it waits for.
-            (false, Some(at)) if at < settled => Some((at + RECALL_INTERVAL).min(settled)),
-            (false, Some(at)) => Some(at + RECALL_INTERVAL),
-        }
-    }
-
-    /// The share of all processes to ask this time, as an index and the number of shares. Each is
-    /// asked once in a term.
-    pub fn recall_share(&mut self, config: &LeaseConfig, now: Instant) -> (usize, usize) {
-        self.last_recall = Some(now);
-        let of = (config.term.as_micros() / RECALL_INTERVAL.as_micros()).max(1) as usize;
-        self.recall_count += 1;
-        ((self.recall_count - 1) % of, of)
-    }
-
-    /// Handles the answer to a recall.
-    pub fn note_remembered(&mut self, from: &Identity, established: bool, epoch: u64) {
-        self.epoch = self.epoch.max(epoch);
-        if established {
-            self.established_others.insert(from.name.clone());
-        }
-        self.others.insert(from.name.clone());
-    }
-
-    /// Starts to vote once the silence is over and the highest epoch is certain: when so many
-    /// established voters have answered that every majority that this one can have been part of
-    /// includes one of them, or when all other voters have answered.
-    pub fn settle(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
-        if self.established || self.is_silent(config, now) {
-            return;
-        }
-        let is_certain = |set: &[CompactString]| {
-            let others = set.iter().filter(|name| **name != me.name);
-            let count_in = |answered: &BTreeSet<CompactString>| {
-                others
-                    .clone()
-                    .filter(|name| answered.contains(*name))
-                    .count()
-            };
-            let (all, majority) = (others.clone().count(), Electorate::majority(set));
-            count_in(&self.others) == all
-                || count_in(&self.established_others) + majority > set.len()
-        };
-        let sets = [
-            &config.electorate.voters,
-            &config.electorate.previous_voters,
-        ];
-        self.established = sets.iter().all(|set| set.is_empty() || is_certain(set));
-    }
 }
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -1,5 +1,4 @@
-//! How an epoch is chosen and confirmed: one owner, and three voters whose answers are written by
-//! hand.
+//! How an epoch is chosen and confirmed, with one owner and three scripted voters.
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
@@ -11,11 +10,11 @@
 const TERM: Duration = Duration::from_millis(2_000);
 const SUBJECT: &[u8] = b"shard";
 
-/// The owner, and the last request that it sent to each voter.
+/// The owner, and its pending request to each voter.
 struct Script {
     owner: Leases,
     now: Instant,
-    asked: BTreeMap<String, Update>,
+    requests: BTreeMap<String, Update>,
 }
 
 impl Script {
@@ -36,17 +35,17 @@
         let mut script = Script {
             owner,
             now,
-            asked: BTreeMap::new(),
+            requests: BTreeMap::new(),
         };
         script
             .owner
             .acquire(SUBJECT, now + Duration::from_millis(60_000), now)
             .unwrap();
-        script.pass(0);
+        script.advance(0);
         script
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
         self.owner.tick(self.now);
         self.take_requests();
@@ -60,17 +59,17 @@
             if outgoing.channel == CHANNEL
                 && let Some(Message::Update(update)) = Message::decode(&outgoing.bytes)
             {
-                self.asked.insert(name.to_string(), update);
+                self.requests.insert(name.to_string(), update);
             }
         }
     }
 
-    /// The voter does what it was asked last, and says that it knows that epoch.
+    /// The voter grants its last request, and knows this epoch.
     fn confirm(&mut self, voter: &str, epoch: u64) {
         let update = self
-            .asked
+            .requests
             .remove(voter)
-            .unwrap_or_else(|| panic!("{voter} was asked for nothing"));
+            .unwrap_or_else(|| panic!("{voter} got no request"));
         let session = update.session.unwrap_or(SessionToken(7));
         let (generation, sequence, refused) = (1, update.sequence, Vec::new());
         let answer = Updated {
@@ -85,9 +84,9 @@
 
     fn refuse(&mut self, voter: &str, reason: Reason) {
         let update = self
-            .asked
+            .requests
             .remove(voter)
-            .unwrap_or_else(|| panic!("{voter} was asked for nothing"));
+            .unwrap_or_else(|| panic!("{voter} got no request"));
         self.answer(
             voter,
             Message::Refused {
@@ -111,8 +110,8 @@
         }
     }
 
-    /// Sessions at these, and the subject attached there.
-    fn attached(&mut self, voters: &[&str], epoch: u64) {
+    /// These voters open sessions and attach the subject.
+    fn attach_at(&mut self, voters: &[&str], epoch: u64) {
         voters.iter().for_each(|voter| self.confirm(voter, epoch));
         voters.iter().for_each(|voter| self.confirm(voter, epoch));
     }
@@ -121,47 +120,47 @@
 #[test]
 fn claim_is_held_once_a_majority_confirms_the_highest_epoch() {
     let mut script = Script::new();
-    script.attached(&["r0"], 7);
-    script.attached(&["r1"], 9);
+    script.attach_at(&["r0"], 7);
+    script.attach_at(&["r1"], 9);
     assert_eq!(
         script.epoch(),
         None,
-        "attached by a majority, the epoch not kept yet"
+        "attached by a majority, but the epoch is not confirmed"
     );
     assert_eq!(
-        (script.asked["r0"].epoch, script.asked["r1"].epoch),
+        (script.requests["r0"].epoch, script.requests["r1"].epoch),
         (10, 10)
     );
     script.confirm("r0", 10);
-    assert_eq!(script.epoch(), None, "kept by one");
+    assert_eq!(script.epoch(), None, "confirmed by one voter");
     script.confirm("r1", 10);
     assert_eq!(script.epoch(), Some(10));
-    // The third attaches later and changes nothing.
-    script.attached(&["r2"], 11);
+    // A third attachment changes nothing.
+    script.attach_at(&["r2"], 11);
     assert_eq!(script.epoch(), Some(10));
 }
 
 #[test]
 fn voter_that_attaches_after_the_epoch_is_chosen_does_not_confirm_it() {
     let mut script = Script::new();
-    script.attached(&["r0", "r1"], 7);
-    assert_eq!(script.asked["r0"].epoch, 8);
+    script.attach_at(&["r0", "r1"], 7);
+    assert_eq!(script.requests["r0"].epoch, 8);
     script.confirm("r0", 8);
-    // One that had attached it has restarted. The third was freed by somebody who held the subject
-    // meanwhile, by epoch 12.
+    // One voter that had attached it has restarted. At the third, another process held the subject
+    // meanwhile, with epoch 12.
     script.refuse("r1", Reason::UnknownSession);
-    script.attached(&["r2"], 12);
+    script.attach_at(&["r2"], 12);
     assert_eq!(
         script.epoch(),
         None,
-        "two keep an epoch of 8 or more, but 8 is not above all that they knew"
+        "two voters know an epoch of at least 8, but 8 is not above all that they knew"
     );
-    // Chosen anew, when the attempt is over.
+    // The next attempt chooses a higher epoch.
     for _ in 0..40 {
-        script.pass(50);
+        script.advance(50);
         for (voter, known) in [("r0", 8), ("r2", 12)] {
-            if let Some(asked) = script.asked.get(voter) {
-                let known = known.max(asked.epoch);
+            if let Some(request) = script.requests.get(voter) {
+                let known = known.max(request.epoch);
                 script.confirm(voter, known);
             }
         }
@@ -172,17 +171,17 @@
 #[test]
 fn late_answer_does_not_restore_an_expired_epoch() {
     let mut script = Script::new();
-    script.attached(&["r0", "r1"], 7);
+    script.attach_at(&["r0", "r1"], 7);
     script.confirm("r0", 8);
     script.confirm("r1", 8);
     assert_eq!(script.epoch(), Some(8));
-    // Renewals are sent in time, their answers come when it is over.
-    script.pass(700);
+    // Renewals are sent in time, but the answers arrive after the lease has expired.
+    script.advance(700);
     script.now = script.now + TERM;
     script.confirm("r0", 8);
     script.confirm("r1", 8);
     assert_eq!(script.epoch(), None);
-    assert_eq!(script.asked["r0"].epoch, 9);
+    assert_eq!(script.requests["r0"].epoch, 9);
     script.confirm("r0", 9);
     script.confirm("r1", 9);
     assert_eq!(script.epoch(), Some(9));
--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -205,9 +205,9 @@
     for (name, message) in legacy_messages() {
         writeln!(recording, "{name}: {}", hex(&message.encode())).unwrap();
     }
-    let (_, ask) = &legacy_messages()[0];
-    let refusal = ask.rejection().expect("an older request is refused");
-    writeln!(recording, "answer to ask: {}", hex(&refusal.encode())).unwrap();
+    let (_, request) = &legacy_messages()[0];
+    let rejection = request.rejection().expect("an older request is rejected");
+    writeln!(recording, "answer to ask: {}", hex(&rejection.encode())).unwrap();
     writeln!(recording, "generation of that answer: {NO_GENERATION}").unwrap();
     assert_unchanged("legacy_messages.txt", &recording);
 }
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::Duration;
 use thistlecroft_leases::{DRIFT, Electorate, LeaseConfig, Subject};
-use thistlecroft_peers::{NodeConfig as PeerTerms, ProtocolTiming};
+use thistlecroft_peers::{NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::SimulatedNetwork;
 
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(200);
@@ -40,7 +40,7 @@
     update_rate: u32,
     seed: u64,
 ) -> SimulatedNetwork {
-    let peers = PeerTerms {
+    let peers = NodeConfig {
         fleet: "test".into(),
         secret: vec![1],
         timing: ProtocolTiming {
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -8,10 +8,8 @@
 };
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
-use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
 use thistlecroft_leases::{
     AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message, Reason,
-    State, To, Vote, legacy,
 };
 use thistlecroft_peers::Identity;
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
@@ -75,14 +73,14 @@
         acquire(&mut network, 4, &all[..20]);
         let moved = checker.wait_until(&mut network, TERM * 2.0, |network| count(network, 4) == 20);
         assert!(moved.is_some(), "seed {seed}");
-        let kept = held(&network, 3);
+        let rest = held(&network, 3);
         assert!(
             all[20..]
                 .iter()
-                .all(|subject| kept.get(subject) == before.get(subject)),
+                .all(|subject| rest.get(subject) == before.get(subject)),
             "seed {seed}"
         );
-        assert_eq!(kept.len(), 40);
+        assert_eq!(rest.len(), 40);
     }
 }
 
@@ -115,7 +113,7 @@
                 .all(|(subject, epoch)| *epoch > before[subject]),
             "seed {seed}"
         );
-        // Attached still: no subject was sent again.
+        // The subjects were still attached, so none was sent again.
         assert_eq!(
             network.hosts[3]
                 .leases
@@ -131,7 +129,7 @@
 #[test]
 fn voter_restart_during_a_large_takeover_neither_delays_nor_duplicates() {
     for seed in 1..=SEEDS {
-        // At this rate 600 subjects take some seconds.
+        // At this rate a takeover of 600 subjects takes several seconds.
         let (mut network, mut checker, all) = (
             start_network(5, &VOTERS, 16_384, seed),
             HolderChecker::default(),
@@ -149,7 +147,7 @@
         let some = checker.wait_until(&mut network, TERM * 4.0, |network| count(network, 4) > 100);
         assert!(
             some.is_some_and(|_| count(&network, 4) < 600),
-            "seed {seed}: in the midst"
+            "seed {seed}: in the middle of the takeover"
         );
         let voter = seed as usize % 3;
         network.kill(voter);
@@ -158,7 +156,7 @@
         let taken =
             checker.wait_until(&mut network, TERM * 6.0, |network| count(network, 4) == 600);
         assert!(taken.is_some(), "seed {seed}: {}", count(&network, 4));
-        // The voter that forgot is told all of it again: another may be lost now.
+        // Everything was attached again at the restarted voter, so another one may fail now.
         checker.check_for(&mut network, TERM * 4.0, &[]);
         let before = held(&network, 4);
         network.kill((voter + 1) % 3);
@@ -221,8 +219,7 @@
                 count(network, 3) == 30
             })
             .expect("owned");
-        // One voter does not hear the owner any more; the others forget, one after the other, and
-        // hear it all the time.
+        // One voter receives nothing from the owner. The others do, but restart one after the other.
         network.cut(&[3], &[2]);
         acquire(&mut network, 4, &all);
         for voter in [0, 1] {
@@ -351,7 +348,7 @@
             });
             done
         };
-        // The owner is told of nothing and hears nobody; all others go on as fast as they are let.
+        // The owner is cut off and learns nothing. All others change as fast as they may.
         network.cut(&[5], &[0, 1, 2, 3, 4]);
         (0..5).for_each(|index| change(&mut network, index, &joint).unwrap());
         checker.check_for(&mut network, TERM * 0.4, &[]);
@@ -375,18 +372,18 @@
     }
 }
 
-/// Bytes that a process's leases send in so long, and requests.
+/// The bytes and the requests that a process sends within this time.
 fn spent(network: &mut SimulatedNetwork, index: usize, duration: Duration) -> (u64, u64) {
-    let look = |network: &SimulatedNetwork| {
+    let counts = |network: &SimulatedNetwork| {
         let host = &network.hosts[index];
         (
             host.node.counts.sent_bytes,
             host.leases.as_ref().unwrap().counts().requests,
         )
     };
-    let before = look(network);
+    let before = counts(network);
     network.run_for(duration);
-    let after = look(network);
+    let after = counts(network);
     (after.0 - before.0, after.1 - before.1)
 }
 
@@ -403,14 +400,14 @@
     };
     let (bytes, requests) = cost(1);
     for owned in [8, 64, 512, 4_096] {
-        let (more, asked) = cost(owned);
+        let (more_bytes, more_requests) = cost(owned);
         assert!(
-            more.abs_diff(bytes) * 20 <= bytes,
-            "{owned} owned: {more} bytes, one: {bytes}"
+            more_bytes.abs_diff(bytes) * 20 <= bytes,
+            "{owned} owned: {more_bytes} bytes, one: {bytes}"
         );
         assert!(
-            asked.abs_diff(requests) * 10 <= requests,
-            "{owned} owned: {asked} requests, one: {requests}"
+            more_requests.abs_diff(requests) * 10 <= requests,
+            "{owned} owned: {more_requests} requests, one: {requests}"
         );
     }
 }
@@ -423,19 +420,18 @@
         network.run_for(START * 4.0);
         acquire(&mut network, 4, &all);
         let began = network.now;
-        let calm = 1_500;
+        let membership_bytes = 1_500;
         while count(&network, 4) < SUBJECTS {
             let (bytes, _) = spent(&mut network, 4, Duration::from_millis(1_000));
-            // A burst of half a second, and one message that began below it.
-            let most = u64::from(rate) * 3 / 2 + 1_200 + calm;
-            assert!(bytes <= most, "{bytes} bytes in a second at {rate}");
+            // The rate, a burst of half a second, and one message that may exceed the budget.
+            let limit = u64::from(rate) * 3 / 2 + 1_200 + membership_bytes;
+            assert!(bytes <= limit, "{bytes} bytes in a second at {rate}");
             assert!(
                 network.now.duration_since(began) < Duration::from_millis(120_000),
                 "{rate}"
             );
         }
-        // Three voters, each subject with its length: so many bytes at that rate, and a tenth for
-        // the rest.
+        // Each subject with its length byte at three voters, and the overhead of the messages.
         let bytes = 3.0 * all.iter().map(|subject| subject.len() + 1).sum::<usize>() as f64;
         let messages = 3.0 * (SUBJECTS as f64 / 80.0).ceil();
         let expected = (bytes + messages * 150.0) / f64::from(rate);
@@ -465,8 +461,8 @@
             Err(AcquireError::SubjectTooLong)
         )
     );
-    let fault = AcquireError::TooManyClaims.to_string();
-    assert!(fault.contains("8192"), "{fault}");
+    let error = AcquireError::TooManyClaims.to_string();
+    assert!(error.contains("8192"), "{error}");
 }
 
 #[test]
@@ -518,104 +514,3 @@
         (MAX_VOTER_SUBJECTS, each as u64)
     );
 }
-
-const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
-    generation: 1,
-    established: true,
-    epoch: 41,
-};
-
-fn at(ms: u64) -> Instant {
-    Instant::from_micros(1_000_000 + ms * 1_000)
-}
-
-/// The answers in the legacy protocol to a legacy message.
-fn legacy_answers(
-    voter: &mut Leases,
-    from: &Identity,
-    message: &LegacyMessage,
-    ms: u64,
-) -> Vec<LegacyMessage> {
-    voter.receive(from, legacy::CHANNEL, &message.encode(), at(ms));
-    let outgoing = voter.take_outgoing().into_iter();
-    let answers = outgoing
-        .filter(|one| one.channel == legacy::CHANNEL && one.to == To::Process(from.clone()));
-    answers
-        .filter_map(|one| LegacyMessage::decode(&one.bytes))
-        .collect()
-}
-
-#[test]
-fn legacy_processes_are_rejected_in_their_protocol_and_grant_nothing() {
-    let mut voter = Leases::new(Identity::new("r0", 2), config(&["r0"], UPDATE_RATE), at(0));
-    let (older, twin) = (Identity::new("a", 1), Identity::new("r0", 1));
-    // At its start it notifies an older process of its name, in the older protocol, to stop voting.
-    voter.tick(at(0));
-    let sent = voter
-        .take_outgoing()
-        .into_iter()
-        .filter(|one| one.channel == legacy::CHANNEL);
-    let recall = LegacyMessage::Recall {
-        generation: 1,
-        starting: true,
-    };
-    assert!(
-        sent.filter_map(|one| LegacyMessage::decode(&one.bytes))
-            .any(|message| message == recall)
-    );
-    // It is silent while that one answers, and takes over its epoch.
-    legacy_answers(&mut voter, &twin, &REMEMBERED, 1_500);
-    voter.tick(at(2_100));
-    assert_eq!(voter.vote(at(2_100)), Vote::Silent);
-    voter.tick(at(3_500));
-    assert_eq!(voter.vote(at(3_500)), Vote::Votes);
-    voter.take_outgoing();
-    let request = LegacyMessage::Request {
-        generation: 1,
-        subject: b"turn".to_vec(),
-        round: 7,
-        epoch: 50,
-    };
-    let answers = legacy_answers(&mut voter, &older, &request, 3_600);
-    let reason = LegacyReason::Generation {
-        here: NO_GENERATION,
-    };
-    assert_eq!(
-        answers,
-        [LegacyMessage::Rejected {
-            subject: b"turn".to_vec(),
-            round: 7,
-            reason
-        }]
-    );
-    let grant = LegacyMessage::Granted {
-        generation: 1,
-        subject: b"turn".to_vec(),
-        round: 7,
-        epoch: 1,
-    };
-    assert_eq!(legacy_answers(&mut voter, &older, &grant, 3_600), []);
-    assert_eq!(voter.counts().older_protocol, 3);
-    assert_eq!(voter.state(b"turn", at(3_600)), State::Unwanted);
-}
-
-#[test]
-fn claim_at_a_legacy_voter_names_the_older_protocol() {
-    let mut process = Leases::new(Identity::new("b", 1), config(&["r0"], UPDATE_RATE), at(0));
-    process.acquire(b"turn", at(60_000), at(0)).unwrap();
-    let older_voter = Identity::new("r0", 1);
-    for ms in (0..2_000).step_by(50) {
-        process.tick(at(ms));
-        for outgoing in process.take_outgoing() {
-            let recall = (outgoing.channel == legacy::CHANNEL)
-                .then(|| LegacyMessage::decode(&outgoing.bytes));
-            if let Some(Some(LegacyMessage::Recall { .. })) = recall {
-                process.receive(&older_voter, legacy::CHANNEL, &REMEMBERED.encode(), at(ms));
-            }
-        }
-    }
-    assert_eq!(
-        process.state(b"turn", at(2_000)),
-        State::Wanted(Some(Reason::OlderProtocol))
-    );
-}
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -105,9 +105,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Merged {
     Unchanged,
-    /// It is news, to be spread.
+    /// It is new, and has to be spread.
     Updated,
-    /// It is news and has changed the state of the member.
+    /// It is new and has changed the state of the member.
     StateChanged,
 }
 
@@ -253,13 +253,13 @@
         let is_expired = |member: &Member| {
             member.state >= MemberState::Dead && now.duration_since(member.since) >= retention
         };
-        let gone = self
+        let expired = self
             .members
             .iter()
             .filter(|(_, member)| is_expired(member))
             .map(|(id, _)| id.clone());
-        let gone: Vec<Identity> = gone.collect();
-        gone.iter().for_each(|id| drop(self.members.remove(id)));
-        gone
+        let expired: Vec<Identity> = expired.collect();
+        expired.iter().for_each(|id| drop(self.members.remove(id)));
+        expired
     }
 }
--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -1,5 +1,5 @@
 //! What callers make a node do.
-use super::{INDIRECT_PROBE_HELPERS, Node};
+use super::{INDIRECT_PROBE_HELPERS, Node, Priority};
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberState};
 use crate::shared_state::{EntryKey, EntryKind};
@@ -50,7 +50,13 @@
         let Some(at) = self.members.get(to).map(|member| member.at) else {
             return false;
         };
-        self.send(at, Some(to), Body::Message { channel, bytes }, true, now)
+        self.send(
+            at,
+            Some(to),
+            Body::Message { channel, bytes },
+            Priority::Urgent,
+            now,
+        )
     }
 
     /// Changes this process's own address. Others accept it only with a higher incarnation.
@@ -77,7 +83,7 @@
         }
         for at in recipients {
             let datagram = self.datagram(Body::Gossip, vec![record.clone()], Vec::new());
-            self.transmit(at, &datagram, true, now);
+            self.transmit(at, &datagram, Priority::Urgent, now);
         }
         self.left = true;
     }
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -11,6 +11,8 @@
 
 pub use events::{Counts, Event, MemberView};
 
+use sending::Priority;
+
 use crate::gossip::Gossip;
 use crate::identity::{Identity, MemberRecord};
 use crate::members::MemberList;
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -1,7 +1,8 @@
 //! Failure detection: in each interval one member is probed. Where it does not answer, others are
 //! asked to ping it; where nobody reaches it, it becomes suspect.
 use super::{
-    INDIRECT_PROBE_HELPERS, IndirectProbe, MAX_INDIRECT_PROBES, Node, Probe, change_health,
+    INDIRECT_PROBE_HELPERS, IndirectProbe, MAX_INDIRECT_PROBES, Node, Priority, Probe,
+    change_health,
 };
 use crate::identity::{Identity, MemberRecord, MemberState};
 use crate::members::Member;
@@ -38,7 +39,7 @@
             probe: number,
             to: target.clone(),
         };
-        self.send(target_at, Some(target), body, true, now);
+        self.send(target_at, Some(target), body, Priority::Urgent, now);
     }
 
     pub(super) fn handle_ack(&mut self, number: u32, now: Instant) {
@@ -47,7 +48,7 @@
                 probe: indirect.probe,
             };
             let requester = Some(&indirect.requester);
-            self.send(indirect.requester_at, requester, ack, true, now);
+            self.send(indirect.requester_at, requester, ack, Priority::Urgent, now);
             return;
         }
         // The acknowledgement comes from the target or from a helper that reached it.
@@ -138,7 +139,7 @@
             probe: number,
             to: target.clone(),
         };
-        self.send(at, Some(&target), ping, true, now);
+        self.send(at, Some(&target), ping, Priority::Urgent, now);
     }
 
     /// Each live member once in random order, and then again.
@@ -181,7 +182,7 @@
                 target: target.clone(),
                 at: target_at,
             };
-            self.send(at, Some(&id), body, true, now);
+            self.send(at, Some(&id), body, Priority::Urgent, now);
         }
     }
 
@@ -226,7 +227,13 @@
                     probe: indirect.probe,
                 };
                 let requester = Some(&indirect.requester);
-                self.send(indirect.requester_at, requester, nack, true, now);
+                self.send(
+                    indirect.requester_at,
+                    requester,
+                    nack,
+                    Priority::Urgent,
+                    now,
+                );
             }
         }
     }
--- a/peers/src/node/receiving.rs
+++ b/peers/src/node/receiving.rs
@@ -1,5 +1,5 @@
 //! Received datagrams.
-use super::{Event, MAX_INDIRECT_PROBES, Node, change_health};
+use super::{Event, MAX_INDIRECT_PROBES, Node, Priority, change_health};
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberRecord, MemberState};
 use crate::members::Merged;
@@ -90,10 +90,16 @@
     fn handle_body(&mut self, body: Body, from: &Identity, at: SocketAddr, now: Instant) {
         match body {
             Body::Ping { probe, to } if to == self.me => {
-                self.send(at, Some(from), Body::Ack { probe }, true, now);
+                self.send(at, Some(from), Body::Ack { probe }, Priority::Urgent, now);
             }
             Body::Ping { probe, .. } => {
-                self.send(at, Some(from), Body::WrongTarget { probe }, true, now);
+                self.send(
+                    at,
+                    Some(from),
+                    Body::WrongTarget { probe },
+                    Priority::Urgent,
+                    now,
+                );
             }
             Body::IndirectPing {
                 probe,
@@ -105,7 +111,7 @@
             Body::WrongTarget { probe } => self.handle_wrong_target(probe, from, at, now),
             Body::Gossip | Body::InSync => {}
             Body::SyncRequest { digest } if digest == self.digest() => {
-                self.send(at, Some(from), Body::InSync, false, now);
+                self.send(at, Some(from), Body::InSync, Priority::Normal, now);
             }
             Body::SyncRequest { .. } => self.send_snapshot(at, from, true, now),
             Body::Chunk {
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -10,6 +10,15 @@
 /// The bytes that a chunk's number is estimated at.
 const CHUNK_NUMBER_BYTES: usize = 3;
 
+/// Whether a datagram may use the part of the send budget that is reserved.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Priority {
+    /// Probes, their answers and messages of other protocols.
+    Urgent,
+    /// Gossip and snapshots.
+    Normal,
+}
+
 /// The records and entries that one datagram carries.
 struct Payload {
     members: Vec<MemberRecord>,
@@ -87,7 +96,7 @@
         at: SocketAddr,
         to: Option<&Identity>,
         body: Body,
-        urgent: bool,
+        priority: Priority,
         now: Instant,
     ) -> bool {
         let mut payload = Payload::for_body(&body);
@@ -103,7 +112,7 @@
             self.add_gossip(&mut payload, now);
         }
         let datagram = self.datagram(body, payload.members, payload.entries);
-        let is_sent = self.transmit(at, &datagram, urgent, now);
+        let is_sent = self.transmit(at, &datagram, priority, now);
         if is_sent {
             let size = self.size();
             self.gossip.note_sent(&payload.updates, size);
@@ -150,7 +159,7 @@
         &mut self,
         at: SocketAddr,
         datagram: &Datagram,
-        urgent: bool,
+        priority: Priority,
         now: Instant,
     ) -> bool {
         if self.left {
@@ -161,7 +170,10 @@
             return false;
         };
         self.refill_budget(now);
-        let reserved = if urgent { 0.0 } else { self.reserved_budget() };
+        let reserved = match priority {
+            Priority::Urgent => 0.0,
+            Priority::Normal => self.reserved_budget(),
+        };
         if self.send_budget < bytes.len() as f64 + reserved {
             self.counts.rate_limited += 1;
             return false;
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -2,8 +2,8 @@
 //! snapshots where these differ. Seeds and dead members are contacted again, so that the parts of a
 //! divided fleet find each other.
 use super::{
-    CONTACT_INTERVAL, MAX_INDIRECT_PROBES, MAX_PAYLOAD_BYTES, Node, SYNC_INTERVAL, entry_bytes,
-    member_bytes,
+    CONTACT_INTERVAL, MAX_INDIRECT_PROBES, MAX_PAYLOAD_BYTES, Node, Priority, SYNC_INTERVAL,
+    entry_bytes, member_bytes,
 };
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberRecord, MemberState};
@@ -63,7 +63,13 @@
             let at = missing.swap_remove(index);
             // A datagram to a dead member carries that opinion, which the member can refute.
             let id = self.member_at(at).cloned();
-            self.send(at, id.as_ref(), Body::SyncRequest { digest }, false, now);
+            self.send(
+                at,
+                id.as_ref(),
+                Body::SyncRequest { digest },
+                Priority::Normal,
+                now,
+            );
         }
     }
 
@@ -116,7 +122,13 @@
             let Some(at) = self.members.get(&id).map(|member| member.at) else {
                 continue;
             };
-            self.send(at, Some(&id), Body::SyncRequest { digest }, false, now);
+            self.send(
+                at,
+                Some(&id),
+                Body::SyncRequest { digest },
+                Priority::Normal,
+                now,
+            );
         }
     }
 
@@ -164,7 +176,7 @@
                 back,
             };
             let datagram = self.datagram(body, content.members, content.entries);
-            self.transmit(at, &datagram, false, now);
+            self.transmit(at, &datagram, Priority::Normal, now);
         }
     }
 
@@ -204,7 +216,7 @@
                 back: false,
             };
             let datagram = self.datagram(body, content.members, content.entries);
-            self.transmit(at, &datagram, false, now);
+            self.transmit(at, &datagram, Priority::Normal, now);
         }
     }
 
@@ -216,7 +228,7 @@
                     exchange: missing.exchange,
                     numbers: missing.numbers,
                 };
-                self.send(at, Some(&missing.from), body, false, now);
+                self.send(at, Some(&missing.from), body, Priority::Normal, now);
             }
         }
     }
--- a/peers/src/node/ticking.rs
+++ b/peers/src/node/ticking.rs
@@ -1,5 +1,5 @@
 //! What a node does as time passes.
-use super::{Event, GOSSIP_FANOUT, GOSSIP_INTERVAL, Node, change_health};
+use super::{Event, GOSSIP_FANOUT, GOSSIP_INTERVAL, Node, Priority, change_health};
 use crate::identity::MemberState;
 use crate::wire::Body;
 use thistlecroft::time::{Duration, Instant};
@@ -53,7 +53,7 @@
             let Some(at) = self.members.get(&id).map(|member| member.at) else {
                 continue;
             };
-            self.send(at, Some(&id), Body::Gossip, false, now);
+            self.send(at, Some(&id), Body::Gossip, Priority::Normal, now);
         }
     }
 
