--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -24,12 +24,11 @@
     Unwanted,
 }
 
+/// The progress of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
     /// A majority has to attach it before this time, which is set with the first request.
-    Attaching {
-        ends: Option<Instant>,
-    },
+    Attaching { ends: Option<Instant> },
     /// A majority has attached it; the epoch is chosen and a majority of the same voters has to
     /// confirm it.
     Confirming {
@@ -37,13 +36,10 @@
         quorum: VoterSet,
         ends: Instant,
     },
-    Holding {
-        epoch: u64,
-    },
+    /// This process holds the subject, unless the right has expired.
+    Holding { epoch: u64 },
     /// The attempt has failed: it is detached everywhere, and the next one starts at this time.
-    Waiting {
-        until: Instant,
-    },
+    Waiting { until: Instant },
     /// It is not wanted any more, and is removed once it is detached everywhere.
     Releasing,
 }
@@ -57,6 +53,7 @@
     pub(crate) epoch: u64,
 }
 
+/// The claim to one subject.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) stage: Stage,
@@ -66,11 +63,14 @@
     /// detachment confirmed since.
     pub(crate) sent: VoterSet,
     /// Voters that rejected it in this attempt.
-    pub(crate) refused: VoterSet,
+    pub(crate) rejected: VoterSet,
     /// Consecutive attempts that failed against processes that tried at the same time.
     pub(crate) contended_attempts: u32,
+    /// When the right to act ends, or ended.
     pub(crate) until: Instant,
+    /// Why a voter last rejected it.
     pub(crate) reason: Option<Reason>,
+    /// When this process loses interest in the subject.
     pub(crate) wanted_until: Instant,
 }
 
@@ -80,7 +80,7 @@
             stage: Stage::Attaching { ends: None },
             attached: VoterSet::EMPTY,
             sent: VoterSet::EMPTY,
-            refused: VoterSet::EMPTY,
+            rejected: VoterSet::EMPTY,
             contended_attempts: 0,
             until: now,
             reason: None,
@@ -88,6 +88,7 @@
         }
     }
 
+    /// The right to act at this moment.
     pub(crate) fn held(&self, now: Instant) -> Option<Held> {
         match self.stage {
             Stage::Holding { epoch } if now < self.until => Some(Held {
@@ -129,7 +130,7 @@
     pub(crate) fn forget_voter(&mut self, voter: usize) {
         self.attached.remove(voter);
         self.sent.remove(voter);
-        self.refused.remove(voter);
+        self.rejected.remove(voter);
         if let Stage::Confirming { quorum, .. } = &mut self.stage {
             quorum.remove(voter);
         }
@@ -186,6 +187,7 @@
 
     /// Whether a majority is out of reach in this attempt.
     pub(crate) fn has_failed(&self, quorums: &Quorums, all: VoterSet) -> bool {
-        matches!(self.stage, Stage::Attaching { .. }) && !quorums.carries(all.without(self.refused))
+        matches!(self.stage, Stage::Attaching { .. })
+            && !quorums.carries(all.without(self.rejected))
     }
 }
--- a/leases/src/link.rs
+++ b/leases/src/link.rs
@@ -57,7 +57,7 @@
     /// Subjects that the voter has to attach or detach.
     pub pending: BTreeSet<Subject>,
     /// Subjects that it rejected and others granted; requested again with the next renewal.
-    pub refused: BTreeSet<Subject>,
+    pub rejected: BTreeSet<Subject>,
     /// Requests without an answer since the last one.
     pub unanswered: u32,
     /// When the last request that it confirmed was sent.
@@ -76,7 +76,7 @@
             session: None,
             request: None,
             pending: BTreeSet::new(),
-            refused: BTreeSet::new(),
+            rejected: BTreeSet::new(),
             unanswered: 0,
             confirmed_at: None,
             epoch: 0,
@@ -87,7 +87,7 @@
     /// The voter does not know the session any more.
     pub(crate) fn forget_session(&mut self) {
         (self.session, self.confirmed_at, self.epoch) = (None, None, 0);
-        self.refused.clear();
+        self.rejected.clear();
     }
 
     /// Drops the request; its changes are pending again.
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -37,7 +37,7 @@
         }
         match message {
             Message::Update(_) | Message::Close { .. } => self.receive_as_voter(from, message, now),
-            Message::Updated(_) | Message::Refused { .. } => {
+            Message::Updated(_) | Message::Rejected { .. } => {
                 self.receive_answer(from, message, now);
                 self.proceed(now);
             }
@@ -87,7 +87,7 @@
             Message::Update(update) => {
                 let generation = self.config.electorate.generation;
                 let reason = Reason::Generation { here: generation };
-                Some(Message::Refused {
+                Some(Message::Rejected {
                     generation,
                     sequence: update.sequence,
                     reason,
@@ -111,6 +111,7 @@
         }
     }
 
+    /// Handles the answer of a voter.
     pub(super) fn receive_answer(&mut self, from: &Identity, message: Message, now: Instant) {
         let Some(voter) = self.links.iter().position(|link| link.voter == from.name) else {
             return;
@@ -123,13 +124,13 @@
                     .insert(from.name.clone(), updated.generation);
                 self.receive_updated(voter, from, updated, now);
             }
-            Message::Refused {
+            Message::Rejected {
                 generation,
                 sequence,
                 reason,
             } => {
                 self.voter.generations.insert(from.name.clone(), generation);
-                self.receive_refused(voter, from, sequence, reason, now);
+                self.receive_rejected(voter, from, sequence, reason, now);
             }
             _ => {}
         }
@@ -144,7 +145,7 @@
     ) {
         let Some(request) = self.links[voter]
             .request
-            .take_if(|one| one.sequence == updated.sequence)
+            .take_if(|request| request.sequence == updated.sequence)
         else {
             return;
         };
@@ -159,10 +160,10 @@
         for subject in &request.changes.detach {
             self.note_detached(voter, subject);
         }
-        let mut refused = updated.refused.into_iter().peekable();
-        for (position, subject) in (0..).zip(request.changes.attach) {
-            let reason = refused
-                .next_if(|(place, _)| *place == position)
+        let mut rejected = updated.rejected.into_iter().peekable();
+        for (index, subject) in (0..).zip(request.changes.attach) {
+            let reason = rejected
+                .next_if(|(rejected_index, _)| *rejected_index == index)
                 .map(|(_, reason)| reason);
             self.note_attached(voter, subject, reason, now);
         }
@@ -194,6 +195,7 @@
         self.queue_unattached(voter);
     }
 
+    /// A voter has confirmed that a subject is detached.
     pub(super) fn note_detached(&mut self, voter: usize, subject: &Subject) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
@@ -205,18 +207,19 @@
         self.forget_released(subject);
     }
 
+    /// A voter has attached a subject, or rejected it.
     pub(super) fn note_attached(
         &mut self,
         voter: usize,
         subject: Subject,
-        refused: Option<Reason>,
+        rejected: Option<Reason>,
         now: Instant,
     ) {
         let Some(claim) = self.claims.get_mut(&subject) else {
             return;
         };
         let link = &mut self.links[voter];
-        let Some(reason) = refused else {
+        let Some(reason) = rejected else {
             // A subject that is released meanwhile is detached first, also if it is wanted again.
             if claim.wants_attaching() {
                 claim.attached.insert(voter);
@@ -225,20 +228,20 @@
             }
             return;
         };
-        self.counts.refusals += 1;
+        self.counts.rejections += 1;
         claim.sent.remove(voter);
         if claim.wants_attaching() {
-            claim.refused.insert(voter);
+            claim.rejected.insert(voter);
             if claim.held(now).is_none() {
                 claim.reason = Some(reason);
             }
-            link.refused.insert(subject);
+            link.rejected.insert(subject);
         } else {
             self.forget_released(&subject);
         }
     }
 
-    pub(super) fn receive_refused(
+    pub(super) fn receive_rejected(
         &mut self,
         voter: usize,
         from: &Identity,
@@ -255,7 +258,7 @@
             return;
         };
         link.unanswered = 0;
-        self.counts.refusals += 1;
+        self.counts.rejections += 1;
         if reason == Reason::UnknownSession {
             (link.process, link.next_renewal) = (Some(from.clone()), now);
             link.give_up_request();
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -34,7 +34,7 @@
         for claim in self.claims.values_mut() {
             // Leases stay valid until they expire; unfinished attempts start again.
             (claim.attached, claim.sent) = (claim.attached.moved(&moved), claim.sent.moved(&moved));
-            claim.refused = claim.refused.moved(&moved);
+            claim.rejected = claim.rejected.moved(&moved);
             if let Stage::Confirming { .. } = claim.stage {
                 claim.stage = Stage::Attaching { ends: None };
             }
--- a/leases/src/manager/claims.rs
+++ b/leases/src/manager/claims.rs
@@ -78,7 +78,7 @@
             }
             match claim.stage {
                 Stage::Waiting { .. } => {
-                    (claim.stage, claim.refused) =
+                    (claim.stage, claim.rejected) =
                         (Stage::Attaching { ends: None }, VoterSet::EMPTY);
                     self.queue_everywhere(&subject);
                 }
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -39,7 +39,7 @@
     /// Requests that were sent again.
     pub retries: u64,
     /// Answers that rejected a request.
-    pub refusals: u64,
+    pub rejections: u64,
     /// Sessions that a voter did not know any more.
     pub sessions_lost: u64,
     /// Messages of the legacy protocol.
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -61,8 +61,8 @@
         let is_own = self.links[voter].voter == self.me.name;
         let is_renewal = self.links[voter].next_renewal <= now;
         if is_renewal {
-            let refused = std::mem::take(&mut self.links[voter].refused);
-            self.links[voter].pending.extend(refused);
+            let rejected = std::mem::take(&mut self.links[voter].rejected);
+            self.links[voter].pending.extend(rejected);
         }
         let has_budget = is_own || self.update_budget >= 0.0;
         let changes = if self.links[voter].session.is_some() && has_budget {
@@ -121,7 +121,7 @@
                 }
                 PendingChange::Detach => changes.detach.push(subject),
                 PendingChange::WaitForRenewal => {
-                    self.links[voter].refused.insert(subject);
+                    self.links[voter].rejected.insert(subject);
                 }
                 PendingChange::None => {}
             }
@@ -141,7 +141,7 @@
         }
         if claim.attached.contains(voter) {
             PendingChange::None
-        } else if claim.refused.contains(voter) && claim.held(now).is_none() {
+        } else if claim.rejected.contains(voter) && claim.held(now).is_none() {
             PendingChange::WaitForRenewal
         } else {
             PendingChange::Attach
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -26,7 +26,7 @@
     /// The session is valid for another term from now, with everything that is attached.
     Updated(Updated),
     /// Nothing of the update was done.
-    Refused {
+    Rejected {
         /// The voter's generation.
         generation: u32,
         /// The sequence number of the update.
@@ -90,7 +90,7 @@
     /// The highest epoch known to the voter.
     pub epoch: u64,
     /// Indices into `attach` of the subjects that were not attached, and why. All others are.
-    pub refused: Vec<(u16, Reason)>,
+    pub rejected: Vec<(u16, Reason)>,
 }
 
 /// Why a voter does not grant a request.
@@ -111,7 +111,7 @@
         here: u32,
     },
     /// The voter holds as many subjects or sessions as it may.
-    Full,
+    AtCapacity,
     /// The session is not known: the voter has restarted, or it lapsed and was dropped.
     UnknownSession,
     /// The voter speaks only the [legacy protocol](crate::legacy).
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -124,8 +124,8 @@
         let sequence = update.sequence;
         self.generations
             .insert(from.name.clone(), update.generation);
-        let refused = |reason| {
-            Some(Message::Refused {
+        let rejected = |reason| {
+            Some(Message::Rejected {
                 generation,
                 sequence,
                 reason,
@@ -133,11 +133,11 @@
         };
         // A newer electorate is not known here, and an older one may not have majorities any more.
         if update.generation != generation {
-            return refused(Reason::Generation { here: generation });
+            return rejected(Reason::Generation { here: generation });
         }
         self.epoch = self.epoch.max(update.epoch);
         if self.retired || !self.established || self.is_silent(config, now) {
-            return refused(Reason::Silent);
+            return rejected(Reason::Silent);
         }
         self.sweep(config, now);
         let current = self.current.get(from).copied();
@@ -146,14 +146,14 @@
         }
         let token = match self.session_for(from, update.session, current, config, now) {
             Ok(token) => token,
-            Err(reason) => return refused(reason),
+            Err(reason) => return rejected(reason),
         };
         let session = CurrentSession { token, sequence };
         self.current.insert(from.clone(), session);
         for subject in &update.detach {
             self.detach(token, subject);
         }
-        let refused = self.attach_all(from, token, update.attach, now);
+        let rejected = self.attach_all(from, token, update.attach, now);
         if let Some(session) = self.sessions.get_mut(&token) {
             session.expires = now + config.term;
         }
@@ -162,7 +162,7 @@
             sequence,
             session: token,
             epoch: self.epoch,
-            refused,
+            rejected,
         }))
     }
 
@@ -185,7 +185,7 @@
             (None, Some(current)) if self.is_empty(current.token) => Ok(current.token),
             (None, _) if self.sessions.len() >= MAX_SESSIONS => {
                 self.counts.full += 1;
-                Err(Reason::Full)
+                Err(Reason::AtCapacity)
             }
             // An earlier session keeps its subjects until it lapses, since its process may still
             // act on them.
@@ -225,7 +225,7 @@
         subjects: Vec<Subject>,
         now: Instant,
     ) -> Vec<(u16, Reason)> {
-        let (mut refused, mut named) = (Vec::new(), 0);
+        let (mut rejected, mut named) = (Vec::new(), 0);
         for (position, subject) in (0..).zip(subjects) {
             let Err(reason) = self.attach(from, token, subject, now) else {
                 continue;
@@ -235,9 +235,9 @@
                 Reason::Held { .. } if named > MAX_NAMED_HOLDERS => Reason::HeldByAnother,
                 reason => reason,
             };
-            refused.push((position, reason));
+            rejected.push((position, reason));
         }
-        refused
+        rejected
     }
 
     fn attach(
@@ -255,7 +255,7 @@
         }
         if self.holders.len() >= MAX_VOTER_SUBJECTS {
             self.counts.full += 1;
-            return Err(Reason::Full);
+            return Err(Reason::AtCapacity);
         }
         self.holders.insert(subject.clone(), token);
         if let Some(session) = self.sessions.get_mut(&token) {
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -71,25 +71,25 @@
             .remove(voter)
             .unwrap_or_else(|| panic!("{voter} got no request"));
         let session = update.session.unwrap_or(SessionToken(7));
-        let (generation, sequence, refused) = (1, update.sequence, Vec::new());
+        let (generation, sequence, rejected) = (1, update.sequence, Vec::new());
         let answer = Updated {
             generation,
             sequence,
             session,
             epoch,
-            refused,
+            rejected,
         };
         self.answer(voter, Message::Updated(answer));
     }
 
-    fn refuse(&mut self, voter: &str, reason: Reason) {
+    fn reject(&mut self, voter: &str, reason: Reason) {
         let update = self
             .requests
             .remove(voter)
             .unwrap_or_else(|| panic!("{voter} got no request"));
         self.answer(
             voter,
-            Message::Refused {
+            Message::Rejected {
                 generation: 1,
                 sequence: update.sequence,
                 reason,
@@ -148,7 +148,7 @@
     script.confirm("r0", 8);
     // One voter that had attached it has restarted. At the third, another process held the subject
     // meanwhile, with epoch 12.
-    script.refuse("r1", Reason::UnknownSession);
+    script.reject("r1", Reason::UnknownSession);
     script.attach_at(&["r2"], 12);
     assert_eq!(
         script.epoch(),
--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -40,7 +40,7 @@
         ("held by another", Reason::HeldByAnother),
         ("silent", Reason::Silent),
         ("generation", Reason::Generation { here: 300 }),
-        ("full", Reason::Full),
+        ("full", Reason::AtCapacity),
         ("unknown session", Reason::UnknownSession),
         ("older protocol", Reason::OlderProtocol),
     ]
@@ -70,7 +70,7 @@
         sequence: 300,
         session: SessionToken(0x1122_3344_5566_7788),
         epoch: 1_000_001,
-        refused: reasons_by_position.collect(),
+        rejected: reasons_by_position.collect(),
     };
     let close = Message::Close {
         sequence: 301,
@@ -98,7 +98,7 @@
         .into_iter()
         .map(|(name, message)| (name.to_string(), message));
     let refusals = reasons().into_iter().map(|(name, reason)| {
-        let refusal = Message::Refused {
+        let refusal = Message::Rejected {
             generation: 2,
             sequence: 300,
             reason,
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -502,10 +502,14 @@
                 attach: attach.to_vec(),
                 ..empty.clone()
             };
-            let refused = answer(&mut voter, &from, update).refused;
+            let rejected = answer(&mut voter, &from, update).rejected;
             let full = relay == MAX_VOTER_SUBJECTS / each;
-            assert_eq!(refused.len(), if full { 128 } else { 0 }, "relay {relay}");
-            assert!(refused.iter().all(|(_, reason)| *reason == Reason::Full));
+            assert_eq!(rejected.len(), if full { 128 } else { 0 }, "relay {relay}");
+            assert!(
+                rejected
+                    .iter()
+                    .all(|(_, reason)| *reason == Reason::AtCapacity)
+            );
         }
     }
     let counts = voter.counts();
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -63,16 +63,16 @@
 }
 
 fn is_attached(answer: Option<Message>) -> bool {
-    matches!(answer, Some(Message::Updated(updated)) if updated.refused.is_empty())
+    matches!(answer, Some(Message::Updated(updated)) if updated.rejected.is_empty())
 }
 
 fn is_held_by_another(answer: Option<Message>) -> bool {
     let held = |(_, reason): &(u16, Reason)| matches!(reason, Reason::Held { .. });
-    matches!(answer, Some(Message::Updated(updated)) if updated.refused.iter().any(held))
+    matches!(answer, Some(Message::Updated(updated)) if updated.rejected.iter().any(held))
 }
 
-fn is_refused_for(answer: Option<Message>, expected: &Reason) -> bool {
-    matches!(answer, Some(Message::Refused { reason, .. }) if reason == *expected)
+fn is_rejected_for(answer: Option<Message>, expected: &Reason) -> bool {
+    matches!(answer, Some(Message::Rejected { reason, .. }) if reason == *expected)
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
     let early = voter.answer(&one, update(1, None, &[], &[]), 1_999);
     assert!(
-        is_refused_for(early, &Reason::Silent),
+        is_rejected_for(early, &Reason::Silent),
         "it may have granted before its start"
     );
     let session = voter.session(&one, 2, 2_000);
@@ -112,7 +112,7 @@
         2_030
     )));
     let stolen = voter.answer(&other, update(4, Some(session), &[], &[SUBJECT]), 2_030);
-    assert!(is_refused_for(stolen, &Reason::UnknownSession));
+    assert!(is_rejected_for(stolen, &Reason::UnknownSession));
     assert!(is_held_by_another(voter.answer(
         &other,
         update(5, Some(others), &[SUBJECT], &[]),
@@ -151,7 +151,7 @@
         };
         other.generation = generation;
         let answer = voter.answer(&one, Message::Update(other), 2_090);
-        assert!(is_refused_for(answer, &Reason::Generation { here: 1 }));
+        assert!(is_rejected_for(answer, &Reason::Generation { here: 1 }));
     }
 }
 
@@ -189,11 +189,11 @@
         6_500
     )));
     let renewed = voter.answer(&one, update(4, Some(session), &[], &[]), 6_510);
-    assert!(is_refused_for(renewed, &Reason::UnknownSession));
+    assert!(is_rejected_for(renewed, &Reason::UnknownSession));
     let anew = voter.session(&one, 5, 6_520);
     assert_ne!(anew, session);
     let both = voter.answer(&one, update(6, Some(anew), &[SUBJECT, b"more"], &[]), 6_530);
-    assert!(matches!(both, Some(Message::Updated(updated)) if updated.refused.len() == 1));
+    assert!(matches!(both, Some(Message::Updated(updated)) if updated.rejected.len() == 1));
 }
 
 #[test]
@@ -215,7 +215,7 @@
         },
         2_100,
     );
-    assert!(is_refused_for(
+    assert!(is_rejected_for(
         voter.answer(&one, update(2, None, &[], &[]), 2_110),
         &Reason::Silent
     ));
@@ -231,7 +231,7 @@
         },
         2_500,
     );
-    assert!(is_refused_for(
+    assert!(is_rejected_for(
         next.answer(&one, update(3, None, &[], &[]), 4_400),
         &Reason::Silent
     ));
--- a/relay/src/peers.rs
+++ b/relay/src/peers.rs
@@ -375,7 +375,7 @@
             });
             json!({"vote": leases.vote(now).as_str(), "generation": electorate.generation,
                 "settled": leases.is_settled(now), "held": held.collect::<Vec<_>>(), "counts": {
-                    "requests": of.requests, "retries": of.retries, "refusals": of.refusals,
+                    "requests": of.requests, "retries": of.retries, "refusals": of.rejections,
                     "sessions_lost": of.sessions_lost, "older_protocol": of.older_protocol,
                     "voter_subjects": of.voter_subjects, "voter_sessions": of.voter_sessions,
                     "voter_full": of.voter_full}})
@@ -434,7 +434,7 @@
         Reason::HeldByAnother => "held by another relay".into(),
         Reason::Silent => "voters are silent after their start".into(),
         Reason::Generation { here } => format!("voters go by generation {here}"),
-        Reason::Full => "voters hold as many leases as they may".into(),
+        Reason::AtCapacity => "voters hold as many leases as they may".into(),
         Reason::UnknownSession => "asked for anew: voters have restarted".into(),
         Reason::OlderProtocol => "voters speak an older lease protocol: upgrade them".into(),
     }
