--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -46,7 +46,7 @@
     ]
 }
 
-/// Every kind of message, and a refusal for every reason.
+/// Every kind of message, and a rejection for every reason.
 fn messages() -> Vec<(String, Message)> {
     let opening = Update {
         generation: 1,
@@ -108,7 +108,7 @@
     named.chain(refusals).collect()
 }
 
-/// Every kind of message of the protocol before.
+/// Every kind of message of the legacy protocol.
 fn legacy_messages() -> Vec<(&'static str, LegacyMessage)> {
     let subject = || b"work/7".to_vec();
     let refuse = |reason| LegacyMessage::Rejected {
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -22,7 +22,7 @@
 }
 
 impl HolderChecker {
-    /// `paused` processes do not act; all others that think they may, do.
+    /// `paused` processes do not act; all others act whenever they may.
     fn check(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
         let acts = |(index, host): (usize, &Host)| {
             let held = host
--- a/operator_config/tests/golden.rs
+++ b/operator_config/tests/golden.rs
@@ -190,7 +190,7 @@
     let mut recording = String::new();
     for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY] {
         for (place, key) in stated_keys(text) {
-            // A date is what no key holds.
+            // No key holds a date.
             let wrong = with_line(text, place, &format!("{key} = 2026-01-01"));
             writeln!(recording, "{}", rejection(&wrong)).unwrap();
         }
--- a/operator_config/tests/route_table.rs
+++ b/operator_config/tests/route_table.rs
@@ -30,7 +30,7 @@
         0x6f3a_9c21_e0b4_d655,
         0x5c0f_6e1a_2b3d_4c59,
     );
-    // Listener, key and group; dials, connect time, dial timeout and cap.
+    // Listener, key and group; attempts, connect timeout, handshake timeout and backoff cap.
     let cases = [
         (1, prefixed, None, (2, 50, None, 30_000)),
         (1, other, None, (3, 50, Some(1_000), 9_000)),
@@ -47,7 +47,9 @@
         let found = (
             route.max_attempts,
             timeouts.connect_timeout.as_millis(),
-            timeouts.handshake_timeout.map(|span| span.as_millis()),
+            timeouts
+                .handshake_timeout
+                .map(|timeout| timeout.as_millis()),
             route.backoff_cap.as_millis(),
         );
         assert_eq!(
--- a/operator_config/tests/shipped_files.rs
+++ b/operator_config/tests/shipped_files.rs
@@ -12,7 +12,7 @@
     assert_eq!(
         written,
         reference::reference_page(),
-        "write it anew: thistlecroft charter reference"
+        "to update the page: thistlecroft charter reference"
     );
     let example = std::fs::read_to_string(root.join("deploy/charter.example.toml")).unwrap();
     let mut context = context();
@@ -26,7 +26,7 @@
     }
     let table = read(&example, &context).unwrap();
     assert_eq!(table.rows()[table.route_for(0, 1, None)].max_attempts, 2);
-    // With the second copies that it shows commented out at its end, where they are allowed.
+    // The example ends with a commented section on hedging, which is valid as well.
     let (before, shown) = example.split_once("second one:\n#\n").unwrap();
     let all = before.to_string() + "\n" + &shown.replace("# ", "");
     let table = read(&all, &context).unwrap();
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -105,7 +105,7 @@
     bodies.map(|(name, body)| (name, datagram(body))).into()
 }
 
-/// Gossip about a member in each state, and about a fact of each kind.
+/// Gossip about a member in each state, and about an entry of each kind.
 fn datagrams_of_each_row() -> Vec<(String, Datagram)> {
     let states = [
         ("alive", MemberState::Alive),
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -38,7 +38,7 @@
     network
 }
 
-/// The states that the others saw one process in, in order.
+/// The states that one process had for the others, in order.
 fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
     let turns = network.hosts.iter().flat_map(|host| &host.turns);
     turns
@@ -211,7 +211,7 @@
         .run_until(PROBE_INTERVAL * 20.0, suspects)
         .expect("suspected");
     network.pause(2);
-    // The others receive that it is well; this one does not, and nothing waits for it.
+    // The others receive the refutation; this one does not, and nothing is kept for it.
     network.heal();
     network.cut(&[2], &[0, 1, 3, 4, 5]);
     network.run_for(PROBE_INTERVAL * 100.0);
