--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -40,13 +40,13 @@
         ("held by another", Reason::HeldByAnother),
         ("silent", Reason::Silent),
         ("generation", Reason::Generation { here: 300 }),
-        ("full", Reason::Full),
+        ("full", Reason::AtCapacity),
         ("unknown session", Reason::UnknownSession),
         ("older protocol", Reason::OlderProtocol),
     ]
 }
 
-/// Every kind of message, and a refusal for every reason.
+/// Every kind of message, and a rejection for every reason.
 fn messages() -> Vec<(String, Message)> {
     let opening = Update {
         generation: 1,
@@ -70,7 +70,7 @@
         sequence: 300,
         session: SessionToken(0x1122_3344_5566_7788),
         epoch: 1_000_001,
-        refused: reasons_by_position.collect(),
+        rejected: reasons_by_position.collect(),
     };
     let close = Message::Close {
         sequence: 301,
@@ -98,7 +98,7 @@
         .into_iter()
         .map(|(name, message)| (name.to_string(), message));
     let refusals = reasons().into_iter().map(|(name, reason)| {
-        let refusal = Message::Refused {
+        let refusal = Message::Rejected {
             generation: 2,
             sequence: 300,
             reason,
@@ -108,7 +108,7 @@
     named.chain(refusals).collect()
 }
 
-/// Every kind of message of the protocol before.
+/// Every kind of message of the legacy protocol.
 fn legacy_messages() -> Vec<(&'static str, LegacyMessage)> {
     let subject = || b"work/7".to_vec();
     let refuse = |reason| LegacyMessage::Rejected {
@@ -205,9 +205,9 @@
     for (name, message) in legacy_messages() {
         writeln!(recording, "{name}: {}", hex(&message.encode())).unwrap();
     }
-    let (_, ask) = &legacy_messages()[0];
-    let refusal = ask.rejection().expect("an older request is refused");
-    writeln!(recording, "answer to ask: {}", hex(&refusal.encode())).unwrap();
+    let (_, request) = &legacy_messages()[0];
+    let rejection = request.rejection().expect("an older request is rejected");
+    writeln!(recording, "answer to ask: {}", hex(&rejection.encode())).unwrap();
     writeln!(recording, "generation of that answer: {NO_GENERATION}").unwrap();
     assert_unchanged("legacy_messages.txt", &recording);
 }
--- a/relay/src/peers/commands.rs
+++ b/relay/src/peers/commands.rs
@@ -32,7 +32,7 @@
         Reason::HeldByAnother => "held by another relay".into(),
         Reason::Silent => "voters are silent after their start".into(),
         Reason::Generation { here } => format!("voters go by generation {here}"),
-        Reason::Full => "voters hold as many leases as they may".into(),
+        Reason::AtCapacity => "voters hold as many leases as they may".into(),
         Reason::UnknownSession => "asked for anew: voters have restarted".into(),
         Reason::OlderProtocol => "voters speak an older lease protocol: upgrade them".into(),
     }
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -167,7 +167,7 @@
             counts: LeaseCounts {
                 requests: counts.requests,
                 retries: counts.retries,
-                refusals: counts.refusals,
+                refusals: counts.rejections,
                 sessions_lost: counts.sessions_lost,
                 older_protocol: counts.older_protocol,
                 voter_subjects: counts.voter_subjects,
