--- a/operator_config/src/lib.rs
+++ b/operator_config/src/lib.rs
@@ -3,7 +3,7 @@
 //! A file passes through three steps:
 //!
 //! 1. `parsing` turns the text into [`OperatorConfig`]: typed sections whose values keep their
-//!    location in the file. The table of keys is [`keys`]; [`reference`] prints it for people.
+//!    location in the file. The table of keys is [`keys`]; [`mod@reference`] prints it for people.
 //! 2. `rules` checks the sections against the deployment of one relay, a [`RelayContext`].
 //! 3. The result is a [`RouteTable`] for sessions and a [`PeersConfig`] for the link between relays.
 //!
--- a/relay/tests/golden/handover.rs
+++ b/relay/tests/golden/handover.rs
@@ -148,15 +148,10 @@
     drop(process);
 }
 
-#[test]
-fn packets_of_a_process_that_leaves_are_as_recorded() {
-    let platform = Platform::new("handover-leaves");
-    let (address, met) = backend(Play::Echo);
-    let mut process = platform.started(&platform.config(&[address], true));
-    let mut transcript = Transcript::default();
-    // A memory that holds the answer to a probe.
-    let channel = wait_for("a probe's answer in memory", || {
-        let channel = Channel::connected(&platform);
+/// Connects until the relay's memory holds the answer to a probe, and writes down that exchange.
+fn wait_for_probe_answer(platform: &Platform, transcript: &mut Transcript) -> Channel {
+    wait_for("a probe's answer in memory", || {
+        let channel = Channel::connected(platform);
         channel.send(HELLO.as_bytes(), &[]);
         let memory = channel.receive_kind("Memory");
         let line = String::from_utf8(memory.bytes).unwrap();
@@ -166,7 +161,26 @@
             transcript.line("relay sends", mask_numbers(&line).as_bytes());
         }
         is_told.then_some(channel)
-    });
+    })
+}
+
+/// The connections to the client and to the backend that came along with a session.
+fn received_connections(session: &mut Packet) -> (TcpStream, TcpStream) {
+    let mut descriptors = std::mem::take(&mut session.descriptors).into_iter();
+    let to_client = TcpStream::from(descriptors.next().unwrap());
+    let to_backend = TcpStream::from(descriptors.next().unwrap());
+    to_client.set_nonblocking(false).unwrap();
+    to_backend.set_nonblocking(false).unwrap();
+    (to_client, to_backend)
+}
+
+#[test]
+fn packets_of_a_process_that_leaves_are_as_recorded() {
+    let platform = Platform::new("handover-leaves");
+    let (address, met) = backend(Play::Echo);
+    let mut process = platform.started(&platform.config(&[address], true));
+    let mut transcript = Transcript::default();
+    let channel = wait_for_probe_answer(&platform, &mut transcript);
     let mut first = process.relay.client();
     first.say("OPEN 00000000000000a1 00000000000000ff c=safe,d=1000,g=5c0f6e1a2b3d4c59\r\n");
     assert_eq!(first.hears(), "UP receipt");
@@ -212,11 +226,7 @@
     transcript.line("declined client hears", moved.join(" ").as_bytes());
     assert_eq!(end_of(&mut process.relay.child).code(), Some(0));
     // What was taken works on, now over the descriptors that came along.
-    let mut descriptors = std::mem::take(&mut sessions[0].descriptors).into_iter();
-    let mut to_client = TcpStream::from(descriptors.next().unwrap());
-    let mut to_backend = TcpStream::from(descriptors.next().unwrap());
-    to_client.set_nonblocking(false).unwrap();
-    to_backend.set_nonblocking(false).unwrap();
+    let (mut to_client, mut to_backend) = received_connections(&mut sessions[0]);
     to_client.write_all(b"to the client\r\n").unwrap();
     assert_eq!(first.hears(), "to the client");
     to_backend.write_all(b"to the backend\r\n").unwrap();
--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -14,7 +14,7 @@
 const LOOK: Duration = Duration::from_millis(5);
 
 /// Asks until it is told something; the wait is bounded.
-pub fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
+pub(crate) fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + LONG;
     loop {
         if let Some(told) = ask() {
@@ -26,7 +26,7 @@
 }
 
 /// A list of ready backends `b0`, `b1` and so on.
-pub fn known(backends: &[SocketAddr]) -> String {
+pub(crate) fn known(backends: &[SocketAddr]) -> String {
     let names: Vec<String> = (0..backends.len())
         .map(|number| format!("b{number}"))
         .collect();
@@ -39,7 +39,7 @@
 }
 
 /// The program with no more in its environment than each test adds.
-pub fn program() -> Command {
+pub(crate) fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"));
     for variable in [
         "ROUTER_CONFIG",
@@ -55,7 +55,7 @@
 }
 
 /// Runs the program, without its log, until it ends by itself.
-pub fn run_to_end(command: &mut Command) -> Output {
+pub(crate) fn run_to_end(command: &mut Command) -> Output {
     let mut child = command
         .env("RUST_LOG", "off")
         .stdout(Stdio::piped())
@@ -65,7 +65,7 @@
     child.wait_with_output().unwrap()
 }
 
-pub struct Platform {
+pub(crate) struct Platform {
     listener: TcpListener,
     pub folder: PathBuf,
     pub charter: Option<PathBuf>,
@@ -78,7 +78,7 @@
 }
 
 impl Platform {
-    pub fn new(name: &str) -> Platform {
+    pub(crate) fn new(name: &str) -> Platform {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
         // Every process that is started inherits it.
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
@@ -94,17 +94,17 @@
     }
 
     /// The address where clients connect.
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
     /// A configuration with these backends and a dead discovery.
-    pub fn config(&self, backends: &[SocketAddr], probes: bool) -> String {
+    pub(crate) fn config(&self, backends: &[SocketAddr], probes: bool) -> String {
         config(self.address(), nobody(), 1_000, &known(backends), probes)
     }
 
     /// Starts a process by this configuration, with an admin address added.
-    pub fn start(&self, config: &str) -> RelayProcess {
+    pub(crate) fn start(&self, config: &str) -> RelayProcess {
         let admin = nobody();
         let text = config.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1);
         let path = self.folder.join(format!("config-{}.json", admin.ip()));
@@ -123,7 +123,7 @@
         RelayProcess { relay, admin }
     }
 
-    pub fn started(&self, config: &str) -> RelayProcess {
+    pub(crate) fn started(&self, config: &str) -> RelayProcess {
         let process = self.start(config);
         process.wait_until_ready();
         process
@@ -131,7 +131,7 @@
 }
 
 /// A process whose log is read as it comes.
-pub fn watched(mut child: Child, at: SocketAddr, text: String) -> Relay {
+pub(crate) fn watched(mut child: Child, at: SocketAddr, text: String) -> Relay {
     let (tell, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     thread::spawn(move || {
@@ -147,14 +147,14 @@
     }
 }
 
-pub struct RelayProcess {
+pub(crate) struct RelayProcess {
     pub relay: Relay,
     pub admin: SocketAddr,
 }
 
 impl RelayProcess {
     /// All bytes that answer an admin command; the client says no more after it.
-    pub fn admin_answer(&self, command: &[u8]) -> String {
+    pub(crate) fn admin_answer(&self, command: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         stream.write_all(command).unwrap();
@@ -164,7 +164,7 @@
         answer
     }
 
-    pub fn wait_until_ready(&self) {
+    pub(crate) fn wait_until_ready(&self) {
         wait_for("200 ready", || {
             self.admin_answer(b"READY\n")
                 .starts_with("200")
--- a/relay/tests/golden/recorded.rs
+++ b/relay/tests/golden/recorded.rs
@@ -13,12 +13,12 @@
 }
 
 /// A recorded file, for use as an input.
-pub fn read(name: &str) -> String {
+pub(crate) fn read(name: &str) -> String {
     std::fs::read_to_string(path_of(name)).unwrap()
 }
 
 /// Fails unless the recorded file holds exactly this.
-pub fn assert_recorded(name: &str, actual: &str) {
+pub(crate) fn assert_recorded(name: &str, actual: &str) {
     if std::env::var_os(RECORD).is_some() {
         std::fs::write(path_of(name), actual).unwrap();
         panic!("{name} is recorded; run again without {RECORD}");
@@ -32,33 +32,33 @@
 }
 
 /// Bytes as printable text, with line endings as `\r\n`.
-pub fn visible(bytes: &[u8]) -> String {
+pub(crate) fn visible(bytes: &[u8]) -> String {
     bytes.escape_ascii().to_string()
 }
 
 /// What passed on several connections, one line for each message.
 #[derive(Default)]
-pub struct Transcript {
+pub(crate) struct Transcript {
     pub text: String,
 }
 
 impl Transcript {
-    pub fn title(&mut self, title: &str) {
+    pub(crate) fn title(&mut self, title: &str) {
         writeln!(self.text, "# {title}").unwrap();
     }
 
     /// `who` tells the party and the direction, such as `client sends`.
-    pub fn line(&mut self, who: &str, bytes: &[u8]) {
+    pub(crate) fn line(&mut self, who: &str, bytes: &[u8]) {
         writeln!(self.text, "{who}: {}", visible(bytes)).unwrap();
     }
 
-    pub fn assert_recorded(&self, name: &str) {
+    pub(crate) fn assert_recorded(&self, name: &str) {
         assert_recorded(name, &self.text);
     }
 }
 
 /// The text with the whole number behind each `marker` replaced by `#`.
-pub fn mask_after(text: &str, marker: &str) -> String {
+pub(crate) fn mask_after(text: &str, marker: &str) -> String {
     let mut parts = text.split(marker);
     let mut masked = parts.next().unwrap_or_default().to_string();
     for part in parts {
@@ -74,7 +74,7 @@
 
 /// JSON text with each whole number replaced by `#` and each other number by `#.#`; strings, keys
 /// and their order stay.
-pub fn mask_numbers(json: &str) -> String {
+pub(crate) fn mask_numbers(json: &str) -> String {
     let is_number_sign = |sign: char| sign.is_ascii_digit() || "+-.eE".contains(sign);
     let (mut masked, mut rest, mut in_string) = (String::new(), json, false);
     while let Some(sign) = rest.chars().next() {
@@ -97,7 +97,7 @@
 }
 
 /// The paths of all keys of a JSON text, one a line; an array counts by its first element.
-pub fn key_set(json: &str) -> String {
+pub(crate) fn key_set(json: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(json).unwrap();
     let mut keys = Vec::new();
     collect_keys(&value, "", &mut keys);
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 
 /// Names the program of the version before, for tests that run two versions together.
-pub const FORMER_RELAY: &str = "THISTLECROFT_FORMER_RELAY";
+pub(crate) const FORMER_RELAY: &str = "THISTLECROFT_FORMER_RELAY";
 
 /// Longest wait for a condition, with room for a machine that is busy with other things.
-pub const WAIT_BOUND: Duration = Duration::from_secs(30);
+pub(crate) const WAIT_BOUND: Duration = Duration::from_secs(30);
 
 /// Pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -25,12 +25,12 @@
 const SOCKET_LIMIT: usize = 1_000;
 
 /// The program under test.
-pub fn new_program() -> &'static Path {
+pub(crate) fn new_program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
 }
 
 /// The program of the version before. Without one, says so and returns `None`.
-pub fn former_program() -> Option<PathBuf> {
+pub(crate) fn former_program() -> Option<PathBuf> {
     let Some(path) = std::env::var_os(FORMER_RELAY) else {
         // Not by `eprintln!`: the test harness keeps what a passing test prints to itself.
         let notice = format!("not run: {FORMER_RELAY} is not set\n");
@@ -47,7 +47,7 @@
 }
 
 /// Waits until the condition holds, and panics with its description where it does not in time.
-pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
+pub(crate) fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_BOUND;
     while !condition() {
         assert!(Instant::now() < deadline, "never so: {description}");
@@ -56,12 +56,12 @@
 }
 
 /// A folder for one test. Dropped, it is removed.
-pub struct TestFolder {
+pub(crate) struct TestFolder {
     path: PathBuf,
 }
 
 impl TestFolder {
-    pub fn new(name: &str) -> TestFolder {
+    pub(crate) fn new(name: &str) -> TestFolder {
         let folder = format!("thistlecroft-host-{}-{name}", std::process::id());
         let path = std::env::temp_dir().join(folder);
         let _ = std::fs::remove_dir_all(&path);
@@ -69,7 +69,7 @@
         TestFolder { path }
     }
 
-    pub fn path(&self) -> &Path {
+    pub(crate) fn path(&self) -> &Path {
         &self.path
     }
 }
@@ -81,14 +81,14 @@
 }
 
 /// A relay process and the address of its admin listener. Dropped, the process is killed.
-pub struct RelayProcess {
+pub(crate) struct RelayProcess {
     pub relay: Relay,
     pub admin: SocketAddr,
 }
 
 impl RelayProcess {
     /// Starts a program whose configuration and environment are complete.
-    pub fn launch(
+    pub(crate) fn launch(
         mut command: Command,
         client_address: SocketAddr,
         admin: SocketAddr,
@@ -109,12 +109,12 @@
     }
 
     /// The one line that an admin command is answered with, without its line ending.
-    pub fn call(&self, line: &str) -> String {
+    pub(crate) fn call(&self, line: &str) -> String {
         self.try_call(line).unwrap()
     }
 
     /// A new connection to the admin port.
-    pub fn connect_admin(&self) -> TcpStream {
+    pub(crate) fn connect_admin(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
         stream.set_read_timeout(Some(LONG)).unwrap();
         stream.set_nodelay(true).unwrap();
@@ -122,14 +122,14 @@
     }
 
     /// The one line that these bytes are answered with, without its line ending.
-    pub fn send_to_admin(&self, bytes: &[u8]) -> String {
+    pub(crate) fn send_to_admin(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect_admin();
         stream.write_all(bytes).unwrap();
         read_admin_response(&mut stream)
     }
 
     /// The command succeeds, within the time that operators are promised.
-    pub fn assert_accepted(&self, command: &str) {
+    pub(crate) fn assert_accepted(&self, command: &str) {
         let start = Instant::now();
         let response = self.send_to_admin(format!("{command}\r\n").as_bytes());
         assert!(
@@ -140,12 +140,12 @@
     }
 
     /// The command is refused.
-    pub fn assert_refused(&self, command: &str) {
+    pub(crate) fn assert_refused(&self, command: &str) {
         let response = self.send_to_admin(format!("{command}\n").as_bytes());
         assert!(response.starts_with("400"), "{command}: {response}");
     }
 
-    pub fn wait_until_ready(&self) {
+    pub(crate) fn wait_until_ready(&self) {
         wait_until("the relay is ready", || {
             self.try_call("READY")
                 .is_ok_and(|answer| answer.starts_with("200"))
@@ -161,7 +161,7 @@
 }
 
 /// All that the admin port answers, which must be one line; without its line ending.
-pub fn read_admin_response(stream: &mut TcpStream) -> String {
+pub(crate) fn read_admin_response(stream: &mut TcpStream) -> String {
     try_read_admin_response(stream).unwrap()
 }
 
@@ -188,7 +188,7 @@
 
 /// What stays while one process of a relay replaces another: the clients' listening socket, the
 /// shared folder and the list of backends, which are named `b0`, `b1` and so on.
-pub struct Host {
+pub(crate) struct Host {
     listener: TcpListener,
     folder: TestFolder,
     discovery: SocketAddr,
@@ -199,12 +199,12 @@
 
 impl Host {
     /// With a list of backends known at the start, and no discovery.
-    pub fn new(name: &str, backends: &[SocketAddr]) -> Host {
+    pub(crate) fn new(name: &str, backends: &[SocketAddr]) -> Host {
         Host::with_list(name, nobody(), backend_list(backends))
     }
 
     /// With a discovery, and no list known at the start.
-    pub fn with_discovery(name: &str, discovery: SocketAddr) -> Host {
+    pub(crate) fn with_discovery(name: &str, discovery: SocketAddr) -> Host {
         Host::with_list(name, discovery, "null".into())
     }
 
@@ -222,21 +222,21 @@
     }
 
     /// The folder that the processes share.
-    pub fn folder(&self) -> &Path {
+    pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
 
-    pub fn client_address(&self) -> SocketAddr {
+    pub(crate) fn client_address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
     /// The descriptor of the clients' listening socket, as the processes are given it.
-    pub fn listener_descriptor(&self) -> String {
+    pub(crate) fn listener_descriptor(&self) -> String {
         self.listener.as_raw_fd().to_string()
     }
 
     /// The configuration of a process with this admin port.
-    pub fn configuration(&self, admin: SocketAddr) -> String {
+    pub(crate) fn configuration(&self, admin: SocketAddr) -> String {
         let configuration = config(
             self.client_address(),
             self.discovery,
@@ -248,7 +248,7 @@
     }
 
     /// Starts a process of this program beside those that run, and waits until it is ready.
-    pub fn start(&self, program: &Path) -> RelayProcess {
+    pub(crate) fn start(&self, program: &Path) -> RelayProcess {
         let admin = nobody();
         let configuration = self.configuration(admin);
         let path = self.folder().join(format!("config-{}.json", admin.ip()));
@@ -265,7 +265,7 @@
 }
 
 /// The configuration with the address of the admin listener.
-pub fn with_admin(configuration: String, admin: SocketAddr) -> String {
+pub(crate) fn with_admin(configuration: String, admin: SocketAddr) -> String {
     configuration.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1)
 }
 
--- /dev/null
+++ b/relay/tests/peers/main.rs
@@ -0,0 +1,98 @@
+//! Several relay processes that know of one another, and faults between them: cuts, pauses, kills,
+//! restarts, strangers. Time limits are those that the documentation states; what is waited for is
+//! a condition.
+mod boundaries;
+mod leases;
+mod membership;
+mod voters;
+
+use std::collections::BTreeSet;
+use std::net::UdpSocket;
+use std::path::PathBuf;
+use thistlecroft::time::Duration;
+use thistlecroft_peers::ProtocolTiming;
+use thistlecroft_testbed::cluster_invariants::{ClusterLimits, check_cluster_invariants};
+use thistlecroft_testbed::event_recorder::{Observation, RecordedEvent, RelayIndex};
+use thistlecroft_testbed::link_fault::LinkFault;
+use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
+use thistlecroft_testbed::relay_observer::parse_held_lease;
+
+pub(crate) const PERIOD: Duration = Duration::from_millis(200);
+pub(crate) const LEASE: Duration = Duration::from_millis(1_500);
+/// Added to each time limit, for a machine that is busy with other things.
+pub(crate) const BUSY_MACHINE_MARGIN: Duration = Duration::from_millis(10_000);
+
+pub(crate) fn dead_within(size: usize) -> Duration {
+    ProtocolTiming {
+        probe_interval: PERIOD,
+    }
+    .detection_bound(size, 1)
+        + BUSY_MACHINE_MARGIN
+}
+
+pub(crate) fn new_folder(name: &str) -> PathBuf {
+    let path =
+        std::env::temp_dir().join(format!("thistlecroft-peers-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&path);
+    path
+}
+
+pub(crate) fn open_cluster(
+    name: &str,
+    relays: usize,
+    voters: usize,
+    peers: bool,
+) -> ProcessCluster {
+    let program = vec![env!("CARGO_BIN_EXE_thistlecroft-relay").to_string()];
+    let mut plan = ClusterPlan::small(program, relays, voters, (PERIOD, LEASE), new_folder(name));
+    plan.config.peers = peers;
+    ProcessCluster::open(plan).unwrap()
+}
+
+/// A cluster of so many relays, of which the first are started and see each other.
+pub(crate) fn start_cluster(name: &str, relays: usize, started: usize) -> ProcessCluster {
+    let mut cluster = open_cluster(name, relays, 3, true);
+    let all: Vec<usize> = (0..started).collect();
+    // At once, so that seeds are themselves starting.
+    cluster.start_all(&all).unwrap();
+    cluster
+        .wait_until(PERIOD * 40.0 + BUSY_MACHINE_MARGIN, |cluster| {
+            cluster.membership_is_consistent(&all)
+        })
+        .expect("all see all");
+    cluster
+}
+
+pub(crate) fn read_number(view: &serde_json::Value, path: &[&str]) -> u64 {
+    path.iter()
+        .fold(view, |at, key| &at[key])
+        .as_u64()
+        .unwrap_or_default()
+}
+
+pub(crate) fn count(cluster: &ProcessCluster, relay: usize, name: &str) -> u64 {
+    cluster
+        .membership(relay)
+        .map_or(0, |view| read_number(&view, &["counts", name]))
+}
+
+/// Waits until each of these has made so many health checks more than now: whatever it was to find
+/// out it has had the time to.
+pub(crate) fn wait_for_probes(cluster: &ProcessCluster, relays: &[usize], more: u64) {
+    let counts = |cluster: &ProcessCluster| -> Vec<u64> {
+        relays
+            .iter()
+            .map(|relay| count(cluster, *relay, "probes"))
+            .collect()
+    };
+    let before = counts(cluster);
+    let done = |cluster: &ProcessCluster| {
+        counts(cluster)
+            .iter()
+            .zip(&before)
+            .all(|(now, before)| *now >= before + more)
+    };
+    cluster
+        .wait_until(PERIOD * (3.0 * more as f64) + BUSY_MACHINE_MARGIN, done)
+        .expect("they probe");
+}
