--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -6,57 +6,58 @@
 
 #[test]
 fn list_old_empty_shrunken_or_readdressed_is_taken_as_it_says() {
-    let (here, _received) = backend(Play::Echo);
-    let dead = nobody();
+    let (here, _received) = start_backend(BackendBehavior::Echo);
+    let dead = unused_address();
     let ready = |id, at| (id, at, "Ready");
-    let cached: Vec<(String, SocketAddr)> = (0..10).map(|id| (format!("old{id}"), dead)).collect();
-    let cached: Vec<_> = cached
-        .iter()
-        .map(|(id, at)| ready(id.as_str(), *at))
-        .collect();
-    let first = list(7, true, &[ready("one", here)]);
-    let three = list(
-        7,
-        true,
-        &[ready("one", here), ready("b", dead), ready("c", dead)],
-    );
+    let first = endpoint_list(7, true, &[ready("one", here)]);
+    let three = [ready("one", here), ready("b", dead), ready("c", dead)];
+    let three = endpoint_list(7, true, &three);
     let cases = [
         UpdateCase {
             name: "an older one",
-            lists: vec![first.clone(), list(5, false, &[("one", here, "Gone")])],
+            lists: vec![
+                first.clone(),
+                endpoint_list(5, false, &[("one", here, "Gone")]),
+            ],
             ..UpdateCase::new(1, "UP")
         },
         UpdateCase {
             name: "a repeated one",
-            lists: vec![first.clone(), list(7, false, &[("one", here, "Gone")])],
+            lists: vec![
+                first.clone(),
+                endpoint_list(7, false, &[("one", here, "Gone")]),
+            ],
             ..UpdateCase::new(1, "UP")
         },
         UpdateCase {
             name: "an empty one",
-            lists: vec![first.clone(), list(8, true, &[])],
+            lists: vec![first.clone(), endpoint_list(8, true, &[])],
             ..UpdateCase::new(2, "BUSY")
         },
         UpdateCase {
             name: "the last one gone",
-            lists: vec![first.clone(), list(8, false, &[("one", here, "Gone")])],
+            lists: vec![
+                first.clone(),
+                endpoint_list(8, false, &[("one", here, "Gone")]),
+            ],
             ..UpdateCase::new(2, "BUSY")
         },
         UpdateCase {
             name: "a shrunken one",
-            lists: vec![three, list(8, true, &[ready("one", here)])],
+            lists: vec![three, endpoint_list(8, true, &[ready("one", here)])],
             ..UpdateCase::new(2, "UP")
         },
         UpdateCase {
             name: "a known id elsewhere",
             lists: vec![
-                list(7, true, &[ready("one", dead)]),
-                list(8, false, &[ready("one", here)]),
+                endpoint_list(7, true, &[ready("one", dead)]),
+                endpoint_list(8, false, &[ready("one", here)]),
             ],
             ..UpdateCase::new(2, "UP")
         },
         UpdateCase {
             name: "a cached one of backends that are gone",
-            known: list(3, true, &cached),
+            known: endpoint_list_of_ten(dead),
             lists: vec![first.clone()],
             ..UpdateCase::new(1, "UP")
         },
@@ -66,6 +67,15 @@
     }
 }
 
+fn endpoint_list_of_ten(address: SocketAddr) -> String {
+    let names: Vec<String> = (0..10).map(|number| format!("old{number}")).collect();
+    let rows: Vec<_> = names
+        .iter()
+        .map(|name| (name.as_str(), address, "Ready"))
+        .collect();
+    endpoint_list(3, true, &rows)
+}
+
 /// A sequence of endpoint lists.
 struct UpdateCase {
     name: &'static str,
@@ -94,16 +104,20 @@
         let mut pieces = vec![HEAD.to_string()];
         pieces.extend(self.lists.iter().map(|text| chunk(text)));
         // Once this list is counted, all before it have been read.
-        pieces.push(chunk(&list(9, false, &[("last", nobody(), "Terminating")])));
-        let (at, _requests) = discovery(vec![Script {
+        pieces.push(chunk(&endpoint_list(
+            9,
+            false,
+            &[("last", unused_address(), "Terminating")],
+        )));
+        let (at, _requests) = start_discovery(vec![WatchScript {
             pieces,
             ends: false,
         }]);
         let relay = start(at, 1_000, &self.known, false);
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TEST_TIMEOUT;
         loop {
             relay.signal("USR1");
-            let count = counted(&relay.logged(" lists="), "lists");
+            let count = counter_value(&relay.wait_for_log(" lists="), "lists");
             if count == self.counted + 1 {
                 break;
             }
@@ -112,15 +126,15 @@
                 "{name}: {count} lists"
             );
         }
-        let answer = relay.open("safe", 1_000).hears();
+        let answer = relay.open_session("safe", 1_000).next_line();
         assert!(answer.starts_with(self.answer), "{name}: {answer}");
     }
 }
 
 #[test]
 fn list_indented_is_taken_and_malformed_one_fails_its_request_alone() {
-    let (one, _received) = backend(Play::Echo);
-    let whole = list(
+    let (one, _received) = start_backend(BackendBehavior::Echo);
+    let whole = endpoint_list(
         7,
         true,
         &[("one", one, "Ready"), ("a \\\"{[\\\\", one, "Terminating")],
@@ -163,12 +177,16 @@
         }
         if is_accepted {
             relay.wait_for_counter("lists", 1);
-            assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt", "{name}");
+            assert_eq!(
+                relay.open_session("safe", 1_000).next_line(),
+                "UP receipt",
+                "{name}"
+            );
         } else {
             relay.wait_for_counter("list_failures", 1);
-            let mut client = relay.open("safe", 1_000);
+            let mut client = relay.open_session("safe", 1_000);
             assert!(
-                client.hears().starts_with("BUSY"),
+                client.next_line().starts_with("BUSY"),
                 "{name}: nothing of it counts"
             );
             let (watch, _) = agent.call();
--- a/relay/tests/discovery/polling.rs
+++ b/relay/tests/discovery/polling.rs
@@ -5,12 +5,12 @@
 #[test]
 fn discovery_staying_down_is_not_polled_faster() {
     let scripts = (0..10_000)
-        .map(|_| Script {
+        .map(|_| WatchScript {
             pieces: Vec::new(),
             ends: true,
         })
         .collect();
-    let (at, requests) = discovery(scripts);
+    let (at, requests) = start_discovery(scripts);
     let relay = start(at, 1_000, "null", false);
     let until = Instant::now() + Duration::from_secs(7);
     let left = || until.saturating_duration_since(Instant::now());
@@ -28,20 +28,25 @@
     for (answers, expected) in [(false, 5..=20), (true, 1..=5)] {
         let answer = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n".to_string();
         let busy = (0..100)
-            .map(|_| Script {
+            .map(|_| WatchScript {
                 pieces: vec![answer.clone()],
                 ends: true,
             })
             .collect();
-        let (at, requests) = discovery(busy);
-        let relay = start(if answers { at } else { nobody() }, 1_000, "null", false);
+        let (at, requests) = start_discovery(busy);
+        let relay = start(
+            if answers { at } else { unused_address() },
+            1_000,
+            "null",
+            false,
+        );
         let until = Instant::now() + Duration::from_secs(4);
         let left = || until.saturating_duration_since(Instant::now());
         let received = std::iter::repeat_with(|| requests.recv_timeout(left()))
             .take_while(Result::is_ok)
             .count();
         relay.signal("USR1");
-        let line = relay.logged("list_failures=");
+        let line = relay.wait_for_log("list_failures=");
         let count = line
             .split("list_failures=")
             .nth(1)
@@ -51,6 +56,6 @@
             expected.contains(&failures),
             "answers {answers}: {failures} failures"
         );
-        assert!(!answers || received >= failures, "{received} met");
+        assert!(!answers || received >= failures, "{received} received");
     }
 }
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -14,7 +14,11 @@
         &watch,
         &format!(
             "{HEAD}{}",
-            chunk(&list(7, true, &[("one", nobody(), "Ready")]))
+            chunk(&endpoint_list(
+                7,
+                true,
+                &[("one", unused_address(), "Ready")]
+            ))
         ),
     );
     relay.wait_for_counter("lists", 1);
@@ -23,10 +27,10 @@
 
 #[test]
 fn watch_lost_is_opened_again_with_the_version_held() {
-    let (one, one_received) = backend(Play::Echo);
-    let (two, two_received) = backend(Play::Echo);
-    let whole = list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
-    let drains = list(8, false, &[("one", one, "Terminating")]);
+    let (one, one_received) = start_backend(BackendBehavior::Echo);
+    let (two, two_received) = start_backend(BackendBehavior::Echo);
+    let whole = endpoint_list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
+    let drains = endpoint_list(8, false, &[("one", one, "Terminating")]);
     // Split within the head, a chunk size and a row.
     let all = format!("{HEAD}{}{}", chunk(&whole), chunk(""));
     let pieces: Vec<String> = all
@@ -35,22 +39,27 @@
         .map(|piece| String::from_utf8_lossy(piece).into())
         .collect();
     let scripts = vec![
-        Script {
+        WatchScript {
             pieces: vec!["no HTTP at all\r\n\r\n".into()],
             ends: true,
         },
-        Script { pieces, ends: true },
-        Script {
+        WatchScript { pieces, ends: true },
+        WatchScript {
             pieces: vec![HEAD.into(), chunk("{\"generation\": nonsense")],
             ends: false,
         },
-        Script {
+        WatchScript {
             pieces: vec![HEAD.into(), chunk(&drains)],
             ends: false,
         },
     ];
-    let (at, requests) = discovery(scripts);
-    let relay = start(at, 1_000, &list(3, true, &[("one", one, "Ready")]), true);
+    let (at, requests) = start_discovery(scripts);
+    let relay = start(
+        at,
+        1_000,
+        &endpoint_list(3, true, &[("one", one, "Ready")]),
+        true,
+    );
     let expected = [
         "follow=1 ",
         "follow=1 ",
@@ -58,20 +67,20 @@
         "follow=1&since=7 ",
     ];
     for query in expected {
-        let line = next(&requests);
+        let line = next_received(&requests);
         assert!(
             line.starts_with(&format!("GET /api/targets?{query}")),
             "{line}"
         );
     }
     // A silent watch is given up and opened again from the version held.
-    assert!(next(&requests).contains("since=8 "));
+    assert!(next_received(&requests).contains("since=8 "));
     // The first backend drains: all new sessions go to the second.
     for _ in 0..8 {
-        let mut client = relay.open("safe", 1_000);
-        assert_eq!(client.hears(), "UP receipt");
+        let mut client = relay.open_session("safe", 1_000);
+        assert_eq!(client.next_line(), "UP receipt");
     }
-    let opened = |received: &Met| {
+    let opened = |received: &Received| {
         received
             .try_iter()
             .filter(|line| line.starts_with("OPEN"))
@@ -82,53 +91,55 @@
 
 #[test]
 fn new_discovery_address_replaces_the_old_with_its_first_list() {
-    let (one, one_received) = backend(Play::Echo);
-    let (two, two_received) = backend(Play::Echo);
+    let (one, one_received) = start_backend(BackendBehavior::Echo);
+    let (two, two_received) = start_backend(BackendBehavior::Echo);
     let open = |pieces: Vec<String>| {
-        vec![Script {
+        vec![WatchScript {
             pieces,
             ends: false,
         }]
     };
-    let list_of = |version, which, at| chunk(&list(version, true, &[(which, at, "Ready")]));
+    let list_of =
+        |version, which, at| chunk(&endpoint_list(version, true, &[(which, at, "Ready")]));
     // The first address sends empty lines for a second, then a drain.
     let mut pieces = vec![HEAD.to_string(), list_of(70, "one", one)];
     pieces.extend((0..500).map(|_| chunk("")));
-    pieces.push(chunk(&list(
+    pieces.push(chunk(&endpoint_list(
         71,
         false,
         &[("one", one, "Terminating"), ("two", two, "Ready")],
     )));
-    let (first, first_requests) = discovery(open(pieces));
-    let (silent, silent_requests) = discovery(Vec::new());
+    let (first, first_requests) = start_discovery(open(pieces));
+    let (silent, silent_requests) = start_discovery(Vec::new());
     // Its versions are lower, and it does not list the second backend.
-    let (last, last_requests) = discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
+    let (last, last_requests) =
+        start_discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
     let relay = start(first, 1_000, "null", false);
-    assert!(next(&first_requests).contains("follow=1 "));
+    assert!(next_received(&first_requests).contains("follow=1 "));
     let mut established = Vec::new();
-    let mut goes_to = |received: &Met| {
-        let until = Instant::now() + LONG;
+    let mut goes_to = |received: &Received| {
+        let until = Instant::now() + TEST_TIMEOUT;
         while !received.try_iter().any(|line| line.starts_with("OPEN")) {
             assert!(
                 Instant::now() < until,
                 "nothing came to the backend that was listed last"
             );
-            let mut client = relay.open("safe", 1_000);
-            if client.hears() == "UP receipt" && established.len() < 3 {
+            let mut client = relay.open_session("safe", 1_000);
+            if client.next_line() == "UP receipt" && established.len() < 3 {
                 established.push(client);
             }
         }
     };
     goes_to(&one_received);
-    relay.told(&first.to_string(), &silent.to_string());
-    assert!(next(&silent_requests).contains("follow=1 "));
+    relay.reload_with(&first.to_string(), &silent.to_string());
+    assert!(next_received(&silent_requests).contains("follow=1 "));
     goes_to(&two_received);
     // The address changes while the one before has sent nothing: the new one is asked at once for a
     // full list.
     let began = Instant::now();
-    relay.told(&first.to_string(), &last.to_string());
-    assert!(next(&last_requests).contains("follow=1 "));
-    relay.logged(&format!("discovery at {last}: 1 backends"));
+    relay.reload_with(&first.to_string(), &last.to_string());
+    assert!(next_received(&last_requests).contains("follow=1 "));
+    relay.wait_for_log(&format!("discovery at {last}: 1 backends"));
     assert!(
         began.elapsed() < Duration::from_secs(3),
         "{:?}",
@@ -137,16 +148,19 @@
     one_received.try_iter().count();
     goes_to(&one_received);
     for client in &mut established {
-        client.say("still here\r\n");
-        assert_eq!(client.hears(), "still here");
+        client.send("still here\r\n");
+        assert_eq!(client.next_line(), "still here");
     }
 }
 
 #[test]
 fn cached_list_at_start_is_not_used_before_the_agent_answers() {
     let agent = DiscoveryAgent::new();
-    let ((old, old_received), (new, new_received)) = (backend(Play::Echo), backend(Play::Echo));
-    let known = list(1, true, &[("old", old, "Ready")]);
+    let ((old, old_received), (new, new_received)) = (
+        start_backend(BackendBehavior::Echo),
+        start_backend(BackendBehavior::Echo),
+    );
+    let known = endpoint_list(1, true, &[("old", old, "Ready")]);
     // Long enough for any machine; a silent agent is not waited for any longer.
     let grace = (
         "\"askWithinUs\": 1",
@@ -154,16 +168,16 @@
     );
     let relay = start_with_settings(agent.at, &known, &[grace]);
     let (watch, _) = agent.call();
-    let mut client = relay.open("safe", 9_000);
+    let mut client = relay.open_session("safe", 9_000);
     // The loop has completed turns since the line arrived.
     for _ in 0..3 {
         relay.signal("USR1");
-        relay.logged(" connections=");
+        relay.wait_for_log(" connections=");
     }
     let rows = [("old", old, "Terminating"), ("new", new, "Ready")];
-    send(&watch, &format!("{HEAD}{}", chunk(&list(2, true, &rows))));
-    assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&new_received).starts_with("OPEN"));
+    send_list(&watch, &endpoint_list(2, true, &rows));
+    assert_eq!(client.next_line(), "UP receipt");
+    assert!(next_received(&new_received).starts_with("OPEN"));
     assert!(
         old_received.try_iter().next().is_none(),
         "nothing came to the one that drains"
@@ -173,13 +187,16 @@
 #[test]
 fn watch_request_hanging_does_not_delay_updates() {
     let agent = DiscoveryAgent::new();
-    let (one, _received) = backend(Play::Echo);
-    let (two, two_received) = backend(Play::Echo);
+    let (one, _received) = start_backend(BackendBehavior::Echo);
+    let (two, two_received) = start_backend(BackendBehavior::Echo);
     let relay = start_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.call();
     send(
         &watch,
-        &format!("{HEAD}{}", chunk(&list(7, true, &[("one", one, "Ready")]))),
+        &format!(
+            "{HEAD}{}",
+            chunk(&endpoint_list(7, true, &[("one", one, "Ready")]))
+        ),
     );
     relay.wait_for_counter("lists", 1);
     // The agent becomes unreachable: the watch breaks, and a request hangs.
@@ -195,12 +212,15 @@
     );
     // Reachable again, it answers the latest request.
     let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
-    send(&back, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
+    send(
+        &back,
+        &format!("{HEAD}{}", chunk(&endpoint_list(8, false, &rows))),
+    );
     relay.wait_for_counter("lists", 2);
     assert_eq!(read_to_end_of(&hanging), "", "one watch is left");
-    let mut client = relay.open("safe", 1_000);
-    assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&two_received).starts_with("OPEN"));
+    let mut client = relay.open_session("safe", 1_000);
+    assert_eq!(client.next_line(), "UP receipt");
+    assert!(next_received(&two_received).starts_with("OPEN"));
     // The hanging request may also be the first to be answered.
     reset_on_close(&back);
     drop(back);
@@ -208,7 +228,7 @@
     let (beside, _) = agent.call();
     send(
         &hanging,
-        &format!("{HEAD}{}", chunk(&list(9, false, &rows))),
+        &format!("{HEAD}{}", chunk(&endpoint_list(9, false, &rows))),
     );
     relay.wait_for_counter("lists", 3);
     assert_eq!(read_to_end_of(&beside), "", "one watch is left");
@@ -264,7 +284,7 @@
     }
 }
 
-/// Whatever the requests before met, the relay has the list within six seconds of discovery's
+/// Whatever the requests before received, the relay has the list within six seconds of discovery's
 /// return.
 #[test]
 fn discovery_returning_after_each_failure_is_followed_in_time() {
@@ -287,21 +307,12 @@
 
 fn assert_followed_in_time_after(failure: DiscoveryFailure) {
     let mut agent = DiscoveryAgent::new();
-    let (one, one_received) = backend(Play::Echo);
-    let (two, two_received) = backend(Play::Echo);
+    let (one, one_received) = start_backend(BackendBehavior::Echo);
+    let (two, two_received) = start_backend(BackendBehavior::Echo);
     let relay = start_with_settings(agent.at, "null", &[]);
     let (watch, _) = agent.call();
-    send(
-        &watch,
-        &format!(
-            "{HEAD}{}",
-            chunk(&list(
-                7,
-                true,
-                &[("one", one, "Ready"), ("two", two, "Ready")]
-            ))
-        ),
-    );
+    let rows = [("one", one, "Ready"), ("two", two, "Ready")];
+    send_list(&watch, &endpoint_list(7, true, &rows));
     relay.wait_for_counter("lists", 1);
     let mut refused_at = None;
     if failure == Refused {
@@ -310,7 +321,7 @@
     }
     reset_on_close(&watch);
     drop(watch);
-    let half = &list(8, false, &[("one", one, "Terminating")])[..60];
+    let half = &endpoint_list(8, false, &[("one", one, "Terminating")])[..60];
     // Kept open: closing one would end the silence.
     let mut silent_calls = Vec::new();
     if let Some(at) = refused_at {
@@ -331,17 +342,20 @@
     let back = Instant::now();
     let rows = [("one", one, "Terminating")];
     let (watch, _) = agent.call();
-    send(&watch, &format!("{HEAD}{}", chunk(&list(8, false, &rows))));
+    send_list(&watch, &endpoint_list(8, false, &rows));
     relay.wait_for_counter("lists", 2);
     assert!(
         back.elapsed() < Duration::from_millis(5_500),
         "{failure:?}: {:?}",
         back.elapsed()
     );
-    let mut clients: Vec<_> = (0..6).map(|_| relay.open("safe", 1_000)).collect();
+    let mut clients: Vec<_> = (0..6).map(|_| relay.open_session("safe", 1_000)).collect();
     for client in &mut clients {
-        assert_eq!(client.hears(), "UP receipt", "{failure:?}");
-        assert!(next(&two_received).starts_with("OPEN"), "{failure:?}");
+        assert_eq!(client.next_line(), "UP receipt", "{failure:?}");
+        assert!(
+            next_received(&two_received).starts_with("OPEN"),
+            "{failure:?}"
+        );
     }
     assert!(
         one_received.try_recv().is_err(),
@@ -355,7 +369,7 @@
     // A list that arrives byte by byte without end is given up like a silent watch.
     let out = watch.try_clone().unwrap();
     let trickle = std::thread::spawn(move || {
-        let until = Instant::now() + LONG;
+        let until = Instant::now() + TEST_TIMEOUT;
         let mut bytes = "{\"generation\":8,\"instances\":["
             .chars()
             .chain(std::iter::repeat(' '));
--- a/relay/tests/former_version.rs
+++ b/relay/tests/former_version.rs
@@ -8,7 +8,9 @@
 use helper::host::{
     Host, RelayProcess, TestFolder, former_program, new_program, wait_until, with_admin,
 };
-use helper::{Client, config, counted, end_of, list, nobody, open_line};
+use helper::{
+    Client, config, counter_value, endpoint_list, open_line, unused_address, wait_for_exit,
+};
 use std::collections::BTreeSet;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -85,11 +87,11 @@
 
 impl OpenClient {
     fn open(process: &RelayProcess) -> OpenClient {
-        let mut client = process.relay.client();
-        client.say(&open_line("c=safe,d=1000"));
-        assert_eq!(client.hears(), "UP receipt");
-        client.say("whose\r\n");
-        let answer = client.hears();
+        let mut client = process.relay.connect();
+        client.send(&open_line("c=safe,d=1000"));
+        assert_eq!(client.next_line(), "UP receipt");
+        client.send("whose\r\n");
+        let answer = client.next_line();
         let origin = answer
             .strip_suffix(" whose")
             .unwrap_or_else(|| panic!("no answer of a backend: {answer:?}"))
@@ -103,7 +105,7 @@
 
     /// The next line is this one, answered by the same connection of the same backend.
     fn expect_answer(&mut self, line: &str) {
-        assert_eq!(self.client.hears(), format!("{} {line}", self.origin));
+        assert_eq!(self.client.next_line(), format!("{} {line}", self.origin));
     }
 }
 
@@ -149,7 +151,7 @@
     let lines: Vec<String> = (first..first + BATCH)
         .map(|number| format!("line {number}"))
         .collect();
-    client.client.say(&(lines.join("\r\n") + "\r\n"));
+    client.client.send(&(lines.join("\r\n") + "\r\n"));
     for line in &lines {
         client.expect_answer(line);
         answered.fetch_add(1, Ordering::SeqCst);
@@ -182,28 +184,28 @@
         .collect();
     let connections = STREAMS + 1;
     // Half a line waits at the old process while it is replaced.
-    interrupted.client.say("begun ");
+    interrupted.client.send("begun ");
     wait_for_progress(&streams);
 
     let new = host.start(to);
     old.relay.signal("TERM");
-    let status = end_of(&mut old.relay.child);
+    let status = wait_for_exit(&mut old.relay.child);
     assert!(status.success(), "{status}");
-    let stopped = old.relay.logged("stopped;");
+    let stopped = old.relay.wait_for_log("stopped;");
     assert_eq!(
-        counted(&stopped, "handed") as usize,
+        counter_value(&stopped, "handed") as usize,
         connections,
         "{stopped}"
     );
 
     wait_for_progress(&streams);
     streams.into_iter().for_each(LineStream::stop);
-    interrupted.client.say("and ended\r\n");
+    interrupted.client.send("and ended\r\n");
     interrupted.expect_answer("begun and ended");
     new.relay.signal("USR1");
-    let counters = new.relay.logged(" adopted=");
+    let counters = new.relay.wait_for_log(" adopted=");
     assert_eq!(
-        counted(&counters, "adopted") as usize,
+        counter_value(&counters, "adopted") as usize,
         connections,
         "{counters}"
     );
@@ -241,7 +243,7 @@
 fn wait_for_bans(process: &RelayProcess, count: usize) {
     process
         .relay
-        .logged(&format!("bans of another process taken over: {count} out"));
+        .wait_for_log(&format!("bans of another process taken over: {count} out"));
 }
 
 /// Bans by one program, and looks at the other, at its start and while it runs.
@@ -307,7 +309,7 @@
         let folder = TestFolder::new("mixed-fleet");
         let key_file = folder.path().join("peers.key");
         std::fs::write(&key_file, "a key for this test alone\n").unwrap();
-        let addresses: Vec<SocketAddr> = (0..MEMBERS).map(|_| nobody()).collect();
+        let addresses: Vec<SocketAddr> = (0..MEMBERS).map(|_| unused_address()).collect();
         let members: Vec<RelayProcess> = (0..MEMBERS)
             .map(|number| {
                 let program = if number % 2 == 0 {
@@ -403,9 +405,9 @@
     let name = member_name(number);
     let own_folder: PathBuf = folder.join(&name);
     std::fs::create_dir_all(&own_folder).unwrap();
-    let (client_address, admin) = (nobody(), nobody());
-    let backends = list(1, true, &[("b0", nobody(), "Ready")]);
-    let configuration = config(client_address, nobody(), 1_000, &backends, false)
+    let (client_address, admin) = (unused_address(), unused_address());
+    let backends = endpoint_list(1, true, &[("b0", unused_address(), "Ready")]);
+    let configuration = config(client_address, unused_address(), 1_000, &backends, false)
         .replace("\"name\":\"r0\"", &format!("\"name\":\"{name}\""))
         .replace(
             "\"retryAfter\": true",
--- a/relay/tests/golden/admin.rs
+++ b/relay/tests/golden/admin.rs
@@ -19,7 +19,7 @@
 #[test]
 fn admin_commands_without_peers_answers_are_as_recorded() {
     let platform = Platform::new("admin");
-    let process = platform.started(&platform.config(&[nobody()], false));
+    let process = platform.start_ready(&platform.config(&[unused_address()], false));
     let long_line = [b'x'; 5_000];
     let commands: &[&[u8]] = &[
         b"READY\n",
@@ -69,7 +69,7 @@
 #[test]
 fn admin_bans_that_can_not_be_kept_answers_are_as_recorded() {
     let platform = Platform::new("admin-bans");
-    let process = platform.started(&platform.config(&[nobody()], false));
+    let process = platform.start_ready(&platform.config(&[unused_address()], false));
     let mut transcript = Transcript::default();
     transcript.title("another process holds the lock");
     let lock_path = platform.folder.join(LOCK);
@@ -91,7 +91,7 @@
 #[test]
 fn admin_ready_without_a_list_is_refused_as_recorded() {
     let platform = Platform::new("admin-unlisted");
-    let text = config(platform.address(), nobody(), 1_000, "null", false);
+    let text = config(platform.address(), unused_address(), 1_000, "null", false);
     let process = platform.start(&text);
     assert_eq!(
         process.admin_answer(b"READY\n"),
@@ -123,9 +123,9 @@
     platform.charter = Some(charter);
     let text = config(
         platform.address(),
-        nobody(),
+        unused_address(),
         1_000,
-        &known(&[nobody()]),
+        &known(&[unused_address()]),
         false,
     );
     let text = text.replace("\"mayCancel\"", "\"peers\": true, \"mayCancel\"");
@@ -133,7 +133,7 @@
 }
 
 fn alone() -> PeerAddresses {
-    let own = nobody();
+    let own = unused_address();
     PeerAddresses { own, seed: own }
 }
 
@@ -148,7 +148,7 @@
 #[test]
 fn admin_commands_with_peers_answers_are_as_recorded() {
     let (platform, text) = platform_with_peers("admin-peers", VOTERS, &alone());
-    let process = platform.started(&text);
+    let process = platform.start_ready(&text);
     let mut transcript = Transcript::default();
     exchange(&mut transcript, &process, b"NOTE release 1.4\n");
     let long_note = format!("NOTE release {}\n", "x".repeat(400));
@@ -176,7 +176,7 @@
 #[test]
 fn admin_leases_without_voters_are_refused_as_recorded() {
     let (platform, text) = platform_with_peers("admin-no-voters", "", &alone());
-    let process = platform.started(&text);
+    let process = platform.start_ready(&text);
     let mut transcript = Transcript::default();
     exchange(&mut transcript, &process, b"LEASE turn\n");
     exchange(&mut transcript, &process, b"RELEASE turn\n");
@@ -186,16 +186,16 @@
 
 #[test]
 fn admin_answers_of_two_relays_that_know_each_other_are_as_recorded() {
-    let (own, other) = (nobody(), nobody());
+    let (own, other) = (unused_address(), unused_address());
     let addresses = PeerAddresses { own, seed: other };
     let (platform, text) = platform_with_peers("admin-two-first", VOTERS, &addresses);
-    let first = platform.started(&text);
+    let first = platform.start_ready(&text);
     let addresses = PeerAddresses {
         own: other,
         seed: own,
     };
     let (beside, text) = platform_with_peers("admin-two-second", VOTERS, &addresses);
-    let second = beside.started(&text.replace("\"r0\"", "\"r1\""));
+    let second = beside.start_ready(&text.replace("\"r0\"", "\"r1\""));
     let view = wait_for("the other relay", || {
         let view = json_answer(&first, "PEERS\n");
         view.contains("\"name\":\"r1\"").then_some(view)
--- a/relay/tests/golden/bans.rs
+++ b/relay/tests/golden/bans.rs
@@ -16,14 +16,17 @@
     names
 }
 
-fn started(platform: &Platform) -> RelayProcess {
-    platform.started(&platform.config(&[nobody(), nobody(), nobody()], false))
+fn start_ready(platform: &Platform) -> RelayProcess {
+    platform.start_ready(&platform.config(
+        &[unused_address(), unused_address(), unused_address()],
+        false,
+    ))
 }
 
 #[test]
 fn ban_file_after_three_bans_and_one_removal_is_as_recorded() {
     let platform = Platform::new("bans-written");
-    let process = started(&platform);
+    let process = start_ready(&platform);
     for command in [
         "DISABLE b2\n",
         "DISABLE b0\n",
@@ -41,7 +44,7 @@
 fn recorded_ban_file_found_at_start_is_taken_over() {
     let platform = Platform::new("bans-read");
     std::fs::write(platform.folder.join(FILE), read(RECORDED)).unwrap();
-    let process = started(&platform);
+    let process = start_ready(&platform);
     let answers = ["b0", "b1", "b2"]
         .map(|backend| process.admin_answer(format!("ENABLE {backend}\n").as_bytes()));
     assert_eq!(
@@ -58,7 +61,7 @@
         let mut changed = sound.clone();
         changed[place] ^= 1;
         std::fs::write(platform.folder.join(FILE), changed).unwrap();
-        let process = started(&platform);
+        let process = start_ready(&platform);
         let answer = process.admin_answer(b"ENABLE b2\n");
         assert_eq!(answer, "200 was not out\r\n", "byte {place}");
     }
--- a/relay/tests/golden/config.rs
+++ b/relay/tests/golden/config.rs
@@ -18,11 +18,11 @@
 
 impl Config {
     fn new(backend: SocketAddr) -> Config {
-        let (listen, admin) = (nobody(), nobody());
+        let (listen, admin) = (unused_address(), unused_address());
         let mut text = read("config.json");
         let addresses = [
             ("LISTEN", listen),
-            ("DISCOVERY", nobody()),
+            ("DISCOVERY", unused_address()),
             ("ADMIN", admin),
             ("BACKEND", backend),
         ];
@@ -56,7 +56,7 @@
 
 fn all_pointers() -> Vec<String> {
     let mut found = Vec::new();
-    pointers(&Config::new(nobody()).value, "", &mut found);
+    pointers(&Config::new(unused_address()).value, "", &mut found);
     found
 }
 
@@ -80,7 +80,7 @@
     };
     let mut answer = String::new();
     let asked = stream.write_all(b"READY\n").and_then(|()| {
-        stream.set_read_timeout(Some(LONG))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         stream.read_to_string(&mut answer)
     });
     asked.is_ok() && answer.starts_with("200")
@@ -101,17 +101,20 @@
 
 fn refusal_of(path: &Path) -> Option<String> {
     let child = program().env("ROUTER_CONFIG", path).spawn().unwrap();
-    let mut relay = watched(child, nobody(), String::new());
-    let first = relay.log.recv_timeout(LONG).expect("a line on stderr");
+    let mut relay = watched(child, unused_address(), String::new());
+    let first = relay
+        .log
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("a line on stderr");
     if !first.starts_with("thistlecroft-relay: ") {
         if !first.contains("serves at") {
-            relay.logged("serves at");
+            relay.wait_for_log("serves at");
         }
         return None;
     }
-    let end = relay.log.recv_timeout(LONG);
+    let end = relay.log.recv_timeout(TEST_TIMEOUT);
     assert_eq!(end, Err(RecvTimeoutError::Disconnected), "one line only");
-    assert_eq!(end_of(&mut relay.child).code(), Some(1), "{first}");
+    assert_eq!(wait_for_exit(&mut relay.child).code(), Some(1), "{first}");
     let masked = first.replace(&path.display().to_string(), "PATH");
     let without_place = masked.split(" at line ").next().unwrap();
     Some(mask_struct_name(without_place))
@@ -127,14 +130,14 @@
 
 #[test]
 fn config_with_every_key_gives_a_relay_that_serves() {
-    let (address, met) = backend(Play::Echo);
+    let (address, received) = start_backend(BackendBehavior::Echo);
     let config = Config::new(address);
-    let relay = started(config.listen, config.value.to_string());
+    let relay = start_relay_from(config.listen, config.value.to_string());
     wait_for("200 ready", || is_ready(config.admin).then_some(()));
-    assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt");
-    assert_eq!(relay.open("other", 1_000).hears(), "ERR");
+    assert_eq!(relay.open_session("safe", 1_000).next_line(), "UP receipt");
+    assert_eq!(relay.open_session("other", 1_000).next_line(), "ERR");
     wait_for("a probe, which the settings permit", || {
-        (next(&met) == "STATS\r\n").then_some(())
+        (next_received(&received) == "STATS\r\n").then_some(())
     });
 }
 
@@ -142,7 +145,7 @@
 fn config_with_a_key_missing_is_refused_or_served_as_recorded() {
     let mut outcomes = String::new();
     for pointer in all_pointers() {
-        let mut config = Config::new(nobody());
+        let mut config = Config::new(unused_address());
         remove(&mut config.value, &pointer);
         let outcome = refusal(&config, "missing").unwrap_or_else(|| "serves".into());
         outcomes += &format!("{pointer}: {outcome}\n");
@@ -154,7 +157,7 @@
 fn config_with_a_value_of_a_wrong_type_is_refused_or_passed_over_as_recorded() {
     let mut outcomes = String::new();
     for pointer in all_pointers() {
-        let mut config = Config::new(nobody());
+        let mut config = Config::new(unused_address());
         let value = config.value.pointer_mut(&pointer).unwrap();
         *value = wrong_type(value);
         let outcome = refusal(&config, "type").unwrap_or_else(|| "not read".into());
@@ -187,7 +190,7 @@
     ];
     let mut outcomes = String::new();
     for (pointer, value) in values {
-        let mut config = Config::new(nobody());
+        let mut config = Config::new(unused_address());
         outcomes += &format!("{pointer} = {value}: ");
         *config.value.pointer_mut(pointer).unwrap() = value;
         let outcome = refusal(&config, "range").unwrap_or_else(|| "serves".into());
@@ -214,7 +217,7 @@
 /// The program's one line on stderr under these variables, with the recorded configuration but for
 /// the admin address.
 fn refusal_under(variables: &[(&str, &str)]) -> String {
-    let mut config = Config::new(nobody());
+    let mut config = Config::new(unused_address());
     remove(&mut config.value, "/admin_addr");
     let path = std::env::temp_dir().join(format!(
         "thistlecroft-golden-config-{}-environment.json",
@@ -249,7 +252,7 @@
 
 #[test]
 fn admin_address_of_the_environment_is_served_where_the_config_has_none() {
-    let mut config = Config::new(nobody());
+    let mut config = Config::new(unused_address());
     remove(&mut config.value, "/admin_addr");
     let path = std::env::temp_dir().join(format!(
         "thistlecroft-golden-config-{}-admin.json",
--- a/relay/tests/golden/discovery.rs
+++ b/relay/tests/golden/discovery.rs
@@ -7,9 +7,9 @@
 
 fn accepted(listener: &TcpListener) -> TcpStream {
     let wait = SockRef::from(listener);
-    wait.set_read_timeout(Some(LONG)).unwrap();
+    wait.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let (stream, _) = listener.accept().unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
@@ -31,11 +31,11 @@
     let mut transcript = Transcript::default();
     let mut first = accepted(&listener);
     transcript.line("first request", request(&first, own).as_bytes());
-    let (backend_address, _met) = backend(Play::Echo);
+    let (backend_address, _met) = start_backend(BackendBehavior::Echo);
     let rows = [("b0", backend_address, "Ready")];
     first.write_all(HEAD.as_bytes()).unwrap();
     first
-        .write_all(chunk(&list(7, true, &rows)).as_bytes())
+        .write_all(chunk(&endpoint_list(7, true, &rows)).as_bytes())
         .unwrap();
     drop(first);
     let second = accepted(&listener);
--- a/relay/tests/golden/handover.rs
+++ b/relay/tests/golden/handover.rs
@@ -51,7 +51,7 @@
 
 impl Channel {
     fn new(socket: Socket) -> Channel {
-        socket.set_read_timeout(Some(LONG)).unwrap();
+        socket.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Channel { socket }
     }
 
@@ -127,7 +127,7 @@
 #[test]
 fn hello_of_another_version_or_relay_closes_the_channel() {
     let platform = Platform::new("handover-hello");
-    let process = platform.started(&platform.config(&[nobody()], false));
+    let process = platform.start_ready(&platform.config(&[unused_address()], false));
     let wrong = [
         HELLO.replace('2', "1"),
         HELLO.replace('2', "3"),
@@ -177,20 +177,20 @@
 #[test]
 fn packets_of_a_process_that_leaves_are_as_recorded() {
     let platform = Platform::new("handover-leaves");
-    let (address, met) = backend(Play::Echo);
-    let mut process = platform.started(&platform.config(&[address], true));
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let mut process = platform.start_ready(&platform.config(&[address], true));
     let mut transcript = Transcript::default();
     let channel = wait_for_probe_answer(&platform, &mut transcript);
-    let mut first = process.relay.client();
-    first.say("OPEN 00000000000000a1 00000000000000ff c=safe,d=1000,g=5c0f6e1a2b3d4c59\r\n");
-    assert_eq!(first.hears(), "UP receipt");
+    let mut first = process.relay.connect();
+    first.send("OPEN 00000000000000a1 00000000000000ff c=safe,d=1000,g=5c0f6e1a2b3d4c59\r\n");
+    assert_eq!(first.next_line(), "UP receipt");
     // The whole lines come back, one of them as a load note; the begun one waits in the relay.
-    first.say("LOAD 12.5\r\nwhole\r\nbegun ");
-    assert_eq!(first.hears(), "LOAD 12.5");
-    assert_eq!(first.hears(), "whole");
-    let mut second = process.relay.client();
-    second.say("OPEN 00000000000000a2 00000000000000fe c=once,d=1000\r\n");
-    assert_eq!(second.hears(), "UP receipt");
+    first.send("LOAD 12.5\r\nwhole\r\nbegun ");
+    assert_eq!(first.next_line(), "LOAD 12.5");
+    assert_eq!(first.next_line(), "whole");
+    let mut second = process.relay.connect();
+    second.send("OPEN 00000000000000a2 00000000000000fe c=once,d=1000\r\n");
+    assert_eq!(second.next_line(), "UP receipt");
     let holds = channel.receive_kind("Holds");
     transcript.line(
         "relay sends",
@@ -222,25 +222,25 @@
     transcript.line("next sends", took.as_bytes());
     let yours = channel.receive_other();
     transcript.line("relay sends", &yours.bytes);
-    let moved = [second.hears(), second.hears()];
+    let moved = [second.next_line(), second.next_line()];
     transcript.line("declined client hears", moved.join(" ").as_bytes());
-    assert_eq!(end_of(&mut process.relay.child).code(), Some(0));
+    assert_eq!(wait_for_exit(&mut process.relay.child).code(), Some(0));
     // What was taken works on, now over the descriptors that came along.
     let (mut to_client, mut to_backend) = received_connections(&mut sessions[0]);
     to_client.write_all(b"to the client\r\n").unwrap();
-    assert_eq!(first.hears(), "to the client");
+    assert_eq!(first.next_line(), "to the client");
     to_backend.write_all(b"to the backend\r\n").unwrap();
     wait_for("the backend's line", || {
-        (next(&met) == "to the backend\r\n").then_some(())
+        (next_received(&received) == "to the backend\r\n").then_some(())
     });
     transcript.assert_recorded("handover_leaves.txt");
 }
 
 /// Answers one dial by `UP` and a load note, then tells of the first line that comes.
-fn backend_that_notes_load() -> (SocketAddr, Met) {
+fn backend_that_notes_load() -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, met) = channel();
+    let (tell, received) = channel();
     thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut lines = BufReader::new(stream.try_clone().unwrap()).lines();
@@ -250,24 +250,24 @@
             let _ = tell.send(line);
         }
     });
-    (address, met)
+    (address, received)
 }
 
 #[test]
 fn session_packet_with_a_load_and_an_unanswered_line_is_as_recorded() {
     let platform = Platform::new("handover-load");
-    let (address, met) = backend_that_notes_load();
+    let (address, received) = backend_that_notes_load();
     let config = platform.config(&[address], false).replace(
         "\"tellsDelay\": true, \"tellsLoad\": false",
         "\"tellsDelay\": false, \"tellsLoad\": true",
     );
-    let process = platform.started(&config);
-    let mut client = process.relay.client();
-    client.say("OPEN 00000000000000a1 00000000000000ff c=safe,d=1000\r\n");
-    assert_eq!(client.hears(), "UP receipt");
-    assert_eq!(client.hears(), "LOAD 0.5");
-    client.say("unanswered\r\n");
-    assert_eq!(next(&met), "unanswered");
+    let process = platform.start_ready(&config);
+    let mut client = process.relay.connect();
+    client.send("OPEN 00000000000000a1 00000000000000ff c=safe,d=1000\r\n");
+    assert_eq!(client.next_line(), "UP receipt");
+    assert_eq!(client.next_line(), "LOAD 0.5");
+    client.send("unanswered\r\n");
+    assert_eq!(next_received(&received), "unanswered");
     let channel = Channel::connected(&platform);
     channel.send(HELLO.as_bytes(), &[]);
     channel.receive_kind("Memory");
@@ -281,10 +281,10 @@
 #[test]
 fn admin_ready_of_a_process_that_leaves_is_refused() {
     let platform = Platform::new("handover-ready");
-    let (address, _met) = backend(Play::Echo);
-    let process = platform.started(&platform.config(&[address], false));
-    let mut client = process.relay.open("safe", 1_000);
-    assert_eq!(client.hears(), "UP receipt");
+    let (address, _met) = start_backend(BackendBehavior::Echo);
+    let process = platform.start_ready(&platform.config(&[address], false));
+    let mut client = process.relay.open_session("safe", 1_000);
+    assert_eq!(client.next_line(), "UP receipt");
     let channel = Channel::connected(&platform);
     channel.send(HELLO.as_bytes(), &[]);
     channel.receive_kind("Memory");
@@ -298,7 +298,7 @@
 fn connected_pair() -> (TcpStream, TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let far = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    far.set_read_timeout(Some(LONG)).unwrap();
+    far.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     (far, listener.accept().unwrap().0)
 }
 
@@ -326,9 +326,9 @@
     let path = platform.folder.join(SOCKET_NAME);
     before.bind(&SockAddr::unix(&path).unwrap()).unwrap();
     before.listen(4).unwrap();
-    before.set_read_timeout(Some(LONG)).unwrap();
+    before.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     let mut transcript = Transcript::default();
-    let process = platform.start(&platform.config(&[nobody()], false));
+    let process = platform.start(&platform.config(&[unused_address()], false));
     let channel = Channel::new(before.accept().unwrap().0);
     transcript.line("relay sends", &channel.receive_other().bytes);
     channel.send(MEMORY.as_bytes(), &[]);
--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -15,7 +15,7 @@
 
 /// Asks until it is told something; the wait is bounded.
 pub(crate) fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(told) = ask() {
             return told;
@@ -35,7 +35,7 @@
         .zip(backends)
         .map(|(name, address)| (name.as_str(), *address, "Ready"))
         .collect();
-    list(1, true, &rows)
+    endpoint_list(1, true, &rows)
 }
 
 /// The program with no more in its environment than each test adds.
@@ -61,7 +61,7 @@
         .stdout(Stdio::piped())
         .spawn()
         .unwrap();
-    end_of(&mut child);
+    wait_for_exit(&mut child);
     child.wait_with_output().unwrap()
 }
 
@@ -100,12 +100,18 @@
 
     /// A configuration with these backends and a dead discovery.
     pub(crate) fn config(&self, backends: &[SocketAddr], probes: bool) -> String {
-        config(self.address(), nobody(), 1_000, &known(backends), probes)
+        config(
+            self.address(),
+            unused_address(),
+            1_000,
+            &known(backends),
+            probes,
+        )
     }
 
     /// Starts a process by this configuration, with an admin address added.
     pub(crate) fn start(&self, config: &str) -> RelayProcess {
-        let admin = nobody();
+        let admin = unused_address();
         let text = config.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1);
         let path = self.folder.join(format!("config-{}.json", admin.ip()));
         std::fs::write(&path, &text).unwrap();
@@ -119,11 +125,11 @@
             command.env("THISTLECROFT_CHARTER", charter);
         }
         let relay = watched(command.spawn().unwrap(), self.address(), text);
-        relay.logged("serves at");
+        relay.wait_for_log("serves at");
         RelayProcess { relay, admin }
     }
 
-    pub(crate) fn started(&self, config: &str) -> RelayProcess {
+    pub(crate) fn start_ready(&self, config: &str) -> RelayProcess {
         let process = self.start(config);
         process.wait_until_ready();
         process
@@ -156,7 +162,7 @@
     /// All bytes that answer an admin command; the client says no more after it.
     pub(crate) fn admin_answer(&self, command: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.write_all(command).unwrap();
         stream.shutdown(std::net::Shutdown::Write).unwrap();
         let mut answer = String::new();
--- a/relay/tests/golden/wire.rs
+++ b/relay/tests/golden/wire.rs
@@ -14,13 +14,13 @@
 fn connected(relay: &Relay) -> TcpStream {
     let stream = TcpStream::connect(relay.at).unwrap();
     stream.set_nodelay(true).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
 #[test]
 fn client_pings_are_answered_as_recorded() {
-    let relay = relay_with(&[nobody()]);
+    let relay = start_relay_with_backends(&[unused_address()]);
     let mut transcript = Transcript::default();
     for sent in ["PING\r\n", "PING\n", "PING\r\nPING\r\n"] {
         let mut stream = connected(&relay);
@@ -34,8 +34,8 @@
 
 #[test]
 fn client_first_lines_that_are_wrong_are_answered_as_recorded() {
-    let (address, _met) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
+    let (address, _met) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
     let ids = "OPEN 00000000000000aa 7f3a9c21e0b4d655";
     let items = [
         "",
@@ -88,23 +88,23 @@
 
 #[test]
 fn client_lines_that_are_too_long_are_answered_as_recorded() {
-    let (address, _met) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
+    let (address, _met) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
     let mut transcript = Transcript::default();
     transcript.title("an OPEN of 4,095 bytes before its line feed, and of one more");
     for length in [4_095, 4_096] {
         let mut line = format!("OPEN 000000000000{length} 7f3a9c21e0b4d655 c=safe,d=1000,x=");
         line += &"x".repeat(length - line.len());
-        let mut client = relay.client();
-        client.say(&format!("{line}\n"));
-        transcript.line("client hears", client.hears().as_bytes());
+        let mut client = relay.connect();
+        client.send(&format!("{line}\n"));
+        transcript.line("client hears", client.next_line().as_bytes());
     }
     transcript.title("the same in a session");
     for length in [4_095, 4_096] {
-        let mut client = relay.open("safe", 1_000);
-        transcript.line("client hears", client.hears().as_bytes());
-        client.say(&format!("{}\n", "x".repeat(length)));
-        let echoed = client.hears();
+        let mut client = relay.open_session("safe", 1_000);
+        transcript.line("client hears", client.next_line().as_bytes());
+        client.send(&format!("{}\n", "x".repeat(length)));
+        let echoed = client.next_line();
         let echoed = echoed.replace(&"x".repeat(length), "<the line>");
         transcript.line("client hears", echoed.as_bytes());
     }
@@ -113,34 +113,34 @@
 
 #[test]
 fn client_with_an_id_that_is_open_is_answered_as_recorded() {
-    let (address, _met) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
+    let (address, _met) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
     let open = "OPEN 00000000000000aa 7f3a9c21e0b4d655 c=safe,d=1000\r\n";
     let mut transcript = Transcript::default();
-    let mut clients = [relay.client(), relay.client()];
+    let mut clients = [relay.connect(), relay.connect()];
     for client in &mut clients {
-        client.say(open);
-        transcript.line("client hears", client.hears().as_bytes());
+        client.send(open);
+        transcript.line("client hears", client.next_line().as_bytes());
     }
     transcript.assert_recorded("client_id_twice.txt");
 }
 
 #[test]
 fn client_that_names_its_backend_is_answered_as_recorded() {
-    let (address, met) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
     let mut transcript = Transcript::default();
     for backend_name in ["b0", "b7"] {
         let open =
             format!("OPEN 00000000000000aa 7f3a9c21e0b4d655 c=safe,d=1000,at={backend_name}\r\n");
-        let mut client = relay.client();
-        client.say(&open);
+        let mut client = relay.connect();
+        client.send(&open);
         transcript.line("client sends", open.as_bytes());
         if backend_name == "b0" {
-            let dialled = mask_after(&next(&met), "d=");
+            let dialled = mask_after(&next_received(&received), "d=");
             transcript.line("backend hears", dialled.as_bytes());
         }
-        transcript.line("client hears", client.hears().as_bytes());
+        transcript.line("client hears", client.next_line().as_bytes());
     }
     transcript.assert_recorded("client_names_backend.txt");
 }
@@ -156,8 +156,8 @@
 
 #[test]
 fn sessions_from_open_to_end_are_forwarded_as_recorded() {
-    let (address, met) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
     let opens = [
         "OPEN 00000000000000a1 7f3a9c21e0b4d655 c=safe,d=1000\r\n",
         "OPEN 00000000000000a2 7F3A9C21E0B4D655 d=1000,c=once\r\n",
@@ -166,33 +166,33 @@
     ];
     let mut transcript = Transcript::default();
     for open in opens {
-        let mut client = relay.client();
-        client.say(open);
+        let mut client = relay.connect();
+        client.send(open);
         transcript.line("client sends", open.as_bytes());
-        let dialled = masked_open(&next(&met), 985);
+        let dialled = masked_open(&next_received(&received), 985);
         transcript.line("backend hears", dialled.as_bytes());
-        transcript.line("client hears", client.hears().as_bytes());
+        transcript.line("client hears", client.next_line().as_bytes());
         for message in ["hello there\r\n", "bare line feed\n", "LOAD 12.5\r\n"] {
-            client.say(message);
+            client.send(message);
             transcript.line("client sends", message.as_bytes());
-            transcript.line("backend hears", next(&met).as_bytes());
-            transcript.line("client hears", client.hears().as_bytes());
+            transcript.line("backend hears", next_received(&received).as_bytes());
+            transcript.line("client hears", client.next_line().as_bytes());
         }
-        client.ends_sending();
+        client.finish_sending();
         transcript.line("client sends", b"<end>");
-        transcript.line("backend hears", next(&met).as_bytes());
-        transcript.line("client hears", client.hears().as_bytes());
-        transcript.line("client hears", client.hears().as_bytes());
+        transcript.line("backend hears", next_received(&received).as_bytes());
+        transcript.line("client hears", client.next_line().as_bytes());
+        transcript.line("client hears", client.next_line().as_bytes());
     }
     transcript.assert_recorded("forwarded_sessions.txt");
 }
 
 /// A relay with one backend, which tells its load at the end of each dial.
 fn relay_told_by_dials(address: SocketAddr) -> Relay {
-    let at = nobody();
-    let known = list(1, true, &[("b0", address, "Ready")]);
-    let text = config(at, nobody(), 1_000, &known, false);
-    started(at, text.replace("\"pull\"", "\"piggyback\""))
+    let at = unused_address();
+    let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
+    let text = config(at, unused_address(), 1_000, &known, false);
+    start_relay_from(at, text.replace("\"pull\"", "\"piggyback\""))
 }
 
 #[test]
@@ -212,9 +212,9 @@
     let mut transcript = Transcript::default();
     for word in words {
         for listener in ["safe", "once"] {
-            let (address, _met) = backend(Play::Say(word));
+            let (address, _met) = start_backend(BackendBehavior::Say(word));
             let relay = relay_told_by_dials(address);
-            let mut client = relay.open(listener, 400);
+            let mut client = relay.open_session(listener, 400);
             transcript.title(&format!("listener {listener}"));
             transcript.line("backend says", word.as_bytes());
             let answer = all_answers(client.lines.get_mut());
@@ -239,9 +239,9 @@
     ];
     let mut transcript = Transcript::default();
     for word in words {
-        let (address, _met) = backend(Play::UpThen(word));
+        let (address, _met) = start_backend(BackendBehavior::UpThen(word));
         let relay = relay_told_by_dials(address);
-        let mut client = relay.open("safe", 1_000);
+        let mut client = relay.open_session("safe", 1_000);
         transcript.line("backend says", format!("UP receipt\r\n{word}").as_bytes());
         let answer = all_answers(client.lines.get_mut());
         transcript.line("client hears", &answer);
@@ -253,8 +253,8 @@
 fn client_without_any_backend_up_is_refused_as_recorded() {
     let mut transcript = Transcript::default();
     for listener in ["safe", "once"] {
-        let relay = relay_with(&[nobody()]);
-        let mut client = relay.open(listener, 400);
+        let relay = start_relay_with_backends(&[unused_address()]);
+        let mut client = relay.open_session(listener, 400);
         let answer = all_answers(client.lines.get_mut());
         let answer = mask_after(&String::from_utf8(answer).unwrap(), "BUSY ");
         transcript.line(listener, answer.as_bytes());
@@ -264,29 +264,29 @@
 
 #[test]
 fn health_probe_bytes_are_as_recorded() {
-    let (address, met) = backend(Play::Echo);
-    let known = list(1, true, &[("b0", address, "Ready")]);
-    let _relay = start(nobody(), 1_000, &known, true);
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
+    let _relay = start(unused_address(), 1_000, &known, true);
     let mut transcript = Transcript::default();
     // The second goes over the connection of the first.
-    transcript.line("backend hears", next(&met).as_bytes());
-    transcript.line("backend hears", next(&met).as_bytes());
+    transcript.line("backend hears", next_received(&received).as_bytes());
+    transcript.line("backend hears", next_received(&received).as_bytes());
     transcript.assert_recorded("health_probe.txt");
 }
 
 #[test]
 fn standing_session_at_sigterm_is_moved_as_recorded() {
-    let (address, met) = backend(Play::Echo);
-    let mut relay = relay_with(&[address]);
-    let mut client = relay.open("safe", 1_000);
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let mut relay = start_relay_with_backends(&[address]);
+    let mut client = relay.open_session("safe", 1_000);
     let mut transcript = Transcript::default();
-    transcript.line("client hears", client.hears().as_bytes());
-    masked_open(&next(&met), 985);
+    transcript.line("client hears", client.next_line().as_bytes());
+    masked_open(&next_received(&received), 985);
     relay.signal("TERM");
     let rest = all_answers(client.lines.get_mut());
     transcript.line("client hears", &rest);
-    transcript.line("backend hears", next(&met).as_bytes());
-    let code = end_of(&mut relay.child).code();
+    transcript.line("backend hears", next_received(&received).as_bytes());
+    let code = wait_for_exit(&mut relay.child).code();
     transcript.line("relay exits with", format!("{code:?}").as_bytes());
     transcript.assert_recorded("moved_at_sigterm.txt");
 }
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -9,7 +9,7 @@
 
 /// What a backend does with a connection, after the first line.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) enum Play {
+pub(crate) enum BackendBehavior {
     /// Accepts, then sends each line back and answers the client's end with `BYE`.
     Echo,
     /// Accepts with an answer in pieces.
@@ -30,44 +30,48 @@
 }
 
 /// What a backend received, in order: first lines, later lines, and `end` or `reset`.
-pub(crate) type Met = Receiver<String>;
+pub(crate) type Received = Receiver<String>;
 
 /// Starts a backend; returns its address and what it receives.
-pub(crate) fn backend(play: Play) -> (SocketAddr, Met) {
+pub(crate) fn start_backend(behavior: BackendBehavior) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, met) = channel();
+    let (tell, received) = channel();
     thread::spawn(move || {
         for stream in listener.incoming() {
             let tell = tell.clone();
-            thread::spawn(move || drop(serve(stream.unwrap(), play, tell)));
+            thread::spawn(move || drop(serve(stream.unwrap(), behavior, tell)));
         }
     });
-    (address, met)
+    (address, received)
 }
 
 /// Serves one connection.
-pub(crate) fn serve(stream: TcpStream, play: Play, tell: Sender<String>) -> std::io::Result<()> {
+pub(crate) fn serve(
+    stream: TcpStream,
+    behavior: BackendBehavior,
+    tell: Sender<String>,
+) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
     let mut line = String::new();
     lines.read_line(&mut line)?;
     while line == "STATS\r\n" {
         let _ = tell.send(std::mem::take(&mut line));
-        let load = match play {
-            Play::ReportsHighLatency => "0.7",
+        let load = match behavior {
+            BackendBehavior::ReportsHighLatency => "0.7",
             _ => "0.25",
         };
         out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
         lines.read_line(&mut line)?;
     }
     let _ = tell.send(line.clone());
-    match play {
-        Play::Say(word) => return out.write_all(word.as_bytes()),
-        Play::Mute => return lines.read_to_string(&mut line).map(drop),
-        Play::End => return Ok(()),
-        Play::TooLong => return out.write_all(&[b'x'; 9_000]),
-        Play::Split => {
+    match behavior {
+        BackendBehavior::Say(word) => return out.write_all(word.as_bytes()),
+        BackendBehavior::Mute => return lines.read_to_string(&mut line).map(drop),
+        BackendBehavior::End => return Ok(()),
+        BackendBehavior::TooLong => return out.write_all(&[b'x'; 9_000]),
+        BackendBehavior::Split => {
             for piece in ["U", "P re", "ceipt\r", "\n"] {
                 out.write_all(piece.as_bytes())?;
                 thread::sleep(Duration::from_millis(5));
@@ -75,20 +79,20 @@
         }
         _ => out.write_all(b"UP receipt\r\n")?,
     }
-    match play {
-        Play::UpThen(words) => return out.write_all(words.as_bytes()),
-        Play::UpThenReset => {
+    match behavior {
+        BackendBehavior::UpThen(words) => return out.write_all(words.as_bytes()),
+        BackendBehavior::UpThenReset => {
             out.write_all(b"last\r\n")?;
             // Closing with the client's line unread makes the system send a reset.
             while stream.peek(&mut [0; 1])? == 0 {}
             return Ok(());
         }
-        Play::ReportsHighLatency => loop {
+        BackendBehavior::ReportsHighLatency => loop {
             out.write_all(b"LOAD 1242.441\r\n")?;
             thread::sleep(Duration::from_millis(100));
         },
-        Play::UpMute => return lines.read_to_string(&mut line).map(drop),
-        Play::Flood(count) => {
+        BackendBehavior::UpMute => return lines.read_to_string(&mut line).map(drop),
+        BackendBehavior::Flood(count) => {
             for number in 0..count {
                 out.write_all(format!("line {number}\r\n").as_bytes())?;
             }
@@ -125,9 +129,10 @@
 }
 
 /// The next that a backend or discovery received.
-pub(crate) fn next(met: &Met) -> String {
-    met.recv_timeout(LONG)
-        .expect("the backend met nothing more")
+pub(crate) fn next_received(received: &Received) -> String {
+    received
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("the backend received nothing more")
 }
 
 /// A backend whose connections are established late: its accept queue is full until it is emptied.
--- a/relay/tests/helper/client.rs
+++ b/relay/tests/helper/client.rs
@@ -17,12 +17,12 @@
 }
 
 impl Client {
-    pub(crate) fn say(&mut self, text: &str) {
+    pub(crate) fn send(&mut self, text: &str) {
         self.lines.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
     /// The next line; `end` or `reset` where the connection is over.
-    pub(crate) fn hears(&mut self) -> String {
+    pub(crate) fn next_line(&mut self) -> String {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(0) => "end".into(),
@@ -32,7 +32,7 @@
         }
     }
 
-    pub(crate) fn ends_sending(&self) {
+    pub(crate) fn finish_sending(&self) {
         self.lines.get_ref().shutdown(Shutdown::Write).unwrap();
     }
 }
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -1,5 +1,5 @@
 //! Stand-ins for discovery's agent.
-use super::backend::Met;
+use super::backend::Received;
 use super::wait::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -8,17 +8,17 @@
 use std::time::Duration;
 
 /// The answer to one request: pieces of a response, after which the connection stays open or ends.
-pub(crate) struct Script {
+pub(crate) struct WatchScript {
     pub(crate) pieces: Vec<String>,
     pub(crate) ends: bool,
 }
 
 /// Starts a discovery that gives each request the next script, and those behind the last no answer;
 /// returns its address and the first lines of the requests.
-pub(crate) fn discovery(scripts: Vec<Script>) -> (SocketAddr, Met) {
+pub(crate) fn start_discovery(scripts: Vec<WatchScript>) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, met) = channel();
+    let (tell, received) = channel();
     thread::spawn(move || {
         let mut scripts = scripts.into_iter();
         let mut open = Vec::new();
@@ -42,7 +42,7 @@
             }
         }
     });
-    (address, met)
+    (address, received)
 }
 
 pub(crate) const HEAD: &str =
@@ -52,7 +52,11 @@
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
 }
 
-pub(crate) fn list(generation: u64, reset: bool, rows: &[(&str, SocketAddr, &str)]) -> String {
+pub(crate) fn endpoint_list(
+    generation: u64,
+    reset: bool,
+    rows: &[(&str, SocketAddr, &str)],
+) -> String {
     let rows: Vec<String> = rows
         .iter()
         .map(|(name, at, lifecycle)| {
@@ -102,3 +106,8 @@
         }
     }
 }
+
+/// Answers a watch with its head and one list.
+pub(crate) fn send_list(watch: &TcpStream, list: &str) {
+    send(watch, &format!("{HEAD}{}", chunk(list)));
+}
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -1,6 +1,6 @@
 //! Processes of a relay by a chosen program, and what outlives each of them: the clients' listening
 //! socket and the folder that successive processes share.
-use super::{LONG, Relay, config, list, nobody};
+use super::{Relay, TEST_TIMEOUT, config, endpoint_list, unused_address};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -116,7 +116,7 @@
     /// A new connection to the admin port.
     pub(crate) fn connect_admin(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         stream
     }
@@ -154,7 +154,7 @@
 
     fn try_call(&self, line: &str) -> std::io::Result<String> {
         let mut stream = TcpStream::connect(self.admin)?;
-        stream.set_read_timeout(Some(LONG))?;
+        stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         stream.write_all(format!("{line}\r\n").as_bytes())?;
         try_read_admin_response(&mut stream)
     }
@@ -175,7 +175,7 @@
     Ok(response.trim_end().to_string())
 }
 
-fn log_lines(child: &mut Child) -> super::Met {
+fn log_lines(child: &mut Child) -> super::Received {
     let (sender, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     thread::spawn(move || {
@@ -200,7 +200,7 @@
 impl Host {
     /// With a list of backends known at the start, and no discovery.
     pub(crate) fn new(name: &str, backends: &[SocketAddr]) -> Host {
-        Host::with_list(name, nobody(), backend_list(backends))
+        Host::with_list(name, unused_address(), backend_list(backends))
     }
 
     /// With a discovery, and no list known at the start.
@@ -249,7 +249,7 @@
 
     /// Starts a process of this program beside those that run, and waits until it is ready.
     pub(crate) fn start(&self, program: &Path) -> RelayProcess {
-        let admin = nobody();
+        let admin = unused_address();
         let configuration = self.configuration(admin);
         let path = self.folder().join(format!("config-{}.json", admin.ip()));
         std::fs::write(&path, &configuration).unwrap();
@@ -278,5 +278,5 @@
         .zip(backends)
         .map(|(name, address)| (name.as_str(), *address, "Ready"))
         .collect();
-    list(1, true, &rows)
+    endpoint_list(1, true, &rows)
 }
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -1,8 +1,8 @@
 //! The relay's process.
-use super::backend::Met;
+use super::backend::Received;
 use super::client::{Client, open_line};
 use super::config::{config, write_config};
-use super::discovery::list;
+use super::discovery::endpoint_list;
 use super::wait::*;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -17,13 +17,13 @@
     /// Where it accepts clients.
     pub(crate) at: SocketAddr,
     /// The lines that it logs.
-    pub(crate) log: Met,
+    pub(crate) log: Received,
     /// Its configuration.
     pub(crate) text: String,
 }
 
 /// Starts the program with this configuration and limit on descriptors.
-pub(crate) fn start_with(text: &str, descriptors: usize) -> Child {
+pub(crate) fn spawn_relay(text: &str, descriptors: usize) -> Child {
     let path = write_config(text);
     Command::new("sh")
         .args([
@@ -42,19 +42,19 @@
 
 /// Starts a relay that accepts clients; see [`config`].
 pub(crate) fn start(discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> Relay {
-    start_within(1_000, discovery, sockets, known, probes)
+    start_relay_with_descriptors(1_000, discovery, sockets, known, probes)
 }
 
 /// Starts a relay with this limit on descriptors.
-pub(crate) fn start_within(
+pub(crate) fn start_relay_with_descriptors(
     descriptors: usize,
     discovery: SocketAddr,
     sockets: usize,
     known: &str,
     probes: bool,
 ) -> Relay {
-    let at = nobody();
-    started_within(
+    let at = unused_address();
+    start_relay_from_with_descriptors(
         descriptors,
         at,
         config(at, discovery, sockets, known, probes),
@@ -62,13 +62,17 @@
 }
 
 /// Starts a relay with this configuration, which makes it listen at `at`.
-pub(crate) fn started(at: SocketAddr, text: String) -> Relay {
-    started_within(1_000, at, text)
+pub(crate) fn start_relay_from(at: SocketAddr, text: String) -> Relay {
+    start_relay_from_with_descriptors(1_000, at, text)
 }
 
 /// Starts a relay with this configuration and limit on descriptors.
-pub(crate) fn started_within(descriptors: usize, at: SocketAddr, text: String) -> Relay {
-    let mut child = start_with(&text, descriptors);
+pub(crate) fn start_relay_from_with_descriptors(
+    descriptors: usize,
+    at: SocketAddr,
+    text: String,
+) -> Relay {
+    let mut child = spawn_relay(&text, descriptors);
     let (tell, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     thread::spawn(move || {
@@ -82,12 +86,12 @@
         log,
         text,
     };
-    relay.logged("serves at");
+    relay.wait_for_log("serves at");
     relay
 }
 
 /// Starts a relay that knows these backends, without discovery.
-pub(crate) fn relay_with(backends: &[SocketAddr]) -> Relay {
+pub(crate) fn start_relay_with_backends(backends: &[SocketAddr]) -> Relay {
     let names: Vec<String> = (0..backends.len())
         .map(|number| format!("b{number}"))
         .collect();
@@ -96,7 +100,12 @@
         .zip(backends)
         .map(|(name, at)| (name.as_str(), *at, "Ready"))
         .collect();
-    start(nobody(), 1_000, &list(1, true, &rows), false)
+    start(
+        unused_address(),
+        1_000,
+        &endpoint_list(1, true, &rows),
+        false,
+    )
 }
 
 /// Starts a relay with changed settings: each pair is a part of their text, and its replacement.
@@ -105,21 +114,21 @@
     known: &str,
     changes: &[(&str, &str)],
 ) -> Relay {
-    let at = nobody();
+    let at = unused_address();
     let mut text = config(at, discovery, 1_000, known, false);
     for (from, to) in changes {
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    started(at, text)
+    start_relay_from(at, text)
 }
 
 impl Relay {
     /// Reads the log up to a line that contains this text.
-    pub(crate) fn logged(&self, text: &str) -> String {
+    pub(crate) fn wait_for_log(&self, text: &str) -> String {
         let lines = std::iter::repeat_with(|| {
             self.log
-                .recv_timeout(LONG)
+                .recv_timeout(TEST_TIMEOUT)
                 .expect("the log holds no such line")
         });
         lines.take(10_000).find(|line| line.contains(text)).unwrap()
@@ -134,26 +143,26 @@
     }
 
     /// Changes the configuration, and has the relay read it again.
-    pub(crate) fn told(&self, from: &str, to: &str) {
+    pub(crate) fn reload_with(&self, from: &str, to: &str) {
         assert!(self.text.contains(from));
         write_config(&self.text.replace(from, to));
         self.signal("HUP");
     }
 
     /// Connects to the relay.
-    pub(crate) fn client(&self) -> Client {
+    pub(crate) fn connect(&self) -> Client {
         let stream = TcpStream::connect(self.at).unwrap();
         stream.set_nodelay(true).unwrap();
-        stream.set_read_timeout(Some(LONG)).unwrap();
+        stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client {
             lines: BufReader::new(stream),
         }
     }
 
     /// Connects and requests a session, with the client's wait in milliseconds.
-    pub(crate) fn open(&self, listener: &str, wait: u32) -> Client {
-        let mut client = self.client();
-        client.say(&open_line(&format!(
+    pub(crate) fn open_session(&self, listener: &str, wait: u32) -> Client {
+        let mut client = self.connect();
+        client.send(&open_line(&format!(
             "c={listener},d={wait},g=5c0f6e1a2b3d4c59"
         )));
         client
@@ -178,13 +187,13 @@
     pub(crate) fn wait_for_counter(&self, name: &str, least: u32) {
         wait_for(name, || {
             self.signal("USR1");
-            (counted(&self.logged(&format!(" {name}=")), name) >= least).then_some(())
+            (counter_value(&self.wait_for_log(&format!(" {name}=")), name) >= least).then_some(())
         });
     }
 }
 
 /// A counter's value, from the log line with all counters.
-pub(crate) fn counted(line: &str, name: &str) -> u32 {
+pub(crate) fn counter_value(line: &str, name: &str) -> u32 {
     let figure = line
         .split(&format!(" {name}="))
         .nth(1)
@@ -193,8 +202,8 @@
 }
 
 /// The exit status; a program that does not end in time is killed, and the test fails.
-pub(crate) fn end_of(child: &mut Child) -> std::process::ExitStatus {
-    let until = Instant::now() + LONG;
+pub(crate) fn wait_for_exit(child: &mut Child) -> std::process::ExitStatus {
+    let until = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < until {
         if let Some(status) = child.try_wait().unwrap() {
             return status;
--- a/relay/tests/helper/wait.rs
+++ b/relay/tests/helper/wait.rs
@@ -6,19 +6,29 @@
 use std::time::{Duration, Instant};
 
 /// How long any wait may take on a busy machine.
-pub(crate) const LONG: Duration = Duration::from_secs(10);
+pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// An address at which nobody listens, and which no outgoing connection can take meanwhile.
-pub(crate) fn nobody() -> SocketAddr {
+/// Processes with ids that follow each other differ in the address.
+const ADDRESSES: u32 = 128;
+/// Ports for listening lie below those that the kernel gives to outgoing connections.
+const FIRST_PORT: u32 = 8_080;
+const PORTS: u32 = 16_384;
+
+/// An address at which nothing listens, and which no outgoing connection can take meanwhile.
+///
+/// It is unique to the process and the call: the process id is split over address and port.
+pub(crate) fn unused_address() -> SocketAddr {
     static LAST: AtomicU16 = AtomicU16::new(0);
     let [high, low] = (LAST.fetch_add(1, Ordering::Relaxed) + 1).to_be_bytes();
-    let process = 64 + (std::process::id() % 128) as u8;
-    SocketAddr::from(([127, process, high, low], 8080))
+    let process = std::process::id();
+    let address = 64 + (process % ADDRESSES) as u8;
+    let port = FIRST_PORT + process / ADDRESSES % PORTS;
+    SocketAddr::from(([127, address, high, low], port as u16))
 }
 
 /// Repeats a step until it returns a value.
 pub(crate) fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + LONG;
+    let until = Instant::now() + TEST_TIMEOUT;
     loop {
         if let Some(done) = step() {
             return done;
@@ -34,7 +44,7 @@
     let stream = wait_for("a connection", || listener.accept().ok()).0;
     stream.set_nonblocking(false).unwrap();
     stream.set_nodelay(true).unwrap();
-    stream.set_read_timeout(Some(LONG)).unwrap();
+    stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
 }
 
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -22,27 +22,29 @@
 
 /// Opens so many sessions, each of which is accepted.
 fn open_sessions(relay: &Relay, count: usize) -> Vec<Client> {
-    let mut clients: Vec<_> = (0..count).map(|_| relay.open("safe", 1_000)).collect();
+    let mut clients: Vec<_> = (0..count)
+        .map(|_| relay.open_session("safe", 1_000))
+        .collect();
     for client in &mut clients {
-        assert_eq!(client.hears(), "UP receipt");
+        assert_eq!(client.next_line(), "UP receipt");
     }
     clients
 }
 
 /// Waits until a first line comes to this backend.
-fn wait_for_attempt(received: &Met) {
-    while !next(received).starts_with("OPEN") {}
+fn wait_for_attempt(received: &Received) {
+    while !next_received(received).starts_with("OPEN") {}
 }
 
 /// First lines that have come to this backend.
-fn count_attempts(received: &Met) -> usize {
+fn count_attempts(received: &Received) -> usize {
     let attempts = received.try_iter();
     attempts.filter(|line| line.starts_with("OPEN")).count()
 }
 
 #[test]
 fn admin_command_is_answered_by_one_line() {
-    let host = new_host("calls", &[nobody()]);
+    let host = new_host("calls", &[unused_address()]);
     let process = host.start(new_program());
     let long = [b'x'; 5_000];
     let cases: &[(&[u8], &str)] = &[
@@ -81,7 +83,7 @@
 
 #[test]
 fn silent_admin_connections_keep_nobody_out() {
-    let host = new_host("silent-callers", &[nobody()]);
+    let host = new_host("silent-callers", &[unused_address()]);
     let process = host.start(new_program());
     let mut silent: Vec<TcpStream> = (0..200).map(|_| process.connect_admin()).collect();
     silent
@@ -100,16 +102,16 @@
 
 #[test]
 fn banned_backend_gets_no_sessions_until_enabled() {
-    let (first, at_first) = backend(Play::Echo);
-    let (second, at_second) = backend(Play::Echo);
+    let (first, at_first) = start_backend(BackendBehavior::Echo);
+    let (second, at_second) = start_backend(BackendBehavior::Echo);
     let endpoints = [("b0", first, "Ready"), ("b1", second, "Ready")];
-    let (address, requests) = discovery(vec![Script {
-        pieces: vec![HEAD.into(), chunk(&list(2, true, &endpoints))],
+    let (address, requests) = start_discovery(vec![WatchScript {
+        pieces: vec![HEAD.into(), chunk(&endpoint_list(2, true, &endpoints))],
         ends: false,
     }]);
     let host = Host::with_discovery("operators-ban", address);
     let process = host.start(new_program());
-    next(&requests);
+    next_received(&requests);
     process.assert_accepted("DISABLE b0");
     let _clients = open_sessions(&process.relay, 20);
     assert_eq!(count_attempts(&at_second), 20);
@@ -121,14 +123,17 @@
     process.assert_accepted("DISABLE b0");
     process.assert_accepted("ENABLE b0");
     process.assert_accepted("DISABLE b1");
-    assert_eq!(process.relay.open("safe", 1_000).hears(), "UP receipt");
+    assert_eq!(
+        process.relay.open_session("safe", 1_000).next_line(),
+        "UP receipt"
+    );
     wait_for_attempt(&at_first);
 }
 
 #[test]
 fn second_process_serves_beside_the_first_and_shares_its_bans() {
-    let (first, at_first) = backend(Play::Echo);
-    let (second, at_second) = backend(Play::Echo);
+    let (first, at_first) = start_backend(BackendBehavior::Echo);
+    let (second, at_second) = start_backend(BackendBehavior::Echo);
     let host = new_host("beside", &[first, second]);
     let mut old = host.start(new_program());
     old.assert_accepted("DISABLE b0");
@@ -136,55 +141,69 @@
     // Whichever process gets the command, both go by it.
     new.assert_accepted("READY");
     old.relay.signal("TERM");
-    let status = end_of(&mut old.relay.child);
+    let status = wait_for_exit(&mut old.relay.child);
     assert!(status.success(), "{status}");
     let _clients = open_sessions(&new.relay, 10);
     assert!(at_first.try_recv().is_err() && at_second.try_iter().count() >= 10);
     new.assert_accepted("ENABLE b0");
     new.assert_accepted("DISABLE b1");
-    assert_eq!(new.relay.open("safe", 1_000).hears(), "UP receipt");
+    assert_eq!(
+        new.relay.open_session("safe", 1_000).next_line(),
+        "UP receipt"
+    );
     wait_for_attempt(&at_first);
     // A third process finds the bans as the second left them, although that was killed.
     drop(new);
     let third = host.start(new_program());
-    assert_eq!(third.relay.open("safe", 1_000).hears(), "UP receipt");
+    assert_eq!(
+        third.relay.open_session("safe", 1_000).next_line(),
+        "UP receipt"
+    );
     wait_for_attempt(&at_first);
     third.assert_refused("DISABLE nobody");
 }
 
 #[test]
 fn standing_sessions_on_hot_restart_go_to_the_successor_unnoticed() {
-    let (address, received) = backend(Play::Echo);
+    let (address, received) = start_backend(BackendBehavior::Echo);
     let host = new_host("handed", &[address]);
     let mut process = host.start(new_program());
     let mut clients = open_sessions(&process.relay, 40);
     // Half a line waits on its way when the process changes.
-    clients[0].say("begun ");
+    clients[0].send("begun ");
     for round in 0..3 {
         let next = host.start(new_program());
         process.relay.signal("TERM");
-        assert!(end_of(&mut process.relay.child).success());
-        assert!(process.relay.logged("stopped;").contains("handed=40 "));
+        assert!(wait_for_exit(&mut process.relay.child).success());
+        assert!(
+            process
+                .relay
+                .wait_for_log("stopped;")
+                .contains("handed=40 ")
+        );
         process = next;
         for (number, client) in clients.iter_mut().enumerate().skip(1) {
-            client.say(&format!("line {number} of {round}\r\n"));
-            assert_eq!(client.hears(), format!("line {number} of {round}"));
+            client.send(&format!("line {number} of {round}\r\n"));
+            assert_eq!(client.next_line(), format!("line {number} of {round}"));
         }
     }
-    clients[0].say("and ended\r\n");
-    assert_eq!(clients[0].hears(), "begun and ended");
+    clients[0].send("and ended\r\n");
+    assert_eq!(clients[0].next_line(), "begun and ended");
     // One attempt each, and none was migrated.
     assert_eq!(count_attempts(&received), 40);
-    clients[1].ends_sending();
+    clients[1].finish_sending();
     assert_eq!(
-        (clients[1].hears().as_str(), clients[1].hears().as_str()),
+        (
+            clients[1].next_line().as_str(),
+            clients[1].next_line().as_str()
+        ),
         ("BYE inflight=1", "end")
     );
 }
 
 #[test]
 fn two_processes_share_one_limit_of_descriptors() {
-    let (address, _met) = backend(Play::Echo);
+    let (address, _met) = start_backend(BackendBehavior::Echo);
     let limit = 200;
     let mut host = new_host("limit", &[address]);
     host.socket_limit = limit;
@@ -202,8 +221,8 @@
     // together.
     let mut later = Vec::new();
     for _ in 0..60 {
-        let mut client = new.relay.open("safe", 1_000);
-        let line = client.hears();
+        let mut client = new.relay.open_session("safe", 1_000);
+        let line = client.next_line();
         assert!(line == "UP receipt" || line.starts_with("BUSY"), "{line}");
         later.push(client);
         let (old_count, new_count) = open_descriptors();
@@ -216,18 +235,18 @@
     assert!(old_count + new_count > limit / 2);
     // The sessions of the old process go over, although the new one alone has no room for them.
     old.relay.signal("TERM");
-    let stopped = old.relay.logged("stopped;");
-    assert!(counted(&stopped, "handed") >= 40, "{stopped}");
+    let stopped = old.relay.wait_for_log("stopped;");
+    assert!(counter_value(&stopped, "handed") >= 40, "{stopped}");
 }
 
 #[test]
 fn clients_without_a_successor_that_takes_them_are_migrated() {
-    let (address, _received) = backend(Play::Echo);
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     for successor in ["none", "foreign", "mute", "killed"] {
         let host = new_host(&format!("moved-{successor}"), &[address]);
         let process = host.start(new_program());
-        let mut client = process.relay.open("safe", 1_000);
-        assert_eq!(client.hears(), "UP receipt");
+        let mut client = process.relay.open_session("safe", 1_000);
+        assert_eq!(client.next_line(), "UP receipt");
         // Each ends or keeps silent at another point of the handover.
         let mut channel = None;
         match successor {
@@ -238,7 +257,7 @@
         }
         process.relay.signal("TERM");
         assert_eq!(
-            (client.hears().as_str(), client.hears().as_str()),
+            (client.next_line().as_str(), client.next_line().as_str()),
             ("MOVE", "end"),
             "{successor}"
         );
@@ -261,29 +280,29 @@
 
 #[test]
 fn changed_settings_are_taken_up_whole_or_not_at_all() {
-    let (address, _received) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
-    let response = |listener: &str| relay.open(listener, 1_000).hears();
+    let (address, _received) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
+    let response = |listener: &str| relay.open_session(listener, 1_000).next_line();
     let time_until = |listener: &str, expected: &str| {
         let start = Instant::now();
         while response(listener) != expected {
             assert!(
-                start.elapsed() < LONG,
+                start.elapsed() < TEST_TIMEOUT,
                 "{listener} is never answered {expected}"
             );
             thread::sleep(CHECK_INTERVAL);
         }
         start.elapsed()
     };
-    let mut standing = relay.open("safe", 1_000);
-    assert_eq!(standing.hears(), "UP receipt");
+    let mut standing = relay.open_session("safe", 1_000);
+    assert_eq!(standing.next_line(), "UP receipt");
     assert_eq!(response("pay"), "ERR");
     // A listener is added: it is served at once, and the others still are.
     let (last_listener, with_pay) = (
         "}],\n \"invariants\"",
         format!("}}{PAY_LISTENER},\n \"invariants\""),
     );
-    relay.told(last_listener, &with_pay);
+    relay.reload_with(last_listener, &with_pay);
     time_until("pay", "UP receipt");
     assert_eq!(response("safe"), "UP receipt");
     // Files that are broken change nothing, of this or of what went before.
@@ -304,7 +323,7 @@
     for text in &broken {
         write_config(text);
         relay.signal("HUP");
-        relay.logged("what was read before stays");
+        relay.wait_for_log("what was read before stays");
         assert_eq!(response("pay"), "UP receipt", "{text}");
         assert_eq!(response("other"), "ERR");
     }
@@ -321,8 +340,8 @@
     assert!(lateness < Duration::from_millis(1_300), "{lateness:?}");
     assert_eq!(response("pay"), "UP receipt");
     // What stood through all of it still does.
-    standing.say("still here\r\n");
-    assert_eq!(standing.hears(), "still here");
+    standing.send("still here\r\n");
+    assert_eq!(standing.next_line(), "still here");
 }
 
 #[test]
@@ -332,8 +351,8 @@
     rustix::io::fcntl_setfd(&client, rustix::io::FdFlags::empty()).unwrap();
     let connected = client.as_raw_fd().to_string();
     let listening = host.listener_descriptor();
-    let other_listener = TcpListener::bind(nobody()).unwrap();
-    let good = host.configuration(nobody());
+    let other_listener = TcpListener::bind(unused_address()).unwrap();
+    let good = host.configuration(unused_address());
     let without_address = good
         .replace("\"admin_addr\":\"127", "\"admin_addr\":\"")
         .replace("\"admin_addr\":\"", "\"admin_addr\":\"x");
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn malformed_configuration_is_reported_on_one_line() {
-    let good = config(nobody(), nobody(), 1_000, "null", false);
+    let good = config(unused_address(), unused_address(), 1_000, "null", false);
     let cases = [
         ("no JSON", "{".to_string(), "EOF"),
         (
@@ -31,8 +31,8 @@
         ("settings", good.replace("\"maxDials\": 1,", ""), "maxDials"),
     ];
     for (name, text, expected) in cases {
-        let mut child = start_with(&text, 256);
-        let status = end_of(&mut child);
+        let mut child = spawn_relay(&text, 256);
+        let status = wait_for_exit(&mut child);
         let mut output = String::new();
         child
             .stderr
@@ -48,15 +48,15 @@
 
 #[test]
 fn reloaded_file_changes_only_what_it_can() {
-    let (address, _received) = backend(Play::Echo);
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start(
-        nobody(),
+        unused_address(),
         1_000,
-        &list(1, true, &[("b", address, "Ready")]),
+        &endpoint_list(1, true, &[("b", address, "Ready")]),
         false,
     );
-    let mut client = relay.open("safe", 1_000);
-    assert_eq!(client.hears(), "UP receipt");
+    let mut client = relay.open_session("safe", 1_000);
+    assert_eq!(client.next_line(), "UP receipt");
     let cases = [
         ("\"name\"", "", "what was read before stays"),
         (
@@ -72,19 +72,23 @@
         ("\"r0\"", "\"r1\"", "changes of name need a restart"),
     ];
     for (from, to, expected) in cases {
-        relay.told(from, to);
-        relay.logged(expected);
-        client.say("still here\r\n");
-        assert_eq!(client.hears(), "still here", "{expected}");
+        relay.reload_with(from, to);
+        relay.wait_for_log(expected);
+        client.send("still here\r\n");
+        assert_eq!(client.next_line(), "still here", "{expected}");
     }
 }
 
 #[test]
 fn reloaded_settings_leave_waiting_session_unchanged() {
-    let (mute, received) = backend(Play::Mute);
-    let mut relay = start_with_settings(nobody(), &list(1, true, &[("mute", mute, "Ready")]), &[]);
-    let mut waits = relay.open("once", 1_500);
-    while !next(&received).starts_with("OPEN") {}
+    let (mute, received) = start_backend(BackendBehavior::Mute);
+    let mut relay = start_with_settings(
+        unused_address(),
+        &endpoint_list(1, true, &[("mute", mute, "Ready")]),
+        &[],
+    );
+    let mut waits = relay.open_session("once", 1_500);
+    while !next_received(&received).starts_with("OPEN") {}
     // Listeners are reordered, each has another effect and deadline, and one is new.
     let mut later = relay.text.clone();
     let swaps = [
@@ -104,18 +108,24 @@
     }
     write_config(&later);
     relay.signal("HUP");
-    relay.logged("generation 2");
+    relay.wait_for_log("generation 2");
     // While both configurations may apply the stricter holds, so each session fails: the waiting
     // one under its own settings, the others under the new ones.
-    let mut others = [relay.open("once", 400), relay.open("safe", 400)];
+    let mut others = [
+        relay.open_session("once", 400),
+        relay.open_session("safe", 400),
+    ];
     for client in &mut others {
-        assert_eq!(client.hears(), "ERR");
+        assert_eq!(client.next_line(), "ERR");
     }
     assert!(
-        relay.open("new", 300).hears().starts_with("BUSY"),
+        relay
+            .open_session("new", 300)
+            .next_line()
+            .starts_with("BUSY"),
         "repeatable in the settings that know it"
     );
-    assert_eq!([waits.hears(), waits.hears()], ["ERR", "end"]);
+    assert_eq!([waits.next_line(), waits.next_line()], ["ERR", "end"]);
     relay.signal("TERM");
-    assert!(end_of(&mut relay.child).success());
+    assert!(wait_for_exit(&mut relay.child).success());
 }
--- a/relay/tests/service/health_check.rs
+++ b/relay/tests/service/health_check.rs
@@ -5,19 +5,19 @@
 
 #[test]
 fn health_checks_reuse_one_connection() {
-    let (address, received) = backend(Play::Echo);
+    let (address, received) = start_backend(BackendBehavior::Echo);
     let relay = start(
-        nobody(),
+        unused_address(),
         1_000,
-        &list(1, true, &[("b", address, "Ready")]),
+        &endpoint_list(1, true, &[("b", address, "Ready")]),
         true,
     );
     assert_eq!(
-        [next(&received), next(&received)],
+        [next_received(&received), next_received(&received)],
         ["STATS\r\n", "STATS\r\n"]
     );
     relay.signal("USR1");
-    let line = relay.logged("probes=");
+    let line = relay.wait_for_log("probes=");
     assert!(line.contains("probes_failed=0 "), "{line}");
     assert!(!line.contains("probes=0 "), "{line}");
 }
@@ -25,9 +25,9 @@
 #[test]
 fn health_check_on_connection_closed_meanwhile_is_repeated_on_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let known = list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
+    let known = endpoint_list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
     let relay = start_with_settings(
-        nobody(),
+        unused_address(),
         &known,
         &[("\"probes\": false", "\"probes\": true")],
     );
@@ -49,7 +49,7 @@
         expect_health_check(&stream);
         relay.signal("USR1");
         assert_eq!(
-            counted(&relay.logged(" probes_failed="), "probes_failed"),
+            counter_value(&relay.wait_for_log(" probes_failed="), "probes_failed"),
             0,
             "reset {reset}"
         );
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -9,31 +9,31 @@
 #[test]
 fn nine_in_ten_of_twenty_simultaneous_starts_are_ready_in_time() {
     let rows: Vec<(String, SocketAddr)> = (0..1_024)
-        .map(|id| (format!("backend-{id:08x}"), nobody()))
+        .map(|id| (format!("backend-{id:08x}"), unused_address()))
         .collect();
     let rows: Vec<_> = rows
         .iter()
         .map(|(name, at)| (name.as_str(), *at, "Ready"))
         .collect();
-    let known = list(1, true, &rows);
+    let known = endpoint_list(1, true, &rows);
     // Discovery that answers, that accepts and stays silent, and that does not listen.
     let up = TcpListener::bind("127.0.0.1:0").unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let all = [
         up.local_addr().unwrap(),
         silent.local_addr().unwrap(),
-        nobody(),
+        unused_address(),
     ];
-    let answer = format!("{HEAD}{}", chunk(&list(2, true, &rows)));
+    let answer = format!("{HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
     answer_each_call(up, answer);
     for discovery in all {
         let one = |known: String| {
             std::thread::spawn(move || {
                 let began = Instant::now();
                 let relay = start(discovery, 1_000, &known, false);
-                let mut client = relay.client();
-                client.say("PING\r\n");
-                (client.hears() == "PONG").then(|| began.elapsed())
+                let mut client = relay.connect();
+                client.send("PING\r\n");
+                (client.next_line() == "PONG").then(|| began.elapsed())
             })
         };
         let relays: Vec<_> = (0..20).map(|_| one(known.clone())).collect();
@@ -97,9 +97,10 @@
         .args(["-TERM", &child.id().to_string()])
         .status();
     assert!(kill.unwrap().success());
-    let _ = file.write_all(config(nobody(), nobody(), 1_000, "null", false).as_bytes());
+    let _ =
+        file.write_all(config(unused_address(), unused_address(), 1_000, "null", false).as_bytes());
     drop(file);
-    let end = end_of(&mut child);
+    let end = wait_for_exit(&mut child);
     std::fs::remove_file(path).unwrap();
     assert!(end.success(), "{end}");
 }
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -5,35 +5,36 @@
 
 #[test]
 fn silent_connections_are_shed_for_clients_that_speak() {
-    let (address, _received) = backend(Play::Echo);
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     // Sessions may take 24 descriptors. Silent clients come by hundreds, and more while others are
     // shed.
     let relay = start(
-        nobody(),
+        unused_address(),
         64,
-        &list(1, true, &[("b", address, "Ready")]),
+        &endpoint_list(1, true, &[("b", address, "Ready")]),
         false,
     );
-    let mut silent: Vec<Client> = (0..200).map(|_| relay.client()).collect();
+    let mut silent: Vec<Client> = (0..200).map(|_| relay.connect()).collect();
     for round in 0..8 {
         let began = Instant::now();
-        let mut client = relay.open("safe", 1_500);
-        assert_eq!(client.hears(), "UP receipt", "{round}");
+        let mut client = relay.open_session("safe", 1_500);
+        assert_eq!(client.next_line(), "UP receipt", "{round}");
         assert!(
             began.elapsed() < Duration::from_millis(1_500),
             "{round}: {:?}",
             began.elapsed()
         );
-        client.say("through\r\n");
-        assert_eq!(client.hears(), "through", "{round}");
-        silent.extend((0..20).map(|_| relay.client()));
+        client.send("through\r\n");
+        assert_eq!(client.next_line(), "through", "{round}");
+        silent.extend((0..20).map(|_| relay.connect()));
     }
     for client in &mut silent {
         // A client that connected a moment before may have been about to send, so it gets an
         // answer.
-        let word = client.hears();
+        let word = client.next_line();
         assert!(
-            word == "end" || word == "BUSY" && ["end", "reset"].contains(&client.hears().as_str()),
+            word == "end"
+                || word == "BUSY" && ["end", "reset"].contains(&client.next_line().as_str()),
             "{word}"
         );
     }
@@ -41,18 +42,18 @@
 
 #[test]
 fn clients_without_descriptor_are_rejected_and_served_again_later() {
-    let (address, _received) = backend(Play::Echo);
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start(
-        nobody(),
+        unused_address(),
         64,
-        &list(1, true, &[("b", address, "Ready")]),
+        &endpoint_list(1, true, &[("b", address, "Ready")]),
         false,
     );
     let mut served = Vec::new();
     let mut rejected = 0;
     for _ in 0..30 {
-        let mut client = relay.open("safe", 2_000);
-        match client.hears().as_str() {
+        let mut client = relay.open_session("safe", 2_000);
+        match client.next_line().as_str() {
             "UP receipt" => served.push(client),
             busy if busy.starts_with("BUSY") => rejected += 1,
             other => panic!("{other}"),
@@ -63,17 +64,17 @@
         "{rejected} rejected, {} served",
         served.len()
     );
-    served[0].say("still here\r\n");
-    assert_eq!(served[0].hears(), "still here");
+    served[0].send("still here\r\n");
+    assert_eq!(served[0].next_line(), "still here");
     for client in &mut served {
-        client.ends_sending();
-        while client.hears() != "end" {}
+        client.finish_sending();
+        while client.next_line() != "end" {}
     }
-    assert_eq!(relay.open("safe", 2_000).hears(), "UP receipt");
+    assert_eq!(relay.open_session("safe", 2_000).next_line(), "UP receipt");
     relay.signal("USR1");
-    let line = relay.logged("turned_away=");
+    let line = relay.wait_for_log("turned_away=");
     assert_eq!(
-        counted(&line, "turned_away") + counted(&line, "refused"),
+        counter_value(&line, "turned_away") + counter_value(&line, "refused"),
         rejected,
         "{line}"
     );
@@ -82,34 +83,34 @@
 
 #[test]
 fn system_without_descriptors_ends_no_session_and_does_not_spin() {
-    let (address, _received) = backend(Play::Echo);
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     // The configuration allows more descriptors than the system does.
-    let relay = start_within(
+    let relay = start_relay_with_descriptors(
         40,
-        nobody(),
+        unused_address(),
         1_000,
-        &list(1, true, &[("b", address, "Ready")]),
+        &endpoint_list(1, true, &[("b", address, "Ready")]),
         false,
     );
-    let mut clients = vec![relay.open("safe", 2_000)];
-    assert_eq!(clients[0].hears(), "UP receipt");
-    clients.extend((0..60).map(|_| relay.open("safe", 2_000)));
+    let mut clients = vec![relay.open_session("safe", 2_000)];
+    assert_eq!(clients[0].next_line(), "UP receipt");
+    clients.extend((0..60).map(|_| relay.open_session("safe", 2_000)));
     relay.signal("USR1");
-    let mut line = relay.logged("accept_failures=");
-    let until = Instant::now() + LONG;
+    let mut line = relay.wait_for_log("accept_failures=");
+    let until = Instant::now() + TEST_TIMEOUT;
     while line.contains("accept_failures=0 ") && Instant::now() < until {
         relay.signal("USR1");
-        line = relay.logged("accept_failures=");
+        line = relay.wait_for_log("accept_failures=");
     }
-    let count = counted(&line, "accept_failures");
+    let count = counter_value(&line, "accept_failures");
     // One attempt every 20 ms; a loop that spins would make thousands.
     assert!((1..1_000).contains(&count), "{count}");
-    clients[0].say("still here\r\n");
-    assert_eq!(clients[0].hears(), "still here");
+    clients[0].send("still here\r\n");
+    assert_eq!(clients[0].next_line(), "still here");
     drop(clients);
     let mut answer = String::new();
     while answer != "UP receipt" && Instant::now() < until {
-        answer = relay.open("safe", 2_000).hears();
+        answer = relay.open_session("safe", 2_000).next_line();
     }
     assert_eq!(answer, "UP receipt");
 }
@@ -117,16 +118,16 @@
 /// Silent clients take every descriptor that they can get, while discovery is unreachable.
 #[test]
 fn idle_clients_filling_descriptors_without_discovery_keep_nobody_out() {
-    let (known, known_received) = backend(Play::Echo);
-    let (listed, listed_received) = backend(Play::Echo);
-    let (at, gone) = (nobody(), DiscoveryAgent::new().at);
-    let relay = started(
+    let (known, known_received) = start_backend(BackendBehavior::Echo);
+    let (listed, listed_received) = start_backend(BackendBehavior::Echo);
+    let (at, gone) = (unused_address(), DiscoveryAgent::new().at);
+    let relay = start_relay_from(
         at,
         config(
             at,
             gone,
             100,
-            &list(1, true, &[("known", known, "Ready")]),
+            &endpoint_list(1, true, &[("known", known, "Ready")]),
             false,
         ),
     );
@@ -137,16 +138,16 @@
     };
     let mut idle: Vec<Client> = Vec::new();
     wait_for("all that there is are taken", || {
-        idle.push(relay.client());
+        idle.push(relay.connect());
         (idle.len() >= 200).then_some(())
     });
     assert!(open() <= 100, "{} descriptors", open());
     // Clients that send are served, and the relay can still open its file and connect to discovery.
-    let mut established = relay.open("safe", 7_000);
-    assert_eq!(established.hears(), "UP receipt");
-    assert!(next(&known_received).starts_with("OPEN"));
-    relay.told("\"cores\":1.0", "\"cores\":1.5");
-    relay.logged("limits");
+    let mut established = relay.open_session("safe", 7_000);
+    assert_eq!(established.next_line(), "UP receipt");
+    assert!(next_received(&known_received).starts_with("OPEN"));
+    relay.reload_with("\"cores\":1.0", "\"cores\":1.5");
+    relay.wait_for_log("limits");
     let agent = DiscoveryAgent {
         listener: TcpListener::bind(gone).unwrap(),
         at: gone,
@@ -156,15 +157,15 @@
         &watch,
         &format!(
             "{HEAD}{}",
-            chunk(&list(2, true, &[("listed", listed, "Ready")]))
+            chunk(&endpoint_list(2, true, &[("listed", listed, "Ready")]))
         ),
     );
     relay.wait_for_counter("lists", 1);
-    idle.extend((0..100).map(|_| relay.client()));
-    let mut client = relay.open("safe", 7_000);
-    assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&listed_received).starts_with("OPEN"));
-    established.say("still here\r\n");
-    assert_eq!(established.hears(), "still here");
+    idle.extend((0..100).map(|_| relay.connect()));
+    let mut client = relay.open_session("safe", 7_000);
+    assert_eq!(client.next_line(), "UP receipt");
+    assert!(next_received(&listed_received).starts_with("OPEN"));
+    established.send("still here\r\n");
+    assert_eq!(established.next_line(), "still here");
     assert!(open() <= 100, "{} descriptors", open());
 }
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -6,21 +6,21 @@
 
 #[test]
 fn lines_and_ends_are_relayed_both_ways() {
-    let (address, received) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
-    let mut client = relay.open("safe", 1_000);
-    assert_eq!(client.hears(), "UP receipt");
-    next(&received);
-    client.say("one\r\ntwo\r\nth");
-    assert_eq!([client.hears(), client.hears()], ["one", "two"]);
-    client.say("ree\r\nlast without an ending");
-    client.ends_sending();
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
+    let mut client = relay.open_session("safe", 1_000);
+    assert_eq!(client.next_line(), "UP receipt");
+    next_received(&received);
+    client.send("one\r\ntwo\r\nth");
+    assert_eq!([client.next_line(), client.next_line()], ["one", "two"]);
+    client.send("ree\r\nlast without an ending");
+    client.finish_sending();
     assert_eq!(
-        [client.hears(), client.hears()],
+        [client.next_line(), client.next_line()],
         ["three", "last without an endingBYE inflight=1"]
     );
-    assert_eq!(client.hears(), "end");
-    let passed: Vec<String> = (0..5).map(|_| next(&received)).collect();
+    assert_eq!(client.next_line(), "end");
+    let passed: Vec<String> = (0..5).map(|_| next_received(&received)).collect();
     assert_eq!(
         passed,
         [
@@ -33,65 +33,74 @@
     );
 
     // A client's reset is passed on to its backend.
-    let mut breaks = relay.open("safe", 1_000);
-    breaks.hears();
-    next(&received);
-    breaks.say("unread answer\r\n");
-    next(&received);
+    let mut breaks = relay.open_session("safe", 1_000);
+    breaks.next_line();
+    next_received(&received);
+    breaks.send("unread answer\r\n");
+    next_received(&received);
     breaks.lines.get_ref().peek(&mut [0; 1]).unwrap();
     drop(breaks);
-    assert_eq!(next(&received), "reset");
+    assert_eq!(next_received(&received), "reset");
 }
 
 #[test]
 fn backend_end_is_relayed_behind_its_last_lines() {
     let cases = [
         (
-            Play::UpThen("a\r\nBYE\r\n"),
+            BackendBehavior::UpThen("a\r\nBYE\r\n"),
             &["UP receipt", "a", "BYE", "end"][..],
         ),
-        (Play::UpThen("MOVE\r\n"), &["UP receipt", "MOVE", "end"]),
-        (Play::UpThen("half"), &["UP receipt", "half", "end"]),
+        (
+            BackendBehavior::UpThen("MOVE\r\n"),
+            &["UP receipt", "MOVE", "end"],
+        ),
+        (
+            BackendBehavior::UpThen("half"),
+            &["UP receipt", "half", "end"],
+        ),
     ];
-    for (play, expected) in cases {
-        let (address, _received) = backend(play);
-        let relay = relay_with(&[address]);
-        let mut client = relay.open("safe", 1_000);
+    for (behavior, expected) in cases {
+        let (address, _received) = start_backend(behavior);
+        let relay = start_relay_with_backends(&[address]);
+        let mut client = relay.open_session("safe", 1_000);
         for word in expected {
-            assert_eq!(client.hears(), *word, "{play:?}");
+            assert_eq!(client.next_line(), *word, "{behavior:?}");
         }
     }
-    let (address, _received) = backend(Play::UpThenReset);
-    let relay = relay_with(&[address]);
-    let mut client = relay.open("safe", 1_000);
-    assert_eq!([client.hears(), client.hears()], ["UP receipt", "last"]);
-    client.say("never read\r\n");
-    assert_eq!(client.hears(), "reset");
+    let (address, _received) = start_backend(BackendBehavior::UpThenReset);
+    let relay = start_relay_with_backends(&[address]);
+    let mut client = relay.open_session("safe", 1_000);
+    assert_eq!(
+        [client.next_line(), client.next_line()],
+        ["UP receipt", "last"]
+    );
+    client.send("never read\r\n");
+    assert_eq!(client.next_line(), "reset");
 }
 
 #[test]
 fn client_not_reading_holds_its_backend_back_and_loses_nothing() {
     const COUNT: usize = 1_000_000;
-    let (address, _received) = backend(Play::Flood(COUNT));
-    let relay = relay_with(&[address]);
-    let mut client = relay.open("safe", 1_000);
-    assert_eq!(client.hears(), "UP receipt");
+    let (address, _received) = start_backend(BackendBehavior::Flood(COUNT));
+    let relay = start_relay_with_backends(&[address]);
+    let mut client = relay.open_session("safe", 1_000);
+    assert_eq!(client.next_line(), "UP receipt");
     // Other clients are served while this one's lines wait.
-    assert_eq!(relay.open("safe", 1_000).hears(), "UP receipt");
+    assert_eq!(relay.open_session("safe", 1_000).next_line(), "UP receipt");
     for number in 0..COUNT {
-        assert_eq!(client.hears(), format!("line {number}"));
+        assert_eq!(client.next_line(), format!("line {number}"));
     }
 }
 
 #[test]
 fn session_with_silent_backend_is_migrated_in_time() {
-    let (address, _received) = backend(Play::UpMute);
-    let relay = relay_with(&[address]);
-    let mut client = relay.open("safe", 1_000);
-    assert_eq!(client.hears(), "UP receipt");
+    let (address, _received) = start_backend(BackendBehavior::UpMute);
+    let relay = start_relay_with_backends(&[address]);
+    let mut client = relay.open_session("safe", 1_000);
+    assert_eq!(client.next_line(), "UP receipt");
     let sent_at = Instant::now();
-    client.say("anybody\r\n");
-    assert_eq!([client.hears(), client.hears()], ["MOVE", "end"]);
+    client.send("anybody\r\n");
+    assert_eq!([client.next_line(), client.next_line()], ["MOVE", "end"]);
     assert!(
         sent_at.elapsed() < Duration::from_secs(5),
         "{:?}",
@@ -103,27 +112,29 @@
 fn backend_reporting_high_latency_is_relieved() {
     // The load alone would not cause a migration; only the reported latency does. Taken for a
     // connection's load, it would not either.
-    let (address, _received) = backend(Play::ReportsHighLatency);
+    let (address, _received) = start_backend(BackendBehavior::ReportsHighLatency);
     let relay = start(
-        nobody(),
+        unused_address(),
         1_000,
-        &list(1, true, &[("b", address, "Ready")]),
+        &endpoint_list(1, true, &[("b", address, "Ready")]),
         true,
     );
-    let mut clients: Vec<Client> = (0..10).map(|_| relay.client()).collect();
+    let mut clients: Vec<Client> = (0..10).map(|_| relay.connect()).collect();
     for client in &mut clients {
-        client.say(&open_line("c=safe,d=1000,at=b"));
+        client.send(&open_line("c=safe,d=1000,at=b"));
     }
     let (migrated, migrations) = channel();
     for mut client in clients {
         let migrated = migrated.clone();
         thread::spawn(move || {
-            let last = std::iter::repeat_with(|| client.hears())
+            let last = std::iter::repeat_with(|| client.next_line())
                 .find(|line| !line.starts_with(['U', 'L']));
             if last.as_deref() == Some("MOVE") {
                 let _ = migrated.send(());
             }
         });
     }
-    migrations.recv_timeout(LONG).expect("nobody was moved");
+    migrations
+        .recv_timeout(TEST_TIMEOUT)
+        .expect("nobody was moved");
 }
--- a/relay/tests/session/handshake.rs
+++ b/relay/tests/session/handshake.rs
@@ -6,7 +6,7 @@
 
 #[test]
 fn first_line_of_each_form_is_answered() {
-    let relay = relay_with(&[]);
+    let relay = start_relay_with_backends(&[]);
     let cases: &[(&[&str], &[&str])] = &[
         (&["PING\r\n"], &["PONG"]),
         (
@@ -20,28 +20,32 @@
         (&[&open_line("c=safe,d=1000")], &["BUSY", "end"]),
     ];
     for (pieces, expected) in cases {
-        let mut client = relay.client();
+        let mut client = relay.connect();
         for piece in *pieces {
-            client.say(piece);
+            client.send(piece);
         }
         for word in *expected {
-            assert_eq!(client.hears().split(' ').next(), Some(*word), "{pieces:?}");
+            assert_eq!(
+                client.next_line().split(' ').next(),
+                Some(*word),
+                "{pieces:?}"
+            );
         }
     }
-    let mut cut_off = relay.client();
-    cut_off.say("OPEN 1 2 c=sa");
-    cut_off.ends_sending();
-    assert_eq!([cut_off.hears(), cut_off.hears()], ["ERR", "end"]);
+    let mut cut_off = relay.connect();
+    cut_off.send("OPEN 1 2 c=sa");
+    cut_off.finish_sending();
+    assert_eq!([cut_off.next_line(), cut_off.next_line()], ["ERR", "end"]);
 }
 
 #[test]
 fn invalid_client_is_answered_in_time_and_reaches_no_backend() {
-    let (address, received) = backend(Play::Echo);
-    let relay = relay_with(&[address]);
+    let (address, received) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[address]);
     let good = open_line("c=safe,d=1000");
-    let mut owner = relay.client();
-    owner.say(&good);
-    assert_eq!(owner.hears(), "UP receipt");
+    let mut owner = relay.connect();
+    owner.send(&good);
+    assert_eq!(owner.next_line(), "UP receipt");
     let (id, huge) = (good.split(' ').nth(1).unwrap(), "x".repeat(60_000_000));
     let several = (0..300)
         .map(|_| open_line("c=safe,d=1000"))
@@ -70,11 +74,11 @@
         fails("60 MB behind a bad line", format!("what\r\n{huge}")),
     ];
     for (name, text, expected) in cases {
-        let (began, mut client) = (Instant::now(), relay.client());
+        let (began, mut client) = (Instant::now(), relay.connect());
         let mut out = client.lines.get_ref().try_clone().unwrap();
         let writer = thread::spawn(move || out.write_all(text.as_bytes()));
         for word in expected {
-            assert_eq!(client.hears(), *word, "{name}");
+            assert_eq!(client.next_line(), *word, "{name}");
         }
         assert!(
             began.elapsed() < Duration::from_secs(3),
@@ -86,8 +90,8 @@
             .join()
             .unwrap()
             .unwrap_or_else(|fault| panic!("{name}: {fault}"));
-        owner.say("still here\r\n");
-        assert_eq!(owner.hears(), "still here", "{name}");
+        owner.send("still here\r\n");
+        assert_eq!(owner.next_line(), "still here", "{name}");
     }
     let firsts = received
         .try_iter()
@@ -98,19 +102,19 @@
 
 #[test]
 fn client_sending_before_its_answer_fails_without_harm_to_the_backend() {
-    let (address, received) = backend(Play::Mute);
-    let relay = relay_with(&[address]);
+    let (address, received) = start_backend(BackendBehavior::Mute);
+    let relay = start_relay_with_backends(&[address]);
     for more in [
         open_line("c=safe,d=1000"),
         "x".repeat(10_000),
         "M 1 2\r\n".repeat(300),
     ] {
-        let mut client = relay.client();
-        client.say(&open_line("c=once,d=3000"));
-        while !next(&received).starts_with("OPEN") {}
+        let mut client = relay.connect();
+        client.send(&open_line("c=once,d=3000"));
+        while !next_received(&received).starts_with("OPEN") {}
         let began = Instant::now();
-        client.say(&more);
-        assert_eq!([client.hears(), client.hears()], ["ERR", "end"]);
+        client.send(&more);
+        assert_eq!([client.next_line(), client.next_line()], ["ERR", "end"]);
         assert!(
             began.elapsed() < Duration::from_millis(300),
             "{:?}",
@@ -118,7 +122,7 @@
         );
     }
     relay.signal("USR1");
-    let line = relay.logged("dials_withdrawn=");
+    let line = relay.wait_for_log("dials_withdrawn=");
     assert!(
         line.contains("dials_withdrawn=3 ") && line.contains("bad_lines=3 "),
         "{line}"
--- a/relay/tests/session/inherited.rs
+++ b/relay/tests/session/inherited.rs
@@ -3,13 +3,13 @@
 
 #[test]
 fn inherited_session_returns_to_its_backend() {
-    let (first, _) = backend(Play::Mute);
-    let (second, received) = backend(Play::Echo);
-    let relay = relay_with(&[first, second]);
-    let mut client = relay.client();
-    client.say(&open_line("c=safe,d=1000,at=b1"));
-    assert_eq!(client.hears(), "UP receipt");
-    assert!(next(&received).ends_with(",at=b1\r\n"));
-    client.say("on\r\n");
-    assert_eq!(client.hears(), "on");
+    let (first, _) = start_backend(BackendBehavior::Mute);
+    let (second, received) = start_backend(BackendBehavior::Echo);
+    let relay = start_relay_with_backends(&[first, second]);
+    let mut client = relay.connect();
+    client.send(&open_line("c=safe,d=1000,at=b1"));
+    assert_eq!(client.next_line(), "UP receipt");
+    assert!(next_received(&received).ends_with(",at=b1\r\n"));
+    client.send("on\r\n");
+    assert_eq!(client.next_line(), "on");
 }
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -6,114 +6,124 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
+/// The remaining wait in milliseconds of the next request that a backend received; the request is
+/// forwarded unchanged but for it.
+fn forwarded_wait(received: &Received, listener: &str) -> u32 {
+    let line = std::iter::repeat_with(|| next_received(received))
+        .find(|line| line.starts_with("OPEN"))
+        .unwrap();
+    line.split_once(&format!(" 7f3a9c21e0b4d655 c={listener},d="))
+        .and_then(|(_, rest)| rest.strip_suffix(",g=5c0f6e1a2b3d4c59\r\n"))
+        .unwrap_or_else(|| panic!("another line was sent: {line}"))
+        .parse()
+        .unwrap()
+}
+
 #[test]
 fn backend_answer_of_each_form_is_passed_on() {
     // What the backend does, and the client's answer where the session may be retried and where it
     // may not.
     let cases = [
-        (Play::Echo, "UP receipt", "UP receipt"),
-        (Play::Split, "UP receipt", "UP receipt"),
-        (Play::Say("BUSY\r\n"), "BUSY", "BUSY"),
-        (Play::Say("ERR inflight=7\r\n"), "BUSY", "ERR"),
-        (Play::Say("MOVE\r\n"), "BUSY", "ERR"),
-        (Play::Say("BYE\r\n"), "BUSY", "ERR"),
-        (Play::Say("what\r\n"), "BUSY", "ERR"),
-        (Play::TooLong, "BUSY", "ERR"),
-        (Play::End, "BUSY", "ERR"),
-        (Play::Mute, "BUSY", "ERR"),
+        (BackendBehavior::Echo, "UP receipt", "UP receipt"),
+        (BackendBehavior::Split, "UP receipt", "UP receipt"),
+        (BackendBehavior::Say("BUSY\r\n"), "BUSY", "BUSY"),
+        (BackendBehavior::Say("ERR inflight=7\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::Say("MOVE\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::Say("BYE\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::Say("what\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::TooLong, "BUSY", "ERR"),
+        (BackendBehavior::End, "BUSY", "ERR"),
+        (BackendBehavior::Mute, "BUSY", "ERR"),
     ];
-    for (play, again, once) in cases {
-        let (address, received) = backend(play);
+    for (behavior, again, once) in cases {
+        let (address, received) = start_backend(behavior);
         // Load reports come with each answer. Without any, a backend that rejected an attempt would
         // be avoided for a while.
-        let at = nobody();
+        let at = unused_address();
         let text = config(
             at,
-            nobody(),
+            unused_address(),
             1_000,
-            &list(1, true, &[("b0", address, "Ready")]),
+            &endpoint_list(1, true, &[("b0", address, "Ready")]),
             false,
         );
-        let relay = started(at, text.replace("\"pull\"", "\"piggyback\""));
+        let relay = start_relay_from(at, text.replace("\"pull\"", "\"piggyback\""));
         for (listener, expected) in [("safe", again), ("once", once)] {
-            let (sent_at, mut client) = (Instant::now(), relay.open(listener, 400));
-            let answer = client.hears();
+            let (sent_at, mut client) = (Instant::now(), relay.open_session(listener, 400));
+            let answer = client.next_line();
             assert!(
                 sent_at.elapsed() < Duration::from_millis(450),
-                "{play:?} {listener}: {:?}",
+                "{behavior:?} {listener}: {:?}",
                 sent_at.elapsed()
             );
             assert_eq!(
                 answer.split(' ').next(),
                 expected.split(' ').next(),
-                "{play:?} {listener}: {answer}"
-            );
-            // The request is forwarded unchanged but for the remaining wait.
-            let line = std::iter::repeat_with(|| next(&received))
-                .find(|line| line.starts_with("OPEN"))
-                .unwrap();
-            let wait = line
-                .split_once(&format!(" 7f3a9c21e0b4d655 c={listener},d="))
-                .map(|(_, rest)| rest);
-            let wait = wait.and_then(|rest| rest.strip_suffix(",g=5c0f6e1a2b3d4c59\r\n"));
-            let wait = wait.expect("another line was sent");
-            assert!(
-                (200..=400).contains(&wait.parse::<u32>().unwrap()),
-                "{play:?}: {line}"
+                "{behavior:?} {listener}: {answer}"
             );
+            let wait = forwarded_wait(&received, listener);
+            assert!((200..=400).contains(&wait), "{behavior:?}: {wait}");
             if !expected.starts_with("UP") {
                 assert_eq!(
-                    client.hears(),
+                    client.next_line(),
                     "end",
-                    "{play:?} {listener}: one answer and no more"
+                    "{behavior:?} {listener}: one answer and no more"
                 );
             }
         }
     }
     // Nobody listens there: nothing was sent, so every session may be retried.
-    let relay = relay_with(&[nobody()]);
-    assert!(relay.open("once", 400).hears().starts_with("BUSY"));
+    let relay = start_relay_with_backends(&[unused_address()]);
+    assert!(
+        relay
+            .open_session("once", 400)
+            .next_line()
+            .starts_with("BUSY")
+    );
 }
 
 #[test]
 fn keyed_session_after_backend_failure_is_answered_by_scope_of_its_key() {
     // What the backend does, and whether it may have acted on the request.
     let behaviors = [
-        (Play::Say("BUSY\r\n"), false),
-        (Play::Say("BUSY\r\nUP receipt\r\n"), false),
-        (Play::Say("ERR inflight=7\r\n"), true),
-        (Play::Say("MOVE\r\n"), true),
-        (Play::Say("BYE\r\n"), true),
-        (Play::Say("what\r\n"), true),
-        (Play::TooLong, true),
-        (Play::End, true),
-        (Play::Mute, true),
+        (BackendBehavior::Say("BUSY\r\n"), false),
+        (BackendBehavior::Say("BUSY\r\nUP receipt\r\n"), false),
+        (BackendBehavior::Say("ERR inflight=7\r\n"), true),
+        (BackendBehavior::Say("MOVE\r\n"), true),
+        (BackendBehavior::Say("BYE\r\n"), true),
+        (BackendBehavior::Say("what\r\n"), true),
+        (BackendBehavior::TooLong, true),
+        (BackendBehavior::End, true),
+        (BackendBehavior::Mute, true),
     ];
     for (scope, anywhere) in [("all", true), ("zone", false), ("cell", false)] {
         let effect = format!(
             "\"effect\": \"dedup\", \"dedupScope\": \"{scope}\", \"dedupWindowUs\": 700000"
         );
-        for (play, may_have_run) in behaviors {
-            let (address, _received) = backend(play);
-            let known = list(1, true, &[("b", address, "Ready")]);
-            let relay =
-                start_with_settings(nobody(), &known, &[("\"effect\": \"fragile\"", &effect)]);
-            let mut client = relay.open("once", 400);
+        for (behavior, may_have_run) in behaviors {
+            let (address, _received) = start_backend(behavior);
+            let known = endpoint_list(1, true, &[("b", address, "Ready")]);
+            let relay = start_with_settings(
+                unused_address(),
+                &known,
+                &[("\"effect\": \"fragile\"", &effect)],
+            );
+            let mut client = relay.open_session("once", 400);
             let word = if anywhere || !may_have_run {
                 "BUSY"
             } else {
                 "ERR"
             };
-            let answer = client.hears();
+            let answer = client.next_line();
             assert_eq!(
                 answer.split(' ').next(),
                 Some(word),
-                "{scope} {play:?}: {answer}"
+                "{scope} {behavior:?}: {answer}"
             );
             assert_eq!(
-                client.hears(),
+                client.next_line(),
                 "end",
-                "{scope} {play:?}: one answer and no more"
+                "{scope} {behavior:?}: one answer and no more"
             );
         }
     }
@@ -125,9 +135,9 @@
     // meets both in one turn.
     for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
         let mut slow = SlowBackend::new();
-        let known = list(1, true, &[("late", slow.at, "Ready")]);
-        let relay = start_with_settings(nobody(), &known, &[LONG_CONNECT_TIMEOUT]);
-        let client = relay.open("once", 7_000);
+        let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
+        let relay = start_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
+        let client = relay.open_session("once", 7_000);
         relay.wait_for_counter("dials", 1);
         relay.suspend();
         let leave = |client: Client| {
@@ -155,35 +165,37 @@
 #[test]
 fn client_leaving_while_no_buffer_is_free_is_noticed() {
     let agent = DiscoveryAgent::new();
-    let ((echo, _echo_received), (mute, mute_received)) =
-        (backend(Play::Echo), backend(Play::Mute));
+    let ((echo, _echo_received), (mute, mute_received)) = (
+        start_backend(BackendBehavior::Echo),
+        start_backend(BackendBehavior::Mute),
+    );
     let relay = start_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
     let (watch, _) = agent.call();
     send(
         &watch,
         &format!(
             "{HEAD}{}",
-            chunk(&list(1, true, &[("echo", echo, "Ready")]))
+            chunk(&endpoint_list(1, true, &[("echo", echo, "Ready")]))
         ),
     );
     relay.wait_for_counter("lists", 1);
     // Each established session with half a line holds a buffer for as long as it likes.
     let mut holding = Vec::new();
     for _ in 0..300 {
-        let mut client = relay.open("safe", 7_000);
-        assert_eq!(client.hears(), "UP receipt");
+        let mut client = relay.open_session("safe", 7_000);
+        assert_eq!(client.next_line(), "UP receipt");
         holding.push(client);
     }
     let rows = [("echo", echo, "Terminating"), ("mute", mute, "Ready")];
-    send(&watch, &chunk(&list(2, false, &rows)));
+    send(&watch, &chunk(&endpoint_list(2, false, &rows)));
     relay.wait_for_counter("lists", 2);
-    let client = relay.open("safe", 7_000);
-    while !next(&mute_received).starts_with("OPEN") {}
+    let client = relay.open_session("safe", 7_000);
+    while !next_received(&mute_received).starts_with("OPEN") {}
     holding
         .iter_mut()
-        .for_each(|client| client.say("half a line"));
+        .for_each(|client| client.send("half a line"));
     relay.wait_for_counter("starved", 1);
-    client.ends_sending();
+    client.finish_sending();
     relay.wait_for_counter("clients_left", 1);
     relay.wait_for_counter("dials_withdrawn", 1);
 }
@@ -200,26 +212,33 @@
         for stream in listener.incoming() {
             count.fetch_add(1, Ordering::SeqCst);
             let (tell, _) = std::sync::mpsc::channel();
-            std::thread::spawn(move || drop(serve(stream.unwrap(), Play::Say("BUSY\r\n"), tell)));
+            std::thread::spawn(move || {
+                drop(serve(
+                    stream.unwrap(),
+                    BackendBehavior::Say("BUSY\r\n"),
+                    tell,
+                ))
+            });
         }
     });
-    let at = nobody();
+    let at = unused_address();
     let text = config(
         at,
-        nobody(),
+        unused_address(),
         4_000,
-        &list(1, true, &[("busy", busy, "Ready")]),
+        &endpoint_list(1, true, &[("busy", busy, "Ready")]),
         false,
     );
     let text = text
         .replace("\"maxDials\": 1", "\"maxDials\": 9")
         .replace("\"pull\"", "\"piggyback\"");
-    let relay = started_within(4_000, at, text);
+    let relay = start_relay_from_with_descriptors(4_000, at, text);
     let mut clients = Vec::new();
     for key in 1..=CLIENTS {
-        let mut client = relay.client();
+        let mut client = relay.connect();
         // Each has a key of its own, hence backoff delays of its own, the first of up to a second.
-        client.say(&open_line("c=safe,d=9000").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
+        client
+            .send(&open_line("c=safe,d=9000").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
         clients.push(client);
     }
     relay.wait_for_counter("dials_full", CLIENTS);
@@ -246,10 +265,10 @@
 #[test]
 fn attempt_connected_in_time_but_met_late_is_not_sent() {
     let mut slow = SlowBackend::new();
-    let known = list(1, true, &[("late", slow.at, "Ready")]);
+    let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
     let limit = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
-    let relay = start_with_settings(nobody(), &known, &[limit]);
-    let mut client = relay.open("once", 7_000);
+    let relay = start_with_settings(unused_address(), &known, &[limit]);
+    let mut client = relay.open_session("once", 7_000);
     relay.wait_for_counter("dials", 1);
     let began = Instant::now();
     relay.suspend();
@@ -260,7 +279,7 @@
     relay.signal("CONT");
     assert_eq!(read_to_end_of(&attempt), "");
     // Nothing was sent, so even a non-idempotent session may be retried.
-    assert!(client.hears().starts_with("BUSY"));
+    assert!(client.next_line().starts_with("BUSY"));
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -282,8 +301,8 @@
         Removal::ByHand,
     ] {
         let (mut slow, agent) = (SlowBackend::new(), DiscoveryAgent::new());
-        let (two, two_received) = backend(Play::Echo);
-        let admin = nobody();
+        let (two, two_received) = start_backend(BackendBehavior::Echo);
+        let admin = unused_address();
         let with_admin = format!("\"name\":\"r0\",\"admin_addr\":\"{admin}\"");
         let relay = start_with_settings(
             agent.at,
@@ -299,11 +318,11 @@
             &watch,
             &format!(
                 "{HEAD}{}",
-                chunk(&list(1, true, &[("late", slow.at, "Ready")]))
+                chunk(&endpoint_list(1, true, &[("late", slow.at, "Ready")]))
             ),
         );
         relay.wait_for_counter("lists", 1);
-        let mut client = relay.open("once", 9_000);
+        let mut client = relay.open_session("once", 9_000);
         relay.wait_for_counter("dials", 1);
         let rows = [("two", two, "Ready"), ("late", slow.at, "Terminating")];
         let mut attempt = None;
@@ -311,7 +330,7 @@
             Removal::InOneTurn => {
                 relay.suspend();
                 attempt = Some(slow.accept_connection());
-                send(&watch, &chunk(&list(2, false, &rows)));
+                send(&watch, &chunk(&endpoint_list(2, false, &rows)));
                 wait_for("the relay's end of the watch has it", || {
                     socket_state(watch.peer_addr().unwrap(), agent.at)
                         .has_unread_bytes
@@ -319,17 +338,17 @@
                 });
                 relay.signal("CONT");
             }
-            Removal::Listed => send(&watch, &chunk(&list(2, false, &rows))),
-            Removal::Missing => send(&watch, &chunk(&list(2, true, &rows[..1]))),
+            Removal::Listed => send(&watch, &chunk(&endpoint_list(2, false, &rows))),
+            Removal::Missing => send(&watch, &chunk(&endpoint_list(2, true, &rows[..1]))),
             Removal::ByHand => {
-                send(&watch, &chunk(&list(2, false, &rows[..1])));
+                send(&watch, &chunk(&endpoint_list(2, false, &rows[..1])));
                 relay.wait_for_counter("lists", 2);
                 ban_by_hand("late", admin);
             }
         }
         // Nothing was sent to the first backend, so even a non-idempotent session may go elsewhere.
-        assert_eq!(client.hears(), "UP receipt", "{removal:?}");
-        assert!(next(&two_received).starts_with("OPEN"));
+        assert_eq!(client.next_line(), "UP receipt", "{removal:?}");
+        assert!(next_received(&two_received).starts_with("OPEN"));
         if let Some(attempt) = attempt {
             assert_eq!(read_to_end_of(&attempt), "", "{removal:?}");
         }
@@ -339,7 +358,7 @@
 /// Bans a backend at the admin port.
 fn ban_by_hand(backend: &str, admin: SocketAddr) {
     let operator = TcpStream::connect(admin).unwrap();
-    operator.set_read_timeout(Some(LONG)).unwrap();
+    operator.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     send(&operator, &format!("DISABLE {backend}\r\n"));
     let mut answer = String::new();
     BufReader::new(&operator).read_line(&mut answer).unwrap();
