--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -2,13 +2,15 @@
 use crate::error::CommandError;
 use clap::Args;
 use std::path::{Path, PathBuf};
-use thistlecroft_experiments::scale::Budget;
-use thistlecroft_experiments::scenario::Scenario;
+use thistlecroft_experiments::scale::{Budget, BudgetError};
+use thistlecroft_experiments::scenario::{MalformedScenario, Scenario};
 use thistlecroft_operator_config::{
     ConfigError, DEFAULT_ROUTE, EffectiveValue, LimitsIds, OperatorConfig, RelayContext,
     RouteTable, ValueOrigin,
 };
-use thistlecroft_relay::{StartupConfig, read_file, relay_context};
+use thistlecroft_relay::{
+    ConfigError as StartupConfigError, StartupConfig, read_file, relay_context,
+};
 
 #[derive(Args)]
 pub(crate) struct CheckArgs {
@@ -39,6 +41,28 @@
     Budget(Budget),
 }
 
+/// Why a file can't be used. The strings are the names of files whose errors do not say them.
+enum FileError {
+    Unreadable(String, std::io::Error),
+    Configuration(StartupConfigError),
+    Scenario(MalformedScenario),
+    Budget(String, BudgetError),
+    OperatorConfig(Vec<ConfigError>),
+}
+
+impl FileError {
+    /// A line for each error of the file.
+    fn lines(&self) -> Vec<String> {
+        match self {
+            FileError::Unreadable(name, error) => vec![format!("{name}: {error}")],
+            FileError::Configuration(error) => vec![error.to_string()],
+            FileError::Scenario(error) => vec![error.to_string()],
+            FileError::Budget(name, error) => vec![format!("{name}: {error}")],
+            FileError::OperatorConfig(errors) => errors.iter().map(ToString::to_string).collect(),
+        }
+    }
+}
+
 /// Checks every file; each error is a line.
 pub(crate) fn run(args: &CheckArgs) -> Result<(), CommandError> {
     let context = match &args.config {
@@ -57,7 +81,7 @@
                 }
                 checked_files.push(checked);
             }
-            Err(more) => errors.extend(more),
+            Err(error) => errors.extend(error.lines()),
         }
     }
     if !errors.is_empty() {
@@ -74,35 +98,33 @@
     Ok(relay_context(&config.settings, config.sockets))
 }
 
-fn lines(errors: Vec<ConfigError>) -> Vec<String> {
-    errors.iter().map(ToString::to_string).collect()
-}
-
 fn read(
     path: &Path,
     context: Option<&RelayContext>,
     limits_ids: &mut LimitsIds,
-) -> Result<CheckedFile, Vec<String>> {
+) -> Result<CheckedFile, FileError> {
     let name = path.to_string_lossy();
     if path.extension().is_none_or(|extension| extension != "toml") {
         return read_file(&name)
             .map(|config| CheckedFile::Configuration(Box::new(config)))
-            .map_err(|error| vec![error.to_string()]);
+            .map_err(FileError::Configuration);
     }
-    let text = std::fs::read_to_string(path).map_err(|error| vec![format!("{name}: {error}")])?;
+    let text = std::fs::read_to_string(path)
+        .map_err(|source| FileError::Unreadable(name.to_string(), source))?;
     if is_scenario(&text) {
-        let scenario = Scenario::parse(&name, &text).map_err(|error| vec![error.to_string()])?;
+        let scenario = Scenario::parse(&name, &text).map_err(FileError::Scenario)?;
         return Ok(CheckedFile::Scenario(Box::new(scenario)));
     }
     if Budget::is_one(&text) {
-        let budget = Budget::parse(&text).map_err(|error| vec![format!("{name}: {error}")])?;
+        let budget =
+            Budget::parse(&text).map_err(|error| FileError::Budget(name.to_string(), error))?;
         return Ok(CheckedFile::Budget(budget));
     }
-    let config = OperatorConfig::parse(&name, &text).map_err(lines)?;
+    let config = OperatorConfig::parse(&name, &text).map_err(FileError::OperatorConfig)?;
     let routes = context
         .map(|context| config.resolve(context, limits_ids))
         .transpose()
-        .map_err(lines)?;
+        .map_err(FileError::OperatorConfig)?;
     Ok(CheckedFile::OperatorConfig {
         config: Box::new(config),
         routes,
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -53,7 +53,7 @@
 }
 
 impl Plan {
-    /// Works the scenario out.
+    /// Computes the plan of a scenario.
     pub(crate) fn new(scenario: &Scenario, seed: u64) -> Plan {
         let mut rng = Rng::from_seed(seed ^ FAULT_SEED);
         let end = PLAN_START + scenario.length.0;
--- a/experiments/src/plan/selection.rs
+++ b/experiments/src/plan/selection.rs
@@ -1,5 +1,5 @@
 //! Which backends and relays a fault befalls.
-use crate::scenario::{Selection, SelectionWord};
+use crate::scenario::{Selection, SelectionShare};
 use thistlecroft::random::Rng;
 use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
 
@@ -7,10 +7,10 @@
 fn select(selection: &Option<Selection>, total: usize, rng: &mut Rng) -> Vec<usize> {
     let count = match selection {
         None => return Vec::new(),
-        Some(Selection::These(numbers)) => return numbers.clone(),
+        Some(Selection::Indices(numbers)) => return numbers.clone(),
         Some(Selection::Count(count)) => *count,
-        Some(Selection::Word(SelectionWord::Half)) => total.div_ceil(2),
-        Some(Selection::Word(SelectionWord::All)) => total,
+        Some(Selection::Share(SelectionShare::Half)) => total.div_ceil(2),
+        Some(Selection::Share(SelectionShare::All)) => total,
     };
     let mut numbers: Vec<usize> = (0..total).collect();
     for place in 0..count {
--- a/experiments/src/scale/worker/hollow_relay.rs
+++ b/experiments/src/scale/worker/hollow_relay.rs
@@ -106,7 +106,7 @@
             let _ = self.socket.send_to(&bytes, to);
         }
         let leases = self.leases.due(at);
-        // News makes an alarm that is long past due now.
+        // A message makes an alarm that is long past due now.
         self.due = leases
             .map_or(self.node.due(), |due| due.min(self.node.due()))
             .max(at);
--- a/experiments/src/scenario/fault_checks.rs
+++ b/experiments/src/scenario/fault_checks.rs
@@ -72,16 +72,18 @@
     count: usize,
 ) -> Result<(), InvalidFault> {
     match selection {
-        Some(Selection::These(numbers)) => match numbers.iter().find(|number| **number >= count) {
-            Some(number) => {
-                let last = count - 1;
-                invalid(
-                    key,
-                    format!("there is no {number}, they are counted from 0 to {last}"),
-                )
+        Some(Selection::Indices(numbers)) => {
+            match numbers.iter().find(|number| **number >= count) {
+                Some(number) => {
+                    let last = count - 1;
+                    invalid(
+                        key,
+                        format!("there is no {number}, they are counted from 0 to {last}"),
+                    )
+                }
+                None => Ok(()),
             }
-            None => Ok(()),
-        },
+        }
         Some(Selection::Count(wanted)) if *wanted > count => {
             invalid(key, format!("there are only {count}"))
         }
--- a/experiments/src/scenario/fault_table.rs
+++ b/experiments/src/scenario/fault_table.rs
@@ -55,17 +55,17 @@
 )]
 pub enum Selection {
     /// Those of these numbers.
-    These(Vec<usize>),
+    Indices(Vec<usize>),
     /// So many, drawn.
     Count(usize),
     /// A part of them.
-    Word(SelectionWord),
+    Share(SelectionShare),
 }
 
-/// A part of them, in a word.
+/// A share of them.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum SelectionWord {
+pub enum SelectionShare {
     /// Half of them, drawn.
     Half,
     /// All of them.
--- a/experiments/src/scenario/mod.rs
+++ b/experiments/src/scenario/mod.rs
@@ -9,7 +9,7 @@
 mod variant_table;
 
 pub use error::{MalformedScenario, ScenarioError};
-pub use fault_table::{FAULTS, FaultText, Selection, SelectionWord};
+pub use fault_table::{FAULTS, FaultText, Selection, SelectionShare};
 pub use fleet_tables::{Fleet, Relays, TogetherText};
 pub use traffic_tables::{EffectText, ListenerText, Rate, ScopeText, TrafficText};
 pub use variant_table::{Baseline, Variant};
--- a/experiments/src/summary/findings.rs
+++ b/experiments/src/summary/findings.rs
@@ -36,7 +36,7 @@
     pub(crate) backend_totals: BackendTotals,
 }
 
-/// Works the figures out.
+/// Computes the figures.
 pub(crate) fn summarize(findings: &Findings) -> Summary {
     let load = LoadTotalsOfRun::new(findings.load_totals);
     let testbed = TestbedFigures::new(findings, &load.totals);
