--- a/cli/tests/golden.rs
+++ b/cli/tests/golden.rs
@@ -315,7 +315,7 @@
     );
     assert_eq!(
         output_of(&["charter", "reference"]),
-        file("docs/operate/charter-reference.md")
+        file("docs/operate/operator-config-reference.md")
     );
     for verb in ["example", "reference"] {
         let present = output_of(&["operator-config", verb]);
--- a/operator_config/tests/shipped_files.rs
+++ b/operator_config/tests/shipped_files.rs
@@ -8,7 +8,8 @@
 #[test]
 fn reference_page_and_example_agree_with_the_parser() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    let written = std::fs::read_to_string(root.join("docs/operate/charter-reference.md")).unwrap();
+    let written =
+        std::fs::read_to_string(root.join("docs/operate/operator-config-reference.md")).unwrap();
     assert_eq!(
         written,
         reference::reference_page(),
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -88,6 +88,3 @@
     Service::start(config, signals)?.run()?;
     Ok(())
 }
-
-#[cfg(test)]
-mod tests;
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -338,3 +338,6 @@
         self.registration.set_interest(accepting, false);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/relay/src/tests.rs
+++ b/relay/src/sockets/tests.rs
@@ -1,5 +1,5 @@
 //! Keys of sockets.
-use crate::sockets::{SocketOwner, key_of, owner_of};
+use super::{SocketOwner, key_of, owner_of};
 
 #[test]
 fn key_of_a_closed_socket_is_not_its_successors() {
--- a/relay/tests/golden/recorded.rs
+++ b/relay/tests/golden/recorded.rs
@@ -4,7 +4,7 @@
 use std::path::{Path, PathBuf};
 
 /// Where this variable is set the run writes the files and fails.
-const RECORD: &str = "GOLDEN_RECORD";
+const RECORD: &str = "RECORD_GOLDEN";
 
 fn path_of(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR"))
