--- a/relay/tests/golden/admin.rs
+++ b/relay/tests/golden/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' commands: each one, each error answer that can be caused from outside, and the
 //! keys of the JSON answers.
 use crate::helper::*;
-use crate::platform::{Platform, RelayProcess, known, wait_for};
+use crate::platform::{Platform, RelayProcess, wait_for};
 use crate::recorded::{Transcript, assert_recorded, key_set, mask_after};
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
@@ -125,7 +125,7 @@
         platform.address(),
         unused_address(),
         1_000,
-        &known(&[unused_address()]),
+        &ready_backends(&[unused_address()]),
         false,
     );
     let text = text.replace("\"mayCancel\"", "\"peers\": true, \"mayCancel\"");
--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -25,19 +25,6 @@
     }
 }
 
-/// A list of ready backends `b0`, `b1` and so on.
-pub(crate) fn known(backends: &[SocketAddr]) -> String {
-    let names: Vec<String> = (0..backends.len())
-        .map(|number| format!("b{number}"))
-        .collect();
-    let rows: Vec<_> = names
-        .iter()
-        .zip(backends)
-        .map(|(name, address)| (name.as_str(), *address, "Ready"))
-        .collect();
-    endpoint_list(1, true, &rows)
-}
-
 /// The program with no more in its environment than each test adds.
 pub(crate) fn program() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"));
@@ -104,7 +91,7 @@
             self.address(),
             unused_address(),
             1_000,
-            &known(backends),
+            &ready_backends(backends),
             probes,
         )
     }
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -111,3 +111,16 @@
 pub(crate) fn send_list(watch: &TcpStream, list: &str) {
     send(watch, &format!("{HEAD}{}", chunk(list)));
 }
+
+/// The endpoint list of ready backends `b0`, `b1` and so on.
+pub(crate) fn ready_backends(backends: &[SocketAddr]) -> String {
+    let names: Vec<String> = (0..backends.len())
+        .map(|number| format!("b{number}"))
+        .collect();
+    let rows: Vec<_> = names
+        .iter()
+        .zip(backends)
+        .map(|(name, address)| (name.as_str(), *address, "Ready"))
+        .collect();
+    endpoint_list(1, true, &rows)
+}
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -1,6 +1,6 @@
 //! Processes of a relay by a chosen program, and what outlives each of them: the clients' listening
 //! socket and the folder that successive processes share.
-use super::{Relay, TEST_TIMEOUT, config, endpoint_list, unused_address};
+use super::{Relay, TEST_TIMEOUT, config, ready_backends, unused_address};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::os::fd::AsRawFd;
@@ -200,7 +200,7 @@
 impl Host {
     /// With a list of backends known at the start, and no discovery.
     pub(crate) fn new(name: &str, backends: &[SocketAddr]) -> Host {
-        Host::with_list(name, unused_address(), backend_list(backends))
+        Host::with_list(name, unused_address(), ready_backends(backends))
     }
 
     /// With a discovery, and no list known at the start.
@@ -268,15 +268,3 @@
 pub(crate) fn with_admin(configuration: String, admin: SocketAddr) -> String {
     configuration.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1)
 }
-
-fn backend_list(backends: &[SocketAddr]) -> String {
-    let names: Vec<String> = (0..backends.len())
-        .map(|number| format!("b{number}"))
-        .collect();
-    let rows: Vec<_> = names
-        .iter()
-        .zip(backends)
-        .map(|(name, address)| (name.as_str(), *address, "Ready"))
-        .collect();
-    endpoint_list(1, true, &rows)
-}
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -2,7 +2,7 @@
 use super::backend::Received;
 use super::client::{Client, open_line};
 use super::config::{config, write_config};
-use super::discovery::endpoint_list;
+use super::discovery::ready_backends;
 use super::wait::*;
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpStream};
@@ -92,20 +92,7 @@
 
 /// Starts a relay that knows these backends, without discovery.
 pub(crate) fn start_relay_with_backends(backends: &[SocketAddr]) -> Relay {
-    let names: Vec<String> = (0..backends.len())
-        .map(|number| format!("b{number}"))
-        .collect();
-    let rows: Vec<_> = names
-        .iter()
-        .zip(backends)
-        .map(|(name, at)| (name.as_str(), *at, "Ready"))
-        .collect();
-    start(
-        unused_address(),
-        1_000,
-        &endpoint_list(1, true, &rows),
-        false,
-    )
+    start(unused_address(), 1_000, &ready_backends(backends), false)
 }
 
 /// Starts a relay with changed settings: each pair is a part of their text, and its replacement.
