--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -77,7 +77,7 @@
 
     fn show(&mut self, progress: &Progress) {
         if !self.draws_picture {
-            println!("{}{}", totals(progress), news(progress));
+            println!("{}{}", totals(progress), progress.new_faults_suffix());
             return;
         }
         let picture = picture(progress);
@@ -103,14 +103,6 @@
     )
 }
 
-fn news(progress: &Progress) -> String {
-    if progress.news.is_empty() {
-        String::new()
-    } else {
-        format!("  << {}", progress.news.join(", "))
-    }
-}
-
 fn picture(progress: &Progress) -> String {
     let mut picture = totals(progress) + "\n";
     for (number, backend) in progress.backends.iter().enumerate() {
--- a/cli/src/experiment/run.rs
+++ b/cli/src/experiment/run.rs
@@ -160,13 +160,9 @@
 }
 
 fn progress_line(progress: &Progress) -> String {
-    let news = if progress.news.is_empty() {
-        String::new()
-    } else {
-        format!("  << {}", progress.news.join(", "))
-    };
+    let new_faults = progress.new_faults_suffix();
     format!(
-        "{:5.0} of {:.0} s  standing {:>5}  up {:>6}  busy {:>5}  failed {:>4}  moved {:>5}{news}",
+        "{:5.0} of {:.0} s  standing {:>5}  up {:>6}  busy {:>5}  failed {:>4}  moved {:>5}{new_faults}",
         progress.elapsed.as_secs_f64(),
         progress.length.as_secs_f64(),
         progress.established,
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -95,14 +95,14 @@
         group_load: fleet.group_fee,
         warm_up,
     };
-    let boxes = (0..fleet.boxes).map(|number| BackendSpec {
+    let backends = (0..fleet.boxes).map(|number| BackendSpec {
         capacity,
         zone: fleet.zones[number % fleet.zones.len()].clone(),
         cell: 0,
         initially_running: number < fleet.boxes - fleet.later,
     });
     BackendPlan {
-        backends: boxes.collect(),
+        backends: backends.collect(),
         relays: scenario.relays.count,
         announcement_delay: (fleet.notice[0].0, fleet.notice[1].0),
         setup_store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
--- a/experiments/src/run/director.rs
+++ b/experiments/src/run/director.rs
@@ -96,7 +96,7 @@
                 break true;
             }
             while let Some(mark) = marks.next_if(|mark| mark.from <= plan_time) {
-                self.progress.news.push(mark.name.clone());
+                self.progress.new_faults.push(mark.name.clone());
             }
             while let Some(scheduled) = actions.next_if(|scheduled| scheduled.at <= plan_time) {
                 self.carry_out(&scheduled.action);
@@ -111,7 +111,7 @@
                 last_progress = now;
                 self.update_progress(plan_time.duration_since(Instant::default()));
                 on_progress(&self.progress);
-                self.progress.news.clear();
+                self.progress.new_faults.clear();
             }
             std::thread::sleep(STEP);
         };
--- a/experiments/src/run/progress.rs
+++ b/experiments/src/run/progress.rs
@@ -27,8 +27,19 @@
     pub backends: Vec<Option<BackendProgress>>,
     /// Relays that run.
     pub relays: usize,
-    /// The faults that began since the last look.
-    pub news: Vec<String>,
+    /// The faults that began since the last report.
+    pub new_faults: Vec<String>,
+}
+
+impl Progress {
+    /// The end of a printed line: the faults that began, or nothing.
+    pub fn new_faults_suffix(&self) -> String {
+        if self.new_faults.is_empty() {
+            String::new()
+        } else {
+            format!("  << {}", self.new_faults.join(", "))
+        }
+    }
 }
 
 /// A backend that runs.
