--- a/experiments/src/count/log_line.rs
+++ b/experiments/src/count/log_line.rs
@@ -4,21 +4,47 @@
 /// The events that are counted.
 const EVENTS: &[&str] = &[
     "arrived",
-    "dial",
+    "cancel",
+    "check_health",
+    "connect",
     "ended",
+    "endpoints",
+    "fail",
+    "health_checked",
     "inherited",
     "left",
-    "list",
-    "probe",
-    "probed",
+    "migrate",
     "ready",
-    "refuse",
-    "sent_away",
+    "reject",
     "subscribe",
-    "torn_down",
-    "withdraw",
 ];
 
+/// What relays until December 2026 wrote, and what is written since: a fleet may run both.
+const FORMER_EVENTS: &[(&str, &str)] = &[
+    ("dial", "connect"),
+    ("list", "endpoints"),
+    ("probe", "check_health"),
+    ("probed", "health_checked"),
+    ("refuse", "reject"),
+    ("sent_away", "migrate"),
+    ("torn_down", "fail"),
+    ("withdraw", "cancel"),
+];
+
+/// The same for the keys of fields that are read.
+const FORMER_KEYS: &[(&str, &str)] = &[
+    ("box", "backend"),
+    ("held", "connections"),
+    ("verdict", "outcome"),
+];
+
+fn present_name<'a>(name: &'a str, former_names: &[(&str, &'static str)]) -> &'a str {
+    former_names
+        .iter()
+        .find(|(former, _)| *former == name)
+        .map_or(name, |(_, present)| present)
+}
+
 /// A line with its time.
 pub(super) struct LogLine<'a> {
     /// Seconds from before the stamp, where a collector wrote them there, else of the stamp's day.
@@ -52,8 +78,14 @@
     /// None where the message is none of the events that are counted.
     pub(super) fn parse(message: &'a str) -> Option<LoggedEvent<'a>> {
         let mut words = message.split(' ');
-        let name = words.next().filter(|name| EVENTS.contains(name))?;
-        let fields = words.filter_map(|word| word.split_once('=')).collect();
+        let name = present_name(words.next()?, FORMER_EVENTS);
+        if !EVENTS.contains(&name) {
+            return None;
+        }
+        let fields = words
+            .filter_map(|word| word.split_once('='))
+            .map(|(key, value)| (present_name(key, FORMER_KEYS), value))
+            .collect();
         Some(LoggedEvent { name, fields })
     }
 
@@ -70,12 +102,14 @@
 
     /// What the event is counted as.
     pub(super) fn label(&self) -> String {
-        let outcome = self.field("verdict");
+        let outcome = self.field("outcome");
         match self.name {
             "ended" => format!("ended:{outcome}"),
-            "probed" if outcome != "Ok" => format!("probed:{outcome}"),
-            "probed" if self.number("load").is_none() && self.number("held").is_none() => {
-                "probed:nothing".into()
+            "health_checked" if outcome != "Ok" => format!("health_checked:{outcome}"),
+            "health_checked"
+                if self.number("load").is_none() && self.number("connections").is_none() =>
+            {
+                "health_checked:nothing".into()
             }
             name => name.to_string(),
         }
--- a/experiments/src/count/mod.rs
+++ b/experiments/src/count/mod.rs
@@ -90,17 +90,17 @@
     fn add_event(&mut self, span: u64, event: &LoggedEvent) {
         let in_span = self.events.entry(span).or_default();
         *in_span.entry(event.label()).or_default() += 1;
-        let backend = event.field("box");
+        let backend = event.field("backend");
         if backend.is_empty() {
             return;
         }
         let spans = self.backends.entry(backend.to_string()).or_default();
         let counts = spans.entry(span).or_default();
-        counts.attempts += u32::from(event.name == "dial");
-        if let ("probed", Some(load)) = (event.name, event.number("load")) {
+        counts.attempts += u32::from(event.name == "connect");
+        if let ("health_checked", Some(load)) = (event.name, event.number("load")) {
             counts.reports += 1;
             counts.load += load;
-            counts.connections += event.number("held").unwrap_or_default();
+            counts.connections += event.number("connections").unwrap_or_default();
         }
     }
 
@@ -137,7 +137,7 @@
     }
 
     fn backend_table(&self) -> String {
-        let mut table = String::from("| box: load / connections + dials |");
+        let mut table = String::from("| backend: load / connections + attempts |");
         for &span in self.events.keys() {
             table += &format!(" {} |", self.span_start(span));
         }
--- a/experiments/src/count/tests.rs
+++ b/experiments/src/count/tests.rs
@@ -3,36 +3,56 @@
 use super::log_line::LogLine;
 use std::path::Path;
 
+const EXPECTED_TABLE: [&str; 5] = [
+    "2 relays, spans of 2 s",
+    "| from s | connect | ended:Reset | health_checked | health_checked:nothing |",
+    "| 0 | 0 | 0 | 2 | 1 |",
+    "| 2 | 1 | 1 | 0 | 0 |",
+    "| b | 0.50/5 +0 | - +1 |",
+];
+
+fn assert_counted(logs: [&str; 2]) {
+    let mut counts = Counts::new(2.0);
+    logs.into_iter().for_each(|log| counts.add(log));
+    let table = counts.table();
+    for expected in EXPECTED_TABLE {
+        assert!(table.contains(expected), "{expected}\n{table}");
+    }
+}
+
 #[test]
 fn logs_of_two_relays_are_summed_by_span_and_backend() {
-    let mut counts = Counts::new(2.0);
-    counts.add(
+    assert_counted([
+        "0.500 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] health_checked backend=b outcome=Ok connections=4 load=0.250\n\
+         0.700 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] health_checked backend=b outcome=Ok connections=-1 load=-1.000\n\
+         2.000 [2026-12-01T17:30:46Z DEBUG thistlecroft_relay::trace] connect session=1 backend=b timeout_ms=300\n\
+         2.100 [2026-12-01T17:30:46Z WARN thistlecroft_relay::discovery] discovery at here: silent\n\
+         no stamp at all\n",
+        "1.900 [2026-12-01T17:30:45Z DEBUG thistlecroft_relay::trace] health_checked backend=b outcome=Ok connections=6 load=0.750\n\
+         3.999 [2026-12-01T17:30:47Z DEBUG thistlecroft_relay::trace] ended session=1 attempt=0 outcome=Reset answered=true\n",
+    ]);
+}
+
+#[test]
+fn log_of_the_former_program_counts_beside_one_of_this() {
+    assert_counted([
         "0.500 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] probed box=b verdict=Ok held=4 load=0.250\n\
          0.700 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] probed box=b verdict=Ok held=-1 load=-1.000\n\
          2.000 [2026-12-01T17:30:46Z DEBUG thistlecroft_relay::trace] dial session=1 box=b wait_ms=300\n\
          2.100 [2026-12-01T17:30:46Z WARN thistlecroft_relay::discovery] discovery at here: silent\n\
          no stamp at all\n",
-    );
-    counts.add(
-        "1.900 [2026-12-01T17:30:45Z DEBUG thistlecroft_relay::trace] probed box=b verdict=Ok held=6 load=0.750\n\
+        "1.900 [2026-12-01T17:30:45Z DEBUG thistlecroft_relay::trace] health_checked backend=b outcome=Ok connections=6 load=0.750\n\
          3.999 [2026-12-01T17:30:47Z DEBUG thistlecroft_relay::trace] ended session=1 dial=0 verdict=Reset over=true\n",
-    );
-    let table = counts.table();
-    for expected in [
-        "2 relays, spans of 2 s",
-        "| from s | dial | ended:Reset | probed | probed:nothing |",
-        "| 0 | 0 | 0 | 2 | 1 |",
-        "| 2 | 1 | 1 | 0 | 0 |",
-        "| b | 0.50/5 +0 | - +1 |",
-    ] {
-        assert!(table.contains(expected), "{expected}\n{table}");
-    }
-    // Without a collector's seconds the stamp's own count.
-    let line = "[2026-12-01T01:02:03Z DEBUG x] dial session=1 box=b wait_ms=1";
+    ]);
+}
+
+#[test]
+fn line_without_a_collectors_seconds_has_the_time_of_its_stamp() {
+    let line = "[2026-12-01T01:02:03Z DEBUG x] connect session=1 backend=b timeout_ms=1";
     let line = LogLine::parse(line).unwrap();
     assert_eq!(
         (line.at_s, line.message),
-        (3_723.0, "dial session=1 box=b wait_ms=1")
+        (3_723.0, "connect session=1 backend=b timeout_ms=1")
     );
 }
 
--- a/relay/src/line_buffer.rs
+++ b/relay/src/line_buffer.rs
@@ -4,8 +4,6 @@
 use crate::output_buffer::write_available;
 use std::io::{ErrorKind, Read, Write};
 
-// Where other modules still look for it.
-
 /// The longest line in bytes, its ending included.
 pub(crate) const MAX_LINE_BYTES: usize = 4 * 1024;
 
--- a/relay/src/session/placement.rs
+++ b/relay/src/session/placement.rs
@@ -1,8 +1,7 @@
 //! The stages in which a backend is still to accept the session: its client is watched, and the
 //! backends' answers are taken.
 use super::handshake::HandshakeError;
-use super::stage::Disposition;
-use super::stage::Stage;
+use super::stage::{Disposition, Stage};
 use super::state::Session;
 use crate::attempt::{AttemptStage, FailureCause};
 use crate::driver::Event;
--- a/relay/src/trace.rs
+++ b/relay/src/trace.rs
@@ -1,6 +1,6 @@
 //! The balancer's events and actions as log lines, one each at level debug. They name backends by the
-//! name that is the same at every relay, so that a fleet's logs can be counted together: `lab count`
-//! reads them, and goes by the words and keys that stand here.
+//! name that is the same at every relay, so that a fleet's logs can be counted together: `experiment
+//! count` reads them, and goes by the names and keys that are written here.
 use crate::discovery::registry::EndpointRegistry;
 use crate::driver::{Action, Event};
 use log::{Level, debug, log_enabled};
@@ -22,14 +22,14 @@
             let (route, group) = (arrival.route.0, group(arrival));
             let backend = registry.name(*backend);
             debug!(
-                "inherited session={} box={backend} route={route} group={group:016x}",
+                "inherited session={} backend={backend} route={route} group={group:016x}",
                 id.0
             );
         }
-        Event::AttemptReady(id, attempt) => debug!("ready session={} dial={attempt}", id.0),
+        Event::AttemptReady(id, attempt) => debug!("ready session={} attempt={attempt}", id.0),
         Event::AttemptEnded(id, end) => {
             debug!(
-                "ended session={} dial={} verdict={:?} over={}",
+                "ended session={} attempt={} outcome={:?} answered={}",
                 id.0, end.attempt, end.outcome, end.is_answered
             );
         }
@@ -38,10 +38,14 @@
             let backend = registry.name(*backend);
             let LoadReport { connections, load } = report;
             let (connections, load) = (connections.unwrap_or(-1.0), load.unwrap_or(-1.0));
-            debug!("probed box={backend} verdict={outcome:?} held={connections:.0} load={load:.3}");
+            debug!(
+                "health_checked backend={backend} outcome={outcome:?} \
+                 connections={connections:.0} load={load:.3}"
+            );
         }
         Event::BanChanged(backend, is_banned) => {
-            debug!("banned box={} out={is_banned}", registry.name(*backend));
+            let backend = registry.name(*backend);
+            debug!("ban_changed backend={backend} banned={is_banned}");
         }
         Event::LoadObserved(..)
         | Event::LatencyObserved(..)
@@ -60,7 +64,7 @@
         endpoints.filter(|endpoint| endpoint.state == state).count()
     };
     debug!(
-        "list scope={kind:?} ready={} draining={} gone={}",
+        "endpoints update={kind:?} ready={} draining={} removed={}",
         count(EndpointState::Ready),
         count(EndpointState::Draining),
         count(EndpointState::Removed)
@@ -79,16 +83,21 @@
     match action {
         Action::Connect(id, backend, timeout) => {
             let (backend, timeout_ms) = (registry.name(*backend), timeout.as_millis());
-            debug!("dial session={} box={backend} wait_ms={timeout_ms}", id.0);
+            debug!(
+                "connect session={} backend={backend} timeout_ms={timeout_ms}",
+                id.0
+            );
         }
-        Action::Cancel(id, attempt) => debug!("withdraw session={} dial={attempt}", id.0),
+        Action::Cancel(id, attempt) => debug!("cancel session={} attempt={attempt}", id.0),
         Action::Reject(id, retry_after) => {
             let retry_after_ms = retry_after.map_or(0, |wait| wait.as_millis());
-            debug!("refuse session={} again_ms={retry_after_ms}", id.0);
+            debug!("reject session={} retry_after_ms={retry_after_ms}", id.0);
+        }
+        Action::Fail(id) => debug!("fail session={}", id.0),
+        Action::Migrate(id) => debug!("migrate session={}", id.0),
+        Action::CheckHealth(backend) => {
+            debug!("check_health backend={}", registry.name(*backend));
         }
-        Action::Fail(id) => debug!("torn_down session={}", id.0),
-        Action::Migrate(id) => debug!("sent_away session={}", id.0),
-        Action::CheckHealth(backend) => debug!("probe box={}", registry.name(*backend)),
         Action::Subscribe => debug!("subscribe"),
     }
 }
