--- a/cli/tests/command/experiment_run.rs
+++ b/cli/tests/command/experiment_run.rs
@@ -48,7 +48,7 @@
         let file = write_scenario(&folder, SHORT_SCENARIO);
         let outs = ["one", "two"].map(|name| folder.join(name).to_string_lossy().into_owned());
         for out in &outs {
-            let done = run(&["lab", "run", &file, "--seed", "5", "--out", out]);
+            let done = run(&["experiment", "run", &file, "--seed", "5", "--out", out]);
             let (output, progress) = (text(&done.stdout), text(&done.stderr));
             assert!(done.status.success(), "{output}{progress}");
             assert!(progress.contains("standing"), "progress is shown");
@@ -79,14 +79,14 @@
 
     let one = &runs.outs[0];
     let (relays, least) = (format!("{one}/small/relays"), format!("{one}/small/least"));
-    let compared = run(&["lab", "compare", &relays, &least]);
+    let compared = run(&["experiment", "compare", &relays, &least]);
     let table = text(&compared.stdout);
     assert!(compared.status.success(), "{table}");
     assert!(
         table.contains("utility served") && table.contains("one run only"),
         "{table}"
     );
-    let reported = text(&run(&["lab", "report", one]).stdout);
+    let reported = text(&run(&["experiment", "report", one]).stdout);
     assert!(reported.contains("2 runs"), "{reported}");
     let index = std::fs::read_to_string(Path::new(one).join("index.html")).unwrap();
     assert!(index.contains("seed-5/report.html"));
@@ -111,7 +111,7 @@
     let folder = folder("descriptors");
     let (file, out) = (write_scenario(&folder, SHORT_SCENARIO), folder.join("out"));
     let line = format!(
-        "ulimit -n 200; exec {} lab run {file} --out {}",
+        "ulimit -n 200; exec {} experiment run {file} --out {}",
         env!("CARGO_BIN_EXE_thistlecroft"),
         out.display()
     );
@@ -153,7 +153,7 @@
     // Interrupted, and killed outright: then nothing can be kept, but relays end all the same.
     for (signal, code) in [(Signal::INT, Some(130)), (Signal::KILL, None)] {
         let (mut child, mut lines) =
-            start(&["lab", "run", &file, "--way", "relays", "--out", &out]);
+            start(&["experiment", "run", &file, "--way", "relays", "--out", &out]);
         assert!(
             lines
                 .by_ref()
--- a/cli/tests/command/mistakes.rs
+++ b/cli/tests/command/mistakes.rs
@@ -87,34 +87,42 @@
     );
     let run_relays_as = |program| {
         [
-            "lab", "run", good, "--way", "relays", "--relay", program, "--out", out,
+            "experiment",
+            "run",
+            good,
+            "--way",
+            "relays",
+            "--relay",
+            program,
+            "--out",
+            out,
         ]
     };
     assert_cases(&[
         (
-            &["lab", "run", bad, "--out", out],
+            &["experiment", "run", bad, "--out", out],
             2,
             "bad.toml:5: fleet.boxes: ",
         ),
         (
-            &["lab", "run", "steadily", "--out", out],
+            &["experiment", "run", "steadily", "--out", out],
             2,
             "neither a file nor one of",
         ),
         (
-            &["lab", "run", good, "--way", "fast", "--out", out],
+            &["experiment", "run", good, "--way", "fast", "--out", out],
             2,
             "no way \"fast\"; there are relays, least",
         ),
         (&run_relays_as("/bin/false"), 1, "it ended at once"),
         (&run_relays_as("/nowhere"), 1, "can't be started"),
         (
-            &["lab", "compare", out, "/nowhere"],
+            &["experiment", "compare", out, "/nowhere"],
             2,
             "out: no summary.json",
         ),
-        (&["lab", "show", "steady"], 0, ""),
-        (&["lab", "show", "budget-target"], 0, ""),
+        (&["experiment", "show", "steady"], 0, ""),
+        (&["experiment", "show", "budget-target"], 0, ""),
     ]);
     inputs.remove();
 }
@@ -124,42 +132,49 @@
     let inputs = Inputs::new("mistakes-scale");
     assert_cases(&[
         (
-            &["lab", "scale", "--relays", "1"],
+            &["experiment", "scale", "--relays", "1"],
             2,
             "--relays: 1 is not between 2 and",
         ),
         (
-            &["lab", "scale", "--subjects", "200000"],
+            &["experiment", "scale", "--subjects", "200000"],
             2,
             "--subjects: 200000 is not between",
         ),
         (
-            &["lab", "scale", "--fault", "region"],
+            &["experiment", "scale", "--fault", "region"],
             2,
             "--fault region: over simulated links only",
         ),
         (
-            &["lab", "scale", "--loss", "0.1"],
+            &["experiment", "scale", "--loss", "0.1"],
             2,
             "--loss: over simulated links only",
         ),
         (
-            &["lab", "scale", "--budget", "/nowhere.toml"],
+            &["experiment", "scale", "--budget", "/nowhere.toml"],
             2,
             "/nowhere.toml: No such file",
         ),
         (
-            &["lab", "scale", "--budget", &inputs.bad],
+            &["experiment", "scale", "--budget", &inputs.bad],
             2,
             "bad.toml: line ",
         ),
         (
-            &["lab", "scale", "--relays", "300", "--each-process", "1"],
+            &[
+                "experiment",
+                "scale",
+                "--relays",
+                "300",
+                "--each-process",
+                "1",
+            ],
             1,
             "303 processes; 200 at most",
         ),
         (
-            &["lab", "slope", "--at", "10"],
+            &["experiment", "slope", "--at", "10"],
             2,
             "--at: two sizes or more",
         ),
@@ -169,7 +184,7 @@
 
 #[test]
 fn shipped_scenarios_are_sound_and_listed() {
-    let listed = text(&run(&["lab", "list"]).stdout);
+    let listed = text(&run(&["experiment", "list"]).stdout);
     let scenarios = Path::new(env!("CARGO_MANIFEST_DIR")).join("../scenarios");
     let mut count = 0;
     for file in std::fs::read_dir(scenarios).unwrap() {
--- a/cli/tests/command/scale.rs
+++ b/cli/tests/command/scale.rs
@@ -31,7 +31,13 @@
         "--period", "200", "--term", "2000", "--calm", "2", "--fault", "rack",
     ];
     let mut arguments = vec![
-        "lab", "scale", "--quiet", "--budget", &budget, "--out", &out,
+        "experiment",
+        "scale",
+        "--quiet",
+        "--budget",
+        &budget,
+        "--out",
+        &out,
     ];
     arguments.extend(sizes.iter().chain(&times));
     let done = run(&arguments);
