--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -1,5 +1,6 @@
 //! Sessions that wait for a backend: answers, and attempts that are given up.
 use crate::helper::*;
+use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{BufRead, BufReader};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::Arc;
@@ -200,12 +201,22 @@
     relay.wait_for_counter("dials_withdrawn", 1);
 }
 
+/// A listener that takes this many connections at once. With fewer places the kernel completes a
+/// handshake that found none seconds later, long after the relay gave the attempt up.
+fn listener_for_connections(connections: u32) -> TcpListener {
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
+    let address: SocketAddr = ([127, 0, 0, 1], 0).into();
+    socket.bind(&address.into()).unwrap();
+    socket.listen(connections as i32).unwrap();
+    socket.into()
+}
+
 /// More clients leave than one turn handles, and timers are due for all: not even a connection may
 /// be started for one that left.
 #[test]
 fn client_leaving_behind_hundreds_of_events_starts_no_attempt() {
     const CLIENTS: u32 = 900;
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+    let listener = listener_for_connections(2 * CLIENTS);
     let (busy, begun) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
     let count = begun.clone();
     std::thread::spawn(move || {
