--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -12,20 +12,20 @@
 /// Ticks of the caller's clock kept free before a session's deadline, so that an attempt that times
 /// out can still be answered.
 const ANSWER_TICKS: f64 = 2.0;
-/// Part of the retry limits that any session may use. Of the rest a session has the more the more
+/// Share of the retry limits that any session may use. A session may use more of the rest the more
 /// it is worth and the more of its time is left.
 const UNRESERVED_RETRY_SHARE: f64 = 0.5;
-/// An attempt that timed out counts as one that took so many times as long.
+/// Factor on the duration of a timed-out attempt when it is recorded as a connect time.
 const TIMED_OUT_FACTOR: f64 = 2.0;
 
 impl Balancer {
-    /// Starts the session's next attempt, or gives the final answer where none can be made.
+    /// Starts the session's next attempt, or gives the final answer if none can be made.
     pub(super) fn connect(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
         let state = self.sessions.get(&id).map(|session| session.state);
         let Some(SessionState::New | SessionState::BackingOff) = state else {
             return;
         };
-        // The attempt spends anew what was reserved for it.
+        // Leaving the backoff releases the reserved retry. `try_spend` counts it again below.
         self.set_state(id, SessionState::New, driver);
         let Some(backend_id) = self.select_backend(now, id) else {
             self.schedule_health_check(now, Urgency::Hurried, driver);
@@ -33,9 +33,10 @@
         };
         let session = &self.sessions[&id];
         let (route, is_retry) = (session.route.clone(), session.attempts_started > 0);
-        // The task may run late, and the connection may come up as late as its timeout.
-        let in_window = |_, window_end| now + route.connect_timeout < window_end;
-        if !self.may_repeat(session, in_window)
+        // The retry task may run late, and the connection may take its whole timeout to become
+        // ready.
+        let is_deduplicated = |_, window_end| now + route.connect_timeout < window_end;
+        if !self.may_repeat(session, is_deduplicated)
             || is_retry && !self.limits.try_spend(now, &route, ExtraAttempt::Retry)
         {
             return self.reject(now, id, driver);
@@ -47,7 +48,7 @@
         self.schedule_hedge(now, id, attempt, driver);
     }
 
-    /// Starts an attempt; none where no time is left for it.
+    /// Starts an attempt, or returns `None` if no time is left for it.
     pub(super) fn start_attempt(
         &mut self,
         now: Instant,
@@ -75,19 +76,20 @@
         })
     }
 
-    /// How long the session's next attempt may take: the last one all the time that is left.
+    /// Returns how long the session's next attempt may take. The last one gets all the time that is
+    /// left.
     fn attempt_timeout(&self, now: Instant, id: SessionId) -> Duration {
         let session = &self.sessions[&id];
         let tick = self.deployment.tick;
-        let left = self.deadline_of(session).duration_since(now + tick + tick);
+        let time_left = self.deadline_of(session).duration_since(now + tick + tick);
         if session.attempts_started + 1 >= session.route.max_attempts {
-            return left;
+            return time_left;
         }
-        let slow = self.traffic.connect_time * session.route.attempt_timeout_factor;
-        left.min(session.route.handshake_objective.max(slow))
+        let slow_connect_time = self.traffic.connect_time * session.route.attempt_timeout_factor;
+        time_left.min(session.route.handshake_objective.max(slow_connect_time))
     }
 
-    /// An attempt has set its connection up.
+    /// Handles an attempt that has set its connection up.
     pub fn attempt_ready(
         &mut self,
         now: Instant,
@@ -115,11 +117,18 @@
         self.traffic.record_connect_time(connect_time);
         self.limits.record_connect_time(&route, connect_time);
         self.earn_health_checks(now, driver);
-        let since = now;
-        self.set_state(id, SessionState::Established { attempt, since }, driver);
+        let established_at = now;
+        self.set_state(
+            id,
+            SessionState::Established {
+                attempt,
+                established_at,
+            },
+            driver,
+        );
     }
 
-    /// An attempt, or the connection that it set up, has ended.
+    /// Handles the end of an attempt, or of the connection that it set up.
     pub fn attempt_ended(
         &mut self,
         now: Instant,
@@ -140,9 +149,12 @@
                 }
                 self.cancel_hedge(id, driver);
             }
-            SessionState::Established { attempt, since } if attempt.number == end.attempt => {
-                let stood = now.duration_since(since);
-                self.record_connection_end(now, id, attempt, stood, end);
+            SessionState::Established {
+                attempt,
+                established_at,
+            } if attempt.number == end.attempt => {
+                let established_for = now.duration_since(established_at);
+                self.record_connection_end(now, id, attempt, established_for, end);
                 if !is_answered {
                     return self.fail(id, driver);
                 }
@@ -153,7 +165,7 @@
         self.set_state(id, SessionState::Ended, driver);
     }
 
-    /// Records what the end of an attempt that was never ready tells of its backend.
+    /// Records what the end of an attempt that never became ready says about its backend.
     fn record_attempt_end(
         &mut self,
         now: Instant,
@@ -187,14 +199,14 @@
         }
     }
 
-    /// Records what the end of a connection, which stood for so long, tells of its client and of
-    /// its backend.
+    /// Records what the end of a connection, established for `established_for`, says about its
+    /// client and its backend.
     fn record_connection_end(
         &mut self,
         now: Instant,
         id: SessionId,
         attempt: Attempt,
-        stood: Duration,
+        established_for: Duration,
         end: AttemptEnd,
     ) {
         let session = &self.sessions[&id];
@@ -204,19 +216,19 @@
         if end.outcome == AttemptOutcome::Ok {
             self.traffic.record_departure();
         }
-        if is_reset && stood < stable_after {
+        if is_reset && established_for < stable_after {
             self.record_client_failure(now, id);
         } else if let Some(key) = key {
-            // The access clears the count if the connection has stood for long enough.
+            // `client_failures` clears the count if the connection was established for long enough.
             self.client_failures(key, now).clears_at = None;
         }
         if is_reset {
-            self.record_break(now, attempt.backend);
+            self.record_connection_break(now, attempt.backend);
         }
     }
 
-    /// After a failed attempt: the hedge goes on where one is under way; otherwise a retry follows
-    /// after the backoff, or the final answer at once.
+    /// Continues the session after a failed attempt: with the hedge if one is under way, with a
+    /// retry after the backoff if one is allowed, or else with the final answer at once.
     fn retry(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -232,11 +244,11 @@
             self.set_state(id, SessionState::BackingOff, driver);
             self.schedule(now + backoff, Task::Retry(id), driver);
         } else {
-            self.reject_after(id, backoff, driver);
+            self.reject_or_fail(id, backoff, driver);
         }
     }
 
-    /// Whether a retry after this backoff would be in time and could do no harm.
+    /// Returns whether a retry after this backoff would be in time and could do no harm.
     fn can_retry_after(&self, backoff: Duration, now: Instant, id: SessionId) -> bool {
         let session = &self.sessions[&id];
         let connect_time = session.route.connect_timeout + self.deployment.tick * ANSWER_TICKS;
@@ -246,26 +258,27 @@
             && self.may_repeat(session, |_, window_end| ready_at < window_end)
     }
 
-    /// Whether the limits leave a retry for this session.
+    /// Returns whether the retry limits leave a retry for this session.
     fn is_retry_granted(&mut self, now: Instant, id: SessionId) -> bool {
         let session = &self.sessions[&id];
         let route = session.route.clone();
-        let left = self.deadline_of(session).duration_since(now);
+        let time_left = self.deadline_of(session).duration_since(now);
         let max_weight = self
             .routes
             .iter()
             .fold(route.priority_weight, |max, other| {
                 max.max(other.priority_weight)
             });
-        let worth = route.priority_weight / max_weight.max(f64::MIN_POSITIVE) * left.as_secs_f64()
+        let session_value = route.priority_weight / max_weight.max(f64::MIN_POSITIVE)
+            * time_left.as_secs_f64()
             / session.arrival.timeout.as_secs_f64();
         let Some(allowance) = self.limits.allowance(now, &route, ExtraAttempt::Retry) else {
             return true;
         };
         let unreserved = allowance.limit * UNRESERVED_RETRY_SHARE;
         let reserved = 1.0 - UNRESERVED_RETRY_SHARE;
-        let reach = allowance.limit * (UNRESERVED_RETRY_SHARE + reserved * worth);
+        let session_limit = allowance.limit * (UNRESERVED_RETRY_SHARE + reserved * session_value);
         allowance.spent + 1.0 <= allowance.limit
-            && (allowance.spent < unreserved || allowance.spent + 1.0 <= reach)
+            && (allowance.spent < unreserved || allowance.spent + 1.0 <= session_limit)
     }
 }
--- a/src/balancer/backend_state.rs
+++ b/src/balancer/backend_state.rs
@@ -1,4 +1,4 @@
-//! What the balancer keeps of one backend.
+//! State that the balancer keeps for one backend.
 use crate::attempt::LoadReport;
 use crate::endpoint::Endpoint;
 use crate::snapshot::EndpointStatistics;
@@ -7,56 +7,58 @@
 
 /// Load, as a share of capacity, from which a backend's messages begin to be late.
 pub(super) const HOT_LOAD: f64 = 0.6;
-/// Load from which nothing is placed and some is migrated: it may rise between two reports.
+/// Load, as a share of capacity, from which no session is placed and some are migrated: the load
+/// may rise between two reports.
 pub(super) const FULL_LOAD: f64 = 0.8;
-/// The age that reports may have when they come.
+/// Age that a load report may already have when it arrives.
 pub(super) const REPORT_LAG: Duration = Duration::from_millis(1_000);
-/// Messages later than this part of the latency objective are a sign of a hot backend.
+/// Messages that take longer than this share of the latency objective are a sign of a hot backend.
 pub(super) const LATE_OBJECTIVE_SHARE: f64 = 1.0 / 3.0;
 
-/// An older report counts as none.
+/// Load reports older than this are ignored.
 const REPORT_MAX_AGE: Duration = Duration::from_millis(30_000);
-/// The same where the weights of the endpoint list tell of loads.
+/// `REPORT_MAX_AGE` for a backend whose weight in the endpoint list reflects its load.
 const REPORT_MAX_AGE_WITH_WEIGHTS: Duration = Duration::from_millis(10_000);
-/// An older observation of latency counts as none: they come once a second.
+/// Latency observations, which come once a second, are ignored when older than this.
 const LATENCY_MAX_AGE: Duration = Duration::from_millis(2_000);
 /// Connections that break further apart than this belong to separate events.
 const BREAK_WINDOW: Duration = Duration::from_millis(500);
 
-/// One backend, as long as the balancer lives.
+/// State of one backend, kept as long as the balancer lives.
 #[derive(Default)]
 pub(super) struct Backend {
     pub(super) endpoint: Endpoint,
-    /// Attempts under way and connections that this relay has there.
+    /// Attempts under way and established connections that this relay has at the backend.
     pub(super) connections: u32,
-    /// The same of each group.
+    /// `connections` by group.
     pub(super) group_connections: BTreeMap<u64, u32>,
     pub(super) statistics: EndpointStatistics,
-    /// Own placements that the latest report may not include.
+    /// When this relay placed the sessions that the latest report may not include.
     pub(super) recent_placements: VecDeque<Instant>,
     pub(super) message_latency: Option<LatencyObservation>,
-    /// Since when its messages have been late.
+    /// When its messages became late, if they still are.
     pub(super) late_since: Option<Instant>,
-    /// It reported free capacity while its messages were late.
+    /// The backend reported free capacity while its messages were late.
     pub(super) understates_load: bool,
-    /// Reports in a row of more than its capacity, while its messages were in time.
+    /// Consecutive reports of a load above capacity while messages were in time.
     pub(super) overstated_reports: u32,
-    /// The latest time for which it was banned, or down as its broken connections show.
+    /// The latest period in which the backend was banned, or was down as its broken connections
+    /// show.
     pub(super) outage: Option<Outage>,
-    /// When its excess was last migrated.
+    /// When the excess load of the backend was last migrated.
     pub(super) relieved_at: Instant,
     pub(super) breaks: ConnectionBreaks,
     pub(super) overload_backoff: OverloadBackoff,
 }
 
-/// How late messages were on one connection.
+/// The message latency observed on one connection.
 #[derive(Clone, Copy)]
 pub(super) struct LatencyObservation {
     pub(super) observed_at: Instant,
     pub(super) latency: Duration,
 }
 
-/// A time for which a backend took no part.
+/// A period in which a backend was out of service.
 #[derive(Clone, Copy)]
 pub(super) struct Outage {
     pub(super) from: Instant,
@@ -66,21 +68,21 @@
 /// Established connections that broke shortly after one another.
 #[derive(Clone, Copy, Default)]
 pub(super) struct ConnectionBreaks {
-    since: Instant,
+    first_at: Instant,
     pub(super) count: u32,
 }
 
 impl ConnectionBreaks {
     pub(super) fn record(&mut self, now: Instant) {
-        if now.duration_since(self.since) > BREAK_WINDOW {
-            (self.since, self.count) = (now, 0);
+        if now.duration_since(self.first_at) > BREAK_WINDOW {
+            (self.first_at, self.count) = (now, 0);
         }
         self.count += 1;
     }
 }
 
-/// How often in a row a backend dropped or refused what it could not hold, and until when it is
-/// left alone for that.
+/// How many consecutive times a backend dropped or refused a connection for lack of capacity, and
+/// until when the relay backs off from it.
 #[derive(Clone, Copy, Default)]
 pub(super) struct OverloadBackoff {
     pub(super) count: u32,
@@ -99,8 +101,8 @@
         }
     }
 
-    /// Forgets all but the connections: another process runs under this id, and what was known of
-    /// the last one misleads.
+    /// Forgets everything but the connections and the outage: another process runs under this id,
+    /// and what was known of the previous one would mislead.
     pub(super) fn reset(&mut self, endpoint: Endpoint) {
         let group_connections = std::mem::take(&mut self.group_connections);
         *self = Backend {
@@ -115,8 +117,8 @@
         self.statistics.pending_health_checks > 0
     }
 
-    /// When the process started: at the end of its outage where the endpoint list knows of no later
-    /// start.
+    /// Returns when the backend's process started: the end of its outage, unless the endpoint list
+    /// names a start since the outage began.
     pub(super) fn started_at(&self) -> Option<Instant> {
         let listed = self.endpoint.started_at;
         self.outage
@@ -125,9 +127,9 @@
             .or(listed)
     }
 
-    /// The latest load report, unless it is too old.
+    /// Returns the latest load report, unless it is too old.
     pub(super) fn report(&self, now: Instant) -> Option<LoadReport> {
-        // Listed weights that change tell more than a report that is no longer fresh.
+        // Listed weights that change say more than a report that is no longer fresh.
         let max_age = if self.endpoint.weight == 1.0 {
             REPORT_MAX_AGE
         } else {
@@ -139,9 +141,9 @@
             .map(|(_, report)| report)
     }
 
-    /// The reported load as of now. A listed weight that falls with the connections held tells what
-    /// came and went since the report. It counts no more than twofold, since the list may be far
-    /// behind when a relay starts.
+    /// Returns the reported load, adjusted by the change of the listed weight since the report. The
+    /// weight falls as the backend holds more connections. The adjustment is at most twofold, since
+    /// the list may be far behind when a relay starts.
     pub(super) fn reported_load(&self, now: Instant) -> Option<f64> {
         let change = (self.statistics.weight_at_report / self.endpoint.weight).clamp(0.5, 2.0);
         self.report(now)
@@ -149,8 +151,8 @@
             .map(|load| load * change)
     }
 
-    /// The load that late messages show, whatever the backend reports. The estimate decays as
-    /// connections depart, at `departure_rate` a second.
+    /// Returns the load that late messages show, whatever the backend reports. The estimate decays
+    /// as connections depart, at `departure_rate` per second.
     pub(super) fn load_by_latency(
         &self,
         now: Instant,
@@ -165,12 +167,13 @@
         if objective == Duration::ZERO || !is_valid {
             return 0.0;
         }
-        let late = objective.as_secs_f64() * LATE_OBJECTIVE_SHARE;
-        (HOT_LOAD * observation.latency.as_secs_f64() / late).min(1.0)
+        let late_threshold = objective.as_secs_f64() * LATE_OBJECTIVE_SHARE;
+        (HOT_LOAD * observation.latency.as_secs_f64() / late_threshold).min(1.0)
             * (-departure_rate * age.as_secs_f64()).exp()
     }
 
-    /// Whether its messages were later than this of late; never for an objective of zero.
+    /// Returns whether the latest observation is recent and its latency exceeds the objective. It
+    /// never does for an objective of zero.
     pub(super) fn is_later_than(&self, objective: Duration, now: Instant) -> bool {
         let is_recent = |observation: &LatencyObservation| {
             now.duration_since(observation.observed_at) < LATENCY_MAX_AGE
--- a/src/balancer/backoff.rs
+++ b/src/balancer/backoff.rs
@@ -5,11 +5,11 @@
 use crate::ids::{BackendId, SessionId};
 use crate::time::{Duration, Instant};
 
-/// Doublings of a backoff, at most.
+/// Maximum number of doublings of a backoff.
 const MAX_DOUBLINGS: u32 = 16;
 
 impl Balancer {
-    /// Exponential backoff with full jitter after so many failures.
+    /// Returns the exponential backoff with full jitter after `failures` failures.
     pub(super) fn jittered_backoff(
         &mut self,
         failures: u32,
@@ -20,7 +20,7 @@
         cap.min(doubled) * self.rng.unit_f64()
     }
 
-    /// Counts a failure of the session's client. Returns the backoff before its next attempt.
+    /// Counts a failure of the session's client and returns the backoff before its next attempt.
     pub(super) fn record_client_failure(&mut self, now: Instant, id: SessionId) -> Duration {
         let Some(session) = self.sessions.get_mut(&id) else {
             return Duration::ZERO;
@@ -39,7 +39,7 @@
         self.jittered_backoff(previous, route.backoff_base, route.backoff_cap)
     }
 
-    /// The failures of a client, cleared if its connection has stood for long enough.
+    /// Returns the failures of a client, cleared if its connection was established for long enough.
     pub(super) fn client_failures(&mut self, key: u64, now: Instant) -> &mut ClientFailures {
         let client = self.failure_counts.get_or_insert(key, now);
         if client.clears_at.is_some_and(|clears_at| clears_at <= now) {
@@ -48,9 +48,9 @@
         client
     }
 
-    /// Leaves a backend alone that dropped connections or refused one: where no load is reported
-    /// that is the one sign of a lack of capacity. The wait grows with the number of relays, as
-    /// each of them tries the backend.
+    /// Backs off from a backend that dropped connections or refused one: without load reports that
+    /// is the only sign of a lack of capacity. The wait grows with the number of relays, as each of
+    /// them tries the backend.
     pub(super) fn back_off_from(&mut self, now: Instant, backend_id: BackendId) {
         let base = BACKOFF_BASE * f64::from(self.deployment.relay_count);
         let Some(OverloadBackoff { count, until }) = self
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoint list, bans, and the connections that backends hold.
+//! The endpoint list, bans, and the counts of connections at backends.
 use super::backend_state::{Backend, Outage};
 use super::task_queue::Task;
 use super::{BACKOFF_BASE, BACKOFF_CAP, Balancer};
@@ -8,12 +8,12 @@
 use crate::time::Instant;
 use std::collections::BTreeSet;
 
-/// The longest wait for a new subscription, as a part of the time within which the list has to be
+/// Longest wait for a new subscription, as a share of the time within which the list must be
 /// polled.
 const MAX_SUBSCRIBE_WAIT_SHARE: f64 = 0.5;
 
 impl Balancer {
-    /// Takes in an update of the endpoint list.
+    /// Applies an update of the endpoint list.
     pub fn update_endpoints(&mut self, kind: UpdateKind, endpoints: &[Endpoint]) {
         if kind != UpdateKind::Delta {
             self.remove_unlisted(endpoints);
@@ -42,8 +42,9 @@
         }
     }
 
-    /// A call of discovery failed or the subscription broke. Full jitter spreads the relays, well
-    /// within the time after which they would be taken to know what they never received.
+    /// Handles a failed call of discovery or a broken subscription. Full jitter spreads the relays'
+    /// new subscriptions. They come well within `poll_within`, after which a relay would be taken
+    /// to know a list that it never received.
     pub fn discovery_failed(&mut self, now: Instant, driver: &mut dyn Driver) {
         let Some(poll_within) = self.deployment.poll_within else {
             return;
@@ -55,8 +56,8 @@
         self.schedule(now + wait, Task::Subscribe, driver);
     }
 
-    /// An operator bans a backend or lifts its ban. After a ban it counts as restarted, and nothing
-    /// that was known of it holds.
+    /// Bans a backend on behalf of an operator, or lifts its ban. After a ban the backend counts as
+    /// restarted, and nothing that was known of it holds.
     pub fn set_banned(&mut self, now: Instant, backend_id: BackendId, is_banned: bool) {
         if is_banned {
             self.bans.entry(backend_id).or_insert(now);
@@ -71,7 +72,7 @@
         }
     }
 
-    /// The backends that take new connections, by their id.
+    /// Returns the backends that take new connections, ordered by id.
     pub(super) fn ready_backends(&self) -> impl Iterator<Item = (BackendId, &Backend)> {
         self.backends
             .iter()
@@ -80,7 +81,7 @@
             .filter(|(backend_id, _)| !self.bans.contains_key(backend_id))
     }
 
-    /// Counts one more connection of a group at a backend.
+    /// Counts one connection more at a backend, and in its group.
     pub(super) fn add_connection(&mut self, backend_id: BackendId, group: Option<u64>) {
         let Some(backend) = self.backends.get_mut(&backend_id) else {
             return;
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Counts one connection of a group at a backend less.
+    /// Counts one connection less at a backend, and in its group.
     pub(super) fn remove_connection(&mut self, backend_id: BackendId, group: Option<u64>) {
         let Some(backend) = self.backends.get_mut(&backend_id) else {
             return;
--- a/src/balancer/fleet_load.rs
+++ b/src/balancer/fleet_load.rs
@@ -1,23 +1,23 @@
-//! What recent load reports tell of the fleet as a whole.
+//! Load of the whole fleet, estimated from recent load reports.
 use super::Balancer;
 use super::backend_state::Backend;
 use crate::endpoint::EndpointState;
 use crate::ids::BackendId;
 use crate::time::Instant;
 
-/// Part of a backend that one connection counts for, at most. A relay that has just started knows
-/// few connections and would take each for a large part of a backend.
+/// Largest share of a backend's capacity that one connection counts for. A relay that has just
+/// started knows few connections and would otherwise attribute a large part of a backend to each.
 const MAX_CONNECTION_SHARE: f64 = 0.1;
 
-/// The unit in which loads are known.
+/// The unit of the loads that are known.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum LoadUnit {
-    /// No backend has reported; loads are own connections.
+    /// No backend has reported; loads are counts of this relay's own connections.
     #[default]
     OwnConnections,
-    /// Backends report the connections that they hold.
+    /// Backends report how many connections they hold.
     Connections,
-    /// Backends report the share of their capacity that is asked for.
+    /// Backends report the load asked of them as a share of their capacity.
     CapacityShare,
 }
 
@@ -27,15 +27,16 @@
     pub(super) unit: LoadUnit,
     /// Mean load of the backends that have reported.
     pub(super) mean: f64,
-    /// The same as if all listed weights were 1.
+    /// `mean` as if all listed weights were 1.
     pub(super) mean_at_unit_weight: f64,
     /// What one connection adds to the load of an average backend.
     pub(super) per_connection: f64,
-    /// `per_connection` does not rest on own connections as a sample of those of all relays.
+    /// Whether `per_connection` is computed from reported connections, or no backend has reported.
+    /// Otherwise this relay's own connections are taken as a sample of those of all relays.
     pub(super) counts_all_relays: bool,
-    /// Ready backends that are warming up.
+    /// Number of ready backends that are warming up.
     pub(super) warming_up: f64,
-    /// The part of the connections that depart by themselves within a second.
+    /// Share of the connections that depart by themselves within a second.
     pub(super) departure_rate: f64,
 }
 
@@ -68,7 +69,7 @@
         let per_backend = self.connections_per_warm_backend(now);
         let sums = self.sum_reports(now);
         if sums.backends == 0.0 {
-            // A warm backend can take at least what each holds now.
+            // A warm backend can take at least as many connections as each holds now.
             return FleetLoad {
                 per_connection: 1.0 / per_backend,
                 counts_all_relays: true,
@@ -116,8 +117,9 @@
         sums
     }
 
-    /// Connections that a warm backend holds, judged by those of this relay. Backends that warm up
-    /// are left out: with them the figure would halve just as half the fleet is replaced.
+    /// Returns the connections that a warm backend holds, extrapolated from those of this relay.
+    /// Backends that are warming up are left out: with them the figure would halve just as half the
+    /// fleet is replaced.
     fn connections_per_warm_backend(&self, now: Instant) -> f64 {
         let holds_connections = |backend: &Backend| {
             backend.connections > 0 || backend.endpoint.state == EndpointState::Ready
@@ -133,7 +135,7 @@
         f64::from(warm.iter().sum::<u32>() * self.deployment.relay_count) / warm.len().max(1) as f64
     }
 
-    /// The part of the connections that depart by themselves within a second.
+    /// Returns the share of the connections that depart by themselves within a second.
     pub(super) fn departure_rate(&self, assumed_departures: f64) -> f64 {
         let warm_up = self.deployment.slow_start.warm_up;
         self.traffic.departure_rate(assumed_departures, warm_up)
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -1,5 +1,5 @@
-//! Signs of a backend's health: load reports, health checks, late messages, and the failures that
-//! eject it as an outlier.
+//! Health of backends, as shown by load reports, health checks, late messages, and the failures
+//! that eject a backend as an outlier.
 use super::Balancer;
 use super::backend_state::{
     HOT_LOAD, LATE_OBJECTIVE_SHARE, LatencyObservation, Outage, REPORT_LAG,
@@ -11,27 +11,28 @@
 use crate::ids::{BackendId, SessionId};
 use crate::time::{Duration, Instant};
 
-/// Connections of one backend that break together without any left over show that it went down.
+/// A backend counts as restarted once this many of its connections break together and none is left.
 const RESTART_BREAKS: u32 = 2;
-/// Failures in a row that eject a backend: a single one may be chance.
+/// Consecutive failures that eject a backend: a single one may be chance.
 const EJECTION_FAILURES: u32 = 2;
-/// One backend in so many may be ejected at a time.
+/// Fewer than one in this many ready backends may be ejected at a time, but always one.
 const MAX_EJECTED_DIVISOR: usize = 2;
-/// Health checks in a row that bring a backend back after its first ejection. Each further ejection
-/// doubles them.
+/// Consecutive health checks that a backend must pass to return after its first ejection. Each
+/// further ejection doubles the number.
 const FIRST_EJECTION_HEALTH_CHECKS: u32 = 2;
-/// Ejections that double the health checks, at most.
+/// Maximum number of doublings of the health checks that an ejected backend must pass.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Reports in a row that overstate a load before they are disbelieved.
+/// Consecutive reports that overstate the load before they are disbelieved.
 const MAX_OVERSTATED_REPORTS: u32 = 2;
-/// Lags of reports after which one that is not in line with late messages is untrue.
+/// Time for which messages must have been late, in report lags, before a report of free capacity is
+/// untrue.
 const UNTRUE_AFTER_LAGS: f64 = 2.0;
-/// A connection that has had no answer for so long is given up: a pause of the backend is over by
-/// then.
+/// Time without a response after which a connection is given up. Backends that merely pause respond
+/// sooner.
 const UNRESPONSIVE_AFTER: Duration = Duration::from_millis(1_000);
 
 impl Balancer {
-    /// A health check of a backend has ended.
+    /// Handles the end of a health check of a backend.
     pub fn health_checked(
         &mut self,
         now: Instant,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// The load that a session's connection causes, as a share of a backend's capacity.
+    /// Records the load that a session's connection causes, as a share of a backend's capacity.
     pub fn load_observed(&mut self, id: SessionId, load: f64) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -63,7 +64,7 @@
         }
     }
 
-    /// How late messages are on a session's connection.
+    /// Records the latency of messages on a session's connection.
     pub fn latency_observed(
         &mut self,
         now: Instant,
@@ -71,7 +72,7 @@
         latency: Duration,
         driver: &mut dyn Driver,
     ) {
-        let Some(backend_id) = self.backend_of_established(id) else {
+        let Some(backend_id) = self.established_backend(id) else {
             return;
         };
         let objective = self.deployment.message_objective;
@@ -101,8 +102,8 @@
         }
     }
 
-    /// A message on a session's connection has had no answer for so long. A backend that has
-    /// vanished or hangs closes nothing.
+    /// Handles a message on a session's connection that has had no response for `waited`. A backend
+    /// that has vanished or hangs does not close its connections.
     pub fn response_overdue(
         &mut self,
         now: Instant,
@@ -111,12 +112,13 @@
         driver: &mut dyn Driver,
     ) {
         self.latency_observed(now, id, waited, driver);
-        let Some(backend_id) = self.backend_of_established(id) else {
+        let Some(backend_id) = self.established_backend(id) else {
             return;
         };
         let backend = self.backends.get(&backend_id);
         if backend.is_some_and(|backend| backend.is_ejected()) {
-            // Two signs agree. Each of the others would find out only by a message of its own.
+            // The ejection and the overdue response confirm each other. Every other connection
+            // would find out only by an unanswered message of its own.
             self.migrate_all(backend_id, driver);
         } else if waited >= UNRESPONSIVE_AFTER {
             self.record_failure(backend_id, AttemptOutcome::TimedOut);
@@ -124,7 +126,7 @@
         }
     }
 
-    fn backend_of_established(&self, id: SessionId) -> Option<BackendId> {
+    fn established_backend(&self, id: SessionId) -> Option<BackendId> {
         match self.sessions.get(&id) {
             Some(Session {
                 state: SessionState::Established { attempt, .. },
@@ -134,7 +136,7 @@
         }
     }
 
-    /// Records a load report, unless it tells nothing.
+    /// Records a load report, unless it is empty.
     pub(super) fn record_report(
         &mut self,
         now: Instant,
@@ -150,33 +152,35 @@
         let late_objective = self.deployment.message_objective * LATE_OBJECTIVE_SHARE;
         let is_late = backend.is_later_than(late_objective, now);
         // A report may have been made before the messages were late. One that was made later and
-        // tells of free capacity is not true.
+        // claims free capacity is untrue.
         let is_late_for_long = backend.late_since.is_some_and(|late_since| {
             now.duration_since(late_since) > REPORT_LAG * UNTRUE_AFTER_LAGS
         });
         if is_late && is_late_for_long {
             backend.understates_load = report.load.is_some_and(|load| load < HOT_LOAD);
         }
-        // Nor is one that tells of more than the capacity while own messages there are in time.
+        // A report of a load above capacity is untrue while this relay's messages to the backend
+        // are in time.
         let is_in_time = self.deployment.observes_latency && backend.connections > 0 && !is_late;
         backend.overstated_reports = if is_in_time && report.load > Some(1.0) {
             backend.overstated_reports + 1
         } else {
             0
         };
-        let mut believed = report;
+        let mut believed_report = report;
         if backend.overstated_reports >= MAX_OVERSTATED_REPORTS {
-            believed.load = Some(HOT_LOAD);
+            believed_report.load = Some(HOT_LOAD);
         }
-        backend.statistics.last_report = Some((now, believed));
+        backend.statistics.last_report = Some((now, believed_report));
         backend.statistics.weight_at_report = backend.endpoint.weight;
         backend
             .recent_placements
             .retain(|&placed_at| placed_at + REPORT_LAG > now);
     }
 
-    /// Counts a failure of a backend. Several in a row eject it, until it has passed health checks:
-    /// a backend that hangs or fails fast may still report, and looks the least loaded of all.
+    /// Counts a failure of a backend. Consecutive failures eject it until it has passed health
+    /// checks: a backend that hangs or fails fast may still report, and looks the least loaded of
+    /// all.
     pub(super) fn record_failure(&mut self, backend_id: BackendId, outcome: AttemptOutcome) {
         let ready = self.ready_backends().count();
         let ejected = self
@@ -189,7 +193,7 @@
         let was_ejected = backend.is_ejected();
         let statistics = &mut backend.statistics;
         statistics.consecutive_failures += 1;
-        // Failures of most of the fleet have a cause that no backend can be blamed for.
+        // If most of the fleet fails, the cause does not lie with single backends.
         let may_eject = (ejected + 1) * MAX_EJECTED_DIVISOR < ready.max(MAX_EJECTED_DIVISOR + 1);
         if outcome != AttemptOutcome::Saturated
             && statistics.consecutive_failures >= EJECTION_FAILURES
@@ -204,10 +208,10 @@
         }
     }
 
-    /// Counts an established connection that broke. Where all of several break together, the
-    /// backend went down with them and warms up when it is back, whether or not the endpoint list
-    /// ever tells. One that holds others still is overloaded.
-    pub(super) fn record_break(&mut self, now: Instant, backend_id: BackendId) {
+    /// Counts an established connection that broke. If all of several connections break together,
+    /// the backend went down and warms up when it is back, whether or not the endpoint list ever
+    /// says so. A backend that still holds other connections is overloaded.
+    pub(super) fn record_connection_break(&mut self, now: Instant, backend_id: BackendId) {
         let Some(backend) = self.backends.get_mut(&backend_id) else {
             return;
         };
@@ -223,7 +227,7 @@
         }
     }
 
-    /// Forgets the failures and ejections of a backend that has set a connection up.
+    /// Clears the failures and ejections of a backend that has set a connection up.
     pub(super) fn clear_failures(&mut self, backend_id: BackendId) {
         if let Some(backend) = self.backends.get_mut(&backend_id) {
             backend.statistics.consecutive_failures = 0;
--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -5,23 +5,25 @@
 use crate::ids::BackendId;
 use crate::time::{Duration, Instant};
 
-/// The shortest time between two health checks of one backend: reports are renewed about as often.
+/// Shortest average time between two health checks of one backend. Reports are renewed about as
+/// often.
 const MIN_INTERVAL_PER_BACKEND: Duration = Duration::from_millis(2_000);
-/// The longest time between two health checks of any backend.
+/// Longest time between two health checks of any backend.
 const MAX_INTERVAL: Duration = Duration::from_millis(5_000);
-/// The first health check comes within this part of the shortest interval.
+/// The first health check comes within this share of the shortest interval.
 const FIRST_INTERVAL_SHARE: f64 = 0.1;
-/// Part of what a session is worth that may be spent on health checks.
+/// Share of a session's worth that may be spent on health checks.
 const COST_SHARE: f64 = 0.005;
-/// What has been earned is spent over this time, so that a rush of sessions causes no burst.
+/// Period over which the earned health checks are spent, so that a rush of sessions causes no
+/// burst.
 const SPENDING_PERIOD: Duration = Duration::from_millis(10_000);
-/// Part of the interval after which the next health check comes where reports are missed.
+/// Share of the regular interval after which the next health check comes when it is hurried.
 const HURRIED_INTERVAL_SHARE: f64 = 0.25;
 
-/// When the next health check is due.
+/// When the next health check is due, and how many the sessions have paid for.
 #[derive(Default)]
 pub(super) struct HealthCheckSchedule {
-    /// Health checks that the sessions so far have earned and that are not yet sent.
+    /// Health checks that the sessions so far have paid for and that are not yet sent.
     earned: f64,
     last_at: Instant,
     next_at: Instant,
@@ -52,21 +54,22 @@
         self.schedule_health_check(now, Urgency::Regular, driver);
     }
 
-    /// Schedules the next health check, sooner than it was where sessions have paid for more since.
+    /// Schedules the next health check, sooner than before if sessions have paid for more since.
     pub(super) fn schedule_health_check(
         &mut self,
         now: Instant,
         urgency: Urgency,
         driver: &mut dyn Driver,
     ) {
-        let fastest =
+        let min_interval =
             MIN_INTERVAL_PER_BACKEND * (1.0 / self.ready_backends().count().max(1) as f64);
-        let earned = SPENDING_PERIOD * (1.0 / self.health_checks.earned.max(f64::MIN_POSITIVE));
+        let earned_interval =
+            SPENDING_PERIOD * (1.0 / self.health_checks.earned.max(f64::MIN_POSITIVE));
         let interval_share = match urgency {
             Urgency::Regular => 1.0,
             Urgency::Hurried => HURRIED_INTERVAL_SHARE,
         };
-        let interval = (earned.max(fastest) * interval_share)
+        let interval = (earned_interval.max(min_interval) * interval_share)
             .min(MAX_INTERVAL)
             .max(self.deployment.tick);
         let at = (self.health_checks.last_at + interval).max(now);
@@ -76,7 +79,7 @@
         }
     }
 
-    /// Whether a task for this time was replaced by an earlier one.
+    /// Returns whether an earlier task has replaced the one scheduled for this time.
     pub(super) fn is_superseded_health_check(&self, scheduled_at: Instant) -> bool {
         scheduled_at != self.health_checks.next_at
     }
@@ -84,7 +87,7 @@
     /// Sends a health check to a random backend and schedules the next.
     pub(super) fn send_health_check(&mut self, now: Instant, driver: &mut dyn Driver) {
         let backends = self.backends_to_check();
-        let chosen = self.choose(&backends).copied();
+        let chosen = self.choose_random(&backends).copied();
         if let Some(backend_id) = chosen
             && self.deployment.may_check_health
         {
@@ -95,17 +98,18 @@
         self.health_checks.earned = (self.health_checks.earned - 1.0).max(0.0);
     }
 
-    /// The ready backends. Where own connections stand at less than half of them, every second
-    /// health check goes to one of those, which would seldom be chosen else.
+    /// Returns the ready backends to draw the next health check from. If this relay has connections
+    /// at fewer than half of them, every second health check on average goes to one of those, which
+    /// would otherwise seldom be drawn.
     fn backends_to_check(&mut self) -> Vec<BackendId> {
         let with_connections = self
             .ready_backends()
             .filter(|(_, backend)| backend.connections > 0)
             .count();
         let are_few = with_connections > 0 && with_connections * 2 < self.ready_backends().count();
-        let wants_connections = are_few && self.rng.below(2) == 0;
+        let requires_connections = are_few && self.rng.below(2) == 0;
         self.ready_backends()
-            .filter(|(_, backend)| !wants_connections || backend.connections > 0)
+            .filter(|(_, backend)| !requires_connections || backend.connections > 0)
             .map(|(backend_id, _)| backend_id)
             .collect()
     }
--- a/src/balancer/hedging.rs
+++ b/src/balancer/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged attempts: a second one beside the first, of which the first to be ready wins.
+//! Hedged attempts: a second attempt beside the first, where the one that is ready first wins.
 use super::Balancer;
 use super::session_state::{Attempt, Session, SessionState};
 use super::task_queue::Task;
@@ -9,7 +9,7 @@
 use crate::time::Instant;
 
 impl Balancer {
-    /// Schedules a hedge of an attempt that has started, where its route hedges.
+    /// Schedules a hedge of an attempt that has started, if its route hedges.
     pub(super) fn schedule_hedge(
         &mut self,
         now: Instant,
@@ -18,7 +18,7 @@
         driver: &mut dyn Driver,
     ) {
         let route = &self.sessions[&id].route;
-        // The attempt that loses has to be cancelled.
+        // The losing attempt has to be cancelled.
         let may_hedge = self.deployment.may_hedge && self.deployment.may_cancel;
         if !may_hedge
             || route.idempotency != Idempotency::Idempotent
@@ -31,9 +31,9 @@
         }
     }
 
-    /// Hedges the attempt of that number if it is still under way: another one starts at a backend
-    /// that is warm, as far as the route's limits go.
-    pub(super) fn hedge(
+    /// Hedges the attempt with this number if it is still under way: starts another one at a warm
+    /// backend, if the limits allow one.
+    pub(super) fn start_hedge(
         &mut self,
         now: Instant,
         id: SessionId,
@@ -68,7 +68,8 @@
         }
     }
 
-    /// Makes the attempt of that number the one of the session's state, and the other its hedge.
+    /// Makes the hedge the attempt of the session's state if it has this number. The other attempt
+    /// becomes the hedge.
     pub(super) fn promote_hedge(&mut self, id: SessionId, number: u32) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Cancels the hedge of a session that has one.
+    /// Cancels the hedge of a session, if it has one.
     pub(super) fn cancel_hedge(&mut self, id: SessionId, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
--- a/src/balancer/hot_restart.rs
+++ b/src/balancer/hot_restart.rs
@@ -1,10 +1,10 @@
-//! What one process of a relay passes on to its successor.
+//! State that one process of a relay passes on to its successor.
 use super::Balancer;
 use crate::snapshot::{BalancerSnapshot, EndpointStatistics};
 use crate::time::Instant;
 
 impl Balancer {
-    /// What the successor of this process is to know.
+    /// Returns what the successor of this process has to know.
     pub fn snapshot(&self) -> BalancerSnapshot {
         let endpoints = self
             .backends
@@ -19,8 +19,9 @@
         }
     }
 
-    /// Takes in what the predecessor knew of the backends that are listed by now. While
-    /// `has_predecessor` says that it still serves, slow-start turns are its alone.
+    /// Takes over what the predecessor knew of the backends that are listed by now.
+    /// `has_predecessor` says that the predecessor still serves: until it has ended, only the
+    /// predecessor uses slow-start turns.
     pub fn restore(&mut self, snapshot: &BalancerSnapshot, has_predecessor: bool) {
         self.has_predecessor = has_predecessor;
         if has_predecessor {
@@ -36,14 +37,14 @@
         }
     }
 
-    /// The predecessor of this process has ended.
+    /// Handles the end of the predecessor of this process.
     pub fn predecessor_ended(&mut self, now: Instant) {
         self.has_predecessor = false;
         self.limits.predecessor_ended(now);
     }
 }
 
-/// The later report of the two, and the worse of all counts.
+/// Combines the later report of the two with the greater of each count.
 fn merge(own: &EndpointStatistics, inherited: &EndpointStatistics) -> EndpointStatistics {
     let reported_at = |statistics: &EndpointStatistics| {
         statistics.last_report.map(|(reported_at, _)| reported_at)
--- a/src/balancer/load_estimate.rs
+++ b/src/balancer/load_estimate.rs
@@ -1,13 +1,14 @@
-//! The load that a backend is taken to have.
+//! Estimate of a backend's load.
 use super::Balancer;
 use super::fleet_load::FleetLoad;
 use crate::ids::BackendId;
 use crate::time::Instant;
 
 impl Balancer {
-    /// A backend's reported load and what was placed there since, in the unit of the fleet's load.
-    /// A backend without a report counts as an average one. Relays that share nothing choose the
-    /// same backends for a group at the same time, so own placements stand for those of all.
+    /// Returns a backend's reported load plus what was placed there since, in the unit of the
+    /// fleet's load. A backend without a report counts as an average one. The relays share no state
+    /// and choose the same backends for a group at the same time, so the placements of this relay
+    /// are multiplied by the number of relays.
     pub(super) fn estimated_load(
         &self,
         now: Instant,
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,9 +1,9 @@
 //! All decisions of a relay.
 //!
-//! The embedding protocol calls a method of [`Balancer`] for each event, with the time and with
-//! itself as a [`Driver`]; the balancer answers by calls of the driver before it returns. An event
-//! may be late or repeated: a session, attempt or backend that is unknown by then is ignored.
-//! `docs/design.md` says what follows the design and when each departure from it acts.
+//! The embedding protocol calls a method of [`Balancer`] for each event and passes the time and
+//! itself as a [`Driver`]. The balancer responds by calling the driver before it returns. An event
+//! may be late or repeated: one that names an unknown session, attempt or backend is ignored.
+//! `docs/design.md` says what follows the design and when each departure from it applies.
 //!
 //! | event | what follows | module |
 //! | --- | --- | --- |
@@ -17,9 +17,9 @@
 //! | [`attempt_ready`](Balancer::attempt_ready) | the session is established, a hedge cancelled | `attempts` |
 //! | [`attempt_ended`](Balancer::attempt_ended) | a retry, the final answer or the session's end | `attempts` |
 //! | [`health_checked`](Balancer::health_checked) | the report is recorded, or a failure | `health` |
-//! | [`load_observed`](Balancer::load_observed) | the typical load of a route is learnt | `health` |
+//! | [`load_observed`](Balancer::load_observed) | the typical load of the route is updated | `health` |
 //! | [`latency_observed`](Balancer::latency_observed) | late messages raise the load estimate | `health` |
-//! | [`response_overdue`](Balancer::response_overdue) | the backend counts a failure and is left | `health` |
+//! | [`response_overdue`](Balancer::response_overdue) | the backend counts a failure, and clients are migrated off it | `health` |
 //! | [`wake`](Balancer::wake) | scheduled tasks run | `tasks` |
 //! | [`snapshot`](Balancer::snapshot), [`restore`](Balancer::restore) | what was learnt is passed on | `hot_restart` |
 use crate::deployment::{Deployment, Route};
@@ -57,16 +57,16 @@
 use task_queue::{Task, TaskQueue};
 use traffic::TrafficStatistics;
 
-/// [`Route::backoff_base`] where no other is configured.
+/// Default of [`Route::backoff_base`].
 pub const BACKOFF_BASE: Duration = Duration::from_millis(1_000);
-/// [`Route::backoff_cap`] where no other is configured.
+/// Default of [`Route::backoff_cap`].
 pub const BACKOFF_CAP: Duration = Duration::from_millis(30_000);
-/// [`Route::stable_after`] where no other is configured.
+/// Default of [`Route::stable_after`].
 pub const STABLE_AFTER: Duration = Duration::from_millis(5_000);
-/// [`Route::attempt_timeout_factor`] where no other is configured.
+/// Default of [`Route::attempt_timeout_factor`].
 pub const ATTEMPT_TIMEOUT_FACTOR: f64 = 4.0;
 
-/// The decisions of one relay process, from its start to its end.
+/// The state and the decisions of one relay process, from its start to its end.
 #[derive(Default)]
 pub struct Balancer {
     deployment: Deployment,
@@ -76,22 +76,22 @@
     sessions: BTreeMap<SessionId, Session>,
     failure_counts: FailureCounts,
     backends: BTreeMap<BackendId, Backend>,
-    /// Backends that an operator has banned, since when. No endpoint list and no restart of the
-    /// backend lifts a ban.
+    /// Backends that an operator has banned, and since when. Neither an endpoint list nor a restart
+    /// of the backend lifts a ban.
     bans: BTreeMap<BackendId, Instant>,
     tasks: TaskQueue,
     health_checks: HealthCheckSchedule,
     traffic: TrafficStatistics,
-    /// Calls of discovery that failed in a row.
+    /// Consecutive failed calls of discovery.
     discovery_failures: u32,
-    /// The predecessor of this process still serves.
+    /// Whether the predecessor of this process still serves.
     has_predecessor: bool,
-    /// Once the process shuts down, no session waits for longer.
+    /// When every session must have its answer, once the process shuts down.
     shutdown_deadline: Option<Instant>,
 }
 
 impl Balancer {
-    /// A balancer whose decisions depend on the deployment, the seed and the events alone.
+    /// Creates a balancer whose decisions depend on the deployment, the seed and the events alone.
     pub fn new(
         deployment: Deployment,
         seed: u64,
@@ -111,7 +111,7 @@
         balancer
     }
 
-    /// Replaces the deployment and its routes, for the sessions that arrive from now on.
+    /// Replaces the deployment and its routes for the sessions that arrive from now on.
     pub fn reconfigure(&mut self, deployment: Deployment) {
         self.routes = deployment.routes.iter().copied().map(Arc::new).collect();
         self.limits.set_retry_budget(deployment.retry_budget);
@@ -124,8 +124,8 @@
         driver.wake_at(at);
     }
 
-    /// One of the items, each as likely as the others.
-    fn choose<'a, T>(&mut self, items: &'a [T]) -> Option<&'a T> {
+    /// Returns one of the items at random, each with the same probability.
+    fn choose_random<'a, T>(&mut self, items: &'a [T]) -> Option<&'a T> {
         let count = items.len() as u64;
         (count > 0).then(|| &items[self.rng.below(count) as usize])
     }
--- a/src/balancer/rebalancing.rs
+++ b/src/balancer/rebalancing.rs
@@ -8,33 +8,40 @@
 use crate::time::{Duration, Instant};
 use std::collections::BTreeMap;
 
-/// Load down to which a backend is relieved whose messages are late: work has piled up there.
+/// Load, as a share of capacity, that a backend with late messages is relieved to. It is low
+/// because work has piled up there.
 const LATE_RELIEF_LOAD: f64 = 0.5;
-/// A connection that has stood for less is not migrated: no report includes its load yet.
+/// A connection established for less than this is not migrated: no report includes its load yet.
 const MIN_ESTABLISHED_TIME: Duration = Duration::from_millis(2_000);
-/// A relay with fewer sessions knows too little of where groups are held to move any.
+/// A relay with fewer sessions than this knows too little about where groups are held to return any
+/// to the local zone.
 const MIN_SESSIONS_TO_RETURN: usize = 20;
-/// Load below which a local backend takes connections back.
+/// Load, as a share of capacity, below which a local backend takes connections back.
 const RETURN_LOAD: f64 = 0.3;
 
-/// A connection that may be migrated off an overloaded backend.
-struct MovableSession {
+/// An established session that may be migrated off an overloaded backend.
+struct MigrationCandidate {
     id: SessionId,
     backend_id: BackendId,
     load: f64,
-    /// Its priority weight for its load; the least goes first.
+    /// Priority weight divided by load. The session of the lowest value is migrated first.
     value: f64,
 }
 
 impl Balancer {
-    /// Migrates this relay's part of the excess off backends that are overloaded and serve none of
-    /// their messages in time: the least worth for its load first, one small step a load report.
+    /// Migrates this relay's part of the excess load off backends that are overloaded and serve
+    /// none of their messages in time. The sessions that are worth least for their load go first,
+    /// in one small step per load report.
     pub(super) fn relieve_overloaded_backends(&mut self, now: Instant, driver: &mut dyn Driver) {
         let excess_shares = self.excess_shares(now);
         let mut excess: BTreeMap<BackendId, f64> = BTreeMap::new();
-        let mut movable: Vec<MovableSession> = Vec::new();
+        let mut candidates: Vec<MigrationCandidate> = Vec::new();
         for (&id, session) in &self.sessions {
-            let SessionState::Established { attempt, since } = session.state else {
+            let SessionState::Established {
+                attempt,
+                established_at,
+            } = session.state
+            else {
                 continue;
             };
             let backend_id = attempt.backend;
@@ -43,8 +50,8 @@
             };
             let load = session.load.unwrap_or(1.0).max(f64::MIN_POSITIVE);
             *excess.entry(backend_id).or_default() += share * load;
-            if now.duration_since(since) >= MIN_ESTABLISHED_TIME {
-                movable.push(MovableSession {
+            if now.duration_since(established_at) >= MIN_ESTABLISHED_TIME {
+                candidates.push(MigrationCandidate {
                     id,
                     backend_id,
                     load,
@@ -52,24 +59,25 @@
                 });
             }
         }
-        movable.sort_by(|a, b| a.value.total_cmp(&b.value).then(a.id.cmp(&b.id)));
-        for session in movable {
-            let left = excess.entry(session.backend_id).or_default();
-            let probability = *left / session.load;
-            *left -= session.load;
-            if self.is_drawn(probability) {
+        candidates.sort_by(|a, b| a.value.total_cmp(&b.value).then(a.id.cmp(&b.id)));
+        for session in candidates {
+            let remaining_excess = excess.entry(session.backend_id).or_default();
+            let probability = *remaining_excess / session.load;
+            *remaining_excess -= session.load;
+            if self.draw_with_probability(probability) {
                 self.migrate(session.id, driver);
             }
         }
     }
 
-    /// What is left below one connection is decided by chance. If it were rounded, hundreds of
-    /// relays with one connection each would all migrate it at once, or none would.
-    fn is_drawn(&mut self, probability: f64) -> bool {
+    /// Returns `true` with this probability, which decides the rest of the excess that is less than
+    /// one connection. If it were rounded, hundreds of relays with one connection each would all
+    /// migrate it at once, or none would.
+    fn draw_with_probability(&mut self, probability: f64) -> bool {
         probability >= 1.0 || probability > 0.0 && self.rng.unit_f64() < probability
     }
 
-    /// The part of its load that each overloaded backend is to be relieved of.
+    /// Returns the share of its load that each overloaded backend is to be relieved of.
     fn excess_shares(&mut self, now: Instant) -> BTreeMap<BackendId, f64> {
         let fleet = self.fleet_load(now);
         let objective = self.deployment.message_objective;
@@ -85,15 +93,16 @@
         shares
     }
 
-    /// Migrates one connection that crosses zones, where the local zone has capacity and crossing
-    /// costs more than a migration. More at once would fill the zone on old reports.
+    /// Migrates one connection that crosses zones, if the local zone has capacity and crossing
+    /// costs more than a migration. More connections at once would fill the zone on the basis of
+    /// old reports.
     pub(super) fn return_to_local_zone(&mut self, now: Instant, driver: &mut dyn Driver) {
         let is_worth_it = self.deployment.cross_zone_cost > self.deployment.migration_cost;
         if self.sessions.len() < MIN_SESSIONS_TO_RETURN || !is_worth_it {
             return;
         }
-        let crossing = self.stable_sessions_in_other_zones(now);
-        let Some(&id) = self.choose(&crossing) else {
+        let crossing_sessions = self.stable_sessions_in_other_zones(now);
+        let Some(&id) = self.choose_random(&crossing_sessions) else {
             return;
         };
         let Some(backend_id) = self.select_backend(now, id) else {
@@ -106,32 +115,36 @@
     }
 
     fn stable_sessions_in_other_zones(&self, now: Instant) -> Vec<SessionId> {
-        let mut crossing = Vec::new();
+        let mut crossing_sessions = Vec::new();
         for (&id, session) in &self.sessions {
-            let SessionState::Established { attempt, since } = session.state else {
+            let SessionState::Established {
+                attempt,
+                established_at,
+            } = session.state
+            else {
                 continue;
             };
-            let is_stable = now.duration_since(since) >= session.route.stable_after;
+            let is_stable = now.duration_since(established_at) >= session.route.stable_after;
             let backend = self.backends.get(&attempt.backend);
             if is_stable
                 && backend.is_some_and(|backend| backend.endpoint.zone != self.deployment.zone)
             {
-                crossing.push(id);
+                crossing_sessions.push(id);
             }
         }
-        crossing
+        crossing_sessions
     }
 
     /// Migrates all connections off a backend.
     pub(super) fn migrate_all(&mut self, backend_id: BackendId, driver: &mut dyn Driver) {
-        let is_there = |state: SessionState| {
+        let is_on_backend = |state: SessionState| {
             matches!(state, SessionState::Established { attempt, .. }
                 if attempt.backend == backend_id)
         };
         let sessions: Vec<SessionId> = self
             .sessions
             .iter()
-            .filter(|(_, session)| is_there(session.state))
+            .filter(|(_, session)| is_on_backend(session.state))
             .map(|(&id, _)| id)
             .collect();
         for id in sessions {
@@ -139,23 +152,23 @@
         }
     }
 
-    /// Asks the client of an established connection to come again.
+    /// Asks the client of an established connection to come again as a new session.
     pub(super) fn migrate(&mut self, id: SessionId, driver: &mut dyn Driver) {
         driver.migrate(id);
         self.set_state(id, SessionState::Closing, driver);
     }
 }
 
-/// Whether nothing that is sent to a backend comes through. Without capacity elsewhere a migration
-/// would be a rejection.
+/// Returns whether nothing that is sent to a backend seems to come through. If the fleet is full it
+/// returns `false`, since a migration would end in a rejection.
 fn is_unreachable(backend: &Backend, now: Instant, objective: Duration, fleet: FleetLoad) -> bool {
     backend.is_later_than(objective, now)
         && backend.statistics.consecutive_failures > 0
         && fleet.mean < FULL_LOAD
 }
 
-/// The part of its load that a backend is to be relieved of, by a fresh report; none where it is
-/// not overloaded.
+/// Returns the share of its load that a backend is to be relieved of, by a fresh report, or `None`
+/// if it is not overloaded.
 fn excess_share(
     backend: &Backend,
     now: Instant,
--- a/src/balancer/session_state.rs
+++ b/src/balancer/session_state.rs
@@ -1,4 +1,4 @@
-//! What the balancer keeps of one session.
+//! State that the balancer keeps for one session.
 use crate::attempt::Arrival;
 use crate::deployment::Route;
 use crate::ids::BackendId;
@@ -8,33 +8,36 @@
 /// One connection attempt, from its start to the end of the connection that it sets up.
 #[derive(Clone, Copy)]
 pub(super) struct Attempt {
-    /// Its number within the session, from 0.
+    /// The attempt's number within the session, from 0.
     pub(super) number: u32,
     pub(super) backend: BackendId,
     pub(super) started_at: Instant,
 }
 
-/// How far a session is.
+/// The progress of a session.
 #[derive(Clone, Copy, Default)]
 pub(super) enum SessionState {
-    /// It has arrived, and its next attempt is being decided on.
+    /// The next attempt of the session is being decided on.
     #[default]
     New,
-    /// It waits for its retry, which is reserved with the limits.
+    /// The session waits for its retry, which is reserved within the retry limits.
     BackingOff,
     /// An attempt is under way.
     Connecting(Attempt),
-    /// A connection stands.
-    Established { attempt: Attempt, since: Instant },
-    /// The client has its answer, was migrated or has left; only the end of an attempt is still to
+    /// The session's connection is established.
+    Established {
+        attempt: Attempt,
+        established_at: Instant,
+    },
+    /// The client has its answer, was migrated or has left. Only the end of an attempt is still to
     /// be reported.
     Closing,
-    /// It is released.
+    /// The session is released.
     Ended,
 }
 
 impl SessionState {
-    /// The backend that the session occupies.
+    /// Returns the backend that the session occupies.
     pub(super) fn backend(self) -> Option<BackendId> {
         match self {
             SessionState::Connecting(attempt) | SessionState::Established { attempt, .. } => {
@@ -54,15 +57,15 @@
     pub(super) deadline: Instant,
     pub(super) state: SessionState,
     pub(super) attempts_started: u32,
-    /// Failures of a session without a client key.
+    /// Failures so far. They are counted here only for a session without a client key.
     pub(super) failures: u32,
     /// The first attempt that may have run at a backend.
     pub(super) first_run: Option<Attempt>,
-    /// Where the latest attempt failed, or where the one under way is hedged.
+    /// The backend where the latest attempt failed, or where the one under way is being hedged.
     pub(super) last_backend: Option<BackendId>,
-    /// An attempt under way beside the one of the state.
+    /// A hedged attempt that is under way beside the one in `state`.
     pub(super) hedge: Option<Attempt>,
-    /// The load of its connection, where it is observed.
+    /// The load of its connection as a share of a backend's capacity, if it has been observed.
     pub(super) load: Option<f64>,
 }
 
--- a/src/balancer/sessions.rs
+++ b/src/balancer/sessions.rs
@@ -10,12 +10,12 @@
 
 /// Tenths of the shutdown timeout after which no attempt may be under way.
 const SHUTDOWN_LAST_ATTEMPT_TENTHS: f64 = 8.0;
-/// Tenths of the shutdown timeout after which a part of the sessions is migrated. They are late
-/// ones, since the next relay may just have been stopped itself.
+/// Tenths of the shutdown timeout after which a part of the sessions is migrated. The steps come
+/// late, since the relay that a client reconnects to may itself have just been stopped.
 const SHUTDOWN_STEPS_TENTHS: std::ops::RangeInclusive<usize> = 5..=9;
 
 impl Balancer {
-    /// A client asks for a backend.
+    /// Handles the arrival of a client that asks for a backend.
     pub fn session_arrived(
         &mut self,
         now: Instant,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A connection runs through this relay already as it starts.
+    /// Handles a connection that already runs through this relay when the process starts.
     pub fn session_inherited(
         &mut self,
         now: Instant,
@@ -42,22 +42,29 @@
         driver: &mut dyn Driver,
     ) {
         self.open_session(now, id, arrival);
-        // It counts as stable: otherwise no connection could be migrated off a backend that is
-        // overloaded as the relay starts.
-        let since = now - self.sessions[&id].route.stable_after;
+        // The connection counts as stable: otherwise no connection could be migrated off a backend
+        // that is overloaded when the process starts.
+        let established_at = now - self.sessions[&id].route.stable_after;
         if let Some(session) = self.sessions.get_mut(&id) {
             session.attempts_started = 1;
         }
         let attempt = Attempt {
             number: 0,
             backend: backend_id,
-            started_at: since,
+            started_at: established_at,
         };
         self.earn_health_checks(now, driver);
-        self.set_state(id, SessionState::Established { attempt, since }, driver);
+        self.set_state(
+            id,
+            SessionState::Established {
+                attempt,
+                established_at,
+            },
+            driver,
+        );
     }
 
-    /// Opens a session; false where its route has more of them now than it may.
+    /// Opens a session. Returns `false` if its route now has more open sessions than it may.
     fn open_session(&mut self, now: Instant, id: SessionId, arrival: Arrival) -> bool {
         self.traffic.record_session(arrival.group);
         let route = self.routes[usize::from(arrival.route.0)].clone();
@@ -66,7 +73,7 @@
         is_within_limit
     }
 
-    /// The client has left, or the driver has ended the session.
+    /// Handles a session whose client has left, or that the driver has ended.
     pub fn session_left(&mut self, id: SessionId, driver: &mut dyn Driver) {
         let Some(&Session { state, .. }) = self.sessions.get(&id) else {
             return;
@@ -88,7 +95,8 @@
         }
     }
 
-    /// Makes every change of a session's state, and keeps the counts that follow from it.
+    /// Changes a session's state and updates the counts that depend on it. Only `promote_hedge`
+    /// sets the state by itself, since it changes no count.
     pub(super) fn set_state(&mut self, id: SessionId, next: SessionState, driver: &mut dyn Driver) {
         let Some(session) = self.sessions.get_mut(&id) else {
             return;
@@ -112,14 +120,15 @@
         }
     }
 
-    /// When the session has to have its answer.
+    /// Returns when the session must have its answer.
     pub(super) fn deadline_of(&self, session: &Session) -> Instant {
         self.shutdown_deadline
             .map_or(session.deadline, |at| at.min(session.deadline))
     }
 
-    /// Whether a session may be sent again, by this relay or by its client. Once a keyed one may
-    /// have run, `is_deduplicated` decides by its scope and by the end of its window.
+    /// Returns whether the session's request may be sent again, by this relay or by its client.
+    /// Once a keyed request may have run, `is_deduplicated` decides by its scope and the end of its
+    /// window.
     pub(super) fn may_repeat(
         &self,
         session: &Session,
@@ -137,15 +146,15 @@
         }
     }
 
-    /// Rejects a session, which counts as a failure of its client.
+    /// Rejects a session and counts a failure of its client.
     pub(super) fn reject(&mut self, now: Instant, id: SessionId, driver: &mut dyn Driver) {
         let backoff = self.record_client_failure(now, id);
-        self.reject_after(id, backoff, driver);
+        self.reject_or_fail(id, backoff, driver);
     }
 
-    /// Gives the final answer: a rejection with `retry_after` where the client may safely repeat
-    /// its request, a failure otherwise.
-    pub(super) fn reject_after(
+    /// Gives the final answer: a rejection with `retry_after` if the client may safely repeat its
+    /// request, otherwise a failure.
+    pub(super) fn reject_or_fail(
         &mut self,
         id: SessionId,
         retry_after: Duration,
@@ -163,14 +172,14 @@
         self.set_state(id, SessionState::Ended, driver);
     }
 
-    /// Gives the final answer that promises nothing.
+    /// Gives a final answer that does not promise that the request had no effect.
     pub(super) fn fail(&mut self, id: SessionId, driver: &mut dyn Driver) {
         driver.fail(id);
         self.set_state(id, SessionState::Ended, driver);
     }
 
-    /// The process is to end: sessions are migrated in even steps, and no attempt may last beyond
-    /// them.
+    /// Begins the shutdown: established sessions are migrated in even steps, and no attempt may
+    /// last beyond the shutdown deadline.
     pub fn shut_down(&mut self, now: Instant, driver: &mut dyn Driver) {
         let tenth = self.deployment.shutdown_timeout * 0.1;
         self.shutdown_deadline = Some(now + tenth * SHUTDOWN_LAST_ATTEMPT_TENTHS);
@@ -180,7 +189,7 @@
         }
     }
 
-    /// Takes one step of the shutdown, of which so many are left.
+    /// Takes one step of the shutdown. `steps_left` includes this one.
     pub(super) fn drain(&mut self, now: Instant, steps_left: usize, driver: &mut dyn Driver) {
         let states: Vec<(SessionId, SessionState)> = self
             .sessions
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,32 +1,33 @@
 //! Slow start: how relays take turns at a backend that is warming up.
 //!
-//! Every relay knows when a backend started. Its age cuts time into turns as long as the window of
-//! the slow-start rule, and each turn belongs to as many relays as the budget of the rule allows,
-//! with no message between them.
+//! Every relay knows when a backend started. Its age is divided into turns as long as the window of
+//! the slow-start rule. Each turn belongs to as many relays as the budget of the rule allows; the
+//! relays agree on them without exchanging messages.
 use super::Balancer;
 use super::fleet_load::FleetLoad;
 use crate::ids::BackendId;
 use crate::time::Instant;
 
-/// Part of the rule's limit that relays use: any window overlaps two turns.
+/// Share of the rule's limit that relays use, since any window overlaps two turns.
 const BUDGET_SHARE: f64 = 0.5;
-/// The same where groups share work and loads are reported. What groups cost lowers an estimate by
-/// loads, and the rule does not count it.
+/// `BUDGET_SHARE` where groups share work and loads are reported. The cost of groups lowers an
+/// estimate that is based on loads, and the rule does not count that cost.
 const BUDGET_SHARE_WITH_GROUPS: f64 = 1.25;
-/// Relays that get a turn for each that is expected to use it, at most: all of them may.
+/// Maximum number of relays that get a turn for each relay expected to use it. It is bounded since
+/// all of them may use it.
 const MAX_OVERBOOKING: f64 = 3.0;
 
 /// A turn at a backend that is warming up.
 #[derive(Clone, Copy)]
 pub(super) struct SlowStartTurn {
-    /// Its number since the backend's start.
+    /// The number of the turn since the backend's start.
     pub(super) number: u64,
-    /// Attempts that this relay has made in it.
+    /// Attempts that this relay has made in the turn.
     pub(super) used: u32,
 }
 
 impl Balancer {
-    /// The turn that runs at a backend; none once it is warm.
+    /// Returns the current turn at a backend, or `None` once it is warm.
     pub(super) fn slow_start_turn(
         &self,
         now: Instant,
@@ -44,7 +45,7 @@
         (age < rule.warm_up).then_some(SlowStartTurn { number, used })
     }
 
-    /// Whether this relay may use a backend that is warming up in the turn that runs.
+    /// Returns whether this relay may use a backend that is warming up in the current turn.
     pub(super) fn is_turn_open(
         &self,
         now: Instant,
@@ -59,13 +60,14 @@
         let attempts_each = (budget / relays as f64).max(1.0);
         let stable_hash = self.backends[&backend_id].endpoint.stable_hash;
         let first_relay = (turn.number * relays_with_turn + stable_hash) % relays;
-        let place = (u64::from(self.deployment.relay_index) + relays - first_relay) % relays;
-        place < relays_with_turn
+        let relay_position =
+            (u64::from(self.deployment.relay_index) + relays - first_relay) % relays;
+        relay_position < relays_with_turn
             && f64::from(turn.used) < attempts_each.floor()
             && !self.has_predecessor
     }
 
-    /// Connections that all relays together may open at the backend within a turn.
+    /// Returns how many connections all relays together may open at the backend within a turn.
     fn slow_start_budget(&self, now: Instant, backend_id: BackendId, fleet: FleetLoad) -> f64 {
         let rule = &self.deployment.slow_start;
         let age = self.backends[&backend_id]
@@ -85,28 +87,29 @@
             * rule.window.as_secs_f64()
     }
 
-    /// Relays that get a turn for each that the budget allows, since many turns pass unused where
-    /// traffic is thin.
+    /// Returns how many relays get a turn for each that the budget allows, since many turns pass
+    /// unused when traffic is thin.
     fn overbooking(&self, fleet: FleetLoad) -> f64 {
         let sessions = self.traffic.sessions_per_window;
-        let unused = if self.deployment.reports_load {
+        let relays_per_use = if self.deployment.reports_load {
             // Each relay has fewer sessions than there are backends warming up.
             fleet.warming_up / sessions.max(1.0)
         } else {
-            // An open turn goes before all else, and passes unused only where no session arrives.
+            // An open turn takes precedence over all other backends, and passes unused only if no
+            // session arrives.
             1.0 / -(-sessions).exp_m1()
         };
-        unused.clamp(1.0, MAX_OVERBOOKING)
+        relays_per_use.clamp(1.0, MAX_OVERBOOKING)
     }
 
-    /// New connections a second that would fill an average warm backend: as many as it holds when
-    /// full times the rate at which they depart, or that fills it over its warm-up if that is less.
-    /// One departure is assumed at first: by a rate of none all relays that hold few connections
-    /// but one would keep off.
+    /// Returns how many new connections per second would fill an average warm backend: as many as
+    /// it holds when full times the rate at which they depart, but no more than would fill it over
+    /// its warm-up. One departure is assumed at first: with a rate of zero, all but one of the
+    /// relays that hold few connections would keep off.
     fn warm_connection_rate(&self, fleet: FleetLoad) -> f64 {
         let assumed_departures = if fleet.counts_all_relays { 1.0 } else { 0.0 };
-        let fastest = 1.0 / self.deployment.slow_start.warm_up.as_secs_f64();
-        let rate = self.departure_rate(assumed_departures).min(fastest);
+        let max_rate = 1.0 / self.deployment.slow_start.warm_up.as_secs_f64();
+        let rate = self.departure_rate(assumed_departures).min(max_rate);
         if fleet.per_connection <= 0.0 {
             0.0
         } else {
--- a/src/balancer/task_queue.rs
+++ b/src/balancer/task_queue.rs
@@ -3,18 +3,19 @@
 use crate::time::Instant;
 use std::collections::BTreeSet;
 
-/// What is to be done at a scheduled time. Tasks of one time run in the order of the variants.
+/// A task for a scheduled time. Tasks with the same time run in the order of the variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Task {
     CheckHealth,
     Housekeeping,
     /// Subscribes to the endpoint list anew.
     Subscribe,
-    /// Starts the next attempt of a session that backs off.
+    /// Starts the next attempt of a session that is backing off.
     Retry(SessionId),
-    /// Hedges the attempt of this number, if it is still under way.
+    /// Hedges the attempt with this number, if it is still under way.
     Hedge(SessionId, u32),
-    /// Migrates a part of the sessions at shutdown; so many steps are left, this one included.
+    /// Migrates a part of the sessions at shutdown, with the number of steps left, including this
+    /// one.
     Drain(usize),
 }
 
@@ -24,7 +25,7 @@
     pub(super) task: Task,
 }
 
-/// Scheduled tasks by their time. The same task at the same time is held once.
+/// Scheduled tasks, ordered by time. The same task at the same time is held once.
 #[derive(Default)]
 pub(super) struct TaskQueue(BTreeSet<ScheduledTask>);
 
@@ -33,7 +34,7 @@
         self.0.insert(ScheduledTask { at, task });
     }
 
-    /// Takes out the next task that is due.
+    /// Removes and returns the next task that is due.
     pub(super) fn pop_due(&mut self, now: Instant) -> Option<ScheduledTask> {
         let is_due = self.0.first().is_some_and(|first| first.at <= now);
         is_due.then(|| self.0.pop_first()).flatten()
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -1,34 +1,34 @@
-//! Statistics of the traffic that this relay has seen of late.
+//! Statistics of the recent traffic of this relay.
 use crate::ids::RouteId;
 use crate::time::Duration;
 use std::collections::BTreeMap;
 
-/// Part of the counts that each decay leaves.
+/// Share of each count that remains after a decay.
 const RETAINED_SHARE: f64 = 0.99;
-/// A group with fewer sessions than this is forgotten.
+/// Groups whose decayed number of sessions is not above this are forgotten.
 const MIN_GROUP_SESSIONS: f64 = 0.1;
-/// Sessions that are added to those of all groups: until more is known, a group counts for one
-/// session in so many.
+/// Sessions added to the total of all groups, so that a group does not count for a large share
+/// before many sessions are known.
 const PRIOR_SESSIONS: f64 = 20.0;
-/// Weight of the latest connect time in the average.
+/// Weight of the latest connect time in the moving average.
 const CONNECT_TIME_WEIGHT: f64 = 0.5;
 /// Weight of each observed session in the typical load of its route.
 const ROUTE_LOAD_WEIGHT: f64 = 0.05;
-/// Warm-ups within which one departure is assumed before any is seen.
+/// Connection time over which departures are assumed before any is seen, in warm-ups.
 const PRIOR_WARM_UPS: f64 = 3.0;
 
-/// Counts that decay, and moving averages.
+/// Decaying counts and moving averages.
 #[derive(Default)]
 pub(super) struct TrafficStatistics {
     group_sessions: BTreeMap<u64, f64>,
     grouped_sessions: f64,
-    /// Sessions that arrived within about the window of the slow-start rule.
+    /// Sessions that arrived within about one window of the slow-start rule.
     pub(super) sessions_per_window: f64,
-    /// Seconds that connections stood, all together.
+    /// Seconds for which connections were established, summed over all connections.
     pub(super) connection_seconds: f64,
-    /// Connections that the other side closed in order meanwhile.
+    /// Connections that the other side closed in order in that time.
     pub(super) departures: f64,
-    /// How long an attempt takes to be ready, over all backends.
+    /// Average time until an attempt is ready, over all backends.
     pub(super) connect_time: Duration,
     /// The load that a session of each route typically causes.
     route_loads: BTreeMap<RouteId, f64>,
@@ -47,8 +47,9 @@
         self.departures += 1.0;
     }
 
-    /// Counts how long an attempt took. Attempts that are slow everywhere have to be given more
-    /// time: giving up early sends the same work again to what is crowded.
+    /// Adds the connect time of an attempt to the average. Attempts that are slow everywhere have
+    /// to be given more time: giving up early would send the same work again to overloaded
+    /// backends.
     pub(super) fn record_connect_time(&mut self, connect_time: Duration) {
         self.connect_time =
             self.connect_time * (1.0 - CONNECT_TIME_WEIGHT) + connect_time * CONNECT_TIME_WEIGHT;
@@ -59,12 +60,12 @@
         *typical += (load - *typical) * ROUTE_LOAD_WEIGHT;
     }
 
-    /// Forgets the loads of routes: their numbers may stand for other rows now.
+    /// Forgets the loads of routes, whose numbers may stand for other rows now.
     pub(super) fn forget_routes(&mut self) {
         self.route_loads.clear();
     }
 
-    /// Lets the counts decay by one interval, in which so many sessions stood.
+    /// Decays the counts by one interval, in which `open_sessions` sessions were open.
     pub(super) fn decay(&mut self, interval: Duration, open_sessions: usize, window: Duration) {
         self.connection_seconds = self.connection_seconds * RETAINED_SHARE
             + open_sessions as f64 * interval.as_secs_f64();
@@ -78,20 +79,20 @@
             .retain(|_, sessions| *sessions > MIN_GROUP_SESSIONS);
     }
 
-    /// The group's part of all sessions that belong to groups.
+    /// Returns the group's share of all sessions that belong to groups.
     pub(super) fn group_share(&self, group: u64) -> f64 {
         self.group_sessions.get(&group).unwrap_or(&0.0) / (self.grouped_sessions + PRIOR_SESSIONS)
     }
 
-    /// The part of the connections that depart by themselves within a second, with so many
-    /// departures assumed before any is seen.
+    /// Returns the share of the connections that depart by themselves within a second.
+    /// `assumed_departures` are added to those seen.
     pub(super) fn departure_rate(&self, assumed_departures: f64, warm_up: Duration) -> f64 {
         let prior_seconds = PRIOR_WARM_UPS * warm_up.as_secs_f64();
         (self.departures + assumed_departures) / (self.connection_seconds + prior_seconds)
     }
 
-    /// What a route's sessions are worth for the load they typically cause, as a part of that of
-    /// the best route. A route of which no load is known counts as the best.
+    /// Returns the value of a route's sessions for the load that they typically cause, as a share
+    /// of that of the best route. A route whose load is unknown counts as the best.
     pub(super) fn relative_value(
         &self,
         route: RouteId,
