--- a/examples/cost.rs
+++ b/examples/cost.rs
@@ -18,7 +18,7 @@
 const SESSIONS: u32 = 2_000;
 const WAKES: u32 = 1_000;
 
-/// Keeps the backend of the latest attempt and ignores all else.
+/// A driver that keeps the backend of the latest attempt and ignores all other calls.
 #[derive(Default)]
 struct LatestAttempt(Option<BackendId>);
 
--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -1,15 +1,15 @@
-//! What the embedding protocol reports of sessions and of their connection attempts.
+//! What the embedding protocol reports about sessions and their connection attempts.
 use crate::ids::RouteId;
 use crate::time::Duration;
 
-/// A session as it asks for a backend.
+/// A session that asks for a backend.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Arrival {
-    /// The row of the route table that it goes by.
+    /// The row of the route table that applies to the session.
     pub route: RouteId,
-    /// Identifies the client, so that its failures are counted over its sessions.
+    /// Key of the client, whose failures are counted over all of its sessions.
     pub client_key: Option<u64>,
-    /// Sessions of one group share work on the backend that holds them.
+    /// The group of the session. Sessions of one group share work on the backend that holds them.
     pub group: Option<u64>,
     /// How long the client waits for its answer.
     pub timeout: Duration,
@@ -22,22 +22,22 @@
     Ok,
     /// The backend answered with an error.
     Error,
-    /// The backend refused for want of capacity; nothing ran.
+    /// The backend refused the attempt for lack of capacity; the request did not run.
     Saturated,
     /// No answer came in time.
     TimedOut,
-    /// No connection came up; nothing ran.
+    /// No connection was set up; the request did not run.
     Unreachable,
     /// The connection broke.
     Reset,
-    /// It was cancelled here.
+    /// The relay cancelled the attempt.
     Cancelled,
-    /// It ended before anything was written; nothing ran.
+    /// The attempt ended before anything was written; the request did not run.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether the backend may have acted on the request.
+    /// Returns whether the backend may have acted on the request.
     pub fn may_have_run(self) -> bool {
         !matches!(
             self,
@@ -46,12 +46,12 @@
     }
 }
 
-/// What a backend reports of its load, as far as it does.
+/// The load that a backend reports. Either value may be missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Connections that it holds.
+    /// Number of connections that the backend holds.
     pub connections: Option<f64>,
-    /// The load asked of it over its capacity.
+    /// The load asked of the backend, as a share of its capacity.
     pub load: Option<f64>,
 }
 
@@ -60,9 +60,9 @@
 pub struct AttemptEnd {
     /// The attempt's number within its session, from 0.
     pub attempt: u32,
-    /// How it ended.
+    /// How the attempt or the connection ended.
     pub outcome: AttemptOutcome,
-    /// The client has its final answer by this end, or had it before.
+    /// Whether the client received its final answer with this end or before it.
     pub is_answered: bool,
     /// The load report that came with the end.
     pub report: LoadReport,
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -113,9 +113,7 @@
         let idempotency = session.route.idempotency;
         self.ready_backends()
             .filter(|(_, backend)| {
-                first_run.is_none_or(|first| {
-                    is_in_deduplication_scope(idempotency, &first, &backend.endpoint)
-                })
+                first_run.is_none_or(|first| is_in_scope(idempotency, &first, &backend.endpoint))
             })
             .map(|(backend_id, _)| backend_id)
             .filter(|&backend_id| {
@@ -309,11 +307,7 @@
 
 /// Returns whether the backend at `endpoint` recognises a repeat of a request that may have run at
 /// `first`.
-fn is_in_deduplication_scope(
-    idempotency: Idempotency,
-    first: &Endpoint,
-    endpoint: &Endpoint,
-) -> bool {
+fn is_in_scope(idempotency: Idempotency, first: &Endpoint, endpoint: &Endpoint) -> bool {
     match idempotency {
         Idempotency::Keyed {
             scope: DeduplicationScope::Zone,
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -1,80 +1,82 @@
-//! What a balancer is configured with: the deployment that it serves and its route table.
+//! Configuration of a balancer: the deployment that it serves and its route table.
 use crate::ids::ZoneId;
 use crate::time::Duration;
 
-/// Which backends recognise a repeated request by its idempotency key. The narrower is the greater.
+/// Which backends recognise a repeated request by its idempotency key. A narrower scope compares as
+/// greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum DeduplicationScope {
     /// All backends.
     All,
-    /// Those in the zone of the first.
+    /// The backends in the zone of the first one.
     Zone,
-    /// Those in the cell of the first.
+    /// The backends in the cell of the first one.
     Cell,
 }
 
 /// Whether a request may be sent again after it may have run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// At any time.
+    /// The request may be sent again at any time.
     #[default]
     Idempotent,
-    /// It carries an idempotency key: the backends of `scope` drop a repeat for `window` after the
-    /// first attempt that may have run.
+    /// The request carries an idempotency key: the backends of `scope` drop a repeat for `window`
+    /// after the first attempt that may have run.
     Keyed {
         /// The backends that recognise the key.
         scope: DeduplicationScope,
-        /// How long they do.
+        /// How long they recognise it.
         window: Duration,
     },
-    /// Never.
+    /// The request must not be sent again.
     NonIdempotent,
 }
 
-/// A row of the route table. There is one for each listener, and more where the operator
-/// configuration has routes; a session keeps the row that it began with.
+/// A row of the route table. There is one for each listener, and more if the operator configuration
+/// defines routes. A session keeps the row that it began with.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Route {
-    /// Rows of one number share their limits and counts; 0 for sessions of no route.
+    /// Rows with the same number share their limits and counts; 0 for sessions without a route.
     pub limits_id: u32,
-    /// A handshake within this earns its whole worth.
+    /// A handshake that completes within this time earns its full worth.
     pub handshake_objective: Duration,
     /// Whether a request may be sent again.
     pub idempotency: Idempotency,
-    /// What a served request is worth, relative to the others.
+    /// What a served request is worth, relative to those of other routes.
     pub priority_weight: f64,
-    /// A connection that is not up by then has failed.
+    /// A connection that is not set up within this time has failed.
     pub connect_timeout: Duration,
-    /// Attempts of one session, the first among them.
+    /// Maximum number of attempts of one session, including the first.
     pub max_attempts: u32,
-    /// An attempt is given up after so many times the recent connect time.
+    /// An attempt is given up after this many times the recent connect time.
     pub attempt_timeout_factor: f64,
     /// The first retry delay after a failure, before jitter.
     pub backoff_base: Duration,
-    /// No retry delay is longer, before jitter.
+    /// The longest retry delay, before jitter.
     pub backoff_cap: Duration,
-    /// A connection that breaks sooner counts as a failure of its client.
+    /// A connection that breaks before it has been established for this long counts as a failure of
+    /// its client.
     pub stable_after: Duration,
     /// The longest `Retry-After` that is sent.
     pub max_retry_after: Duration,
-    /// Retries at most, as a part of the sessions.
+    /// Maximum number of retries, as a share of the sessions.
     pub retry_share: Option<f64>,
-    /// Concurrent sessions; more are rejected.
+    /// Maximum number of concurrent sessions; more are rejected.
     pub max_sessions: Option<u32>,
-    /// When a hedged attempt goes out, if ever.
+    /// When hedged attempts go out, if ever.
     pub hedging: Option<Hedging>,
 }
 
-/// When a second attempt goes out while the first is still under way.
+/// When a hedged attempt goes out while the first attempt is still under way.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hedging {
-    /// Once the first has taken longer than this part of the recent ones...
+    /// Quantile of the recent connect times, from 0 to 1, after which an attempt is hedged.
     pub quantile: f64,
-    /// ...but no sooner than this...
+    /// Shortest delay before the hedged attempt.
     pub min_delay: Duration,
-    /// ...and no later than this.
+    /// Longest delay before the hedged attempt.
     pub max_delay: Duration,
-    /// Hedged attempts at most, as a part of the sessions.
+    /// Maximum number of hedged attempts, as a share of the sessions.
     pub share: f64,
 }
 
@@ -84,7 +86,7 @@
 pub struct RetryBudget {
     /// Attempts that are allowed without any session.
     pub free: f64,
-    /// Attempts that each session allows.
+    /// Attempts that each session adds.
     pub share: f64,
     /// The time over which both are counted.
     pub window: Duration,
@@ -93,11 +95,12 @@
 /// How all relays together may load a backend that is warming up.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SlowStart {
-    /// The part of its capacity that it has at its start.
+    /// Share of its capacity that a backend has at its start.
     pub initial_share: f64,
-    /// How long it takes to reach its whole capacity.
+    /// How long a backend takes to reach its full capacity.
     pub warm_up: Duration,
-    /// It fails when asked for more than this many times what it can do within a `window`.
+    /// A backend fails when it is asked for more than this many times what it can do within a
+    /// `window`.
     pub overload_factor: f64,
     /// The time over which requests are counted.
     pub window: Duration,
@@ -106,9 +109,9 @@
 /// The deployment that a relay serves.
 #[derive(Clone, Debug, Default)]
 pub struct Deployment {
-    /// This relay's number among all, from 0.
+    /// This relay's index among all relays, from 0.
     pub relay_index: u32,
-    /// How many relays there are.
+    /// Number of relays.
     pub relay_count: u32,
     /// The zone that this relay runs in.
     pub zone: ZoneId,
@@ -116,37 +119,37 @@
     pub tick: Duration,
     /// The route table.
     pub routes: Vec<Route>,
-    /// The shortest time of any listener that a message may take on an established connection; zero
-    /// where none is known.
+    /// The shortest latency objective of any listener for a message on an established connection;
+    /// zero if none is known.
     pub message_objective: Duration,
-    /// The latency of messages is observed.
+    /// Whether the latency of messages is observed.
     pub observes_latency: bool,
-    /// How backends that are warming up may be loaded.
+    /// How relays may load backends that are warming up.
     pub slow_start: SlowStart,
-    /// The budget of attempts beyond the first, where there is one.
+    /// The budget of attempts beyond each session's first, if there is one.
     pub retry_budget: Option<RetryBudget>,
-    /// The endpoint list comes only when polled, which has to happen within this time.
+    /// The time within which the endpoint list has to be polled, if it comes only when polled.
     pub poll_within: Option<Duration>,
-    /// The connect timeout of health checks; sessions go by their routes.
+    /// The connect timeout of health checks. Attempts of sessions use that of their routes.
     pub connect_timeout: Duration,
-    /// An attempt under way may be cancelled.
+    /// Whether an attempt under way may be cancelled.
     pub may_cancel: bool,
-    /// A session may have two attempts under way at once.
+    /// Whether a session may have two attempts under way at once.
     pub may_hedge: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub may_check_health: bool,
-    /// Backends report their load as a share of their capacity, in whatever way.
+    /// Whether backends report their load as a share of their capacity, in whatever way.
     pub reports_load: bool,
-    /// Rejections carry a `Retry-After`.
+    /// Whether rejections carry a `Retry-After`.
     pub sends_retry_after: bool,
-    /// What a connection to another zone costs.
+    /// Cost of a connection to another zone, relative to the worth of a session.
     pub cross_zone_cost: f64,
-    /// What a migration costs.
+    /// Cost of a migration, relative to the worth of a session.
     pub migration_cost: f64,
-    /// What a health check costs.
+    /// Cost of a health check, relative to the worth of a session.
     pub health_check_cost: f64,
-    /// Connections of one group share work on the backend that holds them.
+    /// Whether connections of one group share work on the backend that holds them.
     pub groups_share_work: bool,
-    /// From the shutdown signal on, all sessions have to end within this time.
+    /// Time from the shutdown signal within which all sessions have to end.
     pub shutdown_timeout: Duration,
 }
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -1,45 +1,45 @@
-//! What service discovery tells of backends.
+//! What service discovery reports about backends.
 use crate::ids::{BackendId, CellId, ZoneId};
 use crate::time::Instant;
 
 /// Whether a backend takes new connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It takes new connections.
+    /// The backend takes new connections.
     Ready,
-    /// It keeps the connections that it has and takes no new ones.
+    /// The backend keeps the connections that it has and takes no new ones.
     Draining,
-    /// It is not in the endpoint list.
+    /// The backend is not in the endpoint list.
     #[default]
     Removed,
 }
 
-/// How an update of the endpoint list is to be read.
+/// What an update of the endpoint list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateKind {
     /// Only the endpoints that changed.
     Delta,
-    /// The complete list: an endpoint that it lacks is removed.
+    /// The complete list: endpoints that it lacks are removed.
     Snapshot,
-    /// A complete list that was cached, perhaps long out of date.
+    /// A complete list from a cache, which may be long out of date.
     CachedSnapshot,
 }
 
-/// One backend as the endpoint list has it.
+/// One backend as described by the endpoint list.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Endpoint {
-    /// The index that stands for the backend in this process.
+    /// The index of the backend in this process.
     pub backend: BackendId,
-    /// The same number at every relay, in whatever order they learn of the backends.
+    /// A hash that is the same at every relay, in whatever order the relays learn of the backends.
     pub stable_hash: u64,
-    /// The zone that it runs in.
+    /// The zone that the backend runs in.
     pub zone: ZoneId,
-    /// The cell within the zone.
+    /// The cell of the backend within its zone.
     pub cell: CellId,
-    /// Whether it takes new connections.
+    /// Whether the backend takes new connections.
     pub state: EndpointState,
-    /// Falls as connections held there grow; 1 where the list does not tell.
+    /// A weight that falls as the backend holds more connections; 1 if the list has none.
     pub weight: f64,
-    /// When the process started; none where that was long ago.
+    /// When the backend's process started; `None` if that was long ago.
     pub started_at: Option<Instant>,
 }
--- a/src/failure_counts/mod.rs
+++ b/src/failure_counts/mod.rs
@@ -1,30 +1,30 @@
-//! Failure counts by client key, in a table that is bounded and ages.
+//! Failure counts by client key, in a bounded table that drops old entries.
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[cfg(test)]
 mod tests;
 
-/// Clients held at once, against floods of new keys.
+/// Maximum number of clients held at once, against floods of new keys.
 const MAX_CLIENTS: usize = 20_000;
-/// Several times the longest backoff: an older count has no more to say.
+/// Age at which an unused count is dropped: several times the longest backoff.
 const MAX_AGE: Duration = Duration::from_millis(120_000);
 
-/// What is counted of one client.
+/// The failure count of one client.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct ClientFailures {
     /// Failures since the count was last cleared.
     pub(crate) count: u32,
-    /// When the client's connection will have stood long enough to clear the count.
+    /// When the client's connection will have been established for long enough to clear the count.
     pub(crate) clears_at: Option<Instant>,
 }
 
-/// The clients that failed or connected of late. Access takes as long in a full table as in a small
-/// one.
+/// The clients that recently failed or connected. Access takes about as long in a full table as in
+/// a small one.
 #[derive(Default)]
 pub(crate) struct FailureCounts {
     clients: BTreeMap<u64, AgedFailures>,
-    /// The same clients by when they were last used, the stalest first.
+    /// The same clients ordered by their last use, the stalest first.
     by_age: BTreeSet<LastUse>,
 }
 
@@ -41,8 +41,8 @@
 }
 
 impl FailureCounts {
-    /// The counts of a client, which count as used now. In a full table the stalest client makes
-    /// room for a new one.
+    /// Returns the failures of a client and marks them as used now. In a full table a new client
+    /// replaces the stalest one.
     pub(crate) fn get_or_insert(&mut self, key: u64, now: Instant) -> &mut ClientFailures {
         match self.clients.get(&key) {
             Some(client) => {
@@ -58,7 +58,7 @@
         &mut client.failures
     }
 
-    /// Drops the clients that have not been used for too long.
+    /// Removes the clients that have not been used for `MAX_AGE`.
     pub(crate) fn remove_expired(&mut self, now: Instant) {
         let is_expired = |last_use: &&LastUse| now.duration_since(last_use.at) >= MAX_AGE;
         while self.by_age.first().filter(is_expired).is_some() {
--- a/src/failure_counts/tests.rs
+++ b/src/failure_counts/tests.rs
@@ -11,7 +11,7 @@
     for key in 0..MAX_CLIENTS as u64 {
         counts.get_or_insert(key, at(key)).count = 1;
     }
-    // Used again it is the youngest; the next oldest makes room for each new one.
+    // Client 0 is used again and becomes the youngest. Each new client evicts the next oldest.
     counts.get_or_insert(0, at(30_000)).count += 1;
     for key in 0..10 {
         let client = counts.get_or_insert(1_000_000 + key, at(30_001));
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -21,14 +21,14 @@
 pub struct CellId(pub u16);
 
 impl BackendId {
-    /// The index as a position in a table.
+    /// Returns the id as an index into a table.
     pub fn index(self) -> usize {
         self.0 as usize
     }
 }
 
-/// Mixes an endpoint's hash with a group's, for rendezvous hashing: every relay gets the same order
-/// of backends for a group, with nothing shared between them.
+/// Mixes an endpoint's hash with a group for rendezvous hashing: every relay gets the same order of
+/// backends for a group without sharing any state.
 pub(crate) fn rendezvous_hash(endpoint: u64, group: u64) -> u64 {
     let mut hash = endpoint ^ group.rotate_left(17) ^ 0x9e37_79b9_7f4a_7c15;
     for _ in 0..2 {
--- a/src/route_limits/mod.rs
+++ b/src/route_limits/mod.rs
@@ -1,9 +1,9 @@
 //! Limits on the sessions of a route, and on attempts beyond each session's first.
 //!
 //! Extra attempts are limited by the retry budget of the whole relay, within a window of time, and
-//! by the share that the operator gives a route, over its last sessions. Rows of the route table
-//! with one `limits_id` share their limits, also after the table was read again. Which session gets
-//! what is left is decided by the balancer.
+//! by the share that the operator configuration gives a route, over its most recent sessions. Rows
+//! of the route table with the same `limits_id` share their limits, even after the table was read
+//! again. The balancer decides which session gets what is left.
 use crate::deployment::{RetryBudget, Route};
 use crate::time::{Duration, Instant};
 use std::collections::{BTreeMap, VecDeque};
@@ -16,20 +16,20 @@
 pub(crate) use window::Allowance;
 use window::{AttemptWindow, WindowLimit};
 
-/// The fewest sessions over which a route's share is counted: a quiet hour must not pay for a
-/// storm.
+/// Fewest sessions over which a route's share is counted. Only a bounded number of recent sessions
+/// counts, so that a quiet hour does not allow a burst of retries.
 const MIN_SHARE_SESSIONS: f64 = 100.0;
-/// The most sessions over which a route's share is counted.
+/// Most sessions over which a route's share is counted.
 const MAX_SHARE_SESSIONS: f64 = 1e6;
-/// Recent connect times kept for the hedge delay.
+/// Number of recent connect times kept for the hedge delay.
 const CONNECT_TIME_SAMPLES: usize = 100;
 
 /// An attempt beyond a session's first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ExtraAttempt {
-    /// After the one before has failed.
+    /// An attempt after the previous one has failed.
     Retry,
-    /// While the first is still under way.
+    /// An attempt while the first is still under way.
     Hedge,
 }
 
@@ -38,16 +38,17 @@
 pub(crate) struct RouteLimits {
     retry_budget: Option<RetryBudget>,
     relay_window: AttemptWindow,
-    /// Until then another process of this relay may have spent the free part of the budget.
+    /// When this process may begin to use the free part of the budget: until then another process
+    /// of this relay may have spent it.
     free_from: Instant,
     usage: BTreeMap<u32, RouteUsage>,
 }
 
-/// What the rows of one `limits_id` use.
+/// Usage of the limits that the rows of one `limits_id` share.
 #[derive(Default)]
 struct RouteUsage {
     open_sessions: u32,
-    /// Sessions so far, which are the positions in the two windows.
+    /// Sessions that have arrived so far. This count is the position in both windows.
     arrivals: u64,
     retries: AttemptWindow,
     hedges: AttemptWindow,
@@ -65,7 +66,7 @@
     fn allowance(&mut self, extra: ExtraAttempt, share: f64) -> Allowance {
         let position = self.arrivals;
         let limit = WindowLimit {
-            length: share_sessions(share),
+            length: share_window_length(share),
             free: 0.0,
             share,
         };
@@ -79,13 +80,13 @@
         self.retry_budget = budget;
     }
 
-    /// Another process of this relay runs beside this one. The budget takes both for one relay, and
-    /// its free part is the other's.
+    /// Handles the start of this process beside its predecessor. The budget counts both as one
+    /// relay, and its free part belongs to the predecessor.
     pub(crate) fn predecessor_started(&mut self) {
         self.free_from = Instant::from_micros(u64::MAX);
     }
 
-    /// The other process has ended; what it spent counts for a window longer.
+    /// Handles the end of the predecessor. What it spent counts for one more window.
     pub(crate) fn predecessor_ended(&mut self, now: Instant) {
         let window = self
             .retry_budget
@@ -93,8 +94,8 @@
         self.free_from = now + window;
     }
 
-    /// Counts a session that arrived here, which allows for extra attempts. A session that was
-    /// inherited does not.
+    /// Counts a session that arrived here, which allows for extra attempts. Inherited sessions
+    /// allow for none.
     pub(crate) fn record_arrival(&mut self, now: Instant, route: &Route) {
         if let Some(budget) = self.retry_budget {
             self.relay_window
@@ -103,16 +104,16 @@
         let usage = self.usage.entry(route.limits_id).or_default();
         usage.arrivals += 1;
         for extra in [ExtraAttempt::Retry, ExtraAttempt::Hedge] {
-            if let Some(share) = share_of(route, extra) {
+            if let Some(share) = extra_share(route, extra) {
                 let position = usage.arrivals;
                 usage
                     .window_mut(extra)
-                    .record_session(position, share_sessions(share));
+                    .record_session(position, share_window_length(share));
             }
         }
     }
 
-    /// Opens a session; false where its route has more of them now than it may.
+    /// Opens a session. Returns `false` if its route now has more open sessions than it may.
     pub(crate) fn open_session(&mut self, route: &Route) -> bool {
         let usage = self.usage.entry(route.limits_id).or_default();
         usage.open_sessions += 1;
@@ -121,32 +122,33 @@
             .is_none_or(|max| usage.open_sessions <= max)
     }
 
-    /// Closes a session that was opened.
+    /// Closes an open session.
     pub(crate) fn close_session(&mut self, route: &Route) {
         if let Some(usage) = self.usage.get_mut(&route.limits_id) {
             usage.open_sessions = usage.open_sessions.saturating_sub(1);
         }
     }
 
-    /// What there is for an extra attempt, by whichever limit has least left; none without a limit.
+    /// Returns the allowance for an extra attempt under the limit that has the least left, or
+    /// `None` without a limit.
     pub(crate) fn allowance(
         &mut self,
         now: Instant,
         route: &Route,
         extra: ExtraAttempt,
     ) -> Option<Allowance> {
-        let of_relay = self.relay_allowance(now);
-        let of_route =
-            share_of(route, extra).map(|share| match self.usage.get_mut(&route.limits_id) {
+        let relay_allowance = self.relay_allowance(now);
+        let route_allowance =
+            extra_share(route, extra).map(|share| match self.usage.get_mut(&route.limits_id) {
                 Some(usage) => usage.allowance(extra, share),
                 None => Allowance {
                     spent: 0.0,
                     limit: 0.0,
                 },
             });
-        of_relay
+        relay_allowance
             .into_iter()
-            .chain(of_route)
+            .chain(route_allowance)
             .min_by(|a, b| a.remaining().total_cmp(&b.remaining()))
     }
 
@@ -161,14 +163,14 @@
         Some(self.relay_window.allowance(now.as_micros(), limit))
     }
 
-    /// Sets a retry aside that goes out later.
+    /// Reserves a retry that goes out later.
     pub(crate) fn reserve_retry(&mut self, route: &Route) {
         self.relay_window.reserved += 1;
         let usage = self.usage.entry(route.limits_id).or_default();
         usage.retries.reserved += 1;
     }
 
-    /// Gives a reserved retry up; one that goes out is spent anew.
+    /// Releases a reserved retry. One that goes out is counted again by `try_spend`.
     pub(crate) fn release_retry(&mut self, route: &Route) {
         let usage = self.usage.entry(route.limits_id).or_default();
         for window in [&mut self.relay_window, &mut usage.retries] {
@@ -176,7 +178,7 @@
         }
     }
 
-    /// Counts an extra attempt that goes out; false, and not counted, where none is left.
+    /// Counts an extra attempt that goes out. Returns `false`, and counts nothing, if none is left.
     pub(crate) fn try_spend(&mut self, now: Instant, route: &Route, extra: ExtraAttempt) -> bool {
         let allowance = self.allowance(now, route, extra);
         if allowance.is_some_and(|allowance| allowance.spent + 1.0 > allowance.limit) {
@@ -185,7 +187,7 @@
         if self.retry_budget.is_some() {
             self.relay_window.record_attempt(now.as_micros());
         }
-        if share_of(route, extra).is_some()
+        if extra_share(route, extra).is_some()
             && let Some(usage) = self.usage.get_mut(&route.limits_id)
         {
             let position = usage.arrivals;
@@ -194,12 +196,12 @@
         true
     }
 
-    /// Takes an attempt that was spent at that time off the relay's budget: it was never sent.
+    /// Removes an attempt from the relay's budget that was counted at `spent_at` but never sent.
     pub(crate) fn refund(&mut self, spent_at: Instant) {
         self.relay_window.attempts.remove_one(spent_at.as_micros());
     }
 
-    /// Counts the connect time of an attempt that became ready, for the hedge delay.
+    /// Records the connect time of an attempt that became ready, for the hedge delay.
     pub(crate) fn record_connect_time(&mut self, route: &Route, connect_time: Duration) {
         if route.hedging.is_none() {
             return;
@@ -214,29 +216,34 @@
         }
     }
 
-    /// How long an attempt may take before it is hedged; none where the route does not hedge.
+    /// Returns how long an attempt may take before it is hedged, or `None` if the route does not
+    /// hedge.
     pub(crate) fn hedge_delay(&self, route: &Route) -> Option<Duration> {
         let (hedging, usage) = (route.hedging?, self.usage.get(&route.limits_id)?);
         let mut connect_times: Vec<Duration> = usage.connect_times.iter().copied().collect();
         connect_times.sort_unstable();
         let rank = (connect_times.len() as f64 * hedging.quantile) as usize;
-        let slow = connect_times.get(rank).or(connect_times.last());
-        Some(slow.map_or(hedging.max_delay, |&slow| {
-            slow.max(hedging.min_delay).min(hedging.max_delay)
-        }))
+        let slow_connect_time = connect_times.get(rank).or(connect_times.last());
+        Some(
+            slow_connect_time.map_or(hedging.max_delay, |&slow_connect_time| {
+                slow_connect_time
+                    .max(hedging.min_delay)
+                    .min(hedging.max_delay)
+            }),
+        )
     }
 }
 
-/// The last sessions over which a share is counted: as many as allow for one attempt, within
-/// bounds.
-fn share_sessions(share: f64) -> u64 {
+/// Returns the number of recent sessions over which a share is counted: as many as allow for one
+/// attempt, within bounds.
+fn share_window_length(share: f64) -> u64 {
     (1.0 / share)
         .ceil()
         .clamp(MIN_SHARE_SESSIONS, MAX_SHARE_SESSIONS) as u64
 }
 
-/// The extra attempts that the route allows itself, as a part of its sessions.
-fn share_of(route: &Route, extra: ExtraAttempt) -> Option<f64> {
+/// Returns the extra attempts that the route allows, as a share of its sessions.
+fn extra_share(route: &Route, extra: ExtraAttempt) -> Option<f64> {
     match extra {
         ExtraAttempt::Retry => route.retry_share,
         ExtraAttempt::Hedge => route.hedging.map(|hedging| hedging.share),
--- a/src/route_limits/tests.rs
+++ b/src/route_limits/tests.rs
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn open_sessions_limited_across_rows_of_one_id() {
+fn open_sessions_of_rows_with_same_id_share_limit() {
     let (mut limits, wide, narrow) = (
         RouteLimits::default(),
         route(1, Some(3), None),
@@ -35,43 +35,50 @@
             .into_iter()
             .all(|route| limits.open_session(route))
     );
-    // The limit was lowered below what is held: none comes in before enough have left.
+    // The limit is now below the number of open sessions: no session may open before enough have
+    // closed.
     assert!(!limits.open_session(&narrow));
-    for (leave, opens) in [(2, false), (2, true)] {
-        (0..leave).for_each(|_| limits.close_session(&wide));
+    for (closed, opens) in [(2, false), (2, true)] {
+        (0..closed).for_each(|_| limits.close_session(&wide));
         assert_eq!(
             limits.open_session(&narrow),
             opens,
-            "after {leave} more left"
+            "after {closed} more sessions have closed"
         );
     }
     assert!(
         limits.open_session(&route(2, Some(1), None)),
-        "another id has its own"
+        "another limits_id has its own limit"
     );
 }
 
 #[test]
-fn extra_attempts_within_share_of_sessions() {
+fn extra_attempts_of_failing_sessions_stay_within_share() {
     for (share, sessions) in [(0.1, 1_000), (0.5, 200), (0.01, 1_000)] {
         let (mut limits, route) = (RouteLimits::default(), route(1, None, Some(share)));
         let (mut retries, mut hedges) = (0, 0);
         for _ in 0..sessions {
             limits.record_arrival(NOW, &route);
-            // Every one of them fails and is slow.
+            // Every session asks for a retry and for a hedge.
             retries += u32::from(limits.try_spend(NOW, &route, ExtraAttempt::Retry));
             hedges += u32::from(limits.try_spend(NOW, &route, ExtraAttempt::Hedge));
         }
-        let most = share * f64::from(sessions);
+        let max_attempts = share * f64::from(sessions);
         for count in [retries, hedges].map(f64::from) {
-            assert!(count <= most && count >= most - 1.0, "{count} of {most}");
+            assert!(
+                count <= max_attempts && count >= max_attempts - 1.0,
+                "{count} extra attempts, {max_attempts} allowed"
+            );
         }
-        // What a quiet time saved is bounded.
+        // A quiet period allows only a bounded number of attempts afterwards.
         (0..10_000).for_each(|_| limits.record_arrival(NOW, &route));
         let burst = (0..10_000)
             .filter(|_| limits.try_spend(NOW, &route, ExtraAttempt::Retry))
             .count() as f64;
-        assert!(burst <= (share * 100.0).max(1.0), "{burst}");
+        assert!(
+            burst <= (share * 100.0).max(1.0),
+            "{burst} retries in a burst"
+        );
     }
     let (mut limits, plain) = (RouteLimits::default(), route(0, None, None));
     limits.record_arrival(NOW, &plain);
@@ -83,13 +90,21 @@
     let (mut limits, route) = (RouteLimits::default(), route(1, None, Some(0.1)));
     limits.record_arrival(NOW, &route);
     let delay = |limits: &RouteLimits| limits.hedge_delay(&route).map(|delay| delay.as_millis());
-    assert_eq!(delay(&limits), Some(200), "nothing is known yet");
+    assert_eq!(delay(&limits), Some(200), "no connect time is known yet");
     for (took, expected) in [(5, 20), (50, 50), (900, 200), (30, 30)] {
         (0..100).for_each(|_| limits.record_connect_time(&route, Duration::from_millis(took)));
-        assert_eq!(delay(&limits), Some(expected), "all took {took} ms");
+        assert_eq!(
+            delay(&limits),
+            Some(expected),
+            "all attempts took {took} ms"
+        );
     }
     (0..12).for_each(|_| limits.record_connect_time(&route, Duration::from_millis(100)));
-    assert_eq!(delay(&limits), Some(100), "more than a tenth take so long");
+    assert_eq!(
+        delay(&limits),
+        Some(100),
+        "more than a tenth of the attempts took 100 ms"
+    );
     assert_eq!(limits.hedge_delay(&Route::default()), None);
 }
 
@@ -101,34 +116,36 @@
         window: Duration::from_millis(5_000),
     };
     let at = |ms: u64| Instant::from_micros(ms * 1_000);
-    // When two sessions came, when attempts went out, and if another may.
+    // When two sessions arrive, when attempts go out, when another attempt is tried (all in
+    // milliseconds), and whether it is allowed.
     let cases: [(u64, &[u64], u64, bool); 8] = [
         (0, &[], 0, true),
         (0, &[0, 0], 0, false),
         (0, &[0], 4_999, true),
-        // The sessions have passed out of the window, the attempt has not quite.
+        // The sessions have left the window, the attempt has not yet.
         (0, &[0], 5_000, false),
         (0, &[0], 5_001, true),
         (1_000, &[1_000, 2_000], 6_000, false),
         (1_000, &[1_000, 2_000], 6_001, false),
         (1_000, &[1_000, 2_000], 7_001, true),
     ];
-    for (come, attempts, when, may) in cases {
+    for (arrived_at, attempts, tried_at, is_allowed) in cases {
         let (mut limits, route) = (RouteLimits::default(), Route::default());
         limits.set_retry_budget(Some(budget));
-        (0..2).for_each(|_| limits.record_arrival(at(come), &route));
+        (0..2).for_each(|_| limits.record_arrival(at(arrived_at), &route));
         attempts
             .iter()
             .for_each(|&ms| assert!(limits.try_spend(at(ms), &route, ExtraAttempt::Retry)));
         assert_eq!(
-            limits.try_spend(at(when), &route, ExtraAttempt::Retry),
-            may,
-            "{come} {attempts:?} {when}"
+            limits.try_spend(at(tried_at), &route, ExtraAttempt::Retry),
+            is_allowed,
+            "sessions at {arrived_at} ms, attempts at {attempts:?} ms, tried at {tried_at} ms"
         );
     }
 }
 
-/// Against a plain list of all that happened, read for each window that ends in an attempt.
+/// Compares the limits with a plain list of all events, counted for each window that ends in an
+/// attempt.
 #[test]
 fn retry_budget_matches_plain_count_in_every_window() {
     for (seed, gap_us, free, share, window) in [
@@ -145,10 +162,10 @@
         limits.set_retry_budget(Some(budget));
         let (mut rng, mut now) = (Rng::from_seed(seed), 7);
         let (mut sessions, mut attempts): (Vec<u64>, Vec<u64>) = (Vec::new(), Vec::new());
-        let (mut first_session, mut first_attempt, mut least_left) = (0, 0, f64::MAX);
+        let (mut first_session, mut first_attempt, mut least_remaining) = (0, 0, f64::MAX);
         for step in 0..40_000 {
             now += rng.below(gap_us);
-            // Storms, in which each session asks again and again, and quiet times.
+            // Bursts, in which each session retries again and again, alternate with quiet periods.
             if rng.below(4) > 0 {
                 limits.record_arrival(Instant::from_micros(now), &route);
                 sessions.push(now);
@@ -166,14 +183,17 @@
                     .iter()
                     .take_while(|&&at| at < from)
                     .count();
-                let most = free + share * (sessions.len() - first_session) as f64;
-                let left = most - (attempts.len() - first_attempt) as f64;
-                assert!(left >= 0.0, "seed {seed}: {left} left at {now}");
-                least_left = least_left.min(left);
+                let max_attempts = free + share * (sessions.len() - first_session) as f64;
+                let remaining = max_attempts - (attempts.len() - first_attempt) as f64;
+                assert!(
+                    remaining >= 0.0,
+                    "seed {seed}: {remaining} attempts remaining at {now} us"
+                );
+                least_remaining = least_remaining.min(remaining);
             }
         }
         assert!(
-            least_left < 1.0 && attempts.len() > 300,
+            least_remaining < 1.0 && attempts.len() > 300,
             "seed {seed}: {} attempts",
             attempts.len()
         );
@@ -203,7 +223,7 @@
     assert!(
         limits.try_spend(NOW, &route, ExtraAttempt::Retry)
             && !limits.try_spend(NOW, &route, ExtraAttempt::Retry),
-        "one is reserved"
+        "one of the two free retries is reserved"
     );
     limits.release_retry(&route);
     assert!(
@@ -213,29 +233,29 @@
     limits.refund(NOW);
     assert!(
         limits.try_spend(NOW, &route, ExtraAttempt::Hedge),
-        "one was never sent"
+        "the refunded attempt is available again"
     );
     limits.refund(NOW - Duration::from_micros(1));
     assert!(
         !limits.try_spend(NOW, &route, ExtraAttempt::Retry),
-        "one that has passed out gives nothing of the others back"
+        "a refund for a time without an attempt returns none"
     );
     let later = NOW + Duration::from_millis(6_000);
     limits.predecessor_started();
     assert!(
         !limits.try_spend(later, &route, ExtraAttempt::Retry),
-        "the free part is the predecessor's"
+        "the free part belongs to the predecessor"
     );
     limits.predecessor_ended(later);
-    for (after, may) in [(4_999, false), (5_000, true)] {
+    for (after, is_allowed) in [(4_999, false), (5_000, true)] {
         assert_eq!(
             limits.try_spend(
                 later + Duration::from_millis(after),
                 &route,
                 ExtraAttempt::Retry
             ),
-            may,
-            "{after} ms after its end"
+            is_allowed,
+            "{after} ms after the predecessor's end"
         );
     }
 }
--- a/src/route_limits/window.rs
+++ b/src/route_limits/window.rs
@@ -1,12 +1,12 @@
 //! Exact counts of the sessions and extra attempts within a sliding window.
 use std::collections::VecDeque;
 
-/// Positions that are kept apart in either count. What comes while so many lie within a window is merged
-/// with the newest, so that sessions leave the window early and attempts late: fewer attempts than
-/// allowed, never more.
+/// Maximum number of separate positions in either count. Events that arrive while a window holds
+/// this many are merged with the newest position. Sessions then leave the window early and attempts
+/// late, which allows fewer attempts than the limit, never more.
 pub(super) const MAX_POSITIONS: usize = 4_096;
 
-/// What a window allows and what of it is spent, in attempts.
+/// The attempts that a window allows and how many of them are spent.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Allowance {
     /// Attempts that went out or are reserved.
@@ -21,19 +21,19 @@
     }
 }
 
-/// The extent of a window and what it allows.
+/// The length of a window and the attempts that it allows.
 #[derive(Clone, Copy)]
 pub(super) struct WindowLimit {
-    /// Its length, in microseconds or in sessions.
+    /// The length of the window, in microseconds or in sessions.
     pub(super) length: u64,
-    /// Attempts that it allows without any session.
+    /// Attempts that the window allows without any session.
     pub(super) free: f64,
     /// Attempts that each session within it adds.
     pub(super) share: f64,
 }
 
-/// Sessions and attempts beyond their first within the last window. Positions are microseconds or
-/// numbers of sessions.
+/// Sessions, and attempts beyond each session's first, within the last window. Positions are
+/// microseconds or numbers of sessions.
 #[derive(Default)]
 pub(super) struct AttemptWindow {
     pub(super) sessions: EventCounts,
@@ -45,7 +45,7 @@
 impl AttemptWindow {
     pub(super) fn record_session(&mut self, position: u64, length: u64) {
         self.sessions.add(position, MergedPosition::Earlier);
-        self.advance(position, length);
+        self.remove_expired(position, length);
     }
 
     pub(super) fn record_attempt(&mut self, position: u64) {
@@ -53,23 +53,24 @@
     }
 
     pub(super) fn allowance(&mut self, position: u64, limit: WindowLimit) -> Allowance {
-        self.advance(position, limit.length);
+        self.remove_expired(position, limit.length);
         Allowance {
             spent: f64::from(self.attempts.total + self.reserved),
             limit: limit.free + limit.share * f64::from(self.sessions.total),
         }
     }
 
-    /// On the window's edge an attempt still counts and a session does not: that keeps the limit
-    /// whichever way the edge is read.
-    fn advance(&mut self, position: u64, length: u64) {
+    /// Removes the events that have left the window. On the window's edge an attempt still counts
+    /// and a session does not, so that the limit holds whether or not the edge is part of the
+    /// window.
+    fn remove_expired(&mut self, position: u64, length: u64) {
         self.sessions
             .remove_before((position + 1).saturating_sub(length));
         self.attempts.remove_before(position.saturating_sub(length));
     }
 }
 
-/// Events of a window by their position, the oldest first.
+/// Events of a window by their position, oldest first.
 #[derive(Default)]
 pub(super) struct EventCounts {
     pub(super) positions: VecDeque<PositionCount>,
@@ -81,7 +82,7 @@
     count: u32,
 }
 
-/// The position that events count from once they are merged.
+/// The position at which merged events count.
 #[derive(Clone, Copy, PartialEq)]
 enum MergedPosition {
     Earlier,
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Takes one event back. What has left the window or was merged into another position stays
-    /// counted, so that no later event takes its place.
+    /// Removes one event. An event that has left the window or was merged into another position
+    /// stays counted, so that no other event is removed in its place.
     pub(super) fn remove_one(&mut self, position: u64) {
         let index = self
             .positions
@@ -120,7 +121,7 @@
         }
     }
 
-    /// Drops the events before this position, which have left the window.
+    /// Removes the events before this position, which have left the window.
     fn remove_before(&mut self, position: u64) {
         while let Some(event) = self.positions.front()
             && event.position < position
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,7 +1,8 @@
-//! Points in time and durations, in whole microseconds, for code that is handed the time.
+//! Points in time and durations, in whole microseconds, for code that receives the time from its
+//! caller.
 //!
-//! [`Instant`] and [`Duration`] are types of their own, apart from those of the standard library,
-//! so that the same code runs on a real clock and on a simulated one.
+//! [`Instant`] and [`Duration`] are separate from the types of the standard library, so that the
+//! same code runs on a real clock and on a simulated one.
 use std::ops::{Add, AddAssign, Mul, Sub};
 
 const MICROS_PER_MILLI: u64 = 1_000;
@@ -16,59 +17,59 @@
 pub struct Duration(u64);
 
 impl Instant {
-    /// The point in time that lies so many microseconds after the origin.
+    /// Returns the point in time that lies this many microseconds after the origin.
     pub const fn from_micros(micros: u64) -> Self {
         Instant(micros)
     }
 
-    /// Microseconds since the origin.
+    /// Returns the microseconds since the origin.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// Whole milliseconds since the origin, rounded down.
+    /// Returns the whole milliseconds since the origin, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / MICROS_PER_MILLI
     }
 
-    /// The time that passed since `earlier`; zero where `earlier` is in fact later, since load
-    /// reports and endpoint lists may name points in time that are still to come.
+    /// Returns the time that passed since `earlier`. It is zero if `earlier` is in fact later,
+    /// since load reports and endpoint lists may name points in time that are still to come.
     pub const fn duration_since(self, earlier: Instant) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
 }
 
 impl Duration {
-    /// No time at all.
+    /// A duration of zero.
     pub const ZERO: Duration = Duration(0);
 
-    /// A duration of so many microseconds.
+    /// Returns a duration of this many microseconds.
     pub const fn from_micros(micros: u64) -> Self {
         Duration(micros)
     }
 
-    /// A duration of so many milliseconds.
+    /// Returns a duration of this many milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Duration(millis * MICROS_PER_MILLI)
     }
 
-    /// The whole duration in microseconds.
+    /// Returns the whole duration in microseconds.
     pub const fn as_micros(self) -> u64 {
         self.0
     }
 
-    /// The whole duration in milliseconds, rounded down.
+    /// Returns the whole duration in milliseconds, rounded down.
     pub const fn as_millis(self) -> u64 {
         self.0 / MICROS_PER_MILLI
     }
 
-    /// The duration in seconds.
+    /// Returns the duration in seconds.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / MICROS_PER_SECOND
     }
 
-    /// Reads a number and its unit as people write them: `10us`, `250ms`, `1.5s`, `2m`, `1h`. None
-    /// where the text has another form.
+    /// Parses a number and its unit, such as `10us`, `250ms`, `1.5s`, `2m` or `1h`. Returns `None`
+    /// if the text has another form.
     pub fn parse(text: &str) -> Option<Duration> {
         let is_unit = |character: char| !character.is_ascii_digit() && character != '.';
         let (number, unit) = text.split_at(text.find(is_unit)?);
@@ -119,7 +120,7 @@
     }
 }
 
-/// Scales a duration. A negative or unordered factor gives zero.
+/// Scales a duration. A negative factor or NaN gives zero.
 impl Mul<f64> for Duration {
     type Output = Duration;
     fn mul(self, factor: f64) -> Duration {
--- a/tests/golden_file/mod.rs
+++ b/tests/golden_file/mod.rs
@@ -4,21 +4,21 @@
 //! so that a recording is never taken for a passed comparison.
 use std::path::Path;
 
-/// Compares `actual` with the recorded file, byte for byte.
+/// Asserts that `actual` equals the recorded file, byte for byte.
 ///
 /// # Panics
-/// Where they differ, with the first line that does; where there is no recorded file; and after
+/// If they differ, with the first line that does; if the recorded file cannot be read; and after
 /// recording.
 pub(crate) fn assert_unchanged(file: &Path, actual: &str) {
     if std::env::var_os("RECORD_GOLDEN").is_some() {
         std::fs::write(file, actual).expect("the golden file can be written");
         panic!(
-            "{} recorded; run again without RECORD_GOLDEN",
+            "golden file {} recorded; run again without RECORD_GOLDEN",
             file.display()
         );
     }
-    let recorded =
-        std::fs::read_to_string(file).unwrap_or_else(|fault| panic!("{}: {fault}", file.display()));
+    let recorded = std::fs::read_to_string(file)
+        .unwrap_or_else(|error| panic!("cannot read the golden file {}: {error}", file.display()));
     if recorded == actual {
         return;
     }
@@ -28,7 +28,7 @@
         .take_while(|(before, now)| before == now)
         .count();
     panic!(
-        "{}:{} has changed\n  recorded: {:?}\n  now:      {:?}",
+        "{}:{} differs from the output of this run\n  recorded: {:?}\n  now:      {:?}",
         file.display(),
         same_lines + 1,
         recorded.lines().nth(same_lines),
