--- a/src/balancer/task_queue.rs
+++ b/src/balancer/task_queue.rs
@@ -8,7 +8,7 @@
 pub(super) enum Task {
     CheckHealth,
     Housekeeping,
-    /// Subscribes to the endpoint list anew.
+    /// Subscribes to the endpoint list again.
     Subscribe,
     /// Starts the next attempt of a session that is backing off.
     Retry(SessionId),
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct BackendId(pub u32);
 
-/// A row of the route table, as it stood when the session arrived.
+/// A row of the route table, as it was when the session arrived.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteId(pub u16);
 
--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -11,7 +11,7 @@
 use thistlecroft::time::Duration;
 
 #[test]
-fn final_answer_by_outcome_and_idempotency() {
+fn final_answer_follows_outcome_and_idempotency() {
     let rejected = true;
     let cases = [
         (IDEMPOTENT, AttemptOutcome::TimedOut, rejected),
@@ -66,9 +66,9 @@
 }
 
 #[test]
-fn retry_only_where_repeat_is_safe() {
-    // The outcome of the first attempt, whether a retry may follow, and whether it has to stay in the
-    // zone of the first.
+fn failed_attempt_retried_only_if_repeat_is_safe() {
+    // Each case: the idempotency, the outcome of the first attempt, whether a retry may follow, and
+    // whether it has to stay in the zone of the first.
     let cases = [
         (IDEMPOTENT, AttemptOutcome::TimedOut, true, false),
         (NON_IDEMPOTENT, AttemptOutcome::Saturated, true, false),
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn keyed_session_past_window_fails() {
+fn keyed_session_past_deduplication_window_fails() {
     let mut harness = Harness::new(
         deployment(keyed(DeduplicationScope::Cell)),
         &ready_endpoints(8),
@@ -134,24 +134,25 @@
 }
 
 #[test]
-fn keyed_retry_stays_within_window() {
-    // The deduplication window, the connect timeout, for how long the process then stands still, and
-    // how many attempts there are (all in milliseconds).
+fn keyed_retry_stays_within_deduplication_window() {
+    // Each case: the deduplication window, the connect timeout and how long the process is then
+    // stalled (all in milliseconds), and how many attempts are made.
     let cases = [
         (5_000, 50, 0, 2),
-        // The retry is due, but the process runs again only when the window is over, or nearly.
+        // The retry is due while the process is stalled. The process runs again only when the
+        // window is over, or nearly.
         (5_000, 50, 6_000, 1),
         (5_000, 400, 4_700, 1),
-        // The retry could become ready after the window.
+        // The retry could become ready only after the window.
         (1_300, 400, 0, 1),
     ];
-    for (window, connect, stalled, attempts) in cases {
+    for (window, connect_timeout_ms, stalled, attempts) in cases {
         let idempotency = Idempotency::Keyed {
             scope: DeduplicationScope::All,
             window: ms(window),
         };
         let change = |route: &mut Route| {
-            (route.connect_timeout, route.backoff_base) = (ms(connect), ms(100))
+            (route.connect_timeout, route.backoff_base) = (ms(connect_timeout_ms), ms(100))
         };
         let mut harness = Harness::new(
             with_route(change, deployment(idempotency)),
@@ -160,25 +161,26 @@
         harness.arrive(1, arrival(1, 0, ms(20_000)));
         harness.advance(ms(1_000));
         harness.end(1, 0, AttemptOutcome::TimedOut, false);
-        // The process stands still: no task runs meanwhile.
+        // No task runs while the process is stalled.
         harness.now = harness.now + ms(stalled);
         harness.advance(ms(1_000));
         assert_eq!(
             harness.attempts(1).len(),
             attempts,
-            "{window} {connect} {stalled}"
+            "window {window} ms, connect timeout {connect_timeout_ms} ms, stalled {stalled} ms"
         );
         assert_eq!(
             harness.answers(1).len(),
             2 - attempts,
-            "{window} {connect} {stalled}"
+            "window {window} ms, connect timeout {connect_timeout_ms} ms, stalled {stalled} ms"
         );
     }
 }
 
 #[test]
 fn session_answered_once_before_timeout() {
-    // The client's timeout, and the outcome of each attempt once its own time is up.
+    // Each case: the client's timeout in milliseconds, and the outcome of each attempt at the end
+    // of its own timeout.
     for (timeout, outcome) in [
         (1_200, AttemptOutcome::TimedOut),
         (90, AttemptOutcome::Unreachable),
@@ -198,14 +200,14 @@
                 harness.advance(ms(1));
                 assert!(
                     harness.now.duration_since(start) <= ms(timeout),
-                    "{timeout} {outcome:?} still open"
+                    "{timeout} ms, {outcome:?}: not answered in time"
                 );
             }
         }
-        assert_eq!(harness.answers(1).len(), 1, "{timeout} {outcome:?}");
+        assert_eq!(harness.answers(1).len(), 1, "{timeout} ms, {outcome:?}");
         assert!(
             harness.now.duration_since(start) <= ms(timeout),
-            "{timeout} {outcome:?} late"
+            "{timeout} ms, {outcome:?}: answered late"
         );
     }
 }
@@ -235,7 +237,8 @@
 
 #[test]
 fn attempt_timeout_follows_slow_connects() {
-    // How long attempts take, how they end if they fail, and whether later ones may take longer.
+    // Each case: how long attempts take in milliseconds, how they end if they fail, and whether
+    // later ones may take longer.
     for (took, outcome, longer) in [
         (20, None, false),
         (250, None, true),
@@ -254,6 +257,10 @@
             .arrive(99, arrival(0, 0, ms(60_000)))
             .unwrap()
             .timeout;
-        assert_eq!(given > ms(300), longer, "{took} {outcome:?}: {given:?}");
+        assert_eq!(
+            given > ms(300),
+            longer,
+            "{took} ms, {outcome:?}: timeout {given:?}"
+        );
     }
 }
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -8,16 +8,16 @@
 use thistlecroft::time::Duration;
 
 #[test]
-fn backoff_grows_and_clears_once_stable() {
-    // How long a connection stands, whether it ends by a reset, and the longest backoff of the next
-    // rejection, in milliseconds.
+fn backoff_grows_until_connection_is_stable() {
+    // Each case: the age at which a connection ends, whether it ends by a reset, and the longest
+    // backoff of the next rejection (times in milliseconds).
     let cases = [
         (4_000, true, 16_000),
         (4_000, false, 8_000),
         (6_000, true, 1_000),
         (6_000, false, 1_000),
     ];
-    for (stands, reset, most) in cases {
+    for (age, reset, most) in cases {
         let mut longest = Duration::ZERO;
         for key in 1..200 {
             let mut harness = Harness::new(
@@ -30,7 +30,7 @@
             }
             harness.arrive(4, arrival(key, 0, ms(4_800)));
             harness.establish(4, 0);
-            harness.advance(ms(stands));
+            harness.advance(ms(age));
             harness.end(
                 4,
                 0,
@@ -44,18 +44,19 @@
             harness.arrive(5, arrival(key, 0, ms(4_800)));
             harness.end(5, 0, AttemptOutcome::Saturated, false);
             let [Action::Reject(_, Some(wait))] = harness.answers(5)[..] else {
-                panic!("not rejected")
+                panic!("the session is not rejected")
             };
             longest = longest.max(wait);
         }
-        assert!(longest <= ms(most), "{stands} {reset}: {longest:?}");
-        assert!(longest > ms(most) * 0.01, "{stands} {reset}: {longest:?}");
+        assert!(longest <= ms(most), "{age} ms, {reset}: {longest:?}");
+        assert!(longest > ms(most) * 0.01, "{age} ms, {reset}: {longest:?}");
     }
 }
 
 #[test]
-fn backoff_and_stability_by_route() {
-    // Base, cap, and the longest backoff after a second failure, in milliseconds.
+fn backoff_and_stability_follow_route() {
+    // Each case: the base and the cap of the backoff, and the longest backoff after a second
+    // failure (all in milliseconds).
     for (base, cap, longest) in [
         (1_000, 30_000, 2_000),
         (100, 30_000, 200),
@@ -83,11 +84,13 @@
         }
         assert!(
             most <= ms(longest) && most > ms(longest / 2),
-            "{base} {cap}: {most:?}"
+            "base {base} ms, cap {cap} ms: longest backoff {most:?}"
         );
     }
-    // A reset counts as a failure until the connection is stable, by its route.
-    for (stable_after, stood, counts) in [
+    // A reset counts as a failure until the connection is as old as the `stable_after` of its
+    // route. Each case: `stable_after` and the age of the connection (in milliseconds), and whether
+    // it counts.
+    for (stable_after, age, counts) in [
         (5_000, 4_000, true),
         (5_000, 6_000, false),
         (1_000, 4_000, false),
@@ -105,7 +108,7 @@
             );
             harness.arrive(1, arrival(7, 0, ms(4_000)));
             harness.establish(1, 0);
-            harness.advance(ms(stood));
+            harness.advance(ms(age));
             harness.end(1, 0, AttemptOutcome::Reset, true);
             harness.balancer.update_endpoints(UpdateKind::Snapshot, &[]);
             harness.arrive(2, arrival(7, 0, ms(4_000)));
@@ -114,17 +117,17 @@
             };
             most = most.max(wait);
         }
-        assert_eq!(most > ms(1_000), counts, "{stable_after} {stood}: {most:?}");
+        assert_eq!(most > ms(1_000), counts, "{stable_after} {age}: {most:?}");
     }
 }
 
-/// Where no load is reported, a backend that drops connections or refuses an attempt is left alone.
-/// The wait grows with the number of relays and with each time, and groups that are held there are
-/// rejected meanwhile. Where loads are reported, they decide.
+/// Without load reports, relays back off from a backend that drops connections or refuses an
+/// attempt. The wait grows with the number of relays and with each repetition, and sessions of
+/// groups that are held there are rejected meanwhile. If loads are reported, they decide instead.
 #[test]
-fn overloaded_backend_left_alone_without_load_reports() {
-    // Whether loads are reported, the number of relays, what the backend does and how often, and
-    // the bounds of the longest wait in milliseconds.
+fn overloaded_backend_avoided_without_load_reports() {
+    // Each case: whether loads are reported, the number of relays, what the backend does and how
+    // often, and the bounds of the longest wait in milliseconds.
     let cases = [
         (false, 1, AttemptOutcome::Reset, 1, 1_000, 500),
         (false, 1, AttemptOutcome::Saturated, 1, 1_000, 500),
@@ -146,7 +149,8 @@
             let mut harness = Harness::with_seed(deployment, seed, &ready_endpoints(6));
             let session = |id: u32| arrival(u64::from(id), 5, ms(1_200));
             let report_low_load = |harness: &mut Harness| {
-                // What was placed since the last report counts for all relays.
+                // Placements since the last report are multiplied by the number of relays, so they
+                // have to be older than the lag of reports.
                 harness.advance(ms(1_100));
                 (0..6).for_each(|backend| harness.report(backend, Some(1.0), Some(0.1)));
             };
@@ -154,7 +158,7 @@
                 report_low_load(&mut harness);
             }
             let home = harness.arrive(1, session(1)).unwrap().backend;
-            // Other connections stand there, so that it does not count as restarted.
+            // The backend holds other connections, so that it does not count as restarted.
             (100..104).for_each(|id| harness.inherit(id, home));
             for id in 0..times {
                 harness.inherit(200 + id, home);
@@ -173,18 +177,18 @@
             {
                 assert!(
                     harness.attempts(300 + waited).is_empty(),
-                    "its group goes nowhere else"
+                    "the group goes to no other backend"
                 );
                 waited += 1;
                 harness.advance(ms(100));
-                assert!(waited <= 400, "{relays} {outcome:?}: never tried again");
+                assert!(waited <= 400, "{relays} {outcome:?}: not tried again");
             }
             longest = longest.max(waited * 100);
         }
         let range = least..=most + 100;
         assert!(
             range.contains(&longest),
-            "{reports_load} {relays} {outcome:?} {times}: {longest} ms"
+            "loads {reports_load}, {relays} relays, {outcome:?} {times} times: {longest} ms"
         );
     }
 }
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -15,16 +15,16 @@
         .set_banned(harness.now, BackendId(BANNED), is_banned);
 }
 
-/// The backends to which so many sessions go that arrive one after another.
-fn place(harness: &mut Harness, from: u32, count: u32) -> Vec<u32> {
+/// Lets `count` sessions arrive one after another and returns the backends that they go to.
+fn placed_at(harness: &mut Harness, from: u32, count: u32) -> Vec<u32> {
     let ids = from..from + count;
     ids.filter_map(|id| {
-        let at = harness
+        let backend = harness
             .arrive(id, arrival(u64::from(id), 0, ms(1_000)))
             .map(|target| target.backend);
         harness.end(id, 0, AttemptOutcome::Cancelled, true);
         harness.advance(ms(200));
-        at
+        backend
     })
     .collect()
 }
@@ -33,10 +33,10 @@
 fn ban_outlasts_endpoint_lists() {
     let harness = || Harness::new(deployment(IDEMPOTENT), &ready_endpoints(3));
     let later = Some(Instant::from_micros(99_000_000));
-    type Meanwhile = fn(&mut Harness);
-    let cases: [(&str, Meanwhile); 7] = [
-        ("nothing", |_| {}),
-        ("named ready", |harness| {
+    type WhileBanned = fn(&mut Harness);
+    let cases: [(&str, WhileBanned); 7] = [
+        ("no change", |_| {}),
+        ("listed as ready", |harness| {
             harness.update(endpoint(BANNED, EndpointState::Ready, None))
         }),
         ("a complete list", |harness| {
@@ -53,29 +53,30 @@
             harness.update(endpoint(BANNED, EndpointState::Removed, None));
             harness.update(endpoint(BANNED, EndpointState::Ready, None));
         }),
-        ("another start", |harness| {
+        ("a later start", |harness| {
             harness.update(endpoint(BANNED, EndpointState::Ready, Some(harness.now)));
         }),
         ("a second ban", |harness| ban(harness, true)),
     ];
-    for (name, meanwhile) in cases {
+    for (name, while_banned) in cases {
         let mut harness = harness();
         ban(&mut harness, true);
-        meanwhile(&mut harness);
-        assert!(!place(&mut harness, 1, 60).contains(&BANNED), "{name}");
+        while_banned(&mut harness);
+        assert!(!placed_at(&mut harness, 1, 60).contains(&BANNED), "{name}");
         assert!(
             !harness
                 .recorder
                 .actions
                 .contains(&Action::CheckHealth(BANNED)),
-            "{name}: its health is not checked either"
+            "{name}: the health of a banned backend is not checked"
         );
-        // One lift undoes any number of bans.
+        // Lifting the ban once undoes any number of bans.
         ban(&mut harness, false);
         harness.update(endpoint(BANNED, EndpointState::Ready, later));
-        assert!(place(&mut harness, 100, 60).contains(&BANNED), "{name}");
+        assert!(placed_at(&mut harness, 100, 60).contains(&BANNED), "{name}");
     }
-    // A ban and draining both have to end, in whatever order.
+    // The backend is used again only when both the ban and the draining have ended, in whatever
+    // order.
     for ban_first in [true, false] {
         let mut harness = harness();
         ban(&mut harness, true);
@@ -85,10 +86,10 @@
         } else {
             harness.update(endpoint(BANNED, EndpointState::Ready, None));
         }
-        assert!(!place(&mut harness, 1, 60).contains(&BANNED));
+        assert!(!placed_at(&mut harness, 1, 60).contains(&BANNED));
         ban(&mut harness, false);
         harness.update(endpoint(BANNED, EndpointState::Ready, None));
-        assert!(place(&mut harness, 100, 60).contains(&BANNED));
+        assert!(placed_at(&mut harness, 100, 60).contains(&BANNED));
     }
 }
 
@@ -96,23 +97,23 @@
 fn ban_during_attempt_retries_elsewhere() {
     for id in 1..30 {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(3));
-        let at = harness
+        let backend = harness
             .arrive(id, arrival(u64::from(id), 0, ms(20_000)))
             .unwrap()
             .backend;
         harness
             .balancer
-            .set_banned(harness.now, BackendId(at), true);
+            .set_banned(harness.now, BackendId(backend), true);
         harness.end(id, 0, AttemptOutcome::Saturated, false);
         // The backoff before the retry is drawn from one second.
         harness.advance(ms(1_000));
         let attempts = harness.attempts(id);
         assert!(
-            attempts.len() == 2 && attempts[1].backend != at,
+            attempts.len() == 2 && attempts[1].backend != backend,
             "{attempts:?}"
         );
     }
-    // Where it was the only backend the session is answered once.
+    // If it was the only backend, the session is answered once.
     let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(1));
     harness.arrive(1, arrival(1, 0, ms(20_000)));
     harness.balancer.set_banned(harness.now, BackendId(0), true);
@@ -125,9 +126,9 @@
 }
 
 #[test]
-fn lifted_ban_warms_up_and_forgets_failures() {
-    // When it was listed to have started before the ban, when by the list after it, and for how long
-    // it warms up once the ban is lifted, in milliseconds.
+fn backend_after_ban_warms_up_and_forgets_failures() {
+    // Each case: the start that was listed before the ban, the start that is listed after it, and
+    // how long the backend warms up once the ban is lifted, in milliseconds.
     let (before, during) = (
         Some(Instant::from_micros(20_000_000)),
         Some(Instant::from_micros(104_000_000)),
@@ -154,8 +155,8 @@
         if listed_after.is_some() {
             harness.update(endpoint(BANNED, EndpointState::Ready, listed_after));
         }
-        // While it warms up it gets one session a turn of two seconds, whatever stood there before.
-        // It is not ejected: the first session goes there.
+        // While the backend warms up it gets one session per turn of two seconds, whatever it held
+        // before. It is not ejected: the first session goes there.
         let count = |harness: &mut Harness, from: u32| {
             (from..from + 8)
                 .filter(|&id| {
@@ -165,18 +166,22 @@
                 })
                 .count()
         };
-        assert_eq!(count(&mut harness, 100), 1, "{listed:?} {listed_after:?}");
+        assert_eq!(
+            count(&mut harness, 100),
+            1,
+            "listed {listed:?}, then {listed_after:?}"
+        );
         harness.advance(ms(warm_up - 100));
         assert_eq!(
             count(&mut harness, 200),
             1,
-            "{listed:?} {listed_after:?}: still warming up"
+            "listed {listed:?}, then {listed_after:?}: still warming up"
         );
         harness.advance(ms(200));
         assert_eq!(
             count(&mut harness, 300),
             8,
-            "{listed:?} {listed_after:?}: warm"
+            "listed {listed:?}, then {listed_after:?}: warm"
         );
     }
 }
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -7,7 +7,7 @@
 use thistlecroft::endpoint::{EndpointState, UpdateKind};
 
 #[test]
-fn endpoint_list_only_ready_backends_used() {
+fn endpoint_list_update_leaves_only_ready_backends_used() {
     use EndpointState::{Draining, Ready, Removed};
     let listed = |backend, state| endpoint(backend, state, None);
     let cases: [(&str, UpdateKind, Vec<_>, &[u32]); 5] = [
@@ -35,7 +35,7 @@
             vec![listed(0, Draining), listed(0, Ready)],
             &[0, 1, 2],
         ),
-        ("nothing left", UpdateKind::Snapshot, vec![], &[]),
+        ("an empty list", UpdateKind::Snapshot, vec![], &[]),
     ];
     for (name, kind, list, expected) in cases {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(3));
--- a/tests/golden_file/mod.rs
+++ b/tests/golden_file/mod.rs
@@ -1,6 +1,6 @@
 //! Golden files: recorded output that a test compares with what the code writes now.
 //!
-//! `RECORD_GOLDEN=1 cargo test --test golden` writes the files anew. Such a run fails on purpose,
+//! `RECORD_GOLDEN=1 cargo test --test golden` rewrites the files. Such a run fails on purpose,
 //! so that a recording is never taken for a passed comparison.
 use std::path::Path;
 
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Groups that share work are kept together.
+//! Placement of groups that share work.
 mod support;
 
 use std::collections::BTreeSet;
@@ -37,9 +37,9 @@
 
 #[test]
 fn group_homes_spread_over_fleet() {
-    // Each of 200 relays knows one report and places two sessions, of so many groups in all. While no
-    // backend is hot a group is on one backend, whatever relay places it, and no backend is the first
-    // of many groups.
+    // Each of 200 relays knows one report and places two sessions, of `groups` groups in all. While
+    // no backend is hot, a group is at one backend, whatever relay places its sessions, and no
+    // backend is the first one of many groups.
     for groups in [60, 400] {
         let mut homes = vec![BTreeSet::new(); groups as usize];
         for relay_index in 0..200 {
@@ -78,8 +78,8 @@
 
 #[test]
 fn group_not_rejected_while_fleet_has_capacity() {
-    // The load of the first backend in the group's order, that of the others, and whether a session
-    // of the group is placed.
+    // Each case: the load of the first backend in the group's order, that of the others, and
+    // whether a session of the group is placed.
     let home = |harness: &mut Harness| harness.arrive(1, arrival(1, 7, ms(1_000))).unwrap().backend;
     for (first, others, placed) in [
         (0.85, 0.2, true),
@@ -102,18 +102,18 @@
         assert_eq!(
             harness.arrive(9, arrival(9, 7, ms(1_000))).is_some(),
             placed,
-            "{first} {others}"
+            "load of the first {first}, of the others {others}"
         );
     }
 }
 
-/// The backends at which 24 relays each place the first session of one group.
-fn first_backends(site: &Deployment, one_reported: bool) -> Vec<u32> {
+/// Returns the backends at which 24 relays each place the first session of one group.
+fn first_backends(base_deployment: &Deployment, one_reported: bool) -> Vec<u32> {
     let first = |seed: u64| {
         let mut harness = Harness::with_seed(
             Deployment {
                 relay_count: 24,
-                ..site.clone()
+                ..base_deployment.clone()
             },
             seed,
             &ready_endpoints(90),
@@ -129,22 +129,22 @@
 }
 
 #[test]
-fn group_spread_by_share_without_reports() {
-    // Whether health checks may be sent, whether loads are reported, whether one backend has
-    // reported, and whether the group keeps to the first backend of its order.
+fn group_spread_by_share_if_load_is_unavailable() {
+    // Each case: whether health checks may be sent, whether loads are reported, whether one backend
+    // has reported, and whether the group keeps to the first backend of its order.
     let cases = [
         (true, true, false, true),
         (false, false, false, true),
         (false, true, true, true),
         (false, true, false, false),
     ];
-    for (may_check_health, reports_load, one_reported, together) in cases {
-        let site = Deployment {
+    for (may_check_health, reports_load, one_reported, kept_together) in cases {
+        let base_deployment = Deployment {
             may_check_health,
             reports_load,
             ..deployment(IDEMPOTENT)
         };
-        let mut backends = first_backends(&site, one_reported);
+        let mut backends = first_backends(&base_deployment, one_reported);
         assert_eq!(backends.len(), 24);
         backends.sort_unstable();
         let shares: Vec<usize> = backends
@@ -152,12 +152,14 @@
             .map(<[u32]>::len)
             .collect();
         let (used, fullest) = (shares.len(), shares.iter().max().copied().unwrap_or(0));
-        let what = format!("{may_check_health} {reports_load} {one_reported}: {backends:?}");
-        if together {
+        let what = format!(
+            "checks {may_check_health}, loads {reports_load}, one {one_reported}: {backends:?}"
+        );
+        if kept_together {
             assert_eq!(used, 1, "{what}");
         } else {
-            // One session of 21 counts for a twenty-first of a full fleet: 7 of 90 backends at 0.6
-            // each, and the first.
+            // The group has one session of 21, and so counts for a twenty-first of a full fleet: 7
+            // of 90 backends at a load of 0.6 each, plus the first one.
             assert!((5..=8).contains(&used), "{what}");
             assert!(fullest <= 9, "{what}");
         }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -1,4 +1,4 @@
-//! Signs of health: late messages, untrue reports, overdue responses and failures.
+//! Health of backends: late messages, untrue reports, overdue responses and failures.
 mod support;
 
 use support::{
@@ -8,7 +8,8 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::endpoint::EndpointState;
 
-/// Four backends that have reported, with ten connections at each that share no work.
+/// Returns a harness with four backends that have reported and hold ten connections each, which
+/// share no work.
 fn four_backends() -> Harness {
     let mut harness = Harness::new(
         Deployment {
@@ -23,14 +24,14 @@
     harness
 }
 
-/// Messages at a backend take so many milliseconds, on every connection that stands there.
+/// Observes this latency, in milliseconds, on every connection of a backend.
 fn observe_latency(harness: &mut Harness, backend: u32, latency: u64) {
     for id in (backend..40).step_by(4) {
         harness.observe_latency(id, ms(latency));
     }
 }
 
-/// Messages at backend 0 take so long, and it reports this load meanwhile.
+/// Lets messages at backend 0 take `latency` milliseconds while it reports this load.
 fn late_for_four_seconds(harness: &mut Harness, latency: u64, load: f64) {
     for _ in 0..4 {
         observe_latency(harness, 0, latency);
@@ -40,7 +41,7 @@
     observe_latency(harness, 0, latency);
 }
 
-/// How many of these sessions go to that backend.
+/// Returns how many of these sessions go to the backend.
 fn placed_at(harness: &mut Harness, backend: u32, ids: std::ops::Range<u32>) -> usize {
     let placed = ids.filter(|&id| {
         harness
@@ -52,7 +53,8 @@
 
 #[test]
 fn failing_backend_ejected_unless_fleet_fails() {
-    // How many of six backends fail every attempt, and whether attempts still go there afterwards.
+    // Each case: how many of six backends fail every attempt, and whether attempts still go to them
+    // afterwards.
     for (failing, still_used) in [(1, false), (2, false), (6, true)] {
         let mut harness = Harness::new(
             with_route(|route| route.max_attempts = 1, deployment(IDEMPOTENT)),
@@ -77,7 +79,8 @@
                 < failing
         });
         assert_eq!(used, still_used, "{failing} failing");
-        // No time brings it back. Health checks that it passes do, here the fourth at the latest.
+        // An ejected backend does not return with time. It does once it passes health checks, here
+        // the fourth at the latest.
         harness.advance(ms(40_000));
         let still = (80..140).any(|id| {
             harness
@@ -86,7 +89,10 @@
                 .backend
                 < failing
         });
-        assert_eq!(still, still_used, "{failing} failing: 40 s of silence");
+        assert_eq!(
+            still, still_used,
+            "{failing} failing: after 40 s without a health check"
+        );
         for _ in 0..4 {
             (0..failing).for_each(|backend| harness.report(backend, Some(1.0), Some(0.1)));
             harness.advance(ms(100));
@@ -98,7 +104,10 @@
                 .backend
                 < failing
         });
-        assert!(again, "{failing} failing: used again once it answers");
+        assert!(
+            again,
+            "{failing} failing: used again after passed health checks"
+        );
     }
 }
 
@@ -107,9 +116,9 @@
     let mut harness = four_backends();
     for expected in [2, 4, 8, 16, 16] {
         (0..2).for_each(|_| harness.fail_health_check(0));
-        for left in (0..=expected).rev() {
+        for pending in (0..=expected).rev() {
             let statistics = harness.balancer.snapshot().endpoints[0].1;
-            assert_eq!(statistics.pending_health_checks, left, "of {expected}");
+            assert_eq!(statistics.pending_health_checks, pending, "of {expected}");
             harness.report(0, Some(10.0), Some(0.4));
         }
     }
@@ -119,14 +128,18 @@
         harness.establish(id, 0);
         target.backend == 0
     });
-    assert!(connected, "one of a hundred sessions goes to backend 0");
+    assert!(
+        connected,
+        "at least one of a hundred sessions goes to backend 0"
+    );
     assert_eq!(harness.balancer.snapshot().endpoints[0].1.ejections, 0);
 }
 
-/// Backend 0 reports hardly any load.
+/// Backend 0 reports hardly any load while its messages are late.
 #[test]
 fn late_messages_override_low_report() {
-    // Latency of its messages in milliseconds (the objective is 50), and whether it is selected.
+    // Each case: the latency of its messages in milliseconds (the objective is 50), and whether it
+    // is selected.
     for (latency, selected) in [(5, true), (8, true), (30, false), (2_000, false)] {
         let mut harness = four_backends();
         late_for_four_seconds(&mut harness, latency, 0.02);
@@ -138,17 +151,18 @@
     }
 }
 
-/// Connections have come and gone for long: half of them depart within fourteen seconds.
+/// Connections have come and gone for a long time: half of them depart within fourteen seconds.
 #[test]
-fn untrue_report_believed_once_messages_in_time() {
-    // The load reported while messages were late, whether one in time is observed, how many seconds
-    // pass, and whether the backend is selected then.
+fn report_believed_again_once_backend_is_no_longer_late() {
+    // Each case: the load reported while messages were late, whether a message in time is observed,
+    // how many seconds pass, and whether the backend is selected then.
     let cases = [
         (0.02, false, 3, false),
-        // It reported its true load, and is believed now.
+        // The backend reported its true load, and is believed now.
         (1.50, false, 3, true),
         (0.02, true, 0, true),
-        // No connection stands there to observe it. What overloaded it has departed with time.
+        // No message in time is observed there, but the load that made it late has departed with
+        // time.
         (0.02, false, 60, true),
     ];
     for (load, in_time, seconds, selected) in cases {
@@ -157,7 +171,7 @@
         if in_time {
             observe_latency(&mut harness, 0, 5);
         }
-        // Other sessions come and depart by themselves meanwhile, three a second.
+        // Meanwhile other sessions arrive and depart by themselves, three per second.
         for id in 1_000..1_000 + seconds * 3 {
             harness.advance(ms(if id % 3 == 0 { 400 } else { 300 }));
             if let Some(target) = harness.arrive(id, arrival(0, 0, ms(4_800))) {
@@ -174,9 +188,9 @@
 }
 
 #[test]
-fn late_and_failing_backend_left_at_once() {
-    // Latency observed in milliseconds, health checks that fail, and how many of ten connections are
-    // migrated within the next second.
+fn late_and_failing_backend_relieved_of_all_connections() {
+    // Each case: the observed latency in milliseconds, the number of health checks that fail, and
+    // how many of ten connections are migrated within the next second.
     let cases = [
         (800, 1, 10..=10),
         (800, 2, 10..=10),
@@ -191,21 +205,21 @@
         }
         observe_latency(&mut harness, 0, latency);
         harness.advance(ms(600));
-        let left = harness.migrations();
+        let migrated = harness.migrations();
         assert!(
-            expected.contains(&left),
-            "{latency} ms, {failed} failed: {left}"
+            expected.contains(&migrated),
+            "{latency} ms, {failed} failed: {migrated} migrated"
         );
         let others = |action: &&Action| matches!(action, Action::Migrate(id) if id % 4 != 0);
         assert_eq!(
             harness.recorder.actions.iter().filter(others).count(),
             0,
-            "others stay"
+            "connections of other backends stay"
         );
     }
 }
 
-/// When a backend started, by a list that comes after its connections have ended.
+/// The start of a backend according to a list that comes after its connections have ended.
 #[derive(Clone, Copy)]
 enum Listed {
     Not,
@@ -213,7 +227,7 @@
     MillisAgo(u64),
 }
 
-/// One of four relays, of which each backend has ten connections.
+/// Returns a harness for one of four relays, which has ten connections to each backend.
 fn one_of_four_relays() -> Harness {
     let deployment = Deployment {
         groups_share_work: false,
@@ -226,13 +240,13 @@
     harness
 }
 
-/// Backend 0 takes many sessions where it is warm and few where it warms up.
+/// Backend 0 takes many sessions if it is warm and few if it is warming up.
 #[test]
 fn broken_connections_imply_restart() {
     use AttemptOutcome::{Ok, Reset};
     use Listed::{MillisAgo, Not, WithoutStart};
-    // The connections of backend 0 that depart before, how the others end but so many, the list
-    // afterwards, and whether the backend counts as warming up.
+    // Each case: how many connections of backend 0 depart before, how the others end, how many of
+    // them do not end, the list afterwards, and whether the backend counts as warming up.
     let cases = [
         ("all broke", 0, Reset, 0, Not, true),
         ("an older start", 0, Reset, 0, MillisAgo(60_000), true),
@@ -262,14 +276,19 @@
         (1..4).for_each(|backend| harness.report(backend, Some(40.0), Some(0.55)));
         harness.report(0, Some(0.0), Some(0.0));
         let placed = placed_at(&mut harness, 0, 100..108);
-        assert_eq!(placed < 3, warms_up, "{what}: {placed} of 8 placed there");
+        assert_eq!(
+            placed < 3,
+            warms_up,
+            "{what}: {placed} of 8 sessions placed at backend 0"
+        );
     }
 }
 
 #[test]
-fn overstated_report_disbelieved_while_in_time() {
-    // Whether latency is observed, the load that backend 0 reports, the latency there, whether own
-    // connections stand there, and whether it is selected while the others are nearly full.
+fn overstated_report_disbelieved_while_messages_in_time() {
+    // Each case: whether latency is observed, the load that backend 0 reports, its latency in
+    // milliseconds, whether this relay has connections there, and whether it is selected while the
+    // others are nearly full.
     let cases = [
         (true, 3.0, 5, true, true),
         (true, 0.9, 5, true, false),
@@ -294,25 +313,28 @@
             harness.report(0, Some(100.0), Some(load));
             harness.advance(ms(100));
         }
-        let what = format!("{is_observed}, load {load}, {latency} ms, own {has_own}");
+        let what = format!(
+            "latency observed {is_observed}, load {load}, {latency} ms, own connections {has_own}"
+        );
         assert_eq!(placed_at(&mut harness, 0, 100..106) > 0, selected, "{what}");
     }
 }
 
 #[test]
 fn overdue_response_migrates_and_counts_failure() {
-    // For how long a response is overdue, in milliseconds, and whether the client is migrated.
+    // Each case: how long a response is overdue, in milliseconds, and whether the client is
+    // migrated.
     for (waited, migrated) in [(250, false), (750, false), (1_000, true), (5_000, true)] {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(4));
         let backend = harness.arrive(1, arrival(1, 0, ms(1_000))).unwrap().backend;
         harness.establish(1, 0);
         harness.response_overdue(1, ms(waited));
         assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
-        // The same event again, or of a session that is gone, migrates nobody.
+        // Repeating the event, or reporting it for an unknown session, migrates no client.
         harness.response_overdue(1, ms(waited));
         harness.response_overdue(9, ms(waited));
         assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
-        // One more failure in a row ejects it.
+        // One more consecutive failure ejects the backend.
         harness.fail_health_check(backend);
         let again = (10..30).any(|id| {
             harness
@@ -327,8 +349,8 @@
 
 #[test]
 fn overdue_response_of_ejected_backend_migrates_all() {
-    // Health checks of backend 1 that fail, for how long a response is overdue, in milliseconds, and
-    // how many of its three connections are migrated.
+    // Each case: how many health checks of backend 1 fail, how long a response is overdue in
+    // milliseconds, and how many of its three connections are migrated.
     for (failed, waited, migrated) in [
         (0, 250, 0),
         (1, 250, 0),
@@ -344,11 +366,15 @@
             harness.fail_health_check(1);
         }
         harness.response_overdue(5, ms(waited));
-        assert_eq!(harness.migrations(), migrated, "{failed} {waited}");
+        assert_eq!(
+            harness.migrations(),
+            migrated,
+            "{failed} failed, overdue for {waited} ms"
+        );
         let elsewhere = |action: &Action| matches!(action, Action::Migrate(id) if id % 4 != 1);
         assert!(
             !harness.recorder.actions.iter().any(elsewhere),
-            "{failed} {waited}"
+            "{failed} failed, overdue for {waited} ms"
         );
     }
 }
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -6,8 +6,9 @@
 
 #[test]
 fn health_checks_earned_by_sessions() {
-    // Connections that a relay holds, the cost of a health check, and how many it may send in 20
-    // seconds: never fewer than one in five seconds, nor more than each backend every two.
+    // Each case: the connections that a relay holds, the cost of a health check, and how many it
+    // may send in 20 seconds. It always sends at least one in five seconds, and at most one to each
+    // backend every two seconds.
     for (held, cost, expected) in [
         (0, 0.002, 4..=5),
         (3, 0.002, 5..=13),
@@ -24,20 +25,23 @@
         (0..held).for_each(|id| harness.inherit(id, id % 30));
         harness.advance(ms(20_000));
         let sent = harness.health_checks_since(0).len();
-        assert!(expected.contains(&sent), "{held} {cost}: {sent}");
+        assert!(
+            expected.contains(&sent),
+            "{held} connections, cost {cost}: {sent} sent"
+        );
     }
 }
 
 #[test]
 fn health_checks_prefer_own_connections() {
-    // Where own connections stand, and how many of four hundred health checks go there. A relay with
-    // connections at most backends checks all alike.
-    let most: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7];
+    // Each case: the backends at which this relay has connections, and how many of four hundred
+    // health checks go there. A relay with connections at most backends checks all of them alike.
+    let many: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7];
     for (held, expected) in [
         (&[][..], 0..=0),
         (&[3], 190..=260),
         (&[0, 3, 5], 220..=310),
-        (most, 235..=300),
+        (many, 235..=300),
     ] {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(12));
         held.iter()
@@ -46,17 +50,20 @@
             harness.advance(ms(500));
         }
         let checked = harness.health_checks_since(0);
-        let there = checked
+        let at_held = checked
             .iter()
             .filter(|backend| held.contains(backend))
             .count();
-        assert!(expected.contains(&there), "{held:?}: {there}");
+        assert!(
+            expected.contains(&at_held),
+            "connections at {held:?}: {at_held} health checks there"
+        );
     }
 }
 
 #[test]
 fn health_checks_hurried_by_rush_after_start() {
-    // The load that was reported, and how many health checks the next second must bring at least.
+    // Each case: the reported load, and how many health checks the next second must bring at least.
     for (load, least) in [(0.1, 2), (0.9, 3)] {
         let mut harness = Harness::new(
             Deployment {
@@ -77,6 +84,6 @@
             harness.advance(ms(100));
         }
         let sent = harness.health_checks_since(before).len();
-        assert!((least..=9).contains(&sent), "{load}: {sent}");
+        assert!((least..=9).contains(&sent), "load {load}: {sent} sent");
     }
 }
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -1,4 +1,4 @@
-//! Hedged attempts: when they go out, and how a session ends that has two attempts under way.
+//! Hedged attempts: when they go out, and how a session with two attempts under way ends.
 mod support;
 
 use support::{
@@ -28,7 +28,7 @@
     with_route(|route| route.hedging = Some(HEDGING), deployment)
 }
 
-/// What happens to a session with two attempts.
+/// An event of a session with two attempts.
 #[derive(Clone, Copy, Debug)]
 enum Event {
     Ready(u32),
@@ -38,52 +38,52 @@
 }
 use Event::{ClientLeaves, Ends, Ready, Shutdown};
 
-/// Events while two attempts are under way, and what has to come of them.
-struct Course {
+/// A sequence of events while two attempts are under way, and its expected outcome.
+struct HedgeSequence {
     events: &'static [Event],
-    /// The attempts that have to be cancelled.
+    /// Attempts that have to be cancelled.
     cancelled: &'static [u32],
-    /// Final answers by the end.
+    /// Number of final answers in the end.
     answers: usize,
 }
 
-const COURSES: [Course; 11] = [
-    Course {
+const HEDGE_SEQUENCES: [HedgeSequence; 11] = [
+    HedgeSequence {
         events: &[Ready(0), Ends(1, Cancelled), Ends(0, Ok)],
         cancelled: &[1],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[Ready(1), Ends(0, Cancelled), Ends(1, Ok)],
         cancelled: &[0],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[Ready(1), Ready(0), Ends(0, Cancelled), Ends(1, Ok)],
         cancelled: &[0],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[Ends(0, Error), Ready(1), Ends(1, Ok)],
         cancelled: &[],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[Ends(1, Saturated), Ready(0), Ends(0, Ok)],
         cancelled: &[],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[Ends(1, Reset), Ends(0, TimedOut)],
         cancelled: &[],
         answers: 1,
     },
-    Course {
+    HedgeSequence {
         events: &[Ends(0, Reset), Ends(1, TimedOut)],
         cancelled: &[],
         answers: 1,
     },
-    Course {
+    HedgeSequence {
         events: &[
             Ends(0, Reset),
             Ends(0, Reset),
@@ -93,17 +93,17 @@
         cancelled: &[],
         answers: 1,
     },
-    Course {
+    HedgeSequence {
         events: &[ClientLeaves, Ends(0, Cancelled), Ends(1, Cancelled)],
         cancelled: &[0, 1],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[ClientLeaves, Ends(1, Cancelled), Ends(0, Cancelled)],
         cancelled: &[0, 1],
         answers: 0,
     },
-    Course {
+    HedgeSequence {
         events: &[Shutdown, Ends(0, Cancelled), Ends(1, Cancelled)],
         cancelled: &[0, 1],
         answers: 1,
@@ -111,9 +111,9 @@
 ];
 
 #[test]
-fn slow_attempt_hedged_and_answered_once() {
-    for course in COURSES {
-        let events = course.events;
+fn session_with_hedged_attempt_answered_once() {
+    for sequence in HEDGE_SEQUENCES {
+        let events = sequence.events;
         let mut harness = hedged_session();
         for event in events {
             match *event {
@@ -129,18 +129,19 @@
             }
         }
         for attempt in 0..2 {
-            let expected = usize::from(course.cancelled.contains(&attempt));
-            // At shutdown each step cancels it again, which is ignored.
+            let expected = usize::from(sequence.cancelled.contains(&attempt));
+            // At shutdown each step cancels the attempt again, which the driver ignores.
             let cancelled = harness.count(Action::Cancel(1, attempt)).min(1);
             assert_eq!(cancelled, expected, "{events:?}: attempt {attempt}");
         }
-        assert_eq!(harness.answers(1).len(), course.answers, "{events:?}");
+        assert_eq!(harness.answers(1).len(), sequence.answers, "{events:?}");
         assert_eq!(harness.count(Action::Release(1)), 1, "{events:?}");
         assert_eq!(harness.attempts(1).len(), 2, "{events:?}");
     }
 }
 
-/// A session with both of its two attempts under way, so that a failure of both is the end.
+/// Returns a harness whose session 1 has both of its two attempts under way, so that the session
+/// ends when both fail.
 fn hedged_session() -> Harness {
     let deployment = with_route(|route| route.max_attempts = 2, with_hedging(IDEMPOTENT));
     let mut harness = Harness::new(deployment, &ready_endpoints(4));
@@ -156,15 +157,15 @@
     harness
 }
 
-/// A deployment and its endpoints, and how many attempts a slow session has there.
-struct Case {
+/// A deployment with its endpoints, and how many attempts a slow session makes there.
+struct HedgeCase {
     name: &'static str,
     deployment: Deployment,
     endpoints: Vec<Endpoint>,
     attempts: usize,
 }
 
-/// Deployments that allow no hedge, by what differs from one that does.
+/// Returns deployments that allow no hedge, named by what differs from one that does.
 fn deployments_without_hedge() -> Vec<(&'static str, Deployment)> {
     let hedging = || with_hedging(IDEMPOTENT);
     let one_attempt = Deployment {
@@ -181,7 +182,7 @@
     };
     vec![
         ("one attempt at a time", one_attempt),
-        ("none may be cancelled", not_cancellable),
+        ("attempts may not be cancelled", not_cancellable),
         ("non-idempotent", with_hedging(NON_IDEMPOTENT)),
         ("keyed", with_hedging(keyed(DeduplicationScope::All))),
         (
@@ -199,7 +200,7 @@
     ]
 }
 
-/// Endpoint lists that allow no hedge.
+/// Returns endpoint lists that allow no hedge.
 fn endpoints_without_hedge() -> Vec<(&'static str, Vec<Endpoint>)> {
     let just_started = Some(Instant::from_micros(99_000_000));
     let two = |other: Endpoint| vec![endpoint(0, EndpointState::Ready, None), other];
@@ -216,15 +217,15 @@
     ]
 }
 
-fn cases() -> Vec<Case> {
-    let mut cases = vec![Case {
-        name: "none of the below",
+fn hedge_cases() -> Vec<HedgeCase> {
+    let mut hedge_cases = vec![HedgeCase {
+        name: "hedging allowed",
         deployment: with_hedging(IDEMPOTENT),
         endpoints: ready_endpoints(4),
         attempts: 2,
     }];
     for (name, deployment) in deployments_without_hedge() {
-        cases.push(Case {
+        hedge_cases.push(HedgeCase {
             name,
             deployment,
             endpoints: ready_endpoints(4),
@@ -232,25 +233,25 @@
         });
     }
     for (name, endpoints) in endpoints_without_hedge() {
-        cases.push(Case {
+        hedge_cases.push(HedgeCase {
             name,
             deployment: with_hedging(IDEMPOTENT),
             endpoints,
             attempts: 1,
         });
     }
-    cases
+    hedge_cases
 }
 
 #[test]
-fn hedge_only_where_harmless() {
-    for case in cases() {
+fn slow_attempt_hedged_only_if_harmless() {
+    for case in hedge_cases() {
         let name = case.name;
         let mut checked = 0;
         for seed in 0..20 {
             let mut harness = Harness::with_seed(case.deployment.clone(), seed, &case.endpoints);
-            // Where the one that warms up gets the first attempt, the warm one is left for the
-            // hedge.
+            // If the backend that is warming up gets the first attempt, the warm one is free for
+            // the hedge.
             if harness
                 .arrive(1, arrival(5, 0, ms(4_000)))
                 .is_some_and(|target| name.contains("warming up") && target.backend == 2)
--- a/tests/hot_restart.rs
+++ b/tests/hot_restart.rs
@@ -1,10 +1,11 @@
-//! What a successor learns from its predecessor.
+//! State that a successor takes over from its predecessor.
 mod support;
 
 use support::{Harness, IDEMPOTENT, deployment, ms, ready_endpoints};
 use thistlecroft::deployment::Deployment;
 
-/// Four backends that have reported, with ten connections at each that share no work.
+/// Returns a harness with four backends that have reported and hold ten connections each, which
+/// share no work.
 fn four_backends() -> Harness {
     let mut harness = Harness::new(
         Deployment {
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn successor_knows_ejections() {
+fn successor_restores_ejections_of_predecessor() {
     let mut predecessor = four_backends();
     (0..6).for_each(|_| predecessor.fail_health_check(0));
     let mut successor = Harness::new(
@@ -33,7 +34,8 @@
     successor
         .balancer
         .restore(&predecessor.balancer.snapshot(), true);
-    // The successor has no report itself, or later ones of all; either way the greater count holds.
+    // The successor has either no report of its own, or later ones of all backends but the first.
+    // In both cases the greater counts are kept.
     for has_reports in [false, true] {
         if has_reports {
             successor.advance(ms(30_000));
@@ -52,7 +54,7 @@
                 statistics(&predecessor).ejections,
                 statistics(&predecessor).pending_health_checks
             ),
-            "{has_reports}"
+            "successor has reports: {has_reports}"
         );
         assert!(statistics(&successor).pending_health_checks > 0);
     }
--- a/tests/path_faults.rs
+++ b/tests/path_faults.rs
@@ -1,5 +1,5 @@
-//! Backends that hang by turns, and network paths that are lost from some relays only: attempts
-//! wasted, and the load that healthy backends bear.
+//! Path faults: backends that hang at alternating times, and network paths that are lost from some
+//! relays only. The tests bound the wasted attempts and the load of healthy backends.
 mod support;
 
 use std::collections::BTreeSet;
@@ -10,25 +10,25 @@
 use thistlecroft::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(100);
-/// An attempt that nobody answers ends after this time.
+/// An attempt without an answer times out after this time.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(300);
 const CONNECTION_LIFETIME: Duration = Duration::from_millis(20_000);
-/// Connections that fill one backend.
+/// Number of connections that fill one backend.
 const CAPACITY: f64 = 40.0;
-/// Backends for which there are counts.
+/// Maximum number of backends with counts.
 const MAX_BACKENDS: usize = 64;
 
-/// How a relay reaches a backend at a time.
+/// The state of the path from a relay to a backend.
 #[derive(Clone, Copy, PartialEq)]
 enum Path {
     Healthy,
-    /// The backend takes attempts and messages and answers none; it passes health checks.
+    /// The backend accepts attempts and messages but answers none. It passes health checks.
     Hanging,
-    /// Nothing that is sent comes through.
+    /// Nothing that is sent reaches the backend.
     Lost,
 }
 
-/// The path from a relay to a backend, so long after the start.
+/// Returns the path from a relay to a backend, by the time since the start.
 trait Paths: Fn(usize, u32, Duration) -> Path {}
 impl<F: Fn(usize, u32, Duration) -> Path> Paths for F {}
 
@@ -37,14 +37,16 @@
     attempts: usize,
     wasted: usize,
     rejected: usize,
-    /// Seconds of connections, and those in which messages went unanswered.
+    /// Seconds for which connections were established, summed over all connections, and the part of
+    /// them in which messages went unanswered.
     connection_seconds: f64,
     unserved_seconds: f64,
-    /// The highest load of a backend with a healthy path.
+    /// The highest load of a backend with a healthy path, as a share of its capacity.
     max_load: f64,
 }
 
-/// Bounds of the counts: parts of the attempts, of the time and again of the attempts.
+/// Upper bounds: of wasted and rejected attempts as a share of the attempts, of the unserved share
+/// of the connection time, and of the load as a share of capacity.
 struct Bounds {
     wasted: f64,
     unserved: f64,
@@ -65,16 +67,16 @@
         );
         assert!(
             unserved < bounds.unserved,
-            "{unserved:.3} of the time unserved"
+            "{unserved:.3} of the connection time unserved"
         );
         assert!(
             (self.rejected as f64) < bounds.rejected * attempts,
-            "{} of {attempts} rejected",
+            "{} of {attempts} attempts rejected",
             self.rejected
         );
         assert!(
             self.max_load < bounds.load,
-            "a healthy backend at {:.2}",
+            "a healthy backend reached a load of {:.2}",
             self.max_load
         );
     }
@@ -99,7 +101,7 @@
     next_session: u32,
     connecting: Vec<Connection>,
     established: Vec<Connection>,
-    /// How many actions of each relay have been carried out.
+    /// Number of actions of each relay that have been carried out.
     actions_done: Vec<usize>,
 }
 
@@ -129,7 +131,7 @@
         self.relays[0].now
     }
 
-    /// Runs for so long, with sessions that arrive at this rate.
+    /// Runs for this time, with sessions that arrive at this rate.
     fn run(&mut self, length: Duration, sessions_a_second: f64, paths: impl Paths) -> Counts {
         let (start, mut counts) = (self.now(), Counts::default());
         let mut sessions_due = 0.0;
@@ -158,7 +160,7 @@
         counts
     }
 
-    /// The load of each backend, as a share of its capacity.
+    /// Returns the load of each backend, as a share of its capacity.
     fn loads(&self) -> [f64; MAX_BACKENDS] {
         let mut loads = [0.0; MAX_BACKENDS];
         for connection in &self.established {
@@ -174,8 +176,8 @@
         self.relays[relay].arrive(session, arrival);
     }
 
-    /// Carries out what a relay has asked for since: attempts start, health checks are passed or
-    /// not, clients are migrated.
+    /// Carries out what a relay has requested since the last call: attempts start, health checks
+    /// pass or fail, clients are migrated.
     fn carry_out_actions(
         &mut self,
         relay: usize,
@@ -217,7 +219,7 @@
         }
     }
 
-    /// The connection ends, and its client comes again.
+    /// Ends a connection, whose client comes again as a new session.
     fn migrate(&mut self, relay: usize, session: u32) {
         let is_migrated =
             |connection: &Connection| connection.relay == relay && connection.session == session;
@@ -232,7 +234,7 @@
         self.arrive(relay);
     }
 
-    /// Attempts on healthy paths succeed, others fail after a while.
+    /// Ends the attempts: on healthy paths they succeed, on others they time out.
     fn end_attempts(&mut self, elapsed: Duration, paths: &impl Paths, counts: &mut Counts) {
         let now = self.now();
         for attempt in std::mem::take(&mut self.connecting) {
@@ -255,14 +257,14 @@
 
     fn close_connections(&mut self) {
         let now = self.now();
-        let is_over = |connection: &mut Connection| connection.closes_at <= now;
-        for closed in self.established.extract_if(.., is_over) {
+        let is_due = |connection: &mut Connection| connection.closes_at <= now;
+        for closed in self.established.extract_if(.., is_due) {
             let harness = &mut self.relays[closed.relay];
             harness.end(closed.session, closed.attempt, AttemptOutcome::Ok, true);
         }
     }
 
-    /// Counts the time in which messages go unanswered. Once a second each relay observes the
+    /// Counts the time in which messages go unanswered. Once per second each relay observes the
     /// latency on one connection to each backend.
     fn observe_messages(&mut self, elapsed: Duration, paths: &impl Paths, counts: &mut Counts) {
         let is_observed = self.now().as_micros() % 1_000_000 < STEP.as_micros();
@@ -288,13 +290,13 @@
     }
 }
 
-/// Four of twelve backends hang for three of each eight seconds, each at times of its own; health
-/// checks are passed all the while.
+/// Four of twelve backends hang for three out of every eight seconds, each at different times,
+/// while they pass all health checks.
 #[test]
 fn backends_hanging_by_turns_waste_few_attempts() {
     let mut simulation = Simulation::new(4, 12);
-    let calm = simulation.run(ms(30_000), 11.0, |_, _, _| Path::Healthy);
-    assert_eq!((calm.wasted, calm.rejected), (0, 0));
+    let without_faults = simulation.run(ms(30_000), 11.0, |_, _, _| Path::Healthy);
+    assert_eq!((without_faults.wasted, without_faults.rejected), (0, 0));
     let by_turns = |_: usize, backend: u32, elapsed: Duration| {
         let phase = (elapsed.as_millis() + u64::from(backend) * 1_700) % 8_000;
         if backend < 4 && phase < 3_000 {
@@ -304,22 +306,25 @@
         }
     };
     let counts = simulation.run(ms(40_000), 11.0, by_turns);
-    // By chance one attempt in eight meets a hanging backend: a third of the backends hang three
-    // eighths of the time.
+    // With random selection one attempt in eight would meet a hanging backend: a third of the
+    // backends hang three eighths of the time.
     counts.assert_below(&Bounds {
         wasted: 0.05,
         unserved: 0.105,
         rejected: 0.05,
         load: 0.85,
     });
-    // A minute later the four bear their part again.
+    // A minute later the four backends serve their share again.
     simulation.run(ms(60_000), 11.0, |_, _, _| Path::Healthy);
     let held = simulation.established_at(|connection| connection.backend < 4);
     let all = simulation.established.len();
-    assert!(held * 6 > all, "{held} of {all} are established there");
+    assert!(
+        held * 6 > all,
+        "{held} of {all} connections are at the four backends"
+    );
 }
 
-/// Half of the backends can't be reached from two of four relays and serve the two others.
+/// Half of the backends cannot be reached from two of four relays, but serve the other two.
 #[test]
 fn paths_lost_from_some_relays_avoided() {
     let mut simulation = Simulation::new(4, 12);
@@ -344,6 +349,6 @@
         simulation.established_at(|connection| connection.relay >= 2 && connection.backend < 6);
     assert!(
         affected == 0 && others > 20,
-        "{affected} and {others} are established at the six"
+        "{affected} connections of affected and {others} of other relays are at the six backends"
     );
 }
--- a/tests/rolling_release.rs
+++ b/tests/rolling_release.rs
@@ -1,5 +1,5 @@
-//! A rolling release where no backend reports its load, beside a model of backends that drop what
-//! they can't hold. Judged by what the clients are served.
+//! A rolling release where no backend reports its load, against a model of backends that drop
+//! connections they cannot hold. The result is the share of clients that are served.
 mod support;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -13,17 +13,17 @@
 use thistlecroft::time::{Duration, Instant};
 
 const STEP: Duration = Duration::from_millis(50);
-/// What a backend does in a second, in average connections.
+/// Work that a warm backend does in a second, in average connections.
 const CAPACITY: f64 = 100.0;
-/// What each group that a backend holds costs it, in average connections.
+/// Cost of each group that a backend holds, in average connections.
 const GROUP_COST: f64 = 3.0;
-/// The work of setting a connection up.
+/// Work of setting up a connection, in average connections for one second.
 const CONNECT_WORK: f64 = 1.0;
-/// The work piled up beyond which a backend drops its heaviest connection: that of a second.
+/// Backlog above which a backend drops its heaviest connection: the work of one second.
 const MAX_BACKLOG: f64 = CAPACITY;
 const WARM_UP_SECONDS: f64 = 24.0;
 const INITIAL_SHARE: f64 = 0.2;
-/// How long a client stays on the mean before it leaves by itself; another comes in its place.
+/// Mean time that a client stays connected before it leaves by itself. Another one takes its place.
 const LIFETIME_SECONDS: f64 = 60.0;
 
 struct Client {
@@ -50,7 +50,7 @@
 struct SimulatedBackend {
     state: EndpointState,
     started_at: Option<Instant>,
-    /// Work piled up.
+    /// Work that has piled up, in average connections for one second.
     backlog: f64,
     stops_at: Option<Instant>,
 }
@@ -65,7 +65,7 @@
         }
     }
 
-    /// The part of its capacity that it has now.
+    /// Returns the share of its capacity that the backend has now.
     fn capacity_share(&self, now: Instant) -> f64 {
         self.started_at.map_or(1.0, |started_at| {
             let age = now.duration_since(started_at).as_secs_f64();
@@ -115,18 +115,18 @@
         simulation
     }
 
-    /// Adds clients in groups of one to twenty with uneven loads. Each group is held by one backend
-    /// before the release.
+    /// Adds clients in groups of one to twenty with uneven loads. Before the release each group is
+    /// held by one backend.
     fn add_clients(&mut self, clients: usize) {
         let backends = self.backends.len() as u64;
-        let (mut group, mut members_left, mut backend) = (0, 0, 0);
+        let (mut group, mut remaining_members, mut backend) = (0, 0, 0);
         for _ in 0..clients {
-            if members_left == 0 {
+            if remaining_members == 0 {
                 group += 1;
                 backend = self.rng.below(backends) as u32;
-                members_left = 1 + (20.0 * self.rng.unit_f64().powi(3)) as u32;
+                remaining_members = 1 + (20.0 * self.rng.unit_f64().powi(3)) as u32;
             }
-            members_left -= 1;
+            remaining_members -= 1;
             let load = (0.2 + 0.5 / (0.05 + self.rng.unit_f64())).min(6.0) / 1.6;
             let relay = self.choose_relay();
             let session = self.next_session();
@@ -164,19 +164,22 @@
         self.relays[0].now
     }
 
-    /// The time at which a client comes back that was dropped or rejected.
+    /// Returns the time at which a client that was dropped or rejected comes back.
     fn return_time(&mut self) -> Instant {
         self.now() + ms(120 + self.rng.below(750))
     }
 
-    /// New backends start, and old ones drain and stop a few seconds later.
+    /// Starts the new backends and drains the old ones, which stop a few seconds later.
     fn replace(&mut self, old: Range<u32>, new: Range<u32>) {
         let now = self.now();
         for id in new.clone() {
             self.backends.insert(id, SimulatedBackend::new(Some(now)));
         }
         for id in old.clone() {
-            let backend = self.backends.get_mut(&id).expect("it was there before");
+            let backend = self
+                .backends
+                .get_mut(&id)
+                .expect("a replaced backend exists");
             backend.state = EndpointState::Draining;
             backend.stops_at = Some(now + ms(4_000));
         }
@@ -191,7 +194,7 @@
         }
     }
 
-    /// Breaks a client's connection; it comes again soon, anywhere.
+    /// Breaks a client's connection. The client comes back soon, through any relay.
     fn disconnect(&mut self, client: usize) {
         let Some(connection) = self.clients[client].connection.take() else {
             return;
@@ -201,7 +204,7 @@
         self.clients[client].returns_at = self.return_time();
     }
 
-    /// Takes one step. Returns the part of the clients that are served in it.
+    /// Takes one step and returns the share of the clients that are served in it.
     fn step(&mut self) -> f64 {
         self.relays.iter_mut().for_each(|relay| relay.advance(STEP));
         self.stop_backends();
@@ -217,7 +220,7 @@
                 self.connect(client);
             }
         }
-        self.work()
+        self.process_work()
     }
 
     fn stop_backends(&mut self) {
@@ -240,7 +243,7 @@
         }
     }
 
-    /// Some clients leave by themselves.
+    /// Ends the connections of some clients, which leave by themselves.
     fn close_connections(&mut self) {
         let now = self.now();
         for client in &mut self.clients {
@@ -276,9 +279,9 @@
         });
     }
 
-    /// Lets the backends work for a step, and drop what they can't hold. Returns the part of the
-    /// clients that are served.
-    fn work(&mut self) -> f64 {
+    /// Lets the backends work for a step and drop connections they cannot hold. Returns the share
+    /// of the clients that are served.
+    fn process_work(&mut self) -> f64 {
         let now = self.now();
         let (mut served, mut dropped) = (0.0, Vec::new());
         for (&id, backend) in &mut self.backends {
@@ -307,17 +310,17 @@
         served / self.clients.len() as f64
     }
 
-    /// The part of the clients that are served, over so many steps.
+    /// Returns the mean share of the clients that are served over `steps` steps.
     fn run(&mut self, steps: usize) -> f64 {
         (0..steps).map(|_| self.step()).sum::<f64>() / steps as f64
     }
 }
 
 /// Six in ten backends are replaced within seven seconds. Those that stay can hold most of the
-/// clients while groups stay together. They can't if groups spread over the fleet, or if clients
-/// come again at once and again.
+/// clients while groups are kept together. They cannot if groups spread over the fleet, or if
+/// clients come back at once again and again.
 #[test]
-fn rolling_release_survived_without_load_reports() {
+fn rolling_release_without_load_reports_keeps_clients_served() {
     let mut sum = 0.0;
     for seed in 1..=6 {
         let mut simulation = Simulation::new(200, 30, 900, seed);
@@ -329,5 +332,8 @@
         sum += simulation.run(160);
     }
     let mean = sum / 6.0;
-    assert!(mean > 0.27, "served after the release: {mean:.3}");
+    assert!(
+        mean > 0.27,
+        "share of clients served after the release: {mean:.3}"
+    );
 }
--- a/tests/route_limits.rs
+++ b/tests/route_limits.rs
@@ -1,4 +1,4 @@
-//! Limits of routes and of the relay on sessions and retries.
+//! Limits on sessions and retries, of single routes and of the whole relay.
 mod support;
 
 use support::{
@@ -10,7 +10,7 @@
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 
-/// A session of a route, by a client of its own.
+/// Returns an arrival of a route, from a client of its own.
 fn arrival_of(route: RouteId, id: u32) -> Arrival {
     Arrival {
         route,
@@ -19,8 +19,9 @@
 }
 
 #[test]
-fn retry_share_holds_while_everything_fails() {
-    // The least and the most of 200 sessions that all fail, each allowed two retries.
+fn retry_share_holds_while_all_attempts_fail() {
+    // Each case: the retry share, and the bounds of the retries of 200 sessions that all fail. Each
+    // session may retry twice.
     let cases = [
         (None, 201, 400),
         (Some(0.5), 51, 100),
@@ -42,10 +43,13 @@
             retries += harness.attempts(id).len().saturating_sub(1);
             unanswered += usize::from(harness.answers(id).len() != 1);
         }
-        assert!((least..=most).contains(&retries), "{share:?}: {retries}");
+        assert!(
+            (least..=most).contains(&retries),
+            "retry share {share:?}: {retries} retries"
+        );
         assert_eq!(
             unanswered, 0,
-            "{share:?}: a session without a retry is answered at once"
+            "retry share {share:?}: a session without a retry is answered at once"
         );
     }
 }
@@ -60,9 +64,14 @@
     let mut harness = Harness::new(deployment.clone(), &ready_endpoints(4));
     for id in 0..4 {
         harness.arrive(id, arrival(u64::from(id) + 1, 0, ms(4_000)));
-        assert_eq!(harness.answers(id).len(), usize::from(id >= 2), "{id}");
+        assert_eq!(
+            harness.answers(id).len(),
+            usize::from(id >= 2),
+            "session {id}"
+        );
     }
-    // In the new table the route allows fewer sessions and one attempt, and another row is before it.
+    // In the new table the route allows fewer sessions and one attempt, and it comes after another
+    // row.
     let narrow = Route {
         max_sessions: Some(1),
         max_attempts: 1,
@@ -99,20 +108,20 @@
     assert_eq!(
         (harness.answers(12).len(), harness.attempts(12).len()),
         (0, 1),
-        "within the limit again"
+        "the number of sessions is within the limit again"
     );
     harness.end(12, 0, AttemptOutcome::Saturated, false);
     harness.advance(ms(3_000));
     assert_eq!(
         (harness.answers(12).len(), harness.attempts(12).len()),
         (1, 1),
-        "the new row has one attempt"
+        "the new row allows one attempt"
     );
 }
 
-/// A deployment with a route of the highest weight and one of this weight, which retry at once.
-/// Six retries are free in a window.
-fn two_weights(weight: f64) -> Deployment {
+/// Returns a deployment with one route of the highest weight and one of this weight, both without
+/// retry delay. Six retries are free in a window.
+fn deployment_with_two_weights(weight: f64) -> Deployment {
     let deployment = with_retry_budget(
         RetryBudget {
             free: 6.0,
@@ -132,11 +141,11 @@
     }
 }
 
-/// All sessions fail at once. The second half of the budget goes to those of more worth.
+/// All sessions fail at once. The second half of the budget goes to the sessions of higher value.
 #[test]
-fn retry_budget_second_half_by_worth() {
-    // Priority weight of the session, percent of its time that has passed, retries granted before,
-    // and whether it is granted one.
+fn second_half_of_retry_budget_granted_by_session_value() {
+    // Each case: the session's priority weight, the percentage of its time that has passed, how
+    // many retries were granted before, and whether it is granted one.
     let cases = [
         (1.0, 0, 2, true),
         (1.0, 0, 3, false),
@@ -148,28 +157,34 @@
         (5.0, 1, 5, false),
         (5.0, 50, 4, false),
     ];
-    for (weight, passed, before, granted) in cases {
-        let mut harness = Harness::new(two_weights(weight), &ready_endpoints(200));
-        for id in 0..before {
+    for (weight, passed_percent, granted_before, granted) in cases {
+        let mut harness = Harness::new(deployment_with_two_weights(weight), &ready_endpoints(200));
+        for id in 0..granted_before {
             harness.arrive(id, arrival_of(RouteId(0), id));
             harness.end(id, 0, AttemptOutcome::Saturated, false);
             harness.advance(Duration::ZERO);
-            assert_eq!(harness.attempts(id).len(), 2, "the ones before: {before}");
+            assert_eq!(
+                harness.attempts(id).len(),
+                2,
+                "each of the {granted_before} earlier sessions is granted a retry"
+            );
         }
         harness.arrive(90, arrival_of(RouteId(1), 90));
-        harness.advance(ms(80 * passed));
+        harness.advance(ms(80 * passed_percent));
         harness.end(90, 0, AttemptOutcome::Saturated, false);
         harness.advance(Duration::ZERO);
-        let what = format!("weight {weight}, {passed}% passed, {before} before");
+        let what = format!(
+            "weight {weight}, {passed_percent}% of the time passed, {granted_before} granted before"
+        );
         assert_eq!(harness.attempts(90).len() == 2, granted, "{what}");
-        // A session without a retry is answered at once, with the time to come back.
+        // A session without a retry is answered at once, with a `Retry-After`.
         let rejected = matches!(harness.answers(90)[..], [Action::Reject(_, Some(_))]);
         assert_eq!(rejected, !granted, "{what}");
     }
 }
 
 #[test]
-fn inherited_connections_earn_no_retries() {
+fn inherited_connections_allow_no_retries() {
     for (inherited, arrived, expected) in [(0, 4, 2), (40, 4, 2), (40, 0, 0)] {
         let budget = RetryBudget {
             free: 0.0,
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -10,12 +10,14 @@
 
 #[test]
 fn saturated_fleet_rejects_only_with_capacity_shares() {
-    // The report of every backend, and whether a session is still placed.
+    // Each case: the connections and the load that every backend reports, and whether a session is
+    // still placed.
     let cases = [
         (None, Some(0.4), true),
         (None, Some(0.95), false),
         (Some(500.0), Some(0.95), false),
-        // Connections alone don't say how much is too much: guards against rejecting everything.
+        // Connections alone do not say how many are too many. Guards against rejecting all
+        // sessions.
         (Some(500.0), None, true),
         (None, None, true),
     ];
@@ -26,15 +28,16 @@
         assert_eq!(
             harness.answers(1).is_empty(),
             placed,
-            "{connections:?} {load:?}"
+            "reported connections {connections:?}, load {load:?}"
         );
     }
 }
 
 #[test]
-fn less_loaded_of_two_selected() {
-    // Where a session without a group goes, and where one of a group whose order begins with
-    // backend 1: opening the group elsewhere must be worth it.
+fn session_with_two_backends_goes_to_less_loaded() {
+    // Each case: the reported loads, where a session without a group goes, and where a session of a
+    // group goes whose order begins with backend 1. A group is opened elsewhere only if the
+    // difference in load is worth it.
     for (loads, alone, grouped) in [([0.5, 0.1], 1, 1), ([0.1, 0.5], 0, 1), ([0.1, 0.95], 0, 0)] {
         for (group, expected) in [(0, alone), (4, grouped)] {
             let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(2));
@@ -45,19 +48,19 @@
                 .arrive(1, arrival(1, group, ms(4_800)))
                 .unwrap()
                 .backend;
-            assert_eq!(backend, expected, "{loads:?} group {group}");
+            assert_eq!(backend, expected, "loads {loads:?}, group {group}");
         }
     }
 }
 
 #[test]
-fn local_zone_first_where_crossing_costs() {
-    // The cost of crossing, the load of the local zone (the even backends), and whether sessions
-    // cross.
-    for (price, load, crosses) in [(0.1, 0.2, false), (0.1, 0.7, true), (0.0, 0.2, true)] {
+fn session_prefers_local_zone_if_crossing_costs() {
+    // Each case: the cost of crossing zones, the load of the local zone (the even backends), and
+    // whether sessions cross.
+    for (cost, load, crosses) in [(0.1, 0.2, false), (0.1, 0.7, true), (0.0, 0.2, true)] {
         let mut harness = Harness::new(
             Deployment {
-                cross_zone_cost: price,
+                cross_zone_cost: cost,
                 ..deployment(IDEMPOTENT)
             },
             &ready_endpoints(6),
@@ -77,13 +80,17 @@
                 % 2
                 == 1
         });
-        assert_eq!(crossed, crosses, "{price} {load}");
+        assert_eq!(
+            crossed, crosses,
+            "cost of crossing {cost}, load of the local zone {load}"
+        );
     }
 }
 
 #[test]
 fn placement_counts_as_average_connection() {
-    // Connections and load reported, and how many more are placed before the next report.
+    // Each case: the reported connections and load, and how many more sessions are placed before
+    // the next report.
     for (connections, load, placed) in [(4.0, 0.4, 4), (8.0, 0.4, 8), (2.0, 0.75, 1)] {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(1));
         harness.report(0, Some(connections), Some(load));
@@ -95,17 +102,17 @@
         assert_eq!(
             (0..20).filter(served).count(),
             placed,
-            "{connections} {load}"
+            "reported connections {connections}, load {load}"
         );
     }
 }
 
 #[test]
 fn old_report_yields_to_listed_weights() {
-    // All have the same weight. Backend 1 reported 15 s ago that it was idle. Where the weights tell
-    // of loads it counts as average by now, like backend 2, and not as idle.
+    // All backends have the same weight, and backend 1 reported 15 s ago that it was idle. If
+    // listed weights reflect loads, it counts as average by now, like backend 2, and not as idle.
     for (weight, idle_wins) in [(0.5, false), (1.0, true)] {
-        let weighed = |backend| Endpoint {
+        let endpoint_with_weight = |backend| Endpoint {
             weight,
             ..endpoint(backend, EndpointState::Ready, None)
         };
@@ -114,21 +121,29 @@
             let mut harness = Harness::with_seed(
                 deployment(IDEMPOTENT),
                 id,
-                &[weighed(0), weighed(1), weighed(2)],
+                &[
+                    endpoint_with_weight(0),
+                    endpoint_with_weight(1),
+                    endpoint_with_weight(2),
+                ],
             );
             harness.report(1, Some(30.0), Some(0.01));
             harness.advance(ms(15_000));
             harness.report(0, Some(30.0), Some(0.3));
             to_idle += u32::from(harness.arrive(1, arrival(0, 0, ms(4_800))).unwrap().backend == 1);
         }
-        assert_eq!(to_idle > 20, idle_wins, "{weight}: {to_idle} of 39");
+        assert_eq!(
+            to_idle > 20,
+            idle_wins,
+            "weight {weight}: {to_idle} of 39 sessions go to backend 1"
+        );
     }
 }
 
 #[test]
-fn listed_weights_stand_in_for_reports() {
-    // Whether backend 1 has reported, its weight since, and which backend is selected; backend 0 is
-    // at a load of 0.3.
+fn listed_weight_adjusts_estimated_load() {
+    // Each case: whether backend 1 has reported, its weight afterwards, and which backend is
+    // selected. Backend 0 has a load of 0.3.
     for (has_reported, weight, expected) in [
         (false, 0.25, 0),
         (false, 4.0, 1),
@@ -143,15 +158,19 @@
             ..endpoint(1, EndpointState::Ready, None)
         });
         let backend = harness.arrive(1, arrival(1, 0, ms(4_800))).unwrap().backend;
-        assert_eq!(backend, expected, "{has_reported} {weight}");
+        assert_eq!(
+            backend, expected,
+            "has reported {has_reported}, weight {weight}"
+        );
     }
 }
 
-/// Of two routes one has three times the priority weight of the other and a quarter of its load.
+/// One of two routes has three times the priority weight of the other and a quarter of its load.
 #[test]
-fn scarce_capacity_goes_to_best_value() {
-    // The load of all backends, and whether sessions of either route are placed.
-    for (load, rich, poor) in [
+fn scarce_capacity_goes_to_route_of_best_value() {
+    // Each case: the load of all backends, and whether sessions of the route with the higher and of
+    // the one with the lower value are placed.
+    for (load, high_value_placed, low_value_placed) in [
         (0.40, true, true),
         (0.62, true, true),
         (0.72, true, false),
@@ -186,24 +205,24 @@
         }
         harness.advance(ms(20_000));
         (0..6).for_each(|backend| harness.report(backend, Some(1_000.0), Some(load)));
-        for (id, placed) in [(100, rich), (101, poor)] {
+        for (id, placed) in [(100, high_value_placed), (101, low_value_placed)] {
             let attempted = harness.arrive(id, session(id)).is_some();
             assert_eq!(attempted, placed, "load {load}, route {}", id % 2);
             assert_eq!(
                 harness.answers(id).is_empty(),
                 placed,
-                "what finds no capacity is answered at once"
+                "a session that finds no capacity is answered at once"
             );
         }
     }
 }
 
-/// Where reports come with the ends of attempts alone, the backends that have reported are those
-/// that failed or dropped somebody.
+/// If reports come only with the ends of attempts, the backends that have reported are those that
+/// failed or dropped a connection. They say nothing about the others.
 #[test]
-fn few_reports_say_nothing_of_others() {
-    // Whether health checks may be sent, how many of ten backends have reported a high load, and
-    // whether sessions are placed at one of the others.
+fn backend_without_report_used_if_health_checks_not_allowed() {
+    // Each case: whether health checks may be sent, how many of ten backends have reported a high
+    // load, and whether sessions are placed at one of the others.
     for (may_check_health, reported, placed) in [
         (true, 1, false),
         (true, 10, false),
@@ -224,17 +243,21 @@
             let backend = harness
                 .arrive(id, arrival(0, 0, ms(4_800)))
                 .map(|target| target.backend);
-            assert_eq!(backend.is_some(), placed, "{may_check_health} {reported}");
+            assert_eq!(
+                backend.is_some(),
+                placed,
+                "health checks {may_check_health}, {reported} reported"
+            );
             assert!(
                 backend.is_none_or(|backend| backend >= reported),
-                "{may_check_health} {reported}: {backend:?}"
+                "health checks {may_check_health}, {reported} reported: {backend:?}"
             );
         }
     }
 }
 
 #[test]
-fn same_events_same_decisions() {
+fn same_events_lead_to_same_decisions() {
     let run = || {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(7));
         for id in 0..200 {
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -7,7 +7,7 @@
 
 #[test]
 fn shutdown_ends_all_sessions_in_steps() {
-    // Established connections, and the shutdown timeout in milliseconds.
+    // Each case: the number of established connections, and the shutdown timeout in milliseconds.
     for (established, timeout) in [(0, 3_700), (1, 3_700), (30, 3_700), (30, 1_900)] {
         let deployment = Deployment {
             shutdown_timeout: ms(timeout),
@@ -18,15 +18,16 @@
             harness.arrive(id, arrival(u64::from(id), 0, ms(1_000)));
             harness.establish(id, 0);
         }
-        // One has an attempt under way that could last longer than the shutdown, one backs off.
+        // Session 100 has an attempt under way that could last longer than the shutdown. Session
+        // 101 backs off.
         harness.arrive(100, arrival(100, 0, ms(60_000)));
         harness.arrive(101, arrival(101, 0, ms(60_000)));
         harness.end(101, 0, AttemptOutcome::Saturated, false);
         harness
             .balancer
             .shut_down(harness.now, &mut harness.recorder);
-        // Another relay may just have been stopped too, so that there may be nowhere to come again at
-        // first.
+        // No connection is migrated at first: another relay may just have been stopped too, so that
+        // clients would find none to come back to.
         harness.advance(ms(timeout * 2 / 5));
         assert_eq!(harness.migrations(), 0);
         let attempt_timeout = harness
@@ -38,7 +39,7 @@
         harness.advance(ms(timeout / 4));
         assert!(
             harness.migrations() <= established as usize / 2 + 3,
-            "not all at once"
+            "connections are migrated in steps"
         );
         harness.advance(ms(timeout * 3 / 10));
         assert_eq!(harness.migrations(), established as usize + 1);
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -1,4 +1,4 @@
-//! Slow start at one backend, shared by relays.
+//! Slow start at one backend, whose budget the relays share.
 mod support;
 
 use std::collections::BTreeSet;
@@ -10,38 +10,38 @@
 
 const WARM_UP: Duration = Duration::from_millis(10_000);
 const WINDOW: Duration = Duration::from_millis(2_000);
-/// The backend that starts.
-const STARTED: u32 = 9;
+/// The number of the backend that starts.
+const STARTED_BACKEND: u32 = 9;
 
-/// What the relays have known before the backend starts.
+/// What the relays know before the backend starts.
 #[derive(Clone, Copy)]
 struct Traffic {
     relays: u32,
     /// Connections that each relay holds, of which one in ten departs.
-    held: u32,
-    /// For how long they have stood.
-    stood: Duration,
-    /// The load that the backends report, if they do.
+    connections: u32,
+    /// How long the connections have been established.
+    established_for: Duration,
+    /// The load that the warm backends report, if they report any.
     load: Option<f64>,
 }
 
 impl Traffic {
-    fn is_fast(&self) -> bool {
-        self.stood < ms(1_000)
+    fn has_fast_turnover(&self) -> bool {
+        self.established_for < ms(1_000)
     }
 
-    /// Connections at each of the four warm backends.
+    /// Returns the number of connections at each of the four warm backends.
     fn connections_each(&self) -> f64 {
-        f64::from(self.held * self.relays) / 4.0
+        f64::from(self.connections * self.relays) / 4.0
     }
 
-    /// Connections that a warm backend takes in a second: as many as depart from a full one, or as
-    /// fill it over its warm-up if that is less. Each relay assumes one departure in three warm-ups
-    /// at first.
+    /// Returns how many connections per second a warm backend takes: as many as depart from a full
+    /// one, but no more than would fill it over its warm-up. At first each relay assumes one
+    /// departure in three warm-ups.
     fn warm_rate(&self) -> f64 {
-        let departures = f64::from(self.held.div_ceil(10) + 1);
-        let seconds = f64::from(self.held) * self.stood.as_secs_f64() + 30.0;
-        let departure_rate = if self.is_fast() {
+        let departures = f64::from(self.connections.div_ceil(10) + 1);
+        let seconds = f64::from(self.connections) * self.established_for.as_secs_f64() + 30.0;
+        let departure_rate = if self.has_fast_turnover() {
             0.1
         } else {
             (departures / seconds).min(0.1)
@@ -50,15 +50,15 @@
     }
 }
 
-/// An attempt at the backend that has started.
+/// An attempt at the backend that has started, made at this age of the backend.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Placement {
     age: Duration,
     relay: u32,
 }
 
-/// The attempts of all relays at a backend that has just started, while as many sessions arrive
-/// everywhere as wanted.
+/// Returns the attempts of all relays at a backend that has just started, while sessions arrive
+/// everywhere in abundance.
 fn placements(traffic: Traffic) -> Vec<Placement> {
     let mut placements = Vec::new();
     for relay in 0..traffic.relays {
@@ -69,31 +69,36 @@
             ..deployment(IDEMPOTENT)
         };
         let mut harness = Harness::new(deployment, &ready_endpoints(4));
-        (0..traffic.held).for_each(|id| harness.inherit(id, id % 4));
-        harness.advance(traffic.stood);
-        (0..traffic.held.div_ceil(10)).for_each(|id| harness.end(id, 0, AttemptOutcome::Ok, true));
+        (0..traffic.connections).for_each(|id| harness.inherit(id, id % 4));
+        harness.advance(traffic.established_for);
+        (0..traffic.connections.div_ceil(10))
+            .for_each(|id| harness.end(id, 0, AttemptOutcome::Ok, true));
         if traffic.load.is_some() {
             let connections = Some(traffic.connections_each());
             (0..4).for_each(|backend| harness.report(backend, connections, traffic.load));
         }
         let started_at = harness.now;
-        harness.update(endpoint(STARTED, EndpointState::Ready, Some(started_at)));
+        harness.update(endpoint(
+            STARTED_BACKEND,
+            EndpointState::Ready,
+            Some(started_at),
+        ));
         for id in 0..500 {
             harness.advance(ms(20));
-            if traffic.is_fast() {
-                // Other connections go on coming and departing as fast.
+            if traffic.has_fast_turnover() {
+                // Other connections keep arriving and departing at the same rate.
                 harness.inherit(50_000 + id, id % 4);
                 harness.end(50_000 + id, 0, AttemptOutcome::Ok, true);
             }
             if harness
                 .arrive(10_000 + id, arrival(0, 0, ms(4_800)))
-                .is_some_and(|target| target.backend == STARTED)
+                .is_some_and(|target| target.backend == STARTED_BACKEND)
             {
                 let age = harness.now.duration_since(started_at);
                 placements.push(Placement { age, relay });
             }
             if traffic.load.is_none() {
-                // What is held stays as it was.
+                // The number of connections stays as it was.
                 harness.end(10_000 + id, 0, AttemptOutcome::Ok, true);
             }
         }
@@ -105,34 +110,40 @@
 
 #[test]
 fn slow_start_budget_shared_by_relays() {
-    // Where nothing is known of what a backend takes, a window holds one attempt for each turn that
-    // it overlaps. The last figure is how many relays may share a turn.
-    let slow = |relays, held, load| Traffic {
+    // If it is not known how many connections a backend takes, a window holds one attempt for each
+    // turn that it overlaps. Each case: the traffic, and how many relays may share a turn.
+    let with_slow_turnover = |relays, connections, load| Traffic {
         relays,
-        held,
-        stood: ms(10_000),
+        connections,
+        established_for: ms(10_000),
         load,
     };
     let reported = Some(0.05);
-    let fast = Traffic {
-        stood: ms(100),
-        ..slow(2, 8, reported)
+    let fast_turnover = Traffic {
+        established_for: ms(100),
+        ..with_slow_turnover(2, 8, reported)
     };
     let cases = [
-        (slow(1, 0, reported), 1),
-        (slow(3, 0, reported), 1),
-        (slow(2, 40, reported), 2),
-        (fast, 2),
-        (slow(200, 0, reported), 1),
-        (slow(200, 10, reported), 200),
-        // Without reports a warm backend can take at least what each holds.
-        (slow(200, 0, None), 1),
-        (slow(200, 10, None), 200),
+        (with_slow_turnover(1, 0, reported), 1),
+        (with_slow_turnover(3, 0, reported), 1),
+        (with_slow_turnover(2, 40, reported), 2),
+        (fast_turnover, 2),
+        (with_slow_turnover(200, 0, reported), 1),
+        (with_slow_turnover(200, 10, reported), 200),
+        // Without reports a warm backend can take at least as many connections as each holds.
+        (with_slow_turnover(200, 0, None), 1),
+        (with_slow_turnover(200, 10, None), 200),
     ];
     for (traffic, max_sharing) in cases {
         let placements = placements(traffic);
-        let case = format!("{} relays, {} held", traffic.relays, traffic.held);
-        assert!(!placements.is_empty(), "{case}: the backend is used at all");
+        let case = format!(
+            "{} relays, {} connections each",
+            traffic.relays, traffic.connections
+        );
+        assert!(
+            !placements.is_empty(),
+            "{case}: the started backend is not used"
+        );
         for first in &placements {
             assert_window_within_limit(&placements, first.age, traffic.warm_rate(), &case);
             let turn_of = |age: Duration| age.as_micros() / WINDOW.as_micros();
@@ -146,9 +157,14 @@
                 "{case}: relays {sharing:?} in one turn"
             );
         }
-        if traffic.relays == 200 && traffic.held > 0 {
-            let relays: BTreeSet<u32> = placements.iter().map(|one| one.relay).collect();
-            assert!(relays.len() > 20, "{case}: {} have a turn", relays.len());
+        if traffic.relays == 200 && traffic.connections > 0 {
+            let relays: BTreeSet<u32> =
+                placements.iter().map(|placement| placement.relay).collect();
+            assert!(
+                relays.len() > 20,
+                "{case}: only {} relays have a turn",
+                relays.len()
+            );
         }
     }
 }
@@ -169,7 +185,7 @@
     let limit = (4.0 * share * warm_rate * 2.0).max(2.0);
     assert!(
         count as f64 <= limit,
-        "{case}: {count} over {limit} at {from:?}"
+        "{case}: {count} attempts in the window from {from:?}, limit {limit}"
     );
 }
 
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -1,4 +1,5 @@
-//! Slow start where many relays have little traffic each: what the backends see of all together.
+//! Slow start where many relays have little traffic each, judged by the attempts of all relays
+//! together.
 mod support;
 
 use support::{Harness, IDEMPOTENT, arrival, deployment, endpoint, ms, ready_endpoints};
@@ -9,7 +10,7 @@
 use thistlecroft::time::{Duration, Instant};
 
 const BACKENDS: u32 = 12;
-/// The first session of those that stand as a test begins.
+/// Number of the first session among those established when a test begins.
 const FIRST_INHERITED: u32 = 1_000_000;
 const SLOW_START: SlowStart = SlowStart {
     initial_share: 0.31,
@@ -18,7 +19,7 @@
     window: Duration::from_millis(3_000),
 };
 
-/// What a backend reports.
+/// The load that a backend reports.
 struct Load {
     connections: f64,
     share: f64,
@@ -29,7 +30,7 @@
     at: Instant,
 }
 
-/// Relays that share nothing but time.
+/// Relays that share no state, at the same simulated time.
 struct Fleet {
     relays: Vec<Harness>,
     rng: Rng,
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Lets time pass, in which backends pass the health checks of all relays with this load.
+    /// Advances the time. Backends pass the health checks of all relays with this load.
     fn advance(&mut self, duration: Duration, load: impl Fn(u32) -> Load) {
         for relay in &mut self.relays {
             let actions = relay.recorder.actions.len();
@@ -84,8 +85,8 @@
         }
     }
 
-    /// A session of a random group arrives at a random relay; it is established at once where there
-    /// is an attempt.
+    /// Lets a session of a random group arrive at a random relay. It is established at once if
+    /// there is an attempt.
     fn arrive(&mut self) {
         let group = self.rng.below(20) + 1;
         let relay_index = self.rng.below(self.relays.len() as u64) as usize;
@@ -105,9 +106,9 @@
         }
     }
 
-    /// Checks each window that begins with a placement. A backend that is full with so many
-    /// connections may be filled no faster than over its warm-up, at the share of its capacity that
-    /// it has half way through the window.
+    /// Checks every window that begins with a placement. A backend that `capacity` connections fill
+    /// may be filled no faster than over its warm-up, at the share of its capacity that it has half
+    /// way through the window.
     fn assert_within_limit(&self, capacity: f64, started_at: Instant) {
         for first in &self.placements {
             let window = first.at..first.at + SLOW_START.window;
@@ -119,7 +120,7 @@
             let limit = 3.0 * share * capacity / 9.0 * 3.0;
             assert!(
                 (count as f64) < limit,
-                "{} relays: backend {} got {count} of {limit:.0}",
+                "{} relays: backend {} got {count} attempts in a window, limit {limit:.0}",
                 self.relays.len(),
                 first.backend
             );
@@ -127,7 +128,7 @@
     }
 }
 
-/// Seven of twelve backends warm up and the others are full; most relays have no session or one
+/// Seven of twelve backends warm up while the others are full. Most relays have at most one session
 /// within a window.
 #[test]
 fn slow_start_with_thin_traffic_used_within_limit() {
@@ -153,19 +154,20 @@
             }
         }
         fleet.placements.retain(|placement| placement.backend >= 5);
-        // What the rule allows over the warm-up, with connections that last fifty seconds.
+        // The attempts that the rule allows over the warm-up, with connections that last fifty
+        // seconds.
         let allowed = 7.0 * 3.0 * 0.65 * 35.0 / 50.0 * 9.0;
         let used = fleet.placements.len() as f64 / allowed;
         assert!(
             used > 0.3,
-            "{relays} relays, {sessions_a_second} a second: {used:.2} used"
+            "{relays} relays, {sessions_a_second} a second: {used:.2} of the limit used"
         );
         fleet.assert_within_limit(35.0, started_at);
     }
 }
 
-/// Gives each relay its part of the 35 connections that each of five full backends holds, of which
-/// one in fifty departs each second.
+/// Gives each relay its part of the 35 connections that each of five full backends holds. One
+/// connection in fifty departs each second.
 fn hold_full_backends(fleet: &mut Fleet, relays: u32) {
     let each = (165 / relays).max(1);
     let mut id = FIRST_INHERITED;
@@ -192,8 +194,8 @@
     Load { connections, share }
 }
 
-/// All twelve backends start at once: what can't be placed is answered at once, and health checks
-/// stay within their price.
+/// All twelve backends start at once. A session that cannot be placed is answered at once, and
+/// health checks stay within their price.
 #[test]
 fn slow_start_of_whole_fleet_answers_all() {
     for relays in [2, 100, 400] {
@@ -217,11 +219,11 @@
             (0..3).for_each(|_| fleet.arrive());
         }
         let answered = fleet.placements.len() + fleet.rejected;
-        assert_eq!(answered, 270, "{relays} relays");
+        assert_eq!(answered, 270, "{relays} relays: all sessions are answered");
         // A full backend holds 33 of these connections.
         fleet.assert_within_limit(33.0, started_at);
-        // One in five seconds each at least; more only as sessions pay for them, about two a
-        // session.
+        // Each relay sends at least one in five seconds. More are sent only as sessions pay for
+        // them: about two per session.
         let most = relays as usize * 3 + 270 * 3;
         let least = relays as usize;
         assert!(
--- a/tests/slow_start_window.rs
+++ b/tests/slow_start_window.rs
@@ -1,4 +1,4 @@
-//! The slow-start rule under all relays together, in simulated time: uneven traffic, and several
+//! The slow-start rule for all relays together, in simulated time: uneven traffic, and several
 //! backends that start together and apart.
 mod support;
 
@@ -11,9 +11,9 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// Connections that fill a warm backend.
+/// Number of connections that fill a warm backend.
 const CAPACITY: f64 = 60.0;
-/// Mean lifetime of a connection.
+/// Mean lifetime of a connection, in seconds.
 const LIFETIME_SECONDS: f64 = 60.0;
 const INITIAL_SHARE: f64 = 0.25;
 const WARM_UP_SECONDS: f64 = 12.0;
@@ -22,30 +22,32 @@
 
 const STEP: Duration = Duration::from_millis(50);
 const STEPS: u32 = 440;
-/// Clients that are rejected come again: far more sessions than there is capacity.
+/// Sessions per step: 60 per second. Rejected clients come again, so that there are far more
+/// sessions than there is capacity.
 const SESSIONS_PER_STEP: f64 = 60.0 * 0.05;
 const WARM_BACKENDS: u32 = 10;
 /// The steps before which backends start: three together, two more apart.
 const STARTS: [(u32, Range<u32>); 3] = [(160, 10..13), (200, 13..14), (240, 14..15)];
 
-/// What the rule allows a backend of that age within one window.
+/// Returns how many attempts the rule allows within one window at a backend of this age, in
+/// seconds.
 fn window_limit(age: f64) -> f64 {
     let share = (INITIAL_SHARE + (1.0 - INITIAL_SHARE) * age / WARM_UP_SECONDS).min(1.0);
     OVERLOAD_FACTOR * share * CAPACITY / LIFETIME_SECONDS * WINDOW_SECONDS
 }
 
-/// How the limit was used.
+/// How much of the limit was used.
 struct Usage {
-    /// The most that any window had, as a part of the limit N and what chance may add to it,
-    /// 2 x root of N + 2.
+    /// The largest number of attempts in any window, as a share of the limit N plus the margin of 2
+    /// x sqrt(N) + 2 that chance may add.
     worst: f64,
-    /// The part of N that was used over the warm-up.
+    /// The share of N that was used over the warm-up.
     mean: f64,
 }
 
-/// What the backends of a deployment tell.
+/// Whether the backends of a deployment report loads and share the work of groups.
 #[derive(Clone, Copy)]
-struct Site {
+struct LoadSharing {
     reports_load: bool,
     groups_share_work: bool,
 }
@@ -54,7 +56,7 @@
     relay: usize,
     session: u32,
     backend: u32,
-    /// Seconds since the start.
+    /// When the connection ends, in seconds since the start.
     closes_at: f64,
 }
 
@@ -63,23 +65,23 @@
     at: Instant,
 }
 
-/// Relays that share nothing but time, and their connections.
+/// Relays that share no state, at the same simulated time, and their connections.
 struct Simulation {
     relays: Vec<Harness>,
     rng: Rng,
-    /// The part of the traffic that each relay has, by weight.
+    /// Weight of each relay's part of the traffic.
     weights: Vec<f64>,
     connections: Vec<Connection>,
     began_at: Instant,
     last_session: u32,
     sessions_due: f64,
     started_at: BTreeMap<u32, Instant>,
-    /// Attempts at backends that started.
+    /// Attempts at the backends that started.
     placements: Vec<Placement>,
 }
 
 impl Simulation {
-    fn new(relay_count: u32, seed: u64, site: Site) -> Simulation {
+    fn new(relay_count: u32, seed: u64, load_sharing: LoadSharing) -> Simulation {
         let deployment = Deployment {
             slow_start: SlowStart {
                 initial_share: INITIAL_SHARE,
@@ -88,9 +90,9 @@
                 window: ms(3_000),
             },
             relay_count,
-            may_check_health: site.reports_load,
-            reports_load: site.reports_load,
-            groups_share_work: site.groups_share_work,
+            may_check_health: load_sharing.reports_load,
+            reports_load: load_sharing.reports_load,
+            groups_share_work: load_sharing.groups_share_work,
             health_check_cost: 0.001,
             ..deployment(IDEMPOTENT)
         };
@@ -106,7 +108,7 @@
             })
             .collect();
         let mut rng = Rng::from_seed(seed);
-        // Some relays get several times the mean.
+        // Some relays get several times the mean traffic.
         let weights = (0..relay_count)
             .map(|_| 0.3 + 3.0 * rng.unit_f64().powi(3))
             .collect();
@@ -125,7 +127,7 @@
         simulation
     }
 
-    /// Fills the warm backends to 0.7 of what they can hold.
+    /// Fills the warm backends to 0.7 of their capacity.
     fn inherit_connections(&mut self) {
         for backend in 0..WARM_BACKENDS {
             for _ in 0..(CAPACITY * 0.7) as u32 {
@@ -146,10 +148,10 @@
 
     fn choose_relay(&mut self) -> usize {
         let all: f64 = self.weights.iter().sum();
-        let mut left = self.rng.unit_f64() * all;
+        let mut remaining_weight = self.rng.unit_f64() * all;
         let chosen = self.weights.iter().position(|weight| {
-            left -= weight;
-            left < 0.0
+            remaining_weight -= weight;
+            remaining_weight < 0.0
         });
         chosen.unwrap_or(0)
     }
@@ -164,8 +166,8 @@
     }
 
     fn connections_at(&self, backend: u32) -> f64 {
-        let there = |connection: &&Connection| connection.backend == backend;
-        self.connections.iter().filter(there).count() as f64
+        let is_at_backend = |connection: &&Connection| connection.backend == backend;
+        self.connections.iter().filter(is_at_backend).count() as f64
     }
 
     fn run(&mut self) {
@@ -200,7 +202,7 @@
         }
     }
 
-    /// Lets one step pass, in which backends pass all health checks.
+    /// Advances the time by one step, in which backends pass all health checks.
     fn advance(&mut self) {
         for relay in 0..self.relays.len() {
             let actions = self.relays[relay].recorder.actions.len();
@@ -214,8 +216,8 @@
 
     fn close_connections(&mut self) {
         let seconds = self.seconds();
-        let is_over = |connection: &mut Connection| connection.closes_at <= seconds;
-        for closed in self.connections.extract_if(.., is_over) {
+        let is_due = |connection: &mut Connection| connection.closes_at <= seconds;
+        for closed in self.connections.extract_if(.., is_due) {
             self.relays[closed.relay].end(closed.session, 0, AttemptOutcome::Ok, true);
         }
     }
@@ -272,20 +274,21 @@
     }
 }
 
-/// Where loads are reported and groups share work the turns are larger, for an estimate that the
-/// cost of groups lowers. These backends have no such cost, and that case is not tested here.
+/// With load reports and groups that share work, turns are larger, because the cost of groups
+/// lowers an estimate by loads. These backends have no such cost, so that case is not tested here.
 #[test]
-fn slow_start_window_within_limit() {
-    // Relays, seeds of each of three sites, and the least that is used of the limit on the mean.
+fn slow_start_attempts_in_each_window_stay_within_limit() {
+    // Each case: the number of relays, the number of seeds for each of three deployments, and the
+    // least share of the limit that is used on average.
     for (relays, seeds, least) in [(3, 25, 0.3), (20, 25, 0.4), (30, 18, 0.4), (350, 2, 0.3)] {
         for (reports_load, groups_share_work) in [(false, true), (false, false), (true, false)] {
-            let site = Site {
+            let load_sharing = LoadSharing {
                 reports_load,
                 groups_share_work,
             };
             let usages: Vec<Usage> = (1..=seeds)
                 .map(|seed| {
-                    let mut simulation = Simulation::new(relays, seed, site);
+                    let mut simulation = Simulation::new(relays, seed, load_sharing);
                     simulation.run();
                     simulation.usage()
                 })
@@ -294,8 +297,14 @@
             let mean = usages.iter().map(|usage| usage.mean).sum::<f64>() / seeds as f64;
             let case = format!("{relays} relays, loads {reports_load}, groups {groups_share_work}");
             println!("{case}: worst {worst:.2}, used {mean:.2}");
-            assert!(worst <= 1.0, "{case}: {worst:.2} of what is allowed");
-            assert!((least..=1.0).contains(&mean), "{case}: {mean:.2} used");
+            assert!(
+                worst <= 1.0,
+                "{case}: {worst:.2} of the limit and its margin"
+            );
+            assert!(
+                (least..=1.0).contains(&mean),
+                "{case}: {mean:.2} of the limit used on average"
+            );
         }
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! A balancer with a driver that records its actions, and a small deployment for it.
-#![expect(dead_code, reason = "each test file uses a part of it")]
+//! Test harness: a balancer with a driver that records its actions, and a small deployment for it.
+#![expect(dead_code, reason = "each test file uses only some of the helpers")]
 use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::balancer::{
     ATTEMPT_TIMEOUT_FACTOR, BACKOFF_BASE, BACKOFF_CAP, Balancer, STABLE_AFTER,
@@ -15,14 +15,14 @@
 pub(crate) const IDEMPOTENT: Idempotency = Idempotency::Idempotent;
 pub(crate) const NON_IDEMPOTENT: Idempotency = Idempotency::NonIdempotent;
 
-/// A call of the driver, with the numbers of sessions, backends and attempts.
+/// A recorded call of the driver, with the numbers of sessions, backends and attempts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Action {
     Connect {
         session: u32,
         target: Target,
     },
-    /// Of a session and one of its attempts.
+    /// Cancels an attempt: the session and the number of the attempt.
     Cancel(u32, u32),
     Reject(u32, Option<Duration>),
     Fail(u32),
@@ -32,14 +32,14 @@
     Release(u32),
 }
 
-/// Where an attempt goes, and for how long.
+/// The backend of an attempt and its timeout.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Target {
     pub(crate) backend: u32,
     pub(crate) timeout: Duration,
 }
 
-/// A driver that records what it is asked for.
+/// A driver that records its calls.
 #[derive(Default)]
 pub(crate) struct ActionRecorder {
     pub(crate) actions: Vec<Action>,
@@ -84,7 +84,8 @@
     Duration::from_millis(ms)
 }
 
-/// An idempotency key that backends of this scope recognise for five seconds.
+/// Returns the idempotency of requests with a key that backends of this scope recognise for five
+/// seconds.
 pub(crate) fn keyed(scope: DeduplicationScope) -> Idempotency {
     let window = ms(5_000);
     Idempotency::Keyed { scope, window }
@@ -134,7 +135,7 @@
     }
 }
 
-/// The deployment with its routes changed.
+/// Returns the deployment with `change` applied to each of its routes.
 pub(crate) fn with_route(change: impl Fn(&mut Route), mut deployment: Deployment) -> Deployment {
     deployment.routes.iter_mut().for_each(change);
     deployment
@@ -147,7 +148,7 @@
     }
 }
 
-/// An arrival of the first route; 0 stands for no client key and for no group.
+/// Returns an arrival of the first route. A `client_key` or `group` of 0 stands for none.
 pub(crate) fn arrival(client_key: u64, group: u64, timeout: Duration) -> Arrival {
     let non_zero = |value: u64| (value > 0).then_some(value);
     Arrival {
@@ -158,7 +159,8 @@
     }
 }
 
-/// An endpoint in zone 0 for an even number and in zone 1 for an odd one, of a cell of four.
+/// Returns an endpoint. Even numbers are in zone 0 and odd ones in zone 1; four consecutive numbers
+/// form a cell.
 pub(crate) fn endpoint(
     backend: u32,
     state: EndpointState,
@@ -176,14 +178,15 @@
     }
 }
 
-/// Endpoints 0 to `count`, all ready for long.
+/// Returns the endpoints from 0 up to, but not including, `count`, all ready and without a listed
+/// start.
 pub(crate) fn ready_endpoints(count: u32) -> Vec<Endpoint> {
     (0..count)
         .map(|backend| endpoint(backend, EndpointState::Ready, None))
         .collect()
 }
 
-/// A balancer with its recorder and the time that it has reached.
+/// A balancer with its recorder and the current simulated time.
 pub(crate) struct Harness {
     pub(crate) balancer: Balancer,
     pub(crate) recorder: ActionRecorder,
@@ -207,7 +210,7 @@
         }
     }
 
-    /// Lets time pass, with the wakes that the balancer has requested.
+    /// Advances the time and runs the wakes that the balancer has requested meanwhile.
     pub(crate) fn advance(&mut self, duration: Duration) {
         let until = self.now + duration;
         while let Some(next) = self
@@ -225,7 +228,7 @@
         self.now = until;
     }
 
-    /// A session arrives. Returns its latest attempt, if there is any.
+    /// Lets a session arrive. Returns its latest attempt, if there is any.
     pub(crate) fn arrive(&mut self, id: u32, arrival: Arrival) -> Option<Target> {
         self.balancer
             .session_arrived(self.now, SessionId(id), arrival, &mut self.recorder);
@@ -243,13 +246,13 @@
         );
     }
 
-    /// An attempt has set its connection up.
+    /// Reports that an attempt has set its connection up.
     pub(crate) fn establish(&mut self, id: u32, attempt: u32) {
         self.balancer
             .attempt_ready(self.now, SessionId(id), attempt, &mut self.recorder);
     }
 
-    /// An attempt or its connection ends, without a load report.
+    /// Reports the end of an attempt or of its connection, without a load report.
     pub(crate) fn end(
         &mut self,
         id: u32,
@@ -267,7 +270,7 @@
             .attempt_ended(self.now, SessionId(id), end, &mut self.recorder);
     }
 
-    /// A health check is passed, with this report.
+    /// Reports a passed health check with this load report.
     pub(crate) fn report(&mut self, backend: u32, connections: Option<f64>, load: Option<f64>) {
         let report = LoadReport { connections, load };
         self.balancer
@@ -298,13 +301,13 @@
             .session_left(SessionId(id), &mut self.recorder);
     }
 
-    /// The endpoint list names one endpoint.
+    /// Updates a single endpoint of the endpoint list.
     pub(crate) fn update(&mut self, endpoint: Endpoint) {
         self.balancer
             .update_endpoints(UpdateKind::Delta, &[endpoint]);
     }
 
-    /// The attempts of a session, in their order.
+    /// Returns the attempts of a session in the order of their start.
     pub(crate) fn attempts(&self, id: u32) -> Vec<Target> {
         let attempt = |action: &Action| match action {
             Action::Connect { session, target } if *session == id => Some(*target),
@@ -313,14 +316,14 @@
         self.recorder.actions.iter().filter_map(attempt).collect()
     }
 
-    /// The final answers of a session, as often as it was given one.
+    /// Returns the final answers of a session, one for each time that it was answered.
     pub(crate) fn answers(&self, id: u32) -> Vec<Action> {
         let is_answer = |action: &&Action| matches!(action, Action::Reject(session, _) | Action::Fail(session) if *session == id);
         let answers = self.recorder.actions.iter().filter(is_answer);
         answers.copied().collect()
     }
 
-    /// How often this action was asked for.
+    /// Returns how often this action was recorded.
     pub(crate) fn count(&self, wanted: Action) -> usize {
         let actions = self.recorder.actions.iter();
         actions.filter(|&&action| action == wanted).count()
@@ -331,7 +334,7 @@
         self.recorder.actions.iter().filter(is_migration).count()
     }
 
-    /// The backends whose health was to be checked, since so many actions.
+    /// Returns the backends of the health checks recorded after the first `actions` actions.
     pub(crate) fn health_checks_since(&self, actions: usize) -> Vec<u32> {
         let checked = |action: &Action| match action {
             Action::CheckHealth(backend) => Some(*backend),
