--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -25,8 +25,8 @@
 pub(super) struct HealthCheckSchedule {
     /// Health checks that the sessions so far have paid for and that are not yet sent.
     earned: f64,
-    last_at: Instant,
-    next_at: Instant,
+    last_run_at: Instant,
+    next_due_at: Instant,
 }
 
 /// How soon the next health check is needed.
@@ -40,8 +40,8 @@
 impl Balancer {
     pub(super) fn start_health_checks(&mut self, now: Instant, driver: &mut dyn Driver) {
         let phase = MIN_INTERVAL_PER_BACKEND * self.rng.unit_f64() * FIRST_INTERVAL_SHARE;
-        self.health_checks.next_at = now + phase;
-        self.schedule(self.health_checks.next_at, Task::CheckHealth, driver);
+        self.health_checks.next_due_at = now + phase;
+        self.schedule(self.health_checks.next_due_at, Task::CheckHealth, driver);
     }
 
     /// Adds the health checks that one established session pays for. A fixed rate would cost
@@ -72,16 +72,16 @@
         let interval = (earned_interval.max(min_interval) * interval_share)
             .min(MAX_INTERVAL)
             .max(self.deployment.tick);
-        let at = (self.health_checks.last_at + interval).max(now);
-        if at < self.health_checks.next_at || self.health_checks.last_at == now {
-            self.health_checks.next_at = at;
+        let at = (self.health_checks.last_run_at + interval).max(now);
+        if at < self.health_checks.next_due_at || self.health_checks.last_run_at == now {
+            self.health_checks.next_due_at = at;
             self.schedule(at, Task::CheckHealth, driver);
         }
     }
 
     /// Returns whether an earlier task has replaced the one scheduled for this time.
     pub(super) fn is_superseded_health_check(&self, scheduled_at: Instant) -> bool {
-        scheduled_at != self.health_checks.next_at
+        scheduled_at != self.health_checks.next_due_at
     }
 
     /// Sends a health check to a random backend and schedules the next.
@@ -93,7 +93,7 @@
         {
             driver.check_health(backend_id);
         }
-        self.health_checks.last_at = now;
+        self.health_checks.last_run_at = now;
         self.schedule_health_check(now, Urgency::Regular, driver);
         self.health_checks.earned = (self.health_checks.earned - 1.0).max(0.0);
     }
@@ -106,8 +106,9 @@
             .ready_backends()
             .filter(|(_, backend)| backend.connections > 0)
             .count();
-        let are_few = with_connections > 0 && with_connections * 2 < self.ready_backends().count();
-        let requires_connections = are_few && self.rng.below(2) == 0;
+        let few_have_connections =
+            with_connections > 0 && with_connections * 2 < self.ready_backends().count();
+        let requires_connections = few_have_connections && self.rng.below(2) == 0;
         self.ready_backends()
             .filter(|(_, backend)| !requires_connections || backend.connections > 0)
             .map(|(backend_id, _)| backend_id)
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -3,7 +3,7 @@
 //! The embedding protocol calls a method of [`Balancer`] for each event and passes the time and
 //! itself as a [`Driver`]. The balancer responds by calling the driver before it returns. An event
 //! may be late or repeated: one that names an unknown session, attempt or backend is ignored.
-//! `docs/design.md` says what follows the design and when each departure from it applies.
+//! `docs/design.md` says which decisions follow the design and when each departure from it applies.
 //!
 //! | event | what follows | module |
 //! | --- | --- | --- |
@@ -19,7 +19,7 @@
 //! | [`health_checked`](Balancer::health_checked) | the report is recorded, or a failure | `health` |
 //! | [`load_observed`](Balancer::load_observed) | the typical load of the route is updated | `health` |
 //! | [`latency_observed`](Balancer::latency_observed) | late messages raise the load estimate | `health` |
-//! | [`response_overdue`](Balancer::response_overdue) | the backend counts a failure, and clients are migrated off it | `health` |
+//! | [`response_overdue`](Balancer::response_overdue) | a failure is counted, and clients are migrated off the backend | `health` |
 //! | [`wake`](Balancer::wake) | scheduled tasks run | `tasks` |
 //! | [`snapshot`](Balancer::snapshot), [`restore`](Balancer::restore) | what was learnt is passed on | `hot_restart` |
 use crate::deployment::{Deployment, Route};
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -154,9 +154,9 @@
     /// their cost at each backend would fill the fleet.
     fn keep_group_together(&self, now: Instant, backends: &mut Vec<BackendId>, group: Option<u64>) {
         let is_warm = |backend_id: BackendId| self.slow_start_turn(now, backend_id).is_none();
-        let home = group.and_then(|_| backends.iter().copied().find(|&id| is_warm(id)));
-        if let Some(home) = home {
-            backends.retain(|&id| id == home || !is_warm(id));
+        let home_backend = group.and_then(|_| backends.iter().copied().find(|&id| is_warm(id)));
+        if let Some(home_backend) = home_backend {
+            backends.retain(|&id| id == home_backend || !is_warm(id));
         }
     }
 
@@ -175,17 +175,17 @@
         let limit = self.placement_limit(context.route);
         let mut candidates = Vec::new();
         for (position, (&backend_id, &load)) in backends.iter().zip(&loads).enumerate() {
-            let opening = self.opening_load(backend_id, position, context);
+            let opening_load = self.opening_load(backend_id, position, context);
             let position = position as f64;
             let load_with_group =
-                load + opening * position / (position + context.group_span).max(1.0);
+                load + opening_load * position / (position + context.group_span).max(1.0);
             let is_hot = context.fleet.is_capacity_share() && load_with_group >= HOT_LOAD;
             let rank = if !is_hot {
                 Some(self.rank_below_hot(now, backend_id))
             } else if self.is_presumed_free(now, backend_id) {
                 Some(Rank::Hot)
             } else {
-                rank_hot(load, opening, limit, mean_load)
+                rank_hot(load, opening_load, limit, mean_load)
             };
             candidates.extend(rank.map(|rank| Candidate {
                 backend_id,
@@ -291,8 +291,8 @@
 
 /// Returns the rank of a hot backend, by its load and by the load that opening the group adds, or
 /// `None` if it has no capacity for the session.
-fn rank_hot(load: f64, opening: f64, limit: f64, mean_load: f64) -> Option<Rank> {
-    if load + opening < limit {
+fn rank_hot(load: f64, opening_load: f64, limit: f64, mean_load: f64) -> Option<Rank> {
+    if load + opening_load < limit {
         Some(Rank::Hot)
     } else if load >= limit || mean_load >= HOT_LOAD {
         // A backend beyond its capacity serves nobody, and the clients that it drops come back at
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -5,7 +5,7 @@
 
 /// Share of each count that remains after a decay.
 const RETAINED_SHARE: f64 = 0.99;
-/// Groups whose decayed number of sessions is not above this are forgotten.
+/// Groups are forgotten once their decayed number of sessions falls to this.
 const MIN_GROUP_SESSIONS: f64 = 0.1;
 /// Sessions added to the total of all groups, so that a group does not count for a large share
 /// before many sessions are known.
@@ -14,7 +14,7 @@
 const CONNECT_TIME_WEIGHT: f64 = 0.5;
 /// Weight of each observed session in the typical load of its route.
 const ROUTE_LOAD_WEIGHT: f64 = 0.05;
-/// Connection time over which departures are assumed before any is seen, in warm-ups.
+/// Connection time that is assumed together with the assumed departures, in warm-ups.
 const PRIOR_WARM_UPS: f64 = 3.0;
 
 /// Decaying counts and moving averages.
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -38,7 +38,7 @@
 pub struct Route {
     /// Rows with the same number share their limits and counts; 0 for sessions without a route.
     pub limits_id: u32,
-    /// A handshake that completes within this time earns its full worth.
+    /// A handshake that completes within this time has its full worth.
     pub handshake_objective: Duration,
     /// Whether a request may be sent again.
     pub idempotency: Idempotency,
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -19,7 +19,7 @@
 pub enum UpdateKind {
     /// Only the endpoints that changed.
     Delta,
-    /// The complete list: endpoints that it lacks are removed.
+    /// The complete list: an endpoint that it lacks is removed.
     Snapshot,
     /// A complete list from a cache, which may be long out of date.
     CachedSnapshot,
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -152,16 +152,16 @@
             .map(<[u32]>::len)
             .collect();
         let (used, fullest) = (shares.len(), shares.iter().max().copied().unwrap_or(0));
-        let what = format!(
+        let case = format!(
             "checks {may_check_health}, loads {reports_load}, one {one_reported}: {backends:?}"
         );
         if kept_together {
-            assert_eq!(used, 1, "{what}");
+            assert_eq!(used, 1, "{case}");
         } else {
             // The group has one session of 21, and so counts for a twenty-first of a full fleet: 7
             // of 90 backends at a load of 0.6 each, plus the first one.
-            assert!((5..=8).contains(&used), "{what}");
-            assert!(fullest <= 9, "{what}");
+            assert!((5..=8).contains(&used), "{case}");
+            assert!(fullest <= 9, "{case}");
         }
     }
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -182,8 +182,8 @@
         }
         (1..4).for_each(|backend| harness.report(backend, Some(10.0), Some(0.4)));
         harness.report(0, Some(1.0), Some(0.02));
-        let what = format!("load {load}, in time {in_time}, after {seconds} s");
-        assert_eq!(placed_at(&mut harness, 0, 900..912) > 0, selected, "{what}");
+        let case = format!("load {load}, in time {in_time}, after {seconds} s");
+        assert_eq!(placed_at(&mut harness, 0, 900..912) > 0, selected, "{case}");
     }
 }
 
@@ -256,7 +256,7 @@
         ("all departed", 0, Ok, 0, Not, false),
         ("a newer start", 0, Reset, 0, MillisAgo(1), true),
     ];
-    for (what, departed, outcome, unbroken, listed, warms_up) in cases {
+    for (case, departed, outcome, unbroken, listed, warms_up) in cases {
         let mut harness = one_of_four_relays();
         let connections: Vec<u32> = (0..40).step_by(4).collect();
         for &id in &connections[..departed] {
@@ -279,7 +279,7 @@
         assert_eq!(
             placed < 3,
             warms_up,
-            "{what}: {placed} of 8 sessions placed at backend 0"
+            "{case}: {placed} of 8 sessions placed at backend 0"
         );
     }
 }
@@ -313,10 +313,10 @@
             harness.report(0, Some(100.0), Some(load));
             harness.advance(ms(100));
         }
-        let what = format!(
+        let case = format!(
             "latency observed {is_observed}, load {load}, {latency} ms, own connections {has_own}"
         );
-        assert_eq!(placed_at(&mut harness, 0, 100..106) > 0, selected, "{what}");
+        assert_eq!(placed_at(&mut harness, 0, 100..106) > 0, selected, "{case}");
     }
 }
 
--- a/tests/route_limits.rs
+++ b/tests/route_limits.rs
@@ -173,13 +173,13 @@
         harness.advance(ms(80 * passed_percent));
         harness.end(90, 0, AttemptOutcome::Saturated, false);
         harness.advance(Duration::ZERO);
-        let what = format!(
+        let case = format!(
             "weight {weight}, {passed_percent}% of the time passed, {granted_before} granted before"
         );
-        assert_eq!(harness.attempts(90).len() == 2, granted, "{what}");
+        assert_eq!(harness.attempts(90).len() == 2, granted, "{case}");
         // A session without a retry is answered at once, with a `Retry-After`.
         let rejected = matches!(harness.answers(90)[..], [Action::Reject(_, Some(_))]);
-        assert_eq!(rejected, !granted, "{what}");
+        assert_eq!(rejected, !granted, "{case}");
     }
 }
 
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -116,7 +116,7 @@
             weight,
             ..endpoint(backend, EndpointState::Ready, None)
         };
-        let mut to_idle = 0;
+        let mut at_idle = 0;
         for id in 1..40 {
             let mut harness = Harness::with_seed(
                 deployment(IDEMPOTENT),
@@ -130,12 +130,12 @@
             harness.report(1, Some(30.0), Some(0.01));
             harness.advance(ms(15_000));
             harness.report(0, Some(30.0), Some(0.3));
-            to_idle += u32::from(harness.arrive(1, arrival(0, 0, ms(4_800))).unwrap().backend == 1);
+            at_idle += u32::from(harness.arrive(1, arrival(0, 0, ms(4_800))).unwrap().backend == 1);
         }
         assert_eq!(
-            to_idle > 20,
+            at_idle > 20,
             idle_wins,
-            "weight {weight}: {to_idle} of 39 sessions go to backend 1"
+            "weight {weight}: {at_idle} of 39 sessions go to backend 1"
         );
     }
 }
