--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -34,7 +34,7 @@
         }
         if outcome.backends_withdrawn {
             self.sessions
-                .cancel_recalled_attempts(&self.discovery.registry, &mut self.io);
+                .cancel_attempts_to_draining_or_banned(&self.discovery.registry, &mut self.io);
         }
         for session in outcome.failed {
             self.sessions.fail_after_panic(session, &mut self.io);
--- a/relay/src/session/actions.rs
+++ b/relay/src/session/actions.rs
@@ -95,7 +95,7 @@
     /// An endpoint list or an operator has taken backends out: attempts there that have sent
     /// nothing yet end, since they could come up after the backend's grace. Called once the turn's
     /// own attempts are under way.
-    pub(crate) fn cancel_recalled_attempts(
+    pub(crate) fn cancel_attempts_to_draining_or_banned(
         &mut self,
         registry: &EndpointRegistry,
         io: &mut IoContext,
