--- a/relay/src/attempt/mod.rs
+++ b/relay/src/attempt/mod.rs
@@ -1,4 +1,4 @@
-//! One attempt of a session to connect to a backend, and the connection that comes of it.
+//! One attempt of a session to connect to a backend, and the resulting connection.
 mod failure;
 #[cfg(test)]
 mod tests;
@@ -13,55 +13,56 @@
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::{Duration, Instant};
 
-/// How far an attempt has come.
+/// The stage of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptStage {
     /// The connection is being established.
     Connecting,
     /// The request is being written.
     SendingRequest,
-    /// The backend's answer is awaited.
+    /// The relay waits for the backend's answer.
     AwaitingAnswer,
     /// The backend has accepted the session.
     Established,
 }
 
-/// A connection to a backend, from its beginning to its end.
+/// An attempt to connect to a backend and, once the backend has accepted the session, the
+/// connection to it.
 pub(crate) struct Attempt {
-    /// Its index among the attempts that the balancer requested.
+    /// The index of this attempt among those that the balancer requested for the session.
     pub(crate) number: u32,
-    /// Tells its timers from those of the session's other attempts.
+    /// The serial that tells this attempt's timers from those of the session's other attempts.
     pub(crate) serial: u32,
     pub(crate) backend: BackendId,
     pub(crate) connection: Connection,
     pub(crate) stage: AttemptStage,
-    /// What is left to write of the request.
+    /// The part of the request that is still to be written.
     request: OutputBuffer,
     connect_deadline: Instant,
     deadline: Instant,
 }
 
-/// What an attempt is to be.
+/// The parameters of an attempt.
 pub(crate) struct AttemptPlan {
     pub(crate) number: u32,
     pub(crate) serial: u32,
     pub(crate) backend: BackendId,
     /// The backend's address, if it is known.
     pub(crate) address: Option<SocketAddr>,
-    /// The line that requests the session of the backend.
+    /// The request line for the backend, without its ending.
     pub(crate) request: String,
-    /// How long establishing the connection may take.
+    /// The time within which the connection must be established.
     pub(crate) connect_timeout: Duration,
-    /// How long everything may take, up to the backend's answer.
+    /// The time within which the backend must have answered.
     pub(crate) timeout: Duration,
 }
 
 impl Attempt {
-    /// Begins to connect, and sets the timers of the attempt.
+    /// Starts connecting, and sets the attempt's timers.
     ///
     /// # Errors
-    /// The address is unknown, the backend refuses at once, or the system has no descriptor or port
-    /// left.
+    /// The address is unknown, the connection is refused at once, or the system is out of
+    /// descriptors or ports.
     pub(crate) fn begin(
         session: u32,
         plan: AttemptPlan,
@@ -102,7 +103,8 @@
         })
     }
 
-    /// A connection that another process of this relay established.
+    /// Creates an attempt in its established stage, from a connection that the predecessor handed
+    /// over.
     pub(crate) fn adopted(backend: BackendId, connection: Connection, now: Instant) -> Attempt {
         Attempt {
             number: 0,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// The failure that it is if it ends now for this cause.
+    /// Returns the failure of an attempt that ends now for this cause.
     pub(crate) fn failure(&self, cause: FailureCause) -> AttemptFailure {
         let progress = match self.stage {
             AttemptStage::Connecting => AttemptProgress::Unconnected,
@@ -128,7 +130,8 @@
         AttemptFailure { progress, cause }
     }
 
-    /// Whether nothing of the request has left: given up now, the backend never hears of it.
+    /// Returns whether no byte of the request has been written. If the attempt is cancelled now,
+    /// the backend never learns of it.
     pub(crate) fn is_unsent(&self) -> bool {
         match self.stage {
             AttemptStage::Connecting => true,
@@ -137,7 +140,7 @@
         }
     }
 
-    /// Whether its socket is waited for until it can be written to.
+    /// Returns whether the attempt waits for its socket to become writable.
     pub(crate) fn is_sending(&self) -> bool {
         matches!(
             self.stage,
@@ -145,10 +148,10 @@
         )
     }
 
-    /// Goes on with connecting and with writing the request, as far as the socket allows.
+    /// Continues to connect and to write the request, as far as the socket allows at present.
     ///
     /// # Errors
-    /// The connection is refused or breaks.
+    /// The connection was refused or broke.
     pub(crate) fn advance(&mut self) -> Result<(), AttemptFailure> {
         if self.stage == AttemptStage::Connecting {
             match self.connection.is_connected() {
@@ -167,7 +170,7 @@
         Ok(())
     }
 
-    /// Whether it has taken longer than its stage may.
+    /// Returns whether the deadline of the attempt's present stage has passed.
     pub(crate) fn is_overdue(&self, now: Instant) -> bool {
         match self.stage {
             AttemptStage::Connecting => now >= self.connect_deadline.min(self.deadline),
--- a/relay/src/attempt/tests.rs
+++ b/relay/src/attempt/tests.rs
@@ -1,11 +1,11 @@
-//! What the end of an attempt proves.
+//! Tests of the outcomes of failed attempts.
 use super::AttemptFailure;
 use super::AttemptProgress::{Connected, RequestSent, Unconnected};
 use super::FailureCause::{self, Cancelled, ConnectionLost, InvalidAnswer, LocalFault, TimedOut};
 use thistlecroft::attempt::{AttemptOutcome, LoadReport};
 
 #[test]
-fn attempt_failure_proves_what_its_progress_allows() {
+fn attempt_failure_outcome_follows_cause_and_progress() {
     let cases = [
         (Unconnected, LocalFault, AttemptOutcome::NotSent),
         (Unconnected, ConnectionLost, AttemptOutcome::Unreachable),
@@ -18,7 +18,7 @@
         (RequestSent, TimedOut, AttemptOutcome::TimedOut),
         (RequestSent, Cancelled, AttemptOutcome::Cancelled),
         (RequestSent, InvalidAnswer, AttemptOutcome::Error),
-        // An answer to a line that was not all sent yet: it may have run all the same.
+        // The backend answered before the whole request was sent, so the session may have run.
         (Connected, InvalidAnswer, AttemptOutcome::Error),
         (
             RequestSent,
--- a/relay/src/line_buffer/tests.rs
+++ b/relay/src/line_buffer/tests.rs
@@ -1,9 +1,9 @@
-//! Lines in one direction of a connection.
+//! Tests of the line buffer.
 use super::{LineBuffer, LineTooLong, MAX_LINE_BYTES, ReadOutcome};
 use crate::buffers::{BUFFER_SIZE, BufferPool};
 
 #[test]
-fn lines_split_anywhere_come_out_whole() {
+fn lines_read_in_pieces_are_returned_and_written_whole() {
     let text = b"one\r\ntwo\n\r\nlast";
     for size in 1..text.len() {
         let (mut buffer, mut pool) = (LineBuffer::default(), BufferPool::new(1));
@@ -18,14 +18,14 @@
             while let Some(line) = buffer.next_line().unwrap() {
                 lines.push(line.to_vec());
             }
-            // Only whole lines are written, so that a line of the relay's own fits between.
+            // Only whole lines are written, so that the relay can insert a line of its own.
             buffer.write_to(&mut out, &mut pool).unwrap();
             assert!(out.is_empty() || out.ends_with(b"\n"), "pieces of {size}");
         }
         assert_eq!(lines, [&b"one"[..], b"two", b""]);
         assert!(
             !pool.has_available(),
-            "a waiting beginning holds the buffer"
+            "an incomplete line must hold the buffer"
         );
         assert_eq!(
             buffer.read_from(&mut &b""[..], &mut pool).unwrap(),
@@ -33,14 +33,17 @@
         );
         assert!(buffer.write_to(&mut out, &mut pool).unwrap());
         assert_eq!(out, text, "pieces of {size}");
-        assert!(pool.has_available(), "nothing waits, nothing is held");
+        assert!(
+            pool.has_available(),
+            "an empty line buffer must release its buffer"
+        );
     }
 }
 
 #[test]
-fn long_lines_are_errors_and_an_empty_pool_starves() {
-    // Length of a line with its ending, and whether it passes.
-    for (length, passes) in [
+fn line_above_maximum_is_error_and_read_with_exhausted_pool_starves() {
+    // The length of a line with its ending, and whether the line is valid.
+    for (length, is_valid) in [
         (MAX_LINE_BYTES, true),
         (MAX_LINE_BYTES + 1, false),
         (BUFFER_SIZE, false),
@@ -50,7 +53,7 @@
         buffer.read_from(&mut &line[..], &mut pool).unwrap();
         assert_eq!(
             buffer.next_line().map(|line| line.is_some()),
-            if passes { Ok(true) } else { Err(LineTooLong) }
+            if is_valid { Ok(true) } else { Err(LineTooLong) }
         );
         let mut other = LineBuffer::default();
         assert_eq!(
--- a/relay/src/protocol/backend_message.rs
+++ b/relay/src/protocol/backend_message.rs
@@ -5,18 +5,21 @@
 /// What a line from a backend means to the relay.
 #[derive(Debug, Clone, Copy)]
 pub(crate) enum BackendMessage {
-    /// The session is accepted.
+    /// The backend accepts the session.
     Accepted,
-    /// The connection's load or, where the settings say so, how many milliseconds a message takes.
+    /// The connection's load or, if
+    /// [`load_reports_latency`](super::ProtocolSettings::load_reports_latency) is set, the latency
+    /// of a message in milliseconds.
     Load(f64),
-    /// The last message on a connection: how the session ended, and the backend's own load.
+    /// The last message on a connection: the outcome of the session, and the backend's load.
     Final(AttemptOutcome, LoadReport),
-    /// A line that only the client understands.
+    /// A line that is meant for the client only.
     Data,
 }
 
 impl BackendMessage {
-    /// Reads a line without its ending; one that makes no sense is [`BackendMessage::Data`].
+    /// Parses a line without its ending. Any line that is no message to the relay is
+    /// [`BackendMessage::Data`].
     pub(crate) fn parse(line: &[u8]) -> BackendMessage {
         let text = std::str::from_utf8(line).unwrap_or_default();
         let (keyword, rest) = text.split_once(' ').unwrap_or((text, ""));
@@ -37,7 +40,7 @@
     }
 }
 
-/// Reads a backend's answer to a health check.
+/// Parses a backend's answer to a health check.
 pub(crate) fn parse_health_check_response(line: &[u8]) -> (AttemptOutcome, LoadReport) {
     let text = std::str::from_utf8(line).unwrap_or_default();
     match text.split_once(' ').unwrap_or((text, "")) {
@@ -46,6 +49,7 @@
     }
 }
 
+/// Parses a list of fields such as `inflight=2,x0=0.5`, of which unknown ones are ignored.
 fn parse_load_report(text: &str) -> LoadReport {
     LoadReport {
         connections: find_field(text, CONNECTION_FIELDS),
@@ -53,7 +57,8 @@
     }
 }
 
-/// The value of the first of these names that the report has; negative ones count as zero.
+/// Returns the value of the first of `names` for which the report has a number. Negative values
+/// count as zero.
 fn find_field(report: &str, names: &[&str]) -> Option<f64> {
     let value_of = |name: &&str| {
         report.split(',').find_map(|field| {
--- a/relay/src/protocol/mod.rs
+++ b/relay/src/protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The platform's line protocol: what a line of text means, and the lines that the relay writes
-//! itself. Knows no sockets.
+//! The platform's line protocol: parsing lines, and the lines that the relay itself writes. This
+//! module does no I/O.
 //!
 //! The keywords of the protocol appear in this module only; the rest of the relay handles
 //! [`FirstLine`]s and [`BackendMessage`]s.
@@ -15,17 +15,18 @@
 
 use thistlecroft::time::Duration;
 
-/// To a client: the session failed.
+/// The line to a client whose session failed.
 pub(crate) const FAILED_LINE: &str = "ERR";
-/// To a client: the session is migrated, the client is to connect again.
+/// The line to a client whose session is migrated: the client must connect again.
 pub(crate) const MIGRATED_LINE: &str = "MOVE";
-/// To a client: the answer to its `PING`.
+/// The answer to a client's `PING`.
 pub(crate) const PONG_LINE: &str = "PONG";
-/// To a backend: a health check's request for its load.
+/// The line with which a health check requests a backend's load.
 pub(crate) const HEALTH_CHECK_LINE: &str = "STATS";
 
-/// To a client: the session is rejected, with the time to stay away where there is one. The time is
-/// rounded up, so that no client returns too soon.
+/// Returns the line to a client whose session is rejected, with the time in milliseconds to wait
+/// before the next request, if there is one. The time is rounded up, so that no client returns too
+/// soon.
 pub(crate) fn rejection_line(retry_after: Option<Duration>) -> String {
     match retry_after {
         Some(wait) => format!("BUSY {}", wait.as_micros().div_ceil(1_000)),
--- a/relay/src/protocol/tests.rs
+++ b/relay/src/protocol/tests.rs
@@ -1,4 +1,4 @@
-//! What lines of text mean, and how they are passed on.
+//! Tests of parsing lines and of the lines that the relay writes.
 use super::{
     BackendMessage, FirstLine, ProtocolSettings, parse_first_line, parse_health_check_response,
     rejection_line,
@@ -7,11 +7,11 @@
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 
-/// Two listeners.
-pub(crate) fn names(groups: bool) -> ProtocolSettings {
+/// Returns settings with two listeners, `chat` and `feed`.
+pub(crate) fn protocol_settings(with_groups: bool) -> ProtocolSettings {
     ProtocolSettings {
         listeners: vec!["chat".into(), "feed".into()],
-        has_groups: groups,
+        has_groups: with_groups,
         load_reports_latency: false,
     }
 }
@@ -19,8 +19,9 @@
 const START: &str = "OPEN 000000000000000a 000000000000000b ";
 
 #[test]
-fn open_request_is_passed_on_with_another_wait() {
-    // Items in any order, unknown ones kept; with groups and without.
+fn open_request_is_forwarded_with_only_its_wait_replaced() {
+    // The items, the index of the listener, the timeout in milliseconds, the group, and the
+    // forwarded items. Items may come in any order, and unknown ones are kept.
     let cases = [
         (
             "c=chat,d=2000,g=00000000000000c5",
@@ -38,16 +39,21 @@
             "h=3,c=feed,r=1,d=70,again=1",
         ),
     ];
-    for (items, listener, left, group, onward) in cases {
-        for groups in [true, false] {
+    for (items, listener, timeout_ms, group, forwarded) in cases {
+        for with_groups in [true, false] {
             let line = format!("{START}{items}");
-            let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &names(groups))
+            let Ok(FirstLine::Open(open)) =
+                parse_first_line(line.as_bytes(), &protocol_settings(with_groups))
             else {
                 panic!("{line}")
             };
             assert_eq!(open.arrival.route, RouteId(listener), "{line}");
-            assert_eq!(open.arrival.timeout, Duration::from_millis(left), "{line}");
-            assert_eq!(open.arrival.group, group.filter(|_| groups), "{line}");
+            assert_eq!(
+                open.arrival.timeout,
+                Duration::from_millis(timeout_ms),
+                "{line}"
+            );
+            assert_eq!(open.arrival.group, group.filter(|_| with_groups), "{line}");
             assert_eq!(
                 (open.id, open.arrival.client_key),
                 (0xa, Some(0xb)),
@@ -55,27 +61,28 @@
             );
             assert_eq!(
                 open.line(Duration::from_micros(70_900)),
-                format!("{START}{onward}")
+                format!("{START}{forwarded}")
             );
         }
     }
     let line = format!("{START}c=chat,d=4294967,at=s-5be");
-    let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &names(true)) else {
+    let Ok(FirstLine::Open(open)) = parse_first_line(line.as_bytes(), &protocol_settings(true))
+    else {
         panic!()
     };
-    assert_eq!(open.at.as_deref(), Some("s-5be"));
+    assert_eq!(open.inherited_backend.as_deref(), Some("s-5be"));
 }
 
 #[test]
-fn open_request_that_a_backend_might_not_read_is_an_error() {
-    // What stands for the id, the key and the items. Backends close on what they can't read.
-    let good = (
+fn open_request_that_a_backend_could_not_parse_is_an_error() {
+    // The id, the key and the items. A backend closes the connection if it can't parse one of them.
+    let valid = (
         "9b1f03aa5c7e2d41",
         "7f3a9c21e0b4d655",
         "c=chat,d=2000,g=5c0f6e1a2b3d4c59",
     );
     let line = |(id, key, items): (&str, &str, &str)| format!("OPEN {id} {key} {items}");
-    assert!(parse_first_line(line(good).as_bytes(), &names(true)).is_ok());
+    assert!(parse_first_line(line(valid).as_bytes(), &protocol_settings(true)).is_ok());
     let words = [
         "",
         "9b1f",
@@ -86,10 +93,10 @@
         "9b1f03aa5c7e2d4\u{e9}",
     ];
     for word in words {
-        for bad in [(word, good.1, good.2), (good.0, word, good.2)] {
+        for invalid in [(word, valid.1, valid.2), (valid.0, word, valid.2)] {
             assert!(
-                parse_first_line(line(bad).as_bytes(), &names(true)).is_err(),
-                "{bad:?}"
+                parse_first_line(line(invalid).as_bytes(), &protocol_settings(true)).is_err(),
+                "{invalid:?}"
             );
         }
     }
@@ -119,18 +126,18 @@
         "c=chat,d=2000,x=\u{1}",
     ];
     for items in items {
-        let bad = (good.0, good.1, items);
+        let invalid = (valid.0, valid.1, items);
         assert!(
-            parse_first_line(line(bad).as_bytes(), &names(true)).is_err(),
+            parse_first_line(line(invalid).as_bytes(), &protocol_settings(true)).is_err(),
             "{items}"
         );
     }
 }
 
 #[test]
-fn backend_lines_are_told_apart() {
-    let last = |line: &str| match BackendMessage::parse(line.as_bytes()) {
-        BackendMessage::Final(verdict, report) => Some((verdict, report.connections, report.load)),
+fn backend_line_of_each_keyword_is_parsed_as_its_message() {
+    let parse_final = |line: &str| match BackendMessage::parse(line.as_bytes()) {
+        BackendMessage::Final(outcome, report) => Some((outcome, report.connections, report.load)),
         _ => None,
     };
     let cases = [
@@ -152,7 +159,7 @@
         ("UP x", None),
     ];
     for (line, expected) in cases {
-        assert_eq!(last(line), expected, "{line}");
+        assert_eq!(parse_final(line), expected, "{line}");
     }
     assert!(
         matches!(BackendMessage::parse(b"LOAD 12.5"), BackendMessage::Load(load) if load == 12.5)
--- a/relay/src/session/accept.rs
+++ b/relay/src/session/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients, and shedding idle ones when file descriptors run out.
+//! Accepting clients, and shedding idle connections when file descriptors run out.
 use super::idle::IdleKind;
 use super::shared::Shared;
 use super::stage::Disposition::{self, Remove};
@@ -12,28 +12,29 @@
 use std::io::ErrorKind;
 use thistlecroft::time::{Duration, Instant};
 
-/// So that a rush of clients can't keep the established sessions waiting.
+/// Connections accepted in one turn of the event loop. The limit keeps a burst of new clients from
+/// delaying the established sessions.
 const MAX_ACCEPTS_PER_TURN: usize = 64;
 
-/// Descriptors beyond the limit that serve to reject clients for want of one.
+/// Descriptors beyond the sessions' limit, used to reject clients when the limit is reached.
 const DESCRIPTORS_FOR_REJECTIONS: usize = 8;
 
-/// While descriptors are scarce, a silent connection may be shed after this; a usual client's first
-/// line arrives long before.
+/// The time for which a connection must have been silent before it is shed to accept another. A
+/// normal client's first line arrives long before.
 const MIN_SILENCE_BEFORE_SHEDDING: Duration = Duration::from_millis(20);
 
 impl Sessions {
-    /// Accepts clients from now on.
+    /// Starts accepting clients.
     pub(crate) fn start_accepting(&mut self) {
         self.listener.start();
     }
 
-    /// Accepts no more clients: those in the backlog are left to another process.
+    /// Stops accepting clients. Connections in the backlog are left to another process.
     pub(crate) fn stop_accepting(&mut self) {
         self.listener.stop();
     }
 
-    /// Whether clients are accepted.
+    /// Returns whether clients are accepted.
     pub(crate) fn is_accepting(&self) -> bool {
         self.listener.is_accepting()
     }
@@ -43,15 +44,15 @@
         self.listener.resume();
     }
 
-    /// Accepts the connections that wait. Each is read at once, so that a client that means to be
-    /// served is never among the idle ones that make room.
+    /// Accepts the connections that wait in the backlog. Each is read at once, so that a client
+    /// that has already sent its request is never shed as idle.
     pub(crate) fn accept(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
         if !self.listener.is_accepting() {
             return;
         }
         for _ in 0..MAX_ACCEPTS_PER_TURN {
             if !self.can_accept(registry, io) {
-                return self.listener.pause_saturated(io);
+                return self.listener.pause_for_descriptor(io);
             }
             let id = self.next_id;
             let accepted = self
@@ -61,24 +62,24 @@
             match accepted {
                 Ok(client) => self.add_client(client, registry, io),
                 Err(error) => match error.kind() {
-                    ErrorKind::WouldBlock => return self.listener.caught_up(),
+                    ErrorKind::WouldBlock => return self.listener.backlog_emptied(),
                     ErrorKind::ConnectionAborted
                     | ErrorKind::Interrupted
                     | ErrorKind::ConnectionReset => {}
                     _ => {
-                        // No descriptor or memory is left.
+                        // The system is out of descriptors or memory.
                         io.counters.accept_failures += 1;
-                        log::debug!("accept failed error=\"{error}\"");
+                        log::debug!("accepting a client failed error=\"{error}\"");
                         return self.listener.pause(io);
                     }
                 },
             }
         }
-        self.listener.fell_behind(io.now);
+        self.listener.backlog_remains(io.now);
     }
 
-    /// Whether there is a descriptor for one more client, if need be by shedding an idle one or, to
-    /// reject it, beyond the limit.
+    /// Returns whether there is a descriptor for one more client. At the limit it sheds an idle
+    /// connection; if there is none, the descriptors for rejections are used.
     fn can_accept(&mut self, registry: &EndpointRegistry, io: &mut IoContext) -> bool {
         let open = io.sockets.open_in_relay();
         open < self.shared.max_descriptors
@@ -96,7 +97,7 @@
         self.next_id = self.next_id.wrapping_add(1);
         io.counters.connections += 1;
         client.set_interest(true, false);
-        let connected = self.listener.connected_since(io.now);
+        let connected = self.listener.earliest_connect_time(io.now);
         let mut session = Session::new(id, client, connected, io.now);
         session.start_handshake_timer(io);
         self.sessions.insert(id, session);
@@ -105,16 +106,21 @@
         });
     }
 
-    /// Sheds idle connections until a descriptor is free, or none is left to shed: idle
-    /// connections never keep an attempt from its descriptor.
-    pub(super) fn make_room(&mut self, registry: &EndpointRegistry, io: &mut IoContext) {
+    /// Sheds idle connections until a descriptor is free or no idle connection is left, so that
+    /// idle connections never deprive an attempt of its descriptor.
+    pub(super) fn shed_until_descriptor_free(
+        &mut self,
+        registry: &EndpointRegistry,
+        io: &mut IoContext,
+    ) {
         while io.sockets.open_in_relay() >= self.shared.max_descriptors
             && self.shed_idle(Duration::ZERO, registry, io)
         {}
     }
 
-    /// Closes the connection that is needed least: one that has had its last line, else the one
-    /// that has been silent for longest, if for at least this long. True where that made room.
+    /// Closes one idle connection: an answered one first, else the one that has been silent for
+    /// longest, provided that it was silent for at least `min_silence`. Returns whether a
+    /// connection was closed.
     fn shed_idle(
         &mut self,
         min_silence: Duration,
@@ -133,8 +139,8 @@
                 io.counters.shed += u64::from(is_unanswered);
                 return true;
             }
-            // A connection whose request came has left its place in the order; one that could not
-            // be shed keeps it.
+            // A connection whose request has arrived meanwhile is no longer idle, so the next one
+            // is tried. If the entry is still first, it could not be shed.
             if self.shared.idle.first() == Some(&entry) {
                 return false;
             }
@@ -144,8 +150,8 @@
 }
 
 impl Session {
-    /// Makes room for others, unless a request has come meanwhile: what the client has sent since
-    /// the turn began is read first.
+    /// Closes an idle connection to free its descriptor. What the client has sent since the turn
+    /// began is read first; if that completes its request, the connection is not shed.
     fn shed(
         &mut self,
         silent_since: Instant,
@@ -162,12 +168,13 @@
         }
         let rejection = protocol::rejection_line(None);
         if self.to_backend.has_writable() {
-            // Half a line, whose rest may be on its way: the client is given time to read this.
+            // The rest of a partial line may be on its way, so the client is given time to read the
+            // rejection.
             return self.close_with(&rejection, io);
         }
         if io.now.duration_since(silent_since) < MIN_SILENCE_BEFORE_SHEDDING {
-            // Accepted just now, the client may be sending at this very moment: then this is its
-            // answer, though closing right after it may lose it.
+            // A client accepted just now may be sending its request at this moment, so it is sent a
+            // rejection, which the close right after may lose.
             self.output.push_line(&rejection);
             let _ = self.output.write_to(&mut self.client);
         }
--- a/relay/src/session/actions.rs
+++ b/relay/src/session/actions.rs
@@ -1,4 +1,4 @@
-//! What the balancer decides about sessions, carried out.
+//! Carries out the balancer's decisions about sessions.
 use super::stage::Disposition::Keep;
 use super::stage::Stage;
 use super::state::Session;
@@ -12,7 +12,7 @@
 use thistlecroft::time::Duration;
 
 impl Sessions {
-    /// Attempts to connect a session to a backend, which has this long to answer.
+    /// Starts an attempt to connect a session to a backend, which must answer within `timeout`.
     pub(crate) fn start_attempt(
         &mut self,
         id: SessionId,
@@ -21,7 +21,7 @@
         registry: &EndpointRegistry,
         io: &mut IoContext,
     ) {
-        self.make_room(registry, io);
+        self.shed_until_descriptor_free(registry, io);
         self.step(id.0, io, |session, shared, io| {
             let number = session.placement.attempts_requested;
             session.placement.attempts_requested += 1;
@@ -37,7 +37,8 @@
         });
     }
 
-    /// Rejects a session that waits, with the time to stay away where there is one.
+    /// Rejects a session that waits for a backend. The client is told to wait for `retry_after`, if
+    /// given, before it connects again.
     pub(crate) fn reject(
         &mut self,
         id: SessionId,
@@ -48,14 +49,14 @@
         self.answer(id, &line, |counters| &mut counters.refused, io);
     }
 
-    /// Fails a session that waits.
+    /// Fails a session that waits for a backend.
     pub(crate) fn fail(&mut self, id: SessionId, io: &mut IoContext) {
         let line = protocol::FAILED_LINE;
         self.answer(id, line, |counters| &mut counters.torn_down, io);
     }
 
-    /// The final answer to a session that no backend accepted; one that has its answer gets no
-    /// second.
+    /// Answers a session that no backend accepted, and closes it. A session that is no longer being
+    /// placed has its answer already and gets no second one.
     fn answer(
         &mut self,
         id: SessionId,
@@ -72,8 +73,8 @@
         });
     }
 
-    /// Migrates an established session: its client is to connect again. One that is offered to the
-    /// successor is migrated if it stays.
+    /// Migrates an established session: its client is told to connect again. A session that is
+    /// offered to the successor is migrated only if the successor does not take it.
     pub(crate) fn migrate(&mut self, id: SessionId, io: &mut IoContext) {
         self.step(id.0, io, |session, _, io| {
             match (session.stage, &mut session.metadata) {
@@ -87,34 +88,34 @@
         });
     }
 
-    /// Answers a session about which the balancer panicked.
+    /// Answers and closes a session after the balancer panicked on an event about it.
     pub(crate) fn fail_after_panic(&mut self, id: SessionId, io: &mut IoContext) {
-        self.step(id.0, io, |session, _, io| session.fail(io));
+        self.step(id.0, io, |session, _, io| session.fail_after_panic(io));
     }
 
-    /// An endpoint list or an operator has taken backends out: attempts there that have sent
-    /// nothing yet end, since they could come up after the backend's grace. Called once the turn's
-    /// own attempts are under way.
+    /// Cancels attempts to draining or banned backends that have sent nothing yet: their
+    /// connections could be established after the backend's drain grace. Called after the attempts
+    /// of the same turn were started, so that these are covered too.
     pub(crate) fn cancel_attempts_to_draining_or_banned(
         &mut self,
         registry: &EndpointRegistry,
         io: &mut IoContext,
     ) {
-        let is_recalled = |attempt: &Attempt| {
+        let is_cancellable = |attempt: &Attempt| {
             attempt.is_unsent() && registry.is_draining_or_banned(attempt.backend)
         };
-        let has_recalled = |session: &Session| {
-            session.stage == Stage::Placing && session.attempts().any(is_recalled)
+        let has_cancellable = |session: &Session| {
+            session.stage == Stage::Placing && session.attempts().any(is_cancellable)
         };
         let ids: Vec<u32> = self
             .sessions
             .iter()
-            .filter(|(_, session)| has_recalled(session))
+            .filter(|(_, session)| has_cancellable(session))
             .map(|(&id, _)| id)
             .collect();
         for id in ids {
             self.step(id, io, |session, _, io| {
-                while session.promote_attempt(is_recalled) {
+                while session.promote_attempt(is_cancellable) {
                     session.end_attempt(FailureCause::Cancelled, io);
                 }
                 Keep
@@ -124,6 +125,7 @@
 }
 
 impl Session {
+    /// Cancels the attempt of this number unless a backend has accepted it.
     fn cancel_attempt(&mut self, number: u32, io: &mut IoContext) {
         let hedge = self
             .placement
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a session to connect to backends: one at a time, or two where its route has
+//! The attempts of a session to connect to backends: one at a time, or two where its route allows
 //! hedged attempts.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep, Remove};
@@ -14,20 +14,20 @@
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::Duration;
 
-/// An attempt that did not even begin, for a reason of this process.
-const NOT_BEGUN: AttemptFailure = AttemptFailure {
+/// The failure of an attempt that this process could not or did not need to start.
+const NOT_STARTED: AttemptFailure = AttemptFailure {
     progress: AttemptProgress::Unconnected,
     cause: FailureCause::LocalFault,
 };
 
 impl Session {
-    /// The attempts that are under way.
+    /// Returns the attempts that are under way.
     pub(super) fn attempts(&self) -> impl Iterator<Item = &Attempt> {
         let hedge = self.placement.hedge.as_ref().map(|hedge| &hedge.attempt);
         self.attempt.iter().chain(hedge)
     }
 
-    /// Starts an attempt, beside the one that is under way if there is one.
+    /// Starts an attempt. If one is already under way, the new one is its hedged attempt.
     pub(super) fn start_attempt(
         &mut self,
         number: u32,
@@ -38,11 +38,11 @@
         io: &mut IoContext,
     ) -> Disposition {
         if self.stage == Stage::Placing {
-            // The client's end may stand behind hundreds of events that this turn does not reach:
-            // nothing is started for a client that has left.
+            // The event of a client that left may be queued behind hundreds of others that this
+            // turn does not handle, so the client's socket is checked before an attempt is started.
             let disposition = self.check_waiting_client(io);
             if disposition == Remove || !self.awaits_backend() {
-                self.report_attempt_end(number, NOT_BEGUN, io);
+                self.report_attempt_end(number, NOT_STARTED, io);
                 return disposition;
             }
         }
@@ -51,8 +51,9 @@
         };
         io.counters.dials += 1;
         if io.sockets.open_in_relay() >= shared.max_descriptors {
-            // Many first lines in one turn find room before the first of their attempts takes any.
-            self.attempt_not_accepted(number, NOT_BEGUN, io);
+            // Many requests of one turn can pass the descriptor check before the first of their
+            // attempts takes a descriptor.
+            self.attempt_not_accepted(number, NOT_STARTED, io);
             return Keep;
         }
         match Attempt::begin(self.id, plan, io) {
@@ -69,7 +70,7 @@
         Keep
     }
 
-    /// None where the session needs no attempt, or has two under way.
+    /// Returns the plan of an attempt; none if the session needs no attempt or has two under way.
     fn plan_attempt(
         &mut self,
         number: u32,
@@ -82,14 +83,14 @@
             .request
             .as_ref()
             .filter(|_| self.placement.hedge.is_none())?;
-        self.placement.attempt_serial += 1;
+        self.placement.last_attempt_serial += 1;
         let connect_timeout = self
             .route
             .as_ref()
             .map_or(Duration::ZERO, |route| route.timeouts.connect_timeout);
         Some(AttemptPlan {
             number,
-            serial: self.placement.attempt_serial,
+            serial: self.placement.last_attempt_serial,
             backend,
             address: registry.address(backend),
             request: request.line(timeout),
@@ -98,17 +99,17 @@
         })
     }
 
-    /// Whether such an attempt is under way. Where two are, it becomes the first of them, on which
-    /// the session then acts.
-    pub(super) fn promote_attempt(&mut self, is_meant: impl Fn(&Attempt) -> bool) -> bool {
-        if self.attempt.as_ref().is_some_and(&is_meant) {
+    /// Makes the attempt that `is_match` selects the session's first attempt, on which the other
+    /// methods act. Returns false if no such attempt is under way.
+    pub(super) fn promote_attempt(&mut self, is_match: impl Fn(&Attempt) -> bool) -> bool {
+        if self.attempt.as_ref().is_some_and(&is_match) {
             return true;
         }
         let Some(hedge) = self
             .placement
             .hedge
             .as_mut()
-            .filter(|hedge| is_meant(&hedge.attempt))
+            .filter(|hedge| is_match(&hedge.attempt))
         else {
             return false;
         };
@@ -121,7 +122,7 @@
         true
     }
 
-    /// Ends the first attempt for this cause; a hedged one takes its place.
+    /// Ends the first attempt for this cause. A hedged attempt, if any, becomes the first.
     pub(super) fn end_attempt(&mut self, cause: FailureCause, io: &mut IoContext) {
         if let Some(attempt) = &self.attempt {
             let failure = attempt.failure(cause);
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The first attempt has failed; a hedged one takes its place.
+    /// Handles the failure of the first attempt. A hedged attempt, if any, becomes the first.
     pub(super) fn attempt_failed(&mut self, failure: AttemptFailure, io: &mut IoContext) {
         let Some(attempt) = self.attempt.take() else {
             return;
@@ -150,11 +151,12 @@
         }
     }
 
-    /// The balancer decides what follows; an inherited session tries again.
+    /// Handles an attempt that no backend accepted: an inherited session schedules another one, and
+    /// for all others the balancer is told and decides.
     fn attempt_not_accepted(&mut self, number: u32, failure: AttemptFailure, io: &mut IoContext) {
         if self.stage == Stage::Inherited {
             log::debug!(
-                "inherited session not accepted session={} failure={failure:?}",
+                "reconnecting inherited session failed, will retry session={} failure={failure:?}",
                 self.id
             );
             self.retry_inherited_later(io);
@@ -163,7 +165,7 @@
         }
     }
 
-    /// Tells the balancer of an attempt that no backend accepted.
+    /// Counts an attempt that no backend accepted, and reports its end to the balancer.
     pub(super) fn report_attempt_end(
         &mut self,
         number: u32,
--- a/relay/src/session/backend.rs
+++ b/relay/src/session/backend.rs
@@ -1,4 +1,4 @@
-//! The backend's connection: its events by the session's stage, and what is written to it.
+//! The connection to the backend: handling its events by the session's stage, and writing to it.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep, Remove};
 use super::stage::Stage;
@@ -12,11 +12,12 @@
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::time::Duration;
 
-/// How long a session lasts after its backend has ended it; the protocol allows a second.
+/// The time until a session is closed after its backend has finished sending. The protocol allows
+/// one second.
 const BACKEND_ENDED_TIMEOUT: Duration = Duration::from_millis(700);
 
 impl Session {
-    /// The socket of the first attempt is ready.
+    /// Handles readiness of the first attempt's socket.
     pub(super) fn backend_event(
         &mut self,
         shared: &Shared,
@@ -45,11 +46,11 @@
                 .to_client
                 .read_from(&mut attempt.connection, &mut io.buffers)
             {
-                Ok(ReadOutcome::Bytes(_)) => return self.take_backend_lines(shared, io),
+                Ok(ReadOutcome::Bytes(_)) => return self.process_backend_lines(shared, io),
                 Ok(ReadOutcome::Nothing) => {}
                 Ok(ReadOutcome::Starved) => self.wait_for_buffer(io),
-                Ok(ReadOutcome::End) => return self.backend_ended(io),
-                Err(_) => return self.backend_broken(io),
+                Ok(ReadOutcome::End) => return self.backend_finished_sending(io),
+                Err(_) => return self.backend_connection_failed(io),
             }
         }
         if self.stage == Stage::Established {
@@ -59,9 +60,9 @@
         }
     }
 
-    /// Looks once more before the first byte of a request leaves: between the decision and this
-    /// moment the client may have left, the backend may be out, and the loop may have been kept. An
-    /// attempt that ends here has never been sent.
+    /// Checks that an attempt is still wanted before the first byte of its request is sent. Since
+    /// the balancer's decision the client may have left, the backend may have been drained or
+    /// banned, and the event loop may have been delayed. An attempt that ends here was never sent.
     fn check_before_sending(
         &mut self,
         registry: &EndpointRegistry,
@@ -71,7 +72,7 @@
         if disposition == Remove || !self.awaits_backend() {
             return ControlFlow::Break(disposition);
         }
-        // Its timer, if that is due, comes behind the sockets' events of this turn.
+        // Sockets' events are handled before timers, so the attempt may be overdue already.
         let is_stale = |attempt: &Attempt| {
             registry.is_draining_or_banned(attempt.backend) || attempt.is_overdue(io.now)
         };
@@ -82,7 +83,8 @@
         ControlFlow::Continue(())
     }
 
-    fn take_backend_lines(&mut self, shared: &Shared, io: &mut IoContext) -> Disposition {
+    /// Handles the whole lines that the backend has sent, and relays them once established.
+    fn process_backend_lines(&mut self, shared: &Shared, io: &mut IoContext) -> Disposition {
         loop {
             let line = self.to_client.next_line();
             let message = line.map(|line| line.map(BackendMessage::parse));
@@ -90,7 +92,7 @@
                 break;
             };
             if self.stage != Stage::Established {
-                if self.take_answer(message, io).is_break() {
+                if self.process_answer(message, io).is_break() {
                     return Keep;
                 }
                 continue;
@@ -109,8 +111,8 @@
         }
     }
 
-    /// The backend has ended its sending.
-    fn backend_ended(&mut self, io: &mut IoContext) -> Disposition {
+    /// Handles the end of the backend's sending.
+    fn backend_finished_sending(&mut self, io: &mut IoContext) -> Disposition {
         if self.stage != Stage::Established {
             self.end_attempt(FailureCause::ConnectionLost, io);
             return Keep;
@@ -120,19 +122,19 @@
         self.write_to_client(io)
     }
 
-    /// The backend's connection is broken, which the client is to see as well.
-    fn backend_broken(&mut self, io: &mut IoContext) -> Disposition {
+    /// Handles a broken connection to the backend. The client's connection is reset in turn.
+    fn backend_connection_failed(&mut self, io: &mut IoContext) -> Disposition {
         if self.stage != Stage::Established {
-            return self.backend_ended(io);
+            return self.backend_finished_sending(io);
         }
         if self.relaying.final_message.is_some() || self.to_backend.has_ended {
-            // The session had ended on one side: an end, whatever the system makes of it.
+            // One side had already ended the session, so the error counts as a normal end.
             self.to_client.has_ended = true;
-            return self.backend_ended(io);
+            return self.backend_finished_sending(io);
         }
         self.report_session_end(AttemptOutcome::Reset, io);
-        // Lines that came before the break pass before it. Where they can't at once the client gets
-        // an end instead, since a break would throw them away.
+        // Lines received before the error are written first. If they can't all be written at once
+        // the client's connection is closed normally instead, since a reset would discard them.
         match self.to_client.write_to(&mut self.client, &mut io.buffers) {
             Ok(false) => self.close(io),
             Ok(true) | Err(_) => {
@@ -142,9 +144,9 @@
         }
     }
 
-    /// Writes the client's lines that wait for the backend, and their end behind them.
+    /// Writes the client's waiting lines to the backend, then the client's end of sending.
     pub(super) fn write_to_backend(&mut self, io: &mut IoContext) -> Disposition {
-        if self.relaying.is_backend_shut {
+        if self.relaying.is_end_sent_to_backend {
             return Keep;
         }
         let Some(attempt) = &mut self.attempt else {
@@ -156,14 +158,14 @@
         {
             Ok(true) if self.to_backend.has_ended => {
                 attempt.connection.finish_sending();
-                self.relaying.is_backend_shut = true;
+                self.relaying.is_end_sent_to_backend = true;
             }
             Ok(_) => {}
             Err(_) => {
-                // Nothing more gets there; what the backend sent before is still to be read, then
-                // its end.
+                // The backend takes no more bytes, but what it sent before is still read up to its
+                // end.
                 self.to_backend.clear(&mut io.buffers);
-                self.relaying.is_backend_shut = self.to_backend.has_ended;
+                self.relaying.is_end_sent_to_backend = self.to_backend.has_ended;
             }
         }
         self.remove_if_both_ended(io)
--- a/relay/src/session/client.rs
+++ b/relay/src/session/client.rs
@@ -1,4 +1,4 @@
-//! The client's connection: its events by the session's stage, and what is written to it.
+//! The client's connection: handling its events by the session's stage, and writing to it.
 use super::handshake::HandshakeError;
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep, Remove};
@@ -11,11 +11,11 @@
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::time::Duration;
 
-/// How long an established session lasts after its client has ended its sending.
+/// The time until an established session is closed after its client has finished sending.
 const CLIENT_ENDED_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl Session {
-    /// The client's socket is ready.
+    /// Handles readiness of the client's socket.
     pub(super) fn client_event(
         &mut self,
         shared: &mut Shared,
@@ -34,6 +34,7 @@
         self.write_to_client(io)
     }
 
+    /// Reads once from the client, and handles what was read.
     fn read_client(
         &mut self,
         shared: &mut Shared,
@@ -43,19 +44,20 @@
         match self.to_backend.read_from(&mut self.client, &mut io.buffers) {
             Ok(ReadOutcome::Bytes(_)) => {
                 self.last_activity = io.now;
-                self.take_client_bytes(shared, registry, io)
+                self.process_client_bytes(shared, registry, io)
             }
             Ok(ReadOutcome::Nothing) => Keep,
             Ok(ReadOutcome::Starved) => {
                 self.wait_for_buffer(io);
                 Keep
             }
-            Ok(ReadOutcome::End) => self.client_ended(io),
-            Err(_) => self.client_broken(io),
+            Ok(ReadOutcome::End) => self.client_finished_sending(io),
+            Err(_) => self.client_connection_failed(io),
         }
     }
 
-    fn take_client_bytes(
+    /// Handles bytes read from the client, by the session's stage.
+    fn process_client_bytes(
         &mut self,
         shared: &mut Shared,
         registry: &EndpointRegistry,
@@ -72,16 +74,16 @@
         }
     }
 
-    /// The client has ended its sending.
-    pub(super) fn client_ended(&mut self, io: &mut IoContext) -> Disposition {
+    /// Handles the end of the client's sending.
+    pub(super) fn client_finished_sending(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
             Stage::Handshake if self.to_backend.has_writable() => {
                 self.fail_handshake(HandshakeError::Truncated, io)
             }
             Stage::Handshake if self.output.has_pending() => self.close(io),
             Stage::Handshake | Stage::Draining => Remove,
-            // The client may have gone, or may only have no more to send and still wait for its
-            // answer; writing one does no harm in the first case.
+            // The client may have left, or may only have finished sending and still wait for its
+            // answer. Writing one does no harm in the first case.
             Stage::Placing | Stage::Inherited => {
                 self.cancel_placement(io);
                 self.close_with(protocol::FAILED_LINE, io)
@@ -94,8 +96,8 @@
         }
     }
 
-    /// The client's connection is broken.
-    pub(super) fn client_broken(&mut self, io: &mut IoContext) -> Disposition {
+    /// Handles a broken connection to the client.
+    pub(super) fn client_connection_failed(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
             Stage::Placing | Stage::Inherited => self.cancel_placement(io),
             Stage::Established => {
@@ -109,7 +111,7 @@
         Remove
     }
 
-    /// The time may have come at which the session is closed.
+    /// Closes the session if its close time has passed.
     pub(super) fn close_timer_fired(&mut self, io: &mut IoContext) -> Disposition {
         if self.close_at.is_none_or(|at| at > io.now) {
             return Keep;
@@ -128,29 +130,29 @@
         }
     }
 
-    /// Writes what waits for the client: first the backend's lines, then the relay's own.
+    /// Writes the lines that wait for the client: first the backend's, then the relay's own.
     pub(super) fn write_to_client(&mut self, io: &mut IoContext) -> Disposition {
         if matches!(self.stage, Stage::Established | Stage::Closing) {
             match self.to_client.write_to(&mut self.client, &mut io.buffers) {
                 Ok(true) => {}
                 Ok(false) => return Keep,
-                Err(_) => return self.client_broken(io),
+                Err(_) => return self.client_connection_failed(io),
             }
         }
         match self.output.write_to(&mut self.client) {
             Ok(true) => {}
             Ok(false) => return Keep,
-            Err(_) => return self.client_broken(io),
+            Err(_) => return self.client_connection_failed(io),
         }
         if self.stage == Stage::Closing {
             return self.start_draining(io);
         }
         if self.stage == Stage::Established
             && self.to_client.has_ended
-            && !self.relaying.is_client_shut
+            && !self.relaying.is_end_sent_to_client
         {
             self.client.finish_sending();
-            self.relaying.is_client_shut = true;
+            self.relaying.is_end_sent_to_client = true;
         }
         self.remove_if_both_ended(io)
     }
--- a/relay/src/session/closing.rs
+++ b/relay/src/session/closing.rs
@@ -1,4 +1,4 @@
-//! The last stages: the relay's last line is written, and the client's end awaited.
+//! The last stages: writing the relay's last line, and waiting for the client to close.
 use super::stage::Disposition::{self, Keep, Remove};
 use super::stage::Stage;
 use super::state::Session;
@@ -9,28 +9,30 @@
 use thistlecroft::attempt::{AttemptEnd, AttemptOutcome, LoadReport};
 use thistlecroft::time::Duration;
 
-/// After the relay's last line a client is given this long to end its side; the protocol allows a
-/// second in all.
+/// The time that a client has to close its side after the relay's last line. The protocol allows
+/// one second in total.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// The longest draining of a client that keeps sending. What it sends is read and dropped: a
-/// connection closed with unread bytes is reset, and the last line would be lost.
+/// The longest time for which a client that keeps sending is drained. Its bytes are read and
+/// dropped, because closing a connection with unread bytes resets it, which would lose the last
+/// line.
 const MAX_DRAIN_TIME: Duration = Duration::from_millis(3_000);
 
-/// Bytes that are dropped with one read.
+/// Bytes that one read drops at most.
 const DRAIN_READ_BYTES: usize = 64 * 1024;
 
-/// Reads in one turn: a megabyte in all, which leaves time for others.
+/// Reads per turn of the event loop while draining. At 1 MiB in total, other sessions are not
+/// delayed.
 const MAX_DRAIN_READS_PER_TURN: usize = 16;
 
 impl Session {
-    /// Closes the session behind this last line.
+    /// Closes the session after writing this last line.
     pub(super) fn close_with(&mut self, line: &str, io: &mut IoContext) -> Disposition {
         self.output.push_line(line);
         self.close(io)
     }
 
-    /// Closes the session behind the lines that wait for the client.
+    /// Closes the session after writing the lines that wait for the client.
     pub(super) fn close(&mut self, io: &mut IoContext) -> Disposition {
         self.stage = Stage::Closing;
         self.attempt = None;
@@ -41,12 +43,13 @@
         self.write_to_client(io)
     }
 
-    /// Migrates an established session: its client is to connect again.
+    /// Migrates an established session: its client is told to connect again.
     pub(super) fn migrate(&mut self, io: &mut IoContext) -> Disposition {
         io.counters.sent_away += 1;
         self.report_session_end(AttemptOutcome::Cancelled, io);
         if let Some(attempt) = &mut self.attempt {
-            // What the client has sent passes before the end, as far as the backend takes it.
+            // The client's waiting lines are written first, as far as the socket takes them at
+            // once.
             let _ = self
                 .to_backend
                 .write_to(&mut attempt.connection, &mut io.buffers);
@@ -55,8 +58,9 @@
         self.close_with(protocol::MIGRATED_LINE, io)
     }
 
-    /// Answers the session after a panic in the code that handled it.
-    pub(super) fn fail(&mut self, io: &mut IoContext) -> Disposition {
+    /// Answers and closes a waiting or established session after a panic in the code that handled
+    /// it.
+    pub(super) fn fail_after_panic(&mut self, io: &mut IoContext) -> Disposition {
         match self.stage {
             Stage::Placing | Stage::Inherited => {
                 self.cancel_placement(io);
@@ -67,7 +71,7 @@
         }
     }
 
-    /// Everything is written: the client is to end its side.
+    /// Starts waiting for the client to close its side, once everything is written.
     pub(super) fn start_draining(&mut self, io: &mut IoContext) -> Disposition {
         self.client.finish_sending();
         self.stage = Stage::Draining;
@@ -79,8 +83,8 @@
         Keep
     }
 
-    /// Drops what a client still sends behind the relay's last line. Each piece gives it a little
-    /// longer to read that line, up to a limit.
+    /// Drops what the client sends after the relay's last line. Each call extends the time that the
+    /// client has to read that line, up to `MAX_DRAIN_TIME` in total.
     pub(super) fn drain(&mut self, io: &mut IoContext) -> Disposition {
         let mut dropped = [0; DRAIN_READ_BYTES];
         for _ in 0..MAX_DRAIN_READS_PER_TURN {
@@ -96,8 +100,8 @@
         Keep
     }
 
-    /// The outcome of an established session whose backend sent no final message: `Ok` if the
-    /// client had ended it.
+    /// Returns the outcome of an established session whose backend sent no final message: `Ok` if
+    /// the client has finished sending, else `Reset`.
     pub(super) fn outcome_without_final_message(&self) -> AttemptOutcome {
         if self.to_backend.has_ended {
             AttemptOutcome::Ok
--- a/relay/src/session/config_generations.rs
+++ b/relay/src/session/config_generations.rs
@@ -1,15 +1,16 @@
-//! How many sessions were opened under which generation of the configuration.
+//! The number of sessions opened under each generation of the configuration.
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// Counts the sessions of each generation of the configuration.
 pub(super) struct ConfigGenerations {
     current: u32,
+    /// The number of open sessions by generation; generations without sessions are absent.
     sessions: BTreeMap<u32, usize>,
 }
 
 impl ConfigGenerations {
-    /// The configuration of the start is the first generation.
+    /// Creates the counts for the configuration read at startup, which is generation 1.
     pub(super) fn new() -> ConfigGenerations {
         ConfigGenerations {
             current: 1,
@@ -17,22 +18,23 @@
         }
     }
 
+    /// Returns the generation of the configuration in force.
     pub(super) fn current(&self) -> u32 {
         self.current
     }
 
-    /// A changed configuration is in force.
+    /// Starts a new generation, for a changed configuration.
     pub(super) fn advance(&mut self) {
         self.current += 1;
     }
 
-    /// Counts a session in, and returns its generation.
+    /// Counts a new session under the current generation, and returns that generation.
     pub(super) fn add_session(&mut self) -> u32 {
         *self.sessions.entry(self.current).or_default() += 1;
         self.current
     }
 
-    /// Counts a session of this generation out.
+    /// Removes a session of this generation from the counts.
     pub(super) fn remove_session(&mut self, generation: u32) {
         let Some(count) = self.sessions.get_mut(&generation) else {
             return;
--- a/relay/src/session/established.rs
+++ b/relay/src/session/established.rs
@@ -1,4 +1,4 @@
-//! The stage in which lines are relayed both ways: what is observed of them, and the timers.
+//! The stage in which lines are relayed both ways: observing the lines, and the session's timers.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep, Remove};
 use super::stage::Stage;
@@ -11,8 +11,8 @@
 use thistlecroft::attempt::AttemptOutcome;
 use thistlecroft::time::Duration;
 
-/// A line that has waited for an answer for so long is reported, and again after each such
-/// interval.
+/// The time after which a client line without an answer is reported to the balancer, and the
+/// interval at which it is reported again.
 const RESPONSE_OVERDUE_INTERVAL: Duration = Duration::from_millis(250);
 
 impl Session {
@@ -35,7 +35,8 @@
         }
     }
 
-    /// Reports what a relayed line of the backend reveals about the session.
+    /// Reports to the balancer what a relayed backend line reveals about load, latency or the end
+    /// of the session.
     pub(super) fn observe_backend_message(
         &mut self,
         message: BackendMessage,
@@ -44,7 +45,7 @@
     ) {
         let id = self.session_id();
         match message {
-            BackendMessage::Load(latency_ms) if shared.names.load_reports_latency => {
+            BackendMessage::Load(latency_ms) if shared.protocol_settings.load_reports_latency => {
                 self.relaying.latency.reported = Duration::from_millis(1) * latency_ms;
                 io.events
                     .push_back(Event::LatencyObserved(id, self.relaying.latency.reported));
@@ -66,7 +67,7 @@
         }
     }
 
-    /// Sets the timer that watches a line of the client without an answer.
+    /// Sets the timer that reports an overdue answer, if a client line waits for one.
     pub(super) fn watch_response(&mut self, io: &mut IoContext) {
         if !self.relaying.latency.is_timer_set && self.relaying.latency.pending_since.is_some() {
             self.relaying.latency.is_timer_set = true;
@@ -77,7 +78,7 @@
         }
     }
 
-    /// A line of the client may have waited too long for an answer.
+    /// Reports a client line that has waited too long for an answer, and sets the timer again.
     pub(super) fn response_timer_fired(&mut self, io: &mut IoContext) {
         self.relaying.latency.is_timer_set = false;
         let (Some(pending_since), Stage::Established) =
@@ -93,21 +94,22 @@
             }
             io.now + RESPONSE_OVERDUE_INTERVAL
         } else {
-            // The timer was set for an earlier line.
+            // The timer was set for an earlier line, which has been answered.
             pending_since + RESPONSE_OVERDUE_INTERVAL
         };
         self.relaying.latency.is_timer_set = true;
         io.timers.set(next, Timer::ResponseOverdue(self.id));
     }
 
-    /// How long no line may pass, where the route limits that.
+    /// Returns the time after which the session is migrated if no line passes, if its route sets
+    /// one.
     pub(super) fn idle_timeout(&self) -> Option<Duration> {
         self.route
             .as_ref()
             .and_then(|route| route.timeouts.idle_timeout)
     }
 
-    /// No line may have passed for as long as the route allows.
+    /// Migrates the session if no line has passed for its route's idle timeout.
     pub(super) fn idle_timer_fired(&mut self, io: &mut IoContext) -> Disposition {
         let Some(idle_timeout) = self.idle_timeout() else {
             return Keep;
@@ -126,11 +128,11 @@
         Keep
     }
 
-    /// Removes the session once both ends have passed to the other side.
+    /// Removes the session once the end of each side's sending has been passed on to the other.
     pub(super) fn remove_if_both_ended(&mut self, io: &mut IoContext) -> Disposition {
         if self.stage == Stage::Established
-            && self.relaying.is_backend_shut
-            && self.relaying.is_client_shut
+            && self.relaying.is_end_sent_to_backend
+            && self.relaying.is_end_sent_to_client
         {
             self.report_session_end(AttemptOutcome::Ok, io);
             return Remove;
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -1,5 +1,5 @@
-//! Handing sessions over to the successor process and adopting those of the predecessor, without
-//! the client or the backend noticing.
+//! Handing sessions over to the successor process and adopting those of the predecessor, unnoticed
+//! by clients and backends.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep, Remove};
 use super::stage::Stage;
@@ -19,37 +19,40 @@
 use thistlecroft::ids::{BackendId, RouteId, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-/// Sessions that are looked at in one turn, for one that may go.
+/// Waiting sessions that are checked per turn for whether they can be offered.
 const MAX_OFFER_CANDIDATES_PER_TURN: usize = 64;
 
-/// Between two looks at the sessions that are still to go.
+/// The interval between two checks of the sessions waiting to be offered.
 const OFFER_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Without an answer for so long the session stays, and is migrated as if there were no successor.
+/// The time that the successor has to answer an offer. After it the session stays in this process
+/// and is migrated, as if there were no successor.
 const OFFER_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Descriptors of a session that is handed over: its client's and its backend's.
+/// Descriptors per handed-over session: the client's connection and the backend's.
 const DESCRIPTORS_PER_SESSION: usize = 2;
 
 /// Whether a session can be offered to the successor.
 enum Readiness {
     Ready,
-    /// It may be later.
+    /// The session may become ready.
     NotYet,
+    /// The session is ending or has been offered already.
     Never,
 }
 
 impl Sessions {
-    /// All sessions that are established, or will be, are to go to the successor.
+    /// Starts offering sessions to the successor: all established ones, and the others once they
+    /// are established.
     pub(crate) fn start_handover(&mut self, io: &mut IoContext) {
         self.offers.waiting = self.sessions.keys().copied().collect();
         io.timers.set(io.now, Timer::OfferSessions);
     }
 
-    /// Offers as many sessions as may be on their way at once.
+    /// Offers sessions to the successor, up to the limit of open offers.
     ///
     /// # Errors
-    /// The successor is gone.
+    /// The connection to the successor is broken.
     pub(crate) fn offer_sessions(
         &mut self,
         successor: &Channel,
@@ -83,10 +86,11 @@
         Ok(())
     }
 
-    /// The successor holds the session: this process drops it without writing to either side.
+    /// Handles the successor's acceptance of a session: this process tells it to continue, then
+    /// drops the session without writing to either side.
     ///
     /// # Errors
-    /// The successor is gone, or does not read.
+    /// The connection to the successor is broken or takes no further message.
     pub(crate) fn handover_accepted(
         &mut self,
         id: u32,
@@ -97,9 +101,11 @@
             return Ok(());
         }
         if !successor.send(&Message::Released { serial: id }, &[], &[])? {
-            return Err(std::io::Error::other("the successor does not read"));
+            return Err(std::io::Error::other(
+                "the channel to the successor is full: the successor does not read",
+            ));
         }
-        self.offers.offer_settled();
+        self.offers.offer_resolved();
         self.step(id, io, |session, _, io| {
             io.counters.handed += 1;
             session.report_session_end(AttemptOutcome::Cancelled, io);
@@ -108,17 +114,18 @@
         Ok(())
     }
 
-    /// The session stays after all; true where it had been offered.
+    /// Keeps a session that the successor declined or did not answer for. Returns whether the
+    /// session had been offered.
     pub(crate) fn handover_declined(&mut self, id: u32, io: &mut IoContext) -> bool {
         let is_offered = self.is_offered(id);
         if is_offered {
-            self.offers.offer_settled();
+            self.offers.offer_resolved();
             self.step(id, io, |session, _, io| session.resume_after_offer(io));
         }
         is_offered
     }
 
-    /// There is no successor any more: all sessions stay.
+    /// Keeps all sessions, since there is no successor any more.
     pub(crate) fn cancel_handover(&mut self, io: &mut IoContext) {
         self.offers.waiting.clear();
         let offered: Vec<u32> = self
@@ -137,18 +144,18 @@
         session.is_some_and(|session| session.stage == Stage::HandingOver)
     }
 
-    /// Whether a session of the predecessor fits in. What that holds does not count: a session that
-    /// comes from there is one less over there.
+    /// Returns whether there are descriptors for one more session of the predecessor. Descriptors
+    /// open in the predecessor don't count, since it closes its own once this process adopts the
+    /// session.
     pub(crate) fn can_adopt(&self, io: &IoContext) -> bool {
         io.sockets.open_here() + DESCRIPTORS_PER_SESSION <= self.shared.max_descriptors
     }
 
-    /// Takes over a session that the predecessor has let go of, with the bytes that waited on their
-    /// way to the backend and to the client.
+    /// Adopts a session that the predecessor has released, with the bytes that waited to be written
+    /// to the backend and to the client.
     ///
     /// # Errors
-    /// The system can't take a connection up, or there is no buffer for the bytes: the session is
-    /// lost.
+    /// A connection could not be set up, or there is no buffer for the bytes. The session is lost.
     pub(crate) fn adopt(
         &mut self,
         handover: &SessionHandover,
@@ -163,7 +170,7 @@
         let backend = io.sockets.adopt(SocketOwner::Attempt(id), backend.into())?;
         let mut restore = |bytes, line_bytes| {
             LineBuffer::restore(bytes, line_bytes, &mut io.buffers)
-                .ok_or_else(|| std::io::Error::other("no buffer"))
+                .ok_or_else(|| std::io::Error::other("no free buffer for the waiting bytes"))
         };
         let to_backend = restore(to_backend, handover.to_backend.complete)?;
         let to_client = restore(to_client, handover.to_client.complete)?;
@@ -188,6 +195,7 @@
 }
 
 impl Session {
+    /// Returns whether the session can be offered to the successor.
     fn handover_readiness(&self) -> Readiness {
         match self.stage {
             Stage::Handshake | Stage::Placing | Stage::Inherited => Readiness::NotYet,
@@ -209,7 +217,11 @@
         }
     }
 
-    /// Offers the session to the successor; true where the offer went out.
+    /// Offers the session to the successor. Returns false if the offer could not be sent at
+    /// present.
+    ///
+    /// # Errors
+    /// The connection to the successor is broken.
     fn send_offer(
         &mut self,
         successor: &Channel,
@@ -220,13 +232,13 @@
         else {
             return Ok(false);
         };
-        let (to_backend, to_backend_lines) = self.to_backend.waiting();
-        let (to_client, to_client_lines) = self.to_client.waiting();
+        let (to_backend, to_backend_lines) = self.to_backend.waiting_bytes();
+        let (to_client, to_client_lines) = self.to_client.waiting_bytes();
         let message = Message::Session(SessionHandover {
             serial: self.id,
             id: open_id,
             listener: metadata.listener.clone(),
-            client_key: metadata.key,
+            client_key: metadata.client_key,
             group: metadata.group,
             backend: registry.name(attempt.backend).to_string(),
             last_line_at_us: self.last_activity.as_micros(),
@@ -251,7 +263,7 @@
         Ok(true)
     }
 
-    /// The session was offered and stays.
+    /// Continues a session that was offered but stays in this process.
     fn resume_after_offer(&mut self, io: &mut IoContext) -> Disposition {
         self.stage = Stage::Established;
         let metadata = self.metadata.as_ref();
@@ -263,7 +275,7 @@
         Keep
     }
 
-    /// Makes this the session that the predecessor held, with its backend's connection.
+    /// Restores the state that the predecessor held for the session, with the backend's connection.
     fn restore(
         &mut self,
         handover: &SessionHandover,
@@ -279,19 +291,19 @@
         self.relaying.latency.reported = Duration::from_micros(handover.reported_latency_us);
         self.metadata = Some(Box::new(SessionMetadata {
             listener: handover.listener.clone(),
-            key: handover.client_key,
+            client_key: handover.client_key,
             group: handover.group,
             load: handover.load,
             is_migration_due: false,
         }));
     }
 
-    /// Finds the session's route in this process, and returns what the balancer needs to know.
+    /// Finds the session's route in this process, and returns the arrival for the balancer.
     fn restore_route(&mut self, handover: &SessionHandover, shared: &mut Shared) -> Arrival {
-        // The listener may be gone from these settings. The route then only decides how the session
-        // may be migrated, and any will do.
+        // The listener may be missing from the present settings. The route of an adopted session
+        // only decides how it may be migrated, so the first listener is used then.
         let listener = shared
-            .names
+            .protocol_settings
             .listeners
             .iter()
             .position(|name| *name == handover.listener)
@@ -302,12 +314,14 @@
             handover.group,
         );
         self.route = Some(shared.bind_route(row));
-        let is_new = shared.open_ids.insert(handover.id);
-        self.open_id = is_new.then_some(handover.id);
+        let is_reserved = shared.open_ids.insert(handover.id);
+        self.open_id = is_reserved.then_some(handover.id);
         Arrival {
             route: RouteId(row as u16),
             client_key: handover.client_key,
-            group: handover.group.filter(|_| shared.names.has_groups),
+            group: handover
+                .group
+                .filter(|_| shared.protocol_settings.has_groups),
             timeout: Duration::ZERO,
         }
     }
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -1,4 +1,4 @@
-//! The first stage: the client's first line is read.
+//! The first stage: reading the client's first line.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep};
 use super::stage::Stage;
@@ -11,47 +11,48 @@
 use thistlecroft::ids::RouteId;
 use thistlecroft::time::Duration;
 
-/// From connecting until the request has been read. The protocol allows three seconds for an
-/// answer, and a silent connection holds a descriptor.
+/// The time from the client's connecting until its request must have been read. The protocol allows
+/// three seconds for an answer, and a silent connection holds a descriptor.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// A connection accepted late has at least this, to be read at all.
+/// The minimum of that time for a connection that waited long in the backlog, so that its request
+/// can be read at all.
 const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// A violation of the protocol by a client that has no answer yet.
+/// A violation of the protocol by a client that has not been answered yet.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
 pub(super) enum HandshakeError {
-    /// The first line can't be read.
+    /// The first line can't be parsed.
     #[error(transparent)]
     InvalidLine(#[from] FirstLineError),
-    /// The first line has no end.
-    #[error("line too long")]
+    /// The first line exceeds the maximum length.
+    #[error("first line is too long")]
     LineTooLong,
     /// Bytes follow the request.
-    #[error("data after the request")]
+    #[error("client sent data after its request")]
     TrailingData,
-    /// Bytes came while the client was to wait for its answer.
-    #[error("data before the answer")]
+    /// The client sent bytes while its request was not answered.
+    #[error("client sent data before its request was answered")]
     DataBeforeAnswer,
-    /// Another session has the same id.
-    #[error("session id already in use")]
+    /// Another open session has the same id.
+    #[error("session id is in use by another open session")]
     DuplicateId,
-    /// The client ended its sending within the line.
-    #[error("connection ended within the line")]
+    /// The client finished sending before the first line was complete.
+    #[error("client finished sending before its first line was complete")]
     Truncated,
-    /// The line was not whole in time.
-    #[error("line not complete in time")]
+    /// The first line was not complete in time.
+    #[error("first line was not complete in time")]
     TimedOut,
 }
 
 impl Session {
-    /// Limits the time until the request is read.
+    /// Sets the timer that limits the time until the request is read.
     pub(super) fn start_handshake_timer(&mut self, io: &mut IoContext) {
         let remaining = FIRST_LINE_TIMEOUT - io.now.duration_since(self.phase_started);
         self.close_after(remaining.max(MIN_FIRST_LINE_TIMEOUT), io);
     }
 
-    /// Reads first lines: any number of pings, then a request.
+    /// Reads first lines: any number of `PING`s, then a request.
     pub(super) fn read_first_lines(
         &mut self,
         shared: &mut Shared,
@@ -61,9 +62,8 @@
         loop {
             let first_line = match self.to_backend.next_line() {
                 Ok(None) => return Keep,
-                Ok(Some(line)) => {
-                    protocol::parse_first_line(line, &shared.names).map_err(HandshakeError::from)
-                }
+                Ok(Some(line)) => protocol::parse_first_line(line, &shared.protocol_settings)
+                    .map_err(HandshakeError::from),
                 Err(LineTooLong) => Err(HandshakeError::LineTooLong),
             };
             match first_line {
@@ -78,8 +78,8 @@
         }
     }
 
-    /// Opens a session: it is handed to the balancer or, if inherited, to the backend that it
-    /// names.
+    /// Opens a session: the balancer is to place it or, if it is inherited, an attempt to the
+    /// backend named in the request is started.
     fn open(
         &mut self,
         mut request: Box<OpenRequest>,
@@ -97,16 +97,17 @@
         self.open_id = Some(request.id);
         self.close_at = None;
         self.phase_started = io.now;
-        if io.sockets.open_in_relay() >= shared.max_descriptors && !shared.has_idle_besides(self.id)
+        if io.sockets.open_in_relay() >= shared.max_descriptors
+            && !shared.has_idle_other_than(self.id)
         {
-            // There is no descriptor for an attempt. Rejecting now leaves some for accepting
-            // others.
+            // There is no descriptor for an attempt. Rejecting the session now frees its own for
+            // other clients.
             io.counters.turned_away += 1;
             return self.close_with(&protocol::rejection_line(None), io);
         }
-        self.choose_route(&mut request, shared);
+        self.assign_route(&mut request, shared);
         let arrival = request.arrival;
-        let is_inherited = request.at.is_some();
+        let is_inherited = request.inherited_backend.is_some();
         self.placement.request = Some(request);
         if is_inherited {
             self.stage = Stage::Inherited;
@@ -119,21 +120,21 @@
         Keep
     }
 
-    /// Finds the row of the routes that the request takes. Until then the request's route is the
+    /// Assigns the request its row in the route table. Until then the route in the request is the
     /// index of its listener.
-    fn choose_route(&mut self, request: &mut OpenRequest, shared: &mut Shared) {
+    fn assign_route(&mut self, request: &mut OpenRequest, shared: &mut Shared) {
         let listener = usize::from(request.arrival.route.0);
-        let key = request.arrival.client_key;
+        let client_key = request.arrival.client_key;
         self.metadata = Some(Box::new(SessionMetadata {
-            listener: shared.names.listeners[listener].clone(),
-            key,
+            listener: shared.protocol_settings.listeners[listener].clone(),
+            client_key,
             group: request.group,
             load: None,
             is_migration_due: false,
         }));
         let row = shared
             .routes
-            .route_for(listener, key.unwrap_or_default(), request.group);
+            .route_for(listener, client_key.unwrap_or_default(), request.group);
         let route = shared.bind_route(row);
         request.arrival.route = RouteId(row as u16);
         if let Some(timeout) = route.timeouts.handshake_timeout {
--- a/relay/src/session/inherited.rs
+++ b/relay/src/session/inherited.rs
@@ -1,5 +1,5 @@
-//! Sessions that were open before this process started: each returns to the backend that it
-//! names, without a decision of the balancer.
+//! Sessions that were open before this process started: each returns to the backend named in its
+//! request, without a decision of the balancer.
 use super::shared::Shared;
 use super::stage::Disposition::{self, Keep};
 use super::stage::Stage;
@@ -10,17 +10,18 @@
 use crate::timers::Timer;
 use thistlecroft::time::Duration;
 
-/// Between an attempt that failed and the next.
+/// The time between a failed attempt and the next one.
 const INHERITED_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// After this the session fails; its client would count it as lost after 40 s.
+/// The time after which the session fails. Its client would count it as lost after 40 s.
 const INHERITED_TIMEOUT: Duration = Duration::from_millis(38_000);
 
-/// The same where the backend is unknown: it may be in the next endpoint list.
+/// The time after which a session fails whose backend is unknown. The backend may be in the next
+/// endpoint list.
 const UNKNOWN_BACKEND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl Session {
-    /// Attempts to connect to the backend that held the session.
+    /// Starts an attempt to connect to the backend that held the session.
     pub(super) fn attempt_inherited(
         &mut self,
         shared: &Shared,
@@ -34,7 +35,7 @@
             .placement
             .request
             .as_ref()
-            .and_then(|request| request.at.as_deref());
+            .and_then(|request| request.inherited_backend.as_deref());
         let backend = name.and_then(|name| registry.find(name));
         let timeout = match backend {
             Some(_) => INHERITED_TIMEOUT,
@@ -54,7 +55,7 @@
         }
     }
 
-    /// Sets the timer of the next attempt.
+    /// Sets the timer for the next attempt.
     pub(super) fn retry_inherited_later(&mut self, io: &mut IoContext) {
         io.timers.set(
             io.now + INHERITED_RETRY_INTERVAL,
--- a/relay/src/session/mod.rs
+++ b/relay/src/session/mod.rs
@@ -1,21 +1,21 @@
 //! Sessions: one client connection each, from its acceptance to its close.
 //!
-//! [`table::Sessions`] holds them and hands each event, timer and action to the session that it is
-//! about. What a session then does depends on its [`stage::Stage`], and stands in the module of
-//! that stage:
+//! [`table::Sessions`] holds all sessions and dispatches each event, timer and action to the
+//! session it concerns. How a session reacts depends on its [`stage::Stage`]; each stage has a
+//! module:
 //!
 //! | module | stage or task |
 //! | --- | --- |
-//! | [`listener`] | connections are accepted; idle ones are shed when descriptors run out |
-//! | [`handshake`] | the first line is read |
-//! | [`placement`] | the balancer is to find a backend |
-//! | [`attempts`] | connections to backends are attempted |
-//! | [`inherited`] | a session from before the start returns to its backend |
-//! | [`established`] | lines are relayed both ways |
-//! | [`handover`] | the session is handed over to the successor process |
-//! | [`closing`] | the last line is written, and the client's end awaited |
+//! | [`accept`], [`listener`] | accept connections; shed idle ones when descriptors run out |
+//! | [`handshake`] | read the client's first line |
+//! | [`placement`] | wait for a backend that accepts the session |
+//! | [`attempts`] | attempt to connect to backends |
+//! | [`inherited`] | return a session to its backend after a restart of the relay |
+//! | [`established`] | relay lines both ways |
+//! | [`handover`] | hand the session over to the successor process |
+//! | [`closing`] | write the last line and wait for the client to close |
 //!
-//! [`client`] and [`backend`] take up the events of the two connections, [`actions`] carries out
+//! [`client`] and [`backend`] handle the events of the two connections; [`actions`] carries out
 //! what the balancer decides.
 mod accept;
 mod actions;
--- a/relay/src/session/offer_queue.rs
+++ b/relay/src/session/offer_queue.rs
@@ -1,28 +1,32 @@
-//! Which sessions are still to be offered to the successor process, and how many are under way.
+//! The sessions waiting to be offered to the successor process, and the number of open offers.
 use std::collections::VecDeque;
 
-/// Offers under way at once: each holds its descriptors twice for that time.
+/// Offers that may be open at once. Until an offer is answered, both processes hold the session's
+/// descriptors.
 const MAX_OFFERS_IN_FLIGHT: usize = 16;
 
-/// The sessions that are to go to the successor.
+/// The sessions to hand over to the successor.
 #[derive(Default)]
 pub(super) struct OfferQueue {
+    /// The ids of the sessions that have not been offered yet.
     pub(super) waiting: VecDeque<u32>,
+    /// The number of offers that the successor has not answered.
     in_flight: usize,
 }
 
 impl OfferQueue {
+    /// Returns whether no further offer may be sent for now.
     pub(super) fn is_full(&self) -> bool {
         self.in_flight >= MAX_OFFERS_IN_FLIGHT
     }
 
-    /// An offer went out.
+    /// Records that an offer was sent.
     pub(super) fn offer_sent(&mut self) {
         self.in_flight += 1;
     }
 
-    /// An offer was answered, or will not be.
-    pub(super) fn offer_settled(&mut self) {
+    /// Records that an offer was answered, timed out or was cancelled.
+    pub(super) fn offer_resolved(&mut self) {
         self.in_flight -= 1;
     }
 }
--- a/relay/src/session/placement.rs
+++ b/relay/src/session/placement.rs
@@ -1,5 +1,5 @@
-//! The stages in which a backend is still to accept the session: its client is watched, and the
-//! backends' answers are taken.
+//! The stages in which no backend has accepted the session yet: checking on the waiting client, and
+//! handling the backends' answers.
 use super::handshake::HandshakeError;
 use super::stage::{Disposition, Stage};
 use super::state::Session;
@@ -14,14 +14,14 @@
 use thistlecroft::attempt::AttemptOutcome;
 
 impl Session {
-    /// Looks whether a client that waits for its answer has left, or sends what it should not:
-    /// relayed later, another command would have the backend close the session, and kept, there
-    /// would be no end of it.
+    /// Checks whether a client that waits for its answer has left or has sent data, which fails its
+    /// session. Data sent this early can't be relayed later, since the backend would close the
+    /// session over another command, and keeping it would need unlimited memory.
     pub(super) fn check_waiting_client(&mut self, io: &mut IoContext) -> Disposition {
         match self.client.read(&mut [0]) {
             Ok(0) => {
                 self.to_backend.has_ended = true;
-                self.client_ended(io)
+                self.client_finished_sending(io)
             }
             Ok(_) => {
                 self.cancel_placement(io);
@@ -32,11 +32,12 @@
             {
                 self.write_to_client(io)
             }
-            Err(_) => self.client_broken(io),
+            Err(_) => self.client_connection_failed(io),
         }
     }
 
-    /// The client has left before its answer: its attempts end with it.
+    /// Cancels the session's attempts, because the client no longer waits or the session has
+    /// failed.
     pub(super) fn cancel_placement(&mut self, io: &mut IoContext) {
         io.counters.clients_left += 1;
         let is_known_to_balancer = self.stage == Stage::Placing;
@@ -57,8 +58,9 @@
         }
     }
 
-    /// Takes a line with which a backend answers the request; a break is the attempt's end.
-    pub(super) fn take_answer(
+    /// Handles a line that a backend sends in answer to the request. Breaks if the attempt has
+    /// ended.
+    pub(super) fn process_answer(
         &mut self,
         message: Result<BackendMessage, LineTooLong>,
         io: &mut IoContext,
@@ -75,7 +77,8 @@
                 self.to_client.discard_lines(&mut io.buffers);
                 return ControlFlow::Continue(());
             }
-            // A session that ends well without having begun is no answer that a client could use.
+            // A final message of success before the session was accepted is no answer that a client
+            // could use.
             Ok(
                 BackendMessage::Final(AttemptOutcome::Ok, _)
                 | BackendMessage::Accepted
@@ -88,7 +91,7 @@
         ControlFlow::Break(())
     }
 
-    /// A backend has accepted the session.
+    /// Moves the session to the established stage, after a backend has accepted it.
     fn become_established(&mut self, io: &mut IoContext) {
         let id = self.session_id();
         let Some(attempt) = &mut self.attempt else {
--- a/relay/src/session/shared.rs
+++ b/relay/src/session/shared.rs
@@ -1,4 +1,4 @@
-//! What the sessions of a relay share.
+//! State that all sessions of a relay share.
 use super::config_generations::ConfigGenerations;
 use super::idle::IdleEntry;
 use super::state::SessionRoute;
@@ -6,28 +6,28 @@
 use std::collections::BTreeSet;
 use thistlecroft_operator_config::RouteTable;
 
-/// What a session needs to know of the whole.
+/// The state that a step of one session may read or change beside the session itself.
 pub(super) struct Shared {
-    pub(super) names: ProtocolSettings,
+    pub(super) protocol_settings: ProtocolSettings,
     pub(super) routes: RouteTable,
     pub(super) generations: ConfigGenerations,
-    /// Descriptors that sessions may take together.
+    /// The number of descriptors that all sessions together may hold.
     pub(super) max_descriptors: usize,
-    /// Ids of the sessions that are open: a backend rejects a second one of the same id, and would
-    /// be blamed for it.
+    /// The ids of the open sessions. A backend rejects a second session of the same id, which would
+    /// count as a failure of the backend, so the relay answers the duplicate itself.
     pub(super) open_ids: BTreeSet<u64>,
-    /// Connections that hold a descriptor without being served.
+    /// The connections that hold a descriptor without being served.
     pub(super) idle: BTreeSet<IdleEntry>,
 }
 
 impl Shared {
     pub(super) fn new(
-        names: ProtocolSettings,
+        protocol_settings: ProtocolSettings,
         routes: RouteTable,
         max_descriptors: usize,
     ) -> Shared {
         Shared {
-            names,
+            protocol_settings,
             routes,
             generations: ConfigGenerations::new(),
             max_descriptors,
@@ -36,12 +36,13 @@
         }
     }
 
-    /// Whether a connection other than this session's could make room.
-    pub(super) fn has_idle_besides(&self, session: u32) -> bool {
+    /// Returns whether an idle connection other than this session's could be shed.
+    pub(super) fn has_idle_other_than(&self, session: u32) -> bool {
         self.idle.iter().any(|entry| entry.session != session)
     }
 
-    /// Counts a session in that takes this row of the routes.
+    /// Returns the route in this row of the route table, and counts a session for the current
+    /// configuration generation.
     pub(super) fn bind_route(&mut self, row: usize) -> SessionRoute {
         SessionRoute {
             timeouts: self.routes.timeouts(row),
--- a/relay/src/session/stage.rs
+++ b/relay/src/session/stage.rs
@@ -1,29 +1,31 @@
-//! The stages of a session's life.
+//! The stages of a session, and what happens to it after each step.
 
-/// The stage that a session is in, which decides what an event means to it.
+/// The stage of a session, which decides how it handles an event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Stage {
-    /// The client's first line is awaited.
+    /// The relay waits for the client's first line.
     Handshake,
-    /// The balancer has yet to place the session; attempts to connect to backends may be under way.
+    /// The balancer is placing the session; attempts to connect to backends may be under way.
     Placing,
-    /// The session was open before this process started: it names its backend itself.
+    /// The session was open before this process started: its request names the backend that held
+    /// it.
     Inherited,
     /// A backend has accepted the session; lines are relayed both ways.
     Established,
-    /// Established, and offered to the successor process: nobody reads until that has answered.
+    /// The session is established and has been offered to the successor process: neither
+    /// connection is read until the successor has answered.
     HandingOver,
     /// The relay's last line is being written.
     Closing,
-    /// Everything is written; only the client's end of the connection is awaited.
+    /// Everything is written; the relay waits for the client to close its side.
     Draining,
 }
 
-/// What becomes of a session after one of its steps.
+/// What happens to a session after one of its steps.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Disposition {
-    /// It continues.
+    /// The session continues.
     Keep,
-    /// It is over: its connections are closed.
+    /// The session has ended: it is removed and its connections are closed.
     Remove,
 }
--- a/relay/src/session/state.rs
+++ b/relay/src/session/state.rs
@@ -1,4 +1,4 @@
-//! What is kept of one session.
+//! The state of one session.
 use super::idle::{IdleEntry, IdleKind};
 use super::response_latency::ResponseLatency;
 use super::stage::Stage;
@@ -14,95 +14,99 @@
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_operator_config::SessionTimeouts;
 
-/// A session: it owns its client's connection and the attempts that are under way for it.
+/// A session, which owns its client's connection and the attempts under way for it.
 pub(super) struct Session {
     pub(super) id: u32,
     pub(super) stage: Stage,
     pub(super) client: Connection,
-    /// What the successor process needs to know of it.
+    /// Details that the successor process needs if the session is handed over; none before the
+    /// first line has been read.
     pub(super) metadata: Option<Box<SessionMetadata>>,
-    /// Known once the first line is read.
+    /// The session's route; none before the first line has been read.
     pub(super) route: Option<SessionRoute>,
-    /// What finds it a backend.
+    /// State used until a backend has accepted the session.
     pub(super) placement: PlacementState,
     /// The attempt under way or, once established, the connection to the backend.
     pub(super) attempt: Option<Attempt>,
-    /// What is known of it once it is established.
+    /// State used while the session is established.
     pub(super) relaying: RelayingState,
     /// Lines from the client on their way to the backend.
     pub(super) to_backend: LineBuffer,
     /// Lines from the backend on their way to the client.
     pub(super) to_client: LineBuffer,
-    /// The relay's own lines for the client, written behind those that wait in `to_client`.
+    /// The relay's own lines for the client, written after the lines in `to_client`.
     pub(super) output: OutputBuffer,
-    /// When the connection was established, its request was read, or draining began: the last of
-    /// these.
+    /// The latest of: when the connection was established, when its request was read, when draining
+    /// began.
     pub(super) phase_started: Instant,
-    /// When the client last sent anything or, once established, the backend did.
+    /// When the client last sent anything; for an established session, the client or the backend.
     pub(super) last_activity: Instant,
-    /// The id from its request, for as long as no other session may have the same.
+    /// The id from the request, reserved in [`Shared::open_ids`](super::shared::Shared::open_ids)
+    /// until the session is removed.
     pub(super) open_id: Option<u64>,
-    /// It has been established: shedding it would lose what is still on its way.
+    /// Whether the session has ever been established. Such a session is not shed, since lines on
+    /// their way would be lost.
     pub(super) was_established: bool,
-    /// When it is closed, whatever is still on its way.
+    /// When the session is closed, even if lines are still waiting to be written.
     pub(super) close_at: Option<Instant>,
-    /// It waits for a buffer of the pool.
+    /// Whether the session has stopped reading until the buffer pool has a free buffer.
     pub(super) is_starved: bool,
 }
 
-/// State of a session that a backend is still to accept.
+/// State of a session that no backend has accepted yet.
 #[derive(Default)]
 pub(super) struct PlacementState {
     /// The client's request, until a backend has accepted it.
     pub(super) request: Option<Box<OpenRequest>>,
     /// A second attempt beside the first, until one of them is accepted.
     pub(super) hedge: Option<Box<HedgedAttempt>>,
-    /// How many attempts the balancer has requested.
+    /// The number of attempts that the balancer has requested.
     pub(super) attempts_requested: u32,
-    /// Serial of the latest attempt.
-    pub(super) attempt_serial: u32,
+    /// The serial of the latest attempt.
+    pub(super) last_attempt_serial: u32,
 }
 
 /// State of an established session.
 #[derive(Default)]
 pub(super) struct RelayingState {
     pub(super) latency: ResponseLatency,
-    /// How the backend itself said that the session ended.
+    /// The outcome and load in the backend's final message, once it has sent one.
     pub(super) final_message: Option<(AttemptOutcome, LoadReport)>,
-    /// The balancer knows that the session has ended.
+    /// Whether the end of the session has been reported to the balancer.
     pub(super) is_end_reported: bool,
-    /// The client's end has been passed on to the backend.
-    pub(super) is_backend_shut: bool,
-    /// The backend's end has been passed on to the client.
-    pub(super) is_client_shut: bool,
+    /// Whether the client's end of sending has been passed on to the backend.
+    pub(super) is_end_sent_to_backend: bool,
+    /// Whether the backend's end of sending has been passed on to the client.
+    pub(super) is_end_sent_to_client: bool,
 }
 
-/// A second attempt, and what its backend has sent.
+/// A second attempt beside the first, and the lines that its backend has sent.
 pub(super) struct HedgedAttempt {
     pub(super) attempt: Attempt,
     pub(super) to_client: LineBuffer,
 }
 
-/// The route that a session takes, as it was when its first line was read.
+/// A session's route, as configured when its first line was read.
 pub(super) struct SessionRoute {
     pub(super) timeouts: SessionTimeouts,
-    /// Generation of the configuration under which it was opened.
+    /// The generation of the configuration under which the session was opened.
     pub(super) generation: u32,
 }
 
-/// What stays of a request once the session is established.
+/// Details of a request that are kept after the session is established.
 pub(super) struct SessionMetadata {
     pub(super) listener: String,
-    pub(super) key: Option<u64>,
+    pub(super) client_key: Option<u64>,
     pub(super) group: Option<u64>,
     /// The connection's load as the backend last reported it.
     pub(super) load: Option<f64>,
-    /// The balancer migrated it while it was offered to the successor.
+    /// Whether the balancer migrated the session while it was offered to the successor.
     pub(super) is_migration_due: bool,
 }
 
 impl Session {
-    /// A connection that has sent nothing yet. `connected` is when it may have been established.
+    /// Creates a session for a connection that has sent nothing yet. `connected` is the earliest
+    /// time at which the connection may have been established.
     pub(super) fn new(id: u32, client: Connection, connected: Instant, now: Instant) -> Session {
         Session {
             id,
@@ -125,17 +129,17 @@
         }
     }
 
-    /// Its id as the balancer knows it.
+    /// Returns the session's id as the balancer knows it.
     pub(super) fn session_id(&self) -> SessionId {
         SessionId(self.id)
     }
 
-    /// Whether a backend is still to accept it.
+    /// Returns whether no backend has accepted the session yet.
     pub(super) fn awaits_backend(&self) -> bool {
         matches!(self.stage, Stage::Placing | Stage::Inherited)
     }
 
-    /// Its place among those that hold a descriptor without being served, if it is one.
+    /// Returns the session's entry in the order of shedding, if its connection is idle.
     pub(super) fn idle_entry(&self) -> Option<IdleEntry> {
         let kind = match self.stage {
             Stage::Handshake | Stage::Closing => IdleKind::Unanswered,
@@ -149,20 +153,21 @@
         })
     }
 
-    /// Sets the time at which it is closed.
+    /// Schedules the session to be closed after `delay`.
     pub(super) fn close_after(&mut self, delay: Duration, io: &mut IoContext) {
         self.close_at = Some(io.now + delay);
         io.timers.set(io.now + delay, Timer::Client(self.id));
     }
 
-    /// It stops reading until a buffer comes back to the pool.
+    /// Stops reading until the buffer pool has a free buffer.
     pub(super) fn wait_for_buffer(&mut self, io: &mut IoContext) {
         io.counters.starved += 1;
         self.is_starved = true;
         io.starved.push_back(self.id);
     }
 
-    /// Tells the poller what to wait for, by the stage and by what is on its way.
+    /// Updates the readiness that the poller waits for, by the stage and the bytes waiting to be
+    /// written.
     pub(super) fn update_interests(&mut self) {
         if self.stage == Stage::HandingOver {
             self.client.set_interest(false, false);
@@ -173,22 +178,22 @@
         }
         let is_relaying = matches!(self.stage, Stage::Established | Stage::Closing);
         let has_output = is_relaying && self.to_client.has_writable() || self.output.has_pending();
-        // While it awaits a backend nothing that it sends is kept: no lack of buffers may hide that
-        // it leaves.
+        // A client that waits for a backend is read without a pool buffer, so that its leaving is
+        // noticed even while the pool is exhausted.
         let can_read = self.awaits_backend() || !self.is_starved;
         self.client
             .set_interest(self.to_backend.has_room() && can_read, has_output);
         if let Some(attempt) = &mut self.attempt {
             let has_lines = attempt.stage == AttemptStage::Established
                 && self.to_backend.has_writable()
-                && !self.relaying.is_backend_shut;
+                && !self.relaying.is_end_sent_to_backend;
             attempt.connection.set_interest(
                 self.to_client.has_room() && !self.is_starved,
                 attempt.is_sending() || has_lines,
             );
         }
         if let Some(hedge) = &mut self.placement.hedge {
-            // Once the other attempt is accepted, this one only waits to be cancelled.
+            // Once the first attempt is accepted, the hedged attempt only waits to be cancelled.
             let is_placing = self.stage == Stage::Placing;
             hedge.attempt.connection.set_interest(
                 is_placing && hedge.to_client.has_room() && !self.is_starved,
--- a/relay/src/session/table.rs
+++ b/relay/src/session/table.rs
@@ -1,4 +1,4 @@
-//! The table of sessions: hands each event and timer to the session that it is about.
+//! The table of sessions, which dispatches each event and timer to the session it concerns.
 use super::listener::ClientListener;
 use super::offer_queue::OfferQueue;
 use super::shared::Shared;
@@ -13,11 +13,11 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use thistlecroft_operator_config::RouteTable;
 
-/// Descriptors that sessions never take: discovery, health checks, signals, listeners, the poller,
-/// the log.
+/// Descriptors that sessions never take. They are for discovery, health checks, signals, listeners,
+/// the poller and the log.
 pub(crate) const RESERVED_DESCRIPTORS: usize = 40;
 
-/// All sessions of this process, and the listener from which they come.
+/// All sessions of this process, and the listener that accepts their clients.
 pub(crate) struct Sessions {
     pub(super) sessions: BTreeMap<u32, Session>,
     /// The id of the next session.
@@ -28,11 +28,11 @@
 }
 
 impl Sessions {
-    /// No client is accepted before [`Sessions::open_door`]. `descriptors` is what the process may
-    /// have open in all.
+    /// Creates an empty table. No client is accepted before [`Sessions::start_accepting`].
+    /// `descriptors` is the number that the whole process may have open.
     pub(crate) fn new(
         listener: ListenerSocket,
-        names: ProtocolSettings,
+        protocol_settings: ProtocolSettings,
         routes: RouteTable,
         descriptors: usize,
     ) -> Sessions {
@@ -42,47 +42,48 @@
             next_id: 0,
             listener: ClientListener::new(listener),
             offers: OfferQueue::default(),
-            shared: Shared::new(names, routes, max_descriptors),
+            shared: Shared::new(protocol_settings, routes, max_descriptors),
         }
     }
 
-    /// Whether there is no session.
+    /// Returns whether there are no sessions.
     pub(crate) fn is_empty(&self) -> bool {
         self.sessions.is_empty()
     }
 
-    /// How many sessions there are, in whatever stage.
+    /// Returns the number of sessions, in all stages.
     pub(crate) fn len(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Other names and routes, for the sessions that come from now on.
-    pub(crate) fn reconfigure(&mut self, names: ProtocolSettings, routes: RouteTable) {
-        let is_changed =
-            self.shared.names.listeners != names.listeners || self.shared.routes != routes;
-        (self.shared.names, self.shared.routes) = (names, routes);
+    /// Replaces the protocol settings and routes, for sessions that are opened from now on.
+    pub(crate) fn reconfigure(&mut self, protocol_settings: ProtocolSettings, routes: RouteTable) {
+        let is_changed = self.shared.protocol_settings.listeners != protocol_settings.listeners
+            || self.shared.routes != routes;
+        (self.shared.protocol_settings, self.shared.routes) = (protocol_settings, routes);
         if is_changed {
             self.shared.generations.advance();
         }
     }
 
-    /// The routes of the sessions that come now.
+    /// Returns the routes for new sessions.
     pub(crate) fn routes(&self) -> &RouteTable {
         &self.shared.routes
     }
 
-    /// The number of the configuration that is in force.
+    /// Returns the generation of the configuration in force.
     pub(crate) fn generation(&self) -> u32 {
         self.shared.generations.current()
     }
 
-    /// How many sessions belong to which generation of the configuration, for the log.
+    /// Returns the number of sessions by configuration generation, as text for the log.
     pub(crate) fn sessions_by_generation(&self) -> String {
         self.shared.generations.to_string()
     }
 
-    /// Runs one step of a session, for an event, a timer or an action, and updates what the
-    /// poller waits for afterwards. A panic costs the session that met it, not the process.
+    /// Runs one step of a session, for an event, a timer or an action, and then updates the idle
+    /// connections and the readiness that the poller waits for. A panic in the step ends that
+    /// session, not the process.
     pub(super) fn step(
         &mut self,
         id: u32,
@@ -96,7 +97,7 @@
         let result = catch_unwind(AssertUnwindSafe(|| step(session, &mut self.shared, io)));
         let disposition = result.unwrap_or_else(|_| {
             io.counters.panics += 1;
-            session.fail(io)
+            session.fail_after_panic(io)
         });
         let idle_after = session.idle_entry().filter(|_| disposition == Keep);
         if let Some(entry) = idle_before {
@@ -123,13 +124,14 @@
                 self.shared.generations.remove_session(route.generation);
             }
         }
-        // A connection in the backlog is answered as soon as there is a descriptor for it.
-        if self.listener.is_saturated() {
+        // A descriptor is free again for a connection that waits in the backlog.
+        if self.listener.awaits_descriptor() {
             self.listener.resume();
         }
     }
 
-    /// The client's socket with this key is ready.
+    /// Handles readiness of a client's socket. An event for a socket with another key is late and
+    /// ignored.
     pub(crate) fn client_event(
         &mut self,
         id: u32,
@@ -146,7 +148,7 @@
         });
     }
 
-    /// The socket of an attempt with this key is ready.
+    /// Handles readiness of the socket of an attempt, which has this key.
     pub(crate) fn backend_event(
         &mut self,
         id: u32,
@@ -163,24 +165,24 @@
         });
     }
 
-    /// The attempt with this serial may have taken too long.
+    /// Ends the attempt with this serial if it is overdue.
     pub(crate) fn attempt_timer_fired(&mut self, id: u32, serial: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| {
-            let is_late =
+            let is_overdue =
                 |attempt: &Attempt| attempt.serial == serial && attempt.is_overdue(io.now);
-            if session.promote_attempt(is_late) {
+            if session.promote_attempt(is_overdue) {
                 session.end_attempt(FailureCause::TimedOut, io);
             }
             Keep
         });
     }
 
-    /// The client's first line is late, or its end after the relay's last line is.
+    /// Closes the session if its close time has passed.
     pub(crate) fn close_timer_fired(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| session.close_timer_fired(io));
     }
 
-    /// A line of the client may have waited too long for an answer.
+    /// Reports a client line that has waited too long for an answer.
     pub(crate) fn response_timer_fired(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| {
             session.response_timer_fired(io);
@@ -188,12 +190,12 @@
         });
     }
 
-    /// No line may have passed for as long as the route allows.
+    /// Migrates the session if no line has passed for as long as its route allows.
     pub(crate) fn idle_timer_fired(&mut self, id: u32, io: &mut IoContext) {
         self.step(id, io, |session, _, io| session.idle_timer_fired(io));
     }
 
-    /// An inherited session is to try its backend again.
+    /// Attempts again to connect an inherited session to its backend.
     pub(crate) fn retry_inherited(
         &mut self,
         id: u32,
@@ -205,7 +207,7 @@
         });
     }
 
-    /// Sessions that stopped for want of a buffer read on.
+    /// Lets sessions that stopped for want of a buffer read again, while the pool has free buffers.
     pub(crate) fn resume_starved(&mut self, io: &mut IoContext) {
         for _ in 0..io.starved.len() {
             if !io.buffers.has_available() {
@@ -221,9 +223,9 @@
         }
     }
 
-    /// A step that panics.
+    /// Runs a step that panics.
     #[cfg(test)]
     pub(crate) fn panic_in_step(&mut self, id: u32, io: &mut IoContext) {
-        self.step(id, io, |_, _, _| panic!("a fault in a step, for the test"));
+        self.step(id, io, |_, _, _| panic!("panic requested by the test"));
     }
 }
--- a/relay/src/session/tests.rs
+++ b/relay/src/session/tests.rs
@@ -1,9 +1,9 @@
-//! Sessions over loopback, without the rest of the process.
+//! Tests of sessions over loopback, without the rest of the process.
 use super::table::Sessions;
 use crate::buffers::BufferPool;
 use crate::discovery::registry::EndpointRegistry;
 use crate::io_context::IoContext;
-use crate::protocol::tests::names;
+use crate::protocol::tests::protocol_settings;
 use crate::sockets::{SocketOwner, Sockets, key_of};
 use crate::timers::Clock;
 use std::io::{Read, Write};
@@ -24,10 +24,10 @@
     }
 }
 
-/// Sessions that accept clients at this address, with one route for each listener.
+/// Starts accepting clients at this address, with one route per listener.
 fn start_sessions(address: SocketAddr, io: &mut IoContext) -> Sessions {
     let listener = io.sockets.listen(SocketOwner::Listener, address).unwrap();
-    let listeners = names(false).listeners.into_iter();
+    let listeners = protocol_settings(false).listeners.into_iter();
     let context = RelayContext {
         listeners: listeners
             .map(|name| ListenerDefaults {
@@ -43,13 +43,13 @@
         descriptors: 100,
     };
     let routes = RouteTable::from_settings(&context);
-    let mut sessions = Sessions::new(listener, names(false), routes, 1_000);
+    let mut sessions = Sessions::new(listener, protocol_settings(false), routes, 1_000);
     sessions.start_accepting();
     sessions
 }
 
 #[test]
-fn panic_in_a_step_costs_that_session_only() {
+fn panic_in_step_ends_only_that_session() {
     let mut io = io_context();
     let address = SocketAddr::from((
         [127, 60, 0, 1],
@@ -70,7 +70,7 @@
         client
             .set_read_timeout(Some(std::time::Duration::from_secs(10)))
             .unwrap();
-        // The listener's key has the first serial.
+        // The listener was registered first, so the client with id 0 has the socket serial 2.
         while io.counters.sessions <= u64::from(id) {
             sessions.client_event(
                 id,
@@ -80,7 +80,7 @@
             );
         }
     }
-    // A panic in a timer or an action costs no more than one in an event.
+    // Timers and actions run in a step as events do, so one kind of step stands for all.
     sessions.panic_in_step(0, &mut io);
     let mut received = [0; 5];
     clients[0].read_exact(&mut received).unwrap();
