--- a/relay/tests/golden/wire.rs
+++ b/relay/tests/golden/wire.rs
@@ -1,17 +1,18 @@
-//! The lines between clients, the relay and backends.
+//! Golden tests of the lines between clients, the relay and backends.
 use crate::helper::*;
 use crate::recorded::{Transcript, mask_after};
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
 
-/// All bytes until the relay closes the connection.
-fn all_answers(stream: &mut TcpStream) -> Vec<u8> {
+/// Reads all bytes until the relay closes the connection.
+fn read_until_closed(stream: &mut TcpStream) -> Vec<u8> {
     let mut answer = Vec::new();
     stream.read_to_end(&mut answer).unwrap();
     answer
 }
 
-fn connected(relay: &Relay) -> TcpStream {
+/// Connects to the relay.
+fn connect(relay: &Relay) -> TcpStream {
     let stream = TcpStream::connect(relay.at).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -23,18 +24,18 @@
     let relay = start_relay_with_backends(&[unused_address()]);
     let mut transcript = Transcript::default();
     for sent in ["PING\r\n", "PING\n", "PING\r\nPING\r\n"] {
-        let mut stream = connected(&relay);
+        let mut stream = connect(&relay);
         stream.write_all(sent.as_bytes()).unwrap();
         stream.shutdown(Shutdown::Write).unwrap();
         transcript.line("client sends", sent.as_bytes());
-        transcript.line("client hears", &all_answers(&mut stream));
+        transcript.line("client hears", &read_until_closed(&mut stream));
     }
     transcript.assert_recorded("client_pings.txt");
 }
 
 #[test]
-fn client_first_lines_that_are_wrong_are_answered_as_recorded() {
-    let (address, _met) = start_backend(BackendBehavior::Echo);
+fn invalid_first_lines_of_clients_are_answered_as_recorded() {
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[address]);
     let ids = "OPEN 00000000000000aa 7f3a9c21e0b4d655";
     let items = [
@@ -78,17 +79,17 @@
     );
     let mut transcript = Transcript::default();
     for line in lines {
-        let mut stream = connected(&relay);
+        let mut stream = connect(&relay);
         stream.write_all(line.as_bytes()).unwrap();
         transcript.line("client sends", line.as_bytes());
-        transcript.line("client hears", &all_answers(&mut stream));
+        transcript.line("client hears", &read_until_closed(&mut stream));
     }
     transcript.assert_recorded("client_wrong_first_lines.txt");
 }
 
 #[test]
-fn client_lines_that_are_too_long_are_answered_as_recorded() {
-    let (address, _met) = start_backend(BackendBehavior::Echo);
+fn client_lines_at_and_above_length_limit_are_answered_as_recorded() {
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[address]);
     let mut transcript = Transcript::default();
     transcript.title("an OPEN of 4,095 bytes before its line feed, and of one more");
@@ -112,8 +113,8 @@
 }
 
 #[test]
-fn client_with_an_id_that_is_open_is_answered_as_recorded() {
-    let (address, _met) = start_backend(BackendBehavior::Echo);
+fn request_with_id_of_open_session_is_answered_as_recorded() {
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[address]);
     let open = "OPEN 00000000000000aa 7f3a9c21e0b4d655 c=safe,d=1000\r\n";
     let mut transcript = Transcript::default();
@@ -126,7 +127,7 @@
 }
 
 #[test]
-fn client_that_names_its_backend_is_answered_as_recorded() {
+fn request_that_names_its_backend_is_answered_as_recorded() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[address]);
     let mut transcript = Transcript::default();
@@ -137,25 +138,26 @@
         client.send(&open);
         transcript.line("client sends", open.as_bytes());
         if backend_name == "b0" {
-            let dialled = mask_after(&next_received(&received), "d=");
-            transcript.line("backend hears", dialled.as_bytes());
+            let forwarded = mask_after(&next_received(&received), "d=");
+            transcript.line("backend hears", forwarded.as_bytes());
         }
         transcript.line("client hears", client.next_line().as_bytes());
     }
     transcript.assert_recorded("client_names_backend.txt");
 }
 
-/// The wait behind `d=` shrinks on the way: checked against what the client named, then masked.
-fn masked_open(line: &str, most_ms: u32) -> String {
-    let remaining = line.split("d=").nth(1).expect("a wait");
+/// Masks the wait in item `d` of a forwarded `OPEN`, after checking that it is at most `max_ms`
+/// milliseconds: the relay forwards less than the client's wait.
+fn masked_open(line: &str, max_ms: u32) -> String {
+    let remaining = line.split("d=").nth(1).expect("an OPEN has an item d");
     let digits = remaining.split([',', '\r']).next().unwrap();
     let remaining: u32 = digits.parse().unwrap();
-    assert!((1..=most_ms).contains(&remaining), "{line}");
+    assert!((1..=max_ms).contains(&remaining), "{line}");
     mask_after(line, "d=")
 }
 
 #[test]
-fn sessions_from_open_to_end_are_forwarded_as_recorded() {
+fn sessions_from_open_to_end_are_relayed_as_recorded() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[address]);
     let opens = [
@@ -169,8 +171,8 @@
         let mut client = relay.connect();
         client.send(open);
         transcript.line("client sends", open.as_bytes());
-        let dialled = masked_open(&next_received(&received), 985);
-        transcript.line("backend hears", dialled.as_bytes());
+        let forwarded = masked_open(&next_received(&received), 985);
+        transcript.line("backend hears", forwarded.as_bytes());
         transcript.line("client hears", client.next_line().as_bytes());
         for message in ["hello there\r\n", "bare line feed\n", "LOAD 12.5\r\n"] {
             client.send(message);
@@ -187,17 +189,20 @@
     transcript.assert_recorded("forwarded_sessions.txt");
 }
 
-/// A relay with one backend, which tells its load at the end of each dial.
-fn relay_told_by_dials(address: SocketAddr) -> Relay {
-    let at = unused_address();
+/// Starts a relay with one backend, which reports its load with each final message.
+fn start_relay_with_piggybacked_load(address: SocketAddr) -> Relay {
+    let relay_address = unused_address();
     let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
-    let text = config(at, unused_address(), 1_000, &known, false);
-    start_relay_from(at, text.replace("\"pull\"", "\"piggyback\""))
+    let config_text = config(relay_address, unused_address(), 1_000, &known, false);
+    start_relay_from(
+        relay_address,
+        config_text.replace("\"pull\"", "\"piggyback\""),
+    )
 }
 
 #[test]
-fn backend_first_words_are_answered_to_clients_as_recorded() {
-    let words = [
+fn backend_first_lines_are_answered_to_clients_as_recorded() {
+    let backend_lines = [
         "UP receipt\r\n",
         "UP\r\n",
         "UP inflight=2,x0=0.5\n",
@@ -210,14 +215,14 @@
         "up\r\n",
     ];
     let mut transcript = Transcript::default();
-    for word in words {
+    for backend_line in backend_lines {
         for listener in ["safe", "once"] {
-            let (address, _met) = start_backend(BackendBehavior::Say(word));
-            let relay = relay_told_by_dials(address);
+            let (address, _received) = start_backend(BackendBehavior::Say(backend_line));
+            let relay = start_relay_with_piggybacked_load(address);
             let mut client = relay.open_session(listener, 400);
             transcript.title(&format!("listener {listener}"));
-            transcript.line("backend says", word.as_bytes());
-            let answer = all_answers(client.lines.get_mut());
+            transcript.line("backend says", backend_line.as_bytes());
+            let answer = read_until_closed(client.lines.get_mut());
             let answer = mask_after(&String::from_utf8(answer).unwrap(), "BUSY ");
             transcript.line("client hears", answer.as_bytes());
         }
@@ -226,8 +231,8 @@
 }
 
 #[test]
-fn backend_words_after_up_are_passed_to_clients_as_recorded() {
-    let words = [
+fn backend_lines_after_up_are_relayed_as_recorded() {
+    let backend_lines = [
         "LOAD 12.5\r\n",
         "BYE inflight=1\r\n",
         "MOVE\r\n",
@@ -238,24 +243,27 @@
         "no line ending",
     ];
     let mut transcript = Transcript::default();
-    for word in words {
-        let (address, _met) = start_backend(BackendBehavior::UpThen(word));
-        let relay = relay_told_by_dials(address);
+    for backend_line in backend_lines {
+        let (address, _received) = start_backend(BackendBehavior::UpThen(backend_line));
+        let relay = start_relay_with_piggybacked_load(address);
         let mut client = relay.open_session("safe", 1_000);
-        transcript.line("backend says", format!("UP receipt\r\n{word}").as_bytes());
-        let answer = all_answers(client.lines.get_mut());
+        transcript.line(
+            "backend says",
+            format!("UP receipt\r\n{backend_line}").as_bytes(),
+        );
+        let answer = read_until_closed(client.lines.get_mut());
         transcript.line("client hears", &answer);
     }
     transcript.assert_recorded("backend_words_after_up.txt");
 }
 
 #[test]
-fn client_without_any_backend_up_is_refused_as_recorded() {
+fn session_without_reachable_backend_is_rejected_as_recorded() {
     let mut transcript = Transcript::default();
     for listener in ["safe", "once"] {
         let relay = start_relay_with_backends(&[unused_address()]);
         let mut client = relay.open_session(listener, 400);
-        let answer = all_answers(client.lines.get_mut());
+        let answer = read_until_closed(client.lines.get_mut());
         let answer = mask_after(&String::from_utf8(answer).unwrap(), "BUSY ");
         transcript.line(listener, answer.as_bytes());
     }
@@ -263,19 +271,19 @@
 }
 
 #[test]
-fn health_probe_bytes_are_as_recorded() {
+fn health_check_requests_are_sent_as_recorded() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
     let _relay = start(unused_address(), 1_000, &known, true);
     let mut transcript = Transcript::default();
-    // The second goes over the connection of the first.
+    // The second health check reuses the connection of the first.
     transcript.line("backend hears", next_received(&received).as_bytes());
     transcript.line("backend hears", next_received(&received).as_bytes());
     transcript.assert_recorded("health_probe.txt");
 }
 
 #[test]
-fn standing_session_at_sigterm_is_moved_as_recorded() {
+fn established_session_at_sigterm_is_migrated_as_recorded() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let mut relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
@@ -283,7 +291,7 @@
     transcript.line("client hears", client.next_line().as_bytes());
     masked_open(&next_received(&received), 985);
     relay.signal("TERM");
-    let rest = all_answers(client.lines.get_mut());
+    let rest = read_until_closed(client.lines.get_mut());
     transcript.line("client hears", &rest);
     transcript.line("backend hears", next_received(&received).as_bytes());
     let code = wait_for_exit(&mut relay.child).code();
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -1,4 +1,4 @@
-//! Established sessions: lines, ends and migration.
+//! Tests of established sessions: relaying lines, ending and migration.
 use crate::helper::*;
 use std::sync::mpsc::channel;
 use std::thread;
@@ -20,9 +20,9 @@
         ["three", "last without an endingBYE inflight=1"]
     );
     assert_eq!(client.next_line(), "end");
-    let passed: Vec<String> = (0..5).map(|_| next_received(&received)).collect();
+    let forwarded: Vec<String> = (0..5).map(|_| next_received(&received)).collect();
     assert_eq!(
-        passed,
+        forwarded,
         [
             "one\r\n",
             "two\r\n",
@@ -33,18 +33,18 @@
     );
 
     // A client's reset is passed on to its backend.
-    let mut breaks = relay.open_session("safe", 1_000);
-    breaks.next_line();
+    let mut resetting = relay.open_session("safe", 1_000);
+    resetting.next_line();
     next_received(&received);
-    breaks.send("unread answer\r\n");
+    resetting.send("unread answer\r\n");
     next_received(&received);
-    breaks.lines.get_ref().peek(&mut [0; 1]).unwrap();
-    drop(breaks);
+    resetting.lines.get_ref().peek(&mut [0; 1]).unwrap();
+    drop(resetting);
     assert_eq!(next_received(&received), "reset");
 }
 
 #[test]
-fn backend_end_is_relayed_behind_its_last_lines() {
+fn backend_end_is_relayed_after_its_last_lines() {
     let cases = [
         (
             BackendBehavior::UpThen("a\r\nBYE\r\n"),
@@ -63,8 +63,8 @@
         let (address, _received) = start_backend(behavior);
         let relay = start_relay_with_backends(&[address]);
         let mut client = relay.open_session("safe", 1_000);
-        for word in expected {
-            assert_eq!(client.next_line(), *word, "{behavior:?}");
+        for line in expected {
+            assert_eq!(client.next_line(), *line, "{behavior:?}");
         }
     }
     let (address, _received) = start_backend(BackendBehavior::UpThenReset);
@@ -79,13 +79,13 @@
 }
 
 #[test]
-fn client_not_reading_holds_its_backend_back_and_loses_nothing() {
+fn client_not_reading_slows_its_backend_and_loses_no_lines() {
     const COUNT: usize = 1_000_000;
     let (address, _received) = start_backend(BackendBehavior::Flood(COUNT));
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
-    // Other clients are served while this one's lines wait.
+    // Other clients are served while the lines for the first one wait.
     assert_eq!(relay.open_session("safe", 1_000).next_line(), "UP receipt");
     for number in 0..COUNT {
         assert_eq!(client.next_line(), format!("line {number}"));
@@ -109,9 +109,9 @@
 }
 
 #[test]
-fn backend_reporting_high_latency_is_relieved() {
-    // The load alone would not cause a migration; only the reported latency does. Taken for a
-    // connection's load, it would not either.
+fn session_at_backend_reporting_high_latency_is_migrated() {
+    // Only the reported latency causes the migration. Neither the load in health checks would, nor
+    // the reported value if it were interpreted as a connection's load.
     let (address, _received) = start_backend(BackendBehavior::ReportsHighLatency);
     let relay = start(
         unused_address(),
@@ -127,14 +127,14 @@
     for mut client in clients {
         let migrated = migrated.clone();
         thread::spawn(move || {
-            let last = std::iter::repeat_with(|| client.next_line())
+            let first_other = std::iter::repeat_with(|| client.next_line())
                 .find(|line| !line.starts_with(['U', 'L']));
-            if last.as_deref() == Some("MOVE") {
+            if first_other.as_deref() == Some("MOVE") {
                 let _ = migrated.send(());
             }
         });
     }
     migrations
         .recv_timeout(TEST_TIMEOUT)
-        .expect("nobody was moved");
+        .expect("no session was migrated");
 }
--- a/relay/tests/session/inherited.rs
+++ b/relay/tests/session/inherited.rs
@@ -1,4 +1,4 @@
-//! Sessions that were open before the relay started.
+//! Tests of sessions that were open before the relay started.
 use crate::helper::*;
 
 #[test]
--- a/relay/tests/session/main.rs
+++ b/relay/tests/session/main.rs
@@ -1,4 +1,5 @@
-//! Sessions, against the built relay: from a client's first line to its end.
+//! Tests of sessions against the built relay program, from a client's first line to the session's
+//! end.
 #[path = "../helper/mod.rs"]
 mod helper;
 
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -1,4 +1,4 @@
-//! Sessions that wait for a backend: answers, and attempts that are given up.
+//! Tests of sessions that wait for a backend: answers, and attempts that are cancelled.
 use crate::helper::*;
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io::{BufRead, BufReader};
@@ -7,23 +7,23 @@
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::{Duration, Instant};
 
-/// The remaining wait in milliseconds of the next request that a backend received; the request is
-/// forwarded unchanged but for it.
+/// Returns the wait in milliseconds of the next request that a backend received, and checks that
+/// the rest of the request was forwarded unchanged.
 fn forwarded_wait(received: &Received, listener: &str) -> u32 {
     let line = std::iter::repeat_with(|| next_received(received))
         .find(|line| line.starts_with("OPEN"))
         .unwrap();
     line.split_once(&format!(" 7f3a9c21e0b4d655 c={listener},d="))
         .and_then(|(_, rest)| rest.strip_suffix(",g=5c0f6e1a2b3d4c59\r\n"))
-        .unwrap_or_else(|| panic!("another line was sent: {line}"))
+        .unwrap_or_else(|| panic!("unexpected request: {line}"))
         .parse()
         .unwrap()
 }
 
 #[test]
-fn backend_answer_of_each_form_is_passed_on() {
-    // What the backend does, and the client's answer where the session may be retried and where it
-    // may not.
+fn backend_answer_of_each_form_is_translated_for_client() {
+    // What the backend does, and the answer to the client on the listener `safe`, whose sessions
+    // may be retried, and on `once`, whose sessions may not.
     let cases = [
         (BackendBehavior::Echo, "UP receipt", "UP receipt"),
         (BackendBehavior::Split, "UP receipt", "UP receipt"),
@@ -36,20 +36,23 @@
         (BackendBehavior::End, "BUSY", "ERR"),
         (BackendBehavior::Mute, "BUSY", "ERR"),
     ];
-    for (behavior, again, once) in cases {
+    for (behavior, safe_answer, once_answer) in cases {
         let (address, received) = start_backend(behavior);
-        // Load reports come with each answer. Without any, a backend that rejected an attempt would
-        // be avoided for a while.
-        let at = unused_address();
-        let text = config(
-            at,
+        // Load reports come with each answer. Without them, a backend that rejected an attempt
+        // would be avoided for a while.
+        let relay_address = unused_address();
+        let config_text = config(
+            relay_address,
             unused_address(),
             1_000,
             &endpoint_list(1, true, &[("b0", address, "Ready")]),
             false,
         );
-        let relay = start_relay_from(at, text.replace("\"pull\"", "\"piggyback\""));
-        for (listener, expected) in [("safe", again), ("once", once)] {
+        let relay = start_relay_from(
+            relay_address,
+            config_text.replace("\"pull\"", "\"piggyback\""),
+        );
+        for (listener, expected) in [("safe", safe_answer), ("once", once_answer)] {
             let (sent_at, mut client) = (Instant::now(), relay.open_session(listener, 400));
             let answer = client.next_line();
             assert!(
@@ -68,12 +71,12 @@
                 assert_eq!(
                     client.next_line(),
                     "end",
-                    "{behavior:?} {listener}: one answer and no more"
+                    "{behavior:?} {listener}: the connection must end after one answer"
                 );
             }
         }
     }
-    // Nobody listens there: nothing was sent, so every session may be retried.
+    // Nothing listens at the backend's address: nothing was sent, so every session may be retried.
     let relay = start_relay_with_backends(&[unused_address()]);
     assert!(
         relay
@@ -84,7 +87,7 @@
 }
 
 #[test]
-fn keyed_session_after_backend_failure_is_answered_by_scope_of_its_key() {
+fn dedup_session_after_backend_failure_is_answered_by_dedup_scope() {
     // What the backend does, and whether it may have acted on the request.
     let behaviors = [
         (BackendBehavior::Say("BUSY\r\n"), false),
@@ -97,7 +100,7 @@
         (BackendBehavior::End, true),
         (BackendBehavior::Mute, true),
     ];
-    for (scope, anywhere) in [("all", true), ("zone", false), ("cell", false)] {
+    for (scope, covers_all_backends) in [("all", true), ("zone", false), ("cell", false)] {
         let effect = format!(
             "\"effect\": \"dedup\", \"dedupScope\": \"{scope}\", \"dedupWindowUs\": 700000"
         );
@@ -110,7 +113,7 @@
                 &[("\"effect\": \"fragile\"", &effect)],
             );
             let mut client = relay.open_session("once", 400);
-            let word = if anywhere || !may_have_run {
+            let expected = if covers_all_backends || !may_have_run {
                 "BUSY"
             } else {
                 "ERR"
@@ -118,13 +121,13 @@
             let answer = client.next_line();
             assert_eq!(
                 answer.split(' ').next(),
-                Some(word),
+                Some(expected),
                 "{scope} {behavior:?}: {answer}"
             );
             assert_eq!(
                 client.next_line(),
                 "end",
-                "{scope} {behavior:?}: one answer and no more"
+                "{scope} {behavior:?}: the connection must end after one answer"
             );
         }
     }
@@ -132,9 +135,9 @@
 
 #[test]
 fn client_leaving_while_its_attempt_connects_is_not_forwarded() {
-    // How the client leaves, and whether before or after the connection is established; the relay
-    // meets both in one turn.
-    for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
+    // Whether the client resets its connection, and whether it leaves after the attempt's
+    // connection is established. The relay handles both events in one turn.
+    for (resets, leaves_after) in [(false, true), (true, true), (false, false), (true, false)] {
         let mut slow = SlowBackend::new();
         let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
         let relay = start_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
@@ -143,22 +146,26 @@
         relay.suspend();
         let leave = |client: Client| {
             let from = client.lines.get_ref().local_addr().unwrap();
-            if reset {
+            if resets {
                 reset_on_close(client.lines.get_ref());
             }
             drop(client);
-            wait_for("the relay's end of it knows", || {
+            wait_for("the client's leaving reaches the relay's socket", || {
                 (!socket_state(relay.at, from).is_established).then_some(())
             });
         };
         let mut client = Some(client);
-        if !after {
+        if !leaves_after {
             client.take().map(leave);
         }
         let attempt = slow.accept_connection();
         client.take().map(leave);
         relay.signal("CONT");
-        assert_eq!(read_to_end_of(&attempt), "", "reset {reset}, after {after}");
+        assert_eq!(
+            read_to_end_of(&attempt),
+            "",
+            "resets {resets}, leaves_after {leaves_after}"
+        );
         relay.wait_for_counter("dials_never_sent", 1);
     }
 }
@@ -180,7 +187,8 @@
         ),
     );
     relay.wait_for_counter("lists", 1);
-    // Each established session with half a line holds a buffer for as long as it likes.
+    // Each established session whose client has sent half a line holds a buffer until the line is
+    // complete.
     let mut holding = Vec::new();
     for _ in 0..300 {
         let mut client = relay.open_session("safe", 7_000);
@@ -201,8 +209,8 @@
     relay.wait_for_counter("dials_withdrawn", 1);
 }
 
-/// A listener that takes this many connections at once. With fewer places the kernel completes a
-/// handshake that found none seconds later, long after the relay gave the attempt up.
+/// Returns a listener whose backlog holds this many connections. If the backlog is full, the kernel
+/// completes a connection seconds later, long after the relay has given up the attempt.
 fn listener_for_connections(connections: u32) -> TcpListener {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP)).unwrap();
     let address: SocketAddr = ([127, 0, 0, 1], 0).into();
@@ -211,81 +219,81 @@
     socket.into()
 }
 
-/// More clients leave than one turn handles, and timers are due for all: not even a connection may
-/// be started for one that left.
+/// More clients leave than one turn handles, while backoff timers expire for all sessions. No
+/// connection to a backend may be started for a client that has left.
 #[test]
-fn client_leaving_behind_hundreds_of_events_starts_no_attempt() {
+fn client_that_left_with_its_event_queued_starts_no_attempt() {
     const CLIENTS: u32 = 900;
     let listener = listener_for_connections(2 * CLIENTS);
-    let (busy, begun) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
-    let count = begun.clone();
+    let (backend, accepted) = (listener.local_addr().unwrap(), Arc::new(AtomicU32::new(0)));
+    let counter = accepted.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            count.fetch_add(1, Ordering::SeqCst);
-            let (tell, _) = std::sync::mpsc::channel();
+            counter.fetch_add(1, Ordering::SeqCst);
+            let (sender, _) = std::sync::mpsc::channel();
             std::thread::spawn(move || {
                 drop(serve(
                     stream.unwrap(),
                     BackendBehavior::Say("BUSY\r\n"),
-                    tell,
+                    sender,
                 ))
             });
         }
     });
-    let at = unused_address();
-    let text = config(
-        at,
+    let relay_address = unused_address();
+    let config_text = config(
+        relay_address,
         unused_address(),
         4_000,
-        &endpoint_list(1, true, &[("busy", busy, "Ready")]),
+        &endpoint_list(1, true, &[("busy", backend, "Ready")]),
         false,
     );
-    let text = text
+    let config_text = config_text
         .replace("\"maxDials\": 1", "\"maxDials\": 9")
         .replace("\"pull\"", "\"piggyback\"");
-    let relay = start_relay_from_with_descriptors(4_000, at, text);
+    let relay = start_relay_from_with_descriptors(4_000, relay_address, config_text);
     let mut clients = Vec::new();
     for key in 1..=CLIENTS {
         let mut client = relay.connect();
-        // Each has a key of its own, hence backoff delays of its own, the first of up to a second.
+        // Each client has its own key, hence its own backoff delays; the first is up to a second.
         client
             .send(&open_line("c=safe,d=9000").replace("7f3a9c21e0b4d655", &format!("{key:016x}")));
         clients.push(client);
     }
     relay.wait_for_counter("dials_full", CLIENTS);
     relay.suspend();
-    for (place, client) in clients.into_iter().enumerate() {
-        if place % 2 == 0 {
+    for (index, client) in clients.into_iter().enumerate() {
+        if index % 2 == 0 {
             reset_on_close(client.lines.get_ref());
         }
     }
     // The timers of the first two backoff delays expire while the relay is suspended.
     std::thread::sleep(Duration::from_millis(2_100));
-    let before = begun.load(Ordering::SeqCst);
+    let connections_before = accepted.load(Ordering::SeqCst);
     relay.signal("CONT");
     relay.wait_for_counter("clients_left", CLIENTS * 9 / 10);
     relay.wait_for_counter("dials_never_sent", 1);
-    let after = begun.load(Ordering::SeqCst);
+    let connections_after = accepted.load(Ordering::SeqCst);
     assert_eq!(
-        after - before,
+        connections_after - connections_before,
         0,
-        "connections begun for clients that had left"
+        "connections started for clients that had left"
     );
 }
 
 #[test]
-fn attempt_connected_in_time_but_met_late_is_not_sent() {
+fn attempt_connected_in_time_but_handled_late_is_not_sent() {
     let mut slow = SlowBackend::new();
     let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
-    let limit = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
-    let relay = start_with_settings(unused_address(), &known, &[limit]);
+    let connect_timeout = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
+    let relay = start_with_settings(unused_address(), &known, &[connect_timeout]);
     let mut client = relay.open_session("once", 7_000);
     relay.wait_for_counter("dials", 1);
-    let began = Instant::now();
+    let suspended_at = Instant::now();
     relay.suspend();
     let attempt = slow.accept_connection();
-    wait_for("the time to come up is over", || {
-        (began.elapsed() > Duration::from_millis(1_600)).then_some(())
+    wait_for("the connect timeout has passed", || {
+        (suspended_at.elapsed() > Duration::from_millis(1_600)).then_some(())
     });
     relay.signal("CONT");
     assert_eq!(read_to_end_of(&attempt), "");
@@ -293,26 +301,29 @@
     assert!(client.next_line().starts_with("BUSY"));
 }
 
+/// How a backend is removed while an attempt to it connects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Removal {
-    /// The relay meets the drain and the established connection in one turn.
-    InOneTurn,
-    Listed,
-    /// A full list does not contain it.
-    Missing,
-    ByHand,
+    /// The relay handles the drain and the established connection in one turn.
+    DrainedInSameTurn,
+    /// An endpoint list reports that the backend drains.
+    Drained,
+    /// A full endpoint list does not contain the backend.
+    NotListed,
+    /// An operator bans the backend.
+    Banned,
 }
 
 #[test]
 fn unsent_attempt_to_removed_backend_goes_elsewhere() {
     for removal in [
-        Removal::InOneTurn,
-        Removal::Listed,
-        Removal::Missing,
-        Removal::ByHand,
+        Removal::DrainedInSameTurn,
+        Removal::Drained,
+        Removal::NotListed,
+        Removal::Banned,
     ] {
         let (mut slow, agent) = (SlowBackend::new(), DiscoveryAgent::new());
-        let (two, two_received) = start_backend(BackendBehavior::Echo);
+        let (other, other_received) = start_backend(BackendBehavior::Echo);
         let admin = unused_address();
         let with_admin = format!("\"name\":\"r0\",\"admin_addr\":\"{admin}\"");
         let relay = start_with_settings(
@@ -335,39 +346,39 @@
         relay.wait_for_counter("lists", 1);
         let mut client = relay.open_session("once", 9_000);
         relay.wait_for_counter("dials", 1);
-        let rows = [("two", two, "Ready"), ("late", slow.at, "Terminating")];
+        let rows = [("two", other, "Ready"), ("late", slow.at, "Terminating")];
         let mut attempt = None;
         match removal {
-            Removal::InOneTurn => {
+            Removal::DrainedInSameTurn => {
                 relay.suspend();
                 attempt = Some(slow.accept_connection());
                 send(&watch, &chunk(&endpoint_list(2, false, &rows)));
-                wait_for("the relay's end of the watch has it", || {
+                wait_for("the list reaches the relay's watch connection", || {
                     socket_state(watch.peer_addr().unwrap(), agent.at)
                         .has_unread_bytes
                         .then_some(())
                 });
                 relay.signal("CONT");
             }
-            Removal::Listed => send(&watch, &chunk(&endpoint_list(2, false, &rows))),
-            Removal::Missing => send(&watch, &chunk(&endpoint_list(2, true, &rows[..1]))),
-            Removal::ByHand => {
+            Removal::Drained => send(&watch, &chunk(&endpoint_list(2, false, &rows))),
+            Removal::NotListed => send(&watch, &chunk(&endpoint_list(2, true, &rows[..1]))),
+            Removal::Banned => {
                 send(&watch, &chunk(&endpoint_list(2, false, &rows[..1])));
                 relay.wait_for_counter("lists", 2);
-                ban_by_hand("late", admin);
+                ban_at_admin_port("late", admin);
             }
         }
-        // Nothing was sent to the first backend, so even a non-idempotent session may go elsewhere.
+        // Nothing was sent to the first backend, so even a non-idempotent session may be retried.
         assert_eq!(client.next_line(), "UP receipt", "{removal:?}");
-        assert!(next_received(&two_received).starts_with("OPEN"));
+        assert!(next_received(&other_received).starts_with("OPEN"));
         if let Some(attempt) = attempt {
             assert_eq!(read_to_end_of(&attempt), "", "{removal:?}");
         }
     }
 }
 
-/// Bans a backend at the admin port.
-fn ban_by_hand(backend: &str, admin: SocketAddr) {
+/// Bans a backend through the relay's admin port.
+fn ban_at_admin_port(backend: &str, admin: SocketAddr) {
     let operator = TcpStream::connect(admin).unwrap();
     operator.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     send(&operator, &format!("DISABLE {backend}\r\n"));
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -1,9 +1,9 @@
-//! Sessions of a relay that is told to stop.
+//! Tests of sessions of a relay that is told to stop.
 use crate::helper::*;
 use std::time::{Duration, Instant};
 
 #[test]
-fn sigterm_migrates_established_answers_waiting_and_exits_cleanly() {
+fn sigterm_migrates_established_sessions_answers_waiting_ones_and_exits_cleanly() {
     let (echo, _) = start_backend(BackendBehavior::Echo);
     let (mute, mute_received) = start_backend(BackendBehavior::Mute);
     let mut relay = start_relay_with_backends(&[echo]);
@@ -11,21 +11,22 @@
     for client in &mut established {
         assert_eq!(client.next_line(), "UP receipt");
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     relay.signal("TERM");
     relay.wait_for_log("told to stop");
-    // New sessions are still accepted, and migrated with the rest.
+    // New sessions are still accepted for a while, and migrated with the others.
     established.push(relay.open_session("safe", 1_000));
     assert_eq!(established.last_mut().unwrap().next_line(), "UP receipt");
     for client in &mut established {
         assert_eq!([client.next_line(), client.next_line()], ["MOVE", "end"]);
     }
     assert!(wait_for_exit(&mut relay.child).success());
-    // The longest connect timeout, 1.5 s, and 0.7 s more; twice that on a busy machine.
+    // A shutdown may take the longest connect timeout, 1.5 s, and 0.7 s more. The 0.7 s are doubled
+    // for a busy machine.
     assert!(
-        began.elapsed() < Duration::from_millis(2_900),
+        started_at.elapsed() < Duration::from_millis(2_900),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
     relay.wait_for_log("sent_away=8");
 
@@ -36,37 +37,38 @@
     ];
     next_received(&mute_received);
     next_received(&mute_received);
-    let began = Instant::now();
+    let started_at = Instant::now();
     relay.signal("TERM");
     assert!(waiting[0].next_line().starts_with("BUSY"));
     assert_eq!(waiting[1].next_line(), "ERR");
     assert!(wait_for_exit(&mut relay.child).success());
     assert!(
-        began.elapsed() < Duration::from_millis(2_900),
+        started_at.elapsed() < Duration::from_millis(2_900),
         "{:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
 }
 
+/// The moment at which the relay receives SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum StopMoment {
-    /// SIGTERM comes twice.
+    /// SIGTERM arrives a second time after the first was logged.
     Twice,
-    /// No endpoint list has come, and no backend is known.
-    BeforeAnyList,
-    /// Reloaded settings are not in force yet.
-    AfterSettings,
-    /// A first line becomes complete in the turn that handles SIGTERM.
-    InOneTurn,
+    /// No endpoint list has arrived, and no backend is known.
+    BeforeFirstList,
+    /// Settings were reloaded and are not in force yet.
+    DuringReload,
+    /// A client's first line arrives in the turn that handles SIGTERM.
+    WithFirstLine,
 }
 
 #[test]
 fn sigterm_at_each_awkward_moment_answers_all_and_exits_in_time() {
     for moment in [
         StopMoment::Twice,
-        StopMoment::BeforeAnyList,
-        StopMoment::AfterSettings,
-        StopMoment::InOneTurn,
+        StopMoment::BeforeFirstList,
+        StopMoment::DuringReload,
+        StopMoment::WithFirstLine,
     ] {
         assert_all_answered_in_time(moment);
     }
@@ -76,32 +78,32 @@
     let agent = DiscoveryAgent::new();
     let (echo, _received) = start_backend(BackendBehavior::Echo);
     let (mute, mute_received) = start_backend(BackendBehavior::Mute);
-    let lists = moment != StopMoment::BeforeAnyList;
-    let known = if lists {
+    let has_list = moment != StopMoment::BeforeFirstList;
+    let known = if has_list {
         endpoint_list(1, true, &[("mute", mute, "Ready")])
     } else {
         "null".into()
     };
     let mut relay = start_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.call();
-    // One client whose backend hangs, one that has sent half a line.
-    let mut hangs = relay.open_session("once", 1_500);
-    let mut half = relay.connect();
-    half.send("OPEN ffffffffffffffaa 7f3a9c2");
-    if lists {
+    // The backend of one client does not answer. Another client has sent half a line.
+    let mut waiting = relay.open_session("once", 1_500);
+    let mut partial = relay.connect();
+    partial.send("OPEN ffffffffffffffaa 7f3a9c2");
+    if has_list {
         while !next_received(&mute_received).starts_with("OPEN") {}
         let rows = [("mute", mute, "Terminating"), ("echo", echo, "Ready")];
         send_list(&watch, &endpoint_list(2, true, &rows));
         relay.wait_for_counter("lists", 1);
     }
     let mut established = Vec::new();
-    if moment == StopMoment::AfterSettings {
+    if moment == StopMoment::DuringReload {
         let mut client = relay.open_session("safe", 1_500);
         assert_eq!(client.next_line(), "UP receipt");
         established.push(client);
         relay.reload_with("\"maxDials\": 1", "\"maxDials\": 2");
     }
-    let began = Instant::now();
+    let started_at = Instant::now();
     relay.suspend();
     let mut late = relay.open_session("safe", 1_500);
     relay.signal("TERM");
@@ -110,29 +112,29 @@
     if moment == StopMoment::Twice {
         relay.signal("TERM");
     }
-    half.send("1e0b4d655 c=safe,d=1500\r\n");
-    let up = if lists { "UP" } else { "BUSY" };
-    for client in [&mut half, &mut late] {
+    partial.send("1e0b4d655 c=safe,d=1500\r\n");
+    let up = if has_list { "UP" } else { "BUSY" };
+    for client in [&mut partial, &mut late] {
         assert_eq!(client.next_line().split(' ').next(), Some(up), "{moment:?}");
     }
     // A session that may have run fails; one that was never sent is rejected.
-    let (answer, expected) = (hangs.next_line(), if lists { "ERR" } else { "BUSY" });
+    let (answer, expected) = (waiting.next_line(), if has_list { "ERR" } else { "BUSY" });
     assert!(answer.starts_with(expected), "{moment:?}: {answer}");
-    if lists {
-        established.extend([half, late]);
+    if has_list {
+        established.extend([partial, late]);
     } else {
-        drop((half, late));
+        drop((partial, late));
     }
     for client in &mut established {
         let end = [client.next_line(), client.next_line()];
         assert_eq!(end, ["MOVE", "end"], "{moment:?}");
     }
-    drop((established, hangs));
+    drop((established, waiting));
     assert!(wait_for_exit(&mut relay.child).success(), "{moment:?}");
     assert!(
-        began.elapsed() < Duration::from_millis(2_200),
+        started_at.elapsed() < Duration::from_millis(2_200),
         "{moment:?}: {:?}",
-        began.elapsed()
+        started_at.elapsed()
     );
 }
 
@@ -146,14 +148,18 @@
     );
     let mut client = relay.open_session("safe", 1_500);
     assert_eq!(client.next_line(), "UP receipt");
-    // The client's receive window is full, and bytes wait on the way.
-    let (mut before, mut same) = (0, 0);
-    wait_for("the lines stand still", || {
+    // Wait until the client's receive window is full and lines wait in the relay.
+    let (mut last_count, mut unchanged_checks) = (0, 0);
+    wait_for("the relay stops relaying lines", || {
         relay.signal("USR1");
-        let now = counter_value(&relay.wait_for_log(" lines_down="), "lines_down");
-        same = if now == before { same + 1 } else { 0 };
-        before = now;
-        (now > 0 && same > 20).then_some(())
+        let count = counter_value(&relay.wait_for_log(" lines_down="), "lines_down");
+        unchanged_checks = if count == last_count {
+            unchanged_checks + 1
+        } else {
+            0
+        };
+        last_count = count;
+        (count > 0 && unchanged_checks > 20).then_some(())
     });
     relay.signal("TERM");
     relay.wait_for_log("told to stop");
