--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -98,7 +98,7 @@
             config.seed,
         );
         network.default_link_fault.loss = config.loss;
-        let drift = 1.0 + thistlecroft_leases::DRIFT * 0.5;
+        let drift = 1.0 + thistlecroft_leases::MAX_CLOCK_DRIFT * 0.5;
         for member in 0..layout.size() {
             if member == config.voters {
                 network.set_rates(
--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -3,7 +3,7 @@
 use thistlecroft::time::{Duration, Instant};
 
 /// How far a clock's speed may be from true, as a fraction.
-pub const DRIFT: f64 = 0.01;
+pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 
 /// The named voters. A change of voters goes through a joint step in which majorities of the old
 /// set and of the new one are both needed; each step raises `generation`.
@@ -69,13 +69,13 @@
 impl LeaseConfig {
     /// How long a holder may act, counted from when it sent the request.
     pub fn holding_time(&self) -> Duration {
-        self.term * ((1.0 - DRIFT) / (1.0 + DRIFT))
+        self.term * ((1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT))
     }
 
     /// After this time on this process's clock, everything that any voter granted before has
     /// expired by the voter's clock.
     pub fn settling_time(&self) -> Duration {
-        self.term * ((1.0 + DRIFT) / (1.0 - DRIFT))
+        self.term * ((1.0 + MAX_CLOCK_DRIFT) / (1.0 - MAX_CLOCK_DRIFT))
     }
 }
 
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -59,7 +59,7 @@
 mod voter;
 
 pub use claim::{Held, State};
-pub use electorate::{DRIFT, Electorate, LeaseConfig};
+pub use electorate::{Electorate, LeaseConfig, MAX_CLOCK_DRIFT};
 pub use manager::{AcquireError, ChangeError, LeaseCounts, Leases, MAX_CLAIMS, Vote};
 pub use message::{
     CHANNEL, MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, Reason, SessionToken, Update, Updated,
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 use std::collections::BTreeMap;
 use thistlecroft::time::Duration;
-use thistlecroft_leases::{DRIFT, Electorate, LeaseConfig, Subject};
+use thistlecroft_leases::{Electorate, LeaseConfig, MAX_CLOCK_DRIFT, Subject};
 use thistlecroft_peers::{NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::SimulatedNetwork;
 
@@ -12,7 +12,13 @@
 pub(crate) const UPDATE_RATE: u32 = 32_768;
 pub(crate) const VOTERS: [&str; 3] = ["r0", "r1", "r2"];
 /// Clock speeds at both limits of the permitted drift, and between them.
-const SPEEDS: [f64; 5] = [1.0 - DRIFT, 1.0 + DRIFT, 1.0, 1.0 - DRIFT, 1.0 + DRIFT];
+const SPEEDS: [f64; 5] = [
+    1.0 - MAX_CLOCK_DRIFT,
+    1.0 + MAX_CLOCK_DRIFT,
+    1.0,
+    1.0 - MAX_CLOCK_DRIFT,
+    1.0 + MAX_CLOCK_DRIFT,
+];
 const ONE_HOUR: Duration = Duration::from_millis(3_600_000);
 /// Between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use thistlecroft::random::Rng;
 use thistlecroft::time::Duration;
-use thistlecroft_leases::{DRIFT, LeaseConfig};
+use thistlecroft_leases::{LeaseConfig, MAX_CLOCK_DRIFT};
 use thistlecroft_testbed::simulated_network::{Host, LinkFault, SimulatedNetwork};
 
 const SUBJECT: &[u8] = b"turn";
@@ -332,12 +332,12 @@
 fn holding_time_is_safe_at_the_drift_limit() {
     // In the worst case the holder's clock is as slow and the voter's as fast as permitted, and the
     // request takes no time.
-    let held = TERM * ((1.0 - DRIFT) / (1.0 + DRIFT));
+    let held = TERM * ((1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT));
     assert_eq!(config(&VOTERS, UPDATE_RATE).holding_time(), held);
-    let (slow, fast) = (1.0 - DRIFT, 1.0 + DRIFT);
+    let (slow, fast) = (1.0 - MAX_CLOCK_DRIFT, 1.0 + MAX_CLOCK_DRIFT);
     let true_end = |own: Duration, speed: f64| own.as_micros() as f64 / speed;
     assert!(true_end(held, slow) <= true_end(TERM, fast) + 1.0);
     // Twice the permitted drift would be unsafe: the margin is no larger than necessary.
-    let (slower, faster) = (1.0 - 2.0 * DRIFT, 1.0 + 2.0 * DRIFT);
+    let (slower, faster) = (1.0 - 2.0 * MAX_CLOCK_DRIFT, 1.0 + 2.0 * MAX_CLOCK_DRIFT);
     assert!(true_end(held, slower) > true_end(TERM, faster));
 }
