--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -15,7 +15,7 @@
 
 /// What has become of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ClaimState {
     /// This process may act on the subject.
     Held(Held),
     /// It is requested, and was rejected for this reason, if at all.
@@ -99,11 +99,11 @@
         }
     }
 
-    pub(crate) fn state(&self, now: Instant) -> State {
+    pub(crate) fn state(&self, now: Instant) -> ClaimState {
         match (self.held(now), self.stage) {
-            (Some(held), _) => State::Held(held),
-            (None, Stage::Releasing) => State::Unwanted,
-            (None, _) => State::Wanted(self.reason.clone()),
+            (Some(held), _) => ClaimState::Held(held),
+            (None, Stage::Releasing) => ClaimState::Unwanted,
+            (None, _) => ClaimState::Wanted(self.reason.clone()),
         }
     }
 
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -58,7 +58,7 @@
 mod subject;
 mod voter;
 
-pub use claim::{Held, State};
+pub use claim::{ClaimState, Held};
 pub use electorate::{Electorate, LeaseConfig, MAX_CLOCK_DRIFT};
 pub use manager::{AcquireError, ChangeError, LeaseCounts, Leases, MAX_CLAIMS, Vote};
 pub use message::{
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -1,6 +1,6 @@
 //! What callers can read of the manager's state.
 use super::{Leases, NEVER};
-use crate::claim::{Claim, Held, Stage, State};
+use crate::claim::{Claim, ClaimState, Held, Stage};
 use crate::electorate::LeaseConfig;
 use crate::outgoing::Outgoing;
 use crate::subject::Subject;
@@ -98,10 +98,10 @@
     }
 
     /// What has become of the claim to a subject.
-    pub fn state(&self, subject: &[u8], now: Instant) -> State {
+    pub fn state(&self, subject: &[u8], now: Instant) -> ClaimState {
         self.claims
             .get(subject)
-            .map_or(State::Unwanted, |claim| claim.state(now))
+            .map_or(ClaimState::Unwanted, |claim| claim.state(now))
     }
 
     /// The subjects that this process wants to hold.
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
-    CHANNEL, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, State, To, Update,
-    Updated,
+    CHANNEL, ClaimState, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, To,
+    Update, Updated,
 };
 use thistlecroft_peers::Identity;
 
@@ -105,7 +105,7 @@
 
     fn epoch(&self) -> Option<u64> {
         match self.owner.state(SUBJECT, self.now) {
-            State::Held(held) => Some(held.epoch),
+            ClaimState::Held(held) => Some(held.epoch),
             _ => None,
         }
     }
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -4,7 +4,7 @@
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
 use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
-use thistlecroft_leases::{Leases, Reason, State, To, Vote, legacy};
+use thistlecroft_leases::{ClaimState, Leases, Reason, To, Vote, legacy};
 use thistlecroft_peers::Identity;
 
 const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
@@ -84,7 +84,7 @@
     };
     assert_eq!(legacy_answers(&mut voter, &older, &grant, 3_600), []);
     assert_eq!(voter.counts().older_protocol, 3);
-    assert_eq!(voter.state(b"turn", at(3_600)), State::Unwanted);
+    assert_eq!(voter.state(b"turn", at(3_600)), ClaimState::Unwanted);
 }
 
 #[test]
@@ -104,6 +104,6 @@
     }
     assert_eq!(
         process.state(b"turn", at(2_000)),
-        State::Wanted(Some(Reason::OlderProtocol))
+        ClaimState::Wanted(Some(Reason::OlderProtocol))
     );
 }
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -3,7 +3,7 @@
 
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
-use thistlecroft_leases::{Leases, Message, Reason, SessionToken, State, To, Update};
+use thistlecroft_leases::{ClaimState, Leases, Message, Reason, SessionToken, To, Update};
 use thistlecroft_peers::Identity;
 
 const SUBJECT: &[u8] = b"turn";
@@ -237,5 +237,5 @@
     ));
     let answer = next.answer(&one, update(4, None, &[], &[]), 4_500);
     assert!(matches!(answer, Some(Message::Updated(updated)) if updated.epoch == 9));
-    assert_eq!(next.leases.state(SUBJECT, at(4_500)), State::Unwanted);
+    assert_eq!(next.leases.state(SUBJECT, at(4_500)), ClaimState::Unwanted);
 }
--- a/relay/src/peers/commands.rs
+++ b/relay/src/peers/commands.rs
@@ -4,7 +4,7 @@
 use crate::admin::protocol::PeerCommand;
 use crate::io_context::IoContext;
 use thistlecroft::time::Instant;
-use thistlecroft_leases::{AcquireError, Reason, State};
+use thistlecroft_leases::{AcquireError, ClaimState, Reason};
 use thistlecroft_peers::EntryKind;
 
 /// A lease that no operator has asked for within so many terms is released.
@@ -84,7 +84,7 @@
             .acquire(subject.as_bytes(), wanted_until, now)
             .map_err(PeerCommandError::LeaseRefused)?;
         match leases.state(subject.as_bytes(), now) {
-            State::Held(held) => {
+            ClaimState::Held(held) => {
                 // Only what may still bind is kept: as many as may be wanted at once, at most.
                 self.confirmed_until.retain(|_, until| *until > now);
                 self.confirmed_until
@@ -92,8 +92,8 @@
                 let left = held.until.duration_since(now);
                 Ok(format!("held {} {}", held.epoch, left.as_millis()))
             }
-            State::Wanted(Some(reason)) => Err(PeerCommandError::LeaseNotHeld(reason)),
-            State::Wanted(None) | State::Unwanted => Err(PeerCommandError::LeasePending),
+            ClaimState::Wanted(Some(reason)) => Err(PeerCommandError::LeaseNotHeld(reason)),
+            ClaimState::Wanted(None) | ClaimState::Unwanted => Err(PeerCommandError::LeasePending),
         }
     }
 
