--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -1,7 +1,7 @@
 //! The claim of this process to one subject: the voters that have it attached, its epoch, and until
 //! when this process may act on it.
 use crate::electorate::{Quorums, VoterSet};
-use crate::message::Reason;
+use crate::message::RejectionReason;
 use thistlecroft::time::Instant;
 
 /// The right to act on a subject.
@@ -19,7 +19,7 @@
     /// This process may act on the subject.
     Held(Held),
     /// It is requested, and was rejected for this reason, if at all.
-    Wanted(Option<Reason>),
+    Wanted(Option<RejectionReason>),
     /// This process does not claim the subject.
     Unwanted,
 }
@@ -69,7 +69,7 @@
     /// When the right to act ends, or ended.
     pub(crate) until: Instant,
     /// Why a voter last rejected it.
-    pub(crate) reason: Option<Reason>,
+    pub(crate) reason: Option<RejectionReason>,
     /// When this process loses interest in the subject.
     pub(crate) wanted_until: Instant,
 }
--- a/leases/src/legacy.rs
+++ b/leases/src/legacy.rs
@@ -44,7 +44,7 @@
         /// The round of the request.
         round: u32,
         /// Why it is not granted.
-        reason: LegacyReason,
+        reason: LegacyRejectionReason,
     },
     /// The sender does not hold the subject any more.
     Release {
@@ -73,7 +73,7 @@
 
 /// Why an older voter does not grant a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum LegacyReason {
+pub enum LegacyRejectionReason {
     /// Another process holds the subject.
     Held {
         /// The holder.
@@ -110,7 +110,7 @@
         Some(LegacyMessage::Rejected {
             subject: subject.clone(),
             round: *round,
-            reason: LegacyReason::Generation {
+            reason: LegacyRejectionReason::Generation {
                 here: NO_GENERATION,
             },
         })
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -62,7 +62,8 @@
 pub use electorate::{Electorate, LeaseConfig, MAX_CLOCK_DRIFT};
 pub use manager::{AcquireError, ChangeError, LeaseCounts, Leases, MAX_CLAIMS, Vote};
 pub use message::{
-    CHANNEL, MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, Reason, SessionToken, Update, Updated,
+    CHANNEL, MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, RejectionReason, SessionToken, Update,
+    Updated,
 };
 pub use outgoing::{Outgoing, To};
 pub use subject::{MAX_SUBJECT_BYTES, Subject};
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -4,7 +4,7 @@
 use crate::claim::{Claim, Stage};
 use crate::legacy::{self, LegacyMessage};
 use crate::link::Link;
-use crate::message::{CHANNEL, Message, Reason, SessionToken, Updated};
+use crate::message::{CHANNEL, Message, RejectionReason, SessionToken, Updated};
 use crate::outgoing::To;
 use crate::subject::Subject;
 use thistlecroft::time::Instant;
@@ -86,7 +86,7 @@
             }
             Message::Update(update) => {
                 let generation = self.config.electorate.generation;
-                let reason = Reason::Generation { here: generation };
+                let reason = RejectionReason::Generation { here: generation };
                 Some(Message::Rejected {
                     generation,
                     sequence: update.sequence,
@@ -212,7 +212,7 @@
         &mut self,
         voter: usize,
         subject: Subject,
-        rejected: Option<Reason>,
+        rejected: Option<RejectionReason>,
         now: Instant,
     ) {
         let Some(claim) = self.claims.get_mut(&subject) else {
@@ -246,7 +246,7 @@
         voter: usize,
         from: &Identity,
         sequence: u32,
-        reason: Reason,
+        reason: RejectionReason,
         now: Instant,
     ) {
         let link = &mut self.links[voter];
@@ -259,7 +259,7 @@
         };
         link.unanswered = 0;
         self.counts.rejections += 1;
-        if reason == Reason::UnknownSession {
+        if reason == RejectionReason::UnknownSession {
             (link.process, link.next_renewal) = (Some(from.clone()), now);
             link.give_up_request();
             self.forget_session(voter);
@@ -324,7 +324,7 @@
         if self.links.iter().any(unanswered) {
             for claim in self.claims.values_mut() {
                 if claim.reason.is_none() {
-                    claim.reason = Some(Reason::OlderProtocol);
+                    claim.reason = Some(RejectionReason::OlderProtocol);
                 }
             }
         }
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -32,7 +32,7 @@
         /// The sequence number of the update.
         sequence: u32,
         /// Why nothing was done.
-        reason: Reason,
+        reason: RejectionReason,
     },
     /// The sender shuts down and acts on no subject any more, except for those that it names.
     Close {
@@ -90,12 +90,12 @@
     /// The highest epoch known to the voter.
     pub epoch: u64,
     /// Indices into `attach` of the subjects that were not attached, and why. All others are.
-    pub rejected: Vec<(u16, Reason)>,
+    pub rejected: Vec<(u16, RejectionReason)>,
 }
 
 /// Why a voter does not grant a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Reason {
+pub enum RejectionReason {
     /// The subject is attached to the session of another process.
     Held {
         /// The holder.
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -4,7 +4,7 @@
 mod recall;
 
 use crate::electorate::LeaseConfig;
-use crate::message::{MAX_NAMED_HOLDERS, Message, Reason, SessionToken, Update, Updated};
+use crate::message::{MAX_NAMED_HOLDERS, Message, RejectionReason, SessionToken, Update, Updated};
 use crate::subject::Subject;
 use compact_str::CompactString;
 use std::collections::{BTreeMap, BTreeSet};
@@ -133,11 +133,11 @@
         };
         // A newer electorate is not known here, and an older one may not have majorities any more.
         if update.generation != generation {
-            return rejected(Reason::Generation { here: generation });
+            return rejected(RejectionReason::Generation { here: generation });
         }
         self.epoch = self.epoch.max(update.epoch);
         if self.retired || !self.established || self.is_silent(config, now) {
-            return rejected(Reason::Silent);
+            return rejected(RejectionReason::Silent);
         }
         self.sweep(config, now);
         let current = self.current.get(from).copied();
@@ -174,18 +174,18 @@
         current: Option<CurrentSession>,
         config: &LeaseConfig,
         now: Instant,
-    ) -> Result<SessionToken, Reason> {
+    ) -> Result<SessionToken, RejectionReason> {
         match (requested, current) {
             (Some(requested), Some(current)) if requested == current.token => Ok(requested),
             (Some(_), _) => {
                 self.counts.unknown_session += 1;
-                Err(Reason::UnknownSession)
+                Err(RejectionReason::UnknownSession)
             }
             // The answer that opened this session was lost, and nothing is attached to it yet.
             (None, Some(current)) if self.is_empty(current.token) => Ok(current.token),
             (None, _) if self.sessions.len() >= MAX_SESSIONS => {
                 self.counts.full += 1;
-                Err(Reason::AtCapacity)
+                Err(RejectionReason::AtCapacity)
             }
             // An earlier session keeps its subjects until it lapses, since its process may still
             // act on them.
@@ -224,15 +224,17 @@
         token: SessionToken,
         subjects: Vec<Subject>,
         now: Instant,
-    ) -> Vec<(u16, Reason)> {
+    ) -> Vec<(u16, RejectionReason)> {
         let (mut rejected, mut named) = (Vec::new(), 0);
         for (position, subject) in (0..).zip(subjects) {
             let Err(reason) = self.attach(from, token, subject, now) else {
                 continue;
             };
-            named += usize::from(matches!(reason, Reason::Held { .. }));
+            named += usize::from(matches!(reason, RejectionReason::Held { .. }));
             let reason = match reason {
-                Reason::Held { .. } if named > MAX_NAMED_HOLDERS => Reason::HeldByAnother,
+                RejectionReason::Held { .. } if named > MAX_NAMED_HOLDERS => {
+                    RejectionReason::HeldByAnother
+                }
                 reason => reason,
             };
             rejected.push((position, reason));
@@ -246,7 +248,7 @@
         token: SessionToken,
         subject: Subject,
         now: Instant,
-    ) -> Result<(), Reason> {
+    ) -> Result<(), RejectionReason> {
         if let Some(holder) = self.holders.get(&subject).copied() {
             if holder == token {
                 return Ok(());
@@ -255,7 +257,7 @@
         }
         if self.holders.len() >= MAX_VOTER_SUBJECTS {
             self.counts.full += 1;
-            return Err(Reason::AtCapacity);
+            return Err(RejectionReason::AtCapacity);
         }
         self.holders.insert(subject.clone(), token);
         if let Some(session) = self.sessions.get_mut(&token) {
@@ -272,7 +274,7 @@
         subject: &Subject,
         holder: SessionToken,
         now: Instant,
-    ) -> Result<(), Reason> {
+    ) -> Result<(), RejectionReason> {
         let Some(session) = self.sessions.get(&holder) else {
             return Ok(());
         };
@@ -282,7 +284,7 @@
         }
         if now < session.expires {
             self.counts.held += 1;
-            return Err(Reason::Held {
+            return Err(RejectionReason::Held {
                 by: session.owner.clone(),
             });
         }
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
-    CHANNEL, ClaimState, Electorate, LeaseConfig, Leases, Message, Reason, SessionToken, To,
-    Update, Updated,
+    CHANNEL, ClaimState, Electorate, LeaseConfig, Leases, Message, RejectionReason, SessionToken,
+    To, Update, Updated,
 };
 use thistlecroft_peers::Identity;
 
@@ -82,7 +82,7 @@
         self.answer(voter, Message::Updated(answer));
     }
 
-    fn reject(&mut self, voter: &str, reason: Reason) {
+    fn reject(&mut self, voter: &str, reason: RejectionReason) {
         let update = self
             .requests
             .remove(voter)
@@ -148,7 +148,7 @@
     script.confirm("r0", 8);
     // One voter that had attached it has restarted. At the third, another process held the subject
     // meanwhile, with epoch 12.
-    script.reject("r1", Reason::UnknownSession);
+    script.reject("r1", RejectionReason::UnknownSession);
     script.attach_at(&["r2"], 12);
     assert_eq!(
         script.epoch(),
--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -5,8 +5,8 @@
 
 use std::fmt::Write;
 use std::path::Path;
-use thistlecroft_leases::legacy::{self, LegacyMessage, LegacyReason, NO_GENERATION};
-use thistlecroft_leases::{CHANNEL, Message, Reason, SessionToken, Update, Updated};
+use thistlecroft_leases::legacy::{self, LegacyMessage, LegacyRejectionReason, NO_GENERATION};
+use thistlecroft_leases::{CHANNEL, Message, RejectionReason, SessionToken, Update, Updated};
 use thistlecroft_peers::Identity;
 
 fn assert_unchanged(file: &str, actual: &str) {
@@ -29,20 +29,20 @@
     Identity::new("relay-2", 0x0102_0304_0506_0708)
 }
 
-fn reasons() -> Vec<(&'static str, Reason)> {
+fn reasons() -> Vec<(&'static str, RejectionReason)> {
     vec![
         (
             "held",
-            Reason::Held {
+            RejectionReason::Held {
                 by: other_process(),
             },
         ),
-        ("held by another", Reason::HeldByAnother),
-        ("silent", Reason::Silent),
-        ("generation", Reason::Generation { here: 300 }),
-        ("full", Reason::AtCapacity),
-        ("unknown session", Reason::UnknownSession),
-        ("older protocol", Reason::OlderProtocol),
+        ("held by another", RejectionReason::HeldByAnother),
+        ("silent", RejectionReason::Silent),
+        ("generation", RejectionReason::Generation { here: 300 }),
+        ("full", RejectionReason::AtCapacity),
+        ("unknown session", RejectionReason::UnknownSession),
+        ("older protocol", RejectionReason::OlderProtocol),
     ]
 }
 
@@ -137,14 +137,14 @@
         ),
         (
             "refuse, held",
-            refuse(LegacyReason::Held {
+            refuse(LegacyRejectionReason::Held {
                 by: other_process(),
             }),
         ),
-        ("refuse, silent", refuse(LegacyReason::Silent)),
+        ("refuse, silent", refuse(LegacyRejectionReason::Silent)),
         (
             "refuse, generation",
-            refuse(LegacyReason::Generation { here: 300 }),
+            refuse(LegacyRejectionReason::Generation { here: 300 }),
         ),
         (
             "release",
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -3,8 +3,8 @@
 
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
-use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
-use thistlecroft_leases::{ClaimState, Leases, Reason, To, Vote, legacy};
+use thistlecroft_leases::legacy::{LegacyMessage, LegacyRejectionReason, NO_GENERATION};
+use thistlecroft_leases::{ClaimState, Leases, RejectionReason, To, Vote, legacy};
 use thistlecroft_peers::Identity;
 
 const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
@@ -65,7 +65,7 @@
         epoch: 50,
     };
     let answers = legacy_answers(&mut voter, &older, &request, 3_600);
-    let reason = LegacyReason::Generation {
+    let reason = LegacyRejectionReason::Generation {
         here: NO_GENERATION,
     };
     assert_eq!(
@@ -104,6 +104,6 @@
     }
     assert_eq!(
         process.state(b"turn", at(2_000)),
-        ClaimState::Wanted(Some(Reason::OlderProtocol))
+        ClaimState::Wanted(Some(RejectionReason::OlderProtocol))
     );
 }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -9,7 +9,8 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
-    AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message, Reason,
+    AcquireError, ChangeError, LeaseConfig, Leases, MAX_CLAIMS, MAX_SUBJECT_BYTES, Message,
+    RejectionReason,
 };
 use thistlecroft_peers::Identity;
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
@@ -508,7 +509,7 @@
             assert!(
                 rejected
                     .iter()
-                    .all(|(_, reason)| *reason == Reason::AtCapacity)
+                    .all(|(_, reason)| *reason == RejectionReason::AtCapacity)
             );
         }
     }
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -3,7 +3,7 @@
 
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
-use thistlecroft_leases::{ClaimState, Leases, Message, Reason, SessionToken, To, Update};
+use thistlecroft_leases::{ClaimState, Leases, Message, RejectionReason, SessionToken, To, Update};
 use thistlecroft_peers::Identity;
 
 const SUBJECT: &[u8] = b"turn";
@@ -67,11 +67,12 @@
 }
 
 fn is_held_by_another(answer: Option<Message>) -> bool {
-    let held = |(_, reason): &(u16, Reason)| matches!(reason, Reason::Held { .. });
+    let held =
+        |(_, reason): &(u16, RejectionReason)| matches!(reason, RejectionReason::Held { .. });
     matches!(answer, Some(Message::Updated(updated)) if updated.rejected.iter().any(held))
 }
 
-fn is_rejected_for(answer: Option<Message>, expected: &Reason) -> bool {
+fn is_rejected_for(answer: Option<Message>, expected: &RejectionReason) -> bool {
     matches!(answer, Some(Message::Rejected { reason, .. }) if reason == *expected)
 }
 
@@ -81,7 +82,7 @@
     let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
     let early = voter.answer(&one, update(1, None, &[], &[]), 1_999);
     assert!(
-        is_rejected_for(early, &Reason::Silent),
+        is_rejected_for(early, &RejectionReason::Silent),
         "it may have granted before its start"
     );
     let session = voter.session(&one, 2, 2_000);
@@ -112,7 +113,7 @@
         2_030
     )));
     let stolen = voter.answer(&other, update(4, Some(session), &[], &[SUBJECT]), 2_030);
-    assert!(is_rejected_for(stolen, &Reason::UnknownSession));
+    assert!(is_rejected_for(stolen, &RejectionReason::UnknownSession));
     assert!(is_held_by_another(voter.answer(
         &other,
         update(5, Some(others), &[SUBJECT], &[]),
@@ -151,7 +152,10 @@
         };
         other.generation = generation;
         let answer = voter.answer(&one, Message::Update(other), 2_090);
-        assert!(is_rejected_for(answer, &Reason::Generation { here: 1 }));
+        assert!(is_rejected_for(
+            answer,
+            &RejectionReason::Generation { here: 1 }
+        ));
     }
 }
 
@@ -189,7 +193,7 @@
         6_500
     )));
     let renewed = voter.answer(&one, update(4, Some(session), &[], &[]), 6_510);
-    assert!(is_rejected_for(renewed, &Reason::UnknownSession));
+    assert!(is_rejected_for(renewed, &RejectionReason::UnknownSession));
     let anew = voter.session(&one, 5, 6_520);
     assert_ne!(anew, session);
     let both = voter.answer(&one, update(6, Some(anew), &[SUBJECT, b"more"], &[]), 6_530);
@@ -217,7 +221,7 @@
     );
     assert!(is_rejected_for(
         voter.answer(&one, update(2, None, &[], &[]), 2_110),
-        &Reason::Silent
+        &RejectionReason::Silent
     ));
     let mut next = LoneVoter {
         leases: Leases::new(next, config(&["r0"], UPDATE_RATE), at(2_100)),
@@ -233,7 +237,7 @@
     );
     assert!(is_rejected_for(
         next.answer(&one, update(3, None, &[], &[]), 4_400),
-        &Reason::Silent
+        &RejectionReason::Silent
     ));
     let answer = next.answer(&one, update(4, None, &[], &[]), 4_500);
     assert!(matches!(answer, Some(Message::Updated(updated)) if updated.epoch == 9));
--- a/relay/src/peers/commands.rs
+++ b/relay/src/peers/commands.rs
@@ -4,7 +4,7 @@
 use crate::admin::protocol::PeerCommand;
 use crate::io_context::IoContext;
 use thistlecroft::time::Instant;
-use thistlecroft_leases::{AcquireError, ClaimState, Reason};
+use thistlecroft_leases::{AcquireError, ClaimState, RejectionReason};
 use thistlecroft_peers::EntryKind;
 
 /// A lease that no operator has asked for within so many terms is released.
@@ -23,18 +23,20 @@
     #[error("asked for")]
     LeasePending,
     #[error("{}", reason_text(.0))]
-    LeaseNotHeld(Reason),
+    LeaseNotHeld(RejectionReason),
 }
 
-fn reason_text(reason: &Reason) -> String {
+fn reason_text(reason: &RejectionReason) -> String {
     match reason {
-        Reason::Held { by } => format!("held by {by}"),
-        Reason::HeldByAnother => "held by another relay".into(),
-        Reason::Silent => "voters are silent after their start".into(),
-        Reason::Generation { here } => format!("voters go by generation {here}"),
-        Reason::AtCapacity => "voters hold as many leases as they may".into(),
-        Reason::UnknownSession => "asked for anew: voters have restarted".into(),
-        Reason::OlderProtocol => "voters speak an older lease protocol: upgrade them".into(),
+        RejectionReason::Held { by } => format!("held by {by}"),
+        RejectionReason::HeldByAnother => "held by another relay".into(),
+        RejectionReason::Silent => "voters are silent after their start".into(),
+        RejectionReason::Generation { here } => format!("voters go by generation {here}"),
+        RejectionReason::AtCapacity => "voters hold as many leases as they may".into(),
+        RejectionReason::UnknownSession => "asked for anew: voters have restarted".into(),
+        RejectionReason::OlderProtocol => {
+            "voters speak an older lease protocol: upgrade them".into()
+        }
     }
 }
 
