--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -60,7 +60,7 @@
 
 pub use claim::{ClaimState, Held};
 pub use electorate::{Electorate, LeaseConfig, MAX_CLOCK_DRIFT};
-pub use manager::{AcquireError, ChangeError, LeaseCounts, Leases, MAX_CLAIMS, Vote};
+pub use manager::{AcquireError, ChangeError, LeaseCounts, Leases, MAX_CLAIMS, VoterStatus};
 pub use message::{
     CHANNEL, MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, RejectionReason, SessionToken, Update,
     Updated,
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -8,7 +8,7 @@
 mod shutdown;
 
 pub use errors::{AcquireError, ChangeError};
-pub use queries::{LeaseCounts, Vote};
+pub use queries::{LeaseCounts, VoterStatus};
 
 use crate::claim::Claim;
 use crate::electorate::{LeaseConfig, Quorums};
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -8,7 +8,7 @@
 
 /// Whether a process votes at the moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Vote {
+pub enum VoterStatus {
     /// The electorate does not name this process.
     NoVoter,
     /// Another process of the same name votes in its place, or this one is shutting down.
@@ -19,14 +19,14 @@
     Votes,
 }
 
-impl Vote {
+impl VoterStatus {
     /// The name of this state in reports to operators.
     pub fn as_str(self) -> &'static str {
         match self {
-            Vote::NoVoter => "none",
-            Vote::Retired => "yielded",
-            Vote::Silent => "silent",
-            Vote::Votes => "votes",
+            VoterStatus::NoVoter => "none",
+            VoterStatus::Retired => "yielded",
+            VoterStatus::Silent => "silent",
+            VoterStatus::Votes => "votes",
         }
     }
 }
@@ -59,12 +59,12 @@
     }
 
     /// Whether this process votes at this moment.
-    pub fn vote(&self, now: Instant) -> Vote {
+    pub fn voter_status(&self, now: Instant) -> VoterStatus {
         match (self.is_voter(), self.voter.established, self.voter.retired) {
-            (false, ..) => Vote::NoVoter,
-            (_, _, true) => Vote::Retired,
-            (_, true, _) if !self.voter.is_silent(&self.config, now) => Vote::Votes,
-            _ => Vote::Silent,
+            (false, ..) => VoterStatus::NoVoter,
+            (_, _, true) => VoterStatus::Retired,
+            (_, true, _) if !self.voter.is_silent(&self.config, now) => VoterStatus::Votes,
+            _ => VoterStatus::Silent,
         }
     }
 
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -4,7 +4,7 @@
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
 use thistlecroft_leases::legacy::{LegacyMessage, LegacyRejectionReason, NO_GENERATION};
-use thistlecroft_leases::{ClaimState, Leases, RejectionReason, To, Vote, legacy};
+use thistlecroft_leases::{ClaimState, Leases, RejectionReason, To, VoterStatus, legacy};
 use thistlecroft_peers::Identity;
 
 const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
@@ -54,9 +54,9 @@
     // It is silent while that one answers, and takes over its epoch.
     legacy_answers(&mut voter, &twin, &REMEMBERED, 1_500);
     voter.tick(at(2_100));
-    assert_eq!(voter.vote(at(2_100)), Vote::Silent);
+    assert_eq!(voter.voter_status(at(2_100)), VoterStatus::Silent);
     voter.tick(at(3_500));
-    assert_eq!(voter.vote(at(3_500)), Vote::Votes);
+    assert_eq!(voter.voter_status(at(3_500)), VoterStatus::Votes);
     voter.take_outgoing();
     let request = LegacyMessage::Request {
         generation: 1,
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -160,7 +160,7 @@
         });
         let counts = leases.counts();
         LeasesView {
-            vote: leases.vote(now).as_str(),
+            vote: leases.voter_status(now).as_str(),
             generation: leases.config().electorate.generation,
             is_settled: leases.is_settled(now),
             held: held.collect(),
