--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -11,7 +11,7 @@
     ///
     /// # Errors
     /// Unless it is a step that can't leave two majorities that do not meet.
-    pub fn change(&mut self, config: LeaseConfig, now: Instant) -> Result<(), ChangeError> {
+    pub fn change_config(&mut self, config: LeaseConfig, now: Instant) -> Result<(), ChangeError> {
         if self.config == config {
             return Ok(());
         }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -345,7 +345,7 @@
         let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
             let mut done = Ok(());
             network.act(index, |host, now| {
-                done = host.leases.as_mut().unwrap().change(to.clone(), now)
+                done = host.leases.as_mut().unwrap().change_config(to.clone(), now)
             });
             done
         };
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -282,7 +282,7 @@
     let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
         let mut done = Ok(());
         network.act(index, |host, now| {
-            let changed = host.leases.as_mut().unwrap().change(to.clone(), now);
+            let changed = host.leases.as_mut().unwrap().change_config(to.clone(), now);
             done = changed.map_err(|fault| fault.to_string());
         });
         done
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -109,7 +109,7 @@
         if let Some(leases) = &mut self.leases
             && has_voters
         {
-            leases.change(lease_config(config), self.clock.now())?;
+            leases.change_config(lease_config(config), self.clock.now())?;
         }
         let with_new_voters = PeersConfig {
             voters: config.voters.clone(),
