--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -60,7 +60,7 @@
     }
 
     /// Changes this process's own address. Others accept it only with a higher incarnation.
-    pub fn move_to(&mut self, at: SocketAddr, now: Instant) {
+    pub fn change_address(&mut self, at: SocketAddr, now: Instant) {
         self.at = at;
         self.seeds.retain(|seed| *seed != at);
         self.incarnation += 1;
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -162,7 +162,7 @@
                 let until = io.now + self.config.probe_interval * FORMER_SOCKET_PERIODS;
                 self.former_socket = Some((former, until));
                 self.rebind_at = None;
-                self.node.move_to(self.config.advertise, io.now);
+                self.node.change_address(self.config.advertise, io.now);
             }
             Err(_) => self.rebind_at = Some(io.now + self.config.probe_interval),
         }
