--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -228,7 +228,7 @@
         };
         side.iter().all(|member| {
             let host = &self.network.hosts[*member];
-            host.node.size() == side.len() && sees_others(host)
+            host.node.fleet_size() == side.len() && sees_others(host)
         })
     }
 
--- a/experiments/src/scale/worker/mod.rs
+++ b/experiments/src/scale/worker/mod.rs
@@ -158,7 +158,7 @@
         };
         for relay in &mut self.relays {
             relay.update_assignment();
-            let sees = relay.node.size();
+            let sees = relay.node.fleet_size();
             (status.sees_least, status.sees_most) =
                 (status.sees_least.min(sees), status.sees_most.max(sees));
             let at = now();
--- a/peers/src/node/queries.rs
+++ b/peers/src/node/queries.rs
@@ -46,7 +46,7 @@
 
     /// The number of relays that are suspect or dead without a newer run that is alive. Readers of
     /// the shared state may miss entries of that many.
-    pub fn unreachable(&self) -> usize {
+    pub fn unreachable_count(&self) -> usize {
         let has_live_run = |name: &str| {
             self.members
                 .members()
@@ -61,7 +61,7 @@
     }
 
     /// The number of live members, this process and suspects included.
-    pub fn size(&self) -> usize {
+    pub fn fleet_size(&self) -> usize {
         self.members.live_count() + 1
     }
 
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -114,7 +114,7 @@
         let datagram = self.datagram(body, payload.members, payload.entries);
         let is_sent = self.transmit(at, &datagram, priority, now);
         if is_sent {
-            let size = self.size();
+            let size = self.fleet_size();
             self.gossip.note_sent(&payload.updates, size);
         }
         is_sent
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -262,7 +262,7 @@
     });
     assert!(duration.is_some());
     assert_eq!(
-        network.hosts[0].node.unreachable(),
+        network.hosts[0].node.unreachable_count(),
         0,
         "a newer run of its name is here"
     );
@@ -273,7 +273,7 @@
     let mut network = joined_network(6, 5);
     network.partition(&[0, 1, 2], &[3, 4, 5]);
     network.run_for(PROBE_INTERVAL * 60.0);
-    assert_eq!(network.hosts[0].node.unreachable(), 3);
+    assert_eq!(network.hosts[0].node.unreachable_count(), 3);
     // One process joins on each side, and reaches the seeds of its own side only.
     let (left, right) = (network.start("r6", 1.0), network.start("r7", 1.0));
     network.partition(&[left], &[3, 4, 5, right]);
@@ -286,7 +286,7 @@
         SimulatedNetwork::membership_is_consistent,
     );
     assert!(duration.is_some());
-    assert_eq!(network.hosts[0].node.unreachable(), 0);
+    assert_eq!(network.hosts[0].node.unreachable_count(), 0);
 }
 
 #[test]
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -131,7 +131,7 @@
             me: node.me().to_string(),
             name: node.me().name.to_string(),
             health: node.health(),
-            unreachable: node.unreachable(),
+            unreachable: node.unreachable_count(),
             facts: node.shared_state().len(),
             peers: members.collect(),
             leases: peers
@@ -214,7 +214,7 @@
                 age_ms: note.age.as_millis(),
             });
         NotesView {
-            unreachable: node.unreachable(),
+            unreachable: node.unreachable_count(),
             notes: notes.collect(),
         }
     }
