--- a/experiments/src/scale/meter.rs
+++ b/experiments/src/scale/meter.rs
@@ -1,7 +1,7 @@
 //! Bytes of a process by the second, with the headers that each datagram has on a network.
 use super::layout::Role;
 use serde::{Deserialize, Serialize};
-use thistlecroft_peers::Counts;
+use thistlecroft_peers::NodeCounts;
 
 /// IPv4 and UDP.
 const HEADER_BYTES: u64 = 28;
@@ -26,13 +26,13 @@
 /// Measures the traffic of one process, once a second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Meter {
-    before: Counts,
+    before: NodeCounts,
     phase: Traffic,
 }
 
 impl Meter {
     /// A second has gone by.
-    pub(super) fn second(&mut self, counts: &Counts) {
+    pub(super) fn second(&mut self, counts: &NodeCounts) {
         let sent =
             bytes(counts.sent_bytes, counts.sent) - bytes(self.before.sent_bytes, self.before.sent);
         let received = bytes(counts.received_bytes, counts.received)
--- a/experiments/src/scale/real_relays.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::Path;
 use std::time::Instant;
-use thistlecroft_peers::Counts;
+use thistlecroft_peers::NodeCounts;
 use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
 use thistlecroft_testbed::relay_process::free_address;
 
@@ -51,7 +51,7 @@
 
 #[derive(Clone, Copy, Default)]
 struct Sample {
-    counts: Counts,
+    counts: NodeCounts,
     cpu_s: f64,
 }
 
@@ -147,12 +147,12 @@
                 ..Sample::default()
             };
         };
-        let counts = Counts {
+        let counts = NodeCounts {
             sent: count(&view, "sent"),
             sent_bytes: count(&view, "sent_bytes"),
             received: count(&view, "heard"),
             received_bytes: count(&view, "heard_bytes"),
-            ..Counts::default()
+            ..NodeCounts::default()
         };
         Sample { counts, cpu_s }
     }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod wire;
 
 pub use identity::{Identity, MemberState};
-pub use node::{Counts, Event, MemberView, Node};
+pub use node::{Event, MemberView, Node, NodeCounts};
 pub use shared_state::{EntryKind, EntryView};
 pub use timing::ProtocolTiming;
 
--- a/peers/src/node/events.rs
+++ b/peers/src/node/events.rs
@@ -53,7 +53,7 @@
 
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct NodeCounts {
     /// Datagrams sent.
     pub sent: u64,
     /// Their bytes.
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -9,7 +9,7 @@
 mod sync;
 mod ticking;
 
-pub use events::{Counts, Event, MemberView};
+pub use events::{Event, MemberView, NodeCounts};
 
 use sending::Priority;
 
@@ -106,7 +106,7 @@
     outgoing: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
     /// Counters since the start.
-    pub counts: Counts,
+    pub counts: NodeCounts,
 }
 
 impl Node {
@@ -153,7 +153,7 @@
             unknown_formats: Vec::new(),
             outgoing: Vec::new(),
             events: Vec::new(),
-            counts: Counts::default(),
+            counts: NodeCounts::default(),
         }
     }
 }
