--- a/peers/src/identity.rs
+++ b/peers/src/identity.rs
@@ -65,7 +65,7 @@
     /// The member.
     pub id: Identity,
     /// Where it receives datagrams.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The incarnation that the opinion is about. A process raises its own to refute an opinion.
     pub incarnation: u32,
     /// The opinion.
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -40,7 +40,7 @@
 
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub incarnation: u32,
     pub state: MemberState,
     /// Since when it has this state.
@@ -56,7 +56,7 @@
     fn new(record: &MemberRecord, size: usize, timing: &ProtocolTiming, now: Instant) -> Member {
         let is_suspicion = record.state == MemberState::Suspect;
         Member {
-            at: record.at,
+            address: record.address,
             incarnation: record.incarnation,
             state: record.state,
             since: now,
@@ -88,7 +88,7 @@
         now: Instant,
     ) -> Merged {
         if record.incarnation > self.incarnation {
-            self.at = record.at;
+            self.address = record.address;
         }
         self.incarnation = record.incarnation;
         let is_suspicion = record.state == MemberState::Suspect;
@@ -157,10 +157,10 @@
             .suspicion
             .as_ref()
             .and_then(|one| one.accusers.first().cloned());
-        let (at, incarnation, state) = (member.at, member.incarnation, member.state);
+        let (address, incarnation, state) = (member.address, member.incarnation, member.state);
         Some(MemberRecord {
             id: id.clone(),
-            at,
+            address,
             incarnation,
             state,
             accuser,
--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -47,11 +47,11 @@
         bytes: Vec<u8>,
         now: Instant,
     ) -> bool {
-        let Some(at) = self.members.get(to).map(|member| member.at) else {
+        let Some(address) = self.members.get(to).map(|member| member.address) else {
             return false;
         };
         self.send(
-            at,
+            address,
             Some(to),
             Body::Message { channel, bytes },
             Priority::Urgent,
@@ -60,9 +60,9 @@
     }
 
     /// Changes this process's own address. Others accept it only with a higher incarnation.
-    pub fn change_address(&mut self, at: SocketAddr, now: Instant) {
-        self.at = at;
-        self.seeds.retain(|seed| *seed != at);
+    pub fn change_address(&mut self, address: SocketAddr, now: Instant) {
+        self.address = address;
+        self.seeds.retain(|seed| *seed != address);
         self.incarnation += 1;
         self.gossip.add(Update::Member(self.me.clone()));
         self.next_gossip = now;
@@ -76,14 +76,14 @@
         let mut record = self.own_record();
         record.state = MemberState::Left;
         let live = self.members.live();
-        let mut recipients: Vec<SocketAddr> = live.map(|(_, member)| member.at).collect();
+        let mut recipients: Vec<SocketAddr> = live.map(|(_, member)| member.address).collect();
         while recipients.len() > LEAVE_FANOUT {
             let index = self.rng.below(recipients.len() as u64) as usize;
             recipients.swap_remove(index);
         }
-        for at in recipients {
+        for address in recipients {
             let datagram = self.datagram(Body::Gossip, vec![record.clone()], Vec::new());
-            self.transmit(at, &datagram, Priority::Urgent, now);
+            self.transmit(address, &datagram, Priority::Urgent, now);
         }
         self.left = true;
     }
--- a/peers/src/node/events.rs
+++ b/peers/src/node/events.rs
@@ -90,7 +90,7 @@
     /// The member.
     pub id: &'a Identity,
     /// Where it receives datagrams.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// Its state.
     pub state: MemberState,
     /// Its incarnation.
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -74,7 +74,7 @@
 #[derive(Clone, Debug)]
 pub struct Node {
     me: Identity,
-    at: SocketAddr,
+    address: SocketAddr,
     seeds: Vec<SocketAddr>,
     seal: Seal,
     timing: ProtocolTiming,
@@ -114,7 +114,7 @@
     /// relays at `seeds`, of which its own address is ignored.
     pub fn new(
         me: Identity,
-        at: SocketAddr,
+        address: SocketAddr,
         seeds: Vec<SocketAddr>,
         config: &NodeConfig,
         seed: u64,
@@ -125,8 +125,8 @@
         let first = now + config.timing.probe_interval * rng.unit_f64();
         Node {
             me,
-            at,
-            seeds: seeds.into_iter().filter(|seed| *seed != at).collect(),
+            address,
+            seeds: seeds.into_iter().filter(|seed| *seed != address).collect(),
             seal: Seal::new(&config.secret, &config.fleet),
             timing: config.timing,
             rate: config.max_bytes_per_second,
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -73,7 +73,7 @@
         &mut self,
         number: u32,
         from: &Identity,
-        at: SocketAddr,
+        address: SocketAddr,
         now: Instant,
     ) {
         let Some(probe) = self.probe.as_ref().filter(|probe| probe.number == number) else {
@@ -83,12 +83,12 @@
         let Some(member) = self.members.get(&target) else {
             return;
         };
-        if member.at != at || target == *from || member.state >= MemberState::Dead {
+        if member.address != address || target == *from || member.state >= MemberState::Dead {
             return;
         }
         let record = MemberRecord {
             id: target,
-            at,
+            address,
             incarnation: member.incarnation,
             state: MemberState::Left,
             accuser: None,
@@ -132,14 +132,14 @@
             is_answered: false,
         });
         self.counts.probes += 1;
-        let Some(at) = self.members.get(&target).map(|member| member.at) else {
+        let Some(address) = self.members.get(&target).map(|member| member.address) else {
             return;
         };
         let ping = Body::Ping {
             probe: number,
             to: target.clone(),
         };
-        self.send(at, Some(&target), ping, Priority::Urgent, now);
+        self.send(address, Some(&target), ping, Priority::Urgent, now);
     }
 
     /// Each live member once in random order, and then again.
@@ -165,7 +165,7 @@
         let Some(probe) = &mut self.probe else { return };
         probe.is_indirect = true;
         let (number, target) = (probe.number, probe.target.clone());
-        let Some(target_at) = self.members.get(&target).map(|member| member.at) else {
+        let Some(target_at) = self.members.get(&target).map(|member| member.address) else {
             return;
         };
         let helpers =
@@ -174,15 +174,15 @@
             probe.helpers = helpers.len() as u32;
         }
         for id in helpers {
-            let Some(at) = self.members.get(&id).map(|member| member.at) else {
+            let Some(address) = self.members.get(&id).map(|member| member.address) else {
                 continue;
             };
             let body = Body::IndirectPing {
                 probe: number,
                 target: target.clone(),
-                at: target_at,
+                address: target_at,
             };
-            self.send(at, Some(&id), body, Priority::Urgent, now);
+            self.send(address, Some(&id), body, Priority::Urgent, now);
         }
     }
 
@@ -206,7 +206,7 @@
         }
         let record = MemberRecord {
             id: probe.target,
-            at: member.at,
+            address: member.address,
             incarnation: member.incarnation,
             state: MemberState::Suspect,
             accuser: Some(self.me.clone()),
--- a/peers/src/node/queries.rs
+++ b/peers/src/node/queries.rs
@@ -31,7 +31,7 @@
     pub fn members(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.members.members().map(|(id, member)| MemberView {
             id,
-            at: member.at,
+            address: member.address,
             state: member.state,
             incarnation: member.incarnation,
             since: member.since,
--- a/peers/src/node/receiving.rs
+++ b/peers/src/node/receiving.rs
@@ -45,7 +45,7 @@
         if !is_leaving {
             let sender = MemberRecord {
                 id: from.clone(),
-                at: datagram.at,
+                address: datagram.address,
                 incarnation: datagram.incarnation,
                 state: MemberState::Alive,
                 accuser: None,
@@ -60,7 +60,7 @@
         for entry in &datagram.entries {
             self.merge_entry(entry, now);
         }
-        self.handle_body(datagram.body, &from, datagram.at, now);
+        self.handle_body(datagram.body, &from, datagram.address, now);
     }
 
     fn count_rejection(&mut self, rejection: Rejection, source: SocketAddr) {
@@ -87,14 +87,20 @@
         });
     }
 
-    fn handle_body(&mut self, body: Body, from: &Identity, at: SocketAddr, now: Instant) {
+    fn handle_body(&mut self, body: Body, from: &Identity, address: SocketAddr, now: Instant) {
         match body {
             Body::Ping { probe, to } if to == self.me => {
-                self.send(at, Some(from), Body::Ack { probe }, Priority::Urgent, now);
+                self.send(
+                    address,
+                    Some(from),
+                    Body::Ack { probe },
+                    Priority::Urgent,
+                    now,
+                );
             }
             Body::Ping { probe, .. } => {
                 self.send(
-                    at,
+                    address,
                     Some(from),
                     Body::WrongTarget { probe },
                     Priority::Urgent,
@@ -104,16 +110,16 @@
             Body::IndirectPing {
                 probe,
                 target,
-                at: target_at,
-            } => self.ping_for((from, at), probe, (&target, target_at), now),
+                address: target_at,
+            } => self.ping_for((from, address), probe, (&target, target_at), now),
             Body::Ack { probe } => self.handle_ack(probe, now),
             Body::Nack { probe } => self.handle_nack(probe),
-            Body::WrongTarget { probe } => self.handle_wrong_target(probe, from, at, now),
+            Body::WrongTarget { probe } => self.handle_wrong_target(probe, from, address, now),
             Body::Gossip | Body::InSync => {}
             Body::SyncRequest { digest } if digest == self.digest() => {
-                self.send(at, Some(from), Body::InSync, Priority::Normal, now);
+                self.send(address, Some(from), Body::InSync, Priority::Normal, now);
             }
-            Body::SyncRequest { .. } => self.send_snapshot(at, from, true, now),
+            Body::SyncRequest { .. } => self.send_snapshot(address, from, true, now),
             Body::Chunk {
                 exchange,
                 number,
@@ -124,11 +130,11 @@
                 let snapshots = &mut self.snapshots;
                 let is_first = snapshots.note_chunk(from, exchange, number, of, timeout, now);
                 if is_first && back {
-                    self.send_snapshot(at, from, false, now);
+                    self.send_snapshot(address, from, false, now);
                 }
             }
             Body::Missing { exchange, numbers } => {
-                self.resend_chunks(from, at, exchange, &numbers, now);
+                self.resend_chunks(from, address, exchange, &numbers, now);
             }
             Body::Message { channel, bytes } => {
                 self.events.push(Event::Message {
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -79,7 +79,7 @@
         self.serial += 1;
         Datagram {
             from: self.me.clone(),
-            at: self.at,
+            address: self.address,
             incarnation: self.incarnation,
             serial: self.serial,
             body,
@@ -93,7 +93,7 @@
     /// rate limit is reached.
     pub(super) fn send(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         to: Option<&Identity>,
         body: Body,
         priority: Priority,
@@ -112,7 +112,7 @@
             self.add_gossip(&mut payload, now);
         }
         let datagram = self.datagram(body, payload.members, payload.entries);
-        let is_sent = self.transmit(at, &datagram, priority, now);
+        let is_sent = self.transmit(address, &datagram, priority, now);
         if is_sent {
             let size = self.fleet_size();
             self.gossip.note_sent(&payload.updates, size);
@@ -157,7 +157,7 @@
     /// Sends a complete datagram. False where the rate limit is reached.
     pub(super) fn transmit(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         datagram: &Datagram,
         priority: Priority,
         now: Instant,
@@ -181,7 +181,7 @@
         self.send_budget -= bytes.len() as f64;
         self.counts.sent += 1;
         self.counts.sent_bytes += bytes.len() as u64;
-        self.outgoing.push((at, bytes));
+        self.outgoing.push((address, bytes));
         true
     }
 }
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -60,11 +60,11 @@
                 return;
             }
             let index = self.rng.below(missing.len() as u64) as usize;
-            let at = missing.swap_remove(index);
+            let address = missing.swap_remove(index);
             // A datagram to a dead member carries that opinion, which the member can refute.
-            let id = self.member_at(at).cloned();
+            let id = self.member_at(address).cloned();
             self.send(
-                at,
+                address,
                 id.as_ref(),
                 Body::SyncRequest { digest },
                 Priority::Normal,
@@ -76,13 +76,13 @@
     fn addresses(&self, state: MemberState) -> impl Iterator<Item = SocketAddr> {
         let members = self.members.members().map(|(_, member)| member);
         let in_state = members.filter(move |member| member.state == state);
-        in_state.map(|member| member.at)
+        in_state.map(|member| member.address)
     }
 
-    fn member_at(&self, at: SocketAddr) -> Option<&Identity> {
+    fn member_at(&self, address: SocketAddr) -> Option<&Identity> {
         let mut members = self.members.members();
         members
-            .find(|(_, member)| member.at == at)
+            .find(|(_, member)| member.address == address)
             .map(|(id, _)| id)
     }
 
@@ -91,7 +91,7 @@
         let alive: BTreeSet<SocketAddr> = self.addresses(MemberState::Alive).collect();
         let seeds = self.seeds.iter().copied();
         let mut missing: Vec<SocketAddr> = seeds.chain(self.addresses(MemberState::Dead)).collect();
-        missing.retain(|at| !alive.contains(at));
+        missing.retain(|address| !alive.contains(address));
         missing.sort_unstable();
         missing.dedup();
         missing
@@ -119,11 +119,11 @@
         }
         let digest = self.digest();
         for id in self.random_members(1, MemberState::Alive, None) {
-            let Some(at) = self.members.get(&id).map(|member| member.at) else {
+            let Some(address) = self.members.get(&id).map(|member| member.address) else {
                 continue;
             };
             self.send(
-                at,
+                address,
                 Some(&id),
                 Body::SyncRequest { digest },
                 Priority::Normal,
@@ -150,7 +150,7 @@
     pub(super) fn own_record(&self) -> MemberRecord {
         MemberRecord {
             id: self.me.clone(),
-            at: self.at,
+            address: self.address,
             incarnation: self.incarnation,
             state: MemberState::Alive,
             accuser: None,
@@ -160,7 +160,7 @@
     /// Sends everything that this process knows. With `back`, the receiver is asked for the same.
     pub(super) fn send_snapshot(
         &mut self,
-        at: SocketAddr,
+        address: SocketAddr,
         to: &Identity,
         back: bool,
         now: Instant,
@@ -176,7 +176,7 @@
                 back,
             };
             let datagram = self.datagram(body, content.members, content.entries);
-            self.transmit(at, &datagram, Priority::Normal, now);
+            self.transmit(address, &datagram, Priority::Normal, now);
         }
     }
 
@@ -199,7 +199,7 @@
     pub(super) fn resend_chunks(
         &mut self,
         to: &Identity,
-        at: SocketAddr,
+        address: SocketAddr,
         exchange: u32,
         numbers: &[u16],
         now: Instant,
@@ -216,19 +216,19 @@
                 back: false,
             };
             let datagram = self.datagram(body, content.members, content.entries);
-            self.transmit(at, &datagram, Priority::Normal, now);
+            self.transmit(address, &datagram, Priority::Normal, now);
         }
     }
 
     pub(super) fn request_missing_chunks(&mut self, now: Instant) {
         let timeout = self.timing.probe_interval;
         for missing in self.snapshots.take_missing(timeout, now) {
-            if let Some(at) = self.members.get(&missing.from).map(|member| member.at) {
+            if let Some(address) = self.members.get(&missing.from).map(|member| member.address) {
                 let body = Body::Missing {
                     exchange: missing.exchange,
                     numbers: missing.numbers,
                 };
-                self.send(at, Some(&missing.from), body, Priority::Normal, now);
+                self.send(address, Some(&missing.from), body, Priority::Normal, now);
             }
         }
     }
--- a/peers/src/node/ticking.rs
+++ b/peers/src/node/ticking.rs
@@ -50,10 +50,10 @@
             if self.gossip.is_empty() {
                 break;
             }
-            let Some(at) = self.members.get(&id).map(|member| member.at) else {
+            let Some(address) = self.members.get(&id).map(|member| member.address) else {
                 continue;
             };
-            self.send(at, Some(&id), Body::Gossip, Priority::Normal, now);
+            self.send(address, Some(&id), Body::Gossip, Priority::Normal, now);
         }
     }
 
--- a/peers/src/wire.rs
+++ b/peers/src/wire.rs
@@ -17,7 +17,7 @@
     /// The sender.
     pub from: Identity,
     /// Where the sender receives datagrams.
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     /// The sender's incarnation.
     pub incarnation: u32,
     /// Grows with each datagram of a process. A receiver rejects one that it has seen.
@@ -47,7 +47,7 @@
         /// The process to ping.
         target: Identity,
         /// Its address.
-        at: SocketAddr,
+        address: SocketAddr,
     },
     /// The process was pinged, or the target has acknowledged an indirect ping.
     Ack {
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -39,7 +39,7 @@
 fn datagram(body: Body) -> Datagram {
     Datagram {
         from: Identity::new("relay-1", 0x0102_0304_0506_0708),
-        at: address(1),
+        address: address(1),
         incarnation: 3,
         serial: 300,
         body,
@@ -64,7 +64,7 @@
             Body::IndirectPing {
                 probe: 9,
                 target: other,
-                at: address(2),
+                address: address(2),
             },
         ),
         ("acknowledgement", Body::Ack { probe: 300 }),
@@ -117,7 +117,7 @@
         let mut gossip = datagram(Body::Gossip);
         gossip.members.push(MemberRecord {
             id: Identity::new("relay-2", 7),
-            at: "[2001:db8::2]:7946".parse().unwrap(),
+            address: "[2001:db8::2]:7946".parse().unwrap(),
             incarnation: 2,
             state,
             accuser: (state == MemberState::Suspect).then(|| Identity::new("relay-3", 8)),
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -308,16 +308,23 @@
 
 #[test]
 fn late_datagrams_do_not_revive_a_member_that_left() {
-    let (now, at) = (
+    let (now, address) = (
         Instant::from_micros(1_000_000),
         "127.0.0.1:9".parse().unwrap(),
     );
-    let mut node = Node::new(Identity::new("me", 1), at, Vec::new(), &config(), 1, now);
+    let mut node = Node::new(
+        Identity::new("me", 1),
+        address,
+        Vec::new(),
+        &config(),
+        1,
+        now,
+    );
     let seal = Seal::new(b"of the test", "test");
     let you = Identity::new("you", 2);
     let row = |incarnation, state| MemberRecord {
         id: you.clone(),
-        at,
+        address,
         incarnation,
         state,
         accuser: None,
@@ -328,14 +335,14 @@
         let (from, body) = (from.clone(), Body::Gossip);
         let datagram = Datagram {
             from,
-            at,
+            address,
             incarnation: 0,
             serial,
             body,
             members: rows,
             entries: Vec::new(),
         };
-        node.receive(&seal.close(&datagram).unwrap(), at, now);
+        node.receive(&seal.close(&datagram).unwrap(), address, now);
     };
     receive(&mut node, &you, Vec::new());
     assert_eq!(node.state_of(&you), Some(MemberState::Alive));
@@ -506,7 +513,7 @@
 fn valid_datagram() -> Datagram {
     Datagram {
         from: Identity::new("you", 2),
-        at: "127.0.0.1:10".parse().unwrap(),
+        address: "127.0.0.1:10".parse().unwrap(),
         incarnation: 0,
         serial: 1,
         body: Body::Gossip,
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -121,7 +121,7 @@
         let members = node.members().map(|member| MemberView {
             id: member.id.to_string(),
             name: member.id.name.to_string(),
-            address: member.at.to_string(),
+            address: member.address.to_string(),
             state: member.state.as_str(),
             incarnation: member.incarnation,
             since_ms: millis_since(member.since, now),
