--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -1,83 +1,88 @@
-//! The claim of this process to one subject: the voters that have it attached, its epoch, and until
-//! when this process may act on it.
+//! This process's claim to one subject: the voters that have attached the subject, the epoch, and
+//! the time until which this process may act on the subject.
 use crate::electorate::{Quorums, VoterSet};
 use crate::message::RejectionReason;
 use thistlecroft::time::Instant;
 
 /// The right to act on a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Held {
-    /// The fencing token: grows with each new holding, so that others can reject an older holder.
+pub struct HeldLease {
+    /// The fencing token. It grows with each new holding, so that others can reject an earlier
+    /// holder.
     pub epoch: u64,
     /// When the right ends, by the holder's clock.
     pub until: Instant,
 }
 
-/// What has become of a claim.
+/// The state of this process's claim to a subject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimState {
     /// This process may act on the subject.
-    Held(Held),
-    /// It is requested, and was rejected for this reason, if at all.
+    Held(HeldLease),
+    /// The subject is requested but not held. The reason is that of the last rejection, if any.
     Wanted(Option<RejectionReason>),
     /// This process does not claim the subject.
     Unwanted,
 }
 
-/// The progress of a claim.
+/// The stage of a claim.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    /// A majority has to attach it before this time, which is set with the first request.
-    Attaching { ends: Option<Instant> },
-    /// A majority has attached it; the epoch is chosen and a majority of the same voters has to
-    /// confirm it.
+    /// A majority has to attach the subject before the deadline, which is set with the first
+    /// request.
+    Attaching { deadline: Option<Instant> },
+    /// A majority (`quorum`) has attached the subject and the epoch is chosen. A majority of these
+    /// voters has to confirm the epoch before the deadline.
     Confirming {
         epoch: u64,
         quorum: VoterSet,
-        ends: Instant,
+        deadline: Instant,
     },
-    /// This process holds the subject, unless the right has expired.
+    /// This process holds the subject, unless [`Claim::until`] has passed.
     Holding { epoch: u64 },
-    /// The attempt has failed: it is detached everywhere, and the next one starts at this time.
+    /// The attempt has failed: the subject is being detached at all voters, and the next attempt
+    /// starts at this time.
     Waiting { until: Instant },
-    /// It is not wanted any more, and is removed once it is detached everywhere.
+    /// The subject is no longer wanted. The claim is removed once all voters have detached the
+    /// subject.
     Releasing,
 }
 
-/// What a claim needs to know of a voter.
+/// The state of a voter as far as claims depend on it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoterView {
-    /// Until when it keeps what is attached there.
+    /// Until when the voter keeps this process's subjects attached; `None` without a session.
     pub(crate) valid_until: Option<Instant>,
-    /// The highest epoch that it has confirmed in the current session.
+    /// The highest epoch that the voter has confirmed in the current session.
     pub(crate) epoch: u64,
 }
 
-/// The claim to one subject.
+/// This process's claim to one subject.
 #[derive(Clone, Debug)]
 pub(crate) struct Claim {
     pub(crate) stage: Stage,
     /// Voters that have confirmed the attachment in the current session.
     pub(crate) attached: VoterSet,
-    /// Voters that may have it attached: the request is sent, and neither a rejection nor a
-    /// detachment confirmed since.
+    /// Voters that may have attached the subject: the request was sent, and the voter has neither
+    /// rejected it nor confirmed a detachment since.
     pub(crate) sent: VoterSet,
-    /// Voters that rejected it in this attempt.
+    /// Voters that rejected the subject in this attempt.
     pub(crate) rejected: VoterSet,
-    /// Consecutive attempts that failed against processes that tried at the same time.
+    /// The number of consecutive attempts that failed because other processes tried at the same
+    /// time.
     pub(crate) contended_attempts: u32,
-    /// When the right to act ends, or ended.
+    /// When the right to act on the subject ends or ended.
     pub(crate) until: Instant,
-    /// Why a voter last rejected it.
+    /// Why a voter last rejected the subject.
     pub(crate) reason: Option<RejectionReason>,
-    /// When this process loses interest in the subject.
+    /// When this process no longer wants the subject.
     pub(crate) wanted_until: Instant,
 }
 
 impl Claim {
     pub(crate) fn new(wanted_until: Instant, now: Instant) -> Claim {
         Claim {
-            stage: Stage::Attaching { ends: None },
+            stage: Stage::Attaching { deadline: None },
             attached: VoterSet::EMPTY,
             sent: VoterSet::EMPTY,
             rejected: VoterSet::EMPTY,
@@ -88,10 +93,10 @@
         }
     }
 
-    /// The right to act at this moment.
-    pub(crate) fn held(&self, now: Instant) -> Option<Held> {
+    /// Returns the right to act on the subject if this process has it at `now`.
+    pub(crate) fn held(&self, now: Instant) -> Option<HeldLease> {
         match self.stage {
-            Stage::Holding { epoch } if now < self.until => Some(Held {
+            Stage::Holding { epoch } if now < self.until => Some(HeldLease {
                 epoch,
                 until: self.until,
             }),
@@ -107,18 +112,21 @@
         }
     }
 
-    /// Whether voters that have not attached it should.
+    /// Returns whether voters that have not attached the subject should attach it.
     pub(crate) fn wants_attaching(&self) -> bool {
         !matches!(self.stage, Stage::Waiting { .. } | Stage::Releasing)
     }
 
-    /// When the claim has to be checked, even if no message arrives.
+    /// Returns when the claim has to be checked even if no message arrives.
     pub(crate) fn due(&self) -> Instant {
         let own = match self.stage {
-            Stage::Attaching { ends: Some(ends) } | Stage::Confirming { ends, .. } => ends,
+            Stage::Attaching {
+                deadline: Some(deadline),
+            }
+            | Stage::Confirming { deadline, .. } => deadline,
             Stage::Waiting { until } => until,
             Stage::Holding { .. } => self.until,
-            Stage::Attaching { ends: None } | Stage::Releasing => self.wanted_until,
+            Stage::Attaching { deadline: None } | Stage::Releasing => self.wanted_until,
         };
         match self.stage {
             Stage::Releasing => Instant::from_micros(u64::MAX),
@@ -126,7 +134,7 @@
         }
     }
 
-    /// The voter does not have the subject attached any more.
+    /// Notes that the voter no longer has the subject attached.
     pub(crate) fn forget_voter(&mut self, voter: usize) {
         self.attached.remove(voter);
         self.sent.remove(voter);
@@ -136,25 +144,25 @@
         }
     }
 
-    /// Ends a right that has expired. It does not come back with the same epoch, since another
-    /// process may have held the subject meanwhile.
+    /// Ends a holding that has expired, or a confirmation whose deadline has passed. The next
+    /// holding needs a new epoch, since another process may have held the subject meanwhile.
     pub(crate) fn expire(&mut self, now: Instant) {
         match self.stage {
             Stage::Holding { .. } if self.until <= now => {
-                self.stage = Stage::Attaching { ends: None }
+                self.stage = Stage::Attaching { deadline: None }
             }
-            Stage::Confirming { ends, .. } if ends <= now => {
-                self.stage = Stage::Attaching { ends: None }
+            Stage::Confirming { deadline, .. } if deadline <= now => {
+                self.stage = Stage::Attaching { deadline: None }
             }
             _ => {}
         }
     }
 
     pub(crate) fn is_attached_by_majority(&self, quorums: &Quorums) -> bool {
-        matches!(self.stage, Stage::Attaching { .. }) && quorums.carries(self.attached)
+        matches!(self.stage, Stage::Attaching { .. }) && quorums.are_reached_by(self.attached)
     }
 
-    /// Moves the claim on by what voters have confirmed; `view` is given the index of a voter.
+    /// Advances the claim by what voters have confirmed. `view` takes the index of a voter.
     pub(crate) fn advance(
         &mut self,
         quorums: &Quorums,
@@ -162,7 +170,7 @@
         now: Instant,
     ) {
         let (epoch, confirmed_by) = match self.stage {
-            Stage::Confirming { epoch, quorum, .. } => (epoch, self.attached.and(quorum)),
+            Stage::Confirming { epoch, quorum, .. } => (epoch, self.attached.intersection(quorum)),
             Stage::Holding { epoch } => (epoch, self.attached),
             _ => return,
         };
@@ -171,7 +179,7 @@
             view.valid_until.filter(|_| view.epoch >= epoch)
         };
         let Some(until) = quorums
-            .carried_until(confirmed_by, valid_until)
+            .granted_until(confirmed_by, valid_until)
             .filter(|until| *until > now)
         else {
             return;
@@ -185,9 +193,10 @@
         }
     }
 
-    /// Whether a majority is out of reach in this attempt.
+    /// Returns whether so many voters have rejected the subject that this attempt can't reach a
+    /// majority.
     pub(crate) fn has_failed(&self, quorums: &Quorums, all: VoterSet) -> bool {
         matches!(self.stage, Stage::Attaching { .. })
-            && !quorums.carries(all.without(self.rejected))
+            && !quorums.are_reached_by(all.difference(self.rejected))
     }
 }
--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -1,8 +1,8 @@
-//! Who votes, and what counts as a majority.
+//! The voters, and what counts as a majority of them.
 use compact_str::CompactString;
 use thistlecroft::time::{Duration, Instant};
 
-/// How far a clock's speed may be from true, as a fraction.
+/// The most that the speed of a clock may deviate from true time, as a fraction.
 pub const MAX_CLOCK_DRIFT: f64 = 0.01;
 
 /// The named voters. A change of voters goes through a joint step in which majorities of the old
@@ -13,18 +13,19 @@
     pub generation: u32,
     /// The names of the voters.
     pub voters: Vec<CompactString>,
-    /// During a change, the voters until now, whose majority is needed as well; otherwise empty.
+    /// The names of the previous voters during a change of voters, when a majority of them is needed
+    /// as well; otherwise empty.
     pub previous_voters: Vec<CompactString>,
 }
 
 impl Electorate {
-    /// The least number of voters that are a majority of this set.
+    /// Returns the least number of voters that is a majority of this set.
     pub fn majority(voters: &[CompactString]) -> usize {
         voters.len() / 2 + 1
     }
 
-    /// Every voter of both sets, once.
-    pub fn all(&self) -> impl Iterator<Item = &CompactString> {
+    /// Returns the voters of both sets, each once.
+    pub fn all_voters(&self) -> impl Iterator<Item = &CompactString> {
         self.voters.iter().chain(
             self.previous_voters
                 .iter()
@@ -32,8 +33,8 @@
         )
     }
 
-    /// Whether the voters that agree are a majority of each set.
-    pub fn carries(&self, agrees: impl Fn(&str) -> bool) -> bool {
+    /// Returns whether the voters for which `agrees` holds are a majority of each set.
+    pub fn has_quorum(&self, agrees: impl Fn(&str) -> bool) -> bool {
         let has_majority = |set: &[CompactString]| {
             set.iter().filter(|name| agrees(name)).count() >= Electorate::majority(set)
         };
@@ -42,9 +43,9 @@
             && (self.previous_voters.is_empty() || has_majority(&self.previous_voters))
     }
 
-    /// The same sets by index in `all`.
+    /// Returns the same sets, with voters by their index in [`Electorate::all_voters`].
     pub(crate) fn quorums(&self) -> Quorums {
-        let position = |name: &CompactString| self.all().position(|one| one == name);
+        let position = |name: &CompactString| self.all_voters().position(|one| one == name);
         let set = |names: &[CompactString]| names.iter().filter_map(position).collect();
         let mut sets: Vec<VoterSet> = vec![set(&self.voters)];
         if !self.previous_voters.is_empty() {
@@ -54,32 +55,32 @@
     }
 }
 
-/// The duration of leases, and who grants them. The same at all processes.
+/// The duration of leases and the processes that grant them, the same at all processes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// The processes that grant leases.
     pub electorate: Electorate,
-    /// How long a voter keeps what it granted, counted from when it received the request.
+    /// How long a voter keeps what it granted, counted from the receipt of the request.
     pub term: Duration,
-    /// The bytes per second that this process spends on attaching and detaching subjects. Renewals
-    /// do not count.
+    /// The most bytes per second that this process sends to attach and detach subjects. Renewals do
+    /// not count.
     pub update_rate: u32,
 }
 
 impl LeaseConfig {
-    /// How long a holder may act, counted from when it sent the request.
+    /// Returns how long a holder may act, counted from the sending of its request.
     pub fn holding_time(&self) -> Duration {
         self.term * ((1.0 - MAX_CLOCK_DRIFT) / (1.0 + MAX_CLOCK_DRIFT))
     }
 
-    /// After this time on this process's clock, everything that any voter granted before has
-    /// expired by the voter's clock.
+    /// Returns the time on this process's clock after which everything that any voter had granted
+    /// before has expired by the voter's clock.
     pub fn settling_time(&self) -> Duration {
         self.term * ((1.0 + MAX_CLOCK_DRIFT) / (1.0 - MAX_CLOCK_DRIFT))
     }
 }
 
-/// Voters by their index in the electorate.
+/// A set of voters by their index in the electorate, as a bit mask.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct VoterSet(u32);
 
@@ -107,12 +108,12 @@
     }
 
     #[must_use]
-    pub(crate) fn and(self, other: VoterSet) -> VoterSet {
+    pub(crate) fn intersection(self, other: VoterSet) -> VoterSet {
         VoterSet(self.0 & other.0)
     }
 
     #[must_use]
-    pub(crate) fn without(self, other: VoterSet) -> VoterSet {
+    pub(crate) fn difference(self, other: VoterSet) -> VoterSet {
         VoterSet(self.0 & !other.0)
     }
 
@@ -120,11 +121,12 @@
         (0..u32::BITS as usize).filter(move |voter| self.contains(*voter))
     }
 
-    /// The same voters after a change of electorate; `to[old]` is a voter's new index.
+    /// Returns the same voters after a change of the electorate. `new_indices[old]` is the new index
+    /// of a voter, or `None` if it no longer votes.
     #[must_use]
-    pub(crate) fn moved(self, to: &[Option<usize>]) -> VoterSet {
+    pub(crate) fn remapped(self, new_indices: &[Option<usize>]) -> VoterSet {
         self.iter()
-            .filter_map(|voter| to.get(voter).copied().flatten())
+            .filter_map(|voter| new_indices.get(voter).copied().flatten())
             .collect()
     }
 }
@@ -144,20 +146,26 @@
 }
 
 impl Quorums {
-    pub(crate) fn carries(&self, agreeing: VoterSet) -> bool {
+    /// Returns whether the agreeing voters are a majority of each set.
+    pub(crate) fn are_reached_by(&self, agreeing: VoterSet) -> bool {
         self.sets
             .iter()
-            .all(|set| agreeing.and(*set).count() > set.count() / 2)
+            .all(|set| agreeing.intersection(*set).count() > set.count() / 2)
     }
 
-    /// Until when a majority of each set keeps its grant, given the time for each of `granted`.
-    pub(crate) fn carried_until(
+    /// Returns until when a majority of each set keeps its grant. `until` returns that time for one
+    /// of the voters in `granted`; the result is `None` without such majorities.
+    pub(crate) fn granted_until(
         &self,
         granted: VoterSet,
         until: impl Fn(usize) -> Option<Instant>,
     ) -> Option<Instant> {
         let of_set = |set: &VoterSet| {
-            let mut times: Vec<Instant> = granted.and(*set).iter().filter_map(&until).collect();
+            let mut times: Vec<Instant> = granted
+                .intersection(*set)
+                .iter()
+                .filter_map(&until)
+                .collect();
             times.sort_unstable_by(|one, other| other.cmp(one));
             times.get(set.count() / 2).copied()
         };
--- a/leases/src/legacy.rs
+++ b/leases/src/legacy.rs
@@ -1,25 +1,26 @@
-//! The lease protocol before sessions, as far as a process needs it during an upgrade: to notify an
-//! older process of its own name that it must stop voting, to learn the highest epoch, and to reject
-//! older requests in a form that older processes understand. Nothing is ever granted in it.
+//! The legacy lease protocol, which had no sessions. A process needs it during an upgrade: to notify
+//! an older process of its own name that it must stop voting, to learn the highest epoch, and to
+//! reject requests of older processes in a form that they understand. Nothing is ever granted in the
+//! legacy protocol.
 use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::Identity;
 
-/// The channel of these messages.
+/// The channel of legacy messages.
 pub const CHANNEL: u8 = 1;
 
-/// The generation that older requests are rejected with. No electorate has it, and an older process
+/// The generation that rejections of legacy requests name. No electorate has it, and an older process
 /// shows it to its operator.
 pub const NO_GENERATION: u32 = 0;
 
-/// A message of the legacy protocol. The order of variants and fields is that of the wire.
+/// A message of the legacy protocol. The order of variants and fields defines the encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LegacyMessage {
-    /// Asks a voter for one subject.
+    /// Asks a voter to grant one subject.
     Request {
         /// The sender's generation.
         generation: u32,
-        /// What the sender wants to hold.
+        /// The subject that the sender wants to hold.
         subject: Subject,
         /// The number of the attempt.
         round: u32,
@@ -43,14 +44,14 @@
         subject: Subject,
         /// The round of the request.
         round: u32,
-        /// Why it is not granted.
+        /// Why the subject is not granted.
         reason: LegacyRejectionReason,
     },
-    /// The sender does not hold the subject any more.
+    /// The sender no longer holds the subject.
     Release {
-        /// What it held.
+        /// The subject that the sender held.
         subject: Subject,
-        /// The round in which it was granted.
+        /// The round in which the subject was granted.
         round: u32,
     },
     /// The sender has started without any state, or asks how far a change of voters has come.
@@ -71,7 +72,7 @@
     },
 }
 
-/// Why an older voter does not grant a request.
+/// Why a voter of the legacy protocol does not grant a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum LegacyRejectionReason {
     /// Another process holds the subject.
@@ -89,12 +90,12 @@
 }
 
 impl LegacyMessage {
-    /// The bytes of this message on [`CHANNEL`].
+    /// Encodes this message for [`CHANNEL`].
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("messages are plain values")
     }
 
-    /// `None` for bytes that are not exactly one message.
+    /// Decodes a message; `None` for bytes that are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Option<LegacyMessage> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Some(message),
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The rejection of an older request; `None` for other messages.
+    /// Returns the rejection of this message if it is a request; `None` for other messages.
     pub fn rejection(&self) -> Option<LegacyMessage> {
         let LegacyMessage::Request { subject, round, .. } = self else {
             return None;
--- a/leases/src/link.rs
+++ b/leases/src/link.rs
@@ -1,5 +1,5 @@
-//! This process's session at one voter: the pending request and changes, and what the voter has
-//! confirmed.
+//! The link from this process to one voter: the session, the pending request and changes, and what
+//! the voter has confirmed.
 use crate::message::{MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, SessionToken, Update};
 use crate::subject::Subject;
 use compact_str::CompactString;
@@ -7,7 +7,7 @@
 use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
-/// The changes that one request asks for.
+/// The subjects that one request asks a voter to attach and detach.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Changes {
     pub(crate) detach: Vec<Subject>,
@@ -19,52 +19,56 @@
         self.detach.is_empty() && self.attach.is_empty()
     }
 
-    /// The encoded size of the subjects.
+    /// Returns the encoded size of the subjects in bytes.
     pub(crate) fn bytes(&self) -> usize {
         let subjects = self.detach.iter().chain(&self.attach);
         subjects.map(|subject| encoded_bytes(subject)).sum()
     }
 
-    /// Whether one message can carry this subject as well.
+    /// Returns whether one message can carry this subject as well.
     pub(crate) fn has_room_for(&self, subject: &[u8]) -> bool {
         self.bytes() + encoded_bytes(subject) <= MAX_UPDATE_BYTES
             && self.detach.len() + self.attach.len() < MAX_UPDATE_SUBJECTS
     }
 }
 
-/// A subject is encoded with one byte for its length.
+/// Returns the encoded size of a subject: its bytes and one for its length.
 fn encoded_bytes(subject: &[u8]) -> usize {
     subject.len() + 1
 }
 
-/// A request that is not answered yet.
+/// A request that has not been answered yet.
 #[derive(Clone, Debug)]
 pub(crate) struct Request {
     pub(crate) sequence: u32,
-    /// What the answer confirms is valid from this time on.
+    /// When the request was sent. The holding time of what the answer confirms counts from here.
     pub(crate) sent_at: Instant,
+    /// When the request times out.
     pub(crate) retry_at: Instant,
     pub(crate) changes: Changes,
 }
 
+/// This process's session and pending changes at one voter.
 #[derive(Clone, Debug)]
 pub(crate) struct Link {
+    /// The name of the voter.
     pub voter: CompactString,
-    /// The process that answered last. Another one of that name does not know the session.
+    /// The process that opened the session or last rejected it. Another process of the voter's name
+    /// does not know the session.
     pub process: Option<Identity>,
     pub session: Option<SessionToken>,
     pub request: Option<Request>,
-    /// Subjects that the voter has to attach or detach.
+    /// Subjects that the voter still has to attach or detach.
     pub pending: BTreeSet<Subject>,
-    /// Subjects that it rejected and others granted; requested again with the next renewal.
+    /// Subjects that the voter rejected. They are requested again with the next renewal.
     pub rejected: BTreeSet<Subject>,
-    /// Requests without an answer since the last one.
+    /// The number of requests that timed out since the voter's last answer.
     pub unanswered: u32,
-    /// When the last request that it confirmed was sent.
+    /// When the last request that the voter confirmed was sent.
     pub confirmed_at: Option<Instant>,
-    /// The highest epoch that it has confirmed.
+    /// The highest epoch that the voter has confirmed in this session.
     pub epoch: u64,
-    /// When the session has to be renewed, or a new epoch sent.
+    /// When to send the next request that renews the session or carries a new epoch.
     pub next_renewal: Instant,
 }
 
@@ -84,14 +88,14 @@
         }
     }
 
-    /// The voter does not know the session any more.
+    /// Drops the session, which the voter no longer knows.
     pub(crate) fn forget_session(&mut self) {
         (self.session, self.confirmed_at, self.epoch) = (None, None, 0);
         self.rejected.clear();
     }
 
-    /// Drops the request; its changes are pending again.
-    pub(crate) fn give_up_request(&mut self) {
+    /// Drops the request without an answer and makes its changes pending again.
+    pub(crate) fn abandon_request(&mut self) {
         let Some(request) = self.request.take() else {
             return;
         };
@@ -101,8 +105,8 @@
 }
 
 impl Request {
-    /// The request as it is sent in a session, or to open one.
-    pub(crate) fn message(
+    /// Returns the message to send: in a session, or without one to open it.
+    pub(crate) fn to_message(
         &self,
         generation: u32,
         session: Option<SessionToken>,
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -1,17 +1,17 @@
 //! Received messages: answers of voters, requests to this process as a voter, and messages of the
 //! legacy protocol.
-use super::{LEGACY_CHECK_AFTER, Leases};
+use super::{LEGACY_CHECK_AFTER_REQUESTS, Leases};
 use crate::claim::{Claim, Stage};
 use crate::legacy::{self, LegacyMessage};
 use crate::link::Link;
 use crate::message::{CHANNEL, Message, RejectionReason, SessionToken, Updated};
-use crate::outgoing::To;
+use crate::outgoing::Recipients;
 use crate::subject::Subject;
 use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
 impl Leases {
-    /// Takes bytes from another process. Other channels than those of leases are ignored.
+    /// Handles the bytes of a message from another process. Channels of other protocols are ignored.
     pub fn receive(&mut self, from: &Identity, channel: u8, bytes: &[u8], now: Instant) {
         match channel {
             CHANNEL => {
@@ -28,9 +28,9 @@
         }
     }
 
-    /// Takes a message from another process.
+    /// Handles a message from another process.
     pub fn receive_message(&mut self, from: &Identity, message: Message, now: Instant) {
-        // The other process of this name may have granted what this one does not know.
+        // The other process of this name may have granted leases that this one does not know.
         if self.is_duplicate(from) {
             let starting = matches!(message, Message::Recall { starting: true, .. });
             self.voter.note_duplicate(starting, now);
@@ -39,7 +39,7 @@
             Message::Update(_) | Message::Close { .. } => self.receive_as_voter(from, message, now),
             Message::Updated(_) | Message::Rejected { .. } => {
                 self.receive_answer(from, message, now);
-                self.proceed(now);
+                self.make_progress(now);
             }
             Message::Recall { generation, .. } => {
                 self.voter.generations.insert(from.name.clone(), generation);
@@ -48,7 +48,7 @@
                     established: self.voter.established,
                     epoch: self.voter.epoch.max(self.epoch),
                 };
-                self.send(To::Process(from.clone()), &answer);
+                self.send(Recipients::Process(from.clone()), &answer);
             }
             Message::Remembered {
                 generation,
@@ -62,7 +62,7 @@
         self.refresh_settled(now);
     }
 
-    /// Whether it is another process of the same name.
+    /// Returns whether `from` is another process with this process's name.
     pub(super) fn is_duplicate(&self, from: &Identity) -> bool {
         from.name == self.me.name && from.run != self.me.run
     }
@@ -75,14 +75,14 @@
         now: Instant,
     ) {
         self.voter.note_remembered(from, established, epoch);
-        self.voter.settle(&self.me, &self.config, now);
+        self.voter.try_establish(&self.me, &self.config, now);
     }
 
-    /// Handles a request as a voter, also one of this process itself.
+    /// Handles a request as a voter, whether from another process or from this one.
     pub(super) fn receive_as_voter(&mut self, from: &Identity, message: Message, now: Instant) {
         let answer = match message {
             Message::Update(update) if self.is_voter() => {
-                self.voter.update(from, update, &self.config, now)
+                self.voter.handle_update(from, update, &self.config, now)
             }
             Message::Update(update) => {
                 let generation = self.config.electorate.generation;
@@ -98,7 +98,7 @@
                 session,
                 keep,
             } => {
-                self.voter.close(from, sequence, session, &keep);
+                self.voter.close_session(from, sequence, session, &keep);
                 None
             }
             _ => None,
@@ -107,7 +107,7 @@
         if *from == self.me {
             self.own_answers.push_back(answer);
         } else {
-            self.send(To::Process(from.clone()), &answer);
+            self.send(Recipients::Process(from.clone()), &answer);
         }
     }
 
@@ -169,14 +169,14 @@
         }
     }
 
-    /// Starts a new session, to which nothing is attached yet.
+    /// Starts a new session at a voter, to which nothing is attached yet.
     pub(super) fn begin_session(&mut self, voter: usize, from: &Identity, session: SessionToken) {
         self.forget_session(voter);
         let link = &mut self.links[voter];
         (link.process, link.session) = (Some(from.clone()), Some(session));
     }
 
-    /// Gives up the session at a voter with everything that was attached to it.
+    /// Drops the session at a voter with everything that was attached to it.
     pub(super) fn forget_session(&mut self, voter: usize) {
         if self.links[voter].session.is_some() {
             self.counts.sessions_lost += 1;
@@ -195,7 +195,7 @@
         self.queue_unattached(voter);
     }
 
-    /// A voter has confirmed that a subject is detached.
+    /// Notes that a voter has confirmed a detachment.
     pub(super) fn note_detached(&mut self, voter: usize, subject: &Subject) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
@@ -204,10 +204,10 @@
         if claim.wants_attaching() {
             self.links[voter].pending.insert(subject.clone());
         }
-        self.forget_released(subject);
+        self.remove_if_released(subject);
     }
 
-    /// A voter has attached a subject, or rejected it.
+    /// Notes that a voter has attached a subject, or why it has rejected it.
     pub(super) fn note_attached(
         &mut self,
         voter: usize,
@@ -220,7 +220,8 @@
         };
         let link = &mut self.links[voter];
         let Some(reason) = rejected else {
-            // A subject that is released meanwhile is detached first, also if it is wanted again.
+            // A subject that was released or whose attempt failed meanwhile is detached first, even
+            // if it is requested again later.
             if claim.wants_attaching() {
                 claim.attached.insert(voter);
             } else {
@@ -237,7 +238,7 @@
             }
             link.rejected.insert(subject);
         } else {
-            self.forget_released(&subject);
+            self.remove_if_released(&subject);
         }
     }
 
@@ -261,12 +262,12 @@
         self.counts.rejections += 1;
         if reason == RejectionReason::UnknownSession {
             (link.process, link.next_renewal) = (Some(from.clone()), now);
-            link.give_up_request();
+            link.abandon_request();
             self.forget_session(voter);
             return;
         }
-        // The request is kept until it times out, since another process of the voter's name may still
-        // grant it.
+        // The request is kept until it times out, since another process with the voter's name may
+        // still grant it.
         let requested = request.changes.attach.clone();
         let note = |claim: &mut Claim| {
             if !matches!(claim.stage, Stage::Holding { .. }) {
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Nothing is granted in the legacy protocol, and no grant accepted.
+    /// Handles a message of the legacy protocol, in which nothing is granted and no grant accepted.
     pub(super) fn receive_legacy(
         &mut self,
         from: &Identity,
@@ -295,7 +296,7 @@
             self.voter.note_duplicate(starting, now);
         }
         if let Some(rejection) = message.rejection() {
-            self.send_legacy(To::Process(from.clone()), &rejection);
+            self.send_legacy(Recipients::Process(from.clone()), &rejection);
         }
         match message {
             LegacyMessage::Recall { .. } => {
@@ -304,7 +305,7 @@
                     established: self.voter.established,
                     epoch: self.voter.epoch.max(self.epoch),
                 };
-                self.send_legacy(To::Process(from.clone()), &answer);
+                self.send_legacy(Recipients::Process(from.clone()), &answer);
             }
             LegacyMessage::Request { epoch, .. } => self.voter.epoch = self.voter.epoch.max(*epoch),
             LegacyMessage::Remembered {
@@ -317,10 +318,11 @@
         }
     }
 
-    /// Names the legacy protocol as the reason where the voter answers in nothing else.
+    /// Sets [`RejectionReason::OlderProtocol`] as the reason of claims without one, if the voter
+    /// answers only in the legacy protocol.
     pub(super) fn note_older_voter(&mut self, from: &Identity) {
         let unanswered =
-            |link: &Link| link.voter == from.name && link.unanswered >= LEGACY_CHECK_AFTER;
+            |link: &Link| link.voter == from.name && link.unanswered >= LEGACY_CHECK_AFTER_REQUESTS;
         if self.links.iter().any(unanswered) {
             for claim in self.claims.values_mut() {
                 if claim.reason.is_none() {
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -1,4 +1,4 @@
-//! A change of the voters, in two steps through a joint majority.
+//! Changes of the voters, in two steps: through majorities of both the old and the new set.
 use super::{ChangeError, Leases};
 use crate::claim::Stage;
 use crate::electorate::LeaseConfig;
@@ -7,18 +7,18 @@
 use thistlecroft::time::Instant;
 
 impl Leases {
-    /// Takes a new configuration into force.
+    /// Replaces the configuration.
     ///
     /// # Errors
-    /// Unless it is a step that can't leave two majorities that do not meet.
+    /// The change is not a step after which any majority shares a voter with those before it.
     pub fn change_config(&mut self, config: LeaseConfig, now: Instant) -> Result<(), ChangeError> {
         if self.config == config {
             return Ok(());
         }
         self.check_change(&config, now)?;
-        let names: Vec<CompactString> = config.electorate.all().cloned().collect();
+        let names: Vec<CompactString> = config.electorate.all_voters().cloned().collect();
         let position = |link: &Link| names.iter().position(|name| *name == link.voter);
-        let moved: Vec<Option<usize>> = self.links.iter().map(position).collect();
+        let new_indices: Vec<Option<usize>> = self.links.iter().map(position).collect();
         let mut old_links = std::mem::take(&mut self.links);
         self.links = names
             .into_iter()
@@ -33,10 +33,13 @@
         (self.config, self.settled_since, self.next_link) = (config, None, 0);
         for claim in self.claims.values_mut() {
             // Leases stay valid until they expire; unfinished attempts start again.
-            (claim.attached, claim.sent) = (claim.attached.moved(&moved), claim.sent.moved(&moved));
-            claim.rejected = claim.rejected.moved(&moved);
+            (claim.attached, claim.sent) = (
+                claim.attached.remapped(&new_indices),
+                claim.sent.remapped(&new_indices),
+            );
+            claim.rejected = claim.rejected.remapped(&new_indices);
             if let Stage::Confirming { .. } = claim.stage {
-                claim.stage = Stage::Attaching { ends: None };
+                claim.stage = Stage::Attaching { deadline: None };
             }
         }
         for voter in 0..self.links.len() {
@@ -44,7 +47,7 @@
             self.links[voter].next_renewal = now;
         }
         self.refresh_settled(now);
-        self.proceed(now);
+        self.make_progress(now);
         Ok(())
     }
 
@@ -66,11 +69,12 @@
         let same = |one: &[CompactString], other: &[CompactString]| {
             one.len() == other.len() && one.iter().all(|name| other.contains(name))
         };
-        let begins = old.previous_voters.is_empty() && same(&new.previous_voters, &old.voters);
-        let ends = !old.previous_voters.is_empty()
+        let begins_change =
+            old.previous_voters.is_empty() && same(&new.previous_voters, &old.voters);
+        let ends_change = !old.previous_voters.is_empty()
             && new.previous_voters.is_empty()
             && same(&new.voters, &old.voters);
-        match (begins, ends, old.previous_voters.is_empty()) {
+        match (begins_change, ends_change, old.previous_voters.is_empty()) {
             (false, false, true) => Err(ChangeError::VotersBeforeMissing {
                 voters: old.voters.clone(),
             }),
@@ -82,22 +86,23 @@
         }
     }
 
-    /// Whether a majority of both sets has used this generation for a term. What a majority of the
-    /// previous voters alone had granted has expired by then.
+    /// Returns whether a majority of both sets has used this generation for a term, so that
+    /// everything that a majority of the previous voters alone had granted has expired. Outside a
+    /// change of voters, a majority that uses this generation is enough.
     pub fn is_settled(&self, now: Instant) -> bool {
         let joint = !self.config.electorate.previous_voters.is_empty();
         self.settled_since
             .is_some_and(|since| !joint || now.duration_since(since) >= self.config.settling_time())
     }
 
-    /// Notes since when a majority of both sets has used this generation.
+    /// Updates since when a majority of each set is known to use this generation.
     pub(super) fn refresh_settled(&mut self, now: Instant) {
         let (known, current) = (&self.voter.generations, self.config.electorate.generation);
         let is_own = |name: &str| *name == *self.me.name;
         let settled = self
             .config
             .electorate
-            .carries(|name| is_own(name) || known.get(name).is_some_and(|one| *one >= current));
+            .has_quorum(|name| is_own(name) || known.get(name).is_some_and(|one| *one >= current));
         match (settled, self.settled_since) {
             (true, None) => self.settled_since = Some(now),
             (false, Some(_)) => self.settled_since = None,
--- a/leases/src/manager/claims.rs
+++ b/leases/src/manager/claims.rs
@@ -1,4 +1,4 @@
-//! The claims of this process: attempts, holdings and releases.
+//! This process's claims: attempts, holdings and releases.
 use super::{
     ATTEMPT_TIMEOUT_TERMS, AcquireError, BACKOFF_BASE_TERMS, HELD_RETRY_TERMS, JITTER, Leases,
     MAX_BACKOFF_DOUBLINGS, MAX_CLAIMS, NEVER,
@@ -26,7 +26,7 @@
         match self.claims.get_mut(subject) {
             Some(claim) if claim.stage == Stage::Releasing => {
                 // Not all voters know of the release yet, but this is a new holding.
-                claim.stage = Stage::Attaching { ends: None };
+                claim.stage = Stage::Attaching { deadline: None };
                 claim.wanted_until = until;
                 (claim.contended_attempts, claim.reason) = (0, None);
             }
@@ -40,26 +40,26 @@
                 self.claims.insert(subject.to_vec(), claim);
             }
         }
-        self.queue_everywhere(subject);
+        self.queue_at_all_voters(subject);
         self.claims_due = self.claims_due.min(now);
         Ok(())
     }
 
-    /// Releases a subject: this process does not act on it from here on. Voters are notified until
-    /// they confirm.
+    /// Releases a subject, on which this process may not act any more. Detachments are sent to the
+    /// voters until they confirm them.
     pub fn release(&mut self, subject: &[u8], now: Instant) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
         };
         claim.stage = Stage::Releasing;
         self.queue_detach(subject);
-        self.forget_released(subject);
+        self.remove_if_released(subject);
         self.claims_due = self.claims_due.min(now);
     }
 
-    /// Handles claims that are due: expired leases, failed attempts and subjects not wanted any
-    /// more.
-    pub(super) fn check_claims(&mut self, now: Instant) {
+    /// Handles claims that are due: expired leases, attempts that timed out or may start again, and
+    /// subjects that are no longer wanted.
+    pub(super) fn process_due_claims(&mut self, now: Instant) {
         let subjects: Vec<Subject> = self
             .claims
             .iter()
@@ -73,27 +73,28 @@
             if claim.wanted_until <= now {
                 claim.stage = Stage::Releasing;
                 self.queue_detach(&subject);
-                self.forget_released(&subject);
+                self.remove_if_released(&subject);
                 continue;
             }
             match claim.stage {
                 Stage::Waiting { .. } => {
                     (claim.stage, claim.rejected) =
-                        (Stage::Attaching { ends: None }, VoterSet::EMPTY);
-                    self.queue_everywhere(&subject);
-                }
-                Stage::Attaching { ends: Some(ends) } if ends <= now => {
-                    self.fail_attempt(&subject, now)
+                        (Stage::Attaching { deadline: None }, VoterSet::EMPTY);
+                    self.queue_at_all_voters(&subject);
                 }
+                Stage::Attaching {
+                    deadline: Some(deadline),
+                } if deadline <= now => self.fail_attempt(&subject, now),
                 _ => claim.expire(now),
             }
         }
     }
 
-    /// Ends an attempt without a majority and schedules the next one. What was attached is detached,
-    /// or processes that try at the same time would block one another. A subject that several try
-    /// for at once is retried with exponential backoff and full jitter, a held one at a steady
-    /// interval.
+    /// Ends an attempt without a majority and schedules the next one. Voters that attached the subject
+    /// detach it, or processes that try at the same time would block one another. If any voter had
+    /// attached it, other processes probably try as well, so the delay is an exponential backoff with
+    /// full jitter; otherwise another process holds the subject, and the delay is constant but for
+    /// jitter.
     pub(super) fn fail_attempt(&mut self, subject: &[u8], now: Instant) {
         let random = self.rng.unit_f64();
         let Some(claim) = self.claims.get_mut(subject) else {
@@ -112,8 +113,8 @@
         self.queue_detach(subject);
     }
 
-    /// Queues the detachment at all voters that may have the subject attached. From here on nothing
-    /// counts as attached.
+    /// Queues the detachment at all voters that may have attached the subject. It counts as attached
+    /// nowhere from now on.
     pub(super) fn queue_detach(&mut self, subject: &[u8]) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Queues the subject for the next update to every voter.
-    pub(super) fn queue_everywhere(&mut self, subject: &[u8]) {
+    /// Queues the subject for the next request to every voter.
+    pub(super) fn queue_at_all_voters(&mut self, subject: &[u8]) {
         for link in &mut self.links {
             link.pending.insert(subject.to_vec());
         }
@@ -144,15 +145,15 @@
         self.links[voter].pending.extend(subjects);
     }
 
-    /// Removes a claim that is released at all voters.
-    pub(super) fn forget_released(&mut self, subject: &[u8]) {
+    /// Removes a claim that is released and detached at all voters.
+    pub(super) fn remove_if_released(&mut self, subject: &[u8]) {
         let is_released = |claim: &Claim| claim.stage == Stage::Releasing && claim.sent.is_empty();
         if self.claims.get(subject).is_some_and(is_released) {
             self.claims.remove(subject);
         }
     }
 
-    /// Moves all claims on by what voters have confirmed.
+    /// Advances all claims by what voters have confirmed.
     pub(super) fn advance_claims(&mut self, now: Instant) {
         let holding_time = self.config.holding_time();
         let views: Vec<VoterView> = self
@@ -170,11 +171,11 @@
             if claim.is_attached_by_majority(&self.quorums) {
                 // One new epoch for all claims that have a majority now, above every known epoch.
                 let epoch = *chosen_epoch.get_or_insert(self.epoch + 1);
-                let ends = now + self.config.term * ATTEMPT_TIMEOUT_TERMS;
+                let deadline = now + self.config.term * ATTEMPT_TIMEOUT_TERMS;
                 claim.stage = Stage::Confirming {
                     epoch,
                     quorum: claim.attached,
-                    ends,
+                    deadline,
                 };
             }
             if claim.has_failed(&self.quorums, all) {
--- a/leases/src/manager/errors.rs
+++ b/leases/src/manager/errors.rs
@@ -1,4 +1,4 @@
-//! Why the manager rejects a request of its own process.
+//! Errors of calls to [`Leases`](super::Leases).
 use super::MAX_CLAIMS;
 use crate::subject::MAX_SUBJECT_BYTES;
 use compact_str::CompactString;
@@ -7,43 +7,43 @@
 /// Why a lease can't be acquired.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum AcquireError {
-    /// The subject does not fit in messages.
+    /// The subject is longer than messages allow.
     #[error("the subject is longer than {MAX_SUBJECT_BYTES} bytes")]
     SubjectTooLong,
     /// This process has as many claims as it may.
-    #[error("this relay wants {MAX_CLAIMS} leases already")]
+    #[error("this relay already claims {MAX_CLAIMS} leases, which is the limit")]
     TooManyClaims,
 }
 
 /// Why a change of the configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum ChangeError {
-    /// All processes have to agree on the term at all times.
-    #[error("peers.lease: changes with a restart of all relays only")]
+    /// The term may not change, since all processes have to agree on it at all times.
+    #[error("peers.lease: can be changed only with a restart of all relays")]
     TermChanged,
-    /// Generations are consecutive.
-    #[error("peers.generation: {expected} follows {here}")]
+    /// The generation is not the one after the current one.
+    #[error("peers.generation: must be {expected}, the next after the current {here}")]
     WrongGeneration {
-        /// The only generation that may come next.
+        /// The only valid next generation.
         expected: u32,
         /// The current generation.
         here: u32,
     },
-    /// A change of the voters has to begin with a joint majority of both sets.
+    /// The first step of a change of voters does not name the current voters as the previous ones.
     #[error("peers.voters_before: names the voters until now ({})", voters.join(", "))]
     VotersBeforeMissing {
         /// The current voters.
         voters: Vec<CompactString>,
     },
-    /// The second step of a change may not change the voters again.
-    #[error("peers.voters: stay ({}) while voters_before is taken out", voters.join(", "))]
+    /// The second step of a change of voters changes the voters again.
+    #[error("peers.voters: must stay ({}) in the step that removes peers.voters_before", voters.join(", "))]
     VotersChanged {
         /// The current voters.
         voters: Vec<CompactString>,
     },
-    /// What the previous voters granted alone may still be valid.
+    /// A lease that a majority of the previous voters alone has granted may still be valid.
     #[error(
-        "peers.voters_before: a majority of the voters has not gone by this generation for a lease's time"
+        "peers.voters_before: can be removed only once a majority of the voters has used the current generation for the duration of a lease"
     )]
     NotSettled,
 }
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -1,4 +1,4 @@
-//! The part of one process in the lease protocol: its own claims, and its vote if it is a voter.
+//! The lease manager of one process: its claims, and its state as a voter if it is one.
 mod answers;
 mod change;
 mod claims;
@@ -15,7 +15,7 @@
 use crate::legacy::LegacyMessage;
 use crate::link::Link;
 use crate::message::Message;
-use crate::outgoing::{Outgoing, To};
+use crate::outgoing::{Outgoing, Recipients};
 use crate::subject::Subject;
 use crate::voter::Voter;
 use compact_str::CompactString;
@@ -24,30 +24,35 @@
 use thistlecroft::time::Instant;
 use thistlecroft_peers::Identity;
 
-/// The most subjects that a process claims at once, including those that it still releases.
+/// The most subjects that a process claims at once, including those that are still being released.
 pub const MAX_CLAIMS: usize = 8_192;
-/// A session is renewed after this fraction of its holding time, less up to `JITTER` of that.
+/// When a session is renewed, as a fraction of the holding time. Jitter shortens the delay by up to
+/// `JITTER` of it.
 const RENEWAL_FRACTION: f64 = 1.0 / 3.0;
-/// The random part of delays, as a fraction.
+/// The random part of delays, as a fraction of the delay.
 const JITTER: f64 = 0.2;
-/// A request without an answer is sent again after this fraction of a term.
+/// How long a request may stay unanswered, as a fraction of a term. Its changes are then requested
+/// again.
 const REQUEST_TIMEOUT_TERMS: f64 = 1.0 / 8.0;
-/// An attempt that has no majority after this fraction of a term has failed.
+/// How long an attempt may take to get a majority, as a fraction of a term.
 const ATTEMPT_TIMEOUT_TERMS: f64 = 1.0 / 2.0;
-/// A subject that another process holds is requested again after this fraction of a term, less up
-/// to `JITTER` of that.
+/// The delay before the next attempt for a subject that another process holds, as a fraction of a
+/// term. Jitter shortens it by up to `JITTER` of it.
 const HELD_RETRY_TERMS: f64 = 1.0 / 6.0;
-/// The base of the backoff after an attempt that failed against others, as a fraction of a term.
+/// The base of the backoff after an attempt that failed because other processes tried at the same
+/// time, as a fraction of a term.
 const BACKOFF_BASE_TERMS: f64 = 1.0 / 32.0;
+/// The most times that the base of the backoff is doubled.
 const MAX_BACKOFF_DOUBLINGS: u32 = 8;
-/// After this many requests without an answer, the voter may know only the legacy protocol.
-const LEGACY_CHECK_AFTER: u32 = 2;
-/// A session that was not confirmed for this many terms is given up: longer than a voter keeps one
-/// that has lapsed.
+/// After this many unanswered requests, the voter is contacted in the legacy protocol, since it may
+/// know no other.
+const LEGACY_CHECK_AFTER_REQUESTS: u32 = 2;
+/// After this many terms without a confirmation, a session is dropped. This is longer than a voter
+/// keeps a lapsed session.
 const SESSION_TIMEOUT_TERMS: f64 = 6.0;
-/// The most of the update rate that may be saved up, in seconds.
+/// The largest burst, in seconds at the update rate: unused budget beyond it is lost.
 const BURST_SECONDS: f64 = 0.5;
-/// The bytes of an update apart from its subjects, with those of the datagram around it.
+/// The estimated bytes of a request without its subjects, including those of its datagram.
 const UPDATE_OVERHEAD_BYTES: usize = 150;
 
 /// The leases of one process, as a state machine without I/O: messages and time go in, messages to
@@ -58,36 +63,41 @@
     config: LeaseConfig,
     quorums: Quorums,
     voter: Voter,
+    /// One link to each voter, in the order of `Electorate::all_voters`.
     links: Vec<Link>,
     claims: BTreeMap<Subject, Claim>,
     /// The highest epoch that this process has chosen or received.
     epoch: u64,
+    /// The sequence number of the last request.
     sequence: u32,
-    /// The link that may send subjects first, so that all get a share of the update rate.
+    /// The index of the link that sends subjects first, so that all links get a share of the update
+    /// rate.
     next_link: usize,
-    /// Bytes of subjects that may be sent at `budget_refilled_at`; negative after a burst.
+    /// The bytes that could be sent at `budget_refilled_at`. Negative after a request that exceeded
+    /// the budget.
     update_budget: f64,
     budget_refilled_at: Instant,
-    /// When a claim is due next.
+    /// When the next claim is due.
     claims_due: Instant,
-    /// Since when a majority of both sets is known to use this generation.
+    /// Since when a majority of each set of voters is known to use this generation.
     settled_since: Option<Instant>,
     outgoing: Vec<Outgoing>,
-    /// Answers of this process, as a voter, to itself.
+    /// Answers that this process, as a voter, gives to itself.
     own_answers: VecDeque<Message>,
     rng: Rng,
     counts: LeaseCounts,
 }
 
+/// A time that never comes.
 const NEVER: Instant = Instant::from_micros(u64::MAX);
 
 impl Leases {
-    /// The leases of a process that has just started.
+    /// Creates the leases of a process that has just started.
     pub fn new(me: Identity, config: LeaseConfig, now: Instant) -> Leases {
         let (voter, rng) = (Voter::new(me.run, now), Rng::from_seed(me.run));
         let links = config
             .electorate
-            .all()
+            .all_voters()
             .map(|name| Link::new(name.clone(), now))
             .collect();
         let mut leases = Leases {
@@ -119,7 +129,7 @@
             self.recall(now);
         }
         if self.claims_due <= now {
-            self.check_claims(now);
+            self.process_due_claims(now);
         }
         for voter in 0..self.links.len() {
             if self.links[voter]
@@ -127,17 +137,17 @@
                 .as_ref()
                 .is_some_and(|request| request.retry_at <= now)
             {
-                self.retry(voter, now);
+                self.handle_request_timeout(voter, now);
             }
         }
-        self.proceed(now);
+        self.make_progress(now);
     }
 
-    /// Asks other processes for the highest epoch, which not only voters know, and notifies another
-    /// process of the same name to stop voting. Each call asks a share of all processes, so that
-    /// their answers do not arrive at once.
+    /// Asks other processes for the highest epoch, which processes other than voters may know as
+    /// well, and notifies another process of the same name to stop voting. Each call asks all voters
+    /// and a share of all processes, so that their answers do not arrive at once.
     fn recall(&mut self, now: Instant) {
-        let (part, of) = self.voter.recall_share(&self.config, now);
+        let (index, count) = self.voter.recall_share(&self.config, now);
         let starting = self.is_voter() && !self.voter.established;
         let generation = self.config.electorate.generation;
         let message = Message::Recall {
@@ -148,17 +158,17 @@
             generation,
             starting,
         };
-        let voters: Vec<CompactString> = self.config.electorate.all().cloned().collect();
+        let voters: Vec<CompactString> = self.config.electorate.all_voters().cloned().collect();
         for voter in voters {
-            self.send(To::Voter(voter.clone()), &message);
-            self.send_legacy(To::Voter(voter), &legacy);
+            self.send(Recipients::Voter(voter.clone()), &message);
+            self.send_legacy(Recipients::Voter(voter), &legacy);
         }
-        self.send(To::Share { part, of }, &message);
-        self.voter.settle(&self.me, &self.config, now);
+        self.send(Recipients::Share { index, count }, &message);
+        self.voter.try_establish(&self.me, &self.config, now);
     }
 
-    /// Moves claims on and sends requests until nothing more can be done at this moment.
-    fn proceed(&mut self, now: Instant) {
+    /// Advances claims and sends requests until nothing more can be done at `now`.
+    fn make_progress(&mut self, now: Instant) {
         loop {
             self.advance_claims(now);
             for offset in 0..self.links.len() {
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -1,26 +1,26 @@
-//! What callers can read of the manager's state.
+//! Queries of the state of [`Leases`].
 use super::{Leases, NEVER};
-use crate::claim::{Claim, ClaimState, Held, Stage};
+use crate::claim::{Claim, ClaimState, HeldLease, Stage};
 use crate::electorate::LeaseConfig;
 use crate::outgoing::Outgoing;
 use crate::subject::Subject;
 use thistlecroft::time::Instant;
 
-/// Whether a process votes at the moment.
+/// Whether a process votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterStatus {
     /// The electorate does not name this process.
     NoVoter,
     /// Another process of the same name votes in its place, or this one is shutting down.
     Retired,
-    /// It started recently and can't vote yet.
+    /// The process started recently and can't vote yet.
     Silent,
-    /// It votes.
+    /// The process votes.
     Votes,
 }
 
 impl VoterStatus {
-    /// The name of this state in reports to operators.
+    /// Returns the name of this state in reports to operators.
     pub fn as_str(self) -> &'static str {
         match self {
             VoterStatus::NoVoter => "none",
@@ -36,29 +36,30 @@
 pub struct LeaseCounts {
     /// Requests of this process to voters.
     pub requests: u64,
-    /// Requests that were sent again.
+    /// Requests that timed out and whose changes were requested again.
     pub retries: u64,
-    /// Answers that rejected a request.
+    /// Requests that a voter rejected, and subjects that it did not attach.
     pub rejections: u64,
-    /// Sessions that a voter did not know any more.
+    /// Sessions of this process that were lost: replaced or no longer known at the voter, or
+    /// unconfirmed for too long.
     pub sessions_lost: u64,
-    /// Messages of the legacy protocol.
+    /// Received messages of the legacy protocol.
     pub older_protocol: u64,
     /// As a voter: subjects attached now.
     pub voter_subjects: usize,
     /// As a voter: sessions kept now.
     pub voter_sessions: usize,
-    /// As a voter: requests rejected for want of capacity.
+    /// As a voter: sessions and subjects rejected for lack of capacity.
     pub voter_full: u64,
 }
 
 impl Leases {
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn config(&self) -> &LeaseConfig {
         &self.config
     }
 
-    /// Whether this process votes at this moment.
+    /// Returns whether this process votes at `now`.
     pub fn voter_status(&self, now: Instant) -> VoterStatus {
         match (self.is_voter(), self.voter.established, self.voter.retired) {
             (false, ..) => VoterStatus::NoVoter,
@@ -71,11 +72,11 @@
     pub(super) fn is_voter(&self) -> bool {
         self.config
             .electorate
-            .all()
+            .all_voters()
             .any(|name| *name == self.me.name)
     }
 
-    /// Counters and sizes for reports.
+    /// Returns the counters and sizes for reports.
     pub fn counts(&self) -> LeaseCounts {
         LeaseCounts {
             voter_subjects: self.voter.subject_count(),
@@ -85,26 +86,27 @@
         }
     }
 
-    /// The right to act on a subject at this moment. Callers check it before each act.
-    pub fn held(&self, subject: &[u8], now: Instant) -> Option<Held> {
+    /// Returns the right to act on a subject if this process has it at `now`. Callers check it before
+    /// each action.
+    pub fn held(&self, subject: &[u8], now: Instant) -> Option<HeldLease> {
         self.claims.get(subject)?.held(now)
     }
 
-    /// All subjects that this process may act on at this moment.
-    pub fn holdings(&self, now: Instant) -> impl Iterator<Item = (&[u8], Held)> {
+    /// Returns all subjects that this process may act on at `now`.
+    pub fn holdings(&self, now: Instant) -> impl Iterator<Item = (&[u8], HeldLease)> {
         self.claims
             .iter()
             .filter_map(move |(subject, claim)| Some((subject.as_slice(), claim.held(now)?)))
     }
 
-    /// What has become of the claim to a subject.
+    /// Returns the state of the claim to a subject.
     pub fn state(&self, subject: &[u8], now: Instant) -> ClaimState {
         self.claims
             .get(subject)
             .map_or(ClaimState::Unwanted, |claim| claim.state(now))
     }
 
-    /// The subjects that this process wants to hold.
+    /// Returns the subjects that this process wants to hold.
     pub fn subjects(&self) -> impl Iterator<Item = &[u8]> {
         let wanted = |(_, claim): &(&Subject, &Claim)| claim.stage != Stage::Releasing;
         self.claims
@@ -113,7 +115,7 @@
             .map(|(subject, _)| subject.as_slice())
     }
 
-    /// When [`Leases::tick`] has to be called next; `None` while there is nothing to do.
+    /// Returns when [`Leases::tick`] has to be called next; `None` while there is nothing to do.
     pub fn due(&self, now: Instant) -> Option<Instant> {
         let links = (0..self.links.len()).filter_map(|voter| self.link_due(voter));
         let claims = (self.claims_due < NEVER).then_some(self.claims_due);
@@ -124,7 +126,7 @@
             .map(|due| due.max(now))
     }
 
-    /// When to ask other processes for epochs or generations next.
+    /// Returns when to ask other processes for epochs or generations next.
     pub(super) fn next_recall(&self) -> Option<Instant> {
         let is_joint = !self.config.electorate.previous_voters.is_empty();
         if is_joint && self.settled_since.is_none() {
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -1,16 +1,17 @@
-//! Requests to voters: one at a time to each, subjects within the update rate, renewals in time.
+//! Requests to voters. Each voter has at most one pending request; attachments and detachments stay
+//! within the update rate, and renewals are sent in time.
 use super::{
-    ATTEMPT_TIMEOUT_TERMS, BURST_SECONDS, JITTER, LEGACY_CHECK_AFTER, Leases, RENEWAL_FRACTION,
-    REQUEST_TIMEOUT_TERMS, SESSION_TIMEOUT_TERMS, UPDATE_OVERHEAD_BYTES,
+    ATTEMPT_TIMEOUT_TERMS, BURST_SECONDS, JITTER, LEGACY_CHECK_AFTER_REQUESTS, Leases,
+    RENEWAL_FRACTION, REQUEST_TIMEOUT_TERMS, SESSION_TIMEOUT_TERMS, UPDATE_OVERHEAD_BYTES,
 };
 use crate::claim::Stage;
 use crate::legacy::LegacyMessage;
 use crate::link::{Changes, Request};
 use crate::message::Message;
-use crate::outgoing::{Outgoing, To};
+use crate::outgoing::{Outgoing, Recipients};
 use thistlecroft::time::{Duration, Instant};
 
-/// What a subject that is pending at a voter needs there.
+/// The change that a pending subject needs at a voter.
 enum PendingChange {
     Attach,
     Detach,
@@ -20,17 +21,17 @@
 }
 
 impl Leases {
-    fn is_active(&self) -> bool {
+    fn has_claims(&self) -> bool {
         !self.claims.is_empty()
     }
 
-    /// When the link to a voter is due; `None` while it waits for nothing.
+    /// Returns when the link to a voter is due; `None` while it has nothing to do.
     pub(super) fn link_due(&self, voter: usize) -> Option<Instant> {
         let link = &self.links[voter];
         if let Some(request) = &link.request {
             return Some(request.retry_at);
         }
-        if !self.is_active() {
+        if !self.has_claims() {
             return None;
         }
         let has_updates = link.session.is_some() && !link.pending.is_empty();
@@ -54,7 +55,7 @@
 
     /// Sends a request to a voter, if one is due and none is pending.
     pub(super) fn send_request(&mut self, voter: usize, now: Instant) {
-        if self.links[voter].request.is_some() || !self.is_active() {
+        if self.links[voter].request.is_some() || !self.has_claims() {
             return;
         }
         self.refill_budget(now);
@@ -66,7 +67,7 @@
         }
         let has_budget = is_own || self.update_budget >= 0.0;
         let changes = if self.links[voter].session.is_some() && has_budget {
-            self.take_pending(voter, now)
+            self.take_pending_changes(voter, now)
         } else {
             Changes::default()
         };
@@ -77,15 +78,15 @@
             self.update_budget -= (changes.bytes() + UPDATE_OVERHEAD_BYTES) as f64;
             self.next_link = (voter + 1) % self.links.len();
         }
-        let message = self.open_request(voter, changes, now);
-        self.send(To::Voter(self.links[voter].voter.clone()), &message);
+        let message = self.start_request(voter, changes, now);
+        self.send(Recipients::Voter(self.links[voter].voter.clone()), &message);
         if is_own {
             self.receive_as_voter(&self.me.clone(), message, now);
         }
     }
 
-    /// Notes a request as pending and schedules the next renewal.
-    fn open_request(&mut self, voter: usize, changes: Changes, now: Instant) -> Message {
+    /// Creates a request, notes it as pending and schedules the next renewal.
+    fn start_request(&mut self, voter: usize, changes: Changes, now: Instant) -> Message {
         self.sequence += 1;
         self.counts.requests += 1;
         let request = Request {
@@ -96,7 +97,7 @@
         };
         let link = &mut self.links[voter];
         let generation = self.config.electorate.generation;
-        let message = request.message(generation, link.session, self.epoch);
+        let message = request.to_message(generation, link.session, self.epoch);
         let fraction = RENEWAL_FRACTION * (1.0 - JITTER * self.rng.unit_f64());
         link.next_renewal = now + self.config.holding_time() * fraction;
         link.request = Some(request);
@@ -104,7 +105,7 @@
     }
 
     /// Takes as many pending subjects of a voter as fit in one message.
-    fn take_pending(&mut self, voter: usize, now: Instant) -> Changes {
+    fn take_pending_changes(&mut self, voter: usize, now: Instant) -> Changes {
         let mut changes = Changes::default();
         loop {
             let next = self.links[voter].pending.first();
@@ -148,37 +149,40 @@
         }
     }
 
-    /// Notes that the voter is asked to attach the subject. The time of an attempt counts from its
-    /// first request.
+    /// Notes that the voter is asked to attach the subject. The first such request of an attempt sets
+    /// its deadline.
     fn begin_attempt(&mut self, voter: usize, subject: &[u8], now: Instant) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
         };
         claim.sent.insert(voter);
-        if let Stage::Attaching { ends: ends @ None } = &mut claim.stage {
+        if let Stage::Attaching {
+            deadline: unset @ None,
+        } = &mut claim.stage
+        {
             let deadline = now + self.config.term * ATTEMPT_TIMEOUT_TERMS;
-            *ends = Some(deadline);
+            *unset = Some(deadline);
             self.claims_due = self.claims_due.min(deadline);
         }
     }
 
-    pub(super) fn send(&mut self, to: To, message: &Message) {
+    pub(super) fn send(&mut self, to: Recipients, message: &Message) {
         self.outgoing.push(Outgoing::new(to, message));
     }
 
-    pub(super) fn send_legacy(&mut self, to: To, message: &LegacyMessage) {
+    pub(super) fn send_legacy(&mut self, to: Recipients, message: &LegacyMessage) {
         self.outgoing.push(Outgoing::legacy(to, message));
     }
 
-    /// Gives up a request without an answer; what it requested is pending again.
-    pub(super) fn retry(&mut self, voter: usize, now: Instant) {
+    /// Drops a request that was not answered in time and makes its changes pending again.
+    pub(super) fn handle_request_timeout(&mut self, voter: usize, now: Instant) {
         let session_timeout = self.config.term * SESSION_TIMEOUT_TERMS;
         let link = &mut self.links[voter];
-        link.give_up_request();
+        link.abandon_request();
         link.unanswered += 1;
         self.counts.retries += 1;
-        if link.unanswered >= LEGACY_CHECK_AFTER {
-            let recipient = To::Voter(link.voter.clone());
+        if link.unanswered >= LEGACY_CHECK_AFTER_REQUESTS {
+            let recipient = Recipients::Voter(link.voter.clone());
             let recall = LegacyMessage::Recall {
                 generation: self.config.electorate.generation,
                 starting: false,
--- a/leases/src/manager/shutdown.rs
+++ b/leases/src/manager/shutdown.rs
@@ -1,13 +1,13 @@
 //! The graceful shutdown of a process.
 use super::{Leases, NEVER};
 use crate::message::{MAX_UPDATE_BYTES, MAX_UPDATE_SUBJECTS, Message, SessionToken};
-use crate::outgoing::To;
+use crate::outgoing::Recipients;
 use crate::subject::Subject;
 
 impl Leases {
-    /// Releases what this process holds and grants nothing more. Where `is_announced`, others know
-    /// of the holding and may act on it; such a lease is left to expire, or two processes would act
-    /// at once.
+    /// Releases all leases of this process and stops voting. A lease for which `is_announced` holds is
+    /// left to expire: others know that this process holds it and may still act on that, so a new
+    /// holder now would mean that two processes act at once.
     pub fn leave(&mut self, is_announced: impl Fn(&[u8]) -> bool) {
         let announced = self.claims.keys().filter(|subject| is_announced(subject));
         let keep: Vec<Subject> = announced.cloned().collect();
@@ -33,6 +33,6 @@
             session,
             keep,
         };
-        self.send(To::Voter(self.links[voter].voter.clone()), &close);
+        self.send(Recipients::Voter(self.links[voter].voter.clone()), &close);
     }
 }
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -3,40 +3,43 @@
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::Identity;
 
-/// The channel of these messages. Processes that know only the [legacy protocol](crate::legacy) do
-/// not read it.
+/// The channel of lease messages. Processes that know only the [legacy protocol](crate::legacy)
+/// ignore it.
 pub const CHANNEL: u8 = 2;
 
-/// The most bytes of subjects in one message, so that it fits in a datagram.
+/// The most bytes of encoded subjects in one message, so that the message fits in a datagram.
 pub const MAX_UPDATE_BYTES: usize = 880;
-/// The most subjects in one message, so that its answer fits in a datagram.
+/// The most subjects in one message, so that the answer fits in a datagram.
 pub const MAX_UPDATE_SUBJECTS: usize = 128;
-/// The most rejections of one answer that name the holder.
+/// The most rejections in one answer that name the holder, so that the answer fits in a datagram.
 pub(crate) const MAX_NAMED_HOLDERS: usize = 8;
 
-/// A voter's name for one process's session, unique among all sessions of all runs of that voter.
+/// A voter's identifier for one process's session, unique among all sessions of all runs of that
+/// voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionToken(pub u64);
 
-/// A message of the lease protocol. The order of variants and fields is that of the wire.
+/// A message of the lease protocol. The order of variants and fields defines the encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// Opens a session (`session: None`) or renews it, and changes what is attached to it.
+    /// Opens a session (`session: None`) or renews one, and changes which subjects are attached to
+    /// it.
     Update(Update),
-    /// The session is valid for another term from now, with everything that is attached.
+    /// The session is valid for another term from the receipt of the update, with everything that is
+    /// attached to it.
     Updated(Updated),
-    /// Nothing of the update was done.
+    /// The voter rejected the whole update.
     Rejected {
         /// The voter's generation.
         generation: u32,
         /// The sequence number of the update.
         sequence: u32,
-        /// Why nothing was done.
+        /// Why the update was rejected.
         reason: RejectionReason,
     },
-    /// The sender shuts down and acts on no subject any more, except for those that it names.
+    /// The sender is shutting down and no longer acts on any subject except those in `keep`.
     Close {
-        /// A sequence number as in an update.
+        /// The sequence number, counted together with updates.
         sequence: u32,
         /// The session to close.
         session: SessionToken,
@@ -66,19 +69,20 @@
 pub struct Update {
     /// The sender's generation.
     pub generation: u32,
-    /// Grows with each request of a process; a voter ignores one that arrives after a later one.
+    /// The number of the request, which grows with each request of a process. A voter ignores a
+    /// request that arrives after a later one.
     pub sequence: u32,
-    /// The session to renew; `None` opens one.
+    /// The session to renew; `None` opens a new one.
     pub session: Option<SessionToken>,
-    /// The highest epoch that the sender has chosen; the voter keeps it.
+    /// The highest epoch that the sender has chosen or received. The voter remembers it.
     pub epoch: u64,
-    /// Subjects to detach, before any is attached.
+    /// Subjects to detach, which is done before any are attached.
     pub detach: Vec<Subject>,
     /// Subjects to attach.
     pub attach: Vec<Subject>,
 }
 
-/// The answer to an [`Update`] that was done.
+/// The answer to an [`Update`] that the voter carried out.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Updated {
     /// The voter's generation.
@@ -89,7 +93,8 @@
     pub session: SessionToken,
     /// The highest epoch known to the voter.
     pub epoch: u64,
-    /// Indices into `attach` of the subjects that were not attached, and why. All others are.
+    /// The subjects that were not attached, as indices into [`Update::attach`], and why. All others
+    /// are attached.
     pub rejected: Vec<(u16, RejectionReason)>,
 }
 
@@ -101,30 +106,32 @@
         /// The holder.
         by: Identity,
     },
-    /// The same, without the holder's name, which would not fit in the answer.
+    /// As [`RejectionReason::Held`], but without the holder's name, which would not fit in the
+    /// answer.
     HeldByAnother,
     /// The voter started recently, and may have granted the subject before.
     Silent,
-    /// The process is not a voter, or one of another electorate.
+    /// The process is not a voter, or its electorate has another generation.
     Generation {
         /// The voter's generation.
         here: u32,
     },
-    /// The voter holds as many subjects or sessions as it may.
+    /// The voter keeps as many subjects or sessions as it may.
     AtCapacity,
-    /// The session is not known: the voter has restarted, or it lapsed and was dropped.
+    /// The voter does not know the session: the voter has restarted, or the session has lapsed and
+    /// was dropped.
     UnknownSession,
-    /// The voter speaks only the [legacy protocol](crate::legacy).
+    /// The voter supports only the [legacy protocol](crate::legacy).
     OlderProtocol,
 }
 
 impl Message {
-    /// The bytes of this message on [`CHANNEL`].
+    /// Encodes this message for [`CHANNEL`].
     pub fn encode(&self) -> Vec<u8> {
         postcard::to_stdvec(self).expect("messages are plain values")
     }
 
-    /// `None` for bytes that are not exactly one message.
+    /// Decodes a message; `None` for bytes that are not exactly one message.
     pub fn decode(bytes: &[u8]) -> Option<Message> {
         match postcard::take_from_bytes(bytes) {
             Ok((message, [])) => Some(message),
--- a/leases/src/outgoing.rs
+++ b/leases/src/outgoing.rs
@@ -6,22 +6,22 @@
 
 /// The recipients of a message.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum To {
-    /// All processes of that name: there are two during an upgrade.
+pub enum Recipients {
+    /// All live processes with this name. There may be two of them during an upgrade.
     Voter(CompactString),
     /// One process.
     Process(Identity),
-    /// Every `of`-th of the live processes, beginning with the `part`-th.
+    /// Every `count`-th of the live processes, starting with the one at `index`.
     Share {
-        /// The index of the first.
-        part: usize,
-        /// The distance to the next.
-        of: usize,
+        /// The index of the first recipient.
+        index: usize,
+        /// The number of shares, which is the distance from one recipient to the next.
+        count: usize,
     },
 }
 
-impl To {
-    /// The recipients among the members that `node` knows.
+impl Recipients {
+    /// Returns the recipients among the members that `node` knows.
     pub fn processes(&self, node: &Node) -> Vec<Identity> {
         let live = || {
             let members = node.members();
@@ -29,21 +29,25 @@
         };
         let id = |view: MemberView<'_>| view.id.clone();
         match self {
-            To::Process(id) => vec![id.clone()],
-            To::Voter(name) => live()
+            Recipients::Process(id) => vec![id.clone()],
+            Recipients::Voter(name) => live()
                 .filter(|view| view.id.name == *name)
                 .map(id)
                 .collect(),
-            To::Share { part, of } => live().skip(*part).step_by((*of).max(1)).map(id).collect(),
+            Recipients::Share { index, count } => live()
+                .skip(*index)
+                .step_by((*count).max(1))
+                .map(id)
+                .collect(),
         }
     }
 }
 
-/// Bytes for other processes.
+/// An encoded message for other processes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Outgoing {
     /// The recipients.
-    pub to: To,
+    pub to: Recipients,
     /// The channel of [`Node::send_message`].
     pub channel: u8,
     /// The encoded message.
@@ -52,7 +56,7 @@
 
 impl Outgoing {
     /// Encodes a message.
-    pub fn new(to: To, message: &Message) -> Outgoing {
+    pub fn new(to: Recipients, message: &Message) -> Outgoing {
         Outgoing {
             to,
             channel: CHANNEL,
@@ -61,7 +65,7 @@
     }
 
     /// Encodes a message of the legacy protocol.
-    pub fn legacy(to: To, message: &LegacyMessage) -> Outgoing {
+    pub fn legacy(to: Recipients, message: &LegacyMessage) -> Outgoing {
         Outgoing {
             to,
             channel: legacy::CHANNEL,
--- a/leases/src/subject.rs
+++ b/leases/src/subject.rs
@@ -1,6 +1,7 @@
-//! What a lease is about.
+//! The subjects of leases.
 
-/// What may be held: an opaque name of at most [`MAX_SUBJECT_BYTES`] bytes.
+/// The thing that a lease gives the right to act on: an opaque name of at most [`MAX_SUBJECT_BYTES`]
+/// bytes.
 pub type Subject = Vec<u8>;
 
 /// The longest subject, in bytes.
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -1,6 +1,6 @@
 //! A voter: the sessions that it keeps, the subjects attached to them, and the highest epoch that it
-//! knows. It stores nothing on disk: after a start it grants nothing for a term, until everything
-//! that it may have granted before has expired.
+//! knows. A voter stores nothing on disk. After its start it grants nothing for a term, until
+//! everything that it may have granted before has expired.
 mod recall;
 
 use crate::electorate::LeaseConfig;
@@ -14,12 +14,13 @@
 
 /// The most subjects attached at one voter.
 pub const MAX_VOTER_SUBJECTS: usize = 131_072;
-/// The most sessions of one voter.
+/// The most sessions that one voter keeps.
 pub const MAX_SESSIONS: usize = 4_096;
-/// A lapsed session is kept for this many terms, since its process may return before another one
-/// takes a subject of it.
+/// How long a lapsed session is kept, in terms, since its process may return before another one takes
+/// one of its subjects.
 const LAPSED_SESSION_TERMS: f64 = 4.0;
 
+/// A process's session, which may have lapsed.
 #[derive(Clone, Debug)]
 struct Session {
     owner: Identity,
@@ -28,7 +29,7 @@
     subjects: BTreeSet<Subject>,
 }
 
-/// A process's current session, and its last request.
+/// A process's current session, and the sequence number of its last request.
 #[derive(Clone, Copy, Debug)]
 struct CurrentSession {
     token: SessionToken,
@@ -40,9 +41,9 @@
 pub(crate) struct VoterCounts {
     /// No capacity for another subject or session.
     pub(crate) full: u64,
-    /// The session is not known.
+    /// The voter did not know the session.
     pub(crate) unknown_session: u64,
-    /// Another process holds the subject.
+    /// Another process held the subject.
     pub(crate) held: u64,
 }
 
@@ -50,39 +51,42 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Voter {
     sessions: BTreeMap<SessionToken, Session>,
-    current: BTreeMap<Identity, CurrentSession>,
+    /// The current session of each process.
+    current_sessions: BTreeMap<Identity, CurrentSession>,
+    /// The session that each subject is attached to.
     holders: BTreeMap<Subject, SessionToken>,
-    tokens: Rng,
+    token_rng: Rng,
     next_sweep: Instant,
-    /// The highest epoch that it knows.
+    /// The highest epoch that the voter knows.
     pub(crate) epoch: u64,
-    /// It grants nothing for a term from here, since it may have granted something before its
-    /// start.
+    /// The voter grants nothing for a term from this time on: its start, or the last message from
+    /// another process of its name. Something may have been granted before.
     silent_from: Instant,
-    /// It knows the highest epoch that any majority may have confirmed.
+    /// Whether the voter knows the highest epoch that any majority may have confirmed.
     pub(crate) established: bool,
-    /// Another process of this name votes in its place, or this one is shutting down.
+    /// Whether another process of this name votes in this one's place, or this one is shutting down.
     pub(crate) retired: bool,
     last_recall: Option<Instant>,
     recall_count: usize,
-    /// Voters that have answered a recall, and those among them that are established.
-    established_others: BTreeSet<CompactString>,
-    others: BTreeSet<CompactString>,
-    /// The last generation that other processes have sent.
+    /// The names of processes that have answered a recall as established voters.
+    established_answers: BTreeSet<CompactString>,
+    /// The names of all processes that have answered a recall.
+    recall_answers: BTreeSet<CompactString>,
+    /// The last generation that each other process has sent, by name.
     pub(crate) generations: BTreeMap<CompactString, u32>,
     /// Rejected requests.
     pub(crate) counts: VoterCounts,
 }
 
 impl Voter {
-    /// A voter that has just started. `run` is the number of the process's run, which seeds the
-    /// tokens of its sessions.
+    /// Creates a voter that has just started. `run` is the run number of the process and seeds the
+    /// session tokens.
     pub(crate) fn new(run: u64, now: Instant) -> Voter {
         Voter {
             sessions: BTreeMap::new(),
-            current: BTreeMap::new(),
+            current_sessions: BTreeMap::new(),
             holders: BTreeMap::new(),
-            tokens: Rng::from_seed(run),
+            token_rng: Rng::from_seed(run),
             next_sweep: now,
             epoch: 0,
             silent_from: now,
@@ -90,30 +94,31 @@
             retired: false,
             last_recall: None,
             recall_count: 0,
-            established_others: BTreeSet::new(),
-            others: BTreeSet::new(),
+            established_answers: BTreeSet::new(),
+            recall_answers: BTreeSet::new(),
             generations: BTreeMap::new(),
             counts: VoterCounts::default(),
         }
     }
 
-    /// Whether the voter may still have granted something before its start.
+    /// Returns whether a grant from before [`Voter::silent_from`] may still be valid.
     pub(crate) fn is_silent(&self, config: &LeaseConfig, now: Instant) -> bool {
         now < self.silent_from + config.term
     }
 
-    /// The number of attached subjects.
+    /// Returns the number of attached subjects.
     pub(crate) fn subject_count(&self) -> usize {
         self.holders.len()
     }
 
-    /// The number of sessions, lapsed ones included.
+    /// Returns the number of sessions, lapsed ones included.
     pub(crate) fn session_count(&self) -> usize {
         self.sessions.len()
     }
 
-    /// Handles a request. `None` for one that arrives twice or after a later one.
-    pub(crate) fn update(
+    /// Handles a request and returns the answer; `None` for a request that arrives twice or after a
+    /// later one.
+    pub(crate) fn handle_update(
         &mut self,
         from: &Identity,
         update: Update,
@@ -131,7 +136,8 @@
                 reason,
             })
         };
-        // A newer electorate is not known here, and an older one may not have majorities any more.
+        // This voter does not know a newer electorate, and grants of an older one may not count
+        // towards a valid majority any more.
         if update.generation != generation {
             return rejected(RejectionReason::Generation { here: generation });
         }
@@ -139,17 +145,17 @@
         if self.retired || !self.established || self.is_silent(config, now) {
             return rejected(RejectionReason::Silent);
         }
-        self.sweep(config, now);
-        let current = self.current.get(from).copied();
+        self.drop_lapsed_sessions(config, now);
+        let current = self.current_sessions.get(from).copied();
         if current.is_some_and(|current| sequence <= current.sequence) {
             return None;
         }
-        let token = match self.session_for(from, update.session, current, config, now) {
+        let token = match self.resolve_session(from, update.session, current, config, now) {
             Ok(token) => token,
             Err(reason) => return rejected(reason),
         };
         let session = CurrentSession { token, sequence };
-        self.current.insert(from.clone(), session);
+        self.current_sessions.insert(from.clone(), session);
         for subject in &update.detach {
             self.detach(token, subject);
         }
@@ -166,8 +172,8 @@
         }))
     }
 
-    /// The session that a request is about: the current one of its sender, or a new one.
-    fn session_for(
+    /// Returns the session that a request is about: the sender's current one, or a new one.
+    fn resolve_session(
         &mut self,
         from: &Identity,
         requested: Option<SessionToken>,
@@ -181,27 +187,32 @@
                 self.counts.unknown_session += 1;
                 Err(RejectionReason::UnknownSession)
             }
-            // The answer that opened this session was lost, and nothing is attached to it yet.
-            (None, Some(current)) if self.is_empty(current.token) => Ok(current.token),
+            // The answer that opened this session was lost. Nothing is attached to it yet.
+            (None, Some(current)) if self.is_session_empty(current.token) => Ok(current.token),
             (None, _) if self.sessions.len() >= MAX_SESSIONS => {
                 self.counts.full += 1;
                 Err(RejectionReason::AtCapacity)
             }
             // An earlier session keeps its subjects until it lapses, since its process may still
             // act on them.
-            (None, _) => Ok(self.open(from, config, now)),
+            (None, _) => Ok(self.open_session(from, config, now)),
         }
     }
 
-    fn is_empty(&self, token: SessionToken) -> bool {
+    fn is_session_empty(&self, token: SessionToken) -> bool {
         self.sessions
             .get(&token)
             .is_some_and(|session| session.subjects.is_empty())
     }
 
-    fn open(&mut self, owner: &Identity, config: &LeaseConfig, now: Instant) -> SessionToken {
+    fn open_session(
+        &mut self,
+        owner: &Identity,
+        config: &LeaseConfig,
+        now: Instant,
+    ) -> SessionToken {
         let token = loop {
-            let token = SessionToken(self.tokens.below(u64::MAX));
+            let token = SessionToken(self.token_rng.below(u64::MAX));
             if !self.sessions.contains_key(&token) {
                 break token;
             }
@@ -225,14 +236,14 @@
         subjects: Vec<Subject>,
         now: Instant,
     ) -> Vec<(u16, RejectionReason)> {
-        let (mut rejected, mut named) = (Vec::new(), 0);
+        let (mut rejected, mut named_holders) = (Vec::new(), 0);
         for (position, subject) in (0..).zip(subjects) {
             let Err(reason) = self.attach(from, token, subject, now) else {
                 continue;
             };
-            named += usize::from(matches!(reason, RejectionReason::Held { .. }));
+            named_holders += usize::from(matches!(reason, RejectionReason::Held { .. }));
             let reason = match reason {
-                RejectionReason::Held { .. } if named > MAX_NAMED_HOLDERS => {
+                RejectionReason::Held { .. } if named_holders > MAX_NAMED_HOLDERS => {
                     RejectionReason::HeldByAnother
                 }
                 reason => reason,
@@ -253,7 +264,7 @@
             if holder == token {
                 return Ok(());
             }
-            self.free_for(from, &subject, holder, now)?;
+            self.try_free_for(from, &subject, holder, now)?;
         }
         if self.holders.len() >= MAX_VOTER_SUBJECTS {
             self.counts.full += 1;
@@ -266,9 +277,9 @@
         Ok(())
     }
 
-    /// Frees a subject for a process, if the session that holds it has lapsed or is an earlier one
-    /// of the same process.
-    fn free_for(
+    /// Frees a subject for a process if the session that it is attached to has lapsed or is an
+    /// earlier one of the same process.
+    fn try_free_for(
         &mut self,
         from: &Identity,
         subject: &Subject,
@@ -310,17 +321,17 @@
             self.holders.remove(&subject);
         }
         if self
-            .current
+            .current_sessions
             .get(&session.owner)
             .is_some_and(|current| current.token == token)
         {
-            self.current.remove(&session.owner);
+            self.current_sessions.remove(&session.owner);
         }
     }
 
-    /// Detaches everything of a process that shuts down, except for what it keeps until the session
-    /// lapses.
-    pub(crate) fn close(
+    /// Detaches all subjects of a process that is shutting down, except those in `keep`, which stay
+    /// attached until the session lapses.
+    pub(crate) fn close_session(
         &mut self,
         from: &Identity,
         sequence: u32,
@@ -328,7 +339,7 @@
         keep: &[Subject],
     ) {
         let Some(current) = self
-            .current
+            .current_sessions
             .get_mut(from)
             .filter(|current| current.token == token)
         else {
@@ -350,17 +361,18 @@
         freed.iter().for_each(|subject| self.detach(token, subject));
     }
 
-    /// Drops sessions that lapsed long ago, at most once in a term.
-    fn sweep(&mut self, config: &LeaseConfig, now: Instant) {
+    /// Drops sessions that lapsed long ago. Does so at most once per term.
+    fn drop_lapsed_sessions(&mut self, config: &LeaseConfig, now: Instant) {
         if now < self.next_sweep {
             return;
         }
         self.next_sweep = now + config.term;
-        let over = |session: &Session| session.expires + config.term * LAPSED_SESSION_TERMS <= now;
+        let is_stale =
+            |session: &Session| session.expires + config.term * LAPSED_SESSION_TERMS <= now;
         let lapsed: Vec<SessionToken> = self
             .sessions
             .iter()
-            .filter(|(_, session)| over(session))
+            .filter(|(_, session)| is_stale(session))
             .map(|(token, _)| *token)
             .collect();
         lapsed
--- a/leases/src/voter/recall.rs
+++ b/leases/src/voter/recall.rs
@@ -1,4 +1,4 @@
-//! The start of a voter: it recalls the highest epoch from other processes before it votes.
+//! The start of a voter: before it votes, it asks other processes for the highest epoch.
 use super::Voter;
 use crate::electorate::{Electorate, LeaseConfig};
 use compact_str::CompactString;
@@ -6,13 +6,13 @@
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::Identity;
 
-/// How often a voter asks for the highest epoch until it knows it.
+/// The time between two recalls, which ask other processes for the highest epoch.
 const RECALL_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Voter {
-    /// Handles the presence of another process of this name. When that one is starting, an
-    /// established voter stops voting in its favour. One that is not established yet waits for a
-    /// term after the last message of the other.
+    /// Handles the presence of another process with this process's name. An established voter stops
+    /// voting if the other process is starting, so that the other one can vote. A voter that is not
+    /// established yet waits for a term after the last message of the other process.
     pub(crate) fn note_duplicate(&mut self, starting: bool, now: Instant) {
         match (self.established, starting) {
             (true, true) => self.retired = true,
@@ -21,13 +21,13 @@
         }
     }
 
-    /// When to ask other processes for their generations next, while the voters are changing.
+    /// Returns when to ask other processes for their generations next, during a change of voters.
     pub(crate) fn next_generation_query(&self) -> Instant {
         let last = self.last_recall;
         last.map_or(self.silent_from, |last| last + RECALL_INTERVAL)
     }
 
-    /// When to ask other processes for the highest epoch next; `None` once it is known.
+    /// Returns when to ask other processes for the highest epoch next; `None` once it is known.
     pub(crate) fn next_recall(&self, config: &LeaseConfig) -> Option<Instant> {
         if self.established || self.retired {
             return None;
@@ -37,7 +37,8 @@
         };
         let next = last + RECALL_INTERVAL;
         let silent_until = self.silent_from + config.term;
-        // The end of the silence may be all that it waits for.
+        // The next recall comes no later than the end of the silence, when the voter may become
+        // established.
         Some(if last < silent_until {
             next.min(silent_until)
         } else {
@@ -45,28 +46,28 @@
         })
     }
 
-    /// The share of all processes to ask this time, as an index and the number of shares. Each is
-    /// asked once in a term.
+    /// Returns the share of all processes to ask this time, as its index and the number of shares.
+    /// Each process is asked once per term.
     pub(crate) fn recall_share(&mut self, config: &LeaseConfig, now: Instant) -> (usize, usize) {
         self.last_recall = Some(now);
-        let of = (config.term.as_micros() / RECALL_INTERVAL.as_micros()).max(1) as usize;
+        let count = (config.term.as_micros() / RECALL_INTERVAL.as_micros()).max(1) as usize;
         self.recall_count += 1;
-        ((self.recall_count - 1) % of, of)
+        ((self.recall_count - 1) % count, count)
     }
 
     /// Handles the answer to a recall.
     pub(crate) fn note_remembered(&mut self, from: &Identity, established: bool, epoch: u64) {
         self.epoch = self.epoch.max(epoch);
         if established {
-            self.established_others.insert(from.name.clone());
+            self.established_answers.insert(from.name.clone());
         }
-        self.others.insert(from.name.clone());
+        self.recall_answers.insert(from.name.clone());
     }
 
-    /// Starts to vote once the silence is over and the highest epoch is certain: when so many
-    /// established voters have answered that every majority that this one can have been part of
-    /// includes one of them, or when all other voters have answered.
-    pub(crate) fn settle(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
+    /// Marks the voter as established once its silence is over and it is certain to know the highest
+    /// epoch. That is so when all other voters have answered, or when so many established voters have
+    /// answered that every majority includes one of them.
+    pub(crate) fn try_establish(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
         if self.established || self.is_silent(config, now) {
             return;
         }
@@ -79,8 +80,8 @@
                     .count()
             };
             let (all, majority) = (others.clone().count(), Electorate::majority(set));
-            count_in(&self.others) == all
-                || count_in(&self.established_others) + majority > set.len()
+            count_in(&self.recall_answers) == all
+                || count_in(&self.established_answers) + majority > set.len()
         };
         let sets = [
             &config.electorate.voters,
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -2,8 +2,8 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
-    CHANNEL, ClaimState, Electorate, LeaseConfig, Leases, Message, RejectionReason, SessionToken,
-    To, Update, Updated,
+    CHANNEL, ClaimState, Electorate, LeaseConfig, Leases, Message, Recipients, RejectionReason,
+    SessionToken, Update, Updated,
 };
 use thistlecroft_peers::Identity;
 
@@ -53,7 +53,7 @@
 
     fn take_requests(&mut self) {
         for outgoing in self.owner.take_outgoing() {
-            let To::Voter(name) = outgoing.to else {
+            let Recipients::Voter(name) = outgoing.to else {
                 continue;
             };
             if outgoing.channel == CHANNEL
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -4,7 +4,7 @@
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
 use thistlecroft_leases::legacy::{LegacyMessage, LegacyRejectionReason, NO_GENERATION};
-use thistlecroft_leases::{ClaimState, Leases, RejectionReason, To, VoterStatus, legacy};
+use thistlecroft_leases::{ClaimState, Leases, Recipients, RejectionReason, VoterStatus, legacy};
 use thistlecroft_peers::Identity;
 
 const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
@@ -26,8 +26,9 @@
 ) -> Vec<LegacyMessage> {
     voter.receive(from, legacy::CHANNEL, &message.encode(), at(ms));
     let outgoing = voter.take_outgoing().into_iter();
-    let answers = outgoing
-        .filter(|one| one.channel == legacy::CHANNEL && one.to == To::Process(from.clone()));
+    let answers = outgoing.filter(|one| {
+        one.channel == legacy::CHANNEL && one.to == Recipients::Process(from.clone())
+    });
     answers
         .filter_map(|one| LegacyMessage::decode(&one.bytes))
         .collect()
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -289,7 +289,10 @@
     };
     // One process changes late, and no step may be skipped.
     let skipped = change(&mut network, 0, &last).unwrap_err();
-    assert!(skipped.contains("generation: 2 follows 1"), "{skipped}");
+    assert!(
+        skipped.contains("generation: must be 2, the next after the current 1"),
+        "{skipped}"
+    );
     let odd = LeaseConfig {
         electorate: electorate(2, &["r3", "r4"], &["r0"]),
         ..config(&VOTERS, UPDATE_RATE)
@@ -322,10 +325,7 @@
     network.kill(0);
     network.kill(1);
     checker.check_for(&mut network, TERM * 4.0, &[]);
-    assert!(
-        held_by(&network).is_some(),
-        "the voters before are not needed any more"
-    );
+    assert!(held_by(&network).is_some(), "no previous voter is needed");
 }
 
 #[test]
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -3,7 +3,9 @@
 
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
-use thistlecroft_leases::{ClaimState, Leases, Message, RejectionReason, SessionToken, To, Update};
+use thistlecroft_leases::{
+    ClaimState, Leases, Message, Recipients, RejectionReason, SessionToken, Update,
+};
 use thistlecroft_peers::Identity;
 
 const SUBJECT: &[u8] = b"turn";
@@ -28,7 +30,7 @@
         let answers = self.leases.take_outgoing();
         let to_sender = answers
             .into_iter()
-            .find(|one| one.to == To::Process(from.clone()));
+            .find(|one| one.to == Recipients::Process(from.clone()));
         to_sender.and_then(|one| Message::decode(&one.bytes))
     }
 
