--- a/leases/tests/golden.rs
+++ b/leases/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of lease messages, as other builds of the fleet read them: those of sessions, and those
-//! of the protocol before.
+//! The encoded bytes of lease messages, which other builds in the fleet have to read: those of the
+//! current protocol and of the legacy one.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -29,6 +29,7 @@
     Identity::new("relay-2", 0x0102_0304_0506_0708)
 }
 
+/// Every reason for a rejection, with its recorded name.
 fn reasons() -> Vec<(&'static str, RejectionReason)> {
     vec![
         (
@@ -46,7 +47,7 @@
     ]
 }
 
-/// Every kind of message, and a rejection for every reason.
+/// Every kind of message and a rejection for every reason, with their recorded names.
 fn messages() -> Vec<(String, Message)> {
     let opening = Update {
         generation: 1,
@@ -97,21 +98,21 @@
     let named = named
         .into_iter()
         .map(|(name, message)| (name.to_string(), message));
-    let refusals = reasons().into_iter().map(|(name, reason)| {
-        let refusal = Message::Rejected {
+    let rejections = reasons().into_iter().map(|(name, reason)| {
+        let rejection = Message::Rejected {
             generation: 2,
             sequence: 300,
             reason,
         };
-        (format!("refused, {name}"), refusal)
+        (format!("refused, {name}"), rejection)
     });
-    named.chain(refusals).collect()
+    named.chain(rejections).collect()
 }
 
-/// Every kind of message of the legacy protocol.
+/// Every kind of message of the legacy protocol, with its recorded name.
 fn legacy_messages() -> Vec<(&'static str, LegacyMessage)> {
     let subject = || b"work/7".to_vec();
-    let refuse = |reason| LegacyMessage::Rejected {
+    let reject = |reason| LegacyMessage::Rejected {
         subject: subject(),
         round: 300,
         reason,
@@ -137,14 +138,14 @@
         ),
         (
             "refuse, held",
-            refuse(LegacyRejectionReason::Held {
+            reject(LegacyRejectionReason::Held {
                 by: other_process(),
             }),
         ),
-        ("refuse, silent", refuse(LegacyRejectionReason::Silent)),
+        ("refuse, silent", reject(LegacyRejectionReason::Silent)),
         (
             "refuse, generation",
-            refuse(LegacyRejectionReason::Generation { here: 300 }),
+            reject(LegacyRejectionReason::Generation { here: 300 }),
         ),
         (
             "release",
@@ -206,7 +207,7 @@
         writeln!(recording, "{name}: {}", hex(&message.encode())).unwrap();
     }
     let (_, request) = &legacy_messages()[0];
-    let rejection = request.rejection().expect("an older request is rejected");
+    let rejection = request.rejection().expect("a legacy request is rejected");
     writeln!(recording, "answer to ask: {}", hex(&rejection.encode())).unwrap();
     writeln!(recording, "generation of that answer: {NO_GENERATION}").unwrap();
     assert_unchanged("legacy_messages.txt", &recording);
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -1,5 +1,5 @@
-//! A small simulated network of processes, and a checker that sees from outside who may act on which
-//! subjects.
+//! A small simulated network of processes, and a checker that asserts from outside that no subject has
+//! two holders.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 use std::collections::BTreeMap;
 use thistlecroft::time::Duration;
@@ -9,9 +9,10 @@
 
 pub(crate) const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 pub(crate) const TERM: Duration = Duration::from_millis(2_000);
+/// In bytes per second.
 pub(crate) const UPDATE_RATE: u32 = 32_768;
 pub(crate) const VOTERS: [&str; 3] = ["r0", "r1", "r2"];
-/// Clock speeds at both limits of the permitted drift, and between them.
+/// The clock speeds of the processes: both limits of the permitted drift, and true time.
 const SPEEDS: [f64; 5] = [
     1.0 - MAX_CLOCK_DRIFT,
     1.0 + MAX_CLOCK_DRIFT,
@@ -20,15 +21,15 @@
     1.0 + MAX_CLOCK_DRIFT,
 ];
 const ONE_HOUR: Duration = Duration::from_millis(3_600_000);
-/// Between two checks.
+/// The time between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-pub(crate) fn electorate(generation: u32, voters: &[&str], before: &[&str]) -> Electorate {
+pub(crate) fn electorate(generation: u32, voters: &[&str], previous_voters: &[&str]) -> Electorate {
     let names = |all: &[&str]| all.iter().map(|name| (*name).into()).collect();
     Electorate {
         generation,
         voters: names(voters),
-        previous_voters: names(before),
+        previous_voters: names(previous_voters),
     }
 }
 
@@ -85,7 +86,7 @@
     });
 }
 
-/// The subjects that a process may act on now, with their epochs.
+/// Returns the subjects that a process may act on now, with their epochs.
 pub(crate) fn held(network: &SimulatedNetwork, index: usize) -> BTreeMap<Subject, u64> {
     let host = &network.hosts[index];
     if !host.alive {
@@ -103,31 +104,33 @@
 /// Asserts that no subject has two holders, and that epochs grow from one holding to the next.
 #[derive(Default)]
 pub(crate) struct HolderChecker {
-    last: BTreeMap<Subject, (usize, u64)>,
+    /// The last holder and epoch of each subject.
+    last_holdings: BTreeMap<Subject, (usize, u64)>,
+    /// The number of holdings of all subjects since the start.
     pub holdings: usize,
 }
 
 impl HolderChecker {
-    /// `paused` processes do not act.
+    /// Checks the present holders. `paused` processes are left out, since they do not act.
     pub(crate) fn check(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
-        let mut now: BTreeMap<Subject, (usize, u64)> = BTreeMap::new();
+        let mut current: BTreeMap<Subject, (usize, u64)> = BTreeMap::new();
         for index in (0..network.hosts.len()).filter(|index| !paused.contains(index)) {
             for (subject, epoch) in held(network, index) {
-                let other = now.insert(subject.clone(), (index, epoch));
+                let other = current.insert(subject.clone(), (index, epoch));
                 assert_eq!(
                     other, None,
-                    "two hold {subject:?} at {:?}, one of them {index}",
+                    "two processes hold {subject:?} at {:?}, one of them r{index}",
                     network.now
                 );
             }
         }
-        for (subject, holding) in now {
-            let before = self.last.insert(subject.clone(), holding);
+        for (subject, holding) in current {
+            let before = self.last_holdings.insert(subject.clone(), holding);
             if before != Some(holding) {
                 let grown = before.is_none_or(|(_, epoch)| holding.1 > epoch);
                 assert!(
                     grown,
-                    "{subject:?}: {holding:?} after {before:?} at {:?}",
+                    "the epoch of {subject:?} did not grow: {holding:?} after {before:?} at {:?}",
                     network.now
                 );
                 self.holdings += 1;
@@ -148,7 +151,8 @@
         }
     }
 
-    /// Checks until a condition holds, and returns how long that took; `None` after `within`.
+    /// Checks until a condition holds and returns how long that took; `None` if it does not hold
+    /// `within` that time.
     pub(crate) fn wait_until(
         &mut self,
         network: &mut SimulatedNetwork,
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -1,4 +1,4 @@
-//! The lease protocol before sessions, during an upgrade.
+//! How processes treat others that know only the legacy lease protocol, as during an upgrade.
 mod helper;
 
 use helper::{UPDATE_RATE, config};
@@ -17,7 +17,7 @@
     Instant::from_micros(1_000_000 + ms * 1_000)
 }
 
-/// The answers in the legacy protocol to a legacy message.
+/// Sends a legacy message to a voter and returns its answers in the legacy protocol.
 fn legacy_answers(
     voter: &mut Leases,
     from: &Identity,
@@ -37,8 +37,9 @@
 #[test]
 fn legacy_processes_are_rejected_in_their_protocol_and_grant_nothing() {
     let mut voter = Leases::new(Identity::new("r0", 2), config(&["r0"], UPDATE_RATE), at(0));
-    let (older, twin) = (Identity::new("a", 1), Identity::new("r0", 1));
-    // At its start it notifies an older process of its name, in the older protocol, to stop voting.
+    let (older, older_namesake) = (Identity::new("a", 1), Identity::new("r0", 1));
+    // At its start, the voter notifies an older process of its name to stop voting, in the legacy
+    // protocol.
     voter.tick(at(0));
     let sent = voter
         .take_outgoing()
@@ -52,8 +53,8 @@
         sent.filter_map(|one| LegacyMessage::decode(&one.bytes))
             .any(|message| message == recall)
     );
-    // It is silent while that one answers, and takes over its epoch.
-    legacy_answers(&mut voter, &twin, &REMEMBERED, 1_500);
+    // The voter stays silent for a term after the older process's answer, and adopts its epoch.
+    legacy_answers(&mut voter, &older_namesake, &REMEMBERED, 1_500);
     voter.tick(at(2_100));
     assert_eq!(voter.voter_status(at(2_100)), VoterStatus::Silent);
     voter.tick(at(3_500));
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Many subjects attached to one session per process: ownership under faults in a simulated network,
-//! and the cost of a renewal, an attachment and a takeover.
+//! Leases on many subjects, which are attached to one session per process and voter: who holds them
+//! under faults in a simulated network, and the cost of a renewal, an attachment and a takeover.
 mod helper;
 
 use helper::{
@@ -15,17 +15,20 @@
 use thistlecroft_peers::Identity;
 use thistlecroft_testbed::simulated_network::{LinkFault, SimulatedNetwork};
 
-/// The initial silence, and the round trips of an attachment.
-const START: Duration = Duration::from_millis(3_000);
+/// The time until the first leases are held: the initial silence of the voters, and the round trips
+/// of an attachment.
+const STARTUP_TIME: Duration = Duration::from_millis(3_000);
 const SEEDS: u64 = 100;
 
-fn count(network: &SimulatedNetwork, index: usize) -> usize {
+/// Returns the number of subjects that a process holds.
+fn held_count(network: &SimulatedNetwork, index: usize) -> usize {
     held(network, index).len()
 }
 
-fn total(network: &SimulatedNetwork) -> usize {
+/// Returns the number of subjects that all processes hold together.
+fn total_held(network: &SimulatedNetwork) -> usize {
     (0..network.hosts.len())
-        .map(|index| count(network, index))
+        .map(|index| held_count(network, index))
         .sum()
 }
 
@@ -40,10 +43,14 @@
         network.default_link_fault.jitter = Duration::from_millis(40);
         acquire(&mut network, 3, &all);
         acquire(&mut network, 4, &all);
-        let owned = checker.wait_until(&mut network, START + TERM * 4.0, |network| {
-            total(network) == all.len()
+        let owned = checker.wait_until(&mut network, STARTUP_TIME + TERM * 4.0, |network| {
+            total_held(network) == all.len()
         });
-        assert!(owned.is_some(), "seed {seed}: {} owned", total(&network));
+        assert!(
+            owned.is_some(),
+            "seed {seed}: {} owned",
+            total_held(&network)
+        );
         let before = (held(&network, 3), held(&network, 4));
         checker.check_for(&mut network, TERM * 2.0, &[]);
         assert_eq!(
@@ -65,14 +72,16 @@
         network.default_link_fault.loss = 0.02;
         acquire(&mut network, 3, &all);
         checker
-            .wait_until(&mut network, START + TERM, |network| {
-                count(network, 3) == 60
+            .wait_until(&mut network, STARTUP_TIME + TERM, |network| {
+                held_count(network, 3) == 60
             })
-            .expect("owned");
+            .expect("all subjects are held");
         let before = held(&network, 3);
         release(&mut network, 3, &all[..20]);
         acquire(&mut network, 4, &all[..20]);
-        let moved = checker.wait_until(&mut network, TERM * 2.0, |network| count(network, 4) == 20);
+        let moved = checker.wait_until(&mut network, TERM * 2.0, |network| {
+            held_count(network, 4) == 20
+        });
         assert!(moved.is_some(), "seed {seed}");
         let rest = held(&network, 3);
         assert!(
@@ -95,19 +104,25 @@
         );
         acquire(&mut network, 3, &all);
         checker
-            .wait_until(&mut network, START + TERM, |network| {
-                count(network, 3) == 200
+            .wait_until(&mut network, STARTUP_TIME + TERM, |network| {
+                held_count(network, 3) == 200
             })
-            .expect("owned");
+            .expect("all subjects are held");
         let before = held(&network, 3);
         network.partition(&[3], &[0, 1, 2, 4]);
         checker.check_for(&mut network, TERM * 1.5, &[]);
-        assert_eq!(count(&network, 3), 0, "it stops by its own clock");
+        assert_eq!(
+            held_count(&network, 3),
+            0,
+            "the holder stops by its own clock"
+        );
         network.heal_partitions();
         let sent = network.hosts[3].leases.as_ref().unwrap().counts();
         checker
-            .wait_until(&mut network, TERM * 2.0, |network| count(network, 3) == 200)
-            .expect("owned again");
+            .wait_until(&mut network, TERM * 2.0, |network| {
+                held_count(network, 3) == 200
+            })
+            .expect("all subjects are held again");
         assert!(
             held(&network, 3)
                 .iter()
@@ -128,9 +143,9 @@
 }
 
 #[test]
-fn voter_restart_during_a_large_takeover_neither_delays_nor_duplicates() {
+fn voter_restart_during_a_large_takeover_neither_delays_it_nor_gives_two_holders() {
     for seed in 1..=SEEDS {
-        // At this rate a takeover of 600 subjects takes several seconds.
+        // At this update rate, a takeover of 600 subjects takes several seconds.
         let (mut network, mut checker, all) = (
             start_network(5, &VOTERS, 16_384, seed),
             HolderChecker::default(),
@@ -139,24 +154,27 @@
         network.default_link_fault.loss = 0.005;
         acquire(&mut network, 3, &all);
         checker
-            .wait_until(&mut network, START + TERM * 6.0, |network| {
-                count(network, 3) == 600
+            .wait_until(&mut network, STARTUP_TIME + TERM * 6.0, |network| {
+                held_count(network, 3) == 600
             })
-            .expect("owned");
+            .expect("all subjects are held");
         network.kill(3);
         acquire(&mut network, 4, &all);
-        let some = checker.wait_until(&mut network, TERM * 4.0, |network| count(network, 4) > 100);
+        let partial = checker.wait_until(&mut network, TERM * 4.0, |network| {
+            held_count(network, 4) > 100
+        });
         assert!(
-            some.is_some_and(|_| count(&network, 4) < 600),
+            partial.is_some_and(|_| held_count(&network, 4) < 600),
             "seed {seed}: in the middle of the takeover"
         );
         let voter = seed as usize % 3;
         network.kill(voter);
         checker.check_for(&mut network, TERM * 0.2, &[]);
         network.restart(voter);
-        let taken =
-            checker.wait_until(&mut network, TERM * 6.0, |network| count(network, 4) == 600);
-        assert!(taken.is_some(), "seed {seed}: {}", count(&network, 4));
+        let taken = checker.wait_until(&mut network, TERM * 6.0, |network| {
+            held_count(network, 4) == 600
+        });
+        assert!(taken.is_some(), "seed {seed}: {}", held_count(&network, 4));
         // Everything was attached again at the restarted voter, so another one may fail now.
         checker.check_for(&mut network, TERM * 4.0, &[]);
         let before = held(&network, 4);
@@ -177,20 +195,22 @@
         acquire(&mut network, 3, &all[..40]);
         acquire(&mut network, 4, &all[40..]);
         checker
-            .wait_until(&mut network, START + TERM, |network| total(network) == 80)
-            .expect("owned");
+            .wait_until(&mut network, STARTUP_TIME + TERM, |network| {
+                total_held(network) == 80
+            })
+            .expect("all subjects are held");
         let before = (held(&network, 3), held(&network, 4));
         network.kill(1);
         network.kill(2);
         checker.check_for(&mut network, TERM * 1.1, &[]);
-        assert_eq!(total(&network), 0, "seed {seed}");
+        assert_eq!(total_held(&network), 0, "seed {seed}");
         network.restart(1);
         network.restart(2);
         checker
-            .wait_until(&mut network, START + TERM * 2.0, |network| {
-                total(network) == 80
+            .wait_until(&mut network, STARTUP_TIME + TERM * 2.0, |network| {
+                total_held(network) == 80
             })
-            .expect("owned again");
+            .expect("all subjects are held again");
         assert!(
             held(&network, 3)
                 .iter()
@@ -216,11 +236,11 @@
         );
         acquire(&mut network, 3, &all);
         checker
-            .wait_until(&mut network, START + TERM, |network| {
-                count(network, 3) == 30
+            .wait_until(&mut network, STARTUP_TIME + TERM, |network| {
+                held_count(network, 3) == 30
             })
-            .expect("owned");
-        // One voter receives nothing from the owner. The others do, but restart one after the other.
+            .expect("all subjects are held");
+        // One voter receives nothing from the holder. The other two do, but restart one by one.
         network.partition(&[3], &[2]);
         acquire(&mut network, 4, &all);
         for voter in [0, 1] {
@@ -230,11 +250,11 @@
         }
         network.heal_partitions();
         checker.check_for(&mut network, TERM * 3.0, &[]);
-        assert_eq!(total(&network), 30, "seed {seed}");
+        assert_eq!(total_held(&network), 30, "seed {seed}");
     }
 }
 
-/// Applies a random fault, release or request.
+/// Applies a random fault, release or request, and checks the holders for a random time.
 fn apply_random_fault(
     network: &mut SimulatedNetwork,
     checker: &mut HolderChecker,
@@ -242,7 +262,7 @@
     all: &[Vec<u8>],
 ) {
     let index = rng.below(5) as usize;
-    let some = rng.below(all.len() as u64) as usize;
+    let split = rng.below(all.len() as u64) as usize;
     let mut paused = Vec::new();
     match rng.below(8) {
         0 => drop(
@@ -257,12 +277,12 @@
         2 | 3 => {
             network.kill(index);
             network.restart(index);
-            acquire(network, index, &all[some..]);
+            acquire(network, index, &all[split..]);
         }
-        4 => release(network, index, &all[..some]),
+        4 => release(network, index, &all[..split]),
         5 => {
-            release(network, index, &all[some..]);
-            acquire(network, index, &all[some / 2..]);
+            release(network, index, &all[split..]);
+            acquire(network, index, &all[split / 2..]);
         }
         6 => acquire(network, index, all),
         _ => network.heal_partitions(),
@@ -277,7 +297,7 @@
 }
 
 #[test]
-fn random_faults_and_requests_never_give_two_owners() {
+fn random_faults_and_requests_never_give_two_holders() {
     let mut holdings = 0;
     for seed in 1..=300 {
         let (mut network, mut checker, all) = (
@@ -293,7 +313,7 @@
             ..network.default_link_fault
         };
         (0..5).for_each(|index| acquire(&mut network, index, &all[index..]));
-        checker.check_for(&mut network, START, &[]);
+        checker.check_for(&mut network, STARTUP_TIME, &[]);
         for _ in 0..16 {
             apply_random_fault(&mut network, &mut checker, &mut rng, &all);
         }
@@ -304,18 +324,18 @@
         };
         (0..5).for_each(|index| acquire(&mut network, index, &all));
         let owned = checker.wait_until(&mut network, TERM * 8.0, |network| {
-            total(network) == all.len()
+            total_held(network) == all.len()
         });
         assert!(
             owned.is_some(),
-            "seed {seed}: {} owned once all is well",
-            total(&network)
+            "seed {seed}: {} held after the faults ended",
+            total_held(&network)
         );
         holdings += checker.holdings;
     }
     assert!(
         holdings > 6 * 300 * 2,
-        "they changed hands {holdings} times"
+        "all subjects changed holders only {holdings} times"
     );
 }
 
@@ -329,10 +349,10 @@
         );
         acquire(&mut network, 5, &all);
         checker
-            .wait_until(&mut network, START + TERM, |network| {
-                count(network, 5) == 10
+            .wait_until(&mut network, STARTUP_TIME + TERM, |network| {
+                held_count(network, 5) == 10
             })
-            .expect("owned");
+            .expect("all subjects are held");
         let next = ["r2", "r3", "r4"];
         let joint = LeaseConfig {
             electorate: electorate(2, &next, &VOTERS),
@@ -343,13 +363,14 @@
             ..config(&VOTERS, UPDATE_RATE)
         };
         let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
-            let mut done = Ok(());
+            let mut result = Ok(());
             network.act(index, |host, now| {
-                done = host.leases.as_mut().unwrap().change_config(to.clone(), now)
+                result = host.leases.as_mut().unwrap().change_config(to.clone(), now)
             });
-            done
+            result
         };
-        // The owner is cut off and learns nothing. All others change as fast as they may.
+        // The holder is partitioned off and learns nothing. All others change their configuration as
+        // fast as they may.
         network.partition(&[5], &[0, 1, 2, 3, 4]);
         (0..5).for_each(|index| change(&mut network, index, &joint).unwrap());
         checker.check_for(&mut network, TERM * 0.4, &[]);
@@ -363,18 +384,20 @@
         while !(0..5).all(|index| change(&mut network, index, &last).is_ok()) {
             assert!(
                 network.now.duration_since(began) < TERM * 3.0,
-                "seed {seed}: never settled"
+                "seed {seed}: the change never settled"
             );
             checker.check_for(&mut network, TERM * 0.02, &[]);
         }
         checker
-            .wait_until(&mut network, TERM * 2.0, |network| count(network, 4) == 10)
-            .expect("owned by the next");
+            .wait_until(&mut network, TERM * 2.0, |network| {
+                held_count(network, 4) == 10
+            })
+            .expect("the next holder has all subjects");
     }
 }
 
-/// The bytes and the requests that a process sends within this time.
-fn spent(network: &mut SimulatedNetwork, index: usize, duration: Duration) -> (u64, u64) {
+/// Returns the bytes and the requests that a process sends during this time.
+fn sent_during(network: &mut SimulatedNetwork, index: usize, duration: Duration) -> (u64, u64) {
     let counts = |network: &SimulatedNetwork| {
         let host = &network.hosts[index];
         (
@@ -394,10 +417,12 @@
         let mut network = start_network(5, &VOTERS, 1_000_000, 1);
         acquire(&mut network, 4, &subjects(owned));
         network
-            .run_until(START + TERM * 4.0, |network| count(network, 4) == owned)
-            .expect("owned");
+            .run_until(STARTUP_TIME + TERM * 4.0, |network| {
+                held_count(network, 4) == owned
+            })
+            .expect("all subjects are held");
         network.run_for(TERM * 8.0);
-        spent(&mut network, 4, TERM * 10.0)
+        sent_during(&mut network, 4, TERM * 10.0)
     };
     let (bytes, requests) = cost(1);
     for owned in [8, 64, 512, 4_096] {
@@ -418,13 +443,14 @@
     const SUBJECTS: usize = 2_000;
     for rate in [8_192_u32, 32_768] {
         let (mut network, all) = (start_network(5, &VOTERS, rate, 3), subjects(SUBJECTS));
-        network.run_for(START * 4.0);
+        network.run_for(STARTUP_TIME * 4.0);
         acquire(&mut network, 4, &all);
         let began = network.now;
         let membership_bytes = 1_500;
-        while count(&network, 4) < SUBJECTS {
-            let (bytes, _) = spent(&mut network, 4, Duration::from_millis(1_000));
-            // The rate, a burst of half a second, and one message that may exceed the budget.
+        while held_count(&network, 4) < SUBJECTS {
+            let (bytes, _) = sent_during(&mut network, 4, Duration::from_millis(1_000));
+            // The rate, a burst of half a second, one message that may exceed the budget, and the
+            // traffic of membership.
             let limit = u64::from(rate) * 3 / 2 + 1_200 + membership_bytes;
             assert!(bytes <= limit, "{bytes} bytes in a second at {rate}");
             assert!(
@@ -432,7 +458,7 @@
                 "{rate}"
             );
         }
-        // Each subject with its length byte at three voters, and the overhead of the messages.
+        // Each subject with its length byte, and the overhead of the messages, at three voters.
         let bytes = 3.0 * all.iter().map(|subject| subject.len() + 1).sum::<usize>() as f64;
         let messages = 3.0 * (SUBJECTS as f64 / 80.0).ceil();
         let expected = (bytes + messages * 150.0) / f64::from(rate);
@@ -449,14 +475,14 @@
     let mut network = start_network(4, &["r0"], 100_000_000, 1);
     let all = subjects(MAX_CLAIMS);
     acquire(&mut network, 3, &all);
-    let (mut over, mut long) = (Ok(()), Ok(()));
+    let (mut too_many, mut too_long) = (Ok(()), Ok(()));
     network.act(3, |host, now| {
         let leases = host.leases.as_mut().unwrap();
-        over = leases.acquire(b"one more", now + TERM, now);
-        long = leases.acquire(&[b'x'; MAX_SUBJECT_BYTES + 1], now + TERM, now);
+        too_many = leases.acquire(b"one more", now + TERM, now);
+        too_long = leases.acquire(&[b'x'; MAX_SUBJECT_BYTES + 1], now + TERM, now);
     });
     assert_eq!(
-        (over, long),
+        (too_many, too_long),
         (
             Err(AcquireError::TooManyClaims),
             Err(AcquireError::SubjectTooLong)
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -1,5 +1,6 @@
-//! Leases over simulated links, with clocks that run at the edges of what is allowed: never two
-//! holders at one true moment, epochs that only grow, and none for a side without a majority.
+//! Leases on one subject over simulated links, with clocks at the limits of the permitted drift. There
+//! are never two holders at the same true time, epochs only grow, and a side of a partition without a
+//! majority holds nothing.
 mod helper;
 
 use helper::{TERM, UPDATE_RATE, VOTERS, config, electorate, start_network};
@@ -11,18 +12,21 @@
 
 const SUBJECT: &[u8] = b"turn";
 
-/// Sees from outside, at each step of true time, who acts.
+/// Asserts from outside, at each step of true time, that at most one process acts on the subject and
+/// that epochs grow.
 #[derive(Default)]
 struct HolderChecker {
-    holder: Option<(String, u64)>,
-    epochs: u64,
+    /// The last holder and its epoch.
+    last_holding: Option<(String, u64)>,
+    last_epoch: u64,
+    /// The number of holdings since the start.
     holdings: usize,
     /// The number of steps in which each process acted, by name.
-    held: BTreeMap<String, usize>,
+    steps_held: BTreeMap<String, usize>,
 }
 
 impl HolderChecker {
-    /// `paused` processes do not act; all others act whenever they may.
+    /// Checks one step. `paused` processes do not act; all others act whenever they may.
     fn check(&mut self, network: &SimulatedNetwork, paused: &[usize]) {
         let acts = |(index, host): (usize, &Host)| {
             let held = host
@@ -36,11 +40,15 @@
         let Some((name, epoch)) = all.into_iter().next() else {
             return;
         };
-        *self.held.entry(name.clone()).or_default() += 1;
+        *self.steps_held.entry(name.clone()).or_default() += 1;
         let now = Some((name, epoch));
-        if self.holder != now {
-            assert!(epoch > self.epochs, "epoch {epoch} after {}", self.epochs);
-            (self.holder, self.epochs) = (now, epoch);
+        if self.last_holding != now {
+            assert!(
+                epoch > self.last_epoch,
+                "epoch {epoch} after {}",
+                self.last_epoch
+            );
+            (self.last_holding, self.last_epoch) = (now, epoch);
             self.holdings += 1;
         }
     }
@@ -54,7 +62,7 @@
     }
 }
 
-fn all_acquire(network: &mut SimulatedNetwork) {
+fn acquire_everywhere(network: &mut SimulatedNetwork) {
     for index in 0..network.hosts.len() {
         network.act(index, |host, now| {
             if let Some(leases) = &mut host.leases {
@@ -80,7 +88,7 @@
 fn first_holder_appears_after_the_initial_silence_and_renews() {
     let mut network = start_network(5, &VOTERS, UPDATE_RATE, 1);
     let mut checker = HolderChecker::default();
-    all_acquire(&mut network);
+    acquire_everywhere(&mut network);
     checker.check_for(&mut network, TERM, &[]);
     assert_eq!(
         checker.holdings, 0,
@@ -89,14 +97,17 @@
     checker.check_for(&mut network, TERM, &[]);
     assert_eq!(checker.holdings, 1);
     checker.check_for(&mut network, TERM * 10.0, &[]);
-    assert_eq!(checker.holdings, 1, "renewed in time, ten terms long");
+    assert_eq!(
+        checker.holdings, 1,
+        "the lease is renewed in time for ten terms"
+    );
 }
 
 #[test]
 fn lost_holder_is_replaced_by_exactly_one_other() {
-    type Lose = fn(&mut SimulatedNetwork, usize);
+    type LoseHolder = fn(&mut SimulatedNetwork, usize);
     // What happens to the holder, and the longest time to the next one.
-    let cases: &[(&str, Lose, Duration)] = &[
+    let cases: &[(&str, LoseHolder, Duration)] = &[
         (
             "killed",
             |network, holder| network.kill(holder),
@@ -137,7 +148,7 @@
                 });
             }
             checker.check_for(&mut network, TERM * 3.0, &[]);
-            let holder = held_by(&network).expect("one holds");
+            let holder = held_by(&network).expect("a process holds the subject");
             lose(&mut network, holder);
             let paused: &[usize] = if *what == "paused" { &[holder] } else { &[] };
             checker.check_for(&mut network, *within, paused);
@@ -153,7 +164,7 @@
                 // The resumed process continues with its old state.
                 checker.check(&network, &[]);
                 checker.check_for(&mut network, TERM * 3.0, &[]);
-                assert_eq!(checker.holdings, 2, "the one who took over goes on");
+                assert_eq!(checker.holdings, 2, "the new holder keeps the lease");
             }
         }
     }
@@ -164,24 +175,28 @@
     for seed in 1..=5 {
         let mut network = start_network(5, &["r0", "r1", "r2", "r3", "r4"], UPDATE_RATE, seed);
         let mut checker = HolderChecker::default();
-        all_acquire(&mut network);
+        acquire_everywhere(&mut network);
         checker.check_for(&mut network, TERM * 3.0, &[]);
-        let holder = held_by(&network).expect("one holds");
-        // The holder is on the small side.
+        let holder = held_by(&network).expect("a process holds the subject");
+        // The holder is on the side of the minority.
         let other = (holder + 1) % 5;
         let rest: Vec<usize> = (0..5)
             .filter(|index| ![holder, other].contains(index))
             .collect();
         network.partition(&[holder, other], &rest);
-        // All three remaining voters have to grant it to the same one of them.
+        // All three voters of the majority have to grant the lease to the same one of them.
         checker.check_for(&mut network, TERM * 4.0, &[]);
-        let next = held_by(&network).expect("the majority has a new one");
+        let next = held_by(&network).expect("the majority has a new holder");
         assert!(rest.contains(&next), "seed {seed}");
-        let before = checker.held.clone();
+        let before = checker.steps_held.clone();
         checker.check_for(&mut network, TERM * 20.0, &[]);
         for index in [holder, other] {
             let name = format!("r{index}");
-            assert_eq!(checker.held.get(&name), before.get(&name), "seed {seed}");
+            assert_eq!(
+                checker.steps_held.get(&name),
+                before.get(&name),
+                "seed {seed}"
+            );
         }
         network.heal_partitions();
         checker.check_for(&mut network, TERM * 5.0, &[]);
@@ -194,20 +209,21 @@
     for seed in 1..=5 {
         let mut network = start_network(5, &VOTERS, UPDATE_RATE, seed);
         let mut checker = HolderChecker::default();
-        all_acquire(&mut network);
+        acquire_everywhere(&mut network);
         checker.check_for(&mut network, TERM * 3.0, &[]);
         for round in 0..6 {
             let voter = round % 3;
             network.kill(voter);
             checker.check_for(&mut network, TERM * 0.3, &[]);
             network.restart(voter);
-            all_acquire(&mut network);
+            acquire_everywhere(&mut network);
             checker.check_for(&mut network, TERM * 2.5, &[]);
         }
-        // All voters at once: they forget what they granted, but holders still hold it.
+        // All voters restart at once and forget what they granted, but the holder keeps its lease until
+        // it expires.
         (0..3).for_each(|voter| network.kill(voter));
         (0..3).for_each(|voter| network.restart(voter));
-        all_acquire(&mut network);
+        acquire_everywhere(&mut network);
         checker.check_for(&mut network, TERM * 4.0, &[]);
         assert!(held_by(&network).is_some(), "seed {seed}");
     }
@@ -225,7 +241,7 @@
             jitter: Duration::from_millis(150),
             ..network.default_link_fault
         };
-        all_acquire(&mut network);
+        acquire_everywhere(&mut network);
         for _ in 0..30 {
             let index = rng.below(5) as usize;
             let mut paused = Vec::new();
@@ -241,7 +257,7 @@
                 2 => {
                     network.kill(index);
                     network.restart(index);
-                    all_acquire(&mut network);
+                    acquire_everywhere(&mut network);
                 }
                 3 => {
                     network.act(index, |host, now| {
@@ -269,7 +285,7 @@
 fn voter_change_in_two_steps_never_gives_two_holders() {
     let mut network = start_network(5, &VOTERS, UPDATE_RATE, 4);
     let mut checker = HolderChecker::default();
-    all_acquire(&mut network);
+    acquire_everywhere(&mut network);
     checker.check_for(&mut network, TERM * 3.0, &[]);
     let joint = LeaseConfig {
         electorate: electorate(2, &["r2", "r3", "r4"], &VOTERS),
@@ -280,12 +296,12 @@
         ..config(&VOTERS, UPDATE_RATE)
     };
     let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
-        let mut done = Ok(());
+        let mut result = Ok(());
         network.act(index, |host, now| {
             let changed = host.leases.as_mut().unwrap().change_config(to.clone(), now);
-            done = changed.map_err(|fault| fault.to_string());
+            result = changed.map_err(|fault| fault.to_string());
         });
-        done
+        result
     };
     // One process changes late, and no step may be skipped.
     let skipped = change(&mut network, 0, &last).unwrap_err();
@@ -293,12 +309,12 @@
         skipped.contains("generation: must be 2, the next after the current 1"),
         "{skipped}"
     );
-    let odd = LeaseConfig {
+    let wrong_previous_voters = LeaseConfig {
         electorate: electorate(2, &["r3", "r4"], &["r0"]),
         ..config(&VOTERS, UPDATE_RATE)
     };
     assert!(
-        change(&mut network, 0, &odd)
+        change(&mut network, 0, &wrong_previous_voters)
             .unwrap_err()
             .contains("voters_before")
     );
@@ -307,7 +323,7 @@
         change(&mut network, 3, &last)
             .unwrap_err()
             .contains("majority"),
-        "nobody else has it yet"
+        "no other process uses generation 2"
     );
     checker.check_for(&mut network, TERM, &[]);
     for index in [0, 1, 2, 4] {
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -1,4 +1,4 @@
-//! A single voter that is sent requests directly.
+//! How a single voter answers requests, sessions and recalls.
 mod helper;
 
 use helper::{UPDATE_RATE, config};
@@ -10,19 +10,19 @@
 
 const SUBJECT: &[u8] = b"turn";
 
-/// A single voter that is sent requests directly.
-struct LoneVoter {
+/// A single voter that receives messages directly.
+struct VoterHarness {
     leases: Leases,
 }
 
-impl LoneVoter {
-    fn new() -> LoneVoter {
-        LoneVoter {
+impl VoterHarness {
+    fn new() -> VoterHarness {
+        VoterHarness {
             leases: Leases::new(Identity::new("r0", 1), config(&["r0"], UPDATE_RATE), at(0)),
         }
     }
 
-    /// Its answer to that process, if it gives one.
+    /// Sends a message to the voter and returns its answer to that process, if it gives one.
     fn answer(&mut self, from: &Identity, message: Message, ms: u64) -> Option<Message> {
         self.leases.tick(at(ms));
         self.leases.take_outgoing();
@@ -34,6 +34,7 @@
         to_sender.and_then(|one| Message::decode(&one.bytes))
     }
 
+    /// Opens a session at the voter.
     fn session(&mut self, from: &Identity, sequence: u32, ms: u64) -> SessionToken {
         match self.answer(from, update(sequence, None, &[], &[]), ms) {
             Some(Message::Updated(updated)) => updated.session,
@@ -80,12 +81,12 @@
 
 #[test]
 fn late_repeated_or_unknown_requests_change_nothing() {
-    let mut voter = LoneVoter::new();
+    let mut voter = VoterHarness::new();
     let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
     let early = voter.answer(&one, update(1, None, &[], &[]), 1_999);
     assert!(
         is_rejected_for(early, &RejectionReason::Silent),
-        "it may have granted before its start"
+        "the voter may have granted leases before its start"
     );
     let session = voter.session(&one, 2, 2_000);
     assert!(is_attached(voter.answer(
@@ -93,7 +94,8 @@
         update(5, Some(session), &[SUBJECT], &[]),
         2_000
     )));
-    // An earlier detachment arrives late, and the last request arrives again.
+    // A detachment with an earlier sequence number arrives late, and one with the same number as the
+    // last request.
     assert_eq!(
         voter.answer(&one, update(4, Some(session), &[], &[SUBJECT]), 2_010),
         None
@@ -108,7 +110,7 @@
         update(2, Some(others), &[SUBJECT], &[]),
         2_020
     )));
-    // A detachment by another process frees nothing, nor does one with another's token.
+    // A detachment by another process frees nothing, with its own token or with the holder's.
     assert!(is_attached(voter.answer(
         &other,
         update(3, Some(others), &[], &[SUBJECT]),
@@ -131,7 +133,7 @@
         update(6, Some(others), &[SUBJECT], &[]),
         2_060
     )));
-    // An attachment that was sent before a detachment arrives after it.
+    // An attachment that was sent before a detachment arrives after it and changes nothing.
     assert_eq!(
         voter.answer(&one, update(3, Some(session), &[b"late"], &[]), 2_070),
         None
@@ -145,7 +147,7 @@
 
 #[test]
 fn request_of_another_generation_is_rejected() {
-    let mut voter = LoneVoter::new();
+    let mut voter = VoterHarness::new();
     let one = Identity::new("a", 1);
     let session = voter.session(&one, 2, 2_000);
     for generation in [0, 2] {
@@ -168,7 +170,7 @@
 
 #[test]
 fn lapsed_session_is_renewable_only_while_complete() {
-    let mut voter = LoneVoter::new();
+    let mut voter = VoterHarness::new();
     let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
     let session = voter.session(&one, 1, 2_000);
     assert!(is_attached(voter.answer(
@@ -177,7 +179,7 @@
         2_000
     )));
     let others = voter.session(&other, 1, 2_000);
-    // The session lapsed at 4,000 ms, but it is still complete: its token is valid.
+    // The session lapsed at 4,000 ms, but no subject of it was taken, so its token is still valid.
     assert!(is_attached(voter.answer(
         &one,
         update(3, Some(session), &[], &[]),
@@ -188,7 +190,8 @@
         update(2, Some(others), &[SUBJECT], &[]),
         6_499
     )));
-    // It lapsed again and one of two subjects was taken: its token is not valid any more.
+    // The session lapses again at 6,500 ms and another process takes one of its two subjects, so its
+    // token is no longer valid.
     assert!(is_attached(voter.answer(
         &other,
         update(3, Some(others), &[SUBJECT], &[]),
@@ -205,13 +208,13 @@
 #[test]
 fn one_of_two_processes_with_the_same_name_votes() {
     let me = Identity::new("r0", 1);
-    let mut voter = LoneVoter {
+    let mut voter = VoterHarness {
         leases: Leases::new(me.clone(), config(&["r0"], UPDATE_RATE), at(0)),
     };
     let one = Identity::new("a", 1);
     voter.session(&one, 1, 2_000);
-    // When the next process of its name starts, this one stops voting, and that one is silent for a
-    // term after the last message.
+    // When another process with the voter's name starts, the voter stops voting. The new process is
+    // silent for a term after the last message from the old one.
     let next = Identity::new("r0", 2);
     voter.answer(
         &next,
@@ -225,7 +228,7 @@
         voter.answer(&one, update(2, None, &[], &[]), 2_110),
         &RejectionReason::Silent
     ));
-    let mut next = LoneVoter {
+    let mut next = VoterHarness {
         leases: Leases::new(next, config(&["r0"], UPDATE_RATE), at(2_100)),
     };
     next.answer(
