--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -13,8 +13,8 @@
     pub generation: u32,
     /// The names of the voters.
     pub voters: Vec<CompactString>,
-    /// The names of the previous voters during a change of voters, when a majority of them is needed
-    /// as well; otherwise empty.
+    /// The names of the previous voters during a change of voters, when a majority of them is
+    /// needed as well; otherwise empty.
     pub previous_voters: Vec<CompactString>,
 }
 
@@ -121,8 +121,8 @@
         (0..u32::BITS as usize).filter(move |voter| self.contains(*voter))
     }
 
-    /// Returns the same voters after a change of the electorate. `new_indices[old]` is the new index
-    /// of a voter, or `None` if it no longer votes.
+    /// Returns the same voters after a change of the electorate. `new_indices[old]` is the new
+    /// index of a voter, or `None` if it no longer votes.
     #[must_use]
     pub(crate) fn remapped(self, new_indices: &[Option<usize>]) -> VoterSet {
         self.iter()
--- a/leases/src/legacy.rs
+++ b/leases/src/legacy.rs
@@ -1,7 +1,7 @@
-//! The legacy lease protocol, which had no sessions. A process needs it during an upgrade: to notify
-//! an older process of its own name that it must stop voting, to learn the highest epoch, and to
-//! reject requests of older processes in a form that they understand. Nothing is ever granted in the
-//! legacy protocol.
+//! The legacy lease protocol, which had no sessions. A process needs it during an upgrade: to
+//! notify an older process of its own name that it must stop voting, to learn the highest epoch,
+//! and to reject requests of older processes in a form that they understand. Nothing is ever
+//! granted in the legacy protocol.
 use crate::subject::Subject;
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::Identity;
@@ -9,8 +9,8 @@
 /// The channel of legacy messages.
 pub const CHANNEL: u8 = 1;
 
-/// The generation that rejections of legacy requests name. No electorate has it, and an older process
-/// shows it to its operator.
+/// The generation that rejections of legacy requests name. No electorate has it, and an older
+/// process shows it to its operator.
 pub const NO_GENERATION: u32 = 0;
 
 /// A message of the legacy protocol. The order of variants and fields defines the encoding.
--- a/leases/src/lib.rs
+++ b/leases/src/lib.rs
@@ -1,8 +1,8 @@
 //! Leases: the right of one process at a time to act on a subject.
 //!
-//! Whether a process is dead is an opinion (`thistlecroft-peers`), which differs between the sides of
-//! a network partition. A lease is not an opinion: at most one process holds it. The crate does no
-//! I/O. Time is each process's own monotonic clock, and clocks of different processes are never
+//! Whether a process is dead is an opinion (`thistlecroft-peers`), which differs between the sides
+//! of a network partition. A lease is not an opinion: at most one process holds it. The crate does
+//! no I/O. Time is each process's own monotonic clock, and clocks of different processes are never
 //! compared.
 //!
 //! # Sessions
@@ -23,36 +23,37 @@
 //! `TERM / (1 + DRIFT)` of true time, so its right ends at or before
 //! `a + TERM / (1 + DRIFT) <= h + TERM / (1 + DRIFT)`.
 //!
-//! **Majorities.** Two processes that held one subject at the same moment would each have a majority
-//! of the voters. Some voter would be in both, and it attaches a subject to one live session only.
+//! **Majorities.** Two processes that held one subject at the same moment would each have a
+//! majority of the voters. Some voter would be in both, and it attaches a subject to one live
+//! session only.
 //!
 //! **Voters that restart** forget their sessions. A voter is silent (it grants nothing) for a term
-//! after its start, so everything that it had granted has expired by then. A renewal extends only what
-//! the voter remembers: each session has a *token* that no other session of any run of any voter has,
-//! each request names the token, and a voter rejects a token that it does not know. While a voter
-//! accepts a token, everything that it has confirmed as attached is still attached, because it drops
-//! only whole sessions: when a session has lapsed and another process takes one of its subjects, or
-//! long after it has lapsed. A process whose token is rejected regards nothing as attached at that
-//! voter and attaches everything again.
+//! after its start, so everything that it had granted has expired by then. A renewal extends only
+//! what the voter remembers: each session has a *token* that no other session of any run of any
+//! voter has, each request names the token, and a voter rejects a token that it does not know.
+//! While a voter accepts a token, everything that it has confirmed as attached is still attached,
+//! because it drops only whole sessions: when a session has lapsed and another process takes one of
+//! its subjects, or long after it has lapsed. A process whose token is rejected regards nothing as
+//! attached at that voter and attaches everything again.
 //!
-//! **Late messages.** A process has at most one pending request at a voter and numbers its requests; a
-//! voter ignores any request that arrives after a later one. So a late *attach* does not undo a
-//! *detach*, nor the reverse. Both are retried until they are confirmed, so nothing stays attached
-//! that its process has forgotten.
+//! **Late messages.** A process has at most one pending request at a voter and numbers its
+//! requests; a voter ignores any request that arrives after a later one. So a late *attach* does
+//! not undo a *detach*, nor the reverse. Both are retried until they are confirmed, so nothing
+//! stays attached that its process has forgotten.
 //!
 //! **Epochs** (fencing tokens) grow with each new holding of a subject. One counter serves all
-//! subjects. A process chooses its epoch once a majority has attached the subject. The epoch is higher
-//! than any that these voters know. The process holds the subject only when a majority *from among
-//! these voters* has confirmed the epoch in the same sessions. The next holder needs at least one of
-//! them, which frees the subject only after it has confirmed the epoch, so the next holder learns an
-//! epoch at least as high. An expired right is not restored with its epoch, since another process may
-//! have held the subject meanwhile. A voter that restarts votes only when it has received enough
-//! answers to know the highest epoch.
+//! subjects. A process chooses its epoch once a majority has attached the subject. The epoch is
+//! higher than any that these voters know. The process holds the subject only when a majority *from
+//! among these voters* has confirmed the epoch in the same sessions. The next holder needs at least
+//! one of them, which frees the subject only after it has confirmed the epoch, so the next holder
+//! learns an epoch at least as high. An expired right is not restored with its epoch, since another
+//! process may have held the subject meanwhile. A voter that restarts votes only when it has
+//! received enough answers to know the highest epoch.
 //!
 //! **Changes of voters** go through a joint configuration, in which majorities of both the previous
-//! and the new voters are needed ([`Electorate`]). The last step waits until a majority of both sets
-//! has used the joint configuration for a term, when everything that the previous voters granted
-//! alone has expired.
+//! and the new voters are needed ([`Electorate`]). The last step waits until a majority of both
+//! sets has used the joint configuration for a term, when everything that the previous voters
+//! granted alone has expired.
 mod claim;
 mod electorate;
 pub mod legacy;
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -11,7 +11,8 @@
 use thistlecroft_peers::Identity;
 
 impl Leases {
-    /// Handles the bytes of a message from another process. Channels of other protocols are ignored.
+    /// Handles the bytes of a message from another process. Channels of other protocols are
+    /// ignored.
     pub fn receive(&mut self, from: &Identity, channel: u8, bytes: &[u8], now: Instant) {
         match channel {
             CHANNEL => {
--- a/leases/src/manager/claims.rs
+++ b/leases/src/manager/claims.rs
@@ -90,11 +90,11 @@
         }
     }
 
-    /// Ends an attempt without a majority and schedules the next one. Voters that attached the subject
-    /// detach it, or processes that try at the same time would block one another. If any voter had
-    /// attached it, other processes probably try as well, so the delay is an exponential backoff with
-    /// full jitter; otherwise another process holds the subject, and the delay is constant but for
-    /// jitter.
+    /// Ends an attempt without a majority and schedules the next one. Voters that attached the
+    /// subject detach it, or processes that try at the same time would block one another. If any
+    /// voter had attached it, other processes probably try as well, so the delay is an exponential
+    /// backoff with full jitter; otherwise another process holds the subject, and the delay is
+    /// constant but for jitter.
     pub(super) fn fail_attempt(&mut self, subject: &[u8], now: Instant) {
         let random = self.rng.unit_f64();
         let Some(claim) = self.claims.get_mut(subject) else {
@@ -113,8 +113,8 @@
         self.queue_detach(subject);
     }
 
-    /// Queues the detachment at all voters that may have attached the subject. It counts as attached
-    /// nowhere from now on.
+    /// Queues the detachment at all voters that may have attached the subject. It counts as
+    /// attached nowhere from now on.
     pub(super) fn queue_detach(&mut self, subject: &[u8]) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
--- a/leases/src/manager/errors.rs
+++ b/leases/src/manager/errors.rs
@@ -36,14 +36,17 @@
         voters: Vec<CompactString>,
     },
     /// The second step of a change of voters changes the voters again.
-    #[error("peers.voters: must stay ({}) in the step that removes peers.voters_before", voters.join(", "))]
+    #[error(
+        "peers.voters: must stay ({}) in the step that removes peers.voters_before",
+        voters.join(", ")
+    )]
     VotersChanged {
         /// The current voters.
         voters: Vec<CompactString>,
     },
     /// A lease that a majority of the previous voters alone has granted may still be valid.
     #[error(
-        "peers.voters_before: can be removed only once a majority of the voters has used the current generation for the duration of a lease"
+        "peers.voters_before: must stay until a majority of the voters has used the current generation for a lease term"
     )]
     NotSettled,
 }
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -144,8 +144,8 @@
     }
 
     /// Asks other processes for the highest epoch, which processes other than voters may know as
-    /// well, and notifies another process of the same name to stop voting. Each call asks all voters
-    /// and a share of all processes, so that their answers do not arrive at once.
+    /// well, and notifies another process of the same name to stop voting. Each call asks all
+    /// voters and a share of all processes, so that their answers do not arrive at once.
     fn recall(&mut self, now: Instant) {
         let (index, count) = self.voter.recall_share(&self.config, now);
         let starting = self.is_voter() && !self.voter.established;
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Returns the right to act on a subject if this process has it at `now`. Callers check it before
-    /// each action.
+    /// Returns the right to act on a subject if this process has it at `now`. Callers check it
+    /// before each action.
     pub fn held(&self, subject: &[u8], now: Instant) -> Option<HeldLease> {
         self.claims.get(subject)?.held(now)
     }
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -149,8 +149,8 @@
         }
     }
 
-    /// Notes that the voter is asked to attach the subject. The first such request of an attempt sets
-    /// its deadline.
+    /// Notes that the voter is asked to attach the subject. The first such request of an attempt
+    /// sets its deadline.
     fn begin_attempt(&mut self, voter: usize, subject: &[u8], now: Instant) {
         let Some(claim) = self.claims.get_mut(subject) else {
             return;
--- a/leases/src/manager/shutdown.rs
+++ b/leases/src/manager/shutdown.rs
@@ -5,9 +5,9 @@
 use crate::subject::Subject;
 
 impl Leases {
-    /// Releases all leases of this process and stops voting. A lease for which `is_announced` holds is
-    /// left to expire: others know that this process holds it and may still act on that, so a new
-    /// holder now would mean that two processes act at once.
+    /// Releases all leases of this process and stops voting. A lease for which `is_announced` holds
+    /// is left to expire: others know that this process holds it and may still act on that, so a
+    /// new holder now would mean that two processes act at once.
     pub fn leave(&mut self, is_announced: impl Fn(&[u8]) -> bool) {
         let announced = self.claims.keys().filter(|subject| is_announced(subject));
         let keep: Vec<Subject> = announced.cloned().collect();
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -25,8 +25,8 @@
     /// Opens a session (`session: None`) or renews one, and changes which subjects are attached to
     /// it.
     Update(Update),
-    /// The session is valid for another term from the receipt of the update, with everything that is
-    /// attached to it.
+    /// The session is valid for another term from the receipt of the update, with everything that
+    /// is attached to it.
     Updated(Updated),
     /// The voter rejected the whole update.
     Rejected {
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -1,5 +1,5 @@
-//! A voter: the sessions that it keeps, the subjects attached to them, and the highest epoch that it
-//! knows. A voter stores nothing on disk. After its start it grants nothing for a term, until
+//! A voter: the sessions that it keeps, the subjects attached to them, and the highest epoch that
+//! it knows. A voter stores nothing on disk. After its start it grants nothing for a term, until
 //! everything that it may have granted before has expired.
 mod recall;
 
@@ -16,8 +16,8 @@
 pub const MAX_VOTER_SUBJECTS: usize = 131_072;
 /// The most sessions that one voter keeps.
 pub const MAX_SESSIONS: usize = 4_096;
-/// How long a lapsed session is kept, in terms, since its process may return before another one takes
-/// one of its subjects.
+/// How long a lapsed session is kept, in terms, since its process may return before another one
+/// takes one of its subjects.
 const LAPSED_SESSION_TERMS: f64 = 4.0;
 
 /// A process's session, which may have lapsed.
@@ -64,7 +64,8 @@
     silent_from: Instant,
     /// Whether the voter knows the highest epoch that any majority may have confirmed.
     pub(crate) established: bool,
-    /// Whether another process of this name votes in this one's place, or this one is shutting down.
+    /// Whether another process of this name votes in this one's place, or this one is shutting
+    /// down.
     pub(crate) retired: bool,
     last_recall: Option<Instant>,
     recall_count: usize,
--- a/leases/src/voter/recall.rs
+++ b/leases/src/voter/recall.rs
@@ -64,9 +64,9 @@
         self.recall_answers.insert(from.name.clone());
     }
 
-    /// Marks the voter as established once its silence is over and it is certain to know the highest
-    /// epoch. That is so when all other voters have answered, or when so many established voters have
-    /// answered that every majority includes one of them.
+    /// Marks the voter as established once its silence is over and it is certain to know the
+    /// highest epoch. That is so when all other voters have answered, or when so many established
+    /// voters have answered that every majority includes one of them.
     pub(crate) fn try_establish(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
         if self.established || self.is_silent(config, now) {
             return;
--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -1,4 +1,5 @@
-//! How a process chooses an epoch and voters confirm it, with one process and three scripted voters.
+//! How a process chooses an epoch and voters confirm it, with one process and three scripted
+//! voters.
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::{
@@ -148,8 +149,8 @@
     harness.attach_at(&["r0", "r1"], 7);
     assert_eq!(harness.requests["r0"].epoch, 8);
     harness.confirm("r0", 8);
-    // One voter that had attached the subject has restarted. At the third voter, another process held
-    // the subject meanwhile, with epoch 12.
+    // One voter that had attached the subject has restarted. At the third voter, another process
+    // held the subject meanwhile, with epoch 12.
     harness.reject("r1", RejectionReason::UnknownSession);
     harness.attach_at(&["r2"], 12);
     assert_eq!(
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -1,5 +1,5 @@
-//! A small simulated network of processes, and a checker that asserts from outside that no subject has
-//! two holders.
+//! A small simulated network of processes, and a checker that asserts from outside that no subject
+//! has two holders.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 use std::collections::BTreeMap;
 use thistlecroft::time::Duration;
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -369,8 +369,8 @@
             });
             result
         };
-        // The holder is partitioned off and learns nothing. All others change their configuration as
-        // fast as they may.
+        // The holder is partitioned off and learns nothing. All others change their configuration
+        // as fast as they may.
         network.partition(&[5], &[0, 1, 2, 3, 4]);
         (0..5).for_each(|index| change(&mut network, index, &joint).unwrap());
         checker.check_for(&mut network, TERM * 0.4, &[]);
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -1,6 +1,6 @@
-//! Leases on one subject over simulated links, with clocks at the limits of the permitted drift. There
-//! are never two holders at the same true time, epochs only grow, and a side of a partition without a
-//! majority holds nothing.
+//! Leases on one subject over simulated links, with clocks at the limits of the permitted drift.
+//! There are never two holders at the same true time, epochs only grow, and a side of a partition
+//! without a majority holds nothing.
 mod helper;
 
 use helper::{TERM, UPDATE_RATE, VOTERS, config, electorate, start_network};
@@ -12,8 +12,8 @@
 
 const SUBJECT: &[u8] = b"turn";
 
-/// Asserts from outside, at each step of true time, that at most one process acts on the subject and
-/// that epochs grow.
+/// Asserts from outside, at each step of true time, that at most one process acts on the subject
+/// and that epochs grow.
 #[derive(Default)]
 struct HolderChecker {
     /// The last holder and its epoch.
@@ -219,8 +219,8 @@
             acquire_everywhere(&mut network);
             checker.check_for(&mut network, TERM * 2.5, &[]);
         }
-        // All voters restart at once and forget what they granted, but the holder keeps its lease until
-        // it expires.
+        // All voters restart at once and forget what they granted, but the holder keeps its lease
+        // until it expires.
         (0..3).for_each(|voter| network.kill(voter));
         (0..3).for_each(|voter| network.restart(voter));
         acquire_everywhere(&mut network);
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -94,8 +94,8 @@
         update(5, Some(session), &[SUBJECT], &[]),
         2_000
     )));
-    // A detachment with an earlier sequence number arrives late, and one with the same number as the
-    // last request.
+    // A detachment with an earlier sequence number arrives late, and one with the same number as
+    // the last request.
     assert_eq!(
         voter.answer(&one, update(4, Some(session), &[], &[SUBJECT]), 2_010),
         None
@@ -190,8 +190,8 @@
         update(2, Some(others), &[SUBJECT], &[]),
         6_499
     )));
-    // The session lapses again at 6,500 ms and another process takes one of its two subjects, so its
-    // token is no longer valid.
+    // The session lapses again at 6,500 ms and another process takes one of its two subjects, so
+    // its token is no longer valid.
     assert!(is_attached(voter.answer(
         &other,
         update(3, Some(others), &[SUBJECT], &[]),
