--- a/peers/src/gossip.rs
+++ b/peers/src/gossip.rs
@@ -1,41 +1,44 @@
-//! The queue of updates to spread by gossip. Each is sent a number of times that grows with the
-//! logarithm of the fleet's size; the updates that were sent least often go first.
+//! The queue of updates to spread by gossip. The number of times that an update is sent grows with
+//! the logarithm of the fleet's size. The updates that were sent least often are sent first.
 use crate::identity::Identity;
 use crate::shared_state::EntryKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an update is about. Its content is looked up when it is sent, so that it is always current.
+/// The member or entry that an update is about. The content is looked up when the update is sent,
+/// so that it is always current.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Update {
     Member(Identity),
     Entry(EntryKey),
 }
 
-/// An update is sent this many times the binary logarithm of the fleet's size.
+/// How many times an update is sent, as a multiple of the binary logarithm of the fleet's size.
 const RETRANSMIT_FACTOR: u32 = 3;
 
-/// The position of an update in the queue.
+/// The sort key of an update in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position {
     times_sent: u32,
-    /// Falls with each update, so that newer ones go first among those sent equally often.
+    /// Decreases with each insertion, so that of the updates sent equally often, those inserted
+    /// last are sent first.
     reverse_serial: u64,
 }
 
+/// The updates to spread, in the order in which to send them.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Gossip {
+pub(crate) struct GossipQueue {
     queue: BTreeSet<(Position, Update)>,
     positions: BTreeMap<Update, Position>,
     serial: u64,
 }
 
-/// How often one relay sends an update in a fleet of this size.
+/// Returns how many times one relay sends an update in a fleet of this size.
 fn max_transmissions(size: usize) -> u32 {
     RETRANSMIT_FACTOR * (usize::BITS - size.leading_zeros()).max(1)
 }
 
-impl Gossip {
-    /// Queues an update, as one that was never sent.
+impl GossipQueue {
+    /// Queues an update as one that has not been sent yet.
     pub(crate) fn add(&mut self, update: Update) {
         self.remove(&update);
         self.insert(0, update);
@@ -61,7 +64,7 @@
         self.queue.is_empty()
     }
 
-    /// All updates, in the order in which to send them.
+    /// Returns all updates, in the order in which to send them.
     pub(crate) fn iter(&self) -> impl Iterator<Item = &Update> {
         self.queue.iter().map(|(_, update)| update)
     }
--- a/peers/src/identity.rs
+++ b/peers/src/identity.rs
@@ -1,10 +1,10 @@
-//! The identity of a process, and what other processes think of it.
+//! The identity of a process, and the opinions of other processes about its state.
 use compact_str::CompactString;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// The longest name, in bytes.
+/// The longest name of a relay, in bytes.
 pub const MAX_NAME_BYTES: usize = 32;
 
 /// A process of the fleet. Each start draws a run number, which distinguishes processes of the same
@@ -18,7 +18,7 @@
 }
 
 impl Identity {
-    /// The process with this name and run number.
+    /// Creates the identity of the process with this name and run number.
     pub fn new(name: &str, run: u64) -> Identity {
         Identity {
             name: name.into(),
@@ -33,22 +33,24 @@
     }
 }
 
-/// The state of a member. Of two opinions about the same incarnation, the one with the later state
-/// in this order counts.
+/// The state of a member. Of two opinions about the same incarnation, the one whose state comes
+/// later in this order takes precedence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberState {
-    /// It answers.
+    /// The member answers probes.
     Alive,
-    /// Some relay got no answer from it. Others prepare, but nobody acts in its place.
+    /// Some relay got no answer from the member. Other relays may prepare, but none acts in its
+    /// place.
     Suspect,
-    /// It did not refute a suspicion in time. Its duties may be taken over, by lease.
+    /// The member did not refute a suspicion in time. Others may take over its duties if they hold
+    /// the leases.
     Dead,
-    /// It has shut down, or another process has its address. It does not come back.
+    /// The member has shut down, or another process has its address. It does not come back.
     Left,
 }
 
 impl MemberState {
-    /// The name of this state in logs and reports.
+    /// Returns the name of this state in logs and reports.
     pub fn as_str(self) -> &'static str {
         match self {
             MemberState::Alive => "here",
@@ -64,12 +66,13 @@
 pub struct MemberRecord {
     /// The member.
     pub id: Identity,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// The incarnation that the opinion is about. A process raises its own to refute an opinion.
+    /// The incarnation that the opinion is about. A process raises its own incarnation to refute an
+    /// opinion.
     pub incarnation: u32,
-    /// The opinion.
+    /// The member's state in this opinion.
     pub state: MemberState,
-    /// Who raised the suspicion, if it is one.
+    /// The process that raised the suspicion, if the opinion is one.
     pub accuser: Option<Identity>,
 }
--- a/peers/src/lib.rs
+++ b/peers/src/lib.rs
@@ -1,13 +1,13 @@
-//! The link between relays: membership by SWIM with Lifeguard's extensions, and state that relays
-//! share by gossip.
+//! Communication between relays: membership by SWIM with Lifeguard's extensions, and state that
+//! relays share by gossip.
 //!
-//! A [`Node`] is a state machine: datagrams and time go in, datagrams and events come out. It has no
-//! socket, clock or random source of its own, so the same code runs on sockets, in simulated
+//! A [`Node`] is a state machine: datagrams and time go in, datagrams and events come out. It has
+//! no socket, clock or random source of its own, so the same code runs on sockets, in simulated
 //! networks and in a model checker.
 //!
 //! The state of a member is an opinion: fast, sometimes wrong, and different on the two sides of a
-//! network partition. It gives nobody the right to act in another process's place; that takes a
-//! lease (`thistlecroft-leases`).
+//! network partition. It gives no process the right to act in another's place; that takes a lease
+//! (`thistlecroft-leases`).
 mod gossip;
 pub mod identity;
 mod members;
@@ -22,21 +22,21 @@
 pub use shared_state::{EntryKind, EntryView};
 pub use timing::ProtocolTiming;
 
-/// What the relays of a fleet have in common.
+/// The configuration that all relays of a fleet have in common.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
-    /// The fleet's name. Datagrams of another fleet are dropped.
+    /// The name of the fleet. Datagrams of other fleets are dropped.
     pub fleet: String,
     /// The key that authenticates datagrams, the same at all relays of a fleet.
     pub secret: Vec<u8>,
     /// The times of the membership protocol.
     pub timing: ProtocolTiming,
-    /// The most bytes per second that one relay sends, whatever the size of the fleet.
+    /// The most bytes per second that one relay sends, independent of the size of the fleet.
     pub max_bytes_per_second: u32,
 }
 
-/// The first eight bytes of a hash as a number.
-pub(crate) fn first_eight(bytes: &[u8]) -> u64 {
+/// Returns the first eight bytes of a hash as a big-endian number.
+pub(crate) fn leading_u64(bytes: &[u8]) -> u64 {
     let first = bytes.iter().take(8);
     first.fold(0, |number, byte| number << 8 | u64::from(*byte))
 }
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -1,5 +1,5 @@
-//! The members of the fleet. Opinions are merged as in SWIM, with the suspicions of Lifeguard, which
-//! time out sooner the more members accuse.
+//! The members of the fleet. Opinions are merged as in SWIM, with the suspicions of Lifeguard: the
+//! more members accuse a suspect, the sooner its suspicion times out.
 use crate::ProtocolTiming;
 use crate::identity::{Identity, MemberRecord, MemberState};
 use crate::wire::ReplayWindow;
@@ -8,9 +8,11 @@
 use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
 
-/// Accusers in addition to the first that shorten a suspicion to its shortest time.
+/// The number of accusers, in addition to the first, with which a suspicion lasts for its shortest
+/// time.
 const CONFIRMING_ACCUSERS: usize = 3;
 
+/// A suspicion that a member is dead.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Suspicion {
     started: Instant,
@@ -30,29 +32,31 @@
         }
     }
 
-    /// The longest time with one accuser, the shortest with enough, interpolated by the logarithm.
+    /// Returns when the suspicion times out: after the longest time with one accuser and the
+    /// shortest with enough of them, interpolated by the logarithm of their number.
     pub(crate) fn until(&self) -> Instant {
-        let others = self.accusers.len().saturating_sub(1) as f64;
-        let part = (others + 1.0).ln() / (CONFIRMING_ACCUSERS as f64 + 1.0).ln();
-        self.started + (self.longest - (self.longest - self.shortest) * part).max(self.shortest)
+        let additional = self.accusers.len().saturating_sub(1) as f64;
+        let fraction = (additional + 1.0).ln() / (CONFIRMING_ACCUSERS as f64 + 1.0).ln();
+        self.started + (self.longest - (self.longest - self.shortest) * fraction).max(self.shortest)
     }
 }
 
+/// A member as this process knows it.
 #[derive(Clone, Debug)]
 pub(crate) struct Member {
     pub address: SocketAddr,
     pub incarnation: u32,
     pub state: MemberState,
-    /// Since when it has this state.
+    /// Since when the member has this state.
     pub since: Instant,
-    /// When its last datagram arrived.
+    /// When the last datagram of the member arrived.
     pub last_received: Option<Instant>,
     pub suspicion: Option<Suspicion>,
-    pub window: ReplayWindow,
+    pub replay_window: ReplayWindow,
 }
 
 impl Member {
-    /// A member that becomes known by this opinion.
+    /// Creates a member that becomes known by this opinion.
     fn new(record: &MemberRecord, size: usize, timing: &ProtocolTiming, now: Instant) -> Member {
         let is_suspicion = record.state == MemberState::Suspect;
         Member {
@@ -62,31 +66,31 @@
             since: now,
             last_received: None,
             suspicion: is_suspicion.then(|| Suspicion::new(record, size, timing, now)),
-            window: ReplayWindow::default(),
+            replay_window: ReplayWindow::default(),
         }
     }
 
-    /// Adds an accuser to a suspicion that has not enough of them.
-    fn add_accuser(&mut self, accuser: Option<&Identity>) -> Merged {
+    /// Adds an accuser to a suspicion that does not have enough of them.
+    fn add_accuser(&mut self, accuser: Option<&Identity>) -> MergeOutcome {
         let (Some(suspicion), Some(accuser)) = (&mut self.suspicion, accuser) else {
-            return Merged::Unchanged;
+            return MergeOutcome::Unchanged;
         };
         let has_enough = suspicion.accusers.len() > CONFIRMING_ACCUSERS;
         if !has_enough && suspicion.accusers.insert(accuser.clone()) {
-            Merged::Updated
+            MergeOutcome::Updated
         } else {
-            Merged::Unchanged
+            MergeOutcome::Unchanged
         }
     }
 
-    /// Replaces an older opinion.
+    /// Replaces the opinion with a newer one.
     fn update(
         &mut self,
         record: &MemberRecord,
         size: usize,
         timing: &ProtocolTiming,
         now: Instant,
-    ) -> Merged {
+    ) -> MergeOutcome {
         if record.incarnation > self.incarnation {
             self.address = record.address;
         }
@@ -94,23 +98,24 @@
         let is_suspicion = record.state == MemberState::Suspect;
         self.suspicion = is_suspicion.then(|| Suspicion::new(record, size, timing, now));
         if self.state == record.state {
-            return Merged::Updated;
+            return MergeOutcome::Updated;
         }
         (self.state, self.since) = (record.state, now);
-        Merged::StateChanged
+        MergeOutcome::StateChanged
     }
 }
 
-/// The effect of an opinion.
+/// The effect of merging an opinion.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Merged {
+pub(crate) enum MergeOutcome {
     Unchanged,
-    /// It is new, and has to be spread.
+    /// The opinion is new and has to be spread.
     Updated,
-    /// It is new and has changed the state of the member.
+    /// The opinion is new, has to be spread and has changed the state of the member.
     StateChanged,
 }
 
+/// All other members that this process knows.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MemberList {
     members: BTreeMap<Identity, Member>,
@@ -128,12 +133,12 @@
         self.members.get(id)
     }
 
-    /// Notes a datagram of a member; false for one that arrived before.
+    /// Notes a datagram of a member. Returns false for one that arrived before.
     pub(crate) fn note_received(&mut self, id: &Identity, serial: u64, now: Instant) -> bool {
         let Some(member) = self.members.get_mut(id) else {
             return true;
         };
-        let is_new = member.window.accept(serial);
+        let is_new = member.replay_window.accept(serial);
         if is_new {
             member.last_received = Some(now);
         }
@@ -144,13 +149,14 @@
         self.live
     }
 
-    /// The members that are alive or suspect.
+    /// Returns the members that are alive or suspect.
     pub(crate) fn live(&self) -> impl Iterator<Item = (&Identity, &Member)> {
         self.members
             .iter()
             .filter(|(_, member)| member.state <= MemberState::Suspect)
     }
 
+    /// Returns the opinion about a member, as it is sent to others.
     pub(crate) fn record(&self, id: &Identity) -> Option<MemberRecord> {
         let member = self.members.get(id)?;
         let accuser = member
@@ -173,7 +179,7 @@
         record: &MemberRecord,
         timing: &ProtocolTiming,
         now: Instant,
-    ) -> Merged {
+    ) -> MergeOutcome {
         let is_live =
             |member: Option<&Member>| member.is_some_and(|one| one.state <= MemberState::Suspect);
         let was_live = is_live(self.members.get(&record.id));
@@ -194,33 +200,33 @@
         size: usize,
         timing: &ProtocolTiming,
         now: Instant,
-    ) -> Merged {
+    ) -> MergeOutcome {
         let Some(member) = self.members.get_mut(&record.id) else {
             let member = Member::new(record, size, timing, now);
             self.members.insert(record.id.clone(), member);
-            return Merged::StateChanged;
+            return MergeOutcome::StateChanged;
         };
-        // A member that has left does not come back, whatever arrives late. A dead one may, with a
-        // higher incarnation.
+        // A member that has left does not come back, even if older opinions arrive late. A dead one
+        // may come back, with a higher incarnation.
         if member.state == MemberState::Left {
-            return Merged::Unchanged;
+            return MergeOutcome::Unchanged;
         }
         if record.state == MemberState::Left {
             member.incarnation = record.incarnation.max(member.incarnation);
             (member.state, member.since) = (MemberState::Left, now);
             member.suspicion = None;
-            return Merged::StateChanged;
+            return MergeOutcome::StateChanged;
         }
         let old = (member.incarnation, member.state);
         let new = (record.incarnation, record.state);
         match new.cmp(&old) {
-            Ordering::Less => Merged::Unchanged,
+            Ordering::Less => MergeOutcome::Unchanged,
             Ordering::Equal => member.add_accuser(record.accuser.as_ref()),
             Ordering::Greater => member.update(record, size, timing, now),
         }
     }
 
-    /// The members whose suspicion has timed out.
+    /// Returns the members whose suspicion has timed out.
     pub(crate) fn expired_suspicions(&self, now: Instant) -> Vec<Identity> {
         let is_expired = |id: &&Identity| self.suspicion(id).is_some_and(|one| one.until() <= now);
         self.suspects.iter().filter(is_expired).cloned().collect()
@@ -238,7 +244,8 @@
         self.members.get(id)?.suspicion.as_ref()
     }
 
-    /// Extends all suspicions by the time of a pause, in which no refutation could arrive.
+    /// Extends all suspicions by the duration of a pause of this process, during which no
+    /// refutation could arrive.
     pub(crate) fn extend_suspicions(&mut self, by: Duration) {
         for member in self.members.values_mut() {
             member
@@ -248,7 +255,8 @@
         }
     }
 
-    /// Removes dead members after the retention time. Until then late datagrams can't revive them.
+    /// Removes members that have been dead or have left for the retention time, and returns their
+    /// identities. Until then, late datagrams can't revive them.
     pub(crate) fn remove_expired(&mut self, retention: Duration, now: Instant) -> Vec<Identity> {
         let is_expired = |member: &Member| {
             member.state >= MemberState::Dead && now.duration_since(member.since) >= retention
--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! What callers make a node do.
+//! Commands that callers give to a node.
 use super::{INDIRECT_PROBE_HELPERS, Node, Priority};
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberState};
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
-/// How many members a shutdown is announced to; gossip carries it on from there.
+/// How many members a shutdown is announced to. They spread it by gossip.
 const LEAVE_FANOUT: usize = INDIRECT_PROBE_HELPERS * 4;
 
 impl Node {
-    /// Announces an entry of the shared state to the fleet, or a new value of one. False where it is
-    /// too long, or this process has too many.
+    /// Announces an entry of the shared state, or a new value of one, to the fleet. Returns false
+    /// if the entry is too long or this process has too many.
     pub fn announce(
         &mut self,
         kind: EntryKind,
@@ -32,14 +32,14 @@
         is_accepted
     }
 
-    /// Withdraws an entry: this process forgets it at once, and others when it expires because it is
-    /// not refreshed any more.
+    /// Withdraws an entry. This process forgets the entry at once. Other processes forget it when
+    /// it expires, since it is no longer refreshed.
     pub fn withdraw(&mut self, kind: EntryKind, subject: &[u8]) {
         self.shared_state.withdraw(&self.me, kind, subject);
     }
 
-    /// Sends a message of a protocol above membership to one process. False where the process is
-    /// not known, or the rate limit is reached.
+    /// Sends a message of a protocol above membership to one process. Returns false if the process
+    /// is not known, the message does not fit in a datagram, or the rate limit is reached.
     pub fn send_message(
         &mut self,
         to: &Identity,
@@ -59,7 +59,8 @@
         )
     }
 
-    /// Changes this process's own address. Others accept it only with a higher incarnation.
+    /// Changes the address of this process. Raises the incarnation, without which other processes
+    /// would not accept a new address.
     pub fn change_address(&mut self, address: SocketAddr, now: Instant) {
         self.address = address;
         self.seeds.retain(|seed| *seed != address);
@@ -68,9 +69,9 @@
         self.next_gossip = now;
     }
 
-    /// Announces a graceful shutdown. Nothing is sent afterwards.
+    /// Announces a graceful shutdown. This node sends nothing afterwards.
     pub fn leave(&mut self, now: Instant) {
-        if self.left {
+        if self.has_left {
             return;
         }
         let mut record = self.own_record();
@@ -85,6 +86,6 @@
             let datagram = self.datagram(Body::Gossip, vec![record.clone()], Vec::new());
             self.transmit(address, &datagram, Priority::Urgent, now);
         }
-        self.left = true;
+        self.has_left = true;
     }
 }
--- a/peers/src/node/events.rs
+++ b/peers/src/node/events.rs
@@ -1,31 +1,31 @@
-//! What a node reports: events, counters and views of members.
+//! The reports of a node to its caller: events, counters and views of members.
 use crate::identity::{Identity, MemberState};
 use crate::shared_state::EntryKind;
 use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
 
-/// Something that a caller may act on.
+/// A change that a caller may act on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A member has changed its state.
     MemberChanged {
         /// The member.
         id: Identity,
-        /// Its new state.
+        /// The new state of the member.
         state: MemberState,
     },
-    /// This process was suspected or dead for others and has refuted that.
+    /// Other processes regarded this one as suspect or dead, and it has refuted that.
     Refuted {
-        /// Its new incarnation.
+        /// The new incarnation of this process.
         incarnation: u32,
     },
     /// An entry of the shared state is new, has changed, or has expired.
     EntryChanged {
         /// The kind of the entry.
         kind: EntryKind,
-        /// What it is about.
+        /// The subject of the entry.
         subject: Vec<u8>,
-        /// Who announced it.
+        /// The process that announced the entry.
         owner: Identity,
     },
     /// A message for a protocol above membership.
@@ -46,7 +46,7 @@
     },
     /// This process was paused, for example by its host.
     Paused {
-        /// For how long.
+        /// The duration of the pause.
         duration: Duration,
     },
 }
@@ -56,11 +56,11 @@
 pub struct NodeCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams sent.
     pub sent_bytes: u64,
     /// Datagrams accepted.
     pub received: u64,
-    /// Their bytes.
+    /// Bytes of the datagrams accepted.
     pub received_bytes: u64,
     /// Rejected datagrams whose size is impossible.
     pub wrong_size: u64,
@@ -72,7 +72,7 @@
     pub malformed: u64,
     /// Rejected datagrams that arrived before.
     pub repeated: u64,
-    /// Datagrams not sent because of the rate limit.
+    /// Datagrams not sent because of the rate limit, or because they were too long.
     pub rate_limited: u64,
     /// Probes started.
     pub probes: u64,
@@ -89,14 +89,14 @@
 pub struct MemberView<'a> {
     /// The member.
     pub id: &'a Identity,
-    /// Where it receives datagrams.
+    /// The address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Its state.
+    /// The state of the member.
     pub state: MemberState,
-    /// Its incarnation.
+    /// The incarnation of the member.
     pub incarnation: u32,
-    /// Since when it has this state.
+    /// Since when the member has this state.
     pub since: Instant,
-    /// When its last datagram arrived.
+    /// When the last datagram of the member arrived.
     pub last_received: Option<Instant>,
 }
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! One process among its peers, as a state machine. Each call does work that is bounded by the size
-//! of the fleet, and none blocks.
+//! A node: one process among its peers, as a state machine. No call blocks, and the work of each is
+//! bounded by the size of the fleet and of the shared state.
 mod commands;
 mod events;
 mod probing;
@@ -13,23 +13,23 @@
 
 use sending::Priority;
 
-use crate::gossip::Gossip;
+use crate::gossip::GossipQueue;
 use crate::identity::{Identity, MemberRecord};
 use crate::members::MemberList;
 use crate::shared_state::{Entry, SharedState};
 use crate::snapshots::Snapshots;
-use crate::wire::{MAX_DATAGRAM_BYTES, Seal};
+use crate::wire::{DatagramCodec, MAX_DATAGRAM_BYTES};
 use crate::{NodeConfig, ProtocolTiming};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use thistlecroft::random::Rng;
 use thistlecroft::time::Instant;
 
-/// The worst own health. All timeouts for others are multiplied by the own health plus one.
+/// The worst health of this process. Timeouts of probes are multiplied by the health plus one.
 const MAX_HEALTH: u32 = 8;
-/// How many members are asked to ping one that does not answer.
+/// How many members are asked to ping a member that does not answer.
 const INDIRECT_PROBE_HELPERS: usize = 3;
-/// How many members each round of gossip goes to.
+/// How many members gossip is sent to in each round.
 const GOSSIP_FANOUT: usize = 3;
 /// The time between rounds of gossip, in probe intervals.
 const GOSSIP_INTERVAL: f64 = 0.5;
@@ -37,13 +37,14 @@
 const SYNC_INTERVAL: f64 = 20.0;
 /// The time between attempts to reach a seed or a dead member, in probe intervals.
 const CONTACT_INTERVAL: f64 = 5.0;
-/// The most pings that are made for others at once.
+/// The most pings for other members that are pending at once.
 const MAX_INDIRECT_PROBES: usize = 32;
-/// The part of the send budget that only probes and their answers may use.
+/// The share of the send budget that is reserved for urgent datagrams: probes, their answers and
+/// messages of other protocols.
 const RESERVED_SHARE: f64 = 0.25;
-/// The bytes of a datagram for records and entries; the rest is left for its own fields.
+/// The most bytes of records and entries in a datagram. The remaining bytes are for its own fields.
 const MAX_PAYLOAD_BYTES: usize = MAX_DATAGRAM_BYTES - 200;
-/// The bytes that a record or an entry is estimated at, apart from its names and values.
+/// The estimated bytes of a record or an entry without its names, subject and value.
 const RECORD_OVERHEAD_BYTES: usize = 34;
 
 /// The current probe of a member.
@@ -51,22 +52,27 @@
 struct Probe {
     number: u32,
     target: Identity,
-    /// When others are asked to ping the target.
+    /// When other members are asked to ping the target.
     indirect_at: Instant,
-    ends: Instant,
-    helpers: u32,
-    nacks: u32,
+    /// When the probe fails.
+    deadline: Instant,
+    /// The number of members that were asked to ping the target.
+    helper_count: u32,
+    /// The number of them that got no answer from the target either.
+    nack_count: u32,
+    /// Whether other members were asked to ping the target.
     is_indirect: bool,
     is_answered: bool,
 }
 
-/// A ping made for another member.
+/// A ping that this process makes for another member.
 #[derive(Clone, Debug)]
 struct IndirectProbe {
     requester: Identity,
     requester_at: SocketAddr,
     /// The requester's number of the probe.
     probe: u32,
+    /// When the requester is notified that the target has not answered.
     until: Instant,
 }
 
@@ -76,32 +82,36 @@
     me: Identity,
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
-    seal: Seal,
+    codec: DatagramCodec,
     timing: ProtocolTiming,
-    rate: u32,
+    max_bytes_per_second: u32,
     rng: Rng,
     incarnation: u32,
+    /// The serial number of the last datagram sent.
     serial: u64,
+    /// 0 is best, [`MAX_HEALTH`] worst.
     health: u32,
-    left: bool,
+    /// Whether this process has announced its shutdown.
+    has_left: bool,
     members: MemberList,
-    gossip: Gossip,
+    gossip: GossipQueue,
     shared_state: SharedState,
     snapshots: Snapshots,
     probe: Option<Probe>,
     indirect_probes: BTreeMap<u32, IndirectProbe>,
     last_probe_number: u32,
-    /// The members to probe, the last one first. Shuffled anew when it is empty.
+    /// The members still to probe in this round; the next one is at the end. When the queue is
+    /// empty, it is filled with all live members in random order.
     probe_queue: Vec<Identity>,
     next_probe: Instant,
     next_gossip: Instant,
     next_sync: Instant,
     next_contact: Instant,
-    /// Bytes that could be sent at `budget_refilled_at`.
+    /// The bytes that could be sent at `budget_refilled_at`.
     send_budget: f64,
     budget_refilled_at: Instant,
     last_tick: Instant,
-    /// Sources of datagrams of another format, with the format.
+    /// The source addresses of datagrams of another format, with the format.
     unknown_formats: Vec<(SocketAddr, u8)>,
     outgoing: Vec<(SocketAddr, Vec<u8>)>,
     events: Vec<Event>,
@@ -110,8 +120,9 @@
 }
 
 impl Node {
-    /// A process that has just started. Others reach it at `at`. It joins the fleet through the
-    /// relays at `seeds`, of which its own address is ignored.
+    /// Creates the node of a process that has just started and that others reach at `address`. It
+    /// joins the fleet through the relays at `seeds`, among which its own address is ignored.
+    /// `seed` seeds the random numbers.
     pub fn new(
         me: Identity,
         address: SocketAddr,
@@ -121,22 +132,22 @@
         now: Instant,
     ) -> Node {
         let mut rng = Rng::from_seed(seed);
-        // Relays that start together must not probe in lockstep.
+        // A random delay, so that relays that start together do not probe at the same moments.
         let first = now + config.timing.probe_interval * rng.unit_f64();
         Node {
             me,
             address,
             seeds: seeds.into_iter().filter(|seed| *seed != address).collect(),
-            seal: Seal::new(&config.secret, &config.fleet),
+            codec: DatagramCodec::new(&config.secret, &config.fleet),
             timing: config.timing,
-            rate: config.max_bytes_per_second,
+            max_bytes_per_second: config.max_bytes_per_second,
             rng,
             incarnation: 0,
             serial: 0,
             health: 0,
-            left: false,
+            has_left: false,
             members: MemberList::default(),
-            gossip: Gossip::default(),
+            gossip: GossipQueue::default(),
             shared_state: SharedState::new(config.timing.probe_interval),
             snapshots: Snapshots::default(),
             probe: None,
@@ -158,18 +169,19 @@
     }
 }
 
-/// The estimated size of a record on the wire.
+/// Returns the estimated size of an encoded record in bytes.
 fn member_bytes(record: &MemberRecord) -> usize {
     RECORD_OVERHEAD_BYTES
         + record.id.name.len()
         + record.accuser.as_ref().map_or(0, |id| id.name.len() + 11)
 }
 
-/// The estimated size of an entry on the wire.
+/// Returns the estimated size of an encoded entry in bytes.
 fn entry_bytes(entry: &Entry) -> usize {
     RECORD_OVERHEAD_BYTES + entry.owner.name.len() + entry.subject.len() + entry.value.len()
 }
 
+/// Changes a health value by this amount, within 0 and [`MAX_HEALTH`].
 fn change_health(health: &mut u32, by: i32) {
     *health = health.saturating_add_signed(by).min(MAX_HEALTH);
 }
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -1,5 +1,5 @@
-//! Failure detection: in each interval one member is probed. Where it does not answer, others are
-//! asked to ping it; where nobody reaches it, it becomes suspect.
+//! Failure detection. One member is probed in each interval. If it does not answer, other members
+//! are asked to ping it. If none of them gets an answer either, the member becomes suspect.
 use super::{
     INDIRECT_PROBE_HELPERS, IndirectProbe, MAX_INDIRECT_PROBES, Node, Priority, Probe,
     change_health,
@@ -16,8 +16,8 @@
         self.last_probe_number
     }
 
-    /// Pings a target for another member, which has number `probe` for it.
-    pub(super) fn ping_for(
+    /// Pings a target for another member. `probe` is the requester's number of the probe.
+    pub(super) fn start_indirect_probe(
         &mut self,
         (requester, requester_at): (&Identity, SocketAddr),
         probe: u32,
@@ -51,7 +51,7 @@
             self.send(indirect.requester_at, requester, ack, Priority::Urgent, now);
             return;
         }
-        // The acknowledgement comes from the target or from a helper that reached it.
+        // The acknowledgement comes from the target itself or from a helper that reached it.
         let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) else {
             return;
         };
@@ -61,14 +61,15 @@
         }
     }
 
-    /// A helper has reached the target no better.
+    /// Notes that a helper got no answer from the target either.
     pub(super) fn handle_nack(&mut self, number: u32) {
         if let Some(probe) = self.probe.as_mut().filter(|probe| probe.number == number) {
-            probe.nacks += 1;
+            probe.nack_count += 1;
         }
     }
 
-    /// Another process has the address of the target now, so the target has ended.
+    /// Handles the answer of a process that is not the target but has its address now, which means
+    /// that the target no longer runs.
     pub(super) fn handle_wrong_target(
         &mut self,
         number: u32,
@@ -97,12 +98,12 @@
         self.probe = None;
     }
 
-    /// Moves the current probe on, and starts the next one when it is time.
+    /// Advances the current probe, and starts the next one when it is due.
     pub(super) fn advance_probe(&mut self, now: Instant) {
         if let Some(probe) = &self.probe {
             if probe.is_answered {
                 self.probe = None;
-            } else if probe.ends <= now {
+            } else if probe.deadline <= now {
                 self.fail_probe(now);
             } else if !probe.is_indirect && probe.indirect_at <= now {
                 self.send_indirect_pings(now);
@@ -114,9 +115,9 @@
     }
 
     fn start_probe(&mut self, now: Instant) {
-        let stretch = f64::from(self.health + 1);
-        let ends = now + self.timing.probe_interval * stretch;
-        self.next_probe = ends;
+        let health_factor = f64::from(self.health + 1);
+        let deadline = now + self.timing.probe_interval * health_factor;
+        self.next_probe = deadline;
         let Some(target) = self.next_probe_target() else {
             return;
         };
@@ -124,10 +125,10 @@
         self.probe = Some(Probe {
             number,
             target: target.clone(),
-            indirect_at: now + self.timing.ack_timeout() * stretch,
-            ends,
-            helpers: 0,
-            nacks: 0,
+            indirect_at: now + self.timing.ack_timeout() * health_factor,
+            deadline,
+            helper_count: 0,
+            nack_count: 0,
             is_indirect: false,
             is_answered: false,
         });
@@ -142,7 +143,7 @@
         self.send(address, Some(&target), ping, Priority::Urgent, now);
     }
 
-    /// Each live member once in random order, and then again.
+    /// Returns the next member to probe. Each round covers all live members in random order.
     fn next_probe_target(&mut self) -> Option<Identity> {
         for _ in 0..2 {
             while let Some(id) = self.probe_queue.pop() {
@@ -171,7 +172,7 @@
         let helpers =
             self.random_members(INDIRECT_PROBE_HELPERS, MemberState::Alive, Some(&target));
         if let Some(probe) = &mut self.probe {
-            probe.helpers = helpers.len() as u32;
+            probe.helper_count = helpers.len() as u32;
         }
         for id in helpers {
             let Some(address) = self.members.get(&id).map(|member| member.address) else {
@@ -191,13 +192,14 @@
             return;
         };
         self.counts.probes_failed += 1;
-        // Helpers that sent neither an ack nor a nack suggest that the fault is on this side.
-        let silent_helpers = probe.helpers.saturating_sub(probe.nacks);
-        let decline = match probe.helpers {
+        // If helpers sent neither an ack nor a nack, this process itself is probably slow or cut
+        // off.
+        let silent_helpers = probe.helper_count.saturating_sub(probe.nack_count);
+        let health_penalty = match probe.helper_count {
             0 => 1,
             _ => silent_helpers as i32,
         };
-        change_health(&mut self.health, decline);
+        change_health(&mut self.health, health_penalty);
         let Some(member) = self.members.get(&probe.target) else {
             return;
         };
@@ -214,7 +216,7 @@
         self.merge(&record, now);
     }
 
-    /// Notifies requesters whose targets have not answered in time.
+    /// Sends a nack to requesters whose targets have not answered in time.
     pub(super) fn expire_indirect_probes(&mut self, now: Instant) {
         let probes = self.indirect_probes.iter();
         let expired: Vec<u32> = probes
@@ -238,7 +240,8 @@
         }
     }
 
-    /// Up to `count` random members whose state is no worse than `worst`.
+    /// Returns up to `count` random members, without `except`, whose state is no worse than
+    /// `worst`.
     pub(super) fn random_members(
         &mut self,
         count: usize,
--- a/peers/src/node/queries.rs
+++ b/peers/src/node/queries.rs
@@ -1,4 +1,4 @@
-//! What callers can read of a node's state.
+//! Queries of the state of a node.
 use super::{Event, MemberView, Node};
 use crate::identity::{Identity, MemberState};
 use crate::members::Member;
@@ -7,27 +7,28 @@
 use thistlecroft::time::Instant;
 
 impl Node {
-    /// This process.
+    /// Returns the identity of this process.
     pub fn me(&self) -> &Identity {
         &self.me
     }
 
-    /// The state that relays share by gossip.
+    /// Returns the state that relays share by gossip.
     pub fn shared_state(&self) -> &SharedState {
         &self.shared_state
     }
 
-    /// The own health, 0 being best. All timeouts for others are multiplied by this plus one.
+    /// Returns the health of this process, where 0 is best. Timeouts of probes are multiplied by
+    /// the health plus one.
     pub fn health(&self) -> u32 {
         self.health
     }
 
-    /// This process's own incarnation.
+    /// Returns the incarnation of this process.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// All other members that are known, dead ones included.
+    /// Returns all other known members, including those that are dead or have left.
     pub fn members(&self) -> impl Iterator<Item = MemberView<'_>> {
         self.members.members().map(|(id, member)| MemberView {
             id,
@@ -39,13 +40,13 @@
         })
     }
 
-    /// The state of a member, if it is known.
+    /// Returns the state of a member, if the member is known.
     pub fn state_of(&self, id: &Identity) -> Option<MemberState> {
         self.members.get(id).map(|member| member.state)
     }
 
-    /// The number of relays that are suspect or dead without a newer run that is alive. Readers of
-    /// the shared state may miss entries of that many.
+    /// Returns the number of members that are suspect or dead and have no other run that is alive.
+    /// The shared state may lack entries of this many relays.
     pub fn unreachable_count(&self) -> usize {
         let has_live_run = |name: &str| {
             self.members
@@ -60,12 +61,12 @@
         self.members.members().filter(is_missing).count()
     }
 
-    /// The number of live members, this process and suspects included.
+    /// Returns the number of live members, including this process and suspects.
     pub fn fleet_size(&self) -> usize {
         self.members.live_count() + 1
     }
 
-    /// When [`Node::tick`] has to be called next.
+    /// Returns when [`Node::tick`] has to be called next.
     pub fn due(&self) -> Instant {
         let mut due = self.next_probe.min(self.next_contact).min(self.next_sync);
         if !self.gossip.is_empty() {
@@ -73,7 +74,7 @@
         }
         if let Some(probe) = &self.probe {
             due = due.min(if probe.is_indirect {
-                probe.ends
+                probe.deadline
             } else {
                 probe.indirect_at
             });
@@ -81,7 +82,7 @@
         let indirect_probes = self.indirect_probes.values().map(|indirect| indirect.until);
         let others = indirect_probes
             .chain(self.members.next_suspicion_expiry())
-            .chain(self.snapshots.due());
+            .chain(self.snapshots.next_request());
         others.fold(due, Instant::min)
     }
 
--- a/peers/src/node/receiving.rs
+++ b/peers/src/node/receiving.rs
@@ -1,21 +1,21 @@
-//! Received datagrams.
+//! Handling of received datagrams.
 use super::{Event, MAX_INDIRECT_PROBES, Node, Priority, change_health};
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberRecord, MemberState};
-use crate::members::Merged;
+use crate::members::MergeOutcome;
 use crate::shared_state::{Entry, EntryKey};
 use crate::wire::{Body, Datagram, Rejection};
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
-/// How many pairs of address and unknown format are remembered.
+/// How many pairs of a source address and an unknown format are remembered.
 const MAX_UNKNOWN_FORMATS: usize = MAX_INDIRECT_PROBES;
 
 impl Node {
-    /// Handles a datagram. One that is not of this fleet is counted, and costs no more than its
-    /// hash.
+    /// Handles a datagram. A datagram of another fleet is only counted, which costs no more than
+    /// hashing it.
     pub fn receive(&mut self, bytes: &[u8], source: SocketAddr, now: Instant) {
-        let datagram = match self.seal.open(bytes) {
+        let datagram = match self.codec.decode(bytes) {
             Ok(datagram) => datagram,
             Err(rejection) => return self.count_rejection(rejection, source),
         };
@@ -31,7 +31,7 @@
         }
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
-        if !self.left {
+        if !self.has_left {
             self.handle_datagram(datagram, now);
         }
     }
@@ -52,7 +52,7 @@
             };
             self.merge(&sender, now);
         }
-        // A sender that was not known before is known by now.
+        // `receive` could not note the serial number of an unknown sender, which is known by now.
         self.members.note_received(&from, datagram.serial, now);
         for record in &datagram.members {
             self.merge(record, now);
@@ -111,7 +111,7 @@
                 probe,
                 target,
                 address: target_at,
-            } => self.ping_for((from, address), probe, (&target, target_at), now),
+            } => self.start_indirect_probe((from, address), probe, (&target, target_at), now),
             Body::Ack { probe } => self.handle_ack(probe, now),
             Body::Nack { probe } => self.handle_nack(probe),
             Body::WrongTarget { probe } => self.handle_wrong_target(probe, from, address, now),
@@ -122,19 +122,20 @@
             Body::SyncRequest { .. } => self.send_snapshot(address, from, true, now),
             Body::Chunk {
                 exchange,
-                number,
-                of,
-                back,
+                index,
+                chunk_count,
+                reply_requested,
             } => {
                 let timeout = self.timing.probe_interval;
                 let snapshots = &mut self.snapshots;
-                let is_first = snapshots.note_chunk(from, exchange, number, of, timeout, now);
-                if is_first && back {
+                let is_first =
+                    snapshots.note_chunk(from, exchange, index, chunk_count, timeout, now);
+                if is_first && reply_requested {
                     self.send_snapshot(address, from, false, now);
                 }
             }
-            Body::Missing { exchange, numbers } => {
-                self.resend_chunks(from, address, exchange, &numbers, now);
+            Body::Missing { exchange, indices } => {
+                self.resend_chunks(from, address, exchange, &indices, now);
             }
             Body::Message { channel, bytes } => {
                 self.events.push(Event::Message {
@@ -146,15 +147,15 @@
         }
     }
 
-    /// Merges an opinion about a member and spreads it if it changed anything.
+    /// Merges an opinion about a member, and spreads it if it is new.
     pub(super) fn merge(&mut self, record: &MemberRecord, now: Instant) {
         if record.id == self.me {
             return self.refute(record, now);
         }
         match self.members.merge(record, &self.timing, now) {
-            Merged::Unchanged => {}
-            Merged::Updated => self.gossip.add(Update::Member(record.id.clone())),
-            Merged::StateChanged => {
+            MergeOutcome::Unchanged => {}
+            MergeOutcome::Updated => self.gossip.add(Update::Member(record.id.clone())),
+            MergeOutcome::StateChanged => {
                 self.counts.suspected += u64::from(record.state == MemberState::Suspect);
                 self.gossip.add(Update::Member(record.id.clone()));
                 self.events.push(Event::MemberChanged {
@@ -165,10 +166,10 @@
         }
     }
 
-    /// Refutes an opinion about this process by a higher incarnation.
+    /// Refutes an opinion that this process is not alive, by raising its incarnation.
     fn refute(&mut self, record: &MemberRecord, now: Instant) {
         let is_outdated = record.incarnation < self.incarnation;
-        if record.state == MemberState::Alive || is_outdated || self.left {
+        if record.state == MemberState::Alive || is_outdated || self.has_left {
             return;
         }
         self.incarnation = record.incarnation + 1;
@@ -182,7 +183,8 @@
     }
 
     fn merge_entry(&mut self, entry: &Entry, now: Instant) {
-        // This process knows its own entries best; a withdrawn one is not restored by others.
+        // This process is the authority on its own entries: others must not restore a withdrawn
+        // one.
         if entry.owner == self.me || !self.shared_state.merge(entry, now) {
             return;
         }
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -1,4 +1,5 @@
-//! Sent datagrams: gossip is added where it fits, and a token bucket limits the bytes per second.
+//! Sending of datagrams. Gossip is added where it fits, and a token bucket limits the bytes per
+//! second.
 use super::{MAX_PAYLOAD_BYTES, Node, RESERVED_SHARE, entry_bytes, member_bytes};
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberRecord, MemberState};
@@ -7,10 +8,10 @@
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
-/// The bytes that a chunk's number is estimated at.
-const CHUNK_NUMBER_BYTES: usize = 3;
+/// The estimated bytes of the index of a chunk.
+const CHUNK_INDEX_BYTES: usize = 3;
 
-/// Whether a datagram may use the part of the send budget that is reserved.
+/// Whether a datagram may use the reserved share of the send budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Priority {
     /// Probes, their answers and messages of other protocols.
@@ -23,12 +24,12 @@
 struct Payload {
     members: Vec<MemberRecord>,
     entries: Vec<Entry>,
-    /// The updates among them that come from the gossip queue.
+    /// The updates from the gossip queue that the datagram carries.
     updates: Vec<Update>,
     bytes_left: usize,
 }
 
-/// The content of an update.
+/// The record or entry that an update is about.
 enum UpdateContent {
     Member(MemberRecord),
     Entry(Entry),
@@ -38,7 +39,7 @@
     fn for_body(body: &Body) -> Payload {
         let body_bytes = match body {
             Body::Message { bytes, .. } => bytes.len(),
-            Body::Missing { numbers, .. } => numbers.len() * CHUNK_NUMBER_BYTES,
+            Body::Missing { indices, .. } => indices.len() * CHUNK_INDEX_BYTES,
             _ => 0,
         };
         Payload {
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Adds an update if it fits.
+    /// Adds an update if it fits, and returns whether it did.
     fn try_add(&mut self, update: &Update, content: UpdateContent) -> bool {
         let bytes = match &content {
             UpdateContent::Member(record) => member_bytes(record),
@@ -69,7 +70,7 @@
 }
 
 impl Node {
-    /// The next datagram of this process, with its next serial number.
+    /// Creates a datagram of this process, with the next serial number.
     pub(super) fn datagram(
         &mut self,
         body: Body,
@@ -88,9 +89,9 @@
         }
     }
 
-    /// Sends a datagram with as much gossip as fits. The first record is what this process thinks
-    /// of the receiver, if anything is wrong, so that the receiver can refute it. False where the
-    /// rate limit is reached.
+    /// Sends a datagram with as much gossip as fits. If this process does not regard the receiver
+    /// `to` as alive, the first record is that opinion, so that the receiver can refute it. Returns
+    /// false if the datagram is too long or the rate limit is reached.
     pub(super) fn send(
         &mut self,
         address: SocketAddr,
@@ -107,7 +108,8 @@
             payload.members.push(record);
         }
         self.refill_budget(now);
-        // Close to the rate limit, probes and their answers carry no gossip.
+        // Close to the rate limit, datagrams carry no gossip, to save the budget for probes and
+        // their answers.
         if self.send_budget > self.reserved_budget() + MAX_DATAGRAM_BYTES as f64 {
             self.add_gossip(&mut payload, now);
         }
@@ -142,19 +144,20 @@
         }
     }
 
-    /// The bytes that only urgent datagrams may use.
+    /// Returns the bytes of the send budget that only urgent datagrams may use.
     fn reserved_budget(&self) -> f64 {
-        f64::from(self.rate) * RESERVED_SHARE
+        f64::from(self.max_bytes_per_second) * RESERVED_SHARE
     }
 
     fn refill_budget(&mut self, now: Instant) {
-        let rate = f64::from(self.rate);
+        let rate = f64::from(self.max_bytes_per_second);
         let elapsed = now.duration_since(self.budget_refilled_at);
         self.send_budget = (self.send_budget + rate * elapsed.as_secs_f64()).min(rate);
         self.budget_refilled_at = now;
     }
 
-    /// Sends a complete datagram. False where the rate limit is reached.
+    /// Sends a datagram as it is. Returns false if it is too long, the rate limit is reached, or
+    /// this process has announced its shutdown.
     pub(super) fn transmit(
         &mut self,
         address: SocketAddr,
@@ -162,10 +165,10 @@
         priority: Priority,
         now: Instant,
     ) -> bool {
-        if self.left {
+        if self.has_left {
             return false;
         }
-        let Some(bytes) = self.seal.close(datagram) else {
+        let Some(bytes) = self.codec.encode(datagram) else {
             self.counts.rate_limited += 1;
             return false;
         };
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -1,39 +1,39 @@
-//! Anti-entropy: members compare digests of everything that they know at intervals and exchange
-//! snapshots where these differ. Seeds and dead members are contacted again, so that the parts of a
-//! divided fleet find each other.
+//! Anti-entropy. At intervals, members compare digests of everything that they know and exchange
+//! snapshots if these differ. Seeds and dead members are contacted again from time to time, so that
+//! a fleet that was divided by a network partition merges again.
 use super::{
     CONTACT_INTERVAL, MAX_INDIRECT_PROBES, MAX_PAYLOAD_BYTES, Node, Priority, SYNC_INTERVAL,
     entry_bytes, member_bytes,
 };
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberRecord, MemberState};
-use crate::snapshots::Content;
+use crate::snapshots::ChunkContent;
 use crate::wire::Body;
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
-/// The most seeds that are contacted at once.
+/// The most seeds and dead members that are contacted at once.
 const MAX_CONTACTS: usize = MAX_INDIRECT_PROBES;
 
-/// Fills chunks up to the size of a datagram.
+/// Distributes records and entries over chunks that fit in a datagram each.
 struct ChunkBuilder {
-    chunks: Vec<Content>,
+    chunks: Vec<ChunkContent>,
     bytes_left: usize,
 }
 
 impl ChunkBuilder {
     fn new() -> ChunkBuilder {
         ChunkBuilder {
-            chunks: vec![Content::default()],
+            chunks: vec![ChunkContent::default()],
             bytes_left: MAX_PAYLOAD_BYTES,
         }
     }
 
-    /// The chunk that has room for this many bytes.
-    fn chunk_for(&mut self, bytes: usize) -> &mut Content {
+    /// Returns the last chunk, or a new one if the last has no room for this many bytes.
+    fn chunk_for(&mut self, bytes: usize) -> &mut ChunkContent {
         if bytes > self.bytes_left {
-            self.chunks.push(Content::default());
+            self.chunks.push(ChunkContent::default());
             self.bytes_left = MAX_PAYLOAD_BYTES;
         }
         self.bytes_left -= bytes;
@@ -44,12 +44,13 @@
 }
 
 impl Node {
-    /// Contacts seeds until any member is alive, and after that one dead member or seed at a time.
+    /// Contacts seeds and dead members: as many as there are seeds while no member is alive, and
+    /// one at a time after that.
     pub(super) fn contact_missing(&mut self, now: Instant) {
         if now < self.next_contact {
             return;
         }
-        let is_alone = self.addresses(MemberState::Alive).next().is_none();
+        let is_alone = self.addresses_in_state(MemberState::Alive).next().is_none();
         let intervals = if is_alone { 1.0 } else { CONTACT_INTERVAL };
         self.next_contact = now + self.timing.probe_interval * intervals;
         let mut missing = self.missing_addresses();
@@ -61,8 +62,9 @@
             }
             let index = self.rng.below(missing.len() as u64) as usize;
             let address = missing.swap_remove(index);
-            // A datagram to a dead member carries that opinion, which the member can refute.
-            let id = self.member_at(address).cloned();
+            // A datagram to a dead member carries the opinion that it is dead, so that it can
+            // refute it.
+            let id = self.member_with_address(address).cloned();
             self.send(
                 address,
                 id.as_ref(),
@@ -73,32 +75,34 @@
         }
     }
 
-    fn addresses(&self, state: MemberState) -> impl Iterator<Item = SocketAddr> {
+    fn addresses_in_state(&self, state: MemberState) -> impl Iterator<Item = SocketAddr> {
         let members = self.members.members().map(|(_, member)| member);
         let in_state = members.filter(move |member| member.state == state);
         in_state.map(|member| member.address)
     }
 
-    fn member_at(&self, address: SocketAddr) -> Option<&Identity> {
+    fn member_with_address(&self, address: SocketAddr) -> Option<&Identity> {
         let mut members = self.members.members();
         members
             .find(|(_, member)| member.address == address)
             .map(|(id, _)| id)
     }
 
-    /// The addresses of seeds and dead members where no member is alive.
+    /// Returns the addresses of seeds and dead members at which no member is alive.
     fn missing_addresses(&self) -> Vec<SocketAddr> {
-        let alive: BTreeSet<SocketAddr> = self.addresses(MemberState::Alive).collect();
+        let alive: BTreeSet<SocketAddr> = self.addresses_in_state(MemberState::Alive).collect();
         let seeds = self.seeds.iter().copied();
-        let mut missing: Vec<SocketAddr> = seeds.chain(self.addresses(MemberState::Dead)).collect();
+        let mut missing: Vec<SocketAddr> = seeds
+            .chain(self.addresses_in_state(MemberState::Dead))
+            .collect();
         missing.retain(|address| !alive.contains(address));
         missing.sort_unstable();
         missing.dedup();
         missing
     }
 
-    /// At intervals, expires what is old, refreshes this process's own entries, and compares digests
-    /// with a random member.
+    /// Once per sync interval, removes expired members and entries, refreshes this process's own
+    /// entries, and compares digests with a random member.
     pub(super) fn sync_and_expire(&mut self, now: Instant) {
         if now < self.next_sync {
             return;
@@ -132,7 +136,7 @@
         }
     }
 
-    /// A digest of everything that two members have to agree on.
+    /// Returns a digest of everything that two members have to agree on.
     pub(super) fn digest(&self) -> u64 {
         let own = (&self.me, self.incarnation, MemberState::Alive);
         let others = self
@@ -147,6 +151,7 @@
         members ^ self.shared_state.digest()
     }
 
+    /// Returns the record of this process itself.
     pub(super) fn own_record(&self) -> MemberRecord {
         MemberRecord {
             id: self.me.clone(),
@@ -157,30 +162,31 @@
         }
     }
 
-    /// Sends everything that this process knows. With `back`, the receiver is asked for the same.
+    /// Sends a snapshot of everything that this process knows. With `reply_requested`, the receiver
+    /// is asked for its own snapshot.
     pub(super) fn send_snapshot(
         &mut self,
         address: SocketAddr,
         to: &Identity,
-        back: bool,
+        reply_requested: bool,
         now: Instant,
     ) {
         let chunks = self.snapshot(now);
-        let of = chunks.len() as u16;
-        let exchange = self.snapshots.keep(to.clone(), chunks.clone());
-        for (number, content) in (0..).zip(chunks) {
+        let chunk_count = chunks.len() as u16;
+        let exchange = self.snapshots.keep_sent(to.clone(), chunks.clone());
+        for (index, content) in (0..).zip(chunks) {
             let body = Body::Chunk {
                 exchange,
-                number,
-                of,
-                back,
+                index,
+                chunk_count,
+                reply_requested,
             };
             let datagram = self.datagram(body, content.members, content.entries);
             self.transmit(address, &datagram, Priority::Normal, now);
         }
     }
 
-    fn snapshot(&self, now: Instant) -> Vec<Content> {
+    fn snapshot(&self, now: Instant) -> Vec<ChunkContent> {
         let mut builder = ChunkBuilder::new();
         let ids = self.members.members().map(|(id, _)| id);
         for record in ids.filter_map(|id| self.members.record(id)) {
@@ -195,25 +201,26 @@
         builder.chunks
     }
 
-    /// Sends chunks of a snapshot again that did not arrive.
+    /// Sends chunks of a snapshot that did not arrive again.
     pub(super) fn resend_chunks(
         &mut self,
         to: &Identity,
         address: SocketAddr,
         exchange: u32,
-        numbers: &[u16],
+        indices: &[u16],
         now: Instant,
     ) {
-        for &number in numbers {
-            let Some((content, of)) = self.snapshots.sent_chunk(to, exchange, number) else {
+        for &index in indices {
+            let Some((content, chunk_count)) = self.snapshots.sent_chunk(to, exchange, index)
+            else {
                 continue;
             };
             let content = content.clone();
             let body = Body::Chunk {
                 exchange,
-                number,
-                of,
-                back: false,
+                index,
+                chunk_count,
+                reply_requested: false,
             };
             let datagram = self.datagram(body, content.members, content.entries);
             self.transmit(address, &datagram, Priority::Normal, now);
@@ -226,7 +233,7 @@
             if let Some(address) = self.members.get(&missing.from).map(|member| member.address) {
                 let body = Body::Missing {
                     exchange: missing.exchange,
-                    numbers: missing.numbers,
+                    indices: missing.indices,
                 };
                 self.send(address, Some(&missing.from), body, Priority::Normal, now);
             }
@@ -240,5 +247,5 @@
     hasher.update(&id.run.to_le_bytes());
     hasher.update(&incarnation.to_le_bytes());
     hasher.update(&[state as u8]);
-    crate::first_eight(hasher.finalize().as_bytes())
+    crate::leading_u64(hasher.finalize().as_bytes())
 }
--- a/peers/src/node/ticking.rs
+++ b/peers/src/node/ticking.rs
@@ -1,24 +1,26 @@
-//! What a node does as time passes.
+//! Periodic work of a node, and recovery from pauses of the process.
 use super::{Event, GOSSIP_FANOUT, GOSSIP_INTERVAL, Node, Priority, change_health};
 use crate::identity::MemberState;
 use crate::wire::Body;
 use thistlecroft::time::{Duration, Instant};
 
-/// A call that is later than this, in probe intervals, means that the process was paused.
+/// How late a call of [`Node::tick`] may be, in probe intervals, before the process counts as
+/// paused.
 const PAUSE_THRESHOLD: f64 = 0.5;
-/// The first probe after a pause starts after this time, in probe intervals.
+/// The time from the end of a pause to the next probe, in probe intervals.
 const PROBE_DELAY_AFTER_PAUSE: f64 = 0.5;
 
 impl Node {
-    /// Does everything that is due. A call that comes much later than [`Node::due`] blames no
-    /// member, since this process could not receive anything meanwhile.
+    /// Does everything that is due. If the call comes much later than [`Node::due`], the time since
+    /// then counts as a pause of this process and against no other member, since this process could
+    /// not receive anything meanwhile.
     pub fn tick(&mut self, now: Instant) {
         let delay = now.duration_since(self.due().max(self.last_tick));
         if delay > self.timing.probe_interval * PAUSE_THRESHOLD {
             self.recover_from_pause(delay, now);
         }
         self.last_tick = now;
-        if self.left {
+        if self.has_left {
             return;
         }
         self.advance_probe(now);
@@ -57,6 +59,7 @@
         }
     }
 
+    /// Drops pending probes and extends suspicions after a pause of this process.
     fn recover_from_pause(&mut self, duration: Duration, now: Instant) {
         self.events.push(Event::Paused { duration });
         change_health(&mut self.health, 1);
--- a/peers/src/shared_state.rs
+++ b/peers/src/shared_state.rs
@@ -1,16 +1,16 @@
-//! State that relays share by gossip: a bounded, replicated table of entries with an owner and a time
-//! to live.
+//! State that relays share by gossip: a bounded, replicated table of entries with an owner and a
+//! time to live.
 //!
-//! Merging is commutative, associative and idempotent. Of two entries with one key, the one with the
-//! greater `(epoch, value)` stays; of two equal ones, the greater age. The age of an entry is a lower
-//! bound, since its time on the way is not counted. Which entries a full table keeps depends on
-//! their keys alone, so that full tables converge as well.
+//! Merging is commutative, associative and idempotent. Of two entries with the same key, the one
+//! with the greater `(epoch, value)` is kept; if these are equal, the greater age is kept. The age
+//! of an entry is a lower bound, since the time in transit is not counted. Which entries a full
+//! table keeps depends only on their keys, so that full tables converge as well.
 use crate::identity::Identity;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 
-/// What an entry is about. The order of the variants is that of the wire.
+/// The kind of information in an entry. The order of the variants defines the encoding.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EntryKind {
     /// A backend that an operator has banned.
@@ -19,7 +19,7 @@
     Ejection,
     /// The observed start of a backend.
     Start,
-    /// A part of a shared quota.
+    /// A relay's share of a shared quota.
     Share,
     /// Load in flight.
     Work,
@@ -28,7 +28,7 @@
 }
 
 impl EntryKind {
-    /// All kinds.
+    /// All kinds, in the order of the variants.
     pub const ALL: [EntryKind; 6] = [
         EntryKind::Ban,
         EntryKind::Ejection,
@@ -38,7 +38,7 @@
         EntryKind::Note,
     ];
 
-    /// How long an entry is kept without a refresh by its owner, in probe intervals.
+    /// Returns how long an entry is kept without a refresh by its owner, in probe intervals.
     fn time_to_live(self) -> f64 {
         match self {
             EntryKind::Ban => 600.0,
@@ -52,36 +52,36 @@
 pub const MAX_SUBJECT_BYTES: usize = 48;
 /// The longest value, in bytes.
 pub const MAX_VALUE_BYTES: usize = 96;
-/// The most entries of a table. Each costs every relay memory and datagrams.
+/// The most entries of a table. Each entry costs every relay memory and datagrams.
 pub const MAX_ENTRIES: usize = 4_096;
 /// The most entries that one owner announces.
 pub const MAX_OWN_ENTRIES: usize = 1_024;
 
-/// The identity of an entry.
+/// The key that identifies an entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EntryKey {
-    /// What it is about.
+    /// The kind of information.
     pub kind: EntryKind,
-    /// The thing that it is about, such as a backend.
+    /// The thing that the entry is about, such as a backend.
     pub subject: Vec<u8>,
-    /// Who announces it.
+    /// The process that announces the entry.
     pub owner: Identity,
 }
 
 /// An entry as relays exchange it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// What it is about.
+    /// The kind of information.
     pub kind: EntryKind,
-    /// The thing that it is about, such as a backend.
+    /// The thing that the entry is about, such as a backend.
     pub subject: Vec<u8>,
-    /// Who announces it.
+    /// The process that announces the entry.
     pub owner: Identity,
-    /// Grows with each announcement of its owner.
+    /// The number of the announcement, which grows with each announcement of the owner.
     pub epoch: u64,
     /// The value.
     pub value: Vec<u8>,
-    /// At least this many milliseconds have passed since its owner announced it.
+    /// The least time that has passed since the owner announced the entry, in milliseconds.
     pub age_ms: u32,
 }
 
@@ -100,26 +100,27 @@
     }
 }
 
+/// An entry as the table keeps it under its key.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct StoredEntry {
     epoch: u64,
     value: Vec<u8>,
-    /// The latest time at which its owner can have announced it, by this relay's clock.
+    /// The latest time at which the owner can have announced the entry, by this relay's clock.
     announced: Instant,
 }
 
 /// An entry as callers read it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryView<'a> {
-    /// The thing that it is about, such as a backend.
+    /// The thing that the entry is about, such as a backend.
     pub subject: &'a [u8],
-    /// Who announced it.
+    /// The process that announced the entry.
     pub owner: &'a Identity,
-    /// Grows with each announcement of its owner.
+    /// The number of the announcement, which grows with each announcement of the owner.
     pub epoch: u64,
     /// The value.
     pub value: &'a [u8],
-    /// At least this long ago its owner announced it.
+    /// The least time that has passed since the owner announced the entry.
     pub age: Duration,
 }
 
@@ -129,14 +130,15 @@
     entries: BTreeMap<EntryKey, StoredEntry>,
     probe_interval: Duration,
     /// The epoch of this relay's last announcement. No epoch is used twice, not even after an entry
-    /// was withdrawn, since others may still have the old one.
+    /// was withdrawn, since other relays may still have the old entry.
     last_epoch: u64,
-    /// Entries rejected for want of capacity.
+    /// The number of entries rejected because the table was full, the owner had too many entries,
+    /// or the entry was too long.
     pub rejected: u64,
 }
 
 impl SharedState {
-    /// An empty table. Entries live for a multiple of the probe interval.
+    /// Creates an empty table. The time to live of entries is a multiple of the probe interval.
     pub fn new(probe_interval: Duration) -> SharedState {
         SharedState {
             entries: BTreeMap::new(),
@@ -150,7 +152,7 @@
         self.probe_interval * kind.time_to_live()
     }
 
-    /// Merges an entry. True if that changed more than an age.
+    /// Merges an entry. Returns whether that changed more than the age of an entry.
     pub fn merge(&mut self, entry: &Entry, now: Instant) -> bool {
         let age = Duration::from_millis(u64::from(entry.age_ms));
         if age >= self.time_to_live(entry.kind) {
@@ -183,14 +185,15 @@
             },
         );
         if self.entries.len() > MAX_ENTRIES {
-            // The last one in the order of keys is dropped, whatever the order of arrival.
+            // The last entry in the order of keys is dropped, independent of the order of arrival.
             self.rejected += 1;
             return self.entries.pop_last().is_some_and(|(last, _)| last != key);
         }
         true
     }
 
-    /// Announces an entry as its owner. False where the owner has too many, or it is too long.
+    /// Announces an entry as its owner. Returns false if the entry was not accepted: the owner has
+    /// too many entries, or the entry is too long.
     pub fn announce(
         &mut self,
         owner: &Identity,
@@ -227,7 +230,8 @@
         self.merge(&entry, now)
     }
 
-    /// The entries of an owner that are due for a refresh, after a third of their time to live.
+    /// Returns the entries of an owner that are due for a refresh, which is after a third of their
+    /// time to live.
     pub fn entries_to_refresh(&self, owner: &Identity, now: Instant) -> Vec<EntryKey> {
         let is_due = |(key, stored): &(&EntryKey, &StoredEntry)| {
             key.owner == *owner
@@ -248,7 +252,8 @@
         }
     }
 
-    /// Removes an entry of this relay. Other relays remove it when it expires.
+    /// Removes an entry of this relay, and returns whether it existed. Other relays remove the
+    /// entry when it expires.
     pub fn withdraw(&mut self, owner: &Identity, kind: EntryKind, subject: &[u8]) -> bool {
         let key = EntryKey {
             kind,
@@ -275,7 +280,7 @@
         expired
     }
 
-    /// An entry with its current age, to send.
+    /// Returns an entry with its current age, as it is sent to others.
     pub fn entry(&self, key: &EntryKey, now: Instant) -> Option<Entry> {
         let stored = self.entries.get(key)?;
         Some(Entry {
@@ -289,12 +294,12 @@
         })
     }
 
-    /// The keys of all entries.
+    /// Returns the keys of all entries.
     pub fn keys(&self) -> impl Iterator<Item = &EntryKey> {
         self.entries.keys()
     }
 
-    /// All entries of a kind.
+    /// Returns all entries of a kind.
     pub fn of_kind(&self, kind: EntryKind, now: Instant) -> impl Iterator<Item = EntryView<'_>> {
         self.entries
             .iter()
@@ -308,17 +313,17 @@
             })
     }
 
-    /// The number of entries.
+    /// Returns the number of entries.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether there are no entries.
+    /// Returns whether there are no entries.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// A digest of all entries without their ages.
+    /// Returns a digest of all entries without their ages.
     pub(crate) fn digest(&self) -> u64 {
         self.entries.iter().fold(0, |sum, (key, stored)| {
             let mut hasher = blake3::Hasher::new();
@@ -330,7 +335,7 @@
                 .update(&key.owner.run.to_le_bytes())
                 .update(&stored.epoch.to_le_bytes())
                 .update(&stored.value);
-            sum ^ crate::first_eight(hasher.finalize().as_bytes())
+            sum ^ crate::leading_u64(hasher.finalize().as_bytes())
         })
     }
 }
--- a/peers/src/snapshots.rs
+++ b/peers/src/snapshots.rs
@@ -1,22 +1,23 @@
-//! Snapshots of everything that a relay knows, exchanged in chunks of a datagram each. A chunk can
-//! be merged by itself; chunks that do not arrive are requested again.
+//! Snapshots of everything that a relay knows, exchanged in chunks of one datagram each. Each chunk
+//! can be merged by itself. Chunks that do not arrive are requested again.
 use crate::identity::{Identity, MemberRecord};
 use crate::shared_state::Entry;
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::time::{Duration, Instant};
 
-/// The most exchanges that are kept in each direction. The oldest one is dropped for a new one.
+/// The most exchanges that are kept in each direction. The first in the order of keys is dropped to
+/// make room for a new one.
 const MAX_EXCHANGES: usize = 4;
-/// How often missing chunks are requested.
+/// How many times the missing chunks of an exchange are requested.
 const MAX_REQUESTS: u32 = 5;
 /// The most missing chunks that are named in one datagram.
 const MAX_NAMED_CHUNKS: usize = 64;
-/// How long a finished exchange is remembered, in timeouts.
+/// How long a finished exchange is remembered, as a multiple of the timeout for missing chunks.
 const RETENTION_TIMEOUTS: f64 = 8.0;
 
 /// The content of one chunk.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Content {
+pub(crate) struct ChunkContent {
     pub(crate) members: Vec<MemberRecord>,
     pub(crate) entries: Vec<Entry>,
 }
@@ -25,20 +26,25 @@
 pub(crate) struct MissingChunks {
     pub(crate) from: Identity,
     pub(crate) exchange: u32,
-    pub(crate) numbers: Vec<u16>,
+    pub(crate) indices: Vec<u16>,
 }
 
+/// A snapshot that was sent, kept in case chunks are requested again.
 #[derive(Clone, Debug)]
 struct SentSnapshot {
     to: Identity,
-    chunks: Vec<Content>,
+    chunks: Vec<ChunkContent>,
 }
 
+/// A snapshot of which at least one chunk has arrived.
 #[derive(Clone, Debug)]
 struct IncomingSnapshot {
+    /// The indices of the chunks that have not arrived.
     missing: BTreeSet<u16>,
-    /// When the missing chunks are requested next.
+    /// When the missing chunks are requested next; for a finished exchange, the time from which its
+    /// age counts.
     request_at: Instant,
+    /// The number of times that missing chunks were requested.
     requests: u32,
 }
 
@@ -48,7 +54,7 @@
     }
 }
 
-/// The exchanges of snapshots that are under way.
+/// The exchanges of snapshots that are in progress or were finished recently.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Snapshots {
     sent: BTreeMap<u32, SentSnapshot>,
@@ -59,7 +65,7 @@
 impl Snapshots {
     /// Keeps the chunks of a snapshot in case some are requested again. Returns the number of the
     /// exchange.
-    pub(crate) fn keep(&mut self, to: Identity, chunks: Vec<Content>) -> u32 {
+    pub(crate) fn keep_sent(&mut self, to: Identity, chunks: Vec<ChunkContent>) -> u32 {
         self.last_exchange = self.last_exchange.wrapping_add(1);
         while self.sent.len() >= MAX_EXCHANGES {
             self.sent.pop_first();
@@ -69,25 +75,26 @@
         self.last_exchange
     }
 
-    /// A chunk that was sent to this process before, and the number of chunks of its snapshot.
+    /// Returns a chunk that was sent to this process before, and the number of chunks of its
+    /// snapshot.
     pub(crate) fn sent_chunk(
         &self,
         to: &Identity,
         exchange: u32,
-        number: u16,
-    ) -> Option<(&Content, u16)> {
+        index: u16,
+    ) -> Option<(&ChunkContent, u16)> {
         let sent = self.sent.get(&exchange).filter(|sent| sent.to == *to)?;
-        let chunk = sent.chunks.get(usize::from(number))?;
+        let chunk = sent.chunks.get(usize::from(index))?;
         Some((chunk, sent.chunks.len() as u16))
     }
 
-    /// Notes an arrived chunk. True for the first one of its exchange.
+    /// Notes a chunk that arrived. Returns whether it is the first one of its exchange.
     pub(crate) fn note_chunk(
         &mut self,
         from: &Identity,
         exchange: u32,
-        number: u16,
-        of: u16,
+        index: u16,
+        chunk_count: u16,
         timeout: Duration,
         now: Instant,
     ) -> bool {
@@ -102,19 +109,19 @@
             .incoming
             .entry(key)
             .or_insert_with(|| IncomingSnapshot {
-                missing: (0..of).collect(),
+                missing: (0..chunk_count).collect(),
                 request_at: now + timeout,
                 requests: 0,
             });
-        incoming.missing.remove(&number);
+        incoming.missing.remove(&index);
         incoming.request_at = now + timeout;
         is_first
     }
 
-    /// The chunks to request again now. An exchange that is finished is remembered for a while, so
-    /// that a late chunk does not start it anew.
+    /// Returns the chunks to request again now. A finished exchange is remembered for a while, so
+    /// that a late chunk does not start it again.
     pub(crate) fn take_missing(&mut self, timeout: Duration, now: Instant) -> Vec<MissingChunks> {
-        let mut all = Vec::new();
+        let mut requests = Vec::new();
         self.incoming.retain(|(from, exchange), incoming| {
             if incoming.request_at > now {
                 return true;
@@ -126,18 +133,18 @@
             incoming.requests += 1;
             incoming.request_at = now + timeout;
             let missing = incoming.missing.iter().copied();
-            all.push(MissingChunks {
+            requests.push(MissingChunks {
                 from: from.clone(),
                 exchange: *exchange,
-                numbers: missing.take(MAX_NAMED_CHUNKS).collect(),
+                indices: missing.take(MAX_NAMED_CHUNKS).collect(),
             });
             true
         });
-        all
+        requests
     }
 
-    /// When missing chunks have to be requested next.
-    pub(crate) fn due(&self) -> Option<Instant> {
+    /// Returns when missing chunks have to be requested next.
+    pub(crate) fn next_request(&self) -> Option<Instant> {
         let unfinished = self.incoming.values().filter(|one| !one.is_finished());
         unfinished.map(|incoming| incoming.request_at).min()
     }
--- a/peers/src/wire.rs
+++ b/peers/src/wire.rs
@@ -1,28 +1,31 @@
-//! Datagrams and their encoding: a byte for the format, `postcard`, and a keyed hash.
+//! Datagrams and their encoding: one byte for the format, the content in `postcard`, and a keyed
+//! hash.
 use crate::identity::{Identity, MAX_NAME_BYTES, MemberRecord};
 use crate::shared_state::Entry;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// The number of the format, incremented with every change of [`Datagram`].
+/// The number of the format, which is incremented with every change of [`Datagram`].
 pub const FORMAT: u8 = 1;
-/// The longest datagram, in bytes. It passes every common link without fragmentation.
+/// The longest datagram, in bytes. Datagrams of this size pass every common link without
+/// fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1_200;
-/// The bytes of the keyed hash that are sent.
+/// The length of the truncated keyed hash in a datagram, in bytes.
 const TAG_BYTES: usize = 16;
 
-/// A datagram. The order of fields and variants is that of the wire.
+/// A datagram. The order of fields and variants defines the encoding.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Datagram {
     /// The sender.
     pub from: Identity,
-    /// Where the sender receives datagrams.
+    /// The address at which the sender receives datagrams.
     pub address: SocketAddr,
     /// The sender's incarnation.
     pub incarnation: u32,
-    /// Grows with each datagram of a process. A receiver rejects one that it has seen.
+    /// The serial number, which grows with each datagram of a process. A receiver rejects one that
+    /// it has seen.
     pub serial: u64,
-    /// What the datagram is for.
+    /// The purpose of the datagram.
     pub body: Body,
     /// Opinions about members.
     pub members: Vec<MemberRecord>,
@@ -33,11 +36,11 @@
 /// The purpose of a datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Body {
-    /// Asks a process for an [`Body::Ack`].
+    /// Asks a process for a [`Body::Ack`].
     Ping {
         /// The sender's number of the probe.
         probe: u32,
-        /// The process that is meant.
+        /// The process to ping.
         to: Identity,
     },
     /// Asks the receiver to ping a target.
@@ -46,20 +49,20 @@
         probe: u32,
         /// The process to ping.
         target: Identity,
-        /// Its address.
+        /// The address of the target.
         address: SocketAddr,
     },
-    /// The process was pinged, or the target has acknowledged an indirect ping.
+    /// The sender was pinged, or the target of an indirect ping has acknowledged it.
     Ack {
         /// The number of the probe.
         probe: u32,
     },
-    /// The target of an indirect ping has not answered either.
+    /// The target of an indirect ping has not answered the helper either.
     Nack {
         /// The number of the probe.
         probe: u32,
     },
-    /// Another process than the pinged one is at this address now.
+    /// The pinged address belongs to another process than the one named in the ping.
     WrongTarget {
         /// The number of the probe.
         probe: u32,
@@ -71,25 +74,25 @@
         /// The digest of everything that the sender knows.
         digest: u64,
     },
-    /// The digest of a [`Body::SyncRequest`] is the same here.
+    /// The sender has the same digest as the receiver sent in a [`Body::SyncRequest`].
     InSync,
     /// A part of a snapshot, in the records and entries of the datagram.
     Chunk {
         /// The sender's number of the snapshot.
         exchange: u32,
         /// The index of the chunk.
-        number: u16,
+        index: u16,
         /// The number of chunks.
-        of: u16,
-        /// The receiver is asked for its own snapshot.
-        back: bool,
+        chunk_count: u16,
+        /// Whether the receiver is asked for its own snapshot.
+        reply_requested: bool,
     },
     /// Asks for chunks that did not arrive.
     Missing {
         /// The receiver's number of the snapshot.
         exchange: u32,
         /// The indices of the chunks.
-        numbers: Vec<u16>,
+        indices: Vec<u16>,
     },
     /// A message of a protocol above membership.
     Message {
@@ -103,29 +106,29 @@
 /// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rejection {
-    /// Too short or too long to be one.
+    /// The bytes are too short or too long.
     Size,
-    /// Of another format.
+    /// The datagram has this other format.
     Format(u8),
-    /// Of another fleet or key, or altered on its way.
+    /// The datagram belongs to another fleet or key, or was altered in transit.
     Foreign,
-    /// Authentic, but it can't be decoded.
+    /// The datagram is authentic but can't be decoded.
     Malformed,
 }
 
 /// Encodes and authenticates the datagrams of one fleet.
 #[derive(Clone, Debug)]
-pub struct Seal {
+pub struct DatagramCodec {
     key: [u8; 32],
 }
 
-impl Seal {
-    /// The seal of a fleet with this key and name.
-    pub fn new(secret: &[u8], fleet: &str) -> Seal {
+impl DatagramCodec {
+    /// Creates the codec of a fleet with this key and name.
+    pub fn new(secret: &[u8], fleet: &str) -> DatagramCodec {
         let mut all = fleet.as_bytes().to_vec();
         all.push(0);
         all.extend_from_slice(secret);
-        Seal {
+        DatagramCodec {
             key: blake3::derive_key("thistlecroft peers, datagrams", &all),
         }
     }
@@ -137,8 +140,8 @@
         tag
     }
 
-    /// Encodes a datagram; `None` where it would be too long.
-    pub fn close(&self, datagram: &Datagram) -> Option<Vec<u8>> {
+    /// Encodes a datagram; `None` if it would be too long.
+    pub fn encode(&self, datagram: &Datagram) -> Option<Vec<u8>> {
         let bytes = postcard::to_extend(datagram, vec![FORMAT]).ok()?;
         self.with_tag(bytes)
             .filter(|bytes| bytes.len() <= MAX_DATAGRAM_BYTES)
@@ -153,18 +156,18 @@
     /// Decodes a datagram.
     ///
     /// # Errors
-    /// Why these bytes are no datagram of this fleet.
-    pub fn open(&self, bytes: &[u8]) -> Result<Datagram, Rejection> {
+    /// The bytes are not a datagram of this fleet that can be read.
+    pub fn decode(&self, bytes: &[u8]) -> Result<Datagram, Rejection> {
         if bytes.len() <= 1 + TAG_BYTES || bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(Rejection::Size);
         }
-        let (text, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
-        if text[0] != FORMAT {
-            return Err(Rejection::Format(text[0]));
+        let (content, tag) = bytes.split_at(bytes.len() - TAG_BYTES);
+        if content[0] != FORMAT {
+            return Err(Rejection::Format(content[0]));
         }
         // The comparison takes constant time, so that its duration does not reveal how many bytes
-        // were right.
-        let expected = self.tag(text);
+        // match.
+        let expected = self.tag(content);
         let difference = expected
             .iter()
             .zip(tag)
@@ -172,7 +175,7 @@
         if difference != 0 {
             return Err(Rejection::Foreign);
         }
-        match postcard::take_from_bytes::<Datagram>(&text[1..]) {
+        match postcard::take_from_bytes::<Datagram>(&content[1..]) {
             Ok((datagram, [])) if datagram.is_valid() => Ok(datagram),
             _ => Err(Rejection::Malformed),
         }
@@ -193,28 +196,29 @@
     }
 }
 
-/// The serial numbers of a sender that were seen: all below `top - 64`, and those marked in `seen`.
+/// The serial numbers of a sender that count as seen: all up to `highest - 64`, and those marked in
+/// `seen`, where bit `n` stands for `highest - n`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct ReplayWindow {
-    top: u64,
+    highest: u64,
     seen: u64,
 }
 
 impl ReplayWindow {
-    /// Marks a serial number. False for one that was seen, or is too old to tell.
+    /// Marks a serial number as seen. Returns false if it was seen before or is too old to tell.
     pub fn accept(&mut self, serial: u64) -> bool {
-        if serial > self.top {
-            let step = serial - self.top;
+        if serial > self.highest {
+            let step = serial - self.highest;
             self.seen = if step >= 64 { 0 } else { self.seen << step };
             self.seen |= 1;
-            self.top = serial;
+            self.highest = serial;
             return true;
         }
-        let behind = self.top - serial;
-        if behind >= 64 || self.seen >> behind & 1 == 1 {
+        let distance = self.highest - serial;
+        if distance >= 64 || self.seen >> distance & 1 == 1 {
             return false;
         }
-        self.seen |= 1 << behind;
+        self.seen |= 1 << distance;
         true
     }
 }
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -1,5 +1,5 @@
-//! The bytes of the datagrams between relays, as other builds of the fleet read them. A change here
-//! needs a new format number.
+//! The encoded bytes of datagrams, which other builds in the fleet have to read. A change of the
+//! recorded bytes needs a new format number.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -9,7 +9,7 @@
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::identity::MemberRecord;
 use thistlecroft_peers::shared_state::Entry;
-use thistlecroft_peers::wire::{Body, Datagram, FORMAT, Seal};
+use thistlecroft_peers::wire::{Body, Datagram, DatagramCodec, FORMAT};
 use thistlecroft_peers::{EntryKind, Identity, MemberState, Node, NodeConfig, ProtocolTiming};
 
 const FLEET: &str = "golden";
@@ -48,7 +48,7 @@
     }
 }
 
-/// One datagram of each kind, the rest of it the same.
+/// One datagram with each kind of body, and the name under which it is recorded.
 fn datagrams_of_each_kind() -> Vec<(&'static str, Datagram)> {
     let other = Identity::new("relay-2", 7);
     let bodies = [
@@ -82,16 +82,16 @@
             "chunk",
             Body::Chunk {
                 exchange: 5,
-                number: 1,
-                of: 3,
-                back: true,
+                index: 1,
+                chunk_count: 3,
+                reply_requested: true,
             },
         ),
         (
             "missing chunks",
             Body::Missing {
                 exchange: 5,
-                numbers: vec![0, 2, 300],
+                indices: vec![0, 2, 300],
             },
         ),
         (
@@ -105,8 +105,8 @@
     bodies.map(|(name, body)| (name, datagram(body))).into()
 }
 
-/// Gossip about a member in each state, and about an entry of each kind.
-fn datagrams_of_each_row() -> Vec<(String, Datagram)> {
+/// Gossip about a member in each state and about an entry of each kind, with the recorded names.
+fn datagrams_with_each_record() -> Vec<(String, Datagram)> {
     let states = [
         ("alive", MemberState::Alive),
         ("suspect", MemberState::Suspect),
@@ -132,7 +132,7 @@
         ("work", EntryKind::Work),
         ("note", EntryKind::Note),
     ];
-    let facts = kinds.map(|(name, kind)| {
+    let entries = kinds.map(|(name, kind)| {
         let mut gossip = datagram(Body::Gossip);
         gossip.entries.push(Entry {
             kind,
@@ -144,18 +144,20 @@
         });
         (format!("fact {name}"), gossip)
     });
-    members.into_iter().chain(facts).collect()
+    members.into_iter().chain(entries).collect()
 }
 
 #[test]
 fn datagrams_encode_into_the_recorded_bytes() {
-    let seal = Seal::new(SECRET, FLEET);
+    let codec = DatagramCodec::new(SECRET, FLEET);
     let mut recording = format!("format: {FORMAT}\n");
     let kinds = datagrams_of_each_kind();
-    let rows = datagrams_of_each_row();
+    let records = datagrams_with_each_record();
     let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
-    for (name, datagram) in kinds.chain(rows) {
-        let bytes = seal.close(&datagram).expect("it fits");
+    for (name, datagram) in kinds.chain(records) {
+        let bytes = codec
+            .encode(&datagram)
+            .expect("the datagram is short enough");
         assert_eq!(bytes[0], FORMAT, "{name}: the first byte is the format");
         writeln!(recording, "{name}: {}", hex(&bytes)).unwrap();
     }
@@ -164,27 +166,29 @@
 
 #[test]
 fn recorded_datagrams_decode_into_the_originals() {
-    let seal = Seal::new(SECRET, FLEET);
+    let codec = DatagramCodec::new(SECRET, FLEET);
     let kinds = datagrams_of_each_kind();
-    let rows = datagrams_of_each_row();
+    let records = datagrams_with_each_record();
     let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
-    let expected: Vec<(String, Datagram)> = kinds.chain(rows).collect();
+    let expected: Vec<(String, Datagram)> = kinds.chain(records).collect();
     let recording = include_str!("golden/datagrams.txt");
     let lines: Vec<&str> = recording.lines().skip(1).collect();
     assert_eq!(lines.len(), expected.len());
     for (line, (name, datagram)) in lines.iter().zip(expected) {
         let (recorded_name, recorded) = line.split_once(": ").unwrap();
         assert_eq!(recorded_name, name);
-        assert_eq!(seal.open(&from_hex(recorded)), Ok(datagram), "{name}");
+        assert_eq!(codec.decode(&from_hex(recorded)), Ok(datagram), "{name}");
     }
 }
 
-/// Three nodes in memory, on one clock; every datagram is recorded and arrives at once unless its
+/// Three nodes on one clock. Every datagram is recorded and arrives at once, unless its sender or
 /// receiver is down.
 struct Fleet {
     nodes: Vec<Node>,
+    /// The index of the node that is down.
     down: Option<usize>,
     now: Instant,
+    /// One line per datagram: time, sender, receiver and bytes.
     recording: String,
 }
 
@@ -219,18 +223,18 @@
         }
     }
 
-    /// Delivers until nobody has anything left to send.
+    /// Delivers datagrams until no node has one to send.
     fn deliver_all(&mut self) {
         loop {
-            let mut flights = Vec::new();
+            let mut in_flight = Vec::new();
             for (sender, node) in self.nodes.iter_mut().enumerate() {
                 let datagrams = node.take_datagrams().into_iter();
-                flights.extend(datagrams.map(|(to, bytes)| (sender, to, bytes)));
+                in_flight.extend(datagrams.map(|(to, bytes)| (sender, to, bytes)));
             }
-            if flights.is_empty() {
+            if in_flight.is_empty() {
                 return;
             }
-            for (sender, to, bytes) in flights {
+            for (sender, to, bytes) in in_flight {
                 if self.down == Some(sender) {
                     continue;
                 }
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -1,10 +1,12 @@
-//! Membership in simulated networks: failures, partitions, pauses, losses and growth, within the
-//! documented bounds.
+//! Membership in simulated networks: failures, partitions, pauses, packet loss and growth are
+//! handled within the documented bounds.
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::identity::MemberRecord;
-use thistlecroft_peers::wire::{Body, Datagram, MAX_DATAGRAM_BYTES, Rejection, ReplayWindow, Seal};
+use thistlecroft_peers::wire::{
+    Body, Datagram, DatagramCodec, MAX_DATAGRAM_BYTES, Rejection, ReplayWindow,
+};
 use thistlecroft_peers::{EntryKind, Identity, MemberState, Node, NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::{Host, LinkFault, SimulatedNetwork};
 
@@ -41,10 +43,11 @@
     network
 }
 
-/// The states that one process had for the others, in order.
-fn seen_as(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
-    let turns = network.hosts.iter().flat_map(|host| &host.member_changes);
-    turns
+/// Returns the states in which other processes have seen the process of this name, host by host and
+/// in the order of the changes.
+fn states_seen_of(network: &SimulatedNetwork, name: &str) -> Vec<MemberState> {
+    let changes = network.hosts.iter().flat_map(|host| &host.member_changes);
+    changes
         .filter(|change| change.id.name == name)
         .map(|change| change.state)
         .collect()
@@ -72,7 +75,7 @@
             |host: &Host| !host.alive || host.node.state_of(&dead) == Some(MemberState::Dead);
         let duration = network.run_until(bound, |network| network.hosts.iter().all(gone));
         assert!(duration.is_some(), "{count} relays, {bound:?}");
-        let seen = seen_as(&network, "r1");
+        let seen = states_seen_of(&network, "r1");
         assert!(
             seen.contains(&MemberState::Suspect) && seen.contains(&MemberState::Dead),
             "{seen:?}"
@@ -90,13 +93,13 @@
     }
 }
 
-/// Changes the links of a network.
+/// Applies a fault to the links of a network.
 type ChangeLinks = fn(&mut SimulatedNetwork);
 
-/// The faults of the links, and the members that are dead for the rest at the end.
+/// Link faults, and the members that all others regard as dead in the end.
 const LINK_FAULTS: &[(&str, ChangeLinks, &[&str])] = &[
     (
-        "hears all, is heard by none",
+        "r0 receives from all, nothing from r0 arrives",
         |network| {
             for other in 1..5 {
                 network.link_faults.insert((0, other), LinkFault::CUT);
@@ -105,7 +108,7 @@
         &["r0"],
     ),
     (
-        "is heard by all, hears none",
+        "all receive from r0, nothing to r0 arrives",
         |network| {
             for other in 1..5 {
                 network.link_faults.insert((other, 0), LinkFault::CUT);
@@ -114,19 +117,19 @@
         &["r0"],
     ),
     (
-        "one direction of one pair",
+        "one direction of one link is cut",
         |network| {
             network.link_faults.insert((0, 1), LinkFault::CUT);
         },
         &[],
     ),
     (
-        "two on either side, one reaches both",
+        "two processes on each side, r2 reaches both sides",
         |network| network.partition(&[0, 1], &[3, 4]),
         &[],
     ),
     (
-        "a tenth lost, 100 ms late",
+        "a tenth of the datagrams lost, the rest up to 60 ms late",
         |network| {
             network.default_link_fault = LinkFault {
                 loss: 0.1,
@@ -146,15 +149,16 @@
             let mut network = joined_network(5, seed);
             change_links(&mut network);
             network.run_for(config().timing.detection_bound(5, 8));
-            let left: BTreeSet<String> = (0..5)
+            let connected: BTreeSet<String> = (0..5)
                 .map(|number| format!("r{number}"))
                 .filter(|name| !gone.contains(&name.as_str()))
                 .collect();
             let rest = network
                 .hosts
                 .iter()
-                .filter(|host| left.contains(&host.name));
-            // A suspicion that is refuted in time does not count.
+                .filter(|host| connected.contains(&host.name));
+            // Members that are only suspect do not count, since they may refute the suspicion in
+            // time.
             for host in rest {
                 let views = host
                     .node
@@ -163,7 +167,7 @@
                 let found: Vec<&str> = views.map(|view| view.id.name.as_str()).collect();
                 assert_eq!(&found, gone, "{what}, seed {seed}, seen by {}", host.name);
             }
-            // Helpers reach the target, so nobody is even suspected.
+            // Helpers reach the target of every probe, so no member is even suspected.
             if gone.is_empty() && network.default_link_fault.loss == 0.0 {
                 let suspected = network
                     .hosts
@@ -177,30 +181,30 @@
 }
 
 #[test]
-fn paused_process_blames_nobody_and_returns_by_refutation() {
-    for (still, gone) in [
+fn paused_process_declares_nobody_dead_and_returns_by_refutation() {
+    for (pause, gone) in [
         (Duration::from_millis(1_000), false),
         (Duration::from_millis(20_000), true),
     ] {
         let mut network = joined_network(6, 9);
         network.pause(2);
-        network.run_for(still);
+        network.run_for(pause);
         network.resume(2);
         let duration = network.run_until(
             PROBE_INTERVAL * 60.0,
             SimulatedNetwork::membership_is_consistent,
         );
-        assert!(duration.is_some(), "{still:?}");
+        assert!(duration.is_some(), "{pause:?}");
         assert_eq!(
-            seen_as(&network, "r2").contains(&MemberState::Dead),
+            states_seen_of(&network, "r2").contains(&MemberState::Dead),
             gone,
-            "{still:?}"
+            "{pause:?}"
         );
-        // No other process was ever dead for anybody.
+        // No process regarded any other process as dead.
         for name in ["r0", "r1", "r3", "r4", "r5"] {
             assert!(
-                !seen_as(&network, name).contains(&MemberState::Dead),
-                "{name}, {still:?}"
+                !states_seen_of(&network, name).contains(&MemberState::Dead),
+                "{name}, {pause:?}"
             );
         }
         assert!(!gone || network.hosts[2].node.incarnation() > 0);
@@ -219,20 +223,20 @@
         .run_until(PROBE_INTERVAL * 20.0, suspects)
         .expect("suspected");
     network.pause(2);
-    // The others receive the refutation; this one does not, and nothing is kept for it.
+    // All others receive the refutation of r4. The paused r2 does not, not even after the pause.
     network.heal_partitions();
     network.partition(&[2], &[0, 1, 3, 4, 5]);
     network.run_for(PROBE_INTERVAL * 100.0);
     network.heal_partitions();
     network.resume(2);
-    let turns = network.hosts[2].member_changes.len();
+    let changes = network.hosts[2].member_changes.len();
     network
         .run_until(
             PROBE_INTERVAL * 60.0,
             SimulatedNetwork::membership_is_consistent,
         )
         .expect("all members see each other");
-    let later = &network.hosts[2].member_changes[turns.saturating_sub(1)..];
+    let later = &network.hosts[2].member_changes[changes.saturating_sub(1)..];
     assert!(
         later
             .iter()
@@ -264,7 +268,7 @@
     assert_eq!(
         network.hosts[0].node.unreachable_count(),
         0,
-        "a newer run of its name is here"
+        "a newer run of the relay is alive"
     );
 }
 
@@ -274,7 +278,7 @@
     network.partition(&[0, 1, 2], &[3, 4, 5]);
     network.run_for(PROBE_INTERVAL * 60.0);
     assert_eq!(network.hosts[0].node.unreachable_count(), 3);
-    // One process joins on each side, and reaches the seeds of its own side only.
+    // One process joins on each side. It reaches only the seeds on its own side.
     let (left, right) = (network.start("r6", 1.0), network.start("r7", 1.0));
     network.partition(&[left], &[3, 4, 5, right]);
     network.partition(&[right], &[0, 1, 2]);
@@ -290,7 +294,7 @@
 }
 
 #[test]
-fn leaving_member_is_known_at_once_and_stays_away() {
+fn member_that_leaves_is_known_at_once_and_does_not_return() {
     let mut network = joined_network(12, 6);
     network.act(4, |host, now| host.node.leave(now));
     network.kill(4);
@@ -299,9 +303,9 @@
             PROBE_INTERVAL * 10.0,
             SimulatedNetwork::membership_is_consistent,
         )
-        .expect("announced, not detected");
+        .expect("the shutdown is announced, not detected");
     assert!(duration <= PROBE_INTERVAL * 10.0);
-    assert!(!seen_as(&network, "r4").contains(&MemberState::Suspect));
+    assert!(!states_seen_of(&network, "r4").contains(&MemberState::Suspect));
     network.run_for(PROBE_INTERVAL * 40.0);
     assert!(network.membership_is_consistent());
 }
@@ -320,9 +324,9 @@
         1,
         now,
     );
-    let seal = Seal::new(b"of the test", "test");
+    let codec = DatagramCodec::new(b"of the test", "test");
     let you = Identity::new("you", 2);
-    let row = |incarnation, state| MemberRecord {
+    let record = |incarnation, state| MemberRecord {
         id: you.clone(),
         address,
         incarnation,
@@ -330,7 +334,7 @@
         accuser: None,
     };
     let mut serial = 10;
-    let mut receive = |node: &mut Node, from: &Identity, rows: Vec<MemberRecord>| {
+    let mut receive = |node: &mut Node, from: &Identity, records: Vec<MemberRecord>| {
         serial += 1;
         let (from, body) = (from.clone(), Body::Gossip);
         let datagram = Datagram {
@@ -339,30 +343,30 @@
             incarnation: 0,
             serial,
             body,
-            members: rows,
+            members: records,
             entries: Vec::new(),
         };
-        node.receive(&seal.close(&datagram).unwrap(), address, now);
+        node.receive(&codec.encode(&datagram).unwrap(), address, now);
     };
     receive(&mut node, &you, Vec::new());
     assert_eq!(node.state_of(&you), Some(MemberState::Alive));
     // A dead member may come back with a higher incarnation; one that has left may not.
     let other = Identity::new("other", 3);
-    receive(&mut node, &other, vec![row(0, MemberState::Dead)]);
-    receive(&mut node, &other, vec![row(0, MemberState::Alive)]);
+    receive(&mut node, &other, vec![record(0, MemberState::Dead)]);
+    receive(&mut node, &other, vec![record(0, MemberState::Alive)]);
     assert_eq!(node.state_of(&you), Some(MemberState::Dead));
-    receive(&mut node, &other, vec![row(1, MemberState::Alive)]);
+    receive(&mut node, &other, vec![record(1, MemberState::Alive)]);
     assert_eq!(node.state_of(&you), Some(MemberState::Alive));
-    receive(&mut node, &you, vec![row(1, MemberState::Left)]);
-    for rows in [
+    receive(&mut node, &you, vec![record(1, MemberState::Left)]);
+    for records in [
         vec![],
-        vec![row(1, MemberState::Alive)],
-        vec![row(2, MemberState::Suspect)],
-        vec![row(9, MemberState::Alive)],
+        vec![record(1, MemberState::Alive)],
+        vec![record(2, MemberState::Suspect)],
+        vec![record(9, MemberState::Alive)],
     ] {
-        receive(&mut node, &other, rows.clone());
+        receive(&mut node, &other, records.clone());
         receive(&mut node, &you, Vec::new());
-        assert_eq!(node.state_of(&you), Some(MemberState::Left), "{rows:?}");
+        assert_eq!(node.state_of(&you), Some(MemberState::Left), "{records:?}");
     }
 }
 
@@ -384,8 +388,9 @@
     };
     let duration = network
         .run_until(PROBE_INTERVAL * 20.0, known)
-        .expect("all members have it");
-    // A member that was cut off gets the entry by a sync, with an age that includes the time since.
+        .expect("all members have the entry");
+    // A member that was partitioned off gets a later entry by a sync, with an age that includes the
+    // time since its announcement.
     network.partition(&[20], &(0..20).chain(21..24).collect::<Vec<_>>());
     network.act(3, |host, now| {
         assert!(host.node.announce(EntryKind::Note, b"n", b"later", now))
@@ -466,7 +471,7 @@
     for number in 0..24 {
         network.start(&format!("r{number}"), 1.0);
     }
-    let mut most = 0;
+    let mut max_sent = 0;
     for _ in 0..20 {
         let before: Vec<u64> = network
             .hosts
@@ -474,10 +479,10 @@
             .map(|host| host.node.counts.sent_bytes)
             .collect();
         for number in 0..24 {
-            let text = format!("{:?}", network.now);
+            let subject = format!("{:?}", network.now);
             network.act(number, |host, now| {
                 host.node
-                    .announce(EntryKind::Note, text.as_bytes(), &[1; 90], now);
+                    .announce(EntryKind::Note, subject.as_bytes(), &[1; 90], now);
             });
         }
         network.run_for(Duration::from_millis(1_000));
@@ -486,16 +491,16 @@
             .iter()
             .zip(before)
             .map(|(host, before)| host.node.counts.sent_bytes - before);
-        most = most.max(sent.max().unwrap_or_default());
+        max_sent = max_sent.max(sent.max().unwrap_or_default());
     }
-    // The budget saved up in one second comes on top once.
-    assert!(most <= 2 * 4_096, "{most} bytes in a second");
+    // A burst of up to one second's budget is allowed on top of the rate.
+    assert!(max_sent <= 2 * 4_096, "{max_sent} bytes in a second");
     assert!(
         network
             .hosts
             .iter()
             .any(|host| host.node.counts.rate_limited > 0),
-        "the cap was met"
+        "the rate limit was reached"
     );
 }
 
@@ -524,9 +529,9 @@
 
 #[test]
 fn foreign_datagrams_are_counted_and_ignored() {
-    let seal = Seal::new(b"of the test", "test");
+    let codec = DatagramCodec::new(b"of the test", "test");
     let datagram = valid_datagram();
-    let good = seal.close(&datagram).unwrap();
+    let good = codec.encode(&datagram).unwrap();
     let mut flipped = good.clone();
     flipped[5] ^= 1;
     let mut older = good.clone();
@@ -541,22 +546,26 @@
         ("too long", vec![1; MAX_DATAGRAM_BYTES + 1], |node| {
             node.counts.wrong_size
         }),
-        ("cut off", good[..good.len() - 1].to_vec(), |node| {
+        ("truncated", good[..good.len() - 1].to_vec(), |node| {
             node.counts.foreign
         }),
-        ("changed", flipped, |node| node.counts.foreign),
+        ("altered", flipped, |node| node.counts.foreign),
         ("an older format", older, |node| node.counts.unknown_format),
         (
             "another fleet",
-            Seal::new(b"of the test", "other").close(&datagram).unwrap(),
+            DatagramCodec::new(b"of the test", "other")
+                .encode(&datagram)
+                .unwrap(),
             |node| node.counts.foreign,
         ),
         (
             "another key",
-            Seal::new(b"other", "test").close(&datagram).unwrap(),
+            DatagramCodec::new(b"other", "test")
+                .encode(&datagram)
+                .unwrap(),
             |node| node.counts.foreign,
         ),
-        ("no name", seal.close(&unnamed).unwrap(), |node| {
+        ("no name", codec.encode(&unnamed).unwrap(), |node| {
             node.counts.malformed
         }),
     ];
@@ -574,16 +583,16 @@
 
 #[test]
 fn repeated_datagram_is_accepted_once() {
-    let seal = Seal::new(b"of the test", "test");
+    let codec = DatagramCodec::new(b"of the test", "test");
     let datagram = valid_datagram();
-    let good = seal.close(&datagram).unwrap();
+    let good = codec.encode(&datagram).unwrap();
     let mut node = node();
     for _ in 0..3 {
         node.receive(&good, source(), START);
     }
     assert_eq!((node.counts.received, node.counts.repeated), (1, 2));
-    assert_eq!(seal.open(&good), Ok(datagram));
-    assert_eq!(seal.open(&[0; 40]), Err(Rejection::Format(0)));
+    assert_eq!(codec.decode(&good), Ok(datagram));
+    assert_eq!(codec.decode(&[0; 40]), Err(Rejection::Format(0)));
 }
 
 #[test]
--- a/peers/tests/shared_state.rs
+++ b/peers/tests/shared_state.rs
@@ -1,5 +1,5 @@
-//! The shared state: merging is commutative, associative and idempotent, also for full tables; entries
-//! expire.
+//! The shared state: merging is commutative, associative and idempotent, even for full tables, and
+//! entries expire.
 use proptest::prelude::*;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_peers::Identity;
@@ -28,6 +28,7 @@
         })
 }
 
+/// Merges entries into an empty table and returns the entries of the table.
 fn merged<'a>(entries: impl Iterator<Item = &'a Entry>) -> Vec<Entry> {
     let mut table = SharedState::new(Duration::from_millis(1_000));
     for entry in entries {
@@ -51,7 +52,7 @@
             other.swap(index, rng.below(index as u64 + 1) as usize);
         }
         prop_assert_eq!(&expected, &merged(other.into_iter()));
-        // Two parts, merged separately and then together.
+        // Merging each half separately and then both results gives the same table.
         let (one, two) = entries.split_at(entries.len() / 2);
         let (one, two) = (merged(one.iter()), merged(two.iter()));
         prop_assert_eq!(&expected, &merged(two.iter().chain(one.iter())));
