--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -51,7 +51,8 @@
 /// The state of a voter as far as claims depend on it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct VoterView {
-    /// Until when the voter keeps this process's subjects attached; `None` without a session.
+    /// Until when the voter keeps this process's subjects attached; `None` before the voter's first
+    /// confirmation in the session.
     pub(crate) valid_until: Option<Instant>,
     /// The highest epoch that the voter has confirmed in the current session.
     pub(crate) epoch: u64,
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -10,7 +10,8 @@
     /// Replaces the configuration.
     ///
     /// # Errors
-    /// The change is not a step after which any majority shares a voter with those before it.
+    /// The change is not a valid step: a majority before it and one after it could share no voter, or
+    /// earlier grants could still be valid.
     pub fn change_config(&mut self, config: LeaseConfig, now: Instant) -> Result<(), ChangeError> {
         if self.config == config {
             return Ok(());
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -10,23 +10,23 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VoterStatus {
     /// The electorate does not name this process.
-    NoVoter,
+    NotAVoter,
     /// Another process of the same name votes in its place, or this one is shutting down.
     Retired,
     /// The process started recently and can't vote yet.
     Silent,
     /// The process votes.
-    Votes,
+    Voting,
 }
 
 impl VoterStatus {
     /// Returns the name of this state in reports to operators.
     pub fn as_str(self) -> &'static str {
         match self {
-            VoterStatus::NoVoter => "none",
+            VoterStatus::NotAVoter => "none",
             VoterStatus::Retired => "yielded",
             VoterStatus::Silent => "silent",
-            VoterStatus::Votes => "votes",
+            VoterStatus::Voting => "votes",
         }
     }
 }
@@ -62,9 +62,9 @@
     /// Returns whether this process votes at `now`.
     pub fn voter_status(&self, now: Instant) -> VoterStatus {
         match (self.is_voter(), self.voter.established, self.voter.retired) {
-            (false, ..) => VoterStatus::NoVoter,
+            (false, ..) => VoterStatus::NotAVoter,
             (_, _, true) => VoterStatus::Retired,
-            (_, true, _) if !self.voter.is_silent(&self.config, now) => VoterStatus::Votes,
+            (_, true, _) if !self.voter.is_silent(&self.config, now) => VoterStatus::Voting,
             _ => VoterStatus::Silent,
         }
     }
@@ -81,7 +81,7 @@
         LeaseCounts {
             voter_subjects: self.voter.subject_count(),
             voter_sessions: self.voter.session_count(),
-            voter_full: self.voter.counts.full,
+            voter_full: self.voter.counts.at_capacity,
             ..self.counts
         }
     }
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -40,11 +40,11 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct VoterCounts {
     /// No capacity for another subject or session.
-    pub(crate) full: u64,
+    pub(crate) at_capacity: u64,
     /// The voter did not know the session.
     pub(crate) unknown_session: u64,
     /// Another process held the subject.
-    pub(crate) held: u64,
+    pub(crate) held_by_another: u64,
 }
 
 /// The state of a voter.
@@ -191,7 +191,7 @@
             // The answer that opened this session was lost. Nothing is attached to it yet.
             (None, Some(current)) if self.is_session_empty(current.token) => Ok(current.token),
             (None, _) if self.sessions.len() >= MAX_SESSIONS => {
-                self.counts.full += 1;
+                self.counts.at_capacity += 1;
                 Err(RejectionReason::AtCapacity)
             }
             // An earlier session keeps its subjects until it lapses, since its process may still
@@ -268,7 +268,7 @@
             self.try_free_for(from, &subject, holder, now)?;
         }
         if self.holders.len() >= MAX_VOTER_SUBJECTS {
-            self.counts.full += 1;
+            self.counts.at_capacity += 1;
             return Err(RejectionReason::AtCapacity);
         }
         self.holders.insert(subject.clone(), token);
@@ -295,7 +295,7 @@
             return Ok(());
         }
         if now < session.expires {
-            self.counts.held += 1;
+            self.counts.held_by_another += 1;
             return Err(RejectionReason::Held {
                 by: session.owner.clone(),
             });
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -58,7 +58,7 @@
     voter.tick(at(2_100));
     assert_eq!(voter.voter_status(at(2_100)), VoterStatus::Silent);
     voter.tick(at(3_500));
-    assert_eq!(voter.voter_status(at(3_500)), VoterStatus::Votes);
+    assert_eq!(voter.voter_status(at(3_500)), VoterStatus::Voting);
     voter.take_outgoing();
     let request = LegacyMessage::Request {
         generation: 1,
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -133,7 +133,7 @@
     ) -> Node {
         let mut rng = Rng::from_seed(seed);
         // A random delay, so that relays that start together do not probe at the same moments.
-        let first = now + config.timing.probe_interval * rng.unit_f64();
+        let first_round = now + config.timing.probe_interval * rng.unit_f64();
         Node {
             me,
             address,
@@ -154,9 +154,9 @@
             indirect_probes: BTreeMap::new(),
             last_probe_number: 0,
             probe_queue: Vec::new(),
-            next_probe: first,
-            next_gossip: first,
-            next_sync: first + config.timing.probe_interval * SYNC_INTERVAL,
+            next_probe: first_round,
+            next_gossip: first_round,
+            next_sync: first_round + config.timing.probe_interval * SYNC_INTERVAL,
             next_contact: now,
             send_budget: f64::from(config.max_bytes_per_second),
             budget_refilled_at: now,
