--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -1,32 +1,32 @@
-//! What callers can read of the manager's state.
+//! Queries of the state of [`Leases`].
 use super::{Leases, NEVER};
-use crate::claim::{Claim, Held, Stage, State};
+use crate::claim::{Claim, ClaimState, HeldLease, Stage};
 use crate::electorate::LeaseConfig;
 use crate::outgoing::Outgoing;
 use crate::subject::Subject;
 use thistlecroft::time::Instant;
 
-/// Whether a process votes at the moment.
+/// Whether a process votes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Vote {
+pub enum VoterStatus {
     /// The electorate does not name this process.
-    NoVoter,
+    NotAVoter,
     /// Another process of the same name votes in its place, or this one is shutting down.
     Retired,
-    /// It started recently and can't vote yet.
+    /// The process started recently and can't vote yet.
     Silent,
-    /// It votes.
-    Votes,
+    /// The process votes.
+    Voting,
 }
 
-impl Vote {
-    /// The name of this state in reports to operators.
+impl VoterStatus {
+    /// Returns the name of this state in reports to operators.
     pub fn as_str(self) -> &'static str {
         match self {
-            Vote::NoVoter => "none",
-            Vote::Retired => "yielded",
-            Vote::Silent => "silent",
-            Vote::Votes => "votes",
+            VoterStatus::NotAVoter => "none",
+            VoterStatus::Retired => "yielded",
+            VoterStatus::Silent => "silent",
+            VoterStatus::Voting => "votes",
         }
     }
 }
@@ -36,75 +36,77 @@
 pub struct LeaseCounts {
     /// Requests of this process to voters.
     pub requests: u64,
-    /// Requests that were sent again.
+    /// Requests that timed out and whose changes were requested again.
     pub retries: u64,
-    /// Answers that rejected a request.
+    /// Requests that a voter rejected, and subjects that it did not attach.
     pub rejections: u64,
-    /// Sessions that a voter did not know any more.
+    /// Sessions of this process that were lost: replaced or no longer known at the voter, or
+    /// unconfirmed for too long.
     pub sessions_lost: u64,
-    /// Messages of the legacy protocol.
+    /// Received messages of the legacy protocol.
     pub older_protocol: u64,
     /// As a voter: subjects attached now.
     pub voter_subjects: usize,
     /// As a voter: sessions kept now.
     pub voter_sessions: usize,
-    /// As a voter: requests rejected for want of capacity.
+    /// As a voter: sessions and subjects rejected for lack of capacity.
     pub voter_full: u64,
 }
 
 impl Leases {
-    /// The configuration in force.
+    /// Returns the current configuration.
     pub fn config(&self) -> &LeaseConfig {
         &self.config
     }
 
-    /// Whether this process votes at this moment.
-    pub fn vote(&self, now: Instant) -> Vote {
+    /// Returns whether this process votes at `now`.
+    pub fn voter_status(&self, now: Instant) -> VoterStatus {
         match (self.is_voter(), self.voter.established, self.voter.retired) {
-            (false, ..) => Vote::NoVoter,
-            (_, _, true) => Vote::Retired,
-            (_, true, _) if !self.voter.is_silent(&self.config, now) => Vote::Votes,
-            _ => Vote::Silent,
+            (false, ..) => VoterStatus::NotAVoter,
+            (_, _, true) => VoterStatus::Retired,
+            (_, true, _) if !self.voter.is_silent(&self.config, now) => VoterStatus::Voting,
+            _ => VoterStatus::Silent,
         }
     }
 
     pub(super) fn is_voter(&self) -> bool {
         self.config
             .electorate
-            .all()
+            .all_voters()
             .any(|name| *name == self.me.name)
     }
 
-    /// Counters and sizes for reports.
+    /// Returns the counters and sizes for reports.
     pub fn counts(&self) -> LeaseCounts {
         LeaseCounts {
             voter_subjects: self.voter.subject_count(),
             voter_sessions: self.voter.session_count(),
-            voter_full: self.voter.counts.full,
+            voter_full: self.voter.counts.at_capacity,
             ..self.counts
         }
     }
 
-    /// The right to act on a subject at this moment. Callers check it before each act.
-    pub fn held(&self, subject: &[u8], now: Instant) -> Option<Held> {
+    /// Returns the right to act on a subject if this process has it at `now`. Callers check it
+    /// before each action.
+    pub fn held(&self, subject: &[u8], now: Instant) -> Option<HeldLease> {
         self.claims.get(subject)?.held(now)
     }
 
-    /// All subjects that this process may act on at this moment.
-    pub fn holdings(&self, now: Instant) -> impl Iterator<Item = (&[u8], Held)> {
+    /// Returns all subjects that this process may act on at `now`.
+    pub fn holdings(&self, now: Instant) -> impl Iterator<Item = (&[u8], HeldLease)> {
         self.claims
             .iter()
             .filter_map(move |(subject, claim)| Some((subject.as_slice(), claim.held(now)?)))
     }
 
-    /// What has become of the claim to a subject.
-    pub fn state(&self, subject: &[u8], now: Instant) -> State {
+    /// Returns the state of the claim to a subject.
+    pub fn state(&self, subject: &[u8], now: Instant) -> ClaimState {
         self.claims
             .get(subject)
-            .map_or(State::Unwanted, |claim| claim.state(now))
+            .map_or(ClaimState::Unwanted, |claim| claim.state(now))
     }
 
-    /// The subjects that this process wants to hold.
+    /// Returns the subjects that this process wants to hold.
     pub fn subjects(&self) -> impl Iterator<Item = &[u8]> {
         let wanted = |(_, claim): &(&Subject, &Claim)| claim.stage != Stage::Releasing;
         self.claims
@@ -113,7 +115,7 @@
             .map(|(subject, _)| subject.as_slice())
     }
 
-    /// When [`Leases::tick`] has to be called next; `None` while there is nothing to do.
+    /// Returns when [`Leases::tick`] has to be called next; `None` while there is nothing to do.
     pub fn due(&self, now: Instant) -> Option<Instant> {
         let links = (0..self.links.len()).filter_map(|voter| self.link_due(voter));
         let claims = (self.claims_due < NEVER).then_some(self.claims_due);
@@ -124,7 +126,7 @@
             .map(|due| due.max(now))
     }
 
-    /// When to ask other processes for epochs or generations next.
+    /// Returns when to ask other processes for epochs or generations next.
     pub(super) fn next_recall(&self) -> Option<Instant> {
         let is_joint = !self.config.electorate.previous_voters.is_empty();
         if is_joint && self.settled_since.is_none() {
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -1,10 +1,10 @@
-//! The lease protocol before sessions, during an upgrade.
+//! How processes treat others that know only the legacy lease protocol, as during an upgrade.
 mod helper;
 
 use helper::{UPDATE_RATE, config};
 use thistlecroft::time::Instant;
-use thistlecroft_leases::legacy::{LegacyMessage, LegacyReason, NO_GENERATION};
-use thistlecroft_leases::{Leases, Reason, State, To, Vote, legacy};
+use thistlecroft_leases::legacy::{LegacyMessage, LegacyRejectionReason, NO_GENERATION};
+use thistlecroft_leases::{ClaimState, Leases, Recipients, RejectionReason, VoterStatus, legacy};
 use thistlecroft_peers::Identity;
 
 const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
@@ -17,7 +17,7 @@
     Instant::from_micros(1_000_000 + ms * 1_000)
 }
 
-/// The answers in the legacy protocol to a legacy message.
+/// Sends a legacy message to a voter and returns its answers in the legacy protocol.
 fn legacy_answers(
     voter: &mut Leases,
     from: &Identity,
@@ -26,8 +26,9 @@
 ) -> Vec<LegacyMessage> {
     voter.receive(from, legacy::CHANNEL, &message.encode(), at(ms));
     let outgoing = voter.take_outgoing().into_iter();
-    let answers = outgoing
-        .filter(|one| one.channel == legacy::CHANNEL && one.to == To::Process(from.clone()));
+    let answers = outgoing.filter(|one| {
+        one.channel == legacy::CHANNEL && one.to == Recipients::Process(from.clone())
+    });
     answers
         .filter_map(|one| LegacyMessage::decode(&one.bytes))
         .collect()
@@ -36,8 +37,9 @@
 #[test]
 fn legacy_processes_are_rejected_in_their_protocol_and_grant_nothing() {
     let mut voter = Leases::new(Identity::new("r0", 2), config(&["r0"], UPDATE_RATE), at(0));
-    let (older, twin) = (Identity::new("a", 1), Identity::new("r0", 1));
-    // At its start it notifies an older process of its name, in the older protocol, to stop voting.
+    let (older, older_namesake) = (Identity::new("a", 1), Identity::new("r0", 1));
+    // At its start, the voter notifies an older process of its name to stop voting, in the legacy
+    // protocol.
     voter.tick(at(0));
     let sent = voter
         .take_outgoing()
@@ -51,12 +53,12 @@
         sent.filter_map(|one| LegacyMessage::decode(&one.bytes))
             .any(|message| message == recall)
     );
-    // It is silent while that one answers, and takes over its epoch.
-    legacy_answers(&mut voter, &twin, &REMEMBERED, 1_500);
+    // The voter stays silent for a term after the older process's answer, and adopts its epoch.
+    legacy_answers(&mut voter, &older_namesake, &REMEMBERED, 1_500);
     voter.tick(at(2_100));
-    assert_eq!(voter.vote(at(2_100)), Vote::Silent);
+    assert_eq!(voter.voter_status(at(2_100)), VoterStatus::Silent);
     voter.tick(at(3_500));
-    assert_eq!(voter.vote(at(3_500)), Vote::Votes);
+    assert_eq!(voter.voter_status(at(3_500)), VoterStatus::Voting);
     voter.take_outgoing();
     let request = LegacyMessage::Request {
         generation: 1,
@@ -65,7 +67,7 @@
         epoch: 50,
     };
     let answers = legacy_answers(&mut voter, &older, &request, 3_600);
-    let reason = LegacyReason::Generation {
+    let reason = LegacyRejectionReason::Generation {
         here: NO_GENERATION,
     };
     assert_eq!(
@@ -84,7 +86,7 @@
     };
     assert_eq!(legacy_answers(&mut voter, &older, &grant, 3_600), []);
     assert_eq!(voter.counts().older_protocol, 3);
-    assert_eq!(voter.state(b"turn", at(3_600)), State::Unwanted);
+    assert_eq!(voter.state(b"turn", at(3_600)), ClaimState::Unwanted);
 }
 
 #[test]
@@ -104,6 +106,6 @@
     }
     assert_eq!(
         process.state(b"turn", at(2_000)),
-        State::Wanted(Some(Reason::OlderProtocol))
+        ClaimState::Wanted(Some(RejectionReason::OlderProtocol))
     );
 }
--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -1,4 +1,4 @@
-//! What callers make a node do.
+//! Commands that callers give to a node.
 use super::{INDIRECT_PROBE_HELPERS, Node, Priority};
 use crate::gossip::Update;
 use crate::identity::{Identity, MemberState};
@@ -7,12 +7,12 @@
 use std::net::SocketAddr;
 use thistlecroft::time::Instant;
 
-/// How many members a shutdown is announced to; gossip carries it on from there.
+/// How many members a shutdown is announced to. They spread it by gossip.
 const LEAVE_FANOUT: usize = INDIRECT_PROBE_HELPERS * 4;
 
 impl Node {
-    /// Announces an entry of the shared state to the fleet, or a new value of one. False where it is
-    /// too long, or this process has too many.
+    /// Announces an entry of the shared state, or a new value of one, to the fleet. Returns false
+    /// if the entry is too long or this process has too many.
     pub fn announce(
         &mut self,
         kind: EntryKind,
@@ -32,14 +32,14 @@
         is_accepted
     }
 
-    /// Withdraws an entry: this process forgets it at once, and others when it expires because it is
-    /// not refreshed any more.
+    /// Withdraws an entry. This process forgets the entry at once. Other processes forget it when
+    /// it expires, since it is no longer refreshed.
     pub fn withdraw(&mut self, kind: EntryKind, subject: &[u8]) {
         self.shared_state.withdraw(&self.me, kind, subject);
     }
 
-    /// Sends a message of a protocol above membership to one process. False where the process is
-    /// not known, or the rate limit is reached.
+    /// Sends a message of a protocol above membership to one process. Returns false if the process
+    /// is not known, the message does not fit in a datagram, or the rate limit is reached.
     pub fn send_message(
         &mut self,
         to: &Identity,
@@ -47,11 +47,11 @@
         bytes: Vec<u8>,
         now: Instant,
     ) -> bool {
-        let Some(at) = self.members.get(to).map(|member| member.at) else {
+        let Some(address) = self.members.get(to).map(|member| member.address) else {
             return false;
         };
         self.send(
-            at,
+            address,
             Some(to),
             Body::Message { channel, bytes },
             Priority::Urgent,
@@ -59,32 +59,33 @@
         )
     }
 
-    /// Changes this process's own address. Others accept it only with a higher incarnation.
-    pub fn move_to(&mut self, at: SocketAddr, now: Instant) {
-        self.at = at;
-        self.seeds.retain(|seed| *seed != at);
+    /// Changes the address of this process. Raises the incarnation, without which other processes
+    /// would not accept a new address.
+    pub fn change_address(&mut self, address: SocketAddr, now: Instant) {
+        self.address = address;
+        self.seeds.retain(|seed| *seed != address);
         self.incarnation += 1;
         self.gossip.add(Update::Member(self.me.clone()));
         self.next_gossip = now;
     }
 
-    /// Announces a graceful shutdown. Nothing is sent afterwards.
+    /// Announces a graceful shutdown. This node sends nothing afterwards.
     pub fn leave(&mut self, now: Instant) {
-        if self.left {
+        if self.has_left {
             return;
         }
         let mut record = self.own_record();
         record.state = MemberState::Left;
         let live = self.members.live();
-        let mut recipients: Vec<SocketAddr> = live.map(|(_, member)| member.at).collect();
+        let mut recipients: Vec<SocketAddr> = live.map(|(_, member)| member.address).collect();
         while recipients.len() > LEAVE_FANOUT {
             let index = self.rng.below(recipients.len() as u64) as usize;
             recipients.swap_remove(index);
         }
-        for at in recipients {
+        for address in recipients {
             let datagram = self.datagram(Body::Gossip, vec![record.clone()], Vec::new());
-            self.transmit(at, &datagram, Priority::Urgent, now);
+            self.transmit(address, &datagram, Priority::Urgent, now);
         }
-        self.left = true;
+        self.has_left = true;
     }
 }
--- a/relay/src/peers/commands.rs
+++ b/relay/src/peers/commands.rs
@@ -4,7 +4,7 @@
 use crate::admin::protocol::PeerCommand;
 use crate::io_context::IoContext;
 use thistlecroft::time::Instant;
-use thistlecroft_leases::{AcquireError, Reason, State};
+use thistlecroft_leases::{AcquireError, ClaimState, RejectionReason};
 use thistlecroft_peers::EntryKind;
 
 /// A lease that no operator has asked for within so many terms is released.
@@ -23,18 +23,20 @@
     #[error("asked for")]
     LeasePending,
     #[error("{}", reason_text(.0))]
-    LeaseNotHeld(Reason),
+    LeaseNotHeld(RejectionReason),
 }
 
-fn reason_text(reason: &Reason) -> String {
+fn reason_text(reason: &RejectionReason) -> String {
     match reason {
-        Reason::Held { by } => format!("held by {by}"),
-        Reason::HeldByAnother => "held by another relay".into(),
-        Reason::Silent => "voters are silent after their start".into(),
-        Reason::Generation { here } => format!("voters go by generation {here}"),
-        Reason::AtCapacity => "voters hold as many leases as they may".into(),
-        Reason::UnknownSession => "asked for anew: voters have restarted".into(),
-        Reason::OlderProtocol => "voters speak an older lease protocol: upgrade them".into(),
+        RejectionReason::Held { by } => format!("held by {by}"),
+        RejectionReason::HeldByAnother => "held by another relay".into(),
+        RejectionReason::Silent => "voters are silent after their start".into(),
+        RejectionReason::Generation { here } => format!("voters go by generation {here}"),
+        RejectionReason::AtCapacity => "voters hold as many leases as they may".into(),
+        RejectionReason::UnknownSession => "asked for anew: voters have restarted".into(),
+        RejectionReason::OlderProtocol => {
+            "voters speak an older lease protocol: upgrade them".into()
+        }
     }
 }
 
@@ -84,7 +86,7 @@
             .acquire(subject.as_bytes(), wanted_until, now)
             .map_err(PeerCommandError::LeaseRefused)?;
         match leases.state(subject.as_bytes(), now) {
-            State::Held(held) => {
+            ClaimState::Held(held) => {
                 // Only what may still bind is kept: as many as may be wanted at once, at most.
                 self.confirmed_until.retain(|_, until| *until > now);
                 self.confirmed_until
@@ -92,8 +94,8 @@
                 let left = held.until.duration_since(now);
                 Ok(format!("held {} {}", held.epoch, left.as_millis()))
             }
-            State::Wanted(Some(reason)) => Err(PeerCommandError::LeaseNotHeld(reason)),
-            State::Wanted(None) | State::Unwanted => Err(PeerCommandError::LeasePending),
+            ClaimState::Wanted(Some(reason)) => Err(PeerCommandError::LeaseNotHeld(reason)),
+            ClaimState::Wanted(None) | ClaimState::Unwanted => Err(PeerCommandError::LeasePending),
         }
     }
 
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -121,7 +121,7 @@
         let members = node.members().map(|member| MemberView {
             id: member.id.to_string(),
             name: member.id.name.to_string(),
-            address: member.at.to_string(),
+            address: member.address.to_string(),
             state: member.state.as_str(),
             incarnation: member.incarnation,
             since_ms: millis_since(member.since, now),
@@ -131,7 +131,7 @@
             me: node.me().to_string(),
             name: node.me().name.to_string(),
             health: node.health(),
-            unreachable: node.unreachable(),
+            unreachable: node.unreachable_count(),
             facts: node.shared_state().len(),
             peers: members.collect(),
             leases: peers
@@ -160,7 +160,7 @@
         });
         let counts = leases.counts();
         LeasesView {
-            vote: leases.vote(now).as_str(),
+            vote: leases.voter_status(now).as_str(),
             generation: leases.config().electorate.generation,
             is_settled: leases.is_settled(now),
             held: held.collect(),
@@ -214,7 +214,7 @@
                 age_ms: note.age.as_millis(),
             });
         NotesView {
-            unreachable: node.unreachable(),
+            unreachable: node.unreachable_count(),
             notes: notes.collect(),
         }
     }
