--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -9,7 +9,7 @@
     RouteTable, ValueOrigin,
 };
 use thistlecroft_relay::{
-    ConfigError as StartupConfigError, StartupConfig, read_file, relay_context,
+    ConfigError as StartupConfigError, StartupConfig, read_config_file, relay_context,
 };
 
 #[derive(Args)]
@@ -94,8 +94,8 @@
 }
 
 fn read_context(path: &Path) -> Result<RelayContext, CommandError> {
-    let config = read_file(&path.to_string_lossy()).map_err(CommandError::invalid)?;
-    Ok(relay_context(&config.settings, config.sockets))
+    let config = read_config_file(&path.to_string_lossy()).map_err(CommandError::invalid)?;
+    Ok(relay_context(&config.settings, config.socket_limit))
 }
 
 fn read(
@@ -105,7 +105,7 @@
 ) -> Result<CheckedFile, FileError> {
     let name = path.to_string_lossy();
     if path.extension().is_none_or(|extension| extension != "toml") {
-        return read_file(&name)
+        return read_config_file(&name)
             .map(|config| CheckedFile::Configuration(Box::new(config)))
             .map_err(FileError::Configuration);
     }
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -26,8 +26,8 @@
 
 pub use service::{Service, Signals, StartError};
 pub use startup_config::{
-    ConfigError, ConfigErrors, ConfigSource, InheritedSocketError, StartupConfig, parse, read_file,
-    relay_context,
+    ConfigError, ConfigErrors, ConfigSource, InheritedSocketError, StartupConfig, parse_config,
+    read_config_file, relay_context,
 };
 
 /// The environment variable that names the operator configuration.
@@ -81,7 +81,7 @@
 /// A file has faults, an address is taken, or the system refuses something.
 pub fn serve(path: &str, operator_config: Option<&str>) -> Result<(), ServeError> {
     let signals = Signals::install()?;
-    let mut config = read_file(path)?.with_environment()?;
+    let mut config = read_config_file(path)?.with_environment()?;
     if let Some(operator_config) = operator_config {
         config = config.with_operator_config(operator_config)?;
     }
--- a/relay/src/service/reconfiguration.rs
+++ b/relay/src/service/reconfiguration.rs
@@ -4,7 +4,7 @@
 use crate::driver::Event;
 use crate::protocol::ProtocolSettings;
 use crate::startup_config::{
-    ConfigError, ConfigErrors, ConfigSource, OperatorConfigFile, StartupConfig, read_file,
+    ConfigError, ConfigErrors, ConfigSource, OperatorConfigFile, StartupConfig, read_config_file,
     relay_context,
 };
 use crate::timers::Timer;
@@ -47,7 +47,7 @@
     /// Reads the configuration file again.
     fn read_source(&self) -> Result<StartupConfig, ConfigError> {
         let path = self.source.path.as_deref();
-        read_file(path.ok_or(ConfigError::NotFromFile)?)
+        read_config_file(path.ok_or(ConfigError::NotFromFile)?)
     }
 
     fn resolve_routes(
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -64,7 +64,7 @@
         let mut io = IoContext::new(now, Sockets::new(poller.clone()), buffer_bytes);
         let listener_origin = ListenerOrigin::of(&config);
         let sockets = OpenSockets::open(&mut config, listener_origin, clock, &mut io.sockets)?;
-        let session_sockets = config.sockets - sockets.reserved();
+        let session_sockets = config.socket_limit - sockets.reserved();
         let mut discovery = new_discovery(&config, &mut io);
         let hot_restart = begin_hot_restart(&config, listener_origin, &mut io.sockets);
         let ban_store = open_ban_store(&config, listener_origin, sockets.admin.is_some());
@@ -109,7 +109,7 @@
                 operator_config: operator.file,
                 settings,
                 pending: None,
-                socket_limit: config.sockets,
+                socket_limit: config.socket_limit,
             },
         };
         service.schedule_first_accept();
--- a/relay/src/startup_config/environment.rs
+++ b/relay/src/startup_config/environment.rs
@@ -39,8 +39,8 @@
             self.inherited_listener = Some(listener);
         }
         let needed = MIN_SOCKETS + connections::RESERVED_SOCKETS;
-        if self.admin.is_some() && self.sockets < needed {
-            return Err(ConfigError::TooFewSocketsForAdmin(self.sockets));
+        if self.admin.is_some() && self.socket_limit < needed {
+            return Err(ConfigError::TooFewSocketsForAdmin(self.socket_limit));
         }
         self.folder = std::env::var_os(FOLDER_VARIABLE)
             .map(PathBuf::from)
--- a/relay/src/startup_config/mod.rs
+++ b/relay/src/startup_config/mod.rs
@@ -28,7 +28,7 @@
     /// The settings of the platform.
     pub settings: Settings,
     /// The limit on descriptors.
-    pub sockets: usize,
+    pub socket_limit: usize,
     /// Where the discovery agent answers.
     pub discovery: SocketAddr,
     /// Where the configuration came from.
@@ -131,12 +131,12 @@
 ///
 /// # Errors
 /// The file can't be read, or the first fault in it.
-pub fn read_file(path: &str) -> Result<StartupConfig, ConfigError> {
+pub fn read_config_file(path: &str) -> Result<StartupConfig, ConfigError> {
     let text = std::fs::read(path).map_err(|source| ConfigError::Read {
         path: path.to_string(),
         source,
     })?;
-    let mut config = parse(&text).map_err(|source| ConfigError::InFile {
+    let mut config = parse_config(&text).map_err(|source| ConfigError::InFile {
         path: path.to_string(),
         source: Box::new(source),
     })?;
@@ -156,7 +156,7 @@
 ///
 /// # Errors
 /// The first fault in it.
-pub fn parse(text: &[u8]) -> Result<StartupConfig, ConfigError> {
+pub fn parse_config(text: &[u8]) -> Result<StartupConfig, ConfigError> {
     let keys: serde_json::Map<_, _> = serde_json::from_slice(text)?;
     let text: ConfigText = serde_json::from_slice(text)?;
     let seed =
@@ -178,7 +178,7 @@
         name: text.name,
         listen,
         settings,
-        sockets: text.limits.sockets,
+        socket_limit: text.limits.sockets,
         discovery,
         seed,
         memory_mb: text.limits.memory_mb as usize,
--- a/relay/src/startup_config/operator_routes.rs
+++ b/relay/src/startup_config/operator_routes.rs
@@ -76,7 +76,7 @@
     ) -> Result<StartupConfig, ConfigErrors> {
         self.operator.file.path = Some(path.to_string());
         let config = self.operator.file.load()?;
-        let context = relay_context(&self.settings, self.sockets);
+        let context = relay_context(&self.settings, self.socket_limit);
         self.operator.peers = match config.peers_config(&context)? {
             Some(config) => Some(PeersWithKey {
                 key: read_key(&config.key_file)?,
