--- a/cli/tests/command/operator_config.rs
+++ b/cli/tests/command/operator_config.rs
@@ -166,14 +166,17 @@
     for (file, expected) in [
         (
             &new,
-            "charter, generation 2: v.dials for view: 2 -> 3; v.idle for view: none -> 60s",
+            "configuration in force: generation=2; v.dials for view: 2 -> 3; v.idle for view: none -> 60s",
         ),
-        (&unsuitable, "the charter read before stays"),
-        (&old, "charter, generation 3"),
+        (
+            &unsuitable,
+            "the previous operator configuration and settings stay in force",
+        ),
+        (&old, "configuration in force: generation=3;"),
     ] {
         std::fs::copy(file, files.folder.join("fresh")).unwrap();
         std::fs::rename(files.folder.join("fresh"), &old).unwrap();
-        if expected.contains("generation 3") {
+        if expected.contains("generation=3;") {
             std::fs::write(&old, route("dials = 1")).unwrap();
         }
         kill_process(pid, Signal::HUP).unwrap();
--- a/relay/src/admin/commands.rs
+++ b/relay/src/admin/commands.rs
@@ -1,5 +1,5 @@
-//! The operators' commands carried out, and the bans they make: announced to the balancer, and kept
-//! for the next process.
+//! Executes the operators' commands, and applies bans: they are announced to the balancer and
+//! stored for the other processes of the relay.
 use crate::admin::connections::{AdminConnections, ReceivedCommand};
 use crate::admin::error::AdminError;
 use crate::admin::protocol::{AdminCommand, PeerCommand, Readiness};
@@ -12,13 +12,14 @@
 use std::collections::BTreeSet;
 use thistlecroft::time::{Duration, Instant};
 
-/// What another process of this relay wrote is known here after so long.
+/// How often the ban store is checked for changes by another process of this relay.
 const BAN_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
-/// The ban store is locked for the time of one write; a process that locks it for longer hangs.
+/// How long a command waits for the lock of the ban store. A process holds the lock only for one
+/// write, unless it hangs.
 const LOCK_TIMEOUT: Duration = Duration::from_millis(500);
 const LOCK_RETRY_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The result of a command, to be sent once the balancer has been notified.
+/// The result of a command, which is sent once the balancer has been notified.
 pub(crate) struct Response {
     connection: u32,
     result: Result<String, AdminError>,
@@ -28,11 +29,12 @@
 pub(crate) struct AdminCommands {
     pub(crate) connections: Option<AdminConnections>,
     store: Option<BanStore>,
-    /// The bans that the balancer knows of.
+    /// The banned backends, as the balancer was last notified.
     banned: BTreeSet<String>,
-    /// Only one timer for it is ever set, whoever else refreshes in between.
+    /// The time of the next refresh, for which exactly one timer is set, even if another refresh
+    /// happens before.
     next_refresh: Instant,
-    /// Since when a ban waits for the other process to unlock the store.
+    /// The time since which a command has been waiting for another process to unlock the store.
     locked_since: Option<Instant>,
 }
 
@@ -58,7 +60,7 @@
         self.banned.len()
     }
 
-    /// Takes over what another process has changed.
+    /// Applies bans that another process has changed in the store.
     pub(crate) fn refresh_bans(&mut self, registry: &mut EndpointRegistry, io: &mut IoContext) {
         let Some(store) = &mut self.store else { return };
         if store.refresh() {
@@ -69,7 +71,10 @@
                 registry.set_banned(backend, is_banned);
                 io.events.push_back(Event::BanChanged(backend, is_banned));
             }
-            log::info!("bans of another process taken over: {} out", banned.len());
+            log::info!(
+                "bans of another process taken over: {} out of use",
+                banned.len()
+            );
             self.banned = banned;
         }
         if io.now >= self.next_refresh {
@@ -78,8 +83,9 @@
         }
     }
 
-    /// Carries out the commands of this turn. One that has to wait for the ban store stays for the
-    /// next turn, and so do those behind it, since their order is the operators'.
+    /// Executes the commands of this turn. One that has to wait for the ban store is kept for a
+    /// later turn, and so are those after it, except `READY`: commands are executed in the order in
+    /// which operators sent them.
     pub(crate) fn execute(
         &mut self,
         readiness: Readiness,
@@ -98,11 +104,11 @@
         } in received
         {
             let result = match &command {
-                AdminCommand::Ready => Some(check_readiness(readiness)),
+                AdminCommand::Ready => Some(readiness_response(readiness)),
                 _ if !waiting.is_empty() => None,
                 AdminCommand::Disable(name) => self.set_banned(name, true, registry, io),
                 AdminCommand::Enable(name) => self.set_banned(name, false, registry, io),
-                AdminCommand::Peers(command) => Some(ask_peers(command, peers, io)),
+                AdminCommand::Peers(command) => Some(execute_peer_command(command, peers, io)),
             };
             match result {
                 Some(result) => responses.push(Response { connection, result }),
@@ -121,7 +127,7 @@
         responses
     }
 
-    /// Bans a backend or ends its ban; none while the other process locks the store.
+    /// Bans a backend or ends its ban. Returns `None` while another process has locked the store.
     fn set_banned(
         &mut self,
         name: &str,
@@ -142,7 +148,7 @@
         };
         if has_changed {
             let state = if is_banned { "out" } else { "back" };
-            log::info!("{name} is {state} by hand");
+            log::info!("backend {name} is {state} by an operator's command");
             registry.set_banned(backend, is_banned);
             io.events.push_back(Event::BanChanged(backend, is_banned));
         }
@@ -155,7 +161,8 @@
         Some(Ok(response.to_string()))
     }
 
-    /// None while the other process locks the store, until that has taken too long.
+    /// Changes the ban in the store, if there is one. Returns `None` while another process has
+    /// locked the store, and an error once that has lasted for `LOCK_TIMEOUT`.
     fn store_ban(
         &mut self,
         name: &str,
@@ -182,7 +189,7 @@
         }
     }
 
-    /// Sends the responses; called once the balancer has been notified.
+    /// Sends the responses. Must be called after the balancer has been notified.
     pub(crate) fn respond(&mut self, responses: Vec<Response>, io: &mut IoContext) {
         let Some(connections) = &mut self.connections else {
             return;
@@ -193,12 +200,12 @@
     }
 }
 
-fn check_readiness(readiness: Readiness) -> Result<String, AdminError> {
+fn readiness_response(readiness: Readiness) -> Result<String, AdminError> {
     readiness.check()?;
     Ok("ready".to_string())
 }
 
-fn ask_peers(
+fn execute_peer_command(
     command: &PeerCommand,
     peers: &mut Option<Peers>,
     io: &mut IoContext,
--- a/relay/src/admin/connections.rs
+++ b/relay/src/admin/connections.rs
@@ -1,5 +1,5 @@
-//! The connections of the admin port: few at a time, each with one command and one response. A
-//! connection that sends nothing keeps its place only while no other wants it.
+//! The connections of the admin port. Each has one command and one response. Their number is
+//! limited: one that has not sent a command stays open only until a new connection needs its place.
 use crate::admin::error::AdminError;
 use crate::admin::protocol::{self, AdminCommand, MAX_LINE_BYTES};
 use crate::io_context::IoContext;
@@ -11,28 +11,28 @@
 use std::net::TcpStream;
 use thistlecroft::time::Duration;
 
-/// Descriptors that the admin port may take, those of its listener and of the ban store among them.
-pub(crate) const RESERVED_SOCKETS: usize = 24;
+/// The descriptors that are reserved for the admin port, including its listener and the ban store.
+pub(crate) const RESERVED_DESCRIPTORS: usize = 24;
 const MAX_CONNECTIONS: usize = 16;
-/// Connections accepted in one turn.
+/// Most connections that are accepted in one turn.
 const MAX_ACCEPTS: usize = 32;
-/// A connection that has not sent a complete line by then is answered with an error.
+/// A connection that has not sent a complete line within this time is answered with an error.
 const COMMAND_TIMEOUT: Duration = Duration::from_millis(5_000);
-/// After the response a connection has so long to end its side: closed with bytes unread, the
-/// response could be lost.
+/// How long the other side has to end its side of the connection after the response. If the relay
+/// closed the connection with bytes unread, the response could be lost.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// The admin port's listener and its connections.
 pub(crate) struct AdminConnections {
     listener: ListenerSocket,
-    /// By number, so that the oldest is the first.
+    /// The connections by id; the oldest is the first.
     connections: BTreeMap<u32, AdminConnection>,
     next_id: u32,
-    /// The commands of this turn, and those that wait.
+    /// The commands that were received in this turn, and those that wait for a later one.
     pub(crate) commands: Vec<ReceivedCommand>,
 }
 
-/// A command, and the connection that waits for its response.
+/// A command, and the id of the connection that waits for its response.
 pub(crate) struct ReceivedCommand {
     pub(crate) connection: u32,
     pub(crate) command: AdminCommand,
@@ -48,17 +48,18 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Stage {
     ReadingCommand,
-    /// The command waits for its response.
+    /// The command has been received and waits for its response.
     Executing,
     Responding,
-    /// The response is sent; only the other side's end is awaited.
+    /// The response has been sent; the other side has not ended the connection yet.
     Closing,
 }
 
 impl Stage {
-    /// The lowest loses its place first: the one whose response has been sent, then the one that
-    /// has sent nothing complete.
-    fn keep_rank(self) -> u8 {
+    /// Returns the priority of a connection at this stage when one has to be closed for a new one:
+    /// the one with the lowest priority is closed, first those that have their response, then those
+    /// without a complete command.
+    fn priority(self) -> u8 {
         match self {
             Stage::Closing => 0,
             Stage::Responding => 1,
@@ -94,8 +95,8 @@
                         ErrorKind::ConnectionAborted | ErrorKind::Interrupted
                     ) => {}
                 Err(error) => {
-                    // Readable again at the next turn.
-                    log::debug!("admin port: accepting failed; error={error}");
+                    // The listener stays readable, so the next turn tries again.
+                    log::debug!("accepting an admin connection failed; error={error}");
                     return;
                 }
             }
@@ -123,17 +124,17 @@
         self.read(id, io);
     }
 
-    /// Closes a connection if there are as many as may be, by the rank of its stage and then the
-    /// oldest.
+    /// Closes one connection if the limit is reached: the one whose stage has the lowest priority,
+    /// and of these the oldest.
     fn make_room(&mut self, io: &mut IoContext) {
         if self.connections.len() < MAX_CONNECTIONS {
             return;
         }
-        let first_to_go = self
+        let displaced = self
             .connections
             .iter()
-            .min_by_key(|(id, connection)| (connection.stage.keep_rank(), **id));
-        let Some((&id, _)) = first_to_go else { return };
+            .min_by_key(|(id, connection)| (connection.stage.priority(), **id));
+        let Some((&id, _)) = displaced else { return };
         self.respond(id, Err(AdminError::TooManyConnections), io);
         self.connections.remove(&id);
     }
@@ -161,7 +162,7 @@
             return;
         };
         let mut bytes = [0; MAX_LINE_BYTES];
-        let is_end = match connection.socket.read(&mut bytes) {
+        let has_ended = match connection.socket.read(&mut bytes) {
             Ok(0) => true,
             Ok(length) => {
                 if connection.stage == Stage::ReadingCommand {
@@ -180,21 +181,21 @@
             }
         };
         match connection.stage {
-            Stage::ReadingCommand => self.read_command(id, is_end, io),
-            Stage::Closing if is_end => {
+            Stage::ReadingCommand => self.read_command(id, has_ended, io),
+            Stage::Closing if has_ended => {
                 self.connections.remove(&id);
             }
-            // The other side has ended; what is left of the response goes out by itself.
-            Stage::Responding if is_end => connection.socket.set_interest(false, true),
+            // Only the rest of the response remains to be written.
+            Stage::Responding if has_ended => connection.socket.set_interest(false, true),
             Stage::Executing | Stage::Responding | Stage::Closing => {}
         }
     }
 
-    fn read_command(&mut self, id: u32, is_end: bool, io: &mut IoContext) {
+    fn read_command(&mut self, id: u32, has_ended: bool, io: &mut IoContext) {
         let Some(connection) = self.connections.get_mut(&id) else {
             return;
         };
-        match protocol::read_command(&connection.received, is_end) {
+        match protocol::parse_command(&connection.received, has_ended) {
             Ok(None) => connection.socket.set_interest(true, false),
             Err(error) => self.respond(id, Err(error.into()), io),
             Ok(Some(command)) => {
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Sends the one response of a connection.
+    /// Sends the response to a connection that has had none yet.
     pub(crate) fn respond(
         &mut self,
         id: u32,
@@ -238,7 +239,7 @@
                 connection.socket.finish_sending();
                 connection.stage = Stage::Closing;
                 connection.socket.set_interest(true, false);
-                // The other side may have ended before the response.
+                // The other side may already have ended the connection.
                 self.read(id, io);
             }
             Ok(false) => connection.socket.set_interest(true, true),
@@ -248,7 +249,7 @@
         }
     }
 
-    /// True if no command waits for its response.
+    /// Returns whether no command waits for its response and no response is being sent.
     pub(crate) fn is_idle(&self) -> bool {
         !self
             .connections
--- a/relay/src/admin/error.rs
+++ b/relay/src/admin/error.rs
@@ -1,9 +1,9 @@
-//! Why an operator's command is refused. The texts are the answers at the admin port.
+//! The errors of operators' commands. Their texts are sent as answers at the admin port.
 use crate::admin::protocol::{NotReady, SyntaxError};
 use crate::peers::PeerCommandError;
 use std::io;
 
-/// Why an operator's command is refused.
+/// Why an operator's command failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum AdminError {
     #[error(transparent)]
--- a/relay/src/admin/protocol.rs
+++ b/relay/src/admin/protocol.rs
@@ -1,38 +1,39 @@
-//! The lines of the admin port: one line to a command, one line back. No I/O.
+//! The line protocol of the admin port: a command is one line, and so is its response. No I/O.
 use std::fmt::Display;
 
-/// The longest line of a command, in bytes; names of backends are far shorter.
+/// The longest line of a command, in bytes. Names of backends are far shorter.
 pub(crate) const MAX_LINE_BYTES: usize = 512;
 
-/// What an operator asks of a running relay.
+/// A command of an operator to a running relay.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AdminCommand {
-    /// Whether this process serves.
+    /// Asks whether this process serves clients.
     Ready,
     /// Bans a backend until `Enable`.
     Disable(String),
+    /// Ends the ban of a backend.
     Enable(String),
+    /// A command about the other relays.
     Peers(PeerCommand),
 }
 
-/// What an operator asks about the other relays, or of them.
+/// A command about the other relays, their leases or their notes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum PeerCommand {
-    /// What this relay knows of the others.
+    /// Asks what this relay knows of the others.
     Members,
-    /// Whether this relay holds that lease; from the first command on it requests it.
+    /// Asks whether this relay holds the lease of a subject. The first such command makes the relay
+    /// request the lease.
     Lease(String),
+    /// Releases the lease of a subject.
     Release(String),
     /// Announces a note to all relays.
-    Announce {
-        subject: String,
-        value: String,
-    },
-    /// The notes of all relays.
+    Announce { subject: String, value: String },
+    /// Asks for the notes of all relays.
     Notes,
 }
 
-/// Why a line is no command.
+/// Why a line is not a command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum SyntaxError {
     #[error("a line too long")]
@@ -59,27 +60,27 @@
     UnknownCommand,
 }
 
-/// Reads the command that has come; none while its line is incomplete. With `is_end` no more bytes
-/// will come: a command whose line has no end may have been cut off in the middle of a name, so it
-/// is none.
+/// Parses the command in the bytes received so far; returns `None` while its line is incomplete.
+/// `has_ended` tells that no more bytes will be received. A line without its line feed is then an
+/// error, since it may have been truncated in the middle of a name.
 ///
 /// # Errors
-/// The line is no command.
-pub(crate) fn read_command(
+/// Returns an error if the line is not a command.
+pub(crate) fn parse_command(
     bytes: &[u8],
-    is_end: bool,
+    has_ended: bool,
 ) -> Result<Option<AdminCommand>, SyntaxError> {
     let line_end = bytes.iter().position(|&byte| byte == b'\n');
     match line_end.filter(|&position| position < MAX_LINE_BYTES) {
         Some(position) => parse_line(&bytes[..position]).map(Some),
         None if bytes.len() >= MAX_LINE_BYTES => Err(SyntaxError::LineTooLong),
-        None if !is_end => Ok(None),
+        None if !has_ended => Ok(None),
         None if bytes.is_empty() => Err(SyntaxError::Empty),
         None => Err(SyntaxError::UnterminatedLine),
     }
 }
 
-/// `line`: without its line feed.
+/// Parses a line, which is passed without its line feed.
 fn parse_line(line: &[u8]) -> Result<AdminCommand, SyntaxError> {
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let line = std::str::from_utf8(line).map_err(|_| SyntaxError::NotUtf8)?;
@@ -120,7 +121,7 @@
     }
 }
 
-/// What decides whether this process serves.
+/// The conditions for this process to serve clients.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Readiness {
     pub(crate) is_stopping: bool,
@@ -128,7 +129,7 @@
     pub(crate) accepts_clients: bool,
 }
 
-/// Why this process does not serve.
+/// Why this process does not serve clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum NotReady {
     #[error("stopping")]
@@ -140,8 +141,10 @@
 }
 
 impl Readiness {
+    /// Checks the conditions.
+    ///
     /// # Errors
-    /// This process does not serve.
+    /// Returns the first condition that is not met.
     pub(crate) fn check(self) -> Result<(), NotReady> {
         if self.is_stopping {
             Err(NotReady::Stopping)
@@ -155,7 +158,7 @@
     }
 }
 
-/// The line that answers a command.
+/// Returns the line that answers a command, without its line ending.
 pub(crate) fn response_line<E: Display>(result: &Result<String, E>) -> String {
     match result {
         Ok(text) => format!("200 {text}"),
--- a/relay/src/admin/protocol/tests.rs
+++ b/relay/src/admin/protocol/tests.rs
@@ -1,7 +1,7 @@
-//! Tests of the admin port's lines.
+//! Tests of the admin port's line protocol.
 use super::*;
 
-/// What stands for a command or its absence in the table below.
+/// The result of parsing a command.
 type Parsed = Result<Option<AdminCommand>, SyntaxError>;
 
 fn disable(backend: &str) -> Parsed {
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn line_is_a_command_or_an_error_with_its_reason() {
+fn parse_command_of_a_line_returns_the_command_or_the_reason() {
     let ready = || Ok(Some(AdminCommand::Ready));
     let long = [b'x'; MAX_LINE_BYTES];
     let cases: &[(&[u8], bool, Parsed)] = &[
@@ -61,22 +61,22 @@
         (&long, false, Err(SyntaxError::LineTooLong)),
         (&long[1..], false, Ok(None)),
     ];
-    for (bytes, is_end, expected) in cases {
+    for (bytes, has_ended, expected) in cases {
         assert_eq!(
-            &read_command(bytes, *is_end),
+            &parse_command(bytes, *has_ended),
             expected,
             "{:?}",
             String::from_utf8_lossy(bytes)
         );
     }
-    for pieces in 1..b"DISABLE s-1\r\n".len() {
-        assert_eq!(read_command(&b"DISABLE s-1\r\n"[..pieces], false), Ok(None));
+    for end in 1..b"DISABLE s-1\r\n".len() {
+        assert_eq!(parse_command(&b"DISABLE s-1\r\n"[..end], false), Ok(None));
     }
 }
 
-/// The texts are the operators' interface.
+/// Operators' tools match these texts.
 #[test]
-fn syntax_errors_keep_their_texts() {
+fn syntax_errors_when_displayed_keep_their_texts() {
     let cases = [
         (SyntaxError::UnterminatedLine, "the line has no end"),
         (SyntaxError::Empty, "no call"),
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn process_is_ready_only_while_it_serves() {
+fn readiness_check_succeeds_only_if_all_conditions_are_met() {
     for number in 0..8 {
         let [is_stopping, has_endpoints, accepts_clients] = [1, 2, 4].map(|bit| number & bit > 0);
         let readiness = Readiness {
--- a/relay/src/bans/list.rs
+++ b/relay/src/bans/list.rs
@@ -1,39 +1,39 @@
-//! The set of banned backends and its text form: a header with a version, a serial number, a line
-//! for each backend and a checksum over all of it. No I/O.
+//! The set of banned backends and its text form: a header with a version, the relay's name, a
+//! serial number, a line for each backend, and a checksum over all lines before it. No I/O.
 use crate::stable_hash::stable_hash;
 use std::collections::BTreeSet;
 
 const HEADER: &str = "thistlecroft bans 1";
-/// The last line: 16 hexadecimal digits.
+/// The length of the last line, which holds the checksum as 16 hexadecimal digits.
 const CHECKSUM_LINE_BYTES: usize = "check 0000000000000000\n".len();
 
-/// Banned backends, by the name that is the same at every relay.
+/// The names of the banned backends; every relay uses the same names.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct BanList {
-    /// Counts the changes that led to it.
+    /// The number of changes that led to this list.
     pub(crate) serial: u64,
     pub(crate) banned: BTreeSet<String>,
 }
 
-/// Why a text is no ban list of this relay.
+/// Why a text is not a ban list of this relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BanListError {
-    #[error("not a list of bans of this version")]
+    #[error("the first line is not the header of this version")]
     Version,
-    #[error("cut short")]
+    #[error("the checksum line is missing or truncated")]
     Truncated,
-    #[error("its check does not agree")]
+    #[error("the checksum does not match the contents")]
     Checksum,
-    #[error("of another relay")]
+    #[error("the list belongs to another relay")]
     OtherRelay,
-    #[error("a bad serial")]
+    #[error("the serial is not a number")]
     Serial,
-    #[error("a line that is none of its own")]
+    #[error("a line has an unknown keyword")]
     UnknownLine,
 }
 
 impl BanList {
-    /// Adds or removes a backend. True if that changed anything: a ban is a set.
+    /// Adds or removes a backend. Returns whether that changed the set of banned backends.
     pub(crate) fn set(&mut self, backend: &str, is_banned: bool) -> bool {
         let has_changed = if is_banned {
             self.banned.insert(backend.to_string())
@@ -44,7 +44,7 @@
         has_changed
     }
 
-    /// The text form, which names the relay whose list it is.
+    /// Returns the text form of the list of this relay.
     pub(crate) fn encode(&self, relay: &str) -> String {
         let mut text = format!("{HEADER}\nrelay {relay}\nserial {}\n", self.serial);
         for backend in &self.banned {
@@ -54,8 +54,10 @@
         text + &checksum
     }
 
+    /// Parses the text form.
+    ///
     /// # Errors
-    /// The text is torn, of another version, or of another relay.
+    /// Returns an error if the text is damaged, of another version, or of another relay.
     pub(crate) fn parse(text: &str, relay: &str) -> Result<BanList, BanListError> {
         if !text.starts_with(&format!("{HEADER}\n")) {
             return Err(BanListError::Version);
--- a/relay/src/bans/list/tests.rs
+++ b/relay/src/bans/list/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn ban_is_a_set_and_is_parsed_as_it_was_encoded() {
+fn encoded_ban_list_is_parsed_unchanged_and_counts_only_real_changes() {
     let mut list = BanList::default();
     let steps = [
         ("a", true, 1),
@@ -21,35 +21,35 @@
 }
 
 #[test]
-fn torn_or_foreign_text_is_rejected() {
+fn damaged_or_foreign_text_is_rejected() {
     let mut list = BanList::default();
     list.set("s-5be2a07c", true);
-    let sound = list.encode("n3");
-    for length in 0..sound.len() {
+    let valid = list.encode("n3");
+    for length in 0..valid.len() {
         assert!(
-            BanList::parse(&sound[..length], "n3").is_err(),
-            "cut at {length}"
+            BanList::parse(&valid[..length], "n3").is_err(),
+            "cut at byte {length}"
         );
     }
-    for place in 0..sound.len() {
-        let mut bytes = sound.clone().into_bytes();
-        bytes[place] ^= 1;
+    for position in 0..valid.len() {
+        let mut bytes = valid.clone().into_bytes();
+        bytes[position] ^= 1;
         let text = String::from_utf8(bytes).unwrap();
         assert!(
             BanList::parse(&text, "n3").is_err(),
-            "another character at {place}"
+            "another character at byte {position}"
         );
     }
     let other_version = HEADER.replace('1', "2");
-    let cases = [
-        sound.replace(HEADER, &other_version),
-        sound.clone() + "out b\n",
+    let rejected = [
+        valid.replace(HEADER, &other_version),
+        valid.clone() + "out b\n",
         list.encode("n4"),
         "{}".into(),
     ];
-    for text in cases {
+    for text in rejected {
         assert!(BanList::parse(&text, "n3").is_err(), "{text}");
     }
-    let unicode = sound.replace("5be2", "5b\u{e9}2");
+    let unicode = valid.replace("5be2", "5b\u{e9}2");
     assert!(BanList::parse(&unicode, "n3").is_err());
 }
--- a/relay/src/bans/mod.rs
+++ b/relay/src/bans/mod.rs
@@ -1,3 +1,3 @@
-//! Backends that operators have banned, kept for every process of this relay.
+//! Bans of backends by operators, stored for every process of this relay.
 pub(crate) mod list;
 pub(crate) mod store;
--- a/relay/src/bans/store.rs
+++ b/relay/src/bans/store.rs
@@ -1,25 +1,25 @@
-//! The ban store: a file in `$TMPDIR` that the processes of one relay share. It is replaced as a
-//! whole under a lock, so that a process that dies in the middle of a write leaves the list as it
-//! was, and its lock free.
+//! The ban store: a file in `$TMPDIR` that the processes of one relay share. The file is replaced
+//! as a whole, under a file lock: if a process dies during a write, the former list stays and the
+//! system releases the lock.
 use crate::bans::list::{BanList, BanListError};
 use std::fs::{File, Metadata, OpenOptions, TryLockError};
 use std::io;
 use std::os::unix::fs::MetadataExt;
 use std::path::{Path, PathBuf};
 
-/// The ban list as this process read or wrote it last.
+/// The ban list as this process last read or wrote it.
 pub(crate) struct BanStore {
     path: PathBuf,
-    /// Where the next list is written before it takes the place of the last one.
-    new_path: PathBuf,
+    /// The file to which a new list is written before it replaces the former one.
+    temporary_path: PathBuf,
     lock_path: PathBuf,
     relay: String,
     list: BanList,
-    /// None until the file has been found.
+    /// The version that was last read or written; `None` until the file has been found.
     version: Option<FileVersion>,
 }
 
-/// Tells one written file from the next.
+/// The metadata that tells one version of the file from another.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct FileVersion {
     inode: u64,
@@ -42,14 +42,14 @@
 /// Why a ban was not changed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum BanStoreError {
-    /// The other process writes at present: worth another attempt soon.
-    #[error("another process holds the list of bans")]
+    /// Another process is writing at present: an attempt soon afterwards may succeed.
+    #[error("another process has locked the ban store")]
     Locked,
     #[error(transparent)]
     Io(#[from] io::Error),
 }
 
-/// Why a list could not be read.
+/// Why the ban list could not be read.
 #[derive(Debug, thiserror::Error)]
 enum ReadError {
     #[error(transparent)]
@@ -59,11 +59,11 @@
 }
 
 impl BanStore {
-    /// A store in this folder; nothing is read yet.
+    /// Creates a store in this folder, without reading it yet.
     pub(crate) fn new(folder: &Path, relay: &str) -> BanStore {
         BanStore {
             path: folder.join("thistlecroft-bans"),
-            new_path: folder.join("thistlecroft-bans.fresh"),
+            temporary_path: folder.join("thistlecroft-bans.fresh"),
             lock_path: folder.join("thistlecroft-bans.lock"),
             relay: relay.to_string(),
             list: BanList::default(),
@@ -75,8 +75,8 @@
         &self.list
     }
 
-    /// Reads what another process has written since; true if that changed the set of bans. A file
-    /// that can't be read changes nothing.
+    /// Reads the file if another process has written it since. Returns whether that changed the set
+    /// of banned backends. A file that can't be read changes nothing.
     pub(crate) fn refresh(&mut self) -> bool {
         let Ok(metadata) = std::fs::metadata(&self.path) else {
             return false;
@@ -94,7 +94,9 @@
             }
             Err(error) => {
                 let path = self.path.display();
-                log::warn!("{path}: {error}; the bans known so far stay");
+                log::warn!(
+                    "cannot read the ban list {path}: {error}; the bans known so far stay in force"
+                );
                 false
             }
         }
@@ -108,14 +110,14 @@
     /// Bans a backend or ends its ban, for every process of this relay.
     ///
     /// # Errors
-    /// The store is locked or can't be written. Nothing has changed.
+    /// Returns an error, and changes nothing, if the store is locked or can't be written.
     pub(crate) fn set(&mut self, backend: &str, is_banned: bool) -> Result<(), BanStoreError> {
         let lock = self.lock()?;
         self.refresh();
         let mut list = self.list.clone();
         if list.set(backend, is_banned) {
-            std::fs::write(&self.new_path, list.encode(&self.relay))?;
-            std::fs::rename(&self.new_path, &self.path)?;
+            std::fs::write(&self.temporary_path, list.encode(&self.relay))?;
+            std::fs::rename(&self.temporary_path, &self.path)?;
             self.list = list;
             self.version = Some(FileVersion::from(&std::fs::metadata(&self.path)?));
         }
@@ -123,7 +125,7 @@
         Ok(())
     }
 
-    /// Held until the file is dropped.
+    /// Locks the store until the returned file is dropped.
     fn lock(&self) -> Result<File, BanStoreError> {
         let mut options = OpenOptions::new();
         let file = options.create(true).append(true).open(&self.lock_path)?;
--- a/relay/src/bans/store/tests.rs
+++ b/relay/src/bans/store/tests.rs
@@ -10,23 +10,23 @@
 }
 
 #[test]
-fn two_processes_share_one_list() {
+fn ban_list_of_two_processes_is_shared() {
     let folder = new_folder("two");
     let mut old = BanStore::new(&folder, "n3");
     let mut new = BanStore::new(&folder, "n3");
     assert!(
         !old.refresh() && old.list().banned.is_empty(),
-        "a missing list is an empty one"
+        "a missing file is an empty list"
     );
     old.set("a", true).unwrap();
     assert!(new.refresh() && !new.refresh());
     new.set("b", true).unwrap();
-    // It has not read what the other wrote: its own change must not undo that.
+    // This store has not yet read what the other one wrote; its own change must not undo that.
     old.set("a", false).unwrap();
     assert!(new.refresh());
     assert_eq!(new.list(), old.list());
     assert_eq!(new.list().banned.iter().collect::<Vec<_>>(), ["b"]);
-    // While one writes the other is notified, and nothing changes.
+    // While another process holds the lock, a change fails and leaves the list as it was.
     let lock = OpenOptions::new()
         .append(true)
         .open(folder.join("thistlecroft-bans.lock"))
@@ -40,9 +40,9 @@
 }
 
 #[test]
-fn torn_or_foreign_file_starts_empty_and_is_mended_by_the_next_change() {
+fn damaged_or_foreign_file_reads_as_empty_and_is_replaced_by_the_next_change() {
     for (name, text) in [
-        ("torn", "thistlecroft bans 1\nrelay n3\nser"),
+        ("truncated", "thistlecroft bans 1\nrelay n3\nser"),
         ("foreign", "{}"),
         ("empty", ""),
     ] {
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn missing_folder_refuses_changes_and_changes_nothing() {
+fn ban_in_a_missing_folder_fails_and_changes_nothing() {
     let mut store = BanStore::new(Path::new("/nowhere/at/all"), "n3");
     assert!(!store.refresh());
     assert!(
--- a/relay/src/counters.rs
+++ b/relay/src/counters.rs
@@ -1,10 +1,10 @@
-//! What was received, sent and answered since the start.
+//! Counters of connections, sessions, attempts, lines and errors since the start.
 use std::fmt;
 
-/// Declares the counters, and prints them as `name=value` in the order of their declaration.
+/// Declares the counters. They are displayed as `name=value` in the order of their declaration.
 macro_rules! counters {
     ($($name:ident),* $(,)?) => {
-        /// Counts since the start. The names are printed, and read by other programs.
+        /// Counters since the start. Other programs read their names in the log.
         #[derive(Default)]
         pub(crate) struct Counters { $(pub(crate) $name: u64),* }
 
@@ -18,14 +18,14 @@
 }
 
 counters! {
-    // Sessions: as clients connect, and as they end.
+    // Clients' connections and sessions, and how they ended.
     connections, pings, sessions, inherited, bad_lines, clients_left, accepted, refused, torn_down,
     turned_away, shed, sent_away, idle, second_dials, ended_well, ended_broken,
-    // Attempts at backends, and how they failed.
+    // Attempts at backends, and why they failed.
     dials, dials_full, dials_error, dials_timeout, dials_unreachable, dials_reset, dials_withdrawn,
     dials_never_sent,
     // Health checks, lines in either direction, and endpoint lists.
     probes, probes_failed, lines_up, lines_down, lists, list_failures,
-    // Shortages, hot restart, admin commands, and panics that were caught.
+    // Shortages of descriptors and buffers, hot restarts, admin commands, and caught panics.
     accept_failures, starved, handed, adopted, calls, calls_denied, panics,
 }
--- a/relay/src/driver.rs
+++ b/relay/src/driver.rs
@@ -1,5 +1,5 @@
-//! The seam to the balancer: the events of a turn are delivered to it, and its actions are recorded,
-//! to be carried out after.
+//! The interface to the balancer: delivers the events of a turn and records the actions that the
+//! balancer requests, which are carried out afterwards.
 use crate::timers::{Timer, TimerQueue};
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use thistlecroft::attempt::{Arrival, AttemptEnd, AttemptOutcome, LoadReport};
@@ -11,41 +11,41 @@
 use thistlecroft::snapshot::BalancerSnapshot;
 use thistlecroft::time::{Duration, Instant};
 
-/// What a turn gathered, in the order in which it came.
+/// An event for the balancer. The events of a turn are delivered in the order of their arrival.
 #[derive(Debug)]
 pub(crate) enum Event {
     EndpointsUpdated(UpdateKind, Vec<Endpoint>),
     SessionArrived(SessionId, Arrival),
-    /// A session that stands already was taken over from the predecessor.
+    /// An established session was taken over from the predecessor.
     SessionInherited(SessionId, BackendId, Arrival),
-    /// An attempt, by its number, has come up.
+    /// The attempt with this number is ready.
     AttemptReady(SessionId, u32),
     AttemptEnded(SessionId, AttemptEnd),
     SessionLeft(SessionId),
     HealthChecked(BackendId, AttemptOutcome, LoadReport),
     LoadObserved(SessionId, f64),
     LatencyObserved(SessionId, Duration),
-    /// A client's line has had no line back for so long.
+    /// A client's line has been unanswered for this time.
     ResponseOverdue(SessionId, Duration),
     Reconfigured(Box<Deployment>),
     /// An operator has banned a backend, or ended its ban.
     BanChanged(BackendId, bool),
-    /// What the predecessor knows, which still serves.
+    /// The predecessor, which still serves, sent a snapshot of its balancer.
     SnapshotReceived(BalancerSnapshot),
-    /// The predecessor takes nothing new any more.
+    /// The predecessor no longer accepts clients, or has ended.
     PredecessorEnded,
     Wake,
     ShutDown,
 }
 
-/// What the balancer asks for.
+/// An action that the balancer requests.
 #[derive(Debug)]
 pub(crate) enum Action {
-    /// Begin an attempt, and give it up after so long.
+    /// Starts an attempt with this timeout.
     Connect(SessionId, BackendId, Duration),
-    /// Cancel an attempt, by its number.
+    /// Cancels the attempt with this number.
     Cancel(SessionId, u32),
-    /// Reject a session, with how long it should wait before it comes again.
+    /// Rejects a session, with the time after which its client should retry.
     Reject(SessionId, Option<Duration>),
     Fail(SessionId),
     Migrate(SessionId),
@@ -53,7 +53,7 @@
     Subscribe,
 }
 
-/// Records what the balancer asks for.
+/// Records the actions and timers that the balancer requests.
 pub(crate) struct ActionRecorder<'a> {
     pub(crate) actions: &'a mut Vec<Action>,
     pub(crate) timers: &'a mut TimerQueue,
@@ -93,22 +93,22 @@
         self.actions.push(Action::Subscribe);
     }
 
-    // Session ids are never used again here, so nothing is kept that could be released.
+    // Session ids are not reused here, so there is nothing to release.
     fn release(&mut self, _: SessionId) {}
 }
 
-/// The balancer panicked over an event.
+/// A panic of the balancer while it handled an event.
 #[derive(Debug)]
 pub(crate) struct BalancerPanicked {
-    /// The session that the event was about, to be answered without the balancer.
+    /// The session that the event was about, which must be answered without the balancer.
     pub(crate) session: Option<SessionId>,
 }
 
 /// Delivers one event to the balancer.
 ///
 /// # Errors
-/// The balancer panicked: that costs the session that the event is about, not the process.
-pub(crate) fn deliver(
+/// Returns an error if the balancer panicked. This fails the event's session, but not the process.
+pub(crate) fn deliver_event(
     balancer: &mut Balancer,
     event: Event,
     now: Instant,
@@ -116,7 +116,7 @@
 ) -> Result<(), BalancerPanicked> {
     let session = session_of(&event);
     catch_unwind(AssertUnwindSafe(|| {
-        dispatch(balancer, event, now, recorder)
+        call_balancer(balancer, event, now, recorder)
     }))
     .map_err(|_| BalancerPanicked { session })
 }
@@ -142,7 +142,12 @@
     }
 }
 
-fn dispatch(balancer: &mut Balancer, event: Event, now: Instant, recorder: &mut ActionRecorder) {
+fn call_balancer(
+    balancer: &mut Balancer,
+    event: Event,
+    now: Instant,
+    recorder: &mut ActionRecorder,
+) {
     match event {
         Event::EndpointsUpdated(kind, endpoints) => balancer.update_endpoints(kind, &endpoints),
         Event::SessionArrived(id, arrival) => balancer.session_arrived(now, id, arrival, recorder),
--- a/relay/src/hot_restart/channel.rs
+++ b/relay/src/hot_restart/channel.rs
@@ -1,5 +1,5 @@
-//! The channel between the process that ends and the one that goes on: packets over a Unix socket in
-//! the folder that both share, with descriptors beside them.
+//! The channel between a process and its successor: packets with attached descriptors, over a Unix
+//! socket in the folder that both share.
 use crate::hot_restart::messages::{self, Message, PacketError};
 use crate::sockets::{Registration, SocketOwner, Sockets};
 use rustix::io::Errno;
@@ -15,14 +15,14 @@
 
 /// The name of the socket in the shared folder.
 const SOCKET_NAME: &str = "thistlecroft-next";
-/// The longest packet: what a session has waiting in both directions and its line, with room to
-/// spare.
+/// The longest packet. It leaves more room than a session's message and the bytes that the session
+/// has waiting in both directions need.
 const MAX_PACKET_BYTES: usize = 64 * 1024;
-/// Descriptors beside one packet.
+/// The most descriptors that can be attached to one packet: a session's two connections.
 const MAX_DESCRIPTORS: usize = 2;
-const BACKLOG: i32 = 4;
+const SUCCESSOR_BACKLOG: i32 = 4;
 
-/// Where the next process finds this one.
+/// The socket at which a successor connects to this process.
 pub(crate) struct SuccessorListener {
     _registration: Registration,
     socket: Socket,
@@ -34,27 +34,27 @@
     socket: Socket,
 }
 
-/// What a channel has at present.
+/// The result of reading from a channel.
 pub(crate) enum Received {
     Packet(Box<ReceivedPacket>),
     Nothing,
     Closed(ChannelError),
 }
 
-/// A packet with the descriptors beside it.
+/// A received packet with its attached descriptors.
 pub(crate) struct ReceivedPacket {
     pub(crate) message: Message,
-    /// Bytes of a session that wait on their way to the backend.
+    /// The bytes of a session that are waiting to be sent to the backend.
     pub(crate) to_backend: Vec<u8>,
-    /// Bytes of a session that wait on their way to the client.
+    /// The bytes of a session that are waiting to be sent to the client.
     pub(crate) to_client: Vec<u8>,
     pub(crate) descriptors: Vec<OwnedFd>,
 }
 
-/// Why a channel can't be used any more.
+/// Why a channel can't be used any longer.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ChannelError {
-    #[error("it has ended")]
+    #[error("the other process has ended")]
     Ended,
     #[error(transparent)]
     Io(#[from] io::Error),
@@ -68,7 +68,7 @@
     Ok(socket)
 }
 
-/// The process that serves from this folder, if one does.
+/// Connects to the process that serves from this folder, if there is one.
 pub(crate) fn connect_to_predecessor(folder: &Path, sockets: &mut Sockets) -> Option<Channel> {
     let socket = new_socket().ok()?;
     let address = SockAddr::unix(folder.join(SOCKET_NAME)).ok()?;
@@ -77,18 +77,20 @@
 }
 
 impl SuccessorListener {
-    /// From now on the next process finds this one and no longer its predecessor.
+    /// Opens the socket in the folder. From now on a successor connects to this process and no
+    /// longer to this one's predecessor.
     ///
     /// # Errors
-    /// The folder's name is too long for a socket, or the folder can't be written to.
+    /// Returns an error if the folder's path is too long for a socket address, or if the folder is
+    /// not writable.
     pub(crate) fn open(folder: &Path, sockets: &mut Sockets) -> io::Result<SuccessorListener> {
-        let new_path: PathBuf = folder.join(format!("{SOCKET_NAME}-{}", std::process::id()));
-        // One may be left of a former process with the same number.
-        let _ = std::fs::remove_file(&new_path);
+        let temporary_path: PathBuf = folder.join(format!("{SOCKET_NAME}-{}", std::process::id()));
+        // An earlier process with the same process id may have left a socket behind.
+        let _ = std::fs::remove_file(&temporary_path);
         let socket = new_socket()?;
-        socket.bind(&SockAddr::unix(&new_path)?)?;
-        socket.listen(BACKLOG)?;
-        std::fs::rename(&new_path, folder.join(SOCKET_NAME))?;
+        socket.bind(&SockAddr::unix(&temporary_path)?)?;
+        socket.listen(SUCCESSOR_BACKLOG)?;
+        std::fs::rename(&temporary_path, folder.join(SOCKET_NAME))?;
         let owner = SocketOwner::SuccessorListener;
         let mut registration = sockets.register(owner, socket.as_raw_fd());
         registration.set_interest(true, false);
@@ -119,10 +121,11 @@
         self.registration.has_key(key)
     }
 
-    /// Sends a packet. True if it went out; false if there is no room for it at present.
+    /// Sends a packet: a message, the bytes that a session has waiting, and descriptors. Returns
+    /// false if the channel has no room for it at present.
     ///
     /// # Errors
-    /// The other process is gone.
+    /// Returns an error if the other process has ended.
     pub(crate) fn send(
         &self,
         message: &Message,
@@ -134,7 +137,7 @@
         let mut ancillary = SendAncillaryBuffer::new(&mut space);
         let rights = SendAncillaryMessage::ScmRights(descriptors);
         if !descriptors.is_empty() && !ancillary.push(rights) {
-            return Err(io::Error::other("too many descriptors"));
+            return Err(io::Error::other("too many descriptors for one packet"));
         }
         let parts = [IoSlice::new(&packet)];
         match rustix::net::sendmsg(&self.socket, &parts, &mut ancillary, SendFlags::NOSIGNAL) {
@@ -166,8 +169,9 @@
             rustix::net::recvmsg(self.socket.as_fd(), parts, &mut ancillary, flags)
         };
         let received = match receive() {
-            // The other process ended with a message of this one unread, which is reported first
-            // and once. What it sent before still waits, released sessions among it.
+            // The other process ended before it had read all messages from this one. The system
+            // reports that first, and once; what the other process had sent before, such as the
+            // release of a session, can still be received.
             Err(Errno::CONNRESET) => receive(),
             received => received,
         };
--- a/relay/src/hot_restart/channel/tests.rs
+++ b/relay/src/hot_restart/channel/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the channel, both ends in one process.
+//! Tests of the channel, with both ends in one process.
 use super::*;
 use crate::hot_restart::messages::SnapshotMessage;
 use thistlecroft::attempt::LoadReport;
@@ -6,7 +6,7 @@
 use thistlecroft::snapshot::{BalancerSnapshot, EndpointStatistics};
 use thistlecroft::time::{Duration, Instant};
 
-/// A folder of one test, gone with it.
+/// The temporary folder of one test, removed when dropped.
 struct TestFolder(PathBuf);
 
 impl TestFolder {
@@ -25,17 +25,17 @@
 }
 
 /// Both ends of a new channel.
-struct Ends {
+struct ChannelPair {
     predecessor: Channel,
     successor: Channel,
     _listener: SuccessorListener,
 }
 
-fn connect(folder: &TestFolder, sockets: &mut Sockets) -> Ends {
+fn connect(folder: &TestFolder, sockets: &mut Sockets) -> ChannelPair {
     let mut listener = SuccessorListener::open(&folder.0, sockets).unwrap();
     let successor = connect_to_predecessor(&folder.0, sockets).unwrap();
     let predecessor = listener.accept(sockets).unwrap();
-    Ends {
+    ChannelPair {
         predecessor,
         successor,
         _listener: listener,
@@ -46,7 +46,7 @@
     Sockets::new(std::rc::Rc::new(polling::Poller::new().unwrap()))
 }
 
-/// What a balancer knows of so many backends, with figures of many digits.
+/// Returns a snapshot of `backends` backends whose numbers have many digits.
 fn snapshot(backends: u32) -> BalancerSnapshot {
     let at = Instant::from_micros(1_764_000_000_123_456);
     let report = LoadReport {
@@ -67,12 +67,12 @@
     }
 }
 
-/// One backend takes some 150 bytes, so that a thousand don't fit into one packet.
+/// One backend takes about 150 bytes, so that a thousand do not fit into one packet.
 #[test]
-fn snapshot_of_a_thousand_backends_arrives_complete() {
+fn snapshot_of_a_thousand_backends_is_received_completely() {
     let folder = TestFolder::new("parts");
     let mut sockets = new_sockets();
-    let ends = connect(&folder, &mut sockets);
+    let channels = connect(&folder, &mut sockets);
     for backends in [0, 1, 128, 1_024] {
         let sent = snapshot(backends);
         let names: Vec<String> = (0..backends)
@@ -85,29 +85,30 @@
         let message = SnapshotMessage::new(&sent, |id| &names[id.0 as usize]);
         for part in message.into_parts() {
             assert!(
-                ends.predecessor
+                channels
+                    .predecessor
                     .send(&Message::Snapshot(part), &[], &[])
                     .unwrap(),
-                "{backends}: no room in the channel"
+                "{backends} backends: the channel is full"
             );
         }
         let mut received = Vec::new();
-        while let Received::Packet(packet) = ends.successor.receive() {
+        while let Received::Packet(packet) = channels.successor.receive() {
             let Message::Snapshot(part) = packet.message else {
-                panic!("{backends}: another message")
+                panic!("{backends} backends: not a snapshot")
             };
             received.extend(part.to_snapshot(id).endpoints);
         }
-        assert_eq!(received, sent.endpoints, "{backends}");
+        assert_eq!(received, sent.endpoints, "{backends} backends");
     }
 }
 
 #[test]
-fn messages_of_a_process_that_ended_are_received_whatever_it_left_unread() {
-    let folder = TestFolder::new("line");
+fn messages_of_an_ended_process_with_unread_messages_are_received() {
+    let folder = TestFolder::new("unread");
     let mut sockets = new_sockets();
     for unread in [0, 1, 5] {
-        let Ends {
+        let ChannelPair {
             predecessor,
             successor,
             ..
@@ -123,7 +124,7 @@
         drop(predecessor);
         for expected in 0..3 {
             let Received::Packet(packet) = successor.receive() else {
-                panic!("{unread} unread: {expected} is lost")
+                panic!("{unread} unread: message {expected} is lost")
             };
             assert_eq!(packet.message, Message::Released { serial: expected });
         }
--- a/relay/src/hot_restart/messages.rs
+++ b/relay/src/hot_restart/messages.rs
@@ -1,19 +1,19 @@
-//! The packets that go from a process of a relay to the next: one message each, as a line of JSON,
-//! then raw bytes. The names in the JSON are those of the released versions. No I/O.
+//! The packets between a process of a relay and its successor: each has one message as a line of
+//! JSON, then raw bytes. The JSON keeps the names of released versions. No I/O.
 use serde::{Deserialize, Serialize};
 use thistlecroft::attempt::LoadReport;
 use thistlecroft::ids::BackendId;
 use thistlecroft::snapshot::{BalancerSnapshot, EndpointStatistics};
 use thistlecroft::time::{Duration, Instant};
 
-/// The version of the messages below. To a process that speaks another no connection is handed over:
-/// its clients are migrated instead.
+/// The version of the messages below. A successor of another version gets no sessions: their
+/// clients are migrated instead.
 pub(crate) const VERSION: u32 = 2;
 
-/// A standing session; its two descriptors go beside it, the client's first.
+/// An established session. Its two descriptors are attached to the packet, the client's first.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SessionHandover {
-    /// The number of the offer, for its answer.
+    /// The number of the offer, which its answer repeats.
     pub(crate) serial: u32,
     pub(crate) id: u64,
     pub(crate) listener: String,
@@ -21,31 +21,31 @@
     pub(crate) client_key: Option<u64>,
     pub(crate) group: Option<u64>,
     pub(crate) backend: String,
-    /// When a line last passed, Unix time in microseconds.
+    /// When the last line passed, Unix time in microseconds.
     #[serde(rename = "heard_us")]
     pub(crate) last_line_at_us: u64,
-    /// When the client sent the first line that has had none back, Unix time in microseconds.
+    /// When the client sent its first line that is still unanswered, Unix time in microseconds.
     #[serde(rename = "asked_us")]
     pub(crate) awaiting_since_us: Option<u64>,
-    /// The latency that the backend reported last, in microseconds.
+    /// The latency that the backend last reported, in microseconds.
     #[serde(rename = "told_delay_us")]
     pub(crate) reported_latency_us: u64,
     pub(crate) load: Option<f64>,
-    /// What waits on its way to the backend.
+    /// The bytes that are waiting to be sent to the backend.
     #[serde(rename = "up")]
     pub(crate) to_backend: WaitingBytes,
-    /// What waits on its way to the client.
+    /// The bytes that are waiting to be sent to the client.
     #[serde(rename = "down")]
     pub(crate) to_client: WaitingBytes,
 }
 
-/// How much waits in one direction of a session.
+/// The number of bytes that are waiting to be sent in one direction of a session.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(usize, usize)", into = "(usize, usize)")]
 pub(crate) struct WaitingBytes {
-    /// All bytes that wait.
+    /// All waiting bytes.
     pub(crate) total: usize,
-    /// Those of them that are complete lines.
+    /// The waiting bytes that belong to complete lines.
     pub(crate) complete: usize,
 }
 
@@ -61,8 +61,8 @@
     }
 }
 
-/// What a relay knows of one backend, by the name that is the same in both processes. Times are Unix
-/// microseconds.
+/// What the balancer knows of one backend, under the name that both processes use. Times are Unix
+/// times in microseconds.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct EndpointMessage {
     backend: String,
@@ -75,12 +75,12 @@
     ejections: u32,
     #[serde(rename = "owed")]
     pending_health_checks: u32,
-    /// The slow-start period and the sessions placed within it.
+    /// The slow-start period, and the number of sessions placed within it.
     #[serde(rename = "cold_turn")]
     slow_start_use: Option<(u64, u32)>,
 }
 
-/// A load report and when it came.
+/// A load report and the time of its arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "ReportArray", into = "ReportArray")]
 struct ReportMessage {
@@ -89,7 +89,7 @@
     load: Option<f64>,
 }
 
-/// The report's form in the JSON: time, connections, load.
+/// The JSON form of a report: time, connections, load.
 type ReportArray = (u64, Option<f64>, Option<f64>);
 
 impl From<ReportArray> for ReportMessage {
@@ -108,7 +108,7 @@
     }
 }
 
-/// What a balancer knows, or a part of it.
+/// A balancer's snapshot, or a part of it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) struct SnapshotMessage {
     #[serde(rename = "sights")]
@@ -122,8 +122,8 @@
 }
 
 impl SnapshotMessage {
-    /// Endpoints in one part, so that each part fits into a packet however many there are.
-    const PART_ENDPOINTS: usize = 128;
+    /// The most endpoints in one part, so that every part fits into a packet.
+    const MAX_PART_ENDPOINTS: usize = 128;
 
     pub(crate) fn new<'a>(
         snapshot: &BalancerSnapshot,
@@ -140,11 +140,13 @@
         }
     }
 
-    /// The same in parts, each of which can be restored alone; one at least.
+    /// Splits the snapshot into one or more parts, each of which can be restored alone.
     pub(crate) fn into_parts(mut self) -> Vec<SnapshotMessage> {
         let mut parts = Vec::new();
-        while self.endpoints.len() > SnapshotMessage::PART_ENDPOINTS {
-            let rest = self.endpoints.split_off(SnapshotMessage::PART_ENDPOINTS);
+        while self.endpoints.len() > SnapshotMessage::MAX_PART_ENDPOINTS {
+            let rest = self
+                .endpoints
+                .split_off(SnapshotMessage::MAX_PART_ENDPOINTS);
             parts.push(SnapshotMessage {
                 endpoints: std::mem::replace(&mut self.endpoints, rest),
                 ..self
@@ -206,17 +208,18 @@
     }
 }
 
-/// What either process sends.
+/// A message of either process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// The successor's first message.
+    /// The successor's first message to its predecessor.
     Hello { version: u32, relay: String },
-    /// The predecessor's, at the beginning and when it leaves; in parts.
+    /// A part of the snapshot that the predecessor sends in answer to `Hello` and when it shuts
+    /// down.
     #[serde(rename = "Memory")]
     Snapshot(SnapshotMessage),
-    /// The predecessor takes nothing new any more.
+    /// The predecessor no longer accepts clients.
     Leaving,
-    /// Descriptors that the sender holds: one limit is for both processes.
+    /// The number of descriptors that the sender has open; both processes share one limit.
     #[serde(rename = "Holds")]
     OpenDescriptors {
         #[serde(rename = "sockets")]
@@ -224,29 +227,29 @@
     },
     /// The predecessor offers a session.
     Session(SessionHandover),
-    /// The successor holds an offered session and does not touch it yet.
+    /// The successor accepts an offered session, which it does not use before `Released`.
     #[serde(rename = "Took")]
     Accepted { serial: u32 },
-    /// The successor does not take an offered session.
+    /// The successor declines an offered session.
     Declined { serial: u32 },
-    /// The predecessor has let go of an accepted session. Without this message the successor lets
-    /// go: no connection ever has two readers.
+    /// The predecessor has released an accepted session. Without this message the successor drops
+    /// the session, so that two processes never read from the same connection.
     #[serde(rename = "Yours")]
     Released { serial: u32 },
 }
 
-/// A packet that can't be read.
+/// Why a packet is malformed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PacketError {
-    #[error("a packet without a line")]
+    #[error("the packet has no complete line")]
     NoLine,
     #[error(transparent)]
     Message(#[from] serde_json::Error),
-    #[error("bytes that don't add up")]
+    #[error("the length of the packet does not match its message")]
     Length,
 }
 
-/// A packet that has been read: its message, and what a session has waiting in either direction.
+/// A decoded packet: its message, and the bytes that a session has waiting in either direction.
 #[derive(Debug, PartialEq)]
 pub(crate) struct Packet<'a> {
     pub(crate) message: Message,
@@ -254,9 +257,11 @@
     pub(crate) to_client: &'a [u8],
 }
 
-/// `waiting`: what a session has waiting, to the backend, then to the client.
+/// Encodes a packet. `waiting` holds the bytes that a session has waiting, first those to the
+/// backend, then those to the client.
 pub(crate) fn encode(message: &Message, waiting: &[&[u8]]) -> Vec<u8> {
-    let mut packet = serde_json::to_vec(message).expect("messages hold text and finite numbers");
+    let mut packet =
+        serde_json::to_vec(message).expect("messages hold only text and finite numbers");
     packet.push(b'\n');
     for bytes in waiting {
         packet.extend_from_slice(bytes);
@@ -264,8 +269,10 @@
     packet
 }
 
+/// Decodes a packet.
+///
 /// # Errors
-/// The packet is cut, or holds an unknown message.
+/// Returns an error if the packet is truncated or holds an unknown message.
 pub(crate) fn decode(packet: &[u8]) -> Result<Packet<'_>, PacketError> {
     let line_end = packet.iter().position(|&byte| byte == b'\n');
     let line_end = line_end.ok_or(PacketError::NoLine)?;
@@ -276,8 +283,8 @@
         _ => Default::default(),
     };
     let total = to_backend.total.checked_add(to_client.total);
-    let is_sound = |waiting: WaitingBytes| waiting.complete <= waiting.total;
-    if total != Some(waiting.len()) || !is_sound(to_backend) || !is_sound(to_client) {
+    let is_valid = |waiting: WaitingBytes| waiting.complete <= waiting.total;
+    if total != Some(waiting.len()) || !is_valid(to_backend) || !is_valid(to_client) {
         return Err(PacketError::Length);
     }
     let (to_backend, to_client) = waiting.split_at(to_backend.total);
--- a/relay/src/hot_restart/messages/tests.rs
+++ b/relay/src/hot_restart/messages/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the packets: what is encoded is decoded again, and nothing else is.
+//! Tests of encoding and decoding packets.
 use super::*;
 
 fn handover() -> SessionHandover {
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn packet_that_is_encoded_is_decoded_unchanged() {
+fn encoded_packet_is_decoded_unchanged() {
     let snapshot = snapshot();
     let restored = snapshot.to_snapshot(|_| BackendId(4));
     assert_eq!(SnapshotMessage::new(&restored, |_| "b"), snapshot);
@@ -79,10 +79,10 @@
 }
 
 #[test]
-fn packet_that_does_not_add_up_is_rejected() {
-    let sound = encode(&Message::Session(handover()), &[b"a\r\nb\n\n", b""]);
-    for length in 0..sound.len() {
-        assert!(decode(&sound[..length]).is_err(), "cut at {length}");
+fn malformed_packet_is_rejected() {
+    let valid = encode(&Message::Session(handover()), &[b"a\r\nb\n\n", b""]);
+    for length in 0..valid.len() {
+        assert!(decode(&valid[..length]).is_err(), "cut at byte {length}");
     }
     let overflowing = SessionHandover {
         to_backend: WaitingBytes {
@@ -102,8 +102,8 @@
         },
         ..handover()
     };
-    for bad in [overflowing, more_lines_than_bytes] {
-        assert!(decode(&encode(&Message::Session(bad), &[b"a\r\nb\n\n"])).is_err());
+    for malformed in [overflowing, more_lines_than_bytes] {
+        assert!(decode(&encode(&Message::Session(malformed), &[b"a\r\nb\n\n"])).is_err());
     }
     assert!(decode(b"\xff\n").is_err() && decode(b"{\"Leaving\":1}\n").is_err());
 }
--- a/relay/src/hot_restart/mod.rs
+++ b/relay/src/hot_restart/mod.rs
@@ -1,4 +1,4 @@
-//! Hot restart: a successor process takes over from this one, connections and all.
+//! Hot restart: a successor process takes over the sessions and connections of this one.
 pub(crate) mod channel;
 pub(crate) mod messages;
 pub(crate) mod state;
--- a/relay/src/hot_restart/state.rs
+++ b/relay/src/hot_restart/state.rs
@@ -1,4 +1,4 @@
-//! The processes of this relay before and after this one, and the sessions between them.
+//! The predecessor and the successor of this process, and the sessions that are being handed over.
 use crate::hot_restart::channel::{self, Channel, SuccessorListener};
 use crate::hot_restart::messages::{Message, SessionHandover, VERSION};
 use crate::sockets::Sockets;
@@ -7,55 +7,55 @@
 use std::os::fd::OwnedFd;
 use std::path::Path;
 
-/// This process's place in a hot restart; the default takes part in none.
+/// The state of hot restarts. The default has neither a predecessor nor a successor.
 #[derive(Default)]
 pub(crate) struct HotRestart {
-    relay: String,
+    relay_name: String,
     listener: Option<SuccessorListener>,
-    /// None also once it has ended, which may be before it has left.
+    /// `None` also once the predecessor has ended, even if it has not sent `Leaving`.
     pub(crate) predecessor: Option<Channel>,
     pub(crate) successor: Option<Channel>,
-    /// Sessions that the predecessor has offered and not let go of.
+    /// Sessions that the predecessor has offered and not yet released.
     offered: BTreeMap<u32, OfferedSession>,
-    /// Open descriptors of this process, as the others were notified last.
+    /// The number of open descriptors that was last sent to the other processes.
     sent_descriptor_count: usize,
 }
 
-/// A session that the predecessor still owns, ready to be taken over.
+/// A session that the predecessor has offered and still owns.
 pub(crate) struct OfferedSession {
     pub(crate) handover: SessionHandover,
-    /// Bytes that wait on their way to the backend.
+    /// The bytes that are waiting to be sent to the backend.
     pub(crate) to_backend: Vec<u8>,
-    /// Bytes that wait on their way to the client.
+    /// The bytes that are waiting to be sent to the client.
     pub(crate) to_client: Vec<u8>,
-    /// The client's, then the backend's.
+    /// The descriptors of the client's and of the backend's connection, in this order.
     pub(crate) descriptors: [OwnedFd; 2],
 }
 
 impl HotRestart {
     pub(crate) fn new(relay: &str) -> HotRestart {
         HotRestart {
-            relay: relay.to_string(),
+            relay_name: relay.to_string(),
             ..HotRestart::default()
         }
     }
 
-    /// Connects to the process that serves from this folder, if one does, and greets it. Called
-    /// before `listen`, with which this process takes its place.
+    /// Connects to the process that serves from this folder, if there is one, and sends `Hello`.
+    /// Must be called before `listen`, with which this process takes the other's place.
     pub(crate) fn greet_predecessor(&mut self, folder: &Path, sockets: &mut Sockets) {
         let predecessor = channel::connect_to_predecessor(folder, sockets);
         let hello = Message::Hello {
             version: VERSION,
-            relay: self.relay.clone(),
+            relay: self.relay_name.clone(),
         };
         self.predecessor = predecessor
             .filter(|predecessor| matches!(predecessor.send(&hello, &[], &[]), Ok(true)));
     }
 
-    /// Lets the next process find this one in the folder.
+    /// Listens in the folder for a successor.
     ///
     /// # Errors
-    /// The socket can't be opened there: nothing will be handed over.
+    /// Returns an error if the socket can't be opened; no session can then be handed over.
     pub(crate) fn listen(&mut self, folder: &Path, sockets: &mut Sockets) -> io::Result<()> {
         self.listener = Some(SuccessorListener::open(folder, sockets)?);
         Ok(())
@@ -66,7 +66,7 @@
     }
 
     pub(crate) fn is_of_relay(&self, relay: &str) -> bool {
-        self.relay == relay
+        self.relay_name == relay
     }
 
     pub(crate) fn accept_successor(&mut self, sockets: &mut Sockets) -> Option<Channel> {
@@ -78,13 +78,14 @@
         self.sent_descriptor_count = 0;
     }
 
-    /// What the predecessor did not let go of is its own, or lost with it.
+    /// Closes the channel to the predecessor and drops the sessions that it has not released.
     pub(crate) fn drop_predecessor(&mut self) {
         self.predecessor = None;
         self.offered.clear();
     }
 
-    /// Notifies the other processes if the number has changed by so much since they were last.
+    /// Notifies the other processes if the number has changed by at least `least_change` since the
+    /// last notification.
     pub(crate) fn send_descriptor_count(&mut self, count: usize, least_change: usize) {
         let channels = || self.predecessor.iter().chain(&self.successor);
         if channels().next().is_none() || count.abs_diff(self.sent_descriptor_count) < least_change
@@ -92,17 +93,17 @@
             return;
         }
         for channel in channels() {
-            // Best effort: a process that is gone or does not read is found out elsewhere.
+            // A failure is ignored: reading from the channel shows whether the process has ended.
             let _ = channel.send(&Message::OpenDescriptors { count }, &[], &[]);
         }
         self.sent_descriptor_count = count;
     }
 
-    /// Holds an offered session until the predecessor lets go of it.
+    /// Accepts an offered session and holds it until the predecessor releases it.
     pub(crate) fn accept_offer(&mut self, serial: u32, offered: OfferedSession) {
         self.offered.insert(serial, offered);
-        // Where the answer can't be sent the predecessor keeps the session; its end is received
-        // next.
+        // If the answer can't be sent, the predecessor keeps the session, and reading from the
+        // channel will show that the predecessor has ended.
         if !self.answer_predecessor(&Message::Accepted { serial }) {
             self.offered.remove(&serial);
         }
@@ -114,13 +115,14 @@
         }
     }
 
-    /// True if the answer was sent.
+    /// Sends an answer to the predecessor; returns whether it was sent.
     fn answer_predecessor(&self, answer: &Message) -> bool {
         let predecessor = self.predecessor.as_ref();
         predecessor.is_some_and(|channel| matches!(channel.send(answer, &[], &[]), Ok(true)))
     }
 
-    pub(crate) fn take_offer(&mut self, serial: u32) -> Option<OfferedSession> {
+    /// Removes and returns a session that this process has accepted.
+    pub(crate) fn remove_offer(&mut self, serial: u32) -> Option<OfferedSession> {
         self.offered.remove(&serial)
     }
 }
--- a/relay/src/io_context.rs
+++ b/relay/src/io_context.rs
@@ -1,4 +1,4 @@
-//! What every part of the relay works with during a turn.
+//! The shared resources and queues that all parts of the relay use during a turn.
 use crate::buffers::{BUFFER_SIZE, BufferPool};
 use crate::counters::Counters;
 use crate::driver::Event;
@@ -9,20 +9,20 @@
 
 /// The resources and queues of the event loop.
 pub(crate) struct IoContext {
-    /// The time of the turn: what a turn gathers has all happened at once.
+    /// The time of the turn. All events of a turn count as happening at this time.
     pub(crate) now: Instant,
     pub(crate) sockets: Sockets,
     pub(crate) buffers: BufferPool,
     pub(crate) timers: TimerQueue,
-    /// What the balancer is to be given at the end of the turn.
+    /// The events that are delivered to the balancer at the end of the turn.
     pub(crate) events: VecDeque<Event>,
     pub(crate) counters: Counters,
-    /// Sessions that stopped reading for want of a buffer.
+    /// The ids of sessions that stopped reading for lack of a buffer.
     pub(crate) starved: VecDeque<u32>,
 }
 
 impl IoContext {
-    /// With buffers that may take so many bytes.
+    /// Creates a context whose buffers may take `buffer_bytes` in total.
     pub(crate) fn new(now: Instant, sockets: Sockets, buffer_bytes: usize) -> IoContext {
         IoContext {
             now,
--- a/relay/src/lib.rs
+++ b/relay/src/lib.rs
@@ -1,5 +1,5 @@
-//! The relay on sockets, round the decisions of `thistlecroft`: a process that accepts clients,
-//! connects them to backends, and is configured by files and signals.
+//! The relay process. It accepts clients and connects them to backends that the balancer in
+//! `thistlecroft` chooses, and is configured by files, environment variables and signals.
 mod admin;
 mod attempt;
 mod bans;
@@ -30,29 +30,29 @@
     read_config_file, relay_context,
 };
 
-/// The environment variable that names the operator configuration.
+/// The environment variable with the path of the operator configuration.
 pub const OPERATOR_CONFIG_VARIABLE: &str = "THISTLECROFT_OPERATOR_CONFIG";
 
-/// The same variable's former name, which is read where the other is not set.
+/// The former name of that variable, which is read if the present one is not set.
 const FORMER_OPERATOR_CONFIG_VARIABLE: &str = "THISTLECROFT_CHARTER";
 
-/// The path of the operator configuration that the environment names.
+/// Returns the path of the operator configuration from the environment, if it is set.
 pub fn operator_config_from_environment() -> Option<String> {
     std::env::var(OPERATOR_CONFIG_VARIABLE)
         .or_else(|_| std::env::var(FORMER_OPERATOR_CONFIG_VARIABLE))
         .ok()
 }
 
-/// Why a relay did not serve, or no longer does.
+/// Why a relay could not start, or stopped serving with an error.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// A file or the environment has faults.
+    /// Errors in a file or in the environment.
     #[error(transparent)]
     Config(#[from] ConfigErrors),
-    /// A socket or another resource is not to be had.
+    /// A socket or another resource that could not be opened.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The system refuses a signal handler, or polling failed.
+    /// A failure to install a signal handler or to poll.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
@@ -64,7 +64,7 @@
 }
 
 impl ServeError {
-    /// A line for each fault.
+    /// Returns one line for each error.
     pub fn lines(&self) -> Vec<String> {
         match self {
             ServeError::Config(errors) => errors.iter().map(ToString::to_string).collect(),
@@ -74,11 +74,12 @@
     }
 }
 
-/// Serves by a configuration, and an operator configuration if there is one, until told to stop:
-/// what a main program does.
+/// Runs a relay with the configuration file at `path`, and with an operator configuration if one is
+/// given, until a signal stops it.
 ///
 /// # Errors
-/// A file has faults, an address is taken, or the system refuses something.
+/// Returns an error if a file or the environment has errors, a socket can't be opened, a signal
+/// handler can't be installed, or polling fails.
 pub fn serve(path: &str, operator_config: Option<&str>) -> Result<(), ServeError> {
     let signals = Signals::install()?;
     let mut config = read_config_file(path)?.with_environment()?;
--- a/relay/src/main.rs
+++ b/relay/src/main.rs
@@ -1,8 +1,8 @@
-//! The relay as a program of its own: configured by environment variables, logging to the standard
-//! error.
+//! The relay as a separate program, which is configured by environment variables and logs to
+//! standard error.
 use std::process::ExitCode;
 
-/// The variable that names the configuration file.
+/// The environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "ROUTER_CONFIG";
 
 fn main() -> ExitCode {
--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -1,23 +1,23 @@
-//! The end of a turn: the events gathered go to the balancer, and its actions are carried out.
+//! The end of a turn: delivers the collected events to the balancer and carries out its actions.
 use super::Service;
 use crate::admin::protocol::Readiness;
 use crate::discovery::watch::Knowledge;
-use crate::driver::{Action, ActionRecorder, Event, deliver};
+use crate::driver::{Action, ActionRecorder, Event, deliver_event};
 use crate::trace;
 use thistlecroft::ids::SessionId;
 
-/// What the balancer made of one turn's events, beside its actions.
+/// What the events of one turn require beside the balancer's actions.
 #[derive(Default)]
 struct TurnOutcome {
-    /// Sessions over which the balancer panicked.
+    /// Sessions whose event made the balancer panic.
     failed: Vec<SessionId>,
-    /// Backends may have been taken out of use, so that attempts on them have to be cancelled.
+    /// Whether backends may have been withdrawn, so that attempts on them have to be cancelled.
     backends_withdrawn: bool,
 }
 
 impl Service {
-    /// Hands the turn's events to the balancer, then answers operators and carries out the
-    /// actions.
+    /// Delivers the events of this turn to the balancer, then answers operators and carries out the
+    /// balancer's actions.
     pub(super) fn run_balancer(&mut self) {
         let readiness = self.readiness();
         let responses = self.admin.execute(
@@ -62,11 +62,11 @@
                 actions: &mut self.actions,
                 timers: &mut self.io.timers,
             };
-            if let Err(panicked) = deliver(&mut self.balancer, event, now, &mut recorder) {
+            if let Err(panicked) = deliver_event(&mut self.balancer, event, now, &mut recorder) {
                 self.io.counters.panics += 1;
                 log::error!(
                     target: super::LOG_TARGET,
-                    "the balancer panicked; session={:?}",
+                    "the balancer panicked while handling an event; session={:?}",
                     panicked.session.map(|session| session.0)
                 );
                 outcome.failed.extend(panicked.session);
@@ -90,7 +90,7 @@
                 self.health_checks
                     .start(backend, registry.address(backend), io);
             }
-            // A subscription is always open or about to be, so that this makes no second one.
+            // This opens no second subscription: one is always open or about to be.
             Action::Subscribe => self.discovery.subscribe(io),
         }
     }
--- a/relay/src/service/event_loop.rs
+++ b/relay/src/service/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: each turn polls, dispatches what is ready and what is due, and hands the events
-//! gathered to the balancer.
+//! The event loop: each turn polls, dispatches socket events and expired timers, and delivers the
+//! collected events to the balancer.
 use super::{LOG_TARGET, Service};
 use crate::driver::Event;
 use crate::sockets::{SocketOwner, owner_of};
@@ -10,21 +10,21 @@
 use std::panic::{AssertUnwindSafe, catch_unwind};
 use thistlecroft::ids::BackendId;
 
-/// Socket events in one turn; bounded, so that timers are never far behind.
+/// Most socket events in one turn; bounded so that they do not delay timers for long.
 const MAX_SOCKET_EVENTS: NonZeroUsize = NonZeroUsize::new(512).expect("512 is not zero");
-/// Timers in one turn; bounded, so that socket events are never far behind.
+/// Most timers in one turn; bounded so that they do not delay socket events for long.
 const MAX_TIMERS: usize = 512;
-/// Change of the open descriptors since the other process was notified, from which on it is
-/// notified at once.
+/// The other process is notified at once when the number of open descriptors has changed by this
+/// much since the last notification.
 const DESCRIPTOR_COUNT_STEP: usize = 4;
 
 /// The order in which the socket events of one turn are dispatched.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Priority {
-    /// Operators are answered whatever the load.
+    /// First, so that operators are answered whatever the load.
     Admin,
-    /// Before the sessions, so that no attempt that came up in the same turn goes to a backend
-    /// that may take nothing new.
+    /// Before the sessions, so that an attempt that becomes ready in the same turn is not used if
+    /// its backend must not get new sessions any more.
     Discovery,
     Other,
 }
@@ -45,14 +45,14 @@
     /// Serves until the shutdown is complete.
     ///
     /// # Errors
-    /// The poller failed.
+    /// Returns an error if polling failed.
     pub fn run(mut self) -> io::Result<()> {
         let mut ready = Events::with_capacity(MAX_SOCKET_EVENTS);
         loop {
             self.run_balancer();
             self.send_descriptor_count(DESCRIPTOR_COUNT_STEP);
             if self.is_shut_down() {
-                log::info!(target: LOG_TARGET, "stopped; {}", self.io.counters);
+                log::info!(target: LOG_TARGET, "relay stopped; {}", self.io.counters);
                 return Ok(());
             }
             self.poll(&mut ready)?;
@@ -65,11 +65,11 @@
         }
     }
 
-    /// Waits for a socket event, for the next timer, or not at all if events are queued already.
+    /// Waits for a socket event or the next timer; does not wait if events are already queued.
     fn poll(&mut self, ready: &mut Events) -> io::Result<()> {
         ready.clear();
         let wait = if self.io.events.is_empty() {
-            self.io.timers.wait(self.clock.now())
+            self.io.timers.time_to_next(self.clock.now())
         } else {
             Some(std::time::Duration::ZERO)
         };
@@ -92,15 +92,15 @@
 
     fn dispatch_timers(&mut self) {
         for _ in 0..MAX_TIMERS {
-            let Some(timer) = self.io.timers.due(self.io.now) else {
+            let Some(timer) = self.io.timers.pop_expired(self.io.now) else {
                 break;
             };
             self.catch_panic(|service| service.dispatch_timer(timer));
         }
     }
 
-    /// A panic outside of any session, in discovery or a health check, does not end the process
-    /// either.
+    /// Catches and counts a panic, so that one outside of any session, such as in discovery or a
+    /// health check, does not end the process.
     fn catch_panic(&mut self, dispatch: impl FnOnce(&mut Service)) {
         if catch_unwind(AssertUnwindSafe(|| dispatch(self))).is_err() {
             self.io.counters.panics += 1;
@@ -171,8 +171,9 @@
             Timer::OfferSessions => self.offer_sessions(),
             Timer::OfferTimeout(id) => self.handle_offer_timeout(id),
             Timer::Peers => self.wake_peers(),
-            // It only wakes the loop, which looks after each turn whether the shutdown is complete.
-            Timer::Stop => {}
+            // This timer only wakes the loop, which checks in each turn whether the shutdown is
+            // complete.
+            Timer::Shutdown => {}
         }
     }
 
--- a/relay/src/service/hot_restart.rs
+++ b/relay/src/service/hot_restart.rs
@@ -1,4 +1,4 @@
-//! What is said between this process and its predecessor or successor, and done about it.
+//! The messages between this process and its predecessor or successor, and how they are handled.
 use super::{LOG_TARGET, Service};
 use crate::discovery::registry::EndpointRegistry;
 use crate::driver::Event;
@@ -10,11 +10,12 @@
 use std::os::fd::OwnedFd;
 use thistlecroft::balancer::Balancer;
 
-/// Packets of one channel in one turn.
+/// Most packets that are read from one channel in one turn.
 const MAX_PACKETS: usize = 32;
 
 impl Service {
-    /// Sends the balancer's state and begins to hand over the sessions, if there is a successor.
+    /// Sends a snapshot of the balancer and starts to hand over the sessions, if there is a
+    /// successor.
     pub(super) fn hand_over_to_successor(&mut self) {
         let Some(successor) = &self.hot_restart.successor else {
             return;
@@ -23,19 +24,20 @@
             .and_then(|()| successor.send(&Message::Leaving, &[], &[]));
         match sent {
             Ok(true) => self.sessions.start_handover(&mut self.io),
-            Ok(false) => self.lose_successor("it does not read"),
+            Ok(false) => self.lose_successor("the successor does not read its messages"),
             Err(error) => self.lose_successor(&error.to_string()),
         }
     }
 
-    /// Notifies the other processes of the descriptors that this one holds, if the number has
-    /// changed by so much: notified later, both would take the same free ones of the common limit.
+    /// Notifies the predecessor and the successor of the number of descriptors that this process
+    /// has open, if it has changed by at least `least_change`. The processes share one limit:
+    /// notified later, both could claim the same free descriptors.
     pub(super) fn send_descriptor_count(&mut self, least_change: usize) {
         let count = self.io.sockets.open_here();
         self.hot_restart.send_descriptor_count(count, least_change);
     }
 
-    /// Offers standing connections to the successor.
+    /// Offers established sessions to the successor, if there is one.
     pub(super) fn offer_sessions(&mut self) {
         let Some(successor) = &self.hot_restart.successor else {
             return;
@@ -49,10 +51,10 @@
         }
     }
 
-    /// A session whose offer the successor has not answered stays here.
+    /// Keeps a session whose offer the successor has not answered in time.
     pub(super) fn handle_offer_timeout(&mut self, session: u32) {
         if self.sessions.handover_declined(session, &mut self.io) {
-            self.lose_successor("it does not answer");
+            self.lose_successor("the successor did not answer the offer of a session in time");
         }
     }
 
@@ -60,28 +62,28 @@
         let Some(successor) = self.hot_restart.accept_successor(&mut self.io.sockets) else {
             return;
         };
-        self.lose_successor("another one has come");
+        self.lose_successor("another successor has connected");
         self.hot_restart.set_successor(successor);
     }
 
     fn lose_successor(&mut self, reason: &str) {
         if self.hot_restart.successor.take().is_some() {
-            log::info!(target: LOG_TARGET, "the next process: {reason}");
+            log::info!(target: LOG_TARGET, "the channel to the successor is closed: {reason}");
             self.io.sockets.set_open_in_other_process(0);
             self.sessions.cancel_handover(&mut self.io);
         }
     }
 
-    /// The predecessor has ended, or sent what can't be read.
+    /// Closes the channel to the predecessor, which has ended or sent a malformed packet.
     fn lose_predecessor(&mut self, reason: &str) {
-        log::info!(target: LOG_TARGET, "the process before: {reason}");
+        log::info!(target: LOG_TARGET, "the channel to the predecessor is closed: {reason}");
         self.hot_restart.drop_predecessor();
         self.io.sockets.set_open_in_other_process(0);
         self.io.events.push_back(Event::PredecessorEnded);
         self.accept_clients_when_ready();
     }
 
-    // ---- from the successor ----
+    // ---- messages from the successor ----
 
     pub(super) fn handle_successor_event(&mut self, key: usize) {
         let successor = &self.hot_restart.successor;
@@ -108,10 +110,11 @@
         self.offer_sessions();
     }
 
-    /// Breaks off the turn's reading where the handover begins.
+    /// Handles one message. Returns `Break` if the handover begins, which ends reading in this
+    /// turn.
     ///
     /// # Errors
-    /// The successor is gone, or sent what it should not.
+    /// Returns an error if the successor has ended or sent a message that only a predecessor sends.
     fn handle_successor_message(&mut self, message: Message) -> io::Result<ControlFlow<()>> {
         let Some(successor) = &self.hot_restart.successor else {
             return Ok(ControlFlow::Break(()));
@@ -135,12 +138,16 @@
             Message::Declined { serial } => {
                 self.sessions.handover_declined(serial, &mut self.io);
             }
-            unexpected => return Err(io::Error::other(format!("unexpected: {unexpected:?}"))),
+            unexpected => {
+                return Err(io::Error::other(format!(
+                    "unexpected message: {unexpected:?}"
+                )));
+            }
         }
         Ok(ControlFlow::Continue(()))
     }
 
-    // ---- from the predecessor ----
+    // ---- messages from the predecessor ----
 
     pub(super) fn handle_predecessor_event(&mut self, key: usize) {
         let predecessor = &self.hot_restart.predecessor;
@@ -172,7 +179,8 @@
             Message::OpenDescriptors { count } => self.io.sockets.set_open_in_other_process(count),
             Message::Leaving => {
                 self.io.events.push_back(Event::PredecessorEnded);
-                // No other process accepts clients now, unless this one is to stop as well.
+                // No other process accepts clients now, so this one does, unless it shuts down as
+                // well.
                 if self.shutdown_started.is_none() {
                     self.sessions.start_accepting();
                 }
@@ -192,12 +200,16 @@
             }
             Message::Released { serial } => self.adopt_session(serial),
             unexpected => {
-                log::warn!(target: LOG_TARGET, "the process before: unexpected {unexpected:?}");
+                log::warn!(
+                    target: LOG_TARGET,
+                    "ignoring an unexpected message of the predecessor: {unexpected:?}"
+                );
             }
         }
     }
 
-    /// Accepts a session that the predecessor offers, if there is room for it.
+    /// Accepts a session that the predecessor offers if there is room for it, and declines it
+    /// otherwise.
     fn answer_offer(&mut self, serial: u32, offered: Option<OfferedSession>) {
         let can_take = self.shutdown_started.is_none() && self.sessions.can_adopt(&self.io);
         match offered.filter(|_| can_take) {
@@ -206,9 +218,9 @@
         }
     }
 
-    /// The predecessor has let go of a session: it is this process's now.
+    /// Takes over an accepted session that the predecessor has released.
     fn adopt_session(&mut self, serial: u32) {
-        let Some(offered) = self.hot_restart.take_offer(serial) else {
+        let Some(offered) = self.hot_restart.remove_offer(serial) else {
             return;
         };
         let adopted = self.sessions.adopt(
@@ -221,14 +233,14 @@
         if let Err(error) = adopted {
             log::warn!(
                 target: LOG_TARGET,
-                "a connection of the process before is lost: {error}"
+                "cannot take over a session of the predecessor, so the session is lost: {error}"
             );
         }
     }
 }
 
-/// Sends what the balancer knows. A part for which the channel has no room at present is lost: the
-/// successor learns it anew.
+/// Sends a snapshot of the balancer. A part for which the channel has no room is dropped: the
+/// successor has to learn its contents itself.
 fn send_snapshot(
     balancer: &Balancer,
     registry: &EndpointRegistry,
--- a/relay/src/service/mod.rs
+++ b/relay/src/service/mod.rs
@@ -1,5 +1,6 @@
-//! The relay as one process: a single thread in which each turn gathers what is ready, hands it to
-//! the balancer at once, and carries out its actions. No part of a turn blocks.
+//! The relay as one process: a single thread runs an event loop. Each turn collects the events of
+//! ready sockets and due timers, delivers them to the balancer, and carries out the balancer's
+//! actions. Apart from waiting for events, a turn never blocks.
 mod actions;
 mod event_loop;
 mod hot_restart;
@@ -26,26 +27,26 @@
 pub use signals::Signals;
 pub use startup::StartError;
 
-/// The target of this module's log lines, whichever of its files writes them: programs filter by
-/// it.
+/// The target of all log lines of this module and its submodules, by which programs filter them.
 const LOG_TARGET: &str = module_path!();
 
-/// Beside another process that serves, clients are accepted once discovery has sent its list; after
-/// this also on the list cached at the start, and after `NO_LIST_TIMEOUT` with none: the predecessor
-/// may be about to end.
+/// How long a process waits for an endpoint list from discovery while its predecessor serves. After
+/// this it accepts clients with the list cached at its start: the predecessor may be about to end.
 const CACHED_LIST_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// The same wait for a process without a cached list. After this it accepts clients without any
+/// list.
 const NO_LIST_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// Where the clients' listening socket comes from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum ListenerOrigin {
-    /// This process has bound it, and is the only one that serves.
+    /// This process bound the socket and is the only one that serves.
     Bound,
-    /// The platform holds it: another process may serve beside this one.
+    /// The platform holds the socket: another process may serve beside this one.
     Inherited,
 }
 
-/// A relay that serves.
+/// A relay process: its sockets, sessions, balancer and configuration.
 pub struct Service {
     clock: Clock,
     poller: Rc<Poller>,
@@ -54,13 +55,13 @@
     health_checks: HealthChecks,
     discovery: Watch,
     admin: AdminCommands,
-    /// The other relays, where the operator configuration names them.
+    /// Communication with other relays, if the operator configuration enables it.
     peers: Option<Peers>,
     hot_restart: HotRestart,
     balancer: Balancer,
     started: Instant,
     listener_origin: ListenerOrigin,
-    /// What the balancer asked for in this turn.
+    /// The actions that the balancer requested in this turn.
     actions: Vec<Action>,
     shutdown_timeout: Duration,
     shutdown_started: Option<Instant>,
@@ -69,7 +70,7 @@
 }
 
 impl Service {
-    /// Accepts clients as soon as they can be served.
+    /// Starts accepting clients if they can be served by now and no shutdown has begun.
     fn accept_clients_when_ready(&mut self) {
         if self.shutdown_started.is_none()
             && !self.sessions.is_accepting()
@@ -77,7 +78,7 @@
         {
             self.sessions.start_accepting();
             if self.listener_origin == ListenerOrigin::Inherited {
-                log::info!(target: LOG_TARGET, "takes clients");
+                log::info!(target: LOG_TARGET, "accepting clients");
             }
         }
     }
@@ -89,8 +90,9 @@
             Knowledge::Cached => elapsed >= CACHED_LIST_TIMEOUT,
             Knowledge::Nothing => elapsed >= NO_LIST_TIMEOUT,
         };
-        // Without a process beside this one nobody else serves the clients. What discovery has
-        // counts as known from the first moment, so its answer is awaited, if it has one.
+        // Without a predecessor, no other process serves the clients. This one still waits for a
+        // response from discovery first: the relay is expected to know discovery's list from the
+        // start.
         let must_serve = !self.hot_restart.has_predecessor()
             && (self.discovery.has_failed() || elapsed >= self.discovery.response_timeout());
         knows_enough || must_serve
--- a/relay/src/service/reconfiguration.rs
+++ b/relay/src/service/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Reconfiguration at run time: SIGHUP has the configuration, its settings and the operator
-//! configuration read again.
+//! Reconfiguration at run time: SIGHUP reloads the configuration file with its settings, and the
+//! operator configuration.
 use super::{LOG_TARGET, Service};
 use crate::driver::Event;
 use crate::protocol::ProtocolSettings;
@@ -13,23 +13,23 @@
 use thistlecroft_operator_config::{OperatorConfig, RouteTable};
 use thistlecroft_settings::Settings;
 
-/// From SIGHUP until the new settings alone are in force. In between, what either the old or the
-/// new settings allow is accepted.
+/// The time from SIGHUP until the new settings alone are in force. Meanwhile the listeners of both
+/// the old and the new settings are served, each within the stricter limits.
 const TRANSITION: Duration = Duration::from_millis(1_200);
 
 /// The configuration in force, and what is needed to replace it.
 pub(super) struct Reconfiguration {
-    /// Where the configuration came from, to be read again.
+    /// Where the configuration came from, for reloading it.
     pub(super) source: ConfigSource,
     pub(super) operator_config: OperatorConfigFile,
     pub(super) settings: Settings,
-    /// What replaces the settings at the end of a transition.
+    /// The settings and routes that replace the current ones at the end of a transition.
     pub(super) pending: Option<PendingSettings>,
-    /// The limit on descriptors, which a later text can't change.
+    /// The limit on descriptors; reloading does not change it.
     pub(super) socket_limit: usize,
 }
 
-/// Settings and routes that come into force at the end of a transition.
+/// Settings and routes that take effect at the end of a transition.
 pub(super) struct PendingSettings {
     settings: Settings,
     routes: RouteTable,
@@ -37,7 +37,7 @@
 }
 
 impl Reconfiguration {
-    /// The settings read last, whether in force already or not.
+    /// Returns the settings that were read last, whether in force already or still pending.
     fn latest_settings(&self) -> &Settings {
         self.pending
             .as_ref()
@@ -45,7 +45,7 @@
     }
 
     /// Reads the configuration file again.
-    fn read_source(&self) -> Result<StartupConfig, ConfigError> {
+    fn reread_file(&self) -> Result<StartupConfig, ConfigError> {
         let path = self.source.path.as_deref();
         read_config_file(path.ok_or(ConfigError::NotFromFile)?)
     }
@@ -61,39 +61,44 @@
 }
 
 impl Service {
-    /// Takes up a changed discovery address, changed settings and a changed operator
-    /// configuration. A bad file changes nothing of what it is about; the settings and the operator
-    /// configuration have to agree, and are taken up together or not at all.
+    /// Applies a changed discovery address, changed settings and a changed operator configuration.
+    /// A file with errors changes nothing that it configures. The settings and the operator
+    /// configuration have to agree, and are applied together or not at all.
     pub(super) fn reload_configuration(&mut self) {
-        let settings = match self.configuration.read_source() {
-            Ok(later) => {
-                let differing = self.configuration.source.differing_keys(&later.source);
+        let settings = match self.configuration.reread_file() {
+            Ok(reloaded) => {
+                let differing = self.configuration.source.differing_keys(&reloaded.source);
                 if !differing.is_empty() {
                     log::warn!(
                         target: LOG_TARGET,
-                        "changes of {} need a restart",
+                        "changed configuration keys need a restart and are not applied; keys={}",
                         differing.join(", ")
                     );
                 }
-                self.discovery.move_to(later.discovery, &mut self.io);
-                later.settings
+                self.discovery.move_to(reloaded.discovery, &mut self.io);
+                reloaded.settings
             }
             Err(error) => {
-                log::warn!(target: LOG_TARGET, "{error}; what was read before stays");
-                // The operator configuration may have changed all the same.
+                log::warn!(
+                    target: LOG_TARGET,
+                    "cannot reload the configuration file: {error}; \
+                     the previous configuration stays in force"
+                );
+                // The operator configuration is reloaded nevertheless, as it may have changed.
                 self.configuration.latest_settings().clone()
             }
         };
         if let Err(errors) = self.begin_transition(settings) {
             log::warn!(
                 target: LOG_TARGET,
-                "{errors}; the charter read before stays, and so do the settings"
+                "cannot apply the reloaded files: {errors}; \
+                 the previous operator configuration and settings stay in force"
             );
         }
     }
 
-    /// Puts into force what the old and the new settings both allow, and schedules the new ones.
-    /// Nothing is taken up if any part of it is refused.
+    /// Applies the transitional settings between the old and the new ones, and schedules the new
+    /// ones. Changes nothing if any part is rejected.
     fn begin_transition(&mut self, settings: Settings) -> Result<(), ConfigErrors> {
         let operator_config = self.configuration.operator_config.load()?;
         let transitional = self.configuration.settings.during_change_to(&settings);
@@ -104,7 +109,7 @@
             .configuration
             .resolve_routes(&operator_config, &transitional)?;
         self.reconfigure_peers(&operator_config, &settings)?;
-        self.put_in_force(transitional, transitional_routes);
+        self.apply_settings(transitional, transitional_routes);
         let in_force_at = self.io.now + TRANSITION;
         self.configuration.pending = Some(PendingSettings {
             settings,
@@ -115,7 +120,7 @@
         Ok(())
     }
 
-    /// Refused as a whole where the step from one set of voters to the next is not allowed.
+    /// Applies the peers' configuration, or nothing of it if the change of voters is not allowed.
     fn reconfigure_peers(
         &mut self,
         operator_config: &OperatorConfig,
@@ -125,12 +130,18 @@
         match (&mut self.peers, operator_config.peers_config(&context)?) {
             (None, None) => {}
             (Some(peers), Some(config)) => peers.reconfigure(&config)?,
-            _ => log::warn!(target: LOG_TARGET, "changes of peers need a restart"),
+            _ => {
+                log::warn!(
+                    target: LOG_TARGET,
+                    "adding or removing [peers] in the operator configuration needs a restart \
+                     and is not applied"
+                )
+            }
         }
         Ok(())
     }
 
-    /// Ends a transition that is due.
+    /// Applies the pending settings if the transition to them has ended.
     pub(super) fn apply_pending_settings(&mut self) {
         let now = self.io.now;
         let due = self
@@ -138,12 +149,12 @@
             .pending
             .take_if(|pending| now >= pending.in_force_at);
         if let Some(pending) = due {
-            self.put_in_force(pending.settings, pending.routes);
+            self.apply_settings(pending.settings, pending.routes);
         }
     }
 
-    /// All of it at once, for what comes from now on.
-    fn put_in_force(&mut self, settings: Settings, routes: RouteTable) {
+    /// Applies settings and routes together, for everything that arrives from now on.
+    fn apply_settings(&mut self, settings: Settings, routes: RouteTable) {
         let changes = self.sessions.routes().changes_to(&routes);
         let configured = settings.deployment.clone();
         let zone_name = settings.zones.get(usize::from(configured.zone.0)).cloned();
@@ -169,7 +180,7 @@
             log::info!(
                 target: LOG_TARGET,
                 generation;
-                "charter, generation {generation}: {}",
+                "configuration in force: generation={generation}; {}",
                 changes.join("; ")
             );
         }
@@ -177,7 +188,7 @@
     }
 }
 
-/// What of the settings the clients' protocol depends on.
+/// Returns the settings on which the clients' protocol depends.
 pub(super) fn protocol_names(settings: &Settings) -> ProtocolSettings {
     ProtocolSettings {
         listeners: settings.listeners.clone(),
--- a/relay/src/service/shutdown.rs
+++ b/relay/src/service/shutdown.rs
@@ -1,20 +1,21 @@
-//! Graceful shutdown: from the signal to the end of the process.
+//! The graceful shutdown, from the signal to the end of the process.
 use super::{LOG_TARGET, ListenerOrigin, Service};
 use crate::admin::connections::AdminConnections;
 use crate::driver::Event;
 use crate::timers::Timer;
 use thistlecroft::time::Duration;
 
-/// New connections are accepted for so long after the signal.
+/// How long new connections are still accepted after the signal, if no other process accepts them.
 const ACCEPT_AFTER_SIGNAL: Duration = Duration::from_millis(600);
-/// Taken off the shutdown timeout, so that the process has ended before it is killed.
+/// Subtracted from the shutdown timeout, so that the process ends before the platform kills it.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(150);
 
 impl Service {
-    /// Announces the shutdown to the balancer, the peers and the successor.
+    /// Begins the shutdown: announces it to the balancer and the peers, and hands over to the
+    /// successor, if there is one.
     pub(super) fn begin_shutdown(&mut self) {
         let now = self.io.now;
-        log::info!(target: LOG_TARGET, "told to stop, {} sessions", self.sessions.len());
+        log::info!(target: LOG_TARGET, "relay told to stop; open_sessions={}", self.sessions.len());
         self.shutdown_started = Some(now);
         self.io.events.push_back(Event::ShutDown);
         if let Some(peers) = &mut self.peers {
@@ -25,20 +26,21 @@
                 self.sessions.stop_accepting();
                 self.hand_over_to_successor();
             }
-            // Clients that are already connecting may come before the first endpoint list; no
-            // other process would answer them.
+            // Clients that are already connecting may not have been accepted yet for lack of an
+            // endpoint list, and no other process would answer them.
             ListenerOrigin::Bound => self.sessions.start_accepting(),
         }
-        for wait in [ACCEPT_AFTER_SIGNAL, self.time_to_end()] {
-            self.io.timers.set(now + wait, Timer::Stop);
+        for wait in [ACCEPT_AFTER_SIGNAL, self.shutdown_time_limit()] {
+            self.io.timers.set(now + wait, Timer::Shutdown);
         }
     }
 
-    fn time_to_end(&self) -> Duration {
+    /// Returns the time from the signal after which the process ends in any case.
+    fn shutdown_time_limit(&self) -> Duration {
         self.shutdown_timeout - SHUTDOWN_MARGIN
     }
 
-    /// True once the shutdown is complete, or has taken as long as it may.
+    /// Returns whether the shutdown is complete or has reached its time limit.
     pub(super) fn is_shut_down(&self) -> bool {
         let Some(started) = self.shutdown_started else {
             return false;
@@ -47,6 +49,7 @@
         let still_accepts =
             self.listener_origin == ListenerOrigin::Bound && elapsed < ACCEPT_AFTER_SIGNAL;
         let admin_is_idle = self.admin.connections.iter().all(AdminConnections::is_idle);
-        !still_accepts && self.sessions.is_empty() && admin_is_idle || elapsed >= self.time_to_end()
+        !still_accepts && self.sessions.is_empty() && admin_is_idle
+            || elapsed >= self.shutdown_time_limit()
     }
 }
--- a/relay/src/service/signals.rs
+++ b/relay/src/service/signals.rs
@@ -1,4 +1,4 @@
-//! The signals that the relay answers, and what each of them starts.
+//! The signals that the relay handles, and what each of them triggers.
 use super::{LOG_TARGET, Service};
 use crate::peers::Peers;
 use crate::sockets::{SocketOwner, key_of};
@@ -7,7 +7,8 @@
 use std::io::{self, Read};
 use std::os::unix::net::UnixStream;
 
-/// The signals that are answered, each with the end of a pipe that turns readable.
+/// The signals that the relay handles; each field is the end of a pipe that becomes readable when
+/// one of its signals is received.
 pub struct Signals {
     shutdown: UnixStream,
     statistics: UnixStream,
@@ -15,11 +16,11 @@
 }
 
 impl Signals {
-    /// Catches the signals. Called before any file is read: until they are caught, the system's
-    /// default for each of them ends the process.
+    /// Installs the handlers. Must be called before any file is read: without a handler, each of
+    /// these signals ends the process.
     ///
     /// # Errors
-    /// The system refuses a pipe or a handler.
+    /// Returns an error if the system provides no pipe or rejects a handler.
     pub fn install() -> io::Result<Signals> {
         Ok(Signals {
             shutdown: signal_pipe(&[SIGTERM, SIGINT])?,
@@ -28,21 +29,21 @@
         })
     }
 
-    /// Has the poller wake the event loop when a signal comes.
+    /// Registers the pipes with the poller, so that a signal wakes the event loop.
     ///
     /// # Safety
-    /// The signals must live as long as the poller.
+    /// `self` must live as long as the poller.
     pub(super) unsafe fn register(&self, poller: &Poller) -> io::Result<()> {
         for pipe in [&self.shutdown, &self.statistics, &self.reload] {
             let event = polling::Event::readable(key_of(SocketOwner::Signals, 0));
-            // SAFETY: the caller keeps the pipes as long as the poller.
+            // SAFETY: the caller keeps the pipes alive as long as the poller.
             unsafe { poller.add_with_mode(pipe, event, PollMode::Level)? };
         }
         Ok(())
     }
 }
 
-/// The end of a pipe that turns readable when one of these signals comes.
+/// Returns the end of a pipe that becomes readable when one of these signals is received.
 fn signal_pipe(signals: &[i32]) -> io::Result<UnixStream> {
     let (reader, writer) = UnixStream::pair()?;
     reader.set_nonblocking(true)?;
@@ -52,22 +53,22 @@
     Ok(reader)
 }
 
-/// True if the signal of this pipe has come since the last call.
-fn has_come(pipe: &mut UnixStream) -> bool {
-    // Each signal writes one byte; several that came together are answered once.
+/// Returns whether a signal of this pipe has been received since the last call.
+fn was_received(pipe: &mut UnixStream) -> bool {
+    // Each signal writes one byte; several signals since the last call are handled once.
     matches!(pipe.read(&mut [0; 64]), Ok(1..))
 }
 
 impl Service {
-    /// Answers the signals that have come.
+    /// Handles the signals that have been received.
     pub(super) fn handle_signals(&mut self) {
-        if has_come(&mut self.signals.statistics) {
+        if was_received(&mut self.signals.statistics) {
             self.log_statistics();
         }
-        if has_come(&mut self.signals.shutdown) && self.shutdown_started.is_none() {
+        if was_received(&mut self.signals.shutdown) && self.shutdown_started.is_none() {
             self.begin_shutdown();
         }
-        if has_come(&mut self.signals.reload) {
+        if was_received(&mut self.signals.reload) {
             self.reload_configuration();
         }
     }
@@ -77,7 +78,7 @@
         let banned = self.admin.banned_count();
         log::info!(
             target: LOG_TARGET,
-            "{sessions} sessions ({generations}), {banned} backends out by hand; {}",
+            "{sessions} open sessions ({generations}), {banned} banned backends; {}",
             self.io.counters
         );
         self.peers.iter().for_each(Peers::log);
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -1,4 +1,4 @@
-//! The start of a relay: from its configuration to a service that is ready to run.
+//! The start of a relay: opens its sockets and files and creates the service.
 use super::reconfiguration::{Reconfiguration, protocol_names};
 use super::{CACHED_LIST_TIMEOUT, LOG_TARGET, ListenerOrigin, NO_LIST_TIMEOUT, Service, Signals};
 use crate::admin::commands::AdminCommands;
@@ -23,39 +23,39 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft_settings::Settings;
 
-/// The share of the memory limit that buffers may take: one in so many.
+/// Buffers may take the memory limit divided by this.
 const BUFFER_MEMORY_DIVISOR: usize = 4;
 
 /// Why a relay could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The clients' address or that of the admin port is not to be had.
-    #[error("{address}: {source}")]
+    /// Listening for clients or admin connections failed.
+    #[error("cannot listen at {address}: {source}")]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The address for the other relays is not to be had.
-    #[error("peers: {address}: {source}")]
+    /// Opening the socket for peers failed.
+    #[error("peers: cannot listen at {address}: {source}")]
     Peers {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The system gives no poller, or does not accept a socket there.
-    #[error(transparent)]
+    /// Creating the poller or registering a socket with it failed.
+    #[error("cannot set up polling of the sockets: {0}")]
     Poller(#[from] io::Error),
 }
 
 impl Service {
-    /// Opens every socket and file that the configuration names. Clients that connect are accepted
-    /// once `run` has been called.
+    /// Opens every socket and file that the configuration names. Connections of clients are
+    /// accepted once `run` has been called.
     ///
     /// # Errors
-    /// An address is taken, or the system gives no socket or poller.
+    /// Returns an error if an address is in use, or if the system provides no socket or poller.
     pub fn start(mut config: StartupConfig, signals: Signals) -> Result<Service, StartError> {
         let clock = Clock::start();
         let now = clock.now();
@@ -64,7 +64,7 @@
         let mut io = IoContext::new(now, Sockets::new(poller.clone()), buffer_bytes);
         let listener_origin = ListenerOrigin::of(&config);
         let sockets = OpenSockets::open(&mut config, listener_origin, clock, &mut io.sockets)?;
-        let session_sockets = config.socket_limit - sockets.reserved();
+        let session_sockets = config.socket_limit - sockets.reserved_descriptors();
         let mut discovery = new_discovery(&config, &mut io);
         let hot_restart = begin_hot_restart(&config, listener_origin, &mut io.sockets);
         let ban_store = open_ban_store(&config, listener_origin, sockets.admin.is_some());
@@ -83,9 +83,9 @@
         };
         let balancer = Balancer::new(deployment, config.seed, now, &mut recorder);
         discovery.subscribe(&mut io);
-        // SAFETY: both live as long as the service.
+        // SAFETY: the service owns the signals and the poller, and drops both at its end.
         unsafe { signals.register(&poller)? };
-        log::info!(target: LOG_TARGET, "{} serves at {}", config.name, config.listen);
+        log::info!(target: LOG_TARGET, "relay {} serves at {}", config.name, config.listen);
         let names = protocol_names(&settings);
         let mut service = Service {
             clock,
@@ -117,7 +117,8 @@
         Ok(service)
     }
 
-    /// Accepts clients at once if they can be served, or looks again when they may be.
+    /// Starts accepting clients if they can be served already, and sets timers for the times at
+    /// which this is checked again.
     fn schedule_first_accept(&mut self) {
         let response_timeout = self.discovery.response_timeout();
         for wait in [response_timeout, CACHED_LIST_TIMEOUT, NO_LIST_TIMEOUT] {
@@ -138,7 +139,7 @@
     }
 }
 
-/// The sockets that a relay listens at.
+/// The sockets at which a relay listens.
 struct OpenSockets {
     clients: ListenerSocket,
     admin: Option<AdminConnections>,
@@ -179,10 +180,10 @@
         })
     }
 
-    /// Descriptors that are not for sessions.
-    fn reserved(&self) -> usize {
+    /// Returns the number of descriptors that sessions must leave to the admin port and peers.
+    fn reserved_descriptors(&self) -> usize {
         let admin = self.admin.as_ref();
-        admin.map_or(0, |_| connections::RESERVED_SOCKETS) + usize::from(self.peers.is_some())
+        admin.map_or(0, |_| connections::RESERVED_DESCRIPTORS) + usize::from(self.peers.is_some())
     }
 }
 
@@ -196,8 +197,8 @@
         .map_err(|source| StartError::Listen { address, source })
 }
 
-/// The watch on the endpoint list. Until discovery has sent one, the relay serves by the list that
-/// the configuration carries.
+/// Creates the watch on the endpoint list. Until discovery has sent a list, the relay uses the one
+/// cached in the configuration.
 fn new_discovery(config: &StartupConfig, io: &mut IoContext) -> Watch {
     let settings = &config.settings;
     let registry = EndpointRegistry::new(settings.zones.clone(), settings.report_fields);
@@ -215,7 +216,10 @@
     {
         Some(Ok(event)) => io.events.push_back(event),
         Some(Err(error)) => {
-            log::warn!(target: LOG_TARGET, "the list known at start: {error}");
+            log::warn!(
+                target: LOG_TARGET,
+                "cannot use the endpoint list cached in the configuration: {error}"
+            );
         }
         None => {}
     }
@@ -227,14 +231,15 @@
     HealthChecks::new(connect_timeout, settings.backend_idle_timeout)
 }
 
-/// Takes part in hot restarts where another process may serve the same clients.
+/// Connects to the predecessor and listens for a successor, if the listener is inherited and the
+/// relay has a shared folder.
 fn begin_hot_restart(
     config: &StartupConfig,
     listener_origin: ListenerOrigin,
     sockets: &mut Sockets,
 ) -> HotRestart {
-    let takes_part = listener_origin == ListenerOrigin::Inherited;
-    let Some(folder) = config.folder.as_ref().filter(|_| takes_part) else {
+    let may_share_listener = listener_origin == ListenerOrigin::Inherited;
+    let Some(folder) = config.folder.as_ref().filter(|_| may_share_listener) else {
         return HotRestart::default();
     };
     let mut hot_restart = HotRestart::new(&config.name);
@@ -242,13 +247,14 @@
     if let Err(error) = hot_restart.listen(folder, sockets) {
         log::warn!(
             target: LOG_TARGET,
-            "the next process will not be handed anything: {error}"
+            "cannot listen for a successor, so no session will be handed over: {error}"
         );
     }
     hot_restart
 }
 
-/// The ban store, where operators can ban a backend at this process or at another one of the relay.
+/// Opens the ban store if operators can ban a backend at this process or at another process of the
+/// relay.
 fn open_ban_store(
     config: &StartupConfig,
     listener_origin: ListenerOrigin,
--- a/relay/src/startup_config/environment.rs
+++ b/relay/src/startup_config/environment.rs
@@ -1,4 +1,4 @@
-//! What the environment adds to a configuration.
+//! The part of the configuration that is read from environment variables.
 use super::error::{ConfigError, InheritedSocketError};
 use super::{MIN_SOCKETS, StartupConfig, parse_address};
 use crate::admin::connections;
@@ -7,21 +7,21 @@
 use std::os::fd::{BorrowedFd, FromRawFd, RawFd};
 use std::path::PathBuf;
 
-/// The admin port's address, where the configuration gives none.
+/// The variable with the admin port's address, used if the configuration file has none.
 const ADMIN_ADDRESS_VARIABLE: &str = "ROUTER_ADMIN_ADDR";
-/// The descriptor of the clients' listening socket, where the platform holds it.
+/// The variable with the descriptor of the clients' listening socket, if the platform holds it.
 const INHERITED_SOCKET_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
-/// The folder that the processes of one relay share.
+/// The variable with the folder that the processes of one relay share.
 const FOLDER_VARIABLE: &str = "TMPDIR";
-/// Below this are the standard streams.
+/// Lower descriptors are the standard streams.
 const FIRST_INHERITED_DESCRIPTOR: RawFd = 3;
 
 impl StartupConfig {
-    /// The same with what the environment adds.
+    /// Adds the values of the environment variables to the configuration.
     ///
     /// # Errors
-    /// A variable holds no address or no listening socket, or the limits leave no room for an admin
-    /// port.
+    /// Returns an error if a variable does not hold a valid address or listening socket, or if the
+    /// limit on descriptors is too low for an admin port.
     pub(crate) fn with_environment(mut self) -> Result<StartupConfig, ConfigError> {
         if self.admin.is_none()
             && let Ok(value) = std::env::var(ADMIN_ADDRESS_VARIABLE)
@@ -38,7 +38,7 @@
                 })?;
             self.inherited_listener = Some(listener);
         }
-        let needed = MIN_SOCKETS + connections::RESERVED_SOCKETS;
+        let needed = MIN_SOCKETS + connections::RESERVED_DESCRIPTORS;
         if self.admin.is_some() && self.socket_limit < needed {
             return Err(ConfigError::TooFewSocketsForAdmin(self.socket_limit));
         }
@@ -49,15 +49,15 @@
     }
 }
 
-/// A listening socket that this process was started with. Other processes hold it as well; this one
-/// takes it over once.
+/// Takes over a listening socket that this process inherited. Other processes may hold it as well.
+/// Must be called once only, as the returned listener owns the descriptor.
 fn inherited_listener(value: &str) -> Result<TcpListener, InheritedSocketError> {
     let descriptor: RawFd = value
         .parse()
         .ok()
         .filter(|&descriptor| descriptor >= FIRST_INHERITED_DESCRIPTOR)
         .ok_or(InheritedSocketError::NoDescriptor)?;
-    // SAFETY: it is only asked about; one that is not open is answered with an error.
+    // SAFETY: the descriptor is only queried; if it is not open, the queries return an error.
     let borrowed = unsafe { BorrowedFd::borrow_raw(descriptor) };
     let socket = SockRef::from(&borrowed);
     match socket.is_listener() {
@@ -69,6 +69,6 @@
     socket
         .set_cloexec(true)
         .map_err(|_| InheritedSocketError::CannotKeep)?;
-    // SAFETY: it is open, and nothing else in this process knows of it.
+    // SAFETY: the descriptor is open, and nothing else in this process uses it.
     Ok(unsafe { TcpListener::from_raw_fd(descriptor) })
 }
--- a/relay/src/startup_config/error.rs
+++ b/relay/src/startup_config/error.rs
@@ -1,128 +1,128 @@
-//! What is wrong with a configuration, each fault as one line.
+//! The errors of a configuration. Each is displayed as one line.
 use std::fmt;
 use std::io;
 use thistlecroft_leases::ChangeError;
 
-/// One fault of a configuration, of the operator configuration, or of the environment.
+/// One error of the configuration file, the operator configuration, or the environment.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// A file can't be read.
+    /// A file that can't be read.
     #[error("{path}: {source}")]
     Read {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
-    /// A file holds a fault.
+    /// An error in the contents of a file.
     #[error("{path}: {source}")]
     InFile {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The fault.
+        /// The error.
         source: Box<ConfigError>,
     },
-    /// To be read again, but there is no file.
-    #[error("the configuration is in no file")]
+    /// A configuration that can't be reloaded because it did not come from a file.
+    #[error("the configuration did not come from a file and can't be read again")]
     NotFromFile,
-    /// It is no JSON, or a key is missing or of another type.
+    /// A text that is not JSON, or a key that is missing or of a wrong type.
     #[error(transparent)]
     Syntax(#[from] serde_json::Error),
-    /// A value is no address with a port.
+    /// A value that is not an address with a port.
     #[error("{name}: \"{value}\" is no address with a port")]
     Address {
-        /// The key or the variable.
+        /// The name of the key or environment variable.
         name: &'static str,
         /// Its value.
         value: String,
     },
-    /// The seed is none.
+    /// A seed that is not a hexadecimal number of 64 bits.
     #[error("seed: \"{0}\" is no hexadecimal number of 64 bits")]
     Seed(String),
-    /// Fewer descriptors than a relay needs.
+    /// A limit on descriptors that is too low for a relay.
     #[error("limits: {sockets} sockets are too few, {needed} needed")]
     TooFewSockets {
         /// The limit.
         sockets: usize,
-        /// The least limit.
+        /// The lowest accepted limit.
         needed: usize,
     },
-    /// Fewer descriptors than a relay with an admin port needs.
+    /// A limit on descriptors that is too low for a relay with an admin port.
     #[error("limits: {0} sockets are too few for an operators' door")]
     TooFewSocketsForAdmin(usize),
-    /// Less memory than a relay needs.
+    /// A memory limit that is too low for a relay.
     #[error("limits: {megabytes} MB of memory are too little, {needed} needed")]
     TooLittleMemory {
-        /// The limit.
+        /// The limit in megabytes.
         megabytes: f64,
-        /// The least limit.
+        /// The lowest accepted limit in megabytes.
         needed: f64,
     },
-    /// The settings have a fault.
+    /// An error in the settings.
     #[error("{0}")]
     Settings(String),
-    /// The inherited listening socket is none.
+    /// An inherited descriptor that is not a usable listening socket.
     #[error("{name}: \"{value}\" {reason}")]
     InheritedSocket {
-        /// The variable.
+        /// The name of the environment variable.
         name: &'static str,
         /// Its value.
         value: String,
-        /// What is wrong with it.
+        /// Why the descriptor can't be used.
         reason: InheritedSocketError,
     },
-    /// The file with the fleet's key can't be read.
+    /// A key file of the fleet that can't be read.
     #[error("peers.key_file: {path}: {source}")]
     ReadKey {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// Why not.
+        /// The system's error.
         source: io::Error,
     },
-    /// The fleet's key is too short.
+    /// A key of the fleet that is too short.
     #[error("peers.key_file: {path}: {bytes} bytes are too few for a key, {needed} needed")]
     ShortKey {
-        /// The file.
+        /// The path of the file.
         path: String,
-        /// The length of the key.
+        /// The length of the key in bytes.
         bytes: usize,
-        /// The least length.
+        /// The least length of a key in bytes.
         needed: usize,
     },
-    /// A fault of the operator configuration.
+    /// An error in the operator configuration.
     #[error("{0}")]
     Operator(thistlecroft_operator_config::ConfigError),
-    /// The voters may not change in this way.
+    /// A change of the voters that is not allowed.
     #[error(transparent)]
     VoterChange(#[from] ChangeError),
 }
 
-/// Why a number names no listening socket that can be used.
+/// Why an inherited descriptor can't be used as the clients' listening socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum InheritedSocketError {
-    /// No number, or that of a standard stream.
+    /// The value is not a number, or is the descriptor of a standard stream.
     #[error("is no descriptor")]
     NoDescriptor,
-    /// A socket of another kind.
+    /// The descriptor is a socket of another kind.
     #[error("is no TCP socket")]
     NoTcpSocket,
-    /// A connection, not a listening socket.
+    /// The descriptor is a socket that is not listening, such as a connection.
     #[error("is a socket that does not listen")]
     NotListening,
-    /// Nothing is open there, or no socket.
+    /// The descriptor is not open, or is not a socket.
     #[error("is no open socket")]
     NotOpen,
-    /// The system refuses to close it in programs that this one starts.
-    #[error("can't be kept")]
+    /// The system refused to mark the descriptor as close-on-exec.
+    #[error("can't be marked as close-on-exec")]
     CannotKeep,
 }
 
-/// All that is wrong with a configuration: one fault at least.
+/// The errors of a configuration, at least one.
 #[derive(Debug)]
 pub struct ConfigErrors(Vec<ConfigError>);
 
 impl ConfigErrors {
-    /// The faults, in the order in which they were found.
+    /// Returns the errors in the order in which they were found.
     pub fn iter(&self) -> impl Iterator<Item = &ConfigError> {
         self.0.iter()
     }
--- a/relay/src/startup_config/mod.rs
+++ b/relay/src/startup_config/mod.rs
@@ -1,5 +1,5 @@
-//! The configuration of a relay at its start: the platform's file, the environment and the operator
-//! configuration.
+//! The configuration with which a relay starts: the platform's configuration file, the environment
+//! and the operator configuration.
 mod environment;
 mod error;
 mod operator_routes;
@@ -15,39 +15,40 @@
 pub use error::{ConfigError, ConfigErrors, InheritedSocketError};
 pub(crate) use operator_routes::{OperatorConfigFile, OperatorRoutes, PeersWithKey};
 
-/// The fewest descriptors: the reserve for discovery and health checks, and room for a few clients.
+/// The lowest accepted limit on descriptors. It covers discovery, health checks and a few clients.
 const MIN_SOCKETS: usize = 64;
 const MIN_MEMORY_MB: f64 = 8.0;
 
-/// Everything that a relay is configured with at its start.
+/// The complete configuration with which a relay starts.
 pub struct StartupConfig {
-    /// The relay's name, the same for every process of it.
+    /// The name of the relay, which all its processes share.
     pub name: String,
-    /// Where clients connect.
+    /// The address to which clients connect.
     pub listen: SocketAddr,
-    /// The settings of the platform.
+    /// The platform's settings.
     pub settings: Settings,
-    /// The limit on descriptors.
+    /// The limit on open descriptors, which all processes of the relay share.
     pub socket_limit: usize,
-    /// Where the discovery agent answers.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
     /// Where the configuration came from.
     pub source: ConfigSource,
     pub(crate) seed: u64,
     pub(crate) memory_mb: usize,
-    /// The endpoint list as it was before the start, where the configuration carries one.
+    /// The endpoint list that is cached in the configuration file, if there is one.
     pub(crate) cached_endpoints: Option<EndpointList>,
     pub(crate) operator: OperatorRoutes,
-    /// The admin port, if there is one.
+    /// The address of the admin port, if there is one.
     pub(crate) admin: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it.
+    /// The clients' listening socket, if the platform holds it.
     pub(crate) inherited_listener: Option<TcpListener>,
-    /// A folder that the next process of this relay finds as this one left it.
+    /// The folder that the processes of this relay share, if there is one.
     pub(crate) folder: Option<PathBuf>,
 }
 
-/// What an operator configuration is held against under such settings and so many descriptors.
-pub fn relay_context(settings: &Settings, sockets: usize) -> RelayContext {
+/// Returns the context against which an operator configuration is checked, for these settings and
+/// this limit on descriptors.
+pub fn relay_context(settings: &Settings, socket_limit: usize) -> RelayContext {
     let deployment = &settings.deployment;
     let rows = deployment.routes.iter().zip(&settings.client_timeouts);
     let listeners = settings.listeners.iter().zip(rows);
@@ -62,21 +63,22 @@
         zone: usize::from(deployment.zone.0),
         may_hedge: deployment.may_hedge && deployment.may_cancel,
         may_use_peers: settings.may_use_peers,
-        descriptors: sockets.saturating_sub(RESERVED_DESCRIPTORS),
+        descriptors: socket_limit.saturating_sub(RESERVED_DESCRIPTORS),
     }
 }
 
-/// Where a configuration came from, to be read again.
+/// The origin of a configuration, for reloading it.
 pub struct ConfigSource {
-    /// The file, where there is one.
+    /// The path of the file, if there is one.
     pub(crate) path: Option<String>,
     /// The top-level keys with their values.
     keys: serde_json::Map<String, serde_json::Value>,
 }
 
 impl ConfigSource {
-    /// Keys of a later text that differ and that a running process can't take up. The list known at
-    /// the start is not among them: discovery sends it.
+    /// Returns the top-level keys whose values differ in a reloaded configuration and which a
+    /// running process can't apply. The cached endpoint list is ignored: discovery sends a current
+    /// one.
     pub fn differing_keys(&self, later: &ConfigSource) -> Vec<String> {
         let new_keys = later.keys.keys();
         let new_keys = new_keys.filter(|key| !self.keys.contains_key(*key));
@@ -90,26 +92,26 @@
     }
 }
 
-/// The platform's file.
+/// The contents of the platform's configuration file.
 #[derive(Deserialize)]
-struct ConfigText {
+struct ConfigFileContents {
     name: String,
     listen: String,
     discovery: String,
     seed: String,
-    limits: LimitsText,
+    limits: Limits,
     known: Option<EndpointList>,
     admin_addr: Option<String>,
     settings: serde_json::Value,
 }
 
 #[derive(Deserialize)]
-struct LimitsText {
+struct Limits {
     memory_mb: f64,
     sockets: usize,
 }
 
-impl LimitsText {
+impl Limits {
     fn check(&self) -> Result<(), ConfigError> {
         if self.sockets < MIN_SOCKETS {
             return Err(ConfigError::TooFewSockets {
@@ -127,10 +129,10 @@
     }
 }
 
-/// Reads the platform's file.
+/// Reads the platform's configuration file.
 ///
 /// # Errors
-/// The file can't be read, or the first fault in it.
+/// Returns an error if the file can't be read, or the first error in its contents.
 pub fn read_config_file(path: &str) -> Result<StartupConfig, ConfigError> {
     let text = std::fs::read(path).map_err(|source| ConfigError::Read {
         path: path.to_string(),
@@ -144,7 +146,7 @@
     Ok(config)
 }
 
-/// The address that a key or a variable gives.
+/// Parses the address that is the value of a key or an environment variable.
 fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|_| ConfigError::Address {
         name,
@@ -152,13 +154,13 @@
     })
 }
 
-/// Reads the text of the platform's file.
+/// Parses the contents of the platform's configuration file.
 ///
 /// # Errors
-/// The first fault in it.
+/// Returns the first error in the contents.
 pub fn parse_config(text: &[u8]) -> Result<StartupConfig, ConfigError> {
     let keys: serde_json::Map<_, _> = serde_json::from_slice(text)?;
-    let text: ConfigText = serde_json::from_slice(text)?;
+    let text: ConfigFileContents = serde_json::from_slice(text)?;
     let seed =
         u64::from_str_radix(&text.seed, 16).map_err(|_| ConfigError::Seed(text.seed.clone()))?;
     text.limits.check()?;
--- a/relay/src/startup_config/operator_routes.rs
+++ b/relay/src/startup_config/operator_routes.rs
@@ -1,29 +1,29 @@
-//! The routes and peers that the operator configuration gives, at the start and when it is read
-//! again.
+//! The routes and peers of the operator configuration, when it is read at the start and when it is
+//! reloaded.
 use super::error::{ConfigError, ConfigErrors};
 use super::{StartupConfig, relay_context};
 use thistlecroft_operator_config::{
     LimitsIds, OperatorConfig, PeersConfig, RelayContext, RouteTable,
 };
 
-/// The shortest key of a fleet.
+/// The least length of a fleet's key.
 const MIN_KEY_BYTES: usize = 16;
 
-/// What the operator configuration gives, or what holds without one.
+/// The routes and peers of the operator configuration, or the defaults without one.
 pub(crate) struct OperatorRoutes {
     pub(crate) routes: RouteTable,
     pub(crate) file: OperatorConfigFile,
-    /// None where it has no peers.
+    /// `None` if the operator configuration does not enable peers.
     pub(crate) peers: Option<PeersWithKey>,
 }
 
-/// The configuration of the peers, and the fleet's key, which is in a file of its own.
+/// The configuration of the peers, and the fleet's key from its separate file.
 pub(crate) struct PeersWithKey {
     pub(crate) config: PeersConfig,
     pub(crate) key: Vec<u8>,
 }
 
-/// Where the operator configuration is, to be read again, and the ids that its limits have.
+/// The file of the operator configuration, for reloading it, and the ids given to its limits.
 pub(crate) struct OperatorConfigFile {
     path: Option<String>,
     limits_ids: LimitsIds,
@@ -37,10 +37,10 @@
         }
     }
 
-    /// What the file says; the empty configuration where there is no file.
+    /// Reads the file; returns the default configuration if there is no file.
     ///
     /// # Errors
-    /// The file can't be read, or has faults by itself.
+    /// Returns an error if the file can't be read, or all errors in its contents.
     pub(crate) fn load(&self) -> Result<OperatorConfig, ConfigErrors> {
         let Some(path) = &self.path else {
             return Ok(OperatorConfig::default());
@@ -52,10 +52,10 @@
         Ok(OperatorConfig::parse(path, &text)?)
     }
 
-    /// The routes of an operator configuration in this context.
+    /// Returns the routes of an operator configuration in this context.
     ///
     /// # Errors
-    /// All in which it does not agree with the context.
+    /// Returns every conflict between the operator configuration and the context.
     pub(crate) fn routes(
         &mut self,
         config: &OperatorConfig,
@@ -66,10 +66,10 @@
 }
 
 impl StartupConfig {
-    /// The same with an operator configuration.
+    /// Adds the operator configuration in this file to the configuration.
     ///
     /// # Errors
-    /// All that is wrong with the file.
+    /// Returns the errors in the file, or an error if it or the key file can't be read.
     pub(crate) fn with_operator_config(
         mut self,
         path: &str,
@@ -89,7 +89,7 @@
     }
 }
 
-/// The fleet's key, as the file has it but for white space at its ends.
+/// Reads the fleet's key from its file, without leading and trailing whitespace.
 fn read_key(path: &str) -> Result<Vec<u8>, ConfigError> {
     let text = std::fs::read(path).map_err(|source| ConfigError::ReadKey {
         path: path.to_string(),
--- a/relay/src/trace.rs
+++ b/relay/src/trace.rs
@@ -1,13 +1,13 @@
-//! The balancer's events and actions as log lines, one each at level debug. They name backends by the
-//! name that is the same at every relay, so that a fleet's logs can be counted together: `experiment
-//! count` reads them, and goes by the names and keys that are written here.
+//! Logs the balancer's events and actions, one line each at level debug. `experiment count` reads
+//! these lines and relies on their names and keys. Backends have the same names at every relay, so
+//! that the logs of a fleet can be counted together.
 use crate::discovery::registry::EndpointRegistry;
 use crate::driver::{Action, Event};
 use log::{Level, debug, log_enabled};
 use thistlecroft::attempt::{Arrival, LoadReport};
 use thistlecroft::endpoint::{Endpoint, EndpointState, UpdateKind};
 
-/// Logs an event that the balancer is about to be given.
+/// Logs an event that is about to be delivered to the balancer.
 pub(crate) fn log_event(event: &Event, registry: &EndpointRegistry) {
     if !log_enabled!(Level::Debug) {
         return;
@@ -59,15 +59,15 @@
 }
 
 fn log_endpoints(kind: UpdateKind, endpoints: &[Endpoint]) {
-    let count = |state| {
+    let count_in_state = |state| {
         let endpoints = endpoints.iter();
         endpoints.filter(|endpoint| endpoint.state == state).count()
     };
     debug!(
         "endpoints update={kind:?} ready={} draining={} removed={}",
-        count(EndpointState::Ready),
-        count(EndpointState::Draining),
-        count(EndpointState::Removed)
+        count_in_state(EndpointState::Ready),
+        count_in_state(EndpointState::Draining),
+        count_in_state(EndpointState::Removed)
     );
 }
 
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -323,7 +323,7 @@
     for text in &broken {
         write_config(text);
         relay.signal("HUP");
-        relay.wait_for_log("what was read before stays");
+        relay.wait_for_log("the previous configuration stays in force");
         assert_eq!(response("pay"), "UP receipt", "{text}");
         assert_eq!(response("other"), "ERR");
     }
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -58,18 +58,22 @@
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
     let cases = [
-        ("\"name\"", "", "what was read before stays"),
+        ("\"name\"", "", "the previous configuration stays in force"),
         (
             "\"seed\":\"8c",
             "\"seed\":\"xy",
-            "what was read before stays",
+            "the previous configuration stays in force",
         ),
         (
             "\"memory_mb\":64",
             "\"memory_mb\":96",
-            "changes of limits need a restart",
+            "changed configuration keys need a restart and are not applied; keys=limits",
+        ),
+        (
+            "\"r0\"",
+            "\"r1\"",
+            "changed configuration keys need a restart and are not applied; keys=name",
         ),
-        ("\"r0\"", "\"r1\"", "changes of name need a restart"),
     ];
     for (from, to, expected) in cases {
         relay.reload_with(from, to);
@@ -108,7 +112,7 @@
     }
     write_config(&later);
     relay.signal("HUP");
-    relay.wait_for_log("generation 2");
+    relay.wait_for_log("configuration in force: generation=2;");
     // While both configurations may apply the stricter holds, so each session fails: the waiting
     // one under its own settings, the others under the new ones.
     let mut others = [
