--- a/relay/tests/golden/admin.rs
+++ b/relay/tests/golden/admin.rs
@@ -1,15 +1,16 @@
-//! The operators' commands: each one, each error answer that can be caused from outside, and the
-//! keys of the JSON answers.
+//! Golden tests of the admin port: every command, every error that can be caused from outside, and
+//! the keys of the JSON answers.
 use crate::helper::*;
 use crate::platform::{Platform, RelayProcess, wait_for};
-use crate::recorded::{Transcript, assert_recorded, key_set, mask_after};
+use crate::recorded::{Transcript, assert_recorded, key_paths, mask_after};
 use std::fs::OpenOptions;
 use std::net::SocketAddr;
 
-const LOCK: &str = "thistlecroft-bans.lock";
-/// The line of a charter by which one relay grants all leases.
+const LOCK_FILE: &str = "thistlecroft-bans.lock";
+/// The line of an operator configuration that makes one relay the only voter.
 const VOTERS: &str = "voters = [\"r0\"]\n";
 
+/// Sends a command and adds it and its answer to the transcript.
 fn exchange(transcript: &mut Transcript, process: &RelayProcess, command: &[u8]) {
     let answer = process.admin_answer(command);
     transcript.line("operator", command);
@@ -17,7 +18,7 @@
 }
 
 #[test]
-fn admin_commands_without_peers_answers_are_as_recorded() {
+fn admin_commands_without_peers_are_answered_as_recorded() {
     let platform = Platform::new("admin");
     let process = platform.start_ready(&platform.config(&[unused_address()], false));
     let long_line = [b'x'; 5_000];
@@ -67,12 +68,12 @@
 }
 
 #[test]
-fn admin_bans_that_can_not_be_kept_answers_are_as_recorded() {
+fn admin_bans_that_can_not_be_stored_are_answered_as_recorded() {
     let platform = Platform::new("admin-bans");
     let process = platform.start_ready(&platform.config(&[unused_address()], false));
     let mut transcript = Transcript::default();
     transcript.title("another process holds the lock");
-    let lock_path = platform.folder.join(LOCK);
+    let lock_path = platform.folder.join(LOCK_FILE);
     let lock = OpenOptions::new()
         .create(true)
         .append(true)
@@ -89,7 +90,7 @@
 }
 
 #[test]
-fn admin_ready_without_a_list_is_refused_as_recorded() {
+fn admin_ready_without_an_endpoint_list_is_rejected() {
     let platform = Platform::new("admin-unlisted");
     let text = config(platform.address(), unused_address(), 1_000, "null", false);
     let process = platform.start(&text);
@@ -99,28 +100,28 @@
     );
 }
 
-/// Where relays of one test hear one another.
+/// The address for peers of a relay, and the address of its seed.
 struct PeerAddresses {
     own: SocketAddr,
     seed: SocketAddr,
 }
 
-/// A platform and a configuration for a relay that may know of others; `voters` is a line of the
-/// charter or nothing.
-fn platform_with_peers(name: &str, voters: &str, at: &PeerAddresses) -> (Platform, String) {
+/// Returns a platform and a configuration for a relay with peers. `voters` is the line with the
+/// voters in the operator configuration, or empty.
+fn platform_with_peers(name: &str, voters: &str, addresses: &PeerAddresses) -> (Platform, String) {
     let mut platform = Platform::new(name);
     let key_file = platform.folder.join("peers.key");
     std::fs::write(&key_file, "golden-test-key-0123456789\n").unwrap();
-    let charter = platform.folder.join("charter.toml");
+    let operator_config = platform.folder.join("charter.toml");
     let table = format!(
         "[peers]\nfleet = \"golden\"\nlisten = \"{}\"\nkey_file = \"{}\"\n\
          seeds = [\"{}\"]\n{voters}period = \"200ms\"\nlease = \"2s\"\n",
-        at.own,
+        addresses.own,
         key_file.display(),
-        at.seed
+        addresses.seed
     );
-    std::fs::write(&charter, table).unwrap();
-    platform.charter = Some(charter);
+    std::fs::write(&operator_config, table).unwrap();
+    platform.operator_config = Some(operator_config);
     let text = config(
         platform.address(),
         unused_address(),
@@ -132,11 +133,13 @@
     (platform, text)
 }
 
-fn alone() -> PeerAddresses {
+/// Returns the addresses of a relay whose only seed is the relay itself.
+fn addresses_without_peers() -> PeerAddresses {
     let own = unused_address();
     PeerAddresses { own, seed: own }
 }
 
+/// Returns the JSON that answers a command which must succeed.
 fn json_answer(process: &RelayProcess, command: &str) -> String {
     let answer = process.admin_answer(command.as_bytes());
     let json = answer
@@ -146,8 +149,8 @@
 }
 
 #[test]
-fn admin_commands_with_peers_answers_are_as_recorded() {
-    let (platform, text) = platform_with_peers("admin-peers", VOTERS, &alone());
+fn admin_commands_with_peers_are_answered_as_recorded() {
+    let (platform, text) = platform_with_peers("admin-peers", VOTERS, &addresses_without_peers());
     let process = platform.start_ready(&text);
     let mut transcript = Transcript::default();
     exchange(&mut transcript, &process, b"NOTE release 1.4\n");
@@ -166,26 +169,26 @@
     for answer in &answers {
         transcript.line("   relay", answer.as_bytes());
     }
-    let keys = key_set(&json_answer(&process, "PEERS\n"));
-    let note_keys = key_set(&json_answer(&process, "NOTES\n"));
+    let keys = key_paths(&json_answer(&process, "PEERS\n"));
+    let note_keys = key_paths(&json_answer(&process, "NOTES\n"));
     exchange(&mut transcript, &process, b"RELEASE turn\n");
     transcript.text += &format!("# keys of PEERS\n{keys}# keys of NOTES\n{note_keys}");
     transcript.assert_recorded("admin_peers_answers.txt");
 }
 
 #[test]
-fn admin_leases_without_voters_are_refused_as_recorded() {
-    let (platform, text) = platform_with_peers("admin-no-voters", "", &alone());
+fn admin_leases_without_voters_are_rejected_as_recorded() {
+    let (platform, text) = platform_with_peers("admin-no-voters", "", &addresses_without_peers());
     let process = platform.start_ready(&text);
     let mut transcript = Transcript::default();
     exchange(&mut transcript, &process, b"LEASE turn\n");
     exchange(&mut transcript, &process, b"RELEASE turn\n");
-    transcript.text += &key_set(&json_answer(&process, "PEERS\n"));
+    transcript.text += &key_paths(&json_answer(&process, "PEERS\n"));
     assert_recorded("admin_no_voters.txt", &transcript.text);
 }
 
 #[test]
-fn admin_answers_of_two_relays_that_know_each_other_are_as_recorded() {
+fn admin_commands_at_two_peers_are_answered_as_recorded() {
     let (own, other) = (unused_address(), unused_address());
     let addresses = PeerAddresses { own, seed: other };
     let (platform, text) = platform_with_peers("admin-two-first", VOTERS, &addresses);
@@ -194,39 +197,39 @@
         own: other,
         seed: own,
     };
-    let (beside, text) = platform_with_peers("admin-two-second", VOTERS, &addresses);
-    let second = beside.start_ready(&text.replace("\"r0\"", "\"r1\""));
+    let (second_platform, text) = platform_with_peers("admin-two-second", VOTERS, &addresses);
+    let second = second_platform.start_ready(&text.replace("\"r0\"", "\"r1\""));
     let view = wait_for("the other relay", || {
         let view = json_answer(&first, "PEERS\n");
         view.contains("\"name\":\"r1\"").then_some(view)
     });
     let mut transcript = Transcript::default();
-    transcript.text += &key_set(&view);
+    transcript.text += &key_paths(&view);
     wait_for("a lease", || {
         first
             .admin_answer(b"LEASE turn\n")
             .starts_with("200 held")
             .then_some(())
     });
-    let refused = wait_for("a refusal", || {
+    let rejected = wait_for("a refusal", || {
         let answer = second.admin_answer(b"LEASE turn\n");
         answer.starts_with("400 held").then_some(answer)
     });
-    let view = parsed(&view);
+    let view = parse_json(&view);
     let holder = view["me"].as_str().unwrap();
-    transcript.line("refused", refused.replace(holder, "HOLDER").as_bytes());
-    // A name, and the number of one run in hexadecimal digits.
-    let (name, run) = holder.split_once('/').unwrap();
-    assert_eq!((name, run.len()), ("r0", 8));
-    assert!(u32::from_str_radix(run, 16).is_ok(), "{run}");
-    let vote = parsed(&json_answer(&first, "PEERS\n"))["leases"]["vote"].to_string();
+    transcript.line("refused", rejected.replace(holder, "HOLDER").as_bytes());
+    // The holder is the name of a relay and a random number of its process in hexadecimal digits.
+    let (name, process) = holder.split_once('/').unwrap();
+    assert_eq!((name, process.len()), ("r0", 8));
+    assert!(u32::from_str_radix(process, 16).is_ok(), "{process}");
+    let vote = parse_json(&json_answer(&first, "PEERS\n"))["leases"]["vote"].to_string();
     transcript.line("vote of the one voter", vote.as_bytes());
-    let other_vote = parsed(&json_answer(&second, "PEERS\n"))["leases"]["vote"].to_string();
+    let other_vote = parse_json(&json_answer(&second, "PEERS\n"))["leases"]["vote"].to_string();
     transcript.line("vote of the other relay", other_vote.as_bytes());
     drop(second);
     let mut standings: Vec<String> = Vec::new();
     wait_for("the other relay is gone", || {
-        let view = parsed(&json_answer(&first, "PEERS\n"));
+        let view = parse_json(&json_answer(&first, "PEERS\n"));
         let standing = view["peers"][0]["standing"].as_str().unwrap().to_string();
         if standings.last() != Some(&standing) {
             standings.push(standing.clone());
@@ -240,6 +243,6 @@
     transcript.assert_recorded("admin_two_relays.txt");
 }
 
-fn parsed(json: &str) -> serde_json::Value {
+fn parse_json(json: &str) -> serde_json::Value {
     serde_json::from_str(json).unwrap()
 }
--- a/relay/tests/golden/config.rs
+++ b/relay/tests/golden/config.rs
@@ -1,15 +1,15 @@
-//! The file that `ROUTER_CONFIG` names: each key that is read, which of them may be missing, and the
-//! one line that a fault is told by. `config.json` here has every key.
+//! Golden tests of the file that `ROUTER_CONFIG` names: which keys are read, which of them may be
+//! missing, and the one line that reports an error. `config.json` in this folder has every key.
 use crate::helper::*;
-use crate::platform::{program, run_to_end, wait_for, watched};
-use crate::recorded::{assert_recorded, read};
+use crate::platform::{relay_command, relay_with_log, run_to_end, wait_for};
+use crate::recorded::{assert_recorded, read_recorded};
 use serde_json::{Value, json};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::sync::mpsc::RecvTimeoutError;
 
-/// The recorded configuration with addresses of this run in place of the words there.
+/// The recorded configuration, with addresses of this run in place of its placeholders.
 struct Config {
     value: Value,
     listen: SocketAddr,
@@ -19,15 +19,15 @@
 impl Config {
     fn new(backend: SocketAddr) -> Config {
         let (listen, admin) = (unused_address(), unused_address());
-        let mut text = read("config.json");
+        let mut text = read_recorded("config.json");
         let addresses = [
             ("LISTEN", listen),
             ("DISCOVERY", unused_address()),
             ("ADMIN", admin),
             ("BACKEND", backend),
         ];
-        for (word, address) in addresses {
-            text = text.replace(&format!("\"{word}\""), &format!("\"{address}\""));
+        for (placeholder, address) in addresses {
+            text = text.replace(&format!("\"{placeholder}\""), &format!("\"{address}\""));
         }
         Config {
             value: serde_json::from_str(&text).unwrap(),
@@ -37,26 +37,27 @@
     }
 }
 
-/// JSON pointers of all objects' keys, those within arrays at the first element.
-fn pointers(value: &Value, at: &str, found: &mut Vec<String>) {
+/// Collects the JSON pointers of all keys. Of an array, only the first element is visited.
+fn collect_pointers(value: &Value, parent: &str, found: &mut Vec<String>) {
     match value {
         Value::Object(map) => {
             for (key, inner) in map {
-                let pointer = format!("{at}/{key}");
+                let pointer = format!("{parent}/{key}");
                 found.push(pointer.clone());
-                pointers(inner, &pointer, found);
+                collect_pointers(inner, &pointer, found);
             }
         }
         Value::Array(items) if items.first().is_some_and(Value::is_object) => {
-            pointers(&items[0], &format!("{at}/0"), found);
+            collect_pointers(&items[0], &format!("{parent}/0"), found);
         }
         _ => {}
     }
 }
 
+/// Returns the JSON pointers of all keys of the recorded configuration.
 fn all_pointers() -> Vec<String> {
     let mut found = Vec::new();
-    pointers(&Config::new(unused_address()).value, "", &mut found);
+    collect_pointers(&Config::new(unused_address()).value, "", &mut found);
     found
 }
 
@@ -66,7 +67,7 @@
     assert!(parent.remove(key).is_some(), "{pointer}");
 }
 
-/// A value of a type that the key does not take: text for lists and objects, an object for others.
+/// Returns a value of a wrong type: a string instead of an array or object, an object otherwise.
 fn wrong_type(value: &Value) -> Value {
     match value {
         Value::Array(_) | Value::Object(_) => json!("text"),
@@ -79,29 +80,30 @@
         return false;
     };
     let mut answer = String::new();
-    let asked = stream.write_all(b"READY\n").and_then(|()| {
+    let exchanged = stream.write_all(b"READY\n").and_then(|()| {
         stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         stream.read_to_string(&mut answer)
     });
-    asked.is_ok() && answer.starts_with("200")
+    exchanged.is_ok() && answer.starts_with("200")
 }
 
-/// How the program takes a configuration: the line by which it refuses, or nothing where it serves.
-/// Places and the file's name differ from run to run and are masked.
-fn refusal(config: &Config, file: &str) -> Option<String> {
+/// Starts the program with a configuration and returns the line with the error, or `None` if it
+/// serves. The file's path differs from run to run and is masked; positions in the file are
+/// removed.
+fn startup_error(config: &Config, file: &str) -> Option<String> {
     let path = std::env::temp_dir().join(format!(
         "thistlecroft-golden-config-{}-{file}.json",
         std::process::id()
     ));
     std::fs::write(&path, config.value.to_string()).unwrap();
-    let refusal = refusal_of(&path);
+    let error = startup_error_of(&path);
     std::fs::remove_file(&path).unwrap();
-    refusal
+    error
 }
 
-fn refusal_of(path: &Path) -> Option<String> {
-    let child = program().env("ROUTER_CONFIG", path).spawn().unwrap();
-    let mut relay = watched(child, unused_address(), String::new());
+fn startup_error_of(path: &Path) -> Option<String> {
+    let child = relay_command().env("ROUTER_CONFIG", path).spawn().unwrap();
+    let mut relay = relay_with_log(child, unused_address(), String::new());
     let first = relay
         .log
         .recv_timeout(TEST_TIMEOUT)
@@ -116,15 +118,15 @@
     assert_eq!(end, Err(RecvTimeoutError::Disconnected), "one line only");
     assert_eq!(wait_for_exit(&mut relay.child).code(), Some(1), "{first}");
     let masked = first.replace(&path.display().to_string(), "PATH");
-    let without_place = masked.split(" at line ").next().unwrap();
-    Some(mask_struct_name(without_place))
+    let without_position = masked.split(" at line ").next().unwrap();
+    Some(mask_struct_name(without_position))
 }
 
-/// The parser's words name a type of the program, which is no part of what is promised.
-fn mask_struct_name(refusal: &str) -> String {
-    match refusal.split_once("expected struct ") {
+/// Masks the name of a type of the program in an error of the JSON parser: the name may change.
+fn mask_struct_name(error: &str) -> String {
+    match error.split_once("expected struct ") {
         Some((before, _)) => format!("{before}expected struct NAME"),
-        None => refusal.to_string(),
+        None => error.to_string(),
     }
 }
 
@@ -136,38 +138,38 @@
     wait_for("200 ready", || is_ready(config.admin).then_some(()));
     assert_eq!(relay.open_session("safe", 1_000).next_line(), "UP receipt");
     assert_eq!(relay.open_session("other", 1_000).next_line(), "ERR");
-    wait_for("a probe, which the settings permit", || {
+    wait_for("a health check, which the settings permit", || {
         (next_received(&received) == "STATS\r\n").then_some(())
     });
 }
 
 #[test]
-fn config_with_a_key_missing_is_refused_or_served_as_recorded() {
+fn config_with_a_key_missing_is_rejected_or_served_as_recorded() {
     let mut outcomes = String::new();
     for pointer in all_pointers() {
         let mut config = Config::new(unused_address());
         remove(&mut config.value, &pointer);
-        let outcome = refusal(&config, "missing").unwrap_or_else(|| "serves".into());
+        let outcome = startup_error(&config, "missing").unwrap_or_else(|| "serves".into());
         outcomes += &format!("{pointer}: {outcome}\n");
     }
     assert_recorded("config_missing_keys.txt", &outcomes);
 }
 
 #[test]
-fn config_with_a_value_of_a_wrong_type_is_refused_or_passed_over_as_recorded() {
+fn config_with_a_value_of_a_wrong_type_is_rejected_or_ignored_as_recorded() {
     let mut outcomes = String::new();
     for pointer in all_pointers() {
         let mut config = Config::new(unused_address());
         let value = config.value.pointer_mut(&pointer).unwrap();
         *value = wrong_type(value);
-        let outcome = refusal(&config, "type").unwrap_or_else(|| "not read".into());
+        let outcome = startup_error(&config, "type").unwrap_or_else(|| "not read".into());
         outcomes += &format!("{pointer}: {outcome}\n");
     }
     assert_recorded("config_wrong_types.txt", &outcomes);
 }
 
 #[test]
-fn config_with_a_value_out_of_range_is_refused_as_recorded() {
+fn config_with_a_value_out_of_range_is_rejected_as_recorded() {
     let values = [
         ("/listen", json!("here")),
         ("/discovery", json!("here")),
@@ -193,30 +195,30 @@
         let mut config = Config::new(unused_address());
         outcomes += &format!("{pointer} = {value}: ");
         *config.value.pointer_mut(pointer).unwrap() = value;
-        let outcome = refusal(&config, "range").unwrap_or_else(|| "serves".into());
+        let outcome = startup_error(&config, "range").unwrap_or_else(|| "serves".into());
         outcomes += &format!("{outcome}\n");
     }
     assert_recorded("config_out_of_range.txt", &outcomes);
 }
 
 #[test]
-fn config_file_that_is_missing_is_refused_as_recorded() {
+fn config_file_that_is_missing_is_rejected_as_recorded() {
     let path = std::env::temp_dir().join("thistlecroft-golden-no-such-file.json");
-    let missing = run_to_end(program().env("ROUTER_CONFIG", &path));
-    let unnamed = run_to_end(&mut program());
-    let mut told = String::new();
+    let missing = run_to_end(relay_command().env("ROUTER_CONFIG", &path));
+    let unnamed = run_to_end(&mut relay_command());
+    let mut errors = String::new();
     for output in [missing, unnamed] {
         assert_eq!(output.status.code(), Some(1));
         assert!(output.stdout.is_empty());
-        told += &String::from_utf8(output.stderr).unwrap();
+        errors += &String::from_utf8(output.stderr).unwrap();
     }
-    let told = told.replace(&path.display().to_string(), "PATH");
-    assert_recorded("config_no_file.txt", &told);
+    let errors = errors.replace(&path.display().to_string(), "PATH");
+    assert_recorded("config_no_file.txt", &errors);
 }
 
-/// The program's one line on stderr under these variables, with the recorded configuration but for
-/// the admin address.
-fn refusal_under(variables: &[(&str, &str)]) -> String {
+/// Starts the program with these variables and the recorded configuration without its admin
+/// address, and returns what it writes to standard error.
+fn startup_error_with_variables(variables: &[(&str, &str)]) -> String {
     let mut config = Config::new(unused_address());
     remove(&mut config.value, "/admin_addr");
     let path = std::env::temp_dir().join(format!(
@@ -224,7 +226,7 @@
         std::process::id()
     ));
     std::fs::write(&path, config.value.to_string()).unwrap();
-    let mut command = program();
+    let mut command = relay_command();
     command
         .env("ROUTER_CONFIG", &path)
         .envs(variables.iter().copied());
@@ -235,7 +237,7 @@
 }
 
 #[test]
-fn environment_variables_that_are_wrong_are_refused_as_recorded() {
+fn environment_variables_that_are_wrong_are_rejected_as_recorded() {
     let wrong = [
         ("ROUTER_ADMIN_ADDR", "here"),
         ("ROUTER_PASSED_SOCKET", "seven"),
@@ -243,15 +245,15 @@
         ("ROUTER_PASSED_SOCKET", "900"),
         ("THISTLECROFT_CHARTER", "no-such-charter.toml"),
     ];
-    let told: String = wrong
+    let errors: String = wrong
         .iter()
-        .map(|variable| refusal_under(&[*variable]))
+        .map(|variable| startup_error_with_variables(&[*variable]))
         .collect();
-    assert_recorded("environment_faults.txt", &told);
+    assert_recorded("environment_faults.txt", &errors);
 }
 
 #[test]
-fn admin_address_of_the_environment_is_served_where_the_config_has_none() {
+fn admin_address_of_the_environment_is_used_if_the_config_has_none() {
     let mut config = Config::new(unused_address());
     remove(&mut config.value, "/admin_addr");
     let path = std::env::temp_dir().join(format!(
@@ -259,12 +261,12 @@
         std::process::id()
     ));
     std::fs::write(&path, config.value.to_string()).unwrap();
-    let child = program()
+    let child = relay_command()
         .env("ROUTER_CONFIG", &path)
         .env("ROUTER_ADMIN_ADDR", config.admin.to_string())
         .spawn()
         .unwrap();
-    let _relay = watched(child, config.listen, String::new());
+    let _relay = relay_with_log(child, config.listen, String::new());
     wait_for("200 ready", || is_ready(config.admin).then_some(()));
     std::fs::remove_file(&path).unwrap();
 }
--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -1,5 +1,5 @@
-//! What a platform holds for one relay, a listening socket and a folder that processes of the relay
-//! share, and the processes started there.
+//! The platform of one relay: the clients' listening socket and the folder that the relay's
+//! processes share, and the processes that are started on it.
 use crate::helper::*;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,23 +10,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two looks at a condition that is waited for.
-const LOOK: Duration = Duration::from_millis(5);
+/// The pause between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Asks until it is told something; the wait is bounded.
-pub(crate) fn wait_for<T>(what: &str, mut ask: impl FnMut() -> Option<T>) -> T {
-    let until = Instant::now() + TEST_TIMEOUT;
+/// Repeats `check` until it returns a value; panics with `description` after a time limit.
+pub(crate) fn wait_for<T>(description: &str, mut check: impl FnMut() -> Option<T>) -> T {
+    let deadline = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(told) = ask() {
-            return told;
+        if let Some(value) = check() {
+            return value;
         }
-        assert!(Instant::now() < until, "{what}: never came");
-        thread::sleep(LOOK);
+        assert!(Instant::now() < deadline, "not in time: {description}");
+        thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// The program with no more in its environment than each test adds.
-pub(crate) fn program() -> Command {
+/// Returns a command that starts the relay, without environment variables that configure it.
+pub(crate) fn relay_command() -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"));
     for variable in [
         "ROUTER_CONFIG",
@@ -41,7 +41,7 @@
     command
 }
 
-/// Runs the program, without its log, until it ends by itself.
+/// Runs the command with logging turned off until the program exits by itself.
 pub(crate) fn run_to_end(command: &mut Command) -> Output {
     let mut child = command
         .env("RUST_LOG", "off")
@@ -52,10 +52,12 @@
     child.wait_with_output().unwrap()
 }
 
+/// The listening socket and the folder of one relay. The folder is removed when this is dropped.
 pub(crate) struct Platform {
     listener: TcpListener,
     pub folder: PathBuf,
-    pub charter: Option<PathBuf>,
+    /// The operator configuration of the processes, if they have one.
+    pub operator_config: Option<PathBuf>,
 }
 
 impl Drop for Platform {
@@ -67,7 +69,7 @@
 impl Platform {
     pub(crate) fn new(name: &str) -> Platform {
         let listener = TcpListener::bind(("127.0.0.1", 0)).unwrap();
-        // Every process that is started inherits it.
+        // Without close-on-exec, so that every started process inherits the socket.
         rustix::io::fcntl_setfd(&listener, rustix::io::FdFlags::empty()).unwrap();
         let folder =
             std::env::temp_dir().join(format!("thistlecroft-golden-{}-{name}", std::process::id()));
@@ -76,16 +78,16 @@
         Platform {
             listener,
             folder,
-            charter: None,
+            operator_config: None,
         }
     }
 
-    /// The address where clients connect.
+    /// Returns the address to which clients connect.
     pub(crate) fn address(&self) -> SocketAddr {
         self.listener.local_addr().unwrap()
     }
 
-    /// A configuration with these backends and a dead discovery.
+    /// Returns a configuration with these backends, without a discovery agent that answers.
     pub(crate) fn config(&self, backends: &[SocketAddr], probes: bool) -> String {
         config(
             self.address(),
@@ -96,26 +98,27 @@
         )
     }
 
-    /// Starts a process by this configuration, with an admin address added.
+    /// Starts a process with this configuration and an admin address, and waits until it listens.
     pub(crate) fn start(&self, config: &str) -> RelayProcess {
         let admin = unused_address();
         let text = config.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1);
         let path = self.folder.join(format!("config-{}.json", admin.ip()));
         std::fs::write(&path, &text).unwrap();
-        let passed = self.listener.as_raw_fd().to_string();
-        let mut command = program();
+        let descriptor = self.listener.as_raw_fd().to_string();
+        let mut command = relay_command();
         command
             .env("ROUTER_CONFIG", &path)
-            .env("ROUTER_PASSED_SOCKET", passed)
+            .env("ROUTER_PASSED_SOCKET", descriptor)
             .env("TMPDIR", &self.folder);
-        if let Some(charter) = &self.charter {
-            command.env("THISTLECROFT_CHARTER", charter);
+        if let Some(operator_config) = &self.operator_config {
+            command.env("THISTLECROFT_CHARTER", operator_config);
         }
-        let relay = watched(command.spawn().unwrap(), self.address(), text);
+        let relay = relay_with_log(command.spawn().unwrap(), self.address(), text);
         relay.wait_for_log("serves at");
         RelayProcess { relay, admin }
     }
 
+    /// Starts a process like `start`, and waits until it is ready.
     pub(crate) fn start_ready(&self, config: &str) -> RelayProcess {
         let process = self.start(config);
         process.wait_until_ready();
@@ -123,14 +126,14 @@
     }
 }
 
-/// A process whose log is read as it comes.
-pub(crate) fn watched(mut child: Child, at: SocketAddr, text: String) -> Relay {
-    let (tell, log) = channel();
+/// Returns the relay of a started process, whose log is read by a thread of its own.
+pub(crate) fn relay_with_log(mut child: Child, at: SocketAddr, text: String) -> Relay {
+    let (sender, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     thread::spawn(move || {
         lines
             .map_while(Result::ok)
-            .try_for_each(|line| tell.send(line))
+            .try_for_each(|line| sender.send(line))
     });
     Relay {
         child,
@@ -140,13 +143,15 @@
     }
 }
 
+/// A relay process and the address of its admin port.
 pub(crate) struct RelayProcess {
     pub relay: Relay,
     pub admin: SocketAddr,
 }
 
 impl RelayProcess {
-    /// All bytes that answer an admin command; the client says no more after it.
+    /// Sends an admin command, ends the sending side of the connection, and returns all bytes of
+    /// the answer.
     pub(crate) fn admin_answer(&self, command: &[u8]) -> String {
         let mut stream = TcpStream::connect(self.admin).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -1,5 +1,5 @@
-//! The relay as operators meet it: the admin port, bans, and a second process beside the first on a
-//! listening socket that the platform holds.
+//! Tests of what operators use: the admin port, bans, reloading, and hot restarts with a second
+//! process on the listening socket that the platform holds.
 mod helper;
 
 use helper::host::{Host, RelayProcess, new_program, read_admin_response};
@@ -15,12 +15,12 @@
 /// Pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
 
-/// A host without discovery whose backends are named `b0`, `b1` and so on.
+/// Creates a host without discovery, whose backends are named `b0`, `b1` and so on.
 fn new_host(name: &str, backends: &[SocketAddr]) -> Host {
     Host::new(&format!("operators-{name}"), backends)
 }
 
-/// Opens so many sessions, each of which is accepted.
+/// Opens `count` sessions and waits until each is established.
 fn open_sessions(relay: &Relay, count: usize) -> Vec<Client> {
     let mut clients: Vec<_> = (0..count)
         .map(|_| relay.open_session("safe", 1_000))
@@ -31,12 +31,12 @@
     clients
 }
 
-/// Waits until a first line comes to this backend.
+/// Waits until this backend receives the first line of an attempt.
 fn wait_for_attempt(received: &Received) {
     while !next_received(received).starts_with("OPEN") {}
 }
 
-/// First lines that have come to this backend.
+/// Returns the number of attempts whose first line this backend has received.
 fn count_attempts(received: &Received) -> usize {
     let attempts = received.try_iter();
     attempts.filter(|line| line.starts_with("OPEN")).count()
@@ -44,12 +44,12 @@
 
 #[test]
 fn admin_command_is_answered_by_one_line() {
-    let host = new_host("calls", &[unused_address()]);
+    let host = new_host("commands", &[unused_address()]);
     let process = host.start(new_program());
-    let long = [b'x'; 5_000];
+    let long_line = [b'x'; 5_000];
     let cases: &[(&[u8], &str)] = &[
         (b"READY\r\n", "200 ready"),
-        (b"READY\nand what comes behind", "200 ready"),
+        (b"READY\nand ignored text", "200 ready"),
         (b"DISABLE b0\n", "200 out"),
         (b"DISABLE b0\r\n", "200 already out"),
         (b"ENABLE b0\n", "200 back"),
@@ -59,7 +59,7 @@
         (b"DISABLE\n", "400 which backend?"),
         (b"DISABLE \xff\xfe\n", "400 not UTF-8"),
         (b"\r\n", "400 no call"),
-        (&long, "400 a line too long"),
+        (&long_line, "400 a line too long"),
     ];
     for (bytes, expected) in cases {
         assert_eq!(
@@ -69,21 +69,24 @@
             String::from_utf8_lossy(bytes)
         );
     }
-    // Byte by byte, and cut off before the line's end.
+    // A command that is sent byte by byte, and one whose connection ends before the line does.
     let mut slow = process.connect_admin();
     b"DISABLE b0\r\n"
         .iter()
         .for_each(|byte| slow.write_all(&[*byte]).unwrap());
     assert_eq!(read_admin_response(&mut slow), "200 out");
-    let mut cut = process.connect_admin();
-    cut.write_all(b"ENABLE b0").unwrap();
-    cut.shutdown(std::net::Shutdown::Write).unwrap();
-    assert_eq!(read_admin_response(&mut cut), "400 the line has no end");
+    let mut truncated = process.connect_admin();
+    truncated.write_all(b"ENABLE b0").unwrap();
+    truncated.shutdown(std::net::Shutdown::Write).unwrap();
+    assert_eq!(
+        read_admin_response(&mut truncated),
+        "400 the line has no end"
+    );
 }
 
 #[test]
-fn silent_admin_connections_keep_nobody_out() {
-    let host = new_host("silent-callers", &[unused_address()]);
+fn silent_admin_connections_do_not_block_commands() {
+    let host = new_host("silent-connections", &[unused_address()]);
     let process = host.start(new_program());
     let mut silent: Vec<TcpStream> = (0..200).map(|_| process.connect_admin()).collect();
     silent
@@ -91,13 +94,14 @@
         .step_by(2)
         .for_each(|stream| stream.write_all(b"DISAB").unwrap());
     (0..20).for_each(|_| process.assert_accepted("READY"));
-    // Most had to make room, and were told so; the descriptors of those that stay are few.
-    let mut gone = 0;
+    // Most were displaced by later connections and got an error; only a few may stay open, so that
+    // they take few descriptors.
+    let mut displaced = 0;
     for stream in &mut silent {
         stream.set_nonblocking(true).unwrap();
-        gone += usize::from(matches!(stream.read(&mut [0; 64]), Ok(1..)));
+        displaced += usize::from(matches!(stream.read(&mut [0; 64]), Ok(1..)));
     }
-    assert!(gone >= 180, "{gone}");
+    assert!(displaced >= 180, "{displaced}");
 }
 
 #[test]
@@ -117,9 +121,10 @@
     assert_eq!(count_attempts(&at_second), 20);
     assert!(
         at_first.try_recv().is_err(),
-        "nothing new at the one that is banned"
+        "the banned backend got an attempt"
     );
-    // Banned twice, enabled once; then it is the only one there is.
+    // One `ENABLE` ends a ban that was made twice. With the other backend banned, all sessions go
+    // to this one.
     process.assert_accepted("DISABLE b0");
     process.assert_accepted("ENABLE b0");
     process.assert_accepted("DISABLE b1");
@@ -138,7 +143,7 @@
     let mut old = host.start(new_program());
     old.assert_accepted("DISABLE b0");
     let new = host.start(new_program());
-    // Whichever process gets the command, both go by it.
+    // A ban by either process holds for both.
     new.assert_accepted("READY");
     old.relay.signal("TERM");
     let status = wait_for_exit(&mut old.relay.child);
@@ -152,7 +157,7 @@
         "UP receipt"
     );
     wait_for_attempt(&at_first);
-    // A third process finds the bans as the second left them, although that was killed.
+    // A third process finds the bans that the second made before it was killed.
     drop(new);
     let third = host.start(new_program());
     assert_eq!(
@@ -164,12 +169,12 @@
 }
 
 #[test]
-fn standing_sessions_on_hot_restart_go_to_the_successor_unnoticed() {
+fn established_sessions_on_hot_restart_continue_at_the_successor() {
     let (address, received) = start_backend(BackendBehavior::Echo);
-    let host = new_host("handed", &[address]);
+    let host = new_host("handed-over", &[address]);
     let mut process = host.start(new_program());
     let mut clients = open_sessions(&process.relay, 40);
-    // Half a line waits on its way when the process changes.
+    // An incomplete line is buffered while the process is replaced.
     clients[0].send("begun ");
     for round in 0..3 {
         let next = host.start(new_program());
@@ -189,7 +194,7 @@
     }
     clients[0].send("and ended\r\n");
     assert_eq!(clients[0].next_line(), "begun and ended");
-    // One attempt each, and none was migrated.
+    // Each session had one attempt, so none was migrated.
     assert_eq!(count_attempts(&received), 40);
     clients[1].finish_sending();
     assert_eq!(
@@ -202,13 +207,13 @@
 }
 
 #[test]
-fn two_processes_share_one_limit_of_descriptors() {
-    let (address, _met) = start_backend(BackendBehavior::Echo);
+fn descriptor_limit_of_two_processes_is_shared() {
+    let (address, _received) = start_backend(BackendBehavior::Echo);
     let limit = 200;
     let mut host = new_host("limit", &[address]);
     host.socket_limit = limit;
     let old = host.start(new_program());
-    let _standing = open_sessions(&old.relay, 40);
+    let _established = open_sessions(&old.relay, 40);
     let new = host.start(new_program());
     let open_descriptors = || {
         let count = |process: &RelayProcess| {
@@ -217,14 +222,14 @@
         };
         (count(&old), count(&new))
     };
-    // Both take clients from the one socket; everybody is answered, and the limit holds for the two
-    // together.
-    let mut later = Vec::new();
+    // Both processes accept clients from the same socket. Every client is answered, and the limit
+    // holds for both processes together.
+    let mut clients = Vec::new();
     for _ in 0..60 {
         let mut client = new.relay.open_session("safe", 1_000);
         let line = client.next_line();
         assert!(line == "UP receipt" || line.starts_with("BUSY"), "{line}");
-        later.push(client);
+        clients.push(client);
         let (old_count, new_count) = open_descriptors();
         assert!(
             old_count + new_count <= limit,
@@ -233,25 +238,26 @@
     }
     let (old_count, new_count) = open_descriptors();
     assert!(old_count + new_count > limit / 2);
-    // The sessions of the old process go over, although the new one alone has no room for them.
+    // The sessions of the old process are handed over, although the shared limit leaves no room for
+    // as many new sessions.
     old.relay.signal("TERM");
     let stopped = old.relay.wait_for_log("stopped;");
     assert!(counter_value(&stopped, "handed") >= 40, "{stopped}");
 }
 
 #[test]
-fn clients_without_a_successor_that_takes_them_are_migrated() {
+fn clients_without_a_successor_that_accepts_them_are_migrated() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
-    for successor in ["none", "foreign", "mute", "killed"] {
-        let host = new_host(&format!("moved-{successor}"), &[address]);
+    for successor in ["none", "of-another-relay", "silent", "killed"] {
+        let host = new_host(&format!("migrated-{successor}"), &[address]);
         let process = host.start(new_program());
         let mut client = process.relay.open_session("safe", 1_000);
         assert_eq!(client.next_line(), "UP receipt");
-        // Each ends or keeps silent at another point of the handover.
+        // Each of these successors fails at another point of the handover.
         let mut channel = None;
         match successor {
-            "foreign" => drop(greet_as_successor(&host, "another")),
-            "mute" => channel = Some(greet_as_successor(&host, "r0")),
+            "of-another-relay" => drop(greet_as_successor(&host, "another")),
+            "silent" => channel = Some(greet_as_successor(&host, "r0")),
             "killed" => drop(host.start(new_program())),
             _ => {}
         }
@@ -265,7 +271,7 @@
     }
 }
 
-/// Connects to the process that serves, and sends the first message of a successor.
+/// Connects to the process that serves on this host, and sends the first message of a successor.
 fn greet_as_successor(host: &Host, relay: &str) -> Socket {
     let socket = Socket::new(Domain::UNIX, Type::SEQPACKET, None).unwrap();
     let path = host.folder().join("thistlecroft-next");
@@ -275,93 +281,94 @@
     socket
 }
 
-/// A listener's row of the settings, as text.
+/// The end of the settings' listener array, with one more listener.
 const PAY_LISTENER: &str = r#",{"name": "pay", "deadlineUs": 1500000, "handshakeTargetUs": 300000, "effect": "fragile", "utility": 1.0}]"#;
 
 #[test]
-fn changed_settings_are_taken_up_whole_or_not_at_all() {
+fn changed_settings_are_applied_completely_or_not_at_all() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[address]);
-    let response = |listener: &str| relay.open_session(listener, 1_000).next_line();
+    let first_line = |listener: &str| relay.open_session(listener, 1_000).next_line();
     let time_until = |listener: &str, expected: &str| {
         let start = Instant::now();
-        while response(listener) != expected {
+        while first_line(listener) != expected {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "{listener} is never answered {expected}"
+                "listener {listener}: never answered {expected}"
             );
             thread::sleep(CHECK_INTERVAL);
         }
         start.elapsed()
     };
-    let mut standing = relay.open_session("safe", 1_000);
-    assert_eq!(standing.next_line(), "UP receipt");
-    assert_eq!(response("pay"), "ERR");
-    // A listener is added: it is served at once, and the others still are.
-    let (last_listener, with_pay) = (
+    let mut established = relay.open_session("safe", 1_000);
+    assert_eq!(established.next_line(), "UP receipt");
+    assert_eq!(first_line("pay"), "ERR");
+    // An added listener is served at once, and the others still are.
+    let (end_of_listeners, end_with_pay) = (
         "}],\n \"invariants\"",
         format!("}}{PAY_LISTENER},\n \"invariants\""),
     );
-    relay.reload_with(last_listener, &with_pay);
+    relay.reload_with(end_of_listeners, &end_with_pay);
     time_until("pay", "UP receipt");
-    assert_eq!(response("safe"), "UP receipt");
-    // Files that are broken change nothing, of this or of what went before.
-    let with = relay.text.replace(last_listener, &with_pay);
-    let broken = [
+    assert_eq!(first_line("safe"), "UP receipt");
+    // Files with errors change nothing.
+    let with_pay = relay.text.replace(end_of_listeners, &end_with_pay);
+    let invalid = [
         String::new(),
-        with[..with.len() - 40].to_string(),
-        with.replace(
+        with_pay[..with_pay.len() - 40].to_string(),
+        with_pay.replace(
             "\"deadlineUs\": 1500000, \"handshakeTargetUs\": 300000, \"effect\": \"fragile\"",
             "\"effect\": \"fragile\"",
         ),
-        with.replace("1500000", "-5").replace("safe", "other"),
-        with.replace("1500000", "0").replace("safe", "other"),
-        with.replace("\"maxDials\": 1", "\"maxDials\": 0")
+        with_pay.replace("1500000", "-5").replace("safe", "other"),
+        with_pay.replace("1500000", "0").replace("safe", "other"),
+        with_pay
+            .replace("\"maxDials\": 1", "\"maxDials\": 0")
             .replace("safe", "other"),
-        with.replace("\"pay\"", "\"safe\""),
+        with_pay.replace("\"pay\"", "\"safe\""),
     ];
-    for text in &broken {
+    for text in &invalid {
         write_config(text);
         relay.signal("HUP");
         relay.wait_for_log("the previous configuration stays in force");
-        assert_eq!(response("pay"), "UP receipt", "{text}");
-        assert_eq!(response("other"), "ERR");
+        assert_eq!(first_line("pay"), "UP receipt", "{text}");
+        assert_eq!(first_line("other"), "ERR");
     }
-    // A listener is dropped, by the second of two files in a row: clients under way are served for
-    // a while, and then it is unknown.
-    write_config(&with);
+    // The second of two files in quick succession drops a listener. Its clients are served until
+    // the transition ends; then the listener is unknown.
+    write_config(&with_pay);
     relay.signal("HUP");
-    let without = with.replace("\"name\": \"once\"", "\"name\": \"twice\"");
-    write_config(&without);
+    let without_once = with_pay.replace("\"name\": \"once\"", "\"name\": \"twice\"");
+    write_config(&without_once);
     relay.signal("HUP");
     time_until("twice", "UP receipt");
-    assert_eq!(response("once"), "UP receipt", "clients under way");
-    let lateness = time_until("once", "ERR");
-    assert!(lateness < Duration::from_millis(1_300), "{lateness:?}");
-    assert_eq!(response("pay"), "UP receipt");
-    // What stood through all of it still does.
-    standing.send("still here\r\n");
-    assert_eq!(standing.next_line(), "still here");
+    assert_eq!(first_line("once"), "UP receipt", "during the transition");
+    let transition = time_until("once", "ERR");
+    assert!(transition < Duration::from_millis(1_300), "{transition:?}");
+    assert_eq!(first_line("pay"), "UP receipt");
+    // The session from the beginning is still established.
+    established.send("still here\r\n");
+    assert_eq!(established.next_line(), "still here");
 }
 
 #[test]
-fn unusable_socket_or_address_ends_with_one_line() {
+fn start_with_unusable_socket_or_address_fails_with_one_line() {
     let host = new_host("bad-socket", &[]);
     let client = TcpStream::connect(host.client_address()).unwrap();
     rustix::io::fcntl_setfd(&client, rustix::io::FdFlags::empty()).unwrap();
     let connected = client.as_raw_fd().to_string();
     let listening = host.listener_descriptor();
     let other_listener = TcpListener::bind(unused_address()).unwrap();
-    let good = host.configuration(unused_address());
-    let without_address = good
+    let valid = host.configuration(unused_address());
+    let without_address = valid
         .replace("\"admin_addr\":\"127", "\"admin_addr\":\"")
         .replace("\"admin_addr\":\"", "\"admin_addr\":\"x");
     let with_taken_address = host.configuration(other_listener.local_addr().unwrap());
     let cases = [
-        (&good, connected.as_str(), "does not listen"),
-        (&good, "900", "is no open socket"),
-        (&good, "seven", "is no descriptor"),
-        (&good, "1", "is no descriptor"),
+        (&valid, connected.as_str(), "does not listen"),
+        (&valid, "900", "is no open socket"),
+        (&valid, "seven", "is no descriptor"),
+        (&valid, "1", "is no descriptor"),
         (&without_address, &listening, "admin_addr"),
         (&with_taken_address, &listening, "in use"),
     ];
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -1,34 +1,38 @@
-//! The configuration file: at the start, and read again.
+//! Tests of the configuration file, at the start and when it is reloaded.
 use crate::helper::*;
 use std::io::Read;
 
 #[test]
 fn malformed_configuration_is_reported_on_one_line() {
-    let good = config(unused_address(), unused_address(), 1_000, "null", false);
+    let valid = config(unused_address(), unused_address(), 1_000, "null", false);
     let cases = [
         ("no JSON", "{".to_string(), "EOF"),
         (
             "no seed",
-            good.replace("\"seed\"", "\"seeds\""),
+            valid.replace("\"seed\"", "\"seeds\""),
             "missing field `seed`",
         ),
-        ("seed", good.replace("8c1f30d27a5be964", "xyz"), "seed"),
+        ("seed", valid.replace("8c1f30d27a5be964", "xyz"), "seed"),
         (
             "sockets",
-            good.replace("\"sockets\":1000", "\"sockets\":10"),
+            valid.replace("\"sockets\":1000", "\"sockets\":10"),
             "sockets",
         ),
         (
             "memory",
-            good.replace("\"memory_mb\":64", "\"memory_mb\":1"),
+            valid.replace("\"memory_mb\":64", "\"memory_mb\":1"),
             "memory",
         ),
         (
             "listen",
-            good.replace("\"listen\":\"127.", "\"listen\":\"here."),
+            valid.replace("\"listen\":\"127.", "\"listen\":\"here."),
             "listen",
         ),
-        ("settings", good.replace("\"maxDials\": 1,", ""), "maxDials"),
+        (
+            "settings",
+            valid.replace("\"maxDials\": 1,", ""),
+            "maxDials",
+        ),
     ];
     for (name, text, expected) in cases {
         let mut child = spawn_relay(&text, 256);
@@ -47,7 +51,7 @@
 }
 
 #[test]
-fn reloaded_file_changes_only_what_it_can() {
+fn reloaded_file_with_errors_or_fixed_keys_changes_nothing() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
     let relay = start(
         unused_address(),
@@ -91,11 +95,11 @@
         &endpoint_list(1, true, &[("mute", mute, "Ready")]),
         &[],
     );
-    let mut waits = relay.open_session("once", 1_500);
+    let mut waiting = relay.open_session("once", 1_500);
     while !next_received(&received).starts_with("OPEN") {}
-    // Listeners are reordered, each has another effect and deadline, and one is new.
-    let mut later = relay.text.clone();
-    let swaps = [
+    // Renames the listeners, which changes the effect and deadline under each name, and adds one.
+    let mut reloaded = relay.text.clone();
+    let replacements = [
         (
             "\"name\": \"safe\", \"deadlineUs\": 1500000",
             "\"name\": \"new\", \"deadlineUs\": 700000",
@@ -106,15 +110,15 @@
             "\"effect\": \"fragile\", \"utility\": 1.0}, {\"name\": \"once\", \"deadlineUs\": 400000, \"handshakeTargetUs\": 300000, \"effect\": \"retryable\", \"utility\": 1.0}",
         ),
     ];
-    for (from, to) in swaps {
-        assert!(later.contains(from), "{from}");
-        later = later.replace(from, to);
+    for (from, to) in replacements {
+        assert!(reloaded.contains(from), "{from}");
+        reloaded = reloaded.replace(from, to);
     }
-    write_config(&later);
+    write_config(&reloaded);
     relay.signal("HUP");
     relay.wait_for_log("configuration in force: generation=2;");
-    // While both configurations may apply the stricter holds, so each session fails: the waiting
-    // one under its own settings, the others under the new ones.
+    // During the transition the stricter limits of both settings hold, so each session fails: the
+    // waiting one under its own settings, the others under the new ones.
     let mut others = [
         relay.open_session("once", 400),
         relay.open_session("safe", 400),
@@ -127,9 +131,9 @@
             .open_session("new", 300)
             .next_line()
             .starts_with("BUSY"),
-        "repeatable in the settings that know it"
+        "a listener of the new settings alone, whose sessions are retryable"
     );
-    assert_eq!([waits.next_line(), waits.next_line()], ["ERR", "end"]);
+    assert_eq!([waiting.next_line(), waiting.next_line()], ["ERR", "end"]);
     relay.signal("TERM");
     assert!(wait_for_exit(&mut relay.child).success());
 }
--- a/relay/tests/service/main.rs
+++ b/relay/tests/service/main.rs
@@ -1,4 +1,4 @@
-//! The relay's process: configuration, start and health checks.
+//! Tests of the relay process: its configuration, start and health checks.
 #[path = "../helper/mod.rs"]
 mod helper;
 
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -1,11 +1,11 @@
-//! The start of a relay.
+//! Tests of the start of a relay.
 use crate::helper::*;
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// Of twenty relays started at once with a list of 1,024 backends, nine in ten answer `PING` within
-/// ten seconds, whatever discovery does.
+/// Twenty relays with a cached list of 1,024 backends start at once. At least nine in ten of them
+/// must answer `PING` within ten seconds, whatever discovery does.
 #[test]
 fn nine_in_ten_of_twenty_simultaneous_starts_are_ready_in_time() {
     let rows: Vec<(String, SocketAddr)> = (0..1_024)
@@ -15,35 +15,36 @@
         .iter()
         .map(|(name, at)| (name.as_str(), *at, "Ready"))
         .collect();
-    let known = endpoint_list(1, true, &rows);
-    // Discovery that answers, that accepts and stays silent, and that does not listen.
-    let up = TcpListener::bind("127.0.0.1:0").unwrap();
+    let cached_list = endpoint_list(1, true, &rows);
+    // One discovery agent answers, one accepts connections but sends nothing, and one does not
+    // listen.
+    let answering = TcpListener::bind("127.0.0.1:0").unwrap();
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let all = [
-        up.local_addr().unwrap(),
+    let addresses = [
+        answering.local_addr().unwrap(),
         silent.local_addr().unwrap(),
         unused_address(),
     ];
-    let answer = format!("{HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
-    answer_each_call(up, answer);
-    for discovery in all {
-        let one = |known: String| {
+    let response = format!("{HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
+    answer_each_request(answering, response);
+    for discovery in addresses {
+        let start_time = |cached_list: String| {
             std::thread::spawn(move || {
-                let began = Instant::now();
-                let relay = start(discovery, 1_000, &known, false);
+                let started = Instant::now();
+                let relay = start(discovery, 1_000, &cached_list, false);
                 let mut client = relay.connect();
                 client.send("PING\r\n");
-                (client.next_line() == "PONG").then(|| began.elapsed())
+                (client.next_line() == "PONG").then(|| started.elapsed())
             })
         };
-        let relays: Vec<_> = (0..20).map(|_| one(known.clone())).collect();
-        let ended: Vec<_> = relays
+        let threads: Vec<_> = (0..20).map(|_| start_time(cached_list.clone())).collect();
+        let results: Vec<_> = threads
             .into_iter()
             .map(std::thread::JoinHandle::join)
             .collect();
-        let mut times: Vec<Duration> = ended
+        let mut times: Vec<Duration> = results
             .into_iter()
-            .filter_map(|one| one.ok().flatten())
+            .filter_map(|result| result.ok().flatten())
             .collect();
         times.sort();
         println!(
@@ -59,11 +60,11 @@
     }
 }
 
-/// Answers each request with this text, and then keeps the connection open.
-fn answer_each_call(listener: TcpListener, answer: String) {
+/// Answers each request with this response and keeps the connection open.
+fn answer_each_request(listener: TcpListener, response: String) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
-            let answer = answer.clone();
+            let response = response.clone();
             std::thread::spawn(move || {
                 let stream = stream.unwrap();
                 let mut lines = BufReader::new(&stream);
@@ -72,7 +73,7 @@
                     line.clear();
                     lines.read_line(&mut line).unwrap();
                 }
-                send(&stream, &answer);
+                send(&stream, &response);
                 lines.read_line(&mut line)
             });
         }
@@ -81,26 +82,27 @@
 
 #[test]
 fn sigterm_while_configuration_is_read_exits_cleanly() {
-    // The file is a pipe: opening it for writing succeeds once the program reads it.
+    // The file is a named pipe. Opening it for writing blocks until the program opens it for
+    // reading, so that the signal is sent while the program reads its configuration.
     let path = std::env::temp_dir().join(format!("thistlecroft-{}-pipe.json", std::process::id()));
-    let made = std::process::Command::new("mkfifo")
+    let mkfifo = std::process::Command::new("mkfifo")
         .arg(&path)
         .status()
         .unwrap();
-    assert!(made.success());
+    assert!(mkfifo.success());
     let mut child = std::process::Command::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
         .env("ROUTER_CONFIG", &path)
         .spawn()
         .unwrap();
-    let mut file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
+    let mut pipe = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
     let kill = std::process::Command::new("kill")
         .args(["-TERM", &child.id().to_string()])
         .status();
     assert!(kill.unwrap().success());
     let _ =
-        file.write_all(config(unused_address(), unused_address(), 1_000, "null", false).as_bytes());
-    drop(file);
-    let end = wait_for_exit(&mut child);
+        pipe.write_all(config(unused_address(), unused_address(), 1_000, "null", false).as_bytes());
+    drop(pipe);
+    let status = wait_for_exit(&mut child);
     std::fs::remove_file(path).unwrap();
-    assert!(end.success(), "{end}");
+    assert!(status.success(), "{status}");
 }
