--- a/relay/src/admin/commands.rs
+++ b/relay/src/admin/commands.rs
@@ -147,8 +147,8 @@
             self.banned.remove(name)
         };
         if has_changed {
-            let state = if is_banned { "out" } else { "back" };
-            log::info!("backend {name} is {state} by an operator's command");
+            let state = if is_banned { "banned" } else { "unbanned" };
+            log::info!("backend={name} is {state} by an operator's command");
             registry.set_banned(backend, is_banned);
             io.events.push_back(Event::BanChanged(backend, is_banned));
         }
--- a/relay/src/admin/connections.rs
+++ b/relay/src/admin/connections.rs
@@ -56,9 +56,9 @@
 }
 
 impl Stage {
-    /// Returns the priority of a connection at this stage when one has to be closed for a new one:
-    /// the one with the lowest priority is closed, first those that have their response, then those
-    /// without a complete command.
+    /// Returns the priority for keeping a connection at this stage open. When a new connection needs
+    /// a place, one with the lowest priority is closed: first those that have their response, then
+    /// those without a complete command.
     fn priority(self) -> u8 {
         match self {
             Stage::Closing => 0,
--- a/relay/src/service/signals.rs
+++ b/relay/src/service/signals.rs
@@ -78,7 +78,7 @@
         let banned = self.admin.banned_count();
         log::info!(
             target: LOG_TARGET,
-            "{sessions} open sessions ({generations}), {banned} banned backends; {}",
+            "statistics: open_sessions={sessions} ({generations}), banned_backends={banned}; {}",
             self.io.counters
         );
         self.peers.iter().for_each(Peers::log);
