--- a/relay/src/discovery/watch.rs
+++ b/relay/src/discovery/watch.rs
@@ -32,8 +32,8 @@
 
 /// What is known of the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Knowledge {
-    Nothing,
+pub(crate) enum KnownList {
+    None,
     /// A list from before the start.
     Cached,
     /// A list that discovery has sent.
@@ -96,13 +96,13 @@
         (self.drain_grace * RESPONSE_SHARE_OF_GRACE).max(MIN_RESPONSE_TIMEOUT)
     }
 
-    pub(crate) fn knowledge(&self) -> Knowledge {
+    pub(crate) fn known_list(&self) -> KnownList {
         if self.generation.is_some() {
-            Knowledge::Received
+            KnownList::Received
         } else if self.registry.is_empty() {
-            Knowledge::Nothing
+            KnownList::None
         } else {
-            Knowledge::Cached
+            KnownList::Cached
         }
     }
 
--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -1,7 +1,7 @@
 //! The end of a turn: the events gathered go to the balancer, and its actions are carried out.
 use super::Service;
 use crate::admin::protocol::Readiness;
-use crate::discovery::watch::Knowledge;
+use crate::discovery::watch::KnownList;
 use crate::driver::{Action, ActionRecorder, Event, deliver};
 use crate::trace;
 use thistlecroft::ids::SessionId;
@@ -44,7 +44,7 @@
     fn readiness(&self) -> Readiness {
         Readiness {
             is_stopping: self.shutdown_started.is_some(),
-            has_endpoints: self.discovery.knowledge() != Knowledge::Nothing,
+            has_endpoints: self.discovery.known_list() != KnownList::None,
             accepts_clients: self.sessions.is_accepting(),
         }
     }
--- a/relay/src/service/mod.rs
+++ b/relay/src/service/mod.rs
@@ -9,7 +9,7 @@
 mod startup;
 
 use crate::admin::commands::AdminCommands;
-use crate::discovery::watch::{Knowledge, Watch};
+use crate::discovery::watch::{KnownList, Watch};
 use crate::driver::Action;
 use crate::health_check::HealthChecks;
 use crate::hot_restart::state::HotRestart;
@@ -84,10 +84,10 @@
 
     fn can_serve_clients(&self) -> bool {
         let elapsed = self.io.now.duration_since(self.started);
-        let knows_enough = match self.discovery.knowledge() {
-            Knowledge::Received => true,
-            Knowledge::Cached => elapsed >= CACHED_LIST_TIMEOUT,
-            Knowledge::Nothing => elapsed >= NO_LIST_TIMEOUT,
+        let knows_enough = match self.discovery.known_list() {
+            KnownList::Received => true,
+            KnownList::Cached => elapsed >= CACHED_LIST_TIMEOUT,
+            KnownList::None => elapsed >= NO_LIST_TIMEOUT,
         };
         // Without a process beside this one nobody else serves the clients. What discovery has
         // counts as known from the first moment, so its answer is awaited, if it has one.
