--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -267,7 +267,7 @@
     }
 
     /// Logs how many of the others are in which state.
-    pub(crate) fn log(&self) {
+    pub(crate) fn log_member_counts(&self) {
         let count = |state| {
             let members = self.node.members();
             members.filter(|member| member.state == state).count()
--- a/relay/src/service/signals.rs
+++ b/relay/src/service/signals.rs
@@ -80,6 +80,6 @@
             "{sessions} sessions ({generations}), {banned} backends out by hand; {}",
             self.io.counters
         );
-        self.peers.iter().for_each(Peers::log);
+        self.peers.iter().for_each(Peers::log_member_counts);
     }
 }
