--- a/relay/tests/golden/wire.rs
+++ b/relay/tests/golden/wire.rs
@@ -212,7 +212,7 @@
     let mut transcript = Transcript::default();
     for word in words {
         for listener in ["safe", "once"] {
-            let (address, _met) = start_backend(BackendBehavior::Say(word));
+            let (address, _met) = start_backend(BackendBehavior::RespondAndClose(word));
             let relay = relay_told_by_dials(address);
             let mut client = relay.open_session(listener, 400);
             transcript.title(&format!("listener {listener}"));
@@ -239,7 +239,7 @@
     ];
     let mut transcript = Transcript::default();
     for word in words {
-        let (address, _met) = start_backend(BackendBehavior::UpThen(word));
+        let (address, _met) = start_backend(BackendBehavior::AcceptSendAndClose(word));
         let relay = relay_told_by_dials(address);
         let mut client = relay.open_session("safe", 1_000);
         transcript.line("backend says", format!("UP receipt\r\n{word}").as_bytes());
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -13,20 +13,20 @@
     /// Accepts, then sends each line back and answers the client's end with `BYE`.
     Echo,
     /// Accepts with an answer in pieces.
-    Split,
-    Say(&'static str),
+    AcceptInPieces,
+    RespondAndClose(&'static str),
     /// Accepts, sends this and ends the connection.
-    UpThen(&'static str),
-    UpThenReset,
+    AcceptSendAndClose(&'static str),
+    AcceptThenReset,
     /// Accepts, then reports a high latency every 100 ms; answers health checks with a load of 0.7.
     ReportsHighLatency,
     /// Accepts, then sends nothing.
-    UpMute,
-    Mute,
-    End,
-    TooLong,
+    AcceptThenSilent,
+    NeverRespond,
+    CloseImmediately,
+    OverlongResponse,
     /// Accepts, then sends so many lines without waiting for any.
-    Flood(usize),
+    AcceptThenFlood(usize),
 }
 
 /// What a backend received, in order: first lines, later lines, and `end` or `reset`.
@@ -67,11 +67,11 @@
     }
     let _ = tell.send(line.clone());
     match behavior {
-        BackendBehavior::Say(word) => return out.write_all(word.as_bytes()),
-        BackendBehavior::Mute => return lines.read_to_string(&mut line).map(drop),
-        BackendBehavior::End => return Ok(()),
-        BackendBehavior::TooLong => return out.write_all(&[b'x'; 9_000]),
-        BackendBehavior::Split => {
+        BackendBehavior::RespondAndClose(word) => return out.write_all(word.as_bytes()),
+        BackendBehavior::NeverRespond => return lines.read_to_string(&mut line).map(drop),
+        BackendBehavior::CloseImmediately => return Ok(()),
+        BackendBehavior::OverlongResponse => return out.write_all(&[b'x'; 9_000]),
+        BackendBehavior::AcceptInPieces => {
             for piece in ["U", "P re", "ceipt\r", "\n"] {
                 out.write_all(piece.as_bytes())?;
                 thread::sleep(Duration::from_millis(5));
@@ -80,8 +80,8 @@
         _ => out.write_all(b"UP receipt\r\n")?,
     }
     match behavior {
-        BackendBehavior::UpThen(words) => return out.write_all(words.as_bytes()),
-        BackendBehavior::UpThenReset => {
+        BackendBehavior::AcceptSendAndClose(words) => return out.write_all(words.as_bytes()),
+        BackendBehavior::AcceptThenReset => {
             out.write_all(b"last\r\n")?;
             // Closing with the client's line unread makes the system send a reset.
             while stream.peek(&mut [0; 1])? == 0 {}
@@ -91,8 +91,8 @@
             out.write_all(b"LOAD 1242.441\r\n")?;
             thread::sleep(Duration::from_millis(100));
         },
-        BackendBehavior::UpMute => return lines.read_to_string(&mut line).map(drop),
-        BackendBehavior::Flood(count) => {
+        BackendBehavior::AcceptThenSilent => return lines.read_to_string(&mut line).map(drop),
+        BackendBehavior::AcceptThenFlood(count) => {
             for number in 0..count {
                 out.write_all(format!("line {number}\r\n").as_bytes())?;
             }
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -81,7 +81,7 @@
 
 #[test]
 fn reloaded_settings_leave_waiting_session_unchanged() {
-    let (mute, received) = start_backend(BackendBehavior::Mute);
+    let (mute, received) = start_backend(BackendBehavior::NeverRespond);
     let mut relay = start_with_settings(
         unused_address(),
         &endpoint_list(1, true, &[("mute", mute, "Ready")]),
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -47,15 +47,15 @@
 fn backend_end_is_relayed_behind_its_last_lines() {
     let cases = [
         (
-            BackendBehavior::UpThen("a\r\nBYE\r\n"),
+            BackendBehavior::AcceptSendAndClose("a\r\nBYE\r\n"),
             &["UP receipt", "a", "BYE", "end"][..],
         ),
         (
-            BackendBehavior::UpThen("MOVE\r\n"),
+            BackendBehavior::AcceptSendAndClose("MOVE\r\n"),
             &["UP receipt", "MOVE", "end"],
         ),
         (
-            BackendBehavior::UpThen("half"),
+            BackendBehavior::AcceptSendAndClose("half"),
             &["UP receipt", "half", "end"],
         ),
     ];
@@ -67,7 +67,7 @@
             assert_eq!(client.next_line(), *word, "{behavior:?}");
         }
     }
-    let (address, _received) = start_backend(BackendBehavior::UpThenReset);
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenReset);
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(
@@ -81,7 +81,7 @@
 #[test]
 fn client_not_reading_holds_its_backend_back_and_loses_nothing() {
     const COUNT: usize = 1_000_000;
-    let (address, _received) = start_backend(BackendBehavior::Flood(COUNT));
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenFlood(COUNT));
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
@@ -94,7 +94,7 @@
 
 #[test]
 fn session_with_silent_backend_is_migrated_in_time() {
-    let (address, _received) = start_backend(BackendBehavior::UpMute);
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenSilent);
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
--- a/relay/tests/session/handshake.rs
+++ b/relay/tests/session/handshake.rs
@@ -102,7 +102,7 @@
 
 #[test]
 fn client_sending_before_its_answer_fails_without_harm_to_the_backend() {
-    let (address, received) = start_backend(BackendBehavior::Mute);
+    let (address, received) = start_backend(BackendBehavior::NeverRespond);
     let relay = start_relay_with_backends(&[address]);
     for more in [
         open_line("c=safe,d=1000"),
--- a/relay/tests/session/inherited.rs
+++ b/relay/tests/session/inherited.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn inherited_session_returns_to_its_backend() {
-    let (first, _) = start_backend(BackendBehavior::Mute);
+    let (first, _) = start_backend(BackendBehavior::NeverRespond);
     let (second, received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_backends(&[first, second]);
     let mut client = relay.connect();
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -26,15 +26,19 @@
     // may not.
     let cases = [
         (BackendBehavior::Echo, "UP receipt", "UP receipt"),
-        (BackendBehavior::Split, "UP receipt", "UP receipt"),
-        (BackendBehavior::Say("BUSY\r\n"), "BUSY", "BUSY"),
-        (BackendBehavior::Say("ERR inflight=7\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::Say("MOVE\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::Say("BYE\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::Say("what\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::TooLong, "BUSY", "ERR"),
-        (BackendBehavior::End, "BUSY", "ERR"),
-        (BackendBehavior::Mute, "BUSY", "ERR"),
+        (BackendBehavior::AcceptInPieces, "UP receipt", "UP receipt"),
+        (BackendBehavior::RespondAndClose("BUSY\r\n"), "BUSY", "BUSY"),
+        (
+            BackendBehavior::RespondAndClose("ERR inflight=7\r\n"),
+            "BUSY",
+            "ERR",
+        ),
+        (BackendBehavior::RespondAndClose("MOVE\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::RespondAndClose("BYE\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::RespondAndClose("what\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::OverlongResponse, "BUSY", "ERR"),
+        (BackendBehavior::CloseImmediately, "BUSY", "ERR"),
+        (BackendBehavior::NeverRespond, "BUSY", "ERR"),
     ];
     for (behavior, again, once) in cases {
         let (address, received) = start_backend(behavior);
@@ -87,15 +91,18 @@
 fn keyed_session_after_backend_failure_is_answered_by_scope_of_its_key() {
     // What the backend does, and whether it may have acted on the request.
     let behaviors = [
-        (BackendBehavior::Say("BUSY\r\n"), false),
-        (BackendBehavior::Say("BUSY\r\nUP receipt\r\n"), false),
-        (BackendBehavior::Say("ERR inflight=7\r\n"), true),
-        (BackendBehavior::Say("MOVE\r\n"), true),
-        (BackendBehavior::Say("BYE\r\n"), true),
-        (BackendBehavior::Say("what\r\n"), true),
-        (BackendBehavior::TooLong, true),
-        (BackendBehavior::End, true),
-        (BackendBehavior::Mute, true),
+        (BackendBehavior::RespondAndClose("BUSY\r\n"), false),
+        (
+            BackendBehavior::RespondAndClose("BUSY\r\nUP receipt\r\n"),
+            false,
+        ),
+        (BackendBehavior::RespondAndClose("ERR inflight=7\r\n"), true),
+        (BackendBehavior::RespondAndClose("MOVE\r\n"), true),
+        (BackendBehavior::RespondAndClose("BYE\r\n"), true),
+        (BackendBehavior::RespondAndClose("what\r\n"), true),
+        (BackendBehavior::OverlongResponse, true),
+        (BackendBehavior::CloseImmediately, true),
+        (BackendBehavior::NeverRespond, true),
     ];
     for (scope, anywhere) in [("all", true), ("zone", false), ("cell", false)] {
         let effect = format!(
@@ -168,7 +175,7 @@
     let agent = DiscoveryAgent::new();
     let ((echo, _echo_received), (mute, mute_received)) = (
         start_backend(BackendBehavior::Echo),
-        start_backend(BackendBehavior::Mute),
+        start_backend(BackendBehavior::NeverRespond),
     );
     let relay = start_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
     let (watch, _) = agent.call();
@@ -226,7 +233,7 @@
             std::thread::spawn(move || {
                 drop(serve(
                     stream.unwrap(),
-                    BackendBehavior::Say("BUSY\r\n"),
+                    BackendBehavior::RespondAndClose("BUSY\r\n"),
                     tell,
                 ))
             });
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -5,7 +5,7 @@
 #[test]
 fn sigterm_migrates_established_answers_waiting_and_exits_cleanly() {
     let (echo, _) = start_backend(BackendBehavior::Echo);
-    let (mute, mute_received) = start_backend(BackendBehavior::Mute);
+    let (mute, mute_received) = start_backend(BackendBehavior::NeverRespond);
     let mut relay = start_relay_with_backends(&[echo]);
     let mut established: Vec<Client> = (0..7).map(|_| relay.open_session("safe", 1_000)).collect();
     for client in &mut established {
@@ -75,7 +75,7 @@
 fn assert_all_answered_in_time(moment: StopMoment) {
     let agent = DiscoveryAgent::new();
     let (echo, _received) = start_backend(BackendBehavior::Echo);
-    let (mute, mute_received) = start_backend(BackendBehavior::Mute);
+    let (mute, mute_received) = start_backend(BackendBehavior::NeverRespond);
     let lists = moment != StopMoment::BeforeAnyList;
     let known = if lists {
         endpoint_list(1, true, &[("mute", mute, "Ready")])
@@ -138,7 +138,7 @@
 
 #[test]
 fn sigterm_while_a_client_does_not_read_delivers_its_lines_before_its_migration() {
-    let (address, _received) = start_backend(BackendBehavior::Flood(400_000));
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenFlood(400_000));
     let mut relay = start_with_settings(
         unused_address(),
         &endpoint_list(1, true, &[("b", address, "Ready")]),
