--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -113,7 +113,7 @@
             pieces,
             ends: false,
         }]);
-        let relay = start(at, 1_000, &self.known, false);
+        let relay = start_relay(at, 1_000, &self.known, false);
         let until = Instant::now() + TEST_TIMEOUT;
         loop {
             relay.signal("USR1");
@@ -167,7 +167,7 @@
     ];
     for (name, (text, is_accepted)) in cases {
         let agent = DiscoveryAgent::new();
-        let relay = start_with_settings(agent.at, "null", &[]);
+        let relay = start_relay_with_settings(agent.at, "null", &[]);
         let (watch, _) = agent.call();
         // Sent in pieces, so that every part of a list is also parsed across reads.
         for piece in text.as_bytes().chunks(97) {
--- a/relay/tests/discovery/polling.rs
+++ b/relay/tests/discovery/polling.rs
@@ -11,7 +11,7 @@
         })
         .collect();
     let (at, requests) = start_discovery(scripts);
-    let relay = start(at, 1_000, "null", false);
+    let relay = start_relay(at, 1_000, "null", false);
     let until = Instant::now() + Duration::from_secs(7);
     let left = || until.saturating_duration_since(Instant::now());
     let count = std::iter::repeat_with(|| requests.recv_timeout(left()))
@@ -34,7 +34,7 @@
             })
             .collect();
         let (at, requests) = start_discovery(busy);
-        let relay = start(
+        let relay = start_relay(
             if answers { at } else { unused_address() },
             1_000,
             "null",
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -8,7 +8,7 @@
 /// A relay that follows its agent's watch at version 7, with one backend that gets no sessions.
 fn follow_watch() -> (DiscoveryAgent, Relay, TcpStream) {
     let agent = DiscoveryAgent::new();
-    let relay = start_with_settings(agent.at, "null", &[]);
+    let relay = start_relay_with_settings(agent.at, "null", &[]);
     let (watch, _) = agent.call();
     send(
         &watch,
@@ -54,7 +54,7 @@
         },
     ];
     let (at, requests) = start_discovery(scripts);
-    let relay = start(
+    let relay = start_relay(
         at,
         1_000,
         &endpoint_list(3, true, &[("one", one, "Ready")]),
@@ -114,7 +114,7 @@
     // Its versions are lower, and it does not list the second backend.
     let (last, last_requests) =
         start_discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
-    let relay = start(first, 1_000, "null", false);
+    let relay = start_relay(first, 1_000, "null", false);
     assert!(next_received(&first_requests).contains("follow=1 "));
     let mut established = Vec::new();
     let mut goes_to = |received: &Received| {
@@ -166,7 +166,7 @@
         "\"askWithinUs\": 1",
         "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
     );
-    let relay = start_with_settings(agent.at, &known, &[grace]);
+    let relay = start_relay_with_settings(agent.at, &known, &[grace]);
     let (watch, _) = agent.call();
     let mut client = relay.open_session("safe", 9_000);
     // The loop has completed turns since the line arrived.
@@ -189,7 +189,7 @@
     let agent = DiscoveryAgent::new();
     let (one, _received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
-    let relay = start_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
+    let relay = start_relay_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.call();
     send(
         &watch,
@@ -309,7 +309,7 @@
     let mut agent = DiscoveryAgent::new();
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
-    let relay = start_with_settings(agent.at, "null", &[]);
+    let relay = start_relay_with_settings(agent.at, "null", &[]);
     let (watch, _) = agent.call();
     let rows = [("one", one, "Ready"), ("two", two, "Ready")];
     send_list(&watch, &endpoint_list(7, true, &rows));
--- a/relay/tests/golden/config.rs
+++ b/relay/tests/golden/config.rs
@@ -132,7 +132,7 @@
 fn config_with_every_key_gives_a_relay_that_serves() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let config = Config::new(address);
-    let relay = start_relay_from(config.listen, config.value.to_string());
+    let relay = start_relay_with_config(config.listen, config.value.to_string());
     wait_for("200 ready", || is_ready(config.admin).then_some(()));
     assert_eq!(relay.open_session("safe", 1_000).next_line(), "UP receipt");
     assert_eq!(relay.open_session("other", 1_000).next_line(), "ERR");
--- a/relay/tests/golden/discovery.rs
+++ b/relay/tests/golden/discovery.rs
@@ -27,7 +27,7 @@
 fn discovery_requests_before_and_after_a_list_are_as_recorded() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let own = listener.local_addr().unwrap();
-    let _relay = start(own, 1_000, "null", false);
+    let _relay = start_relay(own, 1_000, "null", false);
     let mut transcript = Transcript::default();
     let mut first = accepted(&listener);
     transcript.line("first request", request(&first, own).as_bytes());
--- a/relay/tests/golden/wire.rs
+++ b/relay/tests/golden/wire.rs
@@ -192,7 +192,7 @@
     let at = unused_address();
     let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
     let text = config(at, unused_address(), 1_000, &known, false);
-    start_relay_from(at, text.replace("\"pull\"", "\"piggyback\""))
+    start_relay_with_config(at, text.replace("\"pull\"", "\"piggyback\""))
 }
 
 #[test]
@@ -266,7 +266,7 @@
 fn health_probe_bytes_are_as_recorded() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
-    let _relay = start(unused_address(), 1_000, &known, true);
+    let _relay = start_relay(unused_address(), 1_000, &known, true);
     let mut transcript = Transcript::default();
     // The second goes over the connection of the first.
     transcript.line("backend hears", next_received(&received).as_bytes());
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -41,7 +41,12 @@
 }
 
 /// Starts a relay that accepts clients; see [`config`].
-pub(crate) fn start(discovery: SocketAddr, sockets: usize, known: &str, probes: bool) -> Relay {
+pub(crate) fn start_relay(
+    discovery: SocketAddr,
+    sockets: usize,
+    known: &str,
+    probes: bool,
+) -> Relay {
     start_relay_with_descriptors(1_000, discovery, sockets, known, probes)
 }
 
@@ -54,7 +59,7 @@
     probes: bool,
 ) -> Relay {
     let at = unused_address();
-    start_relay_from_with_descriptors(
+    start_relay_with_config_and_descriptors(
         descriptors,
         at,
         config(at, discovery, sockets, known, probes),
@@ -62,12 +67,12 @@
 }
 
 /// Starts a relay with this configuration, which makes it listen at `at`.
-pub(crate) fn start_relay_from(at: SocketAddr, text: String) -> Relay {
-    start_relay_from_with_descriptors(1_000, at, text)
+pub(crate) fn start_relay_with_config(at: SocketAddr, text: String) -> Relay {
+    start_relay_with_config_and_descriptors(1_000, at, text)
 }
 
 /// Starts a relay with this configuration and limit on descriptors.
-pub(crate) fn start_relay_from_with_descriptors(
+pub(crate) fn start_relay_with_config_and_descriptors(
     descriptors: usize,
     at: SocketAddr,
     text: String,
@@ -92,11 +97,11 @@
 
 /// Starts a relay that knows these backends, without discovery.
 pub(crate) fn start_relay_with_backends(backends: &[SocketAddr]) -> Relay {
-    start(unused_address(), 1_000, &ready_backends(backends), false)
+    start_relay(unused_address(), 1_000, &ready_backends(backends), false)
 }
 
 /// Starts a relay with changed settings: each pair is a part of their text, and its replacement.
-pub(crate) fn start_with_settings(
+pub(crate) fn start_relay_with_settings(
     discovery: SocketAddr,
     known: &str,
     changes: &[(&str, &str)],
@@ -107,7 +112,7 @@
         assert!(text.contains(from), "{from}");
         text = text.replace(from, to);
     }
-    start_relay_from(at, text)
+    start_relay_with_config(at, text)
 }
 
 impl Relay {
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -49,7 +49,7 @@
 #[test]
 fn reloaded_file_changes_only_what_it_can() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         1_000,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -82,7 +82,7 @@
 #[test]
 fn reloaded_settings_leave_waiting_session_unchanged() {
     let (mute, received) = start_backend(BackendBehavior::NeverRespond);
-    let mut relay = start_with_settings(
+    let mut relay = start_relay_with_settings(
         unused_address(),
         &endpoint_list(1, true, &[("mute", mute, "Ready")]),
         &[],
--- a/relay/tests/service/health_check.rs
+++ b/relay/tests/service/health_check.rs
@@ -6,7 +6,7 @@
 #[test]
 fn health_checks_reuse_one_connection() {
     let (address, received) = start_backend(BackendBehavior::Echo);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         1_000,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -26,7 +26,7 @@
 fn health_check_on_connection_closed_meanwhile_is_repeated_on_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let known = endpoint_list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
-    let relay = start_with_settings(
+    let relay = start_relay_with_settings(
         unused_address(),
         &known,
         &[("\"probes\": false", "\"probes\": true")],
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -30,7 +30,7 @@
         let one = |known: String| {
             std::thread::spawn(move || {
                 let began = Instant::now();
-                let relay = start(discovery, 1_000, &known, false);
+                let relay = start_relay(discovery, 1_000, &known, false);
                 let mut client = relay.connect();
                 client.send("PING\r\n");
                 (client.next_line() == "PONG").then(|| began.elapsed())
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -8,7 +8,7 @@
     let (address, _received) = start_backend(BackendBehavior::Echo);
     // Sessions may take 24 descriptors. Silent clients come by hundreds, and more while others are
     // shed.
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         64,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -43,7 +43,7 @@
 #[test]
 fn clients_without_descriptor_are_rejected_and_served_again_later() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         64,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -121,7 +121,7 @@
     let (known, known_received) = start_backend(BackendBehavior::Echo);
     let (listed, listed_received) = start_backend(BackendBehavior::Echo);
     let (at, gone) = (unused_address(), DiscoveryAgent::new().at);
-    let relay = start_relay_from(
+    let relay = start_relay_with_config(
         at,
         config(
             at,
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -113,7 +113,7 @@
     // The load alone would not cause a migration; only the reported latency does. Taken for a
     // connection's load, it would not either.
     let (address, _received) = start_backend(BackendBehavior::ReportsHighLatency);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         1_000,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -52,7 +52,7 @@
             &endpoint_list(1, true, &[("b0", address, "Ready")]),
             false,
         );
-        let relay = start_relay_from(at, text.replace("\"pull\"", "\"piggyback\""));
+        let relay = start_relay_with_config(at, text.replace("\"pull\"", "\"piggyback\""));
         for (listener, expected) in [("safe", again), ("once", once)] {
             let (sent_at, mut client) = (Instant::now(), relay.open_session(listener, 400));
             let answer = client.next_line();
@@ -111,7 +111,7 @@
         for (behavior, may_have_run) in behaviors {
             let (address, _received) = start_backend(behavior);
             let known = endpoint_list(1, true, &[("b", address, "Ready")]);
-            let relay = start_with_settings(
+            let relay = start_relay_with_settings(
                 unused_address(),
                 &known,
                 &[("\"effect\": \"fragile\"", &effect)],
@@ -144,7 +144,7 @@
     for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
         let mut slow = SlowBackend::new();
         let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
-        let relay = start_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
+        let relay = start_relay_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
         let client = relay.open_session("once", 7_000);
         relay.wait_for_counter("dials", 1);
         relay.suspend();
@@ -177,7 +177,8 @@
         start_backend(BackendBehavior::Echo),
         start_backend(BackendBehavior::NeverRespond),
     );
-    let relay = start_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
+    let relay =
+        start_relay_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
     let (watch, _) = agent.call();
     send(
         &watch,
@@ -250,7 +251,7 @@
     let text = text
         .replace("\"maxDials\": 1", "\"maxDials\": 9")
         .replace("\"pull\"", "\"piggyback\"");
-    let relay = start_relay_from_with_descriptors(4_000, at, text);
+    let relay = start_relay_with_config_and_descriptors(4_000, at, text);
     let mut clients = Vec::new();
     for key in 1..=CLIENTS {
         let mut client = relay.connect();
@@ -285,7 +286,7 @@
     let mut slow = SlowBackend::new();
     let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
     let limit = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
-    let relay = start_with_settings(unused_address(), &known, &[limit]);
+    let relay = start_relay_with_settings(unused_address(), &known, &[limit]);
     let mut client = relay.open_session("once", 7_000);
     relay.wait_for_counter("dials", 1);
     let began = Instant::now();
@@ -322,7 +323,7 @@
         let (two, two_received) = start_backend(BackendBehavior::Echo);
         let admin = unused_address();
         let with_admin = format!("\"name\":\"r0\",\"admin_addr\":\"{admin}\"");
-        let relay = start_with_settings(
+        let relay = start_relay_with_settings(
             agent.at,
             "null",
             &[
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -82,7 +82,7 @@
     } else {
         "null".into()
     };
-    let mut relay = start_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
+    let mut relay = start_relay_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.call();
     // One client whose backend hangs, one that has sent half a line.
     let mut hangs = relay.open_session("once", 1_500);
@@ -139,7 +139,7 @@
 #[test]
 fn sigterm_while_a_client_does_not_read_delivers_its_lines_before_its_migration() {
     let (address, _received) = start_backend(BackendBehavior::AcceptThenFlood(400_000));
-    let mut relay = start_with_settings(
+    let mut relay = start_relay_with_settings(
         unused_address(),
         &endpoint_list(1, true, &[("b", address, "Ready")]),
         &[],
