--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -168,7 +168,7 @@
     for (name, (text, is_accepted)) in cases {
         let agent = DiscoveryAgent::new();
         let relay = start_relay_with_settings(agent.at, "null", &[]);
-        let (watch, _) = agent.call();
+        let (watch, _) = agent.accept_request();
         // Sent in pieces, so that every part of a list is also parsed across reads.
         for piece in text.as_bytes().chunks(97) {
             if (&watch).write_all(piece).is_err() {
@@ -189,7 +189,7 @@
                 client.next_line().starts_with("BUSY"),
                 "{name}: nothing of it counts"
             );
-            let (watch, _) = agent.call();
+            let (watch, _) = agent.accept_request();
             send(&watch, &format!("{HEAD}{}", chunk(&whole)));
             relay.wait_for_counter("lists", 1);
         }
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -9,7 +9,7 @@
 fn follow_watch() -> (DiscoveryAgent, Relay, TcpStream) {
     let agent = DiscoveryAgent::new();
     let relay = start_relay_with_settings(agent.at, "null", &[]);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     send(
         &watch,
         &format!(
@@ -167,7 +167,7 @@
         "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
     );
     let relay = start_relay_with_settings(agent.at, &known, &[grace]);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     let mut client = relay.open_session("safe", 9_000);
     // The loop has completed turns since the line arrived.
     for _ in 0..3 {
@@ -190,7 +190,7 @@
     let (one, _received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     send(
         &watch,
         &format!(
@@ -202,9 +202,9 @@
     // The agent becomes unreachable: the watch breaks, and a request hangs.
     reset_on_close(&watch);
     drop(watch);
-    let (hanging, line) = agent.call();
+    let (hanging, line) = agent.accept_request();
     assert!(line.contains("since=7 "), "{line}");
-    let (back, line) = agent.call();
+    let (back, line) = agent.accept_request();
     assert!(line.contains("since=7 "), "{line}");
     assert!(
         has_nothing_to_read(&hanging),
@@ -224,8 +224,8 @@
     // The hanging request may also be the first to be answered.
     reset_on_close(&back);
     drop(back);
-    let (hanging, _) = agent.call();
-    let (beside, _) = agent.call();
+    let (hanging, _) = agent.accept_request();
+    let (beside, _) = agent.accept_request();
     send(
         &hanging,
         &format!("{HEAD}{}", chunk(&endpoint_list(9, false, &rows))),
@@ -240,7 +240,7 @@
     let broken = Instant::now();
     reset_on_close(&watch);
     drop(watch);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     assert!(
         broken.elapsed() < Duration::from_millis(600),
         "{:?}",
@@ -310,7 +310,7 @@
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_settings(agent.at, "null", &[]);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     let rows = [("one", one, "Ready"), ("two", two, "Ready")];
     send_list(&watch, &endpoint_list(7, true, &rows));
     relay.wait_for_counter("lists", 1);
@@ -334,14 +334,14 @@
         // After a good watch the first request comes at once; from the fourth on delays are
         // longest.
         for _ in 0..4 {
-            let (call, _) = agent.call();
+            let (call, _) = agent.accept_request();
             silent_calls.extend(failure.fail(call, half));
         }
     }
     // From here on discovery has the drain, and answers every request.
     let back = Instant::now();
     let rows = [("one", one, "Terminating")];
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     send_list(&watch, &endpoint_list(8, false, &rows));
     relay.wait_for_counter("lists", 2);
     assert!(
@@ -385,7 +385,7 @@
         }
         false
     });
-    let (again, line) = agent.call();
+    let (again, line) = agent.accept_request();
     assert!(line.contains("since=7 "), "{line}");
     drop(watch);
     assert!(trickle.join().unwrap(), "the trickling watch was closed");
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -89,7 +89,7 @@
     }
 
     /// The next request that was sent whole; the connection, and its first line.
-    pub(crate) fn call(&self) -> (TcpStream, String) {
+    pub(crate) fn accept_request(&self) -> (TcpStream, String) {
         loop {
             let stream = accept(&self.listener);
             let (mut lines, mut first, mut line) =
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -152,7 +152,7 @@
         listener: TcpListener::bind(gone).unwrap(),
         at: gone,
     };
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     send(
         &watch,
         &format!(
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -179,7 +179,7 @@
     );
     let relay =
         start_relay_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     send(
         &watch,
         &format!(
@@ -332,7 +332,7 @@
                 ("\"name\":\"r0\"", &with_admin),
             ],
         );
-        let (watch, _) = agent.call();
+        let (watch, _) = agent.accept_request();
         send(
             &watch,
             &format!(
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -83,7 +83,7 @@
         "null".into()
     };
     let mut relay = start_relay_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     // One client whose backend hangs, one that has sent half a line.
     let mut hangs = relay.open_session("once", 1_500);
     let mut half = relay.connect();
