--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -101,7 +101,7 @@
 
     fn check(&self) {
         let name = self.name;
-        let mut pieces = vec![HEAD.to_string()];
+        let mut pieces = vec![RESPONSE_HEAD.to_string()];
         pieces.extend(self.lists.iter().map(|text| chunk(text)));
         // Once this list is counted, all before it have been read.
         pieces.push(chunk(&endpoint_list(
@@ -144,8 +144,13 @@
     let crossed = indented.replace('\n', "\r\n\t");
     let plain_head = "HTTP/1.1 200 OK\r\n\r\n".to_string();
     let cut = |at: &str| format!("{}\n", &whole[..whole.find(at).unwrap()]);
-    let good = |text: &str| (format!("{HEAD}{}", chunk(text)), true);
-    let bad = |text: String| (format!("{HEAD}{}{}", chunk(&text), chunk(&whole)), false);
+    let good = |text: &str| (format!("{RESPONSE_HEAD}{}", chunk(text)), true);
+    let bad = |text: String| {
+        (
+            format!("{RESPONSE_HEAD}{}{}", chunk(&text), chunk(&whole)),
+            false,
+        )
+    };
     let cases = [
         ("on one line", good(&whole)),
         ("indented", good(&indented)),
@@ -190,7 +195,7 @@
                 "{name}: nothing of it counts"
             );
             let (watch, _) = agent.accept_request();
-            send(&watch, &format!("{HEAD}{}", chunk(&whole)));
+            send(&watch, &format!("{RESPONSE_HEAD}{}", chunk(&whole)));
             relay.wait_for_counter("lists", 1);
         }
     }
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -13,7 +13,7 @@
     send(
         &watch,
         &format!(
-            "{HEAD}{}",
+            "{RESPONSE_HEAD}{}",
             chunk(&endpoint_list(
                 7,
                 true,
@@ -32,7 +32,7 @@
     let whole = endpoint_list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
     let drains = endpoint_list(8, false, &[("one", one, "Terminating")]);
     // Split within the head, a chunk size and a row.
-    let all = format!("{HEAD}{}{}", chunk(&whole), chunk(""));
+    let all = format!("{RESPONSE_HEAD}{}{}", chunk(&whole), chunk(""));
     let pieces: Vec<String> = all
         .as_bytes()
         .chunks(7)
@@ -45,11 +45,11 @@
         },
         WatchScript { pieces, ends: true },
         WatchScript {
-            pieces: vec![HEAD.into(), chunk("{\"generation\": nonsense")],
+            pieces: vec![RESPONSE_HEAD.into(), chunk("{\"generation\": nonsense")],
             ends: false,
         },
         WatchScript {
-            pieces: vec![HEAD.into(), chunk(&drains)],
+            pieces: vec![RESPONSE_HEAD.into(), chunk(&drains)],
             ends: false,
         },
     ];
@@ -102,7 +102,7 @@
     let list_of =
         |version, which, at| chunk(&endpoint_list(version, true, &[(which, at, "Ready")]));
     // The first address sends empty lines for a second, then a drain.
-    let mut pieces = vec![HEAD.to_string(), list_of(70, "one", one)];
+    let mut pieces = vec![RESPONSE_HEAD.to_string(), list_of(70, "one", one)];
     pieces.extend((0..500).map(|_| chunk("")));
     pieces.push(chunk(&endpoint_list(
         71,
@@ -112,8 +112,10 @@
     let (first, first_requests) = start_discovery(open(pieces));
     let (silent, silent_requests) = start_discovery(Vec::new());
     // Its versions are lower, and it does not list the second backend.
-    let (last, last_requests) =
-        start_discovery(open(vec![HEAD.to_string(), list_of(3, "one", one)]));
+    let (last, last_requests) = start_discovery(open(vec![
+        RESPONSE_HEAD.to_string(),
+        list_of(3, "one", one),
+    ]));
     let relay = start_relay(first, 1_000, "null", false);
     assert!(next_received(&first_requests).contains("follow=1 "));
     let mut established = Vec::new();
@@ -194,7 +196,7 @@
     send(
         &watch,
         &format!(
-            "{HEAD}{}",
+            "{RESPONSE_HEAD}{}",
             chunk(&endpoint_list(7, true, &[("one", one, "Ready")]))
         ),
     );
@@ -214,7 +216,7 @@
     let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
     send(
         &back,
-        &format!("{HEAD}{}", chunk(&endpoint_list(8, false, &rows))),
+        &format!("{RESPONSE_HEAD}{}", chunk(&endpoint_list(8, false, &rows))),
     );
     relay.wait_for_counter("lists", 2);
     assert_eq!(read_to_end_of(&hanging), "", "one watch is left");
@@ -228,7 +230,7 @@
     let (beside, _) = agent.accept_request();
     send(
         &hanging,
-        &format!("{HEAD}{}", chunk(&endpoint_list(9, false, &rows))),
+        &format!("{RESPONSE_HEAD}{}", chunk(&endpoint_list(9, false, &rows))),
     );
     relay.wait_for_counter("lists", 3);
     assert_eq!(read_to_end_of(&beside), "", "one watch is left");
@@ -247,7 +249,7 @@
         broken.elapsed()
     );
     // A watch that breaks as soon as it is answered is opened no more often than a failing one.
-    send(&watch, &format!("{HEAD}{}", chunk("")));
+    send(&watch, &format!("{RESPONSE_HEAD}{}", chunk("")));
     reset_on_close(&watch);
     drop(watch);
     relay.wait_for_counter("list_failures", 2);
@@ -275,9 +277,15 @@
             Unavailable => send(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
             HalfAList => send(
                 &call,
-                &format!("{HEAD}{:x}\r\n{half_a_list}\r\n", half_a_list.len() + 2),
+                &format!(
+                    "{RESPONSE_HEAD}{:x}\r\n{half_a_list}\r\n",
+                    half_a_list.len() + 2
+                ),
+            ),
+            NoList => send(
+                &call,
+                &format!("{RESPONSE_HEAD}{}", chunk("{\"generation\":true}")),
             ),
-            NoList => send(&call, &format!("{HEAD}{}", chunk("{\"generation\":true}"))),
             Silent => return Some(call),
         }
         None
--- a/relay/tests/golden/discovery.rs
+++ b/relay/tests/golden/discovery.rs
@@ -33,7 +33,7 @@
     transcript.line("first request", request(&first, own).as_bytes());
     let (backend_address, _met) = start_backend(BackendBehavior::Echo);
     let rows = [("b0", backend_address, "Ready")];
-    first.write_all(HEAD.as_bytes()).unwrap();
+    first.write_all(RESPONSE_HEAD.as_bytes()).unwrap();
     first
         .write_all(chunk(&endpoint_list(7, true, &rows)).as_bytes())
         .unwrap();
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -45,7 +45,7 @@
     (address, received)
 }
 
-pub(crate) const HEAD: &str =
+pub(crate) const RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
 pub(crate) fn chunk(text: &str) -> String {
@@ -109,7 +109,7 @@
 
 /// Answers a watch with its head and one list.
 pub(crate) fn send_list(watch: &TcpStream, list: &str) {
-    send(watch, &format!("{HEAD}{}", chunk(list)));
+    send(watch, &format!("{RESPONSE_HEAD}{}", chunk(list)));
 }
 
 /// The endpoint list of ready backends `b0`, `b1` and so on.
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -106,7 +106,10 @@
     let (second, at_second) = start_backend(BackendBehavior::Echo);
     let endpoints = [("b0", first, "Ready"), ("b1", second, "Ready")];
     let (address, requests) = start_discovery(vec![WatchScript {
-        pieces: vec![HEAD.into(), chunk(&endpoint_list(2, true, &endpoints))],
+        pieces: vec![
+            RESPONSE_HEAD.into(),
+            chunk(&endpoint_list(2, true, &endpoints)),
+        ],
         ends: false,
     }]);
     let host = Host::with_discovery("operators-ban", address);
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -24,7 +24,7 @@
         silent.local_addr().unwrap(),
         unused_address(),
     ];
-    let answer = format!("{HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
+    let answer = format!("{RESPONSE_HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
     answer_each_call(up, answer);
     for discovery in all {
         let one = |known: String| {
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -156,7 +156,7 @@
     send(
         &watch,
         &format!(
-            "{HEAD}{}",
+            "{RESPONSE_HEAD}{}",
             chunk(&endpoint_list(2, true, &[("listed", listed, "Ready")]))
         ),
     );
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -183,7 +183,7 @@
     send(
         &watch,
         &format!(
-            "{HEAD}{}",
+            "{RESPONSE_HEAD}{}",
             chunk(&endpoint_list(1, true, &[("echo", echo, "Ready")]))
         ),
     );
@@ -336,7 +336,7 @@
         send(
             &watch,
             &format!(
-                "{HEAD}{}",
+                "{RESPONSE_HEAD}{}",
                 chunk(&endpoint_list(1, true, &[("late", slow.at, "Ready")]))
             ),
         );
