--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -172,7 +172,7 @@
     ];
     for (name, (text, is_accepted)) in cases {
         let agent = DiscoveryAgent::new();
-        let relay = start_relay_with_settings(agent.at, "null", &[]);
+        let relay = start_relay_with_settings(agent.address, "null", &[]);
         let (watch, _) = agent.accept_request();
         // Sent in pieces, so that every part of a list is also parsed across reads.
         for piece in text.as_bytes().chunks(97) {
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -8,7 +8,7 @@
 /// A relay that follows its agent's watch at version 7, with one backend that gets no sessions.
 fn follow_watch() -> (DiscoveryAgent, Relay, TcpStream) {
     let agent = DiscoveryAgent::new();
-    let relay = start_relay_with_settings(agent.at, "null", &[]);
+    let relay = start_relay_with_settings(agent.address, "null", &[]);
     let (watch, _) = agent.accept_request();
     send(
         &watch,
@@ -168,7 +168,7 @@
         "\"askWithinUs\": 1",
         "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
     );
-    let relay = start_relay_with_settings(agent.at, &known, &[grace]);
+    let relay = start_relay_with_settings(agent.address, &known, &[grace]);
     let (watch, _) = agent.accept_request();
     let mut client = relay.open_session("safe", 9_000);
     // The loop has completed turns since the line arrived.
@@ -191,7 +191,7 @@
     let agent = DiscoveryAgent::new();
     let (one, _received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
-    let relay = start_relay_with_settings(agent.at, "null", &[LONG_DRAIN_GRACE]);
+    let relay = start_relay_with_settings(agent.address, "null", &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.accept_request();
     send(
         &watch,
@@ -317,14 +317,14 @@
     let mut agent = DiscoveryAgent::new();
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
-    let relay = start_relay_with_settings(agent.at, "null", &[]);
+    let relay = start_relay_with_settings(agent.address, "null", &[]);
     let (watch, _) = agent.accept_request();
     let rows = [("one", one, "Ready"), ("two", two, "Ready")];
     send_list(&watch, &endpoint_list(7, true, &rows));
     relay.wait_for_counter("lists", 1);
     let mut refused_at = None;
     if failure == Refused {
-        refused_at = Some(agent.at);
+        refused_at = Some(agent.address);
         agent = DiscoveryAgent::new();
     }
     reset_on_close(&watch);
@@ -336,7 +336,7 @@
         relay.wait_for_counter("list_failures", 8);
         agent = DiscoveryAgent {
             listener: TcpListener::bind(at).unwrap(),
-            at,
+            address: at,
         };
     } else {
         // After a good watch the first request comes at once; from the fourth on delays are
--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -134,9 +134,9 @@
     });
     Relay {
         child,
-        at,
+        client_address: at,
         log,
-        text,
+        config_text: text,
     }
 }
 
--- a/relay/tests/golden/wire.rs
+++ b/relay/tests/golden/wire.rs
@@ -12,7 +12,7 @@
 }
 
 fn connected(relay: &Relay) -> TcpStream {
-    let stream = TcpStream::connect(relay.at).unwrap();
+    let stream = TcpStream::connect(relay.client_address).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -138,7 +138,7 @@
 /// A backend whose connections are established late: its accept queue is full until it is emptied.
 pub(crate) struct SlowBackend {
     pub(crate) listener: TcpListener,
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
     pub(crate) queue_fillers: Vec<TcpStream>,
 }
 
@@ -156,7 +156,7 @@
         assert!((1..64).contains(&queue_fillers.len()), "the queue fills");
         SlowBackend {
             listener,
-            at,
+            address: at,
             queue_fillers,
         }
     }
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -76,14 +76,14 @@
 /// A discovery agent that does each step when the test says so.
 pub(crate) struct DiscoveryAgent {
     pub(crate) listener: TcpListener,
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
 }
 
 impl DiscoveryAgent {
     pub(crate) fn new() -> DiscoveryAgent {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         DiscoveryAgent {
-            at: listener.local_addr().unwrap(),
+            address: listener.local_addr().unwrap(),
             listener,
         }
     }
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -102,8 +102,8 @@
         let relay = Relay {
             log: log_lines(&mut child),
             child,
-            at: client_address,
-            text: configuration,
+            client_address,
+            config_text: configuration,
         };
         RelayProcess { relay, admin }
     }
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -15,11 +15,11 @@
 pub(crate) struct Relay {
     pub(crate) child: Child,
     /// Where it accepts clients.
-    pub(crate) at: SocketAddr,
+    pub(crate) client_address: SocketAddr,
     /// The lines that it logs.
     pub(crate) log: Received,
     /// Its configuration.
-    pub(crate) text: String,
+    pub(crate) config_text: String,
 }
 
 /// Starts the program with this configuration and limit on descriptors.
@@ -87,9 +87,9 @@
     });
     let relay = Relay {
         child,
-        at,
+        client_address: at,
         log,
-        text,
+        config_text: text,
     };
     relay.wait_for_log("serves at");
     relay
@@ -136,14 +136,14 @@
 
     /// Changes the configuration, and has the relay read it again.
     pub(crate) fn reload_with(&self, from: &str, to: &str) {
-        assert!(self.text.contains(from));
-        write_config(&self.text.replace(from, to));
+        assert!(self.config_text.contains(from));
+        write_config(&self.config_text.replace(from, to));
         self.signal("HUP");
     }
 
     /// Connects to the relay.
     pub(crate) fn connect(&self) -> Client {
-        let stream = TcpStream::connect(self.at).unwrap();
+        let stream = TcpStream::connect(self.client_address).unwrap();
         stream.set_nodelay(true).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
         Client {
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -309,7 +309,7 @@
     time_until("pay", "UP receipt");
     assert_eq!(response("safe"), "UP receipt");
     // Files that are broken change nothing, of this or of what went before.
-    let with = relay.text.replace(last_listener, &with_pay);
+    let with = relay.config_text.replace(last_listener, &with_pay);
     let broken = [
         String::new(),
         with[..with.len() - 40].to_string(),
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -90,7 +90,7 @@
     let mut waits = relay.open_session("once", 1_500);
     while !next_received(&received).starts_with("OPEN") {}
     // Listeners are reordered, each has another effect and deadline, and one is new.
-    let mut later = relay.text.clone();
+    let mut later = relay.config_text.clone();
     let swaps = [
         (
             "\"name\": \"safe\", \"deadlineUs\": 1500000",
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -120,7 +120,7 @@
 fn idle_clients_filling_descriptors_without_discovery_keep_nobody_out() {
     let (known, known_received) = start_backend(BackendBehavior::Echo);
     let (listed, listed_received) = start_backend(BackendBehavior::Echo);
-    let (at, gone) = (unused_address(), DiscoveryAgent::new().at);
+    let (at, gone) = (unused_address(), DiscoveryAgent::new().address);
     let relay = start_relay_with_config(
         at,
         config(
@@ -150,7 +150,7 @@
     relay.wait_for_log("limits");
     let agent = DiscoveryAgent {
         listener: TcpListener::bind(gone).unwrap(),
-        at: gone,
+        address: gone,
     };
     let (watch, _) = agent.accept_request();
     send(
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -143,7 +143,7 @@
     // meets both in one turn.
     for (reset, after) in [(false, true), (true, true), (false, false), (true, false)] {
         let mut slow = SlowBackend::new();
-        let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
+        let known = endpoint_list(1, true, &[("late", slow.address, "Ready")]);
         let relay = start_relay_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
         let client = relay.open_session("once", 7_000);
         relay.wait_for_counter("dials", 1);
@@ -155,7 +155,7 @@
             }
             drop(client);
             wait_for("the relay's end of it knows", || {
-                (!socket_state(relay.at, from).is_established).then_some(())
+                (!socket_state(relay.client_address, from).is_established).then_some(())
             });
         };
         let mut client = Some(client);
@@ -177,8 +177,11 @@
         start_backend(BackendBehavior::Echo),
         start_backend(BackendBehavior::NeverRespond),
     );
-    let relay =
-        start_relay_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
+    let relay = start_relay_with_settings(
+        agent.address,
+        "null",
+        &[("\"memory_mb\":64", "\"memory_mb\":8")],
+    );
     let (watch, _) = agent.accept_request();
     send(
         &watch,
@@ -284,7 +287,7 @@
 #[test]
 fn attempt_connected_in_time_but_met_late_is_not_sent() {
     let mut slow = SlowBackend::new();
-    let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
+    let known = endpoint_list(1, true, &[("late", slow.address, "Ready")]);
     let limit = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
     let relay = start_relay_with_settings(unused_address(), &known, &[limit]);
     let mut client = relay.open_session("once", 7_000);
@@ -324,7 +327,7 @@
         let admin = unused_address();
         let with_admin = format!("\"name\":\"r0\",\"admin_addr\":\"{admin}\"");
         let relay = start_relay_with_settings(
-            agent.at,
+            agent.address,
             "null",
             &[
                 LONG_CONNECT_TIMEOUT,
@@ -337,13 +340,13 @@
             &watch,
             &format!(
                 "{RESPONSE_HEAD}{}",
-                chunk(&endpoint_list(1, true, &[("late", slow.at, "Ready")]))
+                chunk(&endpoint_list(1, true, &[("late", slow.address, "Ready")]))
             ),
         );
         relay.wait_for_counter("lists", 1);
         let mut client = relay.open_session("once", 9_000);
         relay.wait_for_counter("dials", 1);
-        let rows = [("two", two, "Ready"), ("late", slow.at, "Terminating")];
+        let rows = [("two", two, "Ready"), ("late", slow.address, "Terminating")];
         let mut attempt = None;
         match removal {
             Removal::InOneTurn => {
@@ -351,7 +354,7 @@
                 attempt = Some(slow.accept_connection());
                 send(&watch, &chunk(&endpoint_list(2, false, &rows)));
                 wait_for("the relay's end of the watch has it", || {
-                    socket_state(watch.peer_addr().unwrap(), agent.at)
+                    socket_state(watch.peer_addr().unwrap(), agent.address)
                         .has_unread_bytes
                         .then_some(())
                 });
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -82,7 +82,7 @@
     } else {
         "null".into()
     };
-    let mut relay = start_relay_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
+    let mut relay = start_relay_with_settings(agent.address, &known, &[LONG_DRAIN_GRACE]);
     let (watch, _) = agent.accept_request();
     // One client whose backend hangs, one that has sent half a line.
     let mut hangs = relay.open_session("once", 1_500);
