--- a/relay/src/discovery/connection.rs
+++ b/relay/src/discovery/connection.rs
@@ -1,5 +1,5 @@
-//! One watch on the endpoint list: the conversation with one address of the agent, over one
-//! connection after another.
+//! A watch on the endpoint list at one address of the discovery agent, which opens a new connection
+//! after each failure.
 use crate::discovery::decoding::ListSplitter;
 use crate::discovery::error::WatchError;
 use crate::discovery::http::{self, BodyDecoder};
@@ -12,48 +12,51 @@
 use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
 
-/// The longest text of one list, against a line that never ends: thousands of endpoints fit in less.
+/// Maximum size of one list, which bounds the memory that a list without an end can take. Thousands
+/// of endpoints need less.
 const MAX_LIST_BYTES: usize = 16 << 20;
-const READ_BYTES: usize = 16 * 1024;
+const READ_BUFFER_BYTES: usize = 16 * 1024;
 
-/// The conversation with one address of the agent.
+/// A watch at one address of the agent, and the schedule of its attempts.
 pub(super) struct WatchConnection {
     pub(super) address: SocketAddr,
     state: State,
-    /// As it came from the socket.
+    /// Bytes read from the socket and not decoded yet.
     received: Vec<u8>,
-    /// The body of the response, without its chunks.
+    /// Splits the decoded body of the response into lists.
     lists: ListSplitter,
-    /// When a complete list, a heartbeat or the head of a response came last, else when the request
-    /// was begun. A line that trickles in does not count: it would hide that all else has stopped.
-    pub(super) last_heard: Instant,
-    /// Given up after so long without one of them.
+    /// When the last complete list, heartbeat or response head arrived, or else when the attempt
+    /// started. Bytes of an incomplete line do not count: a line that trickles in would hide that
+    /// everything else has stopped.
+    pub(super) last_progress: Instant,
+    /// The attempt or watch is given up after this time without progress.
     pub(super) silence_timeout: Duration,
-    /// Only the timer set last counts: were each to start an attempt, which sets one more, an agent
-    /// that stays down would be polled ever faster.
+    /// When the timer that was set last fires. Earlier timers are ignored: if each of them started
+    /// an attempt, which sets another timer, an agent that stays down would be polled faster and
+    /// faster.
     wake_at: Instant,
     pub(super) schedule: PollSchedule,
 }
 
 enum State {
-    /// Until the next attempt.
+    /// No attempt is under way; a timer starts the next one.
     Idle,
-    /// The request waits to be sent.
+    /// The connection is being established, or the request is being sent.
     Connecting(Connection, OutputBuffer),
-    /// The request is sent, and the head of the response is awaited.
+    /// The request is sent, and the response head is awaited.
     Requested(Connection),
-    /// The body of the response arrives.
+    /// The response body is being received.
     Streaming(Connection, BodyDecoder),
 }
 
-/// What a timer found out.
+/// What is due when a timer fires.
 pub(super) enum TimerOutcome {
-    /// Nothing to do yet.
+    /// Nothing is due yet.
     Waiting,
     /// The next attempt is due.
     AttemptDue,
-    /// The agent has been silent for too long.
-    Silent,
+    /// There was no progress within `silence_timeout`.
+    TimedOut,
 }
 
 impl WatchConnection {
@@ -67,7 +70,7 @@
             state: State::Idle,
             received: Vec::new(),
             lists: ListSplitter::default(),
-            last_heard: now,
+            last_progress: now,
             silence_timeout,
             wake_at: now,
             schedule: PollSchedule::default(),
@@ -87,7 +90,7 @@
         matches!(self.state, State::Idle)
     }
 
-    /// The request has not been answered yet.
+    /// Returns true while an attempt is under way whose response head has not arrived.
     pub(super) fn is_unanswered(&self) -> bool {
         matches!(self.state, State::Connecting(..) | State::Requested(_))
     }
@@ -96,12 +99,12 @@
         matches!(self.state, State::Streaming(..))
     }
 
-    /// Begins an attempt; with a generation it asks for what has changed since. Looked at again when
-    /// its answer is due.
+    /// Starts an attempt. With a generation, the request asks for the changes since that
+    /// generation. Sets a timer for the time by which the agent should have answered.
     ///
     /// # Errors
-    /// The system refuses the connection at once.
-    pub(super) fn begin(
+    /// Returns an error if the system refuses the connection immediately.
+    pub(super) fn start_attempt(
         &mut self,
         since: Option<u64>,
         response_timeout: Duration,
@@ -109,7 +112,7 @@
     ) -> Result<(), WatchError> {
         self.received.clear();
         self.lists = ListSplitter::default();
-        self.last_heard = io.now;
+        self.last_progress = io.now;
         let request = http::watch_request(self.address, since);
         let connection = io.sockets.connect(SocketOwner::Discovery, self.address);
         let mut connection = connection.map_err(WatchError::Connect)?;
@@ -119,8 +122,8 @@
         Ok(())
     }
 
-    /// Ends the attempt; another is due after the delay.
-    pub(super) fn end(&mut self, delay: Duration, io: &mut IoContext) {
+    /// Closes the connection, and schedules the next attempt after `delay`.
+    pub(super) fn close_and_retry_after(&mut self, delay: Duration, io: &mut IoContext) {
         self.state = State::Idle;
         self.set_timer(io.now + delay, io);
     }
@@ -137,17 +140,18 @@
         if self.is_idle() {
             return TimerOutcome::AttemptDue;
         }
-        if io.now.duration_since(self.last_heard) >= self.silence_timeout {
-            return TimerOutcome::Silent;
+        if io.now.duration_since(self.last_progress) >= self.silence_timeout {
+            return TimerOutcome::TimedOut;
         }
-        self.set_timer(self.last_heard + self.silence_timeout, io);
+        self.set_timer(self.last_progress + self.silence_timeout, io);
         TimerOutcome::Waiting
     }
 
-    /// Goes on as far as the socket allows; complete lists go to `lists`.
+    /// Sends and reads as far as the socket allows, and appends complete lists to `lists`.
     ///
     /// # Errors
-    /// The watch has come to nothing. What came before is in `lists`.
+    /// Returns an error if the attempt or the watch has failed. Lists that arrived before the
+    /// failure are in `lists`.
     pub(super) fn handle_socket_event(
         &mut self,
         lists: &mut Vec<Vec<u8>>,
@@ -181,15 +185,15 @@
             if !self.read_head()? {
                 return Ok(());
             }
-            self.last_heard = io.now;
+            self.last_progress = io.now;
         }
         let decoded = match &mut self.state {
             State::Streaming(_, body) => body.decode(&mut self.received, &mut self.lists.text),
             _ => Ok(()),
         };
-        // What came before a fault of the coding counts.
-        if self.lists.take_complete(lists)? {
-            self.last_heard = io.now;
+        // Lists that arrived before an error in the transfer coding are still used.
+        if self.lists.take_complete_lists(lists)? {
+            self.last_progress = io.now;
         }
         if self.lists.text.len() + self.received.len() > MAX_LIST_BYTES {
             return Err(WatchError::ListTooLong);
@@ -197,15 +201,15 @@
         Ok(decoded?)
     }
 
-    /// Reads from the socket once; false if nothing has come.
+    /// Reads from the socket once. Returns false if there was nothing to read.
     fn receive(&mut self) -> Result<bool, WatchError> {
         let (State::Requested(connection) | State::Streaming(connection, _)) = &mut self.state
         else {
             return Ok(false);
         };
-        let mut bytes = [0; READ_BYTES];
+        let mut bytes = [0; READ_BUFFER_BYTES];
         match connection.read(&mut bytes) {
-            Ok(0) => Err(WatchError::Ended),
+            Ok(0) => Err(WatchError::ConnectionClosed),
             Ok(length) => {
                 self.received.extend_from_slice(&bytes[..length]);
                 Ok(true)
@@ -219,7 +223,7 @@
         }
     }
 
-    /// False while the head is incomplete.
+    /// Decodes the response head. Returns false while it is incomplete.
     fn read_head(&mut self) -> Result<bool, WatchError> {
         let Some(body) = http::take_head(&mut self.received)? else {
             return Ok(false);
--- a/relay/src/discovery/decoding.rs
+++ b/relay/src/discovery/decoding.rs
@@ -1,4 +1,5 @@
-//! The text of endpoint lists: cut into lists as it arrives, and parsed.
+//! Decoding of endpoint lists: the body of a watch is split into lists as it arrives, and each list
+//! is parsed.
 use crate::discovery::error::{EndpointError, WatchError};
 use serde::Deserialize;
 use std::net::SocketAddr;
@@ -7,19 +8,20 @@
 /// An endpoint list as the agent sends it.
 #[derive(Deserialize)]
 pub(crate) struct EndpointList {
-    /// The version of the list that this one brings its reader to.
+    /// The generation of the endpoint list once this update is applied.
     pub(super) generation: u64,
-    /// It is complete: what it does not name is gone.
+    /// True for a complete list, which removes the endpoints that it does not name; false for a
+    /// delta.
     #[serde(default, rename = "reset")]
     pub(super) is_complete: bool,
     #[serde(rename = "instances")]
-    pub(super) endpoints: Vec<EndpointText>,
+    pub(super) endpoints: Vec<EndpointEntry>,
 }
 
-/// One endpoint of a list.
+/// One endpoint of a list, as the agent describes it.
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub(crate) struct EndpointText {
+pub(crate) struct EndpointEntry {
     #[serde(rename = "instanceId")]
     pub(super) name: String,
     #[serde(rename = "hostPort")]
@@ -32,9 +34,11 @@
     pub(super) started_at_ms: Option<u64>,
 }
 
-impl EndpointText {
+impl EndpointEntry {
+    /// Parses the address.
+    ///
     /// # Errors
-    /// It is no address with a port.
+    /// Returns an error if it is not an IP address with a port.
     pub(super) fn address(&self) -> Result<SocketAddr, EndpointError> {
         self.address.parse().map_err(|_| EndpointError::Address {
             instance: self.name.clone(),
@@ -42,8 +46,10 @@
         })
     }
 
+    /// Returns the state that the lifecycle stands for.
+    ///
     /// # Errors
-    /// The lifecycle is an unknown one.
+    /// Returns an error if the lifecycle is unknown.
     pub(super) fn state(&self) -> Result<EndpointState, EndpointError> {
         match self.lifecycle.as_str() {
             "Ready" => Ok(EndpointState::Ready),
@@ -57,44 +63,49 @@
     }
 }
 
-/// Cuts the text of a watch into lists. A list may stand on one line or be indented over many, so
-/// its end is found by its braces; between two lists there are empty lines, within one there is
-/// none.
+/// Splits the decoded body of a watch into lists. A list may take one line or many indented lines,
+/// so its end is found by its braces. Blank lines occur only between lists, never within one.
 #[derive(Default)]
 pub(super) struct ListSplitter {
-    /// What has come and is not yet taken.
+    /// Decoded text that no complete list has been taken from yet.
     pub(super) text: Vec<u8>,
-    /// How far the text has been scanned, and the state of the scan there.
+    /// The number of bytes of `text` scanned so far; the fields below hold the state of the scan
+    /// there.
     scanned: usize,
+    /// The number of open braces and brackets.
     depth: usize,
     is_in_string: bool,
     is_escaped: bool,
-    /// Only white space since the line began.
+    /// True if the current line holds only white space so far.
     is_line_blank: bool,
 }
 
 /// What a byte of the text completes.
-enum Scanned {
+enum Completed {
     Nothing,
     List,
-    /// A line outside any list: a heartbeat.
-    Line,
+    /// A blank line outside any list.
+    Heartbeat,
 }
 
 impl ListSplitter {
-    /// Moves the lists that are complete to `lists`. True if a list or a heartbeat was completed.
+    /// Moves complete lists to `lists`. Returns true if a list or a heartbeat was completed.
     ///
     /// # Errors
-    /// The text is none of endpoint lists, or one was cut off. What came before is in `lists`.
-    pub(super) fn take_complete(&mut self, lists: &mut Vec<Vec<u8>>) -> Result<bool, WatchError> {
+    /// Returns an error if the text is not a sequence of lists, or if a list is truncated. Lists
+    /// that were completed before the error are in `lists`.
+    pub(super) fn take_complete_lists(
+        &mut self,
+        lists: &mut Vec<Vec<u8>>,
+    ) -> Result<bool, WatchError> {
         let (mut has_completed, mut start) = (false, 0);
         while let Some(&byte) = self.text.get(self.scanned) {
-            let scanned = self.scan(byte)?;
+            let completed = self.scan(byte)?;
             self.scanned += 1;
-            match scanned {
-                Scanned::Nothing => continue,
-                Scanned::List => lists.push(self.text[start..self.scanned].to_vec()),
-                Scanned::Line => {}
+            match completed {
+                Completed::Nothing => continue,
+                Completed::List => lists.push(self.text[start..self.scanned].to_vec()),
+                Completed::Heartbeat => {}
             }
             (has_completed, start) = (true, self.scanned);
         }
@@ -104,7 +115,8 @@
         Ok(has_completed)
     }
 
-    fn scan(&mut self, byte: u8) -> Result<Scanned, WatchError> {
+    /// Scans the next byte, and returns what it completes.
+    fn scan(&mut self, byte: u8) -> Result<Completed, WatchError> {
         let was_blank = self.is_line_blank;
         self.is_line_blank = byte == b'\n' || was_blank && byte.is_ascii_whitespace();
         let is_in_list = self.depth > 0;
@@ -120,19 +132,20 @@
             b'}' | b']' if is_in_list => {
                 self.depth -= 1;
                 if self.depth == 0 {
-                    return Ok(Scanned::List);
+                    return Ok(Completed::List);
                 }
             }
             _ if is_in_list => {}
-            b'\n' => return Ok(Scanned::Line),
+            b'\n' => return Ok(Completed::Heartbeat),
             _ if byte.is_ascii_whitespace() => {}
             _ => return Err(WatchError::NotAList),
         }
-        Ok(Scanned::Nothing)
+        Ok(Completed::Nothing)
     }
 
-    /// A list that was cut off and continues with the next one would be waited for without end, so
-    /// its beginning is parsed at the end of each line.
+    /// Checks at the end of each line that the incomplete list can still become a valid one.
+    /// Without this check, the end of a truncated list that is followed by the next list would be
+    /// awaited forever.
     fn check_incomplete(&self) -> Result<(), WatchError> {
         if self.depth == 0 || !self.text.ends_with(b"\n") {
             return Ok(());
--- a/relay/src/discovery/error.rs
+++ b/relay/src/discovery/error.rs
@@ -1,62 +1,64 @@
-//! Why an endpoint list can't be had or used.
+//! Errors of the watch on the endpoint list.
 use crate::discovery::poll_schedule::FailureKind;
 use std::io;
 
-/// An endpoint that is described in a way that can't be used.
+/// Why an endpoint of a list can't be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum EndpointError {
-    #[error("{instance}: \"{address}\" is no address")]
+    #[error(
+        "hostPort is not an IP address with a port; instance={instance} hostPort=\"{address}\""
+    )]
     Address { instance: String, address: String },
-    #[error("{instance}: lifecycle \"{lifecycle}\"")]
+    #[error("unknown lifecycle; instance={instance} lifecycle=\"{lifecycle}\"")]
     Lifecycle { instance: String, lifecycle: String },
 }
 
-/// A response that is not the HTTP that was asked for.
+/// Why a response is not an HTTP response that streams lists, or no longer one.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
-    #[error("an answer's head without end")]
+    #[error("the response head is too long")]
     HeadTooLong,
-    #[error("an answer that is no HTTP: {0}")]
+    #[error("the response is not valid HTTP: {0}")]
     Malformed(#[from] httparse::Error),
-    #[error("answered {0}")]
+    #[error("the response has an unexpected status; status={0}")]
     Status(u16),
-    #[error("a chunk without a size")]
+    #[error("the size of a response chunk is invalid or too large")]
     ChunkSize,
-    #[error("the watch ended")]
+    #[error("the agent ended the response")]
     LastChunk,
 }
 
-/// Why a watch came to nothing or broke.
+/// Why a watch could not be opened, or failed.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum WatchError {
-    /// No connection came up, or the request could not be sent.
+    /// The connection could not be established, or the request could not be sent.
     #[error(transparent)]
     Connect(io::Error),
-    #[error("silent")]
-    Silent,
+    #[error("no response, list or heartbeat arrived in time")]
+    TimedOut,
     #[error(transparent)]
     Read(io::Error),
-    #[error("the watch ended")]
-    Ended,
+    #[error("the agent closed the connection")]
+    ConnectionClosed,
     #[error(transparent)]
     Http(#[from] HttpError),
-    #[error("a list cut off")]
+    #[error("an endpoint list is truncated")]
     TruncatedList,
-    #[error("a list without end")]
+    #[error("an endpoint list is too long")]
     ListTooLong,
-    #[error("a bad list: text that is none")]
+    #[error("the response body is not an endpoint list")]
     NotAList,
-    #[error("a bad list: {0}")]
+    #[error("parsing an endpoint list failed: {0}")]
     MalformedList(#[from] serde_json::Error),
-    #[error("a bad list: {0}")]
+    #[error("an endpoint list has an invalid endpoint: {0}")]
     InvalidEndpoint(#[from] EndpointError),
 }
 
 impl WatchError {
-    /// What the failure says of the agent.
+    /// Returns what the failure reveals about the agent.
     pub(crate) fn kind(&self) -> FailureKind {
         match self {
-            WatchError::Connect(_) | WatchError::Silent => FailureKind::Unreachable,
+            WatchError::Connect(_) | WatchError::TimedOut => FailureKind::Unreachable,
             _ => FailureKind::Rejected,
         }
     }
--- a/relay/src/discovery/http.rs
+++ b/relay/src/discovery/http.rs
@@ -1,18 +1,19 @@
-//! The HTTP/1.1 of a watch: its request, the head of the response, and the body without its chunks.
-//! No I/O.
+//! HTTP/1.1 for a watch: encodes the request, and decodes the head and the body of the response.
+//! Performs no I/O.
 use crate::discovery::error::HttpError;
 use crate::output_buffer::OutputBuffer;
 use std::net::SocketAddr;
 
-/// The longest head of a response, in bytes.
+/// Maximum size of a response head.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
 const MAX_HEADERS: usize = 32;
-/// The largest chunk. Thousands of endpoints fit in less.
+/// Chunks must be smaller than this. Thousands of endpoints need less.
 const MAX_CHUNK_BYTES: u64 = 16 << 20;
-/// The line end that follows a chunk's data.
+/// Size of the line end that follows a chunk's data.
 const CHUNK_END_BYTES: usize = 2;
 
-/// The request that opens a watch; with a generation it asks for what has changed since.
+/// Returns the request that opens a watch. With a generation, it asks for the changes since that
+/// generation.
 pub(crate) fn watch_request(agent: SocketAddr, since: Option<u64>) -> OutputBuffer {
     let since = since.map(|generation| format!("&since={generation}"));
     let since = since.unwrap_or_default();
@@ -24,10 +25,11 @@
     request
 }
 
-/// Takes the head of a response off the front of `received`; none while it is incomplete.
+/// Removes the response head from the front of `received`, and returns the decoder for the body
+/// that follows. Returns `None` while the head is incomplete.
 ///
 /// # Errors
-/// It is no head, has no end, or has another status than 200.
+/// Returns an error if the head is malformed, too long, or has a status other than 200.
 pub(crate) fn take_head(received: &mut Vec<u8>) -> Result<Option<BodyDecoder>, HttpError> {
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut headers);
@@ -51,21 +53,22 @@
     }))
 }
 
-/// Takes the transfer coding off the body of a response.
+/// Removes the transfer coding from a response body.
 pub(crate) enum BodyDecoder {
     Plain,
-    /// Bytes of the present chunk that are still to come, with the line end after it; none while a
-    /// chunk's size is awaited.
+    /// `remaining` counts the bytes of the current chunk, its line end included, that have not been
+    /// decoded yet. It is zero while a chunk size is awaited.
     Chunked {
         remaining: usize,
     },
 }
 
 impl BodyDecoder {
-    /// Moves what has come of the body from `received` to `text`.
+    /// Moves the part of the body that has arrived from `received` to `text`.
     ///
     /// # Errors
-    /// The coding is broken, or the last chunk has come. What came before is in `text`.
+    /// Returns an error if the coding is malformed, or once the last chunk has arrived. The body
+    /// before that is in `text`.
     pub(crate) fn decode(
         &mut self,
         received: &mut Vec<u8>,
--- a/relay/src/discovery/mod.rs
+++ b/relay/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! Service discovery: the endpoint list, as the discovery agent sends it.
+//! Service discovery: the watch on the endpoint list that the discovery agent sends.
 mod connection;
 pub(crate) mod decoding;
 mod error;
--- a/relay/src/discovery/poll_schedule.rs
+++ b/relay/src/discovery/poll_schedule.rs
@@ -1,52 +1,56 @@
-//! When the agent is polled again after a failure. No I/O: a failure and a random number generator
-//! go in, a delay comes out.
+//! The delay after a failure before the agent is polled again. Performs no I/O: the delay is
+//! computed from the failure and a random number generator.
 use thistlecroft::random::Rng;
 use thistlecroft::time::Duration;
 
-/// While nobody is there: an attempt costs the agent nothing, and drains are missed meanwhile.
+/// Delays while the agent is unreachable. They are short, because an attempt then costs the agent
+/// nothing and the relay misses drains in the meantime.
 const UNREACHABLE_FIRST_DELAY: Duration = Duration::from_millis(50);
 const UNREACHABLE_MAX_DELAY: Duration = Duration::from_millis(800);
-/// While the agent is there and has no time. Each request that it accepts and can't serve in time is
-/// work lost, so relays that come back sooner than it can serve them all keep it from serving any.
+/// First delay while the agent is reachable but overloaded. Each request that it accepts and can't
+/// serve in time is wasted work, so relays that retry faster than it can serve them all keep it
+/// from serving any.
 const REJECTED_FIRST_DELAY: Duration = Duration::from_millis(2_000);
-/// From the beginning of one attempt to that of the next, at most, whatever has become of it: what
-/// discovery has counts as known six seconds after it can be reached again. A second is left for the
-/// answer.
+/// Maximum time from the start of one attempt to the start of the next, whatever the outcome. A
+/// relay is expected to know the agent's list six seconds after the agent becomes reachable again;
+/// one of them is left for the answer.
 pub(crate) const ATTEMPT_INTERVAL: Duration = Duration::from_millis(5_000);
-/// The same for an address that SIGHUP has named, whose list counts as known after four seconds.
+/// The same limit for a new address read on SIGHUP, whose list the relay is expected to know after
+/// four seconds.
 pub(crate) const ATTEMPT_INTERVAL_AFTER_MOVE: Duration = Duration::from_millis(3_000);
 
-/// The least delay after two rejections or more, as a part of the longest: the mean is what keeps a
-/// fleet from polling faster than discovery can serve, and only the least can raise it.
+/// Minimum delay after two or more rejections, as a fraction of the maximum. The mean delay keeps a
+/// fleet from polling faster than discovery can serve, and only the minimum can raise the mean.
 const REPEATED_REJECTION_MIN_SHARE: f64 = 0.6;
-/// The least delay while nobody is there, as a part of the longest.
+/// Minimum delay while the agent is unreachable, as a fraction of the maximum.
 const UNREACHABLE_MIN_SHARE: f64 = 0.5;
-/// Past this the delays have long reached their bound.
+/// Limit of the exponent. The delays reach their maximum long before.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// How an attempt came to nothing.
+/// How an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FailureKind {
-    /// No connection, or nothing received on it.
+    /// No connection was established, or nothing arrived on it in time.
     Unreachable,
-    /// The agent answered with something else than a list, or broke off what it had accepted.
+    /// The agent answered with something other than a list, or ended a request that it had
+    /// accepted.
     Rejected,
-    /// A watch that had been good broke.
+    /// A watch failed that the agent had been answering.
     Interrupted,
 }
 
-/// A failed attempt, and what bounds the delay to the next one.
+/// A failed attempt, and the limits of the delay before the next one.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Failure {
     pub(crate) kind: FailureKind,
-    /// The longest delay while nobody is there, since what the agent has at its return counts as
-    /// known.
-    pub(crate) longest_delay: Duration,
-    /// What the attempt has left of the time within which the next one begins.
+    /// Maximum delay while the agent is unreachable, since the relay is expected to know the
+    /// agent's list soon after the agent returns.
+    pub(crate) max_delay: Duration,
+    /// The time that is left until the next attempt must start.
     pub(crate) remaining: Duration,
 }
 
-/// The consecutive failures at one address.
+/// Counts consecutive failures at one address, which determine the delay before the next attempt.
 #[derive(Clone, Copy, Default)]
 pub(crate) struct PollSchedule {
     unreachable: u32,
@@ -54,35 +58,36 @@
 }
 
 impl PollSchedule {
-    /// A list has come.
+    /// Forgets all failures once a list has arrived.
     pub(crate) fn reset(&mut self) {
         *self = PollSchedule::default();
     }
 
-    /// True if an attempt has failed since the last list.
+    /// Returns true if an attempt has failed since the last list.
     pub(crate) fn has_failed(&self) -> bool {
         self.unreachable > 0 || self.rejected > 0
     }
 
-    /// The delay to the next attempt: nearly constant while nobody is there, a doubling one with
-    /// jitter while the agent has no time.
+    /// Counts the failure, and returns the delay before the next attempt: short while the agent is
+    /// unreachable, and doubling with jitter while the agent is overloaded.
     pub(crate) fn next_delay(&mut self, failure: Failure, rng: &mut Rng) -> Duration {
         let Failure {
             kind,
-            longest_delay,
+            max_delay,
             remaining,
         } = failure;
         match kind {
             FailureKind::Unreachable => {
                 let backoff = doubled(UNREACHABLE_FIRST_DELAY, self.unreachable);
-                let delay = backoff.min(UNREACHABLE_MAX_DELAY).min(longest_delay);
+                let delay = backoff.min(UNREACHABLE_MAX_DELAY).min(max_delay);
                 self.unreachable = self.unreachable.saturating_add(1);
                 with_jitter(delay.min(remaining), UNREACHABLE_MIN_SHARE, rng)
             }
             FailureKind::Rejected => {
                 let backoff = doubled(REJECTED_FIRST_DELAY, self.rejected);
                 let delay = backoff.min(ATTEMPT_INTERVAL).min(remaining);
-                // Relays that came at once are spread evenly; from then on each keeps its distance.
+                // The first delay spreads relays that were rejected at the same time; the later
+                // ones keep them apart.
                 let min_share = if self.rejected == 0 {
                     0.0
                 } else {
@@ -91,22 +96,22 @@
                 self.rejected = self.rejected.saturating_add(1);
                 with_jitter(delay, min_share, rng)
             }
-            // The agent may well be there still, and have sent a drain since: one quick attempt,
-            // before it counts as having no time.
+            // The agent may still be reachable and may have sent a drain since, so there is one
+            // quick attempt before the agent is treated as overloaded.
             FailureKind::Interrupted => {
-                let delay = UNREACHABLE_FIRST_DELAY.min(longest_delay);
+                let delay = UNREACHABLE_FIRST_DELAY.min(max_delay);
                 with_jitter(delay, UNREACHABLE_MIN_SHARE, rng)
             }
         }
     }
 }
 
-/// The delay after so many failures, without a bound.
+/// Returns the first delay doubled once per failure.
 fn doubled(first: Duration, failures: u32) -> Duration {
     first * f64::from(1u32 << failures.min(MAX_DOUBLINGS))
 }
 
-/// Evenly distributed between a share of the longest delay and all of it.
+/// Draws a delay uniformly between `longest * min_share` and `longest`.
 fn with_jitter(longest: Duration, min_share: f64, rng: &mut Rng) -> Duration {
     longest * (min_share + (1.0 - min_share) * rng.unit_f64())
 }
--- a/relay/src/discovery/poll_schedule/tests.rs
+++ b/relay/src/discovery/poll_schedule/tests.rs
@@ -1,32 +1,33 @@
-//! Tests of the poll schedule: of one relay by itself, and of fleets at a simulated agent.
+//! Tests of the poll schedule, for a single relay and for fleets at a simulated agent.
 use super::*;
 use std::collections::BTreeSet;
 
-/// A relay gives up on a request that the agent has not served within this.
+/// A relay gives up a request that the agent has not served within this time.
 const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// For so long after the agent's return the simulation goes on.
+/// How long the simulation continues after the agent's return.
 const OBSERVED_SECONDS: f64 = 30.0;
 
-/// The delay to a relay's next attempt, by its number and the time that the last one took.
+/// Returns the delay before a relay's next attempt, given the relay's index and the time that its
+/// last attempt took.
 type NextDelay<'a> = dyn FnMut(usize, Duration, &mut Rng) -> Duration + 'a;
 
-/// What came of a fleet whose watches all broke at once.
+/// How a fleet recovered after all its watches failed at the same time.
 struct FleetRecovery {
-    /// Seconds after the agent's return at which each relay had a list, in order.
+    /// When each relay received a list, in seconds after the agent's return and in ascending order.
     recovered: Vec<f64>,
     attempts: u32,
 }
 
 impl FleetRecovery {
-    /// Tenths of the fleet that had a list within so many seconds.
+    /// Returns how many tenths of the fleet had a list within this many seconds.
     fn tenths_within(&self, seconds: f64, relays: u64) -> usize {
         let recovered = self.recovered.iter().filter(|at| **at <= seconds);
         recovered.count() * 10 / relays as usize
     }
 }
 
-/// An agent rejects all attempts at once for some seconds, and then serves so many a second in
-/// turn, also those that the relay has given up meanwhile.
+/// Simulates a fleet at an agent that rejects all attempts immediately for `down_seconds`, and then
+/// serves requests one after another, even those that their relay has given up in the meantime.
 fn simulate_fleet(
     down_seconds: f64,
     relays: u64,
@@ -68,15 +69,15 @@
 fn failure(kind: FailureKind, remaining: Duration) -> Failure {
     Failure {
         kind,
-        longest_delay: UNREACHABLE_MAX_DELAY,
+        max_delay: UNREACHABLE_MAX_DELAY,
         remaining,
     }
 }
 
 #[test]
-fn fleet_that_lost_its_watches_recovers() {
-    // Relays, seconds in which discovery can serve them all; how many tenths of them hold a list
-    // within six seconds of its return, and within twelve.
+fn fleet_after_losing_all_watches_recovers_in_time() {
+    // The number of relays, the seconds that the agent takes to serve them all, and the minimum
+    // tenths of them that have a list within six and within twelve seconds of the agent's return.
     let cases = [
         (2, 1.0, 10, 10),
         (100, 3.0, 10, 10),
@@ -85,12 +86,12 @@
         (1_000, 3.0, 10, 10),
         (350, 4.0, 9, 10),
         (350, 6.0, 3, 10),
-        // More than it can serve to relays that may not wait for longer: the first in its queue
-        // are served.
+        // Relays must retry sooner than the agent can serve them all, so only the first in its
+        // queue are served.
         (350, 8.0, 3, 3),
     ];
     for down in [0.0, 3.0, 20.0] {
-        for (relays, seconds_for_all, least_by_six, least_by_twelve) in cases {
+        for (relays, seconds_for_all, min_by_six, min_by_twelve) in cases {
             let mut schedules = vec![PollSchedule::default(); relays as usize];
             let served_per_second = relays as f64 / seconds_for_all;
             let fleet =
@@ -101,18 +102,19 @@
             let by_six = fleet.tenths_within(6.0, relays);
             let by_twelve = fleet.tenths_within(12.0, relays);
             assert!(
-                by_six >= least_by_six && by_twelve >= least_by_twelve,
-                "{down} {relays} {seconds_for_all}: {by_six} {by_twelve}"
+                by_six >= min_by_six && by_twelve >= min_by_twelve,
+                "down={down} relays={relays} seconds={seconds_for_all}: {by_six} and {by_twelve} tenths"
             );
             assert!(
                 f64::from(fleet.attempts)
                     <= relays as f64 * (4.0 + (down + OBSERVED_SECONDS) / 3.0),
-                "{relays}: {}",
+                "relays={relays}: {} attempts",
                 fleet.attempts
             );
         }
     }
-    // The check can fail: delays that end at 0.8 s keep all but the first few out for good.
+    // Shows that the simulation can fail: with delays of at most 0.8 s, most relays never get a
+    // list.
     let mut short_delay =
         |_: usize, _: Duration, rng: &mut Rng| UNREACHABLE_MAX_DELAY * (0.5 + 0.5 * rng.unit_f64());
     let fleet = simulate_fleet(0.0, 100, 20.0, &mut short_delay);
@@ -124,9 +126,9 @@
     );
 }
 
-/// However many attempts failed before, in whatever order, and however long each took.
+/// Holds for any number and order of earlier failures, and for any duration of each attempt.
 #[test]
-fn next_attempt_after_any_failures_begins_within_its_interval() {
+fn next_attempt_after_any_failures_starts_within_its_interval() {
     let kinds = [
         FailureKind::Unreachable,
         FailureKind::Rejected,
@@ -139,14 +141,15 @@
         for sequence in 0..3usize.pow(7) {
             let mut schedule = PollSchedule::default();
             let mut rng = Rng::from_seed(sequence as u64);
-            // Each of the seven kinds, and the last of them a hundred times.
-            for place in 0..107u32 {
-                let kind = kinds[sequence / 3usize.pow(place.min(6)) % 3];
+            // Seven failures, whose kinds the sequence encodes; the last kind then repeats a
+            // hundred times.
+            for attempt in 0..107u32 {
+                let kind = kinds[sequence / 3usize.pow(attempt.min(6)) % 3];
                 let spent = silence_timeout * rng.unit_f64();
                 let delay = schedule.next_delay(failure(kind, interval - spent), &mut rng);
                 assert!(
                     spent + delay <= interval,
-                    "{sequence} {place}: {spent:?} {delay:?}"
+                    "sequence={sequence} attempt={attempt}: spent={spent:?} delay={delay:?}"
                 );
             }
         }
@@ -154,7 +157,7 @@
 }
 
 #[test]
-fn delays_double_to_a_bound_and_start_over_with_a_list() {
+fn delay_after_failures_doubles_to_its_maximum_and_restarts_after_a_list() {
     let mut rng = Rng::from_seed(7);
     for (kind, first, longest, usual_min_share) in [
         (
@@ -174,9 +177,9 @@
         for _ in 0..2 {
             assert!(!schedule.has_failed());
             let mut bound = first;
-            for place in 0..70 {
-                // Relays that were rejected once are spread evenly.
-                let min_share = if kind == FailureKind::Rejected && place == 0 {
+            for attempt in 0..70 {
+                // The first rejection has no minimum delay, so that relays are spread evenly.
+                let min_share = if kind == FailureKind::Rejected && attempt == 0 {
                     0.0
                 } else {
                     usual_min_share
@@ -189,10 +192,10 @@
                 bound = (bound * 2.0).min(longest);
             }
             assert!(schedule.has_failed());
-            // However long nobody was there, no longer than the caller allows.
+            // However often the agent was unreachable, the caller's maximum holds.
             let short = Duration::from_millis(60);
             let bounded = Failure {
-                longest_delay: short,
+                max_delay: short,
                 ..failure(FailureKind::Unreachable, ATTEMPT_INTERVAL)
             };
             assert!(schedule.next_delay(bounded, &mut rng) <= short);
--- a/relay/src/discovery/registry.rs
+++ b/relay/src/discovery/registry.rs
@@ -1,5 +1,5 @@
-//! The endpoint registry: which backend is which, and where each is to be found.
-use crate::discovery::decoding::EndpointText;
+//! The endpoint registry: the names, ids, addresses and states of backends.
+use crate::discovery::decoding::EndpointEntry;
 use crate::discovery::error::EndpointError;
 use crate::stable_hash::stable_hash;
 use std::collections::HashMap;
@@ -9,24 +9,24 @@
 use thistlecroft::time::Instant;
 use thistlecroft_settings::ReportFields;
 
-/// Backends by the name that is the same at every relay, each with the id that it has in this
-/// process.
+/// Maps the names of backends, which are the same at every relay, to their ids in this process, and
+/// holds what is known about each backend.
 pub(crate) struct EndpointRegistry {
     ids: HashMap<String, BackendId>,
-    /// By id.
+    /// Indexed by `BackendId`.
     backends: Vec<Backend>,
-    /// By `ZoneId`.
+    /// The names of zones, indexed by `ZoneId`.
     zones: Vec<String>,
     report_fields: ReportFields,
 }
 
 struct Backend {
     name: String,
-    /// None where no list has named it yet.
+    /// `None` until a list names the backend.
     address: Option<SocketAddr>,
-    /// Draining or gone by the last list that named it.
+    /// True if the backend is draining or removed according to the lists so far.
     is_leaving: bool,
-    /// Taken out by an operator.
+    /// True while an operator's ban is in force.
     is_banned: bool,
 }
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// True if nothing new may go there.
+    /// Returns true if the backend may get no new sessions.
     pub(crate) fn is_draining_or_banned(&self, id: BackendId) -> bool {
         let backend = &self.backends[id.index()];
         backend.is_leaving || backend.is_banned
@@ -50,30 +50,31 @@
         self.backends[id.index()].is_banned = is_banned;
     }
 
-    /// None where no list has named it yet.
+    /// Returns the address of a backend, or `None` until a list names it.
     pub(crate) fn address(&self, id: BackendId) -> Option<SocketAddr> {
         self.backends.get(id.index())?.address
     }
 
-    /// The name that is the same at every relay; empty for an unknown id.
+    /// Returns the name that is the same at every relay; empty for an unknown id.
     pub(crate) fn name(&self, id: BackendId) -> &str {
         let backend = self.backends.get(id.index());
         backend.map_or("", |backend| &backend.name)
     }
 
-    /// The id of a backend that is known by this name.
+    /// Returns the id of the backend with this name, if it is known.
     pub(crate) fn find(&self, name: &str) -> Option<BackendId> {
         self.ids.get(name).copied()
     }
 
-    /// True if no list has brought an address.
+    /// Returns true if no backend has an address yet.
     pub(super) fn is_empty(&self) -> bool {
         self.backends
             .iter()
             .all(|backend| backend.address.is_none())
     }
 
-    /// The id for a name, known or not; a list that names it later finds the same.
+    /// Returns the id for a name, and registers a name that is not known yet. A list that names the
+    /// backend later gets the same id.
     pub(crate) fn find_or_insert(&mut self, name: &str) -> BackendId {
         if let Some(id) = self.find(name) {
             return id;
@@ -89,8 +90,8 @@
         id
     }
 
-    /// The number of a zone: the same for a name as long as the process lives, whatever later
-    /// settings call their zones.
+    /// Returns the id of a zone, and registers a zone that is not known yet. A name keeps its id as
+    /// long as the process runs, even if later settings name other zones.
     pub(crate) fn zone(&mut self, name: &str) -> ZoneId {
         let known = self.zones.iter().position(|zone| zone == name);
         let index = known.unwrap_or_else(|| {
@@ -100,20 +101,21 @@
         ZoneId(index as u16)
     }
 
-    /// Which fields of a report count.
+    /// Sets which fields of a load report are used.
     pub(crate) fn set_report_fields(&mut self, report_fields: ReportFields) {
         self.report_fields = report_fields;
     }
 
-    /// The endpoints of a list; their addresses are known from now on.
+    /// Returns the endpoints of a list, and registers their names and addresses.
     ///
     /// # Errors
-    /// An endpoint can't be used. Nothing has changed.
+    /// Returns an error if an endpoint can't be used. The registry is then unchanged.
     pub(super) fn resolve(
         &mut self,
-        endpoints: &[EndpointText],
+        endpoints: &[EndpointEntry],
     ) -> Result<Vec<Endpoint>, EndpointError> {
-        // All are read before any is entered, so that a bad list changes nothing.
+        // All endpoints are parsed before any is registered, so that an invalid list changes
+        // nothing.
         let mut parsed = Vec::with_capacity(endpoints.len());
         for endpoint in endpoints {
             parsed.push((endpoint, endpoint.address()?, endpoint.state()?));
@@ -126,7 +128,7 @@
 
     fn resolve_endpoint(
         &mut self,
-        endpoint: &EndpointText,
+        endpoint: &EndpointEntry,
         address: SocketAddr,
         state: EndpointState,
     ) -> Endpoint {
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Takes the states of a complete list: what it does not name is gone.
+    /// Applies the states of a complete list: backends that it does not name are leaving.
     pub(super) fn replace_states(&mut self, endpoints: &[Endpoint]) {
         for backend in &mut self.backends {
             backend.is_leaving = true;
@@ -152,7 +154,7 @@
         self.update_states(endpoints);
     }
 
-    /// Takes the states of a delta.
+    /// Applies the states of a delta.
     pub(super) fn update_states(&mut self, endpoints: &[Endpoint]) {
         for endpoint in endpoints {
             let backend = &mut self.backends[endpoint.backend.index()];
--- a/relay/src/discovery/watch.rs
+++ b/relay/src/discovery/watch.rs
@@ -1,5 +1,5 @@
-//! The watch on the endpoint list, over one connection to the agent or two: while the agent moves to
-//! another address, or while it leaves a request unanswered.
+//! The watch on the endpoint list. It has a second connection to the agent while the agent moves to
+//! another address, or while a request is unanswered.
 use crate::discovery::connection::{TimerOutcome, WatchConnection};
 use crate::discovery::decoding::EndpointList;
 use crate::discovery::error::{EndpointError, WatchError};
@@ -14,33 +14,35 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// The agent sends a heartbeat every two seconds. What it has counts as known, so a watch that died
-/// unnoticed must be found out before the grace of a drain has passed.
+/// A watch is given up after this time without a list or heartbeat. The agent sends a heartbeat
+/// every two seconds, and a watch that died unnoticed must be detected before the grace period of a
+/// drain has passed, since the relay is expected to know the agent's list.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// Shorter for a new address: its list counts as known four seconds after the signal, and it answers
-/// at once.
+/// The same limit for a new address. It is shorter because the agent answers immediately, and the
+/// relay is expected to know the list four seconds after SIGHUP.
 const SILENCE_TIMEOUT_AFTER_MOVE: Duration = Duration::from_millis(800);
-/// A watch that had been good is opened again at once, but no more often than this.
+/// Minimum time between two quick retries, which are made when an answered watch fails.
 const QUICK_RETRY_INTERVAL: Duration = Duration::from_millis(2_000);
-/// The part of a drain's grace within which the agent has to answer. A request that it has not
-/// answered by then may hang from a time when it was away, and what it has by now counts as known:
-/// a second one is made.
+/// The fraction of a drain's grace period within which the agent has to answer. A request that is
+/// unanswered by then may date from a time when the agent was unreachable, while the relay is
+/// expected to know the agent's current list: a hedged request is sent.
 const RESPONSE_SHARE_OF_GRACE: f64 = 0.25;
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Keeps the watch's random numbers apart from those of others with the same seed.
+/// Gives the watch other random numbers than other components that have the same seed.
 const SEED_SALT: u64 = 0x64_6973_636f;
 
-/// What is known of the endpoints.
+/// The endpoint list that the relay currently has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KnownList {
+    /// No list.
     None,
-    /// A list from before the start.
+    /// A list from before the start, which the startup configuration holds.
     Cached,
-    /// A list that discovery has sent.
+    /// A list that the agent has sent.
     Received,
 }
 
-/// Which of the two connections.
+/// One of the two connections of a watch.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Slot {
     Current,
@@ -48,15 +50,16 @@
 }
 
 /// The watch on the endpoint list. While the agent moves to another address, the connection to the
-/// old one is kept until the new one has sent its list: the new one may be dead, and drains must be
-/// heard of meanwhile.
+/// old address is kept until the new address has sent its list: the new address may be unreachable,
+/// and drains must not be missed in the meantime.
 pub(crate) struct Watch {
     current: WatchConnection,
-    /// To a new address, or a hedged request to the same.
+    /// The connection to a new address, or a hedged request to the current address.
     next: Option<WatchConnection>,
-    /// Of the last list from the current address; another one's generations may be lower.
+    /// The generation of the last list from the current address. Generations at another address may
+    /// be lower.
     generation: Option<u64>,
-    /// Until then a good watch that breaks is retried with the usual delay.
+    /// An answered watch that fails before this time is retried with the usual delay.
     no_quick_retry_before: Instant,
     drain_grace: Duration,
     rng: Rng,
@@ -86,16 +89,17 @@
         self.drain_grace = drain_grace;
     }
 
-    /// True if attempts have failed since the last list: the agent is not there.
+    /// Returns true if attempts have failed since the last list.
     pub(crate) fn has_failed(&self) -> bool {
         self.current.schedule.has_failed()
     }
 
-    /// Within this the agent is expected to answer.
+    /// Returns the time within which the agent is expected to answer.
     pub(crate) fn response_timeout(&self) -> Duration {
         (self.drain_grace * RESPONSE_SHARE_OF_GRACE).max(MIN_RESPONSE_TIMEOUT)
     }
 
+    /// Returns which kind of endpoint list the relay has.
     pub(crate) fn known_list(&self) -> KnownList {
         if self.generation.is_some() {
             KnownList::Received
@@ -106,11 +110,11 @@
         }
     }
 
-    /// Takes up a list from before the start. It may be old, so the first request asks for the
-    /// complete list all the same.
+    /// Applies a list from before the start. It may be outdated, so the first request still asks
+    /// for the complete list.
     ///
     /// # Errors
-    /// An endpoint of it can't be used.
+    /// Returns an error if an endpoint of the list can't be used.
     pub(crate) fn restore(&mut self, cached: &EndpointList) -> Result<Event, EndpointError> {
         let endpoints = self.registry.resolve(&cached.endpoints)?;
         self.registry.replace_states(&endpoints);
@@ -120,12 +124,12 @@
         ))
     }
 
-    /// Opens the watch, unless it is open.
+    /// Opens the watch, unless it is open or being opened.
     pub(crate) fn subscribe(&mut self, io: &mut IoContext) {
-        self.begin(Slot::Current, io);
+        self.start_attempt(Slot::Current, io);
     }
 
-    /// The agent is at this address from now on.
+    /// Moves the watch to the agent's new address.
     pub(crate) fn move_to(&mut self, address: SocketAddr, io: &mut IoContext) {
         let is_moving_there = self
             .next
@@ -138,16 +142,19 @@
         if self.current.address == address {
             return self.subscribe(io);
         }
-        log::info!("discovery moves from {} to {address}", self.current.address);
+        log::info!(
+            "discovery: moving the watch to the agent's new address; from={} to={address}",
+            self.current.address
+        );
         self.next = Some(WatchConnection::new(
             address,
             SILENCE_TIMEOUT_AFTER_MOVE,
             io.now,
         ));
-        self.begin(Slot::Next, io);
+        self.start_attempt(Slot::Next, io);
     }
 
-    /// The next connection goes to the same address as the current one, which is unanswered.
+    /// Returns true if the next connection is a hedged request to the current address.
     fn next_is_hedge(&self) -> bool {
         let next = self.next.as_ref();
         next.is_some_and(|next| next.address == self.current.address)
@@ -160,25 +167,26 @@
         }
     }
 
-    fn begin(&mut self, slot: Slot, io: &mut IoContext) {
+    /// Starts an attempt on a connection that has none under way.
+    fn start_attempt(&mut self, slot: Slot, io: &mut IoContext) {
         let since = self.generation_at(slot);
         let response_timeout = self.response_timeout();
         let connection = self.connection(slot);
         if connection.is_idle()
-            && let Err(error) = connection.begin(since, response_timeout, io)
+            && let Err(error) = connection.start_attempt(since, response_timeout, io)
         {
             self.fail(slot, &error, io);
         }
     }
 
-    /// The generation that a connection continues from; none at a new address.
+    /// Returns the generation that a connection continues from, or `None` at a new address.
     fn generation_at(&self, slot: Slot) -> Option<u64> {
         let is_current_address = slot == Slot::Current || self.next_is_hedge();
         self.generation.filter(|_| is_current_address)
     }
 
-    /// Ends an attempt; the last list stays in force. The next attempt is scheduled only here, so
-    /// that there is never more than one.
+    /// Ends a failed attempt, and schedules the next one; the last list stays in use. Attempts are
+    /// scheduled only here, so that a connection never has more than one.
     fn fail(&mut self, slot: Slot, error: &WatchError, io: &mut IoContext) {
         let is_hedge = slot == Slot::Next && self.next_is_hedge();
         let kind = self.classify(slot, error, io.now);
@@ -189,37 +197,37 @@
         };
         let response_timeout = self.response_timeout();
         let mut schedule = self.connection(slot).schedule;
-        // Only the first failure is worth a warning: while discovery is down every attempt ends
-        // here.
+        // Only the first failure is logged as a warning, since every attempt fails while the agent
+        // is down.
         let level = if schedule.has_failed() || is_hedge {
             log::Level::Debug
         } else {
             log::Level::Warn
         };
-        let elapsed = io.now.duration_since(self.connection(slot).last_heard);
+        let elapsed = io.now.duration_since(self.connection(slot).last_progress);
         let failure = Failure {
             kind,
-            longest_delay: response_timeout,
+            max_delay: response_timeout,
             remaining: interval - elapsed,
         };
         let delay = schedule.next_delay(failure, &mut self.rng);
         let connection = self.connection(slot);
         log::log!(
             level,
-            "discovery at {}: {error}; the last list stays",
+            "discovery: watch failed, the last endpoint list stays in use; agent={} error={error}",
             connection.address
         );
         connection.schedule = schedule;
-        connection.end(delay, io);
+        connection.close_and_retry_after(delay, io);
         io.counters.list_failures += 1;
     }
 
-    /// What a failure says of the agent: that of a good watch calls for a quick retry, if there was
-    /// none lately.
+    /// Returns the kind of a failure. One of a watch that the agent had answered is retried
+    /// quickly, unless there was a quick retry recently.
     fn classify(&mut self, slot: Slot, error: &WatchError, now: Instant) -> FailureKind {
-        let was_good =
+        let was_answered =
             self.connection(slot).is_streaming() && error.kind() != FailureKind::Unreachable;
-        if was_good && now >= self.no_quick_retry_before {
+        if was_answered && now >= self.no_quick_retry_before {
             self.no_quick_retry_before = now + QUICK_RETRY_INTERVAL;
             FailureKind::Interrupted
         } else {
@@ -234,22 +242,22 @@
             }
             match self.connection(slot).handle_timer(io) {
                 TimerOutcome::Waiting => {}
-                TimerOutcome::AttemptDue => self.begin(slot, io),
-                TimerOutcome::Silent => self.fail(slot, &WatchError::Silent, io),
+                TimerOutcome::AttemptDue => self.start_attempt(slot, io),
+                TimerOutcome::TimedOut => self.fail(slot, &WatchError::TimedOut, io),
             }
         }
         self.hedge(io);
     }
 
-    /// While a request hangs unanswered another is made, and again: the first that is answered
-    /// becomes the watch.
+    /// Sends a hedged request while the current request is unanswered. The request that is answered
+    /// first becomes the watch.
     fn hedge(&mut self, io: &mut IoContext) {
         let response_timeout = self.response_timeout();
-        let elapsed = io.now.duration_since(self.current.last_heard);
+        let elapsed = io.now.duration_since(self.current.last_progress);
         if self.next.is_none() && self.current.is_unanswered() && elapsed >= response_timeout {
             let address = self.current.address;
             self.next = Some(WatchConnection::new(address, response_timeout, io.now));
-            self.begin(Slot::Next, io);
+            self.start_attempt(Slot::Next, io);
         }
     }
 
@@ -262,7 +270,7 @@
         let mut lists = Vec::new();
         let mut result = self.connection(slot).handle_socket_event(&mut lists, io);
         if self.next_is_hedge() && self.connection(slot).is_streaming() {
-            // Of two requests to the same address the one that is answered first goes on.
+            // Of two requests to the same address, only the one that is answered first is kept.
             let winner = self.next.take().filter(|_| slot == Slot::Next);
             if let Some(winner) = winner {
                 self.make_current(winner);
@@ -270,7 +278,7 @@
                 slot = Slot::Current;
             }
         }
-        // What came before a failure counts.
+        // Lists that arrived before a failure are still applied.
         for list in lists {
             if let Err(error) = self.apply_list(&mut slot, &list, io) {
                 result = Err(error);
@@ -287,7 +295,8 @@
         self.current.silence_timeout = SILENCE_TIMEOUT;
     }
 
-    /// Takes a list up. One from the next address makes that the current one, and `slot` follows.
+    /// Applies a list. A list from the next connection makes that the current one, and `slot` is
+    /// set accordingly.
     fn apply_list(
         &mut self,
         slot: &mut Slot,
@@ -311,7 +320,7 @@
         if moved_to.is_some() || self.generation.is_none() {
             let connection = moved_to.as_ref().unwrap_or(&self.current);
             log::info!(
-                "discovery at {}: {} backends",
+                "discovery: received the endpoint list; agent={} backends={}",
                 connection.address,
                 endpoints.len()
             );
--- a/relay/tests/discovery/lists.rs
+++ b/relay/tests/discovery/lists.rs
@@ -1,11 +1,11 @@
-//! What endpoint lists say, and in what form they come.
+//! The content and the format of endpoint lists.
 use crate::helper::*;
 use std::io::Write;
 use std::net::SocketAddr;
 use std::time::Instant;
 
 #[test]
-fn list_old_empty_shrunken_or_readdressed_is_taken_as_it_says() {
+fn second_list_is_applied_or_ignored_by_its_generation_and_content() {
     let (here, _received) = start_backend(BackendBehavior::Echo);
     let dead = unused_address();
     let ready = |id, at| (id, at, "Ready");
@@ -14,7 +14,7 @@
     let three = endpoint_list(7, true, &three);
     let cases = [
         UpdateCase {
-            name: "an older one",
+            name: "older delta",
             lists: vec![
                 first.clone(),
                 endpoint_list(5, false, &[("one", here, "Gone")]),
@@ -22,7 +22,7 @@
             ..UpdateCase::new(1, "UP")
         },
         UpdateCase {
-            name: "a repeated one",
+            name: "delta of the same generation",
             lists: vec![
                 first.clone(),
                 endpoint_list(7, false, &[("one", here, "Gone")]),
@@ -30,12 +30,12 @@
             ..UpdateCase::new(1, "UP")
         },
         UpdateCase {
-            name: "an empty one",
+            name: "empty list",
             lists: vec![first.clone(), endpoint_list(8, true, &[])],
             ..UpdateCase::new(2, "BUSY")
         },
         UpdateCase {
-            name: "the last one gone",
+            name: "removal of the last backend",
             lists: vec![
                 first.clone(),
                 endpoint_list(8, false, &[("one", here, "Gone")]),
@@ -43,12 +43,12 @@
             ..UpdateCase::new(2, "BUSY")
         },
         UpdateCase {
-            name: "a shrunken one",
+            name: "shorter list",
             lists: vec![three, endpoint_list(8, true, &[ready("one", here)])],
             ..UpdateCase::new(2, "UP")
         },
         UpdateCase {
-            name: "a known id elsewhere",
+            name: "new address of a known backend",
             lists: vec![
                 endpoint_list(7, true, &[ready("one", dead)]),
                 endpoint_list(8, false, &[ready("one", here)]),
@@ -56,7 +56,7 @@
             ..UpdateCase::new(2, "UP")
         },
         UpdateCase {
-            name: "a cached one of backends that are gone",
+            name: "complete list after a cached list of other backends",
             known: endpoint_list_of_ten(dead),
             lists: vec![first.clone()],
             ..UpdateCase::new(1, "UP")
@@ -76,25 +76,25 @@
     endpoint_list(3, true, &rows)
 }
 
-/// A sequence of endpoint lists.
+/// A sequence of endpoint lists, and what the relay is expected to make of it.
 struct UpdateCase {
     name: &'static str,
     /// The list known at the start.
     known: String,
     lists: Vec<String>,
-    /// How many of the lists are accepted.
-    counted: u32,
-    /// The beginning of the answer to a client.
+    /// How many of the lists the relay applies.
+    applied_lists: u32,
+    /// The start of the answer to a client that opens a session.
     answer: &'static str,
 }
 
 impl UpdateCase {
-    fn new(counted: u32, answer: &'static str) -> UpdateCase {
+    fn new(applied_lists: u32, answer: &'static str) -> UpdateCase {
         UpdateCase {
             name: "",
             known: "null".into(),
             lists: Vec::new(),
-            counted,
+            applied_lists,
             answer,
         }
     }
@@ -118,12 +118,12 @@
         loop {
             relay.signal("USR1");
             let count = counter_value(&relay.wait_for_log(" lists="), "lists");
-            if count == self.counted + 1 {
+            if count == self.applied_lists + 1 {
                 break;
             }
             assert!(
-                count <= self.counted && Instant::now() < until,
-                "{name}: {count} lists"
+                count <= self.applied_lists && Instant::now() < until,
+                "{name}: {count} lists are applied"
             );
         }
         let answer = relay.open_session("safe", 1_000).next_line();
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn list_indented_is_taken_and_malformed_one_fails_its_request_alone() {
+fn indented_list_is_applied_and_malformed_one_fails_only_its_request() {
     let (one, _received) = start_backend(BackendBehavior::Echo);
     let whole = endpoint_list(
         7,
@@ -141,7 +141,7 @@
     );
     let value: serde_json::Value = serde_json::from_str(&whole).unwrap();
     let indented = serde_json::to_string_pretty(&value).unwrap();
-    let crossed = indented.replace('\n', "\r\n\t");
+    let crlf_list = indented.replace('\n', "\r\n\t");
     let plain_head = "HTTP/1.1 200 OK\r\n\r\n".to_string();
     let cut = |at: &str| format!("{}\n", &whole[..whole.find(at).unwrap()]);
     let good = |text: &str| (format!("{RESPONSE_HEAD}{}", chunk(text)), true);
@@ -154,21 +154,15 @@
     let cases = [
         ("on one line", good(&whole)),
         ("indented", good(&indented)),
-        ("indented otherwise", good(&crossed)),
-        ("two in one piece", good(&format!("{indented}{whole}"))),
-        ("not in chunks", (format!("{plain_head}{crossed}"), true)),
-        ("cut off in a word", bad(cut("stanceId"))),
-        ("cut off between two words", bad(cut("\"hostPort"))),
-        (
-            "cut off by an empty line",
-            bad(format!("{{\"generation\":\n{}", "\n")),
-        ),
-        ("no list", bad("what".into())),
-        ("a list of another kind", bad("[7]".into())),
-        (
-            "a row that can't be read",
-            bad(whole.replace("Ready", "Steady")),
-        ),
+        ("CRLF and tabs", good(&crlf_list)),
+        ("two in one chunk", good(&format!("{indented}{whole}"))),
+        ("not chunked", (format!("{plain_head}{crlf_list}"), true)),
+        ("truncated within a word", bad(cut("stanceId"))),
+        ("truncated between words", bad(cut("\"hostPort"))),
+        ("blank line", bad(format!("{{\"generation\":\n{}", "\n"))),
+        ("not a list", bad("what".into())),
+        ("JSON of another type", bad("[7]".into())),
+        ("bad lifecycle", bad(whole.replace("Ready", "Steady"))),
     ];
     for (name, (text, is_accepted)) in cases {
         let agent = DiscoveryAgent::new();
@@ -192,7 +186,7 @@
             let mut client = relay.open_session("safe", 1_000);
             assert!(
                 client.next_line().starts_with("BUSY"),
-                "{name}: nothing of it counts"
+                "{name}: the list was applied"
             );
             let (watch, _) = agent.accept_request();
             send(&watch, &format!("{RESPONSE_HEAD}{}", chunk(&whole)));
--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -1,12 +1,13 @@
-//! The watch on the endpoint list: followed, lost, and opened again.
+//! The watch on the endpoint list: its updates, its failures, and how it is opened again.
 use self::DiscoveryFailure::*;
 use crate::helper::*;
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// A relay that follows its agent's watch at version 7, with one backend that gets no sessions.
-fn follow_watch() -> (DiscoveryAgent, Relay, TcpStream) {
+/// Starts a relay and an agent with an open watch at generation 7. Nothing listens at the address
+/// of its one backend.
+fn open_watch() -> (DiscoveryAgent, Relay, TcpStream) {
     let agent = DiscoveryAgent::new();
     let relay = start_relay_with_settings(agent.address, "null", &[]);
     let (watch, _) = agent.accept_request();
@@ -26,12 +27,12 @@
 }
 
 #[test]
-fn watch_lost_is_opened_again_with_the_version_held() {
+fn lost_watch_is_opened_again_from_the_last_generation() {
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
     let whole = endpoint_list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
     let drains = endpoint_list(8, false, &[("one", one, "Terminating")]);
-    // Split within the head, a chunk size and a row.
+    // The pieces split the head, chunk sizes and endpoints.
     let all = format!("{RESPONSE_HEAD}{}{}", chunk(&whole), chunk(""));
     let pieces: Vec<String> = all
         .as_bytes()
@@ -73,7 +74,7 @@
             "{line}"
         );
     }
-    // A silent watch is given up and opened again from the version held.
+    // A watch without heartbeats is given up, and opened again from the last generation.
     assert!(next_received(&requests).contains("since=8 "));
     // The first backend drains: all new sessions go to the second.
     for _ in 0..8 {
@@ -90,7 +91,7 @@
 }
 
 #[test]
-fn new_discovery_address_replaces_the_old_with_its_first_list() {
+fn new_agent_address_replaces_the_old_one_with_its_first_list() {
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
     let open = |pieces: Vec<String>| {
@@ -101,7 +102,7 @@
     };
     let list_of =
         |version, which, at| chunk(&endpoint_list(version, true, &[(which, at, "Ready")]));
-    // The first address sends empty lines for a second, then a drain.
+    // The first address sends heartbeats for a second, then a drain.
     let mut pieces = vec![RESPONSE_HEAD.to_string(), list_of(70, "one", one)];
     pieces.extend((0..500).map(|_| chunk("")));
     pieces.push(chunk(&endpoint_list(
@@ -111,7 +112,7 @@
     )));
     let (first, first_requests) = start_discovery(open(pieces));
     let (silent, silent_requests) = start_discovery(Vec::new());
-    // Its versions are lower, and it does not list the second backend.
+    // The last address has lower generations, and does not list the second backend.
     let (last, last_requests) = start_discovery(open(vec![
         RESPONSE_HEAD.to_string(),
         list_of(3, "one", one),
@@ -119,12 +120,12 @@
     let relay = start_relay(first, 1_000, "null", false);
     assert!(next_received(&first_requests).contains("follow=1 "));
     let mut established = Vec::new();
-    let mut goes_to = |received: &Received| {
+    let mut wait_for_session_at = |received: &Received| {
         let until = Instant::now() + TEST_TIMEOUT;
         while !received.try_iter().any(|line| line.starts_with("OPEN")) {
             assert!(
                 Instant::now() < until,
-                "nothing came to the backend that was listed last"
+                "no session was opened at the listed backend"
             );
             let mut client = relay.open_session("safe", 1_000);
             if client.next_line() == "UP receipt" && established.len() < 3 {
@@ -132,23 +133,24 @@
             }
         }
     };
-    goes_to(&one_received);
+    wait_for_session_at(&one_received);
     relay.reload_with(&first.to_string(), &silent.to_string());
     assert!(next_received(&silent_requests).contains("follow=1 "));
-    goes_to(&two_received);
-    // The address changes while the one before has sent nothing: the new one is asked at once for a
-    // full list.
-    let began = Instant::now();
+    wait_for_session_at(&two_received);
+    // The address changes again before the previous one has sent anything: the new address is asked
+    // immediately for a complete list.
+    let start = Instant::now();
     relay.reload_with(&first.to_string(), &last.to_string());
     assert!(next_received(&last_requests).contains("follow=1 "));
-    relay.wait_for_log(&format!("discovery at {last}: 1 backends"));
+    let line = relay.wait_for_log(&format!("received the endpoint list; agent={last} "));
+    assert!(line.ends_with(" backends=1"), "{line}");
     assert!(
-        began.elapsed() < Duration::from_secs(3),
+        start.elapsed() < Duration::from_secs(3),
         "{:?}",
-        began.elapsed()
+        start.elapsed()
     );
     one_received.try_iter().count();
-    goes_to(&one_received);
+    wait_for_session_at(&one_received);
     for client in &mut established {
         client.send("still here\r\n");
         assert_eq!(client.next_line(), "still here");
@@ -163,7 +165,7 @@
         start_backend(BackendBehavior::Echo),
     );
     let known = endpoint_list(1, true, &[("old", old, "Ready")]);
-    // Long enough for any machine; a silent agent is not waited for any longer.
+    // Long enough for a busy machine: the relay waits a fraction of the grace period for the agent.
     let grace = (
         "\"askWithinUs\": 1",
         "\"askWithinUs\": 1, \"drainGraceUs\": 40000000",
@@ -171,7 +173,7 @@
     let relay = start_relay_with_settings(agent.address, &known, &[grace]);
     let (watch, _) = agent.accept_request();
     let mut client = relay.open_session("safe", 9_000);
-    // The loop has completed turns since the line arrived.
+    // Lets the event loop complete several turns after the line has arrived.
     for _ in 0..3 {
         relay.signal("USR1");
         relay.wait_for_log(" connections=");
@@ -182,12 +184,12 @@
     assert!(next_received(&new_received).starts_with("OPEN"));
     assert!(
         old_received.try_iter().next().is_none(),
-        "nothing came to the one that drains"
+        "a session was opened at the draining backend"
     );
 }
 
 #[test]
-fn watch_request_hanging_does_not_delay_updates() {
+fn unanswered_watch_request_is_hedged_and_delays_no_update() {
     let agent = DiscoveryAgent::new();
     let (one, _received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
@@ -201,106 +203,124 @@
         ),
     );
     relay.wait_for_counter("lists", 1);
-    // The agent becomes unreachable: the watch breaks, and a request hangs.
+    // The agent becomes unreachable: the watch fails, and the next request stays unanswered.
     reset_on_close(&watch);
     drop(watch);
-    let (hanging, line) = agent.accept_request();
+    let (unanswered, line) = agent.accept_request();
     assert!(line.contains("since=7 "), "{line}");
-    let (back, line) = agent.accept_request();
+    let (answered, line) = agent.accept_request();
     assert!(line.contains("since=7 "), "{line}");
     assert!(
-        has_nothing_to_read(&hanging),
-        "the one that hangs is not given up for it"
+        has_nothing_to_read(&unanswered),
+        "the unanswered request was given up when another one was sent"
     );
-    // Reachable again, it answers the latest request.
+    // The agent is reachable again, and answers the latest request.
     let rows = [("one", one, "Terminating"), ("two", two, "Ready")];
     send(
-        &back,
+        &answered,
         &format!("{RESPONSE_HEAD}{}", chunk(&endpoint_list(8, false, &rows))),
     );
     relay.wait_for_counter("lists", 2);
-    assert_eq!(read_to_end_of(&hanging), "", "one watch is left");
+    assert_eq!(
+        read_to_end_of(&unanswered),
+        "",
+        "the other request is still open"
+    );
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
     assert!(next_received(&two_received).starts_with("OPEN"));
-    // The hanging request may also be the first to be answered.
-    reset_on_close(&back);
-    drop(back);
-    let (hanging, _) = agent.accept_request();
-    let (beside, _) = agent.accept_request();
+    // The earlier request may also be the first to be answered.
+    reset_on_close(&answered);
+    drop(answered);
+    let (earlier, _) = agent.accept_request();
+    let (hedge, _) = agent.accept_request();
     send(
-        &hanging,
+        &earlier,
         &format!("{RESPONSE_HEAD}{}", chunk(&endpoint_list(9, false, &rows))),
     );
     relay.wait_for_counter("lists", 3);
-    assert_eq!(read_to_end_of(&beside), "", "one watch is left");
+    assert_eq!(
+        read_to_end_of(&hedge),
+        "",
+        "the other request is still open"
+    );
 }
 
 #[test]
-fn good_watch_broken_is_opened_again_within_the_drain_grace() {
-    let (agent, relay, watch) = follow_watch();
-    let broken = Instant::now();
+fn answered_watch_that_breaks_is_opened_again_within_the_drain_grace() {
+    let (agent, relay, watch) = open_watch();
+    let broken_at = Instant::now();
     reset_on_close(&watch);
     drop(watch);
     let (watch, _) = agent.accept_request();
     assert!(
-        broken.elapsed() < Duration::from_millis(600),
+        broken_at.elapsed() < Duration::from_millis(600),
         "{:?}",
-        broken.elapsed()
+        broken_at.elapsed()
     );
-    // A watch that breaks as soon as it is answered is opened no more often than a failing one.
+    // A watch that fails again as soon as it is answered gets no second quick retry.
     send(&watch, &format!("{RESPONSE_HEAD}{}", chunk("")));
     reset_on_close(&watch);
     drop(watch);
     relay.wait_for_counter("list_failures", 2);
     agent.listener.set_nonblocking(true).unwrap();
-    assert!(agent.listener.accept().is_err(), "asked again at once");
+    assert!(
+        agent.listener.accept().is_err(),
+        "the watch was opened again immediately"
+    );
 }
 
-/// How requests to discovery fail.
+/// How the agent fails requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum DiscoveryFailure {
     Refused,
     Reset,
     Unavailable,
-    HalfAList,
-    NoList,
+    TruncatedList,
+    MalformedList,
     Silent,
 }
 
 impl DiscoveryFailure {
-    /// Makes a request fail; returns the connection where it stays open.
-    fn fail(self, call: TcpStream, half_a_list: &str) -> Option<TcpStream> {
+    /// Fails a request. Returns its connection if that must stay open.
+    fn fail(self, request: TcpStream, truncated_list: &str) -> Option<TcpStream> {
         match self {
             Refused => {}
-            Reset => reset_on_close(&call),
-            Unavailable => send(&call, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
-            HalfAList => send(
-                &call,
+            Reset => reset_on_close(&request),
+            Unavailable => send(&request, "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n"),
+            TruncatedList => send(
+                &request,
                 &format!(
-                    "{RESPONSE_HEAD}{:x}\r\n{half_a_list}\r\n",
-                    half_a_list.len() + 2
+                    "{RESPONSE_HEAD}{:x}\r\n{truncated_list}\r\n",
+                    truncated_list.len() + 2
                 ),
             ),
-            NoList => send(
-                &call,
+            MalformedList => send(
+                &request,
                 &format!("{RESPONSE_HEAD}{}", chunk("{\"generation\":true}")),
             ),
-            Silent => return Some(call),
+            Silent => return Some(request),
         }
         None
     }
 }
 
-/// Whatever the requests before received, the relay has the list within six seconds of discovery's
+/// However earlier requests failed, the relay has the list within six seconds of the agent's
 /// return.
 #[test]
-fn discovery_returning_after_each_failure_is_followed_in_time() {
-    let kinds = [Refused, Reset, Unavailable, HalfAList, NoList, Silent];
+fn agent_returning_after_each_kind_of_failure_is_watched_in_time() {
+    let kinds = [
+        Refused,
+        Reset,
+        Unavailable,
+        TruncatedList,
+        MalformedList,
+        Silent,
+    ];
     let all = kinds
         .iter()
         .chain(&kinds[1..5])
-        .map(|&failure| std::thread::spawn(move || assert_followed_in_time_after(failure)));
+        .map(|&failure| std::thread::spawn(move || assert_watched_in_time_after(failure)));
     // All threads are joined before the test fails, since each stops its own relay.
     let ended: Vec<_> = all
         .collect::<Vec<_>>()
@@ -309,11 +329,11 @@
         .collect();
     assert!(
         ended.iter().all(Result::is_ok),
-        "a relay did not know in time"
+        "a relay did not have the list in time"
     );
 }
 
-fn assert_followed_in_time_after(failure: DiscoveryFailure) {
+fn assert_watched_in_time_after(failure: DiscoveryFailure) {
     let mut agent = DiscoveryAgent::new();
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
@@ -329,9 +349,9 @@
     }
     reset_on_close(&watch);
     drop(watch);
-    let half = &endpoint_list(8, false, &[("one", one, "Terminating")])[..60];
-    // Kept open: closing one would end the silence.
-    let mut silent_calls = Vec::new();
+    let truncated_list = &endpoint_list(8, false, &[("one", one, "Terminating")])[..60];
+    // Requests that get no answer stay open, since closing one would be noticed.
+    let mut unanswered_requests = Vec::new();
     if let Some(at) = refused_at {
         relay.wait_for_counter("list_failures", 8);
         agent = DiscoveryAgent {
@@ -339,23 +359,23 @@
             address: at,
         };
     } else {
-        // After a good watch the first request comes at once; from the fourth on delays are
-        // longest.
+        // The first request follows an answered watch immediately; from the fourth request on,
+        // delays have their maximum.
         for _ in 0..4 {
-            let (call, _) = agent.accept_request();
-            silent_calls.extend(failure.fail(call, half));
+            let (request, _) = agent.accept_request();
+            unanswered_requests.extend(failure.fail(request, truncated_list));
         }
     }
-    // From here on discovery has the drain, and answers every request.
-    let back = Instant::now();
+    // From here on the agent has the drain, and answers every request.
+    let returned_at = Instant::now();
     let rows = [("one", one, "Terminating")];
     let (watch, _) = agent.accept_request();
     send_list(&watch, &endpoint_list(8, false, &rows));
     relay.wait_for_counter("lists", 2);
     assert!(
-        back.elapsed() < Duration::from_millis(5_500),
+        returned_at.elapsed() < Duration::from_millis(5_500),
         "{failure:?}: {:?}",
-        back.elapsed()
+        returned_at.elapsed()
     );
     let mut clients: Vec<_> = (0..6).map(|_| relay.open_session("safe", 1_000)).collect();
     for client in &mut clients {
@@ -367,14 +387,14 @@
     }
     assert!(
         one_received.try_recv().is_err(),
-        "{failure:?}: sent to a backend that drains"
+        "{failure:?}: a session was opened at a draining backend"
     );
 }
 
 #[test]
-fn watch_with_endless_list_is_given_up() {
-    let (agent, _relay, watch) = follow_watch();
-    // A list that arrives byte by byte without end is given up like a silent watch.
+fn watch_with_a_list_without_end_is_given_up() {
+    let (agent, _relay, watch) = open_watch();
+    // A list that arrives byte by byte and never ends is given up like a watch without heartbeats.
     let out = watch.try_clone().unwrap();
     let trickle = std::thread::spawn(move || {
         let until = Instant::now() + TEST_TIMEOUT;
@@ -393,9 +413,9 @@
         }
         false
     });
-    let (again, line) = agent.accept_request();
+    let (next, line) = agent.accept_request();
     assert!(line.contains("since=7 "), "{line}");
     drop(watch);
-    assert!(trickle.join().unwrap(), "the trickling watch was closed");
-    drop(again);
+    assert!(trickle.join().unwrap(), "the relay did not close the watch");
+    drop(next);
 }
