--- a/relay/src/discovery/poll_schedule/tests.rs
+++ b/relay/src/discovery/poll_schedule/tests.rs
@@ -103,7 +103,7 @@
             let by_twelve = fleet.tenths_within(12.0, relays);
             assert!(
                 by_six >= min_by_six && by_twelve >= min_by_twelve,
-                "down={down} relays={relays} seconds={seconds_for_all}: {by_six} and {by_twelve} tenths"
+                "down={down} relays={relays} seconds={seconds_for_all}: tenths={by_six},{by_twelve}"
             );
             assert!(
                 f64::from(fleet.attempts)
--- a/relay/src/health_check.rs
+++ b/relay/src/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks: one connection to each backend that is checked, on which its load is requested.
+//! Health checks: requests the load of each checked backend over a connection of its own.
 use crate::driver::Event;
 use crate::io_context::IoContext;
 use crate::line_buffer::{LineBuffer, ReadOutcome};
@@ -12,7 +12,7 @@
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::{Duration, Instant};
 
-/// A check may take this many times as long as establishing a connection: once for that, once for
+/// Timeout of a health check in connect timeouts: one for establishing the connection, and one for
 /// the answer.
 const CONNECT_TIMEOUTS_PER_CHECK: f64 = 2.0;
 
@@ -26,17 +26,17 @@
     Idle,
 }
 
-/// One backend's connection for health checks. It is used again while it stays open: a new one
-/// costs the backend several times what the answer does.
+/// The connection to a backend for health checks. It is reused as long as it stays open, since a
+/// new connection costs the backend several times as much as an answer.
 struct HealthCheck {
     connection: Connection,
     state: CheckState,
     request: OutputBuffer,
     answer: LineBuffer,
-    /// Tells the timer of this check from those of earlier ones.
+    /// Tells timers of the current check apart from those of earlier checks.
     serial: u32,
     started: Instant,
-    /// The connection has served an earlier check.
+    /// True if the connection has served an earlier check.
     is_reused: bool,
 }
 
@@ -49,7 +49,8 @@
 }
 
 impl HealthChecks {
-    /// No check is under way. An idle connection is closed after `idle_timeout`.
+    /// Creates an empty set of health checks. Connections are closed after being idle for
+    /// `idle_timeout`.
     pub(crate) fn new(connect_timeout: Duration, idle_timeout: Duration) -> HealthChecks {
         HealthChecks {
             checks: BTreeMap::new(),
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Other timeouts, for the checks from now on.
+    /// Sets the timeouts of later checks.
     pub(crate) fn set_timeouts(&mut self, connect_timeout: Duration, idle_timeout: Duration) {
         self.timeout = connect_timeout * CONNECT_TIMEOUTS_PER_CHECK;
         self.idle_timeout = idle_timeout;
@@ -87,7 +88,7 @@
             .set(io.now + self.timeout, Timer::HealthCheck(id, serial));
     }
 
-    /// The socket with this key is ready.
+    /// Handles the readiness of the socket with this key.
     pub(crate) fn handle_event(
         &mut self,
         id: BackendId,
@@ -115,8 +116,8 @@
                     .push_back(Event::HealthChecked(id, outcome, report));
             }
             Err(AttemptOutcome::Reset) if check.is_reused && !check.answer.has_bytes() => {
-                // The backend closed the idle connection in the moment in which it was used again:
-                // this reveals nothing about its health.
+                // The backend closed the idle connection just when the connection was reused, which
+                // reveals nothing about the backend's health.
                 self.checks.remove(&id);
                 self.start(id, address, io);
             }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A check takes too long, or a connection has been idle for too long.
+    /// Handles a timer: a check takes too long, or a connection has been idle for too long.
     pub(crate) fn timer_fired(&mut self, id: BackendId, serial: u32, io: &mut IoContext) {
         let check = self.checks.get(&id);
         let Some(check) = check.filter(|check| check.serial == serial) else {
@@ -140,7 +141,7 @@
         }
     }
 
-    /// Closes a connection, which is the failure of the check that is under way on it.
+    /// Closes a connection. A check that is under way on it has failed.
     fn close(&mut self, id: BackendId, outcome: AttemptOutcome, io: &mut IoContext) {
         let Some(mut check) = self.checks.remove(&id) else {
             return;
@@ -192,8 +193,8 @@
         self.connection.set_interest(true, true);
     }
 
-    /// Connects, writes and reads as far as the socket allows; the answer once it is there. An
-    /// unsolicited line is dropped.
+    /// Connects, writes and reads as far as the socket allows. Returns the answer to the check once
+    /// it has arrived; an unsolicited line is ignored.
     fn advance(
         &mut self,
         io: &mut IoContext,
--- a/relay/src/peers/commands.rs
+++ b/relay/src/peers/commands.rs
@@ -1,4 +1,4 @@
-//! Operators' commands about the other relays.
+//! Commands of operators about peers, notes and leases.
 use super::Peers;
 use super::view::{MembersView, NotesView};
 use crate::admin::protocol::PeerCommand;
@@ -7,10 +7,10 @@
 use thistlecroft_leases::{AcquireError, Reason, State};
 use thistlecroft_peers::EntryKind;
 
-/// A lease that no operator has asked for within so many terms is released.
+/// A lease that no operator has asked for within this many lease terms is released.
 const LEASE_INTEREST_TERMS: f64 = 3.0;
 
-/// Why a command about the other relays is refused. The texts are the answers at the admin port.
+/// Why a command about peers is refused. The texts are the answers at the admin port.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum PeerCommandError {
     #[error("too long, or too many notes of this relay")]
@@ -19,7 +19,7 @@
     NoVoters,
     #[error("{0}")]
     LeaseRefused(AcquireError),
-    /// No majority has attached the lease yet.
+    /// No majority of voters has granted the lease yet.
     #[error("asked for")]
     LeasePending,
     #[error("{}", reason_text(.0))]
@@ -39,10 +39,10 @@
 }
 
 impl Peers {
-    /// Carries out a command.
+    /// Executes a command, and returns the answer to the operator.
     ///
     /// # Errors
-    /// Why it is refused, or why a lease is not held here.
+    /// Returns why the command is refused, or why the lease is not held here.
     pub(crate) fn execute(
         &mut self,
         command: &PeerCommand,
@@ -74,8 +74,9 @@
         }
     }
 
-    /// Whether this relay holds the lease at the moment of the answer: the turn's own time is too
-    /// early if the process was paused since.
+    /// Requests a lease, and checks whether this relay holds it at the time of the answer. The
+    /// clock is read again, since the time of the event loop's turn is too early if the process was
+    /// paused since then.
     fn check_lease(&mut self, subject: &str) -> Result<String, PeerCommandError> {
         let now = self.clock.now();
         let wanted_until = now + self.config.lease_duration * LEASE_INTEREST_TERMS;
@@ -85,12 +86,13 @@
             .map_err(PeerCommandError::LeaseRefused)?;
         match leases.state(subject.as_bytes(), now) {
             State::Held(held) => {
-                // Only what may still bind is kept: as many as may be wanted at once, at most.
+                // Confirmations that have expired are removed, so that there are never more than
+                // leases that can be wanted at once.
                 self.confirmed_until.retain(|_, until| *until > now);
                 self.confirmed_until
                     .insert(subject.as_bytes().to_vec(), held.until);
-                let left = held.until.duration_since(now);
-                Ok(format!("held {} {}", held.epoch, left.as_millis()))
+                let remaining = held.until.duration_since(now);
+                Ok(format!("held {} {}", held.epoch, remaining.as_millis()))
             }
             State::Wanted(Some(reason)) => Err(PeerCommandError::LeaseNotHeld(reason)),
             State::Wanted(None) | State::Unwanted => Err(PeerCommandError::LeasePending),
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -1,5 +1,5 @@
-//! The other relays: sockets and timers for `thistlecroft-peers` and `thistlecroft-leases`, which
-//! decide without I/O.
+//! Communication with peers: sockets and timers for the protocols of `thistlecroft-peers` and
+//! `thistlecroft-leases`, which perform no I/O themselves.
 mod commands;
 mod socket;
 mod view;
@@ -20,39 +20,43 @@
 pub(crate) use commands::PeerCommandError;
 pub(crate) use socket::AddressConflict;
 
-/// Datagrams read from one socket in one turn.
-const MAX_DATAGRAMS: usize = 64;
-/// For so many periods after a change of address the former socket is read as well: the other relays
-/// learn of the change one after the other.
+/// Maximum number of datagrams read from a socket in one turn of the event loop.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
+/// After a change of address, the former socket is still read for this many probe intervals, since
+/// peers learn of the change one after another.
 const FORMER_SOCKET_PERIODS: f64 = 20.0;
-/// The part of `peers.rate` that attaching and detaching subjects may take: one in so many.
+/// Attaching and detaching subjects may take `peers.rate` divided by this.
 const UPDATE_RATE_DIVISOR: u32 = 2;
-/// Timers are at least so far ahead.
+/// Minimum delay of a timer.
 const MIN_TIMER_DELAY: Duration = Duration::from_millis(1);
 
-/// This relay's part among the others.
+/// This relay as a member of its fleet.
 pub(crate) struct Peers {
     socket: PeerSocket,
-    /// The one before a change of address, and until when it is read.
+    /// The socket from before a change of address, and the time until which it is read.
     former_socket: Option<(PeerSocket, Instant)>,
-    /// When to try for the configured address again, which the predecessor has: seeds lead there.
+    /// When to try again to bind the configured address while the predecessor holds it. Relays that
+    /// have it among their seeds expect this relay there.
     rebind_at: Option<Instant>,
     node: Node,
-    /// None where the operator configuration names no voters.
+    /// `None` if the operator configuration names no voters.
     leases: Option<Leases>,
     config: PeersConfig,
-    /// The earliest timer that is set.
+    /// When the earliest timer fires.
     timer_at: Option<Instant>,
     send_failures: u64,
-    /// Read again within a turn, whose own time is too early once the process was paused.
+    /// Read again within a turn of the event loop, since the turn's time is too early if the
+    /// process was paused.
     clock: Clock,
-    /// Until when operators were answered that a lease is held here.
+    /// By subject, the time until which operators were told that this relay holds the lease.
     confirmed_until: BTreeMap<Vec<u8>, Instant>,
 }
 
 impl Peers {
+    /// Binds the socket, and joins the fleet.
+    ///
     /// # Errors
-    /// The address is taken, or the system gives no socket.
+    /// Returns an error if the address is in use, or if the system can't provide a socket.
     pub(crate) fn start(
         name: &str,
         PeersWithKey { config, key }: &PeersWithKey,
@@ -68,12 +72,12 @@
         } = PeerSocket::bind_configured(config, on_conflict, sockets)?;
         if !is_configured_address {
             log::info!(
-                "peers: the predecessor has address={}; advertised={advertised} until it has ended",
+                "peers: predecessor holds the address; configured={} advertised={advertised}",
                 config.listen
             );
         }
         let me = Identity::new(name, random_u64()?);
-        let terms = NodeConfig {
+        let node_config = NodeConfig {
             fleet: config.fleet.clone(),
             secret: key.clone(),
             timing: ProtocolTiming {
@@ -82,10 +86,20 @@
             max_bytes_per_second: config.max_bytes_per_second,
         };
         let seeds = config.seeds.clone();
-        let node = Node::new(me.clone(), advertised, seeds, &terms, random_u64()?, now);
+        let node = Node::new(
+            me.clone(),
+            advertised,
+            seeds,
+            &node_config,
+            random_u64()?,
+            now,
+        );
         let has_voters = !config.voters.is_empty();
         let leases = has_voters.then(|| Leases::new(me.clone(), lease_config(config), now));
-        log::info!("peers: {me} of fleet {} at {advertised}", config.fleet);
+        log::info!(
+            "peers: joining the fleet; relay={me} fleet={} advertised={advertised}",
+            config.fleet
+        );
         Ok(Peers {
             socket,
             former_socket: None,
@@ -100,10 +114,11 @@
         })
     }
 
-    /// Takes up a change of voters; any other change needs a restart.
+    /// Applies a change of voters. Any other change needs a restart.
     ///
     /// # Errors
-    /// The step from one set of voters to the other is not allowed. Nothing has changed.
+    /// Returns an error if the step from the present voters to the new ones is not allowed. Nothing
+    /// has changed then.
     pub(crate) fn reconfigure(&mut self, config: &PeersConfig) -> Result<(), ChangeError> {
         let has_voters = !config.voters.is_empty();
         if let Some(leases) = &mut self.leases
@@ -119,7 +134,7 @@
         };
         let turns_leases_on_or_off = self.leases.is_some() != has_voters;
         if with_new_voters != *config || turns_leases_on_or_off {
-            log::warn!("changes of peers but for a change of voters need a restart");
+            log::warn!("peers: only a change of voters is applied, other changes need a restart");
         }
         if !turns_leases_on_or_off {
             self.config = with_new_voters;
@@ -153,11 +168,14 @@
         self.send_and_schedule(io);
     }
 
-    /// Takes the configured address once the predecessor has ended.
+    /// Binds the configured address if the predecessor has released it, or else tries again later.
     fn rebind(&mut self, io: &mut IoContext) {
         match PeerSocket::bind(self.config.listen, &mut io.sockets) {
             Ok(socket) => {
-                log::info!("peers: at {} from now on", self.config.advertise);
+                log::info!(
+                    "peers: the configured address is bound; advertised={}",
+                    self.config.advertise
+                );
                 let former = std::mem::replace(&mut self.socket, socket);
                 let until = io.now + self.config.probe_interval * FORMER_SOCKET_PERIODS;
                 self.former_socket = Some((former, until));
@@ -168,11 +186,11 @@
         }
     }
 
-    /// Handles what the node has made of the datagrams, sends what is to be sent, and sets the next
-    /// timer.
+    /// Handles the events of the node, sends pending messages, and sets the next timer.
     fn send_and_schedule(&mut self, io: &mut IoContext) {
-        // Read after the datagrams were: a voter's promise dated from a turn in which the process
-        // was paused, for a request that came meanwhile, would end before the holder's right does.
+        // The clock is read after the datagrams. If the process was paused in this turn and a
+        // request for a lease arrived meanwhile, a voter's promise dated from the start of the turn
+        // would end before the holder's lease does.
         let now = self.clock.now();
         for event in self.node.take_events() {
             self.handle_node_event(event, now);
@@ -213,25 +231,30 @@
 
     fn send_datagrams(&mut self) {
         for (to, bytes) in self.node.take_datagrams() {
-            // A datagram that can't be sent is one that is lost.
+            // A datagram that can't be sent counts as lost, as one on the network.
             self.send_failures += u64::from(!self.socket.send(&bytes, to));
         }
     }
 
     fn handle_node_event(&mut self, event: Event, now: Instant) {
         match event {
-            Event::MemberChanged { id, state } => log::info!("peers: {id} is {}", state.as_str()),
+            Event::MemberChanged { id, state } => log::info!(
+                "peers: a peer changed its state; peer={id} state={}",
+                state.as_str()
+            ),
             Event::Refuted { incarnation } => {
                 log::info!(
                     "peers: refuted that this relay is dead or suspect; incarnation={incarnation}"
                 );
             }
             Event::UnknownFormat { from, format } => {
-                log::warn!("peers: datagrams of format {format} from {from} are not read");
+                log::warn!(
+                    "peers: ignoring datagrams of an unknown format; format={format} from={from}"
+                );
             }
             Event::Paused { duration } => {
                 log::warn!(
-                    "peers: this process stood still for {} ms",
+                    "peers: this process was paused; duration_ms={}",
                     duration.as_millis()
                 );
             }
@@ -248,8 +271,8 @@
         }
     }
 
-    /// Announces that this relay leaves, and releases the leases that no operator was answered to be
-    /// held here. Nothing is sent after.
+    /// Announces that this relay leaves the fleet, and releases its leases, except those that
+    /// operators were told it still holds. Nothing is sent afterwards.
     pub(crate) fn leave(&mut self, now: Instant) {
         if let Some(leases) = &mut self.leases {
             let confirmed_until = &self.confirmed_until;
@@ -266,14 +289,14 @@
         self.rebind_at = None;
     }
 
-    /// Logs how many of the others are in which state.
+    /// Logs the number of peers in each state, and the counters of the protocol.
     pub(crate) fn log_member_counts(&self) {
         let count = |state| {
             let members = self.node.members();
             members.filter(|member| member.state == state).count()
         };
         log::info!(
-            "peers: {} here, {} suspected, {} gone; health {}; {:?}",
+            "peers: here={} suspected={} gone={} health={}; {:?}",
             count(MemberState::Alive),
             count(MemberState::Suspect),
             count(MemberState::Dead),
@@ -285,17 +308,19 @@
 
 fn receive_datagrams(socket: &PeerSocket, node: &mut Node, now: Instant) {
     let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-    for _ in 0..MAX_DATAGRAMS {
+    for _ in 0..MAX_DATAGRAMS_PER_TURN {
         match socket.receive(&mut bytes) {
             Ok((length, source)) => node.receive(&bytes[..length], source, now),
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
-            // Nothing more, or an earlier datagram reached nobody, which health checks find out.
+            // No more datagrams, or a report that an earlier one reached nobody, which probes
+            // detect.
             Err(_) => break,
         }
     }
 }
 
-/// Drawn anew at each start, whatever the seed: that is how two processes are told apart.
+/// Returns a random number that differs at each start, even with the same seed: it tells processes
+/// of the same name apart.
 fn random_u64() -> io::Result<u64> {
     getrandom::u64().map_err(io::Error::other)
 }
--- a/relay/src/peers/socket.rs
+++ b/relay/src/peers/socket.rs
@@ -1,29 +1,30 @@
-//! The datagram socket towards the other relays.
+//! The datagram socket for messages of peers.
 use crate::sockets::{Registration, SocketOwner, Sockets};
 use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, UdpSocket};
 use std::os::fd::AsRawFd;
 use thistlecroft_operator_config::PeersConfig;
 
-/// What to do if another process has the configured address.
+/// What to do if another process holds the configured address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AddressConflict {
+    /// Starting fails.
     Fail,
-    /// The predecessor may have it, and will end: another port serves until then.
+    /// The predecessor may hold the address and will end: another port is used until then.
     WaitForPredecessor,
 }
 
-/// A bound socket that wakes the event loop.
+/// A bound socket whose datagrams wake the event loop.
 pub(super) struct PeerSocket {
     registration: Registration,
     socket: UdpSocket,
 }
 
-/// A bound socket, and how others reach it.
+/// A bound socket, and the address at which peers reach it.
 pub(super) struct BoundSocket {
     pub(super) socket: PeerSocket,
     pub(super) advertised: SocketAddr,
-    /// It has the configured address.
+    /// True if the socket has the configured address.
     pub(super) is_configured_address: bool,
 }
 
@@ -39,10 +40,11 @@
         })
     }
 
-    /// Binds the configured address, or a free port beside it if the predecessor has that.
+    /// Binds the configured address, or a free port of its host if the predecessor holds the
+    /// address.
     ///
     /// # Errors
-    /// The address is taken, or the system gives no socket.
+    /// Returns an error if the address is in use, or if the system can't provide a socket.
     pub(super) fn bind_configured(
         config: &PeersConfig,
         on_conflict: AddressConflict,
@@ -71,17 +73,17 @@
         }
     }
 
-    /// The length and source of the next datagram.
+    /// Receives the next datagram, and returns its length and source.
     pub(super) fn receive(&self, bytes: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         self.socket.recv_from(bytes)
     }
 
-    /// True if the datagram was sent.
+    /// Sends a datagram. Returns true if it was sent.
     pub(super) fn send(&self, bytes: &[u8], to: SocketAddr) -> bool {
         self.socket.send_to(bytes, to).is_ok()
     }
 
-    /// From now on it no longer wakes the event loop.
+    /// Stops waking the event loop for datagrams.
     pub(super) fn stop_receiving(&mut self) {
         self.registration.set_interest(false, false);
     }
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -1,11 +1,12 @@
-//! What operators are shown of the other relays: one line of JSON, for people and programs.
+//! What operators are shown about peers, notes and leases: one line of JSON, for people and
+//! programs.
 use super::Peers;
 use serde::Serialize;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
 use thistlecroft_peers::{EntryKind, Node};
 
-/// This relay, and the others as it knows them.
+/// This relay, and its peers as this relay sees them.
 #[derive(Serialize)]
 pub(super) struct MembersView {
     me: String,
@@ -19,7 +20,7 @@
     counts: DatagramCounts,
 }
 
-/// One other relay.
+/// A peer of this relay.
 #[derive(Serialize)]
 struct MemberView {
     id: String,
@@ -33,7 +34,7 @@
     heard_ms: Option<u64>,
 }
 
-/// The leases of this relay, and its part as a voter.
+/// The leases that this relay holds, and its state as a voter.
 #[derive(Serialize)]
 struct LeasesView {
     vote: &'static str,
@@ -51,7 +52,7 @@
     left_ms: u64,
 }
 
-/// What was sent and received since the start.
+/// Counters of the protocol between peers since the start.
 #[derive(Serialize)]
 struct DatagramCounts {
     sent: u64,
@@ -100,9 +101,9 @@
     age_ms: u64,
 }
 
-/// One line, its keys in alphabetical order.
+/// Returns one line of JSON with its keys in alphabetical order.
 fn to_json(view: &impl Serialize) -> String {
-    // By way of a value, which sorts the keys.
+    // Converts to a `Value` first, which sorts the keys.
     let value = serde_json::to_value(view).expect("views hold text and numbers");
     value.to_string()
 }
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -1,5 +1,5 @@
-//! Sockets registered with the poller: each has an owner, a key that is never used twice, and the
-//! readiness that is waited for.
+//! Sockets registered with the poller. Each has an owner, a key that is not used again, and the
+//! readiness that it waits for.
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, SockRef, Socket, Type};
 use std::cell::Cell;
@@ -8,9 +8,10 @@
 use std::os::fd::{AsFd, AsRawFd, BorrowedFd, RawFd};
 use std::rc::Rc;
 
-/// Connections that may wait between two turns; the system cuts it to its own limit.
+/// Connections that may wait to be accepted between two turns of the event loop. The system lowers
+/// this to its own limit.
 const BACKLOG: i32 = 4096;
-/// The system's error for a connection that does not come up at once.
+/// `EINPROGRESS`, the system's error for a connection that is not established immediately.
 const IN_PROGRESS: i32 = 115;
 
 /// A key holds the kind of the owner in its highest bits, then the serial, then the owner's id.
@@ -18,7 +19,7 @@
 const SERIAL_SHIFT: u32 = 32;
 const SERIAL_MASK: usize = 0x0fff_ffff;
 
-/// Whose socket an event is about.
+/// The owner of a socket, which handles the socket's events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SocketOwner {
     /// The clients' listening socket.
@@ -35,17 +36,17 @@
     AdminListener,
     /// A connection at the admin port.
     AdminConnection(u32),
-    /// Where the next process of this relay finds this one.
+    /// The listening socket at which the successor of this process connects to it.
     SuccessorListener,
-    /// The channel to the next process.
+    /// The channel to the successor.
     Successor,
-    /// The channel to the process before.
+    /// The channel to the predecessor.
     Predecessor,
-    /// Datagrams of other relays.
+    /// The datagram socket for messages of peers.
     Peers,
 }
 
-/// The owner of a registered socket; none for a key that no owner has.
+/// Returns the owner of the socket with this key, or `None` for a key that no owner can have.
 pub(crate) fn owner_of(key: usize) -> Option<SocketOwner> {
     let id = key as u32;
     Some(match key >> KIND_SHIFT {
@@ -65,7 +66,8 @@
     })
 }
 
-/// The key of a socket; the serial tells a closed socket's late event from its successor's.
+/// Returns the key of a socket. The serial tells a late event of a closed socket apart from events
+/// of the next socket with the same owner.
 pub(crate) fn key_of(owner: SocketOwner, serial: u32) -> usize {
     let (kind, id) = match owner {
         SocketOwner::Listener => (0, 0),
@@ -87,7 +89,7 @@
 /// Opens sockets, and counts those that are open.
 pub(crate) struct Sockets {
     poller: Rc<Poller>,
-    own: Rc<Cell<usize>>,
+    open_sockets: Rc<Cell<usize>>,
     open_in_other_process: usize,
     serial: u32,
 }
@@ -96,44 +98,45 @@
     pub(crate) fn new(poller: Rc<Poller>) -> Sockets {
         Sockets {
             poller,
-            own: Rc::default(),
+            open_sockets: Rc::default(),
             open_in_other_process: 0,
             serial: 0,
         }
     }
 
-    /// Open sockets of this process and the other one, for the limit that both share.
+    /// Returns the number of open sockets of this process and of the relay's other process, if
+    /// there is one. Both share one limit.
     pub(crate) fn open_in_relay(&self) -> usize {
         self.open_here() + self.open_in_other_process
     }
 
-    /// Open sockets of this process.
+    /// Returns the number of open sockets of this process.
     pub(crate) fn open_here(&self) -> usize {
-        self.own.get()
+        self.open_sockets.get()
     }
 
-    /// Notes how many sockets the other process of this relay has open.
+    /// Sets the number of sockets that the other process of this relay has open.
     pub(crate) fn set_open_in_other_process(&mut self, count: usize) {
         self.open_in_other_process = count;
     }
 
-    /// Registers a descriptor, which must stay open as long as the registration.
+    /// Registers a descriptor, which must stay open as long as the registration exists.
     pub(crate) fn register(&mut self, owner: SocketOwner, descriptor: RawFd) -> Registration {
         self.serial = self.serial.wrapping_add(1);
-        self.own.set(self.own.get() + 1);
+        self.open_sockets.set(self.open_sockets.get() + 1);
         Registration {
             poller: self.poller.clone(),
-            open_sockets: self.own.clone(),
+            open_sockets: self.open_sockets.clone(),
             descriptor,
             key: key_of(owner, self.serial),
             interest: None,
         }
     }
 
-    /// Takes over a connection that is up.
+    /// Takes over an established connection.
     pub(crate) fn adopt(&mut self, owner: SocketOwner, stream: TcpStream) -> Result<Connection> {
         stream.set_nonblocking(true)?;
-        // Lines are short and waited for.
+        // Lines are short and must be sent without delay.
         stream.set_nodelay(true)?;
         Ok(Connection {
             registration: self.register(owner, stream.as_raw_fd()),
@@ -141,7 +144,8 @@
         })
     }
 
-    /// Begins a connection; the socket turns writable once it has come up or failed.
+    /// Starts to establish a connection. The socket becomes writable once the connection is
+    /// established or has failed.
     pub(crate) fn connect(&mut self, owner: SocketOwner, to: SocketAddr) -> Result<Connection> {
         let socket = Socket::new(Domain::for_address(to), Type::STREAM, Some(Protocol::TCP))?;
         socket.set_nonblocking(true)?;
@@ -153,16 +157,16 @@
 
     pub(crate) fn listen(&mut self, owner: SocketOwner, at: SocketAddr) -> Result<ListenerSocket> {
         let socket = Socket::new(Domain::for_address(at), Type::STREAM, Some(Protocol::TCP))?;
-        // A restart must not wait for the connections of the process before.
+        // Lets a restart bind the address while connections of the previous process still linger.
         socket.set_reuse_address(true)?;
         socket.bind(&at.into())?;
         socket.listen(BACKLOG)?;
         self.adopt_listener(owner, socket.into())
     }
 
-    /// Takes over a listening socket, which other processes may hold as well: they share its queue
-    /// and its being non-blocking. It is closed at the end and never shut down, which would end it
-    /// for all.
+    /// Takes over a listening socket. Other processes may hold the same socket; they share its
+    /// queue and its non-blocking mode. At the end the socket is closed but never shut down, which
+    /// would end it for all processes.
     pub(crate) fn adopt_listener(
         &mut self,
         owner: SocketOwner,
@@ -203,23 +207,23 @@
     }
 }
 
-/// A descriptor's registration with the poller, ended when it is dropped.
+/// The registration of a descriptor with the poller, which ends when it is dropped.
 pub(crate) struct Registration {
     poller: Rc<Poller>,
     open_sockets: Rc<Cell<usize>>,
     descriptor: RawFd,
     key: usize,
-    /// None while it is not with the poller.
+    /// `None` while the descriptor is not registered with the poller.
     interest: Option<Interest>,
 }
 
 impl Registration {
-    /// True if an event with this key is about this descriptor.
+    /// Returns true if an event with this key is about this descriptor.
     pub(crate) fn has_key(&self, key: usize) -> bool {
         self.key == key
     }
 
-    /// Sets the readiness that is waited for.
+    /// Sets the readiness to wait for.
     pub(crate) fn set_interest(&mut self, reading: bool, writing: bool) {
         let interest = Interest::new(reading, writing);
         if interest == self.interest {
@@ -228,7 +232,8 @@
         // SAFETY: the owner drops its registration (below) before it closes the descriptor.
         let descriptor = unsafe { BorrowedFd::borrow_raw(self.descriptor) };
         let result = match (self.interest, interest) {
-            // SAFETY: as above; deleted on drop, which field order puts before the stream's.
+            // SAFETY: as above; the descriptor is deleted from the poller on drop, and fields are
+            // ordered so that the registration is dropped before the stream.
             (None, Some(interest)) => unsafe {
                 let event = interest.event(self.key);
                 self.poller
@@ -239,13 +244,15 @@
                 self.poller
                     .modify_with_mode(descriptor, event, PollMode::Level)
             }
-            // Taken out altogether: a reset would otherwise be reported without end while nothing
-            // is wanted.
+            // The descriptor is deleted, since the poller would otherwise report a reset again and
+            // again while no readiness is waited for.
             (_, None) => self.poller.delete(descriptor),
         };
         match result {
             Ok(()) => self.interest = interest,
-            Err(error) => log::error!("registering with the poller failed; error={error}"),
+            Err(error) => {
+                log::error!("changing a registration with the poller failed; error={error}")
+            }
         }
     }
 }
@@ -257,33 +264,33 @@
     }
 }
 
-/// A TCP connection, up or about to be.
+/// A TCP connection that is established or being established.
 pub(crate) struct Connection {
-    // Before the stream, so that it is dropped first.
+    // Declared before the stream, so that it is dropped first.
     registration: Registration,
     stream: TcpStream,
 }
 
 impl Connection {
-    /// True if an event with this key is about this connection.
+    /// Returns true if an event with this key is about this connection.
     pub(crate) fn has_key(&self, key: usize) -> bool {
         self.registration.has_key(key)
     }
 
-    /// For handing it to another process, which then holds the same connection.
+    /// Returns the descriptor, for handing the connection to another process.
     pub(crate) fn descriptor(&self) -> BorrowedFd<'_> {
         self.stream.as_fd()
     }
 
-    /// Sets the readiness that is waited for.
+    /// Sets the readiness to wait for.
     pub(crate) fn set_interest(&mut self, reading: bool, writing: bool) {
         self.registration.set_interest(reading, writing);
     }
 
-    /// Whether the connection has come up.
+    /// Returns true once the connection is established.
     ///
     /// # Errors
-    /// It can't come up.
+    /// Returns an error if the connection can't be established.
     pub(crate) fn is_connected(&self) -> Result<bool> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
@@ -291,13 +298,13 @@
         }
     }
 
-    /// Ends this side; the other side may go on sending.
+    /// Shuts down sending. The other side may continue to send.
     pub(crate) fn finish_sending(&self) {
-        // Fails only where the other end has gone, which its own event reports.
+        // Fails only if the other side has closed the connection, which a separate event reports.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// When it is closed the other side will see a reset, not an end.
+    /// Makes the other side see a reset instead of an end when the connection is closed.
     pub(crate) fn set_reset_on_close(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(std::time::Duration::ZERO));
     }
@@ -321,19 +328,21 @@
 
 /// A listening TCP socket.
 pub(crate) struct ListenerSocket {
-    // Before the listener, so that it is dropped first.
+    // Declared before the listener, so that it is dropped first.
     registration: Registration,
     listener: TcpListener,
 }
 
 impl ListenerSocket {
+    /// Accepts the next connection.
+    ///
     /// # Errors
-    /// `WouldBlock` if no connection waits.
+    /// Returns `WouldBlock` if no connection waits.
     pub(crate) fn accept(&mut self) -> Result<TcpStream> {
         self.listener.accept().map(|(stream, _)| stream)
     }
 
-    /// Sets whether connections are waited for.
+    /// Sets whether to wait for connections.
     pub(crate) fn set_interest(&mut self, accepting: bool) {
         self.registration.set_interest(accepting, false);
     }
--- a/relay/src/sockets/tests.rs
+++ b/relay/src/sockets/tests.rs
@@ -1,8 +1,8 @@
-//! Keys of sockets.
+//! Tests of the keys of sockets.
 use super::{SocketOwner, key_of, owner_of};
 
 #[test]
-fn key_of_a_closed_socket_is_not_its_successors() {
+fn key_of_next_socket_with_the_same_owner_differs() {
     for owner in [
         SocketOwner::Listener,
         SocketOwner::Discovery,
--- a/relay/tests/peers/boundaries.rs
+++ b/relay/tests/peers/boundaries.rs
@@ -1,4 +1,4 @@
-//! Datagrams of strangers, and configurations of peers that are refused.
+//! Datagrams from outside the fleet, and configurations of peers that are refused.
 use crate::*;
 
 #[test]
@@ -10,18 +10,20 @@
         stranger.send_to(&bytes, at).unwrap();
     }
     let counted = |cluster: &ProcessCluster| {
-        let counted = |name| count(cluster, 0, name);
-        counted("other_format") == 1 && counted("foreign") == 1 && counted("odd_size") == 2
+        let value = |name| counter(cluster, 0, name);
+        value("other_format") == 1 && value("foreign") == 1 && value("odd_size") == 2
     };
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, counted)
-        .expect("each counted by its kind");
+        .expect("each datagram is counted by its kind");
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
-            cluster.log(0).contains("datagrams of format 0")
+            cluster
+                .log(0)
+                .contains("ignoring datagrams of an unknown format; format=0 ")
         })
-        .expect("and said");
-    // Another fleet at the address of one that has left.
+        .expect("the unknown format is logged");
+    // A relay of another fleet starts at the address of a relay that has left.
     assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
     let other = cluster
         .operator_config(4)
@@ -29,36 +31,36 @@
     cluster.start_with(4, other).unwrap();
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
-            (0..4).any(|relay| count(cluster, relay, "foreign") > 1)
+            (0..4).any(|relay| counter(cluster, relay, "foreign") > 1)
         })
-        .expect("it asks the seeds");
+        .expect("the relay of the other fleet sends datagrams to the seeds");
     wait_for_probes(&cluster, &[0, 1, 2, 3], 10);
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             cluster.membership_is_consistent(&[0, 1, 2, 3])
         })
-        .expect("the others are together");
+        .expect("the other relays still see each other");
     assert!(cluster.sees_exactly(4, &[4]));
 }
 
 #[test]
-fn peers_that_are_not_allowed_or_not_possible_end_the_start_with_one_line() {
+fn start_with_forbidden_or_unusable_peers_fails_with_one_line() {
     let mut cluster = open_cluster("refused", 2, 1, false);
-    let fault = cluster.start(0).unwrap_err().to_string();
-    assert!(fault.contains("permissions.peers"), "{fault}");
+    let error = cluster.start(0).unwrap_err().to_string();
+    assert!(error.contains("permissions.peers"), "{error}");
     assert_eq!(cluster.log(0).lines().count(), 1, "{}", cluster.log(0));
     let mut cluster = open_cluster("faults", 2, 1, true);
     let taken = UdpSocket::bind(cluster.network.addresses[0].own).unwrap();
-    let fault = cluster.start(0).unwrap_err().to_string();
+    let error = cluster.start(0).unwrap_err().to_string();
     assert!(
-        fault.contains("peers:") && fault.contains("in use"),
-        "{fault}"
+        error.contains("peers:") && error.contains("in use"),
+        "{error}"
     );
     drop(taken);
     let without_key = cluster.operator_config(0).replace("peers.key", "no.key");
-    let fault = cluster.start_with(0, without_key).unwrap_err().to_string();
-    assert!(fault.contains("peers.key_file"), "{fault}");
-    // Switched off it says so, and has no socket for it.
+    let error = cluster.start_with(0, without_key).unwrap_err().to_string();
+    assert!(error.contains("peers.key_file"), "{error}");
+    // Without peers in its operator configuration, a relay says so and binds no socket for them.
     cluster.start_with(1, "\n".into()).unwrap();
     assert!(
         cluster
@@ -66,5 +68,5 @@
             .unwrap()
             .starts_with("400 peers are not switched on")
     );
-    UdpSocket::bind(cluster.network.addresses[1].own).expect("nobody listens there");
+    UdpSocket::bind(cluster.network.addresses[1].own).expect("the address of the peers is free");
 }
--- a/relay/tests/peers/membership.rs
+++ b/relay/tests/peers/membership.rs
@@ -1,33 +1,34 @@
-//! Processes that stop, die, stand still or lose their links, as the others see them.
+//! How peers see relays that stop, are killed or lose their links.
 use crate::*;
 
 #[test]
 fn killed_relay_is_dead_for_all_and_its_successor_is_another_process() {
     let mut cluster = start_cluster("killed", 5, 5);
-    let run = |cluster: &ProcessCluster| cluster.membership(1).map(|view| view["me"].to_string());
-    let first = run(&cluster);
+    let identity =
+        |cluster: &ProcessCluster| cluster.membership(1).map(|view| view["me"].to_string());
+    let first = identity(&cluster);
     cluster.kill(1);
     cluster
-        .wait_until(dead_within(5), |cluster| {
+        .wait_until(detection_timeout(5), |cluster| {
             cluster.membership_is_consistent(&[0, 2, 3, 4])
         })
-        .expect("gone for all");
+        .expect("all peers consider the killed relay dead");
     assert_eq!(
         read_number(&cluster.membership(0).unwrap(), &["unheard"]),
         1
     );
     cluster.start(1).unwrap();
     cluster
-        .wait_until(dead_within(5), |cluster| {
+        .wait_until(detection_timeout(5), |cluster| {
             cluster.membership_is_consistent(&[0, 1, 2, 3, 4])
         })
-        .expect("here again");
-    assert_ne!(run(&cluster), first);
+        .expect("all relays see the restarted relay");
+    assert_ne!(identity(&cluster), first);
     assert_eq!(
         read_number(&cluster.membership(0).unwrap(), &["unheard"]),
         0
     );
-    // And once more, back before anybody can have noticed.
+    // Another relay is killed and restarted before any peer can have noticed.
     cluster.kill(2);
     cluster.start(2).unwrap();
     let settled = |cluster: &ProcessCluster| {
@@ -35,8 +36,8 @@
             && read_number(&cluster.membership(0).unwrap(), &["unheard"]) == 0
     };
     cluster
-        .wait_until(dead_within(5), settled)
-        .expect("two runs of one name are told apart");
+        .wait_until(detection_timeout(5), settled)
+        .expect("peers tell the two processes of one name apart");
 }
 
 #[test]
@@ -44,12 +45,12 @@
     let mut cluster = start_cluster("leaves", 5, 5);
     assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
     cluster
-        .wait_until(PERIOD * 10.0 + BUSY_MACHINE_MARGIN, |cluster| {
+        .wait_until(PROBE_INTERVAL * 10.0 + BUSY_MACHINE_MARGIN, |cluster| {
             cluster.membership_is_consistent(&[0, 1, 2, 3])
         })
-        .expect("told");
+        .expect("the other relays know that the relay has left");
     let suspected: u64 = (0..4)
-        .map(|relay| count(&cluster, relay, "suspected"))
+        .map(|relay| counter(&cluster, relay, "suspected"))
         .sum();
     assert_eq!(suspected, 0);
 }
@@ -62,66 +63,66 @@
     for (from, to) in [([0].as_slice(), others.as_slice()), (&others, &[0])] {
         cluster.set_link_fault(from, to, Some(LinkFault::CUT));
         cluster
-            .wait_until(dead_within(5), |cluster| {
+            .wait_until(detection_timeout(5), |cluster| {
                 cluster.membership_is_consistent(&others)
             })
-            .expect("gone for the rest");
+            .expect("the other relays consider the cut relay dead");
         cluster.heal_partitions();
         cluster
-            .wait_until(dead_within(5), |cluster| {
+            .wait_until(detection_timeout(5), |cluster| {
                 cluster.membership_is_consistent(&[0, 1, 2, 3, 4])
             })
-            .expect("healed");
+            .expect("all relays see each other again");
     }
     cluster.partition(&[0, 1], &[3, 4]);
     wait_for_probes(&cluster, &[0, 1, 2, 3, 4], 40);
-    let gone = |cluster: &ProcessCluster, relay: usize| {
+    let has_unreachable_peers = |cluster: &ProcessCluster, relay: usize| {
         cluster
             .membership(relay)
             .is_some_and(|view| read_number(&view, &["unheard"]) > 0)
     };
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
-            (0..5).all(|relay| !gone(cluster, relay))
+            (0..5).all(|relay| !has_unreachable_peers(cluster, relay))
         })
-        .expect("2 reaches both");
+        .expect("relay 2 reaches both sides and keeps all relays alive");
     cluster.heal_partitions();
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             cluster.membership_is_consistent(&[0, 1, 2, 3, 4])
         })
-        .expect("all see all");
+        .expect("all relays see each other");
 }
 
 #[test]
-fn halves_of_a_split_fleet_rejoin_after_growing_apart() {
+fn halves_of_a_split_fleet_that_gain_relays_rejoin_once_healed() {
     let mut cluster = start_cluster("halves", 8, 6);
-    // The seeds are on one side; the other has only itself.
+    // All seeds are on one side.
     cluster.partition(&[0, 1, 2, 6], &[3, 4, 5, 7]);
     cluster.start(6).unwrap();
     cluster
-        .wait_until(dead_within(6), |cluster| {
+        .wait_until(detection_timeout(6), |cluster| {
             cluster.membership_is_consistent(&[0, 1, 2, 6])
         })
-        .expect("one side, grown");
+        .expect("relays on the side of the seeds see each other and the new relay");
     cluster
-        .wait_until(dead_within(6), |cluster| {
+        .wait_until(detection_timeout(6), |cluster| {
             cluster.membership_is_consistent(&[3, 4, 5])
         })
-        .expect("the other");
+        .expect("relays on the other side see each other");
     cluster.start(7).unwrap();
     wait_for_probes(&cluster, &[0, 3], 30);
     cluster.heal_partitions();
     let all: Vec<usize> = (0..8).collect();
     cluster
-        .wait_until(dead_within(8), |cluster| {
+        .wait_until(detection_timeout(8), |cluster| {
             cluster.membership_is_consistent(&all)
         })
-        .expect("together again");
+        .expect("all relays see each other again");
 }
 
 #[test]
-fn note_on_lossy_links_reaches_all_and_nobody_stays_dead() {
+fn note_on_lossy_links_reaches_all_relays_and_none_stays_dead() {
     let cluster = start_cluster("lossy", 6, 6);
     let all: Vec<usize> = (0..6).collect();
     let ms = Duration::from_millis;
@@ -140,7 +141,7 @@
         cluster.admin_command(3, "NOTE release 1.4").as_deref(),
         Some("200 told")
     );
-    let told = |cluster: &ProcessCluster| {
+    let all_know_note = |cluster: &ProcessCluster| {
         all.iter().all(|relay| {
             let response = cluster.admin_command(*relay, "NOTES").unwrap_or_default();
             response.contains("\"release\"")
@@ -149,19 +150,19 @@
         })
     };
     cluster
-        .wait_until(PERIOD * 30.0 + BUSY_MACHINE_MARGIN, told)
-        .expect("all know");
+        .wait_until(PROBE_INTERVAL * 30.0 + BUSY_MACHINE_MARGIN, all_know_note)
+        .expect("all relays know the note");
     wait_for_probes(&cluster, &all, 60);
     cluster.heal_partitions();
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             cluster.membership_is_consistent(&all)
         })
-        .expect("all see all");
+        .expect("all relays see each other");
     for relay in all {
         assert!(
-            count(&cluster, relay, "repeated") > 0,
-            "relay {relay} had datagrams twice"
+            counter(&cluster, relay, "repeated") > 0,
+            "relay {relay} received no repeated datagram"
         );
         assert_eq!(
             read_number(&cluster.membership(relay).unwrap(), &["unheard"]),
--- a/relay/tests/peers/voters.rs
+++ b/relay/tests/peers/voters.rs
@@ -1,11 +1,11 @@
-//! Changes of the voters by the operator configuration.
+//! Changes of the voters by changes of the operator configuration.
 use crate::*;
 
 const FORMER_VOTERS: &str = r#"["relay-0", "relay-1", "relay-2"]"#;
 
 const NEW_VOTERS: &str = r#"["relay-2", "relay-3", "relay-4"]"#;
 
-/// Writes a relay's operator configuration again, with `lines` in place of its line of voters.
+/// Replaces the line of voters in a relay's operator configuration by `lines`.
 fn replace_voters(cluster: &ProcessCluster, relay: usize, lines: &str) {
     let former_line = format!("voters = {FORMER_VOTERS}");
     let text = cluster.operator_config(relay);
@@ -21,12 +21,12 @@
 }
 
 fn wait_for_voter_generation(cluster: &ProcessCluster, generation: u64) {
-    let taken_up = |cluster: &ProcessCluster| {
+    let is_applied = |cluster: &ProcessCluster| {
         (0..5).all(|relay| voter_generation(cluster, relay) == generation)
     };
     cluster
-        .wait_until(BUSY_MACHINE_MARGIN, taken_up)
-        .expect("taken up");
+        .wait_until(BUSY_MACHINE_MARGIN, is_applied)
+        .expect("all relays have applied the change of voters");
 }
 
 fn holds_turn(cluster: &ProcessCluster, relay: usize) -> bool {
@@ -39,11 +39,12 @@
 fn voters_change_only_by_two_steps_of_the_operator_configuration() {
     let mut cluster = start_cluster("voters", 5, 5);
     cluster
-        .wait_until(LEASE * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
+        .wait_until(LEASE_TERM * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
             holds_turn(cluster, 4)
         })
-        .expect("held");
-    // Straight to the new set: refused with a line, and nothing of it taken.
+        .expect("relay 4 holds the lease");
+    // A change to the new voters in one step is refused with a log line, and nothing of it is
+    // applied.
     replace_voters(
         &cluster,
         0,
@@ -54,7 +55,7 @@
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             cluster.log(0).contains(refusal)
         })
-        .expect("refused");
+        .expect("the refusal is logged");
     assert_eq!(voter_generation(&cluster, 0), 1);
     let joint = format!("voters = {NEW_VOTERS}\nvoters_before = {FORMER_VOTERS}\ngeneration = 2");
     (0..5).for_each(|relay| replace_voters(&cluster, relay, &joint));
@@ -66,14 +67,14 @@
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             (0..5).all(|relay| settled(cluster, relay))
         })
-        .expect("settled");
+        .expect("the change to the joint voters is settled at all relays");
     let last = format!("voters = {NEW_VOTERS}\ngeneration = 3");
     (0..5).for_each(|relay| replace_voters(&cluster, relay, &last));
     wait_for_voter_generation(&cluster, 3);
     (0..2).for_each(|relay| cluster.kill(relay));
     cluster
-        .wait_until(LEASE * 6.0 + BUSY_MACHINE_MARGIN, |cluster| {
+        .wait_until(LEASE_TERM * 6.0 + BUSY_MACHINE_MARGIN, |cluster| {
             holds_turn(cluster, 4)
         })
-        .expect("the voters before are not needed");
+        .expect("relay 4 holds the lease without the former voters");
 }
--- a/relay/tests/service/health_check.rs
+++ b/relay/tests/service/health_check.rs
@@ -4,7 +4,7 @@
 use std::net::{TcpListener, TcpStream};
 
 #[test]
-fn health_checks_reuse_one_connection() {
+fn health_checks_of_one_backend_reuse_their_connection() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay(
         unused_address(),
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn health_check_on_connection_closed_meanwhile_is_repeated_on_a_new_one() {
+fn health_check_on_a_connection_just_closed_is_repeated_on_a_new_one() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let known = endpoint_list(1, true, &[("b", listener.local_addr().unwrap(), "Ready")]);
     let relay = start_relay_with_settings(
@@ -51,10 +51,10 @@
         assert_eq!(
             counter_value(&relay.wait_for_log(" probes_failed="), "probes_failed"),
             0,
-            "reset {reset}"
+            "reset={reset}"
         );
     }
-    // A new connection that ends without an answer is the backend's failure.
+    // A new connection that ends without an answer counts as a failure of the backend.
     drop(stream);
     relay.wait_for_counter("probes_failed", 1);
 }
