--- a/relay/tests/former_version.rs
+++ b/relay/tests/former_version.rs
@@ -1,5 +1,5 @@
-//! The version before and this one together: each takes over connections from the other, goes by the
-//! other's bans, and is a member of one fleet with it.
+//! The former version of the relay and this one together: each takes over connections from the
+//! other, applies the other's bans, and is a member of one fleet with the other.
 //!
 //! `THISTLECROFT_FORMER_RELAY` names the former version's built `thistlecroft-relay`. Where it is
 //! not set, each test prints that it was not run, and ends.
@@ -23,13 +23,13 @@
 
 // ---- hot restart ----
 
-/// Connections that exchange lines all through a restart.
+/// Number of connections that exchange lines throughout a restart.
 const STREAMS: usize = 8;
-/// Lines that a client sends before it reads their answers.
+/// Number of lines that a client sends before it reads their answers.
 const BATCH: usize = 100;
-/// Between two batches, so that the streams leave the machine to others as well.
+/// Pause between two batches, so that the streams leave some of the machine to other processes.
 const BATCH_INTERVAL: Duration = Duration::from_millis(1);
-/// Lines that each stream has answered before a restart, and again after it.
+/// Number of lines that each stream exchanges before a restart, and again after it.
 const PROGRESS: usize = 5 * BATCH;
 
 /// A backend that numbers the connections it accepts, and answers each line with its own name and
@@ -60,7 +60,7 @@
     }
 }
 
-/// Ends with the connection, however that ends: what is missing is missed by the client.
+/// Answers lines until the connection ends or fails. Missing answers are detected by the client.
 fn answer_lines(stream: TcpStream, origin: &str) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let mut output = stream.try_clone()?;
@@ -74,12 +74,12 @@
     Ok(())
 }
 
-/// Two backends, `b0` and `b1`, as a relay's list of backends names them.
+/// Starts two backends, `b0` and `b1`, named as in a relay's endpoint list.
 fn two_backends() -> [NumberingBackend; 2] {
     ["b0", "b1"].map(NumberingBackend::start)
 }
 
-/// A client whose connection is up, and the backend's connection that answers it.
+/// A client with an established session, and the connection of the backend that answers it.
 struct OpenClient {
     client: Client,
     origin: String,
@@ -103,7 +103,7 @@
         self.origin.split('/').next().unwrap()
     }
 
-    /// The next line is this one, answered by the same connection of the same backend.
+    /// Expects the answer to this line next, from the same connection of the same backend.
     fn expect_answer(&mut self, line: &str) {
         assert_eq!(self.client.next_line(), format!("{} {line}", self.origin));
     }
@@ -139,10 +139,12 @@
         self.answered.load(Ordering::SeqCst)
     }
 
-    /// Panics where an answer was not the expected one.
+    /// Stops the client. Panics if an answer was not the expected one.
     fn stop(self) {
         self.stopped.store(true, Ordering::SeqCst);
-        self.thread.join().expect("each answer is the expected one");
+        self.thread
+            .join()
+            .expect("an answer was not the expected one");
     }
 }
 
@@ -158,13 +160,13 @@
     }
 }
 
-/// Each stream has so many lines answered from now on.
+/// Waits until each stream has exchanged `PROGRESS` more lines.
 fn wait_for_progress(streams: &[LineStream]) {
     let targets: Vec<usize> = streams
         .iter()
         .map(|stream| stream.answered() + PROGRESS)
         .collect();
-    wait_until("each stream goes on", || {
+    wait_until("each stream exchanges more lines", || {
         streams
             .iter()
             .zip(&targets)
@@ -172,8 +174,8 @@
     });
 }
 
-/// Replaces the process `from` by the process `to` while clients exchange lines, and checks that
-/// each connection stays.
+/// Replaces a process of program `from` by one of program `to` while clients exchange lines, and
+/// checks that each connection is kept.
 fn check_hot_restart(name: &str, from: &Path, to: &Path) {
     let backends = two_backends();
     let host = Host::new(name, &backends.each_ref().map(|backend| backend.address));
@@ -183,7 +185,7 @@
         .map(|_| LineStream::start(OpenClient::open(&old)))
         .collect();
     let connections = STREAMS + 1;
-    // Half a line waits at the old process while it is replaced.
+    // The old process holds an incomplete line while it is replaced.
     interrupted.client.send("begun ");
     wait_for_progress(&streams);
 
@@ -210,11 +212,11 @@
         "{counters}"
     );
     let accepted: usize = backends.iter().map(NumberingBackend::accepted).sum();
-    assert_eq!(accepted, connections, "no connection was opened again");
+    assert_eq!(accepted, connections, "a connection was opened again");
 }
 
 #[test]
-fn open_connections_when_the_new_version_replaces_the_former_go_on() {
+fn open_connections_when_the_new_version_replaces_the_former_are_kept() {
     let Some(former) = former_program() else {
         return;
     };
@@ -222,7 +224,7 @@
 }
 
 #[test]
-fn open_connections_when_the_former_version_replaces_the_new_go_on() {
+fn open_connections_when_the_former_version_replaces_the_new_are_kept() {
     let Some(former) = former_program() else {
         return;
     };
@@ -231,39 +233,42 @@
 
 // ---- bans ----
 
-/// Clients that are opened to see which backend new connections go to.
+/// Number of clients that are opened to check which backend new sessions go to.
 const NEW_CLIENTS: usize = 20;
+
+/// Checks that new sessions go to this backend.
 fn expect_new_clients_at(process: &RelayProcess, backend: &str) {
     for _ in 0..NEW_CLIENTS {
         assert_eq!(OpenClient::open(process).backend(), backend);
     }
 }
 
-/// Waits until this process has read the other's file, and goes by so many bans.
+/// Waits until this process has read the file of the other process, and applies this many bans.
 fn wait_for_bans(process: &RelayProcess, count: usize) {
     process
         .relay
         .wait_for_log(&format!("bans of another process taken over: {count} out"));
 }
 
-/// Bans by one program, and looks at the other, at its start and while it runs.
+/// Changes bans at one program, and checks that the other applies them, both at its start and while
+/// it runs.
 fn check_bans(name: &str, writer: &Path, reader: &Path) {
     let backends = two_backends();
     let host = Host::new(name, &backends.each_ref().map(|backend| backend.address));
     let writer = host.start(writer);
-    assert_eq!(writer.call("DISABLE b0"), "200 out");
+    assert_eq!(writer.admin_command("DISABLE b0"), "200 out");
     let reader = host.start(reader);
     wait_for_bans(&reader, 1);
-    assert_eq!(reader.call("DISABLE b0"), "200 already out");
+    assert_eq!(reader.admin_command("DISABLE b0"), "200 already out");
 
-    assert_eq!(writer.call("ENABLE b0"), "200 back");
+    assert_eq!(writer.admin_command("ENABLE b0"), "200 back");
     wait_for_bans(&reader, 0);
-    assert_eq!(reader.call("ENABLE b0"), "200 was not out");
-    assert_eq!(writer.call("DISABLE b0"), "200 out");
+    assert_eq!(reader.admin_command("ENABLE b0"), "200 was not out");
+    assert_eq!(writer.admin_command("DISABLE b0"), "200 out");
     wait_for_bans(&reader, 1);
-    assert_eq!(reader.call("DISABLE b0"), "200 already out");
+    assert_eq!(reader.admin_command("DISABLE b0"), "200 already out");
 
-    // Killed, the writer leaves the clients and the file to the reader alone.
+    // Once the writer is killed, only the reader serves clients and uses the file.
     drop(writer);
     expect_new_clients_at(&reader, "b1");
     assert_eq!(backends[0].accepted(), 0, "a banned backend got a client");
@@ -287,18 +292,18 @@
 
 // ---- a fleet of peers ----
 
-/// Relays that grant leases: two of each version, so that each majority, which is three, has both.
+/// Number of voters: two of each version, so that each majority of three has both versions.
 const VOTERS: usize = 4;
-/// Relays that ask for the lease: one of each version, none of which is a voter.
+/// Numbers of the relays that request the lease: one of each version, neither of them a voter.
 const CANDIDATES: [usize; 2] = [4, 5];
 const MEMBERS: usize = VOTERS + CANDIDATES.len();
-const PERIOD: &str = "200ms";
+const PROBE_INTERVAL: &str = "200ms";
 const LEASE_TERM: &str = "3000ms";
 const LEASE: &str = "migration";
-/// How a relay's answer begins where it holds the lease it is asked for.
+/// The start of the answer of a relay that holds the requested lease.
 const HELD: &str = "200 held ";
 
-/// Relays of both versions in one fleet: those with even numbers are of the former.
+/// Relays of both versions in one fleet. Relays with even numbers run the former version.
 struct MixedFleet {
     members: Vec<RelayProcess>,
     _folder: TestFolder,
@@ -317,8 +322,8 @@
                 } else {
                     new_program()
                 };
-                let charter = peers_charter(number, &addresses, &key_file);
-                start_member(program, number, &charter, folder.path())
+                let operator_config = peers_operator_config(number, &addresses, &key_file);
+                start_member(program, number, &operator_config, folder.path())
             })
             .collect();
         members.iter().for_each(RelayProcess::wait_until_ready);
@@ -328,7 +333,7 @@
         }
     }
 
-    /// The names of the relays that this one sees alive, its own among them.
+    /// Returns the names of the relays that this relay sees alive, including its own.
     fn alive_at(&self, number: usize) -> BTreeSet<String> {
         let view = json_answer(&self.members[number], "PEERS");
         let alive = view["peers"]
@@ -350,7 +355,7 @@
         });
     }
 
-    /// Whether this relay knows of the note, as one of that author.
+    /// Returns true if this relay knows the note as one of `author`.
     fn has_note(&self, number: usize, subject: &str, value: &str, author: usize) -> bool {
         let owner = format!("{}/", member_name(author));
         let answer = json_answer(&self.members[number], "NOTES");
@@ -362,8 +367,8 @@
     }
 
     fn announce(&self, author: usize, subject: &str, value: &str) {
-        let call = format!("NOTE {subject} {value}");
-        assert_eq!(self.members[author].call(&call), "200 told");
+        let command = format!("NOTE {subject} {value}");
+        assert_eq!(self.members[author].admin_command(&command), "200 told");
     }
 
     fn wait_until_all_have_note(&self, subject: &str, value: &str, author: usize) {
@@ -377,16 +382,17 @@
     format!("relay-{number}")
 }
 
-fn json_answer(process: &RelayProcess, call: &str) -> serde_json::Value {
-    let answer = process.call(call);
+/// Sends an admin command, and returns the JSON of its answer.
+fn json_answer(process: &RelayProcess, command: &str) -> serde_json::Value {
+    let answer = process.admin_command(command);
     let text = answer
         .strip_prefix("200 ")
-        .unwrap_or_else(|| panic!("{call}: {answer}"));
+        .unwrap_or_else(|| panic!("{command}: {answer}"));
     serde_json::from_str(text).unwrap()
 }
 
-/// The part of a charter that makes this relay a member of the fleet.
-fn peers_charter(number: usize, addresses: &[SocketAddr], key_file: &Path) -> String {
+/// Returns the operator configuration that makes this relay a member of the fleet.
+fn peers_operator_config(number: usize, addresses: &[SocketAddr], key_file: &Path) -> String {
     let own = addresses[number];
     let seeds: Vec<String> = addresses[..VOTERS]
         .iter()
@@ -396,12 +402,17 @@
     format!(
         "[peers]\nfleet = \"mixed\"\nlisten = \"{own}\"\nadvertise = \"{own}\"\n\
          key_file = \"{}\"\nseeds = {seeds:?}\nvoters = {voters:?}\n\
-         period = \"{PERIOD}\"\nlease = \"{LEASE_TERM}\"\n",
+         period = \"{PROBE_INTERVAL}\"\nlease = \"{LEASE_TERM}\"\n",
         key_file.display()
     )
 }
 
-fn start_member(program: &Path, number: usize, charter: &str, folder: &Path) -> RelayProcess {
+fn start_member(
+    program: &Path,
+    number: usize,
+    operator_config: &str,
+    folder: &Path,
+) -> RelayProcess {
     let name = member_name(number);
     let own_folder: PathBuf = folder.join(&name);
     std::fs::create_dir_all(&own_folder).unwrap();
@@ -416,17 +427,17 @@
     let configuration = with_admin(configuration, admin);
     let configuration_file = own_folder.join("config.json");
     std::fs::write(&configuration_file, &configuration).unwrap();
-    let charter_file = own_folder.join("charter.toml");
-    std::fs::write(&charter_file, charter).unwrap();
+    let operator_config_file = own_folder.join("charter.toml");
+    std::fs::write(&operator_config_file, operator_config).unwrap();
     let mut command = Command::new(program);
     command
         .env("ROUTER_CONFIG", &configuration_file)
-        .env("THISTLECROFT_CHARTER", &charter_file)
+        .env("THISTLECROFT_CHARTER", &operator_config_file)
         .env("TMPDIR", &own_folder);
     RelayProcess::launch(command, client_address, admin, configuration)
 }
 
-/// The time in which a relay certainly holds the lease, by its own answer.
+/// The time in which a relay holds the lease for certain, according to its own answer.
 #[derive(Debug)]
 struct Tenure {
     holder: usize,
@@ -442,10 +453,10 @@
 }
 
 impl LeaseObserver<'_> {
-    /// Asks this relay for the lease, and returns its answer.
-    fn ask(&mut self, relay: usize) -> String {
+    /// Requests the lease at this relay, and returns the answer.
+    fn request_lease(&mut self, relay: usize) -> String {
         let asked = Instant::now();
-        let answer = self.fleet.members[relay].call(&format!("LEASE {LEASE}"));
+        let answer = self.fleet.members[relay].admin_command(&format!("LEASE {LEASE}"));
         let answered = Instant::now();
         if let Some(held) = answer.strip_prefix(HELD) {
             let (epoch, milliseconds) = held.split_once(' ').unwrap();
@@ -460,7 +471,8 @@
         answer
     }
 
-    /// Panics where another relay holds the lease at the same time, or held it by no lower epoch.
+    /// Records a tenure. Panics if another relay holds the lease at the same time, or held it
+    /// earlier with an epoch that is not lower.
     fn record(&mut self, tenure: Tenure) {
         let others = self
             .tenures
@@ -469,7 +481,7 @@
         for earlier in others {
             assert!(
                 earlier.until <= tenure.from && earlier.epoch < tenure.epoch,
-                "two holders: {earlier:?} and {tenure:?}"
+                "the lease has two holders, or its epoch did not grow: {earlier:?} and {tenure:?}"
             );
         }
         self.tenures.push(tenure);
@@ -477,24 +489,27 @@
 
     fn wait_until_holder(&mut self, number: usize) {
         wait_until(&format!("{} holds the lease", member_name(number)), || {
-            self.ask(number).starts_with(HELD)
+            self.request_lease(number).starts_with(HELD)
         });
     }
 
-    /// Waits until the candidate is refused in the holder's name. The holder is asked too, since a
-    /// lease that nobody asks for is given back.
+    /// Waits until the candidate is told that the holder has the lease. The holder requests the
+    /// lease too, since a lease that nobody requests is released.
     fn wait_until_refused(&mut self, candidate: usize, holder: usize) {
         let refusal = format!("400 held by {}/", member_name(holder));
         wait_until(&refusal, || {
-            self.ask(holder);
-            self.ask(candidate).starts_with(&refusal)
+            self.request_lease(holder);
+            self.request_lease(candidate).starts_with(&refusal)
         });
     }
 
     fn release(&mut self, holder: usize) {
         let released = Instant::now();
-        let call = format!("RELEASE {LEASE}");
-        assert_eq!(self.fleet.members[holder].call(&call), "200 released");
+        let command = format!("RELEASE {LEASE}");
+        assert_eq!(
+            self.fleet.members[holder].admin_command(&command),
+            "200 released"
+        );
         for tenure in &mut self.tenures {
             if tenure.holder == holder {
                 tenure.until = tenure.until.min(released);
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -12,20 +12,25 @@
 pub(crate) enum BackendBehavior {
     /// Accepts, then sends each line back and answers the client's end with `BYE`.
     Echo,
-    /// Accepts with an answer in pieces.
+    /// Accepts with an answer that is sent in pieces, then echoes.
     AcceptInPieces,
+    /// Answers with this text and closes the connection.
     RespondAndClose(&'static str),
-    /// Accepts, sends this and ends the connection.
+    /// Accepts, sends this text and closes the connection.
     AcceptSendAndClose(&'static str),
+    /// Accepts, sends a line, and resets the connection once the client has sent something.
     AcceptThenReset,
     /// Accepts, then reports a high latency every 100 ms; answers health checks with a load of 0.7.
     ReportsHighLatency,
     /// Accepts, then sends nothing.
     AcceptThenSilent,
+    /// Sends nothing, and keeps the connection open.
     NeverRespond,
+    /// Closes the connection without an answer.
     CloseImmediately,
+    /// Answers with a line that is too long, and closes the connection.
     OverlongResponse,
-    /// Accepts, then sends so many lines without waiting for any.
+    /// Accepts, sends this many lines without waiting for any, then echoes.
     AcceptThenFlood(usize),
 }
 
@@ -36,11 +41,11 @@
 pub(crate) fn start_backend(behavior: BackendBehavior) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, received) = channel();
+    let (sender, received) = channel();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let tell = tell.clone();
-            thread::spawn(move || drop(serve(stream.unwrap(), behavior, tell)));
+            let sender = sender.clone();
+            thread::spawn(move || drop(serve(stream.unwrap(), behavior, sender)));
         }
     });
     (address, received)
@@ -50,14 +55,14 @@
 pub(crate) fn serve(
     stream: TcpStream,
     behavior: BackendBehavior,
-    tell: Sender<String>,
+    sender: Sender<String>,
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
     let mut line = String::new();
     lines.read_line(&mut line)?;
     while line == "STATS\r\n" {
-        let _ = tell.send(std::mem::take(&mut line));
+        let _ = sender.send(std::mem::take(&mut line));
         let load = match behavior {
             BackendBehavior::ReportsHighLatency => "0.7",
             _ => "0.25",
@@ -65,9 +70,9 @@
         out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
         lines.read_line(&mut line)?;
     }
-    let _ = tell.send(line.clone());
+    let _ = sender.send(line.clone());
     match behavior {
-        BackendBehavior::RespondAndClose(word) => return out.write_all(word.as_bytes()),
+        BackendBehavior::RespondAndClose(text) => return out.write_all(text.as_bytes()),
         BackendBehavior::NeverRespond => return lines.read_to_string(&mut line).map(drop),
         BackendBehavior::CloseImmediately => return Ok(()),
         BackendBehavior::OverlongResponse => return out.write_all(&[b'x'; 9_000]),
@@ -80,7 +85,7 @@
         _ => out.write_all(b"UP receipt\r\n")?,
     }
     match behavior {
-        BackendBehavior::AcceptSendAndClose(words) => return out.write_all(words.as_bytes()),
+        BackendBehavior::AcceptSendAndClose(text) => return out.write_all(text.as_bytes()),
         BackendBehavior::AcceptThenReset => {
             out.write_all(b"last\r\n")?;
             // Closing with the client's line unread makes the system send a reset.
@@ -99,40 +104,40 @@
         }
         _ => {}
     }
-    echo(&mut lines, &mut out, &tell)
+    echo(&mut lines, &mut out, &sender)
 }
 
-/// Sends each line back, and answers the end.
+/// Sends each line back, and answers the client's end.
 fn echo(
     lines: &mut BufReader<TcpStream>,
     out: &mut TcpStream,
-    tell: &Sender<String>,
+    sender: &Sender<String>,
 ) -> std::io::Result<()> {
     let mut line = String::new();
     loop {
         line.clear();
         match lines.read_line(&mut line) {
             Ok(0) => {
-                let _ = tell.send("end".into());
+                let _ = sender.send("end".into());
                 return out.write_all(b"BYE inflight=1\r\n");
             }
             Ok(_) => {
-                let _ = tell.send(line.clone());
+                let _ = sender.send(line.clone());
                 out.write_all(line.as_bytes())?;
             }
             Err(_) => {
-                let _ = tell.send("reset".into());
+                let _ = sender.send("reset".into());
                 return Ok(());
             }
         }
     }
 }
 
-/// The next that a backend or discovery received.
+/// Returns the next line that a backend or an agent received.
 pub(crate) fn next_received(received: &Received) -> String {
     received
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the backend received nothing more")
+        .expect("nothing was received in time")
 }
 
 /// A backend whose connections are established late: its accept queue is full until it is emptied.
@@ -153,7 +158,10 @@
         let at = listener.local_addr().unwrap();
         let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
         let queue_fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
-        assert!((1..64).contains(&queue_fillers.len()), "the queue fills");
+        assert!(
+            (1..64).contains(&queue_fillers.len()),
+            "the accept queue does not fill up"
+        );
         SlowBackend {
             listener,
             address: at,
@@ -163,14 +171,14 @@
 
     /// Accepts the connections that fill the queue, and returns the one that waited behind them.
     pub(crate) fn accept_connection(&mut self) -> TcpStream {
-        let ours: Vec<SocketAddr> = self
+        let fillers: Vec<SocketAddr> = self
             .queue_fillers
             .iter()
-            .map(|one| one.local_addr().unwrap())
+            .map(|filler| filler.local_addr().unwrap())
             .collect();
         loop {
             let stream = accept(&self.listener);
-            if !ours.contains(&stream.peer_addr().unwrap()) && has_nothing_to_read(&stream) {
+            if !fillers.contains(&stream.peer_addr().unwrap()) && has_nothing_to_read(&stream) {
                 return stream;
             }
         }
--- a/relay/tests/helper/client.rs
+++ b/relay/tests/helper/client.rs
@@ -1,9 +1,9 @@
-//! Clients.
+//! Clients of the relay under test.
 use std::io::{BufRead, BufReader, ErrorKind, Write};
 use std::net::{Shutdown, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// A request with a new session id.
+/// Returns an `OPEN` line with a new session id.
 pub(crate) fn open_line(items: &str) -> String {
     static LAST: AtomicU16 = AtomicU16::new(0);
     format!(
@@ -21,14 +21,15 @@
         self.lines.get_mut().write_all(text.as_bytes()).unwrap();
     }
 
-    /// The next line; `end` or `reset` where the connection is over.
+    /// Returns the next line without its line ending, or `end` or `reset` if the connection is
+    /// over.
     pub(crate) fn next_line(&mut self) -> String {
         let mut line = String::new();
         match self.lines.read_line(&mut line) {
             Ok(0) => "end".into(),
             Ok(_) => line.trim_end().into(),
-            Err(fault) if fault.kind() == ErrorKind::ConnectionReset => "reset".into(),
-            Err(fault) => panic!("{fault}"),
+            Err(error) if error.kind() == ErrorKind::ConnectionReset => "reset".into(),
+            Err(error) => panic!("{error}"),
         }
     }
 
--- a/relay/tests/helper/config.rs
+++ b/relay/tests/helper/config.rs
@@ -15,8 +15,8 @@
   "mayCancel": true, "probes": PROBES, "retryAfter": true},
  "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
-/// A configuration that `ROUTER_CONFIG` may name: `known` is the endpoint list of the start, or
-/// null.
+/// Returns a configuration for the file that `ROUTER_CONFIG` names. `known` is the endpoint list
+/// that is known at the start, or `null`.
 pub(crate) fn config(
     at: SocketAddr,
     discovery: SocketAddr,
@@ -31,7 +31,8 @@
     )
 }
 
-/// Replaces the file as a whole, so that nobody reads half of it; returns its path.
+/// Replaces the configuration file atomically, so that no relay reads a part of it. Returns its
+/// path.
 pub(crate) fn write_config(text: &str) -> std::path::PathBuf {
     let name = format!(
         "thistlecroft-{}-{:?}.json",
@@ -39,9 +40,9 @@
         thread::current().id()
     );
     let path = std::env::temp_dir().join(name);
-    let fresh = path.with_extension("fresh");
-    std::fs::write(&fresh, text).unwrap();
-    std::fs::rename(&fresh, &path).unwrap();
+    let temporary = path.with_extension("fresh");
+    std::fs::write(&temporary, text).unwrap();
+    std::fs::rename(&temporary, &path).unwrap();
     path
 }
 
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for discovery's agent.
+//! Stand-ins for the discovery agent.
 use super::backend::Received;
 use super::wait::*;
 use std::io::{BufRead, BufReader, Write};
@@ -7,18 +7,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// The answer to one request: pieces of a response, after which the connection stays open or ends.
+/// The answer to one request: pieces of a response, after which the connection is closed if `ends`
+/// is true, and stays open otherwise.
 pub(crate) struct WatchScript {
     pub(crate) pieces: Vec<String>,
     pub(crate) ends: bool,
 }
 
-/// Starts a discovery that gives each request the next script, and those behind the last no answer;
-/// returns its address and the first lines of the requests.
+/// Starts an agent that answers each request by the next script, and leaves requests after the last
+/// script unanswered. Returns its address and the first lines of the requests.
 pub(crate) fn start_discovery(scripts: Vec<WatchScript>) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, received) = channel();
+    let (sender, received) = channel();
     thread::spawn(move || {
         let mut scripts = scripts.into_iter();
         let mut open = Vec::new();
@@ -28,7 +29,7 @@
             let mut line = String::new();
             let mut lines = BufReader::new(stream.try_clone().unwrap());
             lines.read_line(&mut line).unwrap();
-            tell.send(line).unwrap();
+            sender.send(line).unwrap();
             let Some(script) = scripts.next() else {
                 open.push(stream);
                 continue;
@@ -45,13 +46,16 @@
     (address, received)
 }
 
+/// The head of a response that streams endpoint lists in chunks.
 pub(crate) const RESPONSE_HEAD: &str =
     "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
 
+/// Returns a text and a line end as one chunk of a response.
 pub(crate) fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\n\r\n", text.len() + 1)
 }
 
+/// Returns an endpoint list. Each row is the name, address and lifecycle of an endpoint.
 pub(crate) fn endpoint_list(
     generation: u64,
     reset: bool,
@@ -88,31 +92,32 @@
         }
     }
 
-    /// The next request that was sent whole; the connection, and its first line.
+    /// Accepts connections until one has sent a complete request. Returns that connection and the
+    /// first line of its request.
     pub(crate) fn accept_request(&self) -> (TcpStream, String) {
         loop {
             let stream = accept(&self.listener);
             let (mut lines, mut first, mut line) =
                 (BufReader::new(&stream), String::new(), String::new());
-            let mut came = lines.read_line(&mut first).unwrap();
-            while came > 0 && line != "\r\n" {
+            let mut length = lines.read_line(&mut first).unwrap();
+            while length > 0 && line != "\r\n" {
                 line.clear();
-                came = lines.read_line(&mut line).unwrap();
+                length = lines.read_line(&mut line).unwrap();
             }
-            // The relay gave up a connection that ended before its request.
-            if came > 0 {
+            // A connection that ends before its request is complete was given up by the relay.
+            if length > 0 {
                 return (stream, first);
             }
         }
     }
 }
 
-/// Answers a watch with its head and one list.
+/// Answers a watch with the response head and one list.
 pub(crate) fn send_list(watch: &TcpStream, list: &str) {
     send(watch, &format!("{RESPONSE_HEAD}{}", chunk(list)));
 }
 
-/// The endpoint list of ready backends `b0`, `b1` and so on.
+/// Returns an endpoint list of ready backends with the names `b0`, `b1` and so on.
 pub(crate) fn ready_backends(backends: &[SocketAddr]) -> String {
     let names: Vec<String> = (0..backends.len())
         .map(|number| format!("b{number}"))
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -1,5 +1,5 @@
-//! Processes of a relay by a chosen program, and what outlives each of them: the clients' listening
-//! socket and the folder that successive processes share.
+//! Relay processes that run a chosen program, and what outlives each of them: the clients'
+//! listening socket and the folder that successive processes share.
 use super::{Relay, TEST_TIMEOUT, config, ready_backends, unused_address};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -10,11 +10,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Names the program of the version before, for tests that run two versions together.
+/// The variable that names the program of the former version, for tests that run two versions
+/// together.
 pub(crate) const FORMER_RELAY: &str = "THISTLECROFT_FORMER_RELAY";
 
-/// Longest wait for a condition, with room for a machine that is busy with other things.
-pub(crate) const WAIT_BOUND: Duration = Duration::from_secs(30);
+/// Maximum wait for a condition, which is long enough for a busy machine.
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
@@ -24,15 +25,16 @@
 
 const SOCKET_LIMIT: usize = 1_000;
 
-/// The program under test.
+/// Returns the path of the program under test.
 pub(crate) fn new_program() -> &'static Path {
     Path::new(env!("CARGO_BIN_EXE_thistlecroft-relay"))
 }
 
-/// The program of the version before. Without one, says so and returns `None`.
+/// Returns the path of the former version's program. If none is named, prints that the test is not
+/// run, and returns `None`.
 pub(crate) fn former_program() -> Option<PathBuf> {
     let Some(path) = std::env::var_os(FORMER_RELAY) else {
-        // Not by `eprintln!`: the test harness keeps what a passing test prints to itself.
+        // Not by `eprintln!`, since the test harness hides what a passing test prints by it.
         let notice = format!("not run: {FORMER_RELAY} is not set\n");
         std::io::stderr().write_all(notice.as_bytes()).unwrap();
         return None;
@@ -40,22 +42,22 @@
     let path = PathBuf::from(path);
     assert!(
         path.is_file(),
-        "{FORMER_RELAY}: {} is no file",
+        "{FORMER_RELAY}: {} is not a file",
         path.display()
     );
     Some(path)
 }
 
-/// Waits until the condition holds, and panics with its description where it does not in time.
+/// Waits until the condition holds. Panics with its description if it does not hold in time.
 pub(crate) fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
-    let deadline = Instant::now() + WAIT_BOUND;
+    let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "never so: {description}");
+        assert!(Instant::now() < deadline, "not so in time: {description}");
         thread::sleep(CHECK_INTERVAL);
     }
 }
 
-/// A folder for one test. Dropped, it is removed.
+/// A folder for one test, which is removed when it is dropped.
 pub(crate) struct TestFolder {
     path: PathBuf,
 }
@@ -80,14 +82,15 @@
     }
 }
 
-/// A relay process and the address of its admin listener. Dropped, the process is killed.
+/// A relay process and the address of its admin listener. The process is killed when this is
+/// dropped.
 pub(crate) struct RelayProcess {
     pub relay: Relay,
     pub admin: SocketAddr,
 }
 
 impl RelayProcess {
-    /// Starts a program whose configuration and environment are complete.
+    /// Starts a program whose configuration and environment are already set up.
     pub(crate) fn launch(
         mut command: Command,
         client_address: SocketAddr,
@@ -108,12 +111,12 @@
         RelayProcess { relay, admin }
     }
 
-    /// The one line that an admin command is answered with, without its line ending.
-    pub(crate) fn call(&self, line: &str) -> String {
-        self.try_call(line).unwrap()
+    /// Sends an admin command, and returns its answer of one line without the line ending.
+    pub(crate) fn admin_command(&self, line: &str) -> String {
+        self.try_admin_command(line).unwrap()
     }
 
-    /// A new connection to the admin port.
+    /// Opens a connection to the admin port.
     pub(crate) fn connect_admin(&self) -> TcpStream {
         let stream = TcpStream::connect(self.admin).unwrap();
         stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
@@ -121,14 +124,15 @@
         stream
     }
 
-    /// The one line that these bytes are answered with, without its line ending.
+    /// Sends these bytes to the admin port, and returns the answer of one line without the line
+    /// ending.
     pub(crate) fn send_to_admin(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect_admin();
         stream.write_all(bytes).unwrap();
         read_admin_response(&mut stream)
     }
 
-    /// The command succeeds, within the time that operators are promised.
+    /// Asserts that the command succeeds within the time that operators are promised.
     pub(crate) fn assert_accepted(&self, command: &str) {
         let start = Instant::now();
         let response = self.send_to_admin(format!("{command}\r\n").as_bytes());
@@ -139,7 +143,7 @@
         );
     }
 
-    /// The command is refused.
+    /// Asserts that the command is refused.
     pub(crate) fn assert_refused(&self, command: &str) {
         let response = self.send_to_admin(format!("{command}\n").as_bytes());
         assert!(response.starts_with("400"), "{command}: {response}");
@@ -147,12 +151,12 @@
 
     pub(crate) fn wait_until_ready(&self) {
         wait_until("the relay is ready", || {
-            self.try_call("READY")
+            self.try_admin_command("READY")
                 .is_ok_and(|answer| answer.starts_with("200"))
         });
     }
 
-    fn try_call(&self, line: &str) -> std::io::Result<String> {
+    fn try_admin_command(&self, line: &str) -> std::io::Result<String> {
         let mut stream = TcpStream::connect(self.admin)?;
         stream.set_read_timeout(Some(TEST_TIMEOUT))?;
         stream.write_all(format!("{line}\r\n").as_bytes())?;
@@ -160,7 +164,8 @@
     }
 }
 
-/// All that the admin port answers, which must be one line; without its line ending.
+/// Reads the whole answer of the admin port, which must be one line, and returns it without the
+/// line ending.
 pub(crate) fn read_admin_response(stream: &mut TcpStream) -> String {
     try_read_admin_response(stream).unwrap()
 }
@@ -170,7 +175,7 @@
     stream.read_to_string(&mut response)?;
     assert!(
         response.ends_with("\r\n") && response.lines().count() == 1,
-        "one line: {response:?}"
+        "the answer is not one line: {response:?}"
     );
     Ok(response.trim_end().to_string())
 }
@@ -198,12 +203,12 @@
 }
 
 impl Host {
-    /// With a list of backends known at the start, and no discovery.
+    /// Creates a host whose relays know these backends at the start, and have no discovery agent.
     pub(crate) fn new(name: &str, backends: &[SocketAddr]) -> Host {
         Host::with_list(name, unused_address(), ready_backends(backends))
     }
 
-    /// With a discovery, and no list known at the start.
+    /// Creates a host whose relays have a discovery agent, and know no backends at the start.
     pub(crate) fn with_discovery(name: &str, discovery: SocketAddr) -> Host {
         Host::with_list(name, discovery, "null".into())
     }
@@ -221,7 +226,7 @@
         }
     }
 
-    /// The folder that the processes share.
+    /// Returns the folder that the processes share.
     pub(crate) fn folder(&self) -> &Path {
         self.folder.path()
     }
@@ -230,12 +235,12 @@
         self.listener.local_addr().unwrap()
     }
 
-    /// The descriptor of the clients' listening socket, as the processes are given it.
+    /// Returns the descriptor of the clients' listening socket, as it is passed to the processes.
     pub(crate) fn listener_descriptor(&self) -> String {
         self.listener.as_raw_fd().to_string()
     }
 
-    /// The configuration of a process with this admin port.
+    /// Returns the configuration of a process with this admin port.
     pub(crate) fn configuration(&self, admin: SocketAddr) -> String {
         let configuration = config(
             self.client_address(),
@@ -247,7 +252,7 @@
         with_admin(configuration, admin)
     }
 
-    /// Starts a process of this program beside those that run, and waits until it is ready.
+    /// Starts a process of this program beside the running ones, and waits until it is ready.
     pub(crate) fn start(&self, program: &Path) -> RelayProcess {
         let admin = unused_address();
         let configuration = self.configuration(admin);
@@ -264,7 +269,7 @@
     }
 }
 
-/// The configuration with the address of the admin listener.
+/// Adds the address of the admin listener to a configuration.
 pub(crate) fn with_admin(configuration: String, admin: SocketAddr) -> String {
     configuration.replacen('{', &format!("{{\"admin_addr\":\"{admin}\","), 1)
 }
--- a/relay/tests/helper/mod.rs
+++ b/relay/tests/helper/mod.rs
@@ -1,6 +1,6 @@
-//! Starts the program and speaks to it over loopback, with small stand-ins for backends and
-//! discovery. Every wait ends by itself; what is waited for is an event, never a span.
-#![allow(dead_code, reason = "each program of tests uses a part of it")]
+//! Starts the program and talks to it over loopback, with small stand-ins for backends and the
+//! discovery agent. Every wait has a time limit, and waits for an event rather than for a time.
+#![allow(dead_code, reason = "each test target uses a part of the helper")]
 mod backend;
 mod client;
 mod config;
@@ -10,7 +10,7 @@
 mod wait;
 
 pub(crate) use backend::*;
-#[allow(unused_imports, reason = "some programs name no item of it")]
+#[allow(unused_imports, reason = "some test targets use no client")]
 pub(crate) use client::*;
 pub(crate) use config::*;
 pub(crate) use discovery::*;
--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -1,4 +1,4 @@
-//! The relay's process.
+//! The process of the relay under test.
 use super::backend::Received;
 use super::client::{Client, open_line};
 use super::config::{config, write_config};
@@ -14,11 +14,11 @@
 /// A running relay, which is killed when it is dropped.
 pub(crate) struct Relay {
     pub(crate) child: Child,
-    /// Where it accepts clients.
+    /// The address at which it accepts clients.
     pub(crate) client_address: SocketAddr,
-    /// The lines that it logs.
+    /// The lines of its log.
     pub(crate) log: Received,
-    /// Its configuration.
+    /// The text of its configuration file.
     pub(crate) config_text: String,
 }
 
@@ -78,12 +78,12 @@
     text: String,
 ) -> Relay {
     let mut child = spawn_relay(&text, descriptors);
-    let (tell, log) = channel();
+    let (sender, log) = channel();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
     thread::spawn(move || {
         lines
             .map_while(Result::ok)
-            .try_for_each(|line| tell.send(line))
+            .try_for_each(|line| sender.send(line))
     });
     let relay = Relay {
         child,
@@ -100,7 +100,8 @@
     start_relay(unused_address(), 1_000, &ready_backends(backends), false)
 }
 
-/// Starts a relay with changed settings: each pair is a part of their text, and its replacement.
+/// Starts a relay with changed settings: each pair is a part of the settings' text and its
+/// replacement.
 pub(crate) fn start_relay_with_settings(
     discovery: SocketAddr,
     known: &str,
@@ -116,25 +117,25 @@
 }
 
 impl Relay {
-    /// Reads the log up to a line that contains this text.
+    /// Reads the log up to a line that contains this text, and returns the line.
     pub(crate) fn wait_for_log(&self, text: &str) -> String {
         let lines = std::iter::repeat_with(|| {
             self.log
                 .recv_timeout(TEST_TIMEOUT)
-                .expect("the log holds no such line")
+                .expect("the expected line was not logged in time")
         });
         lines.take(10_000).find(|line| line.contains(text)).unwrap()
     }
 
     /// Sends a signal, by its name without `SIG`.
     pub(crate) fn signal(&self, name: &str) {
-        let done = Command::new("kill")
+        let result = Command::new("kill")
             .args([format!("-{name}"), self.child.id().to_string()])
             .status();
-        assert!(done.unwrap().success());
+        assert!(result.unwrap().success());
     }
 
-    /// Changes the configuration, and has the relay read it again.
+    /// Replaces a part of the configuration, and has the relay read it again.
     pub(crate) fn reload_with(&self, from: &str, to: &str) {
         assert!(self.config_text.contains(from));
         write_config(&self.config_text.replace(from, to));
@@ -164,7 +165,7 @@
     pub(crate) fn suspend(&self) {
         self.signal("STOP");
         let path = format!("/proc/{}/stat", self.child.id());
-        wait_for("the stop", || {
+        wait_for("the suspension of the relay", || {
             let text = std::fs::read_to_string(&path).unwrap();
             text.rsplit(')')
                 .next()
@@ -175,25 +176,26 @@
         });
     }
 
-    /// Waits until a counter reaches this value.
-    pub(crate) fn wait_for_counter(&self, name: &str, least: u32) {
+    /// Waits until a counter has at least this value.
+    pub(crate) fn wait_for_counter(&self, name: &str, minimum: u32) {
         wait_for(name, || {
             self.signal("USR1");
-            (counter_value(&self.wait_for_log(&format!(" {name}=")), name) >= least).then_some(())
+            (counter_value(&self.wait_for_log(&format!(" {name}=")), name) >= minimum).then_some(())
         });
     }
 }
 
-/// A counter's value, from the log line with all counters.
+/// Returns a counter's value from the log line with all counters.
 pub(crate) fn counter_value(line: &str, name: &str) -> u32 {
-    let figure = line
+    let value = line
         .split(&format!(" {name}="))
         .nth(1)
         .and_then(|rest| rest.split(' ').next());
-    figure.unwrap().parse().unwrap()
+    value.unwrap().parse().unwrap()
 }
 
-/// The exit status; a program that does not end in time is killed, and the test fails.
+/// Waits until a program ends, and returns its exit status. A program that does not end in time is
+/// killed, and the test fails.
 pub(crate) fn wait_for_exit(child: &mut Child) -> std::process::ExitStatus {
     let until = Instant::now() + TEST_TIMEOUT;
     while Instant::now() < until {
@@ -203,7 +205,7 @@
         thread::sleep(Duration::from_millis(5));
     }
     child.kill().unwrap();
-    panic!("the program did not end: {:?}", child.wait());
+    panic!("the program did not end in time: {:?}", child.wait());
 }
 
 impl Drop for Relay {
--- a/relay/tests/helper/wait.rs
+++ b/relay/tests/helper/wait.rs
@@ -1,20 +1,22 @@
-//! Sockets and waits of the tests.
+//! Sockets and waits for tests.
 use socket2::SockRef;
 use std::io::{ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long any wait may take on a busy machine.
+/// Time limit of any wait, which is long enough for a busy machine.
 pub(crate) const TEST_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Processes with ids that follow each other differ in the address.
+/// Number of IP addresses over which processes are spread: processes with consecutive ids differ in
+/// the address.
 const ADDRESSES: u32 = 128;
 /// Ports for listening lie below those that the kernel gives to outgoing connections.
 const FIRST_PORT: u32 = 8_080;
 const PORTS: u32 = 16_384;
 
-/// An address at which nothing listens, and which no outgoing connection can take meanwhile.
+/// Returns an address at which nothing listens, and which no outgoing connection can take
+/// meanwhile.
 ///
 /// It is unique to the process and the call: the process id is split over address and port.
 pub(crate) fn unused_address() -> SocketAddr {
@@ -26,14 +28,14 @@
     SocketAddr::from(([127, address, high, low], port as u16))
 }
 
-/// Repeats a step until it returns a value.
+/// Repeats a step until it returns a value. Panics if it returns none in time.
 pub(crate) fn wait_for<T>(what: &str, mut step: impl FnMut() -> Option<T>) -> T {
     let until = Instant::now() + TEST_TIMEOUT;
     loop {
-        if let Some(done) = step() {
-            return done;
+        if let Some(value) = step() {
+            return value;
         }
-        assert!(Instant::now() < until, "in time: {what}");
+        assert!(Instant::now() < until, "timed out waiting for {what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -48,20 +50,22 @@
     stream
 }
 
-/// Whether neither bytes nor the end have arrived.
+/// Returns true if neither bytes nor the end of the connection have arrived.
 pub(crate) fn has_nothing_to_read(stream: &TcpStream) -> bool {
     stream.set_nonblocking(true).unwrap();
-    let quiet =
-        matches!(stream.peek(&mut [0]), Err(fault) if fault.kind() == ErrorKind::WouldBlock);
+    let is_empty =
+        matches!(stream.peek(&mut [0]), Err(error) if error.kind() == ErrorKind::WouldBlock);
     stream.set_nonblocking(false).unwrap();
-    quiet
+    is_empty
 }
 
-/// All bytes up to the end, or to a reset.
+/// Reads all bytes up to the end of the connection or a reset.
 pub(crate) fn read_to_end_of(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     match stream.read_to_end(&mut text) {
-        Err(fault) if fault.kind() != ErrorKind::ConnectionReset => panic!("no end came: {fault}"),
+        Err(error) if error.kind() != ErrorKind::ConnectionReset => {
+            panic!("reading to the end of the connection failed: {error}")
+        }
         _ => String::from_utf8(text).unwrap(),
     }
 }
@@ -72,8 +76,8 @@
     pub(crate) has_unread_bytes: bool,
 }
 
-/// Looks at the end `here` of a connection from outside the process: even loopback delivers late on
-/// a busy machine.
+/// Reads the kernel's state of the end `here` of a connection. A test can wait for it, since even
+/// loopback delivers late on a busy machine.
 pub(crate) fn socket_state(here: SocketAddr, there: SocketAddr) -> SocketState {
     let hex = |at: SocketAddr| match at.ip() {
         std::net::IpAddr::V4(ip) => {
@@ -93,14 +97,14 @@
     }
 }
 
-/// Closing the connection will reset it.
+/// Makes the other side see a reset when the connection is closed.
 pub(crate) fn reset_on_close(stream: &TcpStream) {
     SockRef::from(stream)
         .set_linger(Some(Duration::ZERO))
         .unwrap();
 }
 
-/// Writes a text.
+/// Writes a text to a connection.
 pub(crate) fn send(mut stream: &TcpStream, text: &str) {
     stream.write_all(text.as_bytes()).unwrap();
 }
--- a/relay/tests/scenarios.rs
+++ b/relay/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! The built relay in a simulated deployment with the failures that it is meant for; the cluster's
-//! invariants are checked.
+//! Runs the built relay in a simulated deployment with the failures that it is designed for, and
+//! checks the invariants of the cluster.
 use std::sync::atomic::AtomicBool;
 use std::sync::{Mutex, PoisonError};
 use std::thread;
@@ -7,7 +7,8 @@
 use thistlecroft_experiments::scenario::Scenario;
 use thistlecroft_experiments::summary::Summary;
 
-const COMMON: &str = r#"
+/// The keys that all scenarios here have in common.
+const COMMON_KEYS: &str = r#"
 about = "for the test"
 length = "5s"
 [traffic]
@@ -28,16 +29,18 @@
 effect = "once-only"
 "#;
 
-struct Case {
+/// A scenario, and the check that its faults had an effect.
+struct ScenarioCase {
     name: &'static str,
-    text: &'static str,
-    /// What must have happened for the run to prove anything.
-    shows: fn(&Summary) -> bool,
+    /// The scenario's own tables, in TOML.
+    tables: &'static str,
+    /// Returns true if the faults had the effect without which the run proves nothing.
+    had_effect: fn(&Summary) -> bool,
 }
 
 #[test]
 fn invariants_hold_through_failures() {
-    judged(vec![
+    assert_invariants_hold(vec![
         descriptors_run_out(),
         backends_fail(),
         endpoint_list_fails(),
@@ -47,12 +50,12 @@
     ]);
 }
 
-/// Those who say nothing are sent away for those who speak; nobody who spoke loses his
-/// answer by that.
-fn descriptors_run_out() -> Case {
-    Case {
+/// Clients that send nothing are disconnected in favour of clients that send. No client that has
+/// sent a request loses its answer by that.
+fn descriptors_run_out() -> ScenarioCase {
+    ScenarioCase {
         name: "descriptors",
-        text: r#"
+        tables: r#"
 [relays]
 sockets = 128
 [[fault]]
@@ -69,14 +72,14 @@
 what = "clients-half-a-line"
 clients = 100
 "#,
-        shows: |summary| summary.busy > 100 && summary.up > 50 && summary.rude_answered > 300,
+        had_effect: |summary| summary.busy > 100 && summary.up > 50 && summary.rude_answered > 300,
     }
 }
 
-fn backends_fail() -> Case {
-    Case {
+fn backends_fail() -> ScenarioCase {
+    ScenarioCase {
         name: "boxes",
-        text: r#"
+        tables: r#"
 [[fault]]
 at = "500ms"
 what = "mute"
@@ -107,14 +110,14 @@
 boxes = 2
 back = "500ms"
 "#,
-        shows: |summary| summary.moved + summary.cut_off > 5 && summary.most_dials > 1,
+        had_effect: |summary| summary.moved + summary.cut_off > 5 && summary.most_dials > 1,
     }
 }
 
-fn endpoint_list_fails() -> Case {
-    Case {
+fn endpoint_list_fails() -> ScenarioCase {
+    ScenarioCase {
         name: "list",
-        text: r#"
+        tables: r#"
 [fleet]
 grace = "500ms"
 [[fault]]
@@ -136,14 +139,14 @@
 boxes = 2
 over = "1s"
 "#,
-        shows: |summary| summary.moved > 3,
+        had_effect: |summary| summary.moved > 3,
     }
 }
 
-fn relays_are_replaced() -> Case {
-    Case {
+fn relays_are_replaced() -> ScenarioCase {
+    ScenarioCase {
         name: "replaced",
-        text: r#"
+        tables: r#"
 [[fault]]
 at = "1s"
 what = "relay-replaced"
@@ -160,15 +163,16 @@
 relays = [1]
 back = "200ms"
 "#,
-        shows: |summary| summary.moved > 5 && summary.relays.len() == 2,
+        had_effect: |summary| summary.moved > 5 && summary.relays.len() == 2,
     }
 }
 
-/// Three routes, swapped under traffic, one of the files bad; and limits that bind.
-fn operator_configurations_are_swapped() -> Case {
-    Case {
+/// Operator configurations are swapped under traffic. One of the three is invalid, and their limits
+/// take effect.
+fn operator_configurations_are_swapped() -> ScenarioCase {
+    ScenarioCase {
         name: "charters",
-        text: r#"
+        tables: r#"
 [relays]
 two_dials = true
 charters = [
@@ -206,14 +210,16 @@
 boxes = 4
 for = "3s"
 "#,
-        shows: |summary| summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0,
+        had_effect: |summary| {
+            summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0
+        },
     }
 }
 
-fn backends_are_warming_up() -> Case {
-    Case {
+fn backends_are_warming_up() -> ScenarioCase {
+    ScenarioCase {
         name: "cold",
-        text: r#"
+        tables: r#"
 [fleet]
 boxes = 5
 later = 2
@@ -228,17 +234,17 @@
 what = "join"
 boxes = [3, 4]
 "#,
-        shows: |summary| summary.cold_push > 0.0 && summary.busy > 0,
+        had_effect: |summary| summary.cold_push > 0.0 && summary.busy > 0,
     }
 }
 
 #[test]
 fn invariants_hold_through_operator_actions() {
-    judged(vec![Case {
-        // Replaced beside themselves and with boxes out by hand, over a rush: nobody who stands is
-        // moved by it.
+    assert_invariants_hold(vec![ScenarioCase {
+        // Relays are replaced by hot restarts and backends are banned during a rush of clients: no
+        // established session is migrated by that.
         name: "operators",
-        text: r#"
+        tables: r#"
 [relays]
 operators = true
 [[fault]]
@@ -265,14 +271,15 @@
 what = "upgrade"
 relays = [0]
 "#,
-        shows: |summary| summary.up > 200 && summary.moved == 0,
+        had_effect: |summary| summary.up > 200 && summary.moved == 0,
     }]);
 }
 
-fn judged(cases: Vec<Case>) {
-    // One after the other: side by side the machine is so busy that clients are late by themselves.
-    static ALONE: Mutex<()> = Mutex::new(());
-    let _alone = ALONE.lock().unwrap_or_else(PoisonError::into_inner);
+fn assert_invariants_hold(cases: Vec<ScenarioCase>) {
+    // Tests run one after another: in parallel, they keep the machine so busy that clients are late
+    // without any fault.
+    static RUNNING: Mutex<()> = Mutex::new(());
+    let _running = RUNNING.lock().unwrap_or_else(PoisonError::into_inner);
     let folder = std::env::temp_dir().join(format!(
         "thistlecroft-scenarios-{}-{}",
         std::process::id(),
@@ -285,10 +292,10 @@
         .map(|case| {
             let (target, folder) = (target.clone(), folder.join(case.name));
             thread::spawn(move || {
-                let (own, common) = (case.text, COMMON);
-                // Tables of the test's own come behind the common keys.
-                let scenario = Scenario::parse(case.name, &format!("{common}{own}")).unwrap();
-                let done = run(
+                let (tables, common) = (case.tables, COMMON_KEYS);
+                // The case's own tables must follow the common keys.
+                let scenario = Scenario::parse(case.name, &format!("{common}{tables}")).unwrap();
+                let result = run(
                     &scenario,
                     &target,
                     1,
@@ -297,17 +304,17 @@
                     &mut |_| {},
                 )
                 .unwrap();
-                let shown = (case.shows)(&done.summary);
-                (done.summary.kept() && shown)
+                let had_effect = (case.had_effect)(&result.summary);
+                (result.summary.kept() && had_effect)
                     .then_some(())
-                    .ok_or_else(|| done.summary.page())
+                    .ok_or_else(|| result.summary.page())
             })
         })
         .collect();
-    let faults: Vec<String> = runs
+    let failures: Vec<String> = runs
         .into_iter()
         .filter_map(|run| run.join().unwrap().err())
         .collect();
-    assert!(faults.is_empty(), "{}", faults.join("\n"));
+    assert!(failures.is_empty(), "{}", failures.join("\n"));
     std::fs::remove_dir_all(folder).unwrap();
 }
