--- a/relay/src/discovery/connection.rs
+++ b/relay/src/discovery/connection.rs
@@ -77,6 +77,7 @@
         }
     }
 
+    /// Returns true if an event with this key is about this connection.
     pub(super) fn owns(&self, key: usize) -> bool {
         match &self.state {
             State::Connecting(connection, _)
--- a/relay/src/discovery/error.rs
+++ b/relay/src/discovery/error.rs
@@ -13,7 +13,7 @@
     Lifecycle { instance: String, lifecycle: String },
 }
 
-/// Why a response is not an HTTP response that streams lists, or no longer one.
+/// Why a response can't be read, or can't be read any further, as a stream of lists.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum HttpError {
     #[error("the response head is too long")]
--- a/relay/src/discovery/poll_schedule.rs
+++ b/relay/src/discovery/poll_schedule.rs
@@ -24,7 +24,7 @@
 const REPEATED_REJECTION_MIN_SHARE: f64 = 0.6;
 /// Minimum delay while the agent is unreachable, as a fraction of the maximum.
 const UNREACHABLE_MIN_SHARE: f64 = 0.5;
-/// Limit of the exponent. The delays reach their maximum long before.
+/// Limit of the doublings. Delays reach their maximum long before.
 const MAX_DOUBLINGS: u32 = 16;
 
 /// How an attempt failed.
@@ -35,7 +35,7 @@
     /// The agent answered with something other than a list, or ended a request that it had
     /// accepted.
     Rejected,
-    /// A watch failed that the agent had been answering.
+    /// A watch failed after the agent had answered it.
     Interrupted,
 }
 
@@ -68,8 +68,8 @@
         self.unreachable > 0 || self.rejected > 0
     }
 
-    /// Counts the failure, and returns the delay before the next attempt: short while the agent is
-    /// unreachable, and doubling with jitter while the agent is overloaded.
+    /// Counts the failure, and returns the delay before the next attempt: short and nearly constant
+    /// while the agent is unreachable, and doubling with jitter while the agent is overloaded.
     pub(crate) fn next_delay(&mut self, failure: Failure, rng: &mut Rng) -> Duration {
         let Failure {
             kind,
--- a/relay/src/discovery/watch.rs
+++ b/relay/src/discovery/watch.rs
@@ -249,8 +249,8 @@
         self.hedge(io);
     }
 
-    /// Sends a hedged request while the current request is unanswered. The request that is answered
-    /// first becomes the watch.
+    /// Sends hedged requests, one after another, while the current request is unanswered. The
+    /// request that is answered first becomes the watch.
     fn hedge(&mut self, io: &mut IoContext) {
         let response_timeout = self.response_timeout();
         let elapsed = io.now.duration_since(self.current.last_progress);
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -72,7 +72,7 @@
         } = PeerSocket::bind_configured(config, on_conflict, sockets)?;
         if !is_configured_address {
             log::info!(
-                "peers: predecessor holds the address; configured={} advertised={advertised}",
+                "peers: the predecessor holds the address; configured={} advertised={advertised}",
                 config.listen
             );
         }
@@ -231,7 +231,7 @@
 
     fn send_datagrams(&mut self) {
         for (to, bytes) in self.node.take_datagrams() {
-            // A datagram that can't be sent counts as lost, as one on the network.
+            // A datagram that can't be sent is treated like one that the network loses.
             self.send_failures += u64::from(!self.socket.send(&bytes, to));
         }
     }
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -250,9 +250,7 @@
         };
         match result {
             Ok(()) => self.interest = interest,
-            Err(error) => {
-                log::error!("changing a registration with the poller failed; error={error}")
-            }
+            Err(error) => log::error!("registering with the poller failed; error={error}"),
         }
     }
 }
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -20,7 +20,7 @@
 /// Pause between two checks of a condition.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
-/// An admin command is answered within this, whatever the load.
+/// The time within which an admin command must be answered, whatever the load.
 const ADMIN_RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
 
 const SOCKET_LIMIT: usize = 1_000;
--- a/relay/tests/helper/wait.rs
+++ b/relay/tests/helper/wait.rs
@@ -63,9 +63,7 @@
 pub(crate) fn read_to_end_of(mut stream: &TcpStream) -> String {
     let mut text = Vec::new();
     match stream.read_to_end(&mut text) {
-        Err(error) if error.kind() != ErrorKind::ConnectionReset => {
-            panic!("reading to the end of the connection failed: {error}")
-        }
+        Err(error) if error.kind() != ErrorKind::ConnectionReset => panic!("read failed: {error}"),
         _ => String::from_utf8(text).unwrap(),
     }
 }
--- a/relay/tests/peers/leases.rs
+++ b/relay/tests/peers/leases.rs
@@ -6,14 +6,14 @@
     let mut cluster = start_cluster("paused", 5, 5);
     // Two relays that are not voters request the lease, so that all voters remain while one of the
     // two is paused.
-    let holds = |cluster: &ProcessCluster, relay: usize| {
+    let holds_lease = |cluster: &ProcessCluster, relay: usize| {
         cluster
             .admin_command(relay, "LEASE turn")
             .is_some_and(|response| response.starts_with("200 held"))
     };
     cluster
         .wait_until(LEASE_TERM * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
-            holds(cluster, 3)
+            holds_lease(cluster, 3)
         })
         .expect("relay 3 holds the lease");
     let observers: Vec<_> = [3, 4]
@@ -22,7 +22,7 @@
     cluster.set_paused(3, true);
     cluster
         .wait_until(LEASE_TERM * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
-            holds(cluster, 4)
+            holds_lease(cluster, 4)
         })
         .expect("relay 4 holds the lease");
     // The other relays consider the paused relay dead by now or soon; its own view and lease have
@@ -45,7 +45,7 @@
     assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
     cluster
         .wait_until(LEASE_TERM * 4.0 + BUSY_MACHINE_MARGIN, |cluster| {
-            holds(cluster, 3)
+            holds_lease(cluster, 3)
         })
         .expect("relay 3 holds the lease again");
     let entries = cluster.events.into_sorted();
@@ -135,7 +135,7 @@
 
 /// Requests a lease as an observer does, and returns whether the relay holds it. The answer is
 /// recorded, and checked together with those of the observers.
-fn holds(cluster: &ProcessCluster, relay: usize, subject: &'static str) -> bool {
+fn holds_lease(cluster: &ProcessCluster, relay: usize, subject: &'static str) -> bool {
     let asked = cluster.clock.now();
     let Some((epoch, remaining)) = cluster
         .admin_command(relay, &format!("LEASE {subject}"))
@@ -161,7 +161,7 @@
 fn holds_all_shards(cluster: &ProcessCluster, relay: usize) -> bool {
     SHARDS
         .iter()
-        .filter(|subject| holds(cluster, relay, subject))
+        .filter(|subject| holds_lease(cluster, relay, subject))
         .count()
         == SHARDS.len()
 }
@@ -176,7 +176,7 @@
     let all_are_held = |cluster: &ProcessCluster| {
         SHARDS
             .iter()
-            .all(|subject| holds(cluster, 3, subject) || holds(cluster, 4, subject))
+            .all(|subject| holds_lease(cluster, 3, subject) || holds_lease(cluster, 4, subject))
     };
     cluster
         .wait_until(LEASE_TERM * 6.0 + BUSY_MACHINE_MARGIN, all_are_held)
