--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -1,7 +1,7 @@
 //! The end of a turn: delivers the collected events to the balancer and carries out its actions.
 use super::Service;
 use crate::admin::protocol::Readiness;
-use crate::discovery::watch::Knowledge;
+use crate::discovery::watch::KnownList;
 use crate::driver::{Action, ActionRecorder, Event, deliver_event};
 use crate::trace;
 use thistlecroft::ids::SessionId;
@@ -44,7 +44,7 @@
     fn readiness(&self) -> Readiness {
         Readiness {
             is_stopping: self.shutdown_started.is_some(),
-            has_endpoints: self.discovery.knowledge() != Knowledge::Nothing,
+            has_endpoints: self.discovery.known_list() != KnownList::None,
             accepts_clients: self.sessions.is_accepting(),
         }
     }
--- a/relay/src/service/mod.rs
+++ b/relay/src/service/mod.rs
@@ -10,7 +10,7 @@
 mod startup;
 
 use crate::admin::commands::AdminCommands;
-use crate::discovery::watch::{Knowledge, Watch};
+use crate::discovery::watch::{KnownList, Watch};
 use crate::driver::Action;
 use crate::health_check::HealthChecks;
 use crate::hot_restart::state::HotRestart;
@@ -85,10 +85,10 @@
 
     fn can_serve_clients(&self) -> bool {
         let elapsed = self.io.now.duration_since(self.started);
-        let knows_enough = match self.discovery.knowledge() {
-            Knowledge::Received => true,
-            Knowledge::Cached => elapsed >= CACHED_LIST_TIMEOUT,
-            Knowledge::Nothing => elapsed >= NO_LIST_TIMEOUT,
+        let knows_enough = match self.discovery.known_list() {
+            KnownList::Received => true,
+            KnownList::Cached => elapsed >= CACHED_LIST_TIMEOUT,
+            KnownList::None => elapsed >= NO_LIST_TIMEOUT,
         };
         // Without a predecessor, no other process serves the clients. This one still waits for a
         // response from discovery first: the relay is expected to know discovery's list from the
--- a/relay/src/service/signals.rs
+++ b/relay/src/service/signals.rs
@@ -81,6 +81,6 @@
             "statistics: open_sessions={sessions} ({generations}), banned_backends={banned}; {}",
             self.io.counters
         );
-        self.peers.iter().for_each(Peers::log);
+        self.peers.iter().for_each(Peers::log_member_counts);
     }
 }
--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -137,9 +137,9 @@
     });
     Relay {
         child,
-        at,
+        client_address: at,
         log,
-        text,
+        config_text: text,
     }
 }
 
--- a/relay/tests/golden/wire.rs
+++ b/relay/tests/golden/wire.rs
@@ -13,7 +13,7 @@
 
 /// Connects to the relay.
 fn connect(relay: &Relay) -> TcpStream {
-    let stream = TcpStream::connect(relay.at).unwrap();
+    let stream = TcpStream::connect(relay.client_address).unwrap();
     stream.set_nodelay(true).unwrap();
     stream.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
     stream
@@ -194,7 +194,7 @@
     let relay_address = unused_address();
     let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
     let config_text = config(relay_address, unused_address(), 1_000, &known, false);
-    start_relay_from(
+    start_relay_with_config(
         relay_address,
         config_text.replace("\"pull\"", "\"piggyback\""),
     )
@@ -217,7 +217,7 @@
     let mut transcript = Transcript::default();
     for backend_line in backend_lines {
         for listener in ["safe", "once"] {
-            let (address, _received) = start_backend(BackendBehavior::Say(backend_line));
+            let (address, _received) = start_backend(BackendBehavior::Reply(backend_line));
             let relay = start_relay_with_piggybacked_load(address);
             let mut client = relay.open_session(listener, 400);
             transcript.title(&format!("listener {listener}"));
@@ -244,7 +244,7 @@
     ];
     let mut transcript = Transcript::default();
     for backend_line in backend_lines {
-        let (address, _received) = start_backend(BackendBehavior::UpThen(backend_line));
+        let (address, _received) = start_backend(BackendBehavior::AcceptSendAndClose(backend_line));
         let relay = start_relay_with_piggybacked_load(address);
         let mut client = relay.open_session("safe", 1_000);
         transcript.line(
@@ -274,7 +274,7 @@
 fn health_check_requests_are_sent_as_recorded() {
     let (address, received) = start_backend(BackendBehavior::Echo);
     let known = endpoint_list(1, true, &[("b0", address, "Ready")]);
-    let _relay = start(unused_address(), 1_000, &known, true);
+    let _relay = start_relay(unused_address(), 1_000, &known, true);
     let mut transcript = Transcript::default();
     // The second health check reuses the connection of the first.
     transcript.line("backend hears", next_received(&received).as_bytes());
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -12,21 +12,26 @@
 pub(crate) enum BackendBehavior {
     /// Accepts, then sends each line back and answers the client's end with `BYE`.
     Echo,
-    /// Accepts with an answer in pieces.
-    Split,
-    Say(&'static str),
-    /// Accepts, sends this and ends the connection.
-    UpThen(&'static str),
-    UpThenReset,
+    /// Accepts with an answer that is sent in pieces, then echoes.
+    AcceptInPieces,
+    /// Answers with this text and closes the connection.
+    Reply(&'static str),
+    /// Accepts, sends this text and closes the connection.
+    AcceptSendAndClose(&'static str),
+    /// Accepts, sends a line, and resets the connection once the client has sent something.
+    AcceptThenReset,
     /// Accepts, then reports a high latency every 100 ms; answers health checks with a load of 0.7.
     ReportsHighLatency,
     /// Accepts, then sends nothing.
-    UpMute,
-    Mute,
-    End,
-    TooLong,
-    /// Accepts, then sends so many lines without waiting for any.
-    Flood(usize),
+    AcceptThenSilent,
+    /// Sends nothing, and keeps the connection open.
+    NeverRespond,
+    /// Closes the connection without an answer.
+    CloseImmediately,
+    /// Answers with a line that is too long, and closes the connection.
+    OverlongResponse,
+    /// Accepts, sends this many lines without waiting for any, then echoes.
+    AcceptThenFlood(usize),
 }
 
 /// What a backend received, in order: first lines, later lines, and `end` or `reset`.
@@ -36,11 +41,11 @@
 pub(crate) fn start_backend(behavior: BackendBehavior) -> (SocketAddr, Received) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, received) = channel();
+    let (sender, received) = channel();
     thread::spawn(move || {
         for stream in listener.incoming() {
-            let tell = tell.clone();
-            thread::spawn(move || drop(serve(stream.unwrap(), behavior, tell)));
+            let sender = sender.clone();
+            thread::spawn(move || drop(serve(stream.unwrap(), behavior, sender)));
         }
     });
     (address, received)
@@ -50,14 +55,14 @@
 pub(crate) fn serve(
     stream: TcpStream,
     behavior: BackendBehavior,
-    tell: Sender<String>,
+    sender: Sender<String>,
 ) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let (mut out, mut lines) = (stream.try_clone()?, BufReader::new(stream.try_clone()?));
     let mut line = String::new();
     lines.read_line(&mut line)?;
     while line == "STATS\r\n" {
-        let _ = tell.send(std::mem::take(&mut line));
+        let _ = sender.send(std::mem::take(&mut line));
         let load = match behavior {
             BackendBehavior::ReportsHighLatency => "0.7",
             _ => "0.25",
@@ -65,13 +70,13 @@
         out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
         lines.read_line(&mut line)?;
     }
-    let _ = tell.send(line.clone());
+    let _ = sender.send(line.clone());
     match behavior {
-        BackendBehavior::Say(word) => return out.write_all(word.as_bytes()),
-        BackendBehavior::Mute => return lines.read_to_string(&mut line).map(drop),
-        BackendBehavior::End => return Ok(()),
-        BackendBehavior::TooLong => return out.write_all(&[b'x'; 9_000]),
-        BackendBehavior::Split => {
+        BackendBehavior::Reply(text) => return out.write_all(text.as_bytes()),
+        BackendBehavior::NeverRespond => return lines.read_to_string(&mut line).map(drop),
+        BackendBehavior::CloseImmediately => return Ok(()),
+        BackendBehavior::OverlongResponse => return out.write_all(&[b'x'; 9_000]),
+        BackendBehavior::AcceptInPieces => {
             for piece in ["U", "P re", "ceipt\r", "\n"] {
                 out.write_all(piece.as_bytes())?;
                 thread::sleep(Duration::from_millis(5));
@@ -80,8 +85,8 @@
         _ => out.write_all(b"UP receipt\r\n")?,
     }
     match behavior {
-        BackendBehavior::UpThen(words) => return out.write_all(words.as_bytes()),
-        BackendBehavior::UpThenReset => {
+        BackendBehavior::AcceptSendAndClose(text) => return out.write_all(text.as_bytes()),
+        BackendBehavior::AcceptThenReset => {
             out.write_all(b"last\r\n")?;
             // Closing with the client's line unread makes the system send a reset.
             while stream.peek(&mut [0; 1])? == 0 {}
@@ -91,54 +96,54 @@
             out.write_all(b"LOAD 1242.441\r\n")?;
             thread::sleep(Duration::from_millis(100));
         },
-        BackendBehavior::UpMute => return lines.read_to_string(&mut line).map(drop),
-        BackendBehavior::Flood(count) => {
+        BackendBehavior::AcceptThenSilent => return lines.read_to_string(&mut line).map(drop),
+        BackendBehavior::AcceptThenFlood(count) => {
             for number in 0..count {
                 out.write_all(format!("line {number}\r\n").as_bytes())?;
             }
         }
         _ => {}
     }
-    echo(&mut lines, &mut out, &tell)
+    echo(&mut lines, &mut out, &sender)
 }
 
-/// Sends each line back, and answers the end.
+/// Sends each line back, and answers the client's end.
 fn echo(
     lines: &mut BufReader<TcpStream>,
     out: &mut TcpStream,
-    tell: &Sender<String>,
+    sender: &Sender<String>,
 ) -> std::io::Result<()> {
     let mut line = String::new();
     loop {
         line.clear();
         match lines.read_line(&mut line) {
             Ok(0) => {
-                let _ = tell.send("end".into());
+                let _ = sender.send("end".into());
                 return out.write_all(b"BYE inflight=1\r\n");
             }
             Ok(_) => {
-                let _ = tell.send(line.clone());
+                let _ = sender.send(line.clone());
                 out.write_all(line.as_bytes())?;
             }
             Err(_) => {
-                let _ = tell.send("reset".into());
+                let _ = sender.send("reset".into());
                 return Ok(());
             }
         }
     }
 }
 
-/// The next that a backend or discovery received.
+/// Returns the next line that a backend or an agent received.
 pub(crate) fn next_received(received: &Received) -> String {
     received
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the backend received nothing more")
+        .expect("nothing was received in time")
 }
 
 /// A backend whose connections are established late: its accept queue is full until it is emptied.
 pub(crate) struct SlowBackend {
     pub(crate) listener: TcpListener,
-    pub(crate) at: SocketAddr,
+    pub(crate) address: SocketAddr,
     pub(crate) queue_fillers: Vec<TcpStream>,
 }
 
@@ -153,24 +158,27 @@
         let at = listener.local_addr().unwrap();
         let connect = || TcpStream::connect_timeout(&at, Duration::from_millis(100)).ok();
         let queue_fillers: Vec<TcpStream> = std::iter::from_fn(connect).take(64).collect();
-        assert!((1..64).contains(&queue_fillers.len()), "the queue fills");
+        assert!(
+            (1..64).contains(&queue_fillers.len()),
+            "the accept queue does not fill up"
+        );
         SlowBackend {
             listener,
-            at,
+            address: at,
             queue_fillers,
         }
     }
 
     /// Accepts the connections that fill the queue, and returns the one that waited behind them.
     pub(crate) fn accept_connection(&mut self) -> TcpStream {
-        let ours: Vec<SocketAddr> = self
+        let fillers: Vec<SocketAddr> = self
             .queue_fillers
             .iter()
-            .map(|one| one.local_addr().unwrap())
+            .map(|filler| filler.local_addr().unwrap())
             .collect();
         loop {
             let stream = accept(&self.listener);
-            if !ours.contains(&stream.peer_addr().unwrap()) && has_nothing_to_read(&stream) {
+            if !fillers.contains(&stream.peer_addr().unwrap()) && has_nothing_to_read(&stream) {
                 return stream;
             }
         }
--- a/relay/tests/operators.rs
+++ b/relay/tests/operators.rs
@@ -110,7 +110,10 @@
     let (second, at_second) = start_backend(BackendBehavior::Echo);
     let endpoints = [("b0", first, "Ready"), ("b1", second, "Ready")];
     let (address, requests) = start_discovery(vec![WatchScript {
-        pieces: vec![HEAD.into(), chunk(&endpoint_list(2, true, &endpoints))],
+        pieces: vec![
+            RESPONSE_HEAD.into(),
+            chunk(&endpoint_list(2, true, &endpoints)),
+        ],
         ends: false,
     }]);
     let host = Host::with_discovery("operators-ban", address);
@@ -312,7 +315,7 @@
     time_until("pay", "UP receipt");
     assert_eq!(first_line("safe"), "UP receipt");
     // Files with errors change nothing.
-    let with_pay = relay.text.replace(end_of_listeners, &end_with_pay);
+    let with_pay = relay.config_text.replace(end_of_listeners, &end_with_pay);
     let invalid = [
         String::new(),
         with_pay[..with_pay.len() - 40].to_string(),
--- a/relay/tests/service/configuration.rs
+++ b/relay/tests/service/configuration.rs
@@ -53,7 +53,7 @@
 #[test]
 fn reloaded_file_with_errors_or_fixed_keys_changes_nothing() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         1_000,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -89,8 +89,8 @@
 
 #[test]
 fn reloaded_settings_leave_waiting_session_unchanged() {
-    let (mute, received) = start_backend(BackendBehavior::Mute);
-    let mut relay = start_with_settings(
+    let (mute, received) = start_backend(BackendBehavior::NeverRespond);
+    let mut relay = start_relay_with_settings(
         unused_address(),
         &endpoint_list(1, true, &[("mute", mute, "Ready")]),
         &[],
@@ -98,7 +98,7 @@
     let mut waiting = relay.open_session("once", 1_500);
     while !next_received(&received).starts_with("OPEN") {}
     // Renames the listeners, which changes the effect and deadline under each name, and adds one.
-    let mut reloaded = relay.text.clone();
+    let mut reloaded = relay.config_text.clone();
     let replacements = [
         (
             "\"name\": \"safe\", \"deadlineUs\": 1500000",
--- a/relay/tests/service/startup.rs
+++ b/relay/tests/service/startup.rs
@@ -25,13 +25,13 @@
         silent.local_addr().unwrap(),
         unused_address(),
     ];
-    let response = format!("{HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
+    let response = format!("{RESPONSE_HEAD}{}", chunk(&endpoint_list(2, true, &rows)));
     answer_each_request(answering, response);
     for discovery in addresses {
         let start_time = |cached_list: String| {
             std::thread::spawn(move || {
                 let started = Instant::now();
-                let relay = start(discovery, 1_000, &cached_list, false);
+                let relay = start_relay(discovery, 1_000, &cached_list, false);
                 let mut client = relay.connect();
                 client.send("PING\r\n");
                 (client.next_line() == "PONG").then(|| started.elapsed())
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -8,7 +8,7 @@
     let (address, _received) = start_backend(BackendBehavior::Echo);
     // Of the 64 descriptors sessions may take 24. Hundreds of silent clients connect, and more
     // while others are shed.
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         64,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -43,7 +43,7 @@
 #[test]
 fn clients_beyond_descriptor_limit_are_rejected_until_descriptors_are_free() {
     let (address, _received) = start_backend(BackendBehavior::Echo);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         64,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
@@ -120,8 +120,8 @@
 fn idle_clients_at_descriptor_limit_block_neither_clients_nor_discovery() {
     let (known, known_received) = start_backend(BackendBehavior::Echo);
     let (listed, listed_received) = start_backend(BackendBehavior::Echo);
-    let (relay_address, agent_address) = (unused_address(), DiscoveryAgent::new().at);
-    let relay = start_relay_from(
+    let (relay_address, agent_address) = (unused_address(), DiscoveryAgent::new().address);
+    let relay = start_relay_with_config(
         relay_address,
         config(
             relay_address,
@@ -151,13 +151,13 @@
     relay.wait_for_log("limits");
     let agent = DiscoveryAgent {
         listener: TcpListener::bind(agent_address).unwrap(),
-        at: agent_address,
+        address: agent_address,
     };
-    let (watch, _) = agent.call();
+    let (watch, _) = agent.accept_request();
     send(
         &watch,
         &format!(
-            "{HEAD}{}",
+            "{RESPONSE_HEAD}{}",
             chunk(&endpoint_list(2, true, &[("listed", listed, "Ready")]))
         ),
     );
--- a/relay/tests/session/established.rs
+++ b/relay/tests/session/established.rs
@@ -47,15 +47,15 @@
 fn backend_end_is_relayed_after_its_last_lines() {
     let cases = [
         (
-            BackendBehavior::UpThen("a\r\nBYE\r\n"),
+            BackendBehavior::AcceptSendAndClose("a\r\nBYE\r\n"),
             &["UP receipt", "a", "BYE", "end"][..],
         ),
         (
-            BackendBehavior::UpThen("MOVE\r\n"),
+            BackendBehavior::AcceptSendAndClose("MOVE\r\n"),
             &["UP receipt", "MOVE", "end"],
         ),
         (
-            BackendBehavior::UpThen("half"),
+            BackendBehavior::AcceptSendAndClose("half"),
             &["UP receipt", "half", "end"],
         ),
     ];
@@ -67,7 +67,7 @@
             assert_eq!(client.next_line(), *line, "{behavior:?}");
         }
     }
-    let (address, _received) = start_backend(BackendBehavior::UpThenReset);
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenReset);
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(
@@ -81,7 +81,7 @@
 #[test]
 fn client_not_reading_slows_its_backend_and_loses_no_lines() {
     const COUNT: usize = 1_000_000;
-    let (address, _received) = start_backend(BackendBehavior::Flood(COUNT));
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenFlood(COUNT));
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
@@ -94,7 +94,7 @@
 
 #[test]
 fn session_with_silent_backend_is_migrated_in_time() {
-    let (address, _received) = start_backend(BackendBehavior::UpMute);
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenSilent);
     let relay = start_relay_with_backends(&[address]);
     let mut client = relay.open_session("safe", 1_000);
     assert_eq!(client.next_line(), "UP receipt");
@@ -113,7 +113,7 @@
     // Only the reported latency causes the migration. Neither the load in health checks would, nor
     // the reported value if it were interpreted as a connection's load.
     let (address, _received) = start_backend(BackendBehavior::ReportsHighLatency);
-    let relay = start(
+    let relay = start_relay(
         unused_address(),
         1_000,
         &endpoint_list(1, true, &[("b", address, "Ready")]),
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -26,15 +26,15 @@
     // may be retried, and on `once`, whose sessions may not.
     let cases = [
         (BackendBehavior::Echo, "UP receipt", "UP receipt"),
-        (BackendBehavior::Split, "UP receipt", "UP receipt"),
-        (BackendBehavior::Say("BUSY\r\n"), "BUSY", "BUSY"),
-        (BackendBehavior::Say("ERR inflight=7\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::Say("MOVE\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::Say("BYE\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::Say("what\r\n"), "BUSY", "ERR"),
-        (BackendBehavior::TooLong, "BUSY", "ERR"),
-        (BackendBehavior::End, "BUSY", "ERR"),
-        (BackendBehavior::Mute, "BUSY", "ERR"),
+        (BackendBehavior::AcceptInPieces, "UP receipt", "UP receipt"),
+        (BackendBehavior::Reply("BUSY\r\n"), "BUSY", "BUSY"),
+        (BackendBehavior::Reply("ERR inflight=7\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::Reply("MOVE\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::Reply("BYE\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::Reply("what\r\n"), "BUSY", "ERR"),
+        (BackendBehavior::OverlongResponse, "BUSY", "ERR"),
+        (BackendBehavior::CloseImmediately, "BUSY", "ERR"),
+        (BackendBehavior::NeverRespond, "BUSY", "ERR"),
     ];
     for (behavior, safe_answer, once_answer) in cases {
         let (address, received) = start_backend(behavior);
@@ -48,7 +48,7 @@
             &endpoint_list(1, true, &[("b0", address, "Ready")]),
             false,
         );
-        let relay = start_relay_from(
+        let relay = start_relay_with_config(
             relay_address,
             config_text.replace("\"pull\"", "\"piggyback\""),
         );
@@ -90,15 +90,15 @@
 fn dedup_session_after_backend_failure_is_answered_by_dedup_scope() {
     // What the backend does, and whether it may have acted on the request.
     let behaviors = [
-        (BackendBehavior::Say("BUSY\r\n"), false),
-        (BackendBehavior::Say("BUSY\r\nUP receipt\r\n"), false),
-        (BackendBehavior::Say("ERR inflight=7\r\n"), true),
-        (BackendBehavior::Say("MOVE\r\n"), true),
-        (BackendBehavior::Say("BYE\r\n"), true),
-        (BackendBehavior::Say("what\r\n"), true),
-        (BackendBehavior::TooLong, true),
-        (BackendBehavior::End, true),
-        (BackendBehavior::Mute, true),
+        (BackendBehavior::Reply("BUSY\r\n"), false),
+        (BackendBehavior::Reply("BUSY\r\nUP receipt\r\n"), false),
+        (BackendBehavior::Reply("ERR inflight=7\r\n"), true),
+        (BackendBehavior::Reply("MOVE\r\n"), true),
+        (BackendBehavior::Reply("BYE\r\n"), true),
+        (BackendBehavior::Reply("what\r\n"), true),
+        (BackendBehavior::OverlongResponse, true),
+        (BackendBehavior::CloseImmediately, true),
+        (BackendBehavior::NeverRespond, true),
     ];
     for (scope, covers_all_backends) in [("all", true), ("zone", false), ("cell", false)] {
         let effect = format!(
@@ -107,7 +107,7 @@
         for (behavior, may_have_run) in behaviors {
             let (address, _received) = start_backend(behavior);
             let known = endpoint_list(1, true, &[("b", address, "Ready")]);
-            let relay = start_with_settings(
+            let relay = start_relay_with_settings(
                 unused_address(),
                 &known,
                 &[("\"effect\": \"fragile\"", &effect)],
@@ -139,8 +139,8 @@
     // connection is established. The relay handles both events in one turn.
     for (resets, leaves_after) in [(false, true), (true, true), (false, false), (true, false)] {
         let mut slow = SlowBackend::new();
-        let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
-        let relay = start_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
+        let known = endpoint_list(1, true, &[("late", slow.address, "Ready")]);
+        let relay = start_relay_with_settings(unused_address(), &known, &[LONG_CONNECT_TIMEOUT]);
         let client = relay.open_session("once", 7_000);
         relay.wait_for_counter("dials", 1);
         relay.suspend();
@@ -151,7 +151,7 @@
             }
             drop(client);
             wait_for("the client's leaving reaches the relay's socket", || {
-                (!socket_state(relay.at, from).is_established).then_some(())
+                (!socket_state(relay.client_address, from).is_established).then_some(())
             });
         };
         let mut client = Some(client);
@@ -175,14 +175,18 @@
     let agent = DiscoveryAgent::new();
     let ((echo, _echo_received), (mute, mute_received)) = (
         start_backend(BackendBehavior::Echo),
-        start_backend(BackendBehavior::Mute),
+        start_backend(BackendBehavior::NeverRespond),
     );
-    let relay = start_with_settings(agent.at, "null", &[("\"memory_mb\":64", "\"memory_mb\":8")]);
-    let (watch, _) = agent.call();
+    let relay = start_relay_with_settings(
+        agent.address,
+        "null",
+        &[("\"memory_mb\":64", "\"memory_mb\":8")],
+    );
+    let (watch, _) = agent.accept_request();
     send(
         &watch,
         &format!(
-            "{HEAD}{}",
+            "{RESPONSE_HEAD}{}",
             chunk(&endpoint_list(1, true, &[("echo", echo, "Ready")]))
         ),
     );
@@ -234,7 +238,7 @@
             std::thread::spawn(move || {
                 drop(serve(
                     stream.unwrap(),
-                    BackendBehavior::Say("BUSY\r\n"),
+                    BackendBehavior::Reply("BUSY\r\n"),
                     sender,
                 ))
             });
@@ -251,7 +255,7 @@
     let config_text = config_text
         .replace("\"maxDials\": 1", "\"maxDials\": 9")
         .replace("\"pull\"", "\"piggyback\"");
-    let relay = start_relay_from_with_descriptors(4_000, relay_address, config_text);
+    let relay = start_relay_with_config_and_descriptors(4_000, relay_address, config_text);
     let mut clients = Vec::new();
     for key in 1..=CLIENTS {
         let mut client = relay.connect();
@@ -284,9 +288,9 @@
 #[test]
 fn attempt_connected_in_time_but_handled_late_is_not_sent() {
     let mut slow = SlowBackend::new();
-    let known = endpoint_list(1, true, &[("late", slow.at, "Ready")]);
+    let known = endpoint_list(1, true, &[("late", slow.address, "Ready")]);
     let connect_timeout = ("\"dialTimeoutUs\": 250000", "\"dialTimeoutUs\": 1500000");
-    let relay = start_with_settings(unused_address(), &known, &[connect_timeout]);
+    let relay = start_relay_with_settings(unused_address(), &known, &[connect_timeout]);
     let mut client = relay.open_session("once", 7_000);
     relay.wait_for_counter("dials", 1);
     let suspended_at = Instant::now();
@@ -323,11 +327,11 @@
         Removal::Banned,
     ] {
         let (mut slow, agent) = (SlowBackend::new(), DiscoveryAgent::new());
-        let (other, other_received) = start_backend(BackendBehavior::Echo);
+        let (up, up_received) = start_backend(BackendBehavior::Echo);
         let admin = unused_address();
         let with_admin = format!("\"name\":\"r0\",\"admin_addr\":\"{admin}\"");
-        let relay = start_with_settings(
-            agent.at,
+        let relay = start_relay_with_settings(
+            agent.address,
             "null",
             &[
                 LONG_CONNECT_TIMEOUT,
@@ -335,18 +339,18 @@
                 ("\"name\":\"r0\"", &with_admin),
             ],
         );
-        let (watch, _) = agent.call();
+        let (watch, _) = agent.accept_request();
         send(
             &watch,
             &format!(
-                "{HEAD}{}",
-                chunk(&endpoint_list(1, true, &[("late", slow.at, "Ready")]))
+                "{RESPONSE_HEAD}{}",
+                chunk(&endpoint_list(1, true, &[("late", slow.address, "Ready")]))
             ),
         );
         relay.wait_for_counter("lists", 1);
         let mut client = relay.open_session("once", 9_000);
         relay.wait_for_counter("dials", 1);
-        let rows = [("two", other, "Ready"), ("late", slow.at, "Terminating")];
+        let rows = [("two", up, "Ready"), ("late", slow.address, "Terminating")];
         let mut attempt = None;
         match removal {
             Removal::DrainedInSameTurn => {
@@ -354,7 +358,7 @@
                 attempt = Some(slow.accept_connection());
                 send(&watch, &chunk(&endpoint_list(2, false, &rows)));
                 wait_for("the list reaches the relay's watch connection", || {
-                    socket_state(watch.peer_addr().unwrap(), agent.at)
+                    socket_state(watch.peer_addr().unwrap(), agent.address)
                         .has_unread_bytes
                         .then_some(())
                 });
@@ -370,7 +374,7 @@
         }
         // Nothing was sent to the first backend, so even a non-idempotent session may be retried.
         assert_eq!(client.next_line(), "UP receipt", "{removal:?}");
-        assert!(next_received(&other_received).starts_with("OPEN"));
+        assert!(next_received(&up_received).starts_with("OPEN"));
         if let Some(attempt) = attempt {
             assert_eq!(read_to_end_of(&attempt), "", "{removal:?}");
         }
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -5,7 +5,7 @@
 #[test]
 fn sigterm_migrates_established_sessions_answers_waiting_ones_and_exits_cleanly() {
     let (echo, _) = start_backend(BackendBehavior::Echo);
-    let (mute, mute_received) = start_backend(BackendBehavior::Mute);
+    let (mute, mute_received) = start_backend(BackendBehavior::NeverRespond);
     let mut relay = start_relay_with_backends(&[echo]);
     let mut established: Vec<Client> = (0..7).map(|_| relay.open_session("safe", 1_000)).collect();
     for client in &mut established {
@@ -77,15 +77,15 @@
 fn assert_all_answered_in_time(moment: StopMoment) {
     let agent = DiscoveryAgent::new();
     let (echo, _received) = start_backend(BackendBehavior::Echo);
-    let (mute, mute_received) = start_backend(BackendBehavior::Mute);
+    let (mute, mute_received) = start_backend(BackendBehavior::NeverRespond);
     let has_list = moment != StopMoment::BeforeFirstList;
     let known = if has_list {
         endpoint_list(1, true, &[("mute", mute, "Ready")])
     } else {
         "null".into()
     };
-    let mut relay = start_with_settings(agent.at, &known, &[LONG_DRAIN_GRACE]);
-    let (watch, _) = agent.call();
+    let mut relay = start_relay_with_settings(agent.address, &known, &[LONG_DRAIN_GRACE]);
+    let (watch, _) = agent.accept_request();
     // The backend of one client does not answer. Another client has sent half a line.
     let mut waiting = relay.open_session("once", 1_500);
     let mut partial = relay.connect();
@@ -140,8 +140,8 @@
 
 #[test]
 fn sigterm_while_a_client_does_not_read_delivers_its_lines_before_its_migration() {
-    let (address, _received) = start_backend(BackendBehavior::Flood(400_000));
-    let mut relay = start_with_settings(
+    let (address, _received) = start_backend(BackendBehavior::AcceptThenFlood(400_000));
+    let mut relay = start_relay_with_settings(
         unused_address(),
         &endpoint_list(1, true, &[("b", address, "Ready")]),
         &[],
