--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -1,4 +1,4 @@
-//! `thistlecroft check`: whether files are sound, without running anything.
+//! `thistlecroft check`: checks files for errors without running anything.
 use crate::error::CommandError;
 use clap::Args;
 use std::path::{Path, PathBuf};
@@ -14,34 +14,36 @@
 
 #[derive(Args)]
 pub(crate) struct CheckArgs {
+    /// Files to check: scenarios, budgets and operator configurations end in `.toml`, all others
+    /// are relay configurations.
     #[arg(required = true)]
     files: Vec<PathBuf>,
-    /// Hold operator configurations against this relay's configuration, as a relay does at its
-    /// start.
+    /// Relay configuration for which to check operator configurations, as a relay does when it
+    /// starts.
     #[arg(long, env = "ROUTER_CONFIG")]
     config: Option<PathBuf>,
-    /// Print every value in force and where it is from.
+    /// Print every effective value of operator configurations and its origin; needs `--config`.
     #[arg(long)]
     effective: bool,
-    /// Two files of a kind, the one in force and a later one: print what a running relay takes up
-    /// on SIGHUP, and what needs a restart.
+    /// Compare two files of one kind, the current and a new one: print which changes a running
+    /// relay applies on SIGHUP, and which need a restart.
     #[arg(long)]
     against: bool,
 }
 
-/// A file without an error.
+/// A file in which no error was found.
 enum CheckedFile {
     Configuration(Box<StartupConfig>),
     Scenario(Box<Scenario>),
     OperatorConfig {
         config: Box<OperatorConfig>,
-        /// Its routes for the relay that `--config` names.
+        /// The routes as they apply to the relay of `--config`; none without that flag.
         routes: Option<RouteTable>,
     },
     Budget(Budget),
 }
 
-/// Why a file can't be used. The strings are the names of files whose errors do not say them.
+/// Why a file can't be used. The strings are file names, for errors that don't contain the name.
 enum FileError {
     Unreadable(String, std::io::Error),
     Configuration(StartupConfigError),
@@ -51,7 +53,7 @@
 }
 
 impl FileError {
-    /// A line for each error of the file.
+    /// Returns one line for each error in the file.
     fn lines(&self) -> Vec<String> {
         match self {
             FileError::Unreadable(name, error) => vec![format!("{name}: {error}")],
@@ -63,17 +65,17 @@
     }
 }
 
-/// Checks every file; each error is a line.
+/// Checks every file and reports each error on its own line.
 pub(crate) fn run(args: &CheckArgs) -> Result<(), CommandError> {
     let context = match &args.config {
-        Some(path) => Some(read_context(path)?),
+        Some(path) => Some(read_relay_context(path)?),
         None => None,
     };
     let mut errors = Vec::new();
     let mut checked_files = Vec::new();
     let mut limits_ids = LimitsIds::default();
     for path in &args.files {
-        match read(path, context.as_ref(), &mut limits_ids) {
+        match read_checked_file(path, context.as_ref(), &mut limits_ids) {
             Ok(checked) => {
                 println!("{}: {}", path.display(), describe(&checked));
                 if args.effective {
@@ -85,7 +87,7 @@
         }
     }
     if !errors.is_empty() {
-        return Err(CommandError::InvalidInput(CommandError::lines(&errors)));
+        return Err(CommandError::InvalidInput(CommandError::join(&errors)));
     }
     if args.against {
         return print_changes(&checked_files);
@@ -93,12 +95,12 @@
     Ok(())
 }
 
-fn read_context(path: &Path) -> Result<RelayContext, CommandError> {
+fn read_relay_context(path: &Path) -> Result<RelayContext, CommandError> {
     let config = read_file(&path.to_string_lossy()).map_err(CommandError::invalid)?;
     Ok(relay_context(&config.settings, config.sockets))
 }
 
-fn read(
+fn read_checked_file(
     path: &Path,
     context: Option<&RelayContext>,
     limits_ids: &mut LimitsIds,
@@ -131,7 +133,7 @@
     })
 }
 
-/// A scenario says how long it is; an operator configuration never does.
+/// Returns whether the text is a scenario: only scenarios set `length` or define listeners.
 fn is_scenario(text: &str) -> bool {
     text.lines().any(|line| line.starts_with("length")) || text.contains("[[listener]]")
 }
@@ -234,7 +236,7 @@
         println!("  {change}");
     }
     if changes.is_empty() {
-        println!("  nothing: both say the same");
+        println!("  nothing: both files have the same effect");
     }
     println!("needs a restart: nothing");
 }
--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -1,5 +1,5 @@
-//! `thistlecroft demo`: a live picture of two relays among failing backends, and one line at its
-//! end.
+//! `thistlecroft demo`: shows two relays among failing backends while they run, and ends with a
+//! line that sums up the run.
 use crate::error::CommandError;
 use crate::interrupt::interrupt_flag;
 use crate::own_program::own_relay;
@@ -11,20 +11,22 @@
 use thistlecroft_experiments::run::{BackendProgress, Progress, RunTarget, run as run_once};
 use thistlecroft_experiments::scenario::Scenario;
 
-/// Characters of a full backend's bar.
+/// Width of a fully loaded backend's bar, in characters.
 const BAR_WIDTH: usize = 24;
 
 #[derive(Args)]
 pub(crate) struct DemoArgs {
+    /// Seed of the run's random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// One line a second, even where the output is a terminal.
+    /// Print one line per second instead of a live picture, even on a terminal.
     #[arg(long)]
     plain: bool,
 }
 
 pub(crate) fn run(args: &DemoArgs) -> Result<(), CommandError> {
-    let text = shipped::scenario_text("demo").expect("shipped with the command");
+    let text =
+        shipped::scenario_text("demo").expect("the scenario demo is shipped with the command");
     let scenario = Scenario::parse("demo", text).map_err(CommandError::failed)?;
     let target = RunTarget::own_relays(&own_relay()?);
     let stop = interrupt_flag();
@@ -42,7 +44,7 @@
     );
     let rules_kept = outcome.as_ref().is_ok_and(|outcome| outcome.summary.kept());
     if rules_kept {
-        // Of a demonstration that went well nothing need stay.
+        // The files help only to examine a broken rule. Failing to remove them does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let summary = outcome.map_err(CommandError::failed)?.summary;
@@ -50,18 +52,18 @@
     if !rules_kept {
         println!("{}", summary.page());
         return Err(CommandError::Failed(format!(
-            "a rule was broken; what was seen is in {}",
+            "a rule was broken; the results of the run are in {}",
             folder.display()
         )));
     }
     if stop.load(Ordering::Relaxed) {
-        return Err(CommandError::Interrupted("interrupted".into()));
+        return Err(CommandError::Interrupted("demo interrupted".into()));
     }
     Ok(())
 }
 
-/// Shows the run on standard output: a picture drawn over the one before on a terminal, else a
-/// line at a time.
+/// Shows the run's progress on standard output: on a terminal as a picture that is redrawn in
+/// place, otherwise as one line per report.
 struct Display {
     draws_picture: bool,
     lines_drawn: usize,
@@ -77,12 +79,12 @@
 
     fn show(&mut self, progress: &Progress) {
         if !self.draws_picture {
-            println!("{}{}", totals(progress), progress.new_faults_suffix());
+            println!("{}{}", totals_line(progress), progress.new_faults_suffix());
             return;
         }
         let picture = picture(progress);
         if self.lines_drawn > 0 {
-            // Up to where the picture before began, and clear from there.
+            // Moves to the first line of the previous picture and clears the screen below it.
             print!("\x1b[{}A\x1b[J", self.lines_drawn);
         }
         print!("{picture}");
@@ -90,9 +92,9 @@
     }
 }
 
-fn totals(progress: &Progress) -> String {
+fn totals_line(progress: &Progress) -> String {
     format!(
-        "{:3.0} s  {} relays  standing {:>4}  accepted {:>5}  refused {:>4}  torn down {:>3}  moved {:>4}",
+        "{:3.0} s  {} relays  established {:>4}  accepted {:>5}  rejected {:>4}  failed {:>3}  migrated {:>4}",
         progress.elapsed.as_secs_f64(),
         progress.relays,
         progress.established,
@@ -104,7 +106,7 @@
 }
 
 fn picture(progress: &Progress) -> String {
-    let mut picture = totals(progress) + "\n";
+    let mut picture = totals_line(progress) + "\n";
     for (number, backend) in progress.backends.iter().enumerate() {
         let (bar, state) = match backend {
             Some(BackendProgress { load, state }) => (bar(*load), format!("{load:5.2} {state}")),
--- a/cli/src/error.rs
+++ b/cli/src/error.rs
@@ -1,19 +1,19 @@
-//! Why a command ends other than well, and the exit code for it.
+//! Errors that end the command, and their exit codes.
 use std::fmt;
 use std::process::ExitCode;
 
-/// A reason that ends the command, as the line that it prints.
+/// A reason why the command ends without success, as the text that it prints.
 pub(crate) enum CommandError {
-    /// Something broke, or could not be done.
+    /// A rule was broken, a relay failed or the request could not be carried out.
     Failed(String),
-    /// The command line or a file is wrong.
+    /// The command line or a file is invalid.
     InvalidInput(String),
-    /// A signal ended it.
+    /// A signal interrupted the command.
     Interrupted(String),
 }
 
 impl CommandError {
-    /// The exit code that tells the reason's kind.
+    /// Returns the exit code for this kind of error.
     pub(crate) fn exit_code(&self) -> ExitCode {
         ExitCode::from(match self {
             CommandError::Failed(_) => 1,
@@ -22,18 +22,19 @@
         })
     }
 
-    /// Something that could not be done, for this reason.
+    /// Creates the error for a request that could not be carried out.
     pub(crate) fn failed(reason: impl fmt::Display) -> CommandError {
         CommandError::Failed(reason.to_string())
     }
 
-    /// Input that can't be used, for this reason.
+    /// Creates the error for a command line or a file that is invalid.
     pub(crate) fn invalid(reason: impl fmt::Display) -> CommandError {
         CommandError::InvalidInput(reason.to_string())
     }
 
-    /// Several reasons, a line for each.
-    pub(crate) fn lines(reasons: &[String]) -> String {
+    /// Joins several reasons into one text with a line for each; every line starts with the
+    /// command's name, the first once `main` prints the error.
+    pub(crate) fn join(reasons: &[String]) -> String {
         reasons.join("\nthistlecroft: ")
     }
 }
--- a/cli/src/experiment/measure_peers.rs
+++ b/cli/src/experiment/measure_peers.rs
@@ -1,4 +1,5 @@
-//! `thistlecroft experiment peers`: how fast relays know of one another, and what it costs.
+//! `thistlecroft experiment peers`: measures how fast relays learn of joined and failed peers, and
+//! what that costs.
 use crate::error::CommandError;
 use crate::own_program::own_relay;
 use clap::Args;
@@ -6,27 +7,33 @@
 use thistlecroft::time::Duration;
 use thistlecroft_experiments::membership::{self, Trial};
 
-/// A shorter probe period says little on a machine that many processes share.
+/// Smallest probe period. With a shorter one, the figures would mostly show how the processes
+/// on a shared machine delay one another.
 const MIN_PERIOD: Duration = Duration::from_millis(50);
+/// Greatest share of datagrams that may be lost.
 const MAX_LOSS: f64 = 0.9;
+/// Bounds of a fleet's size, in relays.
 const MIN_SIZE: usize = 2;
 const MAX_SIZE: usize = 2_000;
 
 #[derive(Args)]
 pub(crate) struct MeasurePeersArgs {
-    /// Sizes over simulated links.
+    /// Fleet sizes, in relays, to measure over simulated links.
     #[arg(long, value_delimiter = ',', default_value = "12,48,200")]
     simulated: Vec<usize>,
-    /// Sizes as processes.
+    /// Fleet sizes, in relays, to measure as processes on this machine.
     #[arg(long, value_delimiter = ',')]
     processes: Vec<usize>,
-    /// Parts of datagrams that are lost.
+    /// Shares of datagrams that are lost, from 0 to 0.9.
     #[arg(long, value_delimiter = ',', default_value = "0")]
     loss: Vec<f64>,
+    /// Probe period, 50ms or more.
     #[arg(long, default_value = "200ms")]
     period: String,
+    /// Number of seeds to run for each size and loss.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
+    /// Folder for the files of the relays that run as processes.
     #[arg(long, default_value = "found")]
     out: PathBuf,
 }
@@ -35,11 +42,11 @@
     let period = args.checked_period()?;
     args.check_ranges()?;
     let mut results = membership::simulated_all(&args.trials(&args.simulated, period));
-    // One after the other: they share the machine's cores.
+    // Fleets of processes run one after the other, since they share the machine's cores.
     for trial in args.trials(&args.processes, period) {
-        let found =
+        let measured =
             membership::processes(trial, &own_relay()?, &args.out).map_err(CommandError::failed)?;
-        results.push((trial, found));
+        results.push((trial, measured));
     }
     print!("{}", membership::table(&results));
     Ok(())
@@ -63,7 +70,7 @@
         Ok(())
     }
 
-    /// Every size with every loss and seed, in this order.
+    /// Returns a trial for every size, loss and seed, sorted in this order.
     fn trials(&self, sizes: &[usize], period: Duration) -> Vec<Trial> {
         let mut trials = Vec::new();
         for &size in sizes {
--- a/cli/src/experiment/mod.rs
+++ b/cli/src/experiment/mod.rs
@@ -1,4 +1,4 @@
-//! `thistlecroft experiment`: runs, comparisons, lists and reports.
+//! `thistlecroft experiment`: runs experiments, compares them and reports their results.
 mod measure_peers;
 mod report;
 mod run;
@@ -16,38 +16,43 @@
 
 #[derive(Subcommand)]
 pub(crate) enum ExperimentVerb {
-    /// Run a scenario: a file, or one that comes with the command.
+    /// Run a scenario: a file, or one that is shipped with the command.
     Run(run::RunArgs),
-    /// Put two runs, or folders of runs, side by side.
+    /// Compare the figures of two runs, or of two folders of runs, side by side.
     Compare { first: PathBuf, second: PathBuf },
-    /// Count what the relays of a fleet did together, from a folder of their logs at debug.
+    /// Count what the relays of a fleet did in total, from their logs at level debug.
     Count {
+        /// Folder with the relays' logs (`.log`).
         folder: PathBuf,
-        /// Seconds that are counted together.
+        /// Length of each interval that is counted, in seconds.
         #[arg(long, default_value_t = 2.0)]
         span: f64,
     },
-    /// List the scenarios that come with the command.
+    /// List the scenarios and budgets that are shipped with the command.
     List,
-    /// Print the figures of all runs in a folder, and write `index.html` there that leads to each.
+    /// Print the figures of all runs in a folder, and write an `index.html` there with links to
+    /// their reports.
     Report { folder: PathBuf },
-    /// Find the rate at which the testbed itself is too slow here.
+    /// Find the rate at which the testbed itself becomes too slow on this machine.
     Saturate {
+        /// Folder for the results.
         #[arg(long, default_value = "found/saturate")]
         out: PathBuf,
     },
-    /// Print a scenario that comes with the command, to begin one's own with.
+    /// Print a shipped scenario or budget, as a start for a scenario of one's own.
     Show { scenario: String },
-    /// Measure fleets of hollow relays: what control sends and costs, how fast they agree and own,
-    /// and a budget kept.
+    /// Measure a fleet of hollow relays, which have peers and leases but no clients: the cost of
+    /// its control traffic, the time until its members agree and own all subjects, and whether it
+    /// keeps a budget.
     Scale(Box<scale::ScaleArgs>),
-    /// Run `scale` at several sizes and seeds, and put a straight line through each figure.
+    /// Run `scale` at several sizes and seeds, and fit a straight line to each figure.
     Slope(Box<slope::SlopeArgs>),
-    /// A process of hollow relays, for `scale`: speaks on standard input and output.
+    /// Run hollow relays as a process of `scale`, which controls it over standard input and
+    /// output.
     #[command(hide = true)]
     Hollow,
-    /// Measure how fast relays know of one another and what it costs: over simulated links, and as
-    /// processes here.
+    /// Measure how fast relays learn of joined and failed peers and what that costs, over simulated
+    /// links and as processes on this machine.
     Peers(measure_peers::MeasurePeersArgs),
 }
 
@@ -69,7 +74,7 @@
     }
 }
 
-/// Reads a shipped scenario, or a file.
+/// Reads the shipped scenario with this name, or else the file.
 fn read_scenario(name: &str) -> Result<Scenario, CommandError> {
     if let Some(text) = shipped::scenario_text(name) {
         return Scenario::parse(name, text).map_err(CommandError::failed);
--- a/cli/src/experiment/report.rs
+++ b/cli/src/experiment/report.rs
@@ -1,5 +1,5 @@
-//! `thistlecroft experiment report`: the figures of all runs in a folder, and a page that leads to
-//! them.
+//! `thistlecroft experiment report`: prints the figures of all runs in a folder, and writes a page
+//! with links to their reports.
 use crate::error::CommandError;
 use std::path::Path;
 use thistlecroft_experiments::compare;
@@ -21,7 +21,7 @@
     page += PAGE_END;
     let path = folder.join("index.html");
     std::fs::write(&path, page)
-        .map_err(|error| CommandError::Failed(format!("{}: {error}", path.display())))?;
+        .map_err(|error| CommandError::Failed(format!("writing {}: {error}", path.display())))?;
     println!("{} runs; {}", summaries.len(), path.display());
     Ok(())
 }
@@ -40,8 +40,8 @@
     )
 }
 
-/// Where the run's own report lies below the folder, which may be that of all scenarios, of one
-/// scenario, or of one run.
+/// Returns the path of a run's report relative to the folder, which may hold all scenarios, one
+/// scenario or one run.
 fn report_link(folder: &Path, summary: &Summary) -> String {
     let in_scenario = format!("{}/seed-{}/report.html", summary.way, summary.seed);
     let in_all = format!("{}/{in_scenario}", summary.scenario);
--- a/cli/src/experiment/run.rs
+++ b/cli/src/experiment/run.rs
@@ -1,4 +1,5 @@
-//! `thistlecroft experiment run`: a scenario under one or more variants, seed by seed.
+//! `thistlecroft experiment run`: runs a scenario with one or more seeds, as it is and in its
+//! variants.
 use super::read_scenario;
 use crate::error::CommandError;
 use crate::interrupt::interrupt_flag;
@@ -13,36 +14,39 @@
 
 #[derive(Args)]
 pub(crate) struct RunArgs {
+    /// A scenario's file, or its name if it is shipped with the command.
     scenario: String,
-    /// The first seed; without it, the scenario's.
+    /// The first seed; the scenario's own if not given.
     #[arg(long)]
     seed: Option<u64>,
-    /// How many seeds, each one higher than the one before.
+    /// Number of consecutive seeds to run.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Where results go: a folder for each way and seed.
+    /// Folder for the results; each way and seed gets a folder of its own below it.
     #[arg(long, default_value = "found/runs")]
     out: PathBuf,
-    /// The program that is run as a relay; without it, this one.
+    /// Program to run as a relay; this one if not given.
     #[arg(long, value_name = "PROGRAM")]
     relay: Option<String>,
-    /// Only these ways of the scenario (`relays` are its own), in place of all.
+    /// Run only this way: `relays` for the scenario as it is, or one of its variants. May be
+    /// repeated; all ways run if not given.
     #[arg(long = "way", value_name = "NAME")]
     ways: Vec<String>,
-    /// In place of relays: clients connect to backends themselves.
+    /// Run without relays: clients connect to backends themselves, which they pick by this rule.
     #[arg(long, value_enum)]
     baseline: Option<BaselineName>,
-    /// Say nothing while it runs.
+    /// Print no progress.
     #[arg(long)]
     quiet: bool,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum BaselineName {
-    /// One backend after the other.
+    /// The backends in turn.
     Direct,
+    /// A backend at random.
     Random,
-    /// The backend with the fewest own connections.
+    /// The backend with the fewest connections of the clients.
     Least,
 }
 
@@ -72,18 +76,18 @@
             summaries.push(experiment.run(target, seed)?);
         }
     }
-    // A baseline keeps no rules and is no failure.
-    let broken = summaries.iter().filter(|summary| !summary.kept()).count();
-    if broken > 0 {
+    // `kept` leaves out the rules of a baseline, which isn't expected to keep them.
+    let broken_runs = summaries.iter().filter(|summary| !summary.kept()).count();
+    if broken_runs > 0 {
         return Err(CommandError::Failed(format!(
-            "{broken} of {} runs broke a rule",
+            "{broken_runs} of {} runs broke a rule",
             summaries.len()
         )));
     }
     Ok(())
 }
 
-/// What the command line asks to be run, in the scenario's order.
+/// Returns the targets that the command line selects, in the scenario's order.
 fn selected_targets(scenario: &Scenario, args: &RunArgs) -> Result<Vec<RunTarget>, CommandError> {
     let relay = match &args.relay {
         Some(program) => vec![program.clone()],
@@ -107,7 +111,7 @@
     })
 }
 
-/// What all runs of one command share.
+/// The scenario and options that all runs of one command share.
 struct Experiment<'a> {
     scenario: &'a Scenario,
     out: &'a Path,
@@ -116,7 +120,7 @@
 }
 
 impl Experiment<'_> {
-    /// Runs the scenario once and prints its summary.
+    /// Runs the scenario once and prints the run's summary.
     fn run(&self, target: &RunTarget, seed: u64) -> Result<Summary, CommandError> {
         let folder = self
             .out
@@ -145,7 +149,7 @@
         );
         if self.stop.load(Ordering::Relaxed) {
             return Err(CommandError::Interrupted(format!(
-                "interrupted; what was seen is in {}",
+                "interrupted; the results so far are in {}",
                 self.out.display()
             )));
         }
@@ -162,7 +166,7 @@
 fn progress_line(progress: &Progress) -> String {
     let new_faults = progress.new_faults_suffix();
     format!(
-        "{:5.0} of {:.0} s  standing {:>5}  up {:>6}  busy {:>5}  failed {:>4}  moved {:>5}{new_faults}",
+        "{:5.0} of {:.0} s  established {:>5}  accepted {:>6}  rejected {:>5}  failed {:>4}  migrated {:>5}{new_faults}",
         progress.elapsed.as_secs_f64(),
         progress.length.as_secs_f64(),
         progress.established,
--- a/cli/src/experiment/saturate.rs
+++ b/cli/src/experiment/saturate.rs
@@ -1,11 +1,11 @@
-//! `thistlecroft experiment saturate`: the rate at which the testbed itself is too slow.
+//! `thistlecroft experiment saturate`: finds the rate at which the testbed itself becomes too slow.
 use crate::error::CommandError;
 use crate::interrupt::interrupt_flag;
 use std::path::Path;
 use thistlecroft_experiments::saturate::saturate;
 use thistlecroft_experiments::summary::Summary;
 
-/// Seconds that each rate is held.
+/// Seconds for which each rate is held.
 const STEP_SECONDS: f64 = 4.0;
 
 pub(crate) fn run(out: &Path) -> Result<(), CommandError> {
@@ -16,7 +16,9 @@
         .filter(|(_, summary)| !summary.tool_was_late)
         .map(|(rate, _)| *rate)
         .fold(0.0, f64::max);
-    println!("in time up to {best:.0} set-ups a second, without a relay between");
+    println!(
+        "the testbed is in time up to {best:.0} set-ups per second, without a relay in between"
+    );
     Ok(())
 }
 
@@ -27,7 +29,7 @@
         ""
     };
     println!(
-        "{rate:8.0} set-ups a second: {:8.0} done, late by p99 {:8.2} ms, busiest thread {:3.0}%{lateness}",
+        "{rate:8.0} set-ups per second requested: {:8.0} done, connects late by {:8.2} ms (p99), busiest thread {:3.0}% busy{lateness}",
         summary.up as f64 / STEP_SECONDS,
         summary.tool_late.p99,
         summary.tool_busy * 100.0,
--- a/cli/src/experiment/scale.rs
+++ b/cli/src/experiment/scale.rs
@@ -1,4 +1,5 @@
-//! `thistlecroft experiment scale`: fleets of hollow relays, measured and held to a budget.
+//! `thistlecroft experiment scale`: measures a fleet of hollow relays and checks it against a
+//! budget.
 use crate::error::CommandError;
 use crate::own_program::{own_program, own_relay};
 use crate::shipped;
@@ -10,74 +11,84 @@
 
 #[derive(Args)]
 pub(crate) struct ScaleArgs {
-    /// Hollow relays.
+    /// Number of hollow relays.
     #[arg(long, default_value_t = 100)]
     relays: usize,
-    /// Subjects that the fleet owns; 66 a relay where it is not given.
+    /// Number of subjects that the fleet owns; 66 per relay if not given.
     #[arg(long)]
     subjects: Option<usize>,
-    /// Voters, processes of their own.
+    /// Number of voters, each a process of its own.
     #[arg(long, default_value_t = 3)]
     voters: usize,
-    /// Milliseconds of a probe period, and of a lease.
+    /// Probe period in milliseconds.
     #[arg(long, default_value_t = 1_000)]
     period: u64,
+    /// Term of a lease in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     term: u64,
-    /// Bytes a second that a relay sends at most, and a voter.
+    /// Most bytes per second that a relay sends.
     #[arg(long, default_value_t = 9_000)]
     rate: u32,
+    /// Most bytes per second that a voter sends.
     #[arg(long, default_value_t = 262_144)]
     voter_rate: u32,
+    /// Number of zones.
     #[arg(long, default_value_t = 5)]
     zones: usize,
-    /// How many of the zones are the first region.
+    /// Number of zones in the first region, which `--fault region` cuts off from the others.
     #[arg(long, default_value_t = 3)]
     first_region: usize,
-    /// Relays of one rack.
+    /// Number of relays in a rack.
     #[arg(long, default_value_t = 20)]
     rack: usize,
-    /// What is done to the fleet once it is calm.
+    /// Fault to inject after the calm fleet was measured.
     #[arg(long, value_enum, default_value_t = FaultName::Relay)]
     fault: FaultName,
-    /// Seconds that calm is measured.
+    /// Seconds for which the calm fleet is measured.
     #[arg(long, default_value_t = 20)]
     calm: u64,
-    /// Seconds that a region is cut off once both sides have agreed.
+    /// Seconds for which a region stays cut off after both sides have agreed on their members.
     #[arg(long, default_value_t = 60)]
     cut: u64,
-    /// Part of the datagrams that is lost, over simulated links.
+    /// Share of datagrams that are lost; needs `--simulated`.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
+    /// Seed of the run's random draws.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Over simulated links in this process, in place of UDP on loopback.
+    /// Run in this process over simulated links, instead of processes that use UDP on loopback.
     #[arg(long)]
     simulated: bool,
-    /// Hollow relays of one process.
+    /// Number of hollow relays in one process.
     #[arg(long, default_value_t = 40)]
     each_process: usize,
-    /// Real relays in the fleet beside the hollow ones.
+    /// Number of real relays that join the fleet of hollow relays.
     #[arg(long, default_value_t = 0)]
     real: usize,
-    /// Limits to be kept: a file, or `budget-target`, the fleet that is coming.
+    /// Limits that the figures must keep: a budget's file, or the shipped `budget-target`.
     #[arg(long, value_name = "FILE")]
     budget: Option<String>,
-    /// Where the table and the figures as JSON go.
+    /// Folder for the results: `scale.txt`, a table, and `scale.json`, all figures.
     #[arg(long, default_value = "found/scale")]
     out: PathBuf,
-    /// Say nothing while it runs.
+    /// Print no progress.
     #[arg(long)]
     quiet: bool,
 }
 
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum FaultName {
+    /// No fault.
     None,
+    /// One relay is killed.
     Relay,
+    /// All relays of one rack are killed.
     Rack,
+    /// All relays of one zone are killed, and the voter in it.
     Zone,
+    /// One voter is killed.
     Voter,
+    /// The first region is cut off and later connected again; needs `--simulated`.
     Region,
 }
 
@@ -94,7 +105,7 @@
     }
 }
 
-/// Subjects of each relay, unless the command line gives their number.
+/// Number of subjects per relay, unless `--subjects` gives the total.
 const SUBJECTS_PER_RELAY: usize = 66;
 
 impl ScaleArgs {
@@ -144,7 +155,7 @@
     }
 }
 
-/// The command lines of the fleet's processes.
+/// Returns the command lines that start the fleet's processes.
 pub(crate) fn programs() -> Result<Programs, CommandError> {
     Ok(Programs {
         hollow: own_program(&["experiment", "hollow"])?,
--- a/cli/src/experiment/slope.rs
+++ b/cli/src/experiment/slope.rs
@@ -1,14 +1,18 @@
-//! `thistlecroft experiment slope`: scale tests at several sizes, and a line through each figure.
+//! `thistlecroft experiment slope`: runs scale tests at several sizes and fits a straight line to
+//! each figure.
 use super::scale::{ScaleArgs, programs};
 use crate::error::CommandError;
 use clap::{Args, ValueEnum};
 use thistlecroft_experiments::scale::{Variable, slope_table, slopes, sweep};
 
-/// What is varied.
+/// The quantity that varies from size to size.
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum VariableName {
+    /// Number of relays.
     Relays,
+    /// Number of subjects per relay.
     Subjects,
+    /// Number of voters.
     Voters,
 }
 
@@ -24,13 +28,13 @@
 
 #[derive(Args)]
 pub(crate) struct SlopeArgs {
-    /// What is varied; subjects are those of each relay.
+    /// Quantity to vary; subjects are counted per relay.
     #[arg(long, value_enum, default_value_t = VariableName::Relays)]
     over: VariableName,
-    /// Its sizes.
+    /// Sizes to run, two or more.
     #[arg(long, value_delimiter = ',', default_value = "25,50,100,200")]
     at: Vec<usize>,
-    /// Runs at each size, each of a seed of its own.
+    /// Number of runs at each size, each with its own seed.
     #[arg(long, default_value_t = 3)]
     seeds: u64,
     #[command(flatten)]
--- a/cli/src/logging.rs
+++ b/cli/src/logging.rs
@@ -1,13 +1,15 @@
-//! The log on standard error: lines for people, or one JSON object a line.
+//! The log on standard error: plain text lines, or one JSON object per line.
 use log::Record;
 use log::kv::{Key, Value, VisitSource};
 use std::io::{self, Write};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// The form of a log line.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, clap::ValueEnum)]
 pub(crate) enum LogFormat {
+    /// Plain text lines.
     Text,
+    /// One JSON object per line.
     Json,
 }
 
@@ -26,8 +28,8 @@
     }
 }
 
-/// Starts logging. A relay that serves logs more than an experiment, whose own output is its
-/// results.
+/// Starts logging to standard error. `RUST_LOG` overrides the default level: `info` for `serve`,
+/// `warn` for all other verbs, since those print their results themselves.
 pub(crate) fn init(format: LogFormat, is_serving: bool) {
     let level = if is_serving { "info" } else { "warn" };
     let environment = env_logger::Env::default().default_filter_or(level);
--- a/cli/src/main.rs
+++ b/cli/src/main.rs
@@ -1,5 +1,6 @@
-//! The command `thistlecroft`. Exit codes: 0 success; 1 a rule was broken, a relay failed, or what
-//! was asked for could not be done; 2 the command line or a file is wrong; 130 interrupted.
+//! The command `thistlecroft`. Its exit codes are: 0 for success; 1 if a rule was broken, a relay
+//! failed or the request could not be carried out; 2 if the command line or a file is invalid;
+//! 130 if it was interrupted.
 mod check;
 mod demo;
 mod error;
@@ -17,11 +18,11 @@
 use logging::LogFormat;
 use std::process::ExitCode;
 
-/// A balancer for long-lived connections, and what it is tried with.
+/// A balancer for long-lived connections, and the tools that test it.
 #[derive(Parser)]
 #[command(name = "thistlecroft", version, propagate_version = true)]
 struct CommandLine {
-    /// How the log on standard error is written; `RUST_LOG` sets how much.
+    /// Format of the log on standard error; `RUST_LOG` sets the log level.
     #[arg(long, value_enum, default_value_t = LogFormat::Text, global = true)]
     log_format: LogFormat,
     #[command(subcommand)]
@@ -30,22 +31,22 @@
 
 #[derive(Subcommand)]
 enum Verb {
-    /// Serve as a relay until told to stop (SIGTERM); what `thistlecroft-relay` does.
+    /// Run a relay until SIGTERM stops it, as the program `thistlecroft-relay` does.
     Serve(serve::ServeArgs),
-    /// Say whether files are sound: relay configurations (.json), scenarios and operator
-    /// configurations (.toml).
+    /// Check files for errors without running anything: relay configurations (.json), scenarios,
+    /// operator configurations and budgets (.toml).
     Check(check::CheckArgs),
-    /// About the operator configuration; `charter` is the verb's former name.
+    /// Print the reference of the operator configuration or an example; formerly `charter`.
     #[command(subcommand, alias = "charter")]
     OperatorConfig(operator_config::OperatorConfigVerb),
-    /// Show two relays among backends of which one goes silent and another drains; needs nothing.
+    /// Show two relays at work while one backend goes silent and another drains; needs no files.
     Demo(demo::DemoArgs),
-    /// Show how relays that know of one another see each other.
+    /// Ask running relays how they see their peers, and show where their views differ.
     Peers(peers::PeersArgs),
-    /// Run and compare experiments; `lab` is the verb's former name.
+    /// Run and compare experiments; formerly `lab`.
     #[command(subcommand, alias = "lab")]
     Experiment(experiment::ExperimentVerb),
-    /// Write completions for a shell to standard output.
+    /// Write a completion script for a shell to standard output.
     Completions { shell: clap_complete::Shell },
 }
 
--- a/cli/src/operator_config.rs
+++ b/cli/src/operator_config.rs
@@ -1,16 +1,16 @@
-//! `thistlecroft operator-config`: texts about the operator configuration.
+//! `thistlecroft operator-config`: prints texts about the operator configuration.
 use clap::Subcommand;
 use thistlecroft_operator_config::reference;
 
 #[derive(Subcommand)]
 pub(crate) enum OperatorConfigVerb {
-    /// Print the reference page of its keys.
+    /// Print the reference of all keys in an operator configuration.
     Reference,
-    /// Print an example for a small site.
+    /// Print an example of an operator configuration for a small site.
     Example,
 }
 
-/// The example that comes with the command.
+/// The shipped example of an operator configuration.
 const EXAMPLE: &str = include_str!("../../deploy/charter.example.toml");
 
 pub(crate) fn run(verb: &OperatorConfigVerb) {
--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -1,4 +1,4 @@
-//! `thistlecroft peers`: how relays see each other, asked at their admin ports.
+//! `thistlecroft peers`: asks relays at their admin ports how they see each other.
 use crate::error::CommandError;
 use clap::Args;
 use serde_json::Value;
@@ -7,41 +7,42 @@
 use thistlecroft::time::Duration;
 use thistlecroft_testbed::socket_holder::send_admin_command;
 
-/// Longest wait for one relay's answer.
+/// Longest time to wait for one relay's answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Seconds between two rounds.
+/// Allowed seconds between two rounds of `--watch`.
 const INTERVAL_RANGE: std::ops::RangeInclusive<f64> = 0.05..=3_600.0;
 
 #[derive(Args)]
 pub(crate) struct PeersArgs {
-    /// Admin ports (`admin_addr`) of one or more relays.
+    /// Addresses (IP:PORT) of the admin ports of one or more relays: `admin_addr` in their
+    /// configurations.
     #[arg(required = true, value_name = "DOORS")]
     admin_addresses: Vec<SocketAddr>,
-    /// Again and again, until interrupted.
+    /// Ask repeatedly, until interrupted.
     #[arg(long)]
     watch: bool,
-    /// Between two rounds, in seconds.
+    /// Seconds between two rounds of `--watch`, from 0.05 to 3600.
     #[arg(long, default_value_t = 1.0, requires = "watch")]
     every: f64,
-    /// The answers as they are, a line each.
+    /// Print the JSON answers as received, one line per relay that answered.
     #[arg(long)]
     json: bool,
 }
 
-/// One relay's answer, or why there is none.
+/// One relay's answer, or the reason why there is none.
 struct View {
     address: SocketAddr,
     answer: Result<Value, PeersError>,
 }
 
-/// Why a relay's view is not known.
+/// Why a relay's view of its peers is unknown.
 #[derive(Debug)]
 enum PeersError {
-    /// The admin port could not be asked.
+    /// The request to the admin port failed.
     Unreachable(std::io::Error),
-    /// It answered with a refusal.
+    /// The relay refused the request, for this reason.
     Refused(String),
-    /// Its answer is not JSON.
+    /// The relay's answer is not valid JSON.
     Malformed(serde_json::Error),
 }
 
@@ -62,11 +63,11 @@
         ));
     }
     loop {
-        let views: Vec<View> = args.admin_addresses.iter().map(|&at| ask(at)).collect();
+        let views: Vec<View> = args.admin_addresses.iter().map(|&at| query(at)).collect();
         if args.json {
             print_json(&views);
         } else {
-            print!("{}", page(&views));
+            print!("{}", render_page(&views));
         }
         if !args.watch {
             return check_all_answered(&views);
@@ -76,7 +77,7 @@
     }
 }
 
-fn ask(address: SocketAddr) -> View {
+fn query(address: SocketAddr) -> View {
     let answer = send_admin_command(address, "PEERS", ANSWER_TIMEOUT)
         .map_err(PeersError::Unreachable)
         .and_then(|line| parse_answer(&line));
@@ -94,12 +95,12 @@
 }
 
 fn check_all_answered(views: &[View]) -> Result<(), CommandError> {
-    let silent = views.iter().filter(|view| view.answer.is_err()).count();
-    if silent == 0 {
+    let unanswered = views.iter().filter(|view| view.answer.is_err()).count();
+    if unanswered == 0 {
         return Ok(());
     }
     Err(CommandError::Failed(format!(
-        "{silent} of {} relays did not say",
+        "{unanswered} of {} relays did not say",
         views.len()
     )))
 }
@@ -110,47 +111,47 @@
     }
 }
 
-/// What relays say of one another: of each relay, for each state, who says so.
-type Opinions<'a> = BTreeMap<&'a str, BTreeMap<&'a str, BTreeSet<&'a str>>>;
+/// The states in which relays see each other: for each relay and state, the relays that report it.
+type ReportedStates<'a> = BTreeMap<&'a str, BTreeMap<&'a str, BTreeSet<&'a str>>>;
 
-/// A block for each relay, then the relays of whom views differ.
-fn page(views: &[View]) -> String {
+/// Renders a block for each relay, then a line for each relay that is seen in different states.
+fn render_page(views: &[View]) -> String {
     let mut page = String::new();
-    let mut opinions = Opinions::new();
+    let mut reported_states = ReportedStates::new();
     for View { address, answer } in views {
         match answer {
             Ok(answer) => {
                 page += &relay_block(answer);
-                note_opinions(answer, &mut opinions);
+                collect_states(answer, &mut reported_states);
             }
             Err(error) => page += &format!("{address}: {error}\n"),
         }
     }
-    for (id, by_state) in opinions {
-        if by_state.len() > 1 {
-            page += &difference_line(id, &by_state);
+    for (id, observers_by_state) in reported_states {
+        if observers_by_state.len() > 1 {
+            page += &difference_line(id, &observers_by_state);
         }
     }
     page
 }
 
-fn text<'a>(object: &'a Value, key: &str) -> &'a str {
+fn str_field<'a>(object: &'a Value, key: &str) -> &'a str {
     object[key].as_str().unwrap_or("?")
 }
 
-fn peers_of(answer: &Value) -> impl Iterator<Item = &Value> {
+fn peer_entries(answer: &Value) -> impl Iterator<Item = &Value> {
     answer["peers"].as_array().into_iter().flatten()
 }
 
-fn note_opinions<'a>(answer: &'a Value, opinions: &mut Opinions<'a>) {
-    let relay = text(answer, "me");
-    let mut note = |id, state| {
-        let by_state = opinions.entry(id).or_default();
-        by_state.entry(state).or_default().insert(relay);
+fn collect_states<'a>(answer: &'a Value, reported_states: &mut ReportedStates<'a>) {
+    let relay = str_field(answer, "me");
+    let mut record = |id, state| {
+        let observers_by_state = reported_states.entry(id).or_default();
+        observers_by_state.entry(state).or_default().insert(relay);
     };
-    note(relay, "here");
-    for peer in peers_of(answer) {
-        note(text(peer, "id"), text(peer, "standing"));
+    record(relay, "here");
+    for peer in peer_entries(answer) {
+        record(str_field(peer, "id"), str_field(peer, "standing"));
     }
 }
 
@@ -158,16 +159,16 @@
     let counts = &answer["counts"];
     let mut block = format!(
         "{}: health {}, {} unheard, {} facts, {} bytes sent, {} refused as foreign, {} held back{}\n",
-        text(answer, "me"),
+        str_field(answer, "me"),
         answer["health"],
         answer["unheard"],
         answer["facts"],
         counts["sent_bytes"],
         counts["foreign"],
         counts["held_back"],
-        leases(&answer["leases"])
+        lease_summary(&answer["leases"])
     );
-    for peer in peers_of(answer) {
+    for peer in peer_entries(answer) {
         block += &peer_line(peer);
     }
     block
@@ -180,24 +181,24 @@
     let since = peer["since_ms"].as_u64().unwrap_or_default() as f64 / 1e3;
     format!(
         "  {:<28} {:<10} for {since:>8.1} s  heard {heard:<14} at {}\n",
-        text(peer, "id"),
-        text(peer, "standing"),
-        text(peer, "at")
+        str_field(peer, "id"),
+        str_field(peer, "standing"),
+        str_field(peer, "at")
     )
 }
 
-fn difference_line(id: &str, by_state: &BTreeMap<&str, BTreeSet<&str>>) -> String {
-    let opinions: Vec<String> = by_state
+fn difference_line(id: &str, observers_by_state: &BTreeMap<&str, BTreeSet<&str>>) -> String {
+    let states: Vec<String> = observers_by_state
         .iter()
         .map(|(state, relays)| {
             let relays: Vec<&str> = relays.iter().copied().collect();
             format!("{state} for {}", relays.join(", "))
         })
         .collect();
-    format!("views differ: {id} is {}\n", opinions.join("; "))
+    format!("views differ: {id} is {}\n", states.join("; "))
 }
 
-fn leases(leases: &Value) -> String {
+fn lease_summary(leases: &Value) -> String {
     if leases.is_null() {
         return String::new();
     }
@@ -205,7 +206,13 @@
         .as_array()
         .into_iter()
         .flatten()
-        .map(|lease| format!("{} by epoch {}", text(lease, "subject"), lease["epoch"]))
+        .map(|lease| {
+            format!(
+                "{} by epoch {}",
+                str_field(lease, "subject"),
+                lease["epoch"]
+            )
+        })
         .collect();
     let held = if held.is_empty() {
         "nothing".into()
@@ -219,7 +226,7 @@
     };
     format!(
         "; voter: {}, generation {}{changing}, holds {held}",
-        text(leases, "vote"),
+        str_field(leases, "vote"),
         leases["generation"]
     )
 }
--- a/cli/src/serve.rs
+++ b/cli/src/serve.rs
@@ -1,14 +1,14 @@
-//! `thistlecroft serve`: a relay until it is told to stop.
+//! `thistlecroft serve`: runs a relay until it is told to stop.
 use crate::error::CommandError;
 use clap::Args;
 use std::path::PathBuf;
 
 #[derive(Args)]
 pub(crate) struct ServeArgs {
-    /// The relay's configuration.
+    /// The relay's configuration (JSON).
     #[arg(long, env = "ROUTER_CONFIG")]
     config: PathBuf,
-    /// The operator configuration (formerly `--charter`, THISTLECROFT_CHARTER)
+    /// The operator configuration (TOML); formerly `--charter` and THISTLECROFT_CHARTER
     #[arg(
         long,
         alias = "charter",
@@ -26,5 +26,5 @@
         .map(|path| path.to_string_lossy().into_owned())
         .or_else(thistlecroft_relay::operator_config_from_environment);
     thistlecroft_relay::serve(&config, operator_config.as_deref())
-        .map_err(|error| CommandError::Failed(CommandError::lines(&error.lines())))
+        .map_err(|error| CommandError::Failed(CommandError::join(&error.lines())))
 }
--- a/cli/src/shipped.rs
+++ b/cli/src/shipped.rs
@@ -1,8 +1,8 @@
-//! The scenarios and budgets that come with the command.
+//! The scenarios and budgets that are compiled into the command.
 
 macro_rules! scenarios {
     ($($name:literal),* $(,)?) => {
-        /// Each shipped scenario's name and text.
+        /// Name and text of each shipped scenario.
         pub(crate) const SCENARIOS: &[(&str, &str)] =
             &[$(($name, include_str!(concat!("../../scenarios/", $name, ".toml")))),*];
     };
@@ -18,23 +18,23 @@
     "peers-grow", "peers-upgrade",
 }
 
-/// Limits for `experiment scale`.
+/// A shipped file of limits for `experiment scale`.
 pub(crate) struct ShippedBudget {
-    /// The name that `--budget` takes.
+    /// The name by which `--budget` selects it.
     pub(crate) name: &'static str,
-    /// What it is, in a line.
+    /// A description in one line.
     pub(crate) about: &'static str,
     text: &'static str,
 }
 
-/// The shipped budgets.
+/// All shipped budgets.
 pub(crate) const BUDGETS: &[ShippedBudget] = &[ShippedBudget {
     name: "budget-target",
-    about: "a budget for lab scale: the fleet that is coming, 590 relays with 39,000 subjects",
+    about: "a budget for experiment scale: the planned fleet of 590 relays with 39,000 subjects",
     text: include_str!("../../scenarios/budget-target.toml"),
 }];
 
-/// The text of a shipped budget.
+/// Returns the text of the shipped budget with this name.
 pub(crate) fn budget_text(name: &str) -> Option<&'static str> {
     BUDGETS
         .iter()
@@ -42,10 +42,10 @@
         .map(|budget| budget.text)
 }
 
-/// The text of a shipped scenario.
+/// Returns the text of the shipped scenario with this name.
 pub(crate) fn scenario_text(name: &str) -> Option<&'static str> {
     SCENARIOS
         .iter()
-        .find(|(known, _)| *known == name)
+        .find(|(shipped_name, _)| *shipped_name == name)
         .map(|(_, text)| *text)
 }
--- a/cli/tests/command/experiment_run.rs
+++ b/cli/tests/command/experiment_run.rs
@@ -51,7 +51,7 @@
             let done = run(&["experiment", "run", &file, "--seed", "5", "--out", out]);
             let (output, progress) = (text(&done.stdout), text(&done.stderr));
             assert!(done.status.success(), "{output}{progress}");
-            assert!(progress.contains("standing"), "progress is shown");
+            assert!(progress.contains("established"), "progress is shown");
         }
         RepeatedRun { folder, outs }
     }
