--- a/cli/tests/command/demo.rs
+++ b/cli/tests/command/demo.rs
@@ -1,21 +1,25 @@
-//! The demonstration.
-use crate::helper::{run, text};
+//! Tests of `thistlecroft demo`.
+use crate::helper::{decode, run};
 
 #[test]
-fn demo_without_files_ends_with_one_line() {
-    let done = run(&["demo", "--plain"]);
-    let said = text(&done.stdout);
-    let last = said.lines().last().unwrap();
-    assert!(done.status.success(), "{said}{}", text(&done.stderr));
-    let words: Vec<&str> = last.split([' ', ',']).collect();
+fn demo_without_files_shows_each_fault_and_ends_with_rules_kept() {
+    let output = run(&["demo", "--plain"]);
+    let stdout = decode(&output.stdout);
+    let last_line = stdout.lines().last().unwrap();
     assert!(
-        matches!(words[..], ["answered", one, "of", two, "", "rules", "kept"] if one == two),
-        "{last}"
+        output.status.success(),
+        "{stdout}{}",
+        decode(&output.stderr)
+    );
+    let words: Vec<&str> = last_line.split([' ', ',']).collect();
+    assert!(
+        matches!(words[..], ["answered", count, "of", owed, "", "rules", "kept"] if count == owed),
+        "{last_line}"
     );
     assert!(
         ["silent", "drain", "join"]
             .iter()
-            .all(|what| said.contains(what)),
-        "{said}"
+            .all(|fault| stdout.contains(fault)),
+        "{stdout}"
     );
 }
--- a/cli/tests/command/experiment_run.rs
+++ b/cli/tests/command/experiment_run.rs
@@ -1,42 +1,43 @@
-//! Runs of scenarios: what they keep, and that they can be repeated.
+//! Tests of `thistlecroft experiment run`: the results that a run writes, and that a run can be
+//! repeated.
 use crate::helper::{
-    SHORT_SCENARIO, folder, run, start, summary, text, wait_until, write_scenario,
+    SHORT_SCENARIO, decode, run, start, summary, test_folder, wait_until, write_scenario,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::{Path, PathBuf};
 use std::process::Command;
 
-/// When first tries were due after the beginning of the plan, in milliseconds, and for which
-/// listener.
-fn first_tries(run: &Path) -> Vec<(i64, u64)> {
+/// Returns when each client's first attempt was due, in milliseconds after the beginning of the
+/// plan, and its listener.
+fn first_attempts(run: &Path) -> Vec<(i64, u64)> {
     let lines = std::fs::read_to_string(run.join("events.jsonl")).unwrap();
     let events: Vec<serde_json::Value> = lines
         .lines()
         .map(|line| serde_json::from_str(line).expect(line))
         .collect();
-    let begun = events
+    let begin = events
         .iter()
         .find(|event| event["text"] == "the plan begins")
         .unwrap()["ms"]
         .as_f64()
         .unwrap();
-    let mut tries: Vec<(i64, u64)> = events
+    let mut attempts: Vec<(i64, u64)> = events
         .iter()
         .filter(|event| event["event"] == "asked" && event["again"] == false)
         .map(|event| {
-            let due = event["due"].as_f64().unwrap() - begun;
+            let due = event["due"].as_f64().unwrap() - begin;
             (
                 (due * 1e3).round() as i64 / 1_000,
                 event["listener"].as_u64().unwrap(),
             )
         })
         .collect();
-    tries.sort_unstable();
-    tries.dedup();
-    tries
+    attempts.sort_unstable();
+    attempts.dedup();
+    attempts
 }
 
-/// The short scenario, run twice with one seed.
+/// The short scenario, run twice with the same seed.
 struct RepeatedRun {
     folder: PathBuf,
     outs: [String; 2],
@@ -44,14 +45,14 @@
 
 impl RepeatedRun {
     fn new(name: &str) -> RepeatedRun {
-        let folder = folder(name);
+        let folder = test_folder(name);
         let file = write_scenario(&folder, SHORT_SCENARIO);
         let outs = ["one", "two"].map(|name| folder.join(name).to_string_lossy().into_owned());
         for out in &outs {
-            let done = run(&["experiment", "run", &file, "--seed", "5", "--out", out]);
-            let (output, progress) = (text(&done.stdout), text(&done.stderr));
-            assert!(done.status.success(), "{output}{progress}");
-            assert!(progress.contains("established"), "progress is shown");
+            let output = run(&["experiment", "run", &file, "--seed", "5", "--out", out]);
+            let (stdout, stderr) = (decode(&output.stdout), decode(&output.stderr));
+            assert!(output.status.success(), "{stdout}{stderr}");
+            assert!(stderr.contains("established"), "no progress line");
         }
         RepeatedRun { folder, outs }
     }
@@ -63,7 +64,7 @@
 }
 
 #[test]
-fn finished_run_keeps_its_results_and_can_be_repeated_and_compared() {
+fn finished_run_writes_results_that_can_be_repeated_and_compared() {
     let runs = RepeatedRun::new("run");
     let relays = summary(&runs.result(0, "relays"));
     assert_eq!(
@@ -80,24 +81,28 @@
     let one = &runs.outs[0];
     let (relays, least) = (format!("{one}/small/relays"), format!("{one}/small/least"));
     let compared = run(&["experiment", "compare", &relays, &least]);
-    let table = text(&compared.stdout);
+    let table = decode(&compared.stdout);
     assert!(compared.status.success(), "{table}");
     assert!(
         table.contains("utility served") && table.contains("one run only"),
         "{table}"
     );
-    let reported = text(&run(&["experiment", "report", one]).stdout);
+    let reported = decode(&run(&["experiment", "report", one]).stdout);
     assert!(reported.contains("2 runs"), "{reported}");
     let index = std::fs::read_to_string(Path::new(one).join("index.html")).unwrap();
     assert!(index.contains("seed-5/report.html"));
     std::fs::remove_dir_all(runs.folder).unwrap();
 }
 
-/// The same clients come at the same times, whatever each run met. A relay's death makes some of
-/// them come anew, and more on a busy machine; two different seeds have next to none in common.
+/// Asserts that the same clients came at the same times in both runs. Some differ, since clients
+/// whose relay was killed come again, and more do so on a busy machine. Runs with different seeds
+/// have almost no clients in common.
 fn assert_same_clients(first: &Path, second: &Path) {
-    let (first, second) = (first_tries(first), first_tries(second));
-    let common = first.iter().filter(|tried| second.contains(tried)).count();
+    let (first, second) = (first_attempts(first), first_attempts(second));
+    let common = first
+        .iter()
+        .filter(|attempt| second.contains(attempt))
+        .count();
     assert!(
         common * 100 >= first.len() * 80,
         "{common} of {} and {}",
@@ -107,25 +112,25 @@
 }
 
 #[test]
-fn too_few_descriptors_are_refused_before_anything_starts() {
-    let folder = folder("descriptors");
+fn run_with_too_low_descriptor_limit_fails_before_anything_starts() {
+    let folder = test_folder("descriptors");
     let (file, out) = (write_scenario(&folder, SHORT_SCENARIO), folder.join("out"));
     let line = format!(
         "ulimit -n 200; exec {} experiment run {file} --out {}",
         env!("CARGO_BIN_EXE_thistlecroft"),
         out.display()
     );
-    let done = Command::new("sh").args(["-c", &line]).output().unwrap();
-    let said = text(&done.stderr);
-    assert_eq!(done.status.code(), Some(1), "{said}");
+    let output = Command::new("sh").args(["-c", &line]).output().unwrap();
+    let stderr = decode(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
     assert!(
-        said.contains("descriptors are needed and the limit is 200"),
-        "{said}"
+        stderr.contains("descriptors are needed and the limit is 200"),
+        "{stderr}"
     );
     std::fs::remove_dir_all(folder).unwrap();
 }
 
-/// Processes whose parent this is.
+/// Returns the ids of the processes whose parent is `of`.
 fn children(of: u32) -> Vec<u32> {
     let stat = |pid: u32| std::fs::read_to_string(format!("/proc/{pid}/stat")).ok();
     let parent = |pid: u32| {
@@ -144,13 +149,13 @@
 
 #[test]
 fn interrupted_run_ends_its_children_and_keeps_its_results() {
-    let folder = folder("interrupt");
+    let folder = test_folder("interrupt");
     let file = write_scenario(
         &folder,
         &SHORT_SCENARIO.replace("length = \"4s\"", "length = \"60s\""),
     );
     let out = folder.join("out").to_string_lossy().into_owned();
-    // Interrupted, and killed outright: then nothing can be kept, but relays end all the same.
+    // After SIGINT the results must be kept. After SIGKILL they are lost, but the relays must end.
     for (signal, code) in [(Signal::INT, Some(130)), (Signal::KILL, None)] {
         let (mut child, mut lines) =
             start(&["experiment", "run", &file, "--way", "relays", "--out", &out]);
@@ -159,19 +164,19 @@
                 .by_ref()
                 .map_while(Result::ok)
                 .any(|line| line.contains(" of 60 s")),
-            "it runs"
+            "the run shows its progress"
         );
         let relays = children(child.id());
         assert_eq!(relays.len(), 2);
         let pid = Pid::from_raw(child.id() as i32).unwrap();
         kill_process(pid, signal).unwrap();
-        let said: Vec<String> = lines.map_while(Result::ok).collect();
-        assert_eq!(child.wait().unwrap().code(), code, "{said:?}");
-        let lives = |pid: &u32| {
+        let rest: Vec<String> = lines.map_while(Result::ok).collect();
+        assert_eq!(child.wait().unwrap().code(), code, "{rest:?}");
+        let is_running = |pid: &u32| {
             let state = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
             state.contains("thistlecroft") && !state.contains(") Z")
         };
-        wait_until("a relay lives on", || !relays.iter().any(lives));
+        wait_until("a relay still runs", || !relays.iter().any(is_running));
         if code.is_some() {
             let summary = summary(&Path::new(&out).join("small/relays/seed-1"));
             assert_eq!(summary["complete"].as_bool(), Some(false));
--- a/cli/tests/command/helper.rs
+++ b/cli/tests/command/helper.rs
@@ -1,4 +1,4 @@
-//! Starting the command, and what its tests look at.
+//! Helpers that start the command, write its input files and read its results.
 use std::io::{BufRead, BufReader, Lines};
 use std::os::unix::process::CommandExt;
 use std::path::{Path, PathBuf};
@@ -9,7 +9,7 @@
     FleetConfig, ListenerConfig, RelayOptions, configuration,
 };
 
-/// Longest wait for anything that a process has to do.
+/// Longest time to wait for a process to do anything.
 pub(crate) const TIMEOUT: Duration = Duration::from_secs(20);
 
 pub(crate) fn command() -> Command {
@@ -20,19 +20,19 @@
     command().args(arguments).output().unwrap()
 }
 
-pub(crate) fn text(bytes: &[u8]) -> String {
+pub(crate) fn decode(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// A folder of a test's own.
-pub(crate) fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder for one test.
+pub(crate) fn test_folder(name: &str) -> PathBuf {
     let path = std::env::temp_dir().join(format!("thistlecroft-cli-{}-{name}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
     std::fs::create_dir_all(&path).unwrap();
     path
 }
 
-/// A scenario of four seconds with a fault of each kind.
+/// A scenario of four seconds with several kinds of fault.
 pub(crate) const SHORT_SCENARIO: &str = r#"
 about = "for the test"
 length = "4s"
@@ -97,20 +97,23 @@
     path.to_string_lossy().into_owned()
 }
 
+/// Reads the summary that a run wrote to its folder.
 pub(crate) fn summary(run: &Path) -> serde_json::Value {
     serde_json::from_slice(&std::fs::read(run.join("summary.json")).unwrap()).unwrap()
 }
 
-pub(crate) fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + TIMEOUT;
-    while !holds() {
-        assert!(Instant::now() < end, "{what}");
+/// Waits until the condition holds, and panics with the message if it never does.
+pub(crate) fn wait_until(message: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "{message}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// Starts the command, and returns the process and the lines of its standard error.
 pub(crate) fn start(arguments: &[&str]) -> (Child, Lines<BufReader<ChildStderr>>) {
-    // Its own group, as at a terminal.
+    // A shell at a terminal also starts each command in a process group of its own.
     let mut child = command()
         .args(arguments)
         .stderr(Stdio::piped())
@@ -118,8 +121,8 @@
         .spawn()
         .unwrap();
     let lines = BufReader::new(child.stderr.take().unwrap()).lines();
-    // A wait for a line that never comes ends with the child; by a handle of its own, since its
-    // number may by then be another's.
+    // Kills the child after the timeout, so that a test that waits for a missing line ends. The
+    // signal goes through a pidfd, since the process id may by then belong to another process.
     let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
     let handle = rustix::process::pidfd_open(pid, rustix::process::PidfdFlags::empty()).unwrap();
     std::thread::spawn(move || {
@@ -129,9 +132,9 @@
     (child, lines)
 }
 
-/// A relay's configuration, as the stand-ins write it.
+/// Returns the text of a relay's configuration, as the testbed writes it.
 pub(crate) fn relay_configuration(listen: &str) -> String {
-    let terms = FleetConfig {
+    let fleet = FleetConfig {
         zones: vec!["a".into()],
         listeners: vec![ListenerConfig {
             name: "view".into(),
@@ -156,7 +159,7 @@
         hedging: false,
         peers: false,
     };
-    let orders = RelayOptions {
+    let options = RelayOptions {
         admin: None,
         socket_holder: None,
         name: "r0".into(),
@@ -169,5 +172,5 @@
         cached_endpoints: None,
         operator_config: None,
     };
-    configuration(&terms, &orders)
+    configuration(&fleet, &options)
 }
--- a/cli/tests/command/logging.rs
+++ b/cli/tests/command/logging.rs
@@ -1,13 +1,13 @@
-//! The log of a relay that serves.
-use crate::helper::{folder, relay_configuration, start};
+//! Tests of the log of `thistlecroft serve`.
+use crate::helper::{relay_configuration, start, test_folder};
 
 #[test]
-fn json_log_is_one_object_a_line() {
-    let folder = folder("log");
+fn json_log_has_one_object_per_line_except_for_the_final_error() {
+    let folder = test_folder("log");
     let listener = std::net::TcpListener::bind("127.0.0.9:0").unwrap();
-    let taken = listener.local_addr().unwrap();
+    let used_address = listener.local_addr().unwrap();
     let config = folder.join("config.json");
-    let text = relay_configuration(&taken.to_string());
+    let text = relay_configuration(&used_address.to_string());
     std::fs::write(&config, text).unwrap();
     let (mut child, lines) = start(&[
         "serve",
@@ -18,15 +18,15 @@
     ]);
     let lines: Vec<String> = lines.map_while(Result::ok).collect();
     assert_eq!(child.wait().unwrap().code(), Some(1));
-    // The address is taken: the last line is the plain one.
+    // The relay can't bind the address, which is in use: the command's error is not JSON.
     assert!(
         lines.last().unwrap().starts_with("thistlecroft: "),
         "{lines:?}"
     );
-    // At an address of its own: a process that another test is just starting may hold the one above
-    // for a moment.
-    let free = thistlecroft_testbed::relay_process::free_address(901).unwrap();
-    std::fs::write(&config, relay_configuration(&free.to_string())).unwrap();
+    // Uses another address: a process that another test is just starting may still hold the first
+    // one for a moment.
+    let free_address = thistlecroft_testbed::relay_process::free_address(901).unwrap();
+    std::fs::write(&config, relay_configuration(&free_address.to_string())).unwrap();
     let (mut child, mut lines) = start(&[
         "serve",
         "--log-format",
@@ -34,16 +34,16 @@
         "--config",
         &config.to_string_lossy(),
     ]);
-    let first = lines.next().unwrap().unwrap();
-    let object: serde_json::Value = serde_json::from_str(&first).expect(&first);
+    let first_line = lines.next().unwrap().unwrap();
+    let object: serde_json::Value = serde_json::from_str(&first_line).expect(&first_line);
     assert_eq!(
         (object["level"].as_str(), object["unix_ms"].is_u64()),
         (Some("info"), true),
-        "{first}"
+        "{first_line}"
     );
     assert!(
         object["message"].as_str().unwrap().contains("serves at"),
-        "{first}"
+        "{first_line}"
     );
     let pid = rustix::process::Pid::from_raw(child.id() as i32).unwrap();
     rustix::process::kill_process(pid, rustix::process::Signal::TERM).unwrap();
--- a/cli/tests/command/main.rs
+++ b/cli/tests/command/main.rs
@@ -1,4 +1,4 @@
-//! The command as a user meets it: what it prints, leaves behind, and ends with.
+//! End-to-end tests of the command: what it prints, which files it writes, and its exit codes.
 mod demo;
 mod experiment_run;
 mod helper;
--- a/cli/tests/command/mistakes.rs
+++ b/cli/tests/command/mistakes.rs
@@ -1,52 +1,48 @@
-//! Wrong input: one line and an exit code.
-use crate::helper::{SHORT_SCENARIO, folder, run, text, write_scenario};
+//! Tests of invalid command lines and files: each error is one line, with an exit code.
+use crate::helper::{SHORT_SCENARIO, decode, run, test_folder, write_scenario};
 use std::path::{Path, PathBuf};
 
-/// A command line, the exit code that it ends with, and a part of its complaint.
-type Case<'a> = (&'a [&'a str], i32, &'a str);
+/// A command line, its expected exit code, and a part of its expected standard error.
+type ExpectedExit<'a> = (&'a [&'a str], i32, &'a str);
 
-fn assert_cases(cases: &[Case]) {
+fn assert_exits(cases: &[ExpectedExit]) {
     for (arguments, code, expected) in cases {
-        let done = run(arguments);
-        let complaints = text(&done.stderr);
-        assert_eq!(
-            done.status.code(),
-            Some(*code),
-            "{arguments:?}: {complaints}"
-        );
-        assert!(complaints.contains(expected), "{arguments:?}: {complaints}");
-        let own_lines = complaints
+        let output = run(arguments);
+        let stderr = decode(&output.stderr);
+        assert_eq!(output.status.code(), Some(*code), "{arguments:?}: {stderr}");
+        assert!(stderr.contains(expected), "{arguments:?}: {stderr}");
+        let own_lines = stderr
             .lines()
             .filter(|line| line.starts_with("thistlecroft: "))
             .count();
         assert_eq!(
             own_lines,
             usize::from(*code != 0),
-            "{arguments:?}: {complaints}"
+            "{arguments:?}: {stderr}"
         );
     }
 }
 
-/// A sound scenario, one with an error, a torn configuration, and a folder for results.
+/// A valid scenario, an invalid one, a truncated relay configuration, and a folder for results.
 struct Inputs {
     folder: PathBuf,
-    good: String,
-    bad: String,
+    valid: String,
+    invalid: String,
     config: String,
     out: String,
 }
 
 impl Inputs {
     fn new(name: &str) -> Inputs {
-        let folder = folder(name);
+        let folder = test_folder(name);
         let path = |name: &str| folder.join(name).to_string_lossy().into_owned();
-        let (bad, config, out) = (path("bad.toml"), path("config.json"), path("out"));
-        let bad_text = SHORT_SCENARIO.replace("boxes = 4", "boxes = \"four\"");
-        std::fs::write(&bad, bad_text).unwrap();
+        let (invalid, config, out) = (path("bad.toml"), path("config.json"), path("out"));
+        let invalid_text = SHORT_SCENARIO.replace("boxes = 4", "boxes = \"four\"");
+        std::fs::write(&invalid, invalid_text).unwrap();
         std::fs::write(&config, "{").unwrap();
         Inputs {
-            good: write_scenario(&folder, SHORT_SCENARIO),
-            bad,
+            valid: write_scenario(&folder, SHORT_SCENARIO),
+            invalid,
             config,
             out,
             folder,
@@ -59,11 +55,11 @@
 }
 
 #[test]
-fn files_with_errors_are_named_with_their_place() {
+fn invalid_files_are_reported_with_file_and_line() {
     let inputs = Inputs::new("mistakes-files");
-    assert_cases(&[
-        (&["check", &inputs.good], 0, ""),
-        (&["check", &inputs.bad], 2, "bad.toml:5: fleet.boxes: "),
+    assert_exits(&[
+        (&["check", &inputs.valid], 0, ""),
+        (&["check", &inputs.invalid], 2, "bad.toml:5: fleet.boxes: "),
         (&["check", &inputs.config], 2, "config.json: EOF"),
         (&["check", "nowhere.toml"], 2, "nowhere.toml: No such file"),
         (
@@ -78,18 +74,18 @@
 }
 
 #[test]
-fn experiments_that_cannot_run_say_why() {
+fn experiments_that_cannot_run_fail_with_the_reason() {
     let inputs = Inputs::new("mistakes-experiments");
-    let (good, bad, out) = (
-        inputs.good.as_str(),
-        inputs.bad.as_str(),
+    let (valid, invalid, out) = (
+        inputs.valid.as_str(),
+        inputs.invalid.as_str(),
         inputs.out.as_str(),
     );
     let run_relays_as = |program| {
         [
             "experiment",
             "run",
-            good,
+            valid,
             "--way",
             "relays",
             "--relay",
@@ -98,9 +94,9 @@
             out,
         ]
     };
-    assert_cases(&[
+    assert_exits(&[
         (
-            &["experiment", "run", bad, "--out", out],
+            &["experiment", "run", invalid, "--out", out],
             2,
             "bad.toml:5: fleet.boxes: ",
         ),
@@ -110,7 +106,7 @@
             "neither a file nor one of",
         ),
         (
-            &["experiment", "run", good, "--way", "fast", "--out", out],
+            &["experiment", "run", valid, "--way", "fast", "--out", out],
             2,
             "no way \"fast\"; there are relays, least",
         ),
@@ -128,9 +124,9 @@
 }
 
 #[test]
-fn scale_tests_out_of_range_are_refused_before_anything_starts() {
+fn scale_tests_with_arguments_out_of_range_fail_before_anything_starts() {
     let inputs = Inputs::new("mistakes-scale");
-    assert_cases(&[
+    assert_exits(&[
         (
             &["experiment", "scale", "--relays", "1"],
             2,
@@ -157,7 +153,7 @@
             "/nowhere.toml: No such file",
         ),
         (
-            &["experiment", "scale", "--budget", &inputs.bad],
+            &["experiment", "scale", "--budget", &inputs.invalid],
             2,
             "bad.toml: line ",
         ),
@@ -183,15 +179,15 @@
 }
 
 #[test]
-fn shipped_scenarios_are_sound_and_listed() {
-    let listed = text(&run(&["experiment", "list"]).stdout);
+fn shipped_scenarios_are_valid_and_listed() {
+    let listed = decode(&run(&["experiment", "list"]).stdout);
     let scenarios = Path::new(env!("CARGO_MANIFEST_DIR")).join("../scenarios");
     let mut count = 0;
     for file in std::fs::read_dir(scenarios).unwrap() {
         let path = file.unwrap().path();
         let name = path.file_stem().unwrap().to_string_lossy().into_owned();
-        let done = run(&["check", &path.to_string_lossy()]);
-        assert!(done.status.success(), "{}", text(&done.stderr));
+        let output = run(&["check", &path.to_string_lossy()]);
+        assert!(output.status.success(), "{}", decode(&output.stderr));
         let start = format!("{name} ");
         assert!(
             listed.lines().any(|line| line.starts_with(&start)),
--- a/cli/tests/command/operator_config.rs
+++ b/cli/tests/command/operator_config.rs
@@ -1,18 +1,19 @@
-//! The operator configuration: checked, shown, compared, taken up.
-use crate::helper::{folder, relay_configuration, run, start, text};
+//! Tests of the operator configuration: checking it, printing its effective values, comparing two
+//! versions, and reloading it in a running relay.
+use crate::helper::{decode, relay_configuration, run, start, test_folder};
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::PathBuf;
 
-/// A folder with a relay's configuration and operator configurations beside it.
+/// A folder with a relay's configuration and several operator configurations.
 struct Files {
     folder: PathBuf,
     config: String,
 }
 
 impl Files {
-    /// The relay gets the loopback address of this number.
+    /// Creates the folder; the relay listens at the loopback address with the given number.
     fn new(name: &str, address_number: usize) -> Files {
-        let folder = folder(name);
+        let folder = test_folder(name);
         let config = folder.join("config.json");
         let listen = thistlecroft_testbed::relay_process::free_address(address_number).unwrap();
         std::fs::write(&config, relay_configuration(&listen.to_string())).unwrap();
@@ -28,16 +29,17 @@
         path.to_string_lossy().into_owned()
     }
 
-    /// Attempts of one route, and the same with one more and an idle time-out.
+    /// Writes an operator configuration with one route.
     fn old(&self) -> String {
         self.write("old.toml", &route("dials = 2"))
     }
 
+    /// Writes the same route with one attempt more and an idle timeout.
     fn new_version(&self) -> String {
         self.write("new.toml", &route("dials = 3\nidle = \"1m\""))
     }
 
-    /// Sound by itself, but not for this relay.
+    /// Writes an operator configuration that is valid by itself, but not for this relay.
     fn unsuitable(&self) -> String {
         self.write(
             "late.toml",
@@ -54,26 +56,26 @@
     format!("[[route]]\nname = \"v\"\n{lines}\n[route.match]\nlistener = \"view\"\n")
 }
 
-/// What `thistlecroft check` ended with.
-struct Checked {
+/// The exit code and output of `thistlecroft check`.
+struct CheckOutput {
     code: Option<i32>,
-    output: String,
-    complaints: String,
+    stdout: String,
+    stderr: String,
 }
 
-fn check(arguments: &[&str]) -> Checked {
-    let done = run(&[&["check"], arguments].concat());
-    Checked {
-        code: done.status.code(),
-        output: text(&done.stdout),
-        complaints: text(&done.stderr),
+fn check(arguments: &[&str]) -> CheckOutput {
+    let output = run(&[&["check"], arguments].concat());
+    CheckOutput {
+        code: output.status.code(),
+        stdout: decode(&output.stdout),
+        stderr: decode(&output.stderr),
     }
 }
 
 #[test]
-fn sound_config_is_shown_with_its_effective_values() {
+fn valid_config_with_effective_flag_prints_its_values_and_origins() {
     let files = Files::new("operator-config-shown", 900);
-    let Checked { code, output, .. } =
+    let CheckOutput { code, stdout, .. } =
         check(&[&files.old(), "--config", &files.config, "--effective"]);
     assert_eq!(code, Some(0));
     for expected in [
@@ -84,83 +86,72 @@
         "built in",
         "settings",
     ] {
-        assert!(output.contains(expected), "{expected}: {output}");
+        assert!(stdout.contains(expected), "{expected}: {stdout}");
     }
     files.remove();
 }
 
 #[test]
-fn two_versions_are_compared_by_what_a_relay_takes_up() {
+fn two_versions_with_against_flag_print_the_changed_values() {
     let files = Files::new("operator-config-compared", 902);
     let (old, new) = (files.old(), files.new_version());
-    let Checked { code, output, .. } = check(&["--against", &old, &new, "--config", &files.config]);
+    let CheckOutput { code, stdout, .. } =
+        check(&["--against", &old, &new, "--config", &files.config]);
     assert_eq!(code, Some(0));
     assert!(
-        output.contains("v.dials for view: 2 -> 3")
-            && output.contains("v.idle for view: none -> 60s"),
-        "{output}"
+        stdout.contains("v.dials for view: 2 -> 3")
+            && stdout.contains("v.idle for view: none -> 60s"),
+        "{stdout}"
     );
-    let same = check(&["--against", &files.config, &files.config]);
-    assert_eq!(same.code, Some(0), "{}", same.complaints);
+    let unchanged = check(&["--against", &files.config, &files.config]);
+    assert_eq!(unchanged.code, Some(0), "{}", unchanged.stderr);
     files.remove();
 }
 
 #[test]
-fn each_error_is_a_line_and_no_relay_starts() {
+fn invalid_config_prints_one_line_per_error_and_no_relay_starts() {
     let files = Files::new("operator-config-errors", 903);
-    let bad = files.write(
+    let invalid = files.write(
         "bad.toml",
         &route("dials = 0\nbse = \"1s\"\ndial_timeout = \"9s\""),
     );
-    let Checked {
-        code, complaints, ..
-    } = check(&[&bad]);
-    assert_eq!(
-        (code, complaints.lines().count()),
-        (Some(2), 2),
-        "{complaints}"
-    );
+    let CheckOutput { code, stderr, .. } = check(&[&invalid]);
+    assert_eq!((code, stderr.lines().count()), (Some(2), 2), "{stderr}");
     assert!(
-        complaints.contains("bad.toml:3:9: route v.dials") && complaints.contains("is it `base`?"),
-        "{complaints}"
+        stderr.contains("bad.toml:3:9: route v.dials") && stderr.contains("is it `base`?"),
+        "{stderr}"
     );
     let unsuitable = files.unsuitable();
-    let Checked {
-        code, complaints, ..
-    } = check(&[&unsuitable, "--config", &files.config]);
-    assert_eq!(
-        (code, complaints.lines().count()),
-        (Some(2), 2),
-        "{complaints}"
-    );
+    let CheckOutput { code, stderr, .. } = check(&[&unsuitable, "--config", &files.config]);
+    assert_eq!((code, stderr.lines().count()), (Some(2), 2), "{stderr}");
     assert!(
-        complaints.contains("longer than clients of view wait")
-            && complaints.contains("one dial at a time"),
-        "{complaints}"
+        stderr.contains("longer than clients of view wait")
+            && stderr.contains("one dial at a time"),
+        "{stderr}"
     );
-    let refused = run(&["serve", "--config", &files.config, "--charter", &unsuitable]);
-    let complaints = text(&refused.stderr);
-    assert_eq!(refused.status.code(), Some(1));
-    assert_eq!(complaints.lines().count(), 2, "{complaints}");
+    let serve_output = run(&["serve", "--config", &files.config, "--charter", &unsuitable]);
+    let stderr = decode(&serve_output.stderr);
+    assert_eq!(serve_output.status.code(), Some(1));
+    assert_eq!(stderr.lines().count(), 2, "{stderr}");
     files.remove();
 }
 
-/// A sound file is taken up on SIGHUP; a bad one changes nothing, and what both say alike is not
-/// logged.
+/// A relay applies a valid file on SIGHUP and logs only the values that changed; a file that is
+/// invalid changes nothing.
 #[test]
-fn running_relay_takes_up_sound_changes_alone() {
+fn running_relay_on_sighup_applies_only_valid_files() {
     let files = Files::new("operator-config-reload", 904);
     let (old, new, unsuitable) = (files.old(), files.new_version(), files.unsuitable());
     let (mut child, mut lines) = start(&["serve", "--config", &files.config, "--charter", &old]);
     let pid = Pid::from_raw(child.id() as i32).unwrap();
-    let mut wait_for_line = |part: &str| {
+    let mut wait_for_line = |expected_part: &str| {
         let mut seen = Vec::new();
         let mut lines = lines
             .by_ref()
             .map_while(Result::ok)
             .inspect(|line| seen.push(line.clone()));
-        let found = lines.find(|line| line.contains(part));
-        found.unwrap_or_else(|| panic!("no {part}: {seen:?}"))
+        let found = lines.find(|line| line.contains(expected_part));
+        found.unwrap_or_else(|| panic!("no {expected_part}: {seen:?}"))
     };
     wait_for_line("serves at");
     for (file, expected) in [
--- a/cli/tests/command/peers.rs
+++ b/cli/tests/command/peers.rs
@@ -1,34 +1,31 @@
-//! How relays see each other.
-use crate::helper::{TIMEOUT, folder, relay_configuration, run, start, text};
+//! Tests of `thistlecroft peers`, and of `thistlecroft check` for relays with peers.
+use crate::helper::{TIMEOUT, decode, relay_configuration, run, start, test_folder};
 use rustix::process::{Pid, Signal, kill_process};
 use std::net::{SocketAddr, TcpListener, UdpSocket};
 use std::path::PathBuf;
 use std::time::Instant;
 
 #[test]
-fn unreachable_relay_is_a_line_and_exit_code_one() {
-    let done = run(&["peers", "127.0.0.1:9"]);
-    let (output, complaints) = (text(&done.stdout), text(&done.stderr));
-    assert_eq!(done.status.code(), Some(1));
-    assert!(output.starts_with("127.0.0.1:9: "), "{output}");
-    assert!(
-        complaints.contains("1 of 1 relays did not say"),
-        "{complaints}"
-    );
+fn unreachable_relay_is_reported_with_its_address_and_exit_code_one() {
+    let output = run(&["peers", "127.0.0.1:9"]);
+    let (stdout, stderr) = (decode(&output.stdout), decode(&output.stderr));
+    assert_eq!(output.status.code(), Some(1));
+    assert!(stdout.starts_with("127.0.0.1:9: "), "{stdout}");
+    assert!(stderr.contains("1 of 1 relays did not say"), "{stderr}");
 }
 
 #[test]
 fn wrong_arguments_end_with_exit_code_two() {
-    for wrong in [
+    for arguments in [
         ["peers", "nobody"].as_slice(),
         &["peers"],
         &["peers", "127.0.0.1:9", "--watch", "--every", "0"],
     ] {
-        assert_eq!(run(wrong).status.code(), Some(2), "{wrong:?}");
+        assert_eq!(run(arguments).status.code(), Some(2), "{arguments:?}");
     }
 }
 
-/// The files of a relay that is alone in its fleet.
+/// The files and the admin port of a relay that is alone in its fleet.
 struct LoneRelay {
     folder: PathBuf,
     admin: SocketAddr,
@@ -38,7 +35,7 @@
 
 impl LoneRelay {
     fn new(name: &str) -> LoneRelay {
-        let folder = folder(name);
+        let folder = test_folder(name);
         let [listen, admin] = ["127.0.0.9:0", "127.0.0.10:0"]
             .map(|address| TcpListener::bind(address).unwrap().local_addr().unwrap());
         let peers = UdpSocket::bind("127.0.0.9:0").unwrap();
@@ -66,30 +63,30 @@
         }
     }
 
-    fn shown(&self) -> String {
-        text(&run(&["peers", &self.admin.to_string()]).stdout)
+    fn view_text(&self) -> String {
+        decode(&run(&["peers", &self.admin.to_string()]).stdout)
     }
 }
 
 #[test]
-fn lone_relay_is_shown_as_text_and_as_json() {
+fn lone_relay_prints_its_view_as_text_and_as_json() {
     let relay = LoneRelay::new("peers");
     let files = [&relay.config, &relay.operator_config];
-    let sound = run(&["check", "--config", files[0], files[1]]);
-    assert_eq!(sound.status.code(), Some(0), "{}", text(&sound.stderr));
+    let check = run(&["check", "--config", files[0], files[1]]);
+    assert_eq!(check.status.code(), Some(0), "{}", decode(&check.stderr));
     let (mut child, lines) = start(&["serve", "--config", files[0], "--charter", files[1]]);
     std::thread::spawn(move || lines.map_while(Result::ok).for_each(drop));
-    let end = Instant::now() + TIMEOUT;
-    while !relay.shown().contains("r0/") {
-        assert!(Instant::now() < end, "{}", relay.shown());
+    let deadline = Instant::now() + TIMEOUT;
+    while !relay.view_text().contains("r0/") {
+        assert!(Instant::now() < deadline, "{}", relay.view_text());
     }
-    let shown = relay.shown();
+    let shown = relay.view_text();
     assert!(
         shown.contains("voter: silent, generation 1, holds nothing"),
         "{shown}"
     );
     let json = run(&["peers", "--json", &relay.admin.to_string()]);
-    let view: serde_json::Value = serde_json::from_str(text(&json.stdout).trim()).unwrap();
+    let view: serde_json::Value = serde_json::from_str(decode(&json.stdout).trim()).unwrap();
     assert_eq!(
         (view["name"].as_str(), view["unheard"].as_u64()),
         (Some("r0"), Some(0))
@@ -100,19 +97,19 @@
 }
 
 #[test]
-fn peers_without_permission_are_refused_by_check_with_one_line() {
+fn peers_without_permission_fail_the_check_with_one_error() {
     let relay = LoneRelay::new("peers-forbidden");
     let forbidden = std::fs::read_to_string(&relay.config)
         .unwrap()
         .replace("\"peers\":true", "\"peers\":false");
     std::fs::write(&relay.config, forbidden).unwrap();
-    let refused = run(&["check", "--config", &relay.config, &relay.operator_config]);
-    let complaints = text(&refused.stderr);
+    let checked = run(&["check", "--config", &relay.config, &relay.operator_config]);
+    let stderr = decode(&checked.stderr);
     assert_eq!(
-        (refused.status.code(), complaints.lines().count()),
+        (checked.status.code(), stderr.lines().count()),
         (Some(2), 1),
-        "{complaints}"
+        "{stderr}"
     );
-    assert!(complaints.contains("permissions.peers"), "{complaints}");
+    assert!(stderr.contains("permissions.peers"), "{stderr}");
     std::fs::remove_dir_all(relay.folder).unwrap();
 }
--- a/cli/tests/command/scale.rs
+++ b/cli/tests/command/scale.rs
@@ -1,12 +1,12 @@
-//! Fleets of hollow relays.
-use crate::helper::{folder, run, text};
+//! Tests of `thistlecroft experiment scale`.
+use crate::helper::{decode, run, test_folder};
 use std::path::Path;
 
-/// Hollow relays as processes: a rack is lost, all subjects are owned again, and a budget that is
-/// too small is named.
+/// Runs hollow relays as processes and kills a rack: all subjects must be owned again, and the
+/// budget's limit that is too low must be reported.
 #[test]
-fn hollow_fleet_over_its_budget_is_measured_and_fails() {
-    let folder = folder("scale");
+fn hollow_fleet_over_its_budget_writes_its_figures_and_fails() {
+    let folder = test_folder("scale");
     let (budget, out) = (folder.join("budget.toml"), folder.join("out"));
     std::fs::write(
         &budget,
@@ -40,12 +40,12 @@
         &out,
     ];
     arguments.extend(sizes.iter().chain(&times));
-    let done = run(&arguments);
-    let (table, said) = (text(&done.stdout), text(&done.stderr));
-    assert_eq!(done.status.code(), Some(1), "{table}{said}");
+    let output = run(&arguments);
+    let (table, stderr) = (decode(&output.stdout), decode(&output.stderr));
+    assert_eq!(output.status.code(), Some(1), "{table}{stderr}");
     assert!(
-        said.contains("1 limits of the budget were not kept"),
-        "{said}"
+        stderr.contains("1 limits of the budget were not kept"),
+        "{stderr}"
     );
     assert!(
         table.contains("over budget: relay_sent_bytes_s: "),
--- a/cli/tests/golden.rs
+++ b/cli/tests/golden.rs
@@ -1,5 +1,5 @@
-//! What other programs read of the command `thistlecroft`: its verbs and flags, its environment, its
-//! exit codes, its output, and the files that it leaves behind.
+//! Compares the interface that other programs rely on with recordings: the verbs and flags of the
+//! command, its environment variables, exit codes and output, and the files that it writes.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -15,15 +15,15 @@
 const INPUTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/input");
 const REPOSITORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
 
-/// Longest wait for a process that is started here.
-const PATIENCE: Duration = Duration::from_secs(20);
+/// Longest time to wait for a process that a test starts.
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn assert_unchanged(file: &str, actual: &str) {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     golden_file::assert_unchanged(&folder.join(file), actual);
 }
 
-/// The command among the input files, with nothing else in its environment.
+/// Returns the command, to be run in the folder of the input files with an empty environment.
 fn command(arguments: &[&str]) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_thistlecroft"));
     command.args(arguments).current_dir(INPUTS).env_clear();
@@ -34,23 +34,23 @@
     command(arguments).output().expect("the command starts")
 }
 
-fn text(bytes: &[u8]) -> String {
+fn decode(bytes: &[u8]) -> String {
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// Standard output of a run that has to end well.
+/// Runs the command, asserts that it succeeds, and returns its standard output.
 fn output_of(arguments: &[&str]) -> String {
-    let done = run(arguments);
+    let output = run(arguments);
     assert!(
-        done.status.success(),
+        output.status.success(),
         "{arguments:?}: {}",
-        text(&done.stderr)
+        decode(&output.stderr)
     );
-    text(&done.stdout)
+    decode(&output.stdout)
 }
 
-/// An empty folder of a test's own.
-fn folder(name: &str) -> PathBuf {
+/// Creates an empty folder for one test.
+fn test_folder(name: &str) -> PathBuf {
     let process = std::process::id();
     let path = std::env::temp_dir().join(format!("thistlecroft-golden-{process}-{name}"));
     let _ = std::fs::remove_dir_all(&path);
@@ -58,25 +58,25 @@
     path
 }
 
-/// The exit code, the output, and the complaints that are the command's own. What the parser of the
-/// command line says of usage is left out.
-fn transcript(arguments: &[&str], done: &Output) -> String {
-    let code = done.status.code().expect("it was not killed");
+/// Returns the command line, the exit code, standard output, and the errors that the command itself
+/// prints. The messages of the command-line parser are left out.
+fn transcript(arguments: &[&str], output: &Output) -> String {
+    let code = output.status.code().expect("no signal ended the command");
     let mut lines = format!("$ thistlecroft {}\nexit {code}\n", arguments.join(" "));
-    for line in text(&done.stdout).lines() {
+    for line in decode(&output.stdout).lines() {
         writeln!(lines, "| {line}").unwrap();
     }
-    let complaints = text(&done.stderr);
-    let own = complaints
+    let stderr = decode(&output.stderr);
+    let own_lines = stderr
         .lines()
         .filter(|line| line.starts_with("thistlecroft: "));
-    for line in own {
+    for line in own_lines {
         writeln!(lines, "! {line}").unwrap();
     }
     lines
 }
 
-/// Every verb, the hidden one too.
+/// All verbs, including the hidden `experiment hollow`.
 const VERBS: &[&[&str]] = &[
     &[],
     &["serve"],
@@ -101,8 +101,8 @@
     &["completions"],
 ];
 
-/// Of a line of help what a caller goes by: the verb or flag, its environment variable, its default
-/// and its possible values.
+/// Returns the part of a help line that callers depend on: the verb or flag, its environment
+/// variable, its default and its possible values.
 fn interface_of(line: &str) -> String {
     let line = line.trim();
     let name = line.split("  ").next().unwrap_or_default();
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn verbs_and_flags_are_those_recorded() {
+fn help_lists_the_recorded_verbs_and_flags() {
     let mut recording = String::new();
     for verb in VERBS {
         let help = output_of(&[verb, ["-h"].as_slice()].concat());
@@ -126,23 +126,23 @@
         let lines = sections.filter(|line| !line.is_empty());
         for line in lines {
             let is_entry = line.starts_with("  ");
-            let kept = if is_entry {
+            let recorded = if is_entry {
                 interface_of(line)
             } else {
                 line.to_string()
             };
             let indentation = if is_entry { "    " } else { "  " };
-            writeln!(recording, "{indentation}{kept}").unwrap();
+            writeln!(recording, "{indentation}{recorded}").unwrap();
         }
     }
     assert_unchanged("verbs_and_flags.txt", &recording);
 }
 
-/// Verbs under their former names, each with the present one.
+/// Former names of verbs, each with its present name.
 const FORMER_VERBS: [(&str, &str); 2] = [("charter", "operator-config"), ("lab", "experiment")];
 
 #[test]
-fn former_verbs_print_the_help_of_their_present_names() {
+fn former_verbs_print_the_help_of_the_present_verbs() {
     for (former, present) in FORMER_VERBS {
         let of_present = VERBS.iter().filter(|verb| verb.first() == Some(&present));
         for verb in of_present {
@@ -159,22 +159,22 @@
 }
 
 #[test]
-fn present_flag_and_variable_do_what_the_former_ones_do() {
+fn former_flag_and_variable_work_like_the_present_ones() {
     let serve = ["serve", "--config", "config.json"];
     let file = "charter-wrong.toml";
     let flags =
         ["--charter", "--operator-config"].map(|flag| run(&[&serve[..], &[flag, file]].concat()));
     let variables = ["THISTLECROFT_CHARTER", "THISTLECROFT_OPERATOR_CONFIG"]
         .map(|variable| command(&serve).env(variable, file).output().unwrap());
-    let complaints = text(&flags[0].stderr);
-    assert!(complaints.contains("route looking.dials"), "{complaints}");
-    for done in flags.iter().chain(&variables) {
-        assert_eq!(done.status.code(), Some(1));
-        assert_eq!(text(&done.stderr), complaints);
+    let stderr = decode(&flags[0].stderr);
+    assert!(stderr.contains("route looking.dials"), "{stderr}");
+    for output in flags.iter().chain(&variables) {
+        assert_eq!(output.status.code(), Some(1));
+        assert_eq!(decode(&output.stderr), stderr);
     }
 }
 
-/// Command lines that check files, or that are wrong.
+/// Command lines that check files, and command lines that are invalid.
 const CHECKS_AND_MISTAKES: &[&[&str]] = &[
     &["--version"],
     &[],
@@ -254,7 +254,7 @@
 ];
 
 #[test]
-fn checks_and_mistakes_end_with_the_recorded_output_and_exit_code() {
+fn checks_and_invalid_command_lines_have_the_recorded_output_and_exit_code() {
     let mut recording = String::new();
     for arguments in CHECKS_AND_MISTAKES {
         recording += &transcript(arguments, &run(arguments));
@@ -262,51 +262,51 @@
     assert_unchanged("checks_and_mistakes.txt", &recording);
 }
 
-/// A command line, and variables in its environment.
-struct WithEnvironment {
+/// A command line and the variables in its environment.
+struct EnvironmentCase {
     arguments: &'static [&'static str],
     variables: &'static [(&'static str, &'static str)],
 }
 
 #[test]
-fn environment_variables_stand_for_the_flags_that_are_recorded() {
+fn environment_variables_replace_flags_with_the_recorded_output() {
     let cases = [
-        WithEnvironment {
+        EnvironmentCase {
             arguments: &["serve"],
             variables: &[("ROUTER_CONFIG", "config-wrong.json")],
         },
-        WithEnvironment {
+        EnvironmentCase {
             arguments: &["serve"],
             variables: &[
                 ("ROUTER_CONFIG", "config.json"),
                 ("THISTLECROFT_CHARTER", "charter-wrong.toml"),
             ],
         },
-        WithEnvironment {
+        EnvironmentCase {
             arguments: &["check", "charter.toml", "--effective"],
             variables: &[("ROUTER_CONFIG", "config.json")],
         },
     ];
     let mut recording = String::new();
-    for WithEnvironment {
+    for EnvironmentCase {
         arguments,
         variables,
     } in cases
     {
-        let done = command(arguments)
+        let output = command(arguments)
             .envs(variables.iter().copied())
             .output()
             .unwrap();
         for (variable, value) in variables {
             writeln!(recording, "{variable}={value}").unwrap();
         }
-        recording += &transcript(arguments, &done);
+        recording += &transcript(arguments, &output);
     }
     assert_unchanged("environment.txt", &recording);
 }
 
 #[test]
-fn shipped_texts_are_printed_as_they_are_in_the_repository() {
+fn shipped_texts_are_printed_as_stored_in_the_repository() {
     let repository = Path::new(REPOSITORY);
     let file = |path: &str| std::fs::read_to_string(repository.join(path)).unwrap();
     assert_eq!(
@@ -341,7 +341,8 @@
     assert_unchanged("scenario_names.txt", &(names.join("\n") + "\n"));
 }
 
-/// The first line that a relay logs; it is ended after, and with this test's patience.
+/// Starts a relay, returns the first line that it logs, and kills it. The wait for the line is
+/// limited by [`TIMEOUT`].
 fn first_logged_line(mut relay: Command) -> String {
     let mut relay = relay.stderr(Stdio::piped()).spawn().unwrap();
     let mut log = BufReader::new(relay.stderr.take().unwrap());
@@ -349,19 +350,19 @@
     let reader = std::thread::spawn(move || {
         let mut line = String::new();
         let read = log.read_line(&mut line).map(|_| line);
-        // Nobody waits any more after the time is over.
+        // After the timeout the receiver is gone, and the send fails.
         let _ = sender.send(read);
     });
-    let line = receiver.recv_timeout(PATIENCE);
+    let line = receiver.recv_timeout(TIMEOUT);
     relay.kill().unwrap();
     relay.wait().unwrap();
     reader.join().unwrap();
-    line.expect("a line within the time").unwrap()
+    line.expect("a log line before the timeout").unwrap()
 }
 
 #[test]
-fn a_relay_that_serves_logs_objects_with_the_recorded_keys() {
-    let folder = folder("log");
+fn serving_relay_with_json_log_writes_the_recorded_keys() {
+    let folder = test_folder("log");
     let config = std::fs::read_to_string(Path::new(INPUTS).join("config.json")).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -378,7 +379,7 @@
     ]));
     std::fs::remove_dir_all(folder).unwrap();
     let entry: Value =
-        serde_json::from_str(&line).unwrap_or_else(|fault| panic!("{fault}: {line}"));
+        serde_json::from_str(&line).unwrap_or_else(|error| panic!("{error}: {line}"));
     let mut recording = String::new();
     for (key, value) in entry.as_object().unwrap() {
         let is_fixed = matches!(key.as_str(), "level" | "target" | "name");
@@ -392,23 +393,24 @@
     assert_unchanged("log_entry.txt", &recording);
 }
 
-/// An operators' door that answers one call with these words, and gives back the call.
-fn door(answer: &'static str) -> (String, std::thread::JoinHandle<String>) {
+/// Starts an admin port that gives one request the answer. Returns its address, and the thread that
+/// returns the request.
+fn start_admin_port(answer: &'static str) -> (String, std::thread::JoinHandle<String>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let call = std::thread::spawn(move || {
+    let request = std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
-        let mut call = String::new();
+        let mut request = String::new();
         let mut reader = BufReader::new(stream.try_clone().unwrap());
-        reader.read_line(&mut call).unwrap();
+        reader.read_line(&mut request).unwrap();
         write!(stream, "{answer}\r\n").unwrap();
-        call
+        request
     });
-    (address, call)
+    (address, request)
 }
 
 #[test]
-fn views_of_peers_are_asked_for_and_shown_as_recorded() {
+fn peers_sends_the_recorded_request_and_prints_the_recorded_view() {
     const VIEW: &str = r#"200 {"counts":{"foreign":1,"held_back":2,"sent_bytes":300},"facts":4,"health":0,"leases":null,"me":"relay-1/00000007","peers":[{"at":"10.0.0.2:7946","heard_ms":12,"id":"relay-2/00000008","incarnation":3,"standing":"suspected"}],"unheard":1}"#;
     let cases: &[(&str, &[&str])] = &[
         (VIEW, &["--json"]),
@@ -417,18 +419,18 @@
     ];
     let mut recording = String::new();
     for (answer, flags) in cases {
-        let (address, call) = door(answer);
-        let done = run(&[&["peers", &address], *flags].concat());
-        let shown = transcript(&[&["peers", "DOOR"], *flags].concat(), &done);
+        let (address, request) = start_admin_port(answer);
+        let output = run(&[&["peers", &address], *flags].concat());
+        let shown = transcript(&[&["peers", "DOOR"], *flags].concat(), &output);
         recording += &shown.replace(&address, "DOOR");
-        // A door that was never called is not waited for.
+        // Connects once more, so that the thread ends even if the command never connected.
         drop(TcpStream::connect(&address));
-        writeln!(recording, "call {:?}", call.join().unwrap()).unwrap();
+        writeln!(recording, "call {:?}", request.join().unwrap()).unwrap();
     }
     assert_unchanged("peers.txt", &recording);
 }
 
-/// Adds the path of every key in a JSON value; elements of a list share one path.
+/// Adds the path of every key in a JSON value to `keys`. The elements of an array share one path.
 fn collect_keys(value: &Value, path: &str, keys: &mut BTreeSet<String>) {
     match value {
         Value::Object(map) => {
@@ -449,13 +451,13 @@
 }
 
 fn keys_of_file(path: &Path) -> BTreeSet<String> {
-    let text = std::fs::read(path).unwrap_or_else(|fault| panic!("{}: {fault}", path.display()));
+    let text = std::fs::read(path).unwrap_or_else(|error| panic!("{}: {error}", path.display()));
     let mut keys = BTreeSet::new();
     collect_keys(&serde_json::from_slice(&text).unwrap(), "", &mut keys);
     keys
 }
 
-/// Events that every run has; under load there may be others beside them.
+/// Kinds of event that occur in every run. Under load, other kinds may occur too.
 const EVENTS_OF_EVERY_RUN: &[&str] = &[
     "answered",
     "asked",
@@ -470,7 +472,7 @@
     "told",
 ];
 
-/// The keys of each kind of event, from the first of the kind.
+/// Returns the keys of each kind of event, taken from its first event.
 fn keys_of_events(path: &Path) -> BTreeMap<String, String> {
     let text = std::fs::read_to_string(path).unwrap();
     let mut keys = BTreeMap::new();
@@ -488,8 +490,8 @@
 }
 
 #[test]
-fn a_run_leaves_files_with_the_recorded_names_and_keys() {
-    let out = folder("run");
+fn finished_run_writes_files_with_the_recorded_names_and_keys() {
+    let out = test_folder("run");
     let out_text = out.to_string_lossy().into_owned();
     output_of(&["lab", "run", "scenario.toml", "--quiet", "--out", &out_text]);
     let run = out.join("scenario/relays/seed-1");
@@ -514,13 +516,13 @@
 }
 
 #[test]
-fn a_simulated_fleet_leaves_files_with_the_recorded_names_and_keys() {
-    let out = folder("scale");
+fn simulated_scale_test_writes_files_with_the_recorded_names_and_keys() {
+    let out = test_folder("scale");
     let out_text = out.to_string_lossy().into_owned();
     let sizes = ["--relays", "6", "--subjects", "12", "--zones", "2"];
     let shape = ["--first-region", "1", "--rack", "2", "--calm", "2"];
-    let how = ["--simulated", "--quiet", "--out", &out_text];
-    let arguments = [&["lab", "scale"], &sizes[..], &shape, &how].concat();
+    let mode = ["--simulated", "--quiet", "--out", &out_text];
+    let arguments = [&["lab", "scale"], &sizes[..], &shape, &mode].concat();
     output_of(&arguments);
     let mut files: Vec<PathBuf> = std::fs::read_dir(&out)
         .unwrap()
