--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -135,7 +135,8 @@
     page
 }
 
-fn str_field<'a>(object: &'a Value, key: &str) -> &'a str {
+/// Returns the text of an object's field, or `?` if it is missing or not a string.
+fn field<'a>(object: &'a Value, key: &str) -> &'a str {
     object[key].as_str().unwrap_or("?")
 }
 
@@ -144,14 +145,14 @@
 }
 
 fn collect_states<'a>(answer: &'a Value, reported_states: &mut ReportedStates<'a>) {
-    let relay = str_field(answer, "me");
+    let relay = field(answer, "me");
     let mut record = |id, state| {
         let observers_by_state = reported_states.entry(id).or_default();
         observers_by_state.entry(state).or_default().insert(relay);
     };
     record(relay, "here");
     for peer in peer_entries(answer) {
-        record(str_field(peer, "id"), str_field(peer, "standing"));
+        record(field(peer, "id"), field(peer, "standing"));
     }
 }
 
@@ -159,7 +160,7 @@
     let counts = &answer["counts"];
     let mut block = format!(
         "{}: health {}, {} unheard, {} facts, {} bytes sent, {} refused as foreign, {} held back{}\n",
-        str_field(answer, "me"),
+        field(answer, "me"),
         answer["health"],
         answer["unheard"],
         answer["facts"],
@@ -181,9 +182,9 @@
     let since = peer["since_ms"].as_u64().unwrap_or_default() as f64 / 1e3;
     format!(
         "  {:<28} {:<10} for {since:>8.1} s  heard {heard:<14} at {}\n",
-        str_field(peer, "id"),
-        str_field(peer, "standing"),
-        str_field(peer, "at")
+        field(peer, "id"),
+        field(peer, "standing"),
+        field(peer, "at")
     )
 }
 
@@ -206,13 +207,7 @@
         .as_array()
         .into_iter()
         .flatten()
-        .map(|lease| {
-            format!(
-                "{} by epoch {}",
-                str_field(lease, "subject"),
-                lease["epoch"]
-            )
-        })
+        .map(|lease| format!("{} by epoch {}", field(lease, "subject"), lease["epoch"]))
         .collect();
     let held = if held.is_empty() {
         "nothing".into()
@@ -226,7 +221,7 @@
     };
     format!(
         "; voter: {}, generation {}{changing}, holds {held}",
-        str_field(leases, "vote"),
+        field(leases, "vote"),
         leases["generation"]
     )
 }
--- a/cli/tests/command/experiment_run.rs
+++ b/cli/tests/command/experiment_run.rs
@@ -164,7 +164,7 @@
                 .by_ref()
                 .map_while(Result::ok)
                 .any(|line| line.contains(" of 60 s")),
-            "the run shows its progress"
+            "no progress line"
         );
         let relays = children(child.id());
         assert_eq!(relays.len(), 2);
