--- a/settings/src/costs.rs
+++ b/settings/src/costs.rs
@@ -1,4 +1,4 @@
-//! The section `prices`: what actions of a relay cost, relative to the worth of a session.
+//! The section `prices`: the costs of a relay's actions, relative to the value of a served session.
 use serde::Deserialize;
 
 #[derive(Default, Deserialize)]
--- a/settings/src/error.rs
+++ b/settings/src/error.rs
@@ -1,7 +1,7 @@
-//! Why settings are rejected.
+//! The errors of [`crate::parse`].
 use thiserror::Error;
 
-/// Why settings are rejected, as one line of text.
+/// The reason why settings are rejected. Its text is one line.
 #[derive(Debug, Error)]
 pub enum SettingsError {
     /// The text is not JSON, a key is missing, or a value has another type.
@@ -17,15 +17,15 @@
         name: String,
     },
     /// Two listeners have the same name.
-    #[error("settings: listener \"{name}\" stands twice")]
+    #[error("settings: listener \"{name}\" is listed twice")]
     RepeatedListener {
-        /// The name of both.
+        /// The name that both have.
         name: String,
     },
-    /// A session has no attempt.
+    /// The settings permit no attempt at all.
     #[error("settings: maxDials is zero")]
     ZeroAttempts,
-    /// The relay's index does not fit the number of relays.
+    /// The relay's index is not below the number of relays.
     #[error("settings: relay {index} of {count}")]
     RelayOutOfRange {
         /// The relay's index, counted from 0.
@@ -36,15 +36,15 @@
     /// A value of the retry budget is negative or not finite.
     #[error("settings: invariants.{key}: {value} is below zero")]
     InvalidRetryBudget {
-        /// The key in the text.
+        /// The key in the section `invariants`.
         key: &'static str,
-        /// Its value.
+        /// The value of the key.
         value: f64,
     },
-    /// A value of the retry budget has no effect, since the budget has no window.
+    /// The retry budget has a value, but no window that it applies to.
     #[error("settings: invariants.{key} without a window (extraWindowUs)")]
     RetryBudgetWithoutWindow {
-        /// The key in the text.
+        /// The key in the section `invariants`.
         key: &'static str,
     },
 }
--- a/settings/src/extensions.rs
+++ b/settings/src/extensions.rs
@@ -7,7 +7,8 @@
 pub(crate) struct ExtensionsText {
     #[serde(rename = "groups")]
     pub(crate) groups_share_work: bool,
-    /// By listener.
+    /// The latency objective of a message at each listener, in microseconds. The order is that of
+    /// the listeners.
     #[serde(rename = "messageAimUs")]
     message_objectives_us: Vec<f64>,
     #[serde(rename = "tellsLoad")]
@@ -17,14 +18,15 @@
 }
 
 impl ExtensionsText {
-    /// The shortest latency objective of a message at any listener; zero where none is stated.
+    /// Returns the shortest latency objective of a message at any listener; zero where none is
+    /// stated.
     pub(crate) fn message_objective(&self, listener_count: usize) -> Duration {
         let objectives = self.message_objectives_us.iter().take(listener_count);
         let shortest = objectives.map(|&us| us as u64).min();
         Duration::from_micros(shortest.unwrap_or_default())
     }
 
-    /// Backends have one value for a connection, and it is the latency of its messages.
+    /// Whether the one value that backends report for a connection is the latency of its messages.
     pub(crate) fn notes_carry_latency(&self) -> bool {
         self.reports_latency && !self.reports_load
     }
--- a/settings/src/invariants.rs
+++ b/settings/src/invariants.rs
@@ -1,10 +1,11 @@
-//! The section `invariants`: what the platform holds relays to.
+//! The section `invariants`: the limits that the platform requires relays to keep.
 use crate::SettingsError;
 use serde::Deserialize;
 use thistlecroft::deployment::{RetryBudget, SlowStart};
 use thistlecroft::time::Duration;
 
-/// Where the settings state no grace for draining backends. Longer than any platform's so far.
+/// The grace period of draining backends where the settings state none. No known platform has a
+/// longer one.
 const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(3_200);
 
 const RETRY_BUDGET_FREE: &str = "extraFree";
@@ -52,8 +53,11 @@
         }
     }
 
-    /// The retry budget, where its window and at least one other value are stated. The other one is
-    /// zero where it is left out.
+    /// Returns the retry budget, or `None` where neither `extraFree` nor `repeatRatio` is stated. A
+    /// missing one of the two is zero.
+    ///
+    /// # Errors
+    /// A value is negative or not finite, or the budget has no window.
     pub(crate) fn retry_budget(&self) -> Result<Option<RetryBudget>, SettingsError> {
         let (free, share) = (self.retry_budget_free, self.retry_budget_share);
         check_not_negative(RETRY_BUDGET_FREE, free)?;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -1,6 +1,6 @@
 //! The platform's settings: JSON text that describes a deployment, parsed into [`Settings`].
 //!
-//! Each section of the text has a module, which names its keys and converts its values. Unknown
+//! Each section of the text has a module that defines its keys and converts its values. Unknown
 //! keys are ignored. The crate does no I/O.
 mod costs;
 mod error;
@@ -21,34 +21,36 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::time::Duration;
 
-/// Parsed settings. Listeners and zones are in the order of the text, which their indices refer to.
+/// Parsed settings. Listeners and zones keep the order of the text, so an index refers to the same
+/// entry in both.
 #[derive(Clone)]
 pub struct Settings {
-    /// What the decisions need.
+    /// The part of the settings that the balancer decides by.
     pub deployment: Deployment,
-    /// Where load reports carry the values that the decisions use.
+    /// The fields of load reports that the balancer uses.
     pub report_fields: ReportFields,
-    /// The names of the zones.
+    /// The names of the zones, by index.
     pub zones: Vec<String>,
-    /// The names of the listeners.
+    /// The names of the listeners, by index.
     pub listeners: Vec<String>,
-    /// How long the clients of each listener wait for the end of a handshake.
+    /// The time that clients of each listener wait for the end of a handshake.
     pub client_timeouts: Vec<Duration>,
-    /// Backends close connections that carried no work for this long; zero for never.
+    /// The time after which backends close connections that carried no work; zero for never.
     pub backend_idle_timeout: Duration,
-    /// After the notification that a backend is draining, new sessions may still be sent to it for
-    /// this long.
+    /// The time in which new sessions may still be sent to a backend after the notification that it
+    /// is draining.
     pub drain_grace: Duration,
-    /// Relays may exchange messages.
+    /// Whether relays may exchange messages.
     pub may_use_peers: bool,
-    /// Backends report the latency of a connection's messages in milliseconds, not its load.
+    /// Whether the value that backends report for a connection is the latency of its messages, in
+    /// milliseconds, instead of its load.
     pub notes_carry_latency: bool,
 }
 
 /// Parses settings.
 ///
 /// # Errors
-/// The first thing that is wrong with the text.
+/// The first error in the text.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
     let text: text::SettingsText = serde_json::from_slice(text)?;
     text.try_into()
--- a/settings/src/listeners.rs
+++ b/settings/src/listeners.rs
@@ -1,4 +1,4 @@
-//! The section `listeners`: the kinds of sessions, and the limits of each.
+//! The section `listeners`: the listeners of the deployment and the limits of their sessions.
 use crate::SettingsError;
 use crate::permissions::PermissionsText;
 use serde::Deserialize;
--- a/settings/src/permissions.rs
+++ b/settings/src/permissions.rs
@@ -1,4 +1,4 @@
-//! The section `permissions`: what the platform lets relays do.
+//! The section `permissions`: the actions that the platform permits to relays, and their limits.
 use crate::SettingsError;
 use serde::Deserialize;
 use thistlecroft::time::Duration;
--- a/settings/src/report.rs
+++ b/settings/src/report.rs
@@ -1,27 +1,30 @@
 //! The section `report`: the fields of a backend's load report.
 use serde::Deserialize;
 
-/// Names of the report field that counts a backend's connections. Settings and backends use
-/// different ones; the first that is present counts.
+/// The possible names of the report field that counts a backend's connections. The first name that
+/// a report has is used.
 pub const CONNECTION_FIELDS: &[&str] = &["rif", "inflight"];
-/// Names of the report field that measures a backend's load. The first that is present counts.
+/// The possible names of the report field that measures a backend's load. The first name that a
+/// report has is used.
 pub const LOAD_FIELDS: &[&str] = &["x0", "busy", "util"];
 
-/// Where load reports carry the values that the decisions use, and the meaning of the weights in
-/// the endpoint list.
+/// The positions of the values that the balancer uses in load reports, and the meaning of the
+/// weights in the endpoint list.
 #[derive(Clone, Copy, Default)]
 pub struct ReportFields {
     /// The index of the field that counts connections.
     pub connections: Option<usize>,
     /// The index of the field that measures load.
     pub load: Option<usize>,
-    /// The weights of the endpoint list fall as backends take connections.
+    /// Whether the weights in the endpoint list follow the backends' load: a weight falls as its
+    /// backend takes connections.
     pub weights_live: bool,
 }
 
 impl ReportFields {
-    /// The weight that the decisions use for a weight in the endpoint list: 1 where the list's
-    /// weights do not follow the backends' load.
+    /// Returns the weight that the balancer uses for a weight in the endpoint list. It is 1 where
+    /// the listed weights do not follow the backends' load, and where the listed one is not a
+    /// positive finite number.
     pub fn weight(&self, listed: f64) -> f64 {
         if self.weights_live && listed.is_finite() && listed > 0.0 {
             listed
@@ -53,8 +56,8 @@
         names.iter().find_map(index)
     }
 
-    /// Whether reports reach a relay: they are sent at all, and a relay may send the health checks
-    /// that some backends answer with them.
+    /// Returns whether reports reach a relay. Backends may send none (`silent`), or send them only in
+    /// answer to health checks (`pull`), which relays need permission for.
     pub(crate) fn reaches_relays(&self, may_check_health: bool) -> bool {
         match self.delivery.as_str() {
             "silent" => false,
--- a/settings/src/tests.rs
+++ b/settings/src/tests.rs
@@ -1,12 +1,12 @@
-//! Settings that are rejected, and values that depend on several keys.
+//! Tests of rejected settings, and of values that depend on several keys.
 use crate::parse;
 use thistlecroft::deployment::{DeduplicationScope, Idempotency, RetryBudget};
 use thistlecroft::time::Duration;
 
-/// Settings with these listeners, each a name and further keys, and this number of attempts.
-fn text(listeners: &[(&str, &str)], max_attempts: &str) -> String {
-    let rows = listeners.iter().map(|(name, more)| {
-        format!("{{\"name\":\"{name}\",\"handshakeTargetUs\":3,\"utility\":1.0,{more}}}")
+/// Returns settings with this `maxDials` and these listeners, each a name and further keys.
+fn settings_json(listeners: &[(&str, &str)], max_attempts: &str) -> String {
+    let rows = listeners.iter().map(|(name, further_keys)| {
+        format!("{{\"name\":\"{name}\",\"handshakeTargetUs\":3,\"utility\":1.0,{further_keys}}}")
     });
     let rows: Vec<String> = rows.collect();
     format!(
@@ -21,31 +21,40 @@
 
 #[test]
 fn invalid_settings_are_rejected_with_one_line() {
-    assert!(parse(text(&[("a", IDEMPOTENT), ("b", IDEMPOTENT)], "3").as_bytes()).is_ok());
-    let deadline = |figure: &str| IDEMPOTENT.replace("1200000", figure);
+    assert!(parse(settings_json(&[("a", IDEMPOTENT), ("b", IDEMPOTENT)], "3").as_bytes()).is_ok());
+    let deadline = |value: &str| IDEMPOTENT.replace("1200000", value);
     let cases = [
-        (text(&[("a", &deadline("0"))], "3"), "deadlineUs is zero"),
-        (text(&[("a", &deadline("-5"))], "3"), "-5"),
-        (text(&[("a", &deadline("1.5"))], "3"), "1.5"),
-        (text(&[("a", &deadline("\"soon\""))], "3"), "soon"),
-        (text(&[("a", r#""effect":"retryable""#)], "3"), "deadlineUs"),
         (
-            text(&[("a", IDEMPOTENT), ("a", IDEMPOTENT)], "3"),
-            "stands twice",
+            settings_json(&[("a", &deadline("0"))], "3"),
+            "deadlineUs is zero",
         ),
-        (text(&[], "3"), "no listeners"),
-        (text(&[("a", IDEMPOTENT)], "0"), "maxDials is zero"),
-        (text(&[("a", IDEMPOTENT)], "-1"), "-1"),
-        (text(&[("a", IDEMPOTENT)], "2.5"), "2.5"),
-        (text(&[("a", IDEMPOTENT)], "null"), "null"),
+        (settings_json(&[("a", &deadline("-5"))], "3"), "-5"),
+        (settings_json(&[("a", &deadline("1.5"))], "3"), "1.5"),
+        (settings_json(&[("a", &deadline("\"soon\""))], "3"), "soon"),
+        (
+            settings_json(&[("a", r#""effect":"retryable""#)], "3"),
+            "deadlineUs",
+        ),
+        (
+            settings_json(&[("a", IDEMPOTENT), ("a", IDEMPOTENT)], "3"),
+            "listener \"a\" is listed twice",
+        ),
+        (settings_json(&[], "3"), "no listeners"),
+        (settings_json(&[("a", IDEMPOTENT)], "0"), "maxDials is zero"),
+        (settings_json(&[("a", IDEMPOTENT)], "-1"), "-1"),
+        (settings_json(&[("a", IDEMPOTENT)], "2.5"), "2.5"),
+        (settings_json(&[("a", IDEMPOTENT)], "null"), "null"),
         (String::new(), "EOF"),
-        (text(&[("a", IDEMPOTENT)], "3")[..200].to_string(), "EOF"),
+        (
+            settings_json(&[("a", IDEMPOTENT)], "3")[..200].to_string(),
+            "EOF",
+        ),
     ];
-    for (text, expected) in cases {
-        let error = parse(text.as_bytes())
+    for (settings_json, expected) in cases {
+        let error = parse(settings_json.as_bytes())
             .err()
             .map(|error| error.to_string())
-            .unwrap_or_else(|| panic!("accepted: {text}"));
+            .unwrap_or_else(|| panic!("accepted: {settings_json}"));
         assert!(
             error.contains(expected) && error.lines().count() == 1,
             "{error}"
@@ -54,7 +63,7 @@
 }
 
 #[test]
-fn load_counts_as_reported_only_where_reports_reach_relays() {
+fn load_is_reported_only_where_reports_reach_relays() {
     let cases = [
         (r#""fields":["rif","x0"],"how":"pull""#, true, true),
         (r#""fields":["rif","x0"],"how":"pull""#, false, false),
@@ -65,7 +74,7 @@
         (r#""fields":["x0"]"#, false, true),
     ];
     for (report, probes, reports_load) in cases {
-        let settings = text(&[("a", IDEMPOTENT)], "3")
+        let settings = settings_json(&[("a", IDEMPOTENT)], "3")
             .replace("\"probes\":true", &format!("\"probes\":{probes}"));
         let settings = settings.replacen('{', &format!("{{\"report\":{{{report}}},"), 1);
         let settings =
@@ -77,9 +86,10 @@
     }
 }
 
-/// Settings with these further invariants.
-fn with_invariants(more: &str) -> String {
-    text(&[("a", IDEMPOTENT)], "3").replace("\"fallUs\":3", &format!("\"fallUs\":3{more}"))
+/// Returns settings with these further keys in the section `invariants`.
+fn with_invariants(further_keys: &str) -> String {
+    settings_json(&[("a", IDEMPOTENT)], "3")
+        .replace("\"fallUs\":3", &format!("\"fallUs\":3{further_keys}"))
 }
 
 fn retry_budget(free: f64, share: f64, window_us: u64) -> Option<RetryBudget> {
@@ -91,7 +101,7 @@
 }
 
 #[test]
-fn stated_retry_budget_is_parsed_and_combined() {
+fn stated_retry_budget_is_parsed_and_the_stricter_applies_during_a_change() {
     let accepted = [
         ("", None),
         (
@@ -108,23 +118,26 @@
         ),
         (r#","extraWindowUs":5000000"#, None),
     ];
-    // During a change the stricter of both applies; one alone applies as it is.
-    let both = |before: usize, after: usize| {
-        let settings = |at: usize| parse(with_invariants(accepted[at].0).as_bytes()).unwrap();
+    // During a change, the stricter of two budgets applies, and a single one applies unchanged.
+    let during_change = |before: usize, after: usize| {
+        let settings = |index: usize| parse(with_invariants(accepted[index].0).as_bytes()).unwrap();
         settings(before)
             .during_change_to(&settings(after))
             .deployment
             .retry_budget
     };
-    assert_eq!([both(0, 1), both(1, 0)], [accepted[1].1; 2]);
     assert_eq!(
-        [both(1, 3), both(3, 1)],
+        [during_change(0, 1), during_change(1, 0)],
+        [accepted[1].1; 2]
+    );
+    assert_eq!(
+        [during_change(1, 3), during_change(3, 1)],
         [retry_budget(2.0, 0.0, 5_000_000); 2]
     );
-    for (more, expected) in accepted {
-        let settings = parse(with_invariants(more).as_bytes())
-            .unwrap_or_else(|error| panic!("{more}: {error}"));
-        assert_eq!(settings.deployment.retry_budget, expected, "{more}");
+    for (further_keys, expected) in accepted {
+        let settings = parse(with_invariants(further_keys).as_bytes())
+            .unwrap_or_else(|error| panic!("{further_keys}: {error}"));
+        assert_eq!(settings.deployment.retry_budget, expected, "{further_keys}");
     }
 }
 
@@ -148,11 +161,11 @@
         (r#","extraFree":1"#, "extraFree without a window"),
         (r#","repeatRatio":"much","extraWindowUs":5"#, "much"),
     ];
-    for (more, expected) in rejected {
-        let error = parse(with_invariants(more).as_bytes())
+    for (further_keys, expected) in rejected {
+        let error = parse(with_invariants(further_keys).as_bytes())
             .err()
             .map(|error| error.to_string())
-            .unwrap_or_else(|| panic!("accepted: {more}"));
+            .unwrap_or_else(|| panic!("accepted: {further_keys}"));
         assert!(
             error.contains(expected) && error.lines().count() == 1,
             "{error}"
@@ -161,18 +174,18 @@
 }
 
 #[test]
-fn change_of_settings_keeps_the_stricter_limits() {
+fn settings_during_a_change_have_the_stricter_limits() {
     let dedup = |scope: &str, window: u32| {
         format!(
             r#""deadlineUs":9,"effect":"dedup","dedupScope":"{scope}","dedupWindowUs":{window}"#
         )
     };
     let non_idempotent = IDEMPOTENT.replace("retryable", "fragile");
-    let of = |scope, window| Idempotency::Keyed {
+    let keyed = |scope, window| Idempotency::Keyed {
         scope,
         window: Duration::from_micros(window),
     };
-    // The row of a listener before and after, and what holds between.
+    // A listener before and after the change, and its idempotency class during the change.
     let cases = [
         (
             IDEMPOTENT.to_string(),
@@ -187,31 +200,36 @@
         (
             IDEMPOTENT.to_string(),
             dedup("zone", 7),
-            of(DeduplicationScope::Zone, 7),
+            keyed(DeduplicationScope::Zone, 7),
         ),
         (dedup("zone", 7), non_idempotent, Idempotency::NonIdempotent),
         (
             dedup("cell", 7),
             dedup("all", 5),
-            of(DeduplicationScope::Cell, 5),
+            keyed(DeduplicationScope::Cell, 5),
         ),
         (
             dedup("all", 5),
             dedup("zone", 7),
-            of(DeduplicationScope::Zone, 5),
+            keyed(DeduplicationScope::Zone, 5),
         ),
     ];
     for (before, after, expected) in cases {
-        let old = parse(text(&[("gone", IDEMPOTENT), ("a", &before)], "2").as_bytes()).unwrap();
-        let new = parse(text(&[("a", &after), ("new", IDEMPOTENT)], "3").as_bytes()).unwrap();
-        let both = old.during_change_to(&new);
-        assert_eq!(both.listeners, ["a", "new", "gone"]);
-        let rows = &both.deployment.routes;
-        assert_eq!(rows[0].idempotency, expected, "{before} {after}");
+        let old =
+            parse(settings_json(&[("gone", IDEMPOTENT), ("a", &before)], "2").as_bytes()).unwrap();
+        let new =
+            parse(settings_json(&[("a", &after), ("new", IDEMPOTENT)], "3").as_bytes()).unwrap();
+        let during_change = old.during_change_to(&new);
+        assert_eq!(during_change.listeners, ["a", "new", "gone"]);
+        let routes = &during_change.deployment.routes;
+        assert_eq!(routes[0].idempotency, expected, "{before} {after}");
         assert_eq!(
-            rows.iter().map(|row| row.max_attempts).collect::<Vec<_>>(),
+            routes
+                .iter()
+                .map(|route| route.max_attempts)
+                .collect::<Vec<_>>(),
             [2, 3, 2]
         );
-        assert_eq!(both.client_timeouts.len(), 3);
+        assert_eq!(during_change.client_timeouts.len(), 3);
     }
 }
--- a/settings/src/text.rs
+++ b/settings/src/text.rs
@@ -1,4 +1,4 @@
-//! The whole text: its sections, and the settings that they add up to.
+//! The whole text of the settings, and its conversion into [`Settings`].
 use crate::costs::CostsText;
 use crate::extensions::ExtensionsText;
 use crate::invariants::InvariantsText;
@@ -11,9 +11,11 @@
 use thistlecroft::ids::ZoneId;
 use thistlecroft::time::Duration;
 
-/// A relay that shuts down gives its sessions the longest client timeout, up to this...
+/// The longest time that a relay that shuts down waits for its sessions, before
+/// [`SHUTDOWN_MARGIN`]. It waits for the longest client timeout where that is shorter.
 const MAX_SHUTDOWN_WAIT: Duration = Duration::from_millis(3_000);
-/// ...and this long on top. The platform kills the process no sooner.
+/// The time that a shutdown may take in addition to the wait for sessions. The platform does not
+/// kill the process before both have passed.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(700);
 
 #[derive(Deserialize)]
@@ -42,7 +44,7 @@
     zones: Vec<String>,
 }
 
-/// How relays learn of changes to the endpoint list.
+/// The way in which relays learn of changes to the endpoint list.
 #[derive(Clone, Copy, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "camelCase")]
 enum DiscoveryText {
@@ -65,7 +67,11 @@
             drain_grace: text.invariants.drain_grace(),
             may_use_peers: text.permissions.peers,
             notes_carry_latency: text.extensions.notes_carry_latency(),
-            listeners: text.listeners.into_iter().map(|row| row.name).collect(),
+            listeners: text
+                .listeners
+                .into_iter()
+                .map(|listener| listener.name)
+                .collect(),
             zones: text.zones,
         })
     }
@@ -92,7 +98,9 @@
             relay_count: self.relay_count,
             zone: ZoneId(self.zone),
             tick: Duration::from_micros(self.tick_us),
-            routes: routes.map(|row| row.route(&self.permissions)).collect(),
+            routes: routes
+                .map(|listener| listener.route(&self.permissions))
+                .collect(),
             message_objective: self.extensions.message_objective(self.listeners.len()),
             observes_latency: self.extensions.reports_latency,
             slow_start: self.invariants.slow_start(),
--- a/settings/src/transition.rs
+++ b/settings/src/transition.rs
@@ -3,8 +3,9 @@
 use thistlecroft::deployment::{Idempotency, RetryBudget};
 
 impl Settings {
-    /// What is in force until `later` replaces these settings: the listeners of both, each with the
-    /// stricter limits of either. The rules of these settings bind until those of `later` do.
+    /// Returns the settings in force until `later` has replaced these settings. They have the
+    /// listeners of both, and a listener of both has the stricter limits, since the limits of these
+    /// settings bind until those of `later` do.
     pub fn during_change_to(&self, later: &Settings) -> Settings {
         let mut both = later.clone();
         for (index, name) in self.listeners.iter().enumerate() {
@@ -31,7 +32,7 @@
     }
 }
 
-/// `None` is no limit.
+/// Returns a budget that exceeds neither of the two. `None` stands for no limit.
 fn stricter_budget(one: Option<RetryBudget>, other: Option<RetryBudget>) -> Option<RetryBudget> {
     match (one, other) {
         (Some(one), Some(other)) => Some(RetryBudget {
@@ -43,7 +44,7 @@
     }
 }
 
-/// The class that permits a retry only where both do.
+/// Returns the class that permits a retry only where both do.
 fn stricter_idempotency(one: Idempotency, other: Idempotency) -> Idempotency {
     match (one, other) {
         (Idempotency::Idempotent, class) | (class, Idempotency::Idempotent) => class,
--- a/settings/tests/golden.rs
+++ b/settings/tests/golden.rs
@@ -1,7 +1,8 @@
-//! The keys of the settings: each key has an effect, and a required key that is missing is named.
+//! Tests of the keys of the settings: every key has an effect, a missing required key is named in
+//! the error, and a missing optional key has its default.
 use serde_json::{Value, json};
 
-/// Settings that state every known key.
+/// Returns settings that state every known key.
 fn every_key() -> Value {
     json!({
         "az": 1,
@@ -32,7 +33,7 @@
     })
 }
 
-/// Every known key, by its path, with another valid value.
+/// Returns the path of every known key, with a valid value other than that in [`every_key`].
 fn other_values() -> Vec<(&'static str, Value)> {
     vec![
         ("/az", json!(0)),
@@ -79,7 +80,7 @@
     ]
 }
 
-/// Keys without which settings are rejected.
+/// The paths of keys without which settings are rejected.
 const REQUIRED: &[&str] = &[
     "/az",
     "/balancers",
@@ -106,7 +107,7 @@
     "/permissions/retryAfter",
 ];
 
-/// Optional keys, with their defaults.
+/// Returns the paths of optional keys, with their defaults.
 fn defaults() -> Vec<(&'static str, Value)> {
     vec![
         ("/zones", json!([])),
@@ -136,7 +137,7 @@
     ]
 }
 
-/// Everything that the text was parsed into, for comparison with another text.
+/// Parses settings and prints every parsed value, for comparison with other settings.
 fn parsed(settings: &Value) -> Result<String, String> {
     let settings = thistlecroft_settings::parse(settings.to_string().as_bytes())
         .map_err(|error| error.to_string())?;
@@ -155,14 +156,16 @@
     Ok(text)
 }
 
-fn with(path: &str, value: &Value) -> Value {
+/// Returns [`every_key`] with another value at this path.
+fn with_value(path: &str, value: &Value) -> Value {
     let mut settings = every_key();
     let stated = settings.pointer_mut(path);
     *stated.unwrap_or_else(|| panic!("{path} is not stated")) = value.clone();
     settings
 }
 
-fn without(path: &str) -> Value {
+/// Returns [`every_key`] without the key at this path.
+fn without_key(path: &str) -> Value {
     let mut settings = every_key();
     let (parent, key) = path.rsplit_once('/').unwrap();
     let parent = settings.pointer_mut(parent).unwrap();
@@ -173,18 +176,18 @@
 
 #[test]
 fn key_with_another_value_changes_the_settings() {
-    let as_stated = parsed(&every_key()).unwrap();
+    let original = parsed(&every_key()).unwrap();
     for (path, value) in other_values() {
-        let otherwise = parsed(&with(path, &value)).unwrap();
-        assert_ne!(otherwise, as_stated, "{path} has no effect");
+        let changed = parsed(&with_value(path, &value)).unwrap();
+        assert_ne!(changed, original, "{path} has no effect");
     }
 }
 
 #[test]
-fn numbers_are_parsed_in_their_units() {
+fn number_is_parsed_in_the_unit_of_its_key() {
     let settings = thistlecroft_settings::parse(every_key().to_string().as_bytes()).unwrap();
     let deployment = settings.deployment;
-    let microseconds = [
+    let durations_us = [
         (deployment.tick, 2_000),
         (deployment.connect_timeout, 50_000),
         (deployment.message_objective, 50_000),
@@ -199,7 +202,7 @@
         (settings.backend_idle_timeout, 9_000_000),
         (settings.drain_grace, 2_000_000),
     ];
-    for (index, (duration, expected)) in microseconds.into_iter().enumerate() {
+    for (index, (duration, expected)) in durations_us.into_iter().enumerate() {
         assert_eq!(duration.as_micros(), expected, "row {index}");
     }
     let retry_budget = deployment.retry_budget.unwrap();
@@ -218,10 +221,10 @@
 }
 
 #[test]
-fn missing_required_key_is_named() {
+fn missing_required_key_is_rejected_by_name() {
     for path in REQUIRED {
         let key = path.rsplit('/').next().unwrap();
-        let error = parsed(&without(path)).expect_err(path);
+        let error = parsed(&without_key(path)).expect_err(path);
         let expected = format!("settings: missing field `{key}`");
         assert!(error.starts_with(&expected), "{path}: {error}");
     }
@@ -230,17 +233,18 @@
 #[test]
 fn missing_optional_key_has_its_default() {
     for (path, default) in defaults() {
-        let without_key = parsed(&without(path)).unwrap_or_else(|error| panic!("{path}: {error}"));
+        let parsed_without =
+            parsed(&without_key(path)).unwrap_or_else(|error| panic!("{path}: {error}"));
         assert_eq!(
-            without_key,
-            parsed(&with(path, &default)).unwrap(),
+            parsed_without,
+            parsed(&with_value(path, &default)).unwrap(),
             "{path}"
         );
     }
 }
 
 #[test]
-fn accepted_variants_are_those_recorded() {
+fn unknown_variant_is_rejected_and_every_field_name_is_accepted() {
     let variants = [
         (
             "/discovery",
@@ -256,15 +260,15 @@
         ),
     ];
     for (path, expected) in variants {
-        let error = parsed(&with(path, &json!("other"))).expect_err(path);
+        let error = parsed(&with_value(path, &json!("other"))).expect_err(path);
         assert!(
             error.starts_with(&format!("settings: {expected}")),
             "{error}"
         );
     }
     for names in [["rif", "x0"], ["inflight", "busy"], ["inflight", "util"]] {
-        let read = parsed(&with("/report/fields", &json!(names)));
-        assert_eq!(read, parsed(&every_key()), "{names:?}");
+        let parsed_settings = parsed(&with_value("/report/fields", &json!(names)));
+        assert_eq!(parsed_settings, parsed(&every_key()), "{names:?}");
     }
 }
 
