--- a/operator_config/src/context.rs
+++ b/operator_config/src/context.rs
@@ -7,13 +7,13 @@
 pub struct ListenerDefaults {
     /// The listener's name in the settings.
     pub name: String,
-    /// The longest that its clients wait for the end of a handshake.
+    /// The longest time that its clients wait for the end of a handshake.
     pub client_timeout: Duration,
     /// The limits of its sessions where no route of the file matches.
     pub route: Route,
 }
 
-/// The relay, and the deployment around it, that a file is for.
+/// The relay that a file is for, with its deployment.
 #[derive(Clone, Debug)]
 pub struct RelayContext {
     /// All listeners of the deployment. A route table refers to them by their index.
@@ -22,9 +22,10 @@
     pub zones: Vec<String>,
     /// The index of the relay's own zone among `zones`.
     pub zone: usize,
-    /// The settings permit two attempts of a session at once, and cancelling one of them.
+    /// Whether the settings permit two attempts of a session at once, and the cancellation of one
+    /// of them.
     pub may_hedge: bool,
-    /// The settings permit relays to exchange messages.
+    /// Whether the settings permit relays to exchange messages.
     pub may_use_peers: bool,
     /// The number of file descriptors available to sessions.
     pub descriptors: usize,
@@ -40,7 +41,7 @@
         self.zones.iter().map(String::as_str).collect()
     }
 
-    /// The name of the relay's own zone; empty where the settings name no zones.
+    /// Returns the name of the relay's own zone; empty where the settings name no zones.
     pub(crate) fn own_zone(&self) -> &str {
         self.zones.get(self.zone).map_or("", String::as_str)
     }
--- a/operator_config/src/effective.rs
+++ b/operator_config/src/effective.rs
@@ -13,57 +13,58 @@
 const DEFAULT_MIN_HEDGE_DELAY: Duration = Duration::from_millis(20);
 const DEFAULT_HEDGE_SHARE: f64 = 0.05;
 
-/// The timeouts that the front keeps for a session.
+/// The timeouts that the relay enforces for a session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SessionTimeouts {
-    /// From the client's connection to its answer; `None` means as long as the client waits.
+    /// The longest time from the client's connection to its answer; `None` means as long as the
+    /// client waits.
     pub handshake_timeout: Option<Duration>,
-    /// For a connection to a backend to come up.
+    /// The longest time in which a connection to a backend has to come up.
     pub connect_timeout: Duration,
-    /// Without a message on an established session; `None` means forever.
+    /// The longest time without a message on an established session; `None` means no limit.
     pub idle_timeout: Option<Duration>,
 }
 
-/// Where a value in force comes from.
+/// The source of a value in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ValueOrigin {
-    /// The operators' file, at this line.
+    /// The operators' file, at this line, counted from 1.
     File(usize),
     /// The platform's settings.
     Settings,
-    /// A default of the program.
+    /// A default value in this program.
     BuiltIn,
 }
 
-/// A value in force, for people.
+/// A value in force, as it is shown to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EffectiveValue {
     /// The route's name, or [`DEFAULT_ROUTE`].
     pub route: String,
     /// The listener's name.
     pub listener: String,
-    /// The key that states the value in a file.
+    /// The key that sets the value in a file.
     pub key: &'static str,
-    /// The value as people read it.
+    /// The value as text.
     pub value: String,
-    /// Where the value comes from.
+    /// The source of the value.
     pub origin: ValueOrigin,
 }
 
-/// Everything in force for the sessions of one listener under one route.
-pub(crate) struct Effective {
+/// All limits in force for the sessions of one listener under one route.
+pub(crate) struct EffectiveRoute {
     pub(crate) route: Route,
     pub(crate) timeouts: SessionTimeouts,
     pub(crate) values: Vec<EffectiveValue>,
 }
 
-/// Fills what the section leaves out with the listener's defaults. Without a section, everything is
-/// a default.
+/// Resolves a route for one listener: what the section leaves out has the listener's default.
+/// Without a section, every value is a default.
 pub(crate) fn resolve(
     section: Option<&RouteSection>,
     listener: &ListenerDefaults,
     limits_id: u32,
-) -> Effective {
+) -> EffectiveRoute {
     let empty = RouteSection::default();
     let stated = section.unwrap_or(&empty);
     let mut route = Route {
@@ -79,14 +80,14 @@
     values.record("effect", effect, ValueOrigin::Settings);
     let handshake_timeout = apply_attempt_limits(&mut values, stated, &mut route);
     apply_backoff(&mut values, stated, &mut route);
-    let idle_timeout = values.optional(key::IDLE_TIMEOUT, &stated.idle_timeout);
-    route.retry_share = values.optional(key::RETRY_SHARE, &stated.retry_share);
-    route.max_sessions = values.optional(key::MAX_SESSIONS, &stated.max_sessions);
+    let idle_timeout = values.record_optional(key::IDLE_TIMEOUT, &stated.idle_timeout);
+    route.retry_share = values.record_optional(key::RETRY_SHARE, &stated.retry_share);
+    route.max_sessions = values.record_optional(key::MAX_SESSIONS, &stated.max_sessions);
     let hedging = stated.hedging.as_ref();
     route.hedging = hedging.map(|stated| resolve_hedging(&stated.value, route.handshake_objective));
     let text = route.hedging.map_or("none".to_string(), format_hedging);
-    values.record(key::HEDGING, text, file_or(hedging, ValueOrigin::BuiltIn));
-    Effective {
+    values.record(key::HEDGING, text, origin_of(hedging, ValueOrigin::BuiltIn));
+    EffectiveRoute {
         route,
         timeouts: SessionTimeouts {
             handshake_timeout,
@@ -97,7 +98,7 @@
     }
 }
 
-/// Applies what limits single attempts, and returns the handshake timeout.
+/// Applies the limits of single attempts, and returns the handshake timeout.
 fn apply_attempt_limits(
     values: &mut ValueRecorder,
     stated: &RouteSection,
@@ -109,7 +110,8 @@
         &mut route.handshake_objective,
         ValueOrigin::Settings,
     );
-    let handshake_timeout = values.optional(key::HANDSHAKE_TIMEOUT, &stated.handshake_timeout);
+    let handshake_timeout =
+        values.record_optional(key::HANDSHAKE_TIMEOUT, &stated.handshake_timeout);
     values.apply(
         key::CONNECT_TIMEOUT,
         &stated.connect_timeout,
@@ -131,7 +133,7 @@
     handshake_timeout
 }
 
-/// Applies what spaces retries of one client.
+/// Applies the delays between retries of one client.
 fn apply_backoff(values: &mut ValueRecorder, stated: &RouteSection, route: &mut Route) {
     values.apply(
         key::BACKOFF_BASE,
@@ -159,20 +161,20 @@
     );
 }
 
-/// Fills what the section leaves out with built-in defaults.
+/// Resolves the hedging of a route: what the section leaves out has its built-in default.
 pub(crate) fn resolve_hedging(section: &HedgingSection, handshake_objective: Duration) -> Hedging {
-    let fraction = |stated: &Option<Located<f64>>, default| {
+    let fraction_or = |stated: &Option<Located<f64>>, default| {
         stated.as_ref().map_or(default, |stated| stated.value)
     };
-    let duration = |stated: &Option<Located<Duration>>, default| {
+    let duration_or = |stated: &Option<Located<Duration>>, default| {
         stated.as_ref().map_or(default, |stated| stated.value)
     };
     let default_max_delay = handshake_objective.max(DEFAULT_MIN_HEDGE_DELAY);
     Hedging {
-        quantile: fraction(&section.quantile, DEFAULT_HEDGE_QUANTILE),
-        min_delay: duration(&section.min_delay, DEFAULT_MIN_HEDGE_DELAY),
-        max_delay: duration(&section.max_delay, default_max_delay),
-        share: fraction(&section.share, DEFAULT_HEDGE_SHARE),
+        quantile: fraction_or(&section.quantile, DEFAULT_HEDGE_QUANTILE),
+        min_delay: duration_or(&section.min_delay, DEFAULT_MIN_HEDGE_DELAY),
+        max_delay: duration_or(&section.max_delay, default_max_delay),
+        share: fraction_or(&section.share, DEFAULT_HEDGE_SHARE),
     }
 }
 
@@ -194,8 +196,9 @@
         });
     }
 
-    /// Overrides a default with the stated value, if there is one, and records what is in force.
-    fn apply<T: Copy + ForPeople>(
+    /// Replaces the default in `value` by the stated value, if there is one, and records the
+    /// result.
+    fn apply<T: Copy + OperatorText>(
         &mut self,
         key: &'static str,
         stated: &Option<Located<T>>,
@@ -205,52 +208,53 @@
         if let Some(stated) = stated {
             *value = stated.value;
         }
-        let origin = file_or(stated.as_ref(), default_origin);
-        self.record(key, value.for_people(), origin);
+        let origin = origin_of(stated.as_ref(), default_origin);
+        self.record(key, value.operator_text(), origin);
     }
 
-    /// Records a value whose default is to have none, and returns it.
-    fn optional<T: Copy + ForPeople>(
+    /// Records a value whose default is "none", and returns it.
+    fn record_optional<T: Copy + OperatorText>(
         &mut self,
         key: &'static str,
         stated: &Option<Located<T>>,
     ) -> Option<T> {
         let value = stated.as_ref().map(|stated| stated.value);
-        let text = value.map_or("none".to_string(), |value| value.for_people());
-        let origin = file_or(stated.as_ref(), ValueOrigin::BuiltIn);
+        let text = value.map_or("none".to_string(), |value| value.operator_text());
+        let origin = origin_of(stated.as_ref(), ValueOrigin::BuiltIn);
         self.record(key, text, origin);
         value
     }
 }
 
-fn file_or<T>(stated: Option<&Located<T>>, default: ValueOrigin) -> ValueOrigin {
+/// Returns the value's line in the file, or `default` where the file does not state the value.
+fn origin_of<T>(stated: Option<&Located<T>>, default: ValueOrigin) -> ValueOrigin {
     stated.map_or(default, |stated| ValueOrigin::File(stated.location.line))
 }
 
-/// A value as the command line prints it.
-trait ForPeople {
-    fn for_people(&self) -> String;
+/// Formats a value as the command line prints it.
+trait OperatorText {
+    fn operator_text(&self) -> String;
 }
 
-impl ForPeople for Duration {
-    fn for_people(&self) -> String {
+impl OperatorText for Duration {
+    fn operator_text(&self) -> String {
         format_duration(*self)
     }
 }
 
-impl ForPeople for u32 {
-    fn for_people(&self) -> String {
+impl OperatorText for u32 {
+    fn operator_text(&self) -> String {
         self.to_string()
     }
 }
 
-impl ForPeople for f64 {
-    fn for_people(&self) -> String {
+impl OperatorText for f64 {
+    fn operator_text(&self) -> String {
         self.to_string()
     }
 }
 
-/// A duration in the largest unit in which it is a whole number.
+/// Formats a duration in the largest of `s`, `ms` and `us` in which it is a whole number.
 pub(crate) fn format_duration(duration: Duration) -> String {
     let micros = duration.as_micros();
     if micros.is_multiple_of(1_000_000) {
@@ -269,7 +273,7 @@
     format!("after quantile {quantile} of set-ups, {min_delay} to {max_delay}, share {share}")
 }
 
-/// The name of an idempotency class in messages to operators.
+/// Returns the name of an idempotency class in messages to operators.
 pub(crate) fn idempotency_name(idempotency: Idempotency) -> &'static str {
     match idempotency {
         Idempotency::Idempotent => "repeatable",
--- a/operator_config/src/error.rs
+++ b/operator_config/src/error.rs
@@ -7,27 +7,28 @@
 pub struct ConfigError {
     /// The file's name as the caller gave it.
     pub file: String,
-    /// The line, counted from 1.
+    /// The line number, counted from 1.
     pub line: usize,
     /// The column in characters, counted from 1.
     pub column: usize,
     /// The full name of the key, such as `route booking.dials`, or `syntax`.
     pub key: String,
-    /// What is wrong, for people.
+    /// The description of the error, for people.
     pub reason: String,
 }
 
-/// Where something stands in the file.
+/// A position in the file.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Location {
     pub(crate) file: String,
     /// Counted from 1.
     pub(crate) line: usize,
-    /// In characters, counted from 1.
+    /// Counted from 1, in characters.
     pub(crate) column: usize,
 }
 
 impl Location {
+    /// Returns an error of this key at this position.
     pub(crate) fn error(&self, key: &str, reason: impl Into<String>) -> ConfigError {
         ConfigError {
             file: self.file.clone(),
@@ -56,7 +57,7 @@
     }
 }
 
-/// The errors if there are any, otherwise the value.
+/// Returns the errors if there are any, otherwise the value.
 pub(crate) fn value_unless<T>(errors: Vec<ConfigError>, value: T) -> Result<T, Vec<ConfigError>> {
     if errors.is_empty() {
         Ok(value)
@@ -65,7 +66,8 @@
     }
 }
 
-/// Sorts errors by location and drops those that several listeners have in common.
+/// Sorts errors by location and drops duplicates, which arise where a route breaks a rule in the
+/// same way for several listeners.
 pub(crate) fn sorted(mut errors: Vec<ConfigError>) -> Vec<ConfigError> {
     errors.sort();
     errors.dedup();
--- a/operator_config/src/key_names.rs
+++ b/operator_config/src/key_names.rs
@@ -1,7 +1,7 @@
-//! The names of keys as operators write them. Everywhere else the code uses the constants, whose
-//! names are those of the fields that the values end up in.
+//! The names of keys as operators write them. The rest of the code uses these constants, each of
+//! which is named after the field that holds the value.
 
-/// Keys of the whole file.
+/// Keys at the top level of the file.
 pub(crate) mod file {
     pub(crate) const ROUTES: &str = "route";
     pub(crate) const PEERS: &str = "peers";
--- a/operator_config/src/keys.rs
+++ b/operator_config/src/keys.rs
@@ -19,20 +19,20 @@
     Factor,
     /// Up to sixteen hexadecimal digits.
     KeyPrefix,
-    /// A hexadecimal number of sixteen digits, or a list of such.
+    /// A hexadecimal number of sixteen digits, or a list of such numbers.
     Keys,
     /// Text that is not empty.
     Text,
     /// An IP address with a port.
     Address,
-    /// An IP address with a port, or a list of such.
+    /// An IP address with a port, or a list of such addresses.
     Addresses,
     /// A table, or an array of tables.
     Table,
 }
 
 impl ValueKind {
-    /// The kind as errors and the reference page describe it.
+    /// Returns the description of the kind in errors and on the reference page.
     pub fn description(self) -> &'static str {
         match self {
             ValueKind::Name => "text: letters, digits and hyphens",
@@ -60,7 +60,7 @@
     pub kind: ValueKind,
     /// The meaning of the value, for the reference page.
     pub description: &'static str,
-    /// What is in force where a file leaves the key out, for the reference page.
+    /// The value in force where a file leaves the key out, for the reference page.
     pub default: &'static str,
 }
 
--- a/operator_config/src/lib.rs
+++ b/operator_config/src/lib.rs
@@ -5,7 +5,8 @@
 //! 1. `parsing` turns the text into [`OperatorConfig`]: typed sections whose values keep their
 //!    location in the file. The table of keys is [`keys`]; [`mod@reference`] prints it for people.
 //! 2. `rules` checks the sections against the deployment of one relay, a [`RelayContext`].
-//! 3. The result is a [`RouteTable`] for sessions and a [`PeersConfig`] for the link between relays.
+//! 3. The result is a [`RouteTable`] for sessions and a [`PeersConfig`] for the link between
+//!    relays.
 //!
 //! Each step reports every error of a file at once. The crate does no I/O.
 mod context;
@@ -38,7 +39,7 @@
 }
 
 impl OperatorConfig {
-    /// The number of routes that the file states.
+    /// Returns the number of routes in the file.
     pub fn route_count(&self) -> usize {
         self.routes.len()
     }
@@ -46,16 +47,17 @@
     /// Parses the text of `file`, whose name appears in errors only.
     ///
     /// # Errors
-    /// Everything that is wrong with the text by itself, in the order of the file.
+    /// All errors that the text has without regard to a deployment, in the order of the file.
     pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
         parsing::parse(file, text)
     }
 
-    /// The configuration of the link between relays with defaults filled in, or `None` where the
-    /// file has no such section.
+    /// Returns the configuration of the link between relays with defaults filled in, or `None`
+    /// where the file has no section `[peers]`.
     ///
     /// # Errors
-    /// Everything in the section that the deployment does not permit.
+    /// All errors in the section: values out of range, and a section that the deployment does not
+    /// permit.
     pub fn peers_config(
         &self,
         context: &RelayContext,
@@ -66,10 +68,10 @@
             .transpose()
     }
 
-    /// The routes of this file under the settings of a deployment.
+    /// Resolves the routes of this file for the settings of a deployment, with defaults filled in.
     ///
     /// # Errors
-    /// Everything that the deployment does not permit: unknown names and broken rules.
+    /// All unknown names and broken rules, or else the errors of [`OperatorConfig::peers_config`].
     pub fn resolve(
         &self,
         context: &RelayContext,
--- a/operator_config/src/parsing.rs
+++ b/operator_config/src/parsing.rs
@@ -1,4 +1,4 @@
-//! From text to sections. Nothing here knows a deployment.
+//! Parses the text of a file into sections, without regard to a deployment.
 use crate::OperatorConfig;
 use crate::error::{ConfigError, Located, Location, sorted, value_unless};
 use crate::key_names::{file, hedging, matching, peers, route};
@@ -16,7 +16,7 @@
 /// Parses a whole file.
 ///
 /// # Errors
-/// Everything that is wrong with the text by itself, sorted by location.
+/// All errors in the text, sorted by location.
 pub(crate) fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
     let mut parser = Parser {
         file,
@@ -26,10 +26,10 @@
     let (table, syntax_errors) = DeTable::parse_recoverable(text);
     for error in &syntax_errors {
         let reason = error.message().replace('\n', " ");
-        parser.error(error.span().unwrap_or(0..0), "syntax", reason);
+        parser.report(error.span().unwrap_or(0..0), "syntax", reason);
     }
     let config = if syntax_errors.is_empty() {
-        parser.file(&table)
+        parser.parse_file(&table)
     } else {
         OperatorConfig::default()
     };
@@ -53,40 +53,40 @@
         }
     }
 
-    fn error(&mut self, span: Range<usize>, key: &str, reason: impl Into<String>) {
+    fn report(&mut self, span: Range<usize>, key: &str, reason: impl Into<String>) {
         let error = self.location(span).error(key, reason);
         self.errors.push(error);
     }
 
-    fn file(&mut self, table: &Spanned<DeTable>) -> OperatorConfig {
+    fn parse_file(&mut self, table: &Spanned<DeTable>) -> OperatorConfig {
         let mut config = OperatorConfig::default();
-        self.section(table.get_ref(), table.span(), &keys::FILE, "");
+        self.parse_section(table.get_ref(), table.span(), &keys::FILE, "");
         for (name, value) in table.get_ref().iter() {
             match name.get_ref().as_ref() {
-                file::ROUTES => config.routes = self.routes(value),
-                file::PEERS => config.peers = self.peers(value),
+                file::ROUTES => config.routes = self.parse_routes(value),
+                file::PEERS => config.peers = self.parse_peers(value),
                 _ => {}
             }
         }
         config
     }
 
-    fn routes(&mut self, value: &Spanned<DeValue>) -> Vec<RouteSection> {
-        const NOT_A_HEADED_TABLE: &str = "routes are tables headed [[route]]";
+    fn parse_routes(&mut self, value: &Spanned<DeValue>) -> Vec<RouteSection> {
+        const NOT_A_HEADED_TABLE: &str = "each route must be a table headed [[route]]";
         let mut routes: Vec<RouteSection> = Vec::new();
         let DeValue::Array(items) = value.get_ref() else {
-            // Any other value was reported as not being a table when the file's keys were parsed.
+            // `parse_section` has reported any other value, since the key holds a table.
             if let DeValue::Table(_) = value.get_ref() {
-                self.error(value.span(), file::ROUTES, NOT_A_HEADED_TABLE);
+                self.report(value.span(), file::ROUTES, NOT_A_HEADED_TABLE);
             }
             return routes;
         };
         for item in items.iter() {
             let DeValue::Table(table) = item.get_ref() else {
-                self.error(item.span(), file::ROUTES, NOT_A_HEADED_TABLE);
+                self.report(item.span(), file::ROUTES, NOT_A_HEADED_TABLE);
                 continue;
             };
-            let Some(parsed) = self.route(table, item.span(), routes.len()) else {
+            let Some(parsed) = self.parse_route(table, item.span(), routes.len()) else {
                 continue;
             };
             if let Some(same) = routes.iter().find(|other| other.name == parsed.name) {
@@ -99,7 +99,12 @@
         routes
     }
 
-    fn route(&mut self, table: &DeTable, span: Range<usize>, index: usize) -> Option<RouteSection> {
+    fn parse_route(
+        &mut self,
+        table: &DeTable,
+        span: Range<usize>,
+        index: usize,
+    ) -> Option<RouteSection> {
         let name = table
             .iter()
             .find(|(key, _)| key.get_ref() == route::NAME)
@@ -109,14 +114,14 @@
             });
         let label = name.clone().unwrap_or_else(|| (index + 1).to_string());
         let prefix = format!("route {label}");
-        let mut values = self.section(table, span.clone(), &keys::ROUTE, &prefix);
+        let mut values = self.parse_section(table, span.clone(), &keys::ROUTE, &prefix);
         let Some(name) = name else {
-            self.error(span, &prefix, "name: it must be stated");
+            self.report(span, &prefix, "name: it must be stated");
             return None;
         };
         Some(RouteSection {
             name,
-            matching: self.matching(table, &prefix),
+            matching: self.parse_match(table, &prefix),
             handshake_objective: values.duration(route::HANDSHAKE_OBJECTIVE),
             handshake_timeout: values.duration(route::HANDSHAKE_TIMEOUT),
             connect_timeout: values.duration(route::CONNECT_TIMEOUT),
@@ -129,17 +134,17 @@
             idle_timeout: values.duration(route::IDLE_TIMEOUT),
             retry_share: values.number(route::RETRY_SHARE),
             max_sessions: values.count(route::MAX_SESSIONS),
-            hedging: self.hedging(table, &prefix),
+            hedging: self.parse_hedging(table, &prefix),
             location: values.location,
         })
     }
 
-    fn matching(&mut self, route: &DeTable, prefix: &str) -> MatchSection {
+    fn parse_match(&mut self, route: &DeTable, prefix: &str) -> MatchSection {
         let Some((table, span)) = inner_table(route, route::MATCH) else {
             return MatchSection::default();
         };
         let prefix = format!("{prefix}.{}", route::MATCH);
-        let mut values = self.section(table, span, &keys::MATCH, &prefix);
+        let mut values = self.parse_section(table, span, &keys::MATCH, &prefix);
         MatchSection {
             listeners: values.texts(matching::LISTENERS),
             zones: values.texts(matching::ZONES),
@@ -148,10 +153,10 @@
         }
     }
 
-    fn hedging(&mut self, route: &DeTable, prefix: &str) -> Option<Located<HedgingSection>> {
+    fn parse_hedging(&mut self, route: &DeTable, prefix: &str) -> Option<Located<HedgingSection>> {
         let (table, span) = inner_table(route, route::HEDGING)?;
         let prefix = format!("{prefix}.{}", route::HEDGING);
-        let mut values = self.section(table, span, &keys::HEDGING, &prefix);
+        let mut values = self.parse_section(table, span, &keys::HEDGING, &prefix);
         let section = HedgingSection {
             quantile: values.number(hedging::QUANTILE),
             min_delay: values.duration(hedging::MIN_DELAY),
@@ -164,18 +169,22 @@
         })
     }
 
-    fn peers(&mut self, value: &Spanned<DeValue>) -> Option<PeersSection> {
+    fn parse_peers(&mut self, value: &Spanned<DeValue>) -> Option<PeersSection> {
         let DeValue::Table(table) = value.get_ref() else {
             if let DeValue::Array(_) = value.get_ref() {
-                self.error(value.span(), file::PEERS, "one table headed [peers]");
+                self.report(
+                    value.span(),
+                    file::PEERS,
+                    "it must be one table headed [peers]",
+                );
             }
             return None;
         };
-        let mut values = self.section(table, value.span(), &keys::PEERS, file::PEERS);
+        let mut values = self.parse_section(table, value.span(), &keys::PEERS, file::PEERS);
         for key in [peers::FLEET, peers::LISTEN, peers::KEY_FILE] {
             if !table.iter().any(|(name, _)| name.get_ref() == key) {
                 let reason = format!("{key}: it must be stated");
-                self.error(value.span(), file::PEERS, reason);
+                self.report(value.span(), file::PEERS, reason);
             }
         }
         Some(PeersSection {
@@ -194,9 +203,9 @@
         })
     }
 
-    /// Parses the values of one table; unknown keys and values of another kind become errors.
-    /// `prefix` is what errors print before each key.
-    fn section(
+    /// Parses the values of one table, and reports unknown keys and values of the wrong kind.
+    /// Errors print `prefix` before each key.
+    fn parse_section(
         &mut self,
         table: &DeTable,
         span: Range<usize>,
@@ -211,12 +220,12 @@
             };
             let Some(key) = section.keys.iter().find(|key| key.name == name.get_ref()) else {
                 let reason = unknown_key(section, name.get_ref());
-                self.error(name.span(), &full_key, reason);
+                self.report(name.span(), &full_key, reason);
                 continue;
             };
             let Some(parsed) = value::parse(key.kind, value.get_ref()) else {
                 let reason = format!("it holds {}", key.kind.description());
-                self.error(value.span(), &full_key, reason);
+                self.report(value.span(), &full_key, reason);
                 continue;
             };
             let location = self.location(value.span());
@@ -242,6 +251,8 @@
     }
 }
 
+/// Returns the table at this key with its span, or `None` where the key is absent or holds no
+/// table.
 fn inner_table<'a>(table: &'a DeTable<'a>, key: &str) -> Option<(&'a DeTable<'a>, Range<usize>)> {
     let (_, value) = table.iter().find(|(name, _)| name.get_ref() == key)?;
     match value.get_ref() {
@@ -250,14 +261,14 @@
     }
 }
 
-/// The well-formed values of one table, by key. Each method takes the value of one key out.
+/// The valid values of one table, by key. Each method removes the value of one key and returns it.
 struct SectionValues {
     values: BTreeMap<&'static str, Located<Value>>,
     location: Location,
 }
 
 impl SectionValues {
-    fn take<T>(
+    fn take_as<T>(
         &mut self,
         key: &str,
         convert: impl FnOnce(Value) -> Option<T>,
@@ -266,7 +277,7 @@
     }
 
     fn texts(&mut self, key: &str) -> Option<Located<Vec<String>>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::Texts(texts) => Some(texts),
             _ => None,
         })
@@ -277,28 +288,28 @@
     }
 
     fn duration(&mut self, key: &str) -> Option<Located<Duration>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::Duration(duration) => Some(duration),
             _ => None,
         })
     }
 
     fn count(&mut self, key: &str) -> Option<Located<u32>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::Count(count) => Some(count),
             _ => None,
         })
     }
 
     fn number(&mut self, key: &str) -> Option<Located<f64>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::Number(number) => Some(number),
             _ => None,
         })
     }
 
     fn addresses(&mut self, key: &str) -> Option<Located<Vec<SocketAddr>>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::Addresses(addresses) => Some(addresses),
             _ => None,
         })
@@ -310,14 +321,14 @@
     }
 
     fn key_prefix(&mut self, key: &str) -> Option<Located<KeyPrefix>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::KeyPrefix(prefix) => Some(prefix),
             _ => None,
         })
     }
 
     fn keys(&mut self, key: &str) -> Option<Located<Vec<u64>>> {
-        self.take(key, |value| match value {
+        self.take_as(key, |value| match value {
             Value::Keys(keys) => Some(keys),
             _ => None,
         })
--- a/operator_config/src/peers.rs
+++ b/operator_config/src/peers.rs
@@ -1,4 +1,4 @@
-//! The configuration of the link between relays: checks and defaults.
+//! The configuration of the link between relays, with its checks and defaults.
 use crate::context::RelayContext;
 use crate::effective::format_duration;
 use crate::error::{ConfigError, Located, Location, value_unless};
@@ -13,7 +13,7 @@
 pub struct PeersConfig {
     /// The fleet's name. Relays drop datagrams of other fleets.
     pub fleet: String,
-    /// The address that datagrams are received at.
+    /// The address at which datagrams are received (UDP).
     pub listen: SocketAddr,
     /// The address at which other relays reach this one.
     pub advertise: SocketAddr,
@@ -29,7 +29,7 @@
     pub voters: Vec<String>,
     /// The voters of the previous generation, during a change of voters.
     pub previous_voters: Vec<String>,
-    /// Incremented with each change of the voters.
+    /// The configuration generation, incremented with each change of the voters.
     pub generation: u32,
     /// The duration of a lease.
     pub lease_duration: Duration,
@@ -49,6 +49,9 @@
 const MAX_VOTERS: usize = 7;
 
 /// Checks a section and fills in defaults.
+///
+/// # Errors
+/// All errors of the section.
 pub(crate) fn resolve(
     section: &PeersSection,
     context: &RelayContext,
@@ -68,7 +71,7 @@
     PeersConfig {
         fleet: section.fleet.value.clone(),
         listen: section.listen.value,
-        advertise: advertise(section).value,
+        advertise: advertise_address(section).value,
         key_file: section.key_file.value.clone(),
         seeds: value_or(&section.seeds, Vec::new()),
         probe_interval: value_or(&section.probe_interval, DEFAULT_PROBE_INTERVAL),
@@ -86,7 +89,8 @@
         .map_or(default, |stated| stated.value.clone())
 }
 
-fn advertise(section: &PeersSection) -> &Located<SocketAddr> {
+/// Returns the advertised address, which is the listen address where none is stated.
+fn advertise_address(section: &PeersSection) -> &Located<SocketAddr> {
     section.advertise.as_ref().unwrap_or(&section.listen)
 }
 
@@ -100,15 +104,17 @@
 
 fn check_permission(section: &PeersSection, context: &RelayContext, errors: &mut Vec<ConfigError>) {
     if !context.may_use_peers {
-        let reason = "the settings do not allow talk between instances (permissions.peers)";
+        let reason = "the settings do not allow relays to exchange messages (permissions.peers)";
         errors.push(section.location.error(file::PEERS, reason));
     }
 }
 
 fn check_advertise(section: &PeersSection, errors: &mut Vec<ConfigError>) {
-    let Located { value, location } = advertise(section);
+    let Located { value, location } = advertise_address(section);
     if value.ip().is_unspecified() || value.port() == 0 {
-        let reason = format!("others can't reach {value}: `advertise` has to say where they can");
+        let reason = format!(
+            "other relays can't reach {value}: set `advertise` to an address that they can reach"
+        );
         errors.push(error(location, key::ADVERTISE, reason));
     }
 }
@@ -145,13 +151,14 @@
         && stated.value < MIN_BYTES_PER_SECOND
     {
         let value = stated.value;
-        let reason = format!("{value} bytes a second are too few, {MIN_BYTES_PER_SECOND} at least");
+        let reason =
+            format!("{value} bytes per second are below the minimum of {MIN_BYTES_PER_SECOND}");
         errors.push(error(&stated.location, key::MAX_BYTES_PER_SECOND, reason));
     }
     if let Some(seeds) = &section.seeds
         && seeds.value.len() > MAX_SEEDS
     {
-        let reason = format!("{MAX_SEEDS} at most");
+        let reason = format!("at most {MAX_SEEDS} addresses are allowed");
         errors.push(error(&seeds.location, key::SEEDS, reason));
     }
 }
@@ -162,21 +169,26 @@
     };
     let repeated = (1..value.len()).find(|&index| value[..index].contains(&value[index]));
     if let Some(index) = repeated {
-        let reason = format!("{} stands twice", value[index]);
+        let reason = format!("{} is listed twice", value[index]);
         errors.push(error(location, key, reason));
     }
     if value.len() > MAX_VOTERS {
-        errors.push(error(location, key, format!("{MAX_VOTERS} at most")));
+        errors.push(error(
+            location,
+            key,
+            format!("at most {MAX_VOTERS} voters are allowed"),
+        ));
     }
 }
 
-/// Previous voters are stated during a change of voters only, which starts a later generation.
+/// Checks that previous voters are stated only during a change of voters, which starts a later
+/// generation.
 fn check_previous_voters(section: &PeersSection, errors: &mut Vec<ConfigError>) {
     let is_change = section.voters.is_some() && generation(section) > FIRST_GENERATION;
     if let Some(previous) = &section.previous_voters
         && !is_change
     {
-        let reason = "it goes with `voters` and a `generation` above 1";
+        let reason = "it requires `voters` and a `generation` above 1";
         errors.push(error(&previous.location, key::PREVIOUS_VOTERS, reason));
     }
 }
--- a/operator_config/src/reference.rs
+++ b/operator_config/src/reference.rs
@@ -9,7 +9,7 @@
 `charter.md` describes how the file is used.
 ";
 
-/// The whole page, in Markdown.
+/// Returns the whole page, in Markdown.
 pub fn reference_page() -> String {
     let mut page = String::from(INTRODUCTION);
     for section in SECTIONS {
--- a/operator_config/src/route_table.rs
+++ b/operator_config/src/route_table.rs
@@ -9,23 +9,24 @@
 /// The [`Route::limits_id`] of sessions that no route matches.
 const DEFAULT_LIMITS_ID: u32 = 0;
 
-/// The numbers by which limits and counts of a route are kept, by the route's name. A name keeps
-/// its number when the file is read again, so that counting goes on.
+/// The [`Route::limits_id`] of each route, by the route's name. A name keeps its id when the file
+/// is read again, so that the counts of its sessions continue.
 #[derive(Clone, Debug, Default)]
 pub struct LimitsIds(BTreeMap<String, u32>);
 
 impl LimitsIds {
+    /// Returns the id of a route, and assigns one to a new name.
     fn get_or_assign(&mut self, name: &str) -> u32 {
         let next = DEFAULT_LIMITS_ID + 1 + self.0.len() as u32;
         *self.0.entry(name.to_string()).or_insert(next)
     }
 }
 
-/// What sessions of one listener have to satisfy for one row of the table.
+/// The conditions under which sessions of one listener belong to one row of the table.
 #[derive(Clone, Debug, PartialEq)]
 struct RouteMatch {
     key_prefix: Option<KeyPrefix>,
-    /// Empty for any group, and for none.
+    /// The permitted groups. Where empty, any group and no group are permitted.
     groups: Vec<u64>,
     row: usize,
 }
@@ -38,11 +39,12 @@
     }
 }
 
-/// The rows that sessions of one listener may have.
+/// The rows that sessions of one listener may belong to.
 #[derive(Clone, Debug, PartialEq)]
 struct ListenerRoutes {
-    /// In the order of the file. The first match counts.
+    /// The rows of routes in the order of the file, of which the first that matches is used.
     matches: Vec<RouteMatch>,
+    /// The row of sessions that no route matches.
     default_row: usize,
 }
 
@@ -52,13 +54,13 @@
 pub struct RouteTable {
     rows: Vec<Route>,
     timeouts: Vec<SessionTimeouts>,
-    /// In the order of the context's listeners.
+    /// The rows of each listener, in the order of the context's listeners.
     listeners: Vec<ListenerRoutes>,
     values: Vec<EffectiveValue>,
 }
 
 impl RouteTable {
-    /// The table without a file: every listener has one row, at its own index.
+    /// Returns the table without a file: every listener has one row, at its own index.
     pub fn from_settings(context: &RelayContext) -> RouteTable {
         RouteTable::new(&[], context, &mut LimitsIds::default())
     }
@@ -110,30 +112,33 @@
         self.rows.len() - 1
     }
 
-    /// The row of a session, given the index of its listener among the context's, its client's key
-    /// and its group. Takes time in proportion to the number of routes.
+    /// Returns the row of a session, given the index of its listener in the context, its client's
+    /// key and its group. Takes time in proportion to the number of routes.
     pub fn route_for(&self, listener: usize, key: u64, group: Option<u64>) -> usize {
         let routes = &self.listeners[listener];
-        let first = routes.matches.iter().find(|one| one.matches(key, group));
+        let first = routes
+            .matches
+            .iter()
+            .find(|route| route.matches(key, group));
         first.map_or(routes.default_row, |first| first.row)
     }
 
-    /// The limits of all rows.
+    /// Returns the limits of all rows.
     pub fn rows(&self) -> &[Route] {
         &self.rows
     }
 
-    /// The timeouts of one row.
+    /// Returns the timeouts of one row.
     pub fn timeouts(&self, row: usize) -> SessionTimeouts {
         self.timeouts[row]
     }
 
-    /// All values in force, row by row.
+    /// Returns all values in force, row by row.
     pub fn effective_values(&self) -> &[EffectiveValue] {
         &self.values
     }
 
-    /// The differences between this table and a later one, one line each.
+    /// Describes the differences between this table and a later one, one line each.
     pub fn changes_to(&self, later: &RouteTable) -> Vec<String> {
         let (before, after) = (self.values_by_key(), later.values_by_key());
         let (old_rows, new_rows) = (rows_of(&before), rows_of(&after));
@@ -143,13 +148,13 @@
             .map(|(route, listener)| format!("route {route} for {listener} is new"))
             .chain(removed.map(|(route, listener)| format!("route {route} for {listener} is gone")))
             .collect();
-        for (place, value) in &after {
-            if let Some(old) = before.get(place).filter(|old| *old != value) {
+        for (value_key, value) in &after {
+            if let Some(old) = before.get(value_key).filter(|old| *old != value) {
                 let ValueKey {
                     route,
                     listener,
                     key,
-                } = place;
+                } = value_key;
                 lines.push(format!("{route}.{key} for {listener}: {old} -> {value}"));
             }
         }
@@ -169,7 +174,7 @@
     }
 }
 
-/// Identifies a value in force. The order of the fields is that of the lines of
+/// The identity of a value in force. The order of the fields determines the order of the lines of
 /// [`RouteTable::changes_to`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct ValueKey<'a> {
@@ -178,14 +183,14 @@
     key: &'static str,
 }
 
-/// The route and listener of each row, without repetitions.
+/// Returns the route and listener of each row, without repetitions.
 fn rows_of<'a>(values: &BTreeMap<ValueKey<'a>, &str>) -> Vec<(&'a str, &'a str)> {
     let mut rows: Vec<_> = values.keys().map(|key| (key.route, key.listener)).collect();
     rows.dedup();
     rows
 }
 
-/// Whether some sessions of this listener at this relay match the route.
+/// Returns whether the route can match sessions of this listener at this relay.
 pub(crate) fn applies_to(
     section: &RouteSection,
     listener: &ListenerDefaults,
--- a/operator_config/src/rules/limits.rs
+++ b/operator_config/src/rules/limits.rs
@@ -1,4 +1,5 @@
-//! The limits of a route have to fit one another, the listeners that it matches and the relay.
+//! The rules that the limits of a route are consistent with each other, with the listeners that the
+//! route matches, and with the relay.
 use crate::context::{ListenerDefaults, RelayContext};
 use crate::effective::{self, SessionTimeouts, format_duration, idempotency_name, resolve_hedging};
 use crate::error::{ConfigError, Located, Location};
@@ -8,11 +9,11 @@
 use thistlecroft::deployment::{Hedging, Idempotency, Route};
 use thistlecroft::time::Duration;
 
-/// Each session holds its client's connection and one to a backend.
+/// The number of descriptors of a session: its client's connection and one to a backend.
 const DESCRIPTORS_PER_SESSION: usize = 2;
 
 /// A route together with one listener that it matches.
-struct Case<'a> {
+struct RouteListenerPair<'a> {
     section: &'a RouteSection,
     listener: &'a ListenerDefaults,
     route: Route,
@@ -20,7 +21,7 @@
     context: &'a RelayContext,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 struct Violation {
     key: String,
     location: Location,
@@ -37,8 +38,8 @@
     }
 }
 
-/// The rules for one route and one listener. Each returns `None` where the route keeps it.
-const RULES: &[fn(&Case) -> Option<Violation>] = &[
+/// The rules for a route and a listener. Each returns `None` where the route keeps the rule.
+const RULES: &[fn(&RouteListenerPair) -> Option<Violation>] = &[
     handshake_timeout_within_client_timeout,
     objective_within_handshake_timeout,
     connect_timeouts_within_handshake_timeout,
@@ -57,21 +58,21 @@
     let listeners = context.listeners.iter();
     for listener in listeners.filter(|listener| applies_to(section, listener, context)) {
         let effective = effective::resolve(Some(section), listener, 0);
-        let case = Case {
+        let pair = RouteListenerPair {
             section,
             listener,
             route: effective.route,
             timeouts: effective.timeouts,
             context,
         };
-        for violation in RULES.iter().filter_map(|rule| rule(&case)) {
+        for violation in RULES.iter().filter_map(|rule| rule(&pair)) {
             let key = section.full_key(&violation.key);
             errors.push(violation.location.error(&key, violation.reason));
         }
     }
 }
 
-/// The session limits of all routes together have to fit the relay's descriptors.
+/// Checks that the relay has descriptors for the session limits of all routes together.
 pub(super) fn check_descriptors(
     routes: &[RouteSection],
     context: &RelayContext,
@@ -94,7 +95,7 @@
             .map(|(route, sessions)| format!("{} {}", route.name, sessions.value))
             .collect();
         let reason = format!(
-            "together ({}) they take {needed} descriptors, two a session; there are {} for sessions",
+            "all limits together ({}) take {needed} descriptors, two per session; {} are available",
             parts.join(", "),
             context.descriptors
         );
@@ -103,83 +104,87 @@
     }
 }
 
-impl Case<'_> {
-    /// The longest that a session may take for its answer.
-    fn answer_due(&self) -> Duration {
+impl RouteListenerPair<'_> {
+    /// Returns the time within which a client has to be answered: the handshake timeout of the
+    /// route, but no longer than the client waits.
+    fn handshake_limit(&self) -> Duration {
         let client_timeout = self.listener.client_timeout;
         let stated = self.timeouts.handshake_timeout;
         stated.map_or(client_timeout, |stated| stated.min(client_timeout))
     }
 
-    /// The hedging of the route, where it states any, and where it does.
+    /// Returns the hedging of the route and its location in the file, or `None` where the route
+    /// states none.
     fn hedging(&self) -> Option<(Hedging, &Location)> {
         let stated = self.section.hedging.as_ref()?;
         let hedging = resolve_hedging(&stated.value, self.route.handshake_objective);
         Some((hedging, &stated.location))
     }
 
+    /// Returns the location of the shortest hedge delay, or of the section where it is left out.
     fn min_hedge_delay_location(&self) -> Option<&Location> {
         let stated = self.section.hedging.as_ref()?;
         location(&stated.value.min_delay).or(Some(&stated.location))
     }
 }
 
+/// Returns the location of a stated value.
 fn location<T>(stated: &Option<Located<T>>) -> Option<&Location> {
     stated.as_ref().map(|stated| &stated.location)
 }
 
-fn handshake_timeout_within_client_timeout(case: &Case) -> Option<Violation> {
-    let stated = case.section.handshake_timeout.as_ref()?;
-    let client_timeout = case.listener.client_timeout;
+fn handshake_timeout_within_client_timeout(pair: &RouteListenerPair) -> Option<Violation> {
+    let stated = pair.section.handshake_timeout.as_ref()?;
+    let client_timeout = pair.listener.client_timeout;
     if stated.value <= client_timeout {
         return None;
     }
     let reason = format!(
-        "{} is longer than clients of {} wait ({}): they would have left",
+        "{} is longer than clients of {} wait ({}): they would disconnect first",
         format_duration(stated.value),
-        case.listener.name,
+        pair.listener.name,
         format_duration(client_timeout)
     );
     Violation::new(key::HANDSHAKE_TIMEOUT, &stated.location, reason)
 }
 
-fn objective_within_handshake_timeout(case: &Case) -> Option<Violation> {
-    let (objective, due) = (case.route.handshake_objective, case.answer_due());
-    let location = location(&case.section.handshake_objective)
-        .or(location(&case.section.handshake_timeout))?;
-    if objective <= due {
+fn objective_within_handshake_timeout(pair: &RouteListenerPair) -> Option<Violation> {
+    let (objective, limit) = (pair.route.handshake_objective, pair.handshake_limit());
+    let location = location(&pair.section.handshake_objective)
+        .or(location(&pair.section.handshake_timeout))?;
+    if objective <= limit {
         return None;
     }
     let reason = format!(
-        "{} is past the time in which {} is answered ({})",
+        "{} is longer than the handshake timeout of {} ({})",
         format_duration(objective),
-        case.listener.name,
-        format_duration(due)
+        pair.listener.name,
+        format_duration(limit)
     );
     Violation::new(key::HANDSHAKE_OBJECTIVE, location, reason)
 }
 
-fn connect_timeouts_within_handshake_timeout(case: &Case) -> Option<Violation> {
-    let (attempts, each) = (case.route.max_attempts, case.route.connect_timeout);
-    let due = case.answer_due();
-    let location = location(&case.section.max_attempts)
-        .or(location(&case.section.connect_timeout))
-        .or(location(&case.section.handshake_timeout))?;
-    if each * f64::from(attempts) <= due {
+fn connect_timeouts_within_handshake_timeout(pair: &RouteListenerPair) -> Option<Violation> {
+    let (attempts, connect_timeout) = (pair.route.max_attempts, pair.route.connect_timeout);
+    let limit = pair.handshake_limit();
+    let location = location(&pair.section.max_attempts)
+        .or(location(&pair.section.connect_timeout))
+        .or(location(&pair.section.handshake_timeout))?;
+    if connect_timeout * f64::from(attempts) <= limit {
         return None;
     }
     let reason = format!(
-        "dials {attempts} x connect_time {} is past the dial timeout of {}, {}: the last could not come up",
-        format_duration(each),
-        case.listener.name,
-        format_duration(due)
+        "dials {attempts} x connect_time {} is longer than the handshake timeout of {} ({}): the last attempt could not connect",
+        format_duration(connect_timeout),
+        pair.listener.name,
+        format_duration(limit)
     );
     Violation::new(key::MAX_ATTEMPTS, location, reason)
 }
 
-fn backoff_base_within_cap(case: &Case) -> Option<Violation> {
-    let (base, cap) = (case.route.backoff_base, case.route.backoff_cap);
-    let location = location(&case.section.backoff_base).or(location(&case.section.backoff_cap))?;
+fn backoff_base_within_cap(pair: &RouteListenerPair) -> Option<Violation> {
+    let (base, cap) = (pair.route.backoff_base, pair.route.backoff_cap);
+    let location = location(&pair.section.backoff_base).or(location(&pair.section.backoff_cap))?;
     if base <= cap {
         return None;
     }
@@ -191,87 +196,86 @@
     Violation::new(key::BACKOFF_BASE, location, reason)
 }
 
-fn retry_after_within_settings(case: &Case) -> Option<Violation> {
-    let permitted = case.listener.route.max_retry_after;
-    let stated = case.section.max_retry_after.as_ref()?;
+fn retry_after_within_settings(pair: &RouteListenerPair) -> Option<Violation> {
+    let permitted = pair.listener.route.max_retry_after;
+    let stated = pair.section.max_retry_after.as_ref()?;
     if stated.value <= permitted {
         return None;
     }
     let reason = format!(
-        "{} is longer than the settings let clients stay away ({})",
+        "{} is longer than the settings' maxRetryAfterUs ({})",
         format_duration(stated.value),
         format_duration(permitted)
     );
     Violation::new(key::MAX_RETRY_AFTER, &stated.location, reason)
 }
 
-fn attempts_within_deduplication_window(case: &Case) -> Option<Violation> {
-    let Idempotency::Keyed { window, .. } = case.route.idempotency else {
+fn attempts_within_deduplication_window(pair: &RouteListenerPair) -> Option<Violation> {
+    let Idempotency::Keyed { window, .. } = pair.route.idempotency else {
         return None;
     };
     let location =
-        location(&case.section.max_attempts).or(location(&case.section.handshake_objective))?;
-    let (attempts, objective) = (case.route.max_attempts, case.route.handshake_objective);
+        location(&pair.section.max_attempts).or(location(&pair.section.handshake_objective))?;
+    let (attempts, objective) = (pair.route.max_attempts, pair.route.handshake_objective);
     let last_attempt = objective * f64::from(attempts.saturating_sub(1));
     if last_attempt < window {
         return None;
     }
     let reason = format!(
-        "dials {attempts} a handshake_target of {} apart end {} after the first, when the mark of {} is forgotten ({})",
+        "dials {attempts} with handshake_target {}: the last starts {} after the first, not within the deduplication window of {} ({})",
         format_duration(objective),
         format_duration(last_attempt),
-        case.listener.name,
+        pair.listener.name,
         format_duration(window)
     );
     Violation::new(key::MAX_ATTEMPTS, location, reason)
 }
 
-fn idle_timeout_above_stable_time(case: &Case) -> Option<Violation> {
-    let stated = case.section.idle_timeout.as_ref()?;
-    let stable_after = case.route.stable_after;
+fn idle_timeout_above_stable_time(pair: &RouteListenerPair) -> Option<Violation> {
+    let stated = pair.section.idle_timeout.as_ref()?;
+    let stable_after = pair.route.stable_after;
     if stated.value > stable_after {
         return None;
     }
     let reason = format!(
-        "idle {} is no longer than cool_down {}: no connection would clear its client",
+        "idle {} is not longer than cool_down {}: an idle connection would never reset its client's failure count",
         format_duration(stated.value),
         format_duration(stable_after)
     );
     Violation::new(key::IDLE_TIMEOUT, &stated.location, reason)
 }
 
-fn hedging_of_idempotent_sessions_only(case: &Case) -> Option<Violation> {
-    let (_, location) = case.hedging()?;
-    if case.route.idempotency == Idempotency::Idempotent {
+fn hedging_of_idempotent_sessions_only(pair: &RouteListenerPair) -> Option<Violation> {
+    let (_, location) = pair.hedging()?;
+    if pair.route.idempotency == Idempotency::Idempotent {
         return None;
     }
-    let name = &case.listener.name;
-    let effect = idempotency_name(case.route.idempotency);
-    let reason = format!("{name} is {effect}: two dials at once would have its effect twice");
+    let name = &pair.listener.name;
+    let effect = idempotency_name(pair.route.idempotency);
+    let reason = format!("{name} is {effect}: two attempts at once could both take effect");
     Violation::new(key::HEDGING, location, reason)
 }
 
-fn hedging_permitted_by_settings(case: &Case) -> Option<Violation> {
-    let (_, location) = case.hedging()?;
-    if case.context.may_hedge {
+fn hedging_permitted_by_settings(pair: &RouteListenerPair) -> Option<Violation> {
+    let (_, location) = pair.hedging()?;
+    if pair.context.may_hedge {
         return None;
     }
-    let reason =
-        "the settings allow one dial at a time (parallelTries), or none to be given up (mayCancel)";
+    let reason = "the settings permit only one dial at a time (parallelTries) or forbid cancelling it (mayCancel)";
     Violation::new(key::HEDGING, location, reason.to_string())
 }
 
-fn hedging_with_two_attempts(case: &Case) -> Option<Violation> {
-    let (_, location) = case.hedging()?;
-    if case.route.max_attempts >= 2 {
+fn hedging_with_two_attempts(pair: &RouteListenerPair) -> Option<Violation> {
+    let (_, location) = pair.hedging()?;
+    if pair.route.max_attempts >= 2 {
         return None;
     }
-    let reason = "dials is 1: there is no second".to_string();
+    let reason = "dials is 1: a hedged attempt needs at least 2".to_string();
     Violation::new(key::HEDGING, location, reason)
 }
 
-fn hedge_delays_in_order(case: &Case) -> Option<Violation> {
-    let (hedging, _) = case.hedging()?;
+fn hedge_delays_in_order(pair: &RouteListenerPair) -> Option<Violation> {
+    let (hedging, _) = pair.hedging()?;
     if hedging.min_delay <= hedging.max_delay {
         return None;
     }
@@ -282,30 +286,31 @@
     );
     Violation::new(
         min_hedge_delay_key(),
-        case.min_hedge_delay_location()?,
+        pair.min_hedge_delay_location()?,
         reason,
     )
 }
 
-fn hedge_delay_within_handshake_timeout(case: &Case) -> Option<Violation> {
-    let (hedging, _) = case.hedging()?;
-    let due = case.answer_due();
-    if hedging.min_delay < due {
+fn hedge_delay_within_handshake_timeout(pair: &RouteListenerPair) -> Option<Violation> {
+    let (hedging, _) = pair.hedging()?;
+    let limit = pair.handshake_limit();
+    if hedging.min_delay < limit {
         return None;
     }
     let reason = format!(
-        "least {}: {} is answered by then ({})",
+        "least {} is not shorter than the handshake timeout of {} ({})",
         format_duration(hedging.min_delay),
-        case.listener.name,
-        format_duration(due)
+        pair.listener.name,
+        format_duration(limit)
     );
     Violation::new(
         min_hedge_delay_key(),
-        case.min_hedge_delay_location()?,
+        pair.min_hedge_delay_location()?,
         reason,
     )
 }
 
+/// Returns the key of the shortest hedge delay, relative to the route.
 fn min_hedge_delay_key() -> String {
     format!("{}.{}", key::HEDGING, hedging::MIN_DELAY)
 }
--- a/operator_config/src/rules/names.rs
+++ b/operator_config/src/rules/names.rs
@@ -1,4 +1,4 @@
-//! The listeners and zones that a route names have to exist.
+//! The rule that the listeners and zones that a route names exist in the deployment.
 use crate::context::RelayContext;
 use crate::error::{ConfigError, Located};
 use crate::key_names::{matching, route};
@@ -22,6 +22,7 @@
     ));
 }
 
+/// Returns an error for each name of `key` that is not among the `known` names.
 fn unknown_names(
     section: &RouteSection,
     key: &str,
@@ -36,7 +37,7 @@
     let errors = unknown.map(|name| {
         let hint = match closest_name(known.iter().copied(), name) {
             Some(similar) => format!("is it \"{similar}\"?"),
-            None => format!("there are {}", known.join(", ")),
+            None => format!("the settings have {}", known.join(", ")),
         };
         location.error(&full_key, format!("there is no {key} \"{name}\"; {hint}"))
     });
--- a/operator_config/src/rules/overlap.rs
+++ b/operator_config/src/rules/overlap.rs
@@ -1,4 +1,4 @@
-//! A route must not be unreachable behind an earlier one.
+//! The rule that a route is not made unreachable by an earlier one.
 use crate::context::RelayContext;
 use crate::error::{ConfigError, Located};
 use crate::key_names::route;
@@ -13,7 +13,7 @@
         let mut earlier = routes[..index].iter();
         if let Some(first) = earlier.find(|first| covers(first, route, context)) {
             let reason = format!(
-                "it can never match: route {} of line {}, tried before it, takes all that it would",
+                "it can never match: route {} of line {}, tried before it, matches all of its sessions",
                 first.name, first.location.line
             );
             let key = route.full_key(route::MATCH);
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whether every session that matches `narrow` also matches `wide`.
+/// Returns whether every session that matches `narrow` also matches `wide`.
 fn covers(wide: &RouteSection, narrow: &RouteSection, context: &RelayContext) -> bool {
     let (wide, narrow): (&MatchSection, &MatchSection) = (&wide.matching, &narrow.matching);
     covers_names(
@@ -34,7 +34,8 @@
         && covers_groups(&wide.groups, &narrow.groups)
 }
 
-/// A list that is left out stands for all names of the deployment.
+/// Returns whether `wide` includes every name of `narrow`. A list that is left out stands for all
+/// names of the deployment.
 fn covers_names(
     wide: &Option<Located<Vec<String>>>,
     narrow: &Option<Located<Vec<String>>>,
@@ -56,7 +57,8 @@
     }
 }
 
-/// A list that is left out stands for every group and for sessions without one.
+/// Returns whether `wide` includes every group of `narrow`. A list that is left out stands for
+/// every group and for sessions without one.
 fn covers_groups(wide: &Option<Located<Vec<u64>>>, narrow: &Option<Located<Vec<u64>>>) -> bool {
     match (wide, narrow) {
         (None, _) => true,
--- a/operator_config/src/sections.rs
+++ b/operator_config/src/sections.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use thistlecroft::time::Duration;
 
-/// `[[route]]`.
+/// The section `[[route]]`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RouteSection {
     pub(crate) name: String,
@@ -25,13 +25,13 @@
 }
 
 impl RouteSection {
-    /// The full name of one of this route's keys, as errors print it.
+    /// Returns the full name of one of this route's keys, as errors print it.
     pub(crate) fn full_key(&self, key: &str) -> String {
         format!("route {}.{key}", self.name)
     }
 }
 
-/// `[route.match]`: a session matches if it satisfies every condition that is present.
+/// The section `[route.match]`. A session matches if it satisfies every condition that is present.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct MatchSection {
     pub(crate) listeners: Option<Located<Vec<String>>>,
@@ -43,13 +43,14 @@
 /// The leading hexadecimal digits of a client's 64-bit key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct KeyPrefix {
+    /// The number that the digits represent.
     digits: u64,
-    /// 1 to 16.
+    /// The number of digits, 1 to 16.
     digit_count: u32,
 }
 
 impl KeyPrefix {
-    /// The most digits that a key has.
+    /// The number of hexadecimal digits of a complete key.
     pub(crate) const MAX_DIGITS: usize = 16;
 
     /// Parses 1 to 16 hexadecimal digits.
@@ -65,23 +66,24 @@
         })
     }
 
-    /// Whether the key begins with these digits.
+    /// Returns whether the key begins with these digits.
     pub(crate) fn matches(self, key: u64) -> bool {
         key >> self.remaining_bits() == self.digits
     }
 
-    /// Whether every key that begins with `narrower` also begins with this.
+    /// Returns whether every key that begins with `narrower` also begins with this prefix.
     pub(crate) fn covers(self, narrower: KeyPrefix) -> bool {
         self.digit_count <= narrower.digit_count
             && self.matches(narrower.digits << narrower.remaining_bits())
     }
 
+    /// Returns the number of bits of a key that follow the prefix.
     fn remaining_bits(self) -> u32 {
         64 - 4 * self.digit_count
     }
 }
 
-/// `[route.second_copy]`.
+/// The section `[route.second_copy]`.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct HedgingSection {
     pub(crate) quantile: Option<Located<f64>>,
@@ -90,7 +92,7 @@
     pub(crate) share: Option<Located<f64>>,
 }
 
-/// `[peers]`.
+/// The section `[peers]`.
 #[derive(Clone, Debug)]
 pub(crate) struct PeersSection {
     pub(crate) location: Location,
--- a/operator_config/src/suggestion.rs
+++ b/operator_config/src/suggestion.rs
@@ -1,9 +1,9 @@
 //! Suggestions for misspelt names.
 
-/// The least Jaro-Winkler similarity, of 0 to 1, at which a name is worth suggesting.
+/// The Jaro-Winkler similarity, from 0 to 1, that a name must exceed to be suggested.
 const MIN_SIMILARITY: f64 = 0.7;
 
-/// The known name that is most similar to `misspelt`, if any is similar enough.
+/// Returns the known name that is most similar to `misspelt`, if any is similar enough.
 pub(crate) fn closest_name<'a>(
     known: impl Iterator<Item = &'a str>,
     misspelt: &str,
--- a/operator_config/tests/common/mod.rs
+++ b/operator_config/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A relay to check files against, and helpers to write and read files.
+//! A relay to check files against, and helpers to write and parse files.
 #![allow(dead_code, reason = "each test binary uses some of the helpers")]
 use thistlecroft::deployment::{DeduplicationScope, Idempotency, Route};
 use thistlecroft::time::Duration;
@@ -6,19 +6,19 @@
     ConfigError, LimitsIds, ListenerDefaults, OperatorConfig, RelayContext, RouteTable,
 };
 
-/// A duration in milliseconds.
+/// Returns a duration of this many milliseconds.
 pub(crate) fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
 
-/// A relay of the second zone with a listener of each kind.
+/// Returns a relay of the second zone with listeners of each idempotency class.
 pub(crate) fn context() -> RelayContext {
-    let listener = |name: &str, wait, effect| ListenerDefaults {
+    let listener = |name: &str, client_timeout_ms, class| ListenerDefaults {
         name: name.into(),
-        client_timeout: ms(wait),
+        client_timeout: ms(client_timeout_ms),
         route: Route {
             handshake_objective: ms(300),
-            idempotency: effect,
+            idempotency: class,
             connect_timeout: ms(50),
             max_attempts: 3,
             attempt_timeout_factor: 4.0,
@@ -49,11 +49,14 @@
 }
 
 /// Parses and resolves a file.
-pub(crate) fn read(text: &str, context: &RelayContext) -> Result<RouteTable, Vec<ConfigError>> {
+pub(crate) fn parse_and_resolve(
+    text: &str,
+    context: &RelayContext,
+) -> Result<RouteTable, Vec<ConfigError>> {
     OperatorConfig::parse("c.toml", text)?.resolve(context, &mut LimitsIds::default())
 }
 
-/// A route of that name with these match lines and these other lines.
+/// Returns a route of this name, with these lines in its match section and these other lines.
 pub(crate) fn route(name: &str, matching: &str, lines: &str) -> String {
     format!("[[route]]\nname = \"{name}\"\n{lines}\n[route.match]\n{matching}\n")
 }
--- a/operator_config/tests/golden.rs
+++ b/operator_config/tests/golden.rs
@@ -1,5 +1,5 @@
-//! Recorded results of the operator configuration: keys, errors, and the values that shipped files
-//! put in force.
+//! Comparisons with recorded results of the operator configuration: its keys, its errors, and the
+//! values that files put in force.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -22,14 +22,15 @@
     golden_file::assert_unchanged(&folder.join(file), actual);
 }
 
-/// A relay with the listeners of the shipped example, and some of other idempotency classes.
+/// Returns a relay with the listeners of the shipped example, and some of other idempotency
+/// classes.
 fn context() -> RelayContext {
-    let listener = |name: &str, effect| ListenerDefaults {
+    let listener = |name: &str, class| ListenerDefaults {
         name: name.into(),
         client_timeout: Duration::from_millis(4_800),
         route: Route {
             handshake_objective: Duration::from_millis(300),
-            idempotency: effect,
+            idempotency: class,
             connect_timeout: Duration::from_millis(50),
             max_attempts: 3,
             attempt_timeout_factor: 4.0,
@@ -60,19 +61,19 @@
     }
 }
 
-fn joined(errors: &[ConfigError]) -> String {
+fn joined_lines(errors: &[ConfigError]) -> String {
     let lines: Vec<String> = errors.iter().map(ToString::to_string).collect();
     lines.join("\n")
 }
 
-/// Every value in force and where it is from, a line each.
+/// Prints every value in force with its origin, one per line.
 fn values_in_force(text: &str) -> String {
     let config = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|errors| {
-        panic!("{}", joined(&errors));
+        panic!("{}", joined_lines(&errors));
     });
     let table = config
         .resolve(&context(), &mut LimitsIds::default())
-        .unwrap_or_else(|errors| panic!("{}", joined(&errors)));
+        .unwrap_or_else(|errors| panic!("{}", joined_lines(&errors)));
     let mut lines = String::new();
     for value in table.effective_values() {
         let origin = match value.origin {
@@ -80,16 +81,16 @@
             ValueOrigin::Settings => "settings".into(),
             ValueOrigin::BuiltIn => "built in".into(),
         };
-        let place = format!("{} / {}", value.route, value.listener);
-        writeln!(lines, "{place}: {} = {} ({origin})", value.key, value.value).unwrap();
+        let label = format!("{} / {}", value.route, value.listener);
+        writeln!(lines, "{label}: {} = {} ({origin})", value.key, value.value).unwrap();
     }
     lines
 }
 
-/// The configuration of the link between relays, a line for each key.
+/// Prints the configuration of the link between relays, one key per line.
 fn peers_values_in_force(text: &str) -> String {
     let config = OperatorConfig::parse("charter.toml", text).unwrap_or_else(|errors| {
-        panic!("{}", joined(&errors));
+        panic!("{}", joined_lines(&errors));
     });
     let peers_config = config.peers_config(&context()).unwrap().unwrap();
     [
@@ -136,39 +137,40 @@
     const KEY: u64 = 0x7f3a_0000_0000_0001;
     const GROUP: u64 = 0xff;
     let config = OperatorConfig::parse("charter.toml", EVERY_ROUTE_KEY).unwrap();
-    let dials = |zone, listener, key, group| {
-        let there = RelayContext { zone, ..context() };
-        let table = config.resolve(&there, &mut LimitsIds::default()).unwrap();
+    let max_attempts = |zone, listener, key, group| {
+        let context = RelayContext { zone, ..context() };
+        let table = config.resolve(&context, &mut LimitsIds::default()).unwrap();
         table.rows()[table.route_for(listener, key, group)].max_attempts
     };
-    assert_eq!(dials(1, 0, KEY, Some(GROUP)), 2, "all four hold");
-    assert_eq!(dials(0, 0, KEY, Some(GROUP)), 3, "another zone");
-    assert_eq!(dials(1, 2, KEY, Some(GROUP)), 3, "another listener");
-    assert_eq!(dials(1, 0, KEY >> 4, Some(GROUP)), 3, "another key");
-    assert_eq!(dials(1, 0, KEY, Some(GROUP + 1)), 3, "another group");
-    assert_eq!(dials(1, 0, KEY, None), 3, "no group");
+    assert_eq!(max_attempts(1, 0, KEY, Some(GROUP)), 2, "all four match");
+    assert_eq!(max_attempts(0, 0, KEY, Some(GROUP)), 3, "another zone");
+    assert_eq!(max_attempts(1, 2, KEY, Some(GROUP)), 3, "another listener");
+    assert_eq!(max_attempts(1, 0, KEY >> 4, Some(GROUP)), 3, "another key");
+    assert_eq!(max_attempts(1, 0, KEY, Some(GROUP + 1)), 3, "another group");
+    assert_eq!(max_attempts(1, 0, KEY, None), 3, "no group");
 }
 
-/// The places of all lines that state a key, with the key.
+/// Returns the index of each line that states a key, with the key.
 fn stated_keys(text: &str) -> Vec<(usize, &str)> {
     let lines = text.lines().enumerate();
     lines
         .filter(|(_, line)| !line.starts_with('#'))
-        .filter_map(|(place, line)| Some((place, line.split_once(" = ")?.0)))
+        .filter_map(|(index, line)| Some((index, line.split_once(" = ")?.0)))
         .collect()
 }
 
-fn with_line(text: &str, place: usize, line: &str) -> String {
+/// Returns the text with another line at this index.
+fn with_line(text: &str, index: usize, line: &str) -> String {
     let mut lines: Vec<&str> = text.lines().collect();
-    lines[place] = line;
+    lines[index] = line;
     lines.join("\n") + "\n"
 }
 
-/// The errors of a text that has to be rejected by itself.
+/// Returns the errors of a text that has to be rejected without regard to a deployment.
 fn rejection(text: &str) -> String {
     match OperatorConfig::parse("charter.toml", text) {
         Ok(_) => panic!("accepted:\n{text}"),
-        Err(errors) => joined(&errors),
+        Err(errors) => joined_lines(&errors),
     }
 }
 
@@ -176,9 +178,9 @@
 fn misspelt_key_gives_the_recorded_error() {
     let mut recording = String::new();
     for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY, EXAMPLE, PEERS] {
-        for (place, key) in stated_keys(text) {
-            let line = text.lines().nth(place).unwrap();
-            let misspelt = with_line(text, place, &format!("q{line}"));
+        for (index, key) in stated_keys(text) {
+            let line = text.lines().nth(index).unwrap();
+            let misspelt = with_line(text, index, &format!("q{line}"));
             writeln!(recording, "q{key}\n{}", rejection(&misspelt)).unwrap();
         }
     }
@@ -186,12 +188,12 @@
 }
 
 #[test]
-fn value_of_another_kind_gives_the_recorded_error() {
+fn value_of_the_wrong_kind_gives_the_recorded_error() {
     let mut recording = String::new();
     for text in [EVERY_ROUTE_KEY, EVERY_PEERS_KEY] {
-        for (place, key) in stated_keys(text) {
+        for (index, key) in stated_keys(text) {
             // No key holds a date.
-            let wrong = with_line(text, place, &format!("{key} = 2026-01-01"));
+            let wrong = with_line(text, index, &format!("{key} = 2026-01-01"));
             writeln!(recording, "{}", rejection(&wrong)).unwrap();
         }
     }
--- a/operator_config/tests/parsing.rs
+++ b/operator_config/tests/parsing.rs
@@ -1,11 +1,12 @@
-//! What a text is rejected for by itself.
+//! Tests of the errors of a text that is parsed without regard to a deployment.
 mod common;
 
 use thistlecroft_operator_config::OperatorConfig;
 
-/// Line, column, key and a part of the reason of each error.
+/// The line, column, key and a part of the reason of each error.
 type Errors = &'static [(usize, usize, &'static str, &'static str)];
 
+/// Malformed texts with their errors.
 const MALFORMED: &[(&str, Errors)] = &[
     ("[[route]\n", &[(1, 9, "syntax", "unclosed")]),
     ("[[rout]]\n", &[(1, 3, "rout", "is it `route`?")]),
--- a/operator_config/tests/peers.rs
+++ b/operator_config/tests/peers.rs
@@ -1,10 +1,10 @@
-//! What a file may state about the link between relays.
+//! Tests of the section `[peers]`, the link between relays.
 mod common;
 
-use common::{context, ms, read};
+use common::{context, ms, parse_and_resolve};
 use thistlecroft_operator_config::{ConfigError, OperatorConfig, PeersConfig, RelayContext};
 
-/// A complete section with these further lines.
+/// Returns a complete section with these further lines.
 fn section(lines: &str) -> String {
     format!("[peers]\nfleet = \"a\"\nlisten = \"10.0.0.1:7946\"\nkey_file = \"k\"\n{lines}")
 }
@@ -16,7 +16,7 @@
     OperatorConfig::parse("c.toml", text)?.peers_config(context)
 }
 
-/// A further line, and the error: its line, key and a part of its reason.
+/// A further line of the section, and its error: the line number, the key and a part of the reason.
 const FAULTY_LINES: &[(&str, usize, &str, &str)] = &[
     ("seeds = \"x\"", 5, "peers.seeds", "an address with a port"),
     (
@@ -37,18 +37,23 @@
         "peers.lease",
         "not between 500ms and 60s",
     ),
-    ("rate = 100", 5, "peers.rate", "4096 at least"),
+    (
+        "rate = 100",
+        5,
+        "peers.rate",
+        "100 bytes per second are below the minimum of 4096",
+    ),
     (
         "voters = [\"a\", \"b\", \"a\"]",
         5,
         "peers.voters",
-        "a stands twice",
+        "a is listed twice",
     ),
     (
         "voters = [\"a\",\"b\",\"c\",\"d\",\"e\",\"f\",\"g\",\"h\"]",
         5,
         "peers.voters",
-        "7 at most",
+        "at most 7 voters are allowed",
     ),
     (
         "voters_before = [\"a\"]",
@@ -60,13 +65,13 @@
         "advertise = \"0.0.0.0:7946\"",
         5,
         "peers.advertise",
-        "others can't reach",
+        "other relays can't reach",
     ),
     (
         "advertise = \"10.0.0.1:0\"",
         5,
         "peers.advertise",
-        "others can't reach",
+        "other relays can't reach",
     ),
     ("voter = [\"a\"]", 5, "peers.voter", "is it `voters`?"),
     (
@@ -79,16 +84,19 @@
 
 #[test]
 fn peers_section_without_options_has_defaults() {
-    let plain = peers_config(&section(""), &context()).unwrap().unwrap();
+    let defaults = peers_config(&section(""), &context()).unwrap().unwrap();
     assert_eq!(
         (
-            plain.probe_interval,
-            plain.lease_duration,
-            plain.max_bytes_per_second
+            defaults.probe_interval,
+            defaults.lease_duration,
+            defaults.max_bytes_per_second
         ),
         (ms(1_000), ms(10_000), 32_768)
     );
-    assert_eq!((plain.advertise, plain.generation), (plain.listen, 1));
+    assert_eq!(
+        (defaults.advertise, defaults.generation),
+        (defaults.listen, 1)
+    );
     assert_eq!(peers_config("", &context()), Ok(None));
 }
 
@@ -120,6 +128,6 @@
         may_use_peers: false,
         ..context()
     };
-    let error = read(&section(""), &forbidden).unwrap_err();
+    let error = parse_and_resolve(&section(""), &forbidden).unwrap_err();
     assert!(error[0].reason.contains("permissions.peers"), "{error:?}");
 }
--- a/operator_config/tests/route_table.rs
+++ b/operator_config/tests/route_table.rs
@@ -1,10 +1,10 @@
-//! The lookup of routes, the values in force, and changes between two files.
+//! Tests of the lookup of routes, the values in force, and the changes between two files.
 mod common;
 
-use common::{context, read, route};
+use common::{context, parse_and_resolve, route};
 use thistlecroft_operator_config::{LimitsIds, OperatorConfig, RouteTable, ValueOrigin};
 
-/// Routes of which several match some sessions.
+/// Returns a file in which several routes match some sessions.
 fn overlapping_routes() -> String {
     route(
         "partner",
@@ -24,13 +24,14 @@
 
 #[test]
 fn first_matching_route_overrides_the_settings() {
-    let table = read(&overlapping_routes(), &context()).unwrap();
+    let table = parse_and_resolve(&overlapping_routes(), &context()).unwrap();
     let (prefixed, other, kiln) = (
         0x7f3a_9c21_e0b4_d655,
         0x6f3a_9c21_e0b4_d655,
         0x5c0f_6e1a_2b3d_4c59,
     );
-    // Listener, key and group; attempts, connect timeout, handshake timeout and backoff cap.
+    // A session's listener, key and group, and the attempts, connect timeout, handshake timeout and
+    // backoff cap of its row. The times are in milliseconds.
     let cases = [
         (1, prefixed, None, (2, 50, None, 30_000)),
         (1, other, None, (3, 50, Some(1_000), 9_000)),
@@ -44,7 +45,7 @@
     for (listener, key, group, expected) in cases {
         let row = table.route_for(listener, key, group);
         let (route, timeouts) = (table.rows()[row], table.timeouts(row));
-        let found = (
+        let actual = (
             route.max_attempts,
             timeouts.connect_timeout.as_millis(),
             timeouts
@@ -53,7 +54,7 @@
             route.backoff_cap.as_millis(),
         );
         assert_eq!(
-            found, expected,
+            actual, expected,
             "listener {listener}, key {key:x}, group {group:?}"
         );
         assert_eq!(
@@ -65,19 +66,19 @@
 
 #[test]
 fn table_without_a_file_has_a_row_for_each_listener() {
-    let plain = RouteTable::from_settings(&context());
+    let table = RouteTable::from_settings(&context());
     assert_eq!(
         (0..4)
-            .map(|listener| plain.route_for(listener, 1, None))
+            .map(|listener| table.route_for(listener, 1, None))
             .collect::<Vec<_>>(),
         [0, 1, 2, 3]
     );
-    assert_eq!(plain.rows().len(), 4);
+    assert_eq!(table.rows().len(), 4);
 }
 
 #[test]
 fn effective_values_name_their_origin() {
-    let table = read(&overlapping_routes(), &context()).unwrap();
+    let table = parse_and_resolve(&overlapping_routes(), &context()).unwrap();
     let value = table
         .effective_values()
         .iter()
@@ -110,15 +111,15 @@
 #[test]
 fn later_file_lists_its_changes_and_keeps_limits_ids() {
     let mut limits_ids = LimitsIds::default();
-    let mut against = |text: &str| {
+    let mut resolve = |text: &str| {
         OperatorConfig::parse("c.toml", text)
             .unwrap()
             .resolve(&context(), &mut limits_ids)
             .unwrap()
     };
     let hold = "listener = \"hold\"";
-    let old = against(&(route("a", hold, "dials = 2") + &route("b", "listener = \"view\"", "")));
-    let new = against(
+    let old = resolve(&(route("a", hold, "dials = 2") + &route("b", "listener = \"view\"", "")));
+    let new = resolve(
         &(route("c", "listener = \"pay\"", "") + &route("a", hold, "dials = 3\nat_once = 5")),
     );
     assert_eq!(
@@ -136,7 +137,7 @@
     assert_eq!(
         limits_id(&old, 0),
         limits_id(&new, 0),
-        "counted on under the same name"
+        "a route of the same name keeps its id"
     );
     assert!(limits_id(&new, 2) != limits_id(&old, 1) && limits_id(&new, 1) == 0);
 }
--- a/operator_config/tests/rules.rs
+++ b/operator_config/tests/rules.rs
@@ -1,12 +1,12 @@
-//! What a file is rejected for under the settings of a deployment.
+//! Tests of the errors of a file that is checked against the settings of a deployment.
 mod common;
 
-use common::{context, read, route};
+use common::{context, parse_and_resolve, route};
 use thistlecroft_operator_config::RelayContext;
 
 const HOLD: &str = "listener = \"hold\"";
 
-/// The other lines of a route, its match line, the key that the error names, and its reason.
+/// The lines of a route, its match line, the key that the error names, and a part of the reason.
 const BROKEN_RULES: &[(&str, &str, &str, &str)] = &[
     (
         "dial_timeout = \"5s\"",
@@ -18,19 +18,19 @@
         "handshake_target = \"2s\"",
         HOLD,
         "handshake_target",
-        "2s is past the time in which hold is answered",
+        "2s is longer than the handshake timeout of hold (1200ms)",
     ),
     (
         "dial_timeout = \"200ms\"\ndials = 1",
         HOLD,
         "handshake_target",
-        "300ms is past the time in which hold is answered (200ms)",
+        "300ms is longer than the handshake timeout of hold (200ms)",
     ),
     (
         "dials = 4\nconnect_time = \"400ms\"",
         HOLD,
         "dials",
-        "dials 4 x connect_time 400ms is past the dial timeout of hold, 1200ms",
+        "dials 4 x connect_time 400ms is longer than the handshake timeout of hold (1200ms)",
     ),
     ("base = \"40s\"", HOLD, "base", "base 40s is above cap 30s"),
     (
@@ -43,31 +43,31 @@
         "retry_after = \"3s\"",
         HOLD,
         "retry_after",
-        "longer than the settings let clients stay away (2s)",
+        "3s is longer than the settings' maxRetryAfterUs (2s)",
     ),
     (
         "dials = 3",
         "listener = \"book\"",
         "dials",
-        "when the mark of book is forgotten (500ms)",
+        "not within the deduplication window of book (500ms)",
     ),
     (
         "idle = \"4s\"",
         HOLD,
         "idle",
-        "idle 4s is no longer than cool_down 5s",
+        "idle 4s is not longer than cool_down 5s",
     ),
     (
         "second_copy = {}",
         "listener = \"pay\"",
         "second_copy",
-        "pay is once-only: two dials at once",
+        "pay is once-only: two attempts at once",
     ),
     (
         "second_copy = {}",
         "listener = \"book\"",
         "second_copy",
-        "book is referenced: two dials at once",
+        "book is referenced: two attempts at once",
     ),
     (
         "second_copy = {}\ndials = 1",
@@ -85,13 +85,13 @@
         "second_copy = { least = \"2s\", most = \"3s\" }",
         HOLD,
         "second_copy.least",
-        "hold is answered by then (1200ms)",
+        "least 2s is not shorter than the handshake timeout of hold (1200ms)",
     ),
     (
         "at_once = 101",
         HOLD,
         "at_once",
-        "they take 202 descriptors, two a session; there are 200",
+        "take 202 descriptors, two per session; 200 are available",
     ),
     (
         "",
@@ -111,7 +111,7 @@
 fn broken_rule_is_rejected_with_its_reason() {
     for (lines, matching, key, reason) in BROKEN_RULES {
         let text = route("a", matching, lines);
-        let errors = read(&text, &context()).expect_err(&text);
+        let errors = parse_and_resolve(&text, &context()).expect_err(&text);
         let found = errors
             .iter()
             .find(|error| error.key == format!("route a.{key}"));
@@ -122,36 +122,37 @@
 
 #[test]
 fn hedging_that_the_settings_forbid_is_rejected() {
-    let single = RelayContext {
+    let without_hedging = RelayContext {
         may_hedge: false,
         ..context()
     };
     let text = route("a", HOLD, "second_copy = {}");
     assert!(
-        read(&text, &single).unwrap_err()[0]
+        parse_and_resolve(&text, &without_hedging).unwrap_err()[0]
             .reason
             .contains("one dial at a time")
     );
-    assert!(read(&text, &context()).is_ok());
+    assert!(parse_and_resolve(&text, &context()).is_ok());
 }
 
 #[test]
 fn empty_file_is_accepted() {
-    assert!(read("", &context()).is_ok());
+    assert!(parse_and_resolve("", &context()).is_ok());
 }
 
 #[test]
 fn session_limits_that_exceed_the_descriptors_together_are_rejected() {
     let two = route("a", HOLD, "at_once = 60") + &route("b", "listener = \"view\"", "at_once = 60");
-    let errors = read(&two, &context()).unwrap_err();
+    let errors = parse_and_resolve(&two, &context()).unwrap_err();
     assert!(
-        errors[0].reason.contains("a 60, b 60") && errors[0].key == "route b.at_once",
+        errors[0].reason.contains("together (a 60, b 60) take 240")
+            && errors[0].key == "route b.at_once",
         "{errors:?}"
     );
 }
 
 #[test]
-fn route_behind_a_wider_one_is_rejected() {
+fn route_covered_by_an_earlier_one_is_rejected() {
     let shadowed = [
         ("", "key_prefix = \"7f\""),
         (
@@ -170,15 +171,15 @@
     ];
     for (first, second) in shadowed {
         let text = route("a", first, "") + &route("b", second, "");
-        let errors = read(&text, &context()).expect_err(&text);
+        let errors = parse_and_resolve(&text, &context()).expect_err(&text);
         assert!(
             errors[0]
                 .reason
                 .contains("route a of line 1, tried before it"),
             "{text}: {errors:?}"
         );
-        // In the other order both can match.
+        // In the reverse order, both routes can match.
         let text = route("b", second, "") + &route("a", first, "");
-        assert!(read(&text, &context()).is_ok(), "{text}");
+        assert!(parse_and_resolve(&text, &context()).is_ok(), "{text}");
     }
 }
--- a/operator_config/tests/shipped_files.rs
+++ b/operator_config/tests/shipped_files.rs
@@ -1,17 +1,17 @@
-//! The files and pages that are shipped agree with the parser.
+//! Tests that the shipped files and pages agree with the parser.
 mod common;
 
-use common::{context, read};
+use common::{context, parse_and_resolve};
 use thistlecroft::deployment::Idempotency;
 use thistlecroft_operator_config::{OperatorConfig, reference};
 
 #[test]
 fn reference_page_and_example_agree_with_the_parser() {
     let root = std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    let written =
+    let page =
         std::fs::read_to_string(root.join("docs/operate/operator-config-reference.md")).unwrap();
     assert_eq!(
-        written,
+        page,
         reference::reference_page(),
         "to update the page: thistlecroft charter reference"
     );
@@ -25,15 +25,15 @@
     {
         (listener.name, listener.route.idempotency) = (name.into(), Idempotency::Idempotent);
     }
-    let table = read(&example, &context).unwrap();
+    let table = parse_and_resolve(&example, &context).unwrap();
     assert_eq!(table.rows()[table.route_for(0, 1, None)].max_attempts, 2);
-    // The example ends with a commented section on hedging, which is valid as well.
-    let (before, shown) = example.split_once("second one:\n#\n").unwrap();
-    let all = before.to_string() + "\n" + &shown.replace("# ", "");
-    let table = read(&all, &context).unwrap();
+    // The example ends with a commented-out section on hedging, which has to be valid as well.
+    let (before, commented) = example.split_once("second one:\n#\n").unwrap();
+    let uncommented = before.to_string() + "\n" + &commented.replace("# ", "");
+    let table = parse_and_resolve(&uncommented, &context).unwrap();
     assert!(
         table.rows()[table.route_for(1, 1, None)].hedging.is_some(),
-        "{all}"
+        "{uncommented}"
     );
 }
 
--- a/settings/src/invariants.rs
+++ b/settings/src/invariants.rs
@@ -4,8 +4,8 @@
 use thistlecroft::deployment::{RetryBudget, SlowStart};
 use thistlecroft::time::Duration;
 
-/// The grace period of draining backends where the settings state none. No known platform has a
-/// longer one.
+/// The grace period of draining backends where the settings state none. It is longer than that of
+/// any known platform.
 const DEFAULT_DRAIN_GRACE: Duration = Duration::from_millis(3_200);
 
 const RETRY_BUDGET_FREE: &str = "extraFree";
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -21,8 +21,8 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::time::Duration;
 
-/// Parsed settings. Listeners and zones keep the order of the text, so an index refers to the same
-/// entry in both.
+/// Parsed settings. Listeners and zones keep the order of the text; the ids of routes and zones are
+/// indices into these lists.
 #[derive(Clone)]
 pub struct Settings {
     /// The part of the settings that the balancer decides by.
--- a/settings/src/report.rs
+++ b/settings/src/report.rs
@@ -1,11 +1,11 @@
 //! The section `report`: the fields of a backend's load report.
 use serde::Deserialize;
 
-/// The possible names of the report field that counts a backend's connections. The first name that
-/// a report has is used.
+/// The possible names of the report field that counts a backend's connections. Settings and
+/// backends use different names; the first that is present is used.
 pub const CONNECTION_FIELDS: &[&str] = &["rif", "inflight"];
-/// The possible names of the report field that measures a backend's load. The first name that a
-/// report has is used.
+/// The possible names of the report field that measures a backend's load. The first that is present
+/// is used.
 pub const LOAD_FIELDS: &[&str] = &["x0", "busy", "util"];
 
 /// The positions of the values that the balancer uses in load reports, and the meaning of the
@@ -56,8 +56,8 @@
         names.iter().find_map(index)
     }
 
-    /// Returns whether reports reach a relay. Backends may send none (`silent`), or send them only in
-    /// answer to health checks (`pull`), which relays need permission for.
+    /// Returns whether reports reach a relay. Backends may send none (`silent`), or send them only
+    /// in answer to health checks (`pull`), which relays need permission for.
     pub(crate) fn reaches_relays(&self, may_check_health: bool) -> bool {
         match self.delivery.as_str() {
             "silent" => false,
