--- a/adapter/src/driver.rs
+++ b/adapter/src/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out the balancer's decisions by adding actions to the reply.
+//! Carries out the balancer's decisions as actions in the reply to the simulator.
 use crate::ids::IdMap;
 use crate::wire::{Action, ActionKind, Reply};
 use thistlecroft::driver::Driver;
@@ -13,15 +13,16 @@
 }
 
 impl WireDriver<'_> {
-    fn push(&mut self, kind: ActionKind) {
+    /// Adds an action of this instance to the reply.
+    fn add_action(&mut self, kind: ActionKind) {
         let instance = self.instance;
-        self.reply.push(&Action { instance, kind });
+        self.reply.push_action(&Action { instance, kind });
     }
 }
 
 impl Driver for WireDriver<'_> {
     fn connect(&mut self, session: SessionId, backend: BackendId, timeout: Duration) {
-        self.push(ActionKind::Connect {
+        self.add_action(ActionKind::Connect {
             session: self.ids.session_key(session),
             backend: self.ids.address(backend),
             timeout,
@@ -30,12 +31,12 @@
 
     fn cancel(&mut self, session: SessionId, attempt: u32) {
         let session = self.ids.session_key(session);
-        self.push(ActionKind::Cancel { session, attempt });
+        self.add_action(ActionKind::Cancel { session, attempt });
     }
 
     fn reject(&mut self, session: SessionId, retry_after: Option<Duration>) {
         let session = self.ids.session_key(session);
-        self.push(ActionKind::Reject {
+        self.add_action(ActionKind::Reject {
             session,
             retry_after,
         });
@@ -43,25 +44,25 @@
 
     fn fail(&mut self, session: SessionId) {
         let session = self.ids.session_key(session);
-        self.push(ActionKind::Fail { session });
+        self.add_action(ActionKind::Fail { session });
     }
 
     fn migrate(&mut self, session: SessionId) {
         let session = self.ids.session_key(session);
-        self.push(ActionKind::Migrate { session });
+        self.add_action(ActionKind::Migrate { session });
     }
 
     fn check_health(&mut self, backend: BackendId) {
         let backend = self.ids.address(backend);
-        self.push(ActionKind::CheckHealth { backend });
+        self.add_action(ActionKind::CheckHealth { backend });
     }
 
     fn wake_at(&mut self, at: Instant) {
-        self.push(ActionKind::WakeAt(at));
+        self.add_action(ActionKind::WakeAt(at));
     }
 
     fn subscribe(&mut self) {
-        self.push(ActionKind::Subscribe);
+        self.add_action(ActionKind::Subscribe);
     }
 
     fn release(&mut self, session: SessionId) {
--- a/adapter/src/error.rs
+++ b/adapter/src/error.rs
@@ -1,8 +1,8 @@
-//! Why the program stops: errors of the input, and of standard input and output.
+//! The errors that end the program: malformed input, and failures of standard input and output.
 use thiserror::Error;
 use thistlecroft_settings::SettingsError;
 
-/// Why the program stops.
+/// The reason why the program stops.
 #[derive(Debug, Error)]
 pub(crate) enum AdapterError {
     /// A batch is malformed.
@@ -16,16 +16,16 @@
         source: RecordError,
     },
     /// Standard output can't be written.
-    #[error("output: {0}")]
+    #[error("can't write to standard output: {0}")]
     Output(#[source] std::io::Error),
 }
 
-/// Why a batch can't be read.
+/// The reason why a batch can't be read.
 #[derive(Debug, Error)]
 pub(crate) enum BatchError {
     #[error("input ends inside a batch header, after {bytes} bytes")]
     IncompleteHeader { bytes: usize },
-    #[error("input: {0}")]
+    #[error("can't read from standard input: {0}")]
     Input(#[source] std::io::Error),
     #[error("batch {batch}: cut off after {bytes} of {length} bytes")]
     IncompleteBody {
@@ -33,9 +33,9 @@
         bytes: usize,
         length: usize,
     },
-    #[error("batch {batch}: length {length} has no room for the record count")]
+    #[error("batch {batch}: a body of {length} bytes has no room for the record count")]
     NoRecordCount { batch: u32, length: usize },
-    #[error("batch {batch}: {records} records do not fit in {length} bytes")]
+    #[error("batch {batch}: {records} records do not fit in a body of {length} bytes")]
     TooManyRecords {
         batch: u32,
         records: usize,
@@ -43,7 +43,7 @@
     },
 }
 
-/// Why an event can't be handled, with its index in the batch.
+/// The reason why an event can't be handled, with the index of its record in the batch.
 #[derive(Debug, Error)]
 #[error("record {index}: {source}")]
 pub(crate) struct RecordError {
@@ -52,25 +52,25 @@
     pub(crate) source: EventError,
 }
 
-/// Why an event can't be handled.
+/// The reason why an event can't be handled.
 #[derive(Debug, Error)]
 pub(crate) enum EventError {
     #[error("event for instance {instance}, which is not started")]
     NotStarted { instance: u16 },
     #[error("unknown event code {code}")]
     UnknownEvent { code: u16 },
-    #[error("unknown outcome {code}")]
+    #[error("unknown outcome code {code}")]
     UnknownOutcome { code: u16 },
-    #[error("list of unknown scope {code}")]
+    #[error("unknown update kind {code} of an endpoint list")]
     UnknownUpdateKind { code: u8 },
-    #[error("entry of unknown readiness {code}")]
+    #[error("unknown endpoint state {code}")]
     UnknownEndpointState { code: u8 },
-    #[error("note of unknown sort {code}")]
+    #[error("unknown observation kind {code}")]
     UnknownObservation { code: u8 },
-    #[error("listener {index} of {count}")]
+    #[error("listener index {index} is out of range: the number of listeners is {count}")]
     UnknownListener { index: u16, count: usize },
-    /// A part of the batch's tail that an event refers to does not exist.
-    #[error("{part} reaches past the tail")]
+    /// An event refers to a part of the batch's tail that does not exist.
+    #[error("{part}: offset and length reach past the end of the batch's tail")]
     OutsideTail { part: &'static str },
     #[error(transparent)]
     Settings(#[from] SettingsError),
--- a/adapter/src/host.rs
+++ b/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The instances of the process. They share nothing.
+//! The instances of the process. They share no state.
 use crate::error::{EventError, RecordError};
 use crate::instance::Instance;
 use crate::wire::{Batch, Fields, Reply, Request};
@@ -20,7 +20,8 @@
         let now = Instant::from_micros(batch.clock);
         for (index, record) in batch.events().enumerate() {
             let instance = record.u16(2);
-            // A panic of the balancer ends the instance, not the process, and is reported.
+            // A panic of the balancer ends its instance, not the process, and is reported in the
+            // reply.
             let handled = catch_unwind(AssertUnwindSafe(|| {
                 self.handle(batch, record, instance, now, &mut reply)
             }));
@@ -62,6 +63,7 @@
     }
 }
 
+/// Returns the message of a panic.
 fn panic_message(panic: &(dyn Any + Send)) -> &str {
     let owned = panic.downcast_ref::<String>().map(String::as_str);
     owned
--- a/adapter/src/ids.rs
+++ b/adapter/src/ids.rs
@@ -1,11 +1,11 @@
-//! The identifiers of the wire and those of the balancer, which are small indices.
+//! Maps the identifiers on the wire to those of the balancer, which are small indices.
 use crate::wire::{Address, EndpointEntry, SessionKey};
 use std::collections::HashMap;
 use thistlecroft::endpoint::Endpoint;
 use thistlecroft::ids::{BackendId, SessionId};
 
-/// The identifiers of one instance. The maps are never iterated, so the order of their hashes has no
-/// effect.
+/// The identifiers of one instance. The maps are never iterated, so their random iteration order
+/// has no effect.
 #[derive(Default)]
 pub(crate) struct IdMap {
     sessions: HashMap<SessionKey, SessionId>,
@@ -25,24 +25,24 @@
         session
     }
 
-    /// The id of a session, unless it was released.
+    /// Returns the id of a session, or `None` where it was released or never added.
     pub(crate) fn session(&self, key: SessionKey) -> Option<SessionId> {
         self.sessions.get(&key).copied()
     }
 
-    /// The wire's number for a session that was not released.
+    /// Returns the wire's number for a session that was not released.
     pub(crate) fn session_key(&self, session: SessionId) -> SessionKey {
         self.session_keys[&session.0]
     }
 
-    /// Forgets a session.
+    /// Removes a session.
     pub(crate) fn release_session(&mut self, session: SessionId) {
         if let Some(key) = self.session_keys.remove(&session.0) {
             self.sessions.remove(&key);
         }
     }
 
-    /// The id of a backend, assigned when it is new.
+    /// Returns the id of a backend, and assigns one to a new backend.
     pub(crate) fn backend_or_add(&mut self, address: Address) -> BackendId {
         *self.backends.entry(address).or_insert_with(|| {
             self.addresses.push(address);
@@ -50,17 +50,17 @@
         })
     }
 
-    /// The id of a backend that is known.
+    /// Returns the id of a backend, or `None` where it is unknown.
     pub(crate) fn backend(&self, address: Address) -> Option<BackendId> {
         self.backends.get(&address).copied()
     }
 
-    /// The address of a backend.
+    /// Returns the address of a backend.
     pub(crate) fn address(&self, backend: BackendId) -> Address {
         self.addresses[backend.index()]
     }
 
-    /// An entry of the endpoint list in the balancer's terms.
+    /// Converts an entry of the endpoint list for the balancer.
     pub(crate) fn endpoint(&mut self, entry: &EndpointEntry) -> Endpoint {
         let mut hash = [0; 8];
         hash[..entry.address.len()].copy_from_slice(&entry.address);
--- a/adapter/src/instance.rs
+++ b/adapter/src/instance.rs
@@ -9,7 +9,7 @@
 use thistlecroft::time::Instant;
 use thistlecroft_settings::Settings;
 
-/// A running instance.
+/// A running instance of the balancer.
 pub(crate) struct Instance {
     number: u16,
     balancer: Balancer,
@@ -18,7 +18,7 @@
 }
 
 impl Instance {
-    /// Starts an instance with these settings, in JSON.
+    /// Starts an instance with these settings, which are JSON text.
     pub(crate) fn start(
         number: u16,
         seed: u64,
--- a/adapter/src/main.rs
+++ b/adapter/src/main.rs
@@ -1,8 +1,9 @@
-//! Connects the balancer to a simulator: batches of events on standard input, one reply with actions
-//! for each on standard output.
+//! Connects the balancer to a simulator: batches of events on standard input, one reply with
+//! actions for each on standard output.
 //!
-//! [`wire`] encodes and decodes, [`host`] keeps the instances of the process, and [`instance`] applies
-//! events to the balancer of one instance, whose decisions return through [`driver`].
+//! [`wire`] decodes batches and encodes replies, [`host`] keeps the instances of the process, and
+//! [`instance`] applies events to the balancer of one instance, whose decisions [`driver`] turns
+//! into actions.
 mod driver;
 mod error;
 mod host;
@@ -44,7 +45,7 @@
 }
 
 fn run() -> ExitCode {
-    // The host reports a panic of the balancer on the wire; the default hook would print it as well.
+    // The host reports a panic of the balancer in the reply. The default hook would also print it.
     std::panic::set_hook(Box::new(|_| {}));
     let output = BufWriter::new(std::io::stdout().lock());
     match serve(std::io::stdin().lock(), output) {
--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -1,9 +1,9 @@
-//! The program on the simulator's wire, from bytes to bytes.
+//! Tests of the program on the simulator's wire, from the bytes of batches to those of replies.
 use crate::host::Host;
 use crate::serve;
 use crate::wire::{Reply, read_batch};
 
-/// A batch: a header, records of 48 bytes, and the tail.
+/// Encodes a batch: a header, records of 48 bytes, and the tail.
 fn batch(number: u32, clock: u64, records: &[Vec<u8>], tail: &[u8]) -> Vec<u8> {
     let mut body = (records.len() as u32).to_le_bytes().to_vec();
     for record in records {
@@ -19,6 +19,7 @@
     frame
 }
 
+/// Parses hexadecimal digits, between which there may be white space.
 fn bytes(hex: &str) -> Vec<u8> {
     let digits: Vec<char> = hex.chars().filter(|c| !c.is_whitespace()).collect();
     digits
@@ -37,27 +38,29 @@
  "permissions": {"dialTimeoutUs": 50000, "maxDials": 3, "maxRetryAfterUs": 2000000, "mayCancel": true,
  "probes": false, "retryAfter": true}, "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
-/// Starts instance 3, with a cached list of one ready backend, 10.18.74.7:23323.
+/// Returns a batch that starts instance 3, with a cached endpoint list of one ready backend,
+/// 10.18.74.7:23323.
 fn start() -> Vec<u8> {
     let size = SETTINGS.len() as u32;
-    let mut begin = bytes("e803 0300 0102030405060708 00000000");
-    begin.extend(size.to_le_bytes());
-    let mut list = bytes("f203 0300 02 2900000000000000");
-    list.extend(size.to_le_bytes());
-    list.extend(1u32.to_le_bytes());
+    let mut start_record = bytes("e803 0300 0102030405060708 00000000");
+    start_record.extend(size.to_le_bytes());
+    let mut list_record = bytes("f203 0300 02 2900000000000000");
+    list_record.extend(size.to_le_bytes());
+    list_record.extend(1u32.to_le_bytes());
     let entry = bytes("0a124a07 5b1b 00 0000 0000 00 0000803f 0000000000000000");
     batch(
         1,
         1_000,
-        &[begin, list],
+        &[start_record, list_record],
         &[SETTINGS.as_bytes(), &entry].concat(),
     )
 }
 
-/// Session c4913a5d0d690f00, whose client waits for 240 ms, without key and group.
+/// The arrival of session c4913a5d0d690f00, whose client waits for 240 ms and has no key or group.
 const ARRIVAL: &str =
     "fc03 0300 c4913a5d0d690f00 0000 0000 0000000000000000 80a90300 00000000 0000000000000000";
 
+/// Returns the replies to an input, or the text of the error that ends the program.
 fn replies(input: &[u8]) -> Result<Vec<u8>, String> {
     let mut output = Vec::new();
     serve(input, &mut output)
@@ -65,29 +68,31 @@
         .map_err(|error| error.to_string())
 }
 
-/// The records of the last reply, as hexadecimal text.
+/// Returns the records of the last reply, as hexadecimal text.
 fn last_records(input: &[u8]) -> Vec<String> {
     let output = replies(input).unwrap();
-    let (mut at, mut records) = (0, Vec::new());
-    while at < output.len() {
-        let length = u32::from_le_bytes(output[at + 4..at + 8].try_into().unwrap()) as usize;
-        let count = u32::from_le_bytes(output[at + 8..at + 12].try_into().unwrap()) as usize;
-        let body = &output[at + 12..at + 12 + count * 24];
+    let (mut offset, mut records) = (0, Vec::new());
+    while offset < output.len() {
+        let length =
+            u32::from_le_bytes(output[offset + 4..offset + 8].try_into().unwrap()) as usize;
+        let count =
+            u32::from_le_bytes(output[offset + 8..offset + 12].try_into().unwrap()) as usize;
+        let body = &output[offset + 12..offset + 12 + count * 24];
         records = body
             .chunks(24)
             .map(|record| record.iter().map(|byte| format!("{byte:02x}")).collect())
             .collect();
-        at += 8 + length;
+        offset += 8 + length;
     }
     records
 }
 
 #[test]
-fn records_are_laid_out_as_documented() {
-    // The records of the last batch, and the actions that answer it.
+fn records_of_events_and_actions_have_the_documented_layout() {
+    // The records of the last batch, and the actions in its reply.
     let connect = "1a040300c4913a5d0d690f000a124a075b1be09903000000";
     let cases: [(&[&str], Vec<&str>); 5] = [
-        // The attempt timeout is cut to the time that is left.
+        // The attempt timeout is limited to the time that remains for the session.
         (&[ARRIVAL], vec![connect]),
         (
             &[
@@ -129,7 +134,7 @@
 }
 
 #[test]
-fn rejection_carries_retry_after_and_stop_forgets_the_instance() {
+fn saturated_attempt_is_rejected_or_retried_and_stop_removes_the_instance() {
     let full = bytes("1004 0300 c4913a5d0d690f00 44480000 2e01 0a124a07 5b1b 0000 00 00");
     let records = last_records(&[start(), batch(2, 2_000, &[bytes(ARRIVAL), full], &[])].concat());
     // The backoff is one second at most: the session is rejected if that exceeds the time left, and
@@ -142,13 +147,13 @@
         "{records:?}"
     );
     let stop = bytes("4204 0300");
-    let again = [
+    let restart = [
         start(),
         batch(2, 2_000, std::slice::from_ref(&stop), &[]),
         start(),
     ]
     .concat();
-    assert!(replies(&again).is_ok());
+    assert!(replies(&restart).is_ok());
     let after_stop = [start(), batch(2, 2_000, &[stop, bytes(ARRIVAL)], &[])].concat();
     assert!(replies(&after_stop).unwrap_err().contains("not started"));
 }
@@ -163,18 +168,19 @@
     assert_eq!(replies(&[]).unwrap(), Vec::<u8>::new());
 }
 
-/// A batch with this record, after the start of the instance.
+/// Returns a batch with this record, after the start of the instance.
 fn after_start(record: &str) -> Vec<u8> {
     [start(), batch(2, 2_000, &[bytes(record)], &[])].concat()
 }
 
-/// A batch that starts an instance with these settings.
+/// Returns a batch that starts an instance with these settings.
 fn start_with(settings: &str) -> Vec<u8> {
-    let mut begin = bytes("e803 0300 0102030405060708 00000000");
-    begin.extend((settings.len() as u32).to_le_bytes());
-    batch(1, 0, &[begin], settings.as_bytes())
+    let mut start_record = bytes("e803 0300 0102030405060708 00000000");
+    start_record.extend((settings.len() as u32).to_le_bytes());
+    batch(1, 0, &[start_record], settings.as_bytes())
 }
 
+/// Asserts that each input, after its name, ends the program with an error that contains the text.
 fn assert_rejected(cases: &[(&str, Vec<u8>, &str)]) {
     for (name, input, expected) in cases {
         let error = replies(input).unwrap_err();
@@ -183,7 +189,7 @@
 }
 
 #[test]
-fn malformed_batch_is_named() {
+fn malformed_batch_is_rejected_with_its_reason() {
     let cases = [
         ("header cut off", bytes("0100"), "inside a batch header"),
         (
@@ -206,7 +212,7 @@
 }
 
 #[test]
-fn malformed_event_is_named() {
+fn malformed_event_is_rejected_with_its_reason() {
     let cases = [
         (
             "unknown code",
@@ -216,22 +222,22 @@
         (
             "unknown outcome",
             after_start("1004 0300 c4913a5d0d690f00 44480000 0900 0a124a07 5b1b"),
-            "unknown outcome 9",
+            "unknown outcome code 9",
         ),
         (
             "unknown listener",
             after_start("fc03 0300 c4913a5d0d690f00 0700"),
-            "listener 7 of 1",
+            "listener index 7 is out of range: the number of listeners is 1",
         ),
         (
             "list past the tail",
             after_start("f203 0300 00 2900000000000000 00000000 ffffffff"),
-            "past the tail",
+            "past the end of the batch's tail",
         ),
         (
-            "unknown scope",
+            "unknown update kind",
             after_start("f203 0300 09"),
-            "unknown scope 9",
+            "unknown update kind 9",
         ),
         (
             "not started",
@@ -243,9 +249,9 @@
 }
 
 #[test]
-fn invalid_settings_are_named() {
+fn invalid_settings_are_rejected_with_their_reason() {
     let cases = [
-        ("settings no JSON", start_with("{"), "settings"),
+        ("settings that are not JSON", start_with("{"), "settings"),
         (
             "settings without a key",
             start_with("{\"az\": 0}"),
@@ -271,7 +277,7 @@
 }
 
 #[test]
-fn panic_of_the_balancer_becomes_a_record() {
+fn balancer_panic_is_encoded_as_a_record() {
     // No input is known to make the balancer panic, so the record is written directly.
     let mut host = Host::default();
     let frame = read_batch(&mut &start()[..]).unwrap().unwrap();
--- a/adapter/src/wire/batch.rs
+++ b/adapter/src/wire/batch.rs
@@ -5,14 +5,15 @@
 const EVENT_BYTES: usize = 48;
 const ENTRY_BYTES: usize = 24;
 const HEADER_BYTES: usize = 16;
-/// The number of records, at the start of the body.
+/// The size of the record count, at the start of the body.
 const COUNT_BYTES: usize = 4;
 
-/// A batch of events that happened at one moment.
+/// A batch of events that happened at the same time.
 pub(crate) struct Batch {
     pub(crate) number: u32,
-    /// In microseconds.
+    /// The time of the events, in microseconds.
     pub(crate) clock: u64,
+    /// The number of event records.
     records: usize,
     body: Vec<u8>,
 }
@@ -50,7 +51,7 @@
 }
 
 impl Batch {
-    /// The event records.
+    /// Returns the event records.
     pub(crate) fn events(&self) -> impl Iterator<Item = Fields<'_>> {
         self.body[COUNT_BYTES..self.tail_offset()]
             .chunks_exact(EVENT_BYTES)
@@ -61,7 +62,8 @@
         COUNT_BYTES + self.records * EVENT_BYTES
     }
 
-    /// A part of the tail. `bytes` is `None` where the length does not fit in memory.
+    /// Returns a part of the tail, which errors call `part`. `bytes` is `None` where the length
+    /// overflows.
     fn tail(
         &self,
         offset: u32,
@@ -75,7 +77,7 @@
             .ok_or(EventError::OutsideTail { part })
     }
 
-    /// Text in the tail; `part` names it in errors.
+    /// Returns text in the tail; `part` names it in errors.
     pub(crate) fn text(
         &self,
         offset: u32,
@@ -85,19 +87,19 @@
         self.tail(offset, Some(bytes as usize), part)
     }
 
-    /// Entries of the endpoint list in the tail.
+    /// Returns entries of the endpoint list in the tail.
     pub(crate) fn entries(
         &self,
         offset: u32,
         count: u32,
     ) -> Result<impl Iterator<Item = Fields<'_>>, EventError> {
         let bytes = (count as usize).checked_mul(ENTRY_BYTES);
-        let entries = self.tail(offset, bytes, "list of entries")?;
+        let entries = self.tail(offset, bytes, "endpoint list")?;
         Ok(entries.chunks_exact(ENTRY_BYTES).map(Fields))
     }
 }
 
-/// Reads one batch; `None` where the input ends before it.
+/// Reads one batch, or returns `None` where the input ends before it.
 pub(crate) fn read_batch(input: &mut impl Read) -> Result<Option<Batch>, BatchError> {
     let Some(header) = read_header(input)? else {
         return Ok(None);
@@ -141,7 +143,7 @@
 }
 
 fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, BatchError> {
-    // The buffer grows as bytes arrive, so that a wrong length can't claim memory.
+    // The buffer grows as bytes arrive, so that a wrong length allocates no more than the input holds.
     let mut body = Vec::new();
     input
         .take(length as u64)
--- a/adapter/src/wire/codes.rs
+++ b/adapter/src/wire/codes.rs
@@ -1,4 +1,4 @@
-//! The numbers that stand for events, actions and outcomes on the wire.
+//! The codes of events, actions and their fields on the wire.
 
 /// Codes of events.
 pub(super) mod event {
@@ -29,7 +29,7 @@
     pub(in crate::wire) const PANICKED: u16 = 1120;
 }
 
-/// Outcomes of attempts and health checks.
+/// Codes of the outcomes of attempts and health checks.
 pub(super) mod outcome {
     pub(in crate::wire) const OK: u16 = 100;
     pub(in crate::wire) const ERROR: u16 = 301;
@@ -41,7 +41,7 @@
     pub(in crate::wire) const NOT_SENT: u16 = 307;
 }
 
-/// The contents of an endpoint event.
+/// Codes of the kind of an endpoint event.
 pub(super) mod update {
     pub(in crate::wire) const DELTA: u8 = 0;
     pub(in crate::wire) const SNAPSHOT: u8 = 1;
@@ -49,14 +49,14 @@
     pub(in crate::wire) const DISCOVERY_FAILED: u8 = 3;
 }
 
-/// The states of endpoints.
+/// Codes of the states of endpoints.
 pub(super) mod endpoint {
     pub(in crate::wire) const READY: u8 = 0;
     pub(in crate::wire) const REMOVED: u8 = 1;
     pub(in crate::wire) const DRAINING: u8 = 2;
 }
 
-/// The kinds of observations of an established session.
+/// Codes of the kinds of observations of an established session.
 pub(super) mod observation {
     pub(in crate::wire) const LOAD: u8 = 1;
     pub(in crate::wire) const LATENCY: u8 = 2;
--- a/adapter/src/wire/events.rs
+++ b/adapter/src/wire/events.rs
@@ -8,22 +8,22 @@
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_settings::ReportFields;
 
-/// The address of a backend as the wire has it: four bytes of IP address, two of port.
+/// The address of a backend on the wire: four bytes of IP address and two of port.
 pub(crate) type Address = [u8; 6];
 
 /// The wire's number for a session.
 pub(crate) type SessionKey = u64;
 
-/// The most fields that a load report has room for.
+/// The number of fields that a load report has room for.
 const MAX_REPORT_FIELDS: usize = 4;
 
-/// What a record asks of the host, before anything else of it is decoded.
+/// The request of a record to the host, which is decoded before the rest of the record.
 pub(crate) enum Request<'a> {
-    /// Start an instance.
+    /// Starts an instance with these settings, which are JSON text.
     Start { seed: u64, settings: &'a [u8] },
-    /// Stop an instance.
+    /// Stops an instance.
     Stop,
-    /// An event of a running instance.
+    /// Passes an event to a running instance.
     Event,
 }
 
@@ -55,7 +55,7 @@
         outcome: AttemptOutcome,
         report: LoadReport,
     },
-    /// A message of another instance. The balancer does not use these.
+    /// A message of another instance. The balancer ignores these.
     PeerMessage,
     SessionInherited {
         session: SessionKey,
@@ -72,7 +72,7 @@
 pub(crate) enum Observation {
     Load(f64),
     Latency(Duration),
-    /// Of a kind that is not known.
+    /// An observation of a kind with this unknown code.
     Unknown(u8),
 }
 
@@ -86,7 +86,7 @@
     pub(crate) started_at: Option<Instant>,
 }
 
-/// What decoding needs to know of an instance's settings.
+/// The part of an instance's settings that decoding needs.
 #[derive(Clone, Copy)]
 pub(crate) struct Layout {
     pub(crate) report_fields: ReportFields,
@@ -224,7 +224,7 @@
     }
 }
 
-/// Zero stands for no value.
+/// Returns the value, or `None` for zero, which stands for no value.
 fn non_zero(value: u64) -> Option<u64> {
     (value != 0).then_some(value)
 }
@@ -243,7 +243,7 @@
     }
 }
 
-/// A count of fields at `offset`, followed by the fields.
+/// Decodes a load report: a count of fields at `offset`, followed by the fields.
 fn load_report(record: Fields, offset: usize, layout: &Layout) -> LoadReport {
     let count = usize::from(record.u8(offset)).min(MAX_REPORT_FIELDS);
     let value = |index: Option<usize>| {
--- a/adapter/src/wire/reply.rs
+++ b/adapter/src/wire/reply.rs
@@ -1,4 +1,4 @@
-//! Replies: actions as fixed-size records, and a tail for text.
+//! Encodes replies: actions as fixed-size records, and a tail for text.
 use super::codes::action;
 use super::events::{Address, SessionKey};
 use thistlecroft::time::{Duration, Instant};
@@ -11,7 +11,7 @@
     pub(crate) kind: ActionKind,
 }
 
-/// What the simulator is asked to do.
+/// The action that the simulator has to take.
 pub(crate) enum ActionKind {
     Connect {
         session: SessionKey,
@@ -66,7 +66,8 @@
         self.with(&session.to_le_bytes())
     }
 
-    /// Microseconds, or the greatest number of 32 bits.
+    /// Appends a duration in microseconds; one that does not fit in 32 bits becomes the greatest
+    /// number that does.
     fn with_duration(self, duration: Duration) -> Record {
         let micros = u32::try_from(duration.as_micros()).unwrap_or(u32::MAX);
         self.with(&micros.to_le_bytes())
@@ -105,7 +106,7 @@
     }
 }
 
-/// The reply to one batch under construction.
+/// A reply under construction.
 #[derive(Default)]
 pub(crate) struct Reply {
     records: Vec<u8>,
@@ -113,7 +114,7 @@
 }
 
 impl Reply {
-    pub(crate) fn push(&mut self, action: &Action) {
+    pub(crate) fn push_action(&mut self, action: &Action) {
         self.push_record(&action.encode());
     }
 
@@ -130,7 +131,7 @@
         self.records.extend_from_slice(&record.bytes);
     }
 
-    /// The whole reply to the batch with this number.
+    /// Encodes the whole reply to the batch with this number.
     pub(crate) fn encode(&self, batch: u32) -> Vec<u8> {
         let length = 4 + self.records.len() + self.tail.len();
         let count = (self.records.len() / ACTION_BYTES) as u32;
--- a/adapter/tests/golden.rs
+++ b/adapter/tests/golden.rs
@@ -1,5 +1,5 @@
-//! A recorded session on the simulator's wire with every kind of event, and the recorded errors of
-//! the program.
+//! Comparisons with a recorded session on the simulator's wire, which has every kind of event, and
+//! with the recorded errors of the program.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -8,7 +8,8 @@
 use std::path::Path;
 use std::process::{Command, Output, Stdio};
 
-/// Sizes of the wire's records and of the headers before them.
+/// Sizes in bytes of the records on the wire, and of the part of a reply's header that its length
+/// does not count.
 const EVENT_BYTES: usize = 48;
 const ENTRY_BYTES: usize = 24;
 const ACTION_BYTES: usize = 24;
@@ -17,9 +18,9 @@
 const INSTANCE: u16 = 3;
 const FIRST_BACKEND: [u8; 6] = [10, 18, 74, 7, 0x5b, 0x1b];
 const SECOND_BACKEND: [u8; 6] = [10, 144, 17, 242, 0x84, 0x1b];
-/// The states of backends in list entries.
+/// Codes of the states of backends in entries of the endpoint list.
 const READY: u8 = 0;
-const GONE: u8 = 1;
+const REMOVED: u8 = 1;
 const DRAINING: u8 = 2;
 
 const SETTINGS: &str = r#"{"az": 0, "zones": ["a", "b"], "balancers": 1, "me": 0, "tickUs": 2000,
@@ -77,7 +78,7 @@
     }
 }
 
-/// A batch under construction: events, and the tail that they point into.
+/// A batch under construction: events, and the tail that they refer to.
 struct Batch {
     number: u32,
     clock_us: u64,
@@ -100,43 +101,43 @@
         self
     }
 
-    fn begin(mut self) -> Batch {
-        let at = self.tail.len() as u32;
+    fn start(mut self) -> Batch {
+        let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(SETTINGS.as_bytes());
         let record = Record::event(1000).u64(0x0807_0605_0403_0201);
-        self.event(record.u32(at).u32(SETTINGS.len() as u32))
+        self.event(record.u32(offset).u32(SETTINGS.len() as u32))
     }
 
-    /// `backends`: address, zone, and readiness.
-    fn list(mut self, scope: u8, backends: &[([u8; 6], u8, u8)]) -> Batch {
-        let at = self.tail.len() as u32;
-        for (address, zone, readiness) in backends {
+    /// Adds an endpoint list, of which each entry has an address, a zone and a state.
+    fn endpoints(mut self, kind: u8, backends: &[([u8; 6], u8, u8)]) -> Batch {
+        let offset = self.tail.len() as u32;
+        for (address, zone, state) in backends {
             let entry = Record(Vec::new()).bytes(address).u8(*zone).u16(0).u16(7);
-            let entry = entry.u8(*readiness).f32(1.5).u64(0);
+            let entry = entry.u8(*state).f32(1.5).u64(0);
             self.tail.extend(entry.padded(ENTRY_BYTES));
         }
-        let record = Record::event(1010).u8(scope).u64(41);
-        self.event(record.u32(at).u32(backends.len() as u32))
+        let record = Record::event(1010).u8(kind).u64(41);
+        self.event(record.u32(offset).u32(backends.len() as u32))
     }
 
-    fn inbound(self, id: u64, listener: u16, timeout_us: u32) -> Batch {
+    fn session_arrived(self, id: u64, listener: u16, timeout_us: u32) -> Batch {
         let record = Record::event(1020).u64(id).u16(listener).u16(0);
         let record = record.u64(0x1122_3344_5566_7788).u32(timeout_us);
         self.event(record.u32(0).u64(0x99))
     }
 
-    fn existing(self, id: u64, backend: [u8; 6], listener: u16) -> Batch {
+    fn session_inherited(self, id: u64, backend: [u8; 6], listener: u16) -> Batch {
         let record = Record::event(1100).u64(id).bytes(&backend).u64(0x99).u32(0);
         let record = record.u16(listener).u16(0).u32(1_200_000);
         self.event(record.u64(0x1122_3344_5566_7788))
     }
 
-    fn established(self, id: u64, attempt: u16, backend: [u8; 6]) -> Batch {
+    fn attempt_ready(self, id: u64, attempt: u16, backend: [u8; 6]) -> Batch {
         let record = Record::event(1030).u64(id).u16(attempt).bytes(&backend);
         self.event(record.u32(9_250))
     }
 
-    fn outcome(
+    fn attempt_ended(
         self,
         id: u64,
         attempt: u16,
@@ -152,26 +153,26 @@
         self.event(record.u8(2).f32(7.0).f32(0.4))
     }
 
-    fn client_left(self, id: u64) -> Batch {
+    fn session_left(self, id: u64) -> Batch {
         self.event(Record::event(1050).u64(id))
     }
 
-    fn timer(self) -> Batch {
+    fn wake(self) -> Batch {
         self.event(Record::event(1060).u64(0))
     }
 
-    fn probed(self, backend: [u8; 6], outcome: u16, load: f32) -> Batch {
+    fn health_checked(self, backend: [u8; 6], outcome: u16, load: f32) -> Batch {
         let record = Record::event(1070).bytes(&backend).u16(outcome).u32(1_400);
         self.event(record.u8(2).f32(7.0).f32(load))
     }
 
     fn peer_message(mut self) -> Batch {
-        let at = self.tail.len() as u32;
+        let offset = self.tail.len() as u32;
         self.tail.extend_from_slice(b"hi 7");
-        self.event(Record::event(1080).u16(2).u32(at).u32(4))
+        self.event(Record::event(1080).u16(2).u32(offset).u32(4))
     }
 
-    fn note(self, id: u64, backend: [u8; 6], kind: u8, value: f32) -> Batch {
+    fn observation(self, id: u64, backend: [u8; 6], kind: u8, value: f32) -> Batch {
         let record = Record::event(1110).u64(id).u16(0).bytes(&backend);
         self.event(record.u8(kind).f32(value))
     }
@@ -188,69 +189,70 @@
     }
 }
 
-/// Sessions with every outcome, while the endpoint list changes, fails and recovers.
+/// Returns a session with the simulator: sessions of clients with every outcome, while the endpoint
+/// list changes, discovery fails and recovers.
 fn session() -> Vec<Batch> {
     let both_ready = [(FIRST_BACKEND, 0, READY), (SECOND_BACKEND, 1, READY)];
     let first_draining = [(FIRST_BACKEND, 0, DRAINING)];
     vec![
         Batch::new(1, 1_000)
-            .begin()
-            .list(2, &both_ready)
-            .existing(100, FIRST_BACKEND, 0)
-            .existing(101, SECOND_BACKEND, 2),
-        Batch::new(2, 3_000).list(0, &[]),
+            .start()
+            .endpoints(2, &both_ready)
+            .session_inherited(100, FIRST_BACKEND, 0)
+            .session_inherited(101, SECOND_BACKEND, 2),
+        Batch::new(2, 3_000).endpoints(0, &[]),
         Batch::new(3, 10_000)
-            .inbound(1, 0, 1_200_000)
-            .inbound(2, 1, 2_400_000)
-            .inbound(3, 2, 2_400_000),
+            .session_arrived(1, 0, 1_200_000)
+            .session_arrived(2, 1, 2_400_000)
+            .session_arrived(3, 2, 2_400_000),
         Batch::new(4, 30_000)
-            .established(1, 0, FIRST_BACKEND)
-            .outcome(2, 0, FIRST_BACKEND, 304, false)
-            .outcome(3, 0, FIRST_BACKEND, 302, false)
+            .attempt_ready(1, 0, FIRST_BACKEND)
+            .attempt_ended(2, 0, FIRST_BACKEND, 304, false)
+            .attempt_ended(3, 0, FIRST_BACKEND, 302, false)
             .peer_message(),
         Batch::new(5, 60_000)
-            .note(1, FIRST_BACKEND, 1, 2_500.0)
-            .note(1, FIRST_BACKEND, 2, 900.0)
-            .probed(SECOND_BACKEND, 100, 0.4)
-            .probed(SECOND_BACKEND, 303, 0.4)
-            .timer(),
+            .observation(1, FIRST_BACKEND, 1, 2_500.0)
+            .observation(1, FIRST_BACKEND, 2, 900.0)
+            .health_checked(SECOND_BACKEND, 100, 0.4)
+            .health_checked(SECOND_BACKEND, 303, 0.4)
+            .wake(),
         Batch::new(6, 100_000)
-            .inbound(4, 1, 2_400_000)
-            .inbound(5, 0, 1_200_000),
+            .session_arrived(4, 1, 2_400_000)
+            .session_arrived(5, 0, 1_200_000),
         // A non-idempotent session fails, and a client leaves during an attempt.
         Batch::new(7, 120_000)
-            .outcome(4, 0, FIRST_BACKEND, 301, false)
-            .client_left(5)
-            .outcome(5, 0, FIRST_BACKEND, 306, true),
-        Batch::new(8, 200_000).list(0, &first_draining),
-        Batch::new(9, 202_000).timer().inbound(6, 0, 900_000),
+            .attempt_ended(4, 0, FIRST_BACKEND, 301, false)
+            .session_left(5)
+            .attempt_ended(5, 0, FIRST_BACKEND, 306, true),
+        Batch::new(8, 200_000).endpoints(0, &first_draining),
+        Batch::new(9, 202_000).wake().session_arrived(6, 0, 900_000),
         Batch::new(10, 700_000)
-            .outcome(6, 0, SECOND_BACKEND, 305, false)
-            .outcome(100, 0, FIRST_BACKEND, 100, true)
-            .timer(),
+            .attempt_ended(6, 0, SECOND_BACKEND, 305, false)
+            .attempt_ended(100, 0, FIRST_BACKEND, 100, true)
+            .wake(),
         Batch::new(11, 900_000)
-            .list(0, &[(FIRST_BACKEND, 0, GONE)])
-            .inbound(7, 0, 1_200_000)
-            .inbound(8, 1, 40_000),
+            .endpoints(0, &[(FIRST_BACKEND, 0, REMOVED)])
+            .session_arrived(7, 0, 1_200_000)
+            .session_arrived(8, 1, 40_000),
         Batch::new(12, 930_000)
-            .outcome(7, 0, SECOND_BACKEND, 307, false)
-            .outcome(8, 0, SECOND_BACKEND, 303, false),
+            .attempt_ended(7, 0, SECOND_BACKEND, 307, false)
+            .attempt_ended(8, 0, SECOND_BACKEND, 303, false),
         // An overloaded backend, from which a session is migrated.
-        Batch::new(13, 3_000_000).probed(SECOND_BACKEND, 100, 50.0),
-        Batch::new(14, 3_200_000).timer(),
-        Batch::new(15, 3_400_000).timer(),
+        Batch::new(13, 3_000_000).health_checked(SECOND_BACKEND, 100, 50.0),
+        Batch::new(14, 3_200_000).wake(),
+        Batch::new(15, 3_400_000).wake(),
         // Discovery fails, and then lists no backend: new sessions are rejected.
-        Batch::new(16, 5_000_000).list(3, &[]).timer(),
-        Batch::new(17, 5_100_000).list(1, &[]).timer(),
+        Batch::new(16, 5_000_000).endpoints(3, &[]).wake(),
+        Batch::new(17, 5_100_000).endpoints(1, &[]).wake(),
         Batch::new(18, 5_200_000)
-            .inbound(9, 0, 1_200_000)
-            .inbound(10, 1, 1_200_000),
-        Batch::new(19, 6_500_000).timer(),
+            .session_arrived(9, 0, 1_200_000)
+            .session_arrived(10, 1, 1_200_000),
+        Batch::new(19, 6_500_000).wake(),
         Batch::new(20, 9_000_000)
             .stop()
-            .begin()
-            .list(2, &both_ready)
-            .inbound(11, 0, 1_200_000),
+            .start()
+            .endpoints(2, &both_ready)
+            .session_arrived(11, 0, 1_200_000),
         Batch::new(21, 9_001_000),
     ]
 }
@@ -259,7 +261,7 @@
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// Runs the program on this input until it ends, which it does with its input.
+/// Runs the program on this input until it exits, which it does at the end of its input.
 fn run(input: &[u8]) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_thistlecroft-adapter"))
         .stdin(Stdio::piped())
@@ -267,22 +269,25 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the program starts");
-    let mut stdin = child.stdin.take().expect("it is piped");
-    let mut stdout = child.stdout.take().expect("it is piped");
+    let mut stdin = child.stdin.take().expect("the stream is piped");
+    let mut stdout = child.stdout.take().expect("the stream is piped");
     let reader = std::thread::spawn(move || {
         let mut output = Vec::new();
         stdout.read_to_end(&mut output).map(|_| output)
     });
-    // A program that stops at malformed input may leave the rest unread.
+    // A program that stops at malformed input may leave the rest unread, so that the write fails.
     let written = stdin.write_all(input);
     drop(stdin);
-    let mut output = child.wait_with_output().expect("it ends");
-    output.stdout = reader.join().unwrap().expect("its output can be read");
+    let mut output = child.wait_with_output().expect("the program exits");
+    output.stdout = reader
+        .join()
+        .unwrap()
+        .expect("the program's output can be read");
     assert!(written.is_ok() || !output.status.success(), "{written:?}");
     output
 }
 
-/// The replies, each with its header.
+/// Splits the output into replies, each with its header.
 fn replies(output: &[u8]) -> Vec<&[u8]> {
     let (mut rest, mut replies) = (output, Vec::new());
     while !rest.is_empty() {
@@ -294,7 +299,7 @@
     replies
 }
 
-/// A reply as lines of hexadecimal digits: its header, its records, its tail.
+/// Prints a reply as lines of hexadecimal digits: its header, its records and its tail.
 fn reply_lines(reply: &[u8]) -> String {
     let (header, rest) = reply.split_at(REPLY_HEADER_BYTES + 4);
     let count = u32::from_le_bytes(header[8..12].try_into().unwrap()) as usize;
@@ -314,11 +319,11 @@
     let session = session();
     let frames: Vec<Vec<u8>> = session.iter().map(Batch::frame).collect();
     let output = run(&frames.concat());
-    let complaints = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(0), "{complaints}");
-    assert_eq!(complaints, "");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(0), "{stderr}");
+    assert_eq!(stderr, "");
     let replies = replies(&output.stdout);
-    assert_eq!(replies.len(), frames.len(), "a reply to each batch");
+    assert_eq!(replies.len(), frames.len(), "each batch has a reply");
     let mut recording = String::new();
     for (frame, reply) in frames.iter().zip(replies) {
         writeln!(recording, "batch {}", hex(frame)).unwrap();
@@ -337,38 +342,38 @@
     let codes: std::collections::BTreeSet<u16> = records
         .map(|record| u16::from_str_radix(&record[..4], 16).unwrap().swap_bytes())
         .collect();
-    // Health check, timer, subscription, cancellation, connection, rejection, migration and failure;
-    // a panic's record
-    // (1120) is left to the unit tests, since no input is known that leads to one.
+    // Health check, wake-up, subscription, cancellation, connection, rejection, migration and
+    // failure. The record of a panic (1120) is left to the unit tests, since no known input makes
+    // the balancer panic.
     let expected = [1000, 1020, 1030, 1040, 1050, 1080, 1090, 1110];
     assert_eq!(codes, expected.into());
 }
 
 #[test]
 fn malformed_input_ends_the_program_with_the_recorded_errors() {
-    let begun = Batch::new(1, 1_000).begin().list(2, &[]).frame();
+    let started = Batch::new(1, 1_000).start().endpoints(2, &[]).frame();
     let unknown_event = Batch::new(2, 2_000).event(Record::event(9_999)).frame();
-    let bare_event = Batch::new(1, 1_000).timer().frame();
+    let bare_event = Batch::new(1, 1_000).wake().frame();
     let cases = [
         ("nothing", Vec::new()),
-        ("half a header", begun[..7].to_vec()),
-        ("half a body", begun[..100].to_vec()),
-        ("an unknown event", [begun, unknown_event].concat()),
+        ("half a header", started[..7].to_vec()),
+        ("half a body", started[..100].to_vec()),
+        ("an unknown event", [started, unknown_event].concat()),
         ("an event before the start", bare_event),
     ];
     let mut recording = String::new();
     for (name, input) in cases {
         let output = run(&input);
-        let code = output.status.code().expect("it was not killed");
-        let complaints = String::from_utf8_lossy(&output.stderr);
-        writeln!(recording, "{name}: exit {code}, {}", complaints.trim_end()).unwrap();
+        let code = output.status.code().expect("the program was not killed");
+        let stderr = String::from_utf8_lossy(&output.stderr);
+        writeln!(recording, "{name}: exit {code}, {}", stderr.trim_end()).unwrap();
     }
     for argument in ["--help", "--version", "--verbose"] {
         let output = Command::new(env!("CARGO_BIN_EXE_thistlecroft-adapter"))
             .arg(argument)
             .output()
             .unwrap();
-        let code = output.status.code().expect("it was not killed");
+        let code = output.status.code().expect("the program was not killed");
         writeln!(recording, "{argument}: exit {code}").unwrap();
         recording += &String::from_utf8_lossy(&output.stdout);
         recording += &String::from_utf8_lossy(&output.stderr);
