--- a/adapter/src/wire/batch.rs
+++ b/adapter/src/wire/batch.rs
@@ -143,7 +143,8 @@
 }
 
 fn read_body(input: &mut impl Read, batch: u32, length: usize) -> Result<Vec<u8>, BatchError> {
-    // The buffer grows as bytes arrive, so that a wrong length allocates no more than the input holds.
+    // The buffer grows as bytes arrive, so that a wrong length can't reserve memory for bytes that
+    // never come.
     let mut body = Vec::new();
     input
         .take(length as u64)
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -21,8 +21,8 @@
 use thistlecroft::deployment::Deployment;
 use thistlecroft::time::Duration;
 
-/// Parsed settings. Listeners and zones keep the order of the text; the ids of routes and zones are
-/// indices into these lists.
+/// Parsed settings. Listeners and zones are in the order of the text; other values refer to them by
+/// their index.
 #[derive(Clone)]
 pub struct Settings {
     /// The part of the settings that the balancer decides by.
