--- a/experiments/src/run/setup.rs
+++ b/experiments/src/run/setup.rs
@@ -200,7 +200,7 @@
             voters: relays.voters,
             key_file: key_file.canonicalize().unwrap_or(key_file),
         };
-        config.table(&network.addresses[number], &network.addresses)
+        config.toml_table(&network.addresses[number], &network.addresses)
     }
 
     fn relay_options(
--- a/experiments/src/scale/real_relays.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -73,7 +73,7 @@
         for number in 0..config.real {
             let listen = free_address(FIRST_ADDRESS + number).map_err(failed)?;
             cluster
-                .start_with(number, table(config, listen, seeds, &key))
+                .start_with_config(number, table(config, listen, seeds, &key))
                 .map_err(failed)?;
         }
         let before = vec![Sample::default(); config.real];
--- a/experiments/src/summary/findings.rs
+++ b/experiments/src/summary/findings.rs
@@ -172,7 +172,7 @@
     let first = rules.first_violations.iter().flatten();
     first
         .map(|violation| ViolationSummary {
-            rule: violation.rule,
+            rule: violation.invariant,
             at_s: seconds_at(violation.at),
             what: violation.description.clone(),
             story: violation.timeline.clone(),
--- a/relay/tests/peers/boundaries.rs
+++ b/relay/tests/peers/boundaries.rs
@@ -26,7 +26,7 @@
     let other = cluster
         .operator_config(4)
         .replace("fleet = \"rig\"", "fleet = \"other\"");
-    cluster.start_with(4, other).unwrap();
+    cluster.start_with_config(4, other).unwrap();
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             (0..4).any(|relay| count(cluster, relay, "foreign") > 1)
@@ -56,10 +56,13 @@
     );
     drop(taken);
     let without_key = cluster.operator_config(0).replace("peers.key", "no.key");
-    let fault = cluster.start_with(0, without_key).unwrap_err().to_string();
+    let fault = cluster
+        .start_with_config(0, without_key)
+        .unwrap_err()
+        .to_string();
     assert!(fault.contains("peers.key_file"), "{fault}");
     // Switched off it says so, and has no socket for it.
-    cluster.start_with(1, "\n".into()).unwrap();
+    cluster.start_with_config(1, "\n".into()).unwrap();
     assert!(
         cluster
             .admin_command(1, "PEERS")
--- a/testbed/src/invariant_checker/checker.rs
+++ b/testbed/src/invariant_checker/checker.rs
@@ -119,7 +119,7 @@
             .count();
         let begin = end.saturating_sub(MAX_TIMELINE_EVENTS);
         *first = Some(Violation {
-            rule: invariant.number(),
+            invariant: invariant.number(),
             at,
             description: description.into(),
             timeline: related[begin..end].iter().copied().map(describe).collect(),
--- a/testbed/src/invariant_checker/result.rs
+++ b/testbed/src/invariant_checker/result.rs
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The number of the invariant, from 1.
-    pub rule: usize,
+    pub invariant: usize,
     /// When it was violated.
     pub at: Instant,
     /// How it was violated.
--- a/testbed/src/process_cluster/cluster.rs
+++ b/testbed/src/process_cluster/cluster.rs
@@ -107,14 +107,14 @@
     /// # Errors
     /// If it can't be started, or is not ready in time.
     pub fn start(&mut self, index: usize) -> Result<(), ProcessClusterError> {
-        self.start_with(index, self.operator_config(index))
+        self.start_with_config(index, self.operator_config(index))
     }
 
     /// Starts a relay with this operator configuration and waits until it is ready.
     ///
     /// # Errors
     /// As [`ProcessCluster::start`].
-    pub fn start_with(
+    pub fn start_with_config(
         &mut self,
         index: usize,
         operator_config: String,
@@ -166,7 +166,7 @@
     /// The usual operator configuration of a relay.
     pub fn operator_config(&self, index: usize) -> String {
         let addresses = &self.network.addresses;
-        self.peers.table(&addresses[index], addresses)
+        self.peers.toml_table(&addresses[index], addresses)
     }
 
     /// Replaces the operator configuration of a running relay and has it read again.
--- a/testbed/src/relay_process/config.rs
+++ b/testbed/src/relay_process/config.rs
@@ -77,7 +77,7 @@
 
 impl PeersConfig {
     /// The table of the operator configuration for the relay of this address, in a fleet of these.
-    pub fn table(&self, own: &PeerAddress, fleet: &[PeerAddress]) -> String {
+    pub fn toml_table(&self, own: &PeerAddress, fleet: &[PeerAddress]) -> String {
         let seeds = fleet
             .iter()
             .take(self.voters.max(1))
