--- a/testbed/src/cluster_invariants/bans.rs
+++ b/testbed/src/cluster_invariants/bans.rs
@@ -1,4 +1,4 @@
-//! An operator's ban at one relay holds at all.
+//! Checks that an operator's ban at one relay holds at all relays.
 use super::invariant::{ClusterInvariant, ClusterLimits, ClusterViolation, ORDER_TOLERANCE};
 use crate::event_recorder::{BackendIndex, Observation, RecordedEvent};
 use std::collections::BTreeMap;
@@ -41,7 +41,10 @@
                 violations.push(ClusterViolation {
                     invariant: ClusterInvariant::BansReplicated,
                     at: *at,
-                    description: format!("box {} is dialled {after} ms after its ban", backend.0),
+                    description: format!(
+                        "backend {} received an attempt {after} ms after its ban",
+                        backend.0
+                    ),
                 });
             }
             _ => {}
--- a/testbed/src/cluster_invariants/invariant.rs
+++ b/testbed/src/cluster_invariants/invariant.rs
@@ -1,49 +1,52 @@
 //! The invariants of a cluster, their limits and their violations.
 use thistlecroft::time::{Duration, Instant};
 
-/// Events of two threads may be recorded in the wrong order by so much.
+/// The greatest time by which events of two threads may be recorded in the wrong order.
 pub(super) const ORDER_TOLERANCE: Duration = Duration::from_millis(50);
 
-/// What is judged. Leases, and that a session belongs to one relay and one backend, always are.
+/// The limits that a cluster is checked against. The invariants of leases, and those that bind a
+/// session to one relay and one backend, need no limit and are always checked.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterLimits {
-    /// The greatest number of sessions over all relays, and for how long it may be exceeded.
+    /// The maximum number of sessions over all relays, and the time for which it may be exceeded;
+    /// `None` skips the check.
     pub max_sessions: Option<(usize, Duration)>,
-    /// The greatest number of attempts in any second over all backends.
+    /// The maximum number of attempts in any second over all backends; `None` skips the check.
     pub max_attempts_per_second: Option<usize>,
-    /// An operator's ban at one relay holds at all others after this.
+    /// The time after which an operator's ban at one relay holds at all others; `None` skips the
+    /// check.
     pub ban_replication_time: Option<Duration>,
-    /// A session of a lost relay may be taken over, once.
+    /// Whether another relay may take over a session of a killed relay, once.
     pub allows_takeover: bool,
-    /// At the end each running relay sees all running relays and nobody else.
+    /// Whether each running relay must see exactly the running relays at the end.
     pub requires_consistent_membership: bool,
 }
 
 /// An invariant of a cluster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ClusterInvariant {
-    /// A lease has one holder at a time.
+    /// A lease has at most one holder at a time.
     SingleLeaseHolder,
-    /// The epochs of a lease grow, and each belongs to one relay.
+    /// The epochs of a lease increase, and each belongs to one relay.
     IncreasingEpochs,
-    /// No other relay serves the session of a lost one.
+    /// No relay serves a session of a killed relay.
     OneRelayPerSession,
-    /// A session is taken over once at most.
+    /// A session is taken over at most once.
     SingleTakeover,
-    /// A session is established at one backend.
+    /// A session is established at only one backend at a time.
     OneBackendPerSession,
-    /// The limit of sessions holds over all relays.
+    /// The number of established sessions over all relays stays within its limit.
     SessionLimit,
-    /// The limit of attempts in a second holds over all relays.
+    /// The number of attempts in a second over all relays stays within its limit.
     AttemptRate,
-    /// A ban at one relay holds at all.
+    /// A ban at one relay holds at all relays.
     BansReplicated,
-    /// All relays see the same members.
+    /// All relays see the same members alive.
     ConsistentMembership,
 }
 
 impl ClusterInvariant {
-    /// Its name in results.
+    /// Returns the name of the invariant in results.
     pub fn name(self) -> &'static str {
         match self {
             ClusterInvariant::SingleLeaseHolder => "one holder of a lease",
@@ -59,13 +62,13 @@
     }
 }
 
-/// A violated invariant.
+/// A violation of a cluster invariant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ClusterViolation {
-    /// The invariant.
+    /// The violated invariant.
     pub invariant: ClusterInvariant,
-    /// When it was violated.
+    /// When the invariant was violated.
     pub at: Instant,
-    /// How it was violated.
+    /// How the invariant was violated.
     pub description: String,
 }
--- a/testbed/src/cluster_invariants/leases.rs
+++ b/testbed/src/cluster_invariants/leases.rs
@@ -1,4 +1,4 @@
-//! A lease has one holder at a time, and its epochs grow.
+//! Checks that a lease has at most one holder at a time and that its epochs increase.
 use super::invariant::{ClusterInvariant, ClusterViolation};
 use crate::event_recorder::{Observation, RecordedEvent, RelayIndex};
 use std::collections::BTreeMap;
@@ -6,10 +6,11 @@
 
 /// A relay's answer that it holds a lease.
 ///
-/// The relay looked at its lease between the request and the answer. So it held the lease from the
-/// answer at the latest, until the time that it had left, counted from the request, whatever became
-/// of the relay meanwhile: whoever got the answer may act by it. Where this leaves no time, nothing
-/// is known.
+/// The relay read the state of its lease at some time between the request and the answer. It thus
+/// held the lease from the answer at the latest, until the remaining time of the answer, counted
+/// from the request, had passed. What happened to the relay in the meantime does not matter,
+/// because the client may rely on the answer. If the remaining time had passed before the answer
+/// arrived, the claim proves nothing.
 struct Claim {
     relay: RelayIndex,
     epoch: u64,
@@ -49,13 +50,13 @@
     violations
 }
 
-/// What is known of the lease of one subject.
+/// What the claims have shown so far about the lease of one subject.
 struct LeaseHistory<'a> {
     subject: &'a str,
-    /// The last interval in which each relay held it.
+    /// The last interval in which each relay held the lease.
     held: BTreeMap<RelayIndex, (Instant, Instant)>,
     epoch_owners: BTreeMap<u64, RelayIndex>,
-    /// The highest epoch known at each answer.
+    /// The highest epoch known after each answer.
     highest_epochs: Vec<(Instant, u64)>,
 }
 
@@ -80,7 +81,7 @@
         };
         if let Some(other) = self.other_holder(claim) {
             let description = format!(
-                "relays {} and {} hold \"{subject}\" at once",
+                "relays {} and {} hold the lease of \"{subject}\" at the same time",
                 other.0, claim.relay.0
             );
             report(ClusterInvariant::SingleLeaseHolder, description);
@@ -88,22 +89,22 @@
         let owner = *self.epoch_owners.entry(claim.epoch).or_insert(claim.relay);
         if owner != claim.relay {
             let description = format!(
-                "relays {} and {} both hold \"{subject}\" by epoch {}",
+                "relays {} and {} both hold the lease of \"{subject}\" with epoch {}",
                 owner.0, claim.relay.0, claim.epoch
             );
             report(ClusterInvariant::IncreasingEpochs, description);
         }
         if let Some(before) = self.higher_epoch(claim) {
             let description = format!(
-                "\"{subject}\" is held by epoch {} after {before}",
+                "the lease of \"{subject}\" is held with epoch {} after epoch {before}",
                 claim.epoch
             );
             report(ClusterInvariant::IncreasingEpochs, description);
         }
-        self.add(claim);
+        self.record(claim);
     }
 
-    /// Another relay that holds the lease while the claim holds.
+    /// Returns another relay that held the lease at a time covered by the claim.
     fn other_holder(&self, claim: &Claim) -> Option<RelayIndex> {
         let overlaps = |from: Instant, until: Instant| {
             from < claim.valid_until
@@ -116,7 +117,8 @@
             .map(|(relay, _)| *relay)
     }
 
-    /// The highest epoch that was known before the request, if it is higher than the claim's.
+    /// Returns the highest epoch that was known before the request, if it is higher than the
+    /// claim's.
     fn higher_epoch(&self, claim: &Claim) -> Option<u64> {
         self.highest_epochs
             .iter()
@@ -126,7 +128,7 @@
             .filter(|epoch| *epoch > claim.epoch)
     }
 
-    fn add(&mut self, claim: &Claim) {
+    fn record(&mut self, claim: &Claim) {
         let highest = self.highest_epochs.last().map_or(0, |(_, epoch)| *epoch);
         self.highest_epochs
             .push((claim.answered_at, highest.max(claim.epoch)));
--- a/testbed/src/cluster_invariants/membership.rs
+++ b/testbed/src/cluster_invariants/membership.rs
@@ -1,10 +1,10 @@
-//! At the end all running relays see the same members.
+//! Checks that each running relay sees exactly the running relays alive at the end.
 use super::invariant::{ClusterInvariant, ClusterLimits, ClusterViolation};
 use crate::event_recorder::{Observation, RecordedEvent, RelayIndex};
 use std::collections::{BTreeMap, BTreeSet};
 use thistlecroft::time::Instant;
 
-/// Judges by the last answer of each running relay.
+/// Checks the last answer of each running relay.
 pub(super) fn check(events: &[RecordedEvent], limits: &ClusterLimits) -> Vec<ClusterViolation> {
     if !limits.requires_consistent_membership {
         return Vec::new();
@@ -36,7 +36,7 @@
             invariant: ClusterInvariant::ConsistentMembership,
             at,
             description: format!(
-                "relay {} sees {} of {} relays at the end",
+                "relay {} sees {} of the {} running relays at the end",
                 relay.0,
                 seen.intersection(&expected).count(),
                 expected.len()
--- a/testbed/src/cluster_invariants/mod.rs
+++ b/testbed/src/cluster_invariants/mod.rs
@@ -1,8 +1,8 @@
-//! Judges from recorded events whether relays kept the invariants of a cluster, besides those that
-//! each keeps by itself.
+//! Checks by recorded events whether the relays of a cluster kept the invariants that they can only
+//! keep together. [`crate::invariant_checker`] checks those that concern each relay alone.
 //!
-//! No I/O. The events are those of backends, clients and observers at the relays' admin ports,
-//! never what the relays log of themselves.
+//! The checkers do no I/O. They rely on the events that backends, clients and observers at the
+//! relays' admin ports recorded, and never on the relays' own logs.
 mod bans;
 mod invariant;
 mod leases;
@@ -14,7 +14,7 @@
 
 use crate::event_recorder::RecordedEvent;
 
-/// All violations in the order of time.
+/// Returns all violations in chronological order.
 pub fn check_cluster_invariants(
     events: &[RecordedEvent],
     limits: &ClusterLimits,
--- a/testbed/src/cluster_invariants/sessions.rs
+++ b/testbed/src/cluster_invariants/sessions.rs
@@ -1,4 +1,4 @@
-//! A session belongs to one relay and is established at one backend.
+//! Checks that a session is served by one relay and established at one backend.
 use super::invariant::{ClusterInvariant, ClusterLimits, ClusterViolation, ORDER_TOLERANCE};
 use crate::event_recorder::{
     BackendIndex, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
@@ -22,9 +22,9 @@
     allows_takeover: bool,
     relay_of: BTreeMap<SessionId, RelayIndex>,
     killed_at: BTreeMap<RelayIndex, Instant>,
-    /// Attempts after the relay of the session was killed.
+    /// The number of attempts of each session after its relay was killed.
     takeovers: BTreeMap<SessionId, usize>,
-    /// Where a session is established.
+    /// The backends at which each session is established.
     established: BTreeMap<SessionId, BTreeSet<BackendIndex>>,
     violations: Vec<ClusterViolation>,
 }
@@ -38,7 +38,7 @@
                 ..
             } => {
                 self.relay_of.insert(*session, *relay);
-                // A relay that takes a client after its kill is another process.
+                // A killed relay that accepts clients again has been restarted.
                 self.killed_at.remove(relay);
             }
             Observation::RelayKilled { relay } => {
@@ -78,7 +78,7 @@
         });
     }
 
-    /// An attempt for a session whose relay was killed before is a takeover.
+    /// Counts an attempt of a session whose relay was killed before as a takeover.
     fn on_attempt(
         &mut self,
         at: Instant,
@@ -98,7 +98,7 @@
         };
         let after = first_byte_at.duration_since(*killed_at).as_millis();
         let description = format!(
-            "box {} is dialled for a session of relay {}, dead for {after} ms",
+            "backend {} received an attempt of a session of relay {}, killed {after} ms earlier",
             backend.0, relay.0
         );
         let takeovers = self.takeovers.entry(session).or_default();
@@ -106,7 +106,7 @@
         if !self.allows_takeover {
             self.report(ClusterInvariant::OneRelayPerSession, at, description);
         } else if *takeovers > 1 {
-            let description = format!("{description}, again");
+            let description = format!("{description}, which is not the first takeover");
             self.report(ClusterInvariant::SingleTakeover, at, description);
         }
     }
@@ -115,8 +115,11 @@
         let backends = self.established.entry(session).or_default();
         backends.insert(backend);
         if backends.len() > 1 {
-            let numbers: Vec<String> = backends.iter().map(|one| one.0.to_string()).collect();
-            let description = format!("boxes {} hold one session", numbers.join(" and "));
+            let numbers: Vec<String> = backends.iter().map(|index| index.0.to_string()).collect();
+            let description = format!(
+                "one session is established at backends {}",
+                numbers.join(" and ")
+            );
             self.report(ClusterInvariant::OneBackendPerSession, at, description);
         }
     }
--- a/testbed/src/cluster_invariants/totals.rs
+++ b/testbed/src/cluster_invariants/totals.rs
@@ -1,4 +1,4 @@
-//! Limits over all relays: established sessions, and attempts in a second.
+//! Checks the limits over all relays: established sessions, and attempts in a second.
 use super::invariant::{ClusterInvariant, ClusterLimits, ClusterViolation};
 use crate::event_recorder::{Answer, Observation, RecordedEvent, SessionId};
 use std::collections::BTreeSet;
@@ -17,7 +17,8 @@
     violations
 }
 
-/// The number of sessions may exceed the limit for the time of the tolerance.
+/// Checks that the number of established sessions exceeds its limit for no longer than the
+/// tolerance.
 fn check_sessions(
     events: &[RecordedEvent],
     max_sessions: usize,
@@ -27,7 +28,8 @@
     let mut established: BTreeSet<SessionId> = BTreeSet::new();
     let mut exceeded_since: Option<Instant> = None;
     for RecordedEvent { at, observation } in events {
-        // Judged before the event counts: one that ends the excess is too late after the tolerance.
+        // Checks before applying the event: if it ends the excess only after the tolerance, that is
+        // a violation too.
         if let Some(since) = exceeded_since
             && at.duration_since(since) > tolerance
         {
@@ -35,7 +37,9 @@
             violations.push(ClusterViolation {
                 invariant: ClusterInvariant::SessionLimit,
                 at: *at,
-                description: format!("{sessions} sessions are up, {max_sessions} may be"),
+                description: format!(
+                    "{sessions} sessions are established, the limit is {max_sessions}"
+                ),
             });
             exceeded_since = Some(*at);
         }
@@ -68,14 +72,14 @@
         .collect();
     attempts.sort_unstable();
     let mut violations = Vec::new();
-    for (place, at) in attempts.iter().enumerate() {
+    for (index, at) in attempts.iter().enumerate() {
         let first = attempts.partition_point(|other| *other + RATE_WINDOW <= *at);
-        let count = place + 1 - first;
+        let count = index + 1 - first;
         if count > max_attempts {
             violations.push(ClusterViolation {
                 invariant: ClusterInvariant::AttemptRate,
                 at: *at,
-                description: format!("{count} dials in a second, {max_attempts} may be"),
+                description: format!("{count} attempts in a second, the limit is {max_attempts}"),
             });
         }
     }
--- a/testbed/src/event_recorder/ids.rs
+++ b/testbed/src/event_recorder/ids.rs
@@ -1,7 +1,7 @@
-//! Who takes part in a run: sessions, backends and relays.
+//! Identifiers of the sessions, backends and relays of a run.
 use serde::{Serialize, Serializer};
 
-/// The id in a session's first line: each connection of a client has a new one.
+/// The session id in the first line of a client's connection; each connection has a new one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SessionId(pub u64);
 
@@ -11,10 +11,10 @@
     }
 }
 
-/// A simulated backend, by its place in the plan of the run.
+/// The index of a simulated backend in the plan of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct BackendIndex(pub u16);
 
-/// A relay, by its place among the relays of the run.
+/// The index of a relay among the relays of the run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 pub struct RelayIndex(pub u16);
--- a/testbed/src/event_recorder/log.rs
+++ b/testbed/src/event_recorder/log.rs
@@ -1,4 +1,4 @@
-//! The recorder of observations, one for each thread, and the log that receives them.
+//! The recorder of observations, of which each thread has a clone, and the log that receives them.
 use super::observation::{Observation, RecordedEvent};
 use std::sync::mpsc::{Receiver, Sender, channel};
 use thistlecroft::time::Instant;
@@ -7,7 +7,7 @@
 #[derive(Clone)]
 pub struct EventRecorder(Sender<RecordedEvent>);
 
-/// A recorder and the log that receives its events.
+/// Returns a recorder and the log that receives its events.
 pub fn event_recorder() -> (EventRecorder, EventLog) {
     let (sender, receiver) = channel();
     let log = EventLog {
@@ -18,9 +18,9 @@
 }
 
 impl EventRecorder {
-    /// Records an observation made at that time.
+    /// Records an observation that was made at the given time.
     pub fn record(&self, at: Instant, observation: Observation) {
-        // The log is dropped once a run is over, and later events are of no interest.
+        // Sending fails once the log is dropped at the end of a run; later events are not needed.
         let _ = self.0.send(RecordedEvent { at, observation });
     }
 }
@@ -40,8 +40,8 @@
         first_new
     }
 
-    /// Waits until any event satisfies the predicate, counting those already received; returns
-    /// false if none did within that time.
+    /// Waits until any event satisfies the predicate, including those already received; returns
+    /// false if none did within the given time.
     pub fn wait_for(
         &mut self,
         within: std::time::Duration,
@@ -53,7 +53,7 @@
     }
 
     /// Waits until the events together satisfy the predicate; returns false if they did not within
-    /// that time.
+    /// the given time.
     pub fn wait_until(
         &mut self,
         within: std::time::Duration,
@@ -62,8 +62,8 @@
         let deadline = std::time::Instant::now() + within;
         self.receive();
         while !predicate(&self.events) {
-            let left = deadline.saturating_duration_since(std::time::Instant::now());
-            match self.receiver.recv_timeout(left) {
+            let remaining = deadline.saturating_duration_since(std::time::Instant::now());
+            match self.receiver.recv_timeout(remaining) {
                 Ok(event) => self.events.push(event),
                 Err(_) => return false,
             }
@@ -72,7 +72,8 @@
         true
     }
 
-    /// All events in the order of time; threads deliver theirs at their own pace.
+    /// Returns all events in chronological order. They arrive out of order, because each thread
+    /// delivers its events at its own pace.
     pub fn into_sorted(mut self) -> Vec<RecordedEvent> {
         self.receive();
         self.events.sort_by_key(|event| event.at);
--- a/testbed/src/event_recorder/mod.rs
+++ b/testbed/src/event_recorder/mod.rs
@@ -1,5 +1,5 @@
-//! Observations of a run: what clients, backends, the discovery agent and the run itself saw, sent
-//! from their threads to one log, in the order of time as far as threads allow.
+//! Records what the clients, the backends, the discovery agent and the run itself observe. Their
+//! threads send the observations to one log, where they arrive roughly in chronological order.
 mod ids;
 mod log;
 mod observation;
--- a/testbed/src/event_recorder/observation.rs
+++ b/testbed/src/event_recorder/observation.rs
@@ -1,4 +1,4 @@
-//! What is observed in a run. The serialized names are those of `events.jsonl`.
+//! The observations of a run and their form in `events.jsonl`.
 use super::ids::{BackendIndex, RelayIndex, SessionId};
 use serde::{Serialize, Serializer};
 use thistlecroft::time::{Duration, Instant};
@@ -10,21 +10,21 @@
     /// The session is established.
     #[serde(rename = "up")]
     Accepted,
-    /// The session was rejected, with the time to wait before a retry where one was given.
+    /// The session was rejected, with the time to wait before a retry if one was given.
     #[serde(rename = "busy")]
     Rejected(#[serde(serialize_with = "serialize_optional_milliseconds")] Option<Duration>),
     /// The session failed.
     Failed,
 }
 
-/// How a backend answered a connection attempt.
+/// How a backend answered an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Reply {
     /// The session is established.
     #[serde(rename = "up")]
     Accepted,
-    /// The attempt was rejected and never had an effect.
+    /// The attempt was rejected and had no effect.
     #[serde(rename = "busy")]
     Rejected,
     /// The attempt failed and may have had its effect.
@@ -35,15 +35,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Lifecycle {
-    /// It takes new sessions.
+    /// The backend accepts new sessions.
     Ready,
-    /// It wants no new sessions and is shutting down gracefully.
+    /// The backend accepts no new sessions and is shutting down gracefully.
     Draining,
-    /// It is no longer listed.
+    /// The backend is no longer listed.
     Gone,
 }
 
-/// One thing that a client, a backend, the discovery agent or the run itself observed.
+/// A single observation of a client, a backend, the discovery agent or the run itself.
 ///
 /// The serialized names are those of `events.jsonl`; durations and instants are written in
 /// milliseconds.
@@ -55,17 +55,17 @@
     SessionRequested {
         /// The session.
         session: SessionId,
-        /// The relay that was asked; none in a baseline run without relays.
+        /// The relay that the client connected to; `None` in a baseline run without relays.
         relay: Option<RelayIndex>,
-        /// The listener, by its place in the configuration.
+        /// The index of the listener in the configuration.
         listener: u16,
         /// How long the client waits for its answer.
         #[serde(rename = "wait", serialize_with = "serialize_milliseconds")]
         timeout: Duration,
-        /// When the client was to connect.
+        /// When the client was scheduled to connect.
         #[serde(serialize_with = "serialize_instant")]
         due: Instant,
-        /// The client had an established session before.
+        /// Whether the client had an established session before.
         #[serde(rename = "again")]
         reconnecting: bool,
     },
@@ -76,7 +76,7 @@
         /// The answer.
         answer: Answer,
     },
-    /// A client read a further line behind a rejection or a failure.
+    /// A client read another line after a rejection or a failure.
     #[serde(rename = "said-more")]
     DataAfterAnswer {
         /// The session.
@@ -88,22 +88,23 @@
         /// The session.
         session: SessionId,
     },
-    /// The connection was closed or reset before the answer.
+    /// The client's connection was closed or reset before the answer.
     #[serde(rename = "dropped")]
     ClosedUnanswered {
         /// The session.
         session: SessionId,
     },
-    /// The client left before its answer by its own decision.
+    /// The client closed its connection before the answer.
     #[serde(rename = "left-early")]
     ClientLeft {
         /// The session.
         session: SessionId,
     },
-    /// The relay did not take the connection, or reset it before the last byte was written.
+    /// The relay did not accept a client's connection, or reset it before the client had written
+    /// the last byte of its first line.
     #[serde(rename = "never-taken")]
     ConnectFailed {
-        /// The relay, if there is one.
+        /// The relay that the client connected to; `None` in a baseline run without relays.
         relay: Option<RelayIndex>,
     },
     /// An established session was asked to migrate.
@@ -112,7 +113,8 @@
         /// The session.
         session: SessionId,
     },
-    /// An established session was closed or reset by the other side without a closing message.
+    /// The connection of an established session was closed or reset by the other side without a
+    /// closing message.
     #[serde(rename = "cut-off")]
     ConnectionLost {
         /// The session.
@@ -124,16 +126,16 @@
         /// The session.
         session: SessionId,
     },
-    /// A message came back later than the limit.
+    /// A client received a message back later than the limit.
     #[serde(rename = "line-late")]
     MessageLate {
         /// The session.
         session: SessionId,
-        /// The time from its sending to its return.
+        /// The time from sending the message to receiving it back.
         #[serde(serialize_with = "serialize_milliseconds")]
         waited: Duration,
     },
-    /// A message came back that was not sent, or out of order.
+    /// A client received a message that it had not sent, or out of order.
     #[serde(rename = "line-wrong")]
     MessageMismatched {
         /// The session.
@@ -159,10 +161,10 @@
         backend: BackendIndex,
         /// The session.
         session: SessionId,
-        /// The reply.
+        /// The backend's answer.
         reply: Reply,
     },
-    /// The relay closed an attempt before the reply.
+    /// The relay closed the connection of an attempt before the backend had answered.
     #[serde(rename = "dial-gone")]
     AttemptAbandoned {
         /// The backend.
@@ -180,7 +182,7 @@
         /// The session.
         session: SessionId,
     },
-    /// A backend itself delayed a message.
+    /// A backend delayed a message, so that the relay is not to blame for that time.
     #[serde(rename = "box-held")]
     BackendDelayedMessage {
         /// The backend.
@@ -198,7 +200,7 @@
         /// The backend.
         #[serde(rename = "at")]
         backend: BackendIndex,
-        /// It has to warm up.
+        /// Whether the backend has to warm up.
         cold: bool,
     },
     /// A backend began its graceful shutdown.
@@ -215,20 +217,21 @@
         #[serde(rename = "at")]
         backend: BackendIndex,
     },
-    /// A backend was overloaded while warming up, which ends it.
+    /// A backend was overloaded while warming up, which makes it fail.
     #[serde(rename = "box-fell")]
     BackendOverloaded {
         /// The backend.
         #[serde(rename = "at")]
         backend: BackendIndex,
     },
-    /// A backend's process was paused or resumed: what happens in a pause is observed after it.
+    /// A backend's process was paused or resumed. It observes the events of a pause only
+    /// afterwards.
     #[serde(rename = "still")]
     BackendPaused {
         /// The backend.
         #[serde(rename = "at")]
         backend: BackendIndex,
-        /// It is paused from now on.
+        /// Whether the process is paused from now on.
         #[serde(rename = "on")]
         paused: bool,
     },
@@ -240,29 +243,29 @@
         backend: BackendIndex,
         /// The fault's name in scenarios.
         name: &'static str,
-        /// The fault holds from now on.
+        /// Whether the fault is active from now on.
         #[serde(rename = "on")]
         active: bool,
     },
-    /// A backend's load, sampled at each report.
+    /// A backend's load, sampled at each load report.
     #[serde(rename = "box-load")]
     BackendLoad {
         /// The backend.
         #[serde(rename = "at")]
         backend: BackendIndex,
-        /// Requested load over present capacity.
+        /// The requested load divided by the present capacity.
         load: f64,
-        /// Established sessions.
+        /// The number of established sessions.
         #[serde(rename = "held")]
         sessions: usize,
-        /// The present part of its full capacity.
+        /// The present capacity as a fraction of the full capacity.
         #[serde(rename = "share")]
         capacity_share: f64,
-        /// The greatest used part of its warm-up budget so far.
+        /// The greatest share of the warm-up budget used so far, as a fraction.
         #[serde(rename = "pushed")]
         warm_up_budget_used: f64,
     },
-    /// The discovery agent wrote a backend's state to a relay.
+    /// The discovery agent sent a backend's state to a relay.
     #[serde(rename = "told")]
     EndpointAnnounced {
         /// The relay.
@@ -281,7 +284,7 @@
         /// The backend.
         #[serde(rename = "at")]
         backend: BackendIndex,
-        /// The ban holds from now on.
+        /// Whether the ban holds from now on.
         #[serde(rename = "out")]
         banned: bool,
     },
@@ -292,7 +295,7 @@
         relay: RelayIndex,
         /// The fault's name in scenarios.
         fault: &'static str,
-        /// The fault holds from now on.
+        /// Whether the fault is active from now on.
         #[serde(rename = "on")]
         active: bool,
     },
@@ -307,12 +310,12 @@
         /// The relay.
         relay: RelayIndex,
     },
-    /// A relay was killed or ended by itself.
+    /// A relay was killed or ended unexpectedly.
     RelayKilled {
         /// The relay.
         relay: RelayIndex,
     },
-    /// A relay ended its graceful shutdown.
+    /// A relay's process ended after a graceful shutdown.
     RelayStopped {
         /// The relay.
         relay: RelayIndex,
@@ -322,11 +325,11 @@
     RelayPaused {
         /// The relay.
         relay: RelayIndex,
-        /// It is paused from now on.
+        /// Whether the process is paused from now on.
         #[serde(rename = "on")]
         paused: bool,
     },
-    /// A fault was injected into the link between two relays, in one direction, or cleared.
+    /// A fault was injected into one direction of the link between two relays, or cleared.
     #[serde(rename = "link")]
     LinkFault {
         /// The sending relay.
@@ -335,7 +338,7 @@
         to: RelayIndex,
         /// The fault's name in scenarios.
         name: &'static str,
-        /// The fault holds from now on.
+        /// Whether the fault is active from now on.
         #[serde(rename = "on")]
         active: bool,
     },
@@ -351,7 +354,7 @@
         /// When the relay was asked.
         #[serde(rename = "asked", serialize_with = "serialize_instant")]
         requested_at: Instant,
-        /// The end of the lease by that answer, counted from the asking.
+        /// The end of the lease: the remaining time of the answer, counted from the request.
         #[serde(rename = "until", serialize_with = "serialize_instant")]
         valid_until: Instant,
     },
@@ -360,43 +363,43 @@
     MembersSeen {
         /// The relay.
         relay: RelayIndex,
-        /// The names, its own among them.
+        /// The names of the relays, including the relay's own.
         #[serde(rename = "here")]
         members: Vec<String>,
     },
-    /// What a relay's process used, sampled.
+    /// A sample of the resources that a relay's process used.
     RelayCost {
         /// The relay.
         relay: RelayIndex,
-        /// CPU time since its start.
+        /// The CPU time since the start of the process.
         #[serde(rename = "cpu", serialize_with = "serialize_milliseconds")]
         cpu_time: Duration,
-        /// Resident memory in bytes.
+        /// The resident memory in bytes.
         #[serde(rename = "resident")]
         resident_bytes: u64,
     },
-    /// A thread of the testbed was late: what it observed in that time was observed late.
+    /// A thread of the testbed was delayed, and recorded the events of that time late.
     #[serde(rename = "tool-late")]
     TestbedDelayed {
         /// The delay.
         #[serde(rename = "by", serialize_with = "serialize_milliseconds")]
         delay: Duration,
     },
-    /// The testbed ran out of file descriptors: the relays are not to blame for what follows.
+    /// The testbed ran out of file descriptors, so that later failures are not the relays' fault.
     #[serde(rename = "tool-exhausted")]
     TestbedExhausted,
-    /// A remark of the run itself.
+    /// A note of the run itself.
     #[serde(rename = "mark")]
     Note {
-        /// The remark.
+        /// The text of the note.
         text: String,
     },
 }
 
-/// An observation and when it was made.
+/// An observation and the time at which it was made.
 #[derive(Clone, Debug, Serialize)]
 pub struct RecordedEvent {
-    /// Time since the start of the run.
+    /// When the observation was made, as the time since the start of the run.
     #[serde(rename = "ms", serialize_with = "serialize_instant")]
     pub at: Instant,
     /// What was observed.
--- a/testbed/src/invariant_checker/checker.rs
+++ b/testbed/src/invariant_checker/checker.rs
@@ -1,4 +1,4 @@
-//! The state of a check, and how it reports a violation.
+//! The state of a check and the reporting of violations.
 use super::history::{BackendHistory, Excuses, FORWARDING_LIMIT, SessionHistory};
 use super::result::{CheckResult, Invariant, PlatformRules, Violation};
 use super::timeline::{Subject, describe};
@@ -6,10 +6,10 @@
 use std::collections::BTreeMap;
 use thistlecroft::time::Instant;
 
-/// The greatest number of events in the timeline of a violation.
+/// The maximum number of events in the timeline of a violation.
 const MAX_TIMELINE_EVENTS: usize = 14;
 
-/// A check of a recorded run.
+/// Checks the recorded events of one run.
 pub(super) struct InvariantChecker<'a> {
     pub(super) rules: &'a PlatformRules,
     events: &'a [RecordedEvent],
@@ -19,7 +19,8 @@
     pub(super) result: CheckResult,
     /// The time of the last event.
     pub(super) end: Instant,
-    /// Without relays clients send to backends whatever they like.
+    /// Whether clients connect to relays. Without relays, clients may send invalid lines to
+    /// backends.
     pub(super) has_relays: bool,
 }
 
@@ -41,7 +42,7 @@
         checker
     }
 
-    /// Collects the sessions, and what excuses a violation.
+    /// Collects the sessions and everything that excuses a violation.
     fn collect(&mut self, at: Instant, observation: &Observation) {
         match observation {
             Observation::SessionRequested {
@@ -93,7 +94,7 @@
         self.backends.entry(index).or_default()
     }
 
-    /// Counts a violation; the first one of its invariant is kept with its timeline.
+    /// Counts a violation and keeps the earliest one of each invariant with its timeline.
     pub(super) fn report(
         &mut self,
         invariant: Invariant,
@@ -101,9 +102,9 @@
         description: impl Into<String>,
         subject: Subject,
     ) {
-        let place = invariant.number() - 1;
-        self.result.violation_counts[place] += 1;
-        let first = &mut self.result.first_violations[place];
+        let index = invariant.number() - 1;
+        self.result.violation_counts[index] += 1;
+        let first = &mut self.result.first_violations[index];
         if first.as_ref().is_some_and(|first| first.at <= at) {
             return;
         }
@@ -112,7 +113,7 @@
             .iter()
             .filter(|event| subject.is_related(&event.observation))
             .collect();
-        // A long timeline is cut to its end, where the invariant was violated.
+        // Keeps only the last events of a long timeline, which led to the violation.
         let end = related
             .iter()
             .filter(|event| event.at <= at + FORWARDING_LIMIT)
--- a/testbed/src/invariant_checker/drains_and_bans.rs
+++ b/testbed/src/invariant_checker/drains_and_bans.rs
@@ -1,4 +1,4 @@
-//! The third invariant: a backend that is draining, gone or banned gets no new sessions.
+//! The third invariant: a backend that is draining, stopped or banned receives no new sessions.
 use super::checker::InvariantChecker;
 use super::history::{ORDER_TOLERANCE, SOCKET_SLACK};
 use super::result::Invariant;
@@ -6,11 +6,12 @@
 use crate::event_recorder::{BackendIndex, Lifecycle, RelayIndex, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-/// A change counts as announced so long after it, also to a relay that discovery did not reach.
-const ANNOUNCED_AFTER: Duration = Duration::from_millis(6_000);
+/// The time after which a drain or stop counts as announced to every relay, even to one that
+/// discovery did not reach.
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_millis(6_000);
 
 impl InvariantChecker<'_> {
-    /// A backend began to drain, or stopped.
+    /// Records that a backend began to drain or stopped.
     pub(super) fn on_backend_closed(&mut self, at: Instant, backend: BackendIndex) {
         self.backend(backend).closed_since.get_or_insert(at);
     }
@@ -32,7 +33,7 @@
             return;
         }
         let history = self.backend(backend);
-        // The announcement is outdated where the backend has started again.
+        // The announcement is outdated if the backend has started again.
         if history.closed_since.is_some() {
             history.announced_at.entry(relay).or_insert(at);
         }
@@ -53,25 +54,28 @@
         }
     }
 
-    /// Whether the backend was paused so shortly before that its times are not reliable.
-    pub(super) fn is_pause_near(&mut self, backend: BackendIndex, at: Instant) -> bool {
+    /// Returns whether the backend was paused so recently that the times it recorded are imprecise.
+    pub(super) fn was_recently_paused(&mut self, backend: BackendIndex, at: Instant) -> bool {
         let paused = &self.backend(backend).paused;
-        paused.overlap(at - ORDER_TOLERANCE, at)
+        paused.overlaps(at - ORDER_TOLERANCE, at)
     }
 
-    /// Since when the relay knows, or has to know, that the backend takes no new sessions.
+    /// Returns since when the relay knows, or must know, that the backend takes no new sessions.
     fn excluded_since(&self, relay: RelayIndex, backend: BackendIndex) -> Option<Instant> {
         let history = self.backends.get(&backend)?;
         let announced_at = history.announced_at.get(&relay).copied();
-        let latest = history.closed_since.map(|since| since + ANNOUNCED_AFTER);
+        let latest_announcement = history
+            .closed_since
+            .map(|since| since + MAX_ANNOUNCEMENT_DELAY);
         let banned_since = history.banned_since.get(&relay).copied();
-        [announced_at, latest, banned_since]
+        [announced_at, latest_announcement, banned_since]
             .into_iter()
             .flatten()
             .min()
     }
 
-    /// Judges an attempt at a backend.
+    /// Checks that the backend of an attempt was not draining, stopped or banned for longer than
+    /// the grace period.
     pub(super) fn check_drains_and_bans(
         &mut self,
         at: Instant,
@@ -83,14 +87,14 @@
         let Some(excluded_since) = self.excluded_since(relay, backend) else {
             return;
         };
-        let lateness = self.excuses.lateness(first_byte_at, at);
+        let lateness = self.excuses.max_testbed_delay(first_byte_at, at);
         let limit = excluded_since + self.rules.drain_grace + SOCKET_SLACK + lateness;
         if first_byte_at <= limit || self.excuses.was_paused(Some(relay), excluded_since, at) {
             return;
         }
         let after = first_byte_at.duration_since(excluded_since).as_millis();
         let description = format!(
-            "box {} was dialled {after} ms after its drain was told",
+            "backend {} received an attempt {after} ms after its drain, stop or ban was announced",
             backend.0
         );
         self.report(
--- a/testbed/src/invariant_checker/final_answer.rs
+++ b/testbed/src/invariant_checker/final_answer.rs
@@ -1,5 +1,5 @@
-//! The first invariant: each session has one final answer in time, and an established session is
-//! served until it migrates, ends, or its backend fails.
+//! The first invariant: each session receives one final answer in time, and an established session
+//! is served until it migrates, ends, or its backend fails.
 use super::checker::InvariantChecker;
 use super::history::{
     AttemptHistory, FORWARDING_LIMIT, ORDER_TOLERANCE, SOCKET_SLACK, SessionHistory,
@@ -9,13 +9,15 @@
 use crate::event_recorder::{Answer, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-/// A session may stand for so long after its backend has become unreachable.
+/// The time that a relay may take to find a backend unreachable: a connection that is lost within
+/// it after a fault of the backend is excused.
 const UNREACHABLE_LIMIT: Duration = Duration::from_millis(8_000);
-/// An answer so near the deadline counts as withheld...
+/// An answer that comes less than this before the deadline counts as withheld if no attempt was
+/// under way for longer than `MAX_IDLE`.
 const NEAR_DEADLINE: Duration = Duration::from_millis(150);
-/// ...where no attempt was under way for longer than this.
+/// The time for which an answer may be outstanding with no attempt under way.
 const MAX_IDLE: Duration = Duration::from_millis(250);
-/// The note of a backend on a line that no client sent.
+/// The prefix of a backend's note about a line that violates the protocol.
 const SYNTAX_NOTE: &str = "SYNTAX";
 
 impl InvariantChecker<'_> {
@@ -29,7 +31,7 @@
             return;
         };
         if history.answer.is_some() {
-            return self.report_answer(at, "it was answered twice", session);
+            return self.report_answer(at, "the session was answered twice", session);
         }
         history.answer = Some((at, answer));
         if answer != Answer::Accepted {
@@ -37,22 +39,26 @@
         }
         let (relay, requested_at) = (history.relay, history.requested_at);
         let deadline = history.deadline();
-        let lateness = self.excuses.lateness(requested_at, at);
+        let lateness = self.excuses.max_testbed_delay(requested_at, at);
         if relay.is_some()
             && at > deadline + SOCKET_SLACK + lateness
             && !self.excuses.was_paused(relay, requested_at, at)
         {
             let late = at.duration_since(deadline).as_millis();
-            let description = format!("its answer came {late} ms after its wait was over");
+            let description = format!("the session was answered {late} ms after its timeout");
             self.report_answer(at, description, session);
         }
     }
 
     pub(super) fn on_data_after_answer(&mut self, at: Instant, session: SessionId) {
-        self.report_answer(at, "more was said after the final answer", session);
+        self.report_answer(
+            at,
+            "the client received more data after the final answer",
+            session,
+        );
     }
 
-    /// The client's timeout or its connection has ended without an answer.
+    /// Handles a session whose timeout passed, or whose connection was closed, without an answer.
     pub(super) fn on_no_answer(&mut self, at: Instant, session: SessionId, description: &str) {
         let Some(history) = self.sessions.get_mut(&session) else {
             return;
@@ -66,7 +72,8 @@
         }
     }
 
-    /// An established connection was lost, which only a fault of its backend excuses.
+    /// Handles the loss of an established connection, which a fault of its backend or a kill or
+    /// pause of its relay excuses.
     pub(super) fn on_connection_lost(&mut self, at: Instant, session: SessionId) {
         let Some(history) = self.sessions.get_mut(&session) else {
             return;
@@ -78,7 +85,7 @@
             .iter()
             .find(|attempt| attempt.was_accepted())
             .map(|attempt| attempt.backend);
-        // A backend that clients ask directly may end what it likes.
+        // A backend that clients connect to directly may close any connection.
         if relay.is_none()
             || closed_at.is_some_and(|closed_at| closed_at <= at + ORDER_TOLERANCE)
             || self
@@ -88,13 +95,13 @@
             return;
         }
         let history = backend.and_then(|backend| self.backends.get(&backend));
-        if history.is_some_and(|history| history.faulty.overlap(at - UNREACHABLE_LIMIT, at)) {
+        if history.is_some_and(|history| history.faulty.overlaps(at - UNREACHABLE_LIMIT, at)) {
             return;
         }
         self.report(
             Invariant::FinalAnswer,
             at,
-            "it was cut off without MOVE while its box answered",
+            "the connection was lost without MOVE while its backend had no fault",
             Subject {
                 session: Some(session),
                 backend,
@@ -109,12 +116,12 @@
         let from = at - waited;
         let has_backend_fault = |attempt: &AttemptHistory| {
             self.backends.get(&attempt.backend).is_some_and(|backend| {
-                backend.faulty.overlap(from, at) || backend.paused.overlap(from, at)
+                backend.faulty.overlaps(from, at) || backend.paused.overlaps(from, at)
             })
         };
         let limit = FORWARDING_LIMIT
             + SOCKET_SLACK
-            + (history.backend_delay + self.excuses.lateness(from, at));
+            + (history.backend_delay + self.excuses.max_testbed_delay(from, at));
         if self.excuses.was_paused(history.relay, from, at)
             || history.relay.is_none()
             || history.attempts.iter().any(has_backend_fault)
@@ -123,21 +130,22 @@
             return;
         }
         let description = format!(
-            "a line took {} ms, its box had answered before",
+            "a message took {} ms although its backend had answered earlier",
             waited.as_millis()
         );
         self.report_answer(at, description, session);
     }
 
     pub(super) fn on_message_mismatched(&mut self, at: Instant, session: SessionId) {
-        let description = "a line came back that was not sent, or not in order";
+        let description = "the client received a message that it had not sent, or out of order";
         self.report_answer(at, description, session);
     }
 
-    /// Backends note lines that no client sent: with relays these are the relays' own.
+    /// Handles a backend's note about an invalid line. Clients behind relays send none, so that a
+    /// relay must have sent it.
     pub(super) fn on_note(&mut self, at: Instant, text: &str) {
         if text.starts_with(SYNTAX_NOTE) && self.has_relays {
-            let description = format!("a box met a line that no client sent: {text}");
+            let description = format!("a backend received a line that no client sent: {text}");
             self.report(Invariant::FinalAnswer, at, description, Subject::default());
         }
     }
@@ -149,11 +157,12 @@
             && history.ended_at.is_none()
             && self.end > deadline + FORWARDING_LIMIT
         {
-            self.report_answer(deadline, "it was never answered", session);
+            self.report_answer(deadline, "the session was never answered", session);
         }
     }
 
-    /// A rejection or failure must not wait for the deadline while no attempt is under way.
+    /// Checks that a rejection or failure was not withheld until shortly before the deadline while
+    /// no attempt was under way.
     pub(super) fn check_withheld_answer(&mut self, session: SessionId, history: &SessionHistory) {
         let Some((at, Answer::Rejected(_) | Answer::Failed)) = history.answer else {
             return;
@@ -165,16 +174,17 @@
             .max();
         let idle_since = last_attempt_end.unwrap_or(history.requested_at);
         let idle = at.duration_since(idle_since);
-        let is_blurred = history.attempts.iter().any(|attempt| attempt.is_blurred)
+        let is_imprecise = history.attempts.iter().any(|attempt| attempt.is_imprecise)
             || self.excuses.was_paused(history.relay, idle_since, at);
-        if at + NEAR_DEADLINE >= history.deadline() && idle > MAX_IDLE && !is_blurred {
+        if at + NEAR_DEADLINE >= history.deadline() && idle > MAX_IDLE && !is_imprecise {
             let idle = idle.as_millis();
-            let description = format!("its answer was kept back for {idle} ms with no dial out");
+            let description =
+                format!("the answer was withheld for {idle} ms with no attempt under way");
             self.report_answer(at, description, session);
         }
     }
 
-    /// A session that its backend has closed must end or migrate within the limit.
+    /// Checks that a session ended or migrated within the limit after its backend had closed it.
     pub(super) fn check_orphaned(&mut self, session: SessionId, history: &SessionHistory) {
         let (Some(closed_at), Some((_, Answer::Accepted))) =
             (history.closed_by_backend_at, history.answer)
@@ -182,13 +192,13 @@
             return;
         };
         let ended_at = history.ended_at.unwrap_or(self.end);
-        let lateness = self.excuses.lateness(closed_at, ended_at);
+        let lateness = self.excuses.max_testbed_delay(closed_at, ended_at);
         if ended_at > closed_at + FORWARDING_LIMIT + SOCKET_SLACK + lateness
             && !self
                 .excuses
                 .was_killed_or_paused(history.relay, closed_at, ended_at)
         {
-            let description = "its box had ended it a second before and more";
+            let description = "the session was open over a second after its backend had closed it";
             self.report_answer(ended_at, description, session);
         }
     }
--- a/testbed/src/invariant_checker/history.rs
+++ b/testbed/src/invariant_checker/history.rs
@@ -1,14 +1,14 @@
-//! What a check remembers of a run: intervals, sessions with their attempts, and backends.
+//! The state that a check keeps of a run: intervals, sessions with their attempts, and backends.
 use crate::event_recorder::{Answer, BackendIndex, RelayIndex, Reply};
 use std::collections::BTreeMap;
 use thistlecroft::time::{Duration, Instant};
 
-/// The intervals in which something held; the last one may be open.
+/// The time intervals during which a condition held; the last one may be open.
 #[derive(Default)]
 pub(super) struct Intervals(Vec<(Instant, Option<Instant>)>);
 
 impl Intervals {
-    /// It holds from now on, or no longer does.
+    /// Begins an interval if the condition holds, or ends the open one if it does not.
     pub(super) fn set(&mut self, holds: bool, at: Instant) {
         if holds {
             self.begin(at);
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Whether it held at any time between the two.
-    pub(super) fn overlap(&self, from: Instant, to: Instant) -> bool {
+    /// Returns whether the condition held at any time from `from` to `to`, both included.
+    pub(super) fn overlaps(&self, from: Instant, to: Instant) -> bool {
         self.0
             .iter()
             .any(|&(begin, end)| begin <= to && end.is_none_or(|end| end >= from))
@@ -41,30 +41,31 @@
 pub(super) enum AttemptEnd {
     /// The backend answered.
     Answered(Reply),
-    /// The relay closed it before an answer.
+    /// The relay closed the connection before the backend answered.
     Abandoned,
 }
 
-/// An attempt of a session at a backend.
+/// An attempt to establish a session at a backend.
 #[derive(Clone, Debug)]
 pub(super) struct AttemptHistory {
     pub(super) backend: BackendIndex,
     pub(super) received_at: Instant,
     pub(super) first_byte_at: Instant,
     pub(super) end: Option<(Instant, AttemptEnd)>,
-    /// Its backend was paused at its beginning or before its end: the times are not reliable.
-    pub(super) is_blurred: bool,
+    /// Whether the recorded times are imprecise, because the backend was paused shortly before the
+    /// attempt arrived or before it ended.
+    pub(super) is_imprecise: bool,
 }
 
 impl AttemptHistory {
-    /// When it ended without an established session.
+    /// Returns when the attempt ended without establishing the session.
     pub(super) fn failed_at(&self) -> Option<Instant> {
         let (at, end) = self.end?;
         (end != AttemptEnd::Answered(Reply::Accepted)).then_some(at)
     }
 
-    /// Whether it may have had its effect.
-    pub(super) fn may_have_run(&self) -> bool {
+    /// Returns whether the session's effect may have happened at the backend.
+    pub(super) fn may_have_had_effect(&self) -> bool {
         !matches!(self.end, Some((_, AttemptEnd::Answered(Reply::Rejected))))
     }
 
@@ -73,22 +74,22 @@
     }
 }
 
-/// A session.
+/// What was observed of one session.
 #[derive(Clone, Debug)]
 pub(super) struct SessionHistory {
     pub(super) requested_at: Instant,
     pub(super) timeout: Duration,
-    /// None where the client asked a backend itself.
+    /// `None` if the client connected to a backend directly.
     pub(super) relay: Option<RelayIndex>,
     pub(super) listener: usize,
     pub(super) answer: Option<(Instant, Answer)>,
     pub(super) ended_at: Option<Instant>,
-    /// Nobody owes it an answer.
+    /// No answer is required: the client left, or its relay was killed or paused.
     pub(super) is_excused: bool,
     pub(super) attempts: Vec<AttemptHistory>,
-    /// When its backend closed it.
+    /// When the backend closed the session.
     pub(super) closed_by_backend_at: Option<Instant>,
-    /// The longest delay of a message by the backend itself.
+    /// The longest time for which the backend itself delayed a message.
     pub(super) backend_delay: Duration,
 }
 
@@ -118,33 +119,36 @@
     }
 }
 
-/// A backend.
+/// What was observed of one backend.
 #[derive(Default)]
 pub(super) struct BackendHistory {
     pub(super) paused: Intervals,
-    /// It has a fault or does not run.
+    /// When the backend had a fault or did not run.
     pub(super) faulty: Intervals,
-    /// When its draining or end was announced, by relay.
+    /// When the drain or stop of the backend was announced to each relay.
     pub(super) announced_at: BTreeMap<RelayIndex, Instant>,
-    /// Since when it wants no new sessions.
+    /// When the backend began to drain or stopped, if it has not started since.
     pub(super) closed_since: Option<Instant>,
-    /// Since when a relay's operators have it banned, whatever the endpoint list says.
+    /// Since when an operator's ban of the backend holds at each relay, whatever the endpoint list
+    /// says.
     pub(super) banned_since: BTreeMap<RelayIndex, Instant>,
 }
 
-/// Everything that excuses a violation, which must be known before anything is judged.
+/// The events that excuse a violation. All are collected before the first check, because some are
+/// recorded after the events that they excuse.
 #[derive(Default)]
 pub(super) struct Excuses {
     pub(super) killed_at: BTreeMap<RelayIndex, Vec<Instant>>,
-    /// A relay owes nothing while its process is paused.
+    /// When each relay's process was paused, during which no invariant binds the relay.
     pub(super) paused: BTreeMap<RelayIndex, Intervals>,
-    /// Delays of the testbed itself, and when they ended.
+    /// Delays of the testbed itself, each with the time at which it ended.
     pub(super) testbed_delays: Vec<(Instant, Duration)>,
 }
 
 impl Excuses {
-    /// How late the testbed may have observed what happened between the two.
-    pub(super) fn lateness(&self, from: Instant, to: Instant) -> Duration {
+    /// Returns the longest delay with which the testbed may have observed events from `from` to
+    /// `to`.
+    pub(super) fn max_testbed_delay(&self, from: Instant, to: Instant) -> Duration {
         self.testbed_delays
             .iter()
             .filter(|(at, delay)| *at + *delay >= from && *at <= to + *delay)
@@ -153,13 +157,14 @@
             .unwrap_or(Duration::ZERO)
     }
 
-    /// Whether the relay was paused; what waited is worked off for a moment after it.
+    /// Returns whether the relay was paused from `from` to `to` or nearly so: after a pause it
+    /// needs a moment to process what has queued up.
     pub(super) fn was_paused(&self, relay: Option<RelayIndex>, from: Instant, to: Instant) -> bool {
         let paused = relay.and_then(|relay| self.paused.get(&relay));
-        paused.is_some_and(|paused| paused.overlap(from - ORDER_TOLERANCE, to + ORDER_TOLERANCE))
+        paused.is_some_and(|paused| paused.overlaps(from - ORDER_TOLERANCE, to + ORDER_TOLERANCE))
     }
 
-    /// Whether the relay was killed or paused.
+    /// Returns whether the relay was killed or paused from `from` to `to` or nearly so.
     pub(super) fn was_killed_or_paused(
         &self,
         relay: Option<RelayIndex>,
@@ -178,10 +183,10 @@
     }
 }
 
-/// Each time limit is so much longer on sockets.
+/// The tolerance added to each time limit for delays of the sockets.
 pub(super) const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// Events of two threads, or of two sockets in one turn, may be recorded in the wrong order by so
-/// much.
+/// The greatest time by which events of two threads, or of two sockets in one turn of an event
+/// loop, may be recorded in the wrong order.
 pub(super) const ORDER_TOLERANCE: Duration = Duration::from_millis(50);
-/// A message may take so long, and the end of a session on its backend's side as long.
+/// The time limit for forwarding a message, or the end of a session on the backend's side.
 pub(super) const FORWARDING_LIMIT: Duration = Duration::from_millis(1_000);
--- a/testbed/src/invariant_checker/mod.rs
+++ b/testbed/src/invariant_checker/mod.rs
@@ -1,8 +1,8 @@
-//! Judges from recorded events whether a run kept the four invariants that each relay keeps by
-//! itself, with the events that led to the first violation of each.
+//! Checks by the recorded events of a run whether each relay kept the four invariants that concern
+//! it alone, and lists the events that led to the first violation of each.
 //!
-//! No I/O. What nobody can have observed is not judged: a paused backend records late, and a killed
-//! relay owes no answer for its sessions.
+//! The checker does no I/O. It reports no violation that the events cannot prove: a paused backend
+//! records its events late, and a killed relay cannot answer its sessions.
 mod checker;
 mod drains_and_bans;
 mod final_answer;
--- a/testbed/src/invariant_checker/replay.rs
+++ b/testbed/src/invariant_checker/replay.rs
@@ -1,11 +1,11 @@
-//! The order of a check: the events one after the other, then each session as a whole.
+//! The steps of a check: first each event in turn, then each session as a whole.
 use super::checker::InvariantChecker;
 use super::history::{AttemptEnd, AttemptHistory, SessionHistory};
 use super::result::{AttemptTotals, CheckResult, PlatformRules};
 use crate::event_recorder::{BackendIndex, Observation, RecordedEvent, SessionId};
 use thistlecroft::time::Instant;
 
-/// Judges a run by its events, which must be in the order of time.
+/// Checks the invariants by the events of a run, which must be in chronological order.
 pub fn check_invariants(events: &[RecordedEvent], rules: &PlatformRules) -> CheckResult {
     let mut checker = InvariantChecker::new(events, rules);
     for event in events {
@@ -21,10 +21,10 @@
             Observation::Answered { session, answer } => self.on_answered(at, *session, *answer),
             Observation::DataAfterAnswer { session } => self.on_data_after_answer(at, *session),
             Observation::AnswerTimedOut { session } => {
-                self.on_no_answer(at, *session, "it had no answer within its wait");
+                self.on_no_answer(at, *session, "the session had no answer within its timeout");
             }
             Observation::ClosedUnanswered { session } => {
-                self.on_no_answer(at, *session, "its connection ended without an answer");
+                self.on_no_answer(at, *session, "the connection was closed without an answer");
             }
             Observation::ClientLeft { session } => {
                 if let Some(history) = self.sessions.get_mut(session) {
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Events of backends as a whole.
+    /// Handles the events that concern a backend rather than one of its sessions.
     fn replay_backend(&mut self, at: Instant, observation: &Observation) {
         match observation {
             Observation::BackendDraining { backend } | Observation::BackendStopped { backend } => {
@@ -99,9 +99,9 @@
         let Some(relay) = self.sessions.get(&session).map(|history| history.relay) else {
             return;
         };
-        let is_blurred = self.is_pause_near(backend, at);
+        let is_imprecise = self.was_recently_paused(backend, at);
         if let Some(relay) = relay
-            && !is_blurred
+            && !is_imprecise
         {
             self.check_drains_and_bans(at, relay, backend, session, first_byte_at);
         }
@@ -111,7 +111,7 @@
                 received_at: at,
                 first_byte_at,
                 end: None,
-                is_blurred,
+                is_imprecise,
             });
         }
     }
@@ -127,19 +127,19 @@
         let Some(history) = self.sessions.get_mut(&session) else {
             return;
         };
-        let open = history
+        let open_attempt = history
             .attempts
             .iter_mut()
             .rev()
             .find(|attempt| attempt.backend == backend && attempt.end.is_none());
-        if let Some(attempt) = open {
+        if let Some(attempt) = open_attempt {
             attempt.end = Some((at, end));
-            attempt.is_blurred |=
-                paused.is_some_and(|paused| paused.overlap(attempt.received_at, at));
+            attempt.is_imprecise |=
+                paused.is_some_and(|paused| paused.overlaps(attempt.received_at, at));
         }
     }
 
-    /// Judges what can only be said when all of a session is known.
+    /// Runs the checks that need all events of a session.
     fn check_sessions(&mut self) {
         let sessions: Vec<SessionId> = self.sessions.keys().copied().collect();
         for session in sessions {
--- a/testbed/src/invariant_checker/result.rs
+++ b/testbed/src/invariant_checker/result.rs
@@ -1,15 +1,17 @@
-//! What the platform demands, and what a check of a run against it has found.
+//! The platform's rules, and the result of checking a run against them.
 use thistlecroft::deployment::Idempotency;
 use thistlecroft::time::{Duration, Instant};
 
-/// The platform's figures by which a run is judged.
+/// The platform's settings that the checker of a run needs.
 #[derive(Clone, Debug)]
 pub struct PlatformRules {
-    /// What sessions may be attempted again, by listener.
+    /// Which sessions may be attempted again, by listener.
     pub idempotency: Vec<Idempotency>,
-    /// Whether hedged requests are allowed, by listener; they are not where nothing is stated.
+    /// Whether hedged attempts are allowed, by listener; they are not for a listener without an
+    /// entry.
     pub hedged: Vec<bool>,
-    /// New sessions may reach a backend for so long after its draining or end was announced.
+    /// The time for which new sessions may still reach a backend after its drain or stop was
+    /// announced.
     pub drain_grace: Duration,
     /// Zone and cell of each backend, for the scope of idempotency keys.
     pub backend_locations: Vec<(String, u16)>,
@@ -18,18 +20,18 @@
 /// One of the four invariants that every relay keeps by itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Invariant {
-    /// Each session has one final answer in time, and an established one is served to its end.
+    /// Each session receives one final answer in time, and an established one is served to its end.
     FinalAnswer,
-    /// No session has an effect twice.
+    /// No session has its effect twice.
     SingleEffect,
-    /// Draining and banned backends get no new sessions.
+    /// Draining, stopped and banned backends receive no new sessions.
     DrainsAndBans,
     /// No backend is overloaded while it warms up.
     WarmUpOverload,
 }
 
 impl Invariant {
-    /// Its number in results, from 1.
+    /// Returns the number of the invariant in results, from 1.
     pub(super) fn number(self) -> usize {
         match self {
             Invariant::FinalAnswer => 1,
@@ -40,64 +42,66 @@
     }
 }
 
-/// A violated invariant.
+/// A violation of an invariant.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// The number of the invariant, from 1.
     pub invariant: usize,
-    /// When it was violated.
+    /// When the invariant was violated.
     pub at: Instant,
-    /// How it was violated.
+    /// How the invariant was violated.
     pub description: String,
-    /// The recorded events that led to it, one a line.
+    /// Descriptions of the recorded events that led to the violation.
     pub timeline: Vec<String>,
 }
 
-/// What a check has found.
+/// The result of a check.
 #[derive(Clone, Debug, Default)]
 pub struct CheckResult {
     /// The first violation of each invariant.
     pub first_violations: [Option<Violation>; 4],
     /// The number of violations of each invariant.
     pub violation_counts: [usize; 4],
-    /// Sessions that were judged.
+    /// The number of sessions checked.
     pub sessions: usize,
-    /// Sessions that had an answer.
+    /// The number of sessions that were answered.
     pub answered: usize,
-    /// Sessions without an answer that nobody owes one: the client left, or its relay was killed.
+    /// The number of sessions that were not answered and needed no answer: the client left, or its
+    /// relay was killed or paused.
     pub excused: usize,
-    /// Attempts at all backends.
+    /// The number of attempts at all backends.
     pub attempts: usize,
     /// The greatest number of attempts of one session.
     pub max_attempts: usize,
-    /// The greatest used part of what a backend can take while it warms up.
+    /// The greatest share of a backend's warm-up budget that was used, as a fraction.
     pub max_warm_up_budget_used: f64,
-    /// Attempts by listener.
+    /// The attempts of each listener's sessions.
     pub listeners: Vec<AttemptTotals>,
 }
 
 /// The attempts of a listener's sessions.
 #[derive(Clone, Debug, Default)]
 pub struct AttemptTotals {
-    /// Sessions of the listener.
+    /// The number of the listener's sessions.
     pub sessions: usize,
     /// The greatest number of attempts of one session.
     pub max_per_session: usize,
-    /// Attempts that began after the one before had ended.
+    /// The number of attempts that began after the previous attempt of the session had failed.
     pub retries: usize,
-    /// Attempts that began while the one before was under way.
+    /// The number of attempts that began while the previous attempt of the session had not failed.
     pub hedged: usize,
-    /// The longest time to an answer.
+    /// The longest time from a request to its answer.
     pub longest_answer_time: Duration,
 }
 
 impl CheckResult {
-    /// Whether all invariants hold.
+    /// Returns whether no invariant was violated.
     pub fn holds(&self) -> bool {
         self.violation_counts == [0; 4]
     }
 
-    /// `rules kept`, or which are broken and how often.
+    /// Returns `rules kept`, or the numbers of the violated invariants and how often each was
+    /// violated.
     pub fn summary(&self) -> String {
         if self.holds() {
             return "rules kept".into();
--- a/testbed/src/invariant_checker/single_effect.rs
+++ b/testbed/src/invariant_checker/single_effect.rs
@@ -7,11 +7,11 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::{Duration, Instant};
 
-/// When the invariant was violated, and how.
+/// When the invariant was violated, and a description of how.
 type Finding = (Instant, &'static str);
 
 impl InvariantChecker<'_> {
-    /// Two attempts may be under way at once only where hedged requests are allowed.
+    /// Checks that two attempts were under way at once only if hedged attempts are allowed.
     pub(super) fn check_concurrent_attempts(
         &mut self,
         session: SessionId,
@@ -22,15 +22,17 @@
         }
         for pair in history.attempts.windows(2) {
             let [one, two] = pair else { continue };
-            let lateness = self.excuses.lateness(one.received_at, two.received_at);
+            let lateness = self
+                .excuses
+                .max_testbed_delay(one.received_at, two.received_at);
             let had_ended = one
                 .failed_at()
                 .is_some_and(|at| at <= two.received_at + ORDER_TOLERANCE + lateness);
-            if one.is_blurred || two.is_blurred || had_ended {
+            if one.is_imprecise || two.is_imprecise || had_ended {
                 continue;
             }
             let description = format!(
-                "boxes {} and {} had a dial of it at once",
+                "backends {} and {} had concurrent attempts of the session",
                 one.backend.0, two.backend.0
             );
             self.report(
@@ -42,13 +44,13 @@
         }
     }
 
-    /// Attempts after the first that may have had its effect must not have it again, and the
-    /// client must not be led to repeat it.
+    /// Checks that no attempt repeated an effect that an earlier attempt may have had, and that no
+    /// rejection led the client to repeat it.
     pub(super) fn check_effects(&mut self, session: SessionId, history: &SessionHistory) {
         let Some(first) = history
             .attempts
             .iter()
-            .find(|attempt| attempt.may_have_run())
+            .find(|attempt| attempt.may_have_had_effect())
         else {
             return;
         };
@@ -71,7 +73,8 @@
         }
     }
 
-    /// A session with an idempotency key may be attempted again where and while its key is known.
+    /// Checks that a session with an idempotency key was attempted again only where, and only as
+    /// long as, its key was known.
     fn check_keyed(
         &self,
         first: &AttemptHistory,
@@ -84,23 +87,25 @@
             .iter()
             .find(|attempt| !self.shares_scope(scope, first.backend, attempt.backend))
             .map(|attempt| {
-                let description = "it was repeated where its mark is not known";
+                let description = "the session was attempted again where its key is not known";
                 (attempt.received_at, description)
             });
-        let forgotten_at = first.first_byte_at + window + SOCKET_SLACK;
+        let key_expired_at = first.first_byte_at + window + SOCKET_SLACK;
         let too_late = later
             .iter()
-            .find(|attempt| attempt.first_byte_at > forgotten_at)
+            .find(|attempt| attempt.first_byte_at > key_expired_at)
             .map(|attempt| {
-                let description = "it was repeated after its mark was forgotten";
+                let description = "the session was attempted again after its key had expired";
                 (attempt.received_at, description)
             });
-        let rejected = (was_rejected && scope != DeduplicationScope::All)
-            .then_some((first.received_at, "it may have run and was refused"));
+        let rejected = (was_rejected && scope != DeduplicationScope::All).then_some((
+            first.received_at,
+            "the session may have had its effect and was rejected",
+        ));
         out_of_scope.or(too_late).or(rejected)
     }
 
-    /// Whether one backend knows the idempotency keys of the other.
+    /// Returns whether two backends share their idempotency keys.
     fn shares_scope(
         &self,
         scope: DeduplicationScope,
@@ -122,13 +127,13 @@
     later: &[&AttemptHistory],
     was_rejected: bool,
 ) -> Option<Finding> {
-    let again = later.first().map(|attempt| {
-        let description = "a once-only session was dialled again";
+    let repeated = later.first().map(|attempt| {
+        let description = "a non-idempotent session was attempted again";
         (attempt.received_at, description)
     });
     let rejected = was_rejected.then_some((
         first.received_at,
-        "a once-only session that may have run was refused",
+        "a non-idempotent session that may have had its effect was rejected",
     ));
-    again.or(rejected)
+    repeated.or(rejected)
 }
--- a/testbed/src/invariant_checker/timeline.rs
+++ b/testbed/src/invariant_checker/timeline.rs
@@ -1,9 +1,9 @@
-//! The timeline of a violation: which events belong to it, and their text.
+//! The timeline of a violation: which events belong to it, and how each is described.
 use crate::event_recorder::{
     Answer, BackendIndex, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
 };
 
-/// What a violation is about.
+/// The session or backend that violated an invariant, or both.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Subject {
     pub(super) session: Option<SessionId>,
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Whether an event belongs to the timeline. Of a backend without a session these are also the
-    /// attempts of all sessions.
+    /// Returns whether an event belongs to the timeline. If the subject is a backend without a
+    /// session, the attempts of all sessions at that backend belong to it too.
     pub(super) fn is_related(&self, observation: &Observation) -> bool {
         let changes_backend = self
             .backend
@@ -42,6 +42,7 @@
     }
 }
 
+/// Returns the session that an event concerns.
 fn session_of(observation: &Observation) -> Option<SessionId> {
     match observation {
         Observation::SessionRequested { session, .. }
@@ -64,7 +65,7 @@
     }
 }
 
-/// The backend whose state an event changes.
+/// Returns the backend whose state an event changes.
 fn changed_backend(observation: &Observation) -> Option<BackendIndex> {
     match observation {
         Observation::BackendStarted { backend, .. }
@@ -78,7 +79,7 @@
     }
 }
 
-/// An event as a line of a timeline.
+/// Returns a line of a timeline that describes an event.
 pub(super) fn describe(event: &RecordedEvent) -> String {
     let text = describe_client_event(&event.observation)
         .or_else(|| describe_backend_event(&event.observation))
@@ -95,29 +96,29 @@
             timeout,
             ..
         } => format!(
-            "client {:016x} asks {} and waits {} ms",
+            "session {:016x} is requested from {} with a timeout of {} ms",
             session.0,
             relay_name(*relay),
             timeout.as_millis()
         ),
         Observation::Answered { answer, .. } => describe_answer(*answer),
-        Observation::DataAfterAnswer { .. } => "the client hears a further line".into(),
-        Observation::AnswerTimedOut { .. } => "the client's wait is over, nothing has come".into(),
+        Observation::DataAfterAnswer { .. } => "the client receives more data".into(),
+        Observation::AnswerTimedOut { .. } => "the client's timeout passes unanswered".into(),
         Observation::ClosedUnanswered { .. } => {
-            "the client's connection ends without an answer".into()
+            "the client's connection is closed without an answer".into()
         }
-        Observation::ClientLeft { .. } => "the client leaves".into(),
+        Observation::ClientLeft { .. } => "the client leaves before its answer".into(),
         Observation::ConnectFailed { relay } => {
-            format!("{} takes no connection", relay_name(*relay))
+            format!("the connection to {} fails", relay_name(*relay))
         }
-        Observation::Migrated { .. } => "the client hears MOVE".into(),
-        Observation::ConnectionLost { .. } => "the client's connection is cut off".into(),
-        Observation::SessionClosed { .. } => "the client's connection ends well".into(),
+        Observation::Migrated { .. } => "the client receives MOVE".into(),
+        Observation::ConnectionLost { .. } => "the client's connection is lost".into(),
+        Observation::SessionClosed { .. } => "the session ends normally".into(),
         Observation::MessageLate { waited, .. } => {
-            format!("a line is back after {} ms", waited.as_millis())
+            format!("a message comes back after {} ms", waited.as_millis())
         }
         Observation::MessageMismatched { .. } => {
-            "the client hears a line that it did not send".into()
+            "the client receives a message that it did not send, or out of order".into()
         }
         _ => return None,
     };
@@ -126,70 +127,70 @@
 
 fn describe_answer(answer: Answer) -> String {
     match answer {
-        Answer::Accepted => "the client hears UP".into(),
-        Answer::Rejected(Some(wait)) => format!("the client hears BUSY {}", wait.as_millis()),
-        Answer::Rejected(None) => "the client hears BUSY".into(),
-        Answer::Failed => "the client hears that it failed".into(),
+        Answer::Accepted => "the client receives UP".into(),
+        Answer::Rejected(Some(wait)) => format!("the client receives BUSY {}", wait.as_millis()),
+        Answer::Rejected(None) => "the client receives BUSY".into(),
+        Answer::Failed => "the client receives a failure".into(),
     }
 }
 
 fn relay_name(relay: Option<RelayIndex>) -> String {
-    relay.map_or("a box itself".into(), |relay| format!("relay {}", relay.0))
+    relay.map_or("a backend".into(), |relay| format!("relay {}", relay.0))
 }
 
 fn describe_backend_event(observation: &Observation) -> Option<String> {
     let (backend, text) = match observation {
-        Observation::AttemptReceived { backend, .. } => (backend, " has a dial of it".into()),
+        Observation::AttemptReceived { backend, .. } => (backend, " receives an attempt".into()),
         Observation::AttemptAnswered { backend, reply, .. } => {
-            (backend, format!(" replies {}", reply_name(*reply)))
+            (backend, format!(" answers {}", reply_name(*reply)))
         }
         Observation::AttemptAbandoned { backend, .. } => {
-            (backend, " sees the dial given up".into())
+            (backend, " finds its attempt abandoned".into())
         }
         Observation::BackendClosedSession { backend, .. } => {
-            (backend, " ends the connection".into())
+            (backend, " closes the session".into())
         }
         Observation::BackendDelayedMessage {
             backend, waited, ..
         } => (
             backend,
-            format!(" keeps a line for {} ms", waited.as_millis()),
+            format!(" delays a message for {} ms", waited.as_millis()),
         ),
         Observation::BackendStarted { backend, cold } => (
             backend,
-            format!(" starts{}", if *cold { ", cold" } else { "" }),
+            format!(" starts{}", if *cold { " and has to warm up" } else { "" }),
         ),
-        Observation::BackendDraining { backend } => (backend, " drains".into()),
+        Observation::BackendDraining { backend } => (backend, " begins to drain".into()),
         Observation::BackendStopped { backend } => (backend, " stops".into()),
-        Observation::BackendOverloaded { backend } => (backend, " falls over".into()),
-        Observation::BackendPaused { backend, paused } => (backend, pause(*paused).into()),
+        Observation::BackendOverloaded { backend } => (backend, " is overloaded".into()),
+        Observation::BackendPaused { backend, paused } => (backend, describe_pause(*paused).into()),
         Observation::BackendFault {
             backend,
             name,
             active,
-        } => (backend, fault(name, *active)),
+        } => (backend, describe_fault(name, *active)),
         Observation::BackendLoad { backend, load, .. } => {
             (backend, format!(" has a load of {load:.2}"))
         }
         _ => return None,
     };
-    Some(format!("box {}{text}", backend.0))
+    Some(format!("backend {}{text}", backend.0))
 }
 
 fn reply_name(reply: Reply) -> &'static str {
     match reply {
         Reply::Accepted => "UP",
         Reply::Rejected => "BUSY",
-        Reply::Failed => "that it failed",
+        Reply::Failed => "with a failure",
     }
 }
 
-fn pause(paused: bool) -> &'static str {
-    if paused { " stands still" } else { " goes on" }
+fn describe_pause(paused: bool) -> &'static str {
+    if paused { " is paused" } else { " is resumed" }
 }
 
-fn fault(name: &str, active: bool) -> String {
-    format!(": {name}{}", if active { "" } else { " is over" })
+fn describe_fault(name: &str, active: bool) -> String {
+    format!(": fault {name}{}", if active { "" } else { " is cleared" })
 }
 
 fn describe_relay_event(observation: &Observation) -> Option<String> {
@@ -198,26 +199,32 @@
             relay,
             backend,
             lifecycle,
-        } => (relay, format!(" is told: box {} {lifecycle:?}", backend.0)),
+        } => (
+            relay,
+            format!(" is notified: backend {} is {lifecycle:?}", backend.0),
+        ),
         Observation::BackendBanned {
             relay,
             backend,
             banned,
         } => {
-            let state = if *banned { "out" } else { "wanted back" };
-            (relay, format!(": box {} is {state} by hand", backend.0))
+            let state = if *banned { "banned" } else { "unbanned" };
+            (
+                relay,
+                format!(": backend {} is {state} by an operator", backend.0),
+            )
         }
         Observation::AgentFault {
             relay,
             fault: name,
             active,
-        } => (relay, fault(name, *active)),
+        } => (relay, describe_fault(name, *active)),
         Observation::RelayStarted { relay } => (relay, " starts".into()),
-        Observation::RelayStopRequested { relay } => (relay, " is told to stop".into()),
+        Observation::RelayStopRequested { relay } => (relay, " is requested to stop".into()),
         Observation::RelayKilled { relay } => (relay, " is killed".into()),
         Observation::RelayStopped { relay } => (relay, " has stopped".into()),
-        Observation::RelayCost { relay, .. } => (relay, " is measured".into()),
-        Observation::RelayPaused { relay, paused } => (relay, pause(*paused).into()),
+        Observation::RelayCost { relay, .. } => (relay, " has its resource usage measured".into()),
+        Observation::RelayPaused { relay, paused } => (relay, describe_pause(*paused).into()),
         Observation::LeaseClaimed {
             relay,
             subject,
@@ -225,10 +232,10 @@
             ..
         } => (
             relay,
-            format!(" says that it holds {subject} by epoch {epoch}"),
+            format!(" answers that it holds the lease of {subject} with epoch {epoch}"),
         ),
         Observation::MembersSeen { relay, members } => {
-            (relay, format!(" sees {} here", members.len()))
+            (relay, format!(" sees {} relays alive", members.len()))
         }
         _ => return None,
     };
@@ -242,11 +249,16 @@
             to,
             name,
             active,
-        } => format!("link {} to {}{}", from.0, to.0, fault(name, *active)),
+        } => format!(
+            "link from relay {} to relay {}{}",
+            from.0,
+            to.0,
+            describe_fault(name, *active)
+        ),
         Observation::TestbedDelayed { delay } => {
-            format!("the stand-ins are {} ms late", delay.as_millis())
+            format!("the testbed is {} ms late", delay.as_millis())
         }
-        Observation::TestbedExhausted => "the stand-ins are out of descriptors".into(),
+        Observation::TestbedExhausted => "the testbed has run out of file descriptors".into(),
         Observation::Note { text } => text.clone(),
         other => format!("{other:?}"),
     }
--- a/testbed/src/invariant_checker/warm_up_overload.rs
+++ b/testbed/src/invariant_checker/warm_up_overload.rs
@@ -7,12 +7,12 @@
 
 impl InvariantChecker<'_> {
     pub(super) fn on_overloaded(&mut self, at: Instant, backend: BackendIndex) {
-        let description = format!("box {} was pushed over while cold", backend.0);
+        let description = format!("backend {} was overloaded while warming up", backend.0);
         let subject = Subject::backend(backend);
         self.report(Invariant::WarmUpOverload, at, description, subject);
     }
 
-    /// A backend reported how much of its warm-up budget was used.
+    /// Handles a backend's report of the share of its warm-up budget that was used.
     pub(super) fn on_warm_up_budget(&mut self, used: f64) {
         self.result.max_warm_up_budget_used = self.result.max_warm_up_budget_used.max(used);
     }
--- a/testbed/tests/faulty_relays/invariants.rs
+++ b/testbed/tests/faulty_relays/invariants.rs
@@ -160,27 +160,36 @@
     let violated = |description, fault| Case::violated(1, description, Scenario::new(fault));
     let crash = vec![(1_000, BackendCommand::Crash(BackendIndex(2), None))];
     vec![
-        violated("it had no answer within its wait", RelayFault::NeverAnswers),
         violated(
-            "its connection ended without an answer",
+            "the session had no answer within its timeout",
+            RelayFault::NeverAnswers,
+        ),
+        violated(
+            "the connection was closed without an answer",
             RelayFault::ClosesUnanswered,
         ),
         violated(
-            "more was said after the final answer",
+            "the client received more data after the final answer",
             RelayFault::AnswersTwice,
         ),
-        violated("after its wait was over", RelayFault::AnswersLate),
-        violated("kept back", RelayFault::WithholdsAnswer),
-        violated("cut off without MOVE", RelayFault::DropsConnections),
-        violated("its box had answered before", RelayFault::DelaysMessages),
+        violated("ms after its timeout", RelayFault::AnswersLate),
+        violated("the answer was withheld", RelayFault::WithholdsAnswer),
+        violated(
+            "the connection was lost without MOVE",
+            RelayFault::DropsConnections,
+        ),
+        violated(
+            "its backend had answered earlier",
+            RelayFault::DelaysMessages,
+        ),
         violated(
-            "a line came back that was not sent",
+            "received a message that it had not sent",
             RelayFault::AltersMessages,
         ),
         violated("no client sent", RelayFault::SendsOwnRequest),
         Case::violated(
             1,
-            "its box had ended it",
+            "its backend had closed it",
             with_commands(RelayFault::KeepsOrphans, crash),
         ),
     ]
@@ -191,22 +200,22 @@
     vec![
         Case::violated(
             2,
-            "had a dial of it at once",
+            "had concurrent attempts of the session",
             Scenario::new(RelayFault::ConcurrentAttempts),
         ),
         Case::violated(
             2,
-            "was dialled again",
+            "a non-idempotent session was attempted again",
             non_idempotent(RelayFault::RetriesNonIdempotent),
         ),
         Case::violated(
             2,
-            "may have run was refused",
+            "may have had its effect was rejected",
             non_idempotent(RelayFault::RejectsNonIdempotent),
         ),
         Case::violated(
             2,
-            "where its mark is not known",
+            "where its key is not known",
             keyed(
                 RelayFault::RetriesOutOfScope,
                 DeduplicationScope::Zone,
@@ -215,24 +224,24 @@
         ),
         Case::violated(
             2,
-            "after its mark was forgotten",
+            "after its key had expired",
             keyed(RelayFault::RetriesTooLate, DeduplicationScope::All, 100),
         ),
     ]
 }
 
 fn drain_and_warm_up_cases() -> Vec<Case> {
-    let dialled = "after its drain was told";
-    let overloaded = "was pushed over while cold";
+    let excluded = "after its drain, stop or ban was announced";
+    let overloaded = "was overloaded while warming up";
     vec![
         Case::violated(
             3,
-            dialled,
+            excluded,
             with_commands(RelayFault::IgnoresDrains, drain()),
         ),
         Case::violated(
             3,
-            dialled,
+            excluded,
             with_unannounced_drain(RelayFault::IgnoresDrains),
         ),
         Case::violated(
