--- a/testbed/src/cluster_invariants/invariant.rs
+++ b/testbed/src/cluster_invariants/invariant.rs
@@ -29,7 +29,7 @@
     SingleLeaseHolder,
     /// The epochs of a lease increase, and each belongs to one relay.
     IncreasingEpochs,
-    /// No relay serves a session of a killed relay.
+    /// No other relay serves a session of a killed relay.
     OneRelayPerSession,
     /// A session is taken over at most once.
     SingleTakeover,
--- a/testbed/src/invariant_checker/final_answer.rs
+++ b/testbed/src/invariant_checker/final_answer.rs
@@ -9,8 +9,8 @@
 use crate::event_recorder::{Answer, SessionId};
 use thistlecroft::time::{Duration, Instant};
 
-/// The time that a relay may take to find a backend unreachable: a connection that is lost within
-/// it after a fault of the backend is excused.
+/// The time that a relay may take to find a backend unreachable. The loss of a connection is
+/// excused if its backend had a fault within this time before.
 const UNREACHABLE_LIMIT: Duration = Duration::from_millis(8_000);
 /// An answer that comes less than this before the deadline counts as withheld if no attempt was
 /// under way for longer than `MAX_IDLE`.
@@ -85,7 +85,7 @@
             .iter()
             .find(|attempt| attempt.was_accepted())
             .map(|attempt| attempt.backend);
-        // A backend that clients connect to directly may close any connection.
+        // Backends that clients connect to directly may close any connection.
         if relay.is_none()
             || closed_at.is_some_and(|closed_at| closed_at <= at + ORDER_TOLERANCE)
             || self
--- a/testbed/src/invariant_checker/history.rs
+++ b/testbed/src/invariant_checker/history.rs
@@ -84,7 +84,7 @@
     pub(super) listener: usize,
     pub(super) answer: Option<(Instant, Answer)>,
     pub(super) ended_at: Option<Instant>,
-    /// No answer is required: the client left, or its relay was killed or paused.
+    /// Whether no answer is required: the client left, or its relay was killed or paused.
     pub(super) is_excused: bool,
     pub(super) attempts: Vec<AttemptHistory>,
     /// When the backend closed the session.
@@ -123,7 +123,7 @@
 #[derive(Default)]
 pub(super) struct BackendHistory {
     pub(super) paused: Intervals,
-    /// When the backend had a fault or did not run.
+    /// When the backend had a fault or was stopped.
     pub(super) faulty: Intervals,
     /// When the drain or stop of the backend was announced to each relay.
     pub(super) announced_at: BTreeMap<RelayIndex, Instant>,
@@ -157,14 +157,15 @@
             .unwrap_or(Duration::ZERO)
     }
 
-    /// Returns whether the relay was paused from `from` to `to` or nearly so: after a pause it
-    /// needs a moment to process what has queued up.
+    /// Returns whether the relay was paused at any time from `from` to `to`, extended by
+    /// `ORDER_TOLERANCE`: after a pause the relay needs a moment to process what has queued up.
     pub(super) fn was_paused(&self, relay: Option<RelayIndex>, from: Instant, to: Instant) -> bool {
         let paused = relay.and_then(|relay| self.paused.get(&relay));
         paused.is_some_and(|paused| paused.overlaps(from - ORDER_TOLERANCE, to + ORDER_TOLERANCE))
     }
 
-    /// Returns whether the relay was killed or paused from `from` to `to` or nearly so.
+    /// Returns whether the relay was killed or paused at any time from `from` to `to`, extended by
+    /// `ORDER_TOLERANCE`.
     pub(super) fn was_killed_or_paused(
         &self,
         relay: Option<RelayIndex>,
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -1,13 +1,14 @@
-//! Stand-ins on loopback sockets for everything that a relay meets, and checkers of what they
-//! observed.
+//! The testbed of relays: simulated backends, discovery agents and clients on loopback sockets, and
+//! checkers of the events that they observe.
 //!
-//! Backends with their set-up store and the discovery agents share a thread
-//! ([`simulated_backends`]), clients have one or more threads of their own ([`load_generator`]),
-//! and relays are processes ([`relay_process`], [`process_cluster`]). Each thread records what it
-//! observes ([`event_recorder`]); [`invariant_checker`] and [`cluster_invariants`] judge the record.
+//! The simulated backends, with their set-up store and the discovery agents, share a thread
+//! ([`simulated_backends`]), the clients have one or more threads of their own
+//! ([`load_generator`]), and relays are processes ([`relay_process`], [`process_cluster`]). Each
+//! thread records what it observes ([`event_recorder`]); [`invariant_checker`] and
+//! [`cluster_invariants`] check the recorded events.
 //!
 //! The models and checkers ([`backend_model`], [`traffic`], [`endpoint_list`], [`link_fault`],
-//! [`simulated_network`], both checkers) are free of I/O.
+//! [`simulated_network`], both checkers) do no I/O.
 pub mod backend_model;
 pub mod clock;
 pub mod cluster_invariants;
--- a/testbed/src/process_cluster/cluster.rs
+++ b/testbed/src/process_cluster/cluster.rs
@@ -1,4 +1,4 @@
-//! A running cluster: its relays, the network between them, and what is waited for.
+//! A running cluster: its relays, the network between them, and the conditions that tests wait for.
 use super::error::ProcessClusterError;
 use super::plan::ClusterPlan;
 use crate::clock::{Stopwatch, from_std, to_std};
@@ -21,16 +21,16 @@
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
 /// The name of the fault between partitioned relays in recorded events.
 const LINK_FAULT_NAME: &str = "bent";
-/// Seeds of two starts differ by this.
+/// The difference between the seeds of two successive starts.
 const SEEDS_PER_START: u64 = 1_000;
 
-/// A cluster whose relays are killed when this is dropped.
+/// A running cluster, whose relays are killed when this value is dropped.
 pub struct ProcessCluster {
     /// The clock of the run.
     pub clock: Stopwatch,
-    /// Where observations are recorded.
+    /// The recorder of the cluster's observations.
     pub recorder: EventRecorder,
-    /// What was observed.
+    /// The log of the recorded observations.
     pub events: EventLog,
     /// The backends and discovery agents.
     pub backends: OpenedBackends,
@@ -38,19 +38,19 @@
     pub network: OpenedNetwork,
     plan: ClusterPlan,
     peers: PeersConfig,
-    /// None where a relay does not run.
+    /// The process of each relay; `None` if the relay does not run.
     relays: Vec<Option<RelayProcess>>,
     admin_addresses: Vec<SocketAddr>,
     listen_addresses: Vec<SocketAddr>,
-    /// Relays that were started so far.
+    /// The number of relay processes started so far.
     starts: u64,
 }
 
 impl ProcessCluster {
-    /// Sets up everything but the relays.
+    /// Starts the backends, the discovery agents and the network, but no relays.
     ///
     /// # Errors
-    /// If the system gives no socket, thread or file.
+    /// Returns an error if a socket, thread or file can't be created.
     pub fn open(plan: ClusterPlan) -> Result<ProcessCluster, ProcessClusterError> {
         let (recorder, events) = event_recorder();
         let clock = Stopwatch::start();
@@ -88,10 +88,10 @@
         self.recorder.record(self.clock.now(), observation);
     }
 
-    /// Starts all of these at once, each while the others are starting too.
+    /// Starts the given relays at the same time and waits until all are ready.
     ///
     /// # Errors
-    /// As [`ProcessCluster::start`], for the first that is not ready.
+    /// Returns the error of the first relay that can't be started or is not ready in time.
     pub fn start_all(&mut self, indices: &[usize]) -> Result<(), ProcessClusterError> {
         for &index in indices {
             self.spawn(index, self.operator_config(index))?;
@@ -105,15 +105,15 @@
     /// Starts a relay and waits until it is ready.
     ///
     /// # Errors
-    /// If it can't be started, or is not ready in time.
+    /// Returns an error if the relay can't be started, or is not ready in time.
     pub fn start(&mut self, index: usize) -> Result<(), ProcessClusterError> {
         self.start_with_config(index, self.operator_config(index))
     }
 
-    /// Starts a relay with this operator configuration and waits until it is ready.
+    /// Starts a relay with the given operator configuration and waits until it is ready.
     ///
     /// # Errors
-    /// As [`ProcessCluster::start`].
+    /// Returns the same errors as [`ProcessCluster::start`].
     pub fn start_with_config(
         &mut self,
         index: usize,
@@ -163,16 +163,17 @@
         Ok(())
     }
 
-    /// The usual operator configuration of a relay.
+    /// Returns the default operator configuration of a relay.
     pub fn operator_config(&self, index: usize) -> String {
         let addresses = &self.network.addresses;
         self.peers.toml_table(&addresses[index], addresses)
     }
 
-    /// Replaces the operator configuration of a running relay and has it read again.
+    /// Replaces the operator configuration of a relay and makes the relay reload it; does nothing
+    /// if the relay does not run.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// Returns an error if the file can't be written.
     pub fn replace_operator_config(&self, index: usize, text: &str) -> io::Result<()> {
         self.relays[index]
             .as_ref()
@@ -189,7 +190,7 @@
         }
     }
 
-    /// Pauses a relay's process, or resumes it.
+    /// Pauses or resumes a relay's process.
     pub fn set_paused(&mut self, index: usize, paused: bool) {
         let Some(relay) = &self.relays[index] else {
             return;
@@ -201,7 +202,8 @@
         relay.set_paused(paused);
     }
 
-    /// Requests a graceful shutdown; whether it ended successfully within that time.
+    /// Requests a graceful shutdown of a relay; returns whether its process exited successfully
+    /// within the given time.
     pub fn stop(&mut self, index: usize, within: Duration) -> bool {
         let Some(mut relay) = self.relays[index].take() else {
             return false;
@@ -217,24 +219,24 @@
         status.is_some_and(|status| status.success())
     }
 
-    /// Sets the fault of the links from each of these to each of those, in this direction only;
-    /// none clears it.
+    /// Sets the fault of the links from each relay of `from` to each relay of `to`, in this
+    /// direction only; `None` clears it.
     pub fn set_link_fault(&self, from: &[usize], to: &[usize], fault: Option<LinkFault>) {
         let links = from
             .iter()
-            .flat_map(|one| to.iter().map(move |other| (*one, *other)))
-            .filter(|(one, other)| one != other)
-            .map(|(one, other)| (relay_index(one), relay_index(other)))
+            .flat_map(|sender| to.iter().map(move |receiver| (*sender, *receiver)))
+            .filter(|(sender, receiver)| sender != receiver)
+            .map(|(sender, receiver)| (relay_index(sender), relay_index(receiver)))
             .collect();
         self.network
             .event_loop
             .command(NetworkCommand::SetLinkFault(links, fault, LINK_FAULT_NAME));
     }
 
-    /// Cuts these off from those, in both directions.
-    pub fn partition(&self, these: &[usize], those: &[usize]) {
-        self.set_link_fault(these, those, Some(LinkFault::CUT));
-        self.set_link_fault(those, these, Some(LinkFault::CUT));
+    /// Partitions two sets of relays from each other, in both directions.
+    pub fn partition(&self, first: &[usize], second: &[usize]) {
+        self.set_link_fault(first, second, Some(LinkFault::CUT));
+        self.set_link_fault(second, first, Some(LinkFault::CUT));
     }
 
     /// Clears the faults of all links.
@@ -243,8 +245,8 @@
         self.set_link_fault(&all, &all, None);
     }
 
-    /// Records from now on what a relay answers about its peers, and about the lease of this
-    /// subject.
+    /// Starts an observer that records which peers a relay sees alive and, if `lease` names a
+    /// subject, whether the relay holds the lease of that subject.
     pub fn observe(&self, index: usize, lease: Option<&'static str>) -> RelayObserver {
         RelayObserver::open(
             relay_index(index),
@@ -255,18 +257,19 @@
         )
     }
 
-    /// A relay's answer to an admin command; none where it does not answer.
+    /// Returns a relay's answer to an admin command, or `None` if it does not answer.
     pub fn admin_command(&self, index: usize, command: &str) -> Option<String> {
         send_admin_command(self.admin_addresses[index], command, ADMIN_COMMAND_TIMEOUT).ok()
     }
 
-    /// What a relay knows of its peers.
+    /// Returns a relay's answer to the admin command `PEERS` as JSON, or `None` if it does not
+    /// answer.
     pub fn membership(&self, index: usize) -> Option<serde_json::Value> {
         let answer = self.admin_command(index, "PEERS")?;
         serde_json::from_str(answer.strip_prefix("200 ")?).ok()
     }
 
-    /// Whether a relay sees exactly these alive.
+    /// Returns whether a relay sees exactly the expected relays alive.
     pub fn sees_exactly(&self, index: usize, expected: &[usize]) -> bool {
         let expected: BTreeSet<String> = expected.iter().copied().map(relay_name).collect();
         let answer = self.admin_command(index, "PEERS");
@@ -274,45 +277,45 @@
         members.is_some_and(|members| members.into_iter().collect::<BTreeSet<_>>() == expected)
     }
 
-    /// Whether each of these sees exactly these alive.
+    /// Returns whether each of the given relays sees exactly these relays alive.
     pub fn membership_is_consistent(&self, indices: &[usize]) -> bool {
         indices
             .iter()
             .all(|index| self.sees_exactly(*index, indices))
     }
 
-    /// Waits until the predicate holds; how long it took, or none where it does not within that
-    /// time.
+    /// Waits until the predicate holds; returns how long that took, or `None` if the predicate did
+    /// not hold within the given time.
     pub fn wait_until(
         &self,
         within: Duration,
         predicate: impl Fn(&ProcessCluster) -> bool,
     ) -> Option<Duration> {
-        let began = Instant::now();
+        let started_at = Instant::now();
         loop {
             if predicate(self) {
-                return Some(from_std(began.elapsed()));
+                return Some(from_std(started_at.elapsed()));
             }
-            if began.elapsed() > to_std(within) {
+            if started_at.elapsed() > to_std(within) {
                 return None;
             }
             std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// CPU time of a relay so far; none where it does not run.
+    /// Returns the CPU time of a relay's process so far, or `None` if the relay does not run.
     pub fn cpu_time(&self, index: usize) -> Option<Duration> {
         let (cpu_time, _) = self.relays[index].as_ref()?.cost()?;
         Some(cpu_time)
     }
 
-    /// Resident memory of a relay; none where it does not run.
+    /// Returns the resident memory of a relay in bytes, or `None` if the relay does not run.
     pub fn resident_bytes(&self, index: usize) -> Option<u64> {
         let (_, resident_bytes) = self.relays[index].as_ref()?.cost()?;
         Some(resident_bytes)
     }
 
-    /// The log of a relay, over all its starts.
+    /// Returns the log of a relay, which all its processes append to.
     pub fn log(&self, index: usize) -> String {
         let file = format!("{}.log", relay_name(index));
         std::fs::read_to_string(self.plan.folder.join(file)).unwrap_or_default()
--- a/testbed/src/process_cluster/error.rs
+++ b/testbed/src/process_cluster/error.rs
@@ -1,19 +1,19 @@
-//! Why a cluster could not be set up, or a relay of it not started.
+//! The errors of setting up a cluster or starting one of its relays.
 use crate::relay_process::RelayProcessError;
 use std::io;
 
-/// A failure of a cluster.
+/// A failure to set up a cluster or to start one of its relays.
 #[derive(Debug, thiserror::Error)]
 pub enum ProcessClusterError {
-    /// The system gave no socket, thread or file.
+    /// A socket, thread or file could not be created.
     #[error(transparent)]
     Setup(#[from] io::Error),
-    /// A relay was not started.
+    /// A relay could not be started.
     #[error(transparent)]
     Relay(#[from] RelayProcessError),
 }
 
-/// For callers that report errors as texts.
+/// Lets callers that report errors as strings use `?`.
 impl From<ProcessClusterError> for String {
     fn from(error: ProcessClusterError) -> String {
         error.to_string()
--- a/testbed/src/process_cluster/mod.rs
+++ b/testbed/src/process_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Relays as processes that know of one another, for tests: started, partitioned, paused, killed
-//! and started again, and waited for until a condition holds, within a bound.
+//! A cluster of relay processes that exchange messages, for tests: it starts, partitions, pauses,
+//! kills and restarts relays, and waits with a time limit until a condition holds.
 mod cluster;
 mod error;
 mod plan;
--- a/testbed/src/process_cluster/plan.rs
+++ b/testbed/src/process_cluster/plan.rs
@@ -6,9 +6,9 @@
 use thistlecroft::deployment::Idempotency;
 use thistlecroft::time::Duration;
 
-/// What a cluster consists of.
+/// The components and settings of a cluster.
 pub struct ClusterPlan {
-    /// The program of the relays and its arguments.
+    /// The command that starts a relay, and its arguments.
     pub program: Vec<String>,
     /// The settings that the relays share.
     pub config: FleetConfig,
@@ -18,17 +18,17 @@
     pub period: Duration,
     /// The duration of leases.
     pub lease: Duration,
-    /// So many of the first relays grant leases.
+    /// The number of relays, from the first on, that grant leases.
     pub voters: usize,
-    /// Seeds the relays and the network.
+    /// The seed from which those of the relays and the network are derived.
     pub seed: u64,
-    /// For configurations and logs.
+    /// The folder of the relays' configurations and logs.
     pub folder: PathBuf,
 }
 
 impl ClusterPlan {
-    /// One backend and so many small relays of that program that may exchange messages, of which
-    /// the first so many vote.
+    /// Returns a plan of one backend and `relays` small relays that may exchange messages. The
+    /// first `voters` of the relays grant leases.
     pub fn small(
         program: Vec<String>,
         relays: usize,
--- a/testbed/src/relay_process/config.rs
+++ b/testbed/src/relay_process/config.rs
@@ -1,4 +1,5 @@
-//! The configuration of a relay in the platform's form: the one place that knows its keys.
+//! The configuration of a relay in the platform's JSON format. Only this module of the testbed
+//! knows its keys.
 use crate::relay_network::PeerAddress;
 use crate::socket_holder::SocketHolder;
 use serde_json::{Value, json};
@@ -8,20 +9,20 @@
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::Duration;
 
-/// A listener of the settings.
+/// A listener in the platform's settings.
 #[derive(Clone, Debug)]
 pub struct ListenerConfig {
     /// The listener's name.
     pub name: String,
-    /// How long its clients wait for their answers.
+    /// How long the listener's clients wait for their answers.
     pub answer_timeout: Duration,
-    /// The latency objective of set-ups.
+    /// The latency objective of establishing a session.
     pub handshake_target: Duration,
     /// The latency objective of messages.
     pub message_target: Duration,
-    /// Whether its sessions may be attempted again.
+    /// Whether the listener's sessions may be attempted again.
     pub idempotency: Idempotency,
-    /// The worth of its sessions against those of others.
+    /// The weight of the listener's sessions relative to those of other listeners.
     pub priority_weight: f64,
 }
 
@@ -32,51 +33,53 @@
     pub zones: Vec<String>,
     /// The listeners.
     pub listeners: Vec<ListenerConfig>,
-    /// An attempt that was not accepted by the backend's machine within this has failed.
+    /// The time after which an attempt has failed if its connection is not established.
     pub connect_timeout: Duration,
-    /// The greatest number of attempts of a session.
+    /// The maximum number of attempts of a session.
     pub max_attempts: u32,
-    /// The longest time that a rejection may ask a client to wait; none where it may not ask.
+    /// The longest time that a rejection may ask a client to wait; `None` if it must not ask.
     pub max_retry_after: Option<Duration>,
-    /// Relays may send health checks.
+    /// Whether relays may send health checks.
     pub health_checks: bool,
-    /// Clients belong to groups.
+    /// Whether clients belong to groups.
     pub groups: bool,
-    /// Backends report each session's load.
+    /// Whether backends report each session's load.
     pub reports_load: bool,
-    /// The part of its capacity that a backend has at its start.
+    /// The capacity of a backend at its start, as a fraction of its full capacity.
     pub warm_up_initial_share: f64,
-    /// The time in which a backend warms up.
+    /// The time that a backend takes to warm up.
     pub warm_up: Duration,
     /// The multiple of its present capacity that overloads a backend while it warms up.
     pub warm_up_overload_factor: f64,
-    /// The time in which attempts count for that.
+    /// The time window in which attempts count towards an overload.
     pub warm_up_overload_window: Duration,
-    /// The memory of a relay in MiB.
+    /// The memory limit of a relay in MiB.
     pub memory_mb: u64,
-    /// The sockets of a relay.
+    /// The maximum number of sockets of a relay.
     pub sockets: u64,
-    /// A session may have two attempts under way at once.
+    /// Whether a session may have two attempts under way at once.
     pub hedging: bool,
-    /// Relays may exchange messages with one another.
+    /// Whether relays may exchange messages with one another.
     pub peers: bool,
 }
 
-/// What the operator configuration says of peers, apart from each relay's own addresses.
+/// The peer settings of the operator configuration, apart from each relay's own addresses.
 #[derive(Clone, Debug)]
 pub struct PeersConfig {
     /// The period of the membership protocol.
     pub period: Duration,
     /// The duration of leases.
     pub lease: Duration,
-    /// So many of the first relays grant leases and are the seeds.
+    /// The number of relays, from the first on, that grant leases and serve as seeds. Without
+    /// voters the first relay is the only seed.
     pub voters: usize,
-    /// The file of the key that the relays share.
+    /// The path of the file with the key that the relays share.
     pub key_file: PathBuf,
 }
 
 impl PeersConfig {
-    /// The table of the operator configuration for the relay of this address, in a fleet of these.
+    /// Returns the `[peers]` table of the operator configuration for the relay with the address
+    /// `own` in a fleet with the addresses `fleet`.
     pub fn toml_table(&self, own: &PeerAddress, fleet: &[PeerAddress]) -> String {
         let seeds = fleet
             .iter()
@@ -104,36 +107,37 @@
     quoted.join(", ")
 }
 
-/// What one relay is given besides the shared settings.
+/// The options of one relay, besides the settings that all relays share.
 #[derive(Clone, Debug)]
 pub struct RelayOptions {
     /// The relay's name.
     pub name: String,
-    /// Its place among the relays.
+    /// The relay's index among the relays.
     pub index: usize,
     /// The number of relays.
     pub relays: usize,
-    /// Its availability zone, by its place in the settings.
+    /// The index of the relay's availability zone in the settings.
     pub zone: usize,
-    /// Where it listens for clients.
+    /// The address at which the relay listens for clients.
     pub listen: SocketAddr,
-    /// The address of its discovery agent.
+    /// The address of the relay's discovery agent.
     pub discovery: SocketAddr,
-    /// Seeds everything that it draws.
+    /// The seed of the relay's random numbers.
     pub seed: u64,
-    /// The endpoint list as it last had it, in discovery's form.
+    /// The endpoint list that the relay last knew, in the JSON format of discovery.
     pub cached_endpoints: Option<Value>,
-    /// The text of its operator configuration, where it has one.
+    /// The text of the relay's operator configuration, if it has one.
     pub operator_config: Option<String>,
-    /// Where it listens for admin commands, if it does.
+    /// The address at which the relay listens for admin commands, if it has an admin port.
     pub admin: Option<SocketAddr>,
-    /// Holds its listening socket, if more than one process of it may run at a time.
+    /// The holder of the relay's listening socket, if more than one of its processes may run at a
+    /// time.
     pub socket_holder: Option<Arc<SocketHolder>>,
 }
 
-/// The text of the file that `ROUTER_CONFIG` names.
+/// Returns the contents of the file that `ROUTER_CONFIG` names.
 pub fn configuration(fleet: &FleetConfig, relay: &RelayOptions) -> String {
-    let mut text = json!({
+    let mut document = json!({
         "name": relay.name,
         "listen": relay.listen.to_string(),
         "discovery": relay.discovery.to_string(),
@@ -143,13 +147,13 @@
         "settings": settings(fleet, relay),
     });
     if let Some(admin) = relay.admin {
-        text["admin_addr"] = json!(admin.to_string());
+        document["admin_addr"] = json!(admin.to_string());
     }
-    text.to_string()
+    document.to_string()
 }
 
 fn settings(fleet: &FleetConfig, relay: &RelayOptions) -> Value {
-    let listeners: Vec<Value> = fleet.listeners.iter().map(listener).collect();
+    let listeners: Vec<Value> = fleet.listeners.iter().map(listener_settings).collect();
     let message_targets: Vec<u64> = fleet
         .listeners
         .iter()
@@ -196,7 +200,7 @@
     })
 }
 
-fn listener(listener: &ListenerConfig) -> Value {
+fn listener_settings(listener: &ListenerConfig) -> Value {
     let (effect, scope, window) = match listener.idempotency {
         Idempotency::Idempotent => ("retryable", "all", Duration::ZERO),
         Idempotency::NonIdempotent => ("fragile", "all", Duration::ZERO),
--- a/testbed/src/relay_process/error.rs
+++ b/testbed/src/relay_process/error.rs
@@ -1,4 +1,4 @@
-//! Why a relay's process could not be started.
+//! The errors of starting a relay's process.
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -7,48 +7,48 @@
 /// A failure to start a relay's process.
 #[derive(Debug, thiserror::Error)]
 pub enum RelayProcessError {
-    /// Its configuration or log could not be written into this folder.
-    #[error("{}: {source}", folder.display())]
+    /// The relay's configuration or log file could not be written.
+    #[error("can't write a relay's files into {}: {source}", folder.display())]
     Files {
-        /// The folder.
+        /// The folder of the relay's files.
         folder: PathBuf,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
-    /// The command to start is empty.
-    #[error("no program to start as a relay")]
+    /// The command that starts a relay is empty.
+    #[error("the command that starts a relay is empty")]
     NoProgram,
     /// The program could not be started.
-    #[error("{program} can't be started: {source}")]
+    #[error("the relay program {program} can't be started: {source}")]
     Spawn {
         /// The program.
         program: String,
-        /// What the system said.
+        /// The error of the system.
         source: io::Error,
     },
     /// The process ended before it was ready.
-    #[error("{name} at {address}: it ended at once ({status}): {last_line}")]
+    #[error("{name} at {address} could not be started: it ended at once ({status}): {last_line}")]
     Exited {
         /// The relay's name.
         name: String,
-        /// Where it was to listen.
+        /// The address at which the relay was to listen for clients.
         address: SocketAddr,
-        /// How it ended.
+        /// The exit status of the process.
         status: ExitStatus,
-        /// The last line of its log.
+        /// The last line of the relay's log.
         last_line: String,
     },
     /// The process was not ready in time.
-    #[error("{name} at {address}: it is not ready")]
+    #[error("{name} at {address} was not ready before the start timeout")]
     NotReady {
         /// The relay's name.
         name: String,
-        /// Where it was to listen.
+        /// The address at which the relay was to listen for clients.
         address: SocketAddr,
     },
 }
 
-/// For callers that report errors as texts.
+/// Lets callers that report errors as strings use `?`.
 impl From<RelayProcessError> for String {
     fn from(error: RelayProcessError) -> String {
         error.to_string()
--- a/testbed/src/relay_process/mod.rs
+++ b/testbed/src/relay_process/mod.rs
@@ -1,5 +1,4 @@
-//! Relays as processes: their configuration, their start, their signals, what they cost and their
-//! end.
+//! Relays that run as processes: configuration, start, signals, resource usage and exit.
 mod config;
 mod error;
 mod process;
--- a/testbed/src/relay_process/process.rs
+++ b/testbed/src/relay_process/process.rs
@@ -1,4 +1,4 @@
-//! A relay's process: its start, its signals and its end.
+//! A relay's process: start, signals and exit.
 use super::config::{FleetConfig, RelayOptions, configuration};
 use super::error::RelayProcessError;
 use super::resources::process_cost;
@@ -13,9 +13,9 @@
 use std::time::Instant;
 use thistlecroft::time::Duration;
 
-/// A relay is ready within this, or has not started.
+/// The time within which a relay must be ready after its start.
 const START_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(10);
-/// An admin command is answered within this, or the relay is at fault.
+/// The time within which a relay must answer an admin command.
 pub const ADMIN_COMMAND_TIMEOUT: Duration = Duration::from_millis(1_000);
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(10);
 const HEALTH_CHECK_CONNECT_TIMEOUT: std::time::Duration = std::time::Duration::from_millis(200);
@@ -29,21 +29,21 @@
 pub struct RelayProcess {
     child: Child,
     name: String,
-    /// Where it listens for clients.
+    /// The address at which the relay listens for clients.
     pub address: SocketAddr,
-    /// Where it listens for admin commands, if it does.
+    /// The address at which the relay listens for admin commands, if it has an admin port.
     pub admin: Option<SocketAddr>,
-    config: PathBuf,
-    operator_config: PathBuf,
-    log: PathBuf,
+    config_path: PathBuf,
+    operator_config_path: PathBuf,
+    log_path: PathBuf,
 }
 
 impl RelayProcess {
-    /// Starts a program as a relay and waits until it is ready. `program` is the command and its
-    /// arguments; configuration and log are written into `folder`.
+    /// Starts a relay and waits until it is ready. `program` is the command and its arguments;
+    /// configuration and log are written into `folder`.
     ///
     /// # Errors
-    /// If the program can't be started, ends, or is not ready in time.
+    /// Returns an error if the program can't be started, ends, or is not ready in time.
     pub fn start(
         program: &[String],
         fleet: &FleetConfig,
@@ -55,10 +55,11 @@
         Ok(relay)
     }
 
-    /// The same without waiting, so that many start at once.
+    /// Starts a relay as [`RelayProcess::start`] does, but without waiting, so that many relays can
+    /// start at the same time.
     ///
     /// # Errors
-    /// If the program can't be started.
+    /// Returns an error if the program can't be started.
     pub fn spawn(
         program: &[String],
         fleet: &FleetConfig,
@@ -66,16 +67,17 @@
         folder: &Path,
     ) -> Result<RelayProcess, RelayProcessError> {
         let file = |extension: &str| folder.join(format!("{}.{extension}", options.name));
-        let (config, operator_config, log) = (file("json"), file("charter.toml"), file("log"));
+        let (config_path, operator_config_path, log_path) =
+            (file("json"), file("charter.toml"), file("log"));
         let files_error = |source| RelayProcessError::Files {
             folder: folder.into(),
             source,
         };
-        std::fs::write(&config, configuration(fleet, options)).map_err(files_error)?;
+        std::fs::write(&config_path, configuration(fleet, options)).map_err(files_error)?;
         let log_file = std::fs::File::options()
             .create(true)
             .append(true)
-            .open(&log)
+            .open(&log_path)
             .map_err(files_error)?;
         let [program, arguments @ ..] = program else {
             return Err(RelayProcessError::NoProgram);
@@ -83,13 +85,13 @@
         let mut command = Command::new(program);
         command
             .args(arguments)
-            .env(CONFIG_VARIABLE, &config)
+            .env(CONFIG_VARIABLE, &config_path)
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(Stdio::from(log_file));
         if let Some(text) = &options.operator_config {
-            replace_file(&operator_config, text).map_err(files_error)?;
-            command.env(OPERATOR_CONFIG_VARIABLE, &operator_config);
+            replace_file(&operator_config_path, text).map_err(files_error)?;
+            command.env(OPERATOR_CONFIG_VARIABLE, &operator_config_path);
         }
         if let Some(holder) = &options.socket_holder {
             command
@@ -106,16 +108,16 @@
             name: options.name.clone(),
             address: options.listen,
             admin: options.admin,
-            config,
-            operator_config,
-            log,
+            config_path,
+            operator_config_path,
+            log_path,
         })
     }
 
     /// Waits until the relay is ready.
     ///
     /// # Errors
-    /// If it ended, or is not ready in time.
+    /// Returns an error if the process ended, or is not ready in time.
     pub fn wait_ready(&mut self) -> Result<(), RelayProcessError> {
         let deadline = Instant::now() + START_TIMEOUT;
         loop {
@@ -141,7 +143,8 @@
     }
 
     fn is_ready(&self) -> bool {
-        // Where another process takes clients too, only the admin port tells whether this one does.
+        // During a hot restart another process may accept clients at the same address, so that only
+        // the admin port tells whether this process is ready.
         match self.admin {
             Some(admin) => send_admin_command(admin, "READY", ADMIN_COMMAND_TIMEOUT)
                 .is_ok_and(|answer| answer.starts_with("200")),
@@ -150,60 +153,61 @@
     }
 
     fn last_log_line(&self) -> String {
-        let log = std::fs::read_to_string(&self.log).unwrap_or_default();
-        log.lines().last().unwrap_or("it said nothing").to_string()
+        let log = std::fs::read_to_string(&self.log_path).unwrap_or_default();
+        log.lines().last().unwrap_or("its log is empty").to_string()
     }
 
-    /// The file of its configuration.
-    pub fn config(&self) -> &Path {
-        &self.config
+    /// Returns the path of the relay's configuration file.
+    pub fn config_path(&self) -> &Path {
+        &self.config_path
     }
 
     /// Sends a signal to the process.
     pub fn signal(&self, signal: Signal) {
         if let Some(pid) = Pid::from_raw(self.child.id() as i32) {
-            // It may have ended by itself, which is noticed elsewhere.
+            // Fails if the process has already ended, which `try_wait` reports.
             let _ = kill_process(pid, signal);
         }
     }
 
-    /// Replaces its operator configuration and has it read again.
+    /// Replaces the operator configuration and makes the relay reload it.
     ///
     /// # Errors
-    /// If the file can't be written.
+    /// Returns an error if the file can't be written.
     pub fn replace_operator_config(&self, text: &str) -> io::Result<()> {
-        replace_file(&self.operator_config, text)?;
+        replace_file(&self.operator_config_path, text)?;
         self.send_hangup();
         Ok(())
     }
 
-    /// Pauses the process, or resumes it.
+    /// Pauses or resumes the process.
     pub fn set_paused(&self, paused: bool) {
         self.signal(if paused { Signal::STOP } else { Signal::CONT });
     }
 
-    /// Sends SIGHUP: the relay reads its files again.
+    /// Sends SIGHUP, on which the relay reloads its files.
     pub fn send_hangup(&self) {
         self.signal(Signal::HUP);
     }
 
-    /// Sends SIGTERM: the relay begins its graceful shutdown.
+    /// Sends SIGTERM, on which the relay begins its graceful shutdown.
     pub fn request_stop(&self) {
         self.signal(Signal::TERM);
     }
 
-    /// Kills the process and waits for its end.
+    /// Kills the process and waits until it has exited.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// How it ended, if it has.
+    /// Returns the exit status of the process, or `None` if it still runs.
     pub fn try_wait(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().ok().flatten()
     }
 
-    /// Waits for its end; none if it did not end within that time.
+    /// Waits until the process exits and returns its exit status, or `None` if it still runs after
+    /// the given time.
     pub fn wait_for_exit(&mut self, within: Duration) -> Option<ExitStatus> {
         let deadline = Instant::now() + to_std(within);
         loop {
@@ -217,7 +221,7 @@
         }
     }
 
-    /// Its CPU time and resident memory, as of [`process_cost`].
+    /// Returns the CPU time and resident memory of the process, as [`process_cost`] does.
     pub fn cost(&self) -> Option<(Duration, u64)> {
         process_cost(self.child.id())
     }
@@ -229,18 +233,20 @@
     }
 }
 
-/// Replaces a file as a whole, so that nobody reads half of it.
+/// Replaces a file atomically, so that no reader sees a partly written one.
 fn replace_file(path: &Path, text: &str) -> io::Result<()> {
-    let fresh = path.with_extension("fresh");
-    std::fs::write(&fresh, text)?;
-    std::fs::rename(&fresh, path)
+    let new_file = path.with_extension("fresh");
+    std::fs::write(&new_file, text)?;
+    std::fs::rename(&new_file, path)
 }
 
-/// Has the child killed with the thread that starts it, however that ends.
+/// Makes the system kill the child when the thread that starts it ends, for whatever reason.
 fn kill_with_parent(command: &mut Command) {
-    // An interrupt at the terminal is for this process alone, which then ends the child.
+    // Keeps an interrupt at the terminal from the child: only this process receives it, and ends
+    // the child.
     command.process_group(0);
-    // SAFETY: the one call between fork and exec is a system call that allocates nothing.
+    // SAFETY: the closure runs between fork and exec and makes only one system call, which
+    // allocates nothing.
     unsafe {
         command.pre_exec(|| {
             rustix::process::set_parent_process_death_signal(Some(Signal::KILL))
@@ -249,7 +255,7 @@
     }
 }
 
-/// Whether a relay answers a health check at its address for clients.
+/// Returns whether a relay answers a health check at its address for clients.
 fn is_healthy(address: SocketAddr) -> io::Result<bool> {
     let mut stream = TcpStream::connect_timeout(&address, HEALTH_CHECK_CONNECT_TIMEOUT)?;
     stream.set_read_timeout(Some(HEALTH_CHECK_TIMEOUT))?;
@@ -259,10 +265,11 @@
     Ok(line.trim_end() == "PONG")
 }
 
-/// An address of the loopback range for the relay of this index, at which nobody listens now.
+/// Returns an address of the loopback range for the relay with the given index, with a port that is
+/// free at the moment.
 ///
 /// # Errors
-/// If the system gives no port.
+/// Returns an error if no port is free.
 pub fn free_address(index: usize) -> io::Result<SocketAddr> {
     let [.., high, low] = (index as u32 + 1).to_be_bytes();
     let process = (std::process::id() % 60) as u8;
--- a/testbed/src/relay_process/resources.rs
+++ b/testbed/src/relay_process/resources.rs
@@ -1,13 +1,13 @@
-//! What processes use of the machine: CPU time, memory and file descriptors.
+//! The resources that processes use: CPU time, memory and file descriptors.
 use rustix::process::{Resource, Rlimit, getrlimit, setrlimit};
 use std::fs::{DirEntry, read_dir, read_to_string};
 use std::path::PathBuf;
 use thistlecroft::time::Duration;
 
-/// CPU time of a process's living threads so far, and bytes of resident memory; none where it has
-/// ended.
-pub fn process_cost(process: u32) -> Option<(Duration, u64)> {
-    let folder = PathBuf::from(format!("/proc/{process}"));
+/// Returns the CPU time of a process's living threads so far and its resident memory in bytes, or
+/// `None` if the process has ended.
+pub fn process_cost(pid: u32) -> Option<(Duration, u64)> {
+    let folder = PathBuf::from(format!("/proc/{pid}"));
     let threads = read_dir(folder.join("task")).ok()?.filter_map(Result::ok);
     let nanoseconds: u64 = threads
         .filter_map(|thread| thread_nanoseconds(&thread))
@@ -18,7 +18,7 @@
         .nth(1)?
         .parse()
         .ok()?;
-    // A process that has ended and was not waited for has neither.
+    // A zombie, which has ended but was not waited for, has used no CPU time by these files.
     (nanoseconds > 0).then(|| {
         (
             Duration::from_micros(nanoseconds / 1_000),
@@ -27,13 +27,13 @@
     })
 }
 
-/// CPU time of a thread by its folder in `/proc`.
+/// Returns the CPU time of a thread in nanoseconds by its folder in `/proc`.
 fn thread_nanoseconds(thread: &DirEntry) -> Option<u64> {
     let statistics = read_to_string(thread.path().join("schedstat")).ok()?;
     statistics.split(' ').next()?.parse().ok()
 }
 
-/// Why there are not as many file descriptors as are needed.
+/// An error of raising the limit of file descriptors.
 #[derive(Debug, thiserror::Error)]
 pub enum DescriptorLimitError {
     /// The hard limit is too low.
@@ -41,33 +41,33 @@
         "{needed} descriptors are needed and the limit is {hard_limit} (ulimit -Hn): raise it, or run fewer clients"
     )]
     TooLow {
-        /// The number that is needed.
+        /// The number of descriptors that is needed.
         needed: u64,
-        /// The hard limit.
+        /// The hard limit, which only a privileged user can raise.
         hard_limit: u64,
     },
     /// The soft limit could not be raised.
-    #[error("the limit of descriptors stays at {soft_limit}: {source}")]
+    #[error("can't raise the limit of file descriptors from {soft_limit}: {source}")]
     NotRaised {
-        /// The soft limit.
+        /// The soft limit, which stays in force.
         soft_limit: u64,
-        /// What the system said.
+        /// The error of the system.
         source: std::io::Error,
     },
 }
 
-/// For callers that report errors as texts.
+/// Lets callers that report errors as strings use `?`.
 impl From<DescriptorLimitError> for String {
     fn from(error: DescriptorLimitError) -> String {
         error.to_string()
     }
 }
 
-/// Raises the limit of file descriptors of this process, and with it that of the relays it starts,
-/// to what is needed; returns the limit.
+/// Raises the soft limit of file descriptors of this process, which the relays that it starts
+/// inherit, to at least `needed`; returns the soft limit.
 ///
 /// # Errors
-/// If the limit can't be raised so far.
+/// Returns an error if the limit can't be raised to `needed`.
 pub fn ensure_descriptor_limit(needed: u64) -> Result<u64, DescriptorLimitError> {
     let limit = getrlimit(Resource::Nofile);
     let soft_limit = limit.current.unwrap_or(u64::MAX);
--- a/testbed/src/socket_holder.rs
+++ b/testbed/src/socket_holder.rs
@@ -1,5 +1,5 @@
-//! What the platform holds for a relay that is replaced while it runs (a hot restart), and the
-//! commands that are sent to a relay's admin port.
+//! The platform's part of a hot restart, in which a new process replaces a running relay: the
+//! listening socket that both processes share. Also sends commands to a relay's admin port.
 use crate::clock::to_std;
 use rustix::io::{FdFlags, fcntl_setfd};
 use std::io::{Error, ErrorKind, Read, Result, Write};
@@ -8,9 +8,9 @@
 use std::path::{Path, PathBuf};
 use thistlecroft::time::Duration;
 
-/// The clients' listening socket, which every process of the relay inherits, and the folder that
-/// its processes share. When this is dropped the socket is closed here; processes that inherited
-/// it go on.
+/// The listening socket for clients, which every process of a relay inherits, and the folder that
+/// these processes share. Dropping this value closes the socket in this process only: processes
+/// that inherited it keep it open.
 #[derive(Debug)]
 pub struct SocketHolder {
     listener: TcpListener,
@@ -18,13 +18,13 @@
 }
 
 impl SocketHolder {
-    /// Listens at a free port of this address and makes the folder.
+    /// Listens at a free port of the given IP address and creates the folder.
     ///
     /// # Errors
-    /// If the system gives no socket or folder.
+    /// Returns an error if the socket can't be opened or the folder can't be created.
     pub fn open(address: SocketAddr, folder: &Path) -> Result<SocketHolder> {
         let listener = TcpListener::bind((address.ip(), 0))?;
-        // Every process that is started from here inherits the socket.
+        // Without FD_CLOEXEC, every process that this process starts inherits the socket.
         fcntl_setfd(&listener, FdFlags::empty())?;
         std::fs::create_dir_all(folder)?;
         Ok(SocketHolder {
@@ -33,33 +33,34 @@
         })
     }
 
-    /// Where the socket listens.
+    /// Returns the address at which the socket listens.
     ///
     /// # Errors
-    /// If the system does not tell.
+    /// Returns an error if the system can't tell the address of the socket.
     pub fn address(&self) -> Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// The descriptor that processes inherit.
+    /// Returns the descriptor of the socket, which processes inherit.
     pub fn descriptor(&self) -> RawFd {
         self.listener.as_raw_fd()
     }
 
-    /// The folder that the processes share.
+    /// Returns the folder that the processes share.
     pub fn folder(&self) -> &Path {
         &self.folder
     }
 }
 
-/// Sends one command to a relay's admin port and returns the line that is answered, without its
+/// Sends one command to a relay's admin port and returns the answer, a line without its line
 /// ending.
 ///
 /// # Errors
-/// If nobody listens there, or no complete line was answered in time.
-pub fn send_admin_command(address: SocketAddr, command: &str, within: Duration) -> Result<String> {
-    let mut stream = TcpStream::connect_timeout(&address, to_std(within))?;
-    stream.set_read_timeout(Some(to_std(within)))?;
+/// Returns an error if the connection fails or the answer is not one complete line within the
+/// timeout.
+pub fn send_admin_command(address: SocketAddr, command: &str, timeout: Duration) -> Result<String> {
+    let mut stream = TcpStream::connect_timeout(&address, to_std(timeout))?;
+    stream.set_read_timeout(Some(to_std(timeout)))?;
     stream.write_all(format!("{command}\r\n").as_bytes())?;
     let mut answer = String::new();
     stream.read_to_string(&mut answer)?;
@@ -67,7 +68,7 @@
         Some(line) if !line.contains('\n') => Ok(line.to_string()),
         _ => Err(Error::new(
             ErrorKind::InvalidData,
-            format!("no line: {answer:?}"),
+            format!("the answer of the admin port is not one complete line: {answer:?}"),
         )),
     }
 }
--- a/testbed/tests/cluster_invariants.rs
+++ b/testbed/tests/cluster_invariants.rs
@@ -1,5 +1,5 @@
-//! The checker of cluster invariants names each kind of violation in constructed events, and finds
-//! none in those of a correct cluster.
+//! The checker of cluster invariants reports each kind of violation in constructed events, and none
+//! in the events of a correct cluster.
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::cluster_invariants::{
     ClusterInvariant, ClusterLimits, check_cluster_invariants,
@@ -19,8 +19,8 @@
     }
 }
 
-/// A relay is asked then, and answers 10 ms later that it holds the lease for so long from the
-/// asking.
+/// Returns the event of a relay's answer that it holds the lease. The relay is asked at `ms` and
+/// answers 10 ms later; the lease is valid for `duration_ms` from the request.
 fn lease_held(ms: u64, relay: u16, epoch: u64, duration_ms: u64) -> RecordedEvent {
     let claimed = Observation::LeaseClaimed {
         relay: RelayIndex(relay),
@@ -126,8 +126,11 @@
     }
 }
 
-/// The violated invariants in the order of time.
-fn violated(mut events: Vec<RecordedEvent>, limits: &ClusterLimits) -> Vec<ClusterInvariant> {
+/// Returns the violated invariants in chronological order.
+fn violated_invariants(
+    mut events: Vec<RecordedEvent>,
+    limits: &ClusterLimits,
+) -> Vec<ClusterInvariant> {
     events.sort_by_key(|event| event.at);
     check_cluster_invariants(&events, limits)
         .iter()
@@ -136,7 +139,7 @@
 }
 
 fn assert_first_violated(name: &str, events: Vec<RecordedEvent>, expected: ClusterInvariant) {
-    let found = violated(events, &limits());
+    let found = violated_invariants(events, &limits());
     assert_eq!(found.first(), Some(&expected), "{name}: {found:?}");
 }
 
@@ -149,11 +152,11 @@
 fn lease_with_two_holders_at_once_is_a_violation() {
     let cases = vec![
         (
-            "two hold one lease",
+            "two relays hold one lease at the same time",
             vec![lease_held(0, 0, 1, 1_000), lease_held(500, 1, 2, 1_000)],
         ),
         (
-            "a relay that was paused goes on by its old lease",
+            "a relay that was paused still claims its old lease",
             vec![
                 lease_held(0, 0, 1, 1_000),
                 lease_held(1_500, 1, 2, 1_000),
@@ -161,11 +164,11 @@
             ],
         ),
         (
-            "the next one begins just before the end",
+            "the second lease begins just before the end of the first",
             vec![lease_held(0, 0, 1, 1_000), lease_held(980, 1, 2, 1_000)],
         ),
         (
-            "it was given back by a relay that stops while an answer says that it is held",
+            "a stopping relay releases its lease, which its last answer declares valid for longer",
             vec![
                 lease_held(0, 0, 1, 1_000),
                 relay_stop_requested(100, 0),
@@ -182,11 +185,11 @@
 fn lease_epoch_that_does_not_grow_is_a_violation() {
     let cases = vec![
         (
-            "one epoch for two holders",
+            "two holders have the same epoch",
             vec![lease_held(0, 0, 4, 1_000), lease_held(2_000, 1, 4, 1_000)],
         ),
         (
-            "a lower epoch",
+            "a later holder has a lower epoch",
             vec![lease_held(0, 0, 4, 1_000), lease_held(2_000, 1, 3, 1_000)],
         ),
     ];
@@ -207,7 +210,7 @@
         ClusterInvariant::OneRelayPerSession,
     );
     assert_first_violated(
-        "two backends hold one session",
+        "one session is established at two backends",
         vec![
             session_requested(0, 1, 0),
             attempt(10, 1, 0),
@@ -232,7 +235,7 @@
         attempt(900, 1, 3),
     ];
     assert_eq!(
-        violated(events, &limits),
+        violated_invariants(events, &limits),
         [ClusterInvariant::SingleTakeover]
     );
 }
@@ -278,7 +281,7 @@
 fn membership_that_differs_from_running_relays_is_a_violation() {
     let cases = vec![
         (
-            "one relay does not see another that runs",
+            "one relay does not see another running relay",
             vec![
                 relay_started(0, 0),
                 relay_started(0, 1),
@@ -304,15 +307,15 @@
 #[test]
 fn leases_in_turn_have_no_violation() {
     assert_none_violated(
-        "one after the other",
+        "two relays hold the lease one after the other",
         vec![
             lease_held(0, 0, 1, 1_000),
             lease_held(300, 0, 1, 1_000),
             lease_held(1_400, 1, 2, 1_000),
         ],
     );
-    // The relay was paused between its look at the lease and its answer, which is outdated when it
-    // comes.
+    // The relay was paused after it had read its lease and before it answered, so that the answer
+    // is outdated when it arrives.
     let late_answer = Observation::LeaseClaimed {
         relay: RelayIndex(0),
         subject: "turn",
@@ -321,7 +324,7 @@
         valid_until: at(1_800),
     };
     assert_none_violated(
-        "a late answer",
+        "an answer arrives after the lease that it declares has ended",
         vec![
             lease_held(0, 0, 1, 1_000),
             event(5_000, late_answer),
@@ -382,7 +385,7 @@
         ],
     );
     assert_none_violated(
-        "all see all that run",
+        "the last answers name exactly the running relays",
         vec![
             relay_started(0, 0),
             relay_started(0, 1),
--- a/testbed/tests/faulty_relays/cluster_invariants.rs
+++ b/testbed/tests/faulty_relays/cluster_invariants.rs
@@ -1,4 +1,5 @@
-//! The cluster invariants of small relays that are each correct alone, or attempt twice at once.
+//! The cluster invariants that are violated by relays that are each correct alone, or by a relay
+//! that makes concurrent attempts.
 use super::faulty_relay::RelayFault;
 use super::scenario::Scenario;
 use thistlecroft::time::Duration;
@@ -7,8 +8,8 @@
 };
 use thistlecroft_testbed::event_recorder::{BackendIndex, Observation, RecordedEvent, RelayIndex};
 
-/// The violated invariants, each once where its violations follow one another.
-fn violated(events: &[RecordedEvent], limits: &ClusterLimits) -> Vec<ClusterInvariant> {
+/// Returns the violated invariants in chronological order, without successive repetitions.
+fn violated_invariants(events: &[RecordedEvent], limits: &ClusterLimits) -> Vec<ClusterInvariant> {
     let mut invariants: Vec<ClusterInvariant> = check_cluster_invariants(events, limits)
         .iter()
         .map(|violation| violation.invariant)
@@ -30,14 +31,14 @@
         ban_replication_time: Some(Duration::from_millis(300)),
         ..ClusterLimits::default()
     };
-    assert_eq!(violated(&events, &bans), []);
-    // Each relay alone would keep these limits.
+    assert_eq!(violated_invariants(&events, &bans), []);
+    // Each relay alone stays within these limits.
     let sessions = ClusterLimits {
         max_sessions: Some((10, Duration::from_millis(200))),
         ..ClusterLimits::default()
     };
     assert_eq!(
-        violated(&events, &sessions),
+        violated_invariants(&events, &sessions),
         [ClusterInvariant::SessionLimit]
     );
     let attempts = ClusterLimits {
@@ -45,13 +46,13 @@
         ..ClusterLimits::default()
     };
     assert_eq!(
-        violated(&events, &attempts),
+        violated_invariants(&events, &attempts),
         [ClusterInvariant::AttemptRate]
     );
-    // One of the relays gets to know of a ban, and the other does not.
-    let half = events[events.len() / 2].at;
+    // The first relay confirms a ban that the second relay does not know.
+    let middle = events[events.len() / 2].at;
     events.push(RecordedEvent {
-        at: half,
+        at: middle,
         observation: Observation::BackendBanned {
             relay: RelayIndex(0),
             backend: BackendIndex(1),
@@ -59,12 +60,15 @@
         },
     });
     events.sort_by_key(|event| event.at);
-    assert_eq!(violated(&events, &bans), [ClusterInvariant::BansReplicated]);
+    assert_eq!(
+        violated_invariants(&events, &bans),
+        [ClusterInvariant::BansReplicated]
+    );
 }
 
 #[test]
 fn concurrent_attempts_establish_a_session_at_two_backends() {
     let (_, events) = Scenario::new(RelayFault::ConcurrentAttempts).run();
-    let violated = violated(&events, &ClusterLimits::default());
+    let violated = violated_invariants(&events, &ClusterLimits::default());
     assert!(violated.contains(&ClusterInvariant::OneBackendPerSession));
 }
--- a/testbed/tests/faulty_relays/faulty_relay.rs
+++ b/testbed/tests/faulty_relays/faulty_relay.rs
@@ -1,4 +1,4 @@
-//! A small relay with a thread for each connection, which is correct but for one fault.
+//! A small relay with a thread for each connection, which is correct except for one fault.
 use std::collections::BTreeMap;
 use std::io::{self, BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const LIST_INTERVAL: Duration = Duration::from_millis(50);
+const LIST_POLL_INTERVAL: Duration = Duration::from_millis(50);
 const LIST_TIMEOUT: Duration = Duration::from_millis(300);
 
-/// What the relay does wrong.
+/// The fault of a relay.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum RelayFault {
     None,
@@ -33,15 +33,15 @@
     OverloadsNewest,
 }
 
-/// A relay that serves until it is stopped.
+/// A relay with one fault, which polls its discovery agent until it is stopped.
 pub(crate) struct FaultyRelay {
     fault: RelayFault,
     agent: SocketAddr,
     backends: Vec<SocketAddr>,
     next_backend: AtomicUsize,
     is_stopped: AtomicBool,
-    /// The state of each listed backend.
-    list: Mutex<BTreeMap<usize, String>>,
+    /// The lifecycle state of each listed backend, by its index.
+    listed_states: Mutex<BTreeMap<usize, String>>,
 }
 
 /// A connection to a backend with an established session.
@@ -65,14 +65,14 @@
             backends,
             next_backend: AtomicUsize::new(0),
             is_stopped: AtomicBool::new(false),
-            list: Mutex::default(),
+            listed_states: Mutex::default(),
         });
         let (poller, server) = (relay.clone(), relay.clone());
         poller.poll_list();
         thread::spawn(move || {
             while !poller.is_stopped.load(Ordering::Relaxed) {
                 poller.poll_list();
-                thread::sleep(LIST_INTERVAL);
+                thread::sleep(LIST_POLL_INTERVAL);
             }
         });
         thread::spawn(move || {
@@ -96,8 +96,8 @@
         let sent = stream.write_all(b"GET /api/targets HTTP/1.1\r\nHost: x\r\n\r\n");
         let mut lines = BufReader::new(stream);
         let mut text = String::new();
-        // The list is one line behind the head; the connection stays open, so that the timeout
-        // ends the last read.
+        // The list is one line after the head of the response. The agent keeps the connection open,
+        // so that the last read ends at the timeout.
         while sent.is_ok() && !text.contains("instances") {
             text.clear();
             if lines.read_line(&mut text).is_err() {
@@ -119,14 +119,14 @@
             let index = known.position(|known| *known == address).unwrap();
             states.insert(index, row["lifecycle"].as_str().unwrap().to_string());
         }
-        *self.list.lock().unwrap() = states;
+        *self.listed_states.lock().unwrap() = states;
     }
 
     fn choose_backend(&self) -> Option<usize> {
-        let list = self.list.lock().unwrap();
+        let listed_states = self.listed_states.lock().unwrap();
         let candidates: Vec<usize> = match self.fault {
             RelayFault::IgnoresDrains => (0..self.backends.len()).collect(),
-            _ => list
+            _ => listed_states
                 .iter()
                 .filter(|(_, lifecycle)| *lifecycle == "Ready")
                 .map(|(index, _)| *index)
@@ -150,8 +150,8 @@
         if request == "PING\r\n" {
             return output.write_all(b"PONG\r\n");
         }
-        // A client may have left before its request; a panic over it would delay all others while
-        // its trace is written.
+        // A client may leave before its request is complete. A panic here would delay all other
+        // connections while its backtrace is written.
         let Some((_, rest)) = request.split_once(",d=") else {
             return Ok(());
         };
@@ -178,9 +178,10 @@
         }
     }
 
-    /// Sets up a session and answers the client; none where the answer is not an acceptance.
+    /// Establishes a session and answers the client. Returns the connection to the backend, or
+    /// `None` if the session was not accepted.
     ///
-    /// A failed attempt is repeated at another backend where that is the relay's fault.
+    /// A failed attempt is retried at another backend if the fault of the relay is to retry.
     fn establish(
         &self,
         request: &str,
@@ -221,7 +222,8 @@
         }
     }
 
-    /// One attempt: the backend's answer, and the connection where it accepted the session.
+    /// Makes one attempt. Returns the backend's answer, and the connection if the backend accepted
+    /// the session.
     fn attempt(
         &self,
         mut stream: TcpStream,
@@ -234,8 +236,8 @@
         };
         stream.set_nodelay(true)?;
         stream.set_read_timeout(Some(timeout / 3))?;
-        // The backend may have reset the connection by now: then the attempt has failed, and the
-        // client is answered.
+        // If the backend has reset the connection by now, the attempt has failed, and the client
+        // still needs an answer.
         let sent = stream.write_all(request.as_bytes());
         if self.fault == RelayFault::ConcurrentAttempts {
             let other = self.choose_backend().unwrap();
@@ -285,11 +287,11 @@
     mut lines: BufReader<TcpStream>,
     to_client: &mut TcpStream,
 ) {
-    let began = Instant::now();
+    let start = Instant::now();
     let mut line = String::new();
     while matches!(lines.read_line(&mut line), Ok(1..)) {
         match fault {
-            RelayFault::DropsConnections if began.elapsed() > Duration::from_millis(600) => return,
+            RelayFault::DropsConnections if start.elapsed() > Duration::from_millis(600) => return,
             RelayFault::DelaysMessages => thread::sleep(Duration::from_millis(1_300)),
             RelayFault::AltersMessages => line = line.replace("M ", "N "),
             _ => {}
--- a/testbed/tests/faulty_relays/invariants.rs
+++ b/testbed/tests/faulty_relays/invariants.rs
@@ -1,5 +1,5 @@
-//! The invariant checker names the violated invariant of a relay with one fault, and finds nothing
-//! where the relay is correct among the same backend faults.
+//! The invariant checker reports the invariant that a relay with one fault violates, and nothing if
+//! the relay is correct under the same backend faults.
 use super::faulty_relay::RelayFault;
 use super::scenario::Scenario;
 use std::thread;
@@ -13,31 +13,34 @@
 
 const ALL_BACKENDS: [BackendIndex; 3] = [BackendIndex(0), BackendIndex(1), BackendIndex(2)];
 
-/// The invariant that has to be violated, and a part of the first violation's description.
+/// The number of the invariant that must be violated and a part of the first violation's
+/// description, or `None` if no invariant may be violated.
 type Expected = Option<(usize, &'static str)>;
 
-struct Case {
+/// A scenario and the expected result of the checker.
+struct RelayCase {
     scenario: Scenario,
     expected: Expected,
 }
 
-impl Case {
-    /// The relay's fault violates this invariant.
-    fn violated(rule: usize, description: &'static str, scenario: Scenario) -> Case {
-        Case {
+impl RelayCase {
+    /// Returns a case in which the relay's fault violates the given invariant.
+    fn violated(invariant: usize, description: &'static str, scenario: Scenario) -> RelayCase {
+        RelayCase {
             scenario,
-            expected: Some((rule, description)),
+            expected: Some((invariant, description)),
         }
     }
 
-    fn correct(scenario: Scenario) -> Case {
-        Case {
+    /// Returns a case in which no invariant is violated.
+    fn correct(scenario: Scenario) -> RelayCase {
+        RelayCase {
             scenario,
             expected: None,
         }
     }
 
-    /// Runs the scenario; what was found where that is not as expected.
+    /// Runs the scenario; returns a description of what was found if it is not as expected.
     fn run(&self) -> Result<(), String> {
         let (result, _) = self.scenario.run();
         if is_expected(&result, self.expected) {
@@ -56,16 +59,17 @@
     }
 }
 
-/// Whether the expected invariant alone is violated, with that description and a timeline.
+/// Returns whether only the expected invariant is violated, with the expected description and a
+/// timeline.
 fn is_expected(result: &CheckResult, expected: Expected) -> bool {
-    let Some((rule, description)) = expected else {
+    let Some((invariant, description)) = expected else {
         return result.holds() && result.sessions > 10;
     };
-    let is_only_violated = (1..)
+    let is_only_expected_violated = (1..)
         .zip(result.violation_counts)
-        .all(|(number, count)| (count > 0) == (number == rule));
-    is_only_violated
-        && result.first_violations[rule - 1]
+        .all(|(number, count)| (count > 0) == (number == invariant));
+    is_only_expected_violated
+        && result.first_violations[invariant - 1]
             .as_ref()
             .is_some_and(|violation| {
                 violation.description.contains(description)
@@ -96,7 +100,7 @@
     }
 }
 
-/// Draining that no relay gets to know of.
+/// Returns a scenario with a drain that no relay is notified of.
 fn with_unannounced_drain(fault: RelayFault) -> Scenario {
     Scenario {
         commands: unannounced_drain(),
@@ -126,7 +130,7 @@
     vec![(300, BackendCommand::Drain(BackendIndex(1), duration))]
 }
 
-/// The agent becomes silent before the drain.
+/// Returns commands that silence the discovery agent and then drain a backend.
 fn unannounced_drain() -> Vec<(u64, BackendCommand)> {
     let silence = BackendCommand::SetAgentFault(RelayIndex(0), AgentFault::Silent, true);
     let duration = Duration::from_millis(60_000);
@@ -134,7 +138,7 @@
     vec![(0, silence), (100, drain)]
 }
 
-/// The last backend crashes, restarts and warms up.
+/// Returns a command that makes the last backend crash, restart and warm up.
 fn cold_restart() -> Vec<(u64, BackendCommand)> {
     let restart_after = Some(Duration::from_millis(200));
     vec![(100, BackendCommand::Crash(BackendIndex(2), restart_after))]
@@ -156,8 +160,8 @@
     ]
 }
 
-fn final_answer_cases() -> Vec<Case> {
-    let violated = |description, fault| Case::violated(1, description, Scenario::new(fault));
+fn final_answer_cases() -> Vec<RelayCase> {
+    let violated = |description, fault| RelayCase::violated(1, description, Scenario::new(fault));
     let crash = vec![(1_000, BackendCommand::Crash(BackendIndex(2), None))];
     vec![
         violated(
@@ -187,7 +191,7 @@
             RelayFault::AltersMessages,
         ),
         violated("no client sent", RelayFault::SendsOwnRequest),
-        Case::violated(
+        RelayCase::violated(
             1,
             "its backend had closed it",
             with_commands(RelayFault::KeepsOrphans, crash),
@@ -195,25 +199,25 @@
     ]
 }
 
-fn single_effect_cases() -> Vec<Case> {
+fn single_effect_cases() -> Vec<RelayCase> {
     let non_idempotent = |fault| with_idempotency(fault, Idempotency::NonIdempotent);
     vec![
-        Case::violated(
+        RelayCase::violated(
             2,
             "had concurrent attempts of the session",
             Scenario::new(RelayFault::ConcurrentAttempts),
         ),
-        Case::violated(
+        RelayCase::violated(
             2,
             "a non-idempotent session was attempted again",
             non_idempotent(RelayFault::RetriesNonIdempotent),
         ),
-        Case::violated(
+        RelayCase::violated(
             2,
             "may have had its effect was rejected",
             non_idempotent(RelayFault::RejectsNonIdempotent),
         ),
-        Case::violated(
+        RelayCase::violated(
             2,
             "where its key is not known",
             keyed(
@@ -222,7 +226,7 @@
                 60_000,
             ),
         ),
-        Case::violated(
+        RelayCase::violated(
             2,
             "after its key had expired",
             keyed(RelayFault::RetriesTooLate, DeduplicationScope::All, 100),
@@ -230,26 +234,26 @@
     ]
 }
 
-fn drain_and_warm_up_cases() -> Vec<Case> {
+fn drain_and_warm_up_cases() -> Vec<RelayCase> {
     let excluded = "after its drain, stop or ban was announced";
     let overloaded = "was overloaded while warming up";
     vec![
-        Case::violated(
+        RelayCase::violated(
             3,
             excluded,
             with_commands(RelayFault::IgnoresDrains, drain()),
         ),
-        Case::violated(
+        RelayCase::violated(
             3,
             excluded,
             with_unannounced_drain(RelayFault::IgnoresDrains),
         ),
-        Case::violated(
+        RelayCase::violated(
             4,
             overloaded,
             with_cold_restart(RelayFault::OverloadsNewest, 1, 20.0),
         ),
-        Case::violated(
+        RelayCase::violated(
             4,
             overloaded,
             with_cold_restart(RelayFault::OverloadsNewest, 3, 20.0),
@@ -257,14 +261,15 @@
     ]
 }
 
-/// The correct relay, among all that the faulty ones met.
-fn correct_cases() -> Vec<Case> {
+/// Returns cases of a correct relay under all the conditions that the faulty relays are tested
+/// under.
+fn correct_cases() -> Vec<RelayCase> {
     let none = RelayFault::None;
     [
         Scenario::new(none),
         with_idempotency(none, Idempotency::NonIdempotent),
         keyed(none, DeduplicationScope::Zone, 100),
-        // Everywhere the key is known, a retry elsewhere is correct.
+        // A retry at another backend is correct if all backends know the idempotency key.
         keyed(
             RelayFault::RetriesOutOfScope,
             DeduplicationScope::All,
@@ -275,7 +280,7 @@
         with_commands(none, many_faults()),
     ]
     .into_iter()
-    .map(Case::correct)
+    .map(RelayCase::correct)
     .collect()
 }
 
@@ -299,7 +304,8 @@
     assert!(failures.is_empty(), "{}", failures.join("\n"));
 }
 
-/// A session that is attempted once, at this many milliseconds of the run, and accepted.
+/// Returns the observations of a session that is attempted once, `ms` milliseconds into the run,
+/// and accepted.
 fn accepted_session(ms: u64, relay: RelayIndex, backend: BackendIndex) -> Vec<(u64, Observation)> {
     let session = SessionId(7);
     let requested = Observation::SessionRequested {
@@ -360,7 +366,8 @@
         backend,
         lifecycle: Lifecycle::Ready,
     };
-    // What came before the attempt, when the attempt came, and whether it is a violation.
+    // The observations before the attempt, the time of the attempt in milliseconds, and whether the
+    // attempt is a violation.
     let cases = [
         (vec![(0, ban(relay, true))], 1_900, false),
         (vec![(0, ban(relay, true))], 2_500, true),
--- a/testbed/tests/faulty_relays/main.rs
+++ b/testbed/tests/faulty_relays/main.rs
@@ -1,5 +1,5 @@
-//! Runs of a small relay, correct or with one fault, among the simulated backends and clients, and
-//! what the checkers find in them.
+//! Runs a small relay, either correct or with one fault, among the simulated backends and clients,
+//! and tests what the checkers find in the recorded events.
 mod cluster_invariants;
 mod faulty_relay;
 mod invariants;
--- a/testbed/tests/faulty_relays/scenario.rs
+++ b/testbed/tests/faulty_relays/scenario.rs
@@ -18,19 +18,20 @@
 };
 use thistlecroft_testbed::traffic::{ClientProfile, Traffic, arrivals};
 
-/// All clients have gone within this after the end.
-const END_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
-/// The first client arrives so long after the start.
+/// The time within which all clients must be gone after the end of the traffic.
+const CLIENTS_GONE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
+/// The time from the start of the run to the start of the traffic, in microseconds.
 const LEAD_TIME_MICROSECONDS: u64 = 100_000;
 const BACKENDS: usize = 3;
 
-/// A run with one kind of relay.
+/// A run in which all relays have the same fault.
 pub(crate) struct Scenario {
     pub(crate) fault: RelayFault,
     pub(crate) idempotency: Idempotency,
-    /// Zones of the backends, in turn.
+    /// The zones, to which the backends belong in turn.
     pub(crate) zones: &'static [&'static str],
-    /// Commands to the backends, and so many milliseconds after the start each is given.
+    /// The commands to the backends, each with its time in milliseconds after the start of the
+    /// traffic.
     pub(crate) commands: Vec<(u64, BackendCommand)>,
     pub(crate) relays: usize,
     pub(crate) arrivals_per_second: f64,
@@ -38,7 +39,7 @@
 }
 
 impl Scenario {
-    /// A short run with one relay of this fault.
+    /// Returns a short run of one relay with the given fault.
     pub(crate) fn new(fault: RelayFault) -> Scenario {
         Scenario {
             fault,
@@ -51,7 +52,7 @@
         }
     }
 
-    /// Runs it; what the checker finds in the recorded events, and these.
+    /// Runs the scenario; returns the result of the invariant checker and the recorded events.
     pub(crate) fn run(&self) -> (CheckResult, Vec<RecordedEvent>) {
         let (recorder, mut log) = event_recorder();
         let clock = Stopwatch::start();
@@ -71,8 +72,11 @@
         }
         sleep_until(clock, end);
         clients.command(LoadCommand::Finish);
-        let is_end = |observation: &Observation| matches!(observation, Observation::Note { text } if text == ALL_CLIENTS_GONE);
-        assert!(log.wait_for(END_TIMEOUT, is_end), "clients stay");
+        let are_clients_gone = |observation: &Observation| matches!(observation, Observation::Note { text } if text == ALL_CLIENTS_GONE);
+        assert!(
+            log.wait_for(CLIENTS_GONE_TIMEOUT, are_clients_gone),
+            "clients are still connected after the timeout"
+        );
         clients.close();
         backends.event_loop.close();
         relays.iter().for_each(|relay| relay.stop());
@@ -175,7 +179,7 @@
     }
 }
 
-/// Commands have times of the run: this is no wait for something to have happened.
+/// Sleeps until the scheduled time of a command. The sleep does not wait for a condition.
 fn sleep_until(clock: Stopwatch, at: Instant) {
     thread::sleep(std::time::Duration::from_micros(
         at.duration_since(clock.now()).as_micros(),
--- a/testbed/tests/recorded_form.rs
+++ b/testbed/tests/recorded_form.rs
@@ -1,4 +1,5 @@
-//! The form of recorded events in `events.jsonl`, which others read: each kind with all its keys.
+//! The events in `events.jsonl`, which other tools read, keep their recorded form: each kind of
+//! event is compared with all its keys.
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::event_recorder::{
     Answer, BackendIndex, Lifecycle, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
@@ -13,7 +14,8 @@
     Instant::from_micros(1_500)
 }
 
-/// Each event with what follows `{"ms":1.5,` in its line.
+/// Asserts that each observation is recorded as a line of `{"ms":1.5,` followed by its form and
+/// `}`.
 fn assert_forms(forms: Vec<(Observation, &str)>) {
     for (observation, form) in forms {
         let event = RecordedEvent {
--- a/testbed/tests/relay_observer.rs
+++ b/testbed/tests/relay_observer.rs
@@ -1,5 +1,5 @@
-//! Observers at admin ports record answers of relays that conflict, which are violations of cluster
-//! invariants.
+//! Observers record the answers of two admin ports, and the checker of cluster invariants reports
+//! the answers that conflict.
 use std::io::{BufRead, BufReader, Write};
 use std::net::{SocketAddr, TcpListener};
 use std::thread;
@@ -13,20 +13,20 @@
 use thistlecroft_testbed::relay_observer::RelayObserver;
 
 const NOT_HELD: &str = "400 held by another";
-/// So many lease requests are refused before the second relay answers by its script: the first one
-/// has surely been asked by then.
-const LATER: usize = 12;
+/// The number of lease requests that the second relay refuses before it answers by its script, so
+/// that the first relay has been asked before.
+const REFUSALS_BEFORE_LATER_SCRIPT: usize = 12;
 const MEMBERS_OF_0: &[&str] = &["relay-0", "relay-1"];
 const MEMBERS_OF_1: &[&str] = &["relay-1", "relay-0"];
 
-/// An admin port that answers by a script.
+/// The answers of a scripted admin port.
 #[derive(Clone, Copy)]
 struct Script {
-    /// So many lease requests are refused first.
+    /// The number of lease requests that are refused first.
     refusals: usize,
-    /// The answers to lease requests in turn, the last of them for ever.
+    /// The answers to the lease requests after the refusals, in turn; the last one is repeated.
     leases: &'static [&'static str],
-    /// Its own name and those of the others that it sees.
+    /// The relay's own name, followed by the names of the peers that it sees alive.
     members: &'static [&'static str],
 }
 
@@ -41,7 +41,7 @@
 
     const fn later(leases: &'static [&'static str], members: &'static [&'static str]) -> Script {
         Script {
-            refusals: LATER,
+            refusals: REFUSALS_BEFORE_LATER_SCRIPT,
             leases,
             members,
         }
@@ -71,8 +71,8 @@
         if request <= self.refusals {
             return NOT_HELD.into();
         }
-        let place = (request - self.refusals - 1).min(self.leases.len() - 1);
-        self.leases[place].to_string()
+        let index = (request - self.refusals - 1).min(self.leases.len() - 1);
+        self.leases[index].to_string()
     }
 
     fn members_answer(self) -> String {
@@ -98,7 +98,8 @@
         .collect()
 }
 
-/// Waits until both memberships were observed three times, and so many lease answers before them.
+/// Waits until both relays' memberships were observed three times, which leaves time for many lease
+/// requests.
 fn wait_for_observations(log: &mut EventLog) -> bool {
     let is_observed = |events: &[RecordedEvent], index: u16| {
         let is_membership = |event: &&RecordedEvent| matches!(&event.observation, Observation::MembersSeen { relay, .. } if relay.0 == index);
@@ -109,7 +110,8 @@
     })
 }
 
-/// What two admin ports answer, and the invariant that this violates.
+/// The name of each case, the scripts of two admin ports, and the invariant that the answers
+/// violate.
 const CASES: &[(&str, [Script; 2], Option<ClusterInvariant>)] = &[
     (
         "both hold the lease",
@@ -120,7 +122,7 @@
         Some(ClusterInvariant::SingleLeaseHolder),
     ),
     (
-        "the second begins while the first still holds by its answer",
+        "the second holds the lease while the last answer of the first is still valid",
         [
             Script::new(&["200 held 1 5000", NOT_HELD], MEMBERS_OF_0),
             Script::later(&["200 held 2 900"], MEMBERS_OF_1),
@@ -128,7 +130,7 @@
         Some(ClusterInvariant::SingleLeaseHolder),
     ),
     (
-        "the second has the same epoch later",
+        "the second later holds the lease with the same epoch",
         [
             Script::new(&["200 held 7 1", NOT_HELD], MEMBERS_OF_0),
             Script::later(&["200 held 7 1"], MEMBERS_OF_1),
@@ -136,7 +138,7 @@
         Some(ClusterInvariant::IncreasingEpochs),
     ),
     (
-        "the second has a lower epoch later",
+        "the second later holds the lease with a lower epoch",
         [
             Script::new(&["200 held 7 1", NOT_HELD], MEMBERS_OF_0),
             Script::later(&["200 held 6 1"], MEMBERS_OF_1),
@@ -160,7 +162,7 @@
         Some(ClusterInvariant::ConsistentMembership),
     ),
     (
-        "the second holds after the first",
+        "the second holds the lease after the first",
         [
             Script::new(&["200 held 1 1", NOT_HELD], MEMBERS_OF_0),
             Script::later(&["200 held 2 1"], MEMBERS_OF_1),
@@ -169,7 +171,7 @@
     ),
 ];
 
-/// What the checker finds by the observations at two admin ports.
+/// Returns the violations that the checker finds in the observations at two admin ports.
 fn observed_violations(name: &str, scripts: [Script; 2]) -> Vec<ClusterInvariant> {
     let (recorder, mut log) = event_recorder();
     let observers = observe(scripts, &recorder);
