--- a/testbed/src/event_recorder/observation.rs
+++ b/testbed/src/event_recorder/observation.rs
@@ -141,7 +141,7 @@
         /// The session.
         session: SessionId,
     },
-    /// A backend read the complete first line of a connection attempt.
+    /// A backend read the complete first line of an attempt.
     #[serde(rename = "dial-came")]
     AttemptReceived {
         /// The backend.
--- a/testbed/src/relay_process/resources.rs
+++ b/testbed/src/relay_process/resources.rs
@@ -18,7 +18,7 @@
         .nth(1)?
         .parse()
         .ok()?;
-    // A zombie, which has ended but was not waited for, has used no CPU time by these files.
+    // A zombie process, which has ended but was not waited for, shows no CPU time and no memory.
     (nanoseconds > 0).then(|| {
         (
             Duration::from_micros(nanoseconds / 1_000),
--- a/testbed/tests/cluster_invariants.rs
+++ b/testbed/tests/cluster_invariants.rs
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn lease_epoch_that_does_not_grow_is_a_violation() {
+fn lease_epoch_that_does_not_increase_is_a_violation() {
     let cases = vec![
         (
             "two holders have the same epoch",
--- a/testbed/tests/faulty_relays/cluster_invariants.rs
+++ b/testbed/tests/faulty_relays/cluster_invariants.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn relays_correct_alone_violate_limits_of_the_cluster() {
+fn individually_correct_relays_violate_limits_of_the_cluster() {
     let scenario = Scenario {
         relays: 2,
         arrivals_per_second: 30.0,
--- a/testbed/tests/faulty_relays/invariants.rs
+++ b/testbed/tests/faulty_relays/invariants.rs
@@ -285,7 +285,7 @@
 }
 
 #[test]
-fn faulty_relay_violates_its_invariant_alone() {
+fn faulty_relay_violates_only_its_invariant() {
     let cases = [
         final_answer_cases(),
         single_effect_cases(),
--- a/testbed/tests/relay_observer.rs
+++ b/testbed/tests/relay_observer.rs
@@ -14,7 +14,7 @@
 
 const NOT_HELD: &str = "400 held by another";
 /// The number of lease requests that the second relay refuses before it answers by its script, so
-/// that the first relay has been asked before.
+/// that the first relay has certainly been asked before.
 const REFUSALS_BEFORE_LATER_SCRIPT: usize = 12;
 const MEMBERS_OF_0: &[&str] = &["relay-0", "relay-1"];
 const MEMBERS_OF_1: &[&str] = &["relay-1", "relay-0"];
