--- a/relay/tests/peers/boundaries.rs
+++ b/relay/tests/peers/boundaries.rs
@@ -28,7 +28,7 @@
     let other = cluster
         .operator_config(4)
         .replace("fleet = \"rig\"", "fleet = \"other\"");
-    cluster.start_with(4, other).unwrap();
+    cluster.start_with_config(4, other).unwrap();
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
             (0..4).any(|relay| counter(cluster, relay, "foreign") > 1)
@@ -58,10 +58,13 @@
     );
     drop(taken);
     let without_key = cluster.operator_config(0).replace("peers.key", "no.key");
-    let error = cluster.start_with(0, without_key).unwrap_err().to_string();
+    let error = cluster
+        .start_with_config(0, without_key)
+        .unwrap_err()
+        .to_string();
     assert!(error.contains("peers.key_file"), "{error}");
     // Without peers in its operator configuration, a relay says so and binds no socket for them.
-    cluster.start_with(1, "\n".into()).unwrap();
+    cluster.start_with_config(1, "\n".into()).unwrap();
     assert!(
         cluster
             .admin_command(1, "PEERS")
