--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -102,7 +102,7 @@
 
 /// How long a note takes to reach all.
 fn measure_note(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measured) {
-    network.act(trial.size / 2, |host, now| {
+    network.with_host(trial.size / 2, |host, now| {
         host.node
             .announce(EntryKind::Note, b"subject", b"value", now);
     });
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -131,7 +131,7 @@
             if host.alive && self.applied[member] != host.member_changes.len() {
                 self.applied[member] = host.member_changes.len();
                 let assignment = &mut self.assignments[member];
-                self.network.act(member, |host, now| {
+                self.network.with_host(member, |host, now| {
                     if let Some(leases) = &mut host.leases {
                         assignment.apply(&host.node, leases, now);
                     }
--- a/leases/tests/helper/mod.rs
+++ b/leases/tests/helper/mod.rs
@@ -69,7 +69,7 @@
 }
 
 pub(crate) fn acquire(network: &mut SimulatedNetwork, index: usize, subjects: &[Subject]) {
-    network.act(index, |host, now| {
+    network.with_host(index, |host, now| {
         let leases = host.leases.as_mut().unwrap();
         subjects
             .iter()
@@ -78,7 +78,7 @@
 }
 
 pub(crate) fn release(network: &mut SimulatedNetwork, index: usize, subjects: &[Subject]) {
-    network.act(index, |host, now| {
+    network.with_host(index, |host, now| {
         let leases = host.leases.as_mut().unwrap();
         subjects
             .iter()
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -364,7 +364,7 @@
         };
         let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
             let mut result = Ok(());
-            network.act(index, |host, now| {
+            network.with_host(index, |host, now| {
                 result = host.leases.as_mut().unwrap().change_config(to.clone(), now)
             });
             result
@@ -476,7 +476,7 @@
     let all = subjects(MAX_CLAIMS);
     acquire(&mut network, 3, &all);
     let (mut too_many, mut too_long) = (Ok(()), Ok(()));
-    network.act(3, |host, now| {
+    network.with_host(3, |host, now| {
         let leases = host.leases.as_mut().unwrap();
         too_many = leases.acquire(b"one more", now + TERM, now);
         too_long = leases.acquire(&[b'x'; MAX_SUBJECT_BYTES + 1], now + TERM, now);
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -64,7 +64,7 @@
 
 fn acquire_everywhere(network: &mut SimulatedNetwork) {
     for index in 0..network.hosts.len() {
-        network.act(index, |host, now| {
+        network.with_host(index, |host, now| {
             if let Some(leases) = &mut host.leases {
                 leases
                     .acquire(SUBJECT, now + Duration::from_millis(3_600_000), now)
@@ -117,7 +117,7 @@
         (
             "released",
             |network, holder| {
-                network.act(holder, |host, now| {
+                network.with_host(holder, |host, now| {
                     host.leases.as_mut().unwrap().release(SUBJECT, now)
                 })
             },
@@ -126,7 +126,7 @@
         (
             "left",
             |network, holder| {
-                network.act(holder, |host, _| {
+                network.with_host(holder, |host, _| {
                     host.leases.as_mut().unwrap().leave(|_| false)
                 })
             },
@@ -139,7 +139,7 @@
             // Processes that do not vote hold the lease, so that a majority of the voters remains.
             let mut checker = HolderChecker::default();
             for index in [3, 4] {
-                network.act(index, |host, now| {
+                network.with_host(index, |host, now| {
                     host.leases
                         .as_mut()
                         .unwrap()
@@ -260,7 +260,7 @@
                     acquire_everywhere(&mut network);
                 }
                 3 => {
-                    network.act(index, |host, now| {
+                    network.with_host(index, |host, now| {
                         let leases = host.leases.as_mut().unwrap();
                         leases.release(SUBJECT, now);
                         leases
@@ -297,7 +297,7 @@
     };
     let change = |network: &mut SimulatedNetwork, index: usize, to: &LeaseConfig| {
         let mut result = Ok(());
-        network.act(index, |host, now| {
+        network.with_host(index, |host, now| {
             let changed = host.leases.as_mut().unwrap().change_config(to.clone(), now);
             result = changed.map_err(|fault| fault.to_string());
         });
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -296,7 +296,7 @@
 #[test]
 fn member_that_leaves_is_known_at_once_and_does_not_return() {
     let mut network = joined_network(12, 6);
-    network.act(4, |host, now| host.node.leave(now));
+    network.with_host(4, |host, now| host.node.leave(now));
     network.kill(4);
     let duration = network
         .run_until(
@@ -374,7 +374,7 @@
 fn entry_reaches_all_members_by_gossip_or_sync() {
     let mut network = joined_network(24, 7);
     network.default_link_fault.loss = 0.2;
-    network.act(3, |host, now| {
+    network.with_host(3, |host, now| {
         assert!(host.node.announce(EntryKind::Ban, b"box-1", b"out", now))
     });
     let known = |network: &SimulatedNetwork| {
@@ -392,7 +392,7 @@
     // A member that was partitioned off gets a later entry by a sync, with an age that includes the
     // time since its announcement.
     network.partition(&[20], &(0..20).chain(21..24).collect::<Vec<_>>());
-    network.act(3, |host, now| {
+    network.with_host(3, |host, now| {
         assert!(host.node.announce(EntryKind::Note, b"n", b"later", now))
     });
     network.run_for(PROBE_INTERVAL * 30.0);
@@ -413,14 +413,14 @@
 #[test]
 fn withdrawn_entry_expires_everywhere_and_others_stay() {
     let mut network = joined_network(5, 8);
-    network.act(0, |host, now| {
+    network.with_host(0, |host, now| {
         assert!(host.node.announce(EntryKind::Ejection, b"b", b"1", now))
     });
-    network.act(1, |host, now| {
+    network.with_host(1, |host, now| {
         assert!(host.node.announce(EntryKind::Ejection, b"c", b"2", now))
     });
     network.run_for(PROBE_INTERVAL * 10.0);
-    network.act(0, |host, _| host.node.withdraw(EntryKind::Ejection, b"b"));
+    network.with_host(0, |host, _| host.node.withdraw(EntryKind::Ejection, b"b"));
     network.run_for(PROBE_INTERVAL * 200.0);
     for host in &network.hosts {
         let now = host.clock(network.now);
@@ -440,7 +440,7 @@
     for number in 0..200_u32 {
         let subject = format!("a subject of some length, {number}");
         let value = [7; 90];
-        network.act(0, |host, now| {
+        network.with_host(0, |host, now| {
             assert!(
                 host.node
                     .announce(EntryKind::Share, subject.as_bytes(), &value, now)
@@ -480,7 +480,7 @@
             .collect();
         for number in 0..24 {
             let subject = format!("{:?}", network.now);
-            network.act(number, |host, now| {
+            network.with_host(number, |host, now| {
                 host.node
                     .announce(EntryKind::Note, subject.as_bytes(), &[1; 90], now);
             });
--- a/testbed/src/simulated_network/network.rs
+++ b/testbed/src/simulated_network/network.rs
@@ -252,7 +252,7 @@
     }
 
     /// Has a process act now, rather than with its next wake.
-    pub fn act(&mut self, number: usize, act: impl FnOnce(&mut Host, Instant)) {
+    pub fn with_host(&mut self, number: usize, act: impl FnOnce(&mut Host, Instant)) {
         let own = self.hosts[number].clock(self.now);
         act(&mut self.hosts[number], own);
         self.exchange(number);
