--- a/experiments/src/run/setup.rs
+++ b/experiments/src/run/setup.rs
@@ -275,7 +275,7 @@
                 list.put(BackendIndex(number), row);
             }
         }
-        serde_json::from_str(&list.text_since(None).0).unwrap_or_default()
+        serde_json::from_str(&list.json_since(None).0).unwrap_or_default()
     }
 
     /// Where clients connect: to relays, or under a baseline to the backends themselves.
--- a/testbed/src/endpoint_list.rs
+++ b/testbed/src/endpoint_list.rs
@@ -63,7 +63,7 @@
 
     /// The text for a relay that has this version, with what changed since, or with the whole list;
     /// and the state of each backend that it names.
-    pub fn text_since(&self, version: Option<u64>) -> (String, Vec<(BackendIndex, Lifecycle)>) {
+    pub fn json_since(&self, version: Option<u64>) -> (String, Vec<(BackendIndex, Lifecycle)>) {
         let known_versions = self.oldest_known_version..=self.generation;
         let version = version.filter(|version| known_versions.contains(version));
         let is_included = |changed_in: u64, row: &EndpointRow| match version {
--- a/testbed/src/endpoint_list/tests.rs
+++ b/testbed/src/endpoint_list/tests.rs
@@ -22,7 +22,7 @@
         (Some(9), true, vec![(1, Ready)]),
     ];
     for (version, reset, rows) in cases {
-        let (text, states) = list.text_since(version);
+        let (text, states) = list.json_since(version);
         let states: Vec<_> = states
             .iter()
             .map(|(backend, lifecycle)| (backend.0, *lifecycle))
@@ -35,9 +35,9 @@
     }
     list.forget_versions();
     assert_eq!(
-        list.text_since(Some(3)).1.len(),
+        list.json_since(Some(3)).1.len(),
         1,
         "a snapshot, since the versions have started anew"
     );
-    assert_eq!(list.text_since(Some(1)).1.len(), 0);
+    assert_eq!(list.json_since(Some(1)).1.len(), 0);
 }
--- a/testbed/src/simulated_backends/discovery_agent.rs
+++ b/testbed/src/simulated_backends/discovery_agent.rs
@@ -57,7 +57,7 @@
             {
                 continue;
             }
-            let (text, changes) = list.text_since(watch.sent_version);
+            let (text, changes) = list.json_since(watch.sent_version);
             watch.sent_version = Some(list.generation());
             let socket = &mut connection.socket;
             if socket.send(chunk(&text).as_bytes()).is_ok() && socket.is_flushed() {
@@ -99,7 +99,7 @@
             ListRequest::Watch(since) => self.start_watch(key, relay, since, context),
             ListRequest::Snapshot => {
                 let list = &self.agents[usize::from(relay.0)].list;
-                let (text, changes) = list.text_since(None);
+                let (text, changes) = list.json_since(None);
                 let _ = socket.send(snapshot(&text).as_bytes());
                 socket.update_interest();
                 record_announcements(relay, changes, context);
