--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -68,7 +68,7 @@
         keys: text.keys.max(1),
         groups: text.groups,
         retries: text.retries,
-        heeds_retry_after: text.heeds,
+        retry_after_share: text.heeds,
         backoff: text.back_off.0,
         reconnect_delay: (text.rejoin[0].0, text.rejoin[1].0),
         impatient_share: text.impatient,
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -51,7 +51,7 @@
     /// Retries of a client that was rejected or failed.
     pub retries: u32,
     /// The part of the clients that wait for as long as a rejection asks them to.
-    pub heeds_retry_after: f64,
+    pub retry_after_share: f64,
     /// The mean wait of the others.
     pub backoff: Duration,
     /// The least and the greatest time after which a client connects again whose established
@@ -157,7 +157,7 @@
             .map(|groups| scattered_id(skewed(rng, groups))),
         load: low + (high - low) * rng.unit_f64(),
         lifetime: exponential(rng, profile.mean_lifetime),
-        heeds_retry_after: rng.unit_f64() < traffic.heeds_retry_after,
+        heeds_retry_after: rng.unit_f64() < traffic.retry_after_share,
         leaves_after: (rng.unit_f64() < traffic.impatient_share)
             .then(|| profile.answer_timeout * rng.unit_f64()),
         seed: rng.below(u64::MAX),
--- a/testbed/src/traffic/tests.rs
+++ b/testbed/src/traffic/tests.rs
@@ -25,7 +25,7 @@
         keys: 1_000,
         groups: Some(50),
         retries: 3,
-        heeds_retry_after: 0.5,
+        retry_after_share: 0.5,
         backoff: Duration::from_millis(100),
         reconnect_delay: (Duration::from_millis(100), Duration::from_millis(200)),
         impatient_share: 0.1,
--- a/testbed/tests/faulty_relays/scenario.rs
+++ b/testbed/tests/faulty_relays/scenario.rs
@@ -158,7 +158,7 @@
             keys: 50,
             groups: None,
             retries: 0,
-            heeds_retry_after: 1.0,
+            retry_after_share: 1.0,
             backoff: Duration::from_millis(50),
             reconnect_delay: (Duration::from_millis(50), Duration::from_millis(100)),
             impatient_share: 0.0,
