--- a/relay/tests/peers/boundaries.rs
+++ b/relay/tests/peers/boundaries.rs
@@ -5,7 +5,7 @@
 fn datagrams_of_strangers_and_other_fleets_are_counted_and_ignored() {
     let mut cluster = start_cluster("strangers", 5, 5);
     let stranger = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let at = cluster.network.addresses[0].own;
+    let at = cluster.network.addresses[0].bind;
     for bytes in [vec![0; 100], vec![1; 100], vec![1; 3], vec![1; 1_400]] {
         stranger.send_to(&bytes, at).unwrap();
     }
@@ -50,7 +50,7 @@
     assert!(error.contains("permissions.peers"), "{error}");
     assert_eq!(cluster.log(0).lines().count(), 1, "{}", cluster.log(0));
     let mut cluster = open_cluster("faults", 2, 1, true);
-    let taken = UdpSocket::bind(cluster.network.addresses[0].own).unwrap();
+    let taken = UdpSocket::bind(cluster.network.addresses[0].bind).unwrap();
     let error = cluster.start(0).unwrap_err().to_string();
     assert!(
         error.contains("peers:") && error.contains("in use"),
@@ -68,5 +68,5 @@
             .unwrap()
             .starts_with("400 peers are not switched on")
     );
-    UdpSocket::bind(cluster.network.addresses[1].own).expect("the address of the peers is free");
+    UdpSocket::bind(cluster.network.addresses[1].bind).expect("the address of the peers is free");
 }
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -21,7 +21,7 @@
     /// Where the others reach it: a socket of this network.
     pub public: SocketAddr,
     /// Where it listens itself.
-    pub own: SocketAddr,
+    pub bind: SocketAddr,
 }
 
 /// What can be ordered while a run goes on.
@@ -108,7 +108,7 @@
             public.set_nonblocking(true)?;
             addresses.push(PeerAddress {
                 public: public.local_addr()?,
-                own: own.local_addr()?,
+                bind: own.local_addr()?,
             });
             sockets.push(public);
             held.push(own);
@@ -119,7 +119,7 @@
             addresses: addresses.clone(),
             relay_of_source: (0..)
                 .zip(&addresses)
-                .map(|(index, address)| (address.own, index))
+                .map(|(index, address)| (address.bind, index))
                 .collect(),
             link_faults: BTreeMap::new(),
             allowances: BTreeMap::new(),
@@ -156,7 +156,7 @@
         let by_ip = || {
             self.addresses
                 .iter()
-                .position(|address| address.own.ip() == source.ip())
+                .position(|address| address.bind.ip() == source.ip())
         };
         self.relay_of_source.get(&source).copied().or_else(by_ip)
     }
@@ -208,7 +208,7 @@
         self.totals.bytes += delivery.bytes.len() as u64;
         let Link { from, to } = delivery.link;
         // A relay that does not run now does not get it.
-        let _ = self.sockets[from].send_to(&delivery.bytes, self.addresses[to].own);
+        let _ = self.sockets[from].send_to(&delivery.bytes, self.addresses[to].bind);
     }
 }
 
--- a/testbed/src/relay_process/config.rs
+++ b/testbed/src/relay_process/config.rs
@@ -89,7 +89,7 @@
         };
         format!(
             "\n[peers]\nfleet = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{voters}period = \"{}us\"\nlease = \"{}us\"\n",
-            own.own,
+            own.bind,
             own.public,
             self.key_file.display(),
             quoted_list(seeds),
