--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -16,7 +16,7 @@
 use thistlecroft_testbed::invariant_checker::PlatformRules;
 use thistlecroft_testbed::relay_process::FleetConfig;
 use thistlecroft_testbed::simulated_backends::BackendPlan;
-use thistlecroft_testbed::traffic::{Arrival, Burst, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{Arrival, Burst, Traffic, draw_arrivals};
 
 /// Clients come from here on, so that all is set up before.
 pub(crate) const PLAN_START: Instant = Instant::from_micros(500_000);
@@ -71,7 +71,7 @@
         }
         actions.sort_by_key(|scheduled| scheduled.at);
         let traffic = testbed_config::traffic(scenario, bursts);
-        let arrivals = arrivals(&traffic, end, seed);
+        let arrivals = draw_arrivals(&traffic, end, seed);
         let backends = testbed_config::backends(scenario, seed);
         Plan {
             seed,
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -94,7 +94,7 @@
 }
 
 /// All arrivals before this time, in their order.
-pub fn arrivals(traffic: &Traffic, until: Instant, seed: u64) -> Vec<Arrival> {
+pub fn draw_arrivals(traffic: &Traffic, until: Instant, seed: u64) -> Vec<Arrival> {
     let mut rng = Rng::from_seed(seed);
     let mut due = steady_arrivals(traffic, until, &mut rng);
     for burst in &traffic.bursts {
--- a/testbed/src/traffic/tests.rs
+++ b/testbed/src/traffic/tests.rs
@@ -36,9 +36,9 @@
 #[test]
 fn same_seed_gives_same_arrivals() {
     let until = Instant::from_micros(20_000_000);
-    let clients = arrivals(&traffic(), until, 7);
-    assert_eq!(clients, arrivals(&traffic(), until, 7));
-    assert_ne!(clients, arrivals(&traffic(), until, 8));
+    let clients = draw_arrivals(&traffic(), until, 7);
+    assert_eq!(clients, draw_arrivals(&traffic(), until, 7));
+    assert_ne!(clients, draw_arrivals(&traffic(), until, 8));
     // A ramp of ten seconds, ten seconds at its height, and the burst.
     assert!((3_300..3_700).contains(&clients.len()), "{}", clients.len());
     assert!(clients.windows(2).all(|pair| pair[0].due <= pair[1].due));
--- a/testbed/tests/faulty_relays/scenario.rs
+++ b/testbed/tests/faulty_relays/scenario.rs
@@ -16,7 +16,7 @@
 use thistlecroft_testbed::simulated_backends::{
     BackendCommand, BackendPlan, BackendSpec, OpenedBackends, SimulatedBackends,
 };
-use thistlecroft_testbed::traffic::{ClientProfile, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{ClientProfile, Traffic, draw_arrivals};
 
 /// All clients have gone within this after the end.
 const END_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
@@ -165,7 +165,7 @@
             message_interval: Duration::from_millis(300),
         };
         LoadPlan {
-            arrivals: (1..).zip(arrivals(&traffic, end, 3)).collect(),
+            arrivals: (1..).zip(draw_arrivals(&traffic, end, 3)).collect(),
             traffic,
             end,
             endpoints,
