--- a/testbed/src/endpoint_list.rs
+++ b/testbed/src/endpoint_list.rs
@@ -1,47 +1,47 @@
-//! The endpoint list as a discovery agent has it, and its text. No I/O.
+//! The endpoint list of a discovery agent, and its JSON form. No I/O.
 use crate::event_recorder::{BackendIndex, Lifecycle};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// A backend in the list.
+/// The row of one backend in the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointRow {
-    /// Where it takes connections.
+    /// The address at which the backend accepts connections.
     pub address: SocketAddr,
-    /// Its availability zone.
+    /// The backend's availability zone.
     pub zone: String,
-    /// Its cell within the zone.
+    /// The backend's cell within the zone.
     pub cell: u16,
-    /// Its state.
+    /// The backend's lifecycle state.
     pub lifecycle: Lifecycle,
-    /// Unix time of its start in milliseconds; 0 for long ago.
+    /// Unix time of the backend's start in milliseconds; 0 if it ran from the beginning.
     pub started_ms: u64,
 }
 
-/// The name of a backend in the list, the same for all relays.
+/// Returns the name of a backend in the list, which is the same for all relays.
 pub fn endpoint_name(backend: BackendIndex) -> String {
     format!("box-{:04}", backend.0)
 }
 
-/// The list as one agent has it. Its version counts the changes.
+/// The endpoint list of one agent. Its generation counts the changes.
 #[derive(Clone, Debug, Default)]
 pub struct EndpointList {
     generation: u64,
-    /// Each row with the version that changed it last.
+    /// The rows, each with the generation in which it last changed.
     rows: BTreeMap<BackendIndex, (u64, EndpointRow)>,
-    /// Changes before this version are no longer known: a request with an older version, or a
-    /// higher one than the present, gets a full snapshot.
-    oldest_known_version: u64,
+    /// The oldest generation from which changes can be told. A request with an older generation, or
+    /// with a higher one than the present, gets a full snapshot.
+    oldest_known_generation: u64,
 }
 
 impl EndpointList {
-    /// The version.
+    /// Returns the present generation.
     pub fn generation(&self) -> u64 {
         self.generation
     }
 
-    /// All rows, also those of backends that are gone.
+    /// Returns all rows, including those of backends that are gone.
     pub fn rows(&self) -> impl Iterator<Item = (BackendIndex, &EndpointRow)> {
         self.rows.iter().map(|(backend, (_, row))| (*backend, row))
     }
@@ -52,22 +52,24 @@
         self.rows.insert(backend, (self.generation, row));
     }
 
-    /// Loses the versions, as an agent does that has lost its state.
-    pub(crate) fn forget_versions(&mut self) {
+    /// Starts the generations anew, as an agent does that has lost its state.
+    pub(crate) fn restart_generations(&mut self) {
         self.generation = 1;
-        self.oldest_known_version = 1;
+        self.oldest_known_generation = 1;
         self.rows
             .retain(|_, (_, row)| row.lifecycle != Lifecycle::Gone);
-        self.rows.values_mut().for_each(|(version, _)| *version = 1);
+        self.rows
+            .values_mut()
+            .for_each(|(changed_in, _)| *changed_in = 1);
     }
 
-    /// The text for a relay that has this version, with what changed since, or with the whole list;
-    /// and the state of each backend that it names.
-    pub fn json_since(&self, version: Option<u64>) -> (String, Vec<(BackendIndex, Lifecycle)>) {
-        let known_versions = self.oldest_known_version..=self.generation;
-        let version = version.filter(|version| known_versions.contains(version));
-        let is_included = |changed_in: u64, row: &EndpointRow| match version {
-            Some(version) => changed_in > version,
+    /// Returns the JSON for a relay that has this generation, and the state of each backend in it.
+    /// The JSON holds the changes since a known generation, and the whole list otherwise.
+    pub fn json_since(&self, generation: Option<u64>) -> (String, Vec<(BackendIndex, Lifecycle)>) {
+        let known_generations = self.oldest_known_generation..=self.generation;
+        let generation = generation.filter(|generation| known_generations.contains(generation));
+        let is_included = |changed_in: u64, row: &EndpointRow| match generation {
+            Some(generation) => changed_in > generation,
             None => row.lifecycle != Lifecycle::Gone,
         };
         let included: Vec<(BackendIndex, &EndpointRow)> = self
@@ -78,23 +80,23 @@
             .collect();
         let instances: Vec<_> = included
             .iter()
-            .map(|(backend, row)| instance(*backend, row))
+            .map(|(backend, row)| instance_json(*backend, row))
             .collect();
-        let text = json!({
+        let message = json!({
             "generation": self.generation,
-            "reset": version.is_none(),
+            "reset": generation.is_none(),
             "instances": instances,
         });
         let states = included
             .iter()
             .map(|(backend, row)| (*backend, row.lifecycle))
             .collect();
-        (text.to_string(), states)
+        (message.to_string(), states)
     }
 }
 
-/// A row in discovery's form.
-fn instance(backend: BackendIndex, row: &EndpointRow) -> serde_json::Value {
+/// Returns a row in the form of the discovery protocol.
+fn instance_json(backend: BackendIndex, row: &EndpointRow) -> serde_json::Value {
     json!({
         "instanceId": endpoint_name(backend),
         "hostPort": row.address.to_string(),
--- a/testbed/src/endpoint_list/tests.rs
+++ b/testbed/src/endpoint_list/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn request_with_known_version_gets_changes_and_others_a_snapshot() {
+fn request_with_known_generation_gets_changes_and_any_other_a_snapshot() {
     let row = |lifecycle| EndpointRow {
         address: "127.0.0.1:9".parse().unwrap(),
         zone: "a".into(),
@@ -21,23 +21,23 @@
         (Some(3), false, vec![]),
         (Some(9), true, vec![(1, Ready)]),
     ];
-    for (version, reset, rows) in cases {
-        let (text, states) = list.json_since(version);
+    for (generation, reset, rows) in cases {
+        let (json, states) = list.json_since(generation);
         let states: Vec<_> = states
             .iter()
             .map(|(backend, lifecycle)| (backend.0, *lifecycle))
             .collect();
-        assert_eq!(states, rows, "{version:?}");
+        assert_eq!(states, rows, "{generation:?}");
         assert!(
-            text.contains(&format!("\"reset\":{reset}")),
-            "{version:?}: {text}"
+            json.contains(&format!("\"reset\":{reset}")),
+            "{generation:?}: {json}"
         );
     }
-    list.forget_versions();
+    list.restart_generations();
     assert_eq!(
         list.json_since(Some(3)).1.len(),
         1,
-        "a snapshot, since the versions have started anew"
+        "a request from before the restart gets a snapshot"
     );
     assert_eq!(list.json_since(Some(1)).1.len(), 0);
 }
--- a/testbed/src/load_generator/client.rs
+++ b/testbed/src/load_generator/client.rs
@@ -6,63 +6,63 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// Each client has numbers for so many connections, in bits.
+/// The number of low bits of a connection number that count the connections of one client.
 const CONNECTION_NUMBER_BITS: u32 = 20;
 
-/// How far a client is.
+/// The state of a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientState {
-    /// It waits before it connects.
-    Away,
+    /// The client is not connected, and waits until it is due to connect.
+    Idle,
     Connecting,
-    /// It has not written its whole request yet.
+    /// The client is connected but has not written its whole request yet.
     Requesting,
     AwaitingAnswer,
     Established,
-    /// It has closed its sending direction and waits for the other side to close.
+    /// The client has closed its sending direction and waits for the peer to close.
     Closing,
-    /// It was rejected or failed and waits for the other side to close.
+    /// The request was rejected or failed, and the client waits for the peer to close.
     Rejected,
 }
 
 /// A client from its arrival until it leaves for good.
 pub(super) struct Client {
-    /// Its arrival, by its place in the plan.
+    /// The index of the client's arrival in the plan.
     pub(super) arrival: usize,
     pub(super) state: ClientState,
     pub(super) socket: Option<LineSocket>,
-    /// Grows with each change of its state: timers of an earlier state are ignored.
+    /// Changes with each change of the state, so that timers of an earlier state are ignored.
     pub(super) serial: u64,
     pub(super) session: SessionId,
-    /// The number of its last connection, different from those of all clients.
+    /// The number of the client's last connection, unique among the connections of all clients.
     pub(super) connection_number: u64,
-    /// The endpoint that it connects to.
+    /// The index of the endpoint that the client connects to.
     pub(super) endpoint: usize,
-    /// Endpoints in a row that did not take its connection.
+    /// Consecutive attempts to connect that failed.
     pub(super) failed_connects: u32,
-    /// Requests in a row without an established session.
+    /// Consecutive requests that established no session.
     pub(super) failed_requests: u32,
-    /// When it is to connect.
+    /// When the client is due to connect.
     pub(super) due: Instant,
-    /// When it wants to leave, once it was established.
+    /// When the client wants to leave; set when its first session is established.
     pub(super) leaves_at: Option<Instant>,
-    /// It connects again after an established session.
+    /// Whether the client connects again after an established session.
     pub(super) is_reconnecting: bool,
-    /// It connects again after a request without an established session.
+    /// Whether the client connects again after a request that established no session.
     pub(super) is_retrying: bool,
     pub(super) was_established: bool,
-    /// The number of its last message in this session.
+    /// The number of the last message that the client sent.
     pub(super) last_message: u64,
-    /// Time in the session before its first message, which stands for that time too.
+    /// Time in the session before the first message, which is served if that message is.
     pub(super) time_before_first_message: Duration,
-    /// Messages that have not come back, with the times of their sending.
+    /// Numbers of the messages that have not been echoed yet, with the times at which they were sent.
     pub(super) outstanding: VecDeque<(u64, Instant)>,
     pub(super) rng: Rng,
     pub(super) misbehavior: Option<Misbehavior>,
 }
 
 impl Client {
-    /// A client with its number among all clients of the run.
+    /// Creates a client with a number that is unique among all clients of the run.
     pub(super) fn new(
         arrival: usize,
         number: u64,
@@ -73,7 +73,7 @@
         let first_connection = number << CONNECTION_NUMBER_BITS;
         Client {
             arrival,
-            state: ClientState::Away,
+            state: ClientState::Idle,
             socket: None,
             serial: 0,
             session: SessionId(first_connection),
@@ -94,7 +94,7 @@
         }
     }
 
-    /// It connects again after its established session.
+    /// Marks that the client connects again after an established session.
     pub(super) fn set_reconnecting(&mut self) {
         (self.is_reconnecting, self.is_retrying) = (true, false);
     }
--- a/testbed/src/load_generator/connecting.rs
+++ b/testbed/src/load_generator/connecting.rs
@@ -1,4 +1,4 @@
-//! How clients arrive, choose an endpoint, connect and send their requests.
+//! Arrival of clients: they choose an endpoint, connect and send their requests.
 use super::client::{Client, ClientState};
 use super::generator::{LoadGenerator, Timer};
 use super::plan::ClientDistribution;
@@ -10,19 +10,19 @@
 use crate::traffic::scattered_id;
 use thistlecroft::time::Duration;
 
-/// Each time limit is so much longer on sockets.
-const SOCKET_SLACK: Duration = Duration::from_millis(50);
-/// Waited beyond the limit, so that a late turn of this thread blames nobody.
-const OWN_DELAY: Duration = Duration::from_millis(300);
-/// After this a client tries the next endpoint.
+/// Added to time limits for the delay of sockets.
+const SOCKET_DELAY_MARGIN: Duration = Duration::from_millis(50);
+/// Added to time limits for late turns of this thread, which must not count as a relay's delay.
+const THREAD_DELAY_MARGIN: Duration = Duration::from_millis(300);
+/// How long a client waits after a failed attempt to connect before it tries another endpoint.
 const NEXT_ENDPOINT_DELAY: Duration = Duration::from_millis(100);
-/// A client gives up when so many endpoints in a row did not take its connection.
+/// A client gives up after more consecutive failed attempts to connect than this.
 const MAX_FAILED_CONNECTS: u32 = 60;
-/// A client that misbehaves connects within this.
+/// How long a misbehaving client waits for its connection.
 const MISBEHAVING_CONNECT_TIMEOUT: Duration = Duration::from_millis(10_000);
 
 impl LoadGenerator {
-    /// Has all clients connect that are due by now.
+    /// Connects all clients that are due, and sets the timer for the next arrival.
     pub(super) fn on_arrivals_due(&mut self, context: &mut LoopContext<Timer>) {
         while let Some((number, arrival)) = self.arrivals.get(self.next_arrival) {
             if self.is_finishing {
@@ -31,10 +31,10 @@
             if arrival.due > context.now {
                 return context.set_timer(arrival.due, Timer::Arrival);
             }
-            let until_end = self.end.duration_since(arrival.due);
+            let time_to_end = self.end.duration_since(arrival.due);
             let totals = &mut self.totals.listeners[usize::from(arrival.profile)];
             totals.arrivals += 1;
-            totals.requested_seconds += arrival.lifetime.min(until_end).as_secs_f64();
+            totals.requested_seconds += arrival.lifetime.min(time_to_end).as_secs_f64();
             let client = Client::new(self.next_arrival, *number, arrival.due, arrival.seed, None);
             self.next_arrival += 1;
             let key = self.clients.insert(client);
@@ -42,6 +42,7 @@
         }
     }
 
+    /// Chooses an enabled endpoint by the configured distribution; `None` if none is enabled.
     fn choose_endpoint(&mut self, key: usize) -> Option<usize> {
         let enabled: Vec<usize> = (0..self.endpoints.len())
             .filter(|&endpoint| self.endpoints[endpoint].enabled)
@@ -51,8 +52,8 @@
         }
         match self.distribution {
             ClientDistribution::RoundRobin => {
-                self.distributed += 1;
-                Some(enabled[self.distributed % enabled.len()])
+                self.round_robin_count += 1;
+                Some(enabled[self.round_robin_count % enabled.len()])
             }
             ClientDistribution::Random => {
                 let rng = &mut self.clients[key].rng;
@@ -64,9 +65,10 @@
         }
     }
 
+    /// Starts to connect a client to an endpoint, and gives its connection a new session id.
     pub(super) fn connect(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &mut self.clients[key];
-        // Clients that misbehave come all at once, which is no delay of this thread.
+        // Misbehaving clients all arrive at one time, so their wait is no delay of this thread.
         if client.misbehavior.is_none() {
             let delay = context.clock.now().duration_since(client.due);
             record_latency(&mut self.totals.connect_delay, delay);
@@ -90,8 +92,8 @@
                 context.set_timer(context.now + timeout, Timer::Timeout(id));
             }
             Err(error) => {
-                if !std::mem::replace(&mut self.is_exhausted, true) {
-                    log::warn!("a client can't connect: {error}");
+                if !std::mem::replace(&mut self.has_recorded_exhaustion, true) {
+                    log::warn!("load generator failed to open a connection: {error}");
                     context.record(Observation::TestbedExhausted);
                 }
                 self.on_connect_failed(key, context);
@@ -99,7 +101,7 @@
         }
     }
 
-    /// The endpoint did not take the connection; the client tries the next one.
+    /// Handles a failed attempt to connect: the client tries again, or gives up after too many.
     pub(super) fn on_connect_failed(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let endpoint = self.endpoints.get(self.clients[key].endpoint);
         let relay = endpoint.and_then(|endpoint| endpoint.relay);
@@ -107,16 +109,16 @@
         let client = &mut self.clients[key];
         client.failed_connects += 1;
         if client.misbehavior.is_some() {
-            return self.remove(key, context);
+            return self.remove_client(key, context);
         }
         if client.failed_connects > MAX_FAILED_CONNECTS {
             self.listener_totals(key).gave_up += 1;
-            return self.remove(key, context);
+            return self.remove_client(key, context);
         }
         self.reconnect_after(key, NEXT_ENDPOINT_DELAY, context);
     }
 
-    /// The connection is established: the client sends its request.
+    /// Sends the client's request on its new connection.
     pub(super) fn send_request(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let request = protocol::request(&self.clients[key], self.arrival(key), self.profile(key));
         let Some(socket) = &mut self.clients[key].socket else {
@@ -131,7 +133,7 @@
         self.on_request_written(key, context);
     }
 
-    /// Starts to wait for the answer once the last byte of the request is written.
+    /// Starts to wait for the answer if the last byte of the request has been written.
     pub(super) fn on_request_written(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &mut self.clients[key];
         let is_flushed = client.socket.as_ref().is_some_and(LineSocket::is_flushed);
@@ -141,7 +143,7 @@
         client.failed_connects = 0;
         let id = self.set_state(key, ClientState::AwaitingAnswer);
         let client = &self.clients[key];
-        // A client that misbehaves waits for whatever the relay makes of it.
+        // A misbehaving client has no time limit: it waits until the relay answers or closes.
         if client.misbehavior.is_some() {
             return;
         }
@@ -156,7 +158,7 @@
             reconnecting: client.is_reconnecting,
         });
         context.set_timer(
-            context.now + timeout + SOCKET_SLACK + OWN_DELAY,
+            context.now + timeout + SOCKET_DELAY_MARGIN + THREAD_DELAY_MARGIN,
             Timer::Timeout(id),
         );
         if let (Some(delay), false) = (arrival.leaves_after, client.was_established) {
--- a/testbed/src/load_generator/generator.rs
+++ b/testbed/src/load_generator/generator.rs
@@ -1,4 +1,4 @@
-//! The clients of a load generator as a whole, and how they come and go.
+//! The state of a load generator, and the lifecycle of its clients.
 use super::client::{Client, ClientState};
 use super::plan::{ALL_CLIENTS_GONE, ClientDistribution, LoadPlan, RelayEndpoint};
 use super::totals::{ListenerTotals, LoadTotals};
@@ -11,49 +11,52 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// A client by its slab key, as long as it is in the state of this serial number.
+/// Identifies a client in one of its states: each state has its own serial number.
 #[derive(Clone, Copy, Debug)]
 pub struct ClientId {
     pub(super) key: usize,
     pub(super) serial: u64,
 }
 
-/// What a timer of the load generator is about.
+/// A timer of the load generator, named after what is due.
 #[derive(Debug)]
 pub enum Timer {
     /// The next client arrives.
     Arrival,
-    /// A client that was away connects.
+    /// A client is due to connect again.
     Connect(ClientId),
-    /// The time to connect or to answer is over.
+    /// The time limit to connect or to answer has passed.
     Timeout(ClientId),
-    /// A client leaves before its answer.
+    /// An impatient client leaves, since no answer has come.
     Leave(ClientId),
-    /// A client sends its next message.
+    /// A client is due to send its next message.
     NextMessage(ClientId),
-    /// The time for the other side to close is over.
+    /// The time limit for the peer to close the connection has passed.
     CloseTimeout(ClientId),
 }
 
-/// Clients on one thread. Each arrives when it is due whatever the others met (an open loop).
+/// Clients that run on one thread, in an open loop: each arrives when it is due, no matter how the
+/// clients before it were served.
 pub struct LoadGenerator {
     pub(super) traffic: Traffic,
+    /// The arrivals in order, with their numbers among all arrivals of the run.
     pub(super) arrivals: Vec<(u64, Arrival)>,
+    /// The index of the next arrival.
     pub(super) next_arrival: usize,
     pub(super) end: Instant,
     pub(super) endpoints: Vec<RelayEndpoint>,
-    /// Connections of this load generator, by endpoint.
+    /// The number of open connections of this load generator, by endpoint.
     pub(super) connections: Vec<usize>,
     pub(super) distribution: ClientDistribution,
-    /// Clients that were distributed in turn.
-    pub(super) distributed: usize,
+    /// The number of connections distributed by [`ClientDistribution::RoundRobin`].
+    pub(super) round_robin_count: usize,
     pub(super) rng: Rng,
     pub(super) clients: Slab<Client>,
     last_serial: u64,
     pub(super) is_finishing: bool,
-    has_noted_end: bool,
-    /// A connection could not be begun once.
-    pub(super) is_exhausted: bool,
+    has_recorded_end: bool,
+    /// Whether it was recorded that a connection could not be opened, which is done once.
+    pub(super) has_recorded_exhaustion: bool,
     pub(super) totals: LoadTotals,
 }
 
@@ -61,7 +64,7 @@
     /// Starts the clients of a plan on a thread of their own.
     ///
     /// # Errors
-    /// If the system gives no poller or thread.
+    /// If the poller or the thread can't be created.
     pub fn open(
         plan: LoadPlan,
         clock: Stopwatch,
@@ -80,13 +83,13 @@
                 end: plan.end,
                 endpoints: plan.endpoints,
                 distribution: plan.distribution,
-                distributed: 0,
+                round_robin_count: 0,
                 rng: Rng::from_seed(plan.seed),
                 clients: Slab::new(),
                 last_serial: 0,
                 is_finishing: false,
-                has_noted_end: false,
-                is_exhausted: false,
+                has_recorded_end: false,
+                has_recorded_exhaustion: false,
             })
         })
     }
@@ -104,39 +107,41 @@
         &mut self.totals.listeners[listener]
     }
 
-    /// Changes a client's state; timers of the state before are void.
+    /// Changes a client's state; timers of the former state are ignored from now on.
     pub(super) fn set_state(&mut self, key: usize, state: ClientState) -> ClientId {
         self.last_serial += 1;
         let client = &mut self.clients[key];
         (client.state, client.serial) = (state, self.last_serial);
-        self.id(key)
+        self.client_id(key)
     }
 
-    /// A client in its present state.
-    pub(super) fn id(&self, key: usize) -> ClientId {
+    /// Returns the id of a client in its present state.
+    pub(super) fn client_id(&self, key: usize) -> ClientId {
         ClientId {
             key,
             serial: self.clients[key].serial,
         }
     }
 
-    /// The key of a client that is still in the state in which a timer was set.
-    pub(super) fn current(&self, id: ClientId) -> Option<usize> {
+    /// Returns the key of a client that is still in the state of this id, else `None`.
+    pub(super) fn current_key(&self, id: ClientId) -> Option<usize> {
         let client = self.clients.get(id.key)?;
         (client.serial == id.serial).then_some(id.key)
     }
 
-    /// Has a client leave for good.
-    pub(super) fn remove(&mut self, key: usize, context: &LoopContext<Timer>) {
+    /// Closes a client's connection and removes the client for good.
+    pub(super) fn remove_client(&mut self, key: usize, context: &LoopContext<Timer>) {
         self.disconnect(key);
         self.clients.remove(key);
-        self.note_end(context);
+        self.record_end(context);
     }
 
-    /// Notes once that all clients have gone after the order to finish.
-    pub(super) fn note_end(&mut self, context: &LoopContext<Timer>) {
-        if self.is_finishing && self.clients.is_empty() && !self.has_noted_end {
-            self.has_noted_end = true;
+    /// Records once that all clients have gone after [`LoadCommand::Finish`].
+    ///
+    /// [`LoadCommand::Finish`]: super::plan::LoadCommand::Finish
+    pub(super) fn record_end(&mut self, context: &LoopContext<Timer>) {
+        if self.is_finishing && self.clients.is_empty() && !self.has_recorded_end {
+            self.has_recorded_end = true;
             context.record(Observation::Note {
                 text: ALL_CLIENTS_GONE.into(),
             });
@@ -151,7 +156,8 @@
         }
     }
 
-    /// Has a client connect again after this time, or leave if it wants to be gone by then.
+    /// Schedules a client to connect again after this time, or removes it if it wants to leave by
+    /// then.
     pub(super) fn reconnect_after(
         &mut self,
         key: usize,
@@ -162,9 +168,9 @@
         let due = context.now + delay;
         let leaves_at = self.clients[key].leaves_at;
         if self.is_finishing || leaves_at.is_some_and(|leaves_at| due >= leaves_at) {
-            return self.remove(key, context);
+            return self.remove_client(key, context);
         }
-        let id = self.set_state(key, ClientState::Away);
+        let id = self.set_state(key, ClientState::Idle);
         self.clients[key].due = due;
         context.set_timer(due, Timer::Connect(id));
     }
--- a/testbed/src/load_generator/handler.rs
+++ b/testbed/src/load_generator/handler.rs
@@ -1,4 +1,4 @@
-//! The load generator on its event loop: readiness, timers and commands find their handlers.
+//! Dispatches readiness events, timers and commands to the load generator.
 use super::client::ClientState;
 use super::generator::{LoadGenerator, Timer};
 use super::plan::LoadCommand;
@@ -7,7 +7,7 @@
 use crate::event_recorder::Observation;
 
 impl LoadGenerator {
-    /// A client that connects is established once its socket is writable.
+    /// Sends the request of a client whose attempt to connect has succeeded.
     fn on_connecting(&mut self, key: usize, writable: bool, context: &mut LoopContext<Timer>) {
         let Some(socket) = self.clients[key].socket.as_ref().filter(|_| writable) else {
             return;
@@ -19,6 +19,7 @@
         }
     }
 
+    /// Handles the end of the time limit to connect or to answer.
     fn on_timeout(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &self.clients[key];
         if client.state == ClientState::Connecting {
@@ -32,6 +33,7 @@
         self.retry(key, context);
     }
 
+    /// Resets the connection of an impatient client and removes the client.
     fn on_leave(&mut self, key: usize, context: &LoopContext<Timer>) {
         let client = &self.clients[key];
         context.record(Observation::ClientLeft {
@@ -40,9 +42,10 @@
         if let Some(socket) = &client.socket {
             socket.reset_on_close();
         }
-        self.remove(key, context);
+        self.remove_client(key, context);
     }
 
+    /// Stops waiting for the peer to close the connection.
     fn on_close_timeout(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &self.clients[key];
         if client.state == ClientState::Rejected {
@@ -51,25 +54,26 @@
         context.record(Observation::SessionClosed {
             session: client.session,
         });
-        self.remove(key, context);
+        self.remove_client(key, context);
     }
 
+    /// Ends all arrivals and closes established sessions.
     fn finish(&mut self, context: &mut LoopContext<Timer>) {
         self.is_finishing = true;
         let keys: Vec<usize> = self.clients.iter().map(|(key, _)| key).collect();
         for key in keys {
             let client = &self.clients[key];
             match client.state {
-                _ if client.misbehavior.is_some() => self.remove(key, context),
+                _ if client.misbehavior.is_some() => self.remove_client(key, context),
                 ClientState::Established => self.send_message(key, context),
-                ClientState::Away | ClientState::Connecting => self.remove(key, context),
+                ClientState::Idle | ClientState::Connecting => self.remove_client(key, context),
                 ClientState::Requesting
                 | ClientState::AwaitingAnswer
                 | ClientState::Closing
                 | ClientState::Rejected => {}
             }
         }
-        self.note_end(context);
+        self.record_end(context);
     }
 }
 
@@ -110,7 +114,7 @@
             | Timer::NextMessage(id)
             | Timer::CloseTimeout(id) => id,
         };
-        let Some(key) = self.current(id) else {
+        let Some(key) = self.current_key(id) else {
             return;
         };
         match timer {
--- a/testbed/src/load_generator/misbehaving.rs
+++ b/testbed/src/load_generator/misbehaving.rs
@@ -1,4 +1,4 @@
-//! Clients that break the protocol.
+//! Clients that violate the protocol.
 use super::client::{Client, ClientState};
 use super::generator::{LoadGenerator, Timer};
 use super::plan::Misbehavior;
@@ -6,14 +6,16 @@
 use crate::event_loop::LoopContext;
 use thistlecroft::time::Duration;
 
-/// Between two writes of a client that never reads.
+/// The time between two writes of a client that never reads.
 const FLOOD_INTERVAL: Duration = Duration::from_millis(20);
-/// Numbers of these clients, other than those of all arrivals.
-const FIRST_NUMBER: u64 = 1 << 43;
-/// Each load generator has numbers of its own, by its first arrival, in bits.
-const NUMBER_BITS: u32 = 30;
+/// Added to the numbers of misbehaving clients, so that they differ from those of all arrivals.
+const NUMBER_OFFSET: u64 = 1 << 43;
+/// The number of low bits that count the misbehaving clients of one load generator. The bits above
+/// hold the number of its first arrival, which no other load generator has.
+const GENERATOR_NUMBER_BITS: u32 = 30;
 
 impl LoadGenerator {
+    /// Adds clients that connect now and violate the protocol in this way.
     pub(super) fn add_misbehaving(
         &mut self,
         misbehavior: Misbehavior,
@@ -25,7 +27,8 @@
         };
         for _ in 0..count {
             self.totals.misbehaving += 1;
-            let number = FIRST_NUMBER + (first_arrival << NUMBER_BITS) + self.totals.misbehaving;
+            let number =
+                NUMBER_OFFSET + (first_arrival << GENERATOR_NUMBER_BITS) + self.totals.misbehaving;
             let seed = self.rng.below(u64::MAX);
             let client = Client::new(0, number, context.now, seed, Some(misbehavior));
             let key = self.clients.insert(client);
@@ -33,8 +36,8 @@
         }
     }
 
-    /// A client that never reads starts to send once it is established; the others leave with the
-    /// first line that they get.
+    /// Handles a line for a misbehaving client. A client that never reads starts to flood when it is
+    /// accepted; all others leave at the first line.
     pub(super) fn on_misbehaving_line(
         &mut self,
         key: usize,
@@ -47,11 +50,11 @@
             context.set_timer(context.now, Timer::NextMessage(id));
         } else {
             self.totals.misbehaving_answered += 1;
-            self.remove(key, context);
+            self.remove_client(key, context);
         }
     }
 
-    /// Sends more than all buffers on the way hold, and leaves what comes back unread.
+    /// Sends messages without reading their echoes, until all buffers on the way are full.
     pub(super) fn flood(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let Some(socket) = &mut self.clients[key].socket else {
             return;
@@ -67,7 +70,7 @@
             self.set_message_timer(key, FLOOD_INTERVAL, context);
         } else {
             self.totals.misbehaving_answered += 1;
-            self.remove(key, context);
+            self.remove_client(key, context);
         }
     }
 }
--- a/testbed/src/load_generator/mod.rs
+++ b/testbed/src/load_generator/mod.rs
@@ -1,8 +1,9 @@
-//! Clients by the thousand on one thread. Each arrives when it is due whatever the others met (an
-//! open loop), waits for its answer, sends a message in each interval and checks that it comes back
-//! once and in order, and connects again when it is rejected, asked to migrate or disconnected.
+//! Thousands of clients on one thread, in an open loop: each arrives when it is due, no matter how
+//! the clients before it were served. A client waits for its answer, sends a message in each
+//! interval and checks that each is echoed once and in order. It connects again when it is rejected,
+//! asked to migrate or disconnected.
 //!
-//! Times count from when a client was due, not from when this thread got round to it.
+//! Times are measured from when a client was due, not from when this thread handled it.
 mod client;
 mod connecting;
 mod generator;
--- a/testbed/src/load_generator/plan.rs
+++ b/testbed/src/load_generator/plan.rs
@@ -1,41 +1,41 @@
-//! The configuration of a load generator and the commands that it takes.
+//! The configuration of a load generator and the commands that control it.
 use crate::event_recorder::RelayIndex;
 use crate::traffic::{Arrival, Traffic};
 use std::net::SocketAddr;
 use thistlecroft::time::{Duration, Instant};
 
-/// Where clients connect: a relay, or a backend itself in a baseline run.
+/// An endpoint for clients: a relay, or a backend in a baseline run without relays.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayEndpoint {
     /// The address to connect to.
     pub address: SocketAddr,
-    /// The relay; none where it is a backend.
+    /// The relay; `None` if the endpoint is a backend.
     pub relay: Option<RelayIndex>,
-    /// Whether clients are sent to it at present.
+    /// Whether clients connect to the endpoint at present.
     pub enabled: bool,
 }
 
 /// How clients are distributed over the endpoints.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientDistribution {
-    /// To each in turn.
+    /// Each endpoint in turn.
     RoundRobin,
-    /// At random.
+    /// A random endpoint.
     Random,
-    /// To the one with the fewest connections of this load generator.
+    /// The endpoint with the fewest connections of this load generator.
     LeastConnections,
 }
 
-/// How a client breaks the protocol.
+/// How a client violates the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misbehavior {
     /// Connects and sends nothing.
     Silent,
     /// Sends half a request and nothing after it.
     PartialLine,
-    /// Sends a line that is no request.
+    /// Sends a line that is not a request.
     Garbage,
-    /// Sends messages before its answer.
+    /// Sends a message before it gets the answer to its request.
     EarlyData,
     /// Sends messages as fast as it can once it is established, and reads none.
     NeverReads,
@@ -52,17 +52,17 @@
     ];
 }
 
-/// What can be ordered while a run goes on.
+/// A command to a load generator during a run.
 #[derive(Clone, Debug)]
 pub enum LoadCommand {
-    /// Sends clients to the endpoint of this index, or no longer does.
+    /// Sets whether clients connect to the endpoint of this index.
     SetEndpointEnabled(usize, bool),
-    /// Resets so many established sessions at once; their clients connect again, spread over this
-    /// time.
+    /// Resets this number of established sessions at once. Their clients connect again, spread over
+    /// this time.
     DropConnections(usize, Duration),
-    /// Adds so many clients that break the protocol.
+    /// Adds this number of clients that violate the protocol.
     AddMisbehaving(Misbehavior, usize),
-    /// Ends all arrivals, and has established clients leave.
+    /// Ends all arrivals and closes established sessions.
     Finish,
 }
 
@@ -70,19 +70,19 @@
 /// has gone.
 pub const ALL_CLIENTS_GONE: &str = "all clients have gone";
 
-/// What a load generator is to do.
+/// The configuration of a load generator.
 #[derive(Clone, Debug)]
 pub struct LoadPlan {
     /// How clients behave.
     pub traffic: Traffic,
     /// The arrivals of this load generator, with their numbers among all arrivals of the run.
     pub arrivals: Vec<(u64, Arrival)>,
-    /// The end of the run, up to which requested time counts.
+    /// The end of the run; requested time after it doesn't count.
     pub end: Instant,
     /// Where clients connect.
     pub endpoints: Vec<RelayEndpoint>,
     /// How clients are distributed over the endpoints.
     pub distribution: ClientDistribution,
-    /// Seeds what is drawn by the load generator itself.
+    /// The seed of the random numbers that belong to no single client.
     pub seed: u64,
 }
--- a/testbed/src/load_generator/protocol.rs
+++ b/testbed/src/load_generator/protocol.rs
@@ -1,16 +1,16 @@
-//! The lines that a client and a relay exchange: the one place that knows their words.
+//! The line protocol between clients and relays, on the side of the client.
 use super::client::Client;
 use super::plan::Misbehavior;
 use crate::event_recorder::{Answer, SessionId};
 use crate::traffic::{Arrival, ClientProfile};
 use thistlecroft::time::Duration;
 
-/// Bytes of a line of a client that never reads, without its ending.
+/// The length in bytes of a line sent by a client that never reads, without the line ending.
 const FLOOD_LINE_BYTES: usize = 1_000;
-/// Lines that it writes at once.
+/// The number of lines that such a client writes at once.
 const FLOOD_LINES: usize = 64;
 
-/// The first line of a connection, as the client's misbehavior makes it.
+/// Returns what a client sends first: its request, or what its misbehavior makes of it.
 pub(super) fn request(client: &Client, arrival: &Arrival, profile: &ClientProfile) -> String {
     let mut line = format!(
         "OPEN {:016x} {:016x} c={},d={}",
@@ -40,7 +40,7 @@
     line
 }
 
-/// The answer to a request.
+/// Parses the answer to a request.
 pub(super) fn parse_answer(line: &str) -> Answer {
     let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
     match word {
@@ -50,12 +50,12 @@
     }
 }
 
-/// Whether a client that misbehaves is established by this line.
+/// Returns whether this line is an answer that establishes a session.
 pub(super) fn is_accepted(line: &str) -> bool {
     line.starts_with("UP")
 }
 
-/// A line of an established session.
+/// A line that a client gets in an established session.
 pub(super) enum SessionLine {
     /// The load of the session, which clients ignore.
     Load,
@@ -63,7 +63,7 @@
     Migrate,
     /// The session ends.
     Closing,
-    /// Anything else, which has to be a message that comes back.
+    /// Any other line, which must be the echo of a message.
     Message,
 }
 
@@ -78,12 +78,12 @@
     }
 }
 
-/// A message, without its line ending.
+/// Returns a message without its line ending.
 pub(super) fn message(session: SessionId, number: u64) -> String {
     format!("M {:016x} {number}", session.0)
 }
 
-/// What a client that never reads writes at once.
+/// Returns the lines that a client that never reads writes at once.
 pub(super) fn flood() -> String {
     format!("{}\r\n", "f".repeat(FLOOD_LINE_BYTES)).repeat(FLOOD_LINES)
 }
--- a/testbed/src/load_generator/sessions.rs
+++ b/testbed/src/load_generator/sessions.rs
@@ -1,4 +1,4 @@
-//! What clients do with answers, messages and the ends of their sessions.
+//! How clients handle answers, messages and the end of their sessions.
 use super::client::ClientState;
 use super::generator::{LoadGenerator, Timer};
 use super::protocol::{self, SessionLine};
@@ -7,14 +7,14 @@
 use crate::event_recorder::{Answer, Observation};
 use thistlecroft::time::{Duration, Instant};
 
-/// The other side has so long to close after a client has closed its sending direction.
+/// How long a client waits for the peer to close after closing its own sending direction.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The other side has so long to close after a rejection.
+/// How long a client waits for the peer to close after its request was rejected or failed.
 const REJECTED_CLOSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// A later message is recorded.
-const MESSAGE_LIMIT: Duration = Duration::from_millis(1_000);
-/// Without a time to wait a client waits for its backoff times this much at least, and at most
-/// for its backoff more.
+/// A message that takes longer to come back is recorded as late.
+const LATE_MESSAGE_THRESHOLD: Duration = Duration::from_millis(1_000);
+/// The smallest factor of the mean backoff for the wait before a retry; the greatest is larger by
+/// one.
 const MIN_BACKOFF_FACTOR: f64 = 0.5;
 
 impl LoadGenerator {
@@ -38,7 +38,7 @@
                 ClientState::Rejected => context.record(Observation::DataAfterAnswer {
                     session: client.session,
                 }),
-                ClientState::Away | ClientState::Connecting | ClientState::Requesting => {}
+                ClientState::Idle | ClientState::Connecting | ClientState::Requesting => {}
             }
         }
     }
@@ -80,14 +80,16 @@
         client.failed_requests = 0;
         client.leaves_at.get_or_insert(context.now + lifetime);
         client.outstanding.clear();
-        // The messages of clients that were established together must not come together.
+        // The first message comes at a random time, so that clients that were established together
+        // don't send their messages together.
         let first_message = interval * client.rng.unit_f64();
         client.time_before_first_message = first_message;
         let id = self.set_state(key, ClientState::Established);
         context.set_timer(context.now + first_message, Timer::NextMessage(id));
     }
 
-    /// Waits for the end of the connection; the client may retry after that.
+    /// Handles a rejected or failed request: waits for the peer to close, and determines when the
+    /// client is due to retry.
     pub(super) fn on_rejected(
         &mut self,
         key: usize,
@@ -99,35 +101,35 @@
         let heeds_retry_after = self.arrival(key).heeds_retry_after;
         let client = &mut self.clients[key];
         client.is_retrying = true;
-        // Drawn in any case, so that an answer changes nothing of what is drawn after it.
-        let own_wait = backoff * (MIN_BACKOFF_FACTOR + client.rng.unit_f64());
+        // Drawn in any case, so that the answer doesn't change the sequence of random numbers.
+        let backoff_wait = backoff * (MIN_BACKOFF_FACTOR + client.rng.unit_f64());
         let wait = retry_after.filter(|_| heeds_retry_after);
-        client.due = context.now + wait.unwrap_or(own_wait);
+        client.due = context.now + wait.unwrap_or(backoff_wait);
         context.set_timer(
             context.now + REJECTED_CLOSE_TIMEOUT,
             Timer::CloseTimeout(id),
         );
     }
 
-    /// Has a client without an established session try again, or give up.
+    /// Schedules the retry of a client without an established session, or gives up.
     pub(super) fn retry(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &mut self.clients[key];
         client.failed_requests += 1;
         if client.failed_requests > self.traffic.retries || self.is_finishing {
             let gave_up = u64::from(!self.is_finishing);
             self.listener_totals(key).gave_up += gave_up;
-            return self.remove(key, context);
+            return self.remove_client(key, context);
         }
         let wait = client.due.duration_since(context.now);
         self.reconnect_after(key, wait, context);
     }
 
-    /// Has a client whose established session has ended connect again.
+    /// Schedules a client whose established session has ended to connect again.
     fn reconnect(&mut self, key: usize, context: &mut LoopContext<Timer>) {
-        let (least, most) = self.traffic.reconnect_delay;
+        let (min_delay, max_delay) = self.traffic.reconnect_delay;
         let client = &mut self.clients[key];
         client.set_reconnecting();
-        let delay = least + (most - least) * client.rng.unit_f64();
+        let delay = min_delay + (max_delay - min_delay) * client.rng.unit_f64();
         self.reconnect_after(key, delay, context);
     }
 
@@ -142,7 +144,7 @@
             }
             SessionLine::Closing => {
                 context.record(Observation::SessionClosed { session });
-                self.remove(key, context);
+                self.remove_client(key, context);
             }
             SessionLine::Message => {
                 let expected = self.clients[key].outstanding.front().copied();
@@ -166,23 +168,24 @@
         client.outstanding.pop_front();
         let session = client.session;
         let waited = context.now.duration_since(sent_at);
-        // A message stands for the interval that it begins, or for what is left of the session.
-        let left = client.leaves_at.map_or(Duration::ZERO, |leaves_at| {
+        // The message accounts for the interval after it or the rest of the session, whichever is
+        // shorter, and the first message also for the time before it.
+        let remaining = client.leaves_at.map_or(Duration::ZERO, |leaves_at| {
             leaves_at.duration_since(sent_at)
         });
-        let before = std::mem::take(&mut client.time_before_first_message);
-        let stands_for = (before + interval.min(left)).as_secs_f64();
+        let time_before = std::mem::take(&mut client.time_before_first_message);
+        let seconds = (time_before + interval.min(remaining)).as_secs_f64();
         let totals = self.listener_totals(key);
         record_latency(&mut totals.message_latency, waited);
         if waited <= target {
-            totals.served_seconds += stands_for;
+            totals.served_seconds += seconds;
         }
-        if waited > MESSAGE_LIMIT {
+        if waited > LATE_MESSAGE_THRESHOLD {
             context.record(Observation::MessageLate { session, waited });
         }
     }
 
-    /// Sends the next message, or closes the session where the client wants to leave.
+    /// Sends the next message, or closes the session if the client wants to leave.
     pub(super) fn send_message(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &mut self.clients[key];
         let Some(socket) = &mut client.socket else {
@@ -208,24 +211,24 @@
         self.set_message_timer(key, self.traffic.message_interval, context);
     }
 
-    /// Has a client send again after this time, if it is in the same state then.
+    /// Sets the timer for a client's next message, which is ignored if the state changes before.
     pub(super) fn set_message_timer(
         &self,
         key: usize,
         delay: Duration,
         context: &mut LoopContext<Timer>,
     ) {
-        let id = self.id(key);
+        let id = self.client_id(key);
         context.set_timer(context.now + delay, Timer::NextMessage(id));
     }
 
-    /// The other side has closed or reset the connection.
+    /// Handles a connection that the peer has closed or reset.
     pub(super) fn on_closed(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let client = &self.clients[key];
         let (session, state) = (client.session, client.state);
         if client.misbehavior.is_some() {
             self.totals.misbehaving_answered += 1;
-            return self.remove(key, context);
+            return self.remove_client(key, context);
         }
         match state {
             ClientState::Connecting | ClientState::Requesting => {
@@ -244,14 +247,15 @@
             }
             ClientState::Closing => {
                 context.record(Observation::SessionClosed { session });
-                self.remove(key, context);
+                self.remove_client(key, context);
             }
             ClientState::Rejected => self.retry(key, context),
-            ClientState::Away => {}
+            ClientState::Idle => {}
         }
     }
 
-    /// Resets so many established sessions, evenly chosen; their clients connect again.
+    /// Resets this number of established sessions, spread evenly over all of them. Their clients
+    /// connect again.
     pub(super) fn drop_connections(
         &mut self,
         count: usize,
--- a/testbed/src/load_generator/totals.rs
+++ b/testbed/src/load_generator/totals.rs
@@ -1,60 +1,60 @@
-//! What the clients of a load generator met, in sums and distributions.
+//! Totals and latency distributions of the clients of a load generator.
 use crate::traffic::Traffic;
 use hdrhistogram::Histogram;
 use thistlecroft::time::Duration;
 
-/// Longer times count as this.
+/// Longer times are recorded as this.
 const MAX_RECORDED_MICROSECONDS: u64 = 60_000_000;
 
-/// What the clients of one listener met.
+/// Totals of the clients of one listener.
 #[derive(Clone, Debug)]
 pub struct ListenerTotals {
     /// The listener's name.
     pub name: String,
-    /// The worth of its sessions against those of others.
+    /// The weight of the listener's sessions relative to those of other listeners.
     pub priority_weight: f64,
     /// Clients that arrived.
     pub arrivals: u64,
-    /// Seconds that clients wanted to be connected within the run.
+    /// Seconds for which clients wanted to be connected within the run.
     pub requested_seconds: f64,
-    /// Seconds of these in which messages came back in time.
+    /// Seconds of the requested time in which messages were echoed within their target.
     pub served_seconds: f64,
     /// Answers that established a session.
     pub accepted: u64,
     /// Answers that rejected a session.
     pub rejected: u64,
-    /// Answers of a failure, and connections that ended without an answer.
+    /// Answers that reported a failure, and connections that were closed without an answer.
     pub failed: u64,
-    /// Requests without an answer in time.
+    /// Requests that got no answer within the time limit.
     pub unanswered: u64,
     /// Sessions that were asked to migrate.
     pub migrated: u64,
     /// Established sessions that were closed or reset without a closing message.
     pub connections_lost: u64,
-    /// Clients that gave up connecting.
+    /// Clients that gave up after failed connects or requests.
     pub gave_up: u64,
-    /// Microseconds from when a client was due to its first established session.
+    /// Microseconds from when a client was due until its first session was established.
     pub setup_latency: Histogram<u32>,
-    /// Microseconds from a message to its return.
+    /// Microseconds from when a message was sent until it was echoed.
     pub message_latency: Histogram<u32>,
 }
 
-/// What all clients met.
+/// Totals of all clients.
 #[derive(Clone, Debug)]
 pub struct LoadTotals {
-    /// By listener.
+    /// The totals of each listener, in the order of the profiles.
     pub listeners: Vec<ListenerTotals>,
-    /// Microseconds from when a client was due to when it began to connect.
+    /// Microseconds from when a client was due until it began to connect.
     pub connect_delay: Histogram<u32>,
-    /// Messages that came back without having been sent, or out of order.
+    /// Lines that are not the echo of the next message that the client expects.
     pub mismatched_messages: u64,
-    /// Clients that broke the protocol.
+    /// Clients that violated the protocol.
     pub misbehaving: u64,
-    /// Those of them that got an answer, or whose connection was closed.
+    /// Misbehaving clients that got an answer or whose connection was closed.
     pub misbehaving_answered: u64,
-    /// The longest turn of the event loop.
+    /// The longest turn (iteration) of the event loop.
     pub longest_turn: Duration,
-    /// Time spent handling events.
+    /// The total time spent handling events.
     pub busy_time: Duration,
 }
 
@@ -125,7 +125,7 @@
         .expect("these bounds and digits are valid")
 }
 
-/// Records a time within the bounds of the histogram.
+/// Records a time, clamped to the bounds of the histogram.
 pub(super) fn record_latency(histogram: &mut Histogram<u32>, latency: Duration) {
     let microseconds = latency.as_micros().clamp(1, MAX_RECORDED_MICROSECONDS);
     let _ = histogram.record(microseconds);
--- a/testbed/src/simulated_backends/accept.rs
+++ b/testbed/src/simulated_backends/accept.rs
@@ -1,5 +1,5 @@
-//! Accepting connections to backends and discovery agents.
-use super::connection::{BackendConnection, Role, WatchConnection};
+//! Accepts connections to simulated backends and discovery agents.
+use super::connection::{AgentConnection, BackendConnection, Role};
 use super::faults::BackendFault;
 use super::listener::{Listener, ListenerKey};
 use super::state::SimulatedBackends;
@@ -12,18 +12,23 @@
 use thistlecroft::time::Duration;
 
 const MAX_ACCEPTS_PER_EVENT: usize = 256;
-/// Nothing is accepted for so long after descriptors ran out, so that the backlog causes no busy
-/// loop.
+/// How long a listener stops accepting after the process ran out of descriptors. Without the pause
+/// the connections in the backlog would wake the event loop without end.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
 impl SimulatedBackends {
-    pub(super) fn accept(&mut self, key: ListenerKey, context: &mut LoopContext<Timer>) {
+    /// Accepts waiting connections of a listener, up to a limit for each event.
+    pub(super) fn accept_connections(
+        &mut self,
+        key: ListenerKey,
+        context: &mut LoopContext<Timer>,
+    ) {
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
             let Some(socket) = &self.listener(key).socket else {
                 return;
             };
             match socket.accept() {
-                Ok((stream, _)) => self.accepted(stream, key, context),
+                Ok((stream, _)) => self.on_accepted(stream, key, context),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) => return self.pause_accepting(key, &error, context),
@@ -38,10 +43,15 @@
         }
     }
 
-    fn accepted(&mut self, stream: TcpStream, key: ListenerKey, context: &mut LoopContext<Timer>) {
+    fn on_accepted(
+        &mut self,
+        stream: TcpStream,
+        key: ListenerKey,
+        context: &mut LoopContext<Timer>,
+    ) {
         let role = match key {
             ListenerKey::Agent(index) => {
-                Role::Agent(WatchConnection::new(RelayIndex(index as u16)))
+                Role::Agent(AgentConnection::new(RelayIndex(index as u16)))
             }
             ListenerKey::Backend(index) => {
                 if self.backends[index].fault == Some(BackendFault::ResetOnAccept) {
@@ -55,21 +65,23 @@
         self.add_connection(stream, role, context);
     }
 
-    /// Descriptors have run out, which is recorded once.
+    /// Pauses a listener that failed to accept because descriptors ran out, and records the first
+    /// such failure.
     fn pause_accepting(
         &mut self,
         key: ListenerKey,
         error: &io::Error,
         context: &mut LoopContext<Timer>,
     ) {
-        if !std::mem::replace(&mut self.is_exhausted, true) {
-            log::warn!("simulated backends can't accept a connection: {error}");
+        if !std::mem::replace(&mut self.has_recorded_exhaustion, true) {
+            log::warn!("simulated backends failed to accept a connection: {error}");
             context.record(Observation::TestbedExhausted);
         }
         self.listener(key).set_accepting(false, &context.poller);
         context.set_timer(context.now + ACCEPT_PAUSE, Timer::ResumeAccepting(key));
     }
 
+    /// Accepts connections again after [`ACCEPT_PAUSE`], unless the backend is paused by a fault.
     pub(super) fn resume_accepting(&mut self, key: ListenerKey, context: &LoopContext<Timer>) {
         let is_paused = match key {
             ListenerKey::Backend(index) => self.backends[index].is_paused,
--- a/testbed/src/simulated_backends/backend.rs
+++ b/testbed/src/simulated_backends/backend.rs
@@ -15,17 +15,18 @@
     pub(super) listener: Listener,
     pub(super) model: BackendModel,
     pub(super) fault: Option<BackendFault>,
-    /// Nothing is read or written.
+    /// Whether a fault keeps the backend from reading and writing.
     pub(super) is_paused: bool,
     pub(super) is_draining: bool,
     pub(super) is_running: bool,
-    /// Timers that were due during a pause.
+    /// Timers that came due during a pause; they fire when it ends.
     pub(super) postponed_timers: Vec<Timer>,
-    /// The load report of the last interval.
+    /// The most recent load report, as sent to relays.
     pub(super) report: String,
-    /// Grows with each start and fault: timers of an earlier incarnation are ignored.
+    /// Incremented when the backend stops and when a fault is injected or cleared, so that timers set
+    /// before are ignored.
     pub(super) incarnation: u32,
-    /// Unix time of its start; 0 for long ago.
+    /// Unix time of the last start in milliseconds; 0 if it ran from the beginning.
     pub(super) started_at_ms: u64,
 }
 
@@ -49,7 +50,7 @@
         }
     }
 
-    /// Its row in the endpoint list.
+    /// Returns the backend's row of the endpoint list.
     pub(super) fn endpoint_row(&self, lifecycle: Lifecycle) -> EndpointRow {
         EndpointRow {
             address: self.listener.address,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Changes how many times slower it runs; work up to now counts at the speed before.
+    /// Sets how many times slower the backend runs. Work up to now is counted at the former speed.
     pub(super) fn set_slowness(&mut self, slowness: f64, now: Instant) {
         self.model.message_delay(now);
         self.model.slowness = slowness;
@@ -72,6 +73,6 @@
     pub(super) listener: Listener,
     pub(super) list: EndpointList,
     pub(super) fault: Option<AgentFault>,
-    /// Changes that it learned of during a fault.
+    /// Changes of the list that came during a fault and are not yet applied.
     pub(super) missed_changes: Vec<(BackendIndex, EndpointRow)>,
 }
--- a/testbed/src/simulated_backends/connection.rs
+++ b/testbed/src/simulated_backends/connection.rs
@@ -1,17 +1,17 @@
-//! A connection to a simulated backend or to a discovery agent, and how far its exchange is.
+//! A connection to a simulated backend or to a discovery agent, and its protocol state.
 use crate::event_recorder::{BackendIndex, RelayIndex, SessionId};
 use crate::line_socket::LineSocket;
 use std::collections::VecDeque;
 use thistlecroft::time::Instant;
 
-/// How far the exchange on a connection to a backend is.
+/// The protocol state of a connection to a backend.
 #[derive(Debug, PartialEq)]
 pub(super) enum SessionState {
     AwaitingRequest,
-    /// The answer is being worked on, or never comes.
+    /// The request was read; the answer is not sent yet, or never will be because of a fault.
     SettingUp,
     Established,
-    /// The last message was sent; the other side has not closed yet.
+    /// The last message was sent, and the peer has not closed the connection yet.
     Closing,
 }
 
@@ -24,9 +24,9 @@
     pub(super) group: Option<u64>,
     /// When the first byte of the request was read.
     pub(super) first_byte_at: Option<Instant>,
-    /// Messages to be sent back, and when.
+    /// Messages to be echoed, with the times at which they are due.
     pub(super) echoes: VecDeque<(Instant, String)>,
-    /// When the last of them is sent back.
+    /// When the latest echo is due; a later message is not echoed before it.
     pub(super) last_echo_due: Instant,
 }
 
@@ -46,29 +46,29 @@
 }
 
 /// A relay's connection to its discovery agent.
-pub(super) struct WatchConnection {
+pub(super) struct AgentConnection {
     pub(super) relay: RelayIndex,
-    /// A watch was requested and answered.
+    /// Whether the relay has requested a watch, which was answered.
     pub(super) is_watching: bool,
-    /// The version of the list that was last sent.
-    pub(super) sent_version: Option<u64>,
+    /// The generation of the list that was last sent.
+    pub(super) sent_generation: Option<u64>,
 }
 
-impl WatchConnection {
-    pub(super) fn new(relay: RelayIndex) -> WatchConnection {
-        WatchConnection {
+impl AgentConnection {
+    pub(super) fn new(relay: RelayIndex) -> AgentConnection {
+        AgentConnection {
             relay,
             is_watching: false,
-            sent_version: None,
+            sent_generation: None,
         }
     }
 }
 
-/// What a connection is for.
+/// The purpose of a connection, with its state.
 pub(super) enum Role {
     Backend(BackendConnection),
-    Agent(WatchConnection),
-    /// Fills the backlog of an unreachable backend.
+    Agent(AgentConnection),
+    /// Occupies a place in the backlog of an unreachable backend.
     BacklogFiller(BackendIndex),
 }
 
@@ -76,12 +76,12 @@
 pub(super) struct Connection {
     pub(super) socket: LineSocket,
     pub(super) role: Role,
-    /// Tells it from an earlier connection of the same slab key.
+    /// Distinguishes the connection from earlier ones with the same slab key.
     pub(super) serial: u64,
 }
 
 impl Connection {
-    /// None where it is no connection to a backend.
+    /// Returns the state of a connection to a backend; `None` for other roles.
     pub(super) fn as_backend(&self) -> Option<&BackendConnection> {
         match &self.role {
             Role::Backend(connection) => Some(connection),
--- a/testbed/src/simulated_backends/discovery_agent.rs
+++ b/testbed/src/simulated_backends/discovery_agent.rs
@@ -1,7 +1,7 @@
-//! The relays' discovery agents: what each learns of the backends, and its watches.
-use super::connection::{Role, WatchConnection};
+//! The relays' discovery agents: their endpoint lists and the watches that relays keep open.
+use super::connection::{AgentConnection, Role};
 use super::discovery_protocol::{
-    ListRequest, MALFORMED_LINE, NOT_FOUND, WATCH_HEAD, chunk, snapshot,
+    ListRequest, MALFORMED_LINE, NOT_FOUND, WATCH_RESPONSE_HEAD, chunk, snapshot,
 };
 use super::faults::AgentFault;
 use super::state::{SimulatedBackends, WATCH_HEARTBEAT_INTERVAL};
@@ -11,7 +11,7 @@
 use crate::event_recorder::{BackendIndex, Lifecycle, Observation, RelayIndex};
 
 impl SimulatedBackends {
-    /// Has every agent learn of a backend's state, each after a delay of its own.
+    /// Announces a backend's state to every agent, to each after a delay drawn for it.
     pub(super) fn announce(
         &mut self,
         index: BackendIndex,
@@ -19,15 +19,15 @@
         context: &mut LoopContext<Timer>,
     ) {
         let row = self.backend(index).endpoint_row(lifecycle);
-        let (least, most) = self.announcement_delay;
+        let (min_delay, max_delay) = self.announcement_delay;
         for relay in 0..self.agents.len() {
-            let delay = least + (most - least) * self.rng.unit_f64();
+            let delay = min_delay + (max_delay - min_delay) * self.rng.unit_f64();
             let announce = Timer::Announce(RelayIndex(relay as u16), index, row.clone());
             context.set_timer(context.now + delay, announce);
         }
     }
 
-    /// A change has reached the agent of this relay.
+    /// Applies an announced change to a relay's agent, or keeps it until the agent's fault ends.
     pub(super) fn on_announcement(
         &mut self,
         relay: RelayIndex,
@@ -44,7 +44,7 @@
         self.send_changes(relay, context);
     }
 
-    /// Sends each watch of the relay what it has not got yet.
+    /// Sends the changes since its last generation to each watch of the relay.
     fn send_changes(&mut self, relay: RelayIndex, context: &LoopContext<Timer>) {
         let list = &self.agents[usize::from(relay.0)].list;
         for (_, connection) in &mut self.connections {
@@ -53,12 +53,12 @@
             };
             if watch.relay != relay
                 || !watch.is_watching
-                || watch.sent_version == Some(list.generation())
+                || watch.sent_generation == Some(list.generation())
             {
                 continue;
             }
-            let (text, changes) = list.json_since(watch.sent_version);
-            watch.sent_version = Some(list.generation());
+            let (text, changes) = list.json_since(watch.sent_generation);
+            watch.sent_generation = Some(list.generation());
             let socket = &mut connection.socket;
             if socket.send(chunk(&text).as_bytes()).is_ok() && socket.is_flushed() {
                 record_announcements(relay, changes, context);
@@ -67,7 +67,7 @@
         }
     }
 
-    /// A connection to an agent is ready.
+    /// Reads and answers requests when a connection to an agent is ready.
     pub(super) fn on_agent_connection(&mut self, key: usize, context: &LoopContext<Timer>) {
         let connection = &mut self.connections[key];
         let Role::Agent(watch) = &mut connection.role else {
@@ -107,6 +107,8 @@
         }
     }
 
+    /// Answers the request for a watch: with an empty line if the relay has the present list, and
+    /// with what it lacks otherwise.
     fn start_watch(
         &mut self,
         key: usize,
@@ -115,13 +117,13 @@
         context: &LoopContext<Timer>,
     ) {
         let connection = &mut self.connections[key];
-        connection.role = Role::Agent(WatchConnection {
+        connection.role = Role::Agent(AgentConnection {
             relay,
             is_watching: true,
-            sent_version: since,
+            sent_generation: since,
         });
         let socket = &mut connection.socket;
-        let _ = socket.send(WATCH_HEAD);
+        let _ = socket.send(WATCH_RESPONSE_HEAD);
         if since == Some(self.agents[usize::from(relay.0)].list.generation()) {
             let _ = socket.send(chunk("").as_bytes());
             socket.update_interest();
@@ -149,7 +151,7 @@
             AgentFault::Silent | AgentFault::Unavailable | AgentFault::Stale => {
                 agent.fault = active.then_some(fault);
             }
-            AgentFault::StateLost => agent.list.forget_versions(),
+            AgentFault::StateLost => agent.list.restart_generations(),
             AgentFault::Malformed => {
                 for &key in &keys {
                     let socket = &mut self.connections[key].socket;
@@ -163,7 +165,7 @@
             }
         }
         self.apply_missed_changes(relay, context);
-        // Requests that came while the agent was silent are answered now.
+        // Answers requests that arrived while the agent was silent.
         for key in keys {
             if self.connections.contains(key) {
                 self.on_agent_connection(key, context);
@@ -174,7 +176,7 @@
     fn connections_of_agent(&self, relay: RelayIndex) -> Vec<usize> {
         self.connections
             .iter()
-            .filter(|(_, one)| matches!(&one.role, Role::Agent(watch) if watch.relay == relay))
+            .filter(|(_, entry)| matches!(&entry.role, Role::Agent(watch) if watch.relay == relay))
             .map(|(key, _)| key)
             .collect()
     }
@@ -190,7 +192,7 @@
         self.send_changes(relay, context);
     }
 
-    /// Sends an empty line to each watch.
+    /// Sends an empty line to each watch whose agent still writes.
     pub(super) fn send_heartbeats(&mut self, context: &mut LoopContext<Timer>) {
         for (_, connection) in &mut self.connections {
             let Role::Agent(watch) = &connection.role else {
@@ -212,6 +214,7 @@
     }
 }
 
+/// Records that a relay was told the states of these backends.
 fn record_announcements(
     relay: RelayIndex,
     changes: Vec<(BackendIndex, Lifecycle)>,
--- a/testbed/src/simulated_backends/discovery_protocol.rs
+++ b/testbed/src/simulated_backends/discovery_protocol.rs
@@ -1,28 +1,29 @@
-//! Discovery's HTTP exchange: the requests for the endpoint list and the texts of the answers.
+//! The HTTP protocol of discovery agents: requests for the endpoint list, and the answers.
 
 /// The answer to a request for any other path.
 pub(super) const NOT_FOUND: &[u8] = b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n";
-/// The head of the answer to a watch, whose lines follow as chunks.
-pub(super) const WATCH_HEAD: &[u8] =
+/// The head of the answer to a watch, which the lines of the watch follow as chunks.
+pub(super) const WATCH_RESPONSE_HEAD: &[u8] =
     b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n";
-/// A line that is no endpoint list.
+/// A line of a watch that can't be parsed as an endpoint list.
 pub(super) const MALFORMED_LINE: &str = "{\"generation\": many";
 const LIST_PATH: &str = "/api/targets";
 const MAX_HEADERS: usize = 32;
 
-/// What a relay asks of its agent.
+/// A relay's request to its discovery agent.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum ListRequest {
     /// The present list.
     Snapshot,
-    /// The changes since this version, or the whole list and its changes.
+    /// The changes since this generation, or without one the whole list and then its changes.
     Watch(Option<u64>),
-    /// A path that is not served here.
+    /// A path that the agent doesn't serve.
     UnknownPath,
 }
 
 impl ListRequest {
-    /// The request at the start of the input and its length; none while it is not complete.
+    /// Returns the request at the start of the input and its length in bytes; `None` if the request
+    /// is incomplete or malformed.
     pub(super) fn parse(input: &[u8]) -> Option<(ListRequest, usize)> {
         let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
         let mut request = httparse::Request::new(&mut headers);
@@ -51,7 +52,7 @@
     }
 }
 
-/// A complete answer with this list.
+/// Returns a complete answer with this endpoint list as its body.
 pub(super) fn snapshot(list: &str) -> String {
     format!(
         "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {}\r\n\r\n{list}",
@@ -59,7 +60,7 @@
     )
 }
 
-/// A line of a watch.
+/// Returns a line of a watch as an HTTP chunk.
 pub(super) fn chunk(line: &str) -> String {
     format!("{:x}\r\n{line}\n\r\n", line.len() + 1)
 }
--- a/testbed/src/simulated_backends/faults.rs
+++ b/testbed/src/simulated_backends/faults.rs
@@ -1,36 +1,36 @@
 //! Faults that can be injected into a simulated backend or into a relay's discovery agent.
 use thistlecroft::time::Duration;
 
-/// What may be wrong with a backend.
+/// A fault that can be injected into a backend.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum BackendFault {
-    /// The machine is gone from the network: no connection succeeds and open ones are silent. Once
-    /// the fault is cleared it has restarted and warms up.
+    /// The machine is unreachable: no connection succeeds, and open ones carry nothing. When the
+    /// fault is cleared, the backend restarts and warms up.
     Unreachable,
     /// The process is paused: connections succeed, but nothing is read or written.
     Frozen,
-    /// Takes connection attempts and answers none; established sessions are served.
+    /// Accepts connections but answers no attempt; established sessions are served.
     Unresponsive,
     /// Runs this many times slower.
     Slow(f64),
-    /// Is paused for the second duration once in each of the first.
+    /// Is paused once in each period (the first duration) for the second duration.
     PeriodicPause(Duration, Duration),
-    /// Answers this part of the attempts with an error at once.
+    /// Answers this share of the attempts with an error immediately.
     ErrorRate(f64),
     /// Resets connections as soon as they are accepted.
     ResetOnAccept,
-    /// Resets attempts once their first line is read.
+    /// Resets an attempt's connection once the first line is read.
     ResetOnRequest,
     /// Sends half an answer and nothing after it.
     PartialAnswer,
     /// Never closes its side of a session that the client has closed.
     NeverCloses,
-    /// Accepts a session and resets it at once.
+    /// Accepts a session and resets its connection immediately.
     ResetAfterSetup,
 }
 
 impl BackendFault {
-    /// The fault's name in scenarios and recorded events.
+    /// Returns the fault's name in scenarios and recorded events.
     pub fn name(self) -> &'static str {
         match self {
             BackendFault::Unreachable => "silent",
@@ -48,23 +48,23 @@
     }
 }
 
-/// What may be wrong with the agent that tells a relay of the backends.
+/// A fault that can be injected into the discovery agent of a relay.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AgentFault {
-    /// Open watches stay open and nothing is written.
+    /// Keeps connections open but writes nothing.
     Silent,
-    /// Watches are reset and new ones refused.
+    /// Resets open connections, and new ones when a request arrives.
     Unavailable,
-    /// Goes on with empty lines and announces no change.
+    /// Keeps sending empty lines but announces no changes.
     Stale,
-    /// Loses its state, so that versions start anew. The fault is over at once.
+    /// Loses its state, so that generations start anew. The fault ends immediately.
     StateLost,
-    /// Writes one line that is no endpoint list. The fault is over at once.
+    /// Writes one line that is not an endpoint list. The fault ends immediately.
     Malformed,
 }
 
 impl AgentFault {
-    /// The fault's name in scenarios and recorded events.
+    /// Returns the fault's name in scenarios and recorded events.
     pub fn name(self) -> &'static str {
         match self {
             AgentFault::Silent => "discovery-silent",
--- a/testbed/src/simulated_backends/handler.rs
+++ b/testbed/src/simulated_backends/handler.rs
@@ -1,4 +1,4 @@
-//! The simulated backends on their event loop: readiness, timers and commands find their handlers.
+//! Dispatches readiness events, timers and commands to the simulated backends.
 use super::connection::Role;
 use super::listener::ListenerKey;
 use super::plan::{BackendCommand, BackendTotals};
@@ -7,8 +7,8 @@
 use crate::event_loop::{EventHandler, LoopContext};
 
 impl SimulatedBackends {
-    /// The key of the connection that a timer is about, which the timer has to wait for where its
-    /// backend is paused; none where it is void or waits.
+    /// Returns the key of the connection that a timer refers to. Returns `None` if the connection is
+    /// gone, and if its backend is paused, which postpones the timer.
     fn connection_of_timer(&mut self, id: ConnectionId, timer: &Timer) -> Option<usize> {
         let connection = self.connections.get(id.key)?;
         if connection.serial != id.serial {
@@ -31,7 +31,7 @@
 
     fn on_ready(&mut self, key: usize, _writable: bool, context: &mut LoopContext<Timer>) {
         if let Some(listener) = ListenerKey::from_poller_key(key) {
-            return self.accept(listener, context);
+            return self.accept_connections(listener, context);
         }
         match self.connections.get(key).map(|connection| &connection.role) {
             Some(Role::Backend(_)) => self.on_backend_connection(key, context),
@@ -58,9 +58,9 @@
             Timer::Restart(incarnation) if self.is_current(incarnation) => {
                 self.start(incarnation.backend, context);
             }
-            Timer::MigrateNext(incarnation, left) if self.is_current(incarnation) => {
+            Timer::MigrateNext(incarnation, remaining) if self.is_current(incarnation) => {
                 if !self.backend(incarnation.backend).is_paused {
-                    self.migrate_next(incarnation, left, context);
+                    self.migrate_next(incarnation, remaining, context);
                 }
             }
             Timer::Stop(incarnation) if self.is_current(incarnation) => {
--- a/testbed/src/simulated_backends/lifecycle.rs
+++ b/testbed/src/simulated_backends/lifecycle.rs
@@ -1,4 +1,4 @@
-//! What happens to a simulated backend as a whole: start, stop, draining, pauses and faults.
+//! The lifecycle of a simulated backend: start, stop, draining, pauses and faults.
 use super::connection::{Connection, Role, SessionState};
 use super::faults::BackendFault;
 use super::protocol;
@@ -11,16 +11,17 @@
 use socket2::SockRef;
 use thistlecroft::time::Duration;
 
-/// Connections that fill a backlog of the least length.
+/// The number of connections that fill a backlog of minimum length.
 const BACKLOG_FILLERS: usize = 4;
-/// The port of a stopped backend may be taken for the moment.
+/// How long to wait before another attempt to start: the backend's port may be in use meanwhile.
 const START_RETRY_DELAY: Duration = Duration::from_millis(500);
-/// The parts of a drain after which migrations begin, and in which they are spread.
-const DRAIN_BEFORE_MIGRATION: f64 = 0.5;
-const DRAIN_MIGRATION: f64 = 0.4;
+/// The fraction of a drain that passes before sessions begin to migrate.
+const MIGRATION_START_FRACTION: f64 = 0.5;
+/// The fraction of a drain over which the migrations are spread.
+const MIGRATION_SPREAD_FRACTION: f64 = 0.4;
 
 impl SimulatedBackends {
-    /// Starts a backend that does not run; it warms up.
+    /// Starts a backend that is not running; it then warms up.
     pub(super) fn start(&mut self, index: BackendIndex, context: &mut LoopContext<Timer>) {
         let now = context.now;
         let unix_ms = context.clock.unix_ms(now);
@@ -29,7 +30,7 @@
             return;
         }
         if let Err(error) = backend.listener.reopen(&context.poller) {
-            log::warn!("backend {} can't start: {error}", index.0);
+            log::warn!("simulated backend {} can't start: {error}", index.0);
             let retry = Timer::Restart(self.incarnation(index));
             return context.set_timer(now + START_RETRY_DELAY, retry);
         }
@@ -44,7 +45,7 @@
         self.announce(index, Lifecycle::Ready, context);
     }
 
-    /// Ends the process at once: its connections are reset, and no new ones succeed.
+    /// Stops the backend immediately: its connections are reset, and no new ones succeed.
     pub(super) fn stop(
         &mut self,
         index: BackendIndex,
@@ -55,8 +56,8 @@
             return;
         }
         for key in self.connections_of(index) {
-            if let Some(ended) = ended_by_stop(&self.connections[key]) {
-                context.record(ended);
+            if let Some(observation) = stop_observation(&self.connections[key]) {
+                context.record(observation);
             }
             self.reset_connection(key, context.now);
         }
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Pauses a backend, or resumes it: then all that it would have done meanwhile is done.
+    /// Pauses a backend or resumes it. On resumption, timers that came due meanwhile fire.
     pub(super) fn set_paused(
         &mut self,
         index: BackendIndex,
@@ -107,7 +108,7 @@
         }
     }
 
-    /// One end of a periodic pause.
+    /// Begins or ends a periodic pause, and sets the timer for the next change.
     pub(super) fn on_periodic_pause(
         &mut self,
         incarnation: Incarnation,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Injects a fault in place of the present one.
+    /// Injects a fault, which replaces the present one.
     pub(super) fn inject_fault(
         &mut self,
         index: BackendIndex,
@@ -158,7 +159,7 @@
         }
     }
 
-    /// Ends the present fault.
+    /// Clears the present fault, if there is one.
     pub(super) fn clear_fault(&mut self, index: BackendIndex, context: &mut LoopContext<Timer>) {
         let backend = self.backend(index);
         let Some(fault) = backend.fault.take() else {
@@ -171,7 +172,7 @@
             active: false,
         });
         match fault {
-            // The machine was away, and comes back without its sessions.
+            // The machine restarts: it comes back without its sessions.
             BackendFault::Unreachable => {
                 self.stop(index, None, context);
                 self.start(index, context);
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Has no new connection succeed: the backlog is made as short as it can be, and filled.
+    /// Shortens the backlog to the minimum and fills it, so that no new connection succeeds.
     fn fill_backlog(&mut self, index: BackendIndex, context: &LoopContext<Timer>) {
         let listener = &self.backend(index).listener;
         let address = listener.address;
@@ -204,7 +205,7 @@
         }
     }
 
-    /// Begins a graceful shutdown that ends after this time.
+    /// Begins a graceful shutdown that takes this long.
     pub(super) fn drain(
         &mut self,
         index: BackendIndex,
@@ -220,18 +221,18 @@
         self.announce(index, Lifecycle::Draining, context);
         let incarnation = self.incarnation(index);
         context.set_timer(
-            context.now + duration * DRAIN_BEFORE_MIGRATION,
-            Timer::MigrateNext(incarnation, duration * DRAIN_MIGRATION),
+            context.now + duration * MIGRATION_START_FRACTION,
+            Timer::MigrateNext(incarnation, duration * MIGRATION_SPREAD_FRACTION),
         );
         context.set_timer(context.now + duration, Timer::Stop(incarnation));
     }
 
-    /// Has one session of a draining backend migrate, and the next one so much later that all have
-    /// gone when the time that is left is over.
+    /// Migrates one session of a draining backend, and schedules the next one so that the sessions
+    /// are spread evenly over the remaining time.
     pub(super) fn migrate_next(
         &mut self,
         incarnation: Incarnation,
-        left: Duration,
+        remaining: Duration,
         context: &mut LoopContext<Timer>,
     ) {
         let index = incarnation.backend;
@@ -242,7 +243,7 @@
         let Some(key) = established.next() else {
             return;
         };
-        let others = established.count();
+        let other_sessions = established.count();
         if let Some(session) = self.connections[key].as_backend() {
             context.record(Observation::BackendClosedSession {
                 backend: index,
@@ -250,14 +251,14 @@
             });
         }
         self.send_last(key, protocol::MIGRATE, context);
-        let step = left * (1.0 / (others + 1) as f64);
-        let next = Timer::MigrateNext(incarnation, left - step);
+        let step = remaining * (1.0 / (other_sessions + 1) as f64);
+        let next = Timer::MigrateNext(incarnation, remaining - step);
         context.set_timer(context.now + step, next);
     }
 }
 
-/// What the end of its backend means for a connection.
-fn ended_by_stop(connection: &Connection) -> Option<Observation> {
+/// Returns what is recorded for a connection whose backend stops.
+fn stop_observation(connection: &Connection) -> Option<Observation> {
     let connection = connection.as_backend()?;
     let (backend, session) = (connection.backend, connection.session);
     match connection.state {
--- a/testbed/src/simulated_backends/listener.rs
+++ b/testbed/src/simulated_backends/listener.rs
@@ -1,4 +1,4 @@
-//! Listening sockets of backends and discovery agents on the loopback range.
+//! Listening sockets of backends and discovery agents on loopback addresses.
 use polling::{Event, PollMode, Poller};
 use socket2::{Domain, Protocol, Socket, Type};
 use std::io;
@@ -9,7 +9,7 @@
 const BACKEND_FLAG: usize = 1 << 40;
 const AGENT_FLAG: usize = 1 << 41;
 
-/// Whose listener a poller key belongs to.
+/// The backend or agent that a listener belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListenerKey {
     /// The backend of this index.
@@ -19,7 +19,8 @@
 }
 
 impl ListenerKey {
-    /// The key at the poller; keys of connections are smaller.
+    /// Returns the key under which the listener is registered at the poller. Keys of connections are
+    /// slab keys, which never reach the flag bits.
     pub(super) fn to_poller_key(self) -> usize {
         match self {
             ListenerKey::Backend(index) => BACKEND_FLAG | index,
@@ -27,7 +28,7 @@
         }
     }
 
-    /// None where the key is that of a connection.
+    /// Returns the listener that a poller key stands for; `None` if it stands for a connection.
     pub(super) fn from_poller_key(key: usize) -> Option<ListenerKey> {
         let index = key & 0xffff;
         match key {
@@ -37,7 +38,8 @@
         }
     }
 
-    /// An address that no connection's own end takes, and other than those of concurrent runs.
+    /// Returns the loopback address to listen at. It differs from 127.0.0.1, where local ports of
+    /// connections are taken, and in most cases from the addresses of concurrent runs.
     fn loopback_address(self) -> Ipv4Addr {
         let (network, index) = match self {
             ListenerKey::Backend(index) => (0, index),
@@ -49,16 +51,16 @@
     }
 }
 
-/// A listening socket with an address that stays while the socket is closed and opened again.
+/// A listening socket whose address stays the same when it is closed and reopened.
 pub(super) struct Listener {
     pub(super) address: SocketAddr,
-    /// None while nothing listens at the address.
+    /// The socket; `None` while nothing listens at the address.
     pub(super) socket: Option<TcpListener>,
     key: ListenerKey,
 }
 
 impl Listener {
-    /// Listens at a free port.
+    /// Listens at a free port of the address for this key.
     pub(super) fn open(key: ListenerKey) -> io::Result<Listener> {
         let socket = listen((key.loopback_address(), 0).into())?;
         Ok(Listener {
@@ -68,16 +70,16 @@
         })
     }
 
-    /// Listens again at its address after [`Listener::close`].
+    /// Listens again at the same address after [`Listener::close`].
     pub(super) fn reopen(&mut self, poller: &Poller) -> io::Result<()> {
         self.socket = Some(listen(self.address)?);
         if let Err(error) = self.register(poller) {
-            log::warn!("poller refuses the listener at {}: {error}", self.address);
+            log::warn!("can't register the listener at {}: {error}", self.address);
         }
         Ok(())
     }
 
-    /// Has the poller wait for connections.
+    /// Registers the socket at the poller, which then reports waiting connections.
     pub(super) fn register(&self, poller: &Poller) -> io::Result<()> {
         let Some(socket) = &self.socket else {
             return Ok(());
@@ -87,12 +89,12 @@
         unsafe { poller.add_with_mode(socket, event, PollMode::Level) }
     }
 
-    /// Has the poller wait for connections, or leave them in the backlog.
+    /// Sets whether the poller reports waiting connections or leaves them in the backlog.
     pub(super) fn set_accepting(&self, accepting: bool, poller: &Poller) {
         let Some(socket) = &self.socket else {
             return;
         };
-        // SAFETY: the listener lives; it is deleted from the poller before it is closed.
+        // SAFETY: the listener is open, and deleted from the poller before it is closed.
         let fd = unsafe { BorrowedFd::borrow_raw(socket.as_raw_fd()) };
         let event = Event::new(self.key.to_poller_key(), accepting, false);
         let _ = poller.modify_with_mode(fd, event, PollMode::Level);
@@ -115,7 +117,7 @@
     socket.set_reuse_address(true)?;
     socket
         .bind(&address.into())
-        .map_err(|error| io::Error::new(error.kind(), format!("{address}: {error}")))?;
+        .map_err(|error| io::Error::new(error.kind(), format!("binding to {address}: {error}")))?;
     socket.listen(BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
--- a/testbed/src/simulated_backends/mod.rs
+++ b/testbed/src/simulated_backends/mod.rs
@@ -1,5 +1,5 @@
-//! Simulated backends with their set-up store and the relays' discovery agents, on one thread.
-//! Backends speak the whole protocol, and named faults can be injected into them.
+//! Simulated backends with their set-up store, and the relays' discovery agents, on one thread.
+//! Backends implement the whole protocol, and named faults can be injected into them.
 mod accept;
 mod backend;
 mod connection;
--- a/testbed/src/simulated_backends/plan.rs
+++ b/testbed/src/simulated_backends/plan.rs
@@ -1,67 +1,68 @@
-//! The configuration of the simulated backends, the commands that they take and their totals.
+//! The configuration of the simulated backends, the commands that control them and their totals.
 use super::faults::{AgentFault, BackendFault};
 use crate::backend_model::BackendCapacity;
 use crate::event_recorder::{BackendIndex, RelayIndex};
 use thistlecroft::time::Duration;
 
-/// One backend.
+/// The configuration of one backend.
 #[derive(Clone, Debug)]
 pub struct BackendSpec {
-    /// What it can serve.
+    /// The load and sessions that the backend can serve.
     pub capacity: BackendCapacity,
-    /// Its availability zone.
+    /// The backend's availability zone.
     pub zone: String,
-    /// Its cell within the zone.
+    /// The backend's cell within the zone.
     pub cell: u16,
-    /// It runs and is listed from the beginning; otherwise it starts, and warms up, by a command.
+    /// Whether the backend runs and is listed from the beginning. Otherwise a command starts it, and
+    /// it warms up.
     pub initially_running: bool,
 }
 
-/// All backends of a run, with their set-up store and discovery agents.
+/// The configuration of all backends of a run, their set-up store and the discovery agents.
 #[derive(Clone, Debug)]
 pub struct BackendPlan {
     /// The backends, in the order of their indices.
     pub backends: Vec<BackendSpec>,
     /// The number of relays, each of which has a discovery agent.
     pub relays: usize,
-    /// The least and the greatest time after which an agent announces a change, drawn for each
+    /// The minimum and maximum delay until an agent announces a change; the delay is drawn for each
     /// relay and change.
     pub announcement_delay: (Duration, Duration),
-    /// The calls that the set-up store serves at once, and how long each takes; none where set-ups
-    /// call no store.
+    /// The number of calls that the set-up store serves concurrently and the duration of each;
+    /// `None` if set-ups call no store.
     pub setup_store: Option<(usize, Duration)>,
     /// How often load reports are refreshed and recorded.
     pub report_interval: Duration,
-    /// Backends report each session's load when it is established, and one session's changed load
-    /// with each report.
+    /// Whether backends report each session's load when it is established, and the changed load of
+    /// one session with each load report.
     pub reports_load: bool,
-    /// Seeds everything that is drawn.
+    /// The seed of the random numbers.
     pub seed: u64,
 }
 
-/// What can be ordered while a run goes on.
+/// A command to the simulated backends during a run.
 #[derive(Clone, Debug)]
 pub enum BackendCommand {
-    /// Injects a fault in place of the present one.
+    /// Injects a fault, which replaces the present one.
     InjectFault(BackendIndex, BackendFault),
     /// Clears the present fault.
     ClearFault(BackendIndex),
-    /// Ends the process at once; it restarts and warms up after that time, if one is given.
+    /// Stops the backend immediately. If a time is given, the backend restarts after it and warms up.
     Crash(BackendIndex, Option<Duration>),
-    /// Rejects new sessions from now on, migrates its sessions evenly in the course of this time
-    /// and then stops.
+    /// Drains the backend: it rejects new sessions, migrates its sessions one by one and stops after
+    /// this time.
     Drain(BackendIndex, Duration),
-    /// Starts a backend that does not run; it warms up.
+    /// Starts a backend that is not running; it then warms up.
     Start(BackendIndex),
-    /// Injects a fault into the agent of a relay, or clears it where the last value is false.
+    /// Injects a fault into the agent of a relay, or clears it if the last value is false.
     SetAgentFault(RelayIndex, AgentFault, bool),
 }
 
-/// How busy the thread of the simulated backends was.
+/// The load of the thread of the simulated backends.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendTotals {
-    /// The longest turn of the event loop.
+    /// The longest turn (iteration) of the event loop.
     pub longest_turn: Duration,
-    /// Time spent handling events.
+    /// The total time spent handling events.
     pub busy_time: Duration,
 }
--- a/testbed/src/simulated_backends/protocol.rs
+++ b/testbed/src/simulated_backends/protocol.rs
@@ -1,18 +1,20 @@
-//! The lines that a relay and a backend exchange: the one place that knows their words.
+//! The line protocol between relays and backends, on the side of the backend.
 use crate::event_recorder::SessionId;
 
 const MAX_REQUEST_BYTES: usize = 4096;
 /// The load report of a backend without sessions.
 pub(super) const EMPTY_REPORT: &str = "inflight=0,x0=0";
-/// An answer that is cut in its middle.
+/// The first bytes of an answer, sent by [`BackendFault::PartialAnswer`].
+///
+/// [`BackendFault::PartialAnswer`]: super::faults::BackendFault::PartialAnswer
 pub(super) const PARTIAL_ANSWER: &[u8] = b"UP rec";
-/// An answer to a health check that failed, or to a line that came too early.
+/// The answer to a failed health check, or to a line sent before the set-up was answered.
 pub(super) const ERROR: &str = "ERR\r\n";
-/// An answer to a line that is no request.
+/// The answer to a line that is not a request.
 pub(super) const SYNTAX_ERROR: &str = "SYNTAX\r\n";
 /// Asks the client of an established session to connect again.
 pub(super) const MIGRATE: &str = "MOVE\r\n";
-/// An answer to a health check.
+/// The answer to a successful health check.
 pub(super) const HEALTHY: &str = "PONG\r\n";
 
 /// The first line of a connection.
@@ -43,13 +45,13 @@
     }
 }
 
-/// None where no client could have sent this line.
+/// Parses a request to set up a session; `None` if the line is malformed.
 fn parse_open(line: &str) -> Option<OpenRequest> {
     if line.len() > MAX_REQUEST_BYTES {
         return None;
     }
     let words: Vec<&str> = line.split(' ').collect();
-    let ["OPEN", id, key, items] = words[..] else {
+    let ["OPEN", id, key, fields] = words[..] else {
         return None;
     };
     parse_id(key)?;
@@ -59,8 +61,8 @@
         group: None,
     };
     let mut has_deadline = false;
-    for item in items.split(',') {
-        let (name, value) = item.split_once('=')?;
+    for field in fields.split(',') {
+        let (name, value) = field.split_once('=')?;
         match name {
             "h" => request.load = value.parse().ok()?,
             "g" => request.group = Some(parse_id(value)?),
@@ -75,12 +77,12 @@
     Some(request)
 }
 
-/// Sixteen hexadecimal digits.
-fn parse_id(text: &str) -> Option<u64> {
-    if text.len() != 16 {
+/// Parses an id of sixteen hexadecimal digits.
+fn parse_id(digits: &str) -> Option<u64> {
+    if digits.len() != 16 {
         return None;
     }
-    u64::from_str_radix(text, 16).ok()
+    u64::from_str_radix(digits, 16).ok()
 }
 
 pub(super) fn load_report(sessions: usize, load: f64) -> String {
--- a/testbed/src/simulated_backends/reports.rs
+++ b/testbed/src/simulated_backends/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of the simulated backends, and the changing loads of their sessions.
+//! Load reports of the simulated backends, and changes of their sessions' loads.
 use super::connection::{Role, SessionState};
 use super::protocol;
 use super::state::SimulatedBackends;
@@ -6,8 +6,9 @@
 use crate::event_loop::LoopContext;
 use crate::event_recorder::{BackendIndex, Observation};
 
-/// A session's load changes by a factor between the first and the sum of both.
+/// The smallest factor by which a session's load changes.
 const MIN_LOAD_FACTOR: f64 = 0.7;
+/// The difference between the greatest and the smallest factor.
 const LOAD_FACTOR_RANGE: f64 = 0.6;
 const MIN_SESSION_LOAD: f64 = 0.01;
 const MAX_SESSION_LOAD: f64 = 100.0;
@@ -35,8 +36,8 @@
         context.set_timer(context.now + self.report_interval, Timer::Report);
     }
 
-    /// Changes the load of one established session of each backend, which reports it among its
-    /// messages.
+    /// Changes the load of one established session of each backend and reports it in a line of that
+    /// session.
     fn change_session_loads(&mut self, context: &LoopContext<Timer>) {
         for key in self.draw_sessions().into_iter().flatten() {
             let factor = MIN_LOAD_FACTOR + LOAD_FACTOR_RANGE * self.rng.unit_f64();
@@ -54,7 +55,8 @@
         }
     }
 
-    /// One established session of each backend that is not paused, each with the same chance.
+    /// Draws one established session of each backend that is not paused, uniformly, and returns the
+    /// connections' keys by backend.
     fn draw_sessions(&mut self) -> Vec<Option<usize>> {
         let mut drawn = vec![None; self.backends.len()];
         let mut counts = vec![0_u64; self.backends.len()];
--- a/testbed/src/simulated_backends/sessions.rs
+++ b/testbed/src/simulated_backends/sessions.rs
@@ -8,13 +8,14 @@
 use crate::event_recorder::{BackendIndex, Observation, Reply};
 use thistlecroft::time::Duration;
 
-/// A message that the backend itself delays for longer is recorded, so that no relay is blamed.
-const RECORDED_DELAY: Duration = Duration::from_millis(200);
-/// The least time of a set-up, so that no reply seems to come before its request.
+/// A message that the backend delays for longer is recorded, so that the delay is not attributed to
+/// a relay.
+const RECORDED_DELAY_THRESHOLD: Duration = Duration::from_millis(200);
+/// The minimum duration of a set-up, so that no reply is recorded before its request.
 const MIN_SETUP_TIME: Duration = Duration::from_millis(1);
 
 impl SimulatedBackends {
-    /// A connection to a backend is ready.
+    /// Reads and handles lines when a connection to a backend is ready.
     pub(super) fn on_backend_connection(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -27,7 +28,7 @@
         if session.first_byte_at.is_none() && socket.has_input() {
             session.first_byte_at = Some(context.now);
         }
-        // One read brings a bounded number of lines.
+        // The number of lines is bounded, since each event reads once into a buffer of fixed size.
         while let Some(connection) = self.connections.get_mut(key) {
             let Some(line) = connection.socket.next_line() else {
                 break;
@@ -79,8 +80,8 @@
         }
     }
 
-    /// Sends a last message, closes the sending direction and waits for the other side's end where
-    /// that has not come yet.
+    /// Sends the last message of a connection and closes the sending direction. The connection is
+    /// kept until the peer closes it too, unless it already has.
     pub(super) fn send_last(&mut self, key: usize, message: &str, context: &LoopContext<Timer>) {
         let Some(connection) = self.connections.get_mut(key) else {
             return;
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Answers a health check; the connection may go on with another one.
+    /// Answers a health check. Further health checks or a request may follow on the connection.
     fn on_health_check(&mut self, key: usize, index: BackendIndex, wants_report: bool) {
         let connection = &mut self.connections[key];
         if let Role::Backend(session) = &mut connection.role {
@@ -176,7 +177,7 @@
         let backend = self.backend(index);
         if backend.is_draining || backend.model.is_saturated() {
             let message = protocol::rejected(&backend.report);
-            context.record(answered(index, request, Reply::Rejected));
+            context.record(attempt_answered(index, request, Reply::Rejected));
             return self.send_last(key, &message, context);
         }
         let now = context.now;
@@ -189,7 +190,7 @@
         );
     }
 
-    /// True where the present fault decides what becomes of the attempt.
+    /// Handles the attempt as the present fault demands; returns false if no fault affects it.
     fn answer_by_fault(
         &mut self,
         key: usize,
@@ -197,13 +198,13 @@
         request: OpenRequest,
         context: &mut LoopContext<Timer>,
     ) -> bool {
-        // Drawn for each attempt, so that a fault changes nothing of what is drawn after it.
+        // Drawn for each attempt, so that faults don't change the sequence of random numbers.
         let draw = self.rng.unit_f64();
         let backend = self.backend(index);
         match backend.fault {
             Some(BackendFault::Unresponsive) => {}
             Some(BackendFault::ResetOnRequest) => {
-                context.record(answered(index, request, Reply::Failed));
+                context.record(attempt_answered(index, request, Reply::Failed));
                 self.reset_connection(key, context.now);
             }
             Some(BackendFault::PartialAnswer) => {
@@ -211,7 +212,7 @@
             }
             Some(BackendFault::ErrorRate(share)) if draw < share => {
                 let message = protocol::failed(&backend.report);
-                context.record(answered(index, request, Reply::Failed));
+                context.record(attempt_answered(index, request, Reply::Failed));
                 self.send_last(key, &message, context);
             }
             _ => return false,
@@ -219,7 +220,7 @@
         true
     }
 
-    /// The set-up of a session is done.
+    /// Accepts the session when its set-up is done.
     pub(super) fn on_setup_done(&mut self, key: usize, context: &mut LoopContext<Timer>) {
         let reports_load = self.reports_load;
         let connection = &mut self.connections[key];
@@ -245,10 +246,10 @@
         connection.socket.update_interest();
         let backend = self.backend(index);
         backend.model.add_session(context.now, load, group);
-        let resets = backend.fault == Some(BackendFault::ResetAfterSetup);
+        let resets_session = backend.fault == Some(BackendFault::ResetAfterSetup);
         if is_broken {
             self.remove_connection(key, context.now);
-        } else if resets {
+        } else if resets_session {
             context.record(Observation::BackendClosedSession {
                 backend: index,
                 session,
@@ -257,7 +258,7 @@
         }
     }
 
-    /// Sends a message back, after the delay that the backend's load causes.
+    /// Echoes a message after the delay caused by the backend's load.
     fn echo(&mut self, key: usize, line: String, context: &mut LoopContext<Timer>) {
         let connection = &mut self.connections[key];
         let Role::Backend(session) = &mut connection.role else {
@@ -267,7 +268,7 @@
         let delay = backend.model.message_delay(context.now);
         let due = session.last_echo_due.max(context.now + delay);
         session.last_echo_due = due;
-        if due > context.now + RECORDED_DELAY {
+        if due > context.now + RECORDED_DELAY_THRESHOLD {
             context.record(Observation::BackendDelayedMessage {
                 backend: session.backend,
                 session: session.session,
@@ -286,7 +287,7 @@
         }
     }
 
-    /// Sends back all messages that are due.
+    /// Echoes all messages that are due.
     pub(super) fn on_echo_due(&mut self, key: usize, context: &LoopContext<Timer>) {
         let connection = &mut self.connections[key];
         let Role::Backend(session) = &mut connection.role else {
@@ -299,7 +300,8 @@
     }
 }
 
-fn answered(backend: BackendIndex, request: OpenRequest, reply: Reply) -> Observation {
+/// Returns the observation that a request got this reply.
+fn attempt_answered(backend: BackendIndex, request: OpenRequest, reply: Reply) -> Observation {
     Observation::AttemptAnswered {
         backend,
         session: request.session,
--- a/testbed/src/simulated_backends/state.rs
+++ b/testbed/src/simulated_backends/state.rs
@@ -1,4 +1,4 @@
-//! The simulated backends as a whole: how they are opened, and their connections.
+//! The state of all simulated backends: how they are opened, and their connections.
 use super::backend::{Agent, Backend};
 use super::connection::{Connection, Role, SessionState};
 use super::listener::{Listener, ListenerKey};
@@ -16,14 +16,14 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
-/// An idle watch gets an empty line so often.
+/// How often each watch gets an empty line.
 pub(super) const WATCH_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(2_000);
 
 /// All backends of a run, their set-up store and the relays' discovery agents, as one event
 /// handler.
 pub struct SimulatedBackends {
     pub(super) backends: Vec<Backend>,
-    /// By relay.
+    /// The discovery agents, by relay index.
     pub(super) agents: Vec<Agent>,
     pub(super) connections: Slab<Connection>,
     /// The serial number of the last connection.
@@ -33,25 +33,25 @@
     pub(super) announcement_delay: (Duration, Duration),
     pub(super) report_interval: Duration,
     pub(super) reports_load: bool,
-    /// Descriptors have run out once.
-    pub(super) is_exhausted: bool,
+    /// Whether it was recorded that descriptors ran out, which is done once.
+    pub(super) has_recorded_exhaustion: bool,
 }
 
-/// Simulated backends on their thread, and where they listen.
+/// The simulated backends, running on their own thread, and their addresses.
 pub struct OpenedBackends {
-    /// The event loop, for commands and the totals.
+    /// The event loop, which takes commands and returns the totals.
     pub event_loop: EventLoop<SimulatedBackends>,
-    /// Addresses of the backends, by their indices.
+    /// The addresses of the backends, by backend index.
     pub addresses: Vec<SocketAddr>,
-    /// Addresses of the discovery agents, one for each relay.
+    /// The addresses of the discovery agents, by relay index.
     pub agent_addresses: Vec<SocketAddr>,
 }
 
 impl SimulatedBackends {
-    /// Listens for backends and agents, and serves them on a thread of their own.
+    /// Opens listeners for backends and agents, and serves them on a thread of their own.
     ///
     /// # Errors
-    /// If the system gives no address, descriptor or thread.
+    /// If a listener, the poller or the thread can't be created.
     pub fn open(
         plan: BackendPlan,
         clock: Stopwatch,
@@ -63,8 +63,11 @@
         let agent_listeners: Vec<Listener> = (0..plan.relays)
             .map(|index| Listener::open(ListenerKey::Agent(index)))
             .collect::<io::Result<_>>()?;
-        let addresses = listeners.iter().map(|one| one.address).collect();
-        let agent_addresses = agent_listeners.iter().map(|one| one.address).collect();
+        let addresses = listeners.iter().map(|listener| listener.address).collect();
+        let agent_addresses = agent_listeners
+            .iter()
+            .map(|listener| listener.address)
+            .collect();
         let event_loop = EventLoop::open("backends", clock, recorder, move |context| {
             SimulatedBackends::new(plan, listeners, agent_listeners, context)
         })?;
@@ -123,7 +126,7 @@
             announcement_delay: plan.announcement_delay,
             report_interval: plan.report_interval,
             reports_load: plan.reports_load,
-            is_exhausted: false,
+            has_recorded_exhaustion: false,
         })
     }
 
@@ -131,7 +134,7 @@
         &mut self.backends[usize::from(index.0)]
     }
 
-    /// The backend as it is now, for a timer that is void once it has changed.
+    /// Returns the backend's present incarnation, for a timer that is ignored in a later one.
     pub(super) fn incarnation(&self, backend: BackendIndex) -> Incarnation {
         Incarnation {
             backend,
@@ -143,7 +146,7 @@
         self.incarnation(incarnation.backend).number == incarnation.number
     }
 
-    /// Takes in an accepted connection.
+    /// Registers an accepted connection with its role.
     pub(super) fn add_connection(
         &mut self,
         stream: TcpStream,
@@ -161,11 +164,11 @@
                     serial: self.last_serial,
                 });
             }
-            Err(error) => log::warn!("simulated backends can't use a connection: {error}"),
+            Err(error) => log::warn!("simulated backends can't configure a connection: {error}"),
         }
     }
 
-    /// Drops a connection; an established session no longer counts at its backend.
+    /// Drops a connection, and subtracts an established session from its backend's load.
     pub(super) fn remove_connection(&mut self, key: usize, now: Instant) {
         let connection = self.connections.remove(key);
         if let Some(session) = connection.as_backend()
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Drops a connection so that its other side sees a reset.
+    /// Drops a connection so that its peer sees a reset.
     pub(super) fn reset_connection(&mut self, key: usize, now: Instant) {
         if let Some(connection) = self.connections.get(key) {
             connection.socket.reset_on_close();
@@ -185,7 +188,7 @@
         }
     }
 
-    /// The keys of all connections of a backend.
+    /// Returns the keys of all connections of a backend.
     pub(super) fn connections_of(&self, backend: BackendIndex) -> Vec<usize> {
         let belongs = |connection: &Connection| match &connection.role {
             Role::Backend(session) => session.backend == backend,
