--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -1,72 +1,78 @@
-//! The load model of a simulated backend, and the store that every set-up calls. No I/O: the
-//! simulated backends tell it what happens and when.
+//! The load model of a simulated backend, and the store that every set-up calls. No I/O: callers
+//! report each event with its time.
 use std::collections::{BTreeMap, VecDeque};
 use thistlecroft::time::{Duration, Instant};
 
-/// How a backend warms up after its start, and what overloads it meanwhile.
+/// How a backend warms up after its start, and which attempts overload it meanwhile.
+///
+/// While it warms up, a backend is overloaded if the load of the attempts in an overload window is
+/// greater than [`WarmUp::overload_factor`] times the load that it can take in that time. It can
+/// take its present capacity once in each turnover time.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUp {
-    /// The part of its capacity that it has at its start.
+    /// The share of the full capacity that the backend has at its start.
     pub initial_share: f64,
-    /// That part rises evenly to the whole over this time.
+    /// The time over which the share rises linearly to the full capacity.
     pub duration: Duration,
-    /// It is overloaded when attempts ask for more than this multiple of what it can take...
+    /// The multiple of the load it can take beyond which the backend is overloaded.
     pub overload_factor: f64,
-    /// ...within any such time...
+    /// The length of the window over which the load of attempts is summed.
     pub overload_window: Duration,
-    /// ...where it can take its present capacity once in each such time.
+    /// The time in which the backend can take attempts for its whole present capacity.
     pub turnover_time: Duration,
 }
 
-/// What a kind of backend can serve.
+/// The capacity of one kind of backend.
 #[derive(Clone, Copy, Debug)]
 pub struct BackendCapacity {
-    /// The load that saturates it.
+    /// The load that a fully warmed-up backend can serve without queueing.
     pub full_load: f64,
-    /// The greatest number of sessions.
+    /// The maximum number of sessions.
     pub max_sessions: usize,
-    /// Its own work for a set-up, besides the store's.
+    /// The time of a set-up on an idle backend, without the call to the set-up store.
     pub setup_time: Duration,
-    /// The load that each group with any session there adds.
+    /// The load added by each group that has sessions at the backend.
     pub group_load: f64,
-    /// Its slow start.
+    /// How the backend warms up.
     pub warm_up: WarmUp,
 }
 
-/// Seconds of queued work at most: no message waits for longer.
+/// The maximum of queued work in seconds, and so the longest delay of a message.
 const MAX_QUEUED_SECONDS: f64 = 30.0;
-/// Set-ups are slowed down by load up to this.
+/// A greater load doesn't slow down set-ups further.
 const MAX_LOAD_AT_SETUP: f64 = 4.0;
-/// Set-ups are slowed down as if at least this part of the capacity were there.
+/// A smaller share of the capacity doesn't slow down set-ups further.
 const MIN_SHARE_AT_SETUP: f64 = 0.05;
-/// Avoids divisions by zero.
+/// The minimum of durations that are divisors, in seconds, which avoids divisions by zero.
 const MIN_SECONDS: f64 = 1e-6;
+/// The minimum of loads that are divisors, which avoids divisions by zero.
 const MIN_LOAD: f64 = 1e-9;
 
-/// The work of one backend from its start to its end.
+/// The sessions, load and queued work of one backend, from its start until it stops.
 pub(crate) struct BackendModel {
     capacity: BackendCapacity,
-    /// Since when it warms up; none where it was warm from the beginning.
+    /// When the warm-up began; `None` if the backend was warm from the beginning.
     warming_since: Option<Instant>,
-    /// The load of its sessions, without that of groups.
+    /// The total load of the sessions, without the load of groups.
     session_load: f64,
+    /// The number of established sessions.
     sessions: usize,
-    /// Sessions by group.
+    /// The number of sessions of each group.
     groups: BTreeMap<u64, u32>,
-    /// Work that waits to be done, in seconds.
+    /// Queued work in seconds.
     queued_seconds: f64,
-    /// As of when the queued work is known.
+    /// When the queued work was last updated.
     updated_at: Instant,
-    /// Attempts of the overload window, with their loads.
+    /// The times and loads of the attempts in the overload window.
     recent_attempts: VecDeque<(Instant, f64)>,
-    /// The greatest used part of what it can take within a window while it warms up.
+    /// The greatest share of the attempt budget that was used in a window during the warm-up.
     pub(crate) max_warm_up_budget_used: f64,
-    /// How many times slower than usual it runs.
+    /// How many times slower than normal the backend runs.
     pub(crate) slowness: f64,
 }
 
 impl BackendModel {
-    /// A backend that starts now and, where it is cold, warms up.
+    /// Creates the model of a backend that starts now and, if it is cold, warms up.
     pub(crate) fn start(capacity: BackendCapacity, now: Instant, cold: bool) -> BackendModel {
         BackendModel {
             capacity,
@@ -82,35 +88,35 @@
         }
     }
 
-    /// The present part of its full capacity.
+    /// Returns the present share of the full capacity.
     pub(crate) fn capacity_share(&self, now: Instant) -> f64 {
         let Some(since) = self.warming_since else {
             return 1.0;
         };
         let warm_up = &self.capacity.warm_up;
-        let passed = now.duration_since(since).as_secs_f64();
-        let progress = (passed / warm_up.duration.as_secs_f64().max(MIN_SECONDS)).min(1.0);
+        let elapsed = now.duration_since(since).as_secs_f64();
+        let progress = (elapsed / warm_up.duration.as_secs_f64().max(MIN_SECONDS)).min(1.0);
         warm_up.initial_share + (1.0 - warm_up.initial_share) * progress
     }
 
-    /// Established sessions.
+    /// Returns the number of established sessions.
     pub(crate) fn sessions(&self) -> usize {
         self.sessions
     }
 
-    /// Whether it rejects further sessions.
+    /// Returns whether the backend rejects further sessions.
     pub(crate) fn is_saturated(&self) -> bool {
         self.sessions >= self.capacity.max_sessions
     }
 
-    /// Requested load over present capacity.
+    /// Returns the requested load divided by the present capacity.
     pub(crate) fn load(&self, now: Instant) -> f64 {
         let requested = self.session_load + self.capacity.group_load * self.groups.len() as f64;
         requested * self.slowness
             / (self.capacity.full_load * self.capacity_share(now)).max(MIN_LOAD)
     }
 
-    /// Counts an attempt, whatever becomes of it; true if it overloads the backend.
+    /// Counts an attempt, whatever its result, and returns whether it overloads the backend.
     ///
     /// The largest attempt within the window doesn't count, since a single session may be larger
     /// than the budget of a small backend.
@@ -165,21 +171,22 @@
         }
     }
 
-    /// Work that could not be done has been queued since the last update, or was worked off.
+    /// Updates the queued work: it grows while the load is above the capacity, and shrinks below.
     fn update_queue(&mut self, now: Instant) {
-        let passed = now.duration_since(self.updated_at).as_secs_f64();
-        let queued = self.queued_seconds + passed * (self.load(now) - 1.0);
+        let elapsed = now.duration_since(self.updated_at).as_secs_f64();
+        let queued = self.queued_seconds + elapsed * (self.load(now) - 1.0);
         self.queued_seconds = queued.clamp(0.0, MAX_QUEUED_SECONDS);
         self.updated_at = now;
     }
 
-    /// How long a message takes now.
+    /// Returns how long the backend delays a message that arrives now.
     pub(crate) fn message_delay(&mut self, now: Instant) -> Duration {
         self.update_queue(now);
         Duration::from_millis(1_000) * self.queued_seconds
     }
 
-    /// Its own work for a set-up that begins now: it is slower under load and while warming up.
+    /// Returns the time of a set-up that begins now, without the call to the store. It is longer
+    /// under load and while the backend warms up.
     pub(crate) fn setup_time(&mut self, now: Instant) -> Duration {
         let delay = self.message_delay(now);
         let load_factor = 1.0 + self.load(now).min(MAX_LOAD_AT_SETUP);
@@ -188,16 +195,16 @@
     }
 }
 
-/// The store that every set-up calls: it serves a few calls at once, each for the same time, and
-/// queues the others.
+/// The store that every set-up calls. It serves a limited number of calls concurrently, each for
+/// the same time, and queues the others.
 pub(crate) struct SetupStore {
     call_time: Duration,
-    /// When each of its workers is free.
+    /// When each of the store's workers is free again.
     free_at: Vec<Instant>,
 }
 
 impl SetupStore {
-    /// A store with that concurrency, which is at least one.
+    /// Creates a store that serves this number of calls concurrently, at least one.
     pub(crate) fn new(concurrency: usize, call_time: Duration) -> SetupStore {
         SetupStore {
             call_time,
@@ -205,7 +212,7 @@
         }
     }
 
-    /// When a call made now is answered.
+    /// Adds a call made now and returns when it is answered.
     pub(crate) fn call(&mut self, now: Instant) -> Instant {
         let first_free = self
             .free_at
--- a/testbed/src/backend_model/tests.rs
+++ b/testbed/src/backend_model/tests.rs
@@ -19,10 +19,10 @@
 }
 
 #[test]
-fn warming_backend_sent_too_much_is_overloaded() {
-    // Attempts of load 1, the milliseconds between them, whether the backend is cold, and whether
-    // it is overloaded: at its start it takes 0.6 a second, and 5.4 within three seconds is the
-    // most that it bears.
+fn warming_backend_with_attempts_beyond_its_budget_is_overloaded() {
+    // The number of attempts of load 1, the milliseconds between them, whether the backend is cold,
+    // and whether it is overloaded. A cold backend can take a load of 0.6 a second at its start, so
+    // its budget is 5.4 within three seconds.
     let cases = [
         (6, 100, true, false),
         (8, 100, true, true),
@@ -38,7 +38,7 @@
             "{count} every {interval} ms, cold: {cold}"
         );
     }
-    // A single attempt may be larger than the budget.
+    // A single attempt larger than the budget doesn't overload the backend.
     assert!(!BackendModel::start(CAPACITY, at(0), true).record_attempt(at(0), 50.0));
 }
 
@@ -48,7 +48,7 @@
     for number in 0..18 {
         model.add_session(at(0), 1.0, Some(number % 2));
     }
-    // Eighteen sessions and two groups of one and a half.
+    // Eighteen sessions with a load of 1, and two groups that add 1.5 each.
     assert!((model.load(at(0)) - 21.0 / 18.0).abs() < 1e-9);
     assert_eq!(model.message_delay(at(0)), Duration::ZERO);
     let late = model.message_delay(at(6_000));
--- a/testbed/src/clock.rs
+++ b/testbed/src/clock.rs
@@ -1,17 +1,17 @@
-//! The clock of a run, which all its threads share: instants count from the start of the run.
+//! The clock of a run, shared by all threads of the testbed. Instants count from the start of the run.
 use std::time::{SystemTime, UNIX_EPOCH};
 use thistlecroft::time::{Duration, Instant};
 
-/// Time since its start, in microseconds.
+/// A clock that measures the time since its start, in microseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Stopwatch {
     began: std::time::Instant,
-    /// Unix time of its start.
+    /// Unix time of the start in milliseconds.
     began_at_unix_ms: u64,
 }
 
 impl Stopwatch {
-    /// A clock that starts now.
+    /// Starts a clock.
     pub fn start() -> Stopwatch {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -22,23 +22,23 @@
         }
     }
 
-    /// The time since its start.
+    /// Returns the time since the start.
     pub fn now(&self) -> Instant {
         Instant::from_micros(self.began.elapsed().as_micros() as u64)
     }
 
-    /// Unix time in milliseconds, in which the endpoint list states when a backend started.
+    /// Converts an instant to Unix time in milliseconds, the form of start times in the endpoint list.
     pub fn unix_ms(&self, at: Instant) -> u64 {
         self.began_at_unix_ms + at.as_millis()
     }
 }
 
-/// A duration as the standard library's.
+/// Converts a duration to one of the standard library.
 pub fn to_std(duration: Duration) -> std::time::Duration {
     std::time::Duration::from_micros(duration.as_micros())
 }
 
-/// A duration of the standard library, in microseconds.
+/// Converts a duration of the standard library, rounded down to microseconds.
 pub(crate) fn from_std(duration: std::time::Duration) -> Duration {
     Duration::from_micros(duration.as_micros() as u64)
 }
--- a/testbed/src/event_loop.rs
+++ b/testbed/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop that each thread of the testbed runs: readiness of sockets, timers, and commands
-//! from the thread that runs the experiment.
+//! The event loop that each thread of the testbed runs. It handles readiness of sockets, timers, and
+//! commands from the thread that runs the experiment.
 use crate::clock::{Stopwatch, to_std};
 use crate::event_recorder::{EventRecorder, Observation};
 use polling::{Events, Poller};
@@ -10,40 +10,41 @@
 use std::thread::JoinHandle;
 use thistlecroft::time::{Duration, Instant};
 
-/// A longer turn is recorded, since what was observed in it was observed late.
+/// A longer turn (iteration) of the loop is recorded, since its events were observed late.
 const LATE_TURN: Duration = Duration::from_millis(20);
-/// Sockets are polled again after so many timers.
-const TIMERS_PER_TURN: usize = 4_096;
-/// Added to each wait, so that a timer is due when its wait is over.
+/// The maximum number of timers handled before sockets are polled again.
+const MAX_TIMERS_PER_TURN: usize = 4_096;
+/// Added to each wait for a timer, so that the timer is due when the poller returns.
 const WAIT_MARGIN: std::time::Duration = std::time::Duration::from_micros(20);
 
-/// What a handler can use of its loop: the time, the poller, the recorder and timers of type `T`.
+/// What an event loop provides to its handler: the time, the poller, the recorder and timers of type
+/// `T`.
 pub struct LoopContext<T> {
     /// The time of the event that is being handled.
     pub now: Instant,
     /// The clock of the run.
     pub clock: Stopwatch,
-    /// Where the handler registers its sockets.
+    /// The poller at which the handler registers its sockets.
     pub poller: Arc<Poller>,
-    /// Where observations are recorded.
+    /// The recorder of observations.
     pub recorder: EventRecorder,
-    /// By when they are due, and in the order in which they were set.
+    /// The timers, ordered by due time and then by the order in which they were set.
     timers: BTreeMap<(Instant, u64), T>,
     last_timer: u64,
-    /// The longest turn so far.
+    /// The longest turn (iteration) of the loop so far.
     pub longest_turn: Duration,
-    /// Time spent handling events rather than waiting for them.
+    /// The total time spent handling events, without waiting for them.
     pub busy_time: Duration,
 }
 
 impl<T> LoopContext<T> {
-    /// Has the handler called with this timer once that time has come.
+    /// Sets a timer, with which the handler is called at that time.
     pub fn set_timer(&mut self, at: Instant, timer: T) {
         self.last_timer += 1;
         self.timers.insert((at, self.last_timer), timer);
     }
 
-    /// Records an observation made now.
+    /// Records an observation at the time of the event that is being handled.
     pub fn record(&self, observation: Observation) {
         self.recorder.record(self.now, observation);
     }
@@ -53,47 +54,48 @@
         Some(to_std(due.duration_since(self.clock.now())) + WAIT_MARGIN)
     }
 
+    /// Adds a turn to the totals, and records it as an observation if it was too long.
     fn record_turn(&mut self, began: Instant) {
-        let took = self.clock.now().duration_since(began);
-        self.busy_time += took;
-        self.longest_turn = self.longest_turn.max(took);
-        if took > LATE_TURN {
-            self.record(Observation::TestbedDelayed { delay: took });
+        let elapsed = self.clock.now().duration_since(began);
+        self.busy_time += elapsed;
+        self.longest_turn = self.longest_turn.max(elapsed);
+        if elapsed > LATE_TURN {
+            self.record(Observation::TestbedDelayed { delay: elapsed });
         }
     }
 }
 
-/// What runs on an event loop.
+/// Handles the events of an event loop.
 pub trait EventHandler {
-    /// What a timer is about.
+    /// What the handler is told when a timer is due.
     type Timer;
-    /// What another thread may order.
+    /// A command from another thread.
     type Command: Send + 'static;
-    /// What the handler returns at the end of the loop.
+    /// The results that the handler returns when the loop ends.
     type Totals: Send + 'static;
-    /// A socket registered under this key is ready.
+    /// Called when a socket registered under this key is ready.
     fn on_ready(&mut self, key: usize, writable: bool, context: &mut LoopContext<Self::Timer>);
-    /// A timer is due.
+    /// Called when a timer is due.
     fn on_timer(&mut self, timer: Self::Timer, context: &mut LoopContext<Self::Timer>);
-    /// A command has come.
+    /// Called when a command has arrived.
     fn on_command(&mut self, command: Self::Command, context: &mut LoopContext<Self::Timer>);
-    /// The loop has ended.
+    /// Called when the loop has ended; returns the totals.
     fn into_totals(self, context: &LoopContext<Self::Timer>) -> Self::Totals;
 }
 
-/// An event loop on its own thread, which ends when this is dropped.
+/// A handle of an event loop on its own thread. The loop ends when the handle is dropped.
 pub struct EventLoop<H: EventHandler> {
     commands: Option<Sender<H::Command>>,
     poller: Arc<Poller>,
-    /// Returns nothing where the handler could not be opened.
+    /// The thread, which returns `None` if the handler could not be created.
     thread: Option<JoinHandle<Option<H::Totals>>>,
 }
 
 impl<H: EventHandler + 'static> EventLoop<H> {
-    /// Starts a thread of this name whose handler is made there by `open`.
+    /// Starts a thread of this name, on which `open` creates the handler.
     ///
     /// # Errors
-    /// If the system gives no poller or thread, or `open` fails.
+    /// If the poller or the thread can't be created, or `open` fails.
     pub fn open(
         name: &str,
         clock: Stopwatch,
@@ -131,7 +133,7 @@
             })?;
         let opened = opened
             .recv()
-            .unwrap_or_else(|_| Err(io::Error::other("the thread ended at once")));
+            .unwrap_or_else(|_| Err(io::Error::other("event loop panicked at start")));
         if let Err(error) = opened {
             let _ = thread.join();
             return Err(error);
@@ -143,7 +145,7 @@
         })
     }
 
-    /// Has the handler carry out this command soon; commands keep their order.
+    /// Sends a command to the handler. Commands are handled in the order in which they were sent.
     pub fn command(&self, command: H::Command) {
         if let Some(commands) = &self.commands {
             let _ = commands.send(command);
@@ -157,7 +159,7 @@
         let _ = self.poller.notify();
         let thread = self.thread.take().expect("only close takes the thread");
         let totals = thread.join().ok().flatten();
-        totals.expect("the handler was opened and did not panic")
+        totals.expect("the handler was created and did not panic")
     }
 }
 
@@ -171,7 +173,7 @@
     }
 }
 
-/// Runs until the other end of `commands` is dropped.
+/// Runs the event loop until the sender of `commands` is dropped.
 fn run<H: EventHandler>(
     handler: &mut H,
     context: &mut LoopContext<H::Timer>,
@@ -194,7 +196,7 @@
         if let Err(error) = context.poller.wait(&mut events, wait)
             && error.kind() != io::ErrorKind::Interrupted
         {
-            log::error!("event loop can't poll: {error}");
+            log::error!("event loop failed to poll its sockets: {error}");
             return;
         }
         let began = context.clock.now();
@@ -210,7 +212,7 @@
 
 /// Calls the handler for each timer that was due when the last event had been handled.
 fn run_due_timers<H: EventHandler>(handler: &mut H, context: &mut LoopContext<H::Timer>) {
-    for _ in 0..TIMERS_PER_TURN {
+    for _ in 0..MAX_TIMERS_PER_TURN {
         let now = context.now;
         let Some(entry) = context
             .timers
--- a/testbed/src/line_socket.rs
+++ b/testbed/src/line_socket.rs
@@ -1,4 +1,4 @@
-//! A non-blocking socket that reads complete lines and buffers what can't be written yet.
+//! A non-blocking socket that reads complete lines and buffers unsent output.
 use polling::{Event, PollMode, Poller};
 use socket2::SockRef;
 use std::io::{self, ErrorKind, Read, Write};
@@ -8,10 +8,10 @@
 use std::time::Duration;
 
 const READ_BYTES: usize = 16 * 1024;
-/// A socket whose peer leaves more than this unread counts as broken.
+/// A connection with more unsent output than this is treated as broken.
 const MAX_UNSENT_BYTES: usize = 64 << 20;
 
-/// What the poller waits for at a socket.
+/// The readiness that the poller waits for at a socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Interest {
     None,
@@ -37,7 +37,7 @@
     }
 }
 
-/// A connection registered at a poller, with its input up to complete lines and its unsent output.
+/// A connection registered at a poller, with buffers for unread input and unsent output.
 pub(crate) struct LineSocket {
     stream: TcpStream,
     poller: Arc<Poller>,
@@ -45,14 +45,14 @@
     interest: Interest,
     input: Vec<u8>,
     output: Vec<u8>,
-    /// The other side has closed its sending direction.
+    /// Whether the peer has closed its sending direction.
     pub(crate) peer_closed: bool,
-    /// Nothing is read or written while this holds.
+    /// Whether reading and writing are suspended.
     frozen: bool,
 }
 
 impl LineSocket {
-    /// Takes a connected stream; it is registered at the poller by the first change of interest.
+    /// Wraps a connected stream, which is registered at the poller when an interest is first set.
     pub(crate) fn new(
         stream: TcpStream,
         poller: &Arc<Poller>,
@@ -74,7 +74,7 @@
         })
     }
 
-    /// Starts to connect; the attempt has succeeded or failed once the socket is writable.
+    /// Starts to connect. The socket becomes writable when this has succeeded or failed.
     pub(crate) fn connect(
         to: SocketAddr,
         poller: &Arc<Poller>,
@@ -94,10 +94,10 @@
         }
     }
 
-    /// Whether the connection is established.
+    /// Returns whether the connection is established.
     ///
     /// # Errors
-    /// If the attempt to connect has failed.
+    /// If connecting has failed.
     pub(crate) fn is_connected(&self) -> io::Result<bool> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
@@ -105,13 +105,13 @@
         }
     }
 
-    /// Waits for the end of the attempt to connect.
+    /// Has the poller report when connecting has succeeded or failed.
     pub(crate) fn await_connect(&mut self) {
         self.set_interest(Interest::Write);
     }
 
-    /// Waits for input while the other side may still send, and for room to write while output is
-    /// buffered.
+    /// Has the poller report input unless the peer has closed its sending direction, and writability
+    /// while output is buffered.
     pub(crate) fn update_interest(&mut self) {
         self.set_interest(Interest::new(!self.peer_closed, !self.output.is_empty()));
     }
@@ -126,7 +126,7 @@
             return;
         }
         // SAFETY: the descriptor is open as long as the stream, and deleted from the poller when
-        // this is dropped.
+        // the `LineSocket` is dropped.
         let fd = unsafe { BorrowedFd::borrow_raw(self.stream.as_raw_fd()) };
         let event = interest.event(self.key);
         let result = match (self.interest, interest) {
@@ -140,17 +140,17 @@
         };
         match result {
             Ok(()) => self.interest = interest,
-            Err(error) => log::error!("poller refuses a socket: {error}"),
+            Err(error) => log::error!("failed to set the poller's interest in a socket: {error}"),
         }
     }
 
-    /// Stops all reading and writing, or goes on with it.
+    /// Suspends or resumes all reading and writing.
     pub(crate) fn set_frozen(&mut self, frozen: bool) {
         self.frozen = frozen;
         self.update_interest();
     }
 
-    /// Reads once; true if anything was there.
+    /// Reads once from the socket, and returns whether there was any input.
     pub(crate) fn read(&mut self) -> io::Result<bool> {
         let mut chunk = [0; READ_BYTES];
         loop {
@@ -174,7 +174,7 @@
         !self.input.is_empty()
     }
 
-    /// Takes the next complete line without its ending.
+    /// Removes the next complete line from the input and returns it without its ending.
     pub(crate) fn next_line(&mut self) -> Option<String> {
         let end = self.input.iter().position(|&byte| byte == b'\n')?;
         let line = String::from_utf8_lossy(&self.input[..end])
@@ -182,36 +182,36 @@
             .to_string();
         self.input.drain(..=end);
         if self.input.is_empty() {
-            // Thousands of idle connections hold no buffers between their lines.
+            // Releases the buffer, since thousands of connections are idle between their lines.
             self.input = Vec::new();
         }
         Some(line)
     }
 
-    /// The input that was not taken yet.
+    /// Returns the buffered input.
     pub(crate) fn buffered_input(&self) -> &[u8] {
         &self.input
     }
 
-    /// Takes that many bytes of the input.
+    /// Removes this number of bytes from the start of the input.
     pub(crate) fn consume(&mut self, count: usize) {
         self.input.drain(..count);
     }
 
-    /// Writes as much as the socket takes now and buffers the rest, for which
-    /// [`LineSocket::update_interest`] waits.
+    /// Writes as much as the socket accepts now and buffers the rest. After
+    /// [`LineSocket::update_interest`] the poller reports when more can be written.
     ///
     /// # Errors
-    /// If the connection is broken, or its peer leaves too much unread.
-    pub(crate) fn send(&mut self, text: &[u8]) -> io::Result<()> {
-        self.output.extend_from_slice(text);
+    /// If the connection is broken or too much output is unsent.
+    pub(crate) fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
+        self.output.extend_from_slice(bytes);
         if self.output.len() > MAX_UNSENT_BYTES {
             return Err(ErrorKind::OutOfMemory.into());
         }
         self.flush()
     }
 
-    /// Writes as much of the buffered output as the socket takes now.
+    /// Writes as much of the buffered output as the socket accepts now.
     pub(crate) fn flush(&mut self) -> io::Result<()> {
         let mut written = 0;
         while written < self.output.len() && !self.frozen {
@@ -236,11 +236,11 @@
 
     /// Closes the sending direction.
     pub(crate) fn finish_sending(&self) {
-        // This fails only where the other side has gone, which has an event of its own.
+        // This fails only if the connection is already gone, which the poller reports.
         let _ = self.stream.shutdown(Shutdown::Write);
     }
 
-    /// Has the connection reset, not closed, when this is dropped.
+    /// Makes the connection be reset rather than closed when the socket is dropped.
     pub(crate) fn reset_on_close(&self) {
         let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
     }
@@ -249,7 +249,7 @@
 impl Drop for LineSocket {
     fn drop(&mut self) {
         if self.interest != Interest::None {
-            // SAFETY: the stream is closed after this.
+            // SAFETY: the stream is still open; it is closed after this function.
             let _ = self
                 .poller
                 .delete(unsafe { BorrowedFd::borrow_raw(self.stream.as_raw_fd()) });
--- a/testbed/src/link_fault.rs
+++ b/testbed/src/link_fault.rs
@@ -1,25 +1,26 @@
-//! What becomes of a datagram between two relays, in one direction. No I/O.
+//! Faults of a link between two relays, in one direction: loss, delay, duplication and limited rate.
+//! No I/O.
 use thistlecroft::random::Rng;
 use thistlecroft::time::Duration;
 
-/// The fault of a link; the default one passes everything at once.
+/// The fault of a link. The default passes every datagram without delay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LinkFault {
-    /// The part of the datagrams that is lost.
+    /// The probability that a copy of a datagram is lost.
     pub loss: f64,
     /// The delay of each datagram.
     pub delay: Duration,
-    /// Added to the delay, drawn evenly from nothing up to this; where it is greater than the time
-    /// between two datagrams, it reorders them.
+    /// The maximum of a random time, drawn uniformly, that is added to the delay. If it is greater than
+    /// the time between two datagrams, they may be reordered.
     pub jitter: Duration,
-    /// The part of the datagrams that is duplicated.
+    /// The probability that a datagram is duplicated.
     pub duplication: f64,
-    /// Bytes that pass in a second, beyond which datagrams are lost; 0 for no limit.
+    /// The rate in bytes per second beyond which datagrams are lost; 0 means no limit.
     pub bytes_per_second: u64,
 }
 
 impl LinkFault {
-    /// Nothing passes.
+    /// A cut link, which loses every datagram.
     pub const CUT: LinkFault = LinkFault {
         loss: 1.0,
         delay: Duration::ZERO,
@@ -28,7 +29,7 @@
         bytes_per_second: 0,
     };
 
-    /// Draws the delays of a datagram's copies that arrive: one, two or none.
+    /// Draws the delays of those copies of a datagram that arrive: none, one or two.
     pub fn delays(&self, rng: &mut Rng) -> Vec<Duration> {
         let copies = if rng.unit_f64() < self.duplication {
             2
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -1,5 +1,6 @@
-//! The network between relays, for their datagrams: one public address a relay, and a fault for
-//! each directed link. A relay's datagrams come from its own socket, which tells who sent them.
+//! The network that forwards datagrams between relays, with faults for each directed link. Each relay
+//! has a public address, to which the other relays send; the network tells the sender of a datagram
+//! by its source address.
 use crate::clock::Stopwatch;
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
 use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
@@ -15,19 +16,19 @@
 const MAX_DATAGRAMS_PER_EVENT: usize = 256;
 const MAX_DATAGRAM_BYTES: usize = 2_048;
 
-/// Both ends of a relay's way to the others.
+/// The addresses at which a relay gets datagrams.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerAddress {
-    /// Where the others reach it: a socket of this network.
+    /// The address to which other relays send: a socket of this network.
     pub public: SocketAddr,
-    /// Where it listens itself.
+    /// The address to which the relay binds its socket.
     pub bind: SocketAddr,
 }
 
-/// What can be ordered while a run goes on.
+/// A command to the network during a run.
 pub enum NetworkCommand {
-    /// Sets the fault of these links, from one relay to another, under this name in recorded
-    /// events; none clears it.
+    /// Sets the fault of these links (sender and receiver); `None` clears it. Recorded events have the
+    /// fault under this name.
     SetLinkFault(
         Vec<(RelayIndex, RelayIndex)>,
         Option<LinkFault>,
@@ -35,37 +36,38 @@
     ),
 }
 
-/// What passed over all links and what did not.
+/// Totals of the datagrams on all links.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct NetworkTotals {
-    /// Datagrams that passed.
-    pub passed: u64,
-    /// Their bytes.
+    /// Datagrams that were delivered, with duplicates.
+    pub delivered: u64,
+    /// Bytes of the delivered datagrams.
     pub bytes: u64,
     /// Datagrams that were lost.
     pub lost: u64,
-    /// Datagrams from an address of no relay.
+    /// Datagrams from an address that belongs to no relay.
     pub unknown_source: u64,
 }
 
-/// A link by the indices of its sender and its receiver.
+/// A directed link, identified by the indices of its sender and receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Link {
     from: usize,
     to: usize,
 }
 
-/// What the limit of a link's rate still allows.
+/// The token bucket that limits the rate of a link; it holds at most one second's bytes.
 struct RateAllowance {
     bytes: f64,
     updated_at: Instant,
 }
 
-/// The network as an event handler.
+/// The network between relays, as an event handler.
 pub struct RelayNetwork {
-    /// The public sockets, by relay.
+    /// The public sockets, by relay index.
     sockets: Vec<UdpSocket>,
     addresses: Vec<PeerAddress>,
+    /// The relay index of each address to which a relay binds its socket.
     relay_of_source: BTreeMap<SocketAddr, usize>,
     link_faults: BTreeMap<Link, LinkFault>,
     allowances: BTreeMap<Link, RateAllowance>,
@@ -73,25 +75,25 @@
     totals: NetworkTotals,
 }
 
-/// A datagram that arrives later.
+/// A datagram to be delivered over a link.
 pub struct Delivery {
     link: Link,
     bytes: Vec<u8>,
 }
 
-/// The network on its thread, and the addresses of its relays.
+/// The network, running on its own thread, and the addresses of its relays.
 pub struct OpenedNetwork {
-    /// The event loop, for commands and the totals.
+    /// The event loop, which takes commands and returns the totals.
     pub event_loop: EventLoop<RelayNetwork>,
-    /// By relay.
+    /// The addresses of the relays, by relay index.
     pub addresses: Vec<PeerAddress>,
 }
 
 impl RelayNetwork {
-    /// Opens a network for so many relays.
+    /// Opens a network for this number of relays.
     ///
     /// # Errors
-    /// If the system gives no socket or thread.
+    /// If a socket, the poller or the thread can't be created.
     pub fn open(
         relays: usize,
         seed: u64,
@@ -100,20 +102,20 @@
     ) -> io::Result<OpenedNetwork> {
         let mut sockets = Vec::new();
         let mut addresses = Vec::new();
-        // The relays' own ports are held until all are found, so that no two are the same.
-        let mut held = Vec::new();
+        // The ports for the relays' sockets stay bound until all are found, so that all differ.
+        let mut reserved = Vec::new();
         for index in 0..relays {
             let ip = loopback_address(index);
-            let (public, own) = (UdpSocket::bind((ip, 0))?, UdpSocket::bind((ip, 0))?);
+            let (public, bound) = (UdpSocket::bind((ip, 0))?, UdpSocket::bind((ip, 0))?);
             public.set_nonblocking(true)?;
             addresses.push(PeerAddress {
                 public: public.local_addr()?,
-                bind: own.local_addr()?,
+                bind: bound.local_addr()?,
             });
             sockets.push(public);
-            held.push(own);
+            reserved.push(bound);
         }
-        drop(held);
+        drop(reserved);
         let network = RelayNetwork {
             sockets,
             addresses: addresses.clone(),
@@ -139,7 +141,7 @@
     fn register_sockets(&self, context: &LoopContext<Delivery>) -> io::Result<()> {
         for (index, socket) in self.sockets.iter().enumerate() {
             let event = Event::readable(index);
-            // SAFETY: the sockets live as long as this, and are deleted from the poller before
+            // SAFETY: the sockets live as long as `self`, and are deleted from the poller before
             // they are closed, or closed with it.
             unsafe {
                 context
@@ -150,9 +152,9 @@
         Ok(())
     }
 
-    /// The relay that sends from this address.
+    /// Returns the index of the relay that sends from this address.
     fn relay_of(&self, source: SocketAddr) -> Option<usize> {
-        // The next process of a relay sends from another port of its address.
+        // The next process of a relay sends from another port of the same IP address.
         let by_ip = || {
             self.addresses
                 .iter()
@@ -161,8 +163,9 @@
         self.relay_of_source.get(&source).copied().or_else(by_ip)
     }
 
-    /// Whether the rate of a link allows so many bytes now; if so, they are taken from it.
-    fn take_allowance(&mut self, link: Link, rate: u64, bytes: usize, now: Instant) -> bool {
+    /// Returns whether the rate of a link allows this number of bytes now, and if so subtracts them
+    /// from its allowance.
+    fn consume_allowance(&mut self, link: Link, rate: u64, bytes: usize, now: Instant) -> bool {
         if rate == 0 {
             return true;
         }
@@ -171,8 +174,8 @@
             bytes: rate,
             updated_at: now,
         });
-        let passed = now.duration_since(allowance.updated_at).as_secs_f64();
-        allowance.bytes = (allowance.bytes + rate * passed).min(rate);
+        let elapsed = now.duration_since(allowance.updated_at).as_secs_f64();
+        allowance.bytes = (allowance.bytes + rate * elapsed).min(rate);
         allowance.updated_at = now;
         let is_allowed = allowance.bytes >= bytes;
         if is_allowed {
@@ -181,10 +184,11 @@
         is_allowed
     }
 
+    /// Delivers a datagram now or later, or loses it, as the fault of its link demands.
     fn on_datagram(&mut self, link: Link, bytes: &[u8], context: &mut LoopContext<Delivery>) {
         let fault = self.link_faults.get(&link).copied().unwrap_or_default();
         let rate = fault.bytes_per_second;
-        let delays = if self.take_allowance(link, rate, bytes.len(), context.now) {
+        let delays = if self.consume_allowance(link, rate, bytes.len(), context.now) {
             fault.delays(&mut self.rng)
         } else {
             Vec::new()
@@ -204,10 +208,10 @@
     }
 
     fn deliver(&mut self, delivery: &Delivery) {
-        self.totals.passed += 1;
+        self.totals.delivered += 1;
         self.totals.bytes += delivery.bytes.len() as u64;
         let Link { from, to } = delivery.link;
-        // A relay that does not run now does not get it.
+        // The error is ignored: a relay that isn't running doesn't get the datagram.
         let _ = self.sockets[from].send_to(&delivery.bytes, self.addresses[to].bind);
     }
 }
@@ -266,7 +270,7 @@
     }
 }
 
-/// An address for the relay of this index, other than those of concurrent runs.
+/// Returns the IP address for a relay; concurrent runs have other addresses in most cases.
 fn loopback_address(index: usize) -> Ipv4Addr {
     let [.., high, low] = (index as u32 + 1).to_be_bytes();
     Ipv4Addr::new(127, 70 + (std::process::id() % 50) as u8, high, low)
--- a/testbed/src/simulated_network/host.rs
+++ b/testbed/src/simulated_network/host.rs
@@ -1,56 +1,58 @@
-//! A process of a simulated network, with a clock of its own.
+//! A simulated process with its own clock.
 use std::collections::BTreeSet;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
 use thistlecroft_peers::{Identity, MemberState, Node};
 
-/// A change of a member's state as one process saw it.
+/// A change of a member's state as one process observed it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MemberChange {
-    /// When it was seen, in simulated time.
+    /// When the process observed the change, in simulated time.
     pub at: Instant,
-    /// The member.
+    /// The member whose state changed.
     pub id: Identity,
-    /// Its new state.
+    /// The member's new state.
     pub state: MemberState,
 }
 
-/// A process of the network.
+/// A process of the simulated network.
 pub struct Host {
-    /// Its name among the members.
+    /// The process's name as a member.
     pub name: String,
-    /// Its membership.
+    /// The process's view of the membership.
     pub node: Node,
-    /// Its leases, if it has any.
+    /// The process's leases; `None` if the network runs without leases.
     pub leases: Option<Leases>,
-    /// The speed of its clock against simulated time.
+    /// The speed of the process's clock relative to simulated time.
     pub(super) speed: f64,
-    /// What its clock shows at the start of simulated time.
+    /// The time of the process's clock at the start of simulated time.
     pub(super) offset: Duration,
     pub(super) is_paused: bool,
-    /// Datagrams that came while it was paused, with their senders.
+    /// Datagrams that arrived while the process was paused, with the numbers of their senders.
     pub(super) inbox: Vec<(usize, Vec<u8>)>,
-    /// The process runs, or is paused.
+    /// Whether the process exists: it runs or is paused.
     pub alive: bool,
-    /// The changes of other members' states that it saw, in simulated time.
+    /// The changes of other members' states that the process observed.
     pub member_changes: Vec<MemberChange>,
-    /// When it is to be woken, in simulated time.
+    /// When the process is due to be woken, in simulated time.
     pub(super) wake_at: Option<Instant>,
 }
 
 impl Host {
-    /// What its clock shows at a simulated time.
+    /// Returns the time of the process's clock at a simulated time.
     pub fn clock(&self, now: Instant) -> Instant {
         Instant::from_micros(self.offset.as_micros() + (now.as_micros() as f64 * self.speed) as u64)
     }
 
-    /// When its clock shows this, in simulated time.
-    pub(super) fn simulated_time(&self, own: Instant) -> Instant {
-        let passed = own.as_micros().saturating_sub(self.offset.as_micros());
-        Instant::from_micros((passed as f64 / self.speed).ceil() as u64)
+    /// Returns the simulated time at which the process's clock shows this time.
+    pub(super) fn simulated_time(&self, local_time: Instant) -> Instant {
+        let elapsed = local_time
+            .as_micros()
+            .saturating_sub(self.offset.as_micros());
+        Instant::from_micros((elapsed as f64 / self.speed).ceil() as u64)
     }
 
-    /// Whether it sees exactly these alive, itself among them.
+    /// Returns whether the members that the process sees alive, with itself, are exactly these.
     pub fn sees_exactly(&self, names: &BTreeSet<String>) -> bool {
         let alive = self
             .node
--- a/testbed/src/simulated_network/network.rs
+++ b/testbed/src/simulated_network/network.rs
@@ -1,4 +1,4 @@
-//! A simulated network: its links, its clock and what is scheduled on it.
+//! The simulated network: its clock, processes, links and scheduled events.
 use super::host::{Host, MemberChange};
 use crate::link_fault::LinkFault;
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,52 +8,58 @@
 use thistlecroft_leases::{LeaseConfig, Leases};
 use thistlecroft_peers::{Event, Identity, Node, NodeConfig};
 
-/// Something that happens at a later simulated time.
+/// An event at a later simulated time.
 enum ScheduledEvent {
     Datagram {
         from: usize,
         to: usize,
         bytes: Vec<u8>,
     },
+    /// The timers of the process with this number are due.
     Wake(usize),
 }
 
-/// Processes on a simulated clock.
+/// Simulated processes, connected by links, on a simulated clock.
 pub struct SimulatedNetwork {
-    /// The simulated time.
+    /// The present simulated time.
     pub now: Instant,
-    /// The processes, by their numbers.
+    /// The processes, by number.
     pub hosts: Vec<Host>,
-    /// By their times, and in the order in which they were scheduled.
+    /// The scheduled events, ordered by time and then by the order in which they were scheduled.
     schedule: BTreeMap<(Instant, u64), ScheduledEvent>,
     serial: u64,
-    /// What is drawn by the links.
+    /// The random numbers for the links.
     pub rng: Rng,
-    /// The fault of links that have none of their own.
+    /// The fault of all links without an entry in `link_faults`.
     pub default_link_fault: LinkFault,
-    /// Faults of links, by the numbers of sender and receiver.
+    /// The faults of single links, by the numbers of sender and receiver.
     pub link_faults: BTreeMap<(usize, usize), LinkFault>,
-    terms: NodeConfig,
+    /// The membership configuration of each process.
+    config: NodeConfig,
+    /// The lease configuration; `None` if the processes have no leases.
     lease_config: Option<LeaseConfig>,
-    seeds: usize,
+    /// The number of processes that are seeds of the membership.
+    seed_members: usize,
 }
 
-/// Datagrams that the socket of a paused process holds.
+/// The number of datagrams that wait for a paused process, as in the buffer of a socket; further
+/// ones are lost.
 const MAX_INBOX_DATAGRAMS: usize = 256;
 const PORT: u16 = 7_946;
 
+/// Returns the address of the process with this number.
 fn address(number: usize) -> SocketAddr {
     let [.., high, low] = (number as u32 + 1).to_be_bytes();
     SocketAddr::from((Ipv4Addr::new(127, 1, high, low), PORT))
 }
 
 impl SimulatedNetwork {
-    /// A network without processes. The first `seeds` processes are the seeds of the membership;
-    /// `seed` is what everything is drawn from.
+    /// Creates a network without processes. The first `seed_members` processes are the seeds of the
+    /// membership; `seed` is the seed of the random numbers.
     pub fn new(
-        terms: NodeConfig,
+        config: NodeConfig,
         lease_config: Option<LeaseConfig>,
-        seeds: usize,
+        seed_members: usize,
         seed: u64,
     ) -> SimulatedNetwork {
         SimulatedNetwork {
@@ -68,51 +74,53 @@
                 ..LinkFault::default()
             },
             link_faults: BTreeMap::new(),
-            terms,
+            config,
             lease_config,
-            seeds,
+            seed_members,
         }
     }
 
-    /// Sets the bytes that a process sends in a second, in all and for lease updates, for processes
-    /// that are started from now on.
+    /// Sets the limits in bytes per second for all that a process sends (`rate`) and for lease updates
+    /// (`update_rate`). They apply to processes that are started from now on.
     pub fn set_rates(&mut self, rate: u32, update_rate: u32) {
-        self.terms.max_bytes_per_second = rate;
+        self.config.max_bytes_per_second = rate;
         self.lease_config
             .iter_mut()
             .for_each(|config| config.update_rate = update_rate);
     }
 
-    /// Starts a process whose clock has this speed; returns its number.
+    /// Starts a process whose clock runs at this speed, and returns its number.
     pub fn start(&mut self, name: &str, speed: f64) -> usize {
         let number = self.hosts.len();
-        self.hosts.push(self.process(name, number, speed));
+        self.hosts.push(self.new_host(name, number, speed));
         self.schedule_wake(number);
         number
     }
 
-    /// Starts another process in the place of that one, at its address.
+    /// Replaces a process by a new one with the same name, address and clock speed.
     pub fn restart(&mut self, number: usize) {
         let (name, speed) = (self.hosts[number].name.clone(), self.hosts[number].speed);
-        self.hosts[number] = self.process(&name, number, speed);
+        self.hosts[number] = self.new_host(&name, number, speed);
         self.schedule_wake(number);
     }
 
-    fn process(&self, name: &str, number: usize, speed: f64) -> Host {
-        // Drawn from a copy, so that a start changes nothing of what the links draw.
+    /// Creates the process with this number.
+    fn new_host(&self, name: &str, number: usize, speed: f64) -> Host {
+        // Drawn from a copy, so that a start doesn't change the random numbers of the links.
         let mut rng = self.rng.clone();
         let draw =
             rng.below(u64::MAX) ^ self.serial.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ number as u64;
         let offset = Duration::from_micros(1_000_000 + draw % 5_000_000);
         let me = Identity::new(name, draw | 1);
-        let own =
+        // The present time of the process's own clock.
+        let now =
             Instant::from_micros(offset.as_micros() + (self.now.as_micros() as f64 * speed) as u64);
-        let seeds = (0..self.seeds).map(address).collect();
-        let node = Node::new(me.clone(), address(number), seeds, &self.terms, draw, own);
+        let seeds = (0..self.seed_members).map(address).collect();
+        let node = Node::new(me.clone(), address(number), seeds, &self.config, draw, now);
         let leases = self
             .lease_config
             .clone()
-            .map(|config| Leases::new(me, config, own));
+            .map(|config| Leases::new(me, config, now));
         Host {
             name: name.into(),
             node,
@@ -127,17 +135,17 @@
         }
     }
 
-    /// Ends a process.
+    /// Kills a process.
     pub fn kill(&mut self, number: usize) {
         (self.hosts[number].alive, self.hosts[number].wake_at) = (false, None);
     }
 
-    /// Pauses a process.
+    /// Pauses a process, whose timers stop and whose datagrams wait.
     pub fn pause(&mut self, number: usize) {
         self.hosts[number].is_paused = true;
     }
 
-    /// Resumes a process. It receives what waited before its timers run, as on sockets.
+    /// Resumes a process. As on sockets, it receives waiting datagrams before its timers run.
     pub fn resume(&mut self, number: usize) {
         self.hosts[number].is_paused = false;
         for (from, bytes) in std::mem::take(&mut self.hosts[number].inbox) {
@@ -146,38 +154,39 @@
         self.schedule_wake(number);
     }
 
-    /// Cuts these off from those, in both directions.
-    pub fn partition(&mut self, these: &[usize], those: &[usize]) {
-        for &one in these {
-            for &other in those {
+    /// Cuts all links between two groups of processes, in both directions.
+    pub fn partition(&mut self, group: &[usize], other_group: &[usize]) {
+        for &one in group {
+            for &other in other_group {
                 self.link_faults.insert((one, other), LinkFault::CUT);
                 self.link_faults.insert((other, one), LinkFault::CUT);
             }
         }
     }
 
-    /// Clears the faults of all links.
+    /// Clears the faults of all links, except the default fault.
     pub fn heal_partitions(&mut self) {
         self.link_faults.clear();
     }
 
-    /// Has this time pass.
+    /// Runs the network for this simulated time.
     pub fn run_for(&mut self, duration: Duration) {
         let until = self.now + duration;
         while self.step(until) {}
         self.now = until;
     }
 
-    /// Has time pass until the predicate holds, which is evaluated in each tenth of a period; how
-    /// long it took, or none where it does not hold within that time.
+    /// Runs the network until the predicate holds, and returns how long that took in simulated time.
+    /// Returns `None` if the predicate doesn't hold within the time limit. The predicate is evaluated
+    /// ten times per probe interval.
     pub fn run_until(
         &mut self,
-        within: Duration,
+        timeout: Duration,
         predicate: impl Fn(&SimulatedNetwork) -> bool,
     ) -> Option<Duration> {
-        let (began, step) = (self.now, self.terms.timing.probe_interval * 0.1);
+        let (began, step) = (self.now, self.config.timing.probe_interval * 0.1);
         while !predicate(self) {
-            if self.now.duration_since(began) >= within {
+            if self.now.duration_since(began) >= timeout {
                 return None;
             }
             self.run_for(step);
@@ -185,13 +194,14 @@
         Some(self.now.duration_since(began))
     }
 
-    /// Whether all processes that run see each other and nobody else.
+    /// Returns whether all live processes see exactly each other alive.
     pub fn membership_is_consistent(&self) -> bool {
         let live = || self.hosts.iter().filter(|host| host.alive);
         let names: BTreeSet<String> = live().map(|host| host.name.clone()).collect();
         live().all(|host| host.sees_exactly(&names))
     }
 
+    /// Handles the next event up to this time; returns false if there is none.
     fn step(&mut self, until: Instant) -> bool {
         let Some(entry) = self
             .schedule
@@ -230,37 +240,38 @@
         let now = self.now;
         let host = &mut self.hosts[to];
         if host.alive {
-            let own = host.clock(now);
-            host.node.receive(bytes, address(from), own);
-            self.exchange(to);
+            let local_time = host.clock(now);
+            host.node.receive(bytes, address(from), local_time);
+            self.process_output(to);
         }
     }
 
     fn wake(&mut self, number: usize) {
         let now = self.now;
         let host = &mut self.hosts[number];
-        let own = host.clock(now);
-        if host.node.due() <= own {
-            host.node.tick(own);
+        let local_time = host.clock(now);
+        if host.node.due() <= local_time {
+            host.node.tick(local_time);
         }
         if let Some(leases) = &mut host.leases
-            && leases.due(own).is_some_and(|due| due <= own)
+            && leases.due(local_time).is_some_and(|due| due <= local_time)
         {
-            leases.tick(own);
+            leases.tick(local_time);
         }
-        self.exchange(number);
+        self.process_output(number);
     }
 
-    /// Has a process act now, rather than with its next wake.
-    pub fn with_host(&mut self, number: usize, act: impl FnOnce(&mut Host, Instant)) {
-        let own = self.hosts[number].clock(self.now);
-        act(&mut self.hosts[number], own);
-        self.exchange(number);
+    /// Calls a function with a process and the present time of its clock, and then sends what the
+    /// process has to send.
+    pub fn with_host(&mut self, number: usize, call: impl FnOnce(&mut Host, Instant)) {
+        let local_time = self.hosts[number].clock(self.now);
+        call(&mut self.hosts[number], local_time);
+        self.process_output(number);
         self.schedule_wake(number);
     }
 
-    /// Passes received messages on to the leases of a process, and sends what it has to send.
-    fn exchange(&mut self, number: usize) {
+    /// Passes received messages to the leases of a process, and sends what it has to send.
+    fn process_output(&mut self, number: usize) {
         self.handle_events(number);
         self.send_lease_messages(number);
         self.send_datagrams(number);
@@ -269,7 +280,7 @@
     fn handle_events(&mut self, number: usize) {
         let now = self.now;
         let host = &mut self.hosts[number];
-        let own = host.clock(now);
+        let local_time = host.clock(now);
         for event in host.node.take_events() {
             match event {
                 Event::MemberChanged { id, state } => {
@@ -282,7 +293,7 @@
                     bytes,
                 } => {
                     if let Some(leases) = &mut host.leases {
-                        leases.receive(&from, channel, &bytes, own);
+                        leases.receive(&from, channel, &bytes, local_time);
                     }
                 }
                 _ => {}
@@ -292,14 +303,14 @@
 
     fn send_lease_messages(&mut self, number: usize) {
         let host = &mut self.hosts[number];
-        let own = host.clock(self.now);
+        let local_time = host.clock(self.now);
         let Some(leases) = &mut host.leases else {
             return;
         };
         for outgoing in leases.take_outgoing() {
             for id in outgoing.to.processes(&host.node) {
                 host.node
-                    .send_message(&id, outgoing.channel, outgoing.bytes.clone(), own);
+                    .send_message(&id, outgoing.channel, outgoing.bytes.clone(), local_time);
             }
         }
     }
@@ -307,7 +318,7 @@
     fn send_datagrams(&mut self, number: usize) {
         let now = self.now;
         for (to, bytes) in self.hosts[number].node.take_datagrams() {
-            let Some(to) = self.number_of(to) else {
+            let Some(to) = self.number_at(to) else {
                 continue;
             };
             let link_fault = self
@@ -327,7 +338,8 @@
         }
     }
 
-    fn number_of(&self, at: SocketAddr) -> Option<usize> {
+    /// Returns the number of the process at this address.
+    fn number_at(&self, at: SocketAddr) -> Option<usize> {
         let SocketAddr::V4(at) = at else { return None };
         let [.., high, low] = at.ip().octets();
         let number = (usize::from(high) << 8 | usize::from(low)).checked_sub(1)?;
@@ -340,8 +352,11 @@
         if !host.alive || host.is_paused {
             return;
         }
-        let own = host.clock(now);
-        let due = host.leases.as_ref().and_then(|leases| leases.due(own));
+        let local_time = host.clock(now);
+        let due = host
+            .leases
+            .as_ref()
+            .and_then(|leases| leases.due(local_time));
         let due = due.map_or(host.node.due(), |due| due.min(host.node.due()));
         let at = host.simulated_time(due).max(now + Duration::from_micros(1));
         if host.wake_at != Some(at) {
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -1,5 +1,5 @@
-//! Which clients arrive when, and with what: drawn beforehand from a seed, so that the same seed
-//! gives the same clients whatever the relays do. No I/O.
+//! The clients of a run: when they arrive and what they ask for. All arrivals are drawn from a seed
+//! before the run, so that the same seed gives the same clients whatever the relays do. No I/O.
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 
@@ -8,23 +8,23 @@
 pub struct ClientProfile {
     /// The listener's name.
     pub name: String,
-    /// Its part of the arrivals, against the parts of others.
+    /// The listener's share of the arrivals, relative to the shares of other listeners.
     pub share: f64,
     /// How long such a client waits for its answer.
     pub answer_timeout: Duration,
     /// The latency objective of set-ups.
     pub handshake_target: Duration,
-    /// A message that takes no longer is well served.
+    /// The longest time in which the echo of a message counts as served.
     pub message_target: Duration,
-    /// A session's load, drawn evenly between the two.
+    /// The minimum and maximum load of a session, which is drawn uniformly between them.
     pub load: (f64, f64),
-    /// The mean lifetime, which has an exponential distribution.
+    /// The mean of a client's lifetime, which is exponentially distributed.
     pub mean_lifetime: Duration,
-    /// The worth of its sessions against those of others.
+    /// The weight of the listener's sessions relative to those of other listeners.
     pub priority_weight: f64,
 }
 
-/// Extra arrivals, evenly spread over a time.
+/// Additional arrivals, spread evenly over a time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Burst {
     /// When the first client arrives.
@@ -40,76 +40,77 @@
 pub struct Traffic {
     /// The clients of each listener.
     pub profiles: Vec<ClientProfile>,
-    /// Arrivals a second at each of these times, changing evenly between two of them.
+    /// Arrivals per second at each of these times, interpolated linearly between them.
     pub rate: Vec<(Instant, f64)>,
-    /// Arrivals besides these.
+    /// Arrivals in addition to the rate.
     pub bursts: Vec<Burst>,
     /// The number of different keys.
     pub keys: u64,
-    /// The number of groups; none where clients belong to no group.
+    /// The number of groups; `None` if clients belong to no group.
     pub groups: Option<u64>,
-    /// Retries of a client that was rejected or failed.
+    /// How often a client retries after its request was rejected or failed.
     pub retries: u32,
-    /// The part of the clients that wait for as long as a rejection asks them to.
+    /// The share of the clients that wait for the time that a rejection asks for.
     pub retry_after_share: f64,
-    /// The mean wait of the others.
+    /// The mean wait before a retry in all other cases.
     pub backoff: Duration,
-    /// The least and the greatest time after which a client connects again whose established
-    /// session was lost or migrated.
+    /// The minimum and maximum time after which a client connects again when its established session
+    /// was lost or asked to migrate.
     pub reconnect_delay: (Duration, Duration),
-    /// The part of the clients that leave before their answer.
+    /// The share of the clients that leave if their answer doesn't come soon enough.
     pub impatient_share: f64,
     /// The time between two messages of a client.
     pub message_interval: Duration,
 }
 
-/// The arrival of a client with all that was drawn for it.
+/// The arrival of a client, with the properties drawn for that client.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When it arrives.
+    /// When the client arrives.
     pub due: Instant,
-    /// Its profile, by its place in the traffic.
+    /// The index of the client's profile in [`Traffic::profiles`].
     pub profile: u16,
-    /// Its key.
+    /// The key in the client's requests.
     pub key: u64,
-    /// Its group, if it belongs to one.
+    /// The client's group, if it belongs to one.
     pub group: Option<u64>,
-    /// The load of its session.
+    /// The load of the client's session.
     pub load: f64,
-    /// How long it wants to be connected.
+    /// How long the client wants to be connected.
     pub lifetime: Duration,
-    /// It waits for as long as a rejection asks it to.
+    /// Whether the client waits for the time that a rejection asks for.
     pub heeds_retry_after: bool,
-    /// It leaves so long after its request if it has no answer by then.
+    /// How long after its request the client leaves if it has no answer by then.
     pub leaves_after: Option<Duration>,
-    /// Seeds what is drawn for it during the run.
+    /// The seed of the random numbers drawn for the client during the run.
     pub seed: u64,
 }
 
 impl Burst {
-    fn arrivals(self) -> impl Iterator<Item = Instant> {
+    fn arrival_times(self) -> impl Iterator<Item = Instant> {
         (0..self.clients)
             .map(move |number| self.begin + self.duration * (number as f64 / self.clients as f64))
     }
 }
 
-/// All arrivals before this time, in their order.
+/// Draws all arrivals before this time, ordered by time.
 pub fn draw_arrivals(traffic: &Traffic, until: Instant, seed: u64) -> Vec<Arrival> {
     let mut rng = Rng::from_seed(seed);
-    let mut due = steady_arrivals(traffic, until, &mut rng);
+    let mut due = draw_poisson_arrivals(traffic, until, &mut rng);
     for burst in &traffic.bursts {
-        due.extend(burst.arrivals());
+        due.extend(burst.arrival_times());
     }
     due.retain(|&at| at < until);
     due.sort();
     due.into_iter()
-        .map(|due| arrival(traffic, due, &mut rng))
+        .map(|due| draw_arrival(traffic, due, &mut rng))
         .collect()
 }
 
-/// Arrivals of a Poisson process by thinning: drawn at the highest rate, and kept with the part
-/// that the rate of their time is of it.
-fn steady_arrivals(traffic: &Traffic, until: Instant, rng: &mut Rng) -> Vec<Instant> {
+/// Draws the arrival times of a Poisson process with a varying rate by thinning: times are drawn at
+/// the highest rate, and each is kept with the probability of the rate at that time over the highest
+/// rate.
+fn draw_poisson_arrivals(traffic: &Traffic, until: Instant, rng: &mut Rng) -> Vec<Instant> {
     let highest_rate = traffic
         .rate
         .iter()
@@ -123,7 +124,7 @@
         until.duration_since(at)
     };
     loop {
-        at = at + exponential(rng, mean_interval).max(Duration::from_micros(1));
+        at = at + draw_exponential(rng, mean_interval).max(Duration::from_micros(1));
         if at >= until || highest_rate <= 0.0 {
             return due;
         }
@@ -133,30 +134,31 @@
     }
 }
 
-fn arrival(traffic: &Traffic, due: Instant, rng: &mut Rng) -> Arrival {
+/// Draws the properties of a client that arrives at this time.
+fn draw_arrival(traffic: &Traffic, due: Instant, rng: &mut Rng) -> Arrival {
     let shares: f64 = traffic.profiles.iter().map(|profile| profile.share).sum();
     let mut drawn = rng.unit_f64() * shares;
     let is_drawn = |profile: &ClientProfile| {
         drawn -= profile.share;
         drawn < 0.0
     };
-    let place = traffic
+    let profile_index = traffic
         .profiles
         .iter()
         .position(is_drawn)
         .unwrap_or(traffic.profiles.len() - 1);
-    let profile = &traffic.profiles[place];
+    let profile = &traffic.profiles[profile_index];
     let (low, high) = profile.load;
-    let key = skewed(rng, traffic.keys);
+    let key = draw_skewed(rng, traffic.keys);
     Arrival {
         due,
-        profile: place as u16,
+        profile: profile_index as u16,
         key: scattered_id(key),
         group: traffic
             .groups
-            .map(|groups| scattered_id(skewed(rng, groups))),
+            .map(|groups| scattered_id(draw_skewed(rng, groups))),
         load: low + (high - low) * rng.unit_f64(),
-        lifetime: exponential(rng, profile.mean_lifetime),
+        lifetime: draw_exponential(rng, profile.mean_lifetime),
         heeds_retry_after: rng.unit_f64() < traffic.retry_after_share,
         leaves_after: (rng.unit_f64() < traffic.impatient_share)
             .then(|| profile.answer_timeout * rng.unit_f64()),
@@ -164,17 +166,18 @@
     }
 }
 
-/// A number below the limit; small ones are drawn far more often.
-fn skewed(rng: &mut Rng, limit: u64) -> u64 {
+/// Draws a number below the limit from a skewed distribution: small numbers are far more likely.
+fn draw_skewed(rng: &mut Rng, limit: u64) -> u64 {
     (rng.unit_f64() * rng.unit_f64() * limit as f64) as u64
 }
 
 /// Draws from an exponential distribution.
-fn exponential(rng: &mut Rng, mean: Duration) -> Duration {
+fn draw_exponential(rng: &mut Rng, mean: Duration) -> Duration {
     mean * -(1.0 - rng.unit_f64()).ln()
 }
 
-/// The rate at a time: it changes evenly between two stated times, and stays after the last.
+/// Returns the rate at a time: zero before the first listed time, interpolated linearly between two
+/// of them, and constant after the last.
 fn rate_at(rates: &[(Instant, f64)], at: Instant) -> f64 {
     let next = rates.iter().position(|&(from, _)| from > at);
     match next {
@@ -189,7 +192,8 @@
     }
 }
 
-/// Turns successive numbers into ids that are far apart, by the finalizer of splitmix64.
+/// Returns an id for a number so that the ids of successive numbers are far apart. The bits are mixed
+/// by the finalizer of splitmix64.
 pub fn scattered_id(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/testbed/src/traffic/tests.rs
+++ b/testbed/src/traffic/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn traffic() -> Traffic {
-    let kind = |name: &str, share| ClientProfile {
+    let profile = |name: &str, share| ClientProfile {
         name: name.into(),
         share,
         answer_timeout: Duration::from_millis(1_000),
@@ -12,7 +12,7 @@
         priority_weight: 1.0,
     };
     Traffic {
-        profiles: vec![kind("one", 3.0), kind("two", 1.0)],
+        profiles: vec![profile("one", 3.0), profile("two", 1.0)],
         rate: vec![
             (Instant::default(), 0.0),
             (Instant::from_micros(10_000_000), 200.0),
@@ -34,23 +34,23 @@
 }
 
 #[test]
-fn same_seed_gives_same_arrivals() {
+fn arrivals_drawn_from_same_seed_are_identical() {
     let until = Instant::from_micros(20_000_000);
     let clients = draw_arrivals(&traffic(), until, 7);
     assert_eq!(clients, draw_arrivals(&traffic(), until, 7));
     assert_ne!(clients, draw_arrivals(&traffic(), until, 8));
-    // A ramp of ten seconds, ten seconds at its height, and the burst.
+    // The rate rises for ten seconds to 200 a second and stays there for ten; the burst adds 500.
     assert!((3_300..3_700).contains(&clients.len()), "{}", clients.len());
     assert!(clients.windows(2).all(|pair| pair[0].due <= pair[1].due));
-    let ones =
+    let share_of_one =
         clients.iter().filter(|client| client.profile == 0).count() as f64 / clients.len() as f64;
-    assert!((0.70..0.80).contains(&ones), "{ones}");
+    assert!((0.70..0.80).contains(&share_of_one), "{share_of_one}");
     let in_burst = |client: &&Arrival| (12_000_000..13_000_000).contains(&client.due.as_micros());
     assert!((640..760).contains(&clients.iter().filter(in_burst).count()));
-    let mean = clients
+    let mean_lifetime = clients
         .iter()
         .map(|client| client.lifetime.as_secs_f64())
         .sum::<f64>()
         / clients.len() as f64;
-    assert!((18.0..22.0).contains(&mean), "{mean}");
+    assert!((18.0..22.0).contains(&mean_lifetime), "{mean_lifetime}");
 }
