--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -14,7 +14,7 @@
     pub initial_share: f64,
     /// The time over which the share rises linearly to the full capacity.
     pub duration: Duration,
-    /// The multiple of the load it can take beyond which the backend is overloaded.
+    /// How many times the load that it can take overloads the backend.
     pub overload_factor: f64,
     /// The length of the window over which the load of attempts is summed.
     pub overload_window: Duration,
@@ -171,7 +171,7 @@
         }
     }
 
-    /// Updates the queued work: it grows while the load is above the capacity, and shrinks below.
+    /// Updates the queued work, which grows while the load exceeds the capacity and shrinks otherwise.
     fn update_queue(&mut self, now: Instant) {
         let elapsed = now.duration_since(self.updated_at).as_secs_f64();
         let queued = self.queued_seconds + elapsed * (self.load(now) - 1.0);
--- a/testbed/src/endpoint_list.rs
+++ b/testbed/src/endpoint_list.rs
@@ -46,7 +46,7 @@
         self.rows.iter().map(|(backend, (_, row))| (*backend, row))
     }
 
-    /// Adds or replaces a row.
+    /// Adds or replaces a backend's row, which begins a new generation.
     pub fn put(&mut self, backend: BackendIndex, row: EndpointRow) {
         self.generation += 1;
         self.rows.insert(backend, (self.generation, row));
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -1,6 +1,6 @@
 //! The network that forwards datagrams between relays, with faults for each directed link. Each relay
-//! has a public address, to which the other relays send; the network tells the sender of a datagram
-//! by its source address.
+//! has a public address, to which the other relays send. The network identifies the sender of a
+//! datagram by its source address.
 use crate::clock::Stopwatch;
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
 use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
--- a/testbed/src/simulated_backends/listener.rs
+++ b/testbed/src/simulated_backends/listener.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Returns the loopback address to listen at. It differs from 127.0.0.1, where local ports of
-    /// connections are taken, and in most cases from the addresses of concurrent runs.
+    /// Returns the loopback address to listen at. It is not 127.0.0.1, whose ports are taken by the
+    /// local ends of connections, and in most cases differs from the addresses of concurrent runs.
     fn loopback_address(self) -> Ipv4Addr {
         let (network, index) = match self {
             ListenerKey::Backend(index) => (0, index),
--- a/testbed/src/simulated_backends/sessions.rs
+++ b/testbed/src/simulated_backends/sessions.rs
@@ -121,7 +121,7 @@
                     Request::Open(request) => self.on_attempt(key, request, context),
                     Request::Malformed => {
                         context.record(Observation::Note {
-                            text: format!("SYNTAX box {} met {line:?}", index.0),
+                            text: format!("SYNTAX answered by backend {} to {line:?}", index.0),
                         });
                         self.send_last(key, protocol::SYNTAX_ERROR, context);
                     }
@@ -190,7 +190,8 @@
         );
     }
 
-    /// Handles the attempt as the present fault demands; returns false if no fault affects it.
+    /// Handles an attempt as the present fault demands. Returns true if a fault affected the attempt,
+    /// which then needs no further handling.
     fn answer_by_fault(
         &mut self,
         key: usize,
