--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -171,7 +171,8 @@
         }
     }
 
-    /// Updates the queued work, which grows while the load exceeds the capacity and shrinks otherwise.
+    /// Updates the queued work, which grows while the load exceeds the capacity and shrinks
+    /// otherwise.
     fn update_queue(&mut self, now: Instant) {
         let elapsed = now.duration_since(self.updated_at).as_secs_f64();
         let queued = self.queued_seconds + elapsed * (self.load(now) - 1.0);
--- a/testbed/src/clock.rs
+++ b/testbed/src/clock.rs
@@ -1,4 +1,5 @@
-//! The clock of a run, shared by all threads of the testbed. Instants count from the start of the run.
+//! The clock of a run, shared by all threads of the testbed. Instants count from the start of the
+//! run.
 use std::time::{SystemTime, UNIX_EPOCH};
 use thistlecroft::time::{Duration, Instant};
 
@@ -27,7 +28,8 @@
         Instant::from_micros(self.began.elapsed().as_micros() as u64)
     }
 
-    /// Converts an instant to Unix time in milliseconds, the form of start times in the endpoint list.
+    /// Converts an instant to Unix time in milliseconds, the form of start times in the endpoint
+    /// list.
     pub fn unix_ms(&self, at: Instant) -> u64 {
         self.began_at_unix_ms + at.as_millis()
     }
--- a/testbed/src/event_loop.rs
+++ b/testbed/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop that each thread of the testbed runs. It handles readiness of sockets, timers, and
-//! commands from the thread that runs the experiment.
+//! The event loop that each thread of the testbed runs. It handles readiness of sockets, timers,
+//! and commands from the thread that runs the experiment.
 use crate::clock::{Stopwatch, to_std};
 use crate::event_recorder::{EventRecorder, Observation};
 use polling::{Events, Poller};
@@ -17,8 +17,8 @@
 /// Added to each wait for a timer, so that the timer is due when the poller returns.
 const WAIT_MARGIN: std::time::Duration = std::time::Duration::from_micros(20);
 
-/// What an event loop provides to its handler: the time, the poller, the recorder and timers of type
-/// `T`.
+/// What an event loop provides to its handler: the time, the poller, the recorder and timers of
+/// type `T`.
 pub struct LoopContext<T> {
     /// The time of the event that is being handled.
     pub now: Instant,
--- a/testbed/src/line_socket.rs
+++ b/testbed/src/line_socket.rs
@@ -110,8 +110,8 @@
         self.set_interest(Interest::Write);
     }
 
-    /// Has the poller report input unless the peer has closed its sending direction, and writability
-    /// while output is buffered.
+    /// Has the poller report input unless the peer has closed its sending direction, and
+    /// writability while output is buffered.
     pub(crate) fn update_interest(&mut self) {
         self.set_interest(Interest::new(!self.peer_closed, !self.output.is_empty()));
     }
--- a/testbed/src/link_fault.rs
+++ b/testbed/src/link_fault.rs
@@ -1,5 +1,5 @@
-//! Faults of a link between two relays, in one direction: loss, delay, duplication and limited rate.
-//! No I/O.
+//! Faults of a link between two relays, in one direction: loss, delay, duplication and limited
+//! rate. No I/O.
 use thistlecroft::random::Rng;
 use thistlecroft::time::Duration;
 
@@ -10,8 +10,8 @@
     pub loss: f64,
     /// The delay of each datagram.
     pub delay: Duration,
-    /// The maximum of a random time, drawn uniformly, that is added to the delay. If it is greater than
-    /// the time between two datagrams, they may be reordered.
+    /// The maximum of a random time, drawn uniformly, that is added to the delay. If it is greater
+    /// than the time between two datagrams, they may be reordered.
     pub jitter: Duration,
     /// The probability that a datagram is duplicated.
     pub duplication: f64,
--- a/testbed/src/load_generator/client.rs
+++ b/testbed/src/load_generator/client.rs
@@ -55,7 +55,8 @@
     pub(super) last_message: u64,
     /// Time in the session before the first message, which is served if that message is.
     pub(super) time_before_first_message: Duration,
-    /// Numbers of the messages that have not been echoed yet, with the times at which they were sent.
+    /// Numbers of the messages that have not been echoed yet, with the times at which they were
+    /// sent.
     pub(super) outstanding: VecDeque<(u64, Instant)>,
     pub(super) rng: Rng,
     pub(super) misbehavior: Option<Misbehavior>,
--- a/testbed/src/load_generator/misbehaving.rs
+++ b/testbed/src/load_generator/misbehaving.rs
@@ -36,8 +36,8 @@
         }
     }
 
-    /// Handles a line for a misbehaving client. A client that never reads starts to flood when it is
-    /// accepted; all others leave at the first line.
+    /// Handles a line for a misbehaving client. A client that never reads starts to flood when it
+    /// is accepted; all others leave at the first line.
     pub(super) fn on_misbehaving_line(
         &mut self,
         key: usize,
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -1,6 +1,6 @@
-//! The network that forwards datagrams between relays, with faults for each directed link. Each relay
-//! has a public address, to which the other relays send. The network identifies the sender of a
-//! datagram by its source address.
+//! The network that forwards datagrams between relays, with faults for each directed link. Each
+//! relay has a public address, to which the other relays send. The network identifies the sender of
+//! a datagram by its source address.
 use crate::clock::Stopwatch;
 use crate::event_loop::{EventHandler, EventLoop, LoopContext};
 use crate::event_recorder::{EventRecorder, Observation, RelayIndex};
@@ -27,8 +27,8 @@
 
 /// A command to the network during a run.
 pub enum NetworkCommand {
-    /// Sets the fault of these links (sender and receiver); `None` clears it. Recorded events have the
-    /// fault under this name.
+    /// Sets the fault of these links (sender and receiver); `None` clears it. Recorded events have
+    /// the fault under this name.
     SetLinkFault(
         Vec<(RelayIndex, RelayIndex)>,
         Option<LinkFault>,
--- a/testbed/src/simulated_backends/accept.rs
+++ b/testbed/src/simulated_backends/accept.rs
@@ -18,17 +18,13 @@
 
 impl SimulatedBackends {
     /// Accepts waiting connections of a listener, up to a limit for each event.
-    pub(super) fn accept_connections(
-        &mut self,
-        key: ListenerKey,
-        context: &mut LoopContext<Timer>,
-    ) {
+    pub(super) fn accept_waiting(&mut self, key: ListenerKey, context: &mut LoopContext<Timer>) {
         for _ in 0..MAX_ACCEPTS_PER_EVENT {
             let Some(socket) = &self.listener(key).socket else {
                 return;
             };
             match socket.accept() {
-                Ok((stream, _)) => self.on_accepted(stream, key, context),
+                Ok((stream, _)) => self.on_accept(stream, key, context),
                 Err(error) if error.kind() == io::ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == io::ErrorKind::ConnectionAborted => {}
                 Err(error) => return self.pause_accepting(key, &error, context),
@@ -43,12 +39,7 @@
         }
     }
 
-    fn on_accepted(
-        &mut self,
-        stream: TcpStream,
-        key: ListenerKey,
-        context: &mut LoopContext<Timer>,
-    ) {
+    fn on_accept(&mut self, stream: TcpStream, key: ListenerKey, context: &mut LoopContext<Timer>) {
         let role = match key {
             ListenerKey::Agent(index) => {
                 Role::Agent(AgentConnection::new(RelayIndex(index as u16)))
--- a/testbed/src/simulated_backends/backend.rs
+++ b/testbed/src/simulated_backends/backend.rs
@@ -23,8 +23,8 @@
     pub(super) postponed_timers: Vec<Timer>,
     /// The most recent load report, as sent to relays.
     pub(super) report: String,
-    /// Incremented when the backend stops and when a fault is injected or cleared, so that timers set
-    /// before are ignored.
+    /// Incremented when the backend stops and when a fault is injected or cleared, so that timers
+    /// set before are ignored.
     pub(super) incarnation: u32,
     /// Unix time of the last start in milliseconds; 0 if it ran from the beginning.
     pub(super) started_at_ms: u64,
--- a/testbed/src/simulated_backends/handler.rs
+++ b/testbed/src/simulated_backends/handler.rs
@@ -7,8 +7,8 @@
 use crate::event_loop::{EventHandler, LoopContext};
 
 impl SimulatedBackends {
-    /// Returns the key of the connection that a timer refers to. Returns `None` if the connection is
-    /// gone, and if its backend is paused, which postpones the timer.
+    /// Returns the key of the connection that a timer refers to. Returns `None` if the connection
+    /// is gone, and if its backend is paused, which postpones the timer.
     fn connection_of_timer(&mut self, id: ConnectionId, timer: &Timer) -> Option<usize> {
         let connection = self.connections.get(id.key)?;
         if connection.serial != id.serial {
@@ -31,7 +31,7 @@
 
     fn on_ready(&mut self, key: usize, _writable: bool, context: &mut LoopContext<Timer>) {
         if let Some(listener) = ListenerKey::from_poller_key(key) {
-            return self.accept_connections(listener, context);
+            return self.accept_waiting(listener, context);
         }
         match self.connections.get(key).map(|connection| &connection.role) {
             Some(Role::Backend(_)) => self.on_backend_connection(key, context),
--- a/testbed/src/simulated_backends/listener.rs
+++ b/testbed/src/simulated_backends/listener.rs
@@ -19,8 +19,8 @@
 }
 
 impl ListenerKey {
-    /// Returns the key under which the listener is registered at the poller. Keys of connections are
-    /// slab keys, which never reach the flag bits.
+    /// Returns the key under which the listener is registered at the poller. Keys of connections
+    /// are slab keys, which never reach the flag bits.
     pub(super) fn to_poller_key(self) -> usize {
         match self {
             ListenerKey::Backend(index) => BACKEND_FLAG | index,
--- a/testbed/src/simulated_backends/plan.rs
+++ b/testbed/src/simulated_backends/plan.rs
@@ -13,8 +13,8 @@
     pub zone: String,
     /// The backend's cell within the zone.
     pub cell: u16,
-    /// Whether the backend runs and is listed from the beginning. Otherwise a command starts it, and
-    /// it warms up.
+    /// Whether the backend runs and is listed from the beginning. Otherwise a command starts it,
+    /// and it warms up.
     pub initially_running: bool,
 }
 
@@ -47,10 +47,11 @@
     InjectFault(BackendIndex, BackendFault),
     /// Clears the present fault.
     ClearFault(BackendIndex),
-    /// Stops the backend immediately. If a time is given, the backend restarts after it and warms up.
+    /// Stops the backend immediately. If a time is given, the backend restarts after it and warms
+    /// up.
     Crash(BackendIndex, Option<Duration>),
-    /// Drains the backend: it rejects new sessions, migrates its sessions one by one and stops after
-    /// this time.
+    /// Drains the backend: it rejects new sessions, migrates its sessions one by one and stops
+    /// after this time.
     Drain(BackendIndex, Duration),
     /// Starts a backend that is not running; it then warms up.
     Start(BackendIndex),
--- a/testbed/src/simulated_backends/sessions.rs
+++ b/testbed/src/simulated_backends/sessions.rs
@@ -190,8 +190,8 @@
         );
     }
 
-    /// Handles an attempt as the present fault demands. Returns true if a fault affected the attempt,
-    /// which then needs no further handling.
+    /// Handles an attempt as the present fault demands. Returns true if a fault affected the
+    /// attempt, which then needs no further handling.
     fn answer_by_fault(
         &mut self,
         key: usize,
--- a/testbed/src/simulated_network/network.rs
+++ b/testbed/src/simulated_network/network.rs
@@ -80,8 +80,8 @@
         }
     }
 
-    /// Sets the limits in bytes per second for all that a process sends (`rate`) and for lease updates
-    /// (`update_rate`). They apply to processes that are started from now on.
+    /// Sets the limits in bytes per second for all that a process sends (`rate`) and for lease
+    /// updates (`update_rate`). They apply to processes that are started from now on.
     pub fn set_rates(&mut self, rate: u32, update_rate: u32) {
         self.config.max_bytes_per_second = rate;
         self.lease_config
@@ -176,9 +176,9 @@
         self.now = until;
     }
 
-    /// Runs the network until the predicate holds, and returns how long that took in simulated time.
-    /// Returns `None` if the predicate doesn't hold within the time limit. The predicate is evaluated
-    /// ten times per probe interval.
+    /// Runs the network until the predicate holds, and returns how long that took in simulated
+    /// time. Returns `None` if the predicate doesn't hold within the time limit. The predicate is
+    /// evaluated ten times per probe interval.
     pub fn run_until(
         &mut self,
         timeout: Duration,
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -54,8 +54,8 @@
     pub retry_after_share: f64,
     /// The mean wait before a retry in all other cases.
     pub backoff: Duration,
-    /// The minimum and maximum time after which a client connects again when its established session
-    /// was lost or asked to migrate.
+    /// The minimum and maximum time after which a client connects again when its established
+    /// session was lost or asked to migrate.
     pub reconnect_delay: (Duration, Duration),
     /// The share of the clients that leave if their answer doesn't come soon enough.
     pub impatient_share: f64,
@@ -108,8 +108,8 @@
 }
 
 /// Draws the arrival times of a Poisson process with a varying rate by thinning: times are drawn at
-/// the highest rate, and each is kept with the probability of the rate at that time over the highest
-/// rate.
+/// the highest rate, and each is kept with the probability of the rate at that time over the
+/// highest rate.
 fn draw_poisson_arrivals(traffic: &Traffic, until: Instant, rng: &mut Rng) -> Vec<Instant> {
     let highest_rate = traffic
         .rate
@@ -192,8 +192,8 @@
     }
 }
 
-/// Returns an id for a number so that the ids of successive numbers are far apart. The bits are mixed
-/// by the finalizer of splitmix64.
+/// Returns an id for a number so that the ids of successive numbers are far apart. The bits are
+/// mixed by the finalizer of splitmix64.
 pub fn scattered_id(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
