--- a/testbed/tests/faulty_relays/scenario.rs
+++ b/testbed/tests/faulty_relays/scenario.rs
@@ -16,7 +16,7 @@
 use thistlecroft_testbed::simulated_backends::{
     BackendCommand, BackendPlan, BackendSpec, OpenedBackends, SimulatedBackends,
 };
-use thistlecroft_testbed::traffic::{ClientProfile, Traffic, arrivals};
+use thistlecroft_testbed::traffic::{ClientProfile, Traffic, draw_arrivals};
 
 /// The time within which all clients must be gone after the end of the traffic.
 const CLIENTS_GONE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(20);
@@ -162,14 +162,14 @@
             keys: 50,
             groups: None,
             retries: 0,
-            heeds_retry_after: 1.0,
+            retry_after_share: 1.0,
             backoff: Duration::from_millis(50),
             reconnect_delay: (Duration::from_millis(50), Duration::from_millis(100)),
             impatient_share: 0.0,
             message_interval: Duration::from_millis(300),
         };
         LoadPlan {
-            arrivals: (1..).zip(arrivals(&traffic, end, 3)).collect(),
+            arrivals: (1..).zip(draw_arrivals(&traffic, end, 3)).collect(),
             traffic,
             end,
             endpoints,
