--- a/cli/src/experiment/measure_peers.rs
+++ b/cli/src/experiment/measure_peers.rs
@@ -34,11 +34,11 @@
 pub(crate) fn run(args: &MeasurePeersArgs) -> Result<(), CommandError> {
     let period = args.checked_period()?;
     args.check_ranges()?;
-    let mut results = membership::simulated_all(&args.trials(&args.simulated, period));
+    let mut results = membership::run_simulated(&args.trials(&args.simulated, period));
     // One after the other: they share the machine's cores.
     for trial in args.trials(&args.processes, period) {
-        let found =
-            membership::processes(trial, &own_relay()?, &args.out).map_err(CommandError::failed)?;
+        let found = membership::run_with_processes(trial, &own_relay()?, &args.out)
+            .map_err(CommandError::failed)?;
         results.push((trial, found));
     }
     print!("{}", membership::table(&results));
--- a/experiments/src/membership/mod.rs
+++ b/experiments/src/membership/mod.rs
@@ -4,8 +4,8 @@
 mod simulated;
 mod table;
 
-pub use processes::{MembershipError, processes};
-pub use simulated::simulated_all;
+pub use processes::{MembershipError, run_with_processes};
+pub use simulated::run_simulated;
 pub use table::table;
 
 use thistlecroft::time::Duration;
--- a/experiments/src/membership/processes.rs
+++ b/experiments/src/membership/processes.rs
@@ -23,7 +23,7 @@
 ///
 /// # Errors
 /// What could not be set up.
-pub fn processes(
+pub fn run_with_processes(
     trial: Trial,
     program: &[String],
     folder: &Path,
--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -17,7 +17,7 @@
 
 /// Runs each trial on a thread, as many at once as there are cores. Results come in the order in
 /// which trials end.
-pub fn simulated_all(trials: &[Trial]) -> Vec<(Trial, Measured)> {
+pub fn run_simulated(trials: &[Trial]) -> Vec<(Trial, Measured)> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
