--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -115,7 +115,7 @@
         let scenario = Scenario::parse(&name, &text).map_err(FileError::Scenario)?;
         return Ok(CheckedFile::Scenario(Box::new(scenario)));
     }
-    if Budget::is_one(&text) {
+    if Budget::is_budget(&text) {
         let budget =
             Budget::parse(&text).map_err(|error| FileError::Budget(name.to_string(), error))?;
         return Ok(CheckedFile::Budget(budget));
@@ -159,7 +159,7 @@
             format!("an operator configuration: {routes} routes, {soundness}")
         }
         CheckedFile::Budget(budget) => {
-            format!("a budget for lab scale: {} limits", budget.limits())
+            format!("a budget for lab scale: {} limits", budget.limit_count())
         }
     }
 }
--- a/experiments/src/scale/budget.rs
+++ b/experiments/src/scale/budget.rs
@@ -62,7 +62,7 @@
 
 impl Budget {
     /// Whether a text is meant to be one.
-    pub fn is_one(text: &str) -> bool {
+    pub fn is_budget(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[budget]")
     }
 
@@ -82,7 +82,7 @@
     }
 
     /// How many limits are stated.
-    pub fn limits(&self) -> usize {
+    pub fn limit_count(&self) -> usize {
         let numbers = [
             self.relay_sent_bytes_s,
             self.relay_received_bytes_s,
--- a/experiments/tests/golden.rs
+++ b/experiments/tests/golden.rs
@@ -229,9 +229,9 @@
     for path in shipped() {
         let text = std::fs::read_to_string(&path).unwrap();
         let name = path.file_name().unwrap().to_string_lossy().into_owned();
-        if Budget::is_one(&text) {
+        if Budget::is_budget(&text) {
             let budget = Budget::parse(&text).unwrap();
-            writeln!(recording, "{name}: {} limits", budget.limits()).unwrap();
+            writeln!(recording, "{name}: {} limits", budget.limit_count()).unwrap();
             assert!(Budget::parse(&format!("{text}\nunheard_of = 1\n")).is_err());
             continue;
         }
