--- a/cli/src/experiment/mod.rs
+++ b/cli/src/experiment/mod.rs
@@ -63,7 +63,7 @@
         ExperimentVerb::Scale(args) => scale::run(&args),
         ExperimentVerb::Slope(args) => slope::run(&args),
         ExperimentVerb::Hollow => {
-            thistlecroft_experiments::scale::work().map_err(CommandError::failed)
+            thistlecroft_experiments::scale::run_worker().map_err(CommandError::failed)
         }
         ExperimentVerb::Peers(args) => measure_peers::run(&args),
     }
--- a/experiments/src/scale/mod.rs
+++ b/experiments/src/scale/mod.rs
@@ -28,7 +28,7 @@
 pub use ownership_observer::{Holding, OwnershipObserver};
 pub use real_relays::RealFigures;
 pub use slope::{Line, Slope, Variable, slopes, sweep, table as slope_table};
-pub use worker::work;
+pub use worker::run_worker;
 
 /// What happens while a run goes on, for whoever watches.
 pub type Progress<'a> = &'a mut dyn FnMut(&str);
@@ -36,7 +36,7 @@
 /// What is run as processes, with its arguments.
 #[derive(Clone, Debug, Default)]
 pub struct Programs {
-    /// Serves `work`.
+    /// Serves `run_worker`.
     pub hollow: Vec<String>,
     /// Serves as a relay.
     pub relay: Vec<String>,
--- a/experiments/src/scale/worker/mod.rs
+++ b/experiments/src/scale/worker/mod.rs
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 /// The system refused something.
-pub fn work() -> Result<(), ScaleError> {
+pub fn run_worker() -> Result<(), ScaleError> {
     let poller = Arc::new(Poller::new()?);
     let commands = read_commands(poller.clone());
     let mut worker = Worker {
