--- a/cli/src/experiment/scale.rs
+++ b/cli/src/experiment/scale.rs
@@ -110,16 +110,16 @@
             rate: self.rate,
             voter_rate: self.voter_rate,
             zones: self.zones,
-            first_region: self.first_region,
-            rack: self.rack,
+            first_region_zones: self.first_region,
+            relays_per_rack: self.rack,
             fault: self.fault.into(),
             calm_s: self.calm,
             cut_s: self.cut,
             loss: self.loss,
             seed: self.seed,
             simulated: self.simulated,
-            each_process: self.each_process,
-            real: self.real,
+            relays_per_process: self.each_process,
+            real_relays: self.real,
         }
     }
 
--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -59,9 +59,11 @@
     /// Zones.
     pub zones: usize,
     /// The zones up to this one are the first region.
-    pub first_region: usize,
+    #[serde(rename = "first_region")]
+    pub first_region_zones: usize,
     /// Relays of one rack.
-    pub rack: usize,
+    #[serde(rename = "rack")]
+    pub relays_per_rack: usize,
     /// What is done once the fleet is calm.
     pub fault: Fault,
     /// Seconds that calm is measured.
@@ -75,9 +77,11 @@
     /// Over simulated links, in place of UDP on loopback.
     pub simulated: bool,
     /// Hollow relays of one process.
-    pub each_process: usize,
+    #[serde(rename = "each_process")]
+    pub relays_per_process: usize,
     /// Real relays in the fleet beside them.
-    pub real: usize,
+    #[serde(rename = "real")]
+    pub real_relays: usize,
 }
 
 impl ScaleConfig {
@@ -87,7 +91,7 @@
             voters: self.voters,
             relays: self.relays,
             zones: self.zones,
-            rack: self.rack,
+            relays_per_rack: self.relays_per_rack,
         }
     }
 
@@ -153,7 +157,7 @@
         if !self.simulated && self.fault == Fault::Region {
             return Err(InvalidOption::new("fault region", simulated_only));
         }
-        if self.simulated && self.real > 0 {
+        if self.simulated && self.real_relays > 0 {
             return Err(InvalidOption::new("real", "not over simulated links"));
         }
         if !self.simulated && self.loss > 0.0 {
@@ -167,10 +171,10 @@
         check_range("subjects", self.subjects, 0..=MAX_VOTER_SUBJECTS)?;
         check_range("voters", self.voters, 1..=MAX_VOTERS)?;
         check_range("zones", self.zones, 1..=self.relays)?;
-        check_range("first-region", self.first_region, 1..=self.zones)?;
-        check_range("rack", self.rack, 1..=self.relays)?;
-        check_range("each-process", self.each_process, 1..=1_000)?;
-        check_range("real", self.real, 0..=MAX_REAL)?;
+        check_range("first-region", self.first_region_zones, 1..=self.zones)?;
+        check_range("rack", self.relays_per_rack, 1..=self.relays)?;
+        check_range("each-process", self.relays_per_process, 1..=1_000)?;
+        check_range("real", self.real_relays, 0..=MAX_REAL)?;
         check_range("calm", self.calm_s as usize, 2..=3_600)?;
         check_range("cut", self.cut_s as usize, 1..=3_600)?;
         check_range("period", self.period_ms as usize, 50..=60_000)?;
@@ -181,7 +185,7 @@
 
     /// Processes of hollow relays, and one for each voter.
     pub fn processes(&self) -> usize {
-        self.relays.div_ceil(self.each_process) + self.voters + self.real
+        self.relays.div_ceil(self.relays_per_process) + self.voters + self.real_relays
     }
 
     /// Checks that the fleet fits this machine: under half of its memory, and a few hundred
--- a/experiments/src/scale/layout.rs
+++ b/experiments/src/scale/layout.rs
@@ -22,7 +22,7 @@
     /// How many zones there are.
     pub zones: usize,
     /// Relays of one rack.
-    pub rack: usize,
+    pub relays_per_rack: usize,
 }
 
 impl Layout {
@@ -78,7 +78,7 @@
             Fault::Zone => all.filter(|member| self.zone(*member) == 0).collect(),
             Fault::Rack => {
                 let relays = all.filter(|member| *member >= first_relay && self.zone(*member) == 0);
-                relays.take(self.rack).collect()
+                relays.take(self.relays_per_rack).collect()
             }
         }
     }
--- a/experiments/src/scale/outcome.rs
+++ b/experiments/src/scale/outcome.rs
@@ -74,7 +74,8 @@
     /// What a voter costs.
     pub voter: Option<Cost>,
     /// Of real relays in the fleet, in calm.
-    pub real: Option<RealFigures>,
+    #[serde(rename = "real")]
+    pub real_relays: Option<RealFigures>,
     /// Pairs of holdings of one subject by two at once.
     pub two_owners: usize,
     /// Holdings whose epoch did not grow.
--- a/experiments/src/scale/outcome_table.rs
+++ b/experiments/src/scale/outcome_table.rs
@@ -19,7 +19,7 @@
         }
         lines.extend(self.relay.map(|cost| cost_line("relay", cost)));
         lines.extend(self.voter.map(|cost| cost_line("voter", cost)));
-        lines.extend(self.real.as_ref().map(real_line));
+        lines.extend(self.real_relays.as_ref().map(real_line));
         lines.push(format!(
             "owned at the end {} of {}; {} holdings seen, two owners at once {}, \
              epochs that did not grow {}",
--- a/experiments/src/scale/processes/fleet.rs
+++ b/experiments/src/scale/processes/fleet.rs
@@ -62,7 +62,7 @@
         fleet.send_all(&Command::Start {
             seeds: seeds.clone(),
         })?;
-        if config.real > 0 {
+        if config.real_relays > 0 {
             fleet.real_relays = Some(RealRelays::start(config, &seeds, &programs.relay)?);
         }
         Ok(fleet)
@@ -70,7 +70,7 @@
 
     /// All members, hollow and real.
     pub(super) fn size(&self) -> usize {
-        self.layout.size() + self.config.real
+        self.layout.size() + self.config.real_relays
     }
 
     /// The addresses of all hollow members, in order.
@@ -155,7 +155,7 @@
             statuses.filter(|status| status.living > 0)
         };
         let living: usize = playing().map(|status| status.living).sum();
-        living + self.config.real == size
+        living + self.config.real_relays == size
             && playing().all(|status| status.sees_least == size && status.sees_most == size)
     }
 
@@ -277,6 +277,10 @@
 fn groups(config: &ScaleConfig, layout: Layout) -> Vec<Vec<usize>> {
     let relays: Vec<usize> = (config.voters..layout.size()).collect();
     let mut groups: Vec<Vec<usize>> = (0..config.voters).map(|voter| vec![voter]).collect();
-    groups.extend(relays.chunks(config.each_process).map(<[usize]>::to_vec));
+    groups.extend(
+        relays
+            .chunks(config.relays_per_process)
+            .map(<[usize]>::to_vec),
+    );
     groups
 }
--- a/experiments/src/scale/processes/mod.rs
+++ b/experiments/src/scale/processes/mod.rs
@@ -34,7 +34,7 @@
     fleet.end_phase("settle", None)?;
     fleet.real_relays.iter_mut().for_each(RealRelays::begin);
     fleet.run_for(Duration::from_secs(config.calm_s), progress)?;
-    let real: Option<RealFigures> = fleet.real_relays.as_ref().map(RealRelays::figures);
+    let real_relays: Option<RealFigures> = fleet.real_relays.as_ref().map(RealRelays::figures);
     fleet.end_phase("calm", None)?;
     let calm = fleet.costs.last().copied().unwrap_or_default();
     if config.fault != Fault::None {
@@ -52,7 +52,7 @@
         phases: std::mem::take(&mut fleet.phases),
         relay: Some(calm.with_worst(Role::Relay, &fleet.costs)),
         voter: Some(calm.with_worst(Role::Voter, &fleet.costs)),
-        real,
+        real_relays,
         two_owners: two_owners(&holdings),
         epochs_not_grown: epochs_not_grown(&holdings),
         holdings: holdings.len(),
--- a/experiments/src/scale/real_relays.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -65,21 +65,27 @@
         let folder =
             std::env::temp_dir().join(format!("thistlecroft-scale-{}", std::process::id()));
         let times = (config.period(), config.term());
-        let mut plan = ClusterPlan::small(program.to_vec(), config.real, 0, times, folder.clone());
+        let mut plan = ClusterPlan::small(
+            program.to_vec(),
+            config.real_relays,
+            0,
+            times,
+            folder.clone(),
+        );
         plan.config.health_checks = false;
         let mut cluster = ProcessCluster::open(plan).map_err(failed)?;
         let key = folder.join("scale.key");
         std::fs::write(&key, &config.peer_terms(Role::Relay).secret).map_err(failed)?;
-        for number in 0..config.real {
+        for number in 0..config.real_relays {
             let listen = free_address(FIRST_ADDRESS + number).map_err(failed)?;
             cluster
                 .start_with(number, table(config, listen, seeds, &key))
                 .map_err(failed)?;
         }
-        let before = vec![Sample::default(); config.real];
+        let before = vec![Sample::default(); config.real_relays];
         Ok(RealRelays {
             cluster,
-            count: config.real,
+            count: config.real_relays,
             before,
             sampled: Instant::now(),
         })
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -64,7 +64,7 @@
         phases,
         relay: None,
         voter: None,
-        real: None,
+        real_relays: None,
         two_owners: two_owners(&holdings),
         epochs_not_grown: epochs_not_grown(&holdings),
         holdings: holdings.len(),
@@ -251,7 +251,7 @@
     /// The two sides of it.
     fn cut_region(&mut self) -> [BTreeSet<usize>; 2] {
         let layout = self.config.layout();
-        let is_first = |member: &usize| layout.zone(*member) < self.config.first_region;
+        let is_first = |member: &usize| layout.zone(*member) < self.config.first_region_zones;
         let (first, second): (Vec<usize>, Vec<usize>) = (0..layout.size()).partition(is_first);
         self.network.partition(&first, &second);
         [first.into_iter().collect(), second.into_iter().collect()]
--- a/experiments/src/scale/slope/figures.rs
+++ b/experiments/src/scale/slope/figures.rs
@@ -70,10 +70,10 @@
     }),
     figure("voter, MB", |outcome| Some(outcome.voter?.memory_mb)),
     figure("real relay, calm, sent B/s", |outcome| {
-        Some(outcome.real?.sent_mean)
+        Some(outcome.real_relays?.sent_mean)
     }),
     figure("real relay, view at its door, bytes", |outcome| {
-        Some(outcome.real?.view_bytes as f64)
+        Some(outcome.real_relays?.view_bytes as f64)
     }),
     figure("two owners at once", |outcome| {
         Some(outcome.two_owners as f64)
--- a/experiments/tests/scale.rs
+++ b/experiments/tests/scale.rs
@@ -14,16 +14,16 @@
         rate: 9_000,
         voter_rate: 262_144,
         zones: 5,
-        first_region: 3,
-        rack: 4,
+        first_region_zones: 3,
+        relays_per_rack: 4,
         fault: Fault::Relay,
         calm_s: 30,
         cut_s: 30,
         loss: 0.005,
         seed: 11,
         simulated: true,
-        each_process: 10,
-        real: 0,
+        relays_per_process: 10,
+        real_relays: 0,
     }
 }
 
