--- a/experiments/src/membership/mod.rs
+++ b/experiments/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! What knowing of one another costs relays and how fast it is: the same code over simulated links by
-//! the hundred, and as processes of this machine.
+//! Measures how fast relays learn of each other and what it costs. The same protocol code runs over
+//! simulated links, with hundreds of relays, and in processes on this machine.
 mod processes;
 mod simulated;
 mod table;
@@ -10,46 +10,49 @@
 
 use thistlecroft::time::Duration;
 
-/// How long is waited for a condition, in periods.
-const MAX_PERIODS: f64 = 400.0;
-/// How long is waited for a note to reach all, in periods.
-const MAX_NOTE_PERIODS: f64 = 200.0;
+/// Timeout for a condition, in probe periods.
+const MAX_WAIT_PERIODS: f64 = 400.0;
+/// Timeout for a note to reach all relays, in probe periods.
+const MAX_NOTE_WAIT_PERIODS: f64 = 200.0;
 const SECONDS_PER_HOUR: f64 = 3_600.0;
 
-/// One size, under one loss, by one seed.
+/// One measurement: a fleet size, a loss rate and a seed.
 #[derive(Clone, Copy, Debug)]
 pub struct Trial {
-    /// Relays.
+    /// Number of relays.
     pub size: usize,
-    /// The part of datagrams that is lost.
+    /// Probability that a datagram is lost, from 0 to 1.
     pub loss: f64,
-    /// The seed.
+    /// Seed of the random number generators.
     pub seed: u64,
     /// The probe period.
     pub period: Duration,
 }
 
-/// What a trial measured. Times are counted in periods; none where a condition was never met.
+/// The results of one trial. Times are in probe periods, and `None` if the condition was not met
+/// before the timeout.
 #[derive(Clone, Debug, Default)]
-pub struct Measured {
-    /// From the start of all at once until all see all.
+pub struct Measurements {
+    /// From the simultaneous start of all relays until each sees all others.
     pub(crate) join: Option<f64>,
-    /// From a death until the first relay declares it.
+    /// From the death of a relay until the first survivor declares it dead.
     pub(crate) first_detection: Option<f64>,
-    /// From a death until all relays have declared it.
+    /// From the death of a relay until all survivors have declared it dead.
     pub(crate) last_detection: Option<f64>,
-    /// The bound on the latter.
+    /// The protocol's upper bound on a detection without loss.
     pub(crate) detection_bound: f64,
-    /// From a note's announcement until all know it.
-    pub(crate) note: Option<f64>,
-    /// Suspicions of relays that were well, of the whole fleet an hour at a period of a second.
-    pub(crate) suspicions: f64,
-    /// The same of relays declared dead.
-    pub(crate) false_deaths: f64,
-    /// Bytes that a relay sends a period, while nothing happens.
-    pub(crate) bytes: f64,
-    /// CPU time of a relay a second, in microseconds; only processes have it.
-    pub(crate) cpu_us: Option<f64>,
+    /// From the announcement of a note until all relays know it.
+    pub(crate) note_known: Option<f64>,
+    /// Suspicions of live relays per hour, summed over all observers, at a probe period of one
+    /// second.
+    pub(crate) suspicions_per_hour: f64,
+    /// Live relays declared dead per hour, summed over all observers, at a probe period of one
+    /// second. Measured over simulated links only.
+    pub(crate) false_deaths_per_hour: f64,
+    /// Bytes that a relay sends per probe period while no relay starts or stops.
+    pub(crate) bytes_per_period: f64,
+    /// CPU time of a relay per second, in microseconds; `None` over simulated links.
+    pub(crate) cpu_us_per_s: Option<f64>,
 }
 
 impl Trial {
--- a/experiments/src/membership/processes.rs
+++ b/experiments/src/membership/processes.rs
@@ -1,5 +1,5 @@
-//! Trials with relays as processes.
-use super::{MAX_NOTE_PERIODS, MAX_PERIODS, Measured, SECONDS_PER_HOUR, Trial};
+//! Runs trials whose relays are processes on this machine.
+use super::{MAX_NOTE_WAIT_PERIODS, MAX_WAIT_PERIODS, Measurements, SECONDS_PER_HOUR, Trial};
 use std::path::Path;
 use thiserror::Error;
 use thistlecroft::time::Duration;
@@ -9,32 +9,33 @@
 use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
 
 const MAX_VOTERS: usize = 3;
-const LEASE: Duration = Duration::from_millis(2_000);
-/// Within this many periods the news of the start has gone round, and voters are no longer silent.
+const LEASE_TERM: Duration = Duration::from_millis(2_000);
+/// Probe periods after which gossip about the start has ended and voters are no longer silent.
 const SETTLING_PERIODS: f64 = 30.0;
-const CALM: Duration = Duration::from_millis(10_000);
+/// How long traffic, suspicions and CPU time are measured while no relay starts or stops.
+const CALM_TIME: Duration = Duration::from_millis(10_000);
 
 /// Why a trial with processes could not be run.
 #[derive(Debug, Error)]
 #[error("{0}")]
 pub struct MembershipError(String);
 
-/// Runs the program as so many relays.
+/// Runs one trial, with a process of `program` for each relay and their files below `folder`.
 ///
 /// # Errors
-/// What could not be set up.
+/// Returns an error if the processes can't be set up or started.
 pub fn run_with_processes(
     trial: Trial,
     program: &[String],
     folder: &Path,
-) -> Result<Measured, MembershipError> {
+) -> Result<Measurements, MembershipError> {
     let mut cluster = Cluster::start(trial, program, folder)?;
-    let mut measured = Measured {
-        detection_bound: trial.in_periods(cluster.pace().detection_bound(trial.size, 0)),
-        ..Measured::default()
+    let mut measured = Measurements {
+        detection_bound: trial.in_periods(cluster.protocol_timing().detection_bound(trial.size, 0)),
+        ..Measurements::default()
     };
     let relays = cluster.relays.clone();
-    let join = cluster.wait(MAX_PERIODS, |cluster| {
+    let join = cluster.wait_for(MAX_WAIT_PERIODS, |cluster| {
         cluster.membership_is_consistent(&relays)
     });
     measured.join = trial.optional_in_periods(join);
@@ -58,7 +59,7 @@
             program.to_vec(),
             size,
             MAX_VOTERS.min(size),
-            (trial.period, LEASE),
+            (trial.period, LEASE_TERM),
             folder.join(format!("peers-{size}")),
         );
         plan.seed = trial.seed;
@@ -77,13 +78,13 @@
         })
     }
 
-    fn pace(&self) -> ProtocolTiming {
+    fn protocol_timing(&self) -> ProtocolTiming {
         ProtocolTiming {
             probe_interval: self.trial.period,
         }
     }
 
-    fn wait(&self, periods: f64, is_met: impl Fn(&ProcessCluster) -> bool) -> Option<Duration> {
+    fn wait_for(&self, periods: f64, is_met: impl Fn(&ProcessCluster) -> bool) -> Option<Duration> {
         self.processes
             .wait_until(self.trial.period * periods, is_met)
     }
@@ -98,64 +99,65 @@
             .set_link_fault(&self.relays, &self.relays, fault);
     }
 
-    /// A counter's sum over all relays.
-    fn count(&self, name: &str) -> u64 {
-        let views = self.relays.iter();
-        views
+    /// Returns the sum of a counter over all relays.
+    fn sum_counter(&self, name: &str) -> u64 {
+        let relays = self.relays.iter();
+        relays
             .filter_map(|&relay| self.processes.membership(relay)?["counts"][name].as_u64())
             .sum()
     }
 
-    fn cpu_time(&self) -> Duration {
+    fn total_cpu_time(&self) -> Duration {
         let relays = self.relays.iter();
         relays
             .filter_map(|&relay| self.processes.cpu_time(relay))
             .fold(Duration::ZERO, |sum, time| sum + time)
     }
 
-    /// Periods are counted by probes, of which each relay sends one a period: the counters
-    /// themselves are asked for outside of it.
-    fn measure_calm(&self, measured: &mut Measured) {
+    /// Measures traffic, false suspicions and CPU time while no relay starts or stops. The probe
+    /// periods are derived from the probe counters (each relay sends one probe per period), because
+    /// reading the counters of all relays takes time beyond `CALM_TIME`.
+    fn measure_calm(&self, measured: &mut Measurements) {
         std::thread::sleep(to_std(self.trial.period * SETTLING_PERIODS));
         let size = self.trial.size as f64;
-        let probes_before = self.count("probes");
-        let bytes_before = self.count("sent_bytes");
-        let suspected_before = self.count("suspected");
-        let cpu_before = self.cpu_time();
-        std::thread::sleep(to_std(CALM));
-        let cpu = self.cpu_time() - cpu_before;
-        measured.cpu_us = Some(cpu.as_micros() as f64 / CALM.as_secs_f64() / size);
-        let periods = (self.count("probes") - probes_before) as f64 / size;
-        let bytes = (self.count("sent_bytes") - bytes_before) as f64;
-        let suspected = (self.count("suspected") - suspected_before) as f64;
-        measured.bytes = bytes / size / periods.max(1.0);
-        measured.suspicions = suspected / periods.max(1.0) * SECONDS_PER_HOUR;
+        let probes_before = self.sum_counter("probes");
+        let bytes_before = self.sum_counter("sent_bytes");
+        let suspected_before = self.sum_counter("suspected");
+        let cpu_before = self.total_cpu_time();
+        std::thread::sleep(to_std(CALM_TIME));
+        let cpu = self.total_cpu_time() - cpu_before;
+        measured.cpu_us_per_s = Some(cpu.as_micros() as f64 / CALM_TIME.as_secs_f64() / size);
+        let periods = (self.sum_counter("probes") - probes_before) as f64 / size;
+        let bytes = (self.sum_counter("sent_bytes") - bytes_before) as f64;
+        let suspected = (self.sum_counter("suspected") - suspected_before) as f64;
+        measured.bytes_per_period = bytes / size / periods.max(1.0);
+        measured.suspicions_per_hour = suspected / periods.max(1.0) * SECONDS_PER_HOUR;
     }
 
-    fn measure_note(&self, measured: &mut Measured) {
+    fn measure_note(&self, measured: &mut Measurements) {
         let announcer = self.trial.size / 2;
         self.processes
             .admin_command(announcer, "NOTE subject value");
-        let knows = |cluster: &ProcessCluster, relay| {
+        let knows_note = |cluster: &ProcessCluster, relay| {
             let notes = cluster.admin_command(relay, "NOTES");
             notes.is_some_and(|notes| notes.contains("\"value\""))
         };
-        let time = self.wait(MAX_NOTE_PERIODS, |cluster| {
-            self.relays.iter().all(|&relay| knows(cluster, relay))
+        let time = self.wait_for(MAX_NOTE_WAIT_PERIODS, |cluster| {
+            self.relays.iter().all(|&relay| knows_note(cluster, relay))
         });
-        measured.note = self.trial.optional_in_periods(time);
+        measured.note_known = self.trial.optional_in_periods(time);
     }
 
-    fn measure_death(&mut self, measured: &mut Measured) {
+    fn measure_death(&mut self, measured: &mut Measurements) {
         let victim = self.trial.size - 1;
         self.processes.kill(victim);
         let dead = format!("relay-{victim}");
         let survivors = &self.relays[..victim];
-        let first = self.wait(MAX_PERIODS, |cluster| {
+        let first = self.wait_for(MAX_WAIT_PERIODS, |cluster| {
             let mut survivors = survivors.iter();
             survivors.any(|&relay| sees_dead(cluster, relay, &dead))
         });
-        let others = self.wait(MAX_PERIODS, |cluster| {
+        let others = self.wait_for(MAX_WAIT_PERIODS, |cluster| {
             let mut survivors = survivors.iter();
             survivors.all(|&relay| sees_dead(cluster, relay, &dead))
         });
@@ -165,7 +167,7 @@
     }
 }
 
-/// Whether a relay says at its admin port that another is dead.
+/// Returns whether a relay reports at its admin port that the relay called `name` is dead.
 fn sees_dead(cluster: &ProcessCluster, relay: usize, name: &str) -> bool {
     let membership = cluster.membership(relay);
     let peers = membership
--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -1,23 +1,25 @@
-//! Trials over simulated links.
-use super::{MAX_NOTE_PERIODS, MAX_PERIODS, Measured, SECONDS_PER_HOUR, Trial};
+//! Runs trials over simulated links.
+use super::{MAX_NOTE_WAIT_PERIODS, MAX_WAIT_PERIODS, Measurements, SECONDS_PER_HOUR, Trial};
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use thistlecroft_peers::{EntryKind, MemberState, NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
-/// Bytes a second that a relay sends at most.
-const RATE: u32 = 32_768;
-/// Relays that a new one is told to contact.
-const SEEDS: usize = 3;
-/// Before calm is measured, in periods.
+/// Most bytes that a relay sends per second.
+const MAX_BYTES_PER_SECOND: u32 = 32_768;
+/// Number of relays whose addresses a new relay is given.
+const SEED_COUNT: usize = 3;
+/// Probe periods between the join of all relays and the measurement of the calm fleet.
 const SETTLING_PERIODS: f64 = 60.0;
-/// Calm is measured over as many periods of relays in all at each size, within these bounds.
+/// The calm fleet is measured for this many probe periods divided by its size, so that each size
+/// yields about as many samples.
 const CALM_RELAY_PERIODS: f64 = 24_000.0;
-const CALM_PERIODS: (f64, f64) = (60.0, 600.0);
+/// Least and most probe periods of the measurement of the calm fleet.
+const CALM_PERIOD_LIMITS: (f64, f64) = (60.0, 600.0);
 
-/// Runs each trial on a thread, as many at once as there are cores. Results come in the order in
-/// which trials end.
-pub fn run_simulated(trials: &[Trial]) -> Vec<(Trial, Measured)> {
+/// Runs the trials over simulated links, as many at a time as there are cores. Results are in the
+/// order in which the trials end.
+pub fn run_simulated(trials: &[Trial]) -> Vec<(Trial, Measurements)> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let next = AtomicUsize::new(0);
     let results = Mutex::new(Vec::new());
@@ -25,47 +27,49 @@
         for _ in 0..cores {
             scope.spawn(|| {
                 while let Some(trial) = trials.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let result = (*trial, simulated(*trial));
+                    let result = (*trial, run_trial(*trial));
                     results
                         .lock()
-                        .expect("nobody panics holding it")
+                        .expect("no thread panics while it holds the lock")
                         .push(result);
                 }
             });
         }
     });
-    results.into_inner().expect("nobody panics holding it")
+    results
+        .into_inner()
+        .expect("no thread panics while it holds the lock")
 }
 
-fn simulated(trial: Trial) -> Measured {
+fn run_trial(trial: Trial) -> Measurements {
     let Trial { size, period, .. } = trial;
-    let pace = ProtocolTiming {
+    let protocol_timing = ProtocolTiming {
         probe_interval: period,
     };
     let mut network = SimulatedNetwork::new(
         NodeConfig {
             fleet: "network".into(),
             secret: vec![7; 16],
-            timing: pace,
-            max_bytes_per_second: RATE,
+            timing: protocol_timing,
+            max_bytes_per_second: MAX_BYTES_PER_SECOND,
         },
         None,
-        SEEDS,
+        SEED_COUNT,
         trial.seed,
     );
     for number in 0..size {
         network.start(&format!("r{number}"), 1.0);
     }
     let join = network.run_until(
-        period * MAX_PERIODS,
+        period * MAX_WAIT_PERIODS,
         SimulatedNetwork::membership_is_consistent,
     );
     network.default_link_fault.loss = trial.loss;
     network.run_for(period * SETTLING_PERIODS);
-    let mut measured = Measured {
-        detection_bound: trial.in_periods(pace.detection_bound(size, 0)),
+    let mut measured = Measurements {
+        detection_bound: trial.in_periods(protocol_timing.detection_bound(size, 0)),
         join: trial.optional_in_periods(join),
-        ..Measured::default()
+        ..Measurements::default()
     };
     measure_calm(&mut network, trial, &mut measured);
     measure_note(&mut network, trial, &mut measured);
@@ -73,9 +77,9 @@
     measured
 }
 
-/// What it costs while nothing happens, and who is suspected though well.
-fn measure_calm(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measured) {
-    let (least, most) = CALM_PERIODS;
+/// Measures traffic, false suspicions and false deaths while no relay starts or stops.
+fn measure_calm(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measurements) {
+    let (least, most) = CALM_PERIOD_LIMITS;
     let periods = (CALM_RELAY_PERIODS / trial.size as f64).clamp(least, most);
     let sent_before = sent_bytes(network);
     let suspected_before = state_changes(network, MemberState::Suspect);
@@ -84,9 +88,9 @@
     let suspected = state_changes(network, MemberState::Suspect) - suspected_before;
     let dead = state_changes(network, MemberState::Dead) - dead_before;
     let sent = sent_bytes(network) - sent_before;
-    measured.bytes = sent as f64 / periods / trial.size as f64;
-    measured.suspicions = suspected / periods * SECONDS_PER_HOUR;
-    measured.false_deaths = dead / periods * SECONDS_PER_HOUR;
+    measured.bytes_per_period = sent as f64 / periods / trial.size as f64;
+    measured.suspicions_per_hour = suspected / periods * SECONDS_PER_HOUR;
+    measured.false_deaths_per_hour = dead / periods * SECONDS_PER_HOUR;
 }
 
 fn sent_bytes(network: &SimulatedNetwork) -> u64 {
@@ -94,14 +98,14 @@
     hosts.map(|host| host.node.counts.sent_bytes).sum()
 }
 
-/// How often any relay has taken another to be in this state.
+/// Counts how often any relay changed its view of another to `state`.
 fn state_changes(network: &SimulatedNetwork, state: MemberState) -> f64 {
     let changes = network.hosts.iter().flat_map(|host| &host.member_changes);
     changes.filter(|change| change.state == state).count() as f64
 }
 
-/// How long a note takes to reach all.
-fn measure_note(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measured) {
+/// Measures how long a note takes to reach all relays.
+fn measure_note(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measurements) {
     network.act(trial.size / 2, |host, now| {
         host.node
             .announce(EntryKind::Note, b"subject", b"value", now);
@@ -116,17 +120,17 @@
                 .is_some()
         })
     };
-    let time = network.run_until(trial.period * MAX_NOTE_PERIODS, is_known);
-    measured.note = trial.optional_in_periods(time);
+    let time = network.run_until(trial.period * MAX_NOTE_WAIT_PERIODS, is_known);
+    measured.note_known = trial.optional_in_periods(time);
 }
 
-/// How long it takes until the first and until all have noticed a death.
-fn measure_death(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measured) {
+/// Measures the time from a relay's death until the first and until all others declare it dead.
+fn measure_death(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measurements) {
     let victim = trial.size - 1;
     let dead = network.hosts[victim].node.me().clone();
     network.kill(victim);
     let has_noticed = |host: &Host| host.node.state_of(&dead) == Some(MemberState::Dead);
-    let timeout = trial.period * MAX_PERIODS;
+    let timeout = trial.period * MAX_WAIT_PERIODS;
     let first = network.run_until(timeout, |network| network.hosts.iter().any(has_noticed));
     let others = network.run_until(timeout, |network| {
         let alive = network.hosts.iter().filter(|host| host.alive);
