--- a/experiments/src/scale/assignment.rs
+++ b/experiments/src/scale/assignment.rs
@@ -1,28 +1,30 @@
-//! Which relay is to own a subject: a stand-in for the part above leases that assigns shards. Every
-//! relay works it out from the members that it sees; only the lease decides who owns.
+//! Assigns subjects to relays. It simulates the layer above leases that assigns shards: every relay
+//! computes the assignment from the members that it sees, but only the lease decides which relay
+//! owns a subject.
 use super::layout::Layout;
 use std::collections::BTreeSet;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_leases::Leases;
 use thistlecroft_peers::{MemberState, Node};
 
-/// How long a subject is wanted once it is assigned here: until it is released.
-const FOR_LONG: Duration = Duration::from_millis(1_000 * 3_600 * 24);
-/// Relays tried for a subject in a row, beyond which nobody is to own it.
-const TRIES: u64 = 64;
+/// How long an assigned subject is claimed: longer than any run, so in effect until its release.
+const CLAIM_TIME: Duration = Duration::from_millis(1_000 * 3_600 * 24);
+/// Relays that are considered for a subject; if none of them is alive, no relay claims it.
+const MAX_CANDIDATES: u64 = 64;
 
-/// What one member of the fleet is to own.
+/// The subjects that one member of the fleet should own.
 #[derive(Clone, Debug)]
 pub struct Assignment {
     layout: Layout,
     subjects: usize,
     member: usize,
-    /// Members seen at the last look.
+    /// Live members when the assignment was last computed.
     seen: BTreeSet<usize>,
-    owned: BTreeSet<usize>,
+    /// Subjects that this member claims.
+    claimed: BTreeSet<usize>,
 }
 
-fn mixed(value: u64) -> u64 {
+fn mix_bits(value: u64) -> u64 {
     // The finalizer of SplitMix64: a fixed permutation of 64 bits.
     let value = (value ^ value >> 30).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let value = (value ^ value >> 27).wrapping_mul(0x94d0_49bb_1331_11eb);
@@ -42,36 +44,36 @@
 }
 
 impl Assignment {
-    /// A member that owns nothing yet.
+    /// Creates the assignment of `member`, which claims no subject yet.
     pub fn new(layout: Layout, subjects: usize, member: usize) -> Assignment {
         Assignment {
             layout,
             subjects,
             member,
             seen: BTreeSet::new(),
-            owned: BTreeSet::new(),
+            claimed: BTreeSet::new(),
         }
     }
 
-    /// The relay that is tried for a subject: the first in turn, so that relays own equally many,
-    /// then by a hash.
-    fn candidate(&self, subject: usize, attempt: u64) -> usize {
+    /// Returns the candidate of this rank for a subject. The first candidates are chosen
+    /// round-robin, so that all relays own equally many subjects, and the others by a hash.
+    fn candidate(&self, subject: usize, rank: u64) -> usize {
         let relays = self.layout.relays;
-        let relay = match attempt {
+        let relay = match rank {
             0 => subject % relays,
-            _ => (mixed(subject as u64 ^ attempt << 32) % relays as u64) as usize,
+            _ => (mix_bits(subject as u64 ^ rank << 32) % relays as u64) as usize,
         };
         self.layout.voters + relay
     }
 
-    fn owner(&self, subject: usize, seen: &BTreeSet<usize>) -> Option<usize> {
-        (0..TRIES)
-            .map(|attempt| self.candidate(subject, attempt))
+    fn intended_owner(&self, subject: usize, seen: &BTreeSet<usize>) -> Option<usize> {
+        (0..MAX_CANDIDATES)
+            .map(|rank| self.candidate(subject, rank))
             .find(|member| seen.contains(member))
     }
 
-    /// Subjects whose first candidate is that relay.
-    fn first_of(&self, member: usize) -> impl Iterator<Item = usize> + use<> {
+    /// Returns the subjects whose first candidate is `member`.
+    fn first_choice_subjects(&self, member: usize) -> impl Iterator<Item = usize> + use<> {
         let (first, relays, subjects) = (
             member - self.layout.voters,
             self.layout.relays,
@@ -80,15 +82,18 @@
         (first..subjects).step_by(relays)
     }
 
-    fn assigned(&self, seen: &BTreeSet<usize>) -> BTreeSet<usize> {
+    fn assigned_subjects(&self, seen: &BTreeSet<usize>) -> BTreeSet<usize> {
         let relays = self.layout.voters..self.layout.size();
         let missing = relays.filter(|member| !seen.contains(member));
-        let inherited = missing.flat_map(|member| self.first_of(member));
-        let inherited = inherited.filter(|subject| self.owner(*subject, seen) == Some(self.member));
-        self.first_of(self.member).chain(inherited).collect()
+        let inherited = missing.flat_map(|member| self.first_choice_subjects(member));
+        let inherited =
+            inherited.filter(|subject| self.intended_owner(*subject, seen) == Some(self.member));
+        self.first_choice_subjects(self.member)
+            .chain(inherited)
+            .collect()
     }
 
-    /// Acquires and releases what has changed with the members that are seen.
+    /// Claims and releases subjects as the assignment changes with the live members.
     pub fn apply(&mut self, node: &Node, leases: &mut Leases, now: Instant) {
         if self.member < self.layout.voters {
             return;
@@ -103,14 +108,14 @@
         if seen == self.seen {
             return;
         }
-        let assigned = self.assigned(&seen);
-        for subject in assigned.difference(&self.owned) {
-            // A relay wants more than it may only where hardly any other is left.
-            let _ = leases.acquire(&subject_name(*subject), now + FOR_LONG, now);
+        let assigned = self.assigned_subjects(&seen);
+        for subject in assigned.difference(&self.claimed) {
+            // An error means too many claims, and that hardly any other relay is alive.
+            let _ = leases.acquire(&subject_name(*subject), now + CLAIM_TIME, now);
         }
-        for subject in self.owned.difference(&assigned) {
+        for subject in self.claimed.difference(&assigned) {
             leases.release(&subject_name(*subject), now);
         }
-        (self.seen, self.owned) = (seen, assigned);
+        (self.seen, self.claimed) = (seen, assigned);
     }
 }
--- a/experiments/src/scale/budget.rs
+++ b/experiments/src/scale/budget.rs
@@ -1,43 +1,43 @@
-//! A budget that a run is held to, from a file.
+//! Budgets: limits for the results of a scale test, read from a file.
 use super::outcome::{Outcome, Phase};
 use serde::Deserialize;
 use thiserror::Error;
 
-/// Limits; one that is not stated is not checked.
+/// Limits for the results of a scale test. A limit that is `None` is not checked.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Budget {
-    /// Of the relay that sends, or receives, most in calm.
+    /// Bytes per second sent by the relay that sends most while the fleet is calm.
     pub relay_sent_bytes_s: Option<f64>,
-    /// Received by the relay that receives most in calm.
+    /// Bytes per second received by the relay that receives most while the fleet is calm.
     pub relay_received_bytes_s: Option<f64>,
-    /// Of the worst second of any relay, in any phase.
+    /// Bytes sent, or received, by any relay within one second of any phase.
     pub relay_worst_second_bytes: Option<u64>,
-    /// Of a core, in calm.
+    /// CPU usage of a relay while the fleet is calm, in percent of a core.
     pub relay_cpu_percent: Option<f64>,
-    /// Megabytes of a relay.
+    /// Memory of a relay in megabytes.
     pub relay_memory_mb: Option<f64>,
-    /// Sent by the voter that sends most in calm.
+    /// Bytes per second sent by the voter that sends most while the fleet is calm.
     pub voter_sent_bytes_s: Option<f64>,
-    /// Of a core, in calm.
+    /// CPU usage of a voter while the fleet is calm, in percent of a core.
     pub voter_cpu_percent: Option<f64>,
-    /// Megabytes of a voter.
+    /// Memory of a voter in megabytes.
     pub voter_memory_mb: Option<f64>,
-    /// From the start of all, and from the fault, until all agree and until all is owned.
+    /// Seconds from the start until all members agree on who is alive.
     pub start_members_s: Option<f64>,
-    /// From the start until all is owned.
+    /// Seconds from the start until all subjects are owned.
     pub start_owned_s: Option<f64>,
-    /// From the fault until all agree.
+    /// Seconds from the fault until all members agree on who is alive.
     pub fault_members_s: Option<f64>,
-    /// From the fault until all is owned.
+    /// Seconds from the fault until all subjects are owned.
     pub fault_owned_s: Option<f64>,
-    /// Pairs of owners of one subject at once.
+    /// Number of times that two members owned a subject at the same time.
     pub two_owners: Option<usize>,
-    /// Subjects without an owner at the end.
+    /// Number of subjects without an owner at the end.
     pub not_owned: Option<usize>,
 }
 
-/// A limit that was not kept.
+/// A limit that a run exceeded.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{limit}: {measured} measured, {allowed} allowed")]
 pub struct BudgetViolation {
@@ -46,7 +46,7 @@
     allowed: String,
 }
 
-/// A text that is no budget.
+/// Why a text can't be parsed as a budget.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("line {line}: {reason}")]
 pub struct BudgetError {
@@ -61,15 +61,15 @@
 }
 
 impl Budget {
-    /// Whether a text is meant to be one.
+    /// Returns whether a text is meant as a budget, which is whether it has a `[budget]` table.
     pub fn is_budget(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[budget]")
     }
 
-    /// Reads the text of a budget.
+    /// Parses the text of a budget file.
     ///
     /// # Errors
-    /// Where the text is no budget.
+    /// Returns an error if the text is not TOML, or has an unknown key or a value of a wrong type.
     pub fn parse(text: &str) -> Result<Budget, BudgetError> {
         let file: Result<BudgetFile, toml::de::Error> = toml::from_str(text);
         file.map(|file| file.budget).map_err(|error| {
@@ -81,7 +81,7 @@
         })
     }
 
-    /// How many limits are stated.
+    /// Returns the number of limits that are set.
     pub fn limit_count(&self) -> usize {
         let numbers = [
             self.relay_sent_bytes_s,
@@ -102,32 +102,32 @@
             + usize::from(self.relay_worst_second_bytes.is_some())
     }
 
-    /// The limits that a run did not keep.
+    /// Returns the limits that a run exceeded.
     pub fn check(&self, outcome: &Outcome) -> Vec<BudgetViolation> {
-        let mut check = Check::default();
+        let mut check = BudgetCheck::default();
         self.check_traffic(outcome, &mut check);
         self.check_costs(outcome, &mut check);
         self.check_convergence(outcome, &mut check);
         let not_owned = outcome.config.subjects.saturating_sub(outcome.owned_at_end);
-        check.count("two_owners", outcome.two_owners, self.two_owners);
-        check.count("not_owned", not_owned, self.not_owned);
+        check.compare_count("two_owners", outcome.two_owners, self.two_owners);
+        check.compare_count("not_owned", not_owned, self.not_owned);
         check.violations
     }
 
-    fn check_traffic(&self, outcome: &Outcome, check: &mut Check) {
+    fn check_traffic(&self, outcome: &Outcome, check: &mut BudgetCheck) {
         if let Some(calm) = outcome.phase("calm") {
             let (relay, voter) = (&calm.relay, &calm.voter);
-            check.number(
+            check.compare_number(
                 "relay_sent_bytes_s",
                 relay.sent_of_worst,
                 self.relay_sent_bytes_s,
             );
-            check.number(
+            check.compare_number(
                 "relay_received_bytes_s",
                 relay.received_of_worst,
                 self.relay_received_bytes_s,
             );
-            check.number(
+            check.compare_number(
                 "voter_sent_bytes_s",
                 voter.sent_of_worst,
                 self.voter_sent_bytes_s,
@@ -139,60 +139,60 @@
         };
         let worst = outcome.phases.iter().map(worst_second).max().unwrap_or(0);
         let allowed = self.relay_worst_second_bytes.map(|bytes| bytes as f64);
-        check.number("relay_worst_second_bytes", worst as f64, allowed);
+        check.compare_number("relay_worst_second_bytes", worst as f64, allowed);
     }
 
-    /// A simulated run has no costs of a process.
-    fn check_costs(&self, outcome: &Outcome, check: &mut Check) {
+    /// Checks CPU usage and memory, which simulated runs don't measure.
+    fn check_costs(&self, outcome: &Outcome, check: &mut BudgetCheck) {
         if let Some(relay) = outcome.relay {
-            check.number(
+            check.compare_number(
                 "relay_cpu_percent",
                 relay.cpu_percent,
                 self.relay_cpu_percent,
             );
-            check.number("relay_memory_mb", relay.memory_mb, self.relay_memory_mb);
+            check.compare_number("relay_memory_mb", relay.memory_mb, self.relay_memory_mb);
         }
         if let Some(voter) = outcome.voter {
-            check.number(
+            check.compare_number(
                 "voter_cpu_percent",
                 voter.cpu_percent,
                 self.voter_cpu_percent,
             );
-            check.number("voter_memory_mb", voter.memory_mb, self.voter_memory_mb);
+            check.compare_number("voter_memory_mb", voter.memory_mb, self.voter_memory_mb);
         }
     }
 
-    fn check_convergence(&self, outcome: &Outcome, check: &mut Check) {
+    fn check_convergence(&self, outcome: &Outcome, check: &mut BudgetCheck) {
         let converged = |phase| outcome.phase(phase).and_then(|phase| phase.converged);
         if let Some(start) = converged("start") {
-            check.time("start_members_s", start.members_s, self.start_members_s);
-            check.time("start_owned_s", start.owned_s, self.start_owned_s);
+            check.compare_time("start_members_s", start.members_s, self.start_members_s);
+            check.compare_time("start_owned_s", start.owned_s, self.start_owned_s);
         }
         if let Some(fault) = converged("fault") {
-            check.time("fault_members_s", fault.members_s, self.fault_members_s);
-            check.time("fault_owned_s", fault.owned_s, self.fault_owned_s);
+            check.compare_time("fault_members_s", fault.members_s, self.fault_members_s);
+            check.compare_time("fault_owned_s", fault.owned_s, self.fault_owned_s);
         }
     }
 }
 
-/// The violations found so far.
+/// Compares results with limits and collects the violations.
 #[derive(Default)]
-struct Check {
+struct BudgetCheck {
     violations: Vec<BudgetViolation>,
 }
 
-impl Check {
-    fn number(&mut self, limit: &'static str, measured: f64, allowed: Option<f64>) {
-        self.time(limit, Some(measured), allowed);
+impl BudgetCheck {
+    fn compare_number(&mut self, limit: &'static str, measured: f64, allowed: Option<f64>) {
+        self.compare_time(limit, Some(measured), allowed);
     }
 
-    fn count(&mut self, limit: &'static str, measured: usize, allowed: Option<usize>) {
+    fn compare_count(&mut self, limit: &'static str, measured: usize, allowed: Option<usize>) {
         let allowed = allowed.map(|allowed| allowed as f64);
-        self.number(limit, measured as f64, allowed);
+        self.compare_number(limit, measured as f64, allowed);
     }
 
-    /// A time that was never reached is a violation as well.
-    fn time(&mut self, limit: &'static str, measured: Option<f64>, allowed: Option<f64>) {
+    /// Records a violation if the time is above its limit, or was never reached.
+    fn compare_time(&mut self, limit: &'static str, measured: Option<f64>, allowed: Option<f64>) {
         let Some(allowed) = allowed else { return };
         if measured.is_some_and(|measured| measured <= allowed) {
             return;
--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -1,4 +1,4 @@
-//! What is run: sizes, times and the fault.
+//! The configuration of a scale test: sizes, times and the fault.
 use super::error::MachineError;
 use super::layout::{Layout, Role};
 use serde::{Deserialize, Serialize};
@@ -8,84 +8,84 @@
 use thistlecroft_leases::{Electorate, LeaseConfig, MAX_VOTER_SUBJECTS};
 use thistlecroft_peers::{NodeConfig, ProtocolTiming};
 
-/// The part of a relay's rate that attaching and detaching subjects may take, as in the relay.
-const UPDATE_SHARE: u32 = 2;
+/// Attaching and detaching subjects may use the byte rate divided by this, as in real relays.
+const UPDATE_RATE_DIVISOR: u32 = 2;
 const BYTES_PER_MIB: u64 = 1_024 * 1_024;
-/// What a hollow relay is assumed to need.
+/// Memory that a hollow relay is assumed to need.
 const BYTES_PER_HOLLOW_RELAY: u64 = 2 * BYTES_PER_MIB;
 const MAX_LOSS: f64 = 0.9;
 const MAX_PROCESSES: usize = 200;
 const MAX_RELAYS: usize = 4_000;
 const MAX_VOTERS: usize = 7;
-const MAX_REAL: usize = 24;
-/// Addresses that a process knows at its start.
-pub(super) const SEEDS: usize = 3;
+const MAX_REAL_RELAYS: usize = 24;
+/// Most seed addresses that a member is started with.
+pub(super) const MAX_SEEDS: usize = 3;
 
-/// What is done to the fleet once it is calm.
+/// The fault that is injected into the calm fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     None,
     /// One relay is killed.
     Relay,
-    /// A rack: relays of one zone that stand together.
+    /// A rack is killed: relays that stand together in one zone.
     Rack,
-    /// A zone, and the voter in it.
+    /// All members of one zone are killed, voters included.
     Zone,
     /// One voter is killed.
     Voter,
-    /// The zones of one region are cut off from the others, and healed. Over simulated links alone.
+    /// The zones of one region are cut off from the others for a time. Over simulated links only.
     Region,
 }
 
-/// A run, in full.
+/// The complete configuration of a run.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ScaleConfig {
-    /// Hollow relays.
+    /// Number of hollow relays.
     pub relays: usize,
-    /// Subjects that the fleet owns.
+    /// Number of subjects that the fleet should own.
     pub subjects: usize,
-    /// Voters.
+    /// Number of voters.
     pub voters: usize,
     /// The probe period in milliseconds.
     pub period_ms: u64,
-    /// The time of a lease in milliseconds.
+    /// The term of a lease in milliseconds.
     pub term_ms: u64,
-    /// Bytes a second that a relay sends at most.
+    /// Most bytes that a relay sends per second.
     pub rate: u32,
-    /// Bytes a second that a voter sends at most.
+    /// Most bytes that a voter sends per second.
     pub voter_rate: u32,
-    /// Zones.
+    /// Number of zones.
     pub zones: usize,
-    /// The zones up to this one are the first region.
+    /// Number of zones in the first region; the other zones are the second region.
     #[serde(rename = "first_region")]
     pub first_region_zones: usize,
-    /// Relays of one rack.
+    /// Number of relays in a rack.
     #[serde(rename = "rack")]
     pub relays_per_rack: usize,
-    /// What is done once the fleet is calm.
+    /// The fault that is injected into the calm fleet.
     pub fault: Fault,
-    /// Seconds that calm is measured.
+    /// Seconds for which the calm fleet is measured.
     pub calm_s: u64,
-    /// Seconds that a region is cut off.
+    /// Seconds that a region stays cut off once both sides have converged.
     pub cut_s: u64,
-    /// Part of the datagrams that is lost, over simulated links.
+    /// Probability that a datagram is lost, from 0 to 1. Over simulated links only.
     pub loss: f64,
-    /// The seed.
+    /// Seed of the random number generators.
     pub seed: u64,
-    /// Over simulated links, in place of UDP on loopback.
+    /// Whether the fleet runs over simulated links instead of UDP on loopback.
     pub simulated: bool,
-    /// Hollow relays of one process.
+    /// Number of hollow relays in a process.
     #[serde(rename = "each_process")]
     pub relays_per_process: usize,
-    /// Real relays in the fleet beside them.
+    /// Number of real relays in the fleet, in addition to the hollow ones.
     #[serde(rename = "real")]
     pub real_relays: usize,
 }
 
 impl ScaleConfig {
-    /// Where the members stand.
+    /// Returns the arrangement of the members.
     pub fn layout(&self) -> Layout {
         Layout {
             voters: self.voters,
@@ -95,37 +95,37 @@
         }
     }
 
-    /// The probe period.
+    /// Returns the probe period.
     pub fn period(&self) -> Duration {
         Duration::from_millis(self.period_ms)
     }
 
-    /// The time of a lease.
+    /// Returns the term of a lease.
     pub fn term(&self) -> Duration {
         Duration::from_millis(self.term_ms)
     }
 
-    /// Bytes a second that a member sends at most.
-    pub fn rate_of(&self, role: Role) -> u32 {
+    /// Returns the most bytes that a member of this role sends per second.
+    pub fn max_rate(&self, role: Role) -> u32 {
         match role {
             Role::Voter => self.voter_rate,
             Role::Relay => self.rate,
         }
     }
 
-    /// What a member of this role is started with.
-    pub fn peer_terms(&self, role: Role) -> NodeConfig {
+    /// Returns the membership configuration of a member of this role.
+    pub fn node_config(&self, role: Role) -> NodeConfig {
         NodeConfig {
             fleet: "scale".into(),
             secret: b"a key for scale tests alone".to_vec(),
             timing: ProtocolTiming {
                 probe_interval: self.period(),
             },
-            max_bytes_per_second: self.rate_of(role),
+            max_bytes_per_second: self.max_rate(role),
         }
     }
 
-    /// How a member of this role asks for and grants leases.
+    /// Returns the lease configuration of a member of this role.
     pub fn lease_config(&self, role: Role) -> LeaseConfig {
         let layout = self.layout();
         let voters = (0..self.voters)
@@ -139,14 +139,14 @@
         LeaseConfig {
             electorate,
             term: self.term(),
-            update_rate: self.rate_of(role) / UPDATE_SHARE,
+            update_rate: self.max_rate(role) / UPDATE_RATE_DIVISOR,
         }
     }
 
-    /// Checks each option.
+    /// Checks that all options are within their ranges and fit together.
     ///
     /// # Errors
-    /// The first option that is out of its range.
+    /// Returns the first option that is out of its range or doesn't fit the others.
     pub fn validate(&self) -> Result<(), InvalidOption> {
         self.check_ranges()?;
         let simulated_only = "over simulated links only (--simulated)";
@@ -158,7 +158,7 @@
             return Err(InvalidOption::new("fault region", simulated_only));
         }
         if self.simulated && self.real_relays > 0 {
-            return Err(InvalidOption::new("real", "not over simulated links"));
+            return Err(InvalidOption::new("real", "not possible with --simulated"));
         }
         if !self.simulated && self.loss > 0.0 {
             return Err(InvalidOption::new("loss", simulated_only));
@@ -174,7 +174,7 @@
         check_range("first-region", self.first_region_zones, 1..=self.zones)?;
         check_range("rack", self.relays_per_rack, 1..=self.relays)?;
         check_range("each-process", self.relays_per_process, 1..=1_000)?;
-        check_range("real", self.real_relays, 0..=MAX_REAL)?;
+        check_range("real", self.real_relays, 0..=MAX_REAL_RELAYS)?;
         check_range("calm", self.calm_s as usize, 2..=3_600)?;
         check_range("cut", self.cut_s as usize, 1..=3_600)?;
         check_range("period", self.period_ms as usize, 50..=60_000)?;
@@ -183,18 +183,19 @@
         check_range("voter-rate", self.voter_rate as usize, 4_096..=16_777_216)
     }
 
-    /// Processes of hollow relays, and one for each voter.
-    pub fn processes(&self) -> usize {
+    /// Returns the number of processes: those of hollow relays, and one for each voter and each
+    /// real relay.
+    pub fn process_count(&self) -> usize {
         self.relays.div_ceil(self.relays_per_process) + self.voters + self.real_relays
     }
 
-    /// Checks that the fleet fits this machine: under half of its memory, and a few hundred
-    /// processes.
+    /// Checks that the fleet fits this machine: at most half of its memory, and at most
+    /// `MAX_PROCESSES` processes.
     ///
     /// # Errors
-    /// What there is too little of.
+    /// Returns the limit that the fleet exceeds.
     pub fn check_machine(&self) -> Result<(), MachineError> {
-        let processes = self.processes();
+        let processes = self.process_count();
         if processes > MAX_PROCESSES {
             return Err(MachineError::Processes {
                 needed: processes,
@@ -202,7 +203,7 @@
             });
         }
         let needed = (self.relays + self.voters) as u64 * BYTES_PER_HOLLOW_RELAY;
-        let half = memory_total().map_or(u64::MAX, |total| total / 2);
+        let half = total_memory_bytes().map_or(u64::MAX, |total| total / 2);
         if needed > half {
             return Err(MachineError::Memory {
                 needed_mib: needed / BYTES_PER_MIB,
@@ -214,7 +215,7 @@
     }
 }
 
-/// An option that is out of its range.
+/// An option whose value is out of its range or doesn't fit the other options.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("--{option}: {reason}")]
 pub struct InvalidOption {
@@ -244,8 +245,8 @@
     Err(InvalidOption::new(option, reason))
 }
 
-/// The machine's memory in bytes.
-fn memory_total() -> Option<u64> {
+/// Returns the machine's memory in bytes.
+fn total_memory_bytes() -> Option<u64> {
     let text = std::fs::read_to_string("/proc/meminfo").ok()?;
     let line = text.lines().find(|line| line.starts_with("MemTotal:"))?;
     let kib: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
--- a/experiments/src/scale/error.rs
+++ b/experiments/src/scale/error.rs
@@ -1,9 +1,9 @@
-//! Why a scale test could not be run.
+//! Errors of scale tests.
 use super::config::InvalidOption;
 use std::io;
 use thiserror::Error;
 
-/// What could not be set up, or what ended early.
+/// Why a scale test could not be started or finished.
 #[derive(Debug, Error)]
 pub enum ScaleError {
     /// An option is out of its range.
@@ -12,70 +12,70 @@
     /// The machine is too small for the fleet.
     #[error(transparent)]
     Machine(#[from] MachineError),
-    /// The program of the hollow relays is not named.
-    #[error("no program to run as hollow relays")]
-    NoProgram,
-    /// A process of hollow relays can't be started.
-    #[error("a process of hollow relays: {0}")]
+    /// The command of the processes of hollow relays is empty.
+    #[error("no program is given for the processes of hollow relays")]
+    MissingProgram,
+    /// A process of hollow relays could not be started.
+    #[error("can't start a process of hollow relays: {0}")]
     Spawn(#[source] io::Error),
-    /// A process was started without pipes.
-    #[error("no pipes to a process")]
-    NoPipes,
-    /// A process can't be written to.
-    #[error("process {process} of hollow relays: {source}")]
-    Command {
+    /// A process was started without pipes for its standard input and output.
+    #[error("a process of hollow relays has no pipes for its standard input and output")]
+    MissingPipes,
+    /// A command could not be sent to a process.
+    #[error("can't send a command to process {process} of hollow relays: {source}")]
+    SendCommand {
         /// The process's number.
         process: usize,
-        /// Why not.
+        /// The error of the write.
         source: io::Error,
     },
-    /// A command is no JSON.
-    #[error("{0}")]
+    /// A command could not be encoded.
+    #[error("can't encode a command as JSON: {0}")]
     Encoding(#[from] serde_json::Error),
-    /// A process says that it failed.
-    #[error("process {process}: {reason}")]
-    Process {
+    /// A process has reported that it failed.
+    #[error("process {process} of hollow relays failed: {reason}")]
+    ProcessFailed {
         /// The process's number.
         process: usize,
-        /// What it says.
+        /// The error that it reported.
         reason: String,
     },
-    /// Processes that owe an answer.
-    #[error("{0} processes of hollow relays do not answer")]
+    /// Some processes, whose number this is, did not answer a command in time.
+    #[error("{0} processes of hollow relays did not answer in time")]
     NoAnswer(usize),
-    /// Nobody is left.
-    #[error("all processes have ended")]
-    AllEnded,
-    /// The system refused something to a process of hollow relays.
-    #[error("{0}")]
-    System(#[from] io::Error),
-    /// Real relays could not be started.
-    #[error("{0}")]
+    /// All processes of hollow relays have exited.
+    #[error("all processes of hollow relays have exited")]
+    AllProcessesExited,
+    /// A system call failed in a process of hollow relays.
+    #[error("I/O error in a process of hollow relays: {0}")]
+    Io(#[from] io::Error),
+    /// The real relays could not be started.
+    #[error("can't start the real relays: {0}")]
     RealRelays(String),
 }
 
-/// What this machine has too little of.
+/// Why the fleet doesn't fit this machine.
 #[derive(Debug, Error)]
 pub enum MachineError {
-    /// Too many processes.
-    #[error("{needed} processes; {allowed} at most, so give --each-process")]
+    /// The fleet needs too many processes.
+    #[error("the fleet needs {needed} processes; {allowed} at most: raise --each-process")]
     Processes {
-        /// How many the fleet needs.
+        /// Number of processes that the fleet needs.
         needed: usize,
-        /// How many there may be.
+        /// Number of processes that are allowed.
         allowed: usize,
     },
-    /// Too little memory.
+    /// The machine has too little memory.
     #[error(
         "{needed_mib} MiB are needed for {relays} hollow relays; half of this machine's memory \
          is {half_mib} MiB"
     )]
     Memory {
-        /// What the fleet needs.
+        /// Memory that the fleet needs, in MiB.
         needed_mib: u64,
-        /// The hollow relays.
+        /// Number of hollow relays.
         relays: usize,
-        /// Half of the machine's memory.
+        /// Half of the machine's memory, in MiB.
         half_mib: u64,
     },
 }
--- a/experiments/src/scale/layout.rs
+++ b/experiments/src/scale/layout.rs
@@ -1,37 +1,38 @@
-//! Where each member of a fleet stands.
+//! The roles, names, zones and racks of the members of a fleet.
 use super::config::Fault;
 use serde::{Deserialize, Serialize};
 
-/// What a member of the fleet does.
+/// The role of a member of the fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
-    /// It grants leases.
+    /// Grants leases.
     Voter,
-    /// It owns subjects.
+    /// Owns subjects.
     Relay,
 }
 
-/// Who stands where: voters first, then relays, both dealt over the zones in turn.
+/// The arrangement of a fleet. Members are numbered, voters first and then relays; voters and
+/// relays are each spread over the zones round-robin.
 #[derive(Clone, Copy, Debug)]
 pub struct Layout {
-    /// How many voters there are.
+    /// Number of voters.
     pub voters: usize,
-    /// How many relays there are.
+    /// Number of hollow relays.
     pub relays: usize,
-    /// How many zones there are.
+    /// Number of zones.
     pub zones: usize,
-    /// Relays of one rack.
+    /// Number of relays in a rack.
     pub relays_per_rack: usize,
 }
 
 impl Layout {
-    /// All members.
+    /// Returns the number of members.
     pub fn size(&self) -> usize {
         self.voters + self.relays
     }
 
-    /// What a member does.
+    /// Returns the role of a member.
     pub fn role(&self, member: usize) -> Role {
         if member < self.voters {
             Role::Voter
@@ -40,7 +41,7 @@
         }
     }
 
-    /// A name by which others know it.
+    /// Returns the name of a member in the fleet.
     pub fn name(&self, member: usize) -> String {
         match self.role(member) {
             Role::Voter => format!("voter-{member}"),
@@ -48,7 +49,7 @@
         }
     }
 
-    /// The member of that name, as `name` gives it.
+    /// Returns the member with this name, if it is one that [`Layout::name`] returns.
     pub fn member(&self, name: &str) -> Option<usize> {
         let (role, number) = name.split_once('-')?;
         let number: usize = number.parse().ok()?;
@@ -59,7 +60,7 @@
         }
     }
 
-    /// The zone that a member stands in.
+    /// Returns the zone of a member.
     pub fn zone(&self, member: usize) -> usize {
         match self.role(member) {
             Role::Voter => member % self.zones,
@@ -67,8 +68,8 @@
         }
     }
 
-    /// Those that a fault takes away.
-    pub fn lost_by(&self, fault: Fault) -> Vec<usize> {
+    /// Returns the members that a fault kills.
+    pub fn killed_by(&self, fault: Fault) -> Vec<usize> {
         let all = 0..self.size();
         let first_relay = self.voters;
         match fault {
--- a/experiments/src/scale/meter.rs
+++ b/experiments/src/scale/meter.rs
@@ -1,85 +1,88 @@
-//! Bytes of a process by the second, with the headers that each datagram has on a network.
+//! Counts the bytes that a member sends and receives in each second, including the headers that
+//! each datagram has on a network.
 use super::layout::Role;
 use serde::{Deserialize, Serialize};
 use thistlecroft_peers::NodeCounts;
 
-/// IPv4 and UDP.
+/// Size of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 
-/// What one process sent and received in one phase, in bytes.
+/// The traffic of one member in one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Traffic {
-    /// All bytes sent.
+    /// Bytes sent.
     pub sent: u64,
-    /// All bytes received.
+    /// Bytes received.
     pub received: u64,
     /// Bytes sent in the worst second.
     pub worst_sent: u64,
     /// Bytes received in the worst second.
     pub worst_received: u64,
-    /// Not sent, for the rate.
+    /// Datagrams not sent because of the rate limit.
     pub held_back: u64,
-    /// Seconds measured.
+    /// Duration of the measurement in seconds.
     pub seconds: u64,
 }
 
-/// Measures the traffic of one process, once a second.
+/// Measures the traffic of one member, from its counters once per second.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Meter {
-    before: NodeCounts,
+    last_counts: NodeCounts,
     phase: Traffic,
 }
 
 impl Meter {
-    /// A second has gone by.
-    pub(super) fn second(&mut self, counts: &NodeCounts) {
-        let sent =
-            bytes(counts.sent_bytes, counts.sent) - bytes(self.before.sent_bytes, self.before.sent);
-        let received = bytes(counts.received_bytes, counts.received)
-            - bytes(self.before.received_bytes, self.before.received);
+    /// Adds the traffic of the last second. `counts` are the current counters of the member.
+    pub(super) fn record_second(&mut self, counts: &NodeCounts) {
+        let sent = wire_bytes(counts.sent_bytes, counts.sent)
+            - wire_bytes(self.last_counts.sent_bytes, self.last_counts.sent);
+        let received = wire_bytes(counts.received_bytes, counts.received)
+            - wire_bytes(self.last_counts.received_bytes, self.last_counts.received);
         let phase = &mut self.phase;
         (phase.sent, phase.received) = (phase.sent + sent, phase.received + received);
         phase.worst_sent = phase.worst_sent.max(sent);
         phase.worst_received = phase.worst_received.max(received);
-        phase.held_back += counts.rate_limited - self.before.rate_limited;
+        phase.held_back += counts.rate_limited - self.last_counts.rate_limited;
         phase.seconds += 1;
-        self.before = *counts;
+        self.last_counts = *counts;
     }
 
-    /// Ends the phase and begins another.
-    pub(super) fn take(&mut self) -> Traffic {
+    /// Returns the traffic of the phase and starts the next one.
+    pub(super) fn take_phase(&mut self) -> Traffic {
         std::mem::take(&mut self.phase)
     }
 }
 
-fn bytes(payload: u64, datagrams: u64) -> u64 {
+/// Returns the bytes that datagrams with this total payload take on a network.
+fn wire_bytes(payload: u64, datagrams: u64) -> u64 {
     payload + datagrams * HEADER_BYTES
 }
 
-/// Of all processes of one role: bytes a second.
+/// The traffic of all members of one role in one phase.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RoleTraffic {
-    /// Sent, in the mean.
+    /// Bytes per second that a member sent, in the mean.
     pub sent_mean: f64,
-    /// Received, in the mean.
+    /// Bytes per second that a member received, in the mean.
     pub received_mean: f64,
-    /// Of the process that sent, or received, most in the phase.
+    /// Bytes per second sent by the member that sent most in the phase.
     pub sent_of_worst: f64,
-    /// Of the process that received most in the phase.
+    /// Bytes per second received by the member that received most in the phase.
     pub received_of_worst: f64,
-    /// The worst second of any process.
+    /// Most bytes that any member sent in one second.
     pub sent_worst_second: u64,
-    /// The worst second of any process, received.
+    /// Most bytes that any member received in one second.
     pub received_worst_second: u64,
-    /// Datagrams not sent, for the rate.
+    /// Datagrams that the members did not send because of the rate limit.
     pub held_back: u64,
 }
 
 impl RoleTraffic {
-    pub(super) fn new(all: &[(Role, Traffic)], role: Role) -> RoleTraffic {
+    pub(super) fn new(members: &[(Role, Traffic)], role: Role) -> RoleTraffic {
         let mut sum = RoleTraffic::default();
         let own = || {
-            all.iter()
+            members
+                .iter()
                 .filter(|(one, _)| *one == role)
                 .map(|(_, traffic)| traffic)
         };
--- a/experiments/src/scale/mod.rs
+++ b/experiments/src/scale/mod.rs
@@ -1,7 +1,9 @@
-//! Scale tests: fleets of hollow relays, each the membership and the leases of a relay and nothing
-//! else, over simulated links or as UDP sockets of some processes on loopback. Measures what a
-//! relay and a voter send, receive and cost in calm and in the worst second, how long a fleet takes
-//! to agree and to own its subjects after a fault, and whether two ever own one subject at once.
+//! Scale tests with fleets of hollow relays. A hollow relay has the membership and the leases of a
+//! relay and nothing else. The fleet runs over simulated links in one process, or over UDP on
+//! loopback with many hollow relays in each process. A test measures what a relay and a voter send,
+//! receive and cost while the fleet is calm and in the worst second, how long the fleet takes after
+//! a fault to agree on its members and to own all subjects, and whether two members ever own a
+//! subject at the same time.
 mod assignment;
 mod budget;
 mod config;
@@ -30,22 +32,23 @@
 pub use slope::{Line, Slope, Variable, slopes, sweep, table as slope_table};
 pub use worker::run_worker;
 
-/// What happens while a run goes on, for whoever watches.
+/// Receives lines that tell a user about the progress of a run.
 pub type Progress<'a> = &'a mut dyn FnMut(&str);
 
-/// What is run as processes, with its arguments.
+/// The commands of the fleet's processes, each a program with its arguments.
 #[derive(Clone, Debug, Default)]
 pub struct Programs {
-    /// Serves `run_worker`.
+    /// Starts a process of hollow relays, which calls [`run_worker`].
     pub hollow: Vec<String>,
-    /// Serves as a relay.
+    /// Starts a real relay.
     pub relay: Vec<String>,
 }
 
-/// Runs it as the configuration says.
+/// Runs the scale test that `config` describes.
 ///
 /// # Errors
-/// What could not be set up.
+/// Returns an error if an option is out of its range, if the fleet can't be started on this
+/// machine, or if one of its processes fails.
 pub fn run(
     config: &ScaleConfig,
     programs: &Programs,
--- a/experiments/src/scale/outcome.rs
+++ b/experiments/src/scale/outcome.rs
@@ -1,45 +1,45 @@
-//! What a run has shown, as a table and as JSON.
+//! The outcome of a run, and its JSON form.
 use super::config::ScaleConfig;
 use super::layout::Role;
 use super::meter::{RoleTraffic, Traffic};
 use super::real_relays::RealFigures;
 use serde::Serialize;
 
-/// Seconds until a state was reached; `None` where it was not within the time that was waited.
+/// Seconds until the fleet reached a state; `None` if it did not before the timeout.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Convergence {
-    /// Each that lives sees exactly those that live and that it can reach.
+    /// Until every live member saw exactly the live members that it could reach.
     pub members_s: Option<f64>,
-    /// Every subject has an owner that lives.
+    /// Until every subject had a live owner.
     pub owned_s: Option<f64>,
 }
 
-/// A part of the run, with what the fleet sent in it.
+/// A phase of the run, with the traffic of the fleet.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Phase {
-    /// Its name.
+    /// Name of the phase.
     pub name: String,
-    /// How long it lasted.
+    /// Duration in seconds.
     pub seconds: f64,
-    /// Of all relays.
+    /// Traffic of the relays.
     pub relay: RoleTraffic,
-    /// Of all voters.
+    /// Traffic of the voters.
     pub voter: RoleTraffic,
-    /// When the fleet had agreed, where that was waited for.
+    /// Time until the fleet converged; `None` in phases that don't wait for it.
     pub converged: Option<Convergence>,
 }
 
 impl Phase {
-    /// A phase from the traffic of its processes.
+    /// Creates a phase from the roles and the traffic of its members.
     pub fn new(
         name: &str,
         seconds: f64,
-        all: &[(Role, Traffic)],
+        members: &[(Role, Traffic)],
         converged: Option<Convergence>,
     ) -> Phase {
         let (relay, voter) = (
-            RoleTraffic::new(all, Role::Relay),
-            RoleTraffic::new(all, Role::Voter),
+            RoleTraffic::new(members, Role::Relay),
+            RoleTraffic::new(members, Role::Voter),
         );
         Phase {
             name: name.into(),
@@ -51,54 +51,54 @@
     }
 }
 
-/// Of one process of a role, in calm. Simulated runs have none.
+/// The cost of one member of a role. Simulated runs don't measure it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Cost {
-    /// Of a core.
+    /// CPU usage while the fleet was calm, in percent of a core.
     pub cpu_percent: f64,
-    /// In the phase in which it was highest.
+    /// CPU usage in the phase in which it was highest, in percent of a core.
     pub worst_cpu_percent: f64,
-    /// Megabytes.
+    /// Memory while the fleet was calm, in megabytes.
     pub memory_mb: f64,
 }
 
-/// What a run has shown.
+/// The outcome of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Outcome {
-    /// What was run.
+    /// The configuration of the run.
     pub config: ScaleConfig,
-    /// The parts of the run in their order.
+    /// The phases of the run, in their order.
     pub phases: Vec<Phase>,
-    /// What a relay costs.
+    /// Cost of a relay.
     pub relay: Option<Cost>,
-    /// What a voter costs.
+    /// Cost of a voter.
     pub voter: Option<Cost>,
-    /// Of real relays in the fleet, in calm.
+    /// Measurements of the real relays while the fleet was calm.
     #[serde(rename = "real")]
     pub real_relays: Option<RealFigures>,
-    /// Pairs of holdings of one subject by two at once.
+    /// Pairs of holdings of one subject by two members that overlap in time.
     pub two_owners: usize,
-    /// Holdings whose epoch did not grow.
+    /// Holdings whose epoch is not above that of the previous holding of the subject.
     pub epochs_not_grown: usize,
-    /// Holdings seen.
+    /// Number of holdings that were observed.
     pub holdings: usize,
-    /// Subjects owned at the end.
+    /// Number of subjects owned at the end.
     pub owned_at_end: usize,
-    /// By how much a hollow process was behind its timers at worst: above a tenth of a period the
-    /// machine is too slow.
+    /// Longest delay of a timer in a process of hollow relays, in milliseconds. Above a tenth of
+    /// the probe period the machine is too slow for the run. `None` over simulated links.
     pub late_ms: Option<f64>,
-    /// Seconds of real time.
+    /// Duration of the run in seconds of real time.
     pub took_s: f64,
 }
 
 impl Outcome {
-    /// The phase of that name.
+    /// Returns the first phase with this name.
     pub fn phase(&self, name: &str) -> Option<&Phase> {
         self.phases.iter().find(|phase| phase.name == name)
     }
 
-    /// All figures as JSON.
+    /// Returns the outcome as JSON.
     pub fn json(&self) -> String {
-        serde_json::to_string_pretty(self).expect("an outcome is plain values")
+        serde_json::to_string_pretty(self).expect("an outcome can be encoded as JSON")
     }
 }
--- a/experiments/src/scale/outcome_table.rs
+++ b/experiments/src/scale/outcome_table.rs
@@ -1,13 +1,13 @@
-//! What a run has shown, as a table of text.
+//! Formats the outcome of a run as a text table.
 use super::config::ScaleConfig;
 use super::meter::RoleTraffic;
 use super::outcome::{Convergence, Cost, Outcome, Phase};
 use super::real_relays::RealFigures;
 
 impl Outcome {
-    /// All figures as a table.
+    /// Returns the outcome as a text table.
     pub fn table(&self) -> String {
-        let mut lines = vec![title(&self.config), head()];
+        let mut lines = vec![title(&self.config), header()];
         for phase in &self.phases {
             lines.push(phase_line(
                 phase,
@@ -19,7 +19,7 @@
         }
         lines.extend(self.relay.map(|cost| cost_line("relay", cost)));
         lines.extend(self.voter.map(|cost| cost_line("voter", cost)));
-        lines.extend(self.real_relays.as_ref().map(real_line));
+        lines.extend(self.real_relays.as_ref().map(real_relays_line));
         lines.push(format!(
             "owned at the end {} of {}; {} holdings seen, two owners at once {}, \
              epochs that did not grow {}",
@@ -31,20 +31,20 @@
         ));
         if let Some(late) = self.late_ms {
             lines.push(format!(
-                "a hollow process was behind its timers by {late:.0} ms at worst"
+                "timers in processes of hollow relays were late by up to {late:.0} ms"
             ));
         }
         lines.push(format!(
-            "bytes with 28 of headers a datagram; worst: of the process that had most; \
-             peak: the worst second of any; {:.0} s",
+            "bytes include 28 bytes of headers per datagram; worst: the member with the most; \
+             peak: the worst second of any member; the run took {:.0} s",
             self.took_s
         ));
         lines.join("\n") + "\n"
     }
 }
 
-/// The links that a fleet was run over, for people.
-pub(super) fn links(config: &ScaleConfig) -> &'static str {
+/// Returns a description of the links of the fleet.
+pub(super) fn describe_links(config: &ScaleConfig) -> &'static str {
     if config.simulated {
         "simulated links"
     } else {
@@ -58,14 +58,14 @@
         config.relays,
         config.voters,
         config.subjects,
-        links(config),
+        describe_links(config),
         config.period_ms,
         config.term_ms,
         config.seed
     )
 }
 
-fn head() -> String {
+fn header() -> String {
     format!(
         "{:<8} {:>6}  {:<6} {:>10} {:>10} {:>10} {:>10} {:>10} {:>10} {:>9}  {:>9} {:>9}",
         "phase",
@@ -118,10 +118,10 @@
     )
 }
 
-fn real_line(real: &RealFigures) -> String {
+fn real_relays_line(real: &RealFigures) -> String {
     format!(
         "each of {} real relays in calm: {:.0} B/s sent ({:.0} to {:.0}), {:.0} received, \
-         {:.2}% of a core, {:.1} MB; its view at the operators' door has {} bytes",
+         {:.2}% of a core, {:.1} MB; its answer to PEERS has {} bytes",
         real.relays,
         real.sent_mean,
         real.sent_least,
--- a/experiments/src/scale/ownership_observer.rs
+++ b/experiments/src/scale/ownership_observer.rs
@@ -1,9 +1,11 @@
-//! Who was seen to own what and when, and whether two did at once.
+//! Records which member was observed to own which subject and when, and finds subjects that two
+//! members owned at the same time.
 use serde::{Deserialize, Serialize};
 use thistlecroft::time::Instant;
 
-/// One holding of a subject, as its owner was seen with it: from the first look to the last. The
-/// epoch is one holding's alone, so in between it was not lost.
+/// A holding of a subject, from the first to the last observation of its owner with it. Every
+/// holding has an epoch of its own, so the lease was not lost between two observations with one
+/// epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The subject.
@@ -12,60 +14,61 @@
     pub owner: usize,
     /// The epoch of the lease.
     pub epoch: u64,
-    /// When it was first seen, in microseconds.
+    /// Time of the first observation, in microseconds.
     pub first_us: u64,
-    /// When it was last seen, in microseconds.
+    /// Time of the last observation, in microseconds.
     pub last_us: u64,
 }
 
-/// Looks at what processes hold, by one clock.
+/// Records what members hold. The times of all observations must be of one clock.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipObserver {
-    /// By subject: the last holding of each that was seen with it.
-    last: Vec<Vec<Holding>>,
-    past: Vec<Holding>,
+    /// For each subject: the latest holding of each member that was observed with it.
+    latest: Vec<Vec<Holding>>,
+    /// Holdings that were followed by another of the same subject and member.
+    previous: Vec<Holding>,
 }
 
 impl OwnershipObserver {
-    /// Takes in what a process holds now.
-    pub fn look(
+    /// Records the subjects that `owner` holds at `now`, with their epochs.
+    pub fn observe(
         &mut self,
         owner: usize,
         holdings: impl Iterator<Item = (usize, u64)>,
         now: Instant,
     ) {
         for (subject, epoch) in holdings {
-            if subject >= self.last.len() {
-                self.last.resize_with(subject + 1, Vec::new);
+            if subject >= self.latest.len() {
+                self.latest.resize_with(subject + 1, Vec::new);
             }
-            let fresh = Holding {
+            let new_holding = Holding {
                 subject,
                 owner,
                 epoch,
                 first_us: now.as_micros(),
                 last_us: now.as_micros(),
             };
-            match self.last[subject]
+            match self.latest[subject]
                 .iter_mut()
                 .find(|known| known.owner == owner)
             {
                 Some(known) if known.epoch == epoch => known.last_us = now.as_micros(),
-                Some(known) => self.past.push(std::mem::replace(known, fresh)),
-                None => self.last[subject].push(fresh),
+                Some(known) => self.previous.push(std::mem::replace(known, new_holding)),
+                None => self.latest[subject].push(new_holding),
             }
         }
     }
 
-    /// All holdings seen.
+    /// Returns all observed holdings.
     pub fn into_holdings(self) -> Vec<Holding> {
-        self.past
+        self.previous
             .into_iter()
-            .chain(self.last.into_iter().flatten())
+            .chain(self.latest.into_iter().flatten())
             .collect()
     }
 }
 
-/// Pairs of holdings of one subject by two owners that overlap.
+/// Counts consecutive holdings of one subject by two members that overlap in time.
 pub(super) fn two_owners(holdings: &[Holding]) -> usize {
     let mut sorted = holdings.to_vec();
     sorted.sort_by_key(|one| (one.subject, one.first_us, one.owner));
@@ -76,13 +79,13 @@
     sorted.windows(2).filter(overlap).count()
 }
 
-/// Holdings whose epoch is not above that of the one before.
+/// Counts the holdings whose epoch is not above that of the previous holding of the subject.
 pub(super) fn epochs_not_grown(holdings: &[Holding]) -> usize {
     let mut sorted = holdings.to_vec();
     sorted.sort_by_key(|one| (one.subject, one.first_us));
-    let fell =
+    let did_not_grow =
         |pair: &&[Holding]| pair[0].subject == pair[1].subject && pair[1].epoch <= pair[0].epoch;
-    sorted.windows(2).filter(fell).count()
+    sorted.windows(2).filter(did_not_grow).count()
 }
 
 #[cfg(test)]
--- a/experiments/src/scale/processes/costs.rs
+++ b/experiments/src/scale/processes/costs.rs
@@ -1,18 +1,18 @@
-//! What processes cost in each phase.
+//! The CPU usage and the memory of the processes in each phase.
 use super::super::layout::{Layout, Role};
 use super::super::outcome::Cost;
 use super::hollow_process::HollowProcess;
 
 const BYTES_PER_MB: f64 = 1e6;
 
-/// What one member of a role costs.
+/// The cost of one member of a role.
 #[derive(Clone, Copy, Default)]
 struct RoleCost {
     cpu_percent: f64,
     memory_mb: f64,
 }
 
-/// The costs of one phase: of the voter that costs most, and of a relay in the mean.
+/// The costs of one phase: the highest of all voters, and the mean of all hollow relays.
 #[derive(Clone, Copy, Default)]
 pub(super) struct PhaseCost {
     voter: RoleCost,
@@ -49,17 +49,17 @@
         }
     }
 
-    fn of(&self, role: Role) -> RoleCost {
+    fn of_role(&self, role: Role) -> RoleCost {
         match role {
             Role::Voter => self.voter,
             Role::Relay => self.relay,
         }
     }
 
-    /// A role's cost in calm, with its worst phase of all.
+    /// Returns a role's cost in this phase, the calm one, with its highest CPU usage of `phases`.
     pub(super) fn with_worst(&self, role: Role, phases: &[PhaseCost]) -> Cost {
-        let calm = self.of(role);
-        let cpu = phases.iter().map(|phase| phase.of(role).cpu_percent);
+        let calm = self.of_role(role);
+        let cpu = phases.iter().map(|phase| phase.of_role(role).cpu_percent);
         Cost {
             cpu_percent: calm.cpu_percent,
             worst_cpu_percent: cpu.fold(0.0, f64::max),
--- a/experiments/src/scale/processes/fleet.rs
+++ b/experiments/src/scale/processes/fleet.rs
@@ -1,5 +1,5 @@
-//! The fleet of processes: started, commanded, waited for and measured.
-use super::super::config::{SEEDS, ScaleConfig};
+//! The processes of a fleet: starts them, sends commands, waits for answers and measures.
+use super::super::config::{MAX_SEEDS, ScaleConfig};
 use super::super::error::ScaleError;
 use super::super::layout::{Layout, Role};
 use super::super::meter::Traffic;
@@ -15,10 +15,10 @@
 use std::time::{Duration, Instant};
 
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(20);
-const LISTEN_INTERVAL: Duration = Duration::from_millis(50);
+const CONVERGENCE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 const PROGRESS_INTERVAL: Duration = Duration::from_secs(5);
-/// How long a state is waited for, in periods.
-const CONVERGENCE_PERIODS: f64 = 240.0;
+/// Timeout for the fleet to converge, in probe periods.
+const CONVERGENCE_TIMEOUT_PERIODS: f64 = 240.0;
 
 pub(super) struct Fleet<'a> {
     config: &'a ScaleConfig,
@@ -39,7 +39,7 @@
         let layout = config.layout();
         let (sender, answers) = channel();
         let mut processes = Vec::new();
-        for (number, members) in groups(config, layout).into_iter().enumerate() {
+        for (number, members) in members_by_process(config, layout).into_iter().enumerate() {
             let process = HollowProcess::spawn(number, &programs.hollow, members, &sender)?;
             processes.push(process);
         }
@@ -55,10 +55,10 @@
         };
         let addresses = fleet.bind()?;
         for process in &mut fleet.processes {
-            process.note_empty();
+            process.record_empty_memory();
         }
         fleet.begin_phase();
-        let seeds: Vec<SocketAddr> = addresses.into_iter().take(SEEDS).collect();
+        let seeds: Vec<SocketAddr> = addresses.into_iter().take(MAX_SEEDS).collect();
         fleet.send_all(&Command::Start {
             seeds: seeds.clone(),
         })?;
@@ -68,12 +68,12 @@
         Ok(fleet)
     }
 
-    /// All members, hollow and real.
+    /// Returns the number of members, hollow and real.
     pub(super) fn size(&self) -> usize {
         self.layout.size() + self.config.real_relays
     }
 
-    /// The addresses of all hollow members, in order.
+    /// Opens the sockets of all hollow members and returns their addresses in order.
     fn bind(&mut self) -> Result<Vec<SocketAddr>, ScaleError> {
         for process in &mut self.processes {
             let command = Command::Bind {
@@ -99,31 +99,31 @@
             .try_for_each(|process| process.send(command))
     }
 
-    /// Waits for one answer of each process; `take` says which counts. Status that comes meanwhile
-    /// is taken in.
-    fn collect(&mut self, mut take: impl FnMut(usize, Answer) -> bool) -> Result<(), ScaleError> {
+    /// Waits until each process has sent an answer for which `accept` returns true. Statuses that
+    /// arrive meanwhile are saved.
+    fn collect(&mut self, mut accept: impl FnMut(usize, Answer) -> bool) -> Result<(), ScaleError> {
         let deadline = Instant::now() + ANSWER_TIMEOUT;
         let mut missing = self.processes.len();
         while missing > 0 {
-            let left = deadline.saturating_duration_since(Instant::now());
-            let Ok((number, answer)) = self.answers.recv_timeout(left) else {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            let Ok((number, answer)) = self.answers.recv_timeout(remaining) else {
                 return Err(ScaleError::NoAnswer(missing));
             };
-            if let Some(answer) = self.take_status(number, answer)? {
-                missing -= usize::from(take(number, answer));
+            if let Some(answer) = self.save_status(number, answer)? {
+                missing -= usize::from(accept(number, answer));
             }
         }
         Ok(())
     }
 
-    /// Takes status in; any other answer comes back.
-    fn take_status(&mut self, number: usize, answer: Answer) -> Result<Option<Answer>, ScaleError> {
+    /// Saves a status and returns any other answer, but `Failed` as an error.
+    fn save_status(&mut self, number: usize, answer: Answer) -> Result<Option<Answer>, ScaleError> {
         match answer {
             Answer::Status(status) => {
                 self.processes[number].status = status;
                 Ok(None)
             }
-            Answer::Failed { why } => Err(ScaleError::Process {
+            Answer::Failed { why } => Err(ScaleError::ProcessFailed {
                 process: number,
                 reason: why,
             }),
@@ -131,32 +131,32 @@
         }
     }
 
-    /// Takes in what comes until then.
-    fn listen(&mut self, until: Instant) -> Result<(), ScaleError> {
+    /// Saves the statuses that arrive before the deadline.
+    fn receive_until(&mut self, deadline: Instant) -> Result<(), ScaleError> {
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            match self.answers.recv_timeout(left) {
-                Ok((number, answer)) => drop(self.take_status(number, answer)?),
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            match self.answers.recv_timeout(remaining) {
+                Ok((number, answer)) => drop(self.save_status(number, answer)?),
                 Err(RecvTimeoutError::Timeout) => return Ok(()),
-                Err(RecvTimeoutError::Disconnected) => return Err(ScaleError::AllEnded),
+                Err(RecvTimeoutError::Disconnected) => return Err(ScaleError::AllProcessesExited),
             }
         }
     }
 
-    pub(super) fn owned(&self) -> usize {
+    pub(super) fn owned_subjects(&self) -> usize {
         let processes = self.processes.iter();
         processes.map(|process| process.status.owned).sum()
     }
 
-    /// Whether all that live see each other and nobody else.
+    /// Returns whether `size` members are alive and each sees exactly these.
     fn is_consistent(&self, size: usize) -> bool {
-        let playing = || {
+        let active = || {
             let statuses = self.processes.iter().map(|process| process.status);
             statuses.filter(|status| status.living > 0)
         };
-        let living: usize = playing().map(|status| status.living).sum();
+        let living: usize = active().map(|status| status.living).sum();
         living + self.config.real_relays == size
-            && playing().all(|status| status.sees_least == size && status.sees_most == size)
+            && active().all(|status| status.sees_least == size && status.sees_most == size)
     }
 
     pub(super) fn run_for(
@@ -166,14 +166,14 @@
     ) -> Result<(), ScaleError> {
         let until = Instant::now() + time;
         while Instant::now() < until {
-            self.listen(until.min(Instant::now() + PROGRESS_INTERVAL))?;
+            self.receive_until(until.min(Instant::now() + PROGRESS_INTERVAL))?;
             self.real_relays.iter().for_each(RealRelays::keep_leases);
-            progress(&format!("{} subjects owned", self.owned()));
+            progress(&format!("{} subjects owned", self.owned_subjects()));
         }
         Ok(())
     }
 
-    /// Until all members see each other and all subjects are owned.
+    /// Waits until all members see each other and all subjects are owned, or until the timeout.
     pub(super) fn converge(
         &mut self,
         size: usize,
@@ -181,16 +181,16 @@
     ) -> Result<Convergence, ScaleError> {
         let began = Instant::now();
         let mut last_progress = began;
-        let timeout = self.config.period_ms as f64 * CONVERGENCE_PERIODS;
+        let timeout = self.config.period_ms as f64 * CONVERGENCE_TIMEOUT_PERIODS;
         let timeout = Duration::from_millis(timeout as u64);
         let mut converged = Convergence::default();
         while converged.members_s.is_none() || converged.owned_s.is_none() {
-            self.listen(Instant::now() + LISTEN_INTERVAL)?;
+            self.receive_until(Instant::now() + CONVERGENCE_CHECK_INTERVAL)?;
             let elapsed = began.elapsed().as_secs_f64();
             if self.is_consistent(size) {
                 converged.members_s = converged.members_s.or(Some(elapsed));
             }
-            let all_owned = self.owned() == self.config.subjects;
+            let all_owned = self.owned_subjects() == self.config.subjects;
             converged.owned_s = all_owned.then(|| converged.owned_s.unwrap_or(elapsed));
             if last_progress.elapsed() > PROGRESS_INTERVAL {
                 last_progress = Instant::now();
@@ -205,13 +205,15 @@
 
     fn convergence_line(&self, elapsed: f64, size: usize) -> String {
         let statuses = self.processes.iter().map(|process| process.status);
-        let playing = statuses.filter(|status| status.living > 0);
-        let least = playing.map(|status| status.sees_least).min().unwrap_or(0);
-        let owned = self.owned();
-        format!("{elapsed:.0} s: each sees {least} or more of {size}, {owned} owned")
+        let active = statuses.filter(|status| status.living > 0);
+        let least = active.map(|status| status.sees_least).min().unwrap_or(0);
+        let owned = self.owned_subjects();
+        format!(
+            "{elapsed:.0} s: each member sees {least} or more of {size}, {owned} subjects owned"
+        )
     }
 
-    /// These members end without a word.
+    /// Kills these members, without a message to the others.
     pub(super) fn kill(&mut self, members: &[usize]) -> Result<(), ScaleError> {
         self.send_all(&Command::Kill {
             members: members.to_vec(),
@@ -232,7 +234,7 @@
         self.phase_began = Instant::now();
     }
 
-    /// Ends a phase and begins the next.
+    /// Ends the phase, records its traffic and costs, and begins the next.
     pub(super) fn end_phase(
         &mut self,
         name: &str,
@@ -273,8 +275,8 @@
     }
 }
 
-/// Each voter alone, then relays in groups.
-fn groups(config: &ScaleConfig, layout: Layout) -> Vec<Vec<usize>> {
+/// Returns the members of each process: a process for each voter, then groups of relays.
+fn members_by_process(config: &ScaleConfig, layout: Layout) -> Vec<Vec<usize>> {
     let relays: Vec<usize> = (config.voters..layout.size()).collect();
     let mut groups: Vec<Vec<usize>> = (0..config.voters).map(|voter| vec![voter]).collect();
     groups.extend(
--- a/experiments/src/scale/processes/mod.rs
+++ b/experiments/src/scale/processes/mod.rs
@@ -1,5 +1,6 @@
-//! A run over processes of hollow relays on loopback, in real time: starts them, injects the fault,
-//! waits for the fleet to agree and measures. All are ended when it returns.
+//! Runs a scale test with processes of hollow relays on loopback, in real time: starts the
+//! processes, injects the fault, waits for the fleet to converge and measures. All processes have
+//! ended when the run returns.
 mod costs;
 mod fleet;
 mod hollow_process;
@@ -14,12 +15,12 @@
 use fleet::Fleet;
 use std::time::{Duration, Instant};
 
-/// Periods in which what is known of the last change goes round...
+/// Probe periods in which gossip about the last change ends, however small the fleet is.
 const SETTLING_PERIODS: f64 = 20.0;
-/// ...and so many more for each member.
+/// Further probe periods for each member.
 const SETTLING_PERIODS_PER_MEMBER: f64 = 0.25;
 
-/// Runs it as the configuration says.
+/// Runs the scale test that `config` describes.
 pub(super) fn run(
     config: &ScaleConfig,
     programs: &Programs,
@@ -32,20 +33,23 @@
     fleet.end_phase("start", Some(started))?;
     fleet.run_for(settling_time(config, size), progress)?;
     fleet.end_phase("settle", None)?;
-    fleet.real_relays.iter_mut().for_each(RealRelays::begin);
+    fleet
+        .real_relays
+        .iter_mut()
+        .for_each(RealRelays::begin_measurement);
     fleet.run_for(Duration::from_secs(config.calm_s), progress)?;
     let real_relays: Option<RealFigures> = fleet.real_relays.as_ref().map(RealRelays::figures);
     fleet.end_phase("calm", None)?;
     let calm = fleet.costs.last().copied().unwrap_or_default();
     if config.fault != Fault::None {
-        let lost = fleet.layout.lost_by(config.fault);
+        let lost = fleet.layout.killed_by(config.fault);
         fleet.kill(&lost)?;
         let converged = fleet.converge(size - lost.len(), progress)?;
         fleet.end_phase("fault", Some(converged))?;
     }
     let processes = fleet.processes.iter();
     let late_us = processes.map(|process| process.status.late_us).max();
-    let owned_at_end = fleet.owned();
+    let owned_at_end = fleet.owned_subjects();
     let holdings = fleet.stop()?;
     Ok(Outcome {
         config: config.clone(),
--- a/experiments/src/scale/protocol.rs
+++ b/experiments/src/scale/protocol.rs
@@ -1,14 +1,15 @@
-//! What the run and its processes of hollow relays say to each other: a line of JSON each, on
-//! standard input and output.
+//! The messages between a run and its processes of hollow relays. Each message is a line of JSON on
+//! the standard input or output of the process.
 use super::config::ScaleConfig;
 use super::meter::Traffic;
 use super::ownership_observer::Holding;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
+/// A command to a process. `Start` starts the members whose sockets `Bind` has opened.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Command {
-    /// Open sockets for these members; answered by `Bound`.
+    /// Opens sockets for these members; answered by `Bound`.
     Bind {
         config: Box<ScaleConfig>,
         members: Vec<usize>,
@@ -16,16 +17,17 @@
     Start {
         seeds: Vec<SocketAddr>,
     },
-    /// These members end without a word.
+    /// Kills these members, without a message to the others.
     Kill {
         members: Vec<usize>,
     },
-    /// The phase ends; answered by `Measured`.
+    /// Ends the phase; answered by `Measured`.
     Measure,
-    /// Answered by `Ended`, the last that is said.
+    /// Ends the process; answered by `Ended`, its last answer.
     Stop,
 }
 
+/// A message from a process: a reply to a command, or a status or failure report.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub(super) enum Answer {
     Bound { addresses: Vec<SocketAddr> },
@@ -35,16 +37,17 @@
     Failed { why: String },
 }
 
-/// Told a few times a second.
+/// The state of one process, reported several times per second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub(super) struct Status {
-    /// Members that live here; and how many each takes for alive or suspected, itself with them,
-    /// least and most.
+    /// Number of live members in this process.
     pub living: usize,
+    /// Least number of members that any of them sees as alive or suspected, itself included.
     pub sees_least: usize,
+    /// Most members that any of them sees as alive or suspected, itself included.
     pub sees_most: usize,
-    /// Subjects owned here.
+    /// Number of subjects that they own.
     pub owned: usize,
-    /// By how much a timer was late at worst so far.
+    /// Longest delay of a timer so far, in microseconds.
     pub late_us: u64,
 }
--- a/experiments/src/scale/real_relays.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -1,6 +1,5 @@
-//! Real relays in a fleet of hollow ones: processes of the relay with a stand-in for the platform
-//! round them, that know the same fleet. If what they send is not what hollow ones send, hollow
-//! ones prove nothing.
+//! Real relays in a fleet of hollow ones: processes of the relay, on a simulated platform, that are
+//! members of the same fleet. Hollow relays are only representative if real relays send as much.
 use super::config::ScaleConfig;
 use super::error::ScaleError;
 use super::layout::Role;
@@ -12,29 +11,29 @@
 use thistlecroft_testbed::process_cluster::{ClusterPlan, ProcessCluster};
 use thistlecroft_testbed::relay_process::free_address;
 
-/// Addresses of real relays are taken from this place of the loopback range on, beside those of the
-/// process cluster.
+/// Index of the first real relay's loopback address, above those of the process cluster.
 const FIRST_ADDRESS: usize = 200;
+/// Size of the IPv4 and UDP headers of a datagram.
 const HEADER_BYTES: u64 = 28;
 
-/// What real relays sent and cost in calm, each.
+/// Traffic and cost of a real relay while the fleet is calm.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct RealFigures {
-    /// How many there were.
+    /// Number of real relays.
     pub relays: usize,
-    /// Bytes a second, of the one that sent least.
+    /// Bytes per second sent by the relay that sent least.
     pub sent_least: f64,
-    /// Bytes a second, in the mean.
+    /// Bytes per second that a relay sent, in the mean.
     pub sent_mean: f64,
-    /// Bytes a second, of the one that sent most.
+    /// Bytes per second sent by the relay that sent most.
     pub sent_most: f64,
-    /// Bytes received a second, in the mean.
+    /// Bytes per second that a relay received, in the mean.
     pub received_mean: f64,
-    /// Of a core.
+    /// CPU usage in percent of a core, in the mean.
     pub cpu_percent: f64,
-    /// Resident megabytes.
+    /// Resident memory in megabytes, in the mean.
     pub memory_mb: f64,
-    /// Of the answer to `PEERS` at an operators' door.
+    /// Size of the answer to `PEERS` at the admin port of the first relay, in bytes.
     pub view_bytes: usize,
 }
 
@@ -45,8 +44,8 @@
 pub(super) struct RealRelays {
     cluster: ProcessCluster,
     count: usize,
-    before: Vec<Sample>,
-    sampled: Instant,
+    start_samples: Vec<Sample>,
+    started_at: Instant,
 }
 
 #[derive(Clone, Copy, Default)]
@@ -56,7 +55,7 @@
 }
 
 impl RealRelays {
-    /// Starts them; `seeds` are hollow members.
+    /// Starts the real relays. `seeds` are addresses of hollow members.
     pub(super) fn start(
         config: &ScaleConfig,
         seeds: &[SocketAddr],
@@ -75,23 +74,23 @@
         plan.config.health_checks = false;
         let mut cluster = ProcessCluster::open(plan).map_err(failed)?;
         let key = folder.join("scale.key");
-        std::fs::write(&key, &config.peer_terms(Role::Relay).secret).map_err(failed)?;
+        std::fs::write(&key, &config.node_config(Role::Relay).secret).map_err(failed)?;
         for number in 0..config.real_relays {
             let listen = free_address(FIRST_ADDRESS + number).map_err(failed)?;
             cluster
-                .start_with(number, table(config, listen, seeds, &key))
+                .start_with(number, peers_table(config, listen, seeds, &key))
                 .map_err(failed)?;
         }
-        let before = vec![Sample::default(); config.real_relays];
+        let start_samples = vec![Sample::default(); config.real_relays];
         Ok(RealRelays {
             cluster,
             count: config.real_relays,
-            before,
-            sampled: Instant::now(),
+            start_samples,
+            started_at: Instant::now(),
         })
     }
 
-    /// Each holds a lease, so that it renews its sessions as hollow ones do.
+    /// Claims a lease at each relay, so that it renews its sessions as hollow relays do.
     pub(super) fn keep_leases(&self) {
         for number in 0..self.count {
             self.cluster
@@ -99,21 +98,22 @@
         }
     }
 
-    pub(super) fn begin(&mut self) {
-        self.before = (0..self.count).map(|number| self.sample(number)).collect();
-        self.sampled = Instant::now();
+    /// Starts the measurement.
+    pub(super) fn begin_measurement(&mut self) {
+        self.start_samples = (0..self.count).map(|number| self.sample(number)).collect();
+        self.started_at = Instant::now();
     }
 
-    /// Since `begin`.
+    /// Returns the figures since the start of the measurement.
     pub(super) fn figures(&self) -> RealFigures {
-        let seconds = self.sampled.elapsed().as_secs_f64();
+        let seconds = self.started_at.elapsed().as_secs_f64();
         let mut figures = RealFigures {
             relays: self.count,
             sent_least: f64::MAX,
             ..RealFigures::default()
         };
         let each = self.count.max(1) as f64;
-        for (number, before) in self.before.iter().enumerate() {
+        for (number, before) in self.start_samples.iter().enumerate() {
             let now = self.sample(number);
             let bytes = |payload: u64, datagrams: u64| {
                 (payload + datagrams * HEADER_BYTES) as f64 / seconds
@@ -164,8 +164,13 @@
     }
 }
 
-/// The operators' table for one of them.
-fn table(config: &ScaleConfig, listen: SocketAddr, seeds: &[SocketAddr], key: &Path) -> String {
+/// Returns the `[peers]` table of a real relay's operator configuration.
+fn peers_table(
+    config: &ScaleConfig,
+    listen: SocketAddr,
+    seeds: &[SocketAddr],
+    key: &Path,
+) -> String {
     let layout = config.layout();
     let quoted = |all: Vec<String>| {
         all.iter()
--- a/experiments/src/scale/simulated.rs
+++ b/experiments/src/scale/simulated.rs
@@ -1,7 +1,7 @@
-//! The same fleet over simulated links: every process in this one, on a clock that is stepped.
+//! Runs a scale test over simulated links: all members are in this process, on a simulated clock.
 use super::Progress;
 use super::assignment::{Assignment, subject_number};
-use super::config::{Fault, SEEDS, ScaleConfig};
+use super::config::{Fault, MAX_SEEDS, ScaleConfig};
 use super::layout::Role;
 use super::meter::{Meter, Traffic};
 use super::outcome::{Convergence, Outcome, Phase};
@@ -11,12 +11,14 @@
 use thistlecroft_peers::MemberState;
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
+/// Simulated time between two updates of the assignments and observations of owners.
 const STEP: Duration = Duration::from_millis(250);
 const STEPS_PER_SECOND: u64 = 4;
-/// The longest that a state is waited for, in periods.
-const CONVERGENCE_PERIODS: f64 = 400.0;
-/// Periods in which what is known of the last change goes round, and more for each member.
+/// Timeout for the fleet to converge, in probe periods.
+const CONVERGENCE_TIMEOUT_PERIODS: f64 = 400.0;
+/// Probe periods in which gossip about the last change ends, however small the fleet is.
 const SETTLING_PERIODS: f64 = 20.0;
+/// Further probe periods for each member.
 const SETTLING_PERIODS_PER_MEMBER: f64 = 0.25;
 
 pub(super) fn run(config: &ScaleConfig, progress: Progress<'_>) -> Outcome {
@@ -26,7 +28,7 @@
     let everyone: BTreeSet<usize> = (0..config.layout().size()).collect();
     let started = fleet.converge(std::slice::from_ref(&everyone), progress);
     phases.push(fleet.phase("start", Some(started)));
-    fleet.settle(progress);
+    fleet.run_settling_time(progress);
     phases.push(fleet.phase("settle", None));
     fleet.run_for(Duration::from_millis(config.calm_s * 1_000));
     phases.push(fleet.phase("calm", None));
@@ -40,11 +42,11 @@
             fleet.network.heal_partitions();
             let healed = fleet.converge(std::slice::from_ref(&everyone), progress);
             phases.push(fleet.phase("healed", Some(healed)));
-            fleet.settle(progress);
+            fleet.run_settling_time(progress);
             phases.push(fleet.phase("settle", None));
         }
         fault => {
-            let lost = config.layout().lost_by(fault);
+            let lost = config.layout().killed_by(fault);
             lost.iter().for_each(|member| fleet.network.kill(*member));
             let rest = everyone
                 .iter()
@@ -53,11 +55,11 @@
                 .collect();
             let after = fleet.converge(&[rest], progress);
             phases.push(fleet.phase("fault", Some(after)));
-            fleet.settle(progress);
+            fleet.run_settling_time(progress);
             phases.push(fleet.phase("settle", None));
         }
     }
-    let owned_at_end = fleet.owned();
+    let owned_at_end = fleet.owned_subjects();
     let holdings = fleet.observer.into_holdings();
     Outcome {
         config: config.clone(),
@@ -78,8 +80,8 @@
     config: &'a ScaleConfig,
     network: SimulatedNetwork,
     assignments: Vec<Assignment>,
-    /// Changes of members that each has acted on.
-    applied: Vec<usize>,
+    /// For each member: the number of its member changes that its assignment accounts for.
+    applied_changes: Vec<usize>,
     meters: Vec<Meter>,
     observer: OwnershipObserver,
     steps: u64,
@@ -89,10 +91,10 @@
 impl<'a> Fleet<'a> {
     fn start(config: &'a ScaleConfig) -> Fleet<'a> {
         let layout = config.layout();
-        let seeds = SEEDS.min(layout.size());
+        let seeds = MAX_SEEDS.min(layout.size());
         let voter_leases = config.lease_config(Role::Voter);
         let mut network = SimulatedNetwork::new(
-            config.peer_terms(Role::Voter),
+            config.node_config(Role::Voter),
             Some(voter_leases),
             seeds,
             config.seed,
@@ -102,7 +104,7 @@
         for member in 0..layout.size() {
             if member == config.voters {
                 network.set_rates(
-                    config.peer_terms(Role::Relay).max_bytes_per_second,
+                    config.node_config(Role::Relay).max_bytes_per_second,
                     config.lease_config(Role::Relay).update_rate,
                 );
             }
@@ -114,7 +116,7 @@
             assignments: (0..layout.size())
                 .map(|member| Assignment::new(layout, config.subjects, member))
                 .collect(),
-            applied: vec![usize::MAX; layout.size()],
+            applied_changes: vec![usize::MAX; layout.size()],
             meters: vec![Meter::default(); layout.size()],
             observer: OwnershipObserver::default(),
             network,
@@ -128,8 +130,8 @@
         self.steps += 1;
         for member in 0..self.assignments.len() {
             let host = &self.network.hosts[member];
-            if host.alive && self.applied[member] != host.member_changes.len() {
-                self.applied[member] = host.member_changes.len();
+            if host.alive && self.applied_changes[member] != host.member_changes.len() {
+                self.applied_changes[member] = host.member_changes.len();
                 let assignment = &mut self.assignments[member];
                 self.network.act(member, |host, now| {
                     if let Some(leases) = &mut host.leases {
@@ -146,7 +148,7 @@
             .enumerate()
             .filter(|(_, host)| host.alive)
         {
-            self.observer.look(member, holdings(host, now), now);
+            self.observer.observe(member, holdings(host, now), now);
         }
         if self.steps.is_multiple_of(STEPS_PER_SECOND) {
             for (meter, host) in self
@@ -155,7 +157,7 @@
                 .zip(&self.network.hosts)
                 .filter(|(_, host)| host.alive)
             {
-                meter.second(&host.node.counts);
+                meter.record_second(&host.node.counts);
             }
         }
     }
@@ -167,18 +169,19 @@
         }
     }
 
-    /// Until each of these sets sees itself alone, and all subjects are owned.
+    /// Runs until the members of each side see exactly their side and all subjects are owned, or
+    /// until the timeout.
     fn converge(&mut self, sides: &[BTreeSet<usize>], progress: Progress<'_>) -> Convergence {
         let began = self.network.now;
         let mut converged = Convergence::default();
-        let timeout = self.config.period() * CONVERGENCE_PERIODS;
+        let timeout = self.config.period() * CONVERGENCE_TIMEOUT_PERIODS;
         while converged.members_s.is_none() || converged.owned_s.is_none() {
             self.step();
             let passed = self.network.now.duration_since(began);
             if converged.members_s.is_none() && sides.iter().all(|side| self.is_consistent(side)) {
                 converged.members_s = Some(passed.as_secs_f64());
             }
-            if self.owned() == self.config.subjects {
+            if self.owned_subjects() == self.config.subjects {
                 converged.owned_s = converged.owned_s.or(Some(passed.as_secs_f64()));
             } else {
                 converged.owned_s = None;
@@ -190,7 +193,7 @@
                         .now
                         .duration_since(Instant::default())
                         .as_secs_f64(),
-                    self.owned()
+                    self.owned_subjects()
                 ));
             }
             if passed >= timeout {
@@ -200,11 +203,11 @@
         converged
     }
 
-    /// Until what was told of the last change has gone round: nothing is sent any more but what
-    /// calm needs.
-    fn settle(&mut self, progress: Progress<'_>) {
+    /// Runs until gossip about the last change has ended, and members send only what a calm fleet
+    /// sends.
+    fn run_settling_time(&mut self, progress: Progress<'_>) {
         progress(&format!(
-            "{:.0} s: settling",
+            "{:.0} s: waiting until gossip about the last change has ended",
             self.network
                 .now
                 .duration_since(Instant::default())
@@ -218,7 +221,7 @@
 
     fn is_consistent(&self, side: &BTreeSet<usize>) -> bool {
         let layout = self.config.layout();
-        let sees_others = |host: &Host| {
+        let sees_only_side = |host: &Host| {
             let live = host
                 .node
                 .members()
@@ -228,11 +231,11 @@
         };
         side.iter().all(|member| {
             let host = &self.network.hosts[*member];
-            host.node.fleet_size() == side.len() && sees_others(host)
+            host.node.fleet_size() == side.len() && sees_only_side(host)
         })
     }
 
-    fn owned(&self) -> usize {
+    fn owned_subjects(&self) -> usize {
         let now = self.network.now;
         let held = |host: &Host| {
             let leases = host.leases.iter();
@@ -248,7 +251,7 @@
             .sum()
     }
 
-    /// The two sides of it.
+    /// Cuts the first region off from the other zones and returns both sides.
     fn cut_region(&mut self) -> [BTreeSet<usize>; 2] {
         let layout = self.config.layout();
         let is_first = |member: &usize| layout.zone(*member) < self.config.first_region_zones;
@@ -264,7 +267,7 @@
             .iter_mut()
             .enumerate()
             .filter(|(member, _)| self.network.hosts[*member].alive)
-            .map(|(member, meter)| (layout.role(member), meter.take()))
+            .map(|(member, meter)| (layout.role(member), meter.take_phase()))
             .collect();
         let seconds = self
             .network
--- a/experiments/src/scale/slope/figures.rs
+++ b/experiments/src/scale/slope/figures.rs
@@ -1,7 +1,7 @@
-//! The figures of a run that are followed over its sizes.
+//! The figures of a run that are compared between sizes.
 use super::super::outcome::Outcome;
 
-/// A figure of an outcome; none where it was not measured or never reached.
+/// A named figure of an outcome; its value is `None` if it was not measured or not reached.
 pub(super) struct Figure {
     pub(super) name: &'static str,
     pub(super) value: fn(&Outcome) -> Option<f64>,
@@ -11,7 +11,7 @@
     Figure { name, value }
 }
 
-/// In the order of the table.
+/// All figures, in the order of the table's rows.
 pub(super) const FIGURES: &[Figure] = &[
     figure("relay, calm, sent B/s", |outcome| {
         Some(outcome.phase("calm")?.relay.sent_mean)
@@ -72,7 +72,7 @@
     figure("real relay, calm, sent B/s", |outcome| {
         Some(outcome.real_relays?.sent_mean)
     }),
-    figure("real relay, view at its door, bytes", |outcome| {
+    figure("real relay, answer to PEERS, bytes", |outcome| {
         Some(outcome.real_relays?.view_bytes as f64)
     }),
     figure("two owners at once", |outcome| {
--- a/experiments/src/scale/slope/mod.rs
+++ b/experiments/src/scale/slope/mod.rs
@@ -1,5 +1,5 @@
-//! What a figure grows with: the same run at several sizes and seeds, and a straight line through
-//! what was measured.
+//! Measures what the figures of a run grow with: the same run at several sizes and seeds, and a
+//! straight line through the medians of each figure.
 mod figures;
 mod line;
 mod table;
@@ -16,23 +16,23 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A line needs so many points.
+/// Fewest points through which a line is fitted.
 const MIN_POINTS: usize = 3;
 
-/// What is varied.
+/// The quantity that is varied between runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Variable {
-    /// Relays, each with as many subjects as in the configuration.
+    /// The number of relays. Each has as many subjects as in the configuration.
     Relays,
-    /// Subjects of each relay.
+    /// The number of subjects of each relay.
     Subjects,
-    /// Voters.
+    /// The number of voters.
     Voters,
 }
 
 impl Variable {
-    fn set(self, config: &ScaleConfig, value: usize) -> ScaleConfig {
+    fn apply_to(self, config: &ScaleConfig, value: usize) -> ScaleConfig {
         let mut changed = config.clone();
         match self {
             Variable::Relays => {
@@ -45,7 +45,7 @@
         changed
     }
 
-    fn word(self) -> &'static str {
+    fn label(self) -> &'static str {
         match self {
             Variable::Relays => "relays",
             Variable::Subjects => "subjects a relay",
@@ -54,23 +54,23 @@
     }
 }
 
-/// One figure at all sizes.
+/// A figure at all sizes.
 #[derive(Clone, Debug, Serialize)]
 pub struct Slope {
-    /// Its name.
+    /// Name of the figure.
     pub figure: &'static str,
-    /// The size, and the figure's least, median and most over the seeds; none where it was never
-    /// reached.
+    /// Each size, with the least, the median and the greatest value over the seeds; `None` if no
+    /// run of this size has the figure.
     pub points: Vec<(usize, Option<[f64; 3]>)>,
-    /// The line through the medians.
+    /// The line through the medians; `None` if there are too few.
     pub line: Option<Line>,
 }
 
-/// Runs of all sizes and seeds: at once over simulated links, one after the other as processes,
-/// which share the machine.
+/// Runs a scale test for each size and seed. Runs over simulated links are in parallel; runs with
+/// processes follow each other, because they share the machine.
 ///
 /// # Errors
-/// A size that is out of range, or what could not be set up.
+/// Returns an error if a size is out of its range, or if a run fails.
 pub fn sweep(
     config: &ScaleConfig,
     variable: Variable,
@@ -82,46 +82,52 @@
     let of_size = |size: &usize| (0..seeds).map(|seed| (*size, seed)).collect::<Vec<_>>();
     let mut all = Vec::new();
     for (size, seed) in sizes.iter().flat_map(of_size) {
-        let mut one = variable.set(config, size);
-        one.seed = config.seed + seed;
-        one.validate()?;
-        all.push((size, one));
+        let mut varied = variable.apply_to(config, size);
+        varied.seed = config.seed + seed;
+        varied.validate()?;
+        all.push((size, varied));
     }
     if config.simulated {
-        return Ok(at_once(&all));
+        return Ok(run_in_parallel(&all));
     }
     let mut done = Vec::new();
     for (size, config) in all {
-        progress(&format!("{} {size}, seed {}", variable.word(), config.seed));
+        progress(&format!(
+            "{} {size}, seed {}",
+            variable.label(),
+            config.seed
+        ));
         done.push((size, run(&config, programs, progress)?));
     }
     Ok(done)
 }
 
-fn at_once(all: &[(usize, ScaleConfig)]) -> Vec<(usize, Outcome)> {
+fn run_in_parallel(all: &[(usize, ScaleConfig)]) -> Vec<(usize, Outcome)> {
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
     let (next, done) = (AtomicUsize::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..cores.min(all.len()) {
             scope.spawn(|| {
-                // The largest first, so that none is left to run alone.
+                // The largest sizes start first, so that no long run is left over at the end.
                 while let Some((size, config)) =
                     all.iter().rev().nth(next.fetch_add(1, Ordering::Relaxed))
                 {
                     let outcome = simulated::run(config, &mut |_| {});
                     done.lock()
-                        .expect("nobody panics holding it")
+                        .expect("no thread panics while it holds the lock")
                         .push((*size, outcome));
                 }
             });
         }
     });
-    let mut done = done.into_inner().expect("nobody panics holding it");
+    let mut done = done
+        .into_inner()
+        .expect("no thread panics while it holds the lock");
     done.sort_by_key(|(size, outcome)| (*size, outcome.config.seed));
     done
 }
 
-/// Each figure at all sizes; those that no run has are left out.
+/// Returns each figure at all sizes, except those that no run has.
 pub fn slopes(outcomes: &[(usize, Outcome)]) -> Vec<Slope> {
     let mut sizes: Vec<usize> = outcomes.iter().map(|(size, _)| *size).collect();
     sizes.dedup();
@@ -151,7 +157,7 @@
     }
 }
 
-/// Least, median and most.
+/// Returns the least, the median and the greatest value.
 fn spread(mut values: Vec<f64>) -> Option<[f64; 3]> {
     values.sort_by(f64::total_cmp);
     let (least, most) = values.first().zip(values.last())?;
--- a/experiments/src/scale/worker/hollow_relay.rs
+++ b/experiments/src/scale/worker/hollow_relay.rs
@@ -10,8 +10,8 @@
 use thistlecroft_peers::wire::MAX_DATAGRAM_BYTES;
 use thistlecroft_peers::{Event as PeerEvent, Identity, Node};
 
-/// Datagrams of one socket read in a turn.
-const MAX_DATAGRAMS: usize = 64;
+/// Most datagrams that are read from one socket before other sockets have their turn.
+const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 pub(super) struct HollowRelay {
     pub(super) member: usize,
@@ -20,9 +20,9 @@
     leases: Leases,
     assignment: Assignment,
     pub(super) meter: Meter,
-    /// Members changed since the assignment was last worked out.
+    /// Whether members have changed since the assignment was last computed.
     has_member_changes: bool,
-    /// When it next has something to do.
+    /// When a timer of the node or the leases is due next.
     pub(super) due: Instant,
 }
 
@@ -43,7 +43,7 @@
             me.clone(),
             at,
             seeds,
-            &config.peer_terms(role),
+            &config.node_config(role),
             incarnation_id,
             start,
         );
@@ -61,17 +61,17 @@
 
     pub(super) fn read(&mut self) {
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
-        for _ in 0..MAX_DATAGRAMS {
+        for _ in 0..MAX_DATAGRAMS_PER_TURN {
             match self.socket.recv_from(&mut bytes) {
                 Ok((length, source)) => self.node.receive(&bytes[..length], source, now()),
-                Err(fault) if fault.kind() == io::ErrorKind::Interrupted => {}
+                Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
                 Err(_) => break,
             }
         }
         self.exchange();
     }
 
-    pub(super) fn wake(&mut self, at: Instant) {
+    pub(super) fn run_due(&mut self, at: Instant) {
         if self.node.due() <= at {
             self.node.tick(at);
         }
@@ -81,7 +81,7 @@
         self.exchange();
     }
 
-    /// What came goes to the leases, what both have to say goes out.
+    /// Passes received messages to the leases, and sends the messages of the leases and the node.
     fn exchange(&mut self) {
         let at = now();
         for event in self.node.take_events() {
@@ -102,17 +102,17 @@
             }
         }
         for (to, bytes) in self.node.take_datagrams() {
-            // A datagram that can't be sent is one that is lost.
+            // A datagram that can't be sent counts as lost.
             let _ = self.socket.send_to(&bytes, to);
         }
         let leases = self.leases.due(at);
-        // A message makes an alarm that is long past due now.
+        // A message can set a timer to a time that has long passed: it counts as due now, not late.
         self.due = leases
             .map_or(self.node.due(), |due| due.min(self.node.due()))
             .max(at);
     }
 
-    /// Acts on changes of members.
+    /// Updates the assignment if members have changed.
     pub(super) fn update_assignment(&mut self) {
         if self.has_member_changes {
             self.has_member_changes = false;
@@ -121,7 +121,7 @@
         }
     }
 
-    /// The subjects that it holds, with their epochs.
+    /// Returns the subjects that the relay holds, with their epochs.
     pub(super) fn holdings(&self, at: Instant) -> impl Iterator<Item = (usize, u64)> + '_ {
         let held = self.leases.holdings(at);
         held.filter_map(|(subject, held)| Some((subject_number(subject)?, held.epoch)))
--- a/experiments/src/scale/worker/mod.rs
+++ b/experiments/src/scale/worker/mod.rs
@@ -1,4 +1,4 @@
-//! A process of hollow relays, all on one thread and loop.
+//! A process of hollow relays, which share one thread and one event loop.
 mod hollow_relay;
 
 use super::config::ScaleConfig;
@@ -16,20 +16,20 @@
 use std::sync::mpsc::{Receiver, channel};
 use thistlecroft::time::{Duration, Instant};
 
-/// Between two reports of what is owned and seen.
+/// Time between two reports of the process's status.
 const STATUS_INTERVAL: Duration = Duration::from_millis(250);
 const SECOND: Duration = Duration::from_millis(1_000);
 
-/// One clock for all processes of the machine.
+/// Returns the time on the monotonic clock, which all processes of the machine share.
 fn now() -> Instant {
     let time = clock_gettime(ClockId::Monotonic);
     Instant::from_micros(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000)
 }
 
-/// Serves a run until it is told to stop or its standard input ends.
+/// Runs hollow relays as commands on standard input say, until `Stop` or the end of the input.
 ///
 /// # Errors
-/// The system refused something.
+/// Returns an error if a system call fails.
 pub fn run_worker() -> Result<(), ScaleError> {
     let poller = Arc::new(Poller::new()?);
     let commands = read_commands(poller.clone());
@@ -43,16 +43,17 @@
         next_status: now(),
         next_second: now(),
     };
-    let done = worker.serve(&commands);
-    if let Err(error) = &done {
-        send(&Answer::Failed {
+    let result = worker.serve(&commands);
+    if let Err(error) = &result {
+        send_answer(&Answer::Failed {
             why: error.to_string(),
         });
     }
-    Ok(done?)
+    Ok(result?)
 }
 
-/// A thread of its own, since standard input can't be waited for beside sockets everywhere.
+/// Reads commands on a separate thread, because not every platform can wait for standard input and
+/// sockets together.
 fn read_commands(poller: Arc<Poller>) -> Receiver<Command> {
     let (sender, receiver) = channel();
     std::thread::spawn(move || {
@@ -71,10 +72,10 @@
     receiver
 }
 
-fn send(answer: &Answer) {
-    let line = serde_json::to_string(answer).expect("answers are plain values");
+fn send_answer(answer: &Answer) {
+    let line = serde_json::to_string(answer).expect("an answer can be encoded as JSON");
     let mut out = io::stdout().lock();
-    // Nobody reads any more: the run has ended, and this process with the end of its input.
+    // A write fails only if the run has ended; this process then ends with its input.
     let _ = writeln!(out, "{line}").and_then(|()| out.flush());
 }
 
@@ -96,7 +97,7 @@
             loop {
                 match commands.try_recv() {
                     Ok(Command::Stop) => return self.end(),
-                    Ok(command) => self.carry_out(command)?,
+                    Ok(command) => self.execute(command)?,
                     Err(std::sync::mpsc::TryRecvError::Empty) => break,
                     Err(std::sync::mpsc::TryRecvError::Disconnected) => return Ok(()),
                 }
@@ -106,8 +107,8 @@
             events.clear();
             self.poller.wait(&mut events, Some(timeout))?;
             let ready: BTreeSet<usize> = events.iter().map(|event| event.key).collect();
-            for place in ready {
-                self.read(place)?;
+            for member in ready {
+                self.read(member)?;
             }
             self.run_due();
         }
@@ -133,12 +134,12 @@
         let at = now();
         for relay in self.relays.iter_mut().filter(|relay| relay.due <= at) {
             self.max_delay = self.max_delay.max(at.duration_since(relay.due));
-            relay.wake(now());
+            relay.run_due(now());
         }
         if self.next_second <= at {
             self.next_second = self.next_second.max(at - SECOND) + SECOND;
             for relay in &mut self.relays {
-                relay.meter.second(&relay.node.counts);
+                relay.meter.record_second(&relay.node.counts);
             }
         }
         if self.next_status <= at {
@@ -163,13 +164,13 @@
                 (status.sees_least.min(sees), status.sees_most.max(sees));
             let at = now();
             status.owned += relay.holdings(at).count();
-            self.observer.look(relay.member, relay.holdings(at), at);
+            self.observer.observe(relay.member, relay.holdings(at), at);
         }
         status.late_us = self.max_delay.as_micros();
-        send(&Answer::Status(status));
+        send_answer(&Answer::Status(status));
     }
 
-    fn carry_out(&mut self, command: Command) -> io::Result<()> {
+    fn execute(&mut self, command: Command) -> io::Result<()> {
         match command {
             Command::Bind { config, members } => {
                 for member in members {
@@ -179,7 +180,7 @@
                 }
                 self.config = Some(*config);
                 let addresses = self.bound.iter().map(|(_, socket)| socket.local_addr());
-                send(&Answer::Bound {
+                send_answer(&Answer::Bound {
                     addresses: addresses.collect::<io::Result<_>>()?,
                 });
             }
@@ -188,7 +189,7 @@
                     return Ok(());
                 };
                 for (member, socket) in self.bound.drain(..) {
-                    // Dropped from the poller before its socket is closed, in `kill`.
+                    // SAFETY: `kill` removes the socket from the poller before it is closed.
                     unsafe { self.poller.add(&socket, Event::readable(member))? };
                     self.relays
                         .push(HollowRelay::new(config, member, socket, seeds.clone())?);
@@ -200,9 +201,9 @@
                 let traffic: Vec<(usize, Traffic)> = self
                     .relays
                     .iter_mut()
-                    .map(|relay| (relay.member, relay.meter.take()))
+                    .map(|relay| (relay.member, relay.meter.take_phase()))
                     .collect();
-                send(&Answer::Measured { traffic });
+                send_answer(&Answer::Measured { traffic });
             }
             Command::Stop => {}
         }
@@ -224,7 +225,7 @@
     fn end(&mut self) -> io::Result<()> {
         let all: Vec<usize> = self.relays.iter().map(|relay| relay.member).collect();
         self.kill(&all)?;
-        send(&Answer::Ended {
+        send_answer(&Answer::Ended {
             holdings: std::mem::take(&mut self.observer).into_holdings(),
         });
         Ok(())
--- a/experiments/tests/scale.rs
+++ b/experiments/tests/scale.rs
@@ -1,5 +1,5 @@
-//! Slopes that the page of capacity rests on, at small sizes over simulated links: the same verdict
-//! each time.
+//! Tests of the growth rates that the capacity page states, at small sizes over simulated links,
+//! where every run of a test has the same result.
 use thistlecroft_experiments::scale::{
     Fault, Outcome, Programs, ScaleConfig, Variable, run, slopes, sweep,
 };
@@ -56,7 +56,7 @@
     });
     assert!(
         most <= least * 1.1,
-        "bytes a second at 20 to 160 relays: {sent:?}"
+        "bytes per second at 20 to 160 relays: {sent:?}"
     );
     let slopes = slopes(&all);
     let voter = slopes
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn all_is_owned_again_after_each_fault_and_by_one_alone() {
+fn subjects_after_each_fault_are_owned_again_by_one_member_at_a_time() {
     for (fault, voters) in [
         (Fault::Rack, 3),
         (Fault::Zone, 3),
@@ -117,7 +117,7 @@
             "{fault:?}"
         );
         assert_eq!(outcome.owned_at_end, outcome.config.subjects, "{fault:?}");
-        // Subjects of those that were lost have had two owners, one after the other.
+        // Subjects of lost relays have had two owners, one after the other.
         let moved = outcome.holdings > outcome.config.subjects;
         assert_eq!(
             moved,
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_run() {
+fn runs_with_the_same_seed_have_the_same_outcome() {
     let figures = |outcome: &Outcome| (outcome.phases.clone(), outcome.holdings);
     assert_eq!(
         figures(&run_once(&config(20))),
