--- a/src/attempt.rs
+++ b/src/attempt.rs
@@ -15,10 +15,10 @@
     pub timeout: Duration,
 }
 
-/// How an attempt, or the connection that it set up, ended.
+/// How an attempt, the connection that it set up, or a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// The connection was closed in order.
+    /// The connection was closed in order, or the health check was answered.
     Ok,
     /// The backend answered with an error.
     Error,
--- a/src/balancer/attempts.rs
+++ b/src/balancer/attempts.rs
@@ -248,7 +248,8 @@
         }
     }
 
-    /// Returns whether a retry after this backoff would be in time and could do no harm.
+    /// Returns whether a retry after this backoff could become ready in time, while the session may
+    /// still make an attempt and repeat its request.
     fn can_retry_after(&self, backoff: Duration, now: Instant, id: SessionId) -> bool {
         let session = &self.sessions[&id];
         let connect_time = session.route.connect_timeout + self.deployment.tick * ANSWER_TICKS;
--- a/src/balancer/backend_state.rs
+++ b/src/balancer/backend_state.rs
@@ -21,7 +21,7 @@
 const REPORT_MAX_AGE_WITH_WEIGHTS: Duration = Duration::from_millis(10_000);
 /// Latency observations, which come once a second, are ignored when older than this.
 const LATENCY_MAX_AGE: Duration = Duration::from_millis(2_000);
-/// Connections that break further apart than this belong to separate events.
+/// A connection that breaks later than this after the first one belongs to a separate event.
 const BREAK_WINDOW: Duration = Duration::from_millis(500);
 
 /// State of one backend, kept as long as the balancer lives.
@@ -36,9 +36,9 @@
     /// When this relay placed the sessions that the latest report may not include.
     pub(super) recent_placements: VecDeque<Instant>,
     pub(super) message_latency: Option<LatencyObservation>,
-    /// When its messages became late, if they still are.
+    /// When the backend's messages became late, if they still are.
     pub(super) late_since: Option<Instant>,
-    /// The backend reported free capacity while its messages were late.
+    /// Whether the backend reported free capacity while its messages were late.
     pub(super) understates_load: bool,
     /// Consecutive reports of a load above capacity while messages were in time.
     pub(super) overstated_reports: u32,
@@ -151,8 +151,9 @@
             .map(|load| load * change)
     }
 
-    /// Returns the load that late messages show, whatever the backend reports. The estimate decays
-    /// as connections depart, at `departure_rate` per second.
+    /// Returns the load that late messages show, as a share of capacity, whatever the backend
+    /// reports. The estimate decays as connections depart, at `departure_rate` per second. An old
+    /// observation counts only while the backend understates its load.
     pub(super) fn load_by_latency(
         &self,
         now: Instant,
--- a/src/balancer/endpoints.rs
+++ b/src/balancer/endpoints.rs
@@ -81,7 +81,7 @@
             .filter(|(backend_id, _)| !self.bans.contains_key(backend_id))
     }
 
-    /// Counts one connection more at a backend, and in its group.
+    /// Counts one more connection at a backend, and in the connection's group if it has one.
     pub(super) fn add_connection(&mut self, backend_id: BackendId, group: Option<u64>) {
         let Some(backend) = self.backends.get_mut(&backend_id) else {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Counts one connection less at a backend, and in its group.
+    /// Counts one connection fewer at a backend, and in the connection's group if it has one.
     pub(super) fn remove_connection(&mut self, backend_id: BackendId, group: Option<u64>) {
         let Some(backend) = self.backends.get_mut(&backend_id) else {
             return;
--- a/src/balancer/fleet_load.rs
+++ b/src/balancer/fleet_load.rs
@@ -69,7 +69,7 @@
         let per_backend = self.connections_per_warm_backend(now);
         let sums = self.sum_reports(now);
         if sums.backends == 0.0 {
-            // A warm backend can take at least as many connections as each holds now.
+            // A warm backend can take at least as many connections as one holds now on average.
             return FleetLoad {
                 per_connection: 1.0 / per_backend,
                 counts_all_relays: true,
--- a/src/balancer/health.rs
+++ b/src/balancer/health.rs
@@ -22,10 +22,10 @@
 const FIRST_EJECTION_HEALTH_CHECKS: u32 = 2;
 /// Maximum number of doublings of the health checks that an ejected backend must pass.
 const MAX_EJECTION_DOUBLINGS: u32 = 3;
-/// Consecutive reports that overstate the load before they are disbelieved.
+/// From this number on, consecutive reports that overstate the load are not believed.
 const MAX_OVERSTATED_REPORTS: u32 = 2;
-/// Time for which messages must have been late, in report lags, before a report of free capacity is
-/// untrue.
+/// Time for which messages must have been late, in report lags, before a report of free capacity
+/// counts as untrue.
 const UNTRUE_AFTER_LAGS: f64 = 2.0;
 /// Time without a response after which a connection is given up. Backends that merely pause respond
 /// sooner.
--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -8,7 +8,7 @@
 /// Shortest average time between two health checks of one backend. Reports are renewed about as
 /// often.
 const MIN_INTERVAL_PER_BACKEND: Duration = Duration::from_millis(2_000);
-/// Longest time between two health checks of any backend.
+/// Longest time between two health checks that this relay sends, to whichever backends.
 const MAX_INTERVAL: Duration = Duration::from_millis(5_000);
 /// The first health check comes within this share of the shortest interval.
 const FIRST_INTERVAL_SHARE: f64 = 0.1;
--- a/src/balancer/rebalancing.rs
+++ b/src/balancer/rebalancing.rs
@@ -11,7 +11,8 @@
 /// Load, as a share of capacity, that a backend with late messages is relieved to. It is low
 /// because work has piled up there.
 const LATE_RELIEF_LOAD: f64 = 0.5;
-/// A connection established for less than this is not migrated: no report includes its load yet.
+/// A connection established for less than this is not migrated off an overloaded backend: no report
+/// includes its load yet.
 const MIN_ESTABLISHED_TIME: Duration = Duration::from_millis(2_000);
 /// A relay with fewer sessions than this knows too little about where groups are held to return any
 /// to the local zone.
@@ -29,9 +30,9 @@
 }
 
 impl Balancer {
-    /// Migrates this relay's part of the excess load off backends that are overloaded and serve
-    /// none of their messages in time. The sessions that are worth least for their load go first,
-    /// in one small step per load report.
+    /// Migrates this relay's part of the excess load off overloaded backends, in one small step per
+    /// load report, and all of its load off unreachable ones. The sessions that are worth least for
+    /// their load go first.
     pub(super) fn relieve_overloaded_backends(&mut self, now: Instant, driver: &mut dyn Driver) {
         let excess_shares = self.excess_shares(now);
         let mut excess: BTreeMap<BackendId, f64> = BTreeMap::new();
@@ -70,14 +71,15 @@
         }
     }
 
-    /// Returns `true` with this probability, which decides the rest of the excess that is less than
-    /// one connection. If it were rounded, hundreds of relays with one connection each would all
-    /// migrate it at once, or none would.
+    /// Returns `true` with this probability. It decides whether one more connection is migrated for
+    /// an excess of less than one connection. If the excess were rounded instead, hundreds of
+    /// relays with one connection each would all migrate theirs at once, or none would.
     fn draw_with_probability(&mut self, probability: f64) -> bool {
         probability >= 1.0 || probability > 0.0 && self.rng.unit_f64() < probability
     }
 
-    /// Returns the share of its load that each overloaded backend is to be relieved of.
+    /// Returns the share of its load that each overloaded or unreachable backend is to be relieved
+    /// of.
     fn excess_shares(&mut self, now: Instant) -> BTreeMap<BackendId, f64> {
         let fleet = self.fleet_load(now);
         let objective = self.deployment.message_objective;
@@ -152,7 +154,7 @@
         }
     }
 
-    /// Asks the client of an established connection to come again as a new session.
+    /// Asks the client of an established connection to reconnect as a new session.
     pub(super) fn migrate(&mut self, id: SessionId, driver: &mut dyn Driver) {
         driver.migrate(id);
         self.set_state(id, SessionState::Closing, driver);
--- a/src/balancer/sessions.rs
+++ b/src/balancer/sessions.rs
@@ -189,7 +189,9 @@
         }
     }
 
-    /// Takes one step of the shutdown. `steps_left` includes this one.
+    /// Takes one step of the shutdown: migrates a part of the established sessions, rejects those
+    /// that are backing off and, from the shutdown deadline on, cancels attempts under way.
+    /// `steps_left` includes this step.
     pub(super) fn drain(&mut self, now: Instant, steps_left: usize, driver: &mut dyn Driver) {
         let states: Vec<(SessionId, SessionState)> = self
             .sessions
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -92,7 +92,8 @@
     fn overbooking(&self, fleet: FleetLoad) -> f64 {
         let sessions = self.traffic.sessions_per_window;
         let relays_per_use = if self.deployment.reports_load {
-            // Each relay has fewer sessions than there are backends warming up.
+            // A relay may have fewer sessions in a window than there are backends warming up, and
+            // then leaves turns unused.
             fleet.warming_up / sessions.max(1.0)
         } else {
             // An open turn takes precedence over all other backends, and passes unused only if no
@@ -104,8 +105,9 @@
 
     /// Returns how many new connections per second would fill an average warm backend: as many as
     /// it holds when full times the rate at which they depart, but no more than would fill it over
-    /// its warm-up. One departure is assumed at first: with a rate of zero, all but one of the
-    /// relays that hold few connections would keep off.
+    /// its warm-up. If connections of all relays are counted, one departure is assumed at first:
+    /// with a rate of zero, all but one of the relays that hold few connections would not use the
+    /// backend.
     fn warm_connection_rate(&self, fleet: FleetLoad) -> f64 {
         let assumed_departures = if fleet.counts_all_relays { 1.0 } else { 0.0 };
         let max_rate = 1.0 / self.deployment.slow_start.warm_up.as_secs_f64();
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -24,7 +24,8 @@
     grouped_sessions: f64,
     /// Sessions that arrived within about one window of the slow-start rule.
     pub(super) sessions_per_window: f64,
-    /// Seconds for which connections were established, summed over all connections.
+    /// Decaying sum of the seconds for which sessions were open, as an estimate of the time for
+    /// which connections were established.
     pub(super) connection_seconds: f64,
     /// Connections that the other side closed in order in that time.
     pub(super) departures: f64,
--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -48,7 +48,8 @@
     pub connect_timeout: Duration,
     /// Maximum number of attempts of one session, including the first.
     pub max_attempts: u32,
-    /// An attempt is given up after this many times the recent connect time.
+    /// An attempt is given up after this many times the recent average connect time, but not before
+    /// `handshake_objective`. The last attempt gets all the time that is left.
     pub attempt_timeout_factor: f64,
     /// The first retry delay after a failure, before jitter.
     pub backoff_base: Duration,
@@ -67,7 +68,7 @@
     pub hedging: Option<Hedging>,
 }
 
-/// When a hedged attempt goes out while the first attempt is still under way.
+/// When a hedged attempt goes out while another attempt of its session is still under way.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Hedging {
     /// Quantile of the recent connect times, from 0 to 1, after which an attempt is hedged.
--- a/src/driver.rs
+++ b/src/driver.rs
@@ -17,7 +17,7 @@
     /// Ends the session without promising that the request had no effect.
     fn fail(&mut self, session: SessionId);
 
-    /// Asks the client of an established connection to come again as a new session.
+    /// Asks the client of an established connection to reconnect as a new session.
     fn migrate(&mut self, session: SessionId);
 
     /// Sends a health check, which asks a backend for its load.
--- a/src/endpoint.rs
+++ b/src/endpoint.rs
@@ -38,7 +38,7 @@
     pub cell: CellId,
     /// Whether the backend takes new connections.
     pub state: EndpointState,
-    /// A weight that falls as the backend holds more connections; 1 if the list has none.
+    /// A weight that falls as the backend holds more connections; 1 if the list has no weight.
     pub weight: f64,
     /// When the backend's process started; `None` if that was long ago.
     pub started_at: Option<Instant>,
--- a/src/route_limits/mod.rs
+++ b/src/route_limits/mod.rs
@@ -29,7 +29,7 @@
 pub(crate) enum ExtraAttempt {
     /// An attempt after the previous one has failed.
     Retry,
-    /// An attempt while the first is still under way.
+    /// A hedged attempt, beside one that is still under way.
     Hedge,
 }
 
--- a/src/snapshot.rs
+++ b/src/snapshot.rs
@@ -12,9 +12,9 @@
     pub weight_at_report: f64,
     /// Failed attempts and health checks since the last success.
     pub consecutive_failures: u32,
-    /// How often the backend was ejected as an outlier since it last served.
+    /// How often the backend was ejected as an outlier since it last set a connection up.
     pub ejections: u32,
-    /// Health checks that the backend has to pass before it takes part again; 0 if it is not
+    /// Health checks that the backend has to pass before it is selected again; 0 if it is not
     /// ejected.
     pub pending_health_checks: u32,
     /// The number of the latest slow-start turn in which this relay used the backend, and its
@@ -29,7 +29,8 @@
     pub endpoints: Vec<(BackendId, EndpointStatistics)>,
     /// Recent average time until an attempt is ready.
     pub connect_time: Duration,
-    /// Decaying sum of the seconds for which connections were established.
+    /// Decaying sum of the seconds for which sessions were open, as an estimate of the time for
+    /// which connections were established.
     pub connection_seconds: f64,
     /// Decaying count of the connections that the other side closed in order in that time.
     pub departures: f64,
--- a/tests/backoff.rs
+++ b/tests/backoff.rs
@@ -48,8 +48,14 @@
             };
             longest = longest.max(wait);
         }
-        assert!(longest <= ms(most), "{age} ms, {reset}: {longest:?}");
-        assert!(longest > ms(most) * 0.01, "{age} ms, {reset}: {longest:?}");
+        assert!(
+            longest <= ms(most),
+            "connection ended after {age} ms, reset {reset}: longest backoff {longest:?}"
+        );
+        assert!(
+            longest > ms(most) * 0.01,
+            "connection ended after {age} ms, reset {reset}: longest backoff {longest:?}"
+        );
     }
 }
 
@@ -78,7 +84,7 @@
             }
             let Some(Action::Reject(_, Some(wait))) = harness.answers(id * 2 + 1).last().copied()
             else {
-                panic!()
+                panic!("the second session of a client is not rejected")
             };
             most = most.max(wait);
         }
@@ -113,7 +119,7 @@
             harness.balancer.update_endpoints(UpdateKind::Snapshot, &[]);
             harness.arrive(2, arrival(7, 0, ms(4_000)));
             let Some(Action::Reject(_, Some(wait))) = harness.answers(2).last().copied() else {
-                panic!()
+                panic!("the session after the reset is not rejected")
             };
             most = most.max(wait);
         }
@@ -126,8 +132,9 @@
 /// groups that are held there are rejected meanwhile. If loads are reported, they decide instead.
 #[test]
 fn overloaded_backend_avoided_without_load_reports() {
-    // Each case: whether loads are reported, the number of relays, what the backend does and how
-    // often, and the bounds of the longest wait in milliseconds.
+    // Each case: whether loads are reported, the number of relays, how attempts or connections at
+    // the backend end and how often, and the upper and lower bound of the longest wait in
+    // milliseconds.
     let cases = [
         (false, 1, AttemptOutcome::Reset, 1, 1_000, 500),
         (false, 1, AttemptOutcome::Saturated, 1, 1_000, 500),
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -15,7 +15,8 @@
         .set_banned(harness.now, BackendId(BANNED), is_banned);
 }
 
-/// Lets `count` sessions arrive one after another and returns the backends that they go to.
+/// Lets `count` sessions, numbered from `from`, arrive one after another and returns the backends
+/// that they go to.
 fn placed_at(harness: &mut Harness, from: u32, count: u32) -> Vec<u32> {
     let ids = from..from + count;
     ids.filter_map(|id| {
@@ -113,7 +114,7 @@
             "{attempts:?}"
         );
     }
-    // If it was the only backend, the session is answered once.
+    // If the banned backend is the only one, the session is answered once.
     let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(1));
     harness.arrive(1, arrival(1, 0, ms(20_000)));
     harness.balancer.set_banned(harness.now, BackendId(0), true);
--- a/tests/groups.rs
+++ b/tests/groups.rs
@@ -31,7 +31,7 @@
                 );
             }
         }
-        assert!(homes.len() <= 2, "group {group}: {homes:?}");
+        assert!(homes.len() <= 2, "group {group} is placed at {homes:?}");
     }
 }
 
@@ -63,7 +63,10 @@
                 homes[group as usize].insert(backend);
             }
         }
-        assert!(homes.iter().all(|homes| homes.len() == 1), "{homes:?}");
+        assert!(
+            homes.iter().all(|homes| homes.len() == 1),
+            "backends of each of {groups} groups: {homes:?}"
+        );
         let mut firsts = [0; 60];
         homes
             .iter()
@@ -71,16 +74,16 @@
             .for_each(|&backend| firsts[backend as usize] += 1);
         assert!(
             firsts.iter().all(|&first| first <= groups / 60 * 3 + 4),
-            "{firsts:?}"
+            "number of the {groups} groups at each backend: {firsts:?}"
         );
     }
 }
 
 #[test]
 fn group_not_rejected_while_fleet_has_capacity() {
+    let home = |harness: &mut Harness| harness.arrive(1, arrival(1, 7, ms(1_000))).unwrap().backend;
     // Each case: the load of the first backend in the group's order, that of the others, and
     // whether a session of the group is placed.
-    let home = |harness: &mut Harness| harness.arrive(1, arrival(1, 7, ms(1_000))).unwrap().backend;
     for (first, others, placed) in [
         (0.85, 0.2, true),
         (0.85, 0.4, true),
@@ -153,7 +156,7 @@
             .collect();
         let (used, fullest) = (shares.len(), shares.iter().max().copied().unwrap_or(0));
         let case = format!(
-            "checks {may_check_health}, loads {reports_load}, one {one_reported}: {backends:?}"
+            "checks {may_check_health}, loads {reports_load}, one reported {one_reported}: {backends:?}"
         );
         if kept_together {
             assert_eq!(used, 1, "{case}");
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -31,7 +31,8 @@
     }
 }
 
-/// Lets messages at backend 0 take `latency` milliseconds while it reports this load.
+/// Lets messages at backend 0 take `latency` milliseconds for four seconds, while it reports this
+/// load.
 fn late_for_four_seconds(harness: &mut Harness, latency: u64, load: f64) {
     for _ in 0..4 {
         observe_latency(harness, 0, latency);
@@ -79,10 +80,10 @@
                 < failing
         });
         assert_eq!(used, still_used, "{failing} failing");
-        // An ejected backend does not return with time. It does once it passes health checks, here
-        // the fourth at the latest.
+        // Time alone does not end an ejection. Passed health checks do, here the fourth at the
+        // latest.
         harness.advance(ms(40_000));
-        let still = (80..140).any(|id| {
+        let used_later = (80..140).any(|id| {
             harness
                 .arrive(200 + id, arrival(0, 0, ms(4_800)))
                 .unwrap()
@@ -90,14 +91,14 @@
                 < failing
         });
         assert_eq!(
-            still, still_used,
+            used_later, still_used,
             "{failing} failing: after 40 s without a health check"
         );
         for _ in 0..4 {
             (0..failing).for_each(|backend| harness.report(backend, Some(1.0), Some(0.1)));
             harness.advance(ms(100));
         }
-        let again = (140..220).any(|id| {
+        let used_after_checks = (140..220).any(|id| {
             harness
                 .arrive(id, arrival(0, 0, ms(4_800)))
                 .unwrap()
@@ -105,7 +106,7 @@
                 < failing
         });
         assert!(
-            again,
+            used_after_checks,
             "{failing} failing: used again after passed health checks"
         );
     }
@@ -138,8 +139,8 @@
 /// Backend 0 reports hardly any load while its messages are late.
 #[test]
 fn late_messages_override_low_report() {
-    // Each case: the latency of its messages in milliseconds (the objective is 50), and whether it
-    // is selected.
+    // Each case: the latency of the backend's messages in milliseconds (the objective is 50), and
+    // whether the backend is selected.
     for (latency, selected) in [(5, true), (8, true), (30, false), (2_000, false)] {
         let mut harness = four_backends();
         late_for_four_seconds(&mut harness, latency, 0.02);
@@ -161,8 +162,8 @@
         // The backend reported its true load, and is believed now.
         (1.50, false, 3, true),
         (0.02, true, 0, true),
-        // No message in time is observed there, but the load that made it late has departed with
-        // time.
+        // No message in time is observed at the backend, but the connections that overloaded it
+        // have departed meanwhile.
         (0.02, false, 60, true),
     ];
     for (load, in_time, seconds, selected) in cases {
@@ -336,14 +337,14 @@
         assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
         // One more consecutive failure ejects the backend.
         harness.fail_health_check(backend);
-        let again = (10..30).any(|id| {
+        let selected = (10..30).any(|id| {
             harness
                 .arrive(id, arrival(u64::from(id), 0, ms(1_000)))
                 .unwrap()
                 .backend
                 == backend
         });
-        assert_eq!(again, !migrated, "{waited} ms");
+        assert_eq!(selected, !migrated, "{waited} ms");
     }
 }
 
--- a/tests/path_faults.rs
+++ b/tests/path_faults.rs
@@ -15,7 +15,7 @@
 const CONNECTION_LIFETIME: Duration = Duration::from_millis(20_000);
 /// Number of connections that fill one backend.
 const CAPACITY: f64 = 40.0;
-/// Maximum number of backends with counts.
+/// Maximum number of simulated backends.
 const MAX_BACKENDS: usize = 64;
 
 /// The state of the path from a relay to a backend.
@@ -28,7 +28,8 @@
     Lost,
 }
 
-/// Returns the path from a relay to a backend, by the time since the start.
+/// A function that returns the path from a relay to a backend, by the time since the start of a
+/// run.
 trait Paths: Fn(usize, u32, Duration) -> Path {}
 impl<F: Fn(usize, u32, Duration) -> Path> Paths for F {}
 
@@ -219,7 +220,7 @@
         }
     }
 
-    /// Ends a connection, whose client comes again as a new session.
+    /// Ends a connection, whose client reconnects as a new session.
     fn migrate(&mut self, relay: usize, session: u32) {
         let is_migrated =
             |connection: &Connection| connection.relay == relay && connection.session == session;
@@ -234,7 +235,7 @@
         self.arrive(relay);
     }
 
-    /// Ends the attempts: on healthy paths they succeed, on others they time out.
+    /// Ends attempts: on healthy paths they become ready at once, on others they time out.
     fn end_attempts(&mut self, elapsed: Duration, paths: &impl Paths, counts: &mut Counts) {
         let now = self.now();
         for attempt in std::mem::take(&mut self.connecting) {
@@ -282,7 +283,7 @@
         }
     }
 
-    fn established_at(&self, is_counted: impl Fn(&Connection) -> bool) -> usize {
+    fn count_established(&self, is_counted: impl Fn(&Connection) -> bool) -> usize {
         self.established
             .iter()
             .filter(|connection| is_counted(connection))
@@ -316,7 +317,7 @@
     });
     // A minute later the four backends serve their share again.
     simulation.run(ms(60_000), 11.0, |_, _, _| Path::Healthy);
-    let held = simulation.established_at(|connection| connection.backend < 4);
+    let held = simulation.count_established(|connection| connection.backend < 4);
     let all = simulation.established.len();
     assert!(
         held * 6 > all,
@@ -344,9 +345,9 @@
         load: 0.85,
     });
     let affected =
-        simulation.established_at(|connection| connection.relay < 2 && connection.backend < 6);
+        simulation.count_established(|connection| connection.relay < 2 && connection.backend < 6);
     let others =
-        simulation.established_at(|connection| connection.relay >= 2 && connection.backend < 6);
+        simulation.count_established(|connection| connection.relay >= 2 && connection.backend < 6);
     assert!(
         affected == 0 && others > 20,
         "{affected} connections of affected and {others} of other relays are at the six backends"
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -27,7 +27,7 @@
             .balancer
             .shut_down(harness.now, &mut harness.recorder);
         // No connection is migrated at first: another relay may just have been stopped too, so that
-        // clients would find none to come back to.
+        // clients would find no relay to reconnect to.
         harness.advance(ms(timeout * 2 / 5));
         assert_eq!(harness.migrations(), 0);
         let attempt_timeout = harness
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -130,7 +130,8 @@
         (fast_turnover, 2),
         (with_slow_turnover(200, 0, reported), 1),
         (with_slow_turnover(200, 10, reported), 200),
-        // Without reports a warm backend can take at least as many connections as each holds.
+        // Without reports a warm backend is assumed to take at least as many connections as it
+        // holds.
         (with_slow_turnover(200, 0, None), 1),
         (with_slow_turnover(200, 10, None), 200),
     ];
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -166,8 +166,8 @@
     }
 }
 
-/// Gives each relay its part of the 35 connections that each of five full backends holds. One
-/// connection in fifty departs each second.
+/// Gives each relay its part of the 33 connections that each of five backends holds, but at least
+/// one connection. Up to two connections depart each second.
 fn hold_full_backends(fleet: &mut Fleet, relays: u32) {
     let each = (165 / relays).max(1);
     let mut id = FIRST_INHERITED;
--- a/tests/slow_start_window.rs
+++ b/tests/slow_start_window.rs
@@ -22,11 +22,11 @@
 
 const STEP: Duration = Duration::from_millis(50);
 const STEPS: u32 = 440;
-/// Sessions per step: 60 per second. Rejected clients come again, so that there are far more
-/// sessions than there is capacity.
+/// Sessions per step: 60 per second. They include clients that come back after a rejection, so
+/// there are far more sessions than there is capacity.
 const SESSIONS_PER_STEP: f64 = 60.0 * 0.05;
 const WARM_BACKENDS: u32 = 10;
-/// The steps before which backends start: three together, two more apart.
+/// The steps before which backends start: three together, two more one after the other.
 const STARTS: [(u32, Range<u32>); 3] = [(160, 10..13), (200, 13..14), (240, 14..15)];
 
 /// Returns how many attempts the rule allows within one window at a backend of this age, in
