--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -135,8 +135,9 @@
 
 #[test]
 fn saturated_attempt_is_rejected_or_retried_and_stop_removes_the_instance() {
-    let full = bytes("1004 0300 c4913a5d0d690f00 44480000 2e01 0a124a07 5b1b 0000 00 00");
-    let records = last_records(&[start(), batch(2, 2_000, &[bytes(ARRIVAL), full], &[])].concat());
+    let saturated = bytes("1004 0300 c4913a5d0d690f00 44480000 2e01 0a124a07 5b1b 0000 00 00");
+    let records =
+        last_records(&[start(), batch(2, 2_000, &[bytes(ARRIVAL), saturated], &[])].concat());
     // The backoff is one second at most: the session is rejected if that exceeds the time left, and
     // retried otherwise.
     let rejected = records
--- a/leases/src/link.rs
+++ b/leases/src/link.rs
@@ -53,8 +53,8 @@
 pub(crate) struct Link {
     /// The name of the voter.
     pub voter: CompactString,
-    /// The process that opened the session or last rejected it. Another process of the voter's name
-    /// does not know the session.
+    /// The voter's process that opened the session or last rejected its token. Another process with
+    /// the voter's name does not know the session.
     pub process: Option<Identity>,
     pub session: Option<SessionToken>,
     pub request: Option<Request>,
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -123,7 +123,8 @@
         leases
     }
 
-    /// Does everything that is due.
+    /// Handles everything that is due: recalls, claims, and requests to voters that timed out or
+    /// have to be sent.
     pub fn tick(&mut self, now: Instant) {
         if self.next_recall().is_some_and(|at| at <= now) {
             self.recall(now);
--- a/operator_config/src/value.rs
+++ b/operator_config/src/value.rs
@@ -1,4 +1,4 @@
-//! Parses a TOML value as the kind that its key requires.
+//! Conversion of TOML values into the kinds that their keys require.
 use crate::keys::ValueKind;
 use crate::sections::KeyPrefix;
 use std::net::SocketAddr;
--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -12,7 +12,7 @@
 
 impl Node {
     /// Announces an entry of the shared state, or a new value of one, to the fleet. Returns false
-    /// if the entry is too long or this process has too many.
+    /// if the entry is too long, this process has too many entries, or the table is full.
     pub fn announce(
         &mut self,
         kind: EntryKind,
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -193,7 +193,7 @@
         };
         self.counts.probes_failed += 1;
         // If helpers sent neither an ack nor a nack, this process itself is probably slow or cut
-        // off.
+        // off from the network.
         let silent_helpers = probe.helper_count.saturating_sub(probe.nack_count);
         let health_penalty = match probe.helper_count {
             0 => 1,
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -62,8 +62,8 @@
             }
             let index = self.rng.below(missing.len() as u64) as usize;
             let address = missing.swap_remove(index);
-            // A datagram to a dead member carries the opinion that it is dead, so that it can
-            // refute it.
+            // A datagram to a dead member carries the opinion that the member is dead, so that the
+            // member can refute it.
             let id = self.member_with_address(address).cloned();
             self.send(
                 address,
@@ -201,7 +201,7 @@
         builder.chunks
     }
 
-    /// Sends chunks of a snapshot that did not arrive again.
+    /// Sends those chunks of a snapshot again that did not arrive.
     pub(super) fn resend_chunks(
         &mut self,
         to: &Identity,
--- a/peers/src/shared_state.rs
+++ b/peers/src/shared_state.rs
@@ -86,7 +86,7 @@
 }
 
 impl Entry {
-    /// The key of this entry.
+    /// Returns the key of this entry.
     pub(crate) fn key(&self) -> EntryKey {
         EntryKey {
             kind: self.kind,
@@ -193,7 +193,7 @@
     }
 
     /// Announces an entry as its owner. Returns false if the entry was not accepted: the owner has
-    /// too many entries, or the entry is too long.
+    /// too many entries, the entry is too long, or the table is full.
     pub fn announce(
         &mut self,
         owner: &Identity,
--- a/settings/src/extensions.rs
+++ b/settings/src/extensions.rs
@@ -26,7 +26,8 @@
         Duration::from_micros(shortest.unwrap_or_default())
     }
 
-    /// Whether the one value that backends report for a connection is the latency of its messages.
+    /// Returns whether the one value that backends report for a connection is the latency of its
+    /// messages.
     pub(crate) fn notes_carry_latency(&self) -> bool {
         self.reports_latency && !self.reports_load
     }
--- a/settings/src/transition.rs
+++ b/settings/src/transition.rs
@@ -44,7 +44,7 @@
     }
 }
 
-/// Returns the class that permits a retry only where both do.
+/// Returns the idempotency class that permits a retry only where both classes do.
 fn stricter_idempotency(one: Idempotency, other: Idempotency) -> Idempotency {
     match (one, other) {
         (Idempotency::Idempotent, class) | (class, Idempotency::Idempotent) => class,
