--- a/leases/src/manager/errors.rs
+++ b/leases/src/manager/errors.rs
@@ -11,7 +11,7 @@
     #[error("the subject is longer than {MAX_SUBJECT_BYTES} bytes")]
     SubjectTooLong,
     /// This process has as many claims as it may.
-    #[error("this relay already claims {MAX_CLAIMS} leases, which is the limit")]
+    #[error("this relay wants {MAX_CLAIMS} leases already")]
     TooManyClaims,
 }
 
