--- a/relay/src/discovery/watch.rs
+++ b/relay/src/discovery/watch.rs
@@ -130,7 +130,7 @@
     }
 
     /// Moves the watch to the agent's new address.
-    pub(crate) fn move_to(&mut self, address: SocketAddr, io: &mut IoContext) {
+    pub(crate) fn move_to_agent_address(&mut self, address: SocketAddr, io: &mut IoContext) {
         let is_moving_there = self
             .next
             .as_ref()
--- a/relay/src/service/hot_restart.rs
+++ b/relay/src/service/hot_restart.rs
@@ -33,7 +33,7 @@
     /// has open, if it has changed by at least `least_change`. The processes share one limit:
     /// notified later, both could claim the same free descriptors.
     pub(super) fn send_descriptor_count(&mut self, least_change: usize) {
-        let count = self.io.sockets.open_here();
+        let count = self.io.sockets.open_count_in_this_process();
         self.hot_restart.send_descriptor_count(count, least_change);
     }
 
--- a/relay/src/service/reconfiguration.rs
+++ b/relay/src/service/reconfiguration.rs
@@ -75,7 +75,8 @@
                         differing.join(", ")
                     );
                 }
-                self.discovery.move_to(reloaded.discovery, &mut self.io);
+                self.discovery
+                    .move_to_agent_address(reloaded.discovery, &mut self.io);
                 reloaded.settings
             }
             Err(error) => {
--- a/relay/src/session/accept.rs
+++ b/relay/src/session/accept.rs
@@ -81,7 +81,7 @@
     /// Returns whether there is a descriptor for one more client. At the limit it sheds an idle
     /// connection; if there is none, the descriptors for rejections are used.
     fn can_accept(&mut self, registry: &EndpointRegistry, io: &mut IoContext) -> bool {
-        let open = io.sockets.open_in_relay();
+        let open = io.sockets.open_count_in_relay();
         open < self.shared.max_descriptors
             || self.shed_idle(MIN_SILENCE_BEFORE_SHEDDING, registry, io)
             || open < self.shared.max_descriptors + DESCRIPTORS_FOR_REJECTIONS
@@ -113,7 +113,7 @@
         registry: &EndpointRegistry,
         io: &mut IoContext,
     ) {
-        while io.sockets.open_in_relay() >= self.shared.max_descriptors
+        while io.sockets.open_count_in_relay() >= self.shared.max_descriptors
             && self.shed_idle(Duration::ZERO, registry, io)
         {}
     }
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -50,7 +50,7 @@
             return Keep;
         };
         io.counters.dials += 1;
-        if io.sockets.open_in_relay() >= shared.max_descriptors {
+        if io.sockets.open_count_in_relay() >= shared.max_descriptors {
             // Many requests of one turn can pass the descriptor check before the first of their
             // attempts takes a descriptor.
             self.attempt_not_accepted(number, NOT_STARTED, io);
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -148,7 +148,8 @@
     /// open in the predecessor don't count, since it closes its own once this process adopts the
     /// session.
     pub(crate) fn can_adopt(&self, io: &IoContext) -> bool {
-        io.sockets.open_here() + DESCRIPTORS_PER_SESSION <= self.shared.max_descriptors
+        io.sockets.open_count_in_this_process() + DESCRIPTORS_PER_SESSION
+            <= self.shared.max_descriptors
     }
 
     /// Adopts a session that the predecessor has released, with the bytes that waited to be written
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -97,7 +97,7 @@
         self.open_id = Some(request.id);
         self.close_at = None;
         self.phase_started = io.now;
-        if io.sockets.open_in_relay() >= shared.max_descriptors
+        if io.sockets.open_count_in_relay() >= shared.max_descriptors
             && !shared.has_idle_other_than(self.id)
         {
             // There is no descriptor for an attempt. Rejecting the session now frees its own for
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -106,12 +106,12 @@
 
     /// Returns the number of open sockets of this process and of the relay's other process, if
     /// there is one. Both share one limit.
-    pub(crate) fn open_in_relay(&self) -> usize {
-        self.open_here() + self.open_in_other_process
+    pub(crate) fn open_count_in_relay(&self) -> usize {
+        self.open_count_in_this_process() + self.open_in_other_process
     }
 
     /// Returns the number of open sockets of this process.
-    pub(crate) fn open_here(&self) -> usize {
+    pub(crate) fn open_count_in_this_process(&self) -> usize {
         self.open_sockets.get()
     }
 
