--- a/relay/src/bans/store.rs
+++ b/relay/src/bans/store.rs
@@ -75,8 +75,9 @@
         &self.list
     }
 
-    /// Reads the file if another process has written it since. Returns whether that changed the set
-    /// of banned backends. A file that can't be read changes nothing.
+    /// Reads the file if another process has written it since this one last read or wrote it.
+    /// Returns whether that changed the set of banned backends. A file that can't be read changes
+    /// nothing.
     pub(crate) fn refresh(&mut self) -> bool {
         let Ok(metadata) = std::fs::metadata(&self.path) else {
             return false;
--- a/relay/src/discovery/decoding.rs
+++ b/relay/src/discovery/decoding.rs
@@ -67,7 +67,7 @@
 /// so its end is found by its braces. Blank lines occur only between lists, never within one.
 #[derive(Default)]
 pub(super) struct ListSplitter {
-    /// Decoded text that no complete list has been taken from yet.
+    /// Decoded text from which no complete list has been taken yet.
     pub(super) text: Vec<u8>,
     /// The number of bytes of `text` scanned so far; the fields below hold the state of the scan
     /// there.
--- a/relay/src/discovery/poll_schedule.rs
+++ b/relay/src/discovery/poll_schedule.rs
@@ -15,8 +15,8 @@
 /// relay is expected to know the agent's list six seconds after the agent becomes reachable again;
 /// one of them is left for the answer.
 pub(crate) const ATTEMPT_INTERVAL: Duration = Duration::from_millis(5_000);
-/// The same limit for a new address read on SIGHUP, whose list the relay is expected to know after
-/// four seconds.
+/// `ATTEMPT_INTERVAL` for a new address read on SIGHUP, whose list the relay is expected to know
+/// after four seconds.
 pub(crate) const ATTEMPT_INTERVAL_AFTER_MOVE: Duration = Duration::from_millis(3_000);
 
 /// Minimum delay after two or more rejections, as a fraction of the maximum. The mean delay keeps a
--- a/relay/src/discovery/watch.rs
+++ b/relay/src/discovery/watch.rs
@@ -18,8 +18,8 @@
 /// every two seconds, and a watch that died unnoticed must be detected before the grace period of a
 /// drain has passed, since the relay is expected to know the agent's list.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The same limit for a new address. It is shorter because the agent answers immediately, and the
-/// relay is expected to know the list four seconds after SIGHUP.
+/// `SILENCE_TIMEOUT` for a new address. It is shorter because the agent answers immediately, and
+/// the relay is expected to know the list four seconds after SIGHUP.
 const SILENCE_TIMEOUT_AFTER_MOVE: Duration = Duration::from_millis(800);
 /// Minimum time between two quick retries, which are made when an answered watch fails.
 const QUICK_RETRY_INTERVAL: Duration = Duration::from_millis(2_000);
@@ -28,7 +28,7 @@
 /// expected to know the agent's current list: a hedged request is sent.
 const RESPONSE_SHARE_OF_GRACE: f64 = 0.25;
 const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Gives the watch other random numbers than other components that have the same seed.
+/// Makes the random numbers of the watch differ from those of other components with the same seed.
 const SEED_SALT: u64 = 0x64_6973_636f;
 
 /// The endpoint list that the relay currently has.
@@ -129,7 +129,7 @@
         self.start_attempt(Slot::Current, io);
     }
 
-    /// Moves the watch to the agent's new address.
+    /// Moves the watch to this address of the agent, unless it is already there or moving there.
     pub(crate) fn move_to_agent_address(&mut self, address: SocketAddr, io: &mut IoContext) {
         let is_moving_there = self
             .next
@@ -222,8 +222,8 @@
         io.counters.list_failures += 1;
     }
 
-    /// Returns the kind of a failure. One of a watch that the agent had answered is retried
-    /// quickly, unless there was a quick retry recently.
+    /// Returns the kind of a failure. A watch that the agent had answered is retried quickly, unless
+    /// there was a quick retry recently.
     fn classify(&mut self, slot: Slot, error: &WatchError, now: Instant) -> FailureKind {
         let was_answered =
             self.connection(slot).is_streaming() && error.kind() != FailureKind::Unreachable;
--- a/relay/src/health_check.rs
+++ b/relay/src/health_check.rs
@@ -12,8 +12,8 @@
 use thistlecroft::ids::BackendId;
 use thistlecroft::time::{Duration, Instant};
 
-/// Timeout of a health check in connect timeouts: one for establishing the connection, and one for
-/// the answer.
+/// Timeout of a health check as a multiple of the connect timeout: one for establishing the
+/// connection, and one for the answer.
 const CONNECT_TIMEOUTS_PER_CHECK: f64 = 2.0;
 
 #[derive(Clone, Copy, PartialEq, Eq)]
--- a/relay/src/hot_restart/state.rs
+++ b/relay/src/hot_restart/state.rs
@@ -65,7 +65,8 @@
         self.predecessor.is_some()
     }
 
-    pub(crate) fn is_of_relay(&self, relay: &str) -> bool {
+    /// Returns whether `relay` is the name of the relay that this process belongs to.
+    pub(crate) fn is_same_relay(&self, relay: &str) -> bool {
         self.relay_name == relay
     }
 
@@ -84,8 +85,8 @@
         self.offered.clear();
     }
 
-    /// Notifies the other processes if the number has changed by at least `least_change` since the
-    /// last notification.
+    /// Notifies the other processes of the number of open descriptors, `count`, if it has changed by
+    /// at least `least_change` since the last notification.
     pub(crate) fn send_descriptor_count(&mut self, count: usize, least_change: usize) {
         let channels = || self.predecessor.iter().chain(&self.successor);
         if channels().next().is_none() || count.abs_diff(self.sent_descriptor_count) < least_change
--- a/relay/src/line_buffer.rs
+++ b/relay/src/line_buffer.rs
@@ -44,7 +44,8 @@
 
 impl LineBuffer {
     /// Restores a buffer from the bytes that waited in another process, of which the first
-    /// `parsed_bytes` are lines that it had parsed. Returns none if the pool has no free buffer.
+    /// `parsed_bytes` are lines that it had parsed. Returns none if the pool has no free buffer or
+    /// the bytes do not fit into one.
     pub(crate) fn restore(
         bytes: &[u8],
         parsed_bytes: usize,
--- a/relay/src/peers/mod.rs
+++ b/relay/src/peers/mod.rs
@@ -244,7 +244,7 @@
             ),
             Event::Refuted { incarnation } => {
                 log::info!(
-                    "peers: refuted that this relay is dead or suspect; incarnation={incarnation}"
+                    "peers: refuted a report that this relay is dead or suspect; incarnation={incarnation}"
                 );
             }
             Event::UnknownFormat { from, format } => {
--- a/relay/src/service/actions.rs
+++ b/relay/src/service/actions.rs
@@ -11,8 +11,9 @@
 struct TurnOutcome {
     /// Sessions whose event made the balancer panic.
     failed: Vec<SessionId>,
-    /// Whether backends may have been withdrawn, so that attempts on them have to be cancelled.
-    backends_withdrawn: bool,
+    /// Whether backends may have been drained or banned, so that attempts to connect to them have
+    /// to be cancelled.
+    backends_drained_or_banned: bool,
 }
 
 impl Service {
@@ -32,7 +33,7 @@
             trace::log_action(&action, &self.discovery.registry);
             self.execute_action(action);
         }
-        if outcome.backends_withdrawn {
+        if outcome.backends_drained_or_banned {
             self.sessions
                 .cancel_attempts_to_draining_or_banned(&self.discovery.registry, &mut self.io);
         }
@@ -54,7 +55,7 @@
         let mut outcome = TurnOutcome::default();
         while let Some(event) = self.io.events.pop_front() {
             trace::log_event(&event, &self.discovery.registry);
-            outcome.backends_withdrawn |= matches!(
+            outcome.backends_drained_or_banned |= matches!(
                 event,
                 Event::EndpointsUpdated(..) | Event::BanChanged(_, true)
             );
--- a/relay/src/service/event_loop.rs
+++ b/relay/src/service/event_loop.rs
@@ -14,8 +14,8 @@
 const MAX_SOCKET_EVENTS: NonZeroUsize = NonZeroUsize::new(512).expect("512 is not zero");
 /// Most timers in one turn; bounded so that they do not delay socket events for long.
 const MAX_TIMERS: usize = 512;
-/// The other process is notified at once when the number of open descriptors has changed by this
-/// much since the last notification.
+/// The predecessor and the successor are notified in the same turn when the number of open
+/// descriptors has changed by this much since the last notification.
 const DESCRIPTOR_COUNT_STEP: usize = 4;
 
 /// The order in which the socket events of one turn are dispatched.
--- a/relay/src/service/hot_restart.rs
+++ b/relay/src/service/hot_restart.rs
@@ -30,8 +30,8 @@
     }
 
     /// Notifies the predecessor and the successor of the number of descriptors that this process
-    /// has open, if it has changed by at least `least_change`. The processes share one limit:
-    /// notified later, both could claim the same free descriptors.
+    /// has open, if it has changed by at least `least_change`. The processes share one limit: if
+    /// they were notified later, both could claim the same free descriptors.
     pub(super) fn send_descriptor_count(&mut self, least_change: usize) {
         let count = self.io.sockets.open_count_in_this_process();
         self.hot_restart.send_descriptor_count(count, least_change);
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Keeps a session whose offer the successor has not answered in time.
+    /// Keeps a session whose offer the successor has not answered in time, and closes the channel
+    /// to the successor.
     pub(super) fn handle_offer_timeout(&mut self, session: u32) {
         if self.sessions.handover_declined(session, &mut self.io) {
             self.lose_successor("the successor did not answer the offer of a session in time");
@@ -114,7 +115,8 @@
     /// turn.
     ///
     /// # Errors
-    /// Returns an error if the successor has ended or sent a message that only a predecessor sends.
+    /// Returns an error if the successor has ended, is of another version or relay, or sent a
+    /// message that only a predecessor sends.
     fn handle_successor_message(&mut self, message: Message) -> io::Result<ControlFlow<()>> {
         let Some(successor) = &self.hot_restart.successor else {
             return Ok(ControlFlow::Break(()));
@@ -123,7 +125,7 @@
             Message::Hello {
                 version: VERSION,
                 relay,
-            } if self.hot_restart.is_of_relay(&relay) => {
+            } if self.hot_restart.is_same_relay(&relay) => {
                 if self.shutdown_started.is_some() {
                     self.hand_over_to_successor();
                     return Ok(ControlFlow::Break(()));
--- a/relay/src/service/reconfiguration.rs
+++ b/relay/src/service/reconfiguration.rs
@@ -175,7 +175,8 @@
         self.io
             .events
             .push_back(Event::Reconfigured(Box::new(deployment)));
-        self.sessions.reconfigure(protocol_names(&settings), routes);
+        self.sessions
+            .reconfigure(protocol_settings_of(&settings), routes);
         let generation = self.sessions.generation();
         if !changes.is_empty() {
             log::info!(
@@ -190,7 +191,7 @@
 }
 
 /// Returns the settings on which the clients' protocol depends.
-pub(super) fn protocol_names(settings: &Settings) -> ProtocolSettings {
+pub(super) fn protocol_settings_of(settings: &Settings) -> ProtocolSettings {
     ProtocolSettings {
         listeners: settings.listeners.clone(),
         has_groups: settings.deployment.groups_share_work,
--- a/relay/src/service/startup.rs
+++ b/relay/src/service/startup.rs
@@ -1,5 +1,5 @@
 //! The start of a relay: opens its sockets and files and creates the service.
-use super::reconfiguration::{Reconfiguration, protocol_names};
+use super::reconfiguration::{Reconfiguration, protocol_settings_of};
 use super::{CACHED_LIST_TIMEOUT, LOG_TARGET, ListenerOrigin, NO_LIST_TIMEOUT, Service, Signals};
 use crate::admin::commands::AdminCommands;
 use crate::admin::connections::{self, AdminConnections};
@@ -86,12 +86,12 @@
         // SAFETY: the service owns the signals and the poller, and drops both at its end.
         unsafe { signals.register(&poller)? };
         log::info!(target: LOG_TARGET, "relay {} serves at {}", config.name, config.listen);
-        let names = protocol_names(&settings);
+        let protocol = protocol_settings_of(&settings);
         let mut service = Service {
             clock,
             poller,
             io,
-            sessions: Sessions::new(sockets.clients, names, operator.routes, session_sockets),
+            sessions: Sessions::new(sockets.clients, protocol, operator.routes, session_sockets),
             health_checks: new_health_checks(&settings),
             discovery,
             admin,
--- a/relay/src/session/accept.rs
+++ b/relay/src/session/accept.rs
@@ -69,7 +69,7 @@
                     _ => {
                         // The system is out of descriptors or memory.
                         io.counters.accept_failures += 1;
-                        log::debug!("accepting a client failed error=\"{error}\"");
+                        log::debug!("accepting a client failed; error=\"{error}\"");
                         return self.listener.pause(io);
                     }
                 },
--- a/relay/src/session/attempts.rs
+++ b/relay/src/session/attempts.rs
@@ -99,8 +99,8 @@
         })
     }
 
-    /// Makes the attempt that `is_match` selects the session's first attempt, on which the other
-    /// methods act. Returns false if no such attempt is under way.
+    /// Makes the attempt that satisfies `is_match` the first attempt of the session, on which the
+    /// other methods act. Returns false if no such attempt is under way.
     pub(super) fn promote_attempt(&mut self, is_match: impl Fn(&Attempt) -> bool) -> bool {
         if self.attempt.as_ref().is_some_and(&is_match) {
             return true;
@@ -156,7 +156,7 @@
     fn attempt_not_accepted(&mut self, number: u32, failure: AttemptFailure, io: &mut IoContext) {
         if self.stage == Stage::Inherited {
             log::debug!(
-                "reconnecting inherited session failed, will retry session={} failure={failure:?}",
+                "reconnecting an inherited session to its backend failed, will retry; session={} failure={failure:?}",
                 self.id
             );
             self.retry_inherited_later(io);
--- a/relay/src/session/backend.rs
+++ b/relay/src/session/backend.rs
@@ -122,7 +122,9 @@
         self.write_to_client(io)
     }
 
-    /// Handles a broken connection to the backend. The client's connection is reset in turn.
+    /// Handles a broken connection to the backend. Before the session is established, this ends the
+    /// attempt; afterwards the client's connection is reset in turn, unless one side had already
+    /// ended the session.
     fn backend_connection_failed(&mut self, io: &mut IoContext) -> Disposition {
         if self.stage != Stage::Established {
             return self.backend_finished_sending(io);
--- a/relay/src/session/config_generations.rs
+++ b/relay/src/session/config_generations.rs
@@ -43,7 +43,7 @@
         if *count == 0 {
             self.sessions.remove(&generation);
             if generation != self.current {
-                log::debug!(generation; "former configuration unused generation={generation}");
+                log::debug!(generation; "no session uses this former configuration any more; generation={generation}");
             }
         }
     }
--- a/relay/src/session/handover.rs
+++ b/relay/src/session/handover.rs
@@ -86,8 +86,8 @@
         Ok(())
     }
 
-    /// Handles the successor's acceptance of a session: this process tells it to continue, then
-    /// drops the session without writing to either side.
+    /// Handles the successor's acceptance of a session: releases the session to the successor, then
+    /// drops it here without writing to the client or the backend.
     ///
     /// # Errors
     /// The connection to the successor is broken or takes no further message.
@@ -114,7 +114,7 @@
         Ok(())
     }
 
-    /// Keeps a session that the successor declined or did not answer for. Returns whether the
+    /// Keeps a session whose offer the successor declined or did not answer. Returns whether the
     /// session had been offered.
     pub(crate) fn handover_declined(&mut self, id: u32, io: &mut IoContext) -> bool {
         let is_offered = self.is_offered(id);
@@ -299,7 +299,8 @@
         }));
     }
 
-    /// Finds the session's route in this process, and returns the arrival for the balancer.
+    /// Finds the session's route in this process, reserves the session's id, and returns the arrival
+    /// for the balancer.
     fn restore_route(&mut self, handover: &SessionHandover, shared: &mut Shared) -> Arrival {
         // The listener may be missing from the present settings. The route of an adopted session
         // only decides how it may be migrated, so the first listener is used then.
--- a/relay/src/session/handshake.rs
+++ b/relay/src/session/handshake.rs
@@ -15,8 +15,8 @@
 /// three seconds for an answer, and a silent connection holds a descriptor.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2_000);
 
-/// The minimum of that time for a connection that waited long in the backlog, so that its request
-/// can be read at all.
+/// The least that is left of `FIRST_LINE_TIMEOUT` for a connection that waited long in the backlog,
+/// so that its request can be read at all.
 const MIN_FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// A violation of the protocol by a client that has not been answered yet.
@@ -150,7 +150,7 @@
         io: &mut IoContext,
     ) -> Disposition {
         io.counters.bad_lines += 1;
-        log::debug!("handshake failed session={} error=\"{error}\"", self.id);
+        log::debug!("handshake failed; session={} error=\"{error}\"", self.id);
         self.to_backend.clear(&mut io.buffers);
         self.close_with(protocol::FAILED_LINE, io)
     }
--- a/relay/src/session/inherited.rs
+++ b/relay/src/session/inherited.rs
@@ -13,11 +13,12 @@
 /// The time between a failed attempt and the next one.
 const INHERITED_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// The time after which the session fails. Its client would count it as lost after 40 s.
+/// The time from its request after which an inherited session fails. Its client would count it as
+/// lost after 40 s.
 const INHERITED_TIMEOUT: Duration = Duration::from_millis(38_000);
 
-/// The time after which a session fails whose backend is unknown. The backend may be in the next
-/// endpoint list.
+/// The time after which a session whose backend is unknown fails. Until then, a new endpoint list
+/// may name the backend.
 const UNKNOWN_BACKEND_TIMEOUT: Duration = Duration::from_millis(2_000);
 
 impl Session {
--- a/relay/src/session/placement.rs
+++ b/relay/src/session/placement.rs
@@ -15,8 +15,8 @@
 
 impl Session {
     /// Checks whether a client that waits for its answer has left or has sent data, which fails its
-    /// session. Data sent this early can't be relayed later, since the backend would close the
-    /// session over another command, and keeping it would need unlimited memory.
+    /// session. Data sent this early can't be relayed later: the backend would close the session
+    /// if it received another command, and keeping the data would need unlimited memory.
     pub(super) fn check_waiting_client(&mut self, io: &mut IoContext) -> Disposition {
         match self.client.read(&mut [0]) {
             Ok(0) => {
@@ -58,8 +58,8 @@
         }
     }
 
-    /// Handles a line that a backend sends in answer to the request. Breaks if the attempt has
-    /// ended.
+    /// Handles a line that a backend sends in answer to the request. Returns `Break` if the attempt
+    /// has ended.
     pub(super) fn process_answer(
         &mut self,
         message: Result<BackendMessage, LineTooLong>,
--- a/relay/src/session/response_latency.rs
+++ b/relay/src/session/response_latency.rs
@@ -21,8 +21,8 @@
     }
 
     /// Records that a backend line was relayed, and returns the latency if a client line was
-    /// waiting for an answer. The reported latency is the minimum, so that a quick line back
-    /// doesn't hide that the backend's own work is slow.
+    /// waiting for an answer. The result is at least the latency that the backend last reported, so
+    /// that a quick line back doesn't hide that the backend's own work is slow.
     pub(super) fn response_relayed(&mut self, now: Instant) -> Option<Duration> {
         let since = self.pending_since.take()?;
         Some(now.duration_since(since).max(self.reported))
--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -165,8 +165,8 @@
     }
 
     /// Takes over a listening socket. Other processes may hold the same socket; they share its
-    /// queue and its non-blocking mode. At the end the socket is closed but never shut down, which
-    /// would end it for all processes.
+    /// queue and its non-blocking mode. The socket is only closed when it is dropped: shutting it
+    /// down would end it for all processes.
     pub(crate) fn adopt_listener(
         &mut self,
         owner: SocketOwner,
@@ -250,7 +250,9 @@
         };
         match result {
             Ok(()) => self.interest = interest,
-            Err(error) => log::error!("registering with the poller failed; error={error}"),
+            Err(error) => log::error!(
+                "changing a socket's registration with the poller failed; error={error}"
+            ),
         }
     }
 }
