--- a/relay/tests/golden/platform.rs
+++ b/relay/tests/golden/platform.rs
@@ -20,7 +20,10 @@
         if let Some(value) = check() {
             return value;
         }
-        assert!(Instant::now() < deadline, "not in time: {description}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out waiting for {description}"
+        );
         thread::sleep(CHECK_INTERVAL);
     }
 }
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -107,7 +107,7 @@
     echo(&mut lines, &mut out, &sender)
 }
 
-/// Sends each line back, and answers the client's end.
+/// Sends each line back, and answers the end of the client's sending with `BYE`.
 fn echo(
     lines: &mut BufReader<TcpStream>,
     out: &mut TcpStream,
--- a/relay/tests/helper/config.rs
+++ b/relay/tests/helper/config.rs
@@ -15,8 +15,9 @@
   "mayCancel": true, "probes": PROBES, "retryAfter": true},
  "report": {"fields": ["rif", "x0"], "how": "pull"}}"#;
 
-/// Returns a configuration for the file that `ROUTER_CONFIG` names. `known` is the endpoint list
-/// that is known at the start, or `null`.
+/// Returns a configuration for the file that `ROUTER_CONFIG` names. `sockets` is the limit on
+/// descriptors, `known` is the endpoint list that is known at the start, or `null`, and `probes`
+/// tells whether health checks are allowed.
 pub(crate) fn config(
     at: SocketAddr,
     discovery: SocketAddr,
--- a/relay/tests/helper/host.rs
+++ b/relay/tests/helper/host.rs
@@ -52,7 +52,10 @@
 pub(crate) fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let deadline = Instant::now() + WAIT_TIMEOUT;
     while !condition() {
-        assert!(Instant::now() < deadline, "not so in time: {description}");
+        assert!(
+            Instant::now() < deadline,
+            "timed out before this held: {description}"
+        );
         thread::sleep(CHECK_INTERVAL);
     }
 }
--- a/relay/tests/peers/main.rs
+++ b/relay/tests/peers/main.rs
@@ -40,6 +40,8 @@
     path
 }
 
+/// Opens a cluster of `relays`, none of which is started yet. The first `voters` of them are the
+/// voters, and `peers` tells whether the settings permit peers.
 pub(crate) fn open_cluster(
     name: &str,
     relays: usize,
--- a/relay/tests/session/shutdown.rs
+++ b/relay/tests/session/shutdown.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn sigterm_at_each_awkward_moment_answers_all_and_exits_in_time() {
+fn sigterm_at_each_moment_answers_all_clients_and_exits_in_time() {
     for moment in [
         StopMoment::Twice,
         StopMoment::BeforeFirstList,
