--- a/relay/src/sockets.rs
+++ b/relay/src/sockets.rs
@@ -106,12 +106,12 @@
 
     /// Returns the number of open sockets of this process and of the relay's other process, if
     /// there is one. Both share one limit.
-    pub(crate) fn open_in_relay(&self) -> usize {
-        self.open_here() + self.open_in_other_process
+    pub(crate) fn open_count_in_relay(&self) -> usize {
+        self.open_count_in_this_process() + self.open_in_other_process
     }
 
     /// Returns the number of open sockets of this process.
-    pub(crate) fn open_here(&self) -> usize {
+    pub(crate) fn open_count_in_this_process(&self) -> usize {
         self.open_sockets.get()
     }
 
@@ -165,8 +165,8 @@
     }
 
     /// Takes over a listening socket. Other processes may hold the same socket; they share its
-    /// queue and its non-blocking mode. At the end the socket is closed but never shut down, which
-    /// would end it for all processes.
+    /// queue and its non-blocking mode. The socket is only closed when it is dropped: shutting it
+    /// down would end it for all processes.
     pub(crate) fn adopt_listener(
         &mut self,
         owner: SocketOwner,
@@ -250,7 +250,9 @@
         };
         match result {
             Ok(()) => self.interest = interest,
-            Err(error) => log::error!("registering with the poller failed; error={error}"),
+            Err(error) => log::error!(
+                "changing a socket's registration with the poller failed; error={error}"
+            ),
         }
     }
 }
