--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -40,15 +40,17 @@
         &stop,
         &mut on_progress,
     );
-    let rules_kept = outcome.as_ref().is_ok_and(|outcome| outcome.summary.kept());
+    let rules_kept = outcome
+        .as_ref()
+        .is_ok_and(|outcome| outcome.summary.passed());
     if rules_kept {
         // Of a demonstration that went well nothing need stay.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let summary = outcome.map_err(CommandError::failed)?.summary;
-    println!("{}", summary.line());
+    println!("{}", summary.headline());
     if !rules_kept {
-        println!("{}", summary.page());
+        println!("{}", summary.report_text());
         return Err(CommandError::Failed(format!(
             "a rule was broken; what was seen is in {}",
             folder.display()
--- a/cli/src/experiment/report.rs
+++ b/cli/src/experiment/report.rs
@@ -15,7 +15,7 @@
     let summaries = compare::read(folder).map_err(CommandError::invalid)?;
     let mut page = PAGE_HEAD.to_string();
     for summary in &summaries {
-        println!("{}", summary.page());
+        println!("{}", summary.report_text());
         page += &table_row(folder, summary);
     }
     page += PAGE_END;
@@ -31,19 +31,19 @@
         "<tr><td><a href=\"{}\">{} / {} / {}</a><td>{}<td>{:.3}<td>{:.1}<td>{:.1}\n",
         report_link(folder, summary),
         summary.scenario,
-        summary.way,
+        summary.target,
         summary.seed,
-        summary.line(),
+        summary.headline(),
         summary.served,
-        summary.set_up.p99,
-        summary.lines.p99
+        summary.setup_delays.p99,
+        summary.message_delays.p99
     )
 }
 
 /// Where the run's own report lies below the folder, which may be that of all scenarios, of one
 /// scenario, or of one run.
 fn report_link(folder: &Path, summary: &Summary) -> String {
-    let in_scenario = format!("{}/seed-{}/report.html", summary.way, summary.seed);
+    let in_scenario = format!("{}/seed-{}/report.html", summary.target, summary.seed);
     let in_all = format!("{}/{in_scenario}", summary.scenario);
     let link = [in_all, in_scenario]
         .into_iter()
--- a/cli/src/experiment/run.rs
+++ b/cli/src/experiment/run.rs
@@ -73,7 +73,7 @@
         }
     }
     // A baseline keeps no rules and is no failure.
-    let broken = summaries.iter().filter(|summary| !summary.kept()).count();
+    let broken = summaries.iter().filter(|summary| !summary.passed()).count();
     if broken > 0 {
         return Err(CommandError::Failed(format!(
             "{broken} of {} runs broke a rule",
@@ -140,7 +140,7 @@
         let report = folder.join("report.html");
         println!(
             "{}\n  report      {}",
-            outcome.summary.page(),
+            outcome.summary.report_text(),
             report.display()
         );
         if self.stop.load(Ordering::Relaxed) {
--- a/cli/src/experiment/saturate.rs
+++ b/cli/src/experiment/saturate.rs
@@ -13,7 +13,7 @@
     let steps = saturate(out, &stop, &mut print_step).map_err(CommandError::failed)?;
     let best = steps
         .iter()
-        .filter(|(_, summary)| !summary.tool_was_late)
+        .filter(|(_, summary)| !summary.testbed_was_late)
         .map(|(rate, _)| *rate)
         .fold(0.0, f64::max);
     println!("in time up to {best:.0} set-ups a second, without a relay between");
@@ -21,15 +21,15 @@
 }
 
 fn print_step(rate: f64, summary: &Summary) {
-    let lateness = if summary.tool_was_late {
+    let lateness = if summary.testbed_was_late {
         "  too late"
     } else {
         ""
     };
     println!(
         "{rate:8.0} set-ups a second: {:8.0} done, late by p99 {:8.2} ms, busiest thread {:3.0}%{lateness}",
-        summary.up as f64 / STEP_SECONDS,
-        summary.tool_late.p99,
-        summary.tool_busy * 100.0,
+        summary.accepted as f64 / STEP_SECONDS,
+        summary.testbed_connect_delay.p99,
+        summary.testbed_busy_share * 100.0,
     );
 }
--- a/experiments/src/compare/figures.rs
+++ b/experiments/src/compare/figures.rs
@@ -28,26 +28,26 @@
 /// In the order of the table.
 pub(super) const FIGURES: &[Figure] = &[
     less("rules broken", |summary| {
-        summary.rules.iter().sum::<usize>() as f64
+        summary.violation_counts.iter().sum::<usize>() as f64
     }),
     more("utility served", |summary| summary.served),
-    more("answers up", |summary| summary.up as f64),
-    less("answers busy", |summary| summary.busy as f64),
+    more("answers up", |summary| summary.accepted as f64),
+    less("answers busy", |summary| summary.rejected as f64),
     less("answers failed or none", |summary| {
         (summary.failed + summary.unanswered) as f64
     }),
-    less("cut off", |summary| summary.cut_off as f64),
-    less("moved", |summary| summary.moved as f64),
-    less("gave up", |summary| summary.lost as f64),
-    less("set-up p50, ms", |summary| summary.set_up.p50),
-    less("set-up p99, ms", |summary| summary.set_up.p99),
-    less("set-up p99.9, ms", |summary| summary.set_up.p99_9),
-    less("line p50, ms", |summary| summary.lines.p50),
-    less("line p99, ms", |summary| summary.lines.p99),
-    less("line p99.9, ms", |summary| summary.lines.p99_9),
-    less("dials a session", |summary| summary.dials_a_session),
+    less("cut off", |summary| summary.connections_lost as f64),
+    less("moved", |summary| summary.migrated as f64),
+    less("gave up", |summary| summary.gave_up as f64),
+    less("set-up p50, ms", |summary| summary.setup_delays.p50),
+    less("set-up p99, ms", |summary| summary.setup_delays.p99),
+    less("set-up p99.9, ms", |summary| summary.setup_delays.p99_9),
+    less("line p50, ms", |summary| summary.message_delays.p50),
+    less("line p99, ms", |summary| summary.message_delays.p99),
+    less("line p99.9, ms", |summary| summary.message_delays.p99_9),
+    less("dials a session", |summary| summary.attempts_per_session),
     less("spread of load", |summary| summary.load_spread),
-    less("cold budget used", |summary| summary.cold_push),
+    less("cold budget used", |summary| summary.warm_up_budget_used),
     less("relays' CPU, s", |summary| {
         summary.relays.iter().map(|relay| relay.cpu_s).sum()
     }),
@@ -55,7 +55,7 @@
         summary
             .relays
             .iter()
-            .map(|relay| relay.most_resident_mb)
+            .map(|relay| relay.max_resident_mb)
             .fold(0.0, f64::max)
     }),
 ];
--- a/experiments/src/compare/mod.rs
+++ b/experiments/src/compare/mod.rs
@@ -116,7 +116,7 @@
     ];
     lines.extend(compare(first.runs, second.runs).iter().map(row));
     let runs = || first.runs.iter().chain(second.runs);
-    let late = runs().filter(|run| run.tool_was_late).count();
+    let late = runs().filter(|run| run.testbed_was_late).count();
     if late > 0 {
         lines.push(format!(
             "{late} of the runs were late themselves: their delays say little"
--- a/experiments/src/report/mod.rs
+++ b/experiments/src/report/mod.rs
@@ -36,7 +36,7 @@
     load_totals: &[LoadTotals],
 ) -> Result<String, ReportError> {
     let plots = plots(events, marks, load_totals)?;
-    let color = if summary.kept() {
+    let color = if summary.passed() {
         KEPT_COLOR
     } else {
         BROKEN_COLOR
@@ -49,10 +49,10 @@
          <h1>{name}: {target}, seed {seed}</h1><p class=\"line\">{line}</p>\
          <pre>{page}</pre>{plots}</html>\n",
         name = escape(&summary.scenario),
-        target = escape(&summary.way),
+        target = escape(&summary.target),
         seed = summary.seed,
-        line = escape(&summary.line()),
-        page = escape(&summary.page()),
+        line = escape(&summary.headline()),
+        page = escape(&summary.report_text()),
         plots = plots.join("\n"),
     ))
 }
--- a/experiments/src/saturate.rs
+++ b/experiments/src/saturate.rs
@@ -61,7 +61,7 @@
         let folder = folder.join(format!("step-{step}"));
         let outcome = run(&scenario, &target, 1, &folder, stop, &mut |_| {})?;
         on_step(rate, &outcome.summary);
-        let is_last = outcome.summary.tool_was_late || !outcome.summary.complete;
+        let is_last = outcome.summary.testbed_was_late || !outcome.summary.complete;
         steps.push((rate, outcome.summary));
         if is_last {
             break;
--- a/experiments/src/summary/delays.rs
+++ b/experiments/src/summary/delays.rs
@@ -18,7 +18,8 @@
     /// 999 in 1,000 are shorter.
     pub p99_9: f64,
     /// The longest.
-    pub most: f64,
+    #[serde(rename = "most")]
+    pub max: f64,
 }
 
 impl Delays {
@@ -35,7 +36,7 @@
             p90: quantile(0.9),
             p99: quantile(0.99),
             p99_9: quantile(0.999),
-            most: to_millis(micros.max()),
+            max: to_millis(micros.max()),
         }
     }
 }
--- a/experiments/src/summary/findings.rs
+++ b/experiments/src/summary/findings.rs
@@ -47,47 +47,47 @@
     let rules = findings.rules;
     Summary {
         scenario: findings.scenario.into(),
-        way: findings.target.into(),
+        target: findings.target.into(),
         baseline: findings.is_baseline,
         seed: findings.seed,
         complete: findings.is_complete,
         length_s: seconds_of(findings.length),
-        rules: rules.violation_counts,
-        first_breaks: first_violations(rules),
-        together: cluster_violations(findings.violations),
+        violation_counts: rules.violation_counts,
+        first_violations: first_violations(rules),
+        cluster_violations: cluster_violations(findings.violations),
         crashes: findings.crashes,
         sessions: rules.sessions,
         answered: rules.answered,
         excused: rules.excused,
-        up: load.sum(|listener| listener.accepted),
-        busy: load.sum(|listener| listener.rejected),
+        accepted: load.sum(|listener| listener.accepted),
+        rejected: load.sum(|listener| listener.rejected),
         failed: load.sum(|listener| listener.failed),
         unanswered: load.sum(|listener| listener.unanswered),
-        moved: load.sum(|listener| listener.migrated),
-        cut_off: load.sum(|listener| listener.connections_lost),
-        lost: load.sum(|listener| listener.gave_up),
-        never_taken: failed_connects(findings.events),
-        wrong_lines: load.totals.mismatched_messages,
-        rude: load.totals.misbehaving,
-        rude_answered: load.totals.misbehaving_answered,
+        migrated: load.sum(|listener| listener.migrated),
+        connections_lost: load.sum(|listener| listener.connections_lost),
+        gave_up: load.sum(|listener| listener.gave_up),
+        failed_connects: failed_connects(findings.events),
+        mismatched_messages: load.totals.mismatched_messages,
+        misbehaving: load.totals.misbehaving,
+        misbehaving_answered: load.totals.misbehaving_answered,
         served: load.worth(|listener| listener.served_seconds)
             / load.worth(|listener| listener.requested_seconds).max(TINY),
-        set_up: Delays::new(&load.histogram(|listener| &listener.setup_latency)),
-        lines: Delays::new(&lines),
+        setup_delays: Delays::new(&load.histogram(|listener| &listener.setup_latency)),
+        message_delays: Delays::new(&lines),
         listeners: listeners(&load.totals, rules),
-        dials: rules.attempts,
-        dials_a_session: rules.attempts as f64 / (rules.sessions as f64).max(1.0),
-        most_dials: rules.max_attempts,
-        most_standing: loads.max_sessions,
+        attempts: rules.attempts,
+        attempts_per_session: rules.attempts as f64 / (rules.sessions as f64).max(1.0),
+        max_attempts: rules.max_attempts,
+        max_established: loads.max_sessions,
         load_spread: loads.mean_spread,
-        most_load: loads.max_load,
-        cold_push: rules.max_warm_up_budget_used,
-        cpu_us_a_line: cpu_s * MICROS_PER_SECOND / (lines.len() as f64).max(1.0),
+        max_load: loads.max_load,
+        warm_up_budget_used: rules.max_warm_up_budget_used,
+        cpu_us_per_message: cpu_s * MICROS_PER_SECOND / (lines.len() as f64).max(1.0),
         relays,
-        tool_worst_turn_ms: testbed.longest_turn_ms,
-        tool_was_late: testbed.was_late,
-        tool_late: testbed.connect_delay,
-        tool_busy: testbed.busy_share,
+        testbed_longest_turn_ms: testbed.longest_turn_ms,
+        testbed_was_late: testbed.was_late,
+        testbed_connect_delay: testbed.connect_delay,
+        testbed_busy_share: testbed.busy_share,
     }
 }
 
@@ -174,8 +174,8 @@
         .map(|violation| ViolationSummary {
             rule: violation.rule,
             at_s: seconds_at(violation.at),
-            what: violation.description.clone(),
-            story: violation.timeline.clone(),
+            description: violation.description.clone(),
+            timeline: violation.timeline.clone(),
         })
         .collect()
 }
@@ -212,19 +212,19 @@
 fn listener(totals: &ListenerTotals, attempts: &AttemptTotals) -> ListenerSummary {
     let share = |count: usize| count as f64 / (attempts.sessions as f64).max(1.0);
     ListenerSummary {
-        most_dials: attempts.max_per_session,
-        further: share(attempts.retries),
-        second: share(attempts.hedged),
+        max_attempts: attempts.max_per_session,
+        retries_per_session: share(attempts.retries),
+        hedged_per_session: share(attempts.hedged),
         longest_answer_ms: attempts.longest_answer_time.as_micros() as f64 / 1e3,
         name: totals.name.clone(),
         arrivals: totals.arrivals,
-        up: totals.accepted,
-        busy: totals.rejected,
+        accepted: totals.accepted,
+        rejected: totals.rejected,
         failed: totals.failed,
-        lost: totals.gave_up,
+        gave_up: totals.gave_up,
         served: totals.served_seconds / totals.requested_seconds.max(TINY),
-        set_up: Delays::new(&totals.setup_latency),
-        lines: Delays::new(&totals.message_latency),
+        setup_delays: Delays::new(&totals.setup_latency),
+        message_delays: Delays::new(&totals.message_latency),
     }
 }
 
@@ -262,7 +262,7 @@
             cpu_s
         };
         self.last_cpu_s = cpu_s;
-        self.summary.most_resident_mb = self.summary.most_resident_mb.max(resident_mb);
+        self.summary.max_resident_mb = self.summary.max_resident_mb.max(resident_mb);
         self.summary.last_resident_mb = resident_mb;
     }
 }
--- a/experiments/src/summary/mod.rs
+++ b/experiments/src/summary/mod.rs
@@ -19,28 +19,33 @@
     /// Clients that came.
     pub arrivals: u64,
     /// Sessions accepted.
-    pub up: u64,
+    #[serde(rename = "up")]
+    pub accepted: u64,
     /// Sessions rejected with a promise of no effect.
-    pub busy: u64,
+    #[serde(rename = "busy")]
+    pub rejected: u64,
     /// Sessions failed without such a promise.
     pub failed: u64,
     /// Clients that gave up.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub gave_up: u64,
     /// Well-served seconds over those asked for.
     pub served: f64,
     /// From when a client was due until its session was accepted.
-    pub set_up: Delays,
+    #[serde(rename = "set_up")]
+    pub setup_delays: Delays,
     /// From a line to its return.
-    pub lines: Delays,
+    #[serde(rename = "lines")]
+    pub message_delays: Delays,
     /// Attempts of one session at most.
-    #[serde(default)]
-    pub most_dials: usize,
+    #[serde(default, rename = "most_dials")]
+    pub max_attempts: usize,
     /// Retries as a part of the sessions.
-    #[serde(default)]
-    pub further: f64,
+    #[serde(default, rename = "further")]
+    pub retries_per_session: f64,
     /// Hedged attempts as a part of the sessions.
-    #[serde(default)]
-    pub second: f64,
+    #[serde(default, rename = "second")]
+    pub hedged_per_session: f64,
     /// The longest time to an answer.
     #[serde(default)]
     pub longest_answer_ms: f64,
@@ -52,7 +57,8 @@
     /// CPU time in seconds.
     pub cpu_s: f64,
     /// Resident memory at most.
-    pub most_resident_mb: f64,
+    #[serde(rename = "most_resident_mb")]
+    pub max_resident_mb: f64,
     /// Resident memory as measured last.
     pub last_resident_mb: f64,
 }
@@ -65,9 +71,11 @@
     /// Seconds since the run began.
     pub at_s: f64,
     /// What happened.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub description: String,
     /// The events that led to it.
-    pub story: Vec<String>,
+    #[serde(rename = "story")]
+    pub timeline: Vec<String>,
 }
 
 /// The results of a run, as `summary.json` holds them: fields have the names of their keys.
@@ -76,7 +84,8 @@
     /// The scenario's name.
     pub scenario: String,
     /// What was run: the scenario's own relays, a variant or a baseline.
-    pub way: String,
+    #[serde(rename = "way")]
+    pub target: String,
     /// Clients connected to backends themselves: rules are counted, and owed by nobody.
     pub baseline: bool,
     /// The seed.
@@ -86,12 +95,14 @@
     /// The run's length in seconds.
     pub length_s: f64,
     /// Violations, by rule.
-    pub rules: [usize; 4],
+    #[serde(rename = "rules")]
+    pub violation_counts: [usize; 4],
     /// The first violation of each rule.
-    pub first_breaks: Vec<ViolationSummary>,
+    #[serde(rename = "first_breaks")]
+    pub first_violations: Vec<ViolationSummary>,
     /// What all relays did together that they may not: how often, by its name, and the first.
-    #[serde(default)]
-    pub together: BTreeMap<String, (usize, String)>,
+    #[serde(default, rename = "together")]
+    pub cluster_violations: BTreeMap<String, (usize, String)>,
     /// Relays that crashed or did not end in time.
     pub crashes: usize,
     /// Sessions that asked for an answer.
@@ -101,67 +112,89 @@
     /// Sessions that are owed none.
     pub excused: usize,
     /// Sessions accepted.
-    pub up: u64,
+    #[serde(rename = "up")]
+    pub accepted: u64,
     /// Sessions rejected with a promise of no effect.
-    pub busy: u64,
+    #[serde(rename = "busy")]
+    pub rejected: u64,
     /// Sessions failed without such a promise.
     pub failed: u64,
     /// Sessions without an answer.
     pub unanswered: u64,
     /// Sessions asked to migrate.
-    pub moved: u64,
+    #[serde(rename = "moved")]
+    pub migrated: u64,
     /// Established sessions that broke.
-    pub cut_off: u64,
+    #[serde(rename = "cut_off")]
+    pub connections_lost: u64,
     /// Clients that gave up.
-    pub lost: u64,
+    #[serde(rename = "lost")]
+    pub gave_up: u64,
     /// Connections that no relay took.
-    pub never_taken: usize,
+    #[serde(rename = "never_taken")]
+    pub failed_connects: usize,
     /// Lines that came back wrong or out of order.
-    pub wrong_lines: u64,
+    #[serde(rename = "wrong_lines")]
+    pub mismatched_messages: u64,
     /// Misbehaving clients.
-    pub rude: u64,
+    #[serde(rename = "rude")]
+    pub misbehaving: u64,
     /// Misbehaving clients that got their answer or end.
-    pub rude_answered: u64,
+    #[serde(rename = "rude_answered")]
+    pub misbehaving_answered: u64,
     /// The worth of well-served seconds over that of all seconds asked for.
     pub served: f64,
     /// From when a client was due until its session was accepted.
-    pub set_up: Delays,
+    #[serde(rename = "set_up")]
+    pub setup_delays: Delays,
     /// From a line to its return.
-    pub lines: Delays,
+    #[serde(rename = "lines")]
+    pub message_delays: Delays,
     /// By listener.
     pub listeners: Vec<ListenerSummary>,
     /// Connection attempts.
-    pub dials: usize,
+    #[serde(rename = "dials")]
+    pub attempts: usize,
     /// Connection attempts over sessions.
-    pub dials_a_session: f64,
+    #[serde(rename = "dials_a_session")]
+    pub attempts_per_session: f64,
     /// Attempts of one session at most.
-    pub most_dials: usize,
+    #[serde(rename = "most_dials")]
+    pub max_attempts: usize,
     /// Established sessions at most.
-    pub most_standing: usize,
+    #[serde(rename = "most_standing")]
+    pub max_established: usize,
     /// Standard deviation over mean of the backends' loads, the mean over the run.
     pub load_spread: f64,
     /// The greatest load of a backend over its capacity.
-    pub most_load: f64,
+    #[serde(rename = "most_load")]
+    pub max_load: f64,
     /// The greatest used part of a backend's warm-up budget; above 1 it is overloaded.
-    pub cold_push: f64,
+    #[serde(rename = "cold_push")]
+    pub warm_up_budget_used: f64,
     /// By relay.
     pub relays: Vec<RelaySummary>,
     /// CPU time of all relays by lines passed up, in microseconds.
-    pub cpu_us_a_line: f64,
+    #[serde(rename = "cpu_us_a_line")]
+    pub cpu_us_per_message: f64,
     /// How late clients came after they were due.
-    pub tool_late: Delays,
+    #[serde(rename = "tool_late")]
+    pub testbed_connect_delay: Delays,
     /// The longest turn of a testbed's thread.
-    pub tool_worst_turn_ms: f64,
+    #[serde(rename = "tool_worst_turn_ms")]
+    pub testbed_longest_turn_ms: f64,
     /// The part of its time that the busiest thread worked.
-    pub tool_busy: f64,
+    #[serde(rename = "tool_busy")]
+    pub testbed_busy_share: f64,
     /// The testbed was the bottleneck: delays say little.
-    pub tool_was_late: bool,
+    #[serde(rename = "tool_was_late")]
+    pub testbed_was_late: bool,
 }
 
 impl Summary {
     /// Whether all rules were kept and no relay crashed. A baseline owes no rules.
-    pub fn kept(&self) -> bool {
-        let rules_kept = self.rules == [0; 4] && self.together.is_empty();
+    pub fn passed(&self) -> bool {
+        let rules_kept = self.violation_counts == [0; 4] && self.cluster_violations.is_empty();
         (rules_kept || self.baseline) && self.crashes == 0
     }
 }
--- a/relay/tests/scenarios.rs
+++ b/relay/tests/scenarios.rs
@@ -72,7 +72,9 @@
 what = "clients-half-a-line"
 clients = 100
 "#,
-        had_effect: |summary| summary.busy > 100 && summary.up > 50 && summary.rude_answered > 300,
+        had_effect: |summary| {
+            summary.rejected > 100 && summary.accepted > 50 && summary.misbehaving_answered > 300
+        },
     }
 }
 
@@ -110,7 +112,9 @@
 boxes = 2
 back = "500ms"
 "#,
-        had_effect: |summary| summary.moved + summary.cut_off > 5 && summary.most_dials > 1,
+        had_effect: |summary| {
+            summary.migrated + summary.connections_lost > 5 && summary.max_attempts > 1
+        },
     }
 }
 
@@ -139,7 +143,7 @@
 boxes = 2
 over = "1s"
 "#,
-        had_effect: |summary| summary.moved > 3,
+        had_effect: |summary| summary.migrated > 3,
     }
 }
 
@@ -163,7 +167,7 @@
 relays = [1]
 back = "200ms"
 "#,
-        had_effect: |summary| summary.moved > 5 && summary.relays.len() == 2,
+        had_effect: |summary| summary.migrated > 5 && summary.relays.len() == 2,
     }
 }
 
@@ -211,7 +215,8 @@
 for = "3s"
 "#,
         had_effect: |summary| {
-            summary.listeners[0].second > 0.0 && summary.listeners[1].second == 0.0
+            summary.listeners[0].hedged_per_session > 0.0
+                && summary.listeners[1].hedged_per_session == 0.0
         },
     }
 }
@@ -234,7 +239,7 @@
 what = "join"
 boxes = [3, 4]
 "#,
-        had_effect: |summary| summary.cold_push > 0.0 && summary.busy > 0,
+        had_effect: |summary| summary.warm_up_budget_used > 0.0 && summary.rejected > 0,
     }
 }
 
@@ -271,7 +276,7 @@
 what = "upgrade"
 relays = [0]
 "#,
-        had_effect: |summary| summary.up > 200 && summary.moved == 0,
+        had_effect: |summary| summary.accepted > 200 && summary.migrated == 0,
     }]);
 }
 
@@ -305,9 +310,9 @@
                 )
                 .unwrap();
                 let had_effect = (case.had_effect)(&result.summary);
-                (result.summary.kept() && had_effect)
+                (result.summary.passed() && had_effect)
                     .then_some(())
-                    .ok_or_else(|| result.summary.page())
+                    .ok_or_else(|| result.summary.report_text())
             })
         })
         .collect();
