--- a/cli/src/check.rs
+++ b/cli/src/check.rs
@@ -147,7 +147,7 @@
         CheckedFile::Scenario(scenario) => format!(
             "a scenario: {} relays, {} boxes, {} faults",
             scenario.relays.count,
-            scenario.fleet.boxes,
+            scenario.fleet.backends,
             scenario.faults.len()
         ),
         CheckedFile::OperatorConfig { config, routes } => {
--- a/experiments/src/plan/fault_actions.rs
+++ b/experiments/src/plan/fault_actions.rs
@@ -4,7 +4,7 @@
 use super::link_actions;
 use super::selection::{select_backends, select_relays};
 use crate::scenario::duration_text::Time;
-use crate::scenario::{FaultText, Scenario};
+use crate::scenario::{FaultTable, Scenario};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
@@ -21,7 +21,7 @@
 
 /// A fault with its times on the plan's clock.
 struct FaultActions<'a> {
-    fault: &'a FaultText,
+    fault: &'a FaultTable,
     begin: Instant,
     /// None where it lasts to the run's end.
     end: Option<Instant>,
@@ -33,19 +33,19 @@
 
 /// The actions of a fault in the order in which they are worked out, not of their times.
 pub(super) fn actions_of(
-    fault: &FaultText,
+    fault: &FaultTable,
     scenario: &Scenario,
     rng: &mut Rng,
 ) -> Vec<ScheduledAction> {
     let begin = PLAN_START + fault.at.0;
-    let backends = select_backends(&fault.boxes, scenario.fleet.boxes, rng);
+    let backends = select_backends(&fault.backends, scenario.fleet.backends, rng);
     let relays = select_relays(&fault.relays, scenario.relays.count, rng);
     let mut actions = FaultActions {
         fault,
         begin,
-        end: fault.lasts.map(|lasts| begin + lasts.0),
-        over: duration_or_zero(fault.over),
-        back_after: fault.back.map(|back| back.0),
+        end: fault.duration.map(|lasts| begin + lasts.0),
+        over: duration_or_zero(fault.spread_over),
+        back_after: fault.restart_after.map(|back| back.0),
         schedule: Schedule::default(),
     };
     for &backend in &backends {
@@ -76,7 +76,7 @@
             return;
         }
         let join = Action::Backends(BackendCommand::Start(backend));
-        match self.fault.what.as_str() {
+        match self.fault.kind.as_str() {
             "crash" => {
                 let crash = BackendCommand::Crash(backend, self.back_after);
                 self.add(self.begin, Action::Backends(crash));
@@ -103,7 +103,7 @@
         let begin = self.begin;
         let end = self.end.unwrap_or(begin);
         let own_time = begin + self.over * share;
-        match self.fault.what.as_str() {
+        match self.fault.kind.as_str() {
             "upgrade" => self.add(begin, Action::HotRestart(relay)),
             "ban" => {
                 for &backend in backends {
@@ -138,7 +138,7 @@
 
     /// Again and again while the fault lasts.
     fn add_repeated(&mut self, action: &Action) {
-        let interval = duration_or_zero(self.fault.every).max(MIN_RELOAD_INTERVAL);
+        let interval = duration_or_zero(self.fault.interval).max(MIN_RELOAD_INTERVAL);
         let mut at = self.begin;
         while self.end.is_some_and(|end| at < end) {
             self.add(at, action.clone());
@@ -148,7 +148,7 @@
 
     fn add_clients(&mut self) {
         let clients = self.fault.clients.unwrap_or_default();
-        let what = &self.fault.what;
+        let what = &self.fault.kind;
         if what == "clients-drop" {
             let drop = LoadCommand::DropConnections(clients, self.over);
             self.add(self.begin, Action::Load(drop));
@@ -161,17 +161,20 @@
     }
 }
 
-fn backend_fault(fault: &FaultText) -> Option<BackendFault> {
+fn backend_fault(fault: &FaultTable) -> Option<BackendFault> {
     let pausing = || {
-        BackendFault::PeriodicPause(duration_or_zero(fault.every), duration_or_zero(fault.pause))
+        BackendFault::PeriodicPause(
+            duration_or_zero(fault.interval),
+            duration_or_zero(fault.pause),
+        )
     };
-    Some(match fault.what.as_str() {
+    Some(match fault.kind.as_str() {
         "silent" => BackendFault::Unreachable,
         "freeze" => BackendFault::Frozen,
         "mute" => BackendFault::Unresponsive,
-        "slow" => BackendFault::Slow(fault.times.unwrap_or(1.0)),
+        "slow" => BackendFault::Slow(fault.slowdown.unwrap_or(1.0)),
         "pauses" => pausing(),
-        "errors" => BackendFault::ErrorRate(fault.part.unwrap_or(1.0)),
+        "errors" => BackendFault::ErrorRate(fault.error_share.unwrap_or(1.0)),
         "reset-before" => BackendFault::ResetOnAccept,
         "reset-after" => BackendFault::ResetOnRequest,
         "half-answer" => BackendFault::PartialAnswer,
@@ -181,8 +184,8 @@
     })
 }
 
-fn agent_fault(fault: &FaultText) -> Option<AgentFault> {
-    Some(match fault.what.as_str() {
+fn agent_fault(fault: &FaultTable) -> Option<AgentFault> {
+    Some(match fault.kind.as_str() {
         "discovery-silent" => AgentFault::Silent,
         "discovery-down" => AgentFault::Unavailable,
         "discovery-stale" => AgentFault::Stale,
--- a/experiments/src/plan/link_actions.rs
+++ b/experiments/src/plan/link_actions.rs
@@ -3,7 +3,7 @@
 use super::action::{Action, Link, Schedule};
 use super::fault_actions::duration_or_zero;
 use super::selection::select_relays;
-use crate::scenario::{FaultText, Scenario};
+use crate::scenario::{FaultTable, Scenario};
 use thistlecroft::random::Rng;
 use thistlecroft::time::Instant;
 use thistlecroft_testbed::event_recorder::RelayIndex;
@@ -15,7 +15,7 @@
 
 /// Adds what a fault does to links; nothing where it is of another kind.
 pub(super) fn add(
-    fault: &FaultText,
+    fault: &FaultTable,
     scenario: &Scenario,
     relays: &[RelayIndex],
     rng: &mut Rng,
@@ -23,8 +23,8 @@
 ) {
     let count = scenario.relays.count;
     let begin = PLAN_START + fault.at.0;
-    let end = fault.lasts.map(|lasts| begin + lasts.0);
-    match fault.what.as_str() {
+    let end = fault.duration.map(|lasts| begin + lasts.0);
+    match fault.kind.as_str() {
         "partition" => {
             let links = links_across(relays, count);
             add_fault(schedule, &links, LinkFault::CUT, CUT, begin, end);
@@ -42,7 +42,7 @@
         }
         "link-flaps" => {
             let (links, link_fault) = faulted_links(fault, count, rng);
-            let interval = duration_or_zero(fault.every);
+            let interval = duration_or_zero(fault.interval);
             let pause = duration_or_zero(fault.pause);
             let mut at = begin;
             while end.is_some_and(|end| at < end) {
@@ -95,7 +95,7 @@
 }
 
 /// Each directed pair of the relays that the fault names, and what befalls it.
-fn faulted_links(fault: &FaultText, count: usize, rng: &mut Rng) -> (Vec<Link>, LinkFault) {
+fn faulted_links(fault: &FaultTable, count: usize, rng: &mut Rng) -> (Vec<Link>, LinkFault) {
     let from = select_relays(&fault.from, count, rng);
     let to = select_relays(&fault.to, count, rng);
     let mut links = Vec::new();
@@ -107,16 +107,16 @@
 }
 
 /// Everything is lost where nothing is said of the link.
-fn link_fault(fault: &FaultText) -> LinkFault {
+fn link_fault(fault: &FaultTable) -> LinkFault {
     let is_impaired = fault.delay.is_some()
-        || fault.spread.is_some()
-        || fault.doubled.is_some()
-        || fault.rate.is_some();
+        || fault.jitter.is_some()
+        || fault.duplication.is_some()
+        || fault.bytes_per_second.is_some();
     LinkFault {
         loss: fault.loss.unwrap_or(if is_impaired { 0.0 } else { 1.0 }),
         delay: duration_or_zero(fault.delay),
-        jitter: duration_or_zero(fault.spread),
-        duplication: fault.doubled.unwrap_or(0.0),
-        bytes_per_second: fault.rate.unwrap_or(0),
+        jitter: duration_or_zero(fault.jitter),
+        duplication: fault.duplication.unwrap_or(0.0),
+        bytes_per_second: fault.bytes_per_second.unwrap_or(0),
     }
 }
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -9,7 +9,7 @@
 pub(crate) use action::{Action, ScheduledAction};
 pub(crate) use testbed_config::dealing;
 
-use crate::scenario::{FaultText, Scenario};
+use crate::scenario::{FaultTable, Scenario};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::cluster_invariants::ClusterLimits;
@@ -63,7 +63,7 @@
         for fault in &scenario.faults {
             let fault = fault.get_ref();
             marks.push(mark(fault));
-            if fault.what == "rush" {
+            if fault.kind == "rush" {
                 bursts.push(burst(fault));
             } else {
                 actions.extend(fault_actions::actions_of(fault, scenario, &mut rng));
@@ -88,24 +88,24 @@
     }
 }
 
-fn burst(fault: &FaultText) -> Burst {
+fn burst(fault: &FaultTable) -> Burst {
     Burst {
         begin: PLAN_START + fault.at.0,
         clients: fault.clients.unwrap_or_default(),
-        duration: fault.over.map_or(DEFAULT_BURST, |over| over.0),
+        duration: fault.spread_over.map_or(DEFAULT_BURST, |over| over.0),
     }
 }
 
-fn mark(fault: &FaultText) -> FaultMark {
+fn mark(fault: &FaultTable) -> FaultMark {
     let from = PLAN_START + fault.at.0;
-    let lasts = if fault.what == "rush" {
+    let lasts = if fault.kind == "rush" {
         Some(burst(fault).duration)
     } else {
-        let lasts = fault.lasts.or(fault.over).or(fault.back);
+        let lasts = fault.duration.or(fault.spread_over).or(fault.restart_after);
         lasts.map(|lasts| lasts.0)
     };
     FaultMark {
-        name: fault.what.clone(),
+        name: fault.kind.clone(),
         from,
         to: lasts.map(|lasts| from + lasts),
     }
@@ -118,8 +118,8 @@
         idempotency: listeners
             .map(|listener| testbed_config::idempotency(listener.get_ref()))
             .collect(),
-        hedged: vec![scenario.relays.two_dials; scenario.listeners.len()],
-        drain_grace: scenario.fleet.grace.0,
+        hedged: vec![scenario.relays.hedging; scenario.listeners.len()],
+        drain_grace: scenario.fleet.drain_grace.0,
         backend_locations: places
             .map(|backend| (backend.zone.clone(), backend.cell))
             .collect(),
@@ -127,14 +127,14 @@
 }
 
 fn cluster_limits(scenario: &Scenario) -> ClusterLimits {
-    let limits = &scenario.together;
-    let over_for = limits.over_for.map_or(Duration::ZERO, |over| over.0);
+    let limits = &scenario.cluster_limits;
+    let over_for = limits.max_excess_time.map_or(Duration::ZERO, |over| over.0);
     ClusterLimits {
-        max_sessions: limits.at_once.map(|most| (most, over_for)),
-        max_attempts_per_second: limits.dials_a_second,
-        ban_replication_time: limits.bans_within.map(|within| within.0),
+        max_sessions: limits.max_sessions.map(|most| (most, over_for)),
+        max_attempts_per_second: limits.max_attempts_per_second,
+        ban_replication_time: limits.ban_replication_time.map(|within| within.0),
         allows_takeover: false,
-        requires_consistent_membership: limits.agree,
+        requires_consistent_membership: limits.requires_consistent_membership,
     }
 }
 
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -1,6 +1,6 @@
 //! A scenario's traffic, backends and settings as the testbed takes them.
 use super::PLAN_START;
-use crate::scenario::{Baseline, EffectText, ListenerText, Rate, Scenario, ScopeText};
+use crate::scenario::{Baseline, Effect, ListenerTable, Rate, Scenario, Scope};
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
 use thistlecroft::time::Duration;
 use thistlecroft_testbed::backend_model::{BackendCapacity, WarmUp};
@@ -19,19 +19,19 @@
 }
 
 /// Whether a listener's requests may be repeated.
-pub(super) fn idempotency(row: &ListenerText) -> Idempotency {
+pub(super) fn idempotency(row: &ListenerTable) -> Idempotency {
     match row.effect {
-        EffectText::Repeatable => Idempotency::Idempotent,
-        EffectText::OnceOnly => Idempotency::NonIdempotent,
-        EffectText::Referenced => {
-            let scope = match row.scope {
-                ScopeText::All => DeduplicationScope::All,
-                ScopeText::Zone => DeduplicationScope::Zone,
-                ScopeText::Cell => DeduplicationScope::Cell,
+        Effect::Repeatable => Idempotency::Idempotent,
+        Effect::OnceOnly => Idempotency::NonIdempotent,
+        Effect::Referenced => {
+            let scope = match row.deduplication_scope {
+                Scope::All => DeduplicationScope::All,
+                Scope::Zone => DeduplicationScope::Zone,
+                Scope::Cell => DeduplicationScope::Cell,
             };
             Idempotency::Keyed {
                 scope,
-                window: row.window.0,
+                window: row.deduplication_window.0,
             }
         }
     }
@@ -47,12 +47,12 @@
         .map(|row| ClientProfile {
             name: row.name.clone(),
             share: row.share,
-            answer_timeout: row.wait.0,
+            answer_timeout: row.answer_timeout.0,
             handshake_target: row.handshake_target.0,
             message_target: row.message_target.0,
-            load: (row.load[0], row.load[1]),
-            mean_lifetime: row.life.0,
-            priority_weight: row.utility,
+            load: (row.load_range[0], row.load_range[1]),
+            mean_lifetime: row.mean_lifetime.0,
+            priority_weight: row.priority_weight,
         });
     let rate = match &text.rate {
         Rate::Even(rate) => vec![(PLAN_START, *rate)],
@@ -65,14 +65,14 @@
         profiles: kinds.collect(),
         rate,
         bursts,
-        keys: text.keys.max(1),
+        keys: text.client_keys.max(1),
         groups: text.groups,
         retries: text.retries,
-        heeds_retry_after: text.heeds,
-        backoff: text.back_off.0,
-        reconnect_delay: (text.rejoin[0].0, text.rejoin[1].0),
-        impatient_share: text.impatient,
-        message_interval: text.beat.0,
+        heeds_retry_after: text.retry_after_share,
+        backoff: text.backoff.0,
+        reconnect_delay: (text.reconnect_delay[0].0, text.reconnect_delay[1].0),
+        impatient_share: text.impatient_share,
+        message_interval: text.message_interval.0,
     }
 }
 
@@ -80,34 +80,36 @@
 pub(super) fn backends(scenario: &Scenario, seed: u64) -> BackendPlan {
     let fleet = &scenario.fleet;
     let warm_up = WarmUp {
-        initial_share: fleet.cold_share,
+        initial_share: fleet.warm_up_initial_share,
         duration: fleet.warm_up.0,
-        overload_factor: fleet.cold_factor,
-        overload_window: fleet.cold_window.0,
+        overload_factor: fleet.warm_up_overload_factor,
+        overload_window: fleet.warm_up_overload_window.0,
         turnover_time: fleet
-            .turnover
+            .turnover_time
             .map_or_else(|| turnover(scenario), |turnover| turnover.0),
     };
     let capacity = BackendCapacity {
         full_load: fleet.capacity,
-        max_sessions: fleet.most,
-        setup_time: fleet.set_up.0,
-        group_load: fleet.group_fee,
+        max_sessions: fleet.max_sessions,
+        setup_time: fleet.setup_time.0,
+        group_load: fleet.group_load,
         warm_up,
     };
-    let backends = (0..fleet.boxes).map(|number| BackendSpec {
+    let backends = (0..fleet.backends).map(|number| BackendSpec {
         capacity,
         zone: fleet.zones[number % fleet.zones.len()].clone(),
         cell: 0,
-        initially_running: number < fleet.boxes - fleet.later,
+        initially_running: number < fleet.backends - fleet.initially_stopped,
     });
     BackendPlan {
         backends: backends.collect(),
         relays: scenario.relays.count,
-        announcement_delay: (fleet.notice[0].0, fleet.notice[1].0),
-        setup_store: fleet.store_lanes.map(|lanes| (lanes, fleet.store_time.0)),
-        report_interval: fleet.report_every.0,
-        reports_load: fleet.tells_load,
+        announcement_delay: (fleet.announcement_delay[0].0, fleet.announcement_delay[1].0),
+        setup_store: fleet
+            .store_concurrency
+            .map(|lanes| (lanes, fleet.store_time.0)),
+        report_interval: fleet.report_interval.0,
+        reports_load: fleet.reports_load,
         seed,
     }
 }
@@ -118,7 +120,7 @@
     let rows = || scenario.listeners.iter().map(|row| row.get_ref());
     let shares: f64 = rows().map(|row| row.share).sum();
     let mean = rows()
-        .map(|row| row.life.0 * (row.share / shares))
+        .map(|row| row.mean_lifetime.0 * (row.share / shares))
         .fold(Duration::ZERO, |sum, part| sum + part);
     mean.max(scenario.fleet.warm_up.0)
 }
@@ -132,28 +134,28 @@
         .map(|row| row.get_ref())
         .map(|row| ListenerConfig {
             name: row.name.clone(),
-            answer_timeout: row.wait.0,
+            answer_timeout: row.answer_timeout.0,
             handshake_target: row.handshake_target.0,
             message_target: row.message_target.0,
             idempotency: idempotency(row),
-            priority_weight: row.utility,
+            priority_weight: row.priority_weight,
         });
     FleetConfig {
         zones: fleet.zones.clone(),
         listeners: listeners.collect(),
-        connect_timeout: relays.connect_time.0,
-        max_attempts: relays.most_dials,
-        max_retry_after: relays.retry_after.map(|longest| longest.0),
-        health_checks: relays.probes,
+        connect_timeout: relays.connect_timeout.0,
+        max_attempts: relays.max_attempts,
+        max_retry_after: relays.max_retry_after.map(|longest| longest.0),
+        health_checks: relays.health_checks,
         groups: scenario.traffic.groups.is_some(),
-        reports_load: fleet.tells_load,
-        warm_up_initial_share: fleet.cold_share,
+        reports_load: fleet.reports_load,
+        warm_up_initial_share: fleet.warm_up_initial_share,
         warm_up: fleet.warm_up.0,
-        warm_up_overload_factor: fleet.cold_factor,
-        warm_up_overload_window: fleet.cold_window.0,
+        warm_up_overload_factor: fleet.warm_up_overload_factor,
+        warm_up_overload_window: fleet.warm_up_overload_window.0,
         memory_mb: relays.memory_mb,
         sockets: relays.sockets,
-        hedging: relays.two_dials,
+        hedging: relays.hedging,
         peers: relays.peers,
     }
 }
--- a/experiments/src/run/relay_actions.rs
+++ b/experiments/src/run/relay_actions.rs
@@ -49,7 +49,7 @@
 
     /// Until clients notice that a relay has died they go on being sent to it.
     fn death_notice(&self) -> Duration {
-        self.scenario.relays.front_notice.0
+        self.scenario.relays.failover_delay.0
     }
 
     fn kill(&mut self, relay: RelayIndex, restart_after: Option<Duration>) {
@@ -86,7 +86,7 @@
     }
 
     fn swap_operator_config(&mut self, relay: RelayIndex) {
-        let texts = &self.scenario.relays.charters;
+        let texts = &self.scenario.relays.operator_configs;
         let Some(managed) = self.relays.get_mut(usize::from(relay.0)) else {
             return;
         };
@@ -236,7 +236,7 @@
         let managed = &mut self.relays[number];
         // A bad operator configuration ends a start; a relay that runs goes on by the one before.
         if managed.options.operator_config.is_some() {
-            let first = self.scenario.relays.charters.first();
+            let first = self.scenario.relays.operator_configs.first();
             let text = first.cloned().unwrap_or_default() + &managed.peers_table;
             managed.operator_config = 0;
             managed.options.operator_config = Some(text);
--- a/experiments/src/run/setup.rs
+++ b/experiments/src/run/setup.rs
@@ -167,7 +167,7 @@
             network.map_or(String::new(), |network| self.peers_table(number, network));
         let options = self.relay_options(number, network.is_some(), &peers_table)?;
         let relays = &self.scenario.relays;
-        let starts_now = number < relays.count - relays.later;
+        let starts_now = number < relays.count - relays.initially_stopped;
         let mut process = None;
         if starts_now {
             let program = &self.target.relay;
@@ -195,8 +195,8 @@
         let relays = &self.scenario.relays;
         let key_file = self.key_file();
         let config = PeersConfig {
-            period: relays.period.0,
-            lease: relays.lease.0,
+            period: relays.probe_period.0,
+            lease: relays.lease_duration.0,
             voters: relays.voters,
             key_file: key_file.canonicalize().unwrap_or(key_file),
         };
@@ -211,7 +211,10 @@
     ) -> Result<RelayOptions, RunError> {
         let (scenario, plan) = (self.scenario, self.plan);
         let mut listen = free_address(number).map_err(RunError::NoAddress)?;
-        let cached_endpoints = scenario.relays.know_list.then(|| self.initial_endpoints());
+        let cached_endpoints = scenario
+            .relays
+            .preload_endpoints
+            .then(|| self.initial_endpoints());
         let mut admin = None;
         let mut socket_holder = None;
         if scenario.relays.operators {
@@ -228,7 +231,7 @@
             let address = free_address(plan.backends.relays + number);
             admin = Some(address.map_err(RunError::NoAdminAddress)?);
         }
-        let operator_config = scenario.relays.charters.first();
+        let operator_config = scenario.relays.operator_configs.first();
         let operator_config = operator_config.filter(|_| self.target.has_operator_config);
         let operator_config = (operator_config.is_some() || has_peers)
             .then(|| operator_config.cloned().unwrap_or_default() + peers_table);
--- a/experiments/src/run/target.rs
+++ b/experiments/src/run/target.rs
@@ -49,7 +49,7 @@
                 name: variant.name.clone(),
                 baseline: variant.baseline,
                 relay: program.iter().chain(arguments).cloned().collect(),
-                has_operator_config: !variant.unchartered,
+                has_operator_config: !variant.without_operator_configs,
             }
         });
         std::iter::once(RunTarget::own_relays(relay))
--- a/experiments/src/scenario/fault_checks.rs
+++ b/experiments/src/scenario/fault_checks.rs
@@ -1,5 +1,5 @@
 //! What a fault of a scenario has to hold, beyond the types of its keys.
-use super::fault_table::{FAULTS, FaultText, Selection};
+use super::fault_table::{FAULTS, FaultTable, Selection};
 use super::{Relays, Scenario};
 
 /// The shortest time between two reloads of a relay, in microseconds.
@@ -26,10 +26,10 @@
 }
 
 /// Checks one fault; the first thing that is wrong with it is the error.
-pub(super) fn check(fault: &FaultText, scenario: &Scenario) -> Result<(), InvalidFault> {
+pub(super) fn check(fault: &FaultTable, scenario: &Scenario) -> Result<(), InvalidFault> {
     check_needed_keys(fault)?;
     let relays = scenario.relays.count;
-    check_selection("boxes", &fault.boxes, scenario.fleet.boxes)?;
+    check_selection("boxes", &fault.backends, scenario.fleet.backends)?;
     check_selection("relays", &fault.relays, relays)?;
     check_selection("from", &fault.from, relays)?;
     check_selection("to", &fault.to, relays)?;
@@ -47,21 +47,21 @@
     Ok(())
 }
 
-fn is_one_of(fault: &FaultText, kinds: &[&str]) -> bool {
-    kinds.contains(&fault.what.as_str())
+fn is_one_of(fault: &FaultTable, kinds: &[&str]) -> bool {
+    kinds.contains(&fault.kind.as_str())
 }
 
-fn check_needed_keys(fault: &FaultText) -> Result<(), InvalidFault> {
-    let Some((_, needs)) = FAULTS.iter().find(|(what, _)| *what == fault.what) else {
+fn check_needed_keys(fault: &FaultTable) -> Result<(), InvalidFault> {
+    let Some((_, needs)) = FAULTS.iter().find(|(what, _)| *what == fault.kind) else {
         let known: Vec<&str> = FAULTS.iter().map(|(what, _)| *what).collect();
         let known = known.join(", ");
         return invalid(
             "what",
-            format!("there is no \"{}\"; there are {known}", fault.what),
+            format!("there is no \"{}\"; there are {known}", fault.kind),
         );
     };
     match needs.split(", ").find(|key| !fault.states(key)) {
-        Some(missing) => invalid(missing, format!("\"{}\" needs it", fault.what)),
+        Some(missing) => invalid(missing, format!("\"{}\" needs it", fault.kind)),
         None => Ok(()),
     }
 }
@@ -91,9 +91,9 @@
     }
 }
 
-fn check_ranges(fault: &FaultText, scenario: &Scenario) -> Result<(), InvalidFault> {
+fn check_ranges(fault: &FaultTable, scenario: &Scenario) -> Result<(), InvalidFault> {
     let is_outside = |part: Option<f64>| part.is_some_and(|part| !(0.0..=1.0).contains(&part));
-    for (key, part) in [("loss", fault.loss), ("doubled", fault.doubled)] {
+    for (key, part) in [("loss", fault.loss), ("doubled", fault.duplication)] {
         if is_outside(part) {
             return invalid(key, "between 0 and 1");
         }
@@ -101,16 +101,16 @@
     if fault.at > scenario.length {
         return invalid("at", "the run is over by then");
     }
-    if is_outside(fault.part) {
+    if is_outside(fault.error_share) {
         return invalid("part", "between 0 and 1");
     }
     if fault
-        .times
+        .slowdown
         .is_some_and(|times| times.is_nan() || times < 1.0)
     {
         return invalid("times", "1 or more");
     }
-    if let (Some(every), Some(pause)) = (fault.every, fault.pause)
+    if let (Some(every), Some(pause)) = (fault.interval, fault.pause)
         && every <= pause
     {
         return invalid("pause", "shorter than `every`");
@@ -118,16 +118,16 @@
     Ok(())
 }
 
-fn check_relay_abilities(fault: &FaultText, relays: &Relays) -> Result<(), InvalidFault> {
+fn check_relay_abilities(fault: &FaultTable, relays: &Relays) -> Result<(), InvalidFault> {
     if is_one_of(fault, &["upgrade", "ban"]) && !relays.operators {
         return invalid("what", "the relays have no operators (relays.operators)");
     }
-    if fault.what == "charter-swap" && relays.charters.is_empty() {
+    if fault.kind == "charter-swap" && relays.operator_configs.is_empty() {
         return invalid("what", "the relays have no charters to swap");
     }
     if is_one_of(fault, &["reload", "charter-swap"])
         && fault
-            .every
+            .interval
             .is_some_and(|every| every.0.as_micros() < MIN_RELOAD_INTERVAL_US)
     {
         return invalid("every", "a millisecond at least");
--- a/experiments/src/scenario/fault_table.rs
+++ b/experiments/src/scenario/fault_table.rs
@@ -5,28 +5,34 @@
 /// What goes wrong, or just happens. `what` names it; the other keys belong to some of them.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct FaultText {
+pub struct FaultTable {
     /// When it begins.
     pub at: Time,
     /// Its kind, one of [`FAULTS`].
-    pub what: String,
+    #[serde(rename = "what")]
+    pub kind: String,
     /// Which boxes: their numbers, how many (drawn by the seed), `"half"` or `"all"`.
-    pub boxes: Option<Selection>,
+    #[serde(rename = "boxes")]
+    pub backends: Option<Selection>,
     /// Which relays, likewise.
     pub relays: Option<Selection>,
     /// How long it lasts; without it, to the end.
     #[serde(rename = "for")]
-    pub lasts: Option<Time>,
+    pub duration: Option<Time>,
     /// How many times slower.
-    pub times: Option<f64>,
+    #[serde(rename = "times")]
+    pub slowdown: Option<f64>,
     /// The part of dials that fail.
-    pub part: Option<f64>,
+    #[serde(rename = "part")]
+    pub error_share: Option<f64>,
     /// A pause comes once in each such time.
-    pub every: Option<Time>,
+    #[serde(rename = "every")]
+    pub interval: Option<Time>,
     /// How long a pause lasts.
     pub pause: Option<Time>,
     /// One that dies is back after this.
-    pub back: Option<Time>,
+    #[serde(rename = "back")]
+    pub restart_after: Option<Time>,
     /// Relays from which and to which links are bent.
     pub from: Option<Selection>,
     /// Relays to which links are faulted.
@@ -36,15 +42,19 @@
     /// Delay of each datagram on a link.
     pub delay: Option<Time>,
     /// Added to the delay, from nothing up to this.
-    pub spread: Option<Time>,
+    #[serde(rename = "spread")]
+    pub jitter: Option<Time>,
     /// The part that comes twice.
-    pub doubled: Option<f64>,
+    #[serde(rename = "doubled")]
+    pub duplication: Option<f64>,
     /// Bytes a second that a link lets through.
-    pub rate: Option<u64>,
+    #[serde(rename = "rate")]
+    pub bytes_per_second: Option<u64>,
     /// How many clients it is about.
     pub clients: Option<usize>,
     /// Spread over this time.
-    pub over: Option<Time>,
+    #[serde(rename = "over")]
+    pub spread_over: Option<Time>,
 }
 
 /// Some of the backends or relays.
@@ -114,21 +124,21 @@
     ("clients-unreading", "clients"),
 ];
 
-impl FaultText {
+impl FaultTable {
     /// Whether a key that some faults need is stated.
     pub(super) fn states(&self, key: &str) -> bool {
         match key {
-            "boxes" => self.boxes.is_some(),
+            "boxes" => self.backends.is_some(),
             "relays" => self.relays.is_some(),
-            "times" => self.times.is_some(),
-            "part" => self.part.is_some(),
-            "every" => self.every.is_some(),
+            "times" => self.slowdown.is_some(),
+            "part" => self.error_share.is_some(),
+            "every" => self.interval.is_some(),
             "pause" => self.pause.is_some(),
             "clients" => self.clients.is_some(),
-            "over" => self.over.is_some(),
+            "over" => self.spread_over.is_some(),
             "from" => self.from.is_some(),
             "to" => self.to.is_some(),
-            _ => self.lasts.is_some(),
+            _ => self.duration.is_some(),
         }
     }
 }
--- a/experiments/src/scenario/mod.rs
+++ b/experiments/src/scenario/mod.rs
@@ -9,9 +9,9 @@
 mod variant_table;
 
 pub use error::{MalformedScenario, ScenarioError};
-pub use fault_table::{FAULTS, FaultText, Selection, SelectionShare};
-pub use fleet_tables::{Fleet, Relays, TogetherText};
-pub use traffic_tables::{EffectText, ListenerText, Rate, ScopeText, TrafficText};
+pub use fault_table::{FAULTS, FaultTable, Selection, SelectionShare};
+pub use fleet_tables::{ClusterLimitsTable, Fleet, Relays};
+pub use traffic_tables::{Effect, ListenerTable, Rate, Scope, TrafficTable};
 pub use variant_table::{Baseline, Variant};
 
 use duration_text::Time;
@@ -40,16 +40,16 @@
     #[serde(default)]
     pub relays: Relays,
     /// The clients.
-    pub traffic: TrafficText,
+    pub traffic: TrafficTable,
     /// Kinds of sessions.
     #[serde(rename = "listener")]
-    pub listeners: Vec<Spanned<ListenerText>>,
+    pub listeners: Vec<Spanned<ListenerTable>>,
     /// What all relays together may do, beside the rules that each keeps alone.
-    #[serde(default)]
-    pub together: TogetherText,
+    #[serde(default, rename = "together")]
+    pub cluster_limits: ClusterLimitsTable,
     /// What goes wrong, in the order of the file.
     #[serde(default, rename = "fault")]
-    pub faults: Vec<Spanned<FaultText>>,
+    pub faults: Vec<Spanned<FaultTable>>,
     /// What is run beside the relays as they are.
     #[serde(default, rename = "variant")]
     pub variants: Vec<Spanned<Variant>>,
--- a/experiments/src/scenario/traffic_tables.rs
+++ b/experiments/src/scenario/traffic_tables.rs
@@ -6,32 +6,32 @@
 /// `[traffic]`: the clients.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct TrafficText {
+pub struct TrafficTable {
     /// Arrivals a second, or pairs of a time and the rate from then on, evenly changing.
     pub rate: Rate,
     /// Client keys that arrivals draw from.
-    #[serde(default = "many")]
-    pub keys: u64,
+    #[serde(default = "many", rename = "keys")]
+    pub client_keys: u64,
     /// Groups that arrivals draw from, if they have any.
     pub groups: Option<u64>,
     /// Tries of a client after its first.
     #[serde(default = "three")]
     pub retries: u32,
     /// The part of clients that stay away for as long as they are told.
-    #[serde(default = "half")]
-    pub heeds: f64,
+    #[serde(default = "half", rename = "heeds")]
+    pub retry_after_share: f64,
     /// How long a client waits before it tries again.
-    #[serde(default = "hundred_ms")]
-    pub back_off: Time,
+    #[serde(default = "hundred_ms", rename = "back_off")]
+    pub backoff: Time,
     /// How long a client that was moved or cut off waits, at least and at most.
-    #[serde(default = "soon")]
-    pub rejoin: [Time; 2],
+    #[serde(default = "soon", rename = "rejoin")]
+    pub reconnect_delay: [Time; 2],
     /// The part of clients that leave before their answer.
-    #[serde(default)]
-    pub impatient: f64,
+    #[serde(default, rename = "impatient")]
+    pub impatient_share: f64,
     /// How often a client sends a line.
-    #[serde(default = "two_seconds")]
-    pub beat: Time,
+    #[serde(default = "two_seconds", rename = "beat")]
+    pub message_interval: Time,
     /// Threads that clients are spread over.
     #[serde(default = "two")]
     pub threads: usize,
@@ -75,35 +75,37 @@
 /// `[[listener]]`: a kind of session.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct ListenerText {
+pub struct ListenerTable {
     /// Its name.
     pub name: String,
     /// Its part of the arrivals, relative to the others.
     #[serde(default = "whole")]
     pub share: f64,
     /// How long its clients wait for an answer.
-    pub wait: Time,
+    #[serde(rename = "wait")]
+    pub answer_timeout: Time,
     /// An answer within this earns its whole worth.
     pub handshake_target: Time,
     /// A line that returns within this earns its whole worth.
     pub message_target: Time,
     /// The load of a session, at least and at most.
-    #[serde(default = "unit_load")]
-    pub load: [f64; 2],
+    #[serde(default = "unit_load", rename = "load")]
+    pub load_range: [f64; 2],
     /// The mean life of a session.
-    pub life: Time,
+    #[serde(rename = "life")]
+    pub mean_lifetime: Time,
     /// What a well-served second is worth.
-    #[serde(default = "whole")]
-    pub utility: f64,
+    #[serde(default = "whole", rename = "utility")]
+    pub priority_weight: f64,
     /// Whether its requests may be repeated.
     #[serde(default)]
-    pub effect: EffectText,
+    pub effect: Effect,
     /// Where repeats of a referenced session are known, and for how long.
-    #[serde(default)]
-    pub scope: ScopeText,
+    #[serde(default, rename = "scope")]
+    pub deduplication_scope: Scope,
     /// How long a repeat is recognised.
-    #[serde(default = "two_seconds")]
-    pub window: Time,
+    #[serde(default = "two_seconds", rename = "window")]
+    pub deduplication_window: Time,
 }
 
 fn whole() -> f64 {
@@ -116,7 +118,7 @@
 /// Whether requests may be repeated after they may have run.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum EffectText {
+pub enum Effect {
     /// At any time.
     #[default]
     Repeatable,
@@ -129,7 +131,7 @@
 /// Which backends recognise a repeat.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum ScopeText {
+pub enum Scope {
     /// All backends.
     #[default]
     All,
--- a/experiments/src/scenario/validation.rs
+++ b/experiments/src/scenario/validation.rs
@@ -1,6 +1,6 @@
 //! What a scenario has to hold, beyond the types of its keys.
 use super::duration_text::Time;
-use super::{ListenerText, Rate, Scenario, Variant, fault_checks};
+use super::{ListenerTable, Rate, Scenario, Variant, fault_checks};
 use std::borrow::Cow;
 use std::ops::Range;
 use thistlecroft::time::Duration;
@@ -67,10 +67,10 @@
         return text.invalid("", "length", "a run lasts a second at least");
     }
     let fleet = &scenario.fleet;
-    if fleet.boxes == 0 || fleet.boxes > MAX_BACKENDS {
+    if fleet.backends == 0 || fleet.backends > MAX_BACKENDS {
         return text.invalid("fleet", "boxes", "between 1 and 5000");
     }
-    if fleet.later >= fleet.boxes {
+    if fleet.initially_stopped >= fleet.backends {
         return text.invalid("fleet", "later", "at least one box is there from the start");
     }
     if fleet.zones.is_empty() {
@@ -79,10 +79,10 @@
     if fleet.capacity.is_nan() || fleet.capacity <= 0.0 {
         return text.invalid("fleet", "capacity", "more than nothing");
     }
-    if !(0.01..=1.0).contains(&fleet.cold_share) {
+    if !(0.01..=1.0).contains(&fleet.warm_up_initial_share) {
         return text.invalid("fleet", "cold_share", "between 0.01 and 1");
     }
-    if fleet.notice[0] > fleet.notice[1] {
+    if fleet.announcement_delay[0] > fleet.announcement_delay[1] {
         return text.invalid("fleet", "notice", "the least comes first, then the most");
     }
     Ok(())
@@ -93,11 +93,11 @@
     if relays.count == 0 || relays.count > MAX_RELAYS {
         return text.invalid("relays", "count", "between 1 and 200");
     }
-    if relays.later >= relays.count {
+    if relays.initially_stopped >= relays.count {
         let reason = "at least one relay is there from the start";
         return text.invalid("relays", "later", reason);
     }
-    if relays.peers && relays.voters > MAX_VOTERS.min(relays.count - relays.later) {
+    if relays.peers && relays.voters > MAX_VOTERS.min(relays.count - relays.initially_stopped) {
         let reason = "7 at most, of those that are there from the start";
         return text.invalid("relays", "voters", reason);
     }
@@ -110,14 +110,14 @@
 fn check_traffic(scenario: &Scenario, text: &Text) -> Checked {
     let traffic = &scenario.traffic;
     let is_part = |part: f64| (0.0..=1.0).contains(&part);
-    if !is_part(traffic.heeds) || !is_part(traffic.impatient) {
+    if !is_part(traffic.retry_after_share) || !is_part(traffic.impatient_share) {
         let reason = "heeds and impatient are parts, between 0 and 1";
         return text.invalid("traffic", "heeds", reason);
     }
-    if traffic.rejoin[0] > traffic.rejoin[1] {
+    if traffic.reconnect_delay[0] > traffic.reconnect_delay[1] {
         return text.invalid("traffic", "rejoin", "the least comes first, then the most");
     }
-    if traffic.beat.0 == Duration::ZERO {
+    if traffic.message_interval.0 == Duration::ZERO {
         return text.invalid("traffic", "beat", "more than nothing");
     }
     if traffic.threads == 0 || traffic.threads > MAX_THREADS {
@@ -157,7 +157,10 @@
 }
 
 /// The error is the key and the reason.
-fn check_listener(listener: &ListenerText, names_before: &[&str]) -> Result<(), Cow<'static, str>> {
+fn check_listener(
+    listener: &ListenerTable,
+    names_before: &[&str],
+) -> Result<(), Cow<'static, str>> {
     let is_name_character = |byte: u8| byte.is_ascii_alphanumeric() || byte == b'-';
     if listener.name.is_empty() || !listener.name.bytes().all(is_name_character) {
         return Err("name: letters, digits and hyphens".into());
@@ -168,11 +171,13 @@
     if listener.share.is_nan() || listener.share <= 0.0 {
         return Err("share: more than nothing".into());
     }
-    let [least, most] = listener.load;
+    let [least, most] = listener.load_range;
     if least.is_nan() || least < 0.0 || most.is_nan() || most < least {
         return Err("load: the least comes first, then the most".into());
     }
-    if listener.wait.0 > MAX_CLIENT_WAIT || listener.wait < listener.handshake_target {
+    if listener.answer_timeout.0 > MAX_CLIENT_WAIT
+        || listener.answer_timeout < listener.handshake_target
+    {
         return Err("wait: between the handshake target and ten minutes".into());
     }
     Ok(())
--- a/experiments/src/scenario/variant_table.rs
+++ b/experiments/src/scenario/variant_table.rs
@@ -14,8 +14,8 @@
     /// Further arguments of the relay.
     pub arguments: Option<Vec<String>>,
     /// Without any of the scenario's charters.
-    #[serde(default)]
-    pub unchartered: bool,
+    #[serde(default, rename = "unchartered")]
+    pub without_operator_configs: bool,
 }
 
 /// What stands in for the relays' decisions; none of them knows of drains, loads or failures.
--- a/experiments/tests/golden.rs
+++ b/experiments/tests/golden.rs
@@ -239,7 +239,7 @@
         let refused = refusal(&format!("unheard_of = 1\n{text}"));
         assert!(refused.contains("unheard_of"), "{name}: {refused}");
         let counts = [
-            ("boxes", scenario.fleet.boxes),
+            ("boxes", scenario.fleet.backends),
             ("relays", scenario.relays.count),
             ("listeners", scenario.listeners.len()),
             ("faults", scenario.faults.len()),
