--- a/experiments/src/plan/fault_actions.rs
+++ b/experiments/src/plan/fault_actions.rs
@@ -3,7 +3,7 @@
 use super::action::{Action, Schedule, ScheduledAction};
 use super::link_actions;
 use super::selection::{select_backends, select_relays};
-use crate::scenario::duration_text::Time;
+use crate::scenario::duration_text::DurationText;
 use crate::scenario::{FaultTable, Scenario};
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
@@ -15,7 +15,7 @@
 const MIN_RELOAD_INTERVAL: Duration = Duration::from_millis(1);
 
 /// The time of a key, zero where it is not stated.
-pub(super) fn duration_or_zero(time: Option<Time>) -> Duration {
+pub(super) fn duration_or_zero(time: Option<DurationText>) -> Duration {
     time.map_or(Duration::ZERO, |time| time.0)
 }
 
--- a/experiments/src/scenario/duration_text.rs
+++ b/experiments/src/scenario/duration_text.rs
@@ -1,35 +1,37 @@
-//! Durations as people write them: `250ms`, `1.5s`, `2m`.
+//! Durations as text: a number and a unit, such as `250ms`, `1.5s` or `2m`.
 use serde::de::{Deserialize, Deserializer, Error};
 use thiserror::Error;
 use thistlecroft::time::Duration;
 
-/// A duration of a scenario.
+/// A duration in a scenario file, written as text.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Time(pub Duration);
+pub struct DurationText(pub Duration);
 
-impl Time {
-    /// So many milliseconds.
-    pub const fn ms(ms: u64) -> Time {
-        Time(Duration::from_millis(ms))
+impl DurationText {
+    /// Returns a duration of `ms` milliseconds.
+    pub const fn from_millis(ms: u64) -> DurationText {
+        DurationText(Duration::from_millis(ms))
     }
 }
 
-/// Reads a number and its unit.
+/// Parses a number with a unit as a duration.
 ///
 /// # Errors
-/// The text has another form.
+/// The text is not a number followed by a known unit.
 pub fn parse_duration(text: &str) -> Result<Duration, InvalidDuration> {
     Duration::parse(text).ok_or_else(|| InvalidDuration(text.into()))
 }
 
-/// Text that is no duration.
+/// The error for text that is not a duration.
 #[derive(Clone, Debug, Error)]
-#[error("\"{0}\" is no span of time, such as \"250ms\", \"1.5s\" or \"2m\"")]
+#[error("\"{0}\" is not a duration such as \"250ms\", \"1.5s\" or \"2m\"")]
 pub struct InvalidDuration(String);
 
-impl<'de> Deserialize<'de> for Time {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Time, D::Error> {
-        let text = String::deserialize(from)?;
-        parse_duration(&text).map(Time).map_err(D::Error::custom)
+impl<'de> Deserialize<'de> for DurationText {
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<DurationText, D::Error> {
+        let text = String::deserialize(deserializer)?;
+        parse_duration(&text)
+            .map(DurationText)
+            .map_err(D::Error::custom)
     }
 }
--- a/experiments/src/scenario/error.rs
+++ b/experiments/src/scenario/error.rs
@@ -1,36 +1,36 @@
-//! Errors of scenario files, each with its place in the text.
+//! Errors in scenario files, with their positions.
 use super::validation::InvalidValue;
 use std::io;
 use std::ops::Range;
 use thiserror::Error;
 
-/// Why a scenario file can't be used.
+/// An error that makes a scenario file unusable.
 #[derive(Debug, Error)]
 pub enum ScenarioError {
     /// The file can't be read.
     #[error("{file}: {source}")]
     Unreadable {
-        /// The file's name.
+        /// The name of the file.
         file: String,
-        /// Why not.
+        /// The underlying error.
         source: io::Error,
     },
-    /// Its text is wrong.
+    /// The file is not a valid scenario.
     #[error(transparent)]
     Malformed(#[from] MalformedScenario),
 }
 
-/// The first thing that is wrong with a scenario's text, as one line.
+/// The first error in a scenario file, displayed as one line.
 #[derive(Clone, Debug, PartialEq, Error)]
 #[error("{file}:{line}: {key}: {reason}")]
 pub struct MalformedScenario {
-    /// The file's name.
+    /// The name of the file.
     pub file: String,
-    /// Its line, counted from 1.
+    /// The line of the error, counted from 1.
     pub line: usize,
-    /// The key with its table.
+    /// The key of the invalid value, prefixed with its table.
     pub key: String,
-    /// What is wrong.
+    /// The reason why the value is invalid.
     pub reason: String,
 }
 
@@ -55,15 +55,16 @@
     }
 }
 
-/// Where something stands in a TOML text.
+/// A position in a TOML file.
 pub(crate) struct Place {
-    /// Counted from 1.
+    /// The line, counted from 1.
     pub(crate) line: usize,
-    /// With its table.
+    /// The key, prefixed with its table.
     pub(crate) key: String,
 }
 
 impl Place {
+    /// Returns the position of the byte range `at`.
     pub(crate) fn of(text: &str, at: Range<usize>) -> Place {
         let start = at.start.min(text.len());
         let index = text[..start].matches('\n').count();
@@ -82,7 +83,7 @@
             (Some(table), Some(key)) => format!("{table}.{key}"),
             (Some(table), None) => table,
             (None, Some(key)) => key,
-            (None, None) => "the whole".into(),
+            (None, None) => "top level".into(),
         };
         Place {
             line: index + 1,
--- a/experiments/src/scenario/fault_checks.rs
+++ b/experiments/src/scenario/fault_checks.rs
@@ -1,4 +1,4 @@
-//! What a fault of a scenario has to hold, beyond the types of its keys.
+//! Checks the values of a scenario's faults beyond the types of their keys.
 use super::fault_table::{FAULTS, FaultTable, Selection};
 use super::{Relays, Scenario};
 
@@ -6,7 +6,7 @@
 const MIN_RELOAD_INTERVAL_US: u64 = 1_000;
 const MAX_CLIENTS: usize = 1_000_000;
 
-/// A key of a fault that can't hold what it holds.
+/// An invalid value of a fault, with its key.
 pub(super) struct InvalidFault {
     key: &'static str,
     reason: String,
@@ -25,24 +25,21 @@
     })
 }
 
-/// Checks one fault; the first thing that is wrong with it is the error.
+/// Checks one fault and returns the first error in it.
 pub(super) fn check(fault: &FaultTable, scenario: &Scenario) -> Result<(), InvalidFault> {
-    check_needed_keys(fault)?;
+    check_required_keys(fault)?;
     let relays = scenario.relays.count;
     check_selection("boxes", &fault.backends, scenario.fleet.backends)?;
     check_selection("relays", &fault.relays, relays)?;
     check_selection("from", &fault.from, relays)?;
     check_selection("to", &fault.to, relays)?;
     if is_one_of(fault, &["link", "link-flaps", "partition"]) && !scenario.relays.peers {
-        return invalid(
-            "what",
-            "the relays do not know of one another (relays.peers)",
-        );
+        return invalid("what", "needs relays.peers = true");
     }
     check_ranges(fault, scenario)?;
-    check_relay_abilities(fault, &scenario.relays)?;
+    check_relay_features(fault, &scenario.relays)?;
     if fault.clients.is_some_and(|clients| clients > MAX_CLIENTS) {
-        return invalid("clients", "a million at most");
+        return invalid("clients", "must be at most 1000000");
     }
     Ok(())
 }
@@ -51,17 +48,20 @@
     kinds.contains(&fault.kind.as_str())
 }
 
-fn check_needed_keys(fault: &FaultTable) -> Result<(), InvalidFault> {
-    let Some((_, needs)) = FAULTS.iter().find(|(what, _)| *what == fault.kind) else {
-        let known: Vec<&str> = FAULTS.iter().map(|(what, _)| *what).collect();
+fn check_required_keys(fault: &FaultTable) -> Result<(), InvalidFault> {
+    let Some((_, required_keys)) = FAULTS.iter().find(|(kind, _)| *kind == fault.kind) else {
+        let known: Vec<&str> = FAULTS.iter().map(|(kind, _)| *kind).collect();
         let known = known.join(", ");
         return invalid(
             "what",
             format!("there is no \"{}\"; there are {known}", fault.kind),
         );
     };
-    match needs.split(", ").find(|key| !fault.states(key)) {
-        Some(missing) => invalid(missing, format!("\"{}\" needs it", fault.kind)),
+    match required_keys.split(", ").find(|key| !fault.has_key(key)) {
+        Some(missing) => invalid(
+            missing,
+            format!("the fault \"{}\" needs this key", fault.kind),
+        ),
         None => Ok(()),
     }
 }
@@ -72,18 +72,16 @@
     count: usize,
 ) -> Result<(), InvalidFault> {
     match selection {
-        Some(Selection::Indices(numbers)) => {
-            match numbers.iter().find(|number| **number >= count) {
-                Some(number) => {
-                    let last = count - 1;
-                    invalid(
-                        key,
-                        format!("there is no {number}, they are counted from 0 to {last}"),
-                    )
-                }
-                None => Ok(()),
+        Some(Selection::Indices(indices)) => match indices.iter().find(|index| **index >= count) {
+            Some(index) => {
+                let last = count - 1;
+                invalid(
+                    key,
+                    format!("index {index} is out of range; the indices are 0 to {last}"),
+                )
             }
-        }
+            None => Ok(()),
+        },
         Some(Selection::Count(wanted)) if *wanted > count => {
             invalid(key, format!("there are only {count}"))
         }
@@ -92,45 +90,45 @@
 }
 
 fn check_ranges(fault: &FaultTable, scenario: &Scenario) -> Result<(), InvalidFault> {
-    let is_outside = |part: Option<f64>| part.is_some_and(|part| !(0.0..=1.0).contains(&part));
-    for (key, part) in [("loss", fault.loss), ("doubled", fault.duplication)] {
-        if is_outside(part) {
-            return invalid(key, "between 0 and 1");
+    let is_outside = |share: Option<f64>| share.is_some_and(|share| !(0.0..=1.0).contains(&share));
+    for (key, share) in [("loss", fault.loss), ("doubled", fault.duplication)] {
+        if is_outside(share) {
+            return invalid(key, "must be between 0 and 1");
         }
     }
     if fault.at > scenario.length {
-        return invalid("at", "the run is over by then");
+        return invalid("at", "must not be later than the end of the run");
     }
     if is_outside(fault.error_share) {
-        return invalid("part", "between 0 and 1");
+        return invalid("part", "must be between 0 and 1");
     }
     if fault
         .slowdown
-        .is_some_and(|times| times.is_nan() || times < 1.0)
+        .is_some_and(|slowdown| slowdown.is_nan() || slowdown < 1.0)
     {
-        return invalid("times", "1 or more");
+        return invalid("times", "must be 1 or more");
     }
-    if let (Some(every), Some(pause)) = (fault.interval, fault.pause)
-        && every <= pause
+    if let (Some(interval), Some(pause)) = (fault.interval, fault.pause)
+        && interval <= pause
     {
-        return invalid("pause", "shorter than `every`");
+        return invalid("pause", "must be shorter than `every`");
     }
     Ok(())
 }
 
-fn check_relay_abilities(fault: &FaultTable, relays: &Relays) -> Result<(), InvalidFault> {
+fn check_relay_features(fault: &FaultTable, relays: &Relays) -> Result<(), InvalidFault> {
     if is_one_of(fault, &["upgrade", "ban"]) && !relays.operators {
-        return invalid("what", "the relays have no operators (relays.operators)");
+        return invalid("what", "needs relays.operators = true");
     }
     if fault.kind == "charter-swap" && relays.operator_configs.is_empty() {
-        return invalid("what", "the relays have no charters to swap");
+        return invalid("what", "needs operator configurations in relays.charters");
     }
     if is_one_of(fault, &["reload", "charter-swap"])
         && fault
             .interval
-            .is_some_and(|every| every.0.as_micros() < MIN_RELOAD_INTERVAL_US)
+            .is_some_and(|interval| interval.0.as_micros() < MIN_RELOAD_INTERVAL_US)
     {
-        return invalid("every", "a millisecond at least");
+        return invalid("every", "must be at least 1ms");
     }
     Ok(())
 }
--- a/experiments/src/scenario/fault_table.rs
+++ b/experiments/src/scenario/fault_table.rs
@@ -1,88 +1,90 @@
-//! `[[fault]]`: what goes wrong in a run, and which keys each fault needs.
-use super::duration_text::Time;
+//! The `[[fault]]` tables of a scenario, and the keys that each kind of fault needs.
+use super::duration_text::DurationText;
 use serde::Deserialize;
 
-/// What goes wrong, or just happens. `what` names it; the other keys belong to some of them.
+/// A failure or another scheduled event. `what` selects its kind; most of the other keys apply to
+/// some kinds only.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultTable {
-    /// When it begins.
-    pub at: Time,
-    /// Its kind, one of [`FAULTS`].
+    /// The time from the start of the plan at which the fault begins.
+    pub at: DurationText,
+    /// The kind of fault, one of [`FAULTS`].
     #[serde(rename = "what")]
     pub kind: String,
-    /// Which boxes: their numbers, how many (drawn by the seed), `"half"` or `"all"`.
+    /// The affected backends: their indices, a count (drawn at random), `"half"` or `"all"`.
     #[serde(rename = "boxes")]
     pub backends: Option<Selection>,
-    /// Which relays, likewise.
+    /// The affected relays, selected in the same way as backends.
     pub relays: Option<Selection>,
-    /// How long it lasts; without it, to the end.
+    /// How long the fault lasts; without it, until the end of the run.
     #[serde(rename = "for")]
-    pub duration: Option<Time>,
-    /// How many times slower.
+    pub duration: Option<DurationText>,
+    /// The factor by which a backend becomes slower.
     #[serde(rename = "times")]
     pub slowdown: Option<f64>,
-    /// The part of dials that fail.
+    /// The share of connection attempts that fail, from 0 to 1.
     #[serde(rename = "part")]
     pub error_share: Option<f64>,
-    /// A pause comes once in each such time.
+    /// The time from the start of one pause or reload to the start of the next.
     #[serde(rename = "every")]
-    pub interval: Option<Time>,
-    /// How long a pause lasts.
-    pub pause: Option<Time>,
-    /// One that dies is back after this.
+    pub interval: Option<DurationText>,
+    /// The duration of each pause.
+    pub pause: Option<DurationText>,
+    /// The time after which a stopped backend or relay starts again.
     #[serde(rename = "back")]
-    pub restart_after: Option<Time>,
-    /// Relays from which and to which links are bent.
+    pub restart_after: Option<DurationText>,
+    /// Relays whose outgoing links are faulted.
     pub from: Option<Selection>,
-    /// Relays to which links are faulted.
+    /// Relays whose incoming links are faulted.
     pub to: Option<Selection>,
-    /// The part of datagrams that is lost; all where nothing is said of a link.
+    /// The share of datagrams that are lost, from 0 to 1; by default all of them, or none if another
+    /// impairment of the link is given.
     pub loss: Option<f64>,
-    /// Delay of each datagram on a link.
-    pub delay: Option<Time>,
-    /// Added to the delay, from nothing up to this.
+    /// The delay of each datagram on a link.
+    pub delay: Option<DurationText>,
+    /// The maximum of the random time that is added to the delay.
     #[serde(rename = "spread")]
-    pub jitter: Option<Time>,
-    /// The part that comes twice.
+    pub jitter: Option<DurationText>,
+    /// The share of datagrams that are delivered twice, from 0 to 1.
     #[serde(rename = "doubled")]
     pub duplication: Option<f64>,
-    /// Bytes a second that a link lets through.
+    /// The bandwidth of a link in bytes per second.
     #[serde(rename = "rate")]
     pub bytes_per_second: Option<u64>,
-    /// How many clients it is about.
+    /// The number of affected clients.
     pub clients: Option<usize>,
-    /// Spread over this time.
+    /// The time over which the fault's events are spread.
     #[serde(rename = "over")]
-    pub spread_over: Option<Time>,
+    pub spread_over: Option<DurationText>,
 }
 
-/// Some of the backends or relays.
+/// A selection of the backends or relays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     untagged,
     expecting = "numbers such as [0, 3], a count, \"half\" or \"all\""
 )]
 pub enum Selection {
-    /// Those of these numbers.
+    /// Those with the given indices.
     Indices(Vec<usize>),
-    /// So many, drawn.
+    /// The given number of them, drawn at random.
     Count(usize),
-    /// A part of them.
+    /// A share of them.
     Share(SelectionShare),
 }
 
-/// A share of them.
+/// A share of all backends or relays.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum SelectionShare {
-    /// Half of them, drawn.
+    /// Half of them, rounded up, drawn at random.
     Half,
     /// All of them.
     All,
 }
 
-/// The faults, each with the keys that it needs besides `at` and `what`.
+/// The kinds of faults, each with the keys that it needs besides `at` and `what`.
 pub const FAULTS: &[(&str, &str)] = &[
     ("silent", "boxes"),
     ("freeze", "boxes"),
@@ -125,8 +127,8 @@
 ];
 
 impl FaultTable {
-    /// Whether a key that some faults need is stated.
-    pub(super) fn states(&self, key: &str) -> bool {
+    /// Returns true if the table has a key that some kinds of faults need.
+    pub(super) fn has_key(&self, key: &str) -> bool {
         match key {
             "boxes" => self.backends.is_some(),
             "relays" => self.relays.is_some(),
--- a/experiments/src/scenario/fleet_tables.rs
+++ b/experiments/src/scenario/fleet_tables.rs
@@ -1,60 +1,63 @@
-//! The tables of a scenario that describe backends and relays. Fields have the names of their keys.
-use super::duration_text::Time;
+//! The tables of a scenario that describe backends and relays.
+use super::duration_text::DurationText;
 use serde::Deserialize;
 
-/// `[fleet]`: the backends, the set-up store and discovery.
+/// The `[fleet]` table: the backends, the store that their set-ups call, and discovery.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Fleet {
-    /// Backends.
+    /// The number of backends.
     #[serde(rename = "boxes")]
     pub backends: usize,
-    /// Of these the last ones, which start, cold, by a fault `join`.
+    /// The number of backends that don't run at first. They are the last ones; a fault `join`
+    /// starts them, and they warm up.
     #[serde(rename = "later")]
     pub initially_stopped: usize,
-    /// The zones that backends and relays are dealt over in turn.
+    /// The zones to which backends and relays are assigned in turn.
     pub zones: Vec<String>,
-    /// The load that fills a box.
+    /// The load at which a backend is full.
     pub capacity: f64,
-    /// Connections that a box holds at most.
+    /// The maximum number of connections of a backend.
     #[serde(rename = "most")]
     pub max_sessions: usize,
-    /// How long a set-up takes at a backend.
+    /// The time that a session's set-up takes at a backend.
     #[serde(rename = "set_up")]
-    pub setup_time: Time,
-    /// The load that a group adds to each backend that holds any of it.
+    pub setup_time: DurationText,
+    /// The load that a group adds to each backend with at least one of its sessions.
     #[serde(rename = "group_fee")]
     pub group_load: f64,
-    /// The part of its capacity that a backend has at its start.
+    /// The share of its capacity that a backend has when it starts.
     #[serde(rename = "cold_share")]
     pub warm_up_initial_share: f64,
-    /// How long a backend takes to reach its whole capacity.
-    pub warm_up: Time,
-    /// A warming backend fails when asked for more than this many times its share...
+    /// The time after which a started backend has its whole capacity.
+    pub warm_up: DurationText,
+    /// A backend that is warming up fails when it is asked for more than this multiple of its
+    /// share...
     #[serde(rename = "cold_factor")]
     pub warm_up_overload_factor: f64,
-    /// ...within this time.
+    /// ...within this window.
     #[serde(rename = "cold_window")]
-    pub warm_up_overload_window: Time,
-    /// What a box can do is to take connections that fill it once in such a time; where not stated,
-    /// a mean life of its clients, or its warm-up if that is longer.
+    pub warm_up_overload_window: DurationText,
+    /// The time in which a backend can accept as many connections as fill it. The default is the
+    /// mean lifetime of sessions, or the warm-up if that is longer.
     #[serde(rename = "turnover")]
-    pub turnover_time: Option<Time>,
-    /// How often backends report their load.
+    pub turnover_time: Option<DurationText>,
+    /// The interval between load reports of a backend.
     #[serde(rename = "report_every")]
-    pub report_interval: Time,
-    /// How late a change of the list is told, at least and at most.
+    pub report_interval: DurationText,
+    /// The minimum and maximum delay until relays learn of a change of the endpoint list.
     #[serde(rename = "notice")]
-    pub announcement_delay: [Time; 2],
-    /// Set-ups that the store works on at once; without it they call nothing.
+    pub announcement_delay: [DurationText; 2],
+    /// The number of set-ups that the store processes at a time; without it, set-ups don't call the
+    /// store.
     #[serde(rename = "store_lanes")]
     pub store_concurrency: Option<usize>,
-    /// How long the store works on one set-up.
-    pub store_time: Time,
-    /// Nothing new goes to a box so long after it was told as draining.
+    /// The time that the store takes for one set-up.
+    pub store_time: DurationText,
+    /// The time after the announcement of a drain from which a backend must get no new sessions.
     #[serde(rename = "grace")]
-    pub drain_grace: Time,
-    /// Boxes tell connections' loads, which change.
+    pub drain_grace: DurationText,
+    /// Backends report the load of each connection, and these loads change.
     #[serde(rename = "tells_load")]
     pub reports_load: bool,
 }
@@ -67,74 +70,79 @@
             zones: vec!["a".into()],
             capacity: 100.0,
             max_sessions: 1_000,
-            setup_time: Time::ms(2),
+            setup_time: DurationText::from_millis(2),
             group_load: 0.0,
             warm_up_initial_share: 0.3,
-            warm_up: Time::ms(9_000),
+            warm_up: DurationText::from_millis(9_000),
             warm_up_overload_factor: 3.0,
-            warm_up_overload_window: Time::ms(3_000),
+            warm_up_overload_window: DurationText::from_millis(3_000),
             turnover_time: None,
-            report_interval: Time::ms(500),
-            announcement_delay: [Time::ms(200), Time::ms(1_000)],
+            report_interval: DurationText::from_millis(500),
+            announcement_delay: [
+                DurationText::from_millis(200),
+                DurationText::from_millis(1_000),
+            ],
             store_concurrency: None,
-            store_time: Time::ms(5),
-            drain_grace: Time::ms(2_000),
+            store_time: DurationText::from_millis(5),
+            drain_grace: DurationText::from_millis(2_000),
             reports_load: false,
         }
     }
 }
 
-/// `[relays]`: the relays and their settings.
+/// The `[relays]` table: the relays and their settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Relays {
-    /// Relays.
+    /// The number of relays.
     pub count: usize,
-    /// Descriptors that a relay may open.
+    /// The number of descriptors that a relay may open.
     pub sockets: u64,
-    /// Memory that a relay may take, in megabytes.
+    /// The memory limit of a relay in megabytes.
     pub memory_mb: u64,
-    /// Relays may send health checks.
+    /// Whether relays may send health checks.
     #[serde(rename = "probes")]
     pub health_checks: bool,
-    /// How long a connection may take to come up.
+    /// The timeout for connecting to a backend.
     #[serde(rename = "connect_time")]
-    pub connect_timeout: Time,
-    /// Attempts of one session at most.
+    pub connect_timeout: DurationText,
+    /// The maximum number of attempts of a session.
     #[serde(rename = "most_dials")]
     pub max_attempts: u32,
-    /// The longest time to stay away that a refusal may tell; without it none is told.
+    /// The longest retry-after time that a rejection may carry; without it, rejections carry none.
     #[serde(rename = "retry_after")]
-    pub max_retry_after: Option<Time>,
-    /// Relays know the list when they start.
+    pub max_retry_after: Option<DurationText>,
+    /// Whether relays have the endpoint list when they start.
     #[serde(rename = "know_list")]
     pub preload_endpoints: bool,
-    /// The front goes on for so long with a relay that has died.
+    /// The time for which clients are still sent to a relay that has died.
     #[serde(rename = "front_notice")]
-    pub failover_delay: Time,
-    /// The settings allow two dials of a session at once.
+    pub failover_delay: DurationText,
+    /// Whether the settings allow hedged attempts.
     #[serde(rename = "two_dials")]
     pub hedging: bool,
-    /// Texts of charters: relays start with the first, a fault `charter-swap` goes on to the next,
-    /// round and round.
+    /// Operator configurations as text. Relays start with the first; a fault `charter-swap` replaces
+    /// it with the next one, in a cycle.
     #[serde(rename = "charters")]
     pub operator_configs: Vec<String>,
-    /// The platform holds the clients' sockets and operators have a door at each relay: for faults
-    /// `upgrade` and `ban`.
+    /// Whether the platform holds the listening sockets and each relay has an admin port, as the
+    /// faults `upgrade` and `ban` need.
     pub operators: bool,
-    /// Of these the last ones, which start by a fault `relay-joins`.
+    /// The number of relays that don't run at first. They are the last ones, and a fault
+    /// `relay-joins` starts them.
     #[serde(rename = "later")]
     pub initially_stopped: usize,
-    /// They know of one another, over links that can be bent.
+    /// Whether the relays are peers of each other, over links that can be faulted.
     pub peers: bool,
-    /// The first so many grant leases; a witness asks all of them for one.
+    /// The number of relays, from the first on, that are voters; an observer of each relay asks it
+    /// for a lease.
     pub voters: usize,
-    /// The probe period of membership.
+    /// The probe period of the membership protocol.
     #[serde(rename = "period")]
-    pub probe_period: Time,
-    /// The time of a lease.
+    pub probe_period: DurationText,
+    /// The duration of a lease.
     #[serde(rename = "lease")]
-    pub lease_duration: Time,
+    pub lease_duration: DurationText,
 }
 
 impl Default for Relays {
@@ -144,40 +152,40 @@
             sockets: 16_384,
             memory_mb: 256,
             health_checks: true,
-            connect_timeout: Time::ms(250),
+            connect_timeout: DurationText::from_millis(250),
             max_attempts: 3,
-            max_retry_after: Some(Time::ms(2_000)),
+            max_retry_after: Some(DurationText::from_millis(2_000)),
             preload_endpoints: true,
-            failover_delay: Time::ms(1_000),
+            failover_delay: DurationText::from_millis(1_000),
             hedging: false,
             operator_configs: Vec::new(),
             operators: false,
             initially_stopped: 0,
             peers: false,
             voters: 3,
-            probe_period: Time::ms(200),
-            lease_duration: Time::ms(2_000),
+            probe_period: DurationText::from_millis(200),
+            lease_duration: DurationText::from_millis(2_000),
         }
     }
 }
 
-/// `[together]`: what all relays together may do, beside the rules that each keeps alone.
+/// The `[together]` table: limits for all relays together, besides the rules for each relay.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClusterLimitsTable {
-    /// Sessions up at once over all relays...
+    /// The maximum number of established sessions of all relays together...
     #[serde(rename = "at_once")]
     pub max_sessions: Option<usize>,
-    /// ...and for how long at most there may be more.
+    /// ...and the longest time for which there may be more.
     #[serde(rename = "over_for")]
-    pub max_excess_time: Option<Time>,
-    /// Attempts of all relays within any second.
+    pub max_excess_time: Option<DurationText>,
+    /// The maximum number of attempts of all relays within any second.
     #[serde(rename = "dials_a_second")]
     pub max_attempts_per_second: Option<usize>,
-    /// A ban by hand at one relay holds at all others after this.
+    /// The time after which an operator's ban at one relay must apply at all others.
     #[serde(rename = "bans_within")]
-    pub ban_replication_time: Option<Time>,
-    /// At the end all relays that run see each other and nobody else.
+    pub ban_replication_time: Option<DurationText>,
+    /// Whether at the end all running relays must see each other and nobody else.
     #[serde(rename = "agree")]
     pub requires_consistent_membership: bool,
 }
--- a/experiments/src/scenario/mod.rs
+++ b/experiments/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! A scenario as its file has it. An error in one is a line that names file, line and key.
+//! Scenario files. An error in one is reported as a single line with the file, line and key.
 pub mod duration_text;
 mod error;
 mod fault_checks;
@@ -14,7 +14,7 @@
 pub use traffic_tables::{Effect, ListenerTable, Rate, Scope, TrafficTable};
 pub use variant_table::{Baseline, Variant};
 
-use duration_text::Time;
+use duration_text::DurationText;
 use serde::Deserialize;
 use std::path::Path;
 use toml::Spanned;
@@ -23,47 +23,47 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Where it is not stated, the file's name.
+    /// The scenario's name; by default the file name without its extension.
     #[serde(default)]
     pub name: String,
-    /// What happens, and what is to be seen.
+    /// A description of what happens and what the run shows.
     pub about: String,
-    /// Arrivals come for so long.
-    pub length: Time,
-    /// The seed where the command line names none.
-    #[serde(default = "one")]
+    /// The time for which clients arrive.
+    pub length: DurationText,
+    /// The seed that is used if the command line names none.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Backends, the set-up store and discovery.
+    /// The backends, the store that their set-ups call, and discovery.
     #[serde(default)]
     pub fleet: Fleet,
     /// The relays and their settings.
     #[serde(default)]
     pub relays: Relays,
-    /// The clients.
+    /// The clients' arrivals and behaviour.
     pub traffic: TrafficTable,
-    /// Kinds of sessions.
+    /// The listeners, one for each kind of session.
     #[serde(rename = "listener")]
     pub listeners: Vec<Spanned<ListenerTable>>,
-    /// What all relays together may do, beside the rules that each keeps alone.
+    /// Limits for all relays together, besides the rules for each relay.
     #[serde(default, rename = "together")]
     pub cluster_limits: ClusterLimitsTable,
-    /// What goes wrong, in the order of the file.
+    /// The faults, in the order of the file.
     #[serde(default, rename = "fault")]
     pub faults: Vec<Spanned<FaultTable>>,
-    /// What is run beside the relays as they are.
+    /// Further targets that are run besides the scenario's own relays.
     #[serde(default, rename = "variant")]
     pub variants: Vec<Spanned<Variant>>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
 impl Scenario {
-    /// Reads the text of a scenario; `file` is its name in errors.
+    /// Parses a scenario; `file` is the name that errors show.
     ///
     /// # Errors
-    /// The first thing that is wrong with the text.
+    /// The first error in the text.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, MalformedScenario> {
         let mut scenario: Scenario = toml::from_str(text)
             .map_err(|error| MalformedScenario::from_toml(file, text, &error))?;
@@ -76,10 +76,10 @@
         Ok(scenario)
     }
 
-    /// Reads a scenario file.
+    /// Reads and parses a scenario file.
     ///
     /// # Errors
-    /// It can't be read, or the first thing that is wrong with it.
+    /// The file can't be read, or the first error in its text.
     pub fn read(file: &str) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(file).map_err(|source| ScenarioError::Unreadable {
             file: file.into(),
--- a/experiments/src/scenario/tests.rs
+++ b/experiments/src/scenario/tests.rs
@@ -1,9 +1,9 @@
-//! Errors of scenario files.
+//! Tests of scenario files and their errors.
 use super::Scenario;
 use super::duration_text::parse_duration;
 use thistlecroft::time::Duration;
 
-const GOOD: &str = r#"
+const VALID_SCENARIO: &str = r#"
 about = "for the test"
 length = "10s"
 [fleet]
@@ -24,8 +24,9 @@
 for = "3s"
 "#;
 
-/// What is replaced by what, the line, the key, and a part of the reason.
-type Case = (
+/// A replaced text, its replacement, and the line, the key and a part of the reason of the expected
+/// error.
+type InvalidCase = (
     &'static str,
     &'static str,
     usize,
@@ -33,13 +34,13 @@
     &'static str,
 );
 
-const WRONG: &[Case] = &[
+const INVALID_CASES: &[InvalidCase] = &[
     (
         "length = \"10s\"",
         "length = \"10\"",
         3,
         "length",
-        "no span of time",
+        "not a duration",
     ),
     (
         "length = \"10s\"",
@@ -60,7 +61,7 @@
         "length = \"10s\"\n",
         "",
         1,
-        "the whole",
+        "top level",
         "missing field `length`",
     ),
     (
@@ -90,7 +91,7 @@
         "[\"0s\", 50.0]",
         7,
         "traffic.rate",
-        "times must rise",
+        "times must increase",
     ),
     (
         "[\"5s\", 50.0]",
@@ -111,14 +112,14 @@
         "name = \"a view\"",
         8,
         "listener",
-        "name: letters",
+        "name: must consist of letters",
     ),
     (
         "wait = \"1s\"",
         "wait = \"100ms\"",
         8,
         "listener",
-        "wait: between the handshake target",
+        "wait: must be between the handshake target",
     ),
     (
         "wait = \"1s\"",
@@ -134,20 +135,26 @@
         "fault",
         "there is no \"slwo\"; there are silent",
     ),
-    ("times = 4.0\n", "", 14, "fault", "times: \"slow\" needs it"),
+    (
+        "times = 4.0\n",
+        "",
+        14,
+        "fault",
+        "times: the fault \"slow\" needs this key",
+    ),
     (
         "times = 4.0",
         "times = 0.5",
         14,
         "fault",
-        "times: 1 or more",
+        "times: must be 1 or more",
     ),
     (
         "boxes = \"half\"",
         "boxes = [6]",
         14,
         "fault",
-        "boxes: there is no 6",
+        "boxes: index 6 is out of range",
     ),
     (
         "boxes = \"half\"",
@@ -168,27 +175,28 @@
         "at = \"11s\"",
         14,
         "fault",
-        "at: the run is over",
+        "at: must not be later than the end of the run",
     ),
 ];
 
 #[test]
-fn wrong_scenario_is_named_with_its_line_and_key() {
-    for &(from, to, line, key, why) in WRONG {
-        assert!(GOOD.contains(from), "{from}");
-        let fault = Scenario::parse("bad.toml", &GOOD.replacen(from, to, 1)).expect_err(to);
+fn parse_invalid_scenario_names_line_and_key() {
+    for &(from, to, line, key, reason) in INVALID_CASES {
+        assert!(VALID_SCENARIO.contains(from), "{from}");
+        let error =
+            Scenario::parse("bad.toml", &VALID_SCENARIO.replacen(from, to, 1)).expect_err(to);
         assert_eq!(
-            (fault.line, fault.key.as_str()),
+            (error.line, error.key.as_str()),
             (line, key),
-            "{to}: {fault}"
+            "{to}: {error}"
         );
-        assert!(fault.reason.contains(why), "{to}: {fault}");
-        assert_eq!(fault.to_string().lines().count(), 1, "{fault}");
+        assert!(error.reason.contains(reason), "{to}: {error}");
+        assert_eq!(error.to_string().lines().count(), 1, "{error}");
     }
 }
 
 #[test]
-fn durations_are_read_with_their_units() {
+fn parse_duration_accepts_only_a_number_with_a_unit() {
     let cases = [
         ("250ms", Some(250_000)),
         ("1.5s", Some(1_500_000)),
@@ -202,10 +210,10 @@
         ("1.2.3s", None),
         ("3 s", None),
     ];
-    for (text, us) in cases {
+    for (text, expected_us) in cases {
         assert_eq!(
             parse_duration(text).ok().map(Duration::as_micros),
-            us,
+            expected_us,
             "{text}"
         );
     }
--- a/experiments/src/scenario/traffic_tables.rs
+++ b/experiments/src/scenario/traffic_tables.rs
@@ -1,142 +1,145 @@
-//! The tables of a scenario that describe clients and listeners. Fields have the names of their
-//! keys.
-use super::duration_text::Time;
+//! The tables of a scenario that describe clients and listeners.
+use super::duration_text::DurationText;
 use serde::Deserialize;
 
-/// `[traffic]`: the clients.
+/// The `[traffic]` table: the clients' arrivals and behaviour.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct TrafficTable {
-    /// Arrivals a second, or pairs of a time and the rate from then on, evenly changing.
+    /// Arrivals per second: a constant, or a list of times and rates with linear changes between.
     pub rate: Rate,
-    /// Client keys that arrivals draw from.
-    #[serde(default = "many", rename = "keys")]
+    /// The number of client keys from which arrivals draw.
+    #[serde(default = "default_client_keys", rename = "keys")]
     pub client_keys: u64,
-    /// Groups that arrivals draw from, if they have any.
+    /// The number of groups from which arrivals draw; without it, clients have no group.
     pub groups: Option<u64>,
-    /// Tries of a client after its first.
-    #[serde(default = "three")]
+    /// The number of times that a client tries again after its first try.
+    #[serde(default = "default_retries")]
     pub retries: u32,
-    /// The part of clients that stay away for as long as they are told.
-    #[serde(default = "half", rename = "heeds")]
+    /// The share of clients that wait for the retry-after time of a rejection, from 0 to 1.
+    #[serde(default = "default_retry_after_share", rename = "heeds")]
     pub retry_after_share: f64,
-    /// How long a client waits before it tries again.
-    #[serde(default = "hundred_ms", rename = "back_off")]
-    pub backoff: Time,
-    /// How long a client that was moved or cut off waits, at least and at most.
-    #[serde(default = "soon", rename = "rejoin")]
-    pub reconnect_delay: [Time; 2],
-    /// The part of clients that leave before their answer.
+    /// The time that a client waits before it tries again.
+    #[serde(default = "default_backoff", rename = "back_off")]
+    pub backoff: DurationText,
+    /// The minimum and maximum time after which a client reconnects when its session was migrated or
+    /// its connection lost.
+    #[serde(default = "default_reconnect_delay", rename = "rejoin")]
+    pub reconnect_delay: [DurationText; 2],
+    /// The share of clients that leave before they get an answer, from 0 to 1.
     #[serde(default, rename = "impatient")]
     pub impatient_share: f64,
-    /// How often a client sends a line.
+    /// The interval between lines that a client sends.
     #[serde(default = "two_seconds", rename = "beat")]
-    pub message_interval: Time,
-    /// Threads that clients are spread over.
-    #[serde(default = "two")]
+    pub message_interval: DurationText,
+    /// The number of threads over which clients are distributed.
+    #[serde(default = "default_threads")]
     pub threads: usize,
 }
 
-fn many() -> u64 {
+fn default_client_keys() -> u64 {
     100_000
 }
-fn three() -> u32 {
+fn default_retries() -> u32 {
     3
 }
-fn half() -> f64 {
+fn default_retry_after_share() -> f64 {
     0.5
 }
-fn hundred_ms() -> Time {
-    Time::ms(100)
+fn default_backoff() -> DurationText {
+    DurationText::from_millis(100)
 }
-fn soon() -> [Time; 2] {
-    [Time::ms(140), Time::ms(970)]
+fn default_reconnect_delay() -> [DurationText; 2] {
+    [
+        DurationText::from_millis(140),
+        DurationText::from_millis(970),
+    ]
 }
-fn two_seconds() -> Time {
-    Time::ms(2_000)
+fn two_seconds() -> DurationText {
+    DurationText::from_millis(2_000)
 }
-fn two() -> usize {
+fn default_threads() -> usize {
     2
 }
 
-/// Arrivals a second.
+/// A rate in arrivals per second.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(
     untagged,
     expecting = "a number of arrivals a second, or a list of pairs such as [\"10s\", 50.0]"
 )]
 pub enum Rate {
-    /// So many a second.
+    /// A constant rate.
     Even(f64),
-    /// A rate from each time on, evenly changing between.
-    Steps(Vec<(Time, f64)>),
+    /// The rates at given times, with linear changes between them.
+    Steps(Vec<(DurationText, f64)>),
 }
 
-/// `[[listener]]`: a kind of session.
+/// A `[[listener]]` table: a kind of session.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ListenerTable {
-    /// Its name.
+    /// The listener's name.
     pub name: String,
-    /// Its part of the arrivals, relative to the others.
-    #[serde(default = "whole")]
+    /// The listener's share of the arrivals, relative to the other listeners.
+    #[serde(default = "default_weight")]
     pub share: f64,
-    /// How long its clients wait for an answer.
+    /// The time that clients wait for an answer.
     #[serde(rename = "wait")]
-    pub answer_timeout: Time,
-    /// An answer within this earns its whole worth.
-    pub handshake_target: Time,
-    /// A line that returns within this earns its whole worth.
-    pub message_target: Time,
-    /// The load of a session, at least and at most.
-    #[serde(default = "unit_load", rename = "load")]
+    pub answer_timeout: DurationText,
+    /// An answer within this time counts in full.
+    pub handshake_target: DurationText,
+    /// A line that returns within this time counts in full.
+    pub message_target: DurationText,
+    /// The minimum and maximum load of a session.
+    #[serde(default = "default_load_range", rename = "load")]
     pub load_range: [f64; 2],
-    /// The mean life of a session.
+    /// The mean lifetime of a session.
     #[serde(rename = "life")]
-    pub mean_lifetime: Time,
-    /// What a well-served second is worth.
-    #[serde(default = "whole", rename = "utility")]
+    pub mean_lifetime: DurationText,
+    /// The weight of a well-served second.
+    #[serde(default = "default_weight", rename = "utility")]
     pub priority_weight: f64,
     /// Whether its requests may be repeated.
     #[serde(default)]
     pub effect: Effect,
-    /// Where repeats of a referenced session are known, and for how long.
+    /// The backends that recognise repeated requests of a `referenced` session.
     #[serde(default, rename = "scope")]
     pub deduplication_scope: Scope,
-    /// How long a repeat is recognised.
+    /// The time for which a repeated request is recognised.
     #[serde(default = "two_seconds", rename = "window")]
-    pub deduplication_window: Time,
+    pub deduplication_window: DurationText,
 }
 
-fn whole() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
-fn unit_load() -> [f64; 2] {
+fn default_load_range() -> [f64; 2] {
     [0.5, 1.5]
 }
 
-/// Whether requests may be repeated after they may have run.
+/// Whether a request may be repeated although it may have been executed.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Effect {
-    /// At any time.
+    /// Requests may be repeated at any time.
     #[default]
     Repeatable,
-    /// By their key, within a scope and a window.
+    /// Requests carry a key and may be repeated within a scope and a window.
     Referenced,
-    /// Never.
+    /// Requests must not be repeated.
     OnceOnly,
 }
 
-/// Which backends recognise a repeat.
+/// The backends that recognise a repeated request.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Scope {
     /// All backends.
     #[default]
     All,
-    /// Those of the first one's zone.
+    /// The backends in the zone of the first request's backend.
     Zone,
-    /// Those of the first one's cell.
+    /// The backends in the cell of the first request's backend.
     Cell,
 }
--- a/experiments/src/scenario/variant_table.rs
+++ b/experiments/src/scenario/variant_table.rs
@@ -1,31 +1,32 @@
-//! `[[variant]]`: what is run beside the scenario's own relays.
+//! The `[[variant]]` tables of a scenario.
 use serde::Deserialize;
 
-/// Another thing to run under the same traffic and faults.
+/// A target that is run under the same traffic and faults as the scenario's own relays.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Variant {
-    /// Its name.
+    /// The variant's name.
     pub name: String,
-    /// Clients dial boxes themselves.
+    /// The baseline to run: clients connect to backends directly, without relays.
     pub baseline: Option<Baseline>,
-    /// Another build: the program and its arguments.
+    /// The program and arguments of another build of the relay.
     pub relay: Option<Vec<String>>,
-    /// Further arguments of the relay.
+    /// Further arguments for the relay.
     pub arguments: Option<Vec<String>>,
-    /// Without any of the scenario's charters.
+    /// Runs the relays without the scenario's operator configurations.
     #[serde(default, rename = "unchartered")]
     pub without_operator_configs: bool,
 }
 
-/// What stands in for the relays' decisions; none of them knows of drains, loads or failures.
+/// A simple policy that chooses backends in place of relays. No baseline takes drains, loads or
+/// failures into account.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "kebab-case")]
 pub enum Baseline {
-    /// One box after the other.
+    /// The backends in turn.
     Direct,
     /// A backend at random.
     Random,
-    /// The box with the fewest own connections.
+    /// The backend to which the load generator's thread has the fewest connections.
     Least,
 }
