--- a/experiments/tests/golden.rs
+++ b/experiments/tests/golden.rs
@@ -1,5 +1,4 @@
-//! The keys of scenario files and budgets: which there are, what they hold, and what holds without
-//! them.
+//! The format of scenario files and budgets: their keys, the types of the values, and the defaults.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
 
@@ -13,11 +12,12 @@
     golden_file::assert_unchanged(&folder.join(file), actual);
 }
 
-/// Every key of every table, once.
+/// A scenario that states every key of every table once.
 const EVERY_KEY: &str = include_str!("golden/every_key.toml");
 
-/// A scenario that states what it must and nothing else, with a line of its own in each table.
-const LEAST: &str = r#"about = "least"
+/// A scenario that states only the required keys, with a placeholder for a further line in each
+/// table.
+const MINIMAL_SCENARIO: &str = r#"about = "least"
 length = "10s"
 {top}
 [fleet]
@@ -41,7 +41,7 @@
 name = "other"
 "#;
 
-/// Keys that may be left out: table, key, the value that holds then, and another one.
+/// Optional keys: table, key, default value, and another value.
 const DEFAULTS: &[(&str, &str, &str, &str)] = &[
     ("top", "name", "\"scenario\"", "\"named\""),
     ("top", "seed", "1", "2"),
@@ -105,16 +105,16 @@
     ("variant", "unchartered", "false", "true"),
 ];
 
-/// Wide enough for any line that is put into `LEAST`.
+/// A width that is enough for every line that is put into `MINIMAL_SCENARIO`.
 const LINE_WIDTH: usize = 60;
 const TABLES: &[&str] = &[
     "top", "fleet", "relays", "together", "traffic", "listener", "variant",
 ];
 
-/// The least scenario with this line in that table. Every line is padded to one width, so that
-/// nothing else moves in the text.
-fn least_with(table: &str, line: &str) -> String {
-    let mut text = LEAST.to_string();
+/// Returns the minimal scenario with `line` in `table`. All placeholders are padded to the same
+/// width, so that the positions of the other keys don't change.
+fn minimal_with(table: &str, line: &str) -> String {
+    let mut text = MINIMAL_SCENARIO.to_string();
     for name in TABLES {
         let own = if *name == table { line } else { "" };
         let padded = format!("{own:<LINE_WIDTH$}");
@@ -124,80 +124,85 @@
     text
 }
 
-/// What a text was read as; only ever compared with another one of the same build.
-fn read_as(text: &str) -> String {
+/// Returns the debug form of the parsed scenario, which is compared only within the same build.
+fn parsed(text: &str) -> String {
     match Scenario::parse("scenario.toml", text) {
         Ok(scenario) => format!("{scenario:?}"),
-        Err(fault) => panic!("{fault}\n{text}"),
+        Err(error) => panic!("{error}\n{text}"),
     }
 }
 
 #[test]
-fn keys_that_are_left_out_hold_the_recorded_defaults() {
-    let least = read_as(&least_with("", ""));
+fn optional_keys_left_out_have_recorded_defaults() {
+    let minimal = parsed(&minimal_with("", ""));
     for (table, key, default, other) in DEFAULTS {
-        let stated = |value: &str| read_as(&least_with(table, &format!("{key} = {value}")));
-        assert_eq!(stated(default), least, "{table}.{key} = {default}");
-        assert_ne!(stated(other), least, "{table}.{key} = {other} is not read");
+        let stated = |value: &str| parsed(&minimal_with(table, &format!("{key} = {value}")));
+        assert_eq!(stated(default), minimal, "{table}.{key} = {default}");
+        assert_ne!(
+            stated(other),
+            minimal,
+            "{table}.{key} = {other} is not read"
+        );
     }
 }
 
 #[test]
-fn relays_are_no_peers_unless_it_is_stated() {
-    let least = read_as(&least_with("", ""));
-    assert_eq!(read_as(&least_with("relays", "peers = false")), least);
-    let without_voters = |line: &str| read_as(&least_with("relays", &format!("{line}voters = 0")));
+fn relays_without_key_peers_are_not_peers() {
+    let minimal = parsed(&minimal_with("", ""));
+    assert_eq!(parsed(&minimal_with("relays", "peers = false")), minimal);
+    let without_voters = |line: &str| parsed(&minimal_with("relays", &format!("{line}voters = 0")));
     assert_ne!(without_voters("peers = true\n"), without_voters(""));
 }
 
-/// The places of all lines that state a key, with the key.
+/// Returns the indices of all lines that state a key, with the keys.
 fn stated_keys(text: &str) -> Vec<(usize, &str)> {
     let lines = text.lines().enumerate();
     lines
-        .filter_map(|(place, line)| Some((place, line.split_once(" = ")?.0)))
+        .filter_map(|(index, line)| Some((index, line.split_once(" = ")?.0)))
         .collect()
 }
 
-fn with_line(text: &str, place: usize, line: &str) -> String {
+/// Returns the text with the line at `index` replaced.
+fn with_line(text: &str, index: usize, line: &str) -> String {
     let mut lines: Vec<&str> = text.lines().collect();
-    lines[place] = line;
+    lines[index] = line;
     lines.join("\n") + "\n"
 }
 
-/// The refusal of a text.
-fn refusal(text: &str) -> String {
+/// Returns the error of an invalid scenario.
+fn parse_error(text: &str) -> String {
     match Scenario::parse("scenario.toml", text) {
         Ok(_) => panic!("accepted:\n{text}"),
-        Err(fault) => fault.to_string(),
+        Err(error) => error.to_string(),
     }
 }
 
 #[test]
-fn a_scenario_with_every_key_is_read_and_each_key_misspelt_is_refused() {
-    read_as(EVERY_KEY);
+fn scenario_with_every_key_is_accepted_and_with_a_misspelt_key_rejected() {
+    parsed(EVERY_KEY);
     let keys = stated_keys(EVERY_KEY);
     let mut recording = String::new();
-    for (place, key) in keys {
-        let line = EVERY_KEY.lines().nth(place).unwrap();
-        let misspelt = with_line(EVERY_KEY, place, &format!("unheard_of_{line}"));
-        writeln!(recording, "{key}: {}", refusal(&misspelt)).unwrap();
+    for (index, key) in keys {
+        let line = EVERY_KEY.lines().nth(index).unwrap();
+        let misspelt = with_line(EVERY_KEY, index, &format!("unheard_of_{line}"));
+        writeln!(recording, "{key}: {}", parse_error(&misspelt)).unwrap();
     }
     assert_unchanged("unknown_keys.txt", &recording);
 }
 
 #[test]
-fn a_key_that_holds_something_else_is_refused_with_what_it_should_hold() {
+fn key_with_value_of_wrong_type_is_rejected_with_expected_type() {
     let mut recording = String::new();
-    for (place, key) in stated_keys(EVERY_KEY) {
-        // A date is what no key holds.
-        let wrong = with_line(EVERY_KEY, place, &format!("{key} = 2026-01-01"));
-        writeln!(recording, "{key}: {}", refusal(&wrong)).unwrap();
+    for (index, key) in stated_keys(EVERY_KEY) {
+        // No key has a date as its value.
+        let wrong = with_line(EVERY_KEY, index, &format!("{key} = 2026-01-01"));
+        writeln!(recording, "{key}: {}", parse_error(&wrong)).unwrap();
     }
     assert_unchanged("wrong_values.txt", &recording);
 }
 
 #[test]
-fn words_that_are_not_known_are_refused_with_those_that_are() {
+fn unknown_word_is_rejected_with_known_words() {
     let words = [
         ("listener", "effect = \"twice\""),
         ("listener", "scope = \"street\""),
@@ -205,17 +210,17 @@
     ];
     let mut recording = String::new();
     for (table, line) in words {
-        let refused = refusal(&least_with(table, line));
-        writeln!(recording, "{line}: {refused}").unwrap();
+        let error = parse_error(&minimal_with(table, line));
+        writeln!(recording, "{line}: {error}").unwrap();
     }
     let fault = "[[fault]]\nat = \"1s\"\nwhat = \"flood\"\n";
-    let refused = refusal(&(least_with("", "") + fault));
-    writeln!(recording, "fault: {refused}").unwrap();
+    let error = parse_error(&(minimal_with("", "") + fault));
+    writeln!(recording, "fault: {error}").unwrap();
     assert_unchanged("unknown_words.txt", &recording);
 }
 
-/// The files of the folder of scenarios, in order.
-fn shipped() -> Vec<PathBuf> {
+/// Returns the paths of all shipped scenarios and budgets, ordered by name.
+fn shipped_files() -> Vec<PathBuf> {
     let folder = Path::new(env!("CARGO_MANIFEST_DIR")).join("../scenarios");
     let entries = std::fs::read_dir(folder).unwrap();
     let mut paths: Vec<PathBuf> = entries.map(|entry| entry.unwrap().path()).collect();
@@ -224,9 +229,9 @@
 }
 
 #[test]
-fn every_shipped_file_is_read_and_refused_with_an_unknown_key() {
+fn shipped_file_is_accepted_and_with_an_unknown_key_rejected() {
     let mut recording = String::new();
-    for path in shipped() {
+    for path in shipped_files() {
         let text = std::fs::read_to_string(&path).unwrap();
         let name = path.file_name().unwrap().to_string_lossy().into_owned();
         if Budget::is_one(&text) {
@@ -235,9 +240,9 @@
             assert!(Budget::parse(&format!("{text}\nunheard_of = 1\n")).is_err());
             continue;
         }
-        let scenario = Scenario::parse(&name, &text).unwrap_or_else(|fault| panic!("{fault}"));
-        let refused = refusal(&format!("unheard_of = 1\n{text}"));
-        assert!(refused.contains("unheard_of"), "{name}: {refused}");
+        let scenario = Scenario::parse(&name, &text).unwrap_or_else(|error| panic!("{error}"));
+        let error = parse_error(&format!("unheard_of = 1\n{text}"));
+        assert!(error.contains("unheard_of"), "{name}: {error}");
         let counts = [
             ("boxes", scenario.fleet.backends),
             ("relays", scenario.relays.count),
@@ -245,14 +250,14 @@
             ("faults", scenario.faults.len()),
             ("variants", scenario.variants.len()),
         ];
-        let counts = counts.map(|(what, count)| format!("{count} {what}"));
+        let counts = counts.map(|(table, count)| format!("{count} {table}"));
         writeln!(recording, "{name}: {}", counts.join(", ")).unwrap();
     }
     assert_unchanged("shipped.txt", &recording);
 }
 
 #[test]
-fn a_budget_with_an_unknown_key_is_refused_with_the_known_ones() {
-    let refused = Budget::parse("[budget]\nunheard_of = 1\n").unwrap_err();
-    assert_unchanged("budget_keys.txt", &format!("{refused}\n"));
+fn budget_with_unknown_key_is_rejected_with_known_keys() {
+    let error = Budget::parse("[budget]\nunheard_of = 1\n").unwrap_err();
+    assert_unchanged("budget_keys.txt", &format!("{error}\n"));
 }
