--- a/experiments/src/compare/mod.rs
+++ b/experiments/src/compare/mod.rs
@@ -1,4 +1,4 @@
-//! Runs side by side, and whether what differs is more than their own scatter.
+//! Compares the runs of two builds, and tells differences from random variation between runs.
 mod figures;
 mod read;
 
@@ -7,20 +7,20 @@
 use crate::summary::Summary;
 use figures::FIGURES;
 
-/// Means that lie further apart than this many times the standard error of their difference count
-/// as different.
+/// Two means count as different if they are further apart than this many standard errors of their
+/// difference.
 const SIGNIFICANCE: f64 = 2.0;
 
-/// Runs of one build, with a name for people.
+/// The runs of one build, with its name.
 #[derive(Clone, Copy)]
 pub struct Side<'a> {
-    /// As the table names it.
+    /// The name in the table.
     pub name: &'a str,
-    /// Its runs.
+    /// The summaries of the runs.
     pub runs: &'a [Summary],
 }
 
-/// A figure of both sides: the means over their runs.
+/// A figure of both sides, each as the mean over its runs.
 #[derive(Clone, Debug)]
 struct ComparedFigure {
     name: &'static str,
@@ -29,14 +29,14 @@
     verdict: Verdict,
 }
 
-/// How the second side does against the first.
+/// The result of comparing a figure of the second side with that of the first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Verdict {
-    /// They differ no more than the runs of a side among themselves.
-    Scatter,
+    /// The difference is within the random variation between runs.
+    WithinVariation,
     Better,
     Worse,
-    /// One run each tells nothing of their scatter.
+    /// A side has fewer than two runs, so the variation between runs is unknown.
     Unknown,
     Same,
 }
@@ -44,10 +44,10 @@
 impl Verdict {
     fn describe(self) -> &'static str {
         match self {
-            Verdict::Scatter => "within the runs' scatter",
+            Verdict::WithinVariation => "within the variation between runs",
             Verdict::Better => "better",
             Verdict::Worse => "worse",
-            Verdict::Unknown => "one run only: scatter unknown",
+            Verdict::Unknown => "one run only: variation unknown",
             Verdict::Same => "the same",
         }
     }
@@ -57,8 +57,8 @@
     values.iter().sum::<f64>() / values.len().max(1) as f64
 }
 
-/// The square of the standard error of a mean.
-fn squared_error(values: &[f64]) -> f64 {
+/// Returns the square of the standard error of the mean.
+fn squared_standard_error(values: &[f64]) -> f64 {
     let mean = mean(values);
     let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
     squares / (values.len() as f64 - 1.0) / values.len() as f64
@@ -72,9 +72,9 @@
     if first.len() < 2 || second.len() < 2 {
         return Verdict::Unknown;
     }
-    let error = (squared_error(first) + squared_error(second)).sqrt();
+    let error = (squared_standard_error(first) + squared_standard_error(second)).sqrt();
     if difference.abs() <= SIGNIFICANCE * error {
-        return Verdict::Scatter;
+        return Verdict::WithinVariation;
     }
     if (difference > 0.0) == more_is_better {
         Verdict::Better
@@ -99,18 +99,18 @@
         .collect()
 }
 
-/// Both sides as a table of text.
+/// Returns the comparison of both sides as a text table.
 pub fn table(first: Side, second: Side) -> String {
     let mut lines = vec![
         format!(
-            "{} runs of {} against {} of {}",
+            "{} runs of {} compared with {} of {}",
             first.runs.len(),
             first.name,
             second.runs.len(),
             second.name
         ),
         format!(
-            "{:<24} {:>12} {:>12} {:>8}  second against first",
+            "{:<24} {:>12} {:>12} {:>8}  second compared with first",
             "", "first", "second", "ratio"
         ),
     ];
@@ -119,7 +119,7 @@
     let late = runs().filter(|run| run.testbed_was_late).count();
     if late > 0 {
         lines.push(format!(
-            "{late} of the runs were late themselves: their delays say little"
+            "the testbed was too slow in {late} of the runs: their delays are unreliable"
         ));
     }
     let interrupted = runs().filter(|run| !run.complete).count();
--- a/experiments/src/compare/read.rs
+++ b/experiments/src/compare/read.rs
@@ -1,13 +1,13 @@
-//! Summaries of runs, found in folders.
+//! Finds and reads the summaries of runs in folders.
 use crate::summary::Summary;
 use std::io;
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Folders between the one that is named and a run's: scenario, target and seed.
+/// The maximum depth of a run's folder below the given one: scenario, target and seed.
 const MAX_DEPTH: u32 = 3;
 
-/// Why no summaries could be had.
+/// An error while reading summaries.
 #[derive(Debug, Error)]
 pub enum ReadError {
     /// A folder or file can't be read.
@@ -15,26 +15,26 @@
     Unreadable {
         /// The file or folder.
         path: PathBuf,
-        /// Why not.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A summary is not one.
-    #[error("{path}: {source}")]
+    /// A `summary.json` is not a valid summary.
+    #[error("{path}: not a valid summary: {source}")]
     Malformed {
-        /// The file or folder.
+        /// The file.
         path: PathBuf,
-        /// Why not.
+        /// The underlying error.
         source: serde_json::Error,
     },
-    /// There is no run.
+    /// The folder contains no run.
     #[error("{0}: no summary.json in it or below")]
     NoRun(PathBuf),
 }
 
-/// The summaries of a run's folder, or of all runs below it, by path.
+/// Returns the summary of the run in a folder, or those of all runs below it, ordered by path.
 ///
 /// # Errors
-/// The folder can't be read, or holds no run.
+/// A folder or summary can't be read, or there is no run.
 pub fn read(folder: &Path) -> Result<Vec<Summary>, ReadError> {
     let mut summaries = Vec::new();
     read_below(folder, MAX_DEPTH, &mut summaries)?;
--- a/experiments/src/count/log_line.rs
+++ b/experiments/src/count/log_line.rs
@@ -1,7 +1,7 @@
-//! One line of a relay's log at level debug, as the relay's module `trace` writes it.
+//! Parses lines of a relay's debug log, as the relay's module `trace` writes them.
 use std::collections::BTreeMap;
 
-/// The events that are counted.
+/// The names of the events that are counted.
 const EVENTS: &[&str] = &[
     "arrived",
     "cancel",
@@ -19,7 +19,8 @@
     "subscribe",
 ];
 
-/// What relays until December 2026 wrote, and what is written since: a fleet may run both.
+/// Former names of events with their present names. Relays built before December 2026 write the
+/// former ones, and a fleet may run both versions.
 const FORMER_EVENTS: &[(&str, &str)] = &[
     ("dial", "connect"),
     ("list", "endpoints"),
@@ -31,13 +32,14 @@
     ("withdraw", "cancel"),
 ];
 
-/// The same for the keys of fields that are read.
+/// Former keys of event fields with their present keys, for the same reason.
 const FORMER_KEYS: &[(&str, &str)] = &[
     ("box", "backend"),
     ("held", "connections"),
     ("verdict", "outcome"),
 ];
 
+/// Returns the present name for a former one, and any other name unchanged.
 fn present_name<'a>(name: &'a str, former_names: &[(&str, &'static str)]) -> &'a str {
     former_names
         .iter()
@@ -45,37 +47,38 @@
         .map_or(name, |(_, present)| present)
 }
 
-/// A line with its time.
+/// A log line with its time.
 pub(super) struct LogLine<'a> {
-    /// Seconds from before the stamp, where a collector wrote them there, else of the stamp's day.
+    /// The number of seconds that a log collector wrote before the timestamp, or else the seconds
+    /// since midnight from the timestamp.
     pub(super) at_s: f64,
-    /// What stands behind the stamp.
+    /// The text after the timestamp.
     pub(super) message: &'a str,
 }
 
 impl LogLine<'_> {
-    /// None where the line has no stamp.
+    /// Parses a line; returns `None` if it has no timestamp.
     pub(super) fn parse(line: &str) -> Option<LogLine<'_>> {
-        let (before, rest) = line.split_once('[')?;
-        let (stamp, message) = rest.split_once("] ")?;
-        if let Ok(at_s) = before.trim().parse() {
+        let (prefix, rest) = line.split_once('[')?;
+        let (timestamp, message) = rest.split_once("] ")?;
+        if let Ok(at_s) = prefix.trim().parse() {
             return Some(LogLine { at_s, message });
         }
-        let clock = stamp.split_once('T')?.1.get(..8)?;
+        let clock = timestamp.split_once('T')?.1.get(..8)?;
         let parts: Result<Vec<f64>, _> = clock.split(':').map(str::parse).collect();
         let at_s = parts.ok()?.iter().fold(0.0, |sum, part| sum * 60.0 + part);
         Some(LogLine { at_s, message })
     }
 }
 
-/// An event of the balancer and its fields.
+/// A logged event of the balancer, with its fields.
 pub(super) struct LoggedEvent<'a> {
     pub(super) name: &'a str,
     fields: BTreeMap<&'a str, &'a str>,
 }
 
 impl<'a> LoggedEvent<'a> {
-    /// None where the message is none of the events that are counted.
+    /// Parses a message; returns `None` if it is not an event that is counted.
     pub(super) fn parse(message: &'a str) -> Option<LoggedEvent<'a>> {
         let mut words = message.split(' ');
         let name = present_name(words.next()?, FORMER_EVENTS);
@@ -89,18 +92,18 @@
         Some(LoggedEvent { name, fields })
     }
 
-    /// Empty where there is no such field.
+    /// Returns the value of a field, or an empty string if there is no such field.
     pub(super) fn field(&self, key: &str) -> &'a str {
         self.fields.get(key).copied().unwrap_or_default()
     }
 
-    /// A field that holds a number; a negative one stands for none.
+    /// Returns the value of a numeric field. A negative number means that there is no value.
     pub(super) fn number(&self, key: &str) -> Option<f64> {
         let number = self.field(key).parse::<f64>().ok()?;
         (number >= 0.0).then_some(number)
     }
 
-    /// What the event is counted as.
+    /// Returns the label under which the event is counted.
     pub(super) fn label(&self) -> String {
         let outcome = self.field("outcome");
         match self.name {
--- a/experiments/src/count/mod.rs
+++ b/experiments/src/count/mod.rs
@@ -1,6 +1,6 @@
-//! Counts over the logs of a whole fleet, a file a relay at level debug: what all relays did
-//! together in each span, and what each backend reported and was asked. What one relay's log shows
-//! as harmless is seen here by its sum.
+//! Counts events over the debug logs of a whole fleet, one file per relay: the events of all relays
+//! together in each time span, and the reports of and attempts at each backend. The sums show
+//! problems that are too small to be seen in the log of a single relay.
 mod log_line;
 
 use log_line::{LogLine, LoggedEvent};
@@ -9,10 +9,10 @@
 use std::path::{Path, PathBuf};
 use thiserror::Error;
 
-/// Why logs could not be counted.
+/// An error while counting logs.
 #[derive(Debug, Error)]
 pub enum CountError {
-    /// The span is no time.
+    /// The span is not a positive number.
     #[error("the span must be longer than no time")]
     EmptySpan,
     /// A folder or file can't be read.
@@ -20,25 +20,26 @@
     Unreadable {
         /// The file or folder.
         path: PathBuf,
-        /// Why not.
+        /// The underlying error.
         source: io::Error,
     },
-    /// No line could be counted.
-    #[error("{0}: no line to count; relays must log at debug")]
+    /// No log contains an event that is counted.
+    #[error("{0}: no .log file with an event to count; relays must log at level debug")]
     NoEvents(PathBuf),
 }
 
-/// What was seen of one backend within a span.
+/// The counts of one backend within a span.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 struct BackendCounts {
     reports: u32,
-    /// Sums over the reports.
+    /// The sum of the loads of all reports.
     load: f64,
+    /// The sum of the connections of all reports.
     connections: f64,
     attempts: u32,
 }
 
-/// The counts, by the number of the span.
+/// The counts of a fleet's logs, by the index of the span.
 #[derive(Debug, Default)]
 pub struct Counts {
     span_s: f64,
@@ -55,10 +56,10 @@
         }
     }
 
-    /// Reads every `.log` of a folder; spans are of so many seconds.
+    /// Reads every `.log` file of a folder and counts its events in spans of `span_s` seconds.
     ///
     /// # Errors
-    /// The span is empty, the folder or a file can't be read, or no line could be counted.
+    /// The span is not positive, the folder or a file can't be read, or there is no event to count.
     pub fn read(folder: &Path, span_s: f64) -> Result<Counts, CountError> {
         if span_s.is_nan() || span_s <= 0.0 {
             return Err(CountError::EmptySpan);
@@ -104,8 +105,8 @@
         }
     }
 
-    /// Two tables: events by span, and for each backend its mean load, the connections it reported
-    /// and the attempts, by span.
+    /// Returns two tables by span: the events, and for each backend its mean reported load, its
+    /// mean reported connections and the attempts.
     pub fn table(&self) -> String {
         format!(
             "{} relays, spans of {} s\n\n{}\n\n{}\n",
@@ -152,12 +153,13 @@
     }
 }
 
-/// The line below a table's head, with one column more than these.
+/// Returns the line below a table's header, for `columns` columns after the first.
 fn rule(columns: usize) -> String {
     format!("\n|{}", " --- |".repeat(columns + 1))
 }
 
 impl BackendCounts {
+    /// Returns the table cell of a backend in a span.
     fn cell(self) -> String {
         let reports = f64::from(self.reports);
         match self.reports {
--- a/experiments/src/count/tests.rs
+++ b/experiments/src/count/tests.rs
@@ -1,4 +1,4 @@
-//! Counts over logs.
+//! Tests of the counts over logs.
 use super::Counts;
 use super::log_line::LogLine;
 use std::path::Path;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn logs_of_two_relays_are_summed_by_span_and_backend() {
+fn add_logs_of_two_relays_sums_by_span_and_backend() {
     assert_counted([
         "0.500 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] health_checked backend=b outcome=Ok connections=4 load=0.250\n\
          0.700 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] health_checked backend=b outcome=Ok connections=-1 load=-1.000\n\
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn log_of_the_former_program_counts_beside_one_of_this() {
+fn add_log_with_former_names_counts_under_present_names() {
     assert_counted([
         "0.500 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] probed box=b verdict=Ok held=4 load=0.250\n\
          0.700 [2026-12-01T17:30:44Z DEBUG thistlecroft_relay::trace] probed box=b verdict=Ok held=-1 load=-1.000\n\
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn line_without_a_collectors_seconds_has_the_time_of_its_stamp() {
+fn parse_line_without_collector_seconds_uses_its_timestamp() {
     let line = "[2026-12-01T01:02:03Z DEBUG x] connect session=1 backend=b timeout_ms=1";
     let line = LogLine::parse(line).unwrap();
     assert_eq!(
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn folder_without_events_is_an_error_of_one_line() {
+fn read_invalid_input_fails_with_one_line_error() {
     let folder = std::env::temp_dir().join(format!("thistlecroft-count-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     std::fs::write(
@@ -66,12 +66,12 @@
     )
     .unwrap();
     for (path, span_s, expected) in [
-        (folder.as_path(), 1.0, "no line to count"),
+        (folder.as_path(), 1.0, "no .log file with an event to count"),
         (folder.as_path(), 0.0, "longer than no time"),
         (Path::new("/nowhere/at/all"), 1.0, "/nowhere/at/all"),
     ] {
-        let fault = Counts::read(path, span_s).unwrap_err().to_string();
-        assert!(fault.contains(expected) && !fault.contains('\n'), "{fault}");
+        let error = Counts::read(path, span_s).unwrap_err().to_string();
+        assert!(error.contains(expected) && !error.contains('\n'), "{error}");
     }
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/experiments/src/plan/action.rs
+++ b/experiments/src/plan/action.rs
@@ -1,34 +1,34 @@
-//! What is done to a running testbed, and when.
+//! Actions on a running testbed, with their times.
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
 use thistlecroft_testbed::link_fault::LinkFault;
 use thistlecroft_testbed::load_generator::LoadCommand;
 use thistlecroft_testbed::simulated_backends::BackendCommand;
 
-/// One thing that is done to the testbed.
+/// An action on a part of the testbed.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
     Backends(BackendCommand),
     Load(LoadCommand),
-    /// Killed outright, and started again after so long.
+    /// Kills a relay and starts it again after the given time, if any.
     Kill(RelayIndex, Option<Duration>),
-    /// Shut down, and started again after so long.
+    /// Shuts a relay down and starts it again after the given time, if any.
     Stop(RelayIndex, Option<Duration>),
-    /// Sent SIGHUP.
+    /// Sends SIGHUP to a relay.
     Reload(RelayIndex),
-    /// Given the next of the scenario's operator configurations.
+    /// Gives a relay the next of the scenario's operator configurations.
     SwapOperatorConfig(RelayIndex),
-    /// Replaced by a successor, beside which it shuts down.
+    /// Starts a successor of a relay process, which shuts down meanwhile.
     HotRestart(RelayIndex),
     Ban(RelayIndex, BackendIndex),
     Unban(RelayIndex, BackendIndex),
     Pause(RelayIndex),
     Resume(RelayIndex),
-    /// One that has not run yet, or was shut down, starts.
+    /// Starts a relay that has not run yet or was shut down.
     Start(RelayIndex),
-    /// Shut down for good.
+    /// Shuts a relay down and does not start it again.
     Leave(RelayIndex),
-    /// Links between relays get a fault, or lose it. The name is recorded.
+    /// Sets or clears the fault of links between relays. The name is recorded.
     Links {
         links: Vec<Link>,
         fault: Option<LinkFault>,
@@ -36,7 +36,7 @@
     },
 }
 
-/// One direction between two relays.
+/// One direction of the connection between two relays: sender and receiver.
 pub(crate) type Link = (RelayIndex, RelayIndex);
 
 /// An action with its time.
@@ -46,7 +46,7 @@
     pub(crate) action: Action,
 }
 
-/// The actions of one fault, as they are gathered.
+/// The actions of one fault, in the order in which they are added.
 #[derive(Default)]
 pub(super) struct Schedule(pub(super) Vec<ScheduledAction>);
 
--- a/experiments/src/plan/fault_actions.rs
+++ b/experiments/src/plan/fault_actions.rs
@@ -1,4 +1,4 @@
-//! The actions that a fault of a scenario consists of.
+//! Translates a fault of a scenario into actions.
 use super::PLAN_START;
 use super::action::{Action, Schedule, ScheduledAction};
 use super::link_actions;
@@ -14,24 +14,24 @@
 /// The shortest time between two reloads of a relay.
 const MIN_RELOAD_INTERVAL: Duration = Duration::from_millis(1);
 
-/// The time of a key, zero where it is not stated.
+/// Returns the duration of an optional key, zero if the key is missing.
 pub(super) fn duration_or_zero(time: Option<DurationText>) -> Duration {
     time.map_or(Duration::ZERO, |time| time.0)
 }
 
-/// A fault with its times on the plan's clock.
+/// A fault with its times on the plan's clock, and the actions that it consists of.
 struct FaultActions<'a> {
     fault: &'a FaultTable,
     begin: Instant,
-    /// None where it lasts to the run's end.
+    /// `None` if the fault lasts until the end of the run.
     end: Option<Instant>,
-    /// The time over which it is spread.
+    /// The time over which the fault's actions are spread.
     over: Duration,
     back_after: Option<Duration>,
     schedule: Schedule,
 }
 
-/// The actions of a fault in the order in which they are worked out, not of their times.
+/// Returns the actions of a fault. They are not sorted by time.
 pub(super) fn actions_of(
     fault: &FaultTable,
     scenario: &Scenario,
@@ -43,17 +43,17 @@
     let mut actions = FaultActions {
         fault,
         begin,
-        end: fault.duration.map(|lasts| begin + lasts.0),
+        end: fault.duration.map(|duration| begin + duration.0),
         over: duration_or_zero(fault.spread_over),
-        back_after: fault.restart_after.map(|back| back.0),
+        back_after: fault.restart_after.map(|delay| delay.0),
         schedule: Schedule::default(),
     };
     for &backend in &backends {
         actions.add_backend(backend);
     }
     for &relay in &relays {
-        let place = relays.iter().position(|other| *other == relay);
-        let share = place.unwrap_or(0) as f64 / relays.len() as f64;
+        let position = relays.iter().position(|other| *other == relay);
+        let share = position.unwrap_or(0) as f64 / relays.len() as f64;
         actions.add_relay(relay, share, &backends);
     }
     link_actions::add(fault, scenario, &relays, rng, &mut actions.schedule);
@@ -62,20 +62,22 @@
 }
 
 impl FaultActions<'_> {
+    /// Adds an action at a time of the plan.
     fn add(&mut self, at: Instant, action: Action) {
         self.schedule.add(at, action);
     }
 
+    /// Adds the actions on one backend.
     fn add_backend(&mut self, backend: BackendIndex) {
         if let Some(backend_fault) = backend_fault(self.fault) {
-            let begins = BackendCommand::InjectFault(backend, backend_fault);
-            self.add(self.begin, Action::Backends(begins));
+            let inject = BackendCommand::InjectFault(backend, backend_fault);
+            self.add(self.begin, Action::Backends(inject));
             if let Some(end) = self.end {
                 self.add(end, Action::Backends(BackendCommand::ClearFault(backend)));
             }
             return;
         }
-        let join = Action::Backends(BackendCommand::Start(backend));
+        let start = Action::Backends(BackendCommand::Start(backend));
         match self.fault.kind.as_str() {
             "crash" => {
                 let crash = BackendCommand::Crash(backend, self.back_after);
@@ -85,16 +87,16 @@
                 let drain = BackendCommand::Drain(backend, self.over);
                 self.add(self.begin, Action::Backends(drain));
                 if let Some(back_after) = self.back_after {
-                    self.add(self.begin + self.over + back_after, join);
+                    self.add(self.begin + self.over + back_after, start);
                 }
             }
             "ban" => {}
-            _ => self.add(self.begin, join),
+            _ => self.add(self.begin, start),
         }
     }
 
-    /// `share`: the part of the relays that come before this one, for faults that befall one after
-    /// the other.
+    /// Adds the actions on one relay. `share` is the share of the fault's relays that precede this
+    /// one, for faults that affect relays one after another.
     fn add_relay(&mut self, relay: RelayIndex, share: f64, backends: &[BackendIndex]) {
         if let Some(agent_fault) = agent_fault(self.fault) {
             self.add_agent_fault(relay, agent_fault);
@@ -136,7 +138,7 @@
         }
     }
 
-    /// Again and again while the fault lasts.
+    /// Adds `action` once in each interval while the fault lasts.
     fn add_repeated(&mut self, action: &Action) {
         let interval = duration_or_zero(self.fault.interval).max(MIN_RELOAD_INTERVAL);
         let mut at = self.begin;
@@ -146,23 +148,24 @@
         }
     }
 
+    /// Adds the actions on clients, if the fault has any.
     fn add_clients(&mut self) {
         let clients = self.fault.clients.unwrap_or_default();
-        let what = &self.fault.kind;
-        if what == "clients-drop" {
+        let kind = &self.fault.kind;
+        if kind == "clients-drop" {
             let drop = LoadCommand::DropConnections(clients, self.over);
             self.add(self.begin, Action::Load(drop));
-        } else if let Some((rude, _)) = Misbehavior::ALL.iter().find(|(_, name)| name == what) {
+        } else if let Some((behavior, _)) = Misbehavior::ALL.iter().find(|(_, name)| name == kind) {
             self.add(
                 self.begin,
-                Action::Load(LoadCommand::AddMisbehaving(*rude, clients)),
+                Action::Load(LoadCommand::AddMisbehaving(*behavior, clients)),
             );
         }
     }
 }
 
 fn backend_fault(fault: &FaultTable) -> Option<BackendFault> {
-    let pausing = || {
+    let periodic_pause = || {
         BackendFault::PeriodicPause(
             duration_or_zero(fault.interval),
             duration_or_zero(fault.pause),
@@ -173,7 +176,7 @@
         "freeze" => BackendFault::Frozen,
         "mute" => BackendFault::Unresponsive,
         "slow" => BackendFault::Slow(fault.slowdown.unwrap_or(1.0)),
-        "pauses" => pausing(),
+        "pauses" => periodic_pause(),
         "errors" => BackendFault::ErrorRate(fault.error_share.unwrap_or(1.0)),
         "reset-before" => BackendFault::ResetOnAccept,
         "reset-after" => BackendFault::ResetOnRequest,
--- a/experiments/src/plan/link_actions.rs
+++ b/experiments/src/plan/link_actions.rs
@@ -1,4 +1,4 @@
-//! The actions of faults that befall the links between relays.
+//! Actions of faults of the links between relays.
 use super::PLAN_START;
 use super::action::{Action, Link, Schedule};
 use super::fault_actions::duration_or_zero;
@@ -9,11 +9,11 @@
 use thistlecroft_testbed::event_recorder::RelayIndex;
 use thistlecroft_testbed::link_fault::LinkFault;
 
-/// The names under which faults of links are recorded.
+/// The names under which link faults are recorded.
 const CUT: &str = "cut";
 const IMPAIRED: &str = "bent";
 
-/// Adds what a fault does to links; nothing where it is of another kind.
+/// Adds the actions of a fault on links; none if the fault is of another kind.
 pub(super) fn add(
     fault: &FaultTable,
     scenario: &Scenario,
@@ -23,7 +23,7 @@
 ) {
     let count = scenario.relays.count;
     let begin = PLAN_START + fault.at.0;
-    let end = fault.duration.map(|lasts| begin + lasts.0);
+    let end = fault.duration.map(|duration| begin + duration.0);
     match fault.kind.as_str() {
         "partition" => {
             let links = links_across(relays, count);
@@ -35,7 +35,7 @@
                 schedule,
                 &links,
                 link_fault,
-                name_of(link_fault),
+                link_fault_name(link_fault),
                 begin,
                 end,
             );
@@ -46,7 +46,7 @@
             let pause = duration_or_zero(fault.pause);
             let mut at = begin;
             while end.is_some_and(|end| at < end) {
-                let name = name_of(link_fault);
+                let name = link_fault_name(link_fault);
                 add_fault(schedule, &links, link_fault, name, at, Some(at + pause));
                 at = at + interval;
             }
@@ -74,7 +74,7 @@
     }
 }
 
-fn name_of(fault: LinkFault) -> &'static str {
+fn link_fault_name(fault: LinkFault) -> &'static str {
     if fault == LinkFault::CUT {
         CUT
     } else {
@@ -82,19 +82,19 @@
     }
 }
 
-/// Both directions between these relays and all others.
-fn links_across(these: &[RelayIndex], count: usize) -> Vec<Link> {
+/// Returns both directions of all links between `relays` and the other relays.
+fn links_across(relays: &[RelayIndex], count: usize) -> Vec<Link> {
     let all = || (0..count).map(|number| RelayIndex(number as u16));
     let mut links = Vec::new();
-    for &relay in these {
-        for other in all().filter(|other| !these.contains(other)) {
+    for &relay in relays {
+        for other in all().filter(|other| !relays.contains(other)) {
             links.extend([(relay, other), (other, relay)]);
         }
     }
     links
 }
 
-/// Each directed pair of the relays that the fault names, and what befalls it.
+/// Returns the links between the relays that the fault names, and the fault that they get.
 fn faulted_links(fault: &FaultTable, count: usize, rng: &mut Rng) -> (Vec<Link>, LinkFault) {
     let from = select_relays(&fault.from, count, rng);
     let to = select_relays(&fault.to, count, rng);
@@ -106,7 +106,8 @@
     (links, link_fault(fault))
 }
 
-/// Everything is lost where nothing is said of the link.
+/// Returns the fault of a link. A link loses all datagrams unless the scenario gives a loss or
+/// another impairment.
 fn link_fault(fault: &FaultTable) -> LinkFault {
     let is_impaired = fault.delay.is_some()
         || fault.jitter.is_some()
--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario worked out from its seed: who comes when, and what is done when. The same scenario and
-//! seed give the same plan, whatever is run under it. No I/O.
+//! The plan of a run: all arrivals and actions with their times, computed from a scenario and a
+//! seed. The same scenario and seed give the same plan for every target. This module does no I/O.
 mod action;
 mod fault_actions;
 mod link_actions;
@@ -7,7 +7,7 @@
 mod testbed_config;
 
 pub(crate) use action::{Action, ScheduledAction};
-pub(crate) use testbed_config::dealing;
+pub(crate) use testbed_config::client_distribution;
 
 use crate::scenario::{FaultTable, Scenario};
 use thistlecroft::random::Rng;
@@ -18,16 +18,16 @@
 use thistlecroft_testbed::simulated_backends::BackendPlan;
 use thistlecroft_testbed::traffic::{Arrival, Burst, Traffic, arrivals};
 
-/// Clients come from here on, so that all is set up before.
+/// The plan time of the first arrivals, which leaves time to set everything up.
 pub(crate) const PLAN_START: Instant = Instant::from_micros(500_000);
 
-/// Keeps what is drawn for faults apart from what is drawn for clients.
+/// Makes the random draws for faults independent of those for clients.
 const FAULT_SEED: u64 = 0x5ca1_ab1e;
 
-/// The time over which a rush is spread where the scenario does not say.
+/// The time over which a burst of clients is spread if the scenario gives none.
 const DEFAULT_BURST: Duration = Duration::from_millis(1_000);
 
-/// A fault as a report marks it.
+/// A fault as it is marked in a report's charts.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct FaultMark {
     pub(crate) name: String,
@@ -35,25 +35,25 @@
     pub(crate) to: Option<Instant>,
 }
 
-/// All that a run needs to know.
+/// The plan of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Plan {
     pub(crate) seed: u64,
     pub(crate) traffic: Traffic,
     pub(crate) arrivals: Vec<Arrival>,
-    /// In the order of their times.
+    /// The actions, sorted by time.
     pub(crate) actions: Vec<ScheduledAction>,
     pub(crate) marks: Vec<FaultMark>,
     pub(crate) backends: BackendPlan,
     pub(crate) fleet_config: FleetConfig,
     pub(crate) rules: PlatformRules,
     pub(crate) cluster_limits: ClusterLimits,
-    /// Nobody new comes from here on.
+    /// The end of arrivals.
     pub(crate) end: Instant,
 }
 
 impl Plan {
-    /// Computes the plan of a scenario.
+    /// Computes the plan of a scenario for a seed.
     pub(crate) fn new(scenario: &Scenario, seed: u64) -> Plan {
         let mut rng = Rng::from_seed(seed ^ FAULT_SEED);
         let end = PLAN_START + scenario.length.0;
@@ -98,41 +98,39 @@
 
 fn mark(fault: &FaultTable) -> FaultMark {
     let from = PLAN_START + fault.at.0;
-    let lasts = if fault.kind == "rush" {
+    let duration = if fault.kind == "rush" {
         Some(burst(fault).duration)
     } else {
-        let lasts = fault.duration.or(fault.spread_over).or(fault.restart_after);
-        lasts.map(|lasts| lasts.0)
+        let duration = fault.duration.or(fault.spread_over).or(fault.restart_after);
+        duration.map(|duration| duration.0)
     };
     FaultMark {
         name: fault.kind.clone(),
         from,
-        to: lasts.map(|lasts| from + lasts),
+        to: duration.map(|duration| from + duration),
     }
 }
 
 fn platform_rules(scenario: &Scenario, backends: &BackendPlan) -> PlatformRules {
     let listeners = scenario.listeners.iter();
-    let places = backends.backends.iter();
+    let specs = backends.backends.iter();
     PlatformRules {
         idempotency: listeners
             .map(|listener| testbed_config::idempotency(listener.get_ref()))
             .collect(),
         hedged: vec![scenario.relays.hedging; scenario.listeners.len()],
         drain_grace: scenario.fleet.drain_grace.0,
-        backend_locations: places
-            .map(|backend| (backend.zone.clone(), backend.cell))
-            .collect(),
+        backend_locations: specs.map(|spec| (spec.zone.clone(), spec.cell)).collect(),
     }
 }
 
 fn cluster_limits(scenario: &Scenario) -> ClusterLimits {
     let limits = &scenario.cluster_limits;
-    let over_for = limits.max_excess_time.map_or(Duration::ZERO, |over| over.0);
+    let max_excess_time = limits.max_excess_time.map_or(Duration::ZERO, |time| time.0);
     ClusterLimits {
-        max_sessions: limits.max_sessions.map(|most| (most, over_for)),
+        max_sessions: limits.max_sessions.map(|max| (max, max_excess_time)),
         max_attempts_per_second: limits.max_attempts_per_second,
-        ban_replication_time: limits.ban_replication_time.map(|within| within.0),
+        ban_replication_time: limits.ban_replication_time.map(|time| time.0),
         allows_takeover: false,
         requires_consistent_membership: limits.requires_consistent_membership,
     }
--- a/experiments/src/plan/selection.rs
+++ b/experiments/src/plan/selection.rs
@@ -1,25 +1,25 @@
-//! Which backends and relays a fault befalls.
+//! Selects the backends and relays that a fault affects.
 use crate::scenario::{Selection, SelectionShare};
 use thistlecroft::random::Rng;
 use thistlecroft_testbed::event_recorder::{BackendIndex, RelayIndex};
 
-/// Numbers below `total`, drawn unless they are named, in rising order.
+/// Returns indices below `total`: the given ones as they are, or drawn ones in ascending order.
 fn select(selection: &Option<Selection>, total: usize, rng: &mut Rng) -> Vec<usize> {
     let count = match selection {
         None => return Vec::new(),
-        Some(Selection::Indices(numbers)) => return numbers.clone(),
+        Some(Selection::Indices(indices)) => return indices.clone(),
         Some(Selection::Count(count)) => *count,
         Some(Selection::Share(SelectionShare::Half)) => total.div_ceil(2),
         Some(Selection::Share(SelectionShare::All)) => total,
     };
-    let mut numbers: Vec<usize> = (0..total).collect();
-    for place in 0..count {
-        let other = place + rng.below((total - place) as u64) as usize;
-        numbers.swap(place, other);
+    let mut indices: Vec<usize> = (0..total).collect();
+    for position in 0..count {
+        let other = position + rng.below((total - position) as u64) as usize;
+        indices.swap(position, other);
     }
-    numbers.truncate(count);
-    numbers.sort_unstable();
-    numbers
+    indices.truncate(count);
+    indices.sort_unstable();
+    indices
 }
 
 pub(super) fn select_backends(
@@ -27,8 +27,8 @@
     total: usize,
     rng: &mut Rng,
 ) -> Vec<BackendIndex> {
-    let numbers = select(selection, total, rng).into_iter();
-    numbers.map(|number| BackendIndex(number as u16)).collect()
+    let indices = select(selection, total, rng).into_iter();
+    indices.map(|index| BackendIndex(index as u16)).collect()
 }
 
 pub(super) fn select_relays(
@@ -36,6 +36,6 @@
     total: usize,
     rng: &mut Rng,
 ) -> Vec<RelayIndex> {
-    let numbers = select(selection, total, rng).into_iter();
-    numbers.map(|number| RelayIndex(number as u16)).collect()
+    let indices = select(selection, total, rng).into_iter();
+    indices.map(|index| RelayIndex(index as u16)).collect()
 }
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -1,4 +1,4 @@
-//! A scenario's traffic, backends and settings as the testbed takes them.
+//! Converts a scenario's traffic, backends and settings into the testbed's configuration.
 use super::PLAN_START;
 use crate::scenario::{Baseline, Effect, ListenerTable, Rate, Scenario, Scope};
 use thistlecroft::deployment::{DeduplicationScope, Idempotency};
@@ -9,8 +9,8 @@
 use thistlecroft_testbed::simulated_backends::{BackendPlan, BackendSpec};
 use thistlecroft_testbed::traffic::{Burst, ClientProfile, Traffic};
 
-/// How clients choose where to connect.
-pub(crate) fn dealing(baseline: Option<Baseline>) -> ClientDistribution {
+/// Returns how clients are distributed over relays, or over backends for a baseline.
+pub(crate) fn client_distribution(baseline: Option<Baseline>) -> ClientDistribution {
     match baseline {
         None | Some(Baseline::Direct) => ClientDistribution::RoundRobin,
         Some(Baseline::Random) => ClientDistribution::Random,
@@ -18,29 +18,29 @@
     }
 }
 
-/// Whether a listener's requests may be repeated.
-pub(super) fn idempotency(row: &ListenerTable) -> Idempotency {
-    match row.effect {
+/// Returns whether a listener's requests may be repeated.
+pub(super) fn idempotency(listener: &ListenerTable) -> Idempotency {
+    match listener.effect {
         Effect::Repeatable => Idempotency::Idempotent,
         Effect::OnceOnly => Idempotency::NonIdempotent,
         Effect::Referenced => {
-            let scope = match row.deduplication_scope {
+            let scope = match listener.deduplication_scope {
                 Scope::All => DeduplicationScope::All,
                 Scope::Zone => DeduplicationScope::Zone,
                 Scope::Cell => DeduplicationScope::Cell,
             };
             Idempotency::Keyed {
                 scope,
-                window: row.deduplication_window.0,
+                window: listener.deduplication_window.0,
             }
         }
     }
 }
 
-/// The scenario's arrivals, with `bursts` of further clients.
+/// Returns the scenario's traffic, with `bursts` of further clients.
 pub(super) fn traffic(scenario: &Scenario, bursts: Vec<Burst>) -> Traffic {
-    let text = &scenario.traffic;
-    let kinds = scenario
+    let table = &scenario.traffic;
+    let profiles = scenario
         .listeners
         .iter()
         .map(|row| row.get_ref())
@@ -54,7 +54,7 @@
             mean_lifetime: row.mean_lifetime.0,
             priority_weight: row.priority_weight,
         });
-    let rate = match &text.rate {
+    let rate = match &table.rate {
         Rate::Even(rate) => vec![(PLAN_START, *rate)],
         Rate::Steps(steps) => steps
             .iter()
@@ -62,21 +62,21 @@
             .collect(),
     };
     Traffic {
-        profiles: kinds.collect(),
+        profiles: profiles.collect(),
         rate,
         bursts,
-        keys: text.client_keys.max(1),
-        groups: text.groups,
-        retries: text.retries,
-        heeds_retry_after: text.retry_after_share,
-        backoff: text.backoff.0,
-        reconnect_delay: (text.reconnect_delay[0].0, text.reconnect_delay[1].0),
-        impatient_share: text.impatient_share,
-        message_interval: text.message_interval.0,
+        keys: table.client_keys.max(1),
+        groups: table.groups,
+        retries: table.retries,
+        heeds_retry_after: table.retry_after_share,
+        backoff: table.backoff.0,
+        reconnect_delay: (table.reconnect_delay[0].0, table.reconnect_delay[1].0),
+        impatient_share: table.impatient_share,
+        message_interval: table.message_interval.0,
     }
 }
 
-/// The backends and the set-up store.
+/// Returns the plan of the backends and of the store that their set-ups call.
 pub(super) fn backends(scenario: &Scenario, seed: u64) -> BackendPlan {
     let fleet = &scenario.fleet;
     let warm_up = WarmUp {
@@ -114,18 +114,18 @@
     }
 }
 
-/// How long a backend takes to replace its connections: a mean life of them, or its warm-up if that
-/// is longer.
+/// Returns the time in which a backend replaces its connections: the mean lifetime of sessions, or
+/// the warm-up if that is longer.
 fn turnover(scenario: &Scenario) -> Duration {
     let rows = || scenario.listeners.iter().map(|row| row.get_ref());
     let shares: f64 = rows().map(|row| row.share).sum();
     let mean = rows()
         .map(|row| row.mean_lifetime.0 * (row.share / shares))
-        .fold(Duration::ZERO, |sum, part| sum + part);
+        .fold(Duration::ZERO, |sum, term| sum + term);
     mean.max(scenario.fleet.warm_up.0)
 }
 
-/// The settings of the relays.
+/// Returns the settings of the relays.
 pub(super) fn fleet_config(scenario: &Scenario) -> FleetConfig {
     let (fleet, relays) = (&scenario.fleet, &scenario.relays);
     let listeners = scenario
--- a/experiments/src/plan/tests.rs
+++ b/experiments/src/plan/tests.rs
@@ -1,8 +1,8 @@
-//! Plans.
+//! Tests of plans.
 use super::Plan;
 use crate::scenario::Scenario;
 
-const GOOD: &str = r#"
+const SCENARIO: &str = r#"
 about = "for the test"
 length = "10s"
 [fleet]
@@ -24,16 +24,20 @@
 "#;
 
 #[test]
-fn same_scenario_and_seed_give_the_same_plan() {
-    let scenario = Scenario::parse("good.toml", GOOD).unwrap();
+fn plan_of_same_scenario_and_seed_is_the_same() {
+    let scenario = Scenario::parse("good.toml", SCENARIO).unwrap();
     assert_eq!(scenario.name, "good");
-    let text = |seed| {
+    let plan_text = |seed| {
         let plan = Plan::new(&scenario, seed);
         format!("{:?} {:?}", plan.arrivals, plan.actions)
     };
-    assert_eq!(text(1), text(1));
-    assert_ne!(text(1), text(2));
+    assert_eq!(plan_text(1), plan_text(1));
+    assert_ne!(plan_text(1), plan_text(2));
     let plan = Plan::new(&scenario, 1);
-    assert_eq!(plan.actions.len(), 6, "three boxes slow, and well again");
+    assert_eq!(
+        plan.actions.len(),
+        6,
+        "three backends become slow and recover"
+    );
     assert!(plan.actions.windows(2).all(|pair| pair[0].at <= pair[1].at));
 }
--- a/experiments/src/report/chart.rs
+++ b/experiments/src/report/chart.rs
@@ -1,9 +1,9 @@
-//! Charts as SVG.
+//! Draws charts as SVG.
 use super::ReportError;
 use plotters::coord::ranged1d::Ranged;
 use plotters::prelude::*;
 
-/// Width and height in pixels.
+/// Width and height of a chart in pixels.
 const SIZE: (u32, u32) = (960, 300);
 const FONT: &str = "sans-serif";
 const TITLE_SIZE: i32 = 17;
@@ -12,7 +12,7 @@
 const MARGIN: i32 = 8;
 const X_LABEL_AREA: i32 = 34;
 const Y_LABEL_AREA: i32 = 58;
-/// Length of a line in the legend.
+/// Length of a line in the legend, in pixels.
 const LEGEND_LINE: i32 = 16;
 
 pub(super) const BLUE: RGBColor = RGBColor(31, 119, 180);
@@ -23,9 +23,9 @@
 const GREY: RGBColor = RGBColor(90, 90, 90);
 const COLORS: [RGBColor; 6] = [BLUE, RED, GREEN, ORANGE, PURPLE, GREY];
 
-/// A color for each number, round and round.
-pub(super) fn color(number: usize) -> RGBColor {
-    COLORS[number % COLORS.len()]
+/// Returns the color for an index; colors repeat.
+pub(super) fn color(index: usize) -> RGBColor {
+    COLORS[index % COLORS.len()]
 }
 
 /// How a series is drawn.
@@ -33,10 +33,11 @@
 pub(super) enum Stroke {
     Thick,
     Thin,
-    /// Thin and not named: one of many.
+    /// Thin and without an entry in the legend, for one of many series.
     Faint,
 }
 
+/// A named series of points, with its style.
 pub(super) struct Series {
     pub(super) name: String,
     pub(super) color: RGBColor,
@@ -44,30 +45,31 @@
     pub(super) stroke: Stroke,
 }
 
-/// A fault that is shaded, in seconds.
+/// A fault that is shaded in a chart, with its times in seconds.
 pub(super) struct ShadedFault {
     pub(super) name: String,
     pub(super) from: f64,
     pub(super) to: f64,
 }
 
-/// What a chart over time shows beside its series.
+/// The parts of a chart over time besides its series.
 pub(super) struct Frame<'a> {
     pub(super) title: &'a str,
     pub(super) unit: &'a str,
-    /// Seconds.
+    /// The end of the time axis in seconds.
     pub(super) end: f64,
     pub(super) faults: &'a [ShadedFault],
 }
 
 type Chart<'a, X, Y> = ChartContext<'a, SVGBackend<'a>, Cartesian2d<X, Y>>;
 
-fn max_y(series: &[Series], least: f64) -> f64 {
+/// Returns the greatest value of all series, but at least `min`.
+fn max_y(series: &[Series], min: f64) -> f64 {
     let points = series.iter().flat_map(|series| &series.points);
-    points.map(|&(_, y)| y).fold(least, f64::max)
+    points.map(|&(_, y)| y).fold(min, f64::max)
 }
 
-/// A chart over time, on even scales.
+/// Draws a chart over time, on linear scales.
 pub(super) fn over_time(frame: &Frame, series: &[Series]) -> Result<String, ReportError> {
     let mut svg = String::new();
     let top = max_y(series, 0.0).max(1e-3) * 1.1;
@@ -97,7 +99,8 @@
     Ok(svg)
 }
 
-/// A chart of quantiles, on logarithmic scales: what one in so many exceeds.
+/// Draws a chart of quantiles on logarithmic scales. A point (n, y) means that one in n values
+/// exceeds y.
 pub(super) fn quantiles(title: &str, series: &[Series]) -> Result<String, ReportError> {
     let mut svg = String::new();
     let top = max_y(series, 1.0) * 1.5;
@@ -112,7 +115,7 @@
             .build_cartesian_2d((1.0..1_000.0).log_scale(), (0.01..top).log_scale())?;
         chart
             .configure_mesh()
-            .x_desc("one in so many is slower")
+            .x_desc("one in n is slower")
             .y_desc("ms")
             .label_style((FONT, LABEL_SIZE))
             .draw()?;
@@ -138,7 +141,7 @@
         let shade = RED.mix(0.08);
         let corners = [(fault.from, 0.0), (fault.to, top)];
         chart.draw_series([Rectangle::new(corners, shade.filled())])?;
-        // Three rows, so that names of faults close together can be read.
+        // Names are drawn in three rows, so that those of faults close together don't overlap.
         let height = top * (0.97 - 0.08 * (number % 3) as f64);
         let style = (FONT, MARK_SIZE).into_font().color(&RED);
         chart.draw_series([Text::new(fault.name.clone(), (fault.from, height), style)])?;
--- a/experiments/src/report/mod.rs
+++ b/experiments/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A run's page: its figures and plots, to be read in a minute and opened without anything beside it.
+//! The report of a run: a self-contained HTML page with its figures and charts.
 mod chart;
 mod series;
 
@@ -14,22 +14,22 @@
 use thistlecroft_testbed::event_recorder::RecordedEvent;
 use thistlecroft_testbed::load_generator::LoadTotals;
 
-const KEPT_COLOR: &str = "#2c7a2c";
-const BROKEN_COLOR: &str = "#b22222";
+const PASSED_COLOR: &str = "#2c7a2c";
+const FAILED_COLOR: &str = "#b22222";
 
-/// Why a report could not be made.
+/// An error while making a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// A plot can't be drawn.
-    #[error("plot: {0}")]
+    /// A chart can't be drawn.
+    #[error("chart can't be drawn: {0}")]
     Plot(#[from] DrawingAreaErrorKind<io::Error>),
-    /// There is nobody whose delays could be drawn.
-    #[error("no clients")]
+    /// There are no totals of the load generator.
+    #[error("report: no totals of the load generator")]
     NoClients,
 }
 
-/// The page of a run as HTML.
-pub(crate) fn page(
+/// Returns the report of a run as HTML.
+pub(crate) fn html(
     summary: &Summary,
     events: &[RecordedEvent],
     marks: &[FaultMark],
@@ -37,9 +37,9 @@
 ) -> Result<String, ReportError> {
     let plots = plots(events, marks, load_totals)?;
     let color = if summary.passed() {
-        KEPT_COLOR
+        PASSED_COLOR
     } else {
-        BROKEN_COLOR
+        FAILED_COLOR
     };
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title>\
@@ -87,11 +87,11 @@
     let mut plots = vec![
         over_time(
             "Answers over time",
-            "a second",
+            "per second",
             &series::answers(events, end),
         )?,
         over_time(
-            "Load of each box over its capacity",
+            "Load of each backend divided by its capacity",
             "load",
             &series::backend_loads(events),
         )?,
@@ -112,7 +112,8 @@
     Ok(plots)
 }
 
-/// A run of no length is drawn as one of a second.
+/// Returns the end of the time axis in seconds. It is at least 1, since an empty axis can't be
+/// drawn.
 fn end_seconds(end: Instant) -> f64 {
     seconds(end).max(1.0)
 }
--- a/experiments/src/report/series.rs
+++ b/experiments/src/report/series.rs
@@ -1,4 +1,4 @@
-//! The series that a report draws, from what was recorded over a run.
+//! Computes the series of a report from the recorded events and totals of a run.
 use super::chart::{BLUE, GREEN, ORANGE, PURPLE, RED, Series, Stroke, color};
 use crate::summary::rounds;
 use hdrhistogram::Histogram;
@@ -8,10 +8,10 @@
 use thistlecroft_testbed::event_recorder::{Answer, Observation, RecordedEvent, RelayIndex};
 use thistlecroft_testbed::load_generator::LoadTotals;
 
-/// Answers are counted in steps of this.
+/// The length of the intervals in which answers are counted.
 const ANSWER_STEP: Duration = Duration::from_millis(500);
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
-/// Points of a quantile curve for each power of ten.
+/// The number of points of a quantile curve for each power of ten.
 const POINTS_PER_DECADE: i32 = 20;
 const DECADES: i32 = 3;
 
@@ -21,7 +21,7 @@
     at.as_micros() as f64 / 1e6
 }
 
-/// The load of each backend, and the mean of all.
+/// Returns the load of each backend over time, and the mean of all backends.
 pub(super) fn backend_loads(events: &[RecordedEvent]) -> Vec<Series> {
     let mut by_backend: BTreeMap<u16, Points> = BTreeMap::new();
     let mut mean = Vec::new();
@@ -33,7 +33,7 @@
         }
         mean.push((at, round.mean_load()));
     }
-    let each = by_backend.into_iter().map(|(number, points)| Series {
+    let backends = by_backend.into_iter().map(|(number, points)| Series {
         name: String::new(),
         color: color(usize::from(number)),
         points,
@@ -45,10 +45,10 @@
         points: mean,
         stroke: Stroke::Thick,
     };
-    each.chain([mean]).collect()
+    backends.chain([mean]).collect()
 }
 
-/// The kinds of answers that are drawn, in the order of the legend.
+/// The kinds of outcomes that are drawn, in the order of the legend.
 #[derive(Clone, Copy)]
 enum AnswerKind {
     Accepted,
@@ -85,11 +85,11 @@
 
     fn series(self, points: Points) -> Series {
         let (name, color) = match self {
-            AnswerKind::Accepted => ("up", GREEN),
-            AnswerKind::Rejected => ("busy", ORANGE),
-            AnswerKind::FailedOrNone => ("failed or none", RED),
-            AnswerKind::Migrated => ("moved", BLUE),
-            AnswerKind::ConnectionLost => ("cut off", PURPLE),
+            AnswerKind::Accepted => ("accepted", GREEN),
+            AnswerKind::Rejected => ("rejected", ORANGE),
+            AnswerKind::FailedOrNone => ("failed or unanswered", RED),
+            AnswerKind::Migrated => ("migrated", BLUE),
+            AnswerKind::ConnectionLost => ("connection lost", PURPLE),
         };
         Series {
             name: name.into(),
@@ -100,7 +100,7 @@
     }
 }
 
-/// Answers a second, by their kind.
+/// Returns the answers per second over time, one series for each kind.
 pub(super) fn answers(events: &[RecordedEvent], end: Instant) -> Vec<Series> {
     let step_of = |at: Instant| (at.as_micros() / ANSWER_STEP.as_micros()) as usize;
     let steps = step_of(end) + 1;
@@ -124,11 +124,11 @@
     kinds.map(|kind| kind.series(points(kind))).collect()
 }
 
-/// What relays used, a series for each of them.
+/// The costs of the relays over time, one series for each relay.
 pub(super) struct RelayCosts {
-    /// Percent of a core.
+    /// CPU use in percent of a core.
     pub(super) cpu: Vec<Series>,
-    /// Resident megabytes.
+    /// Resident memory in megabytes.
     pub(super) memory: Vec<Series>,
 }
 
@@ -175,7 +175,7 @@
         .collect()
 }
 
-/// Delays that one in so many clients exceeds, of set-ups and of lines.
+/// Returns quantile curves of the delays of set-ups and lines for each listener.
 pub(super) fn delays(totals: &LoadTotals) -> Vec<Series> {
     let mut series = Vec::new();
     for (number, listener) in totals.listeners.iter().enumerate() {
@@ -196,12 +196,13 @@
     series
 }
 
+/// Returns the points (n, delay in milliseconds) where one in n delays is longer.
 fn quantile_points(micros: &Histogram<u32>) -> Points {
     (0..=POINTS_PER_DECADE * DECADES)
         .map(|step| {
-            let one_in = 10f64.powf(f64::from(step) / f64::from(POINTS_PER_DECADE));
-            let delay = micros.value_at_quantile(1.0 - 1.0 / one_in);
-            (one_in, delay as f64 / 1e3)
+            let n = 10f64.powf(f64::from(step) / f64::from(POINTS_PER_DECADE));
+            let delay = micros.value_at_quantile(1.0 - 1.0 / n);
+            (n, delay as f64 / 1e3)
         })
         .collect()
 }
--- a/experiments/src/run/director.rs
+++ b/experiments/src/run/director.rs
@@ -1,4 +1,4 @@
-//! Carries a plan out at its times.
+//! Executes the actions of a plan at their times.
 use super::managed_relay::ManagedRelay;
 use super::{Progress, Recorded};
 use crate::plan::{Action, Plan};
@@ -18,19 +18,19 @@
 use thistlecroft_testbed::relay_process::RelayProcess;
 use thistlecroft_testbed::simulated_backends::OpenedBackends;
 
-/// How often the plan is looked at.
+/// The interval at which the plan is checked for due actions.
 const STEP: std::time::Duration = std::time::Duration::from_millis(10);
-/// How often relays' costs are measured.
+/// The interval between measurements of the relays' costs.
 const MEASURE_INTERVAL: Duration = Duration::from_millis(500);
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A relay that shuts down is killed this long after the longest wait of a client...
+/// A relay that shuts down is killed after the longest answer timeout of a client plus this time...
 const STOP_GRACE: Duration = Duration::from_millis(1_000);
-/// ...which counts for at most so much.
+/// ...but at most this part of the answer timeout is waited for.
 const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
-/// How long clients may take to leave at the end, besides the longest wait.
+/// The time that clients have to leave at the end, besides the longest answer timeout.
 const CLIENTS_LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(8);
 
-/// A run under way.
+/// A run in progress.
 pub(super) struct Director<'a> {
     pub(super) plan: &'a Plan,
     pub(super) scenario: &'a Scenario,
@@ -43,18 +43,18 @@
     pub(super) relays: Vec<ManagedRelay>,
     pub(super) network: Option<OpenedNetwork>,
     pub(super) observers: Vec<RelayObserver>,
-    /// What follows from actions later than their own time, in the order in which it is due.
+    /// Delayed consequences of actions, ordered by due time.
     pub(super) follow_ups: BTreeMap<(Instant, usize), FollowUp>,
     pub(super) follow_up_serial: usize,
     pub(super) crashes: usize,
-    /// Events that the progress has taken in.
+    /// The number of events that the progress includes.
     pub(super) events_seen: usize,
     pub(super) progress: Progress,
 }
 
-/// What follows from an action.
+/// A delayed consequence of an action.
 pub(super) enum FollowUp {
-    /// Clients are sent to a relay, or no longer.
+    /// Starts or stops sending clients to a relay.
     SetEndpointEnabled(usize, bool),
     StartRelay(usize),
 }
@@ -64,6 +64,7 @@
         self.recorder.record(self.clock.now(), observation);
     }
 
+    /// Counts a failure of a relay and records it as a note.
     pub(super) fn note_crash(&mut self, text: String) {
         self.crashes += 1;
         self.record(Observation::Note { text });
@@ -76,8 +77,8 @@
             .insert((due, self.follow_up_serial), follow_up);
     }
 
-    /// Until the plan is over; false where it was stopped before.
-    pub(super) fn direct(
+    /// Executes the plan to its end; returns false if it was stopped before.
+    pub(super) fn execute(
         &mut self,
         stop: &AtomicBool,
         on_progress: &mut dyn FnMut(&Progress),
@@ -105,7 +106,7 @@
             self.check_relays(now);
             if now.duration_since(last_measured) >= MEASURE_INTERVAL {
                 last_measured = now;
-                self.measure();
+                self.record_costs();
             }
             if now.duration_since(last_progress) >= PROGRESS_INTERVAL {
                 last_progress = now;
@@ -115,7 +116,7 @@
             }
             std::thread::sleep(STEP);
         };
-        self.measure();
+        self.record_costs();
         is_complete
     }
 
@@ -133,17 +134,18 @@
         }
     }
 
-    /// Each thread of the load generator has its part of the clients.
+    /// Sends a command to each thread of the load generator, with that thread's share of the
+    /// clients.
     fn command_load(&self, command: &LoadCommand) {
         let threads = self.load_generators.len();
         for (thread, load_generator) in self.load_generators.iter().enumerate() {
-            let part = |count: usize| count / threads + usize::from(thread < count % threads);
+            let share = |count: usize| count / threads + usize::from(thread < count % threads);
             load_generator.command(match command {
                 LoadCommand::DropConnections(count, over) => {
-                    LoadCommand::DropConnections(part(*count), *over)
+                    LoadCommand::DropConnections(share(*count), *over)
                 }
                 LoadCommand::AddMisbehaving(misbehavior, count) => {
-                    LoadCommand::AddMisbehaving(*misbehavior, part(*count))
+                    LoadCommand::AddMisbehaving(*misbehavior, share(*count))
                 }
                 other => other.clone(),
             });
@@ -167,7 +169,8 @@
         }
     }
 
-    fn measure(&mut self) {
+    /// Records the CPU time and resident memory of each running relay.
+    fn record_costs(&mut self) {
         for (number, relay) in (0..).zip(&self.relays) {
             let cost = relay.process.as_ref().and_then(RelayProcess::cost);
             if let Some((cpu_time, resident_bytes)) = cost {
@@ -185,7 +188,7 @@
         self.log.receive();
         let events = &self.log.events;
         self.progress.elapsed = elapsed;
-        self.progress.take_in(&events[self.events_seen..]);
+        self.progress.add_events(&events[self.events_seen..]);
         self.progress.count_established(events);
         self.events_seen = events.len();
         let running = self.relays.iter().filter(|relay| relay.process.is_some());
@@ -198,7 +201,7 @@
         waits.max().unwrap_or_default()
     }
 
-    /// How long a relay may take to shut down.
+    /// Returns the time that a relay has to shut down.
     fn stop_timeout(&self) -> Duration {
         self.longest_client_wait().min(MAX_CLIENT_WAIT) + STOP_GRACE
     }
@@ -207,12 +210,12 @@
         self.clock.now() + self.stop_timeout()
     }
 
-    /// Clients leave, relays shut down, and what was recorded is handed over.
+    /// Ends all clients, shuts the relays down and returns the recorded events and totals.
     pub(super) fn close(mut self) -> Recorded {
         for load_generator in &self.load_generators {
             load_generator.command(LoadCommand::Finish);
         }
-        // They ask no more before relays shut down.
+        // Closed first, so that no observer queries a relay that shuts down.
         self.observers.clear();
         self.wait_for_clients();
         let stop_timeout = self.stop_timeout();
@@ -225,7 +228,9 @@
             };
             let status = process.wait_for_exit(stop_timeout);
             if !status.is_some_and(|status| status.success()) {
-                self.note_crash(format!("relay {number} did not stop well at the end"));
+                self.note_crash(format!(
+                    "relay {number} did not shut down cleanly at the end of the run"
+                ));
             }
         }
         let load_generators = self.load_generators.into_iter();
@@ -245,7 +250,7 @@
             events.iter().rev().filter(is_gone).count() == threads
         });
         if !all_gone {
-            let text = "clients stayed to the end".into();
+            let text = "some clients were still connected at the end of the run".into();
             self.record(Observation::Note { text });
         }
     }
--- a/experiments/src/run/error.rs
+++ b/experiments/src/run/error.rs
@@ -1,49 +1,49 @@
-//! Why a run could not be carried out.
+//! Errors of a run.
 use crate::report::ReportError;
 use std::io;
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// What could not be set up or kept.
+/// An error that ends a run.
 #[derive(Debug, Error)]
 pub enum RunError {
-    /// A file or folder of the run's results.
+    /// A file or folder of the run's results can't be written.
     #[error("{path}: {source}")]
     Results {
         /// The file or folder.
         path: PathBuf,
-        /// Why not.
+        /// The underlying error.
         source: io::Error,
     },
-    /// A part of the testbed.
-    #[error("{part} can't be set up: {source}")]
+    /// A part of the testbed can't be set up.
+    #[error("testbed: {part} can't be set up: {source}")]
     Setup {
-        /// Which part.
+        /// The part of the testbed.
         part: &'static str,
-        /// Why not.
+        /// The underlying error.
         source: io::Error,
     },
-    /// The sockets that the platform holds for a relay.
-    #[error("relay {relay}: {source}")]
+    /// The sockets that the platform holds for a relay can't be opened.
+    #[error("sockets of relay {relay} can't be opened: {source}")]
     RelaySockets {
-        /// The relay's number.
+        /// The index of the relay.
         relay: usize,
-        /// Why not.
+        /// The underlying error.
         source: io::Error,
     },
-    /// An address for a relay.
-    #[error("no address for a relay: {0}")]
+    /// There is no free address for a relay.
+    #[error("no free address for a relay: {0}")]
     NoAddress(#[source] io::Error),
-    /// An address for a relay's admin port.
-    #[error("{0}")]
+    /// There is no free address for a relay's admin port.
+    #[error("no free address for a relay's admin port: {0}")]
     NoAdminAddress(#[source] io::Error),
-    /// Too few descriptors, or a relay that did not start.
+    /// The descriptor limit is too low, or a relay did not start.
     #[error("{0}")]
     Testbed(String),
-    /// The summary as JSON.
-    #[error("{0}")]
+    /// The summary can't be written as JSON.
+    #[error("summary can't be written as JSON: {0}")]
     Summary(#[from] serde_json::Error),
-    /// The report.
+    /// The report can't be made.
     #[error(transparent)]
     Report(#[from] ReportError),
 }
--- a/experiments/src/run/managed_relay.rs
+++ b/experiments/src/run/managed_relay.rs
@@ -1,45 +1,45 @@
-//! One relay of a run: its process, its predecessors, and how it is started again.
+//! One relay of a run: its process, its predecessors, and the options for starting it again.
 use std::path::Path;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::relay_process::{FleetConfig, RelayOptions, RelayProcess};
 use thistlecroft_testbed::traffic::scattered_id;
 
-/// A relay, whether or not it runs.
+/// A relay, whether it runs or not.
 pub(super) struct ManagedRelay {
     pub(super) process: Option<RelayProcess>,
     pub(super) options: RelayOptions,
     pub(super) program: Vec<String>,
-    /// While it shuts down: when it has to have ended.
+    /// The time by which a relay that shuts down must have ended.
     pub(super) stop_deadline: Option<Instant>,
-    /// After its shutdown it starts again after this.
+    /// The time after its shutdown at which the relay starts again.
     pub(super) restart_after: Option<Duration>,
     pub(super) starts: u64,
-    /// Which of the scenario's operator configurations it has.
+    /// The index of the relay's operator configuration in the scenario.
     pub(super) operator_config: usize,
-    /// The peers' table of its operator configuration.
+    /// The table `peers` of the relay's operator configuration.
     pub(super) peers_table: String,
-    /// Processes of it that shut down beside their successors.
+    /// Earlier processes of this relay that shut down while their successors run.
     pub(super) predecessors: Vec<Predecessor>,
 }
 
-/// A process that shuts down beside its successor.
+/// A relay process that shuts down while its successor runs.
 pub(super) struct Predecessor {
     pub(super) process: RelayProcess,
     pub(super) stop_deadline: Instant,
 }
 
-/// How a relay that ran is found to be.
+/// How a relay process has ended.
 pub(super) enum RelayEnd {
-    /// It shut down as it was asked to.
+    /// The process shut down as requested.
     Stopped { restart_after: Option<Duration> },
-    /// It ended by itself, or badly.
+    /// The process ended without a request, or with a failure.
     Crashed(std::process::ExitStatus),
-    /// It did not shut down in time and was killed.
+    /// The process did not shut down in time and was killed.
     Overdue,
 }
 
 impl ManagedRelay {
-    /// Starts a process with a seed of its own.
+    /// Starts the next process of this relay, with a new seed.
     pub(super) fn spawn_next(
         &mut self,
         config: &FleetConfig,
@@ -50,7 +50,7 @@
         RelayProcess::start(&self.program, config, &self.options, folder)
     }
 
-    /// Looks whether the process has ended; one that is overdue is killed.
+    /// Checks whether the process has ended, and kills it if it is past its deadline.
     pub(super) fn check(&mut self, now: Instant) -> Option<RelayEnd> {
         let process = self.process.as_mut()?;
         let end = match (process.try_wait(), self.stop_deadline) {
@@ -74,29 +74,27 @@
         Some(end)
     }
 
-    /// Lets predecessors go that have ended, and kills those that are overdue; a line for each that
-    /// did not end well.
+    /// Removes predecessors that have ended and kills those past their deadlines. Returns an error
+    /// message for each that did not shut down cleanly.
     pub(super) fn check_predecessors(&mut self, number: usize, now: Instant) -> Vec<String> {
-        let mut faults = Vec::new();
+        let mut errors = Vec::new();
         self.predecessors
             .retain_mut(|predecessor| match predecessor.process.try_wait() {
                 None if now < predecessor.stop_deadline => true,
                 None => {
                     predecessor.process.kill();
-                    faults.push(format!(
-                        "relay {number} did not stop in time beside its successor"
+                    errors.push(format!(
+                        "predecessor of relay {number} did not shut down in time and was killed"
                     ));
                     false
                 }
                 Some(status) => {
                     if !status.success() {
-                        faults.push(format!(
-                            "relay {number} crashed beside its successor: {status}"
-                        ));
+                        errors.push(format!("predecessor of relay {number} crashed: {status}"));
                     }
                     false
                 }
             });
-        faults
+        errors
     }
 }
--- a/experiments/src/run/mod.rs
+++ b/experiments/src/run/mod.rs
@@ -1,5 +1,5 @@
-//! Runs: the testbed is set up, relays are started, the plan is carried out at its times, and what
-//! was recorded is judged.
+//! Runs a scenario: sets up the testbed, starts the relays, executes the plan and checks the
+//! recorded events.
 mod descriptors;
 mod director;
 mod error;
@@ -30,15 +30,15 @@
 use thistlecroft_testbed::relay_process::ensure_descriptor_limit;
 use thistlecroft_testbed::simulated_backends::BackendTotals;
 
-/// A run that was carried out.
+/// The outcome of a run.
 pub struct Outcome {
-    /// Its results.
+    /// The results of the run.
     pub summary: Summary,
-    /// Where they are kept.
+    /// The folder with the files of the run.
     pub folder: PathBuf,
 }
 
-/// What was recorded over a run.
+/// The events and totals that were recorded during a run.
 struct Recorded {
     events: Vec<RecordedEvent>,
     load_totals: Vec<LoadTotals>,
@@ -46,11 +46,11 @@
     crashes: usize,
 }
 
-/// Carries a scenario out once; results are in `folder`, which is made. `stop` ends it early, its
-/// results kept and marked.
+/// Runs a scenario once and writes the results to `folder`, which is created. Setting `stop` ends
+/// the run early; its results are written and marked as interrupted.
 ///
 /// # Errors
-/// What could not be set up, or not be kept.
+/// The testbed can't be set up, or the results can't be written.
 pub fn run(
     scenario: &Scenario,
     target: &RunTarget,
@@ -63,7 +63,7 @@
     ensure_descriptor_limit(descriptors::needed(&plan, target)).map_err(testbed_error)?;
     std::fs::create_dir_all(folder).map_err(results_error(folder))?;
     let mut director = Director::open(scenario, &plan, target, folder)?;
-    let is_complete = director.direct(stop, on_progress);
+    let is_complete = director.execute(stop, on_progress);
     let recorded = director.close();
     let rules = check_invariants(&recorded.events, &plan.rules);
     let violations = check_cluster_invariants(&recorded.events, &plan.cluster_limits);
@@ -84,14 +84,14 @@
         load_totals: &recorded.load_totals,
         backend_totals: recorded.backend_totals,
     });
-    let report = report::page(
+    let report = report::html(
         &summary,
         &recorded.events,
         &plan.marks,
         &recorded.load_totals,
     );
     let json = serde_json::to_string_pretty(&summary)?;
-    keep(&recorded.events, &json, folder).map_err(results_error(folder))?;
+    write_results(&recorded.events, &json, folder).map_err(results_error(folder))?;
     std::fs::write(folder.join("report.html"), report?).map_err(results_error(folder))?;
     Ok(Outcome {
         summary,
@@ -111,7 +111,7 @@
     RunError::Testbed(error.to_string())
 }
 
-fn keep(events: &[RecordedEvent], summary: &str, folder: &Path) -> io::Result<()> {
+fn write_results(events: &[RecordedEvent], summary: &str, folder: &Path) -> io::Result<()> {
     let mut out = BufWriter::new(File::create(folder.join("events.jsonl"))?);
     for event in events {
         serde_json::to_writer(&mut out, event)?;
--- a/experiments/src/run/progress.rs
+++ b/experiments/src/run/progress.rs
@@ -1,38 +1,38 @@
-//! What a run looks like while it goes on.
+//! The progress of a run.
 use crate::summary::{Round, rounds};
 use thistlecroft::time::Duration;
 use thistlecroft_testbed::event_recorder::{Answer, BackendIndex, Observation, RecordedEvent};
 
-/// The latest events in which the last round of load reports is looked for.
+/// The number of latest events that are searched for the last round of load reports.
 const RECENT_EVENTS: usize = 20_000;
 
-/// Totals so far, and the present state.
+/// The totals so far and the present state of a run.
 #[derive(Clone, Debug, Default)]
 pub struct Progress {
-    /// Since the plan's beginning.
+    /// The time since the plan began.
     pub elapsed: Duration,
-    /// Of the whole plan.
+    /// The length of the whole plan.
     pub length: Duration,
-    /// Sessions that were accepted.
+    /// The number of sessions that were accepted.
     pub accepted: usize,
-    /// Sessions that were rejected with a promise of no effect.
+    /// The number of sessions that were rejected with a promise of no effect.
     pub rejected: usize,
-    /// Sessions that failed without such a promise.
+    /// The number of sessions that failed without such a promise.
     pub failed: usize,
-    /// Sessions that were asked to move.
+    /// The number of sessions that were asked to migrate.
     pub migrated: usize,
-    /// Sessions that backends hold.
+    /// The number of sessions that backends hold.
     pub established: usize,
-    /// Each backend; none for one that does not run.
+    /// The backends; `None` for one that does not run.
     pub backends: Vec<Option<BackendProgress>>,
-    /// Relays that run.
+    /// The number of relays that run.
     pub relays: usize,
-    /// The faults that began since the last report.
+    /// The faults that began since the last progress report.
     pub new_faults: Vec<String>,
 }
 
 impl Progress {
-    /// The end of a printed line: the faults that began, or nothing.
+    /// Returns the end of a progress line: the faults that began, or an empty string.
     pub fn new_faults_suffix(&self) -> String {
         if self.new_faults.is_empty() {
             String::new()
@@ -42,18 +42,18 @@
     }
 }
 
-/// A backend that runs.
+/// The state of a backend that runs.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct BackendProgress {
-    /// Load over capacity.
+    /// The load divided by the capacity.
     pub load: f64,
-    /// What is the matter with it; empty where nothing is.
+    /// The fault or other condition of the backend; empty if it is healthy.
     pub state: &'static str,
 }
 
 impl Progress {
-    /// Takes in what was recorded since the last look.
-    pub(super) fn take_in(&mut self, events: &[RecordedEvent]) {
+    /// Adds the events that were recorded since the last update.
+    pub(super) fn add_events(&mut self, events: &[RecordedEvent]) {
         for event in events {
             match &event.observation {
                 Observation::Answered { answer, .. } => self.count_answer(answer),
--- a/experiments/src/run/relay_actions.rs
+++ b/experiments/src/run/relay_actions.rs
@@ -1,4 +1,4 @@
-//! What a plan does to relays.
+//! Actions of a plan on relays.
 use super::director::{Director, FollowUp};
 use super::managed_relay::{Predecessor, RelayEnd};
 use crate::plan::Action;
@@ -9,13 +9,13 @@
 use thistlecroft_testbed::relay_process::{ADMIN_COMMAND_TIMEOUT, RelayProcess, free_address};
 use thistlecroft_testbed::socket_holder::send_admin_command;
 
-/// At a planned shutdown clients go on coming for so long.
+/// The time for which clients are still sent to a relay that shuts down as planned.
 const SHUTDOWN_NOTICE: Duration = Duration::from_millis(300);
-/// The lease that observers ask for.
+/// The subject of the lease that observers ask for.
 pub(super) const OBSERVED_LEASE: &str = "turn";
 
 impl Director<'_> {
-    /// Carries out an action on a relay; those on other parts are none of these.
+    /// Executes an action on a relay; ignores actions on other parts of the testbed.
     pub(super) fn carry_out_relay_action(&mut self, action: &Action) {
         match *action {
             Action::Kill(relay, restart_after) => self.kill(relay, restart_after),
@@ -42,13 +42,13 @@
         }
     }
 
-    /// The relay's process, where it runs.
+    /// Returns the process of a relay, if it runs.
     fn process(&self, relay: RelayIndex) -> Option<&RelayProcess> {
         self.relays.get(usize::from(relay.0))?.process.as_ref()
     }
 
-    /// Until clients notice that a relay has died they go on being sent to it.
-    fn death_notice(&self) -> Duration {
+    /// Returns the time for which clients are still sent to a relay that has died.
+    fn failover_delay(&self) -> Duration {
         self.scenario.relays.failover_delay.0
     }
 
@@ -60,9 +60,9 @@
         };
         self.record(Observation::RelayKilled { relay });
         process.kill();
-        let notice = self.death_notice();
-        if restart_after.is_none_or(|restart_after| restart_after > notice) {
-            self.schedule(notice, FollowUp::SetEndpointEnabled(number, false));
+        let failover_delay = self.failover_delay();
+        if restart_after.is_none_or(|restart_after| restart_after > failover_delay) {
+            self.schedule(failover_delay, FollowUp::SetEndpointEnabled(number, false));
         }
         if let Some(restart_after) = restart_after {
             self.schedule(restart_after, FollowUp::StartRelay(number));
@@ -100,12 +100,13 @@
             return;
         };
         if let Err(error) = process.replace_operator_config(&text) {
-            let text = format!("a charter can't be written: {error}");
+            let text = format!("an operator configuration can't be written: {error}");
             self.record(Observation::Note { text });
         }
     }
 
-    /// The predecessor keeps its admin port until it ends, so the successor has another.
+    /// Starts a successor of a relay process. The successor gets another admin port, because the
+    /// predecessor keeps its own until it ends.
     fn hot_restart(&mut self, relay: RelayIndex) {
         let number = usize::from(relay.0);
         let managed = &mut self.relays[number];
@@ -143,13 +144,14 @@
         self.record(Observation::RelayStopRequested { relay });
     }
 
-    /// An observer at a relay's admin port.
+    /// Opens an observer at a relay's admin port.
     pub(super) fn observe(&self, relay: RelayIndex, admin: std::net::SocketAddr) -> RelayObserver {
         let lease = (self.scenario.relays.voters > 0).then_some(OBSERVED_LEASE);
         RelayObserver::open(relay, admin, lease, self.clock, self.recorder.clone())
     }
 
-    /// The ban binds from the relay's yes on.
+    /// Bans a backend at a relay. The ban is recorded after the relay has confirmed it, because it
+    /// must hold only from then on.
     fn ban(&mut self, relay: RelayIndex, backend: BackendIndex) {
         if self.send_ban_command(relay, backend, "DISABLE") {
             self.record(Observation::BackendBanned {
@@ -160,7 +162,8 @@
         }
     }
 
-    /// The ban binds until it is lifted, which may be at any time from the command on.
+    /// Lifts a ban. This is recorded before the command is sent, because the ban may end at any
+    /// time from then on.
     fn unban(&mut self, relay: RelayIndex, backend: BackendIndex) {
         if self
             .process(relay)
@@ -176,7 +179,7 @@
         self.send_ban_command(relay, backend, "ENABLE");
     }
 
-    /// True where the relay says yes.
+    /// Sends a ban command to a relay; returns true if the relay confirms it.
     fn send_ban_command(
         &mut self,
         relay: RelayIndex,
@@ -190,18 +193,19 @@
         match send_admin_command(admin, &line, ADMIN_COMMAND_TIMEOUT) {
             Ok(answer) if answer.starts_with("200") => return true,
             Ok(answer) => self.note_crash(format!(
-                "relay {} says no to {command} of box {}: {answer}",
+                "relay {} rejected {command} of backend {}: {answer}",
                 relay.0, backend.0
             )),
             Err(error) => self.note_crash(format!(
-                "relay {} does not answer {command}: {error}",
+                "relay {} did not answer {command}: {error}",
                 relay.0
             )),
         }
         false
     }
 
-    /// Recorded before it stands still, so that it does nothing unrecorded.
+    /// Pauses a relay. This is recorded before the process stops, so that the recorded pause covers
+    /// the whole time in which the relay does nothing.
     fn pause(&mut self, relay: RelayIndex) {
         if self.process(relay).is_none() {
             return;
@@ -214,10 +218,10 @@
             process.set_paused(true);
         }
         let disable = FollowUp::SetEndpointEnabled(usize::from(relay.0), false);
-        self.schedule(self.death_notice(), disable);
+        self.schedule(self.failover_delay(), disable);
     }
 
-    /// Recorded after it goes on, for the same reason.
+    /// Resumes a relay. This is recorded after the process continues, for the same reason.
     fn resume(&mut self, relay: RelayIndex) {
         let Some(process) = self.process(relay) else {
             return;
@@ -228,13 +232,14 @@
             paused: false,
         });
         let enable = FollowUp::SetEndpointEnabled(usize::from(relay.0), true);
-        self.schedule(self.death_notice(), enable);
+        self.schedule(self.failover_delay(), enable);
     }
 
     pub(super) fn start_relay(&mut self, number: usize) {
         let relay = RelayIndex(number as u16);
         let managed = &mut self.relays[number];
-        // A bad operator configuration ends a start; a relay that runs goes on by the one before.
+        // A relay does not start with an invalid operator configuration, whereas a running one
+        // keeps its former configuration. So the relay starts with the scenario's first one.
         if managed.options.operator_config.is_some() {
             let first = self.scenario.relays.operator_configs.first();
             let text = first.cloned().unwrap_or_default() + &managed.peers_table;
@@ -254,11 +259,11 @@
         }
     }
 
-    /// Takes in which relays have ended.
+    /// Checks which relays have ended, and records how.
     pub(super) fn check_relays(&mut self, now: Instant) {
         for number in 0..self.relays.len() {
-            for fault in self.relays[number].check_predecessors(number, now) {
-                self.note_crash(fault);
+            for error in self.relays[number].check_predecessors(number, now) {
+                self.note_crash(error);
             }
             match self.relays[number].check(now) {
                 None => {}
@@ -272,9 +277,11 @@
                 Some(RelayEnd::Crashed(status)) => {
                     self.note_crash(format!("relay {number} crashed: {status}"));
                 }
-                // What it still held is lost by its own fault.
+                // The relay itself caused the loss of the sessions that it still held.
                 Some(RelayEnd::Overdue) => {
-                    self.note_crash(format!("relay {number} did not stop in time"));
+                    self.note_crash(format!(
+                        "relay {number} did not shut down in time and was killed"
+                    ));
                 }
             }
         }
--- a/experiments/src/run/setup.rs
+++ b/experiments/src/run/setup.rs
@@ -1,11 +1,11 @@
-//! Sets up the testbed of a run and starts its relays.
+//! Sets up the testbed of a run and starts the relays.
 use super::director::Director;
 use super::managed_relay::ManagedRelay;
 use super::progress::BackendProgress;
 use super::{Progress, RunError, RunTarget, testbed_error};
-use crate::plan::{Plan, dealing};
+use crate::plan::{Plan, client_distribution};
 use crate::scenario::Scenario;
-use crate::timeline::PLAN_BEGINS;
+use crate::timeline::PLAN_BEGIN_NOTE;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -24,11 +24,12 @@
 use thistlecroft_testbed::socket_holder::SocketHolder;
 use thistlecroft_testbed::traffic::scattered_id;
 
-/// Keeps the seeds of one run's relays apart from those of the next.
+/// The distance between the relay seeds of runs with consecutive seeds, so that no two relays share
+/// one.
 const SEEDS_PER_RUN: u64 = 1_000;
 
 impl<'a> Director<'a> {
-    /// Sets everything up; relays are started on the run's own time, before anybody comes.
+    /// Sets up the testbed and starts the relays, before the first client arrives.
     pub(super) fn open(
         scenario: &'a Scenario,
         plan: &'a Plan,
@@ -38,7 +39,7 @@
         let (recorder, log) = event_recorder();
         let clock = Stopwatch::start();
         let backends = SimulatedBackends::open(plan.backends.clone(), clock, recorder.clone())
-            .map_err(setup_error("boxes"))?;
+            .map_err(setup_error("backends"))?;
         let setup = Setup {
             scenario,
             plan,
@@ -51,10 +52,10 @@
         let network = setup.open_network()?;
         let relays = setup.start_relays(network.as_ref())?;
         let endpoints = setup.endpoints(&relays);
-        // Starting relays took its time; a client that is due then is not late by that.
+        // The plan begins after the relays have started, so that their start delays no client.
         let begin = clock.now();
         let load_generators = setup.open_load_generators(&endpoints, begin)?;
-        let text = PLAN_BEGINS.into();
+        let text = PLAN_BEGIN_NOTE.into();
         recorder.record(begin, Observation::Note { text });
         let mut director = Director {
             plan,
@@ -111,7 +112,7 @@
     }
 }
 
-/// What the steps of the set-up share.
+/// The context of all steps of the set-up.
 struct Setup<'a> {
     scenario: &'a Scenario,
     plan: &'a Plan,
@@ -122,7 +123,7 @@
     backends: &'a OpenedBackends,
 }
 
-/// What the platform holds for a relay with operators.
+/// The sockets that the platform holds for a relay with an admin port.
 struct HeldSockets {
     listen: SocketAddr,
     admin: SocketAddr,
@@ -130,7 +131,7 @@
 }
 
 impl Setup<'_> {
-    /// The network between relays, where they know of one another.
+    /// Opens the network between relays if they are peers.
     fn open_network(&self) -> Result<Option<OpenedNetwork>, RunError> {
         let relays = &self.scenario.relays;
         if !relays.peers || self.target.baseline.is_some() {
@@ -262,7 +263,7 @@
         })
     }
 
-    /// The endpoint list of the backends that run from the start.
+    /// Returns the endpoint list of the backends that run from the start.
     fn initial_endpoints(&self) -> serde_json::Value {
         let mut list = EndpointList::default();
         let backends = self.plan.backends.backends.iter();
@@ -281,7 +282,7 @@
         serde_json::from_str(&list.text_since(None).0).unwrap_or_default()
     }
 
-    /// Where clients connect: to relays, or under a baseline to the backends themselves.
+    /// Returns the endpoints to which clients connect: the relays, or the backends for a baseline.
     fn endpoints(&self, relays: &[ManagedRelay]) -> Vec<RelayEndpoint> {
         if self.target.baseline.is_none() {
             let relays = (0..).zip(relays);
@@ -318,7 +319,7 @@
             .collect()
     }
 
-    /// One thread's part of the clients, with times of the run.
+    /// Returns one thread's share of the clients, with their times on the run's clock.
     fn load_plan(&self, thread: usize, endpoints: &[RelayEndpoint], begin: Instant) -> LoadPlan {
         let threads = self.scenario.traffic.threads;
         let run_time = |plan_time: Instant| begin + plan_time.duration_since(Instant::default());
@@ -335,7 +336,7 @@
                 .collect(),
             end: run_time(self.plan.end),
             endpoints: endpoints.to_vec(),
-            distribution: dealing(self.target.baseline),
+            distribution: client_distribution(self.target.baseline),
             seed: self.plan.seed.wrapping_add(thread as u64),
         }
     }
--- a/experiments/src/run/target.rs
+++ b/experiments/src/run/target.rs
@@ -1,24 +1,24 @@
-//! What is run under a scenario's traffic and faults.
+//! Targets: the relays or baselines that are run under a scenario's traffic and faults.
 use crate::scenario::{Baseline, Scenario};
 
-/// The name of the scenario's own relays.
+/// The target name of the scenario's own relays.
 const OWN_RELAYS: &str = "relays";
 
-/// Relays of one build, or a baseline in their place.
+/// A target of a run: relays of one build, or a baseline in their place.
 #[derive(Clone, Debug)]
 pub struct RunTarget {
-    /// As results are named by it.
+    /// The name of the target in results.
     pub name: String,
-    /// None for relays.
+    /// The baseline; `None` for relays.
     pub baseline: Option<Baseline>,
-    /// The program of the relays and its arguments.
+    /// The relay program and its arguments.
     pub relay: Vec<String>,
-    /// With the scenario's operator configurations, where it has any.
+    /// Whether the relays get the scenario's operator configurations, if it has any.
     pub has_operator_config: bool,
 }
 
 impl RunTarget {
-    /// The scenario's own relays.
+    /// Returns the target for the scenario's own relays.
     pub fn own_relays(relay: &[String]) -> RunTarget {
         RunTarget {
             name: OWN_RELAYS.into(),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// A baseline in place of relays.
+    /// Returns the target for a baseline in place of relays.
     pub fn of_baseline(name: &str, baseline: Baseline) -> RunTarget {
         RunTarget {
             name: name.into(),
@@ -38,8 +38,8 @@
         }
     }
 
-    /// The scenario's own relays and its variants, with this program as the relay where they name
-    /// none.
+    /// Returns the targets for the scenario's own relays and for its variants. `relay` is the
+    /// program for those that name none.
     pub fn all(scenario: &Scenario, relay: &[String]) -> Vec<RunTarget> {
         let variants = scenario.variants.iter().map(|variant| {
             let variant = variant.get_ref();
--- a/experiments/src/saturate.rs
+++ b/experiments/src/saturate.rs
@@ -1,5 +1,5 @@
-//! At what rate the testbed itself is the bottleneck: clients connect to backends without a relay
-//! between, faster and faster.
+//! Finds the rate at which the testbed itself is the bottleneck: clients connect directly to
+//! backends, without relays, at increasing rates.
 use crate::run::{RunError, RunTarget, run};
 use crate::scenario::{Baseline, MalformedScenario, Rate, Scenario};
 use crate::summary::Summary;
@@ -7,13 +7,13 @@
 use std::sync::atomic::AtomicBool;
 use thiserror::Error;
 
-/// Each step asks for so many times the rate of the one before.
+/// The ratio between the rates of consecutive steps.
 const RATE_FACTOR: f64 = 1.5;
-/// Set-ups a second.
+/// The rate of the first step in set-ups per second.
 const FIRST_RATE: f64 = 1_000.0;
 const MAX_STEPS: usize = 12;
 
-const TEXT: &str = r#"
+const SCENARIO: &str = r#"
 about = "connections that live for a second, set up as fast as they come"
 length = "4s"
 [fleet]
@@ -32,27 +32,28 @@
 life = "1s"
 "#;
 
-/// Why the rate could not be found.
+/// An error that prevents the rate from being found.
 #[derive(Debug, Error)]
 pub enum SaturateError {
-    /// The scenario that comes with it is wrong.
+    /// The built-in scenario is invalid.
     #[error(transparent)]
     Scenario(#[from] MalformedScenario),
-    /// A step could not be run.
+    /// The run of a step failed.
     #[error(transparent)]
     Run(#[from] RunError),
 }
 
-/// Runs faster and faster until a run is late; the rates asked for and what came of each.
+/// Runs at increasing rates until the testbed is the bottleneck. Returns the rate and the summary
+/// of each step.
 ///
 /// # Errors
-/// A step could not be run.
+/// The run of a step failed.
 pub fn saturate(
     folder: &Path,
     stop: &AtomicBool,
     on_step: &mut dyn FnMut(f64, &Summary),
 ) -> Result<Vec<(f64, Summary)>, SaturateError> {
-    let mut scenario = Scenario::parse("saturate", TEXT)?;
+    let mut scenario = Scenario::parse("saturate", SCENARIO)?;
     let target = RunTarget::of_baseline("direct", Baseline::Direct);
     let mut steps = Vec::new();
     let mut rate = FIRST_RATE;
--- a/experiments/src/scenario/fault_table.rs
+++ b/experiments/src/scenario/fault_table.rs
@@ -38,8 +38,8 @@
     pub from: Option<Selection>,
     /// Relays whose incoming links are faulted.
     pub to: Option<Selection>,
-    /// The share of datagrams that are lost, from 0 to 1; by default all of them, or none if another
-    /// impairment of the link is given.
+    /// The share of datagrams that are lost, from 0 to 1; by default all of them, or none if
+    /// another impairment of the link is given.
     pub loss: Option<f64>,
     /// The delay of each datagram on a link.
     pub delay: Option<DurationText>,
--- a/experiments/src/scenario/fleet_tables.rs
+++ b/experiments/src/scenario/fleet_tables.rs
@@ -121,8 +121,8 @@
     /// Whether the settings allow hedged attempts.
     #[serde(rename = "two_dials")]
     pub hedging: bool,
-    /// Operator configurations as text. Relays start with the first; a fault `charter-swap` replaces
-    /// it with the next one, in a cycle.
+    /// Operator configurations as text. Relays start with the first; a fault `charter-swap`
+    /// replaces it with the next one, in a cycle.
     #[serde(rename = "charters")]
     pub operator_configs: Vec<String>,
     /// Whether the platform holds the listening sockets and each relay has an admin port, as the
--- a/experiments/src/scenario/traffic_tables.rs
+++ b/experiments/src/scenario/traffic_tables.rs
@@ -22,8 +22,8 @@
     /// The time that a client waits before it tries again.
     #[serde(default = "default_backoff", rename = "back_off")]
     pub backoff: DurationText,
-    /// The minimum and maximum time after which a client reconnects when its session was migrated or
-    /// its connection lost.
+    /// The minimum and maximum time after which a client reconnects when its session was migrated
+    /// or its connection lost.
     #[serde(default = "default_reconnect_delay", rename = "rejoin")]
     pub reconnect_delay: [DurationText; 2],
     /// The share of clients that leave before they get an answer, from 0 to 1.
--- a/experiments/src/summary/delays.rs
+++ b/experiments/src/summary/delays.rs
@@ -1,29 +1,29 @@
-//! Quantiles of delays.
+//! Delay quantiles.
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 
 const MICROS_PER_MILLI: f64 = 1e3;
 
-/// Milliseconds; all zero where nothing was measured.
+/// Quantiles of delays, in milliseconds; all zero if nothing was measured.
 #[derive(Clone, Copy, Debug, Default, Serialize, Deserialize)]
 pub struct Delays {
-    /// How many were measured.
+    /// The number of measured delays.
     pub count: u64,
     /// The median.
     pub p50: f64,
-    /// Nine in ten are shorter.
+    /// The 90th percentile.
     pub p90: f64,
-    /// 99 in 100 are shorter.
+    /// The 99th percentile.
     pub p99: f64,
-    /// 999 in 1,000 are shorter.
+    /// The 99.9th percentile.
     pub p99_9: f64,
-    /// The longest.
+    /// The longest delay.
     #[serde(rename = "most")]
     pub max: f64,
 }
 
 impl Delays {
-    /// The quantiles of delays in microseconds.
+    /// Computes the quantiles of delays that are recorded in microseconds.
     pub(super) fn new(micros: &Histogram<u32>) -> Delays {
         if micros.is_empty() {
             return Delays::default();
--- a/experiments/src/summary/findings.rs
+++ b/experiments/src/summary/findings.rs
@@ -1,4 +1,4 @@
-//! A summary from what was recorded over a run.
+//! Computes the summary of a run from its recorded events and totals.
 use super::load_rounds::LoadFigures;
 use super::{Delays, ListenerSummary, RelaySummary, Summary, ViolationSummary};
 use hdrhistogram::Histogram;
@@ -10,16 +10,18 @@
 use thistlecroft_testbed::load_generator::{ListenerTotals, LoadTotals};
 use thistlecroft_testbed::simulated_backends::BackendTotals;
 
-/// Clients that came later than this after they were due made the testbed the bottleneck.
+/// The testbed counts as the bottleneck if the 99th percentile of the time from when a client was
+/// due until it connected is above this.
 const MAX_CONNECT_DELAY_MS: f64 = 20.0;
-/// So did a thread that worked for more than this part of its time.
+/// The testbed counts as the bottleneck if one of its threads was busy for more than this share of
+/// its time.
 const MAX_BUSY_SHARE: f64 = 0.8;
 const BYTES_PER_MB: f64 = (1 << 20) as f64;
 const MICROS_PER_SECOND: f64 = 1e6;
-/// Keeps a division by nothing finite.
-const TINY: f64 = 1e-9;
+/// The least divisor, which avoids divisions by zero.
+const MIN_DIVISOR: f64 = 1e-9;
 
-/// What a summary is made of.
+/// The results of a run from which its summary is computed.
 pub(crate) struct Findings<'a> {
     pub(crate) scenario: &'a str,
     pub(crate) target: &'a str,
@@ -31,19 +33,19 @@
     pub(crate) events: &'a [RecordedEvent],
     pub(crate) rules: &'a CheckResult,
     pub(crate) violations: &'a [ClusterViolation],
-    /// Of each thread of the load generator; one at least.
+    /// The totals of each thread of the load generator, at least one.
     pub(crate) load_totals: &'a [LoadTotals],
     pub(crate) backend_totals: BackendTotals,
 }
 
-/// Computes the figures.
+/// Computes the summary of a run.
 pub(crate) fn summarize(findings: &Findings) -> Summary {
     let load = LoadTotalsOfRun::new(findings.load_totals);
     let testbed = TestbedFigures::new(findings, &load.totals);
     let loads = LoadFigures::new(findings.events);
     let relays = relay_costs(findings.events);
     let cpu_s: f64 = relays.iter().map(|relay| relay.cpu_s).sum();
-    let lines = load.histogram(|listener| &listener.message_latency);
+    let message_latency = load.histogram(|listener| &listener.message_latency);
     let rules = findings.rules;
     Summary {
         scenario: findings.scenario.into(),
@@ -70,10 +72,12 @@
         mismatched_messages: load.totals.mismatched_messages,
         misbehaving: load.totals.misbehaving,
         misbehaving_answered: load.totals.misbehaving_answered,
-        served: load.worth(|listener| listener.served_seconds)
-            / load.worth(|listener| listener.requested_seconds).max(TINY),
+        served: load.weighted_sum(|listener| listener.served_seconds)
+            / load
+                .weighted_sum(|listener| listener.requested_seconds)
+                .max(MIN_DIVISOR),
         setup_delays: Delays::new(&load.histogram(|listener| &listener.setup_latency)),
-        message_delays: Delays::new(&lines),
+        message_delays: Delays::new(&message_latency),
         listeners: listeners(&load.totals, rules),
         attempts: rules.attempts,
         attempts_per_session: rules.attempts as f64 / (rules.sessions as f64).max(1.0),
@@ -82,7 +86,7 @@
         load_spread: loads.mean_spread,
         max_load: loads.max_load,
         warm_up_budget_used: rules.max_warm_up_budget_used,
-        cpu_us_per_message: cpu_s * MICROS_PER_SECOND / (lines.len() as f64).max(1.0),
+        cpu_us_per_message: cpu_s * MICROS_PER_SECOND / (message_latency.len() as f64).max(1.0),
         relays,
         testbed_longest_turn_ms: testbed.longest_turn_ms,
         testbed_was_late: testbed.was_late,
@@ -92,10 +96,10 @@
 }
 
 fn seconds_of(length: Duration) -> f64 {
-    length.as_secs_f64().max(TINY)
+    length.as_secs_f64().max(MIN_DIVISOR)
 }
 
-/// The totals of all threads of the load generator together.
+/// The sum of the totals of all threads of the load generator.
 struct LoadTotalsOfRun {
     totals: LoadTotals,
 }
@@ -113,8 +117,8 @@
         self.totals.listeners.iter().map(count).sum()
     }
 
-    /// Seconds by their listeners' weights.
-    fn worth(&self, seconds: fn(&ListenerTotals) -> f64) -> f64 {
+    /// Returns the seconds of all listeners, each multiplied by the listener's weight, as one sum.
+    fn weighted_sum(&self, seconds: fn(&ListenerTotals) -> f64) -> f64 {
         let listeners = self.totals.listeners.iter();
         listeners
             .map(|listener| listener.priority_weight * seconds(listener))
@@ -124,14 +128,14 @@
     fn histogram(&self, of: fn(&ListenerTotals) -> &Histogram<u32>) -> Histogram<u32> {
         let mut sum = of(&self.totals.listeners[0]).clone();
         for listener in &self.totals.listeners[1..] {
-            // All have the same bounds.
+            // Adding can't fail, because all histograms have the same bounds.
             let _ = sum.add(of(listener));
         }
         sum
     }
 }
 
-/// Whether the testbed itself was in time.
+/// Figures that tell whether the testbed itself was fast enough.
 struct TestbedFigures {
     longest_turn_ms: f64,
     busy_share: f64,
@@ -180,7 +184,7 @@
         .collect()
 }
 
-/// By invariant: how often it was violated, and the first time.
+/// Returns for each violated invariant the number of violations and a description of the first.
 fn cluster_violations(violations: &[ClusterViolation]) -> BTreeMap<String, (usize, String)> {
     let mut by_invariant: BTreeMap<String, (usize, String)> = BTreeMap::new();
     for violation in violations {
@@ -222,13 +226,13 @@
         rejected: totals.rejected,
         failed: totals.failed,
         gave_up: totals.gave_up,
-        served: totals.served_seconds / totals.requested_seconds.max(TINY),
+        served: totals.served_seconds / totals.requested_seconds.max(MIN_DIVISOR),
         setup_delays: Delays::new(&totals.setup_latency),
         message_delays: Delays::new(&totals.message_latency),
     }
 }
 
-/// A relay's costs, and the CPU time that its present process had when last measured.
+/// The costs of a relay, and the CPU time of its current process at the last measurement.
 #[derive(Default)]
 struct RelayCosts {
     summary: RelaySummary,
@@ -254,7 +258,7 @@
 
 impl RelayCosts {
     fn add(&mut self, cpu_s: f64, resident_mb: f64) {
-        // CPU time begins anew with each process.
+        // The CPU time starts from zero with each process.
         let is_same_process = cpu_s >= self.last_cpu_s;
         self.summary.cpu_s += if is_same_process {
             cpu_s - self.last_cpu_s
--- a/experiments/src/summary/load_rounds.rs
+++ b/experiments/src/summary/load_rounds.rs
@@ -1,21 +1,21 @@
-//! Load reports of all backends, round by round.
+//! Load reports, grouped into rounds in which all backends report.
 use std::collections::BTreeMap;
 use thistlecroft::time::Instant;
 use thistlecroft_testbed::event_recorder::{BackendIndex, Observation, RecordedEvent};
 
-/// A mean load below this has no spread worth telling.
+/// The spread is not computed for rounds whose mean load is not above this.
 const MIN_MEAN_LOAD: f64 = 0.01;
 
-/// One backend's part of a round.
+/// The report of one backend in a round.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct BackendLoad {
     pub(crate) backend: BackendIndex,
-    /// Over its capacity.
+    /// The load divided by the capacity.
     pub(crate) load: f64,
     pub(crate) sessions: usize,
 }
 
-/// The loads of one round: all backends report at the same time.
+/// The reports of one round; all backends report at the same time.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Round(pub(crate) Vec<BackendLoad>);
 
@@ -28,7 +28,7 @@
         self.0.iter().map(|backend| backend.sessions).sum()
     }
 
-    /// The standard deviation of the loads over their mean.
+    /// Returns the standard deviation of the loads divided by their mean.
     fn spread(&self) -> Option<f64> {
         let mean = self.mean_load();
         let squares = self.0.iter().map(|backend| (backend.load - mean).powi(2));
@@ -37,7 +37,7 @@
     }
 }
 
-/// The rounds of a run by their times.
+/// Returns the rounds of a run by their times.
 pub(crate) fn rounds(events: &[RecordedEvent]) -> BTreeMap<Instant, Round> {
     let mut rounds: BTreeMap<Instant, Round> = BTreeMap::new();
     for event in events {
@@ -58,7 +58,7 @@
     rounds
 }
 
-/// What the rounds of a run say of it as a whole.
+/// Figures over all rounds of a run.
 pub(super) struct LoadFigures {
     pub(super) mean_spread: f64,
     pub(super) max_load: f64,
--- a/experiments/src/summary/mod.rs
+++ b/experiments/src/summary/mod.rs
@@ -1,4 +1,4 @@
-//! The results of a run, in figures.
+//! The summary of a run: its results as figures.
 mod delays;
 mod findings;
 mod load_rounds;
@@ -11,55 +11,55 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The sessions of one listener.
+/// The figures of one listener.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ListenerSummary {
     /// The listener's name.
     pub name: String,
-    /// Clients that came.
+    /// The number of clients that arrived.
     pub arrivals: u64,
-    /// Sessions accepted.
+    /// The number of accepted sessions.
     #[serde(rename = "up")]
     pub accepted: u64,
-    /// Sessions rejected with a promise of no effect.
+    /// The number of sessions that were rejected with a promise of no effect.
     #[serde(rename = "busy")]
     pub rejected: u64,
-    /// Sessions failed without such a promise.
+    /// The number of sessions that failed without such a promise.
     pub failed: u64,
-    /// Clients that gave up.
+    /// The number of clients that gave up.
     #[serde(rename = "lost")]
     pub gave_up: u64,
-    /// Well-served seconds over those asked for.
+    /// Well-served seconds divided by requested seconds.
     pub served: f64,
-    /// From when a client was due until its session was accepted.
+    /// The time from when a client was due until its session was accepted.
     #[serde(rename = "set_up")]
     pub setup_delays: Delays,
-    /// From a line to its return.
+    /// The time from sending a line to its return.
     #[serde(rename = "lines")]
     pub message_delays: Delays,
-    /// Attempts of one session at most.
+    /// The maximum number of attempts of one session.
     #[serde(default, rename = "most_dials")]
     pub max_attempts: usize,
-    /// Retries as a part of the sessions.
+    /// The number of retries divided by the number of sessions.
     #[serde(default, rename = "further")]
     pub retries_per_session: f64,
-    /// Hedged attempts as a part of the sessions.
+    /// The number of hedged attempts divided by the number of sessions.
     #[serde(default, rename = "second")]
     pub hedged_per_session: f64,
-    /// The longest time to an answer.
+    /// The longest time to an answer, in milliseconds.
     #[serde(default)]
     pub longest_answer_ms: f64,
 }
 
-/// What one relay cost, over all its processes.
+/// The costs of one relay, over all its processes.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct RelaySummary {
-    /// CPU time in seconds.
+    /// The CPU time in seconds.
     pub cpu_s: f64,
-    /// Resident memory at most.
+    /// The maximum resident memory in megabytes.
     #[serde(rename = "most_resident_mb")]
     pub max_resident_mb: f64,
-    /// Resident memory as measured last.
+    /// The last measured resident memory in megabytes.
     pub last_resident_mb: f64,
 }
 
@@ -68,9 +68,9 @@
 pub struct ViolationSummary {
     /// The rule's number, from 1.
     pub rule: usize,
-    /// Seconds since the run began.
+    /// The time of the violation in seconds since the run began.
     pub at_s: f64,
-    /// What happened.
+    /// A description of the violation.
     #[serde(rename = "what")]
     pub description: String,
     /// The events that led to it.
@@ -78,121 +78,124 @@
     pub timeline: Vec<String>,
 }
 
-/// The results of a run, as `summary.json` holds them: fields have the names of their keys.
+/// The summary of a run, as it is written to `summary.json`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Summary {
     /// The scenario's name.
     pub scenario: String,
-    /// What was run: the scenario's own relays, a variant or a baseline.
+    /// The name of the target: the scenario's own relays, a variant or a baseline.
     #[serde(rename = "way")]
     pub target: String,
-    /// Clients connected to backends themselves: rules are counted, and owed by nobody.
+    /// Whether the target was a baseline. Violations are then counted but don't fail the run.
     pub baseline: bool,
-    /// The seed.
+    /// The seed of the run.
     pub seed: u64,
-    /// False where the run was interrupted: its figures are of a part.
+    /// False if the run was interrupted, so that the figures cover only a part of it.
     pub complete: bool,
     /// The run's length in seconds.
     pub length_s: f64,
-    /// Violations, by rule.
+    /// The number of violations of each rule.
     #[serde(rename = "rules")]
     pub violation_counts: [usize; 4],
     /// The first violation of each rule.
     #[serde(rename = "first_breaks")]
     pub first_violations: Vec<ViolationSummary>,
-    /// What all relays did together that they may not: how often, by its name, and the first.
+    /// For each violated limit of the whole cluster: its name, the number of violations, and a
+    /// description of the first.
     #[serde(default, rename = "together")]
     pub cluster_violations: BTreeMap<String, (usize, String)>,
-    /// Relays that crashed or did not end in time.
+    /// The number of failures of relays: crashes, late shutdowns, and starts or admin commands that
+    /// failed.
     pub crashes: usize,
-    /// Sessions that asked for an answer.
+    /// The number of sessions that requested an answer.
     pub sessions: usize,
-    /// Sessions that got one.
+    /// The number of sessions that got an answer.
     pub answered: usize,
-    /// Sessions that are owed none.
+    /// The number of sessions for which no answer is required.
     pub excused: usize,
-    /// Sessions accepted.
+    /// The number of accepted sessions.
     #[serde(rename = "up")]
     pub accepted: u64,
-    /// Sessions rejected with a promise of no effect.
+    /// The number of sessions that were rejected with a promise of no effect.
     #[serde(rename = "busy")]
     pub rejected: u64,
-    /// Sessions failed without such a promise.
+    /// The number of sessions that failed without such a promise.
     pub failed: u64,
-    /// Sessions without an answer.
+    /// The number of sessions without an answer.
     pub unanswered: u64,
-    /// Sessions asked to migrate.
+    /// The number of sessions that were asked to migrate.
     #[serde(rename = "moved")]
     pub migrated: u64,
-    /// Established sessions that broke.
+    /// The number of established sessions whose connection was lost.
     #[serde(rename = "cut_off")]
     pub connections_lost: u64,
-    /// Clients that gave up.
+    /// The number of clients that gave up.
     #[serde(rename = "lost")]
     pub gave_up: u64,
-    /// Connections that no relay took.
+    /// The number of connections that could not be established.
     #[serde(rename = "never_taken")]
     pub failed_connects: usize,
-    /// Lines that came back wrong or out of order.
+    /// The number of lines that came back changed or out of order.
     #[serde(rename = "wrong_lines")]
     pub mismatched_messages: u64,
-    /// Misbehaving clients.
+    /// The number of misbehaving clients.
     #[serde(rename = "rude")]
     pub misbehaving: u64,
-    /// Misbehaving clients that got their answer or end.
+    /// The number of misbehaving clients that got an answer or whose connection was closed.
     #[serde(rename = "rude_answered")]
     pub misbehaving_answered: u64,
-    /// The worth of well-served seconds over that of all seconds asked for.
+    /// Well-served seconds divided by requested seconds, both weighted by listener.
     pub served: f64,
-    /// From when a client was due until its session was accepted.
+    /// The time from when a client was due until its session was accepted.
     #[serde(rename = "set_up")]
     pub setup_delays: Delays,
-    /// From a line to its return.
+    /// The time from sending a line to its return.
     #[serde(rename = "lines")]
     pub message_delays: Delays,
-    /// By listener.
+    /// The figures of each listener.
     pub listeners: Vec<ListenerSummary>,
-    /// Connection attempts.
+    /// The number of connection attempts to backends.
     #[serde(rename = "dials")]
     pub attempts: usize,
-    /// Connection attempts over sessions.
+    /// The number of attempts divided by the number of sessions.
     #[serde(rename = "dials_a_session")]
     pub attempts_per_session: f64,
-    /// Attempts of one session at most.
+    /// The maximum number of attempts of one session.
     #[serde(rename = "most_dials")]
     pub max_attempts: usize,
-    /// Established sessions at most.
+    /// The maximum number of established sessions.
     #[serde(rename = "most_standing")]
     pub max_established: usize,
-    /// Standard deviation over mean of the backends' loads, the mean over the run.
+    /// The standard deviation of the backends' loads divided by their mean, averaged over the run.
     pub load_spread: f64,
-    /// The greatest load of a backend over its capacity.
+    /// The greatest load of a backend, divided by its capacity.
     #[serde(rename = "most_load")]
     pub max_load: f64,
-    /// The greatest used part of a backend's warm-up budget; above 1 it is overloaded.
+    /// The greatest share of a warm-up budget that was used; a backend is overloaded above 1.
     #[serde(rename = "cold_push")]
     pub warm_up_budget_used: f64,
-    /// By relay.
+    /// The costs of each relay.
     pub relays: Vec<RelaySummary>,
-    /// CPU time of all relays by lines passed up, in microseconds.
+    /// The CPU time of all relays divided by the number of returned lines, in microseconds.
     #[serde(rename = "cpu_us_a_line")]
     pub cpu_us_per_message: f64,
-    /// How late clients came after they were due.
+    /// The time from when clients were due until they connected.
     #[serde(rename = "tool_late")]
     pub testbed_connect_delay: Delays,
-    /// The longest turn of a testbed's thread.
+    /// The longest turn of a testbed thread's event loop, in milliseconds.
     #[serde(rename = "tool_worst_turn_ms")]
     pub testbed_longest_turn_ms: f64,
-    /// The part of its time that the busiest thread worked.
+    /// The share of its time for which the busiest testbed thread was busy, from 0 to 1.
     #[serde(rename = "tool_busy")]
     pub testbed_busy_share: f64,
-    /// The testbed was the bottleneck: delays say little.
+    /// Whether the testbed was the bottleneck, so that measured delays are unreliable.
     #[serde(rename = "tool_was_late")]
     pub testbed_was_late: bool,
 }
 
 impl Summary {
-    /// Whether all rules were kept and no relay crashed. A baseline owes no rules.
+    /// Returns true if no rule was violated and no relay failed. Violations by a baseline don't
+    /// count.
     pub fn passed(&self) -> bool {
         let rules_kept = self.violation_counts == [0; 4] && self.cluster_violations.is_empty();
         (rules_kept || self.baseline) && self.crashes == 0
--- a/experiments/src/summary/text.rs
+++ b/experiments/src/summary/text.rs
@@ -1,16 +1,16 @@
-//! A summary as people read it.
+//! The summary of a run as text for people.
 use super::{Delays, ListenerSummary, Summary};
 
 impl Summary {
-    /// `answered N of N, rules kept`, or what broke.
+    /// Returns the result in one line: `answered N of N, rules kept`, or the violations.
     pub fn headline(&self) -> String {
-        let owed = self.sessions - self.excused;
-        let mut broken: Vec<String> = (1..)
+        let required = self.sessions - self.excused;
+        let mut failures: Vec<String> = (1..)
             .zip(self.violation_counts)
             .filter(|(_, count)| *count > 0)
             .map(|(rule, count)| format!("rule {rule} broken {count} times"))
             .collect();
-        broken.extend(
+        failures.extend(
             self.cluster_violations
                 .iter()
                 .map(|(rule, (count, first))| {
@@ -18,18 +18,21 @@
                 }),
         );
         if self.crashes > 0 {
-            broken.push(format!("{} relays crashed", self.crashes));
+            failures.push(format!("{} relay failures", self.crashes));
         }
-        let rules = if broken.is_empty() {
+        let rules = if failures.is_empty() {
             "rules kept".into()
         } else {
-            broken.join(", ")
+            failures.join(", ")
         };
         let interrupted = if self.complete { "" } else { " (interrupted)" };
-        format!("answered {} of {owed}, {rules}{interrupted}", self.answered)
+        format!(
+            "answered {} of {required}, {rules}{interrupted}",
+            self.answered
+        )
     }
 
-    /// All figures, a line for each group of them.
+    /// Returns all figures, one line for each group, and the first violation of each rule.
     pub fn report_text(&self) -> String {
         let mut lines = vec![format!(
             "{} / {} / seed {}: {}",
@@ -39,7 +42,7 @@
             self.headline()
         )];
         lines.extend(self.totals());
-        lines.extend(self.listeners.iter().map(listener));
+        lines.extend(self.listeners.iter().map(listener_line));
         for (number, relay) in self.relays.iter().enumerate() {
             lines.push(format!(
                 "  relay {number}     {:.2} s of CPU, {:.1} MB at most, {:.1} MB at the end",
@@ -60,7 +63,8 @@
     fn totals(&self) -> Vec<String> {
         vec![
             format!(
-                "  answers     up {}  busy {}  failed {}  none {}  moved {}  cut off {}  gave up {}",
+                "  sessions    accepted {}  rejected {}  failed {}  unanswered {}  migrated {}  \
+                 connections lost {}  gave up {}",
                 self.accepted,
                 self.rejected,
                 self.failed,
@@ -69,15 +73,18 @@
                 self.connections_lost,
                 self.gave_up
             ),
-            format!("  served      {:.3} of the utility asked for", self.served),
+            format!(
+                "  served      {:.3} of the requested seconds, weighted by listener",
+                self.served
+            ),
             format!("  set-up      {}", delays(&self.setup_delays)),
             format!("  lines       {}", delays(&self.message_delays)),
             format!(
-                "  dials       {:.3} a session, {} at most; cold budget used {:.2}",
+                "  attempts    {:.3} per session, {} at most; warm-up budget used {:.2}",
                 self.attempts_per_session, self.max_attempts, self.warm_up_budget_used
             ),
             format!(
-                "  boxes       {} standing at most, spread of load {:.2}, greatest load {:.2}",
+                "  backends    {} established at most, load spread {:.2}, greatest load {:.2}",
                 self.max_established, self.load_spread, self.max_load
             ),
         ]
@@ -85,12 +92,12 @@
 
     fn testbed(&self) -> String {
         let lateness = if self.testbed_was_late {
-            ": TOO LATE, delays say little"
+            ": TOO SLOW, delays are unreliable"
         } else {
             ""
         };
         format!(
-            "  the tool    came late by p99 {:.1} ms, worked {:.0}% of its time{lateness}",
+            "  testbed     connect delay p99 {:.1} ms, busy {:.0}% of its time{lateness}",
             self.testbed_connect_delay.p99,
             self.testbed_busy_share * 100.0,
         )
@@ -99,23 +106,23 @@
 
 fn delays(delays: &Delays) -> String {
     format!(
-        "p50 {:.1}  p90 {:.1}  p99 {:.1}  p99.9 {:.1}  most {:.1} ms",
+        "p50 {:.1}  p90 {:.1}  p99 {:.1}  p99.9 {:.1}  max {:.1} ms",
         delays.p50, delays.p90, delays.p99, delays.p99_9, delays.max
     )
 }
 
-fn listener(row: &ListenerSummary) -> String {
+fn listener_line(listener: &ListenerSummary) -> String {
     format!(
-        "  {:<11} up {}  busy {}  failed {}  served {:.3}  dials {} at most, further {:.3}, \
-         second {:.3}; longest {:.0} ms",
-        row.name,
-        row.accepted,
-        row.rejected,
-        row.failed,
-        row.served,
-        row.max_attempts,
-        row.retries_per_session,
-        row.hedged_per_session,
-        row.longest_answer_ms
+        "  {:<11} accepted {}  rejected {}  failed {}  served {:.3}  attempts {} at most, \
+         per session {:.3} retries, {:.3} hedged; longest answer {:.0} ms",
+        listener.name,
+        listener.accepted,
+        listener.rejected,
+        listener.failed,
+        listener.served,
+        listener.max_attempts,
+        listener.retries_per_session,
+        listener.hedged_per_session,
+        listener.longest_answer_ms
     )
 }
