--- a/experiments/src/compare/figures.rs
+++ b/experiments/src/compare/figures.rs
@@ -9,6 +9,7 @@
     pub(super) value: fn(&Summary) -> f64,
 }
 
+/// Returns a figure of which greater values are better.
 const fn more(name: &'static str, value: fn(&Summary) -> f64) -> Figure {
     Figure {
         name,
@@ -17,6 +18,7 @@
     }
 }
 
+/// Returns a figure of which smaller values are better.
 const fn less(name: &'static str, value: fn(&Summary) -> f64) -> Figure {
     Figure {
         name,
--- a/experiments/src/count/mod.rs
+++ b/experiments/src/count/mod.rs
@@ -127,7 +127,7 @@
         for label in &labels {
             table += &format!(" {label} |");
         }
-        table += &rule(labels.len());
+        table += &header_separator(labels.len());
         for (&span, counts) in &self.events {
             table += &format!("\n| {} |", self.span_start(span));
             for label in &labels {
@@ -142,7 +142,7 @@
         for &span in self.events.keys() {
             table += &format!(" {} |", self.span_start(span));
         }
-        table += &rule(self.events.len());
+        table += &header_separator(self.events.len());
         for (name, spans) in &self.backends {
             table += &format!("\n| {name} |");
             for span in self.events.keys() {
@@ -154,7 +154,7 @@
 }
 
 /// Returns the line below a table's header, for `columns` columns after the first.
-fn rule(columns: usize) -> String {
+fn header_separator(columns: usize) -> String {
     format!("\n|{}", " --- |".repeat(columns + 1))
 }
 
--- a/experiments/src/report/mod.rs
+++ b/experiments/src/report/mod.rs
@@ -25,7 +25,7 @@
     Plot(#[from] DrawingAreaErrorKind<io::Error>),
     /// There are no totals of the load generator.
     #[error("report: no totals of the load generator")]
-    NoClients,
+    NoLoadTotals,
 }
 
 /// Returns the report of a run as HTML.
@@ -79,7 +79,7 @@
         };
         chart::over_time(&frame, series)
     };
-    let (first, others) = load_totals.split_first().ok_or(ReportError::NoClients)?;
+    let (first, others) = load_totals.split_first().ok_or(ReportError::NoLoadTotals)?;
     let mut totals = first.clone();
     for other in others {
         totals.add(other);
@@ -112,8 +112,7 @@
     Ok(plots)
 }
 
-/// Returns the end of the time axis in seconds. It is at least 1, since an empty axis can't be
-/// drawn.
+/// Returns the end of the time axis in seconds. It is at least 1, even for a run of no length.
 fn end_seconds(end: Instant) -> f64 {
     seconds(end).max(1.0)
 }
--- a/experiments/src/report/series.rs
+++ b/experiments/src/report/series.rs
@@ -146,7 +146,7 @@
             continue;
         };
         let (at, used) = (seconds(event.at), cpu_time.as_secs_f64());
-        // CPU time begins anew with each process.
+        // The CPU time starts from zero with each process.
         if let Some((last_at, last_used)) = last.insert(relay, (at, used))
             && used >= last_used
             && at > last_at
--- a/experiments/src/run/director.rs
+++ b/experiments/src/run/director.rs
@@ -65,7 +65,7 @@
     }
 
     /// Counts a failure of a relay and records it as a note.
-    pub(super) fn note_crash(&mut self, text: String) {
+    pub(super) fn record_failure(&mut self, text: String) {
         self.crashes += 1;
         self.record(Observation::Note { text });
     }
@@ -100,9 +100,9 @@
                 self.progress.new_faults.push(mark.name.clone());
             }
             while let Some(scheduled) = actions.next_if(|scheduled| scheduled.at <= plan_time) {
-                self.carry_out(&scheduled.action);
+                self.execute_action(&scheduled.action);
             }
-            self.carry_out_follow_ups(now);
+            self.execute_follow_ups(now);
             self.check_relays(now);
             if now.duration_since(last_measured) >= MEASURE_INTERVAL {
                 last_measured = now;
@@ -120,7 +120,7 @@
         is_complete
     }
 
-    fn carry_out(&mut self, action: &Action) {
+    fn execute_action(&mut self, action: &Action) {
         match action {
             Action::Backends(command) => self.backends.event_loop.command(command.clone()),
             Action::Load(command) => self.command_load(command),
@@ -130,7 +130,7 @@
                     network.event_loop.command(command);
                 }
             }
-            relay_action => self.carry_out_relay_action(relay_action),
+            relay_action => self.execute_relay_action(relay_action),
         }
     }
 
@@ -152,7 +152,7 @@
         }
     }
 
-    fn carry_out_follow_ups(&mut self, now: Instant) {
+    fn execute_follow_ups(&mut self, now: Instant) {
         while let Some(entry) = self.follow_ups.first_entry() {
             if entry.key().0 > now {
                 break;
@@ -228,7 +228,7 @@
             };
             let status = process.wait_for_exit(stop_timeout);
             if !status.is_some_and(|status| status.success()) {
-                self.note_crash(format!(
+                self.record_failure(format!(
                     "relay {number} did not shut down cleanly at the end of the run"
                 ));
             }
--- a/experiments/src/run/error.rs
+++ b/experiments/src/run/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Error)]
 pub enum RunError {
     /// A file or folder of the run's results can't be written.
-    #[error("{path}: {source}")]
+    #[error("results can't be written to {path}: {source}")]
     Results {
         /// The file or folder.
         path: PathBuf,
--- a/experiments/src/run/progress.rs
+++ b/experiments/src/run/progress.rs
@@ -62,9 +62,9 @@
                     self.backends[usize::from(backend.0)] = None
                 }
                 Observation::BackendStarted { backend, cold } => {
-                    self.set_state(*backend, if *cold { "cold" } else { "" });
+                    self.set_state(*backend, if *cold { "warming up" } else { "" });
                 }
-                Observation::BackendDraining { backend } => self.set_state(*backend, "drains"),
+                Observation::BackendDraining { backend } => self.set_state(*backend, "draining"),
                 Observation::BackendFault {
                     backend,
                     name,
--- a/experiments/src/run/relay_actions.rs
+++ b/experiments/src/run/relay_actions.rs
@@ -16,7 +16,7 @@
 
 impl Director<'_> {
     /// Executes an action on a relay; ignores actions on other parts of the testbed.
-    pub(super) fn carry_out_relay_action(&mut self, action: &Action) {
+    pub(super) fn execute_relay_action(&mut self, action: &Action) {
         match *action {
             Action::Kill(relay, restart_after) => self.kill(relay, restart_after),
             Action::Stop(relay, restart_after) => self.stop(relay, restart_after),
@@ -122,7 +122,7 @@
         });
         match successor {
             Ok(successor) => self.take_over(relay, successor),
-            Err(error) => self.note_crash(error),
+            Err(error) => self.record_failure(error),
         }
     }
 
@@ -192,11 +192,11 @@
         let line = format!("{command} {}", endpoint_name(backend));
         match send_admin_command(admin, &line, ADMIN_COMMAND_TIMEOUT) {
             Ok(answer) if answer.starts_with("200") => return true,
-            Ok(answer) => self.note_crash(format!(
+            Ok(answer) => self.record_failure(format!(
                 "relay {} rejected {command} of backend {}: {answer}",
                 relay.0, backend.0
             )),
-            Err(error) => self.note_crash(format!(
+            Err(error) => self.record_failure(format!(
                 "relay {} did not answer {command}: {error}",
                 relay.0
             )),
@@ -255,7 +255,7 @@
                 self.record(Observation::RelayStarted { relay });
                 self.schedule(Duration::ZERO, FollowUp::SetEndpointEnabled(number, true));
             }
-            Err(error) => self.note_crash(error),
+            Err(error) => self.record_failure(error),
         }
     }
 
@@ -263,7 +263,7 @@
     pub(super) fn check_relays(&mut self, now: Instant) {
         for number in 0..self.relays.len() {
             for error in self.relays[number].check_predecessors(number, now) {
-                self.note_crash(error);
+                self.record_failure(error);
             }
             match self.relays[number].check(now) {
                 None => {}
@@ -275,11 +275,11 @@
                     }
                 }
                 Some(RelayEnd::Crashed(status)) => {
-                    self.note_crash(format!("relay {number} crashed: {status}"));
+                    self.record_failure(format!("relay {number} crashed: {status}"));
                 }
                 // The relay itself caused the loss of the sessions that it still held.
                 Some(RelayEnd::Overdue) => {
-                    self.note_crash(format!(
+                    self.record_failure(format!(
                         "relay {number} did not shut down in time and was killed"
                     ));
                 }
--- a/experiments/src/scenario/fault_table.rs
+++ b/experiments/src/scenario/fault_table.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FaultTable {
-    /// The time from the start of the plan at which the fault begins.
+    /// The time from the start of arrivals at which the fault begins.
     pub at: DurationText,
     /// The kind of fault, one of [`FAULTS`].
     #[serde(rename = "what")]
@@ -26,17 +26,17 @@
     /// The share of connection attempts that fail, from 0 to 1.
     #[serde(rename = "part")]
     pub error_share: Option<f64>,
-    /// The time from the start of one pause or reload to the start of the next.
+    /// The time from the start of one pause, link fault or reload to the start of the next.
     #[serde(rename = "every")]
     pub interval: Option<DurationText>,
-    /// The duration of each pause.
+    /// The duration of each pause or link fault.
     pub pause: Option<DurationText>,
     /// The time after which a stopped backend or relay starts again.
     #[serde(rename = "back")]
     pub restart_after: Option<DurationText>,
-    /// Relays whose outgoing links are faulted.
+    /// The relays at the sending end of the faulted links.
     pub from: Option<Selection>,
-    /// Relays whose incoming links are faulted.
+    /// The relays at the receiving end of the faulted links.
     pub to: Option<Selection>,
     /// The share of datagrams that are lost, from 0 to 1; by default all of them, or none if
     /// another impairment of the link is given.
--- a/experiments/src/scenario/fleet_tables.rs
+++ b/experiments/src/scenario/fleet_tables.rs
@@ -57,7 +57,7 @@
     /// The time after the announcement of a drain from which a backend must get no new sessions.
     #[serde(rename = "grace")]
     pub drain_grace: DurationText,
-    /// Backends report the load of each connection, and these loads change.
+    /// Whether backends report the load of each connection, and these loads change.
     #[serde(rename = "tells_load")]
     pub reports_load: bool,
 }
--- a/experiments/src/scenario/tests.rs
+++ b/experiments/src/scenario/tests.rs
@@ -161,7 +161,7 @@
         "boxes = 7",
         14,
         "fault",
-        "boxes: there are only 6",
+        "boxes: must be at most 6",
     ),
     (
         "boxes = \"half\"",
--- a/experiments/src/scenario/traffic_tables.rs
+++ b/experiments/src/scenario/traffic_tables.rs
@@ -100,7 +100,7 @@
     /// The weight of a well-served second.
     #[serde(default = "default_weight", rename = "utility")]
     pub priority_weight: f64,
-    /// Whether its requests may be repeated.
+    /// Whether the listener's requests may be repeated.
     #[serde(default)]
     pub effect: Effect,
     /// The backends that recognise repeated requests of a `referenced` session.
--- a/experiments/src/summary/findings.rs
+++ b/experiments/src/summary/findings.rs
@@ -78,7 +78,7 @@
                 .max(MIN_DIVISOR),
         setup_delays: Delays::new(&load.histogram(|listener| &listener.setup_latency)),
         message_delays: Delays::new(&message_latency),
-        listeners: listeners(&load.totals, rules),
+        listeners: listener_summaries(&load.totals, rules),
         attempts: rules.attempts,
         attempts_per_session: rules.attempts as f64 / (rules.sessions as f64).max(1.0),
         max_attempts: rules.max_attempts,
@@ -204,21 +204,21 @@
     events.iter().filter(is_failed).count()
 }
 
-fn listeners(load: &LoadTotals, rules: &CheckResult) -> Vec<ListenerSummary> {
+fn listener_summaries(load: &LoadTotals, rules: &CheckResult) -> Vec<ListenerSummary> {
     let rows = load.listeners.iter().enumerate();
     rows.map(|(number, totals)| {
         let attempts = rules.listeners.get(number).cloned().unwrap_or_default();
-        listener(totals, &attempts)
+        listener_summary(totals, &attempts)
     })
     .collect()
 }
 
-fn listener(totals: &ListenerTotals, attempts: &AttemptTotals) -> ListenerSummary {
-    let share = |count: usize| count as f64 / (attempts.sessions as f64).max(1.0);
+fn listener_summary(totals: &ListenerTotals, attempts: &AttemptTotals) -> ListenerSummary {
+    let per_session = |count: usize| count as f64 / (attempts.sessions as f64).max(1.0);
     ListenerSummary {
         max_attempts: attempts.max_per_session,
-        retries_per_session: share(attempts.retries),
-        hedged_per_session: share(attempts.hedged),
+        retries_per_session: per_session(attempts.retries),
+        hedged_per_session: per_session(attempts.hedged),
         longest_answer_ms: attempts.longest_answer_time.as_micros() as f64 / 1e3,
         name: totals.name.clone(),
         arrivals: totals.arrivals,
--- a/experiments/src/summary/text.rs
+++ b/experiments/src/summary/text.rs
@@ -41,7 +41,7 @@
             self.seed,
             self.headline()
         )];
-        lines.extend(self.totals());
+        lines.extend(self.total_lines());
         lines.extend(self.listeners.iter().map(listener_line));
         for (number, relay) in self.relays.iter().enumerate() {
             lines.push(format!(
@@ -49,10 +49,10 @@
                 relay.cpu_s, relay.max_resident_mb, relay.last_resident_mb
             ));
         }
-        lines.push(self.testbed());
+        lines.push(self.testbed_line());
         for first in &self.first_violations {
             lines.push(format!(
-                "  rule {} broke at {:.3} s: {}",
+                "  rule {} first broken at {:.3} s: {}",
                 first.rule, first.at_s, first.description
             ));
             lines.extend(first.timeline.iter().map(|event| format!("    {event}")));
@@ -60,7 +60,7 @@
         lines.join("\n")
     }
 
-    fn totals(&self) -> Vec<String> {
+    fn total_lines(&self) -> Vec<String> {
         vec![
             format!(
                 "  sessions    accepted {}  rejected {}  failed {}  unanswered {}  migrated {}  \
@@ -77,8 +77,8 @@
                 "  served      {:.3} of the requested seconds, weighted by listener",
                 self.served
             ),
-            format!("  set-up      {}", delays(&self.setup_delays)),
-            format!("  lines       {}", delays(&self.message_delays)),
+            format!("  set-up      {}", delays_text(&self.setup_delays)),
+            format!("  lines       {}", delays_text(&self.message_delays)),
             format!(
                 "  attempts    {:.3} per session, {} at most; warm-up budget used {:.2}",
                 self.attempts_per_session, self.max_attempts, self.warm_up_budget_used
@@ -90,7 +90,7 @@
         ]
     }
 
-    fn testbed(&self) -> String {
+    fn testbed_line(&self) -> String {
         let lateness = if self.testbed_was_late {
             ": TOO SLOW, delays are unreliable"
         } else {
@@ -104,7 +104,7 @@
     }
 }
 
-fn delays(delays: &Delays) -> String {
+fn delays_text(delays: &Delays) -> String {
     format!(
         "p50 {:.1}  p90 {:.1}  p99 {:.1}  p99.9 {:.1}  max {:.1} ms",
         delays.p50, delays.p90, delays.p99, delays.p99_9, delays.max
