--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -42,15 +42,17 @@
         &stop,
         &mut on_progress,
     );
-    let rules_kept = outcome.as_ref().is_ok_and(|outcome| outcome.summary.kept());
+    let rules_kept = outcome
+        .as_ref()
+        .is_ok_and(|outcome| outcome.summary.passed());
     if rules_kept {
         // The files help only to examine a broken rule. Failing to remove them does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let summary = outcome.map_err(CommandError::failed)?.summary;
-    println!("{}", summary.line());
+    println!("{}", summary.headline());
     if !rules_kept {
-        println!("{}", summary.page());
+        println!("{}", summary.report_text());
         return Err(CommandError::Failed(format!(
             "a rule was broken; the results of the run are in {}",
             folder.display()
--- a/cli/src/experiment/run.rs
+++ b/cli/src/experiment/run.rs
@@ -76,8 +76,8 @@
             summaries.push(experiment.run(target, seed)?);
         }
     }
-    // `kept` leaves out the rules of a baseline, which isn't expected to keep them.
-    let broken_runs = summaries.iter().filter(|summary| !summary.kept()).count();
+    // `passed` leaves out the rules of a baseline, which isn't expected to keep them.
+    let broken_runs = summaries.iter().filter(|summary| !summary.passed()).count();
     if broken_runs > 0 {
         return Err(CommandError::Failed(format!(
             "{broken_runs} of {} runs broke a rule",
@@ -144,7 +144,7 @@
         let report = folder.join("report.html");
         println!(
             "{}\n  report      {}",
-            outcome.summary.page(),
+            outcome.summary.report_text(),
             report.display()
         );
         if self.stop.load(Ordering::Relaxed) {
--- a/experiments/src/report/mod.rs
+++ b/experiments/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! A run's page: its figures and plots, to be read in a minute and opened without anything beside it.
+//! The report of a run: a self-contained HTML page with its figures and charts.
 mod chart;
 mod series;
 
@@ -14,32 +14,32 @@
 use thistlecroft_testbed::event_recorder::RecordedEvent;
 use thistlecroft_testbed::load_generator::LoadTotals;
 
-const KEPT_COLOR: &str = "#2c7a2c";
-const BROKEN_COLOR: &str = "#b22222";
+const PASSED_COLOR: &str = "#2c7a2c";
+const FAILED_COLOR: &str = "#b22222";
 
-/// Why a report could not be made.
+/// An error while making a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// A plot can't be drawn.
-    #[error("plot: {0}")]
+    /// A chart can't be drawn.
+    #[error("chart can't be drawn: {0}")]
     Plot(#[from] DrawingAreaErrorKind<io::Error>),
-    /// There is nobody whose delays could be drawn.
-    #[error("no clients")]
-    NoClients,
+    /// There are no totals of the load generator.
+    #[error("report: no totals of the load generator")]
+    NoLoadTotals,
 }
 
-/// The page of a run as HTML.
-pub(crate) fn page(
+/// Returns the report of a run as HTML.
+pub(crate) fn html(
     summary: &Summary,
     events: &[RecordedEvent],
     marks: &[FaultMark],
     load_totals: &[LoadTotals],
 ) -> Result<String, ReportError> {
     let plots = plots(events, marks, load_totals)?;
-    let color = if summary.kept() {
-        KEPT_COLOR
+    let color = if summary.passed() {
+        PASSED_COLOR
     } else {
-        BROKEN_COLOR
+        FAILED_COLOR
     };
     Ok(format!(
         "<!doctype html><html lang=\"en\"><meta charset=\"utf-8\"><title>{name}</title>\
@@ -49,10 +49,10 @@
          <h1>{name}: {target}, seed {seed}</h1><p class=\"line\">{line}</p>\
          <pre>{page}</pre>{plots}</html>\n",
         name = escape(&summary.scenario),
-        target = escape(&summary.way),
+        target = escape(&summary.target),
         seed = summary.seed,
-        line = escape(&summary.line()),
-        page = escape(&summary.page()),
+        line = escape(&summary.headline()),
+        page = escape(&summary.report_text()),
         plots = plots.join("\n"),
     ))
 }
@@ -79,7 +79,7 @@
         };
         chart::over_time(&frame, series)
     };
-    let (first, others) = load_totals.split_first().ok_or(ReportError::NoClients)?;
+    let (first, others) = load_totals.split_first().ok_or(ReportError::NoLoadTotals)?;
     let mut totals = first.clone();
     for other in others {
         totals.add(other);
@@ -87,11 +87,11 @@
     let mut plots = vec![
         over_time(
             "Answers over time",
-            "a second",
+            "per second",
             &series::answers(events, end),
         )?,
         over_time(
-            "Load of each box over its capacity",
+            "Load of each backend divided by its capacity",
             "load",
             &series::backend_loads(events),
         )?,
@@ -112,7 +112,7 @@
     Ok(plots)
 }
 
-/// A run of no length is drawn as one of a second.
+/// Returns the end of the time axis in seconds. It is at least 1, even for a run of no length.
 fn end_seconds(end: Instant) -> f64 {
     seconds(end).max(1.0)
 }
--- a/experiments/src/summary/text.rs
+++ b/experiments/src/summary/text.rs
@@ -1,119 +1,128 @@
-//! A summary as people read it.
+//! The summary of a run as text for people.
 use super::{Delays, ListenerSummary, Summary};
 
 impl Summary {
-    /// `answered N of N, rules kept`, or what broke.
-    pub fn line(&self) -> String {
-        let owed = self.sessions - self.excused;
-        let mut broken: Vec<String> = (1..)
-            .zip(self.rules)
+    /// Returns the result in one line: `answered N of N, rules kept`, or the violations.
+    pub fn headline(&self) -> String {
+        let required = self.sessions - self.excused;
+        let mut failures: Vec<String> = (1..)
+            .zip(self.violation_counts)
             .filter(|(_, count)| *count > 0)
             .map(|(rule, count)| format!("rule {rule} broken {count} times"))
             .collect();
-        broken.extend(
-            self.together.iter().map(|(rule, (count, first))| {
-                format!("{rule}: broken {count} times, first: {first}")
-            }),
+        failures.extend(
+            self.cluster_violations
+                .iter()
+                .map(|(rule, (count, first))| {
+                    format!("{rule}: broken {count} times, first: {first}")
+                }),
         );
         if self.crashes > 0 {
-            broken.push(format!("{} relays crashed", self.crashes));
+            failures.push(format!("{} relay failures", self.crashes));
         }
-        let rules = if broken.is_empty() {
+        let rules = if failures.is_empty() {
             "rules kept".into()
         } else {
-            broken.join(", ")
+            failures.join(", ")
         };
         let interrupted = if self.complete { "" } else { " (interrupted)" };
-        format!("answered {} of {owed}, {rules}{interrupted}", self.answered)
+        format!(
+            "answered {} of {required}, {rules}{interrupted}",
+            self.answered
+        )
     }
 
-    /// All figures, a line for each group of them.
-    pub fn page(&self) -> String {
+    /// Returns all figures, one line for each group, and the first violation of each rule.
+    pub fn report_text(&self) -> String {
         let mut lines = vec![format!(
             "{} / {} / seed {}: {}",
             self.scenario,
-            self.way,
+            self.target,
             self.seed,
-            self.line()
+            self.headline()
         )];
-        lines.extend(self.totals());
-        lines.extend(self.listeners.iter().map(listener));
+        lines.extend(self.total_lines());
+        lines.extend(self.listeners.iter().map(listener_line));
         for (number, relay) in self.relays.iter().enumerate() {
             lines.push(format!(
                 "  relay {number}     {:.2} s of CPU, {:.1} MB at most, {:.1} MB at the end",
-                relay.cpu_s, relay.most_resident_mb, relay.last_resident_mb
+                relay.cpu_s, relay.max_resident_mb, relay.last_resident_mb
             ));
         }
-        lines.push(self.testbed());
-        for first in &self.first_breaks {
+        lines.push(self.testbed_line());
+        for first in &self.first_violations {
             lines.push(format!(
-                "  rule {} broke at {:.3} s: {}",
-                first.rule, first.at_s, first.what
+                "  rule {} first broken at {:.3} s: {}",
+                first.rule, first.at_s, first.description
             ));
-            lines.extend(first.story.iter().map(|event| format!("    {event}")));
+            lines.extend(first.timeline.iter().map(|event| format!("    {event}")));
         }
         lines.join("\n")
     }
 
-    fn totals(&self) -> Vec<String> {
+    fn total_lines(&self) -> Vec<String> {
         vec![
             format!(
-                "  answers     up {}  busy {}  failed {}  none {}  moved {}  cut off {}  gave up {}",
-                self.up,
-                self.busy,
+                "  sessions    accepted {}  rejected {}  failed {}  unanswered {}  migrated {}  \
+                 connections lost {}  gave up {}",
+                self.accepted,
+                self.rejected,
                 self.failed,
                 self.unanswered,
-                self.moved,
-                self.cut_off,
-                self.lost
+                self.migrated,
+                self.connections_lost,
+                self.gave_up
+            ),
+            format!(
+                "  served      {:.3} of the requested seconds, weighted by listener",
+                self.served
             ),
-            format!("  served      {:.3} of the utility asked for", self.served),
-            format!("  set-up      {}", delays(&self.set_up)),
-            format!("  lines       {}", delays(&self.lines)),
+            format!("  set-up      {}", delays_text(&self.setup_delays)),
+            format!("  lines       {}", delays_text(&self.message_delays)),
             format!(
-                "  dials       {:.3} a session, {} at most; cold budget used {:.2}",
-                self.dials_a_session, self.most_dials, self.cold_push
+                "  attempts    {:.3} per session, {} at most; warm-up budget used {:.2}",
+                self.attempts_per_session, self.max_attempts, self.warm_up_budget_used
             ),
             format!(
-                "  boxes       {} standing at most, spread of load {:.2}, greatest load {:.2}",
-                self.most_standing, self.load_spread, self.most_load
+                "  backends    {} established at most, load spread {:.2}, greatest load {:.2}",
+                self.max_established, self.load_spread, self.max_load
             ),
         ]
     }
 
-    fn testbed(&self) -> String {
-        let lateness = if self.tool_was_late {
-            ": TOO LATE, delays say little"
+    fn testbed_line(&self) -> String {
+        let lateness = if self.testbed_was_late {
+            ": TOO SLOW, delays are unreliable"
         } else {
             ""
         };
         format!(
-            "  the tool    came late by p99 {:.1} ms, worked {:.0}% of its time{lateness}",
-            self.tool_late.p99,
-            self.tool_busy * 100.0,
+            "  testbed     connect delay p99 {:.1} ms, busy {:.0}% of its time{lateness}",
+            self.testbed_connect_delay.p99,
+            self.testbed_busy_share * 100.0,
         )
     }
 }
 
-fn delays(delays: &Delays) -> String {
+fn delays_text(delays: &Delays) -> String {
     format!(
-        "p50 {:.1}  p90 {:.1}  p99 {:.1}  p99.9 {:.1}  most {:.1} ms",
-        delays.p50, delays.p90, delays.p99, delays.p99_9, delays.most
+        "p50 {:.1}  p90 {:.1}  p99 {:.1}  p99.9 {:.1}  max {:.1} ms",
+        delays.p50, delays.p90, delays.p99, delays.p99_9, delays.max
     )
 }
 
-fn listener(row: &ListenerSummary) -> String {
+fn listener_line(listener: &ListenerSummary) -> String {
     format!(
-        "  {:<11} up {}  busy {}  failed {}  served {:.3}  dials {} at most, further {:.3}, \
-         second {:.3}; longest {:.0} ms",
-        row.name,
-        row.up,
-        row.busy,
-        row.failed,
-        row.served,
-        row.most_dials,
-        row.further,
-        row.second,
-        row.longest_answer_ms
+        "  {:<11} accepted {}  rejected {}  failed {}  served {:.3}  attempts {} at most, \
+         per session {:.3} retries, {:.3} hedged; longest answer {:.0} ms",
+        listener.name,
+        listener.accepted,
+        listener.rejected,
+        listener.failed,
+        listener.served,
+        listener.max_attempts,
+        listener.retries_per_session,
+        listener.hedged_per_session,
+        listener.longest_answer_ms
     )
 }
