--- a/testbed/src/backend_model.rs
+++ b/testbed/src/backend_model.rs
@@ -14,7 +14,7 @@
     pub initial_share: f64,
     /// The time over which the share rises linearly to the full capacity.
     pub duration: Duration,
-    /// How many times the load that it can take overloads the backend.
+    /// The multiple of the load that the backend can take beyond which it is overloaded.
     pub overload_factor: f64,
     /// The length of the window over which the load of attempts is summed.
     pub overload_window: Duration,
--- a/testbed/src/endpoint_list.rs
+++ b/testbed/src/endpoint_list.rs
@@ -30,8 +30,8 @@
     generation: u64,
     /// The rows, each with the generation in which it last changed.
     rows: BTreeMap<BackendIndex, (u64, EndpointRow)>,
-    /// The oldest generation from which changes can be told. A request with an older generation, or
-    /// with a higher one than the present, gets a full snapshot.
+    /// The oldest generation since which all changes are known. A request with an older generation,
+    /// or with a higher one than the present, gets a full snapshot.
     oldest_known_generation: u64,
 }
 
--- a/testbed/src/event_loop.rs
+++ b/testbed/src/event_loop.rs
@@ -24,7 +24,7 @@
     pub now: Instant,
     /// The clock of the run.
     pub clock: Stopwatch,
-    /// The poller at which the handler registers its sockets.
+    /// The poller with which the handler registers its sockets.
     pub poller: Arc<Poller>,
     /// The recorder of observations.
     pub recorder: EventRecorder,
@@ -38,7 +38,7 @@
 }
 
 impl<T> LoopContext<T> {
-    /// Sets a timer, with which the handler is called at that time.
+    /// Sets a timer, which is passed to the handler at the given time.
     pub fn set_timer(&mut self, at: Instant, timer: T) {
         self.last_timer += 1;
         self.timers.insert((at, self.last_timer), timer);
@@ -83,7 +83,7 @@
     fn into_totals(self, context: &LoopContext<Self::Timer>) -> Self::Totals;
 }
 
-/// A handle of an event loop on its own thread. The loop ends when the handle is dropped.
+/// A handle to an event loop that runs on its own thread. The loop ends when the handle is dropped.
 pub struct EventLoop<H: EventHandler> {
     commands: Option<Sender<H::Command>>,
     poller: Arc<Poller>,
@@ -95,7 +95,7 @@
     /// Starts a thread of this name, on which `open` creates the handler.
     ///
     /// # Errors
-    /// If the poller or the thread can't be created, or `open` fails.
+    /// Returns an error if the poller or the thread can't be created, or `open` fails.
     pub fn open(
         name: &str,
         clock: Stopwatch,
--- a/testbed/src/event_recorder/mod.rs
+++ b/testbed/src/event_recorder/mod.rs
@@ -1,5 +1,6 @@
-//! Records what the clients, the backends, the discovery agent and the run itself observe. Their
-//! threads send the observations to one log, where they arrive roughly in chronological order.
+//! Records what the clients, backends, discovery agents, relay observers and the run itself
+//! observe. Their threads send the observations to one log, where they arrive roughly in
+//! chronological order.
 mod ids;
 mod log;
 mod observation;
--- a/testbed/src/event_recorder/observation.rs
+++ b/testbed/src/event_recorder/observation.rs
@@ -43,7 +43,8 @@
     Gone,
 }
 
-/// A single observation of a client, a backend, the discovery agent or the run itself.
+/// A single observation of a client, backend, discovery agent or relay observer, or of the run
+/// itself.
 ///
 /// The serialized names are those of `events.jsonl`; durations and instants are written in
 /// milliseconds.
@@ -100,11 +101,11 @@
         /// The session.
         session: SessionId,
     },
-    /// The relay did not accept a client's connection, or reset it before the client had written
-    /// the last byte of its first line.
+    /// A client could not connect, or its connection failed before the client had written the last
+    /// byte of its first line.
     #[serde(rename = "never-taken")]
     ConnectFailed {
-        /// The relay that the client connected to; `None` in a baseline run without relays.
+        /// The relay of the client's last endpoint; `None` in a baseline run without relays.
         relay: Option<RelayIndex>,
     },
     /// An established session was asked to migrate.
@@ -217,7 +218,7 @@
         #[serde(rename = "at")]
         backend: BackendIndex,
     },
-    /// A backend was overloaded while warming up, which makes it fail.
+    /// A backend was overloaded while warming up, which makes it stop.
     #[serde(rename = "box-fell")]
     BackendOverloaded {
         /// The backend.
@@ -265,7 +266,7 @@
         #[serde(rename = "pushed")]
         warm_up_budget_used: f64,
     },
-    /// The discovery agent sent a backend's state to a relay.
+    /// A relay's discovery agent sent a backend's state to the relay.
     #[serde(rename = "told")]
     EndpointAnnounced {
         /// The relay.
--- a/testbed/src/invariant_checker/result.rs
+++ b/testbed/src/invariant_checker/result.rs
@@ -106,11 +106,11 @@
         if self.holds() {
             return "rules kept".into();
         }
-        let broken: Vec<String> = (1..)
+        let violated: Vec<String> = (1..)
             .zip(self.violation_counts)
             .filter(|(_, count)| *count > 0)
-            .map(|(rule, count)| format!("rule {rule} broken {count} times"))
+            .map(|(number, count)| format!("rule {number} broken {count} times"))
             .collect();
-        broken.join(", ")
+        violated.join(", ")
     }
 }
--- a/testbed/src/lib.rs
+++ b/testbed/src/lib.rs
@@ -3,8 +3,9 @@
 //!
 //! The simulated backends, with their set-up store and the discovery agents, share a thread
 //! ([`simulated_backends`]), the clients have one or more threads of their own
-//! ([`load_generator`]), and relays are processes ([`relay_process`], [`process_cluster`]). Each
-//! thread records what it observes ([`event_recorder`]); [`invariant_checker`] and
+//! ([`load_generator`]), and relays are processes ([`relay_process`], [`process_cluster`]).
+//! [`relay_network`] forwards datagrams between relays, and [`relay_observer`] polls their admin
+//! ports. Each thread records what it observes ([`event_recorder`]); [`invariant_checker`] and
 //! [`cluster_invariants`] check the recorded events.
 //!
 //! The models and checkers ([`backend_model`], [`traffic`], [`endpoint_list`], [`link_fault`],
--- a/testbed/src/line_socket.rs
+++ b/testbed/src/line_socket.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// A connection registered at a poller, with buffers for unread input and unsent output.
+/// A connection registered with a poller, with buffers for unread input and unsent output.
 pub(crate) struct LineSocket {
     stream: TcpStream,
     poller: Arc<Poller>,
@@ -52,7 +52,8 @@
 }
 
 impl LineSocket {
-    /// Wraps a connected stream, which is registered at the poller when an interest is first set.
+    /// Wraps a connected stream, which is registered with the poller when its interest is first
+    /// set.
     pub(crate) fn new(
         stream: TcpStream,
         poller: &Arc<Poller>,
@@ -97,7 +98,7 @@
     /// Returns whether the connection is established.
     ///
     /// # Errors
-    /// If connecting has failed.
+    /// Returns an error if connecting has failed.
     pub(crate) fn is_connected(&self) -> io::Result<bool> {
         match self.stream.take_error()? {
             Some(error) => Err(error),
@@ -202,7 +203,7 @@
     /// [`LineSocket::update_interest`] the poller reports when more can be written.
     ///
     /// # Errors
-    /// If the connection is broken or too much output is unsent.
+    /// Returns an error if the connection is broken or too much output is unsent.
     pub(crate) fn send(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.output.extend_from_slice(bytes);
         if self.output.len() > MAX_UNSENT_BYTES {
--- a/testbed/src/load_generator/generator.rs
+++ b/testbed/src/load_generator/generator.rs
@@ -64,7 +64,7 @@
     /// Starts the clients of a plan on a thread of their own.
     ///
     /// # Errors
-    /// If the poller or the thread can't be created.
+    /// Returns an error if the poller or the thread can't be created.
     pub fn open(
         plan: LoadPlan,
         clock: Stopwatch,
--- a/testbed/src/load_generator/plan.rs
+++ b/testbed/src/load_generator/plan.rs
@@ -42,7 +42,7 @@
 }
 
 impl Misbehavior {
-    /// All kinds with their names in scenarios.
+    /// All kinds of misbehavior with their names in scenarios.
     pub const ALL: [(Misbehavior, &'static str); 5] = [
         (Misbehavior::Silent, "clients-silent"),
         (Misbehavior::PartialLine, "clients-half-a-line"),
--- a/testbed/src/load_generator/sessions.rs
+++ b/testbed/src/load_generator/sessions.rs
@@ -254,8 +254,8 @@
         }
     }
 
-    /// Resets this number of established sessions, spread evenly over all of them. Their clients
-    /// connect again.
+    /// Resets `count` established sessions, chosen evenly among all of them. Their clients connect
+    /// again, each after a random delay of up to `spread`.
     pub(super) fn drop_connections(
         &mut self,
         count: usize,
--- a/testbed/src/load_generator/totals.rs
+++ b/testbed/src/load_generator/totals.rs
@@ -89,8 +89,8 @@
 
     /// Adds the totals of another load generator with the same traffic.
     pub fn add(&mut self, other: &LoadTotals) {
-        for (own, other) in self.listeners.iter_mut().zip(&other.listeners) {
-            own.add(other);
+        for (totals, other) in self.listeners.iter_mut().zip(&other.listeners) {
+            totals.add(other);
         }
         // Both histograms have the same bounds.
         let _ = self.connect_delay.add(&other.connect_delay);
--- a/testbed/src/process_cluster/cluster.rs
+++ b/testbed/src/process_cluster/cluster.rs
@@ -19,7 +19,7 @@
 use thistlecroft::time::Duration;
 
 const POLL_INTERVAL: std::time::Duration = std::time::Duration::from_millis(20);
-/// The name of the fault between partitioned relays in recorded events.
+/// The name of every fault of a link in recorded events.
 const LINK_FAULT_NAME: &str = "bent";
 /// The difference between the seeds of two successive starts.
 const SEEDS_PER_START: u64 = 1_000;
@@ -59,7 +59,7 @@
         let network = RelayNetwork::open(relays, plan.seed, clock, recorder.clone())?;
         std::fs::create_dir_all(&plan.folder)?;
         let key_file = plan.folder.join("peers.key");
-        std::fs::write(&key_file, "a key for the rig alone\n")?;
+        std::fs::write(&key_file, "a key for the testbed alone\n")?;
         let peers = PeersConfig {
             period: plan.period,
             lease: plan.lease,
--- a/testbed/src/relay_network.rs
+++ b/testbed/src/relay_network.rs
@@ -27,8 +27,8 @@
 
 /// A command to the network during a run.
 pub enum NetworkCommand {
-    /// Sets the fault of these links (sender and receiver); `None` clears it. Recorded events have
-    /// the fault under this name.
+    /// Sets the fault of these links (sender and receiver); `None` clears it. The last value is the
+    /// name of the fault in recorded events.
     SetLinkFault(
         Vec<(RelayIndex, RelayIndex)>,
         Option<LinkFault>,
@@ -93,7 +93,7 @@
     /// Opens a network for this number of relays.
     ///
     /// # Errors
-    /// If a socket, the poller or the thread can't be created.
+    /// Returns an error if a socket, the poller or the thread can't be created.
     pub fn open(
         relays: usize,
         seed: u64,
@@ -270,7 +270,8 @@
     }
 }
 
-/// Returns the IP address for a relay; concurrent runs have other addresses in most cases.
+/// Returns the loopback address for a relay, which in most cases differs from those of concurrent
+/// runs.
 fn loopback_address(index: usize) -> Ipv4Addr {
     let [.., high, low] = (index as u32 + 1).to_be_bytes();
     Ipv4Addr::new(127, 70 + (std::process::id() % 50) as u8, high, low)
--- a/testbed/src/relay_process/config.rs
+++ b/testbed/src/relay_process/config.rs
@@ -79,8 +79,8 @@
 
 impl PeersConfig {
     /// Returns the `[peers]` table of the operator configuration for the relay with the address
-    /// `own` in a fleet with the addresses `fleet`.
-    pub fn toml_table(&self, own: &PeerAddress, fleet: &[PeerAddress]) -> String {
+    /// `relay_address` in a fleet with the addresses `fleet`.
+    pub fn toml_table(&self, relay_address: &PeerAddress, fleet: &[PeerAddress]) -> String {
         let seeds = fleet
             .iter()
             .take(self.voters.max(1))
@@ -92,8 +92,8 @@
         };
         format!(
             "\n[peers]\nfleet = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{voters}period = \"{}us\"\nlease = \"{}us\"\n",
-            own.bind,
-            own.public,
+            relay_address.bind,
+            relay_address.public,
             self.key_file.display(),
             quoted_list(seeds),
             self.period.as_micros(),
--- a/testbed/src/relay_process/process.rs
+++ b/testbed/src/relay_process/process.rs
@@ -25,7 +25,7 @@
 const PASSED_SOCKET_VARIABLE: &str = "ROUTER_PASSED_SOCKET";
 const RUNTIME_FOLDER_VARIABLE: &str = "TMPDIR";
 
-/// A relay's process, which is killed when this is dropped.
+/// A relay's process, which is killed when this value is dropped.
 pub struct RelayProcess {
     child: Child,
     name: String,
@@ -43,7 +43,8 @@
     /// configuration and log are written into `folder`.
     ///
     /// # Errors
-    /// Returns an error if the program can't be started, ends, or is not ready in time.
+    /// Returns an error if the relay's files can't be written, or if the program can't be started,
+    /// ends, or is not ready in time.
     pub fn start(
         program: &[String],
         fleet: &FleetConfig,
@@ -59,7 +60,7 @@
     /// start at the same time.
     ///
     /// # Errors
-    /// Returns an error if the program can't be started.
+    /// Returns an error if the relay's files can't be written or the program can't be started.
     pub fn spawn(
         program: &[String],
         fleet: &FleetConfig,
--- a/testbed/src/relay_process/resources.rs
+++ b/testbed/src/relay_process/resources.rs
@@ -27,7 +27,7 @@
     })
 }
 
-/// Returns the CPU time of a thread in nanoseconds by its folder in `/proc`.
+/// Returns the CPU time of a thread in nanoseconds, read from the thread's folder in `/proc`.
 fn thread_nanoseconds(thread: &DirEntry) -> Option<u64> {
     let statistics = read_to_string(thread.path().join("schedstat")).ok()?;
     statistics.split(' ').next()?.parse().ok()
--- a/testbed/src/simulated_backends/discovery_agent.rs
+++ b/testbed/src/simulated_backends/discovery_agent.rs
@@ -11,7 +11,7 @@
 use crate::event_recorder::{BackendIndex, Lifecycle, Observation, RelayIndex};
 
 impl SimulatedBackends {
-    /// Announces a backend's state to every agent, to each after a delay drawn for it.
+    /// Announces a backend's state to every agent, to each after its own random delay.
     pub(super) fn announce(
         &mut self,
         index: BackendIndex,
@@ -44,7 +44,7 @@
         self.send_changes(relay, context);
     }
 
-    /// Sends the changes since its last generation to each watch of the relay.
+    /// Sends each watch of the relay the changes since the generation last sent on it.
     fn send_changes(&mut self, relay: RelayIndex, context: &LoopContext<Timer>) {
         let list = &self.agents[usize::from(relay.0)].list;
         for (_, connection) in &mut self.connections {
@@ -108,7 +108,7 @@
     }
 
     /// Answers the request for a watch: with an empty line if the relay has the present list, and
-    /// with what it lacks otherwise.
+    /// with the changes that the relay lacks otherwise.
     fn start_watch(
         &mut self,
         key: usize,
@@ -214,7 +214,7 @@
     }
 }
 
-/// Records that a relay was told the states of these backends.
+/// Records that a relay was sent the states of these backends.
 fn record_announcements(
     relay: RelayIndex,
     changes: Vec<(BackendIndex, Lifecycle)>,
--- a/testbed/src/simulated_backends/handler.rs
+++ b/testbed/src/simulated_backends/handler.rs
@@ -8,7 +8,7 @@
 
 impl SimulatedBackends {
     /// Returns the key of the connection that a timer refers to. Returns `None` if the connection
-    /// is gone, and if its backend is paused, which postpones the timer.
+    /// is gone, or if its backend is paused, in which case the timer is postponed.
     fn connection_of_timer(&mut self, id: ConnectionId, timer: &Timer) -> Option<usize> {
         let connection = self.connections.get(id.key)?;
         if connection.serial != id.serial {
--- a/testbed/src/simulated_backends/lifecycle.rs
+++ b/testbed/src/simulated_backends/lifecycle.rs
@@ -13,7 +13,8 @@
 
 /// The number of connections that fill a backlog of minimum length.
 const BACKLOG_FILLERS: usize = 4;
-/// How long to wait before another attempt to start: the backend's port may be in use meanwhile.
+/// How long a backend that could not start waits before it tries again. Its port may be in use in
+/// the meantime.
 const START_RETRY_DELAY: Duration = Duration::from_millis(500);
 /// The fraction of a drain that passes before sessions begin to migrate.
 const MIGRATION_START_FRACTION: f64 = 0.5;
--- a/testbed/src/simulated_backends/listener.rs
+++ b/testbed/src/simulated_backends/listener.rs
@@ -19,7 +19,7 @@
 }
 
 impl ListenerKey {
-    /// Returns the key under which the listener is registered at the poller. Keys of connections
+    /// Returns the key under which the listener is registered with the poller. Keys of connections
     /// are slab keys, which never reach the flag bits.
     pub(super) fn to_poller_key(self) -> usize {
         match self {
@@ -74,12 +74,15 @@
     pub(super) fn reopen(&mut self, poller: &Poller) -> io::Result<()> {
         self.socket = Some(listen(self.address)?);
         if let Err(error) = self.register(poller) {
-            log::warn!("can't register the listener at {}: {error}", self.address);
+            log::warn!(
+                "can't register the listener at {} with the poller: {error}",
+                self.address
+            );
         }
         Ok(())
     }
 
-    /// Registers the socket at the poller, which then reports waiting connections.
+    /// Registers the socket with the poller, which then reports waiting connections.
     pub(super) fn register(&self, poller: &Poller) -> io::Result<()> {
         let Some(socket) = &self.socket else {
             return Ok(());
--- a/testbed/src/simulated_backends/reports.rs
+++ b/testbed/src/simulated_backends/reports.rs
@@ -10,6 +10,7 @@
 const MIN_LOAD_FACTOR: f64 = 0.7;
 /// The difference between the greatest and the smallest factor.
 const LOAD_FACTOR_RANGE: f64 = 0.6;
+/// The bounds within which a session's load stays after any number of changes.
 const MIN_SESSION_LOAD: f64 = 0.01;
 const MAX_SESSION_LOAD: f64 = 100.0;
 
--- a/testbed/src/simulated_backends/state.rs
+++ b/testbed/src/simulated_backends/state.rs
@@ -51,7 +51,7 @@
     /// Opens listeners for backends and agents, and serves them on a thread of their own.
     ///
     /// # Errors
-    /// If a listener, the poller or the thread can't be created.
+    /// Returns an error if a listener, the poller or the thread can't be created.
     pub fn open(
         plan: BackendPlan,
         clock: Stopwatch,
--- a/testbed/src/simulated_backends/timer.rs
+++ b/testbed/src/simulated_backends/timer.rs
@@ -29,7 +29,8 @@
     SetPaused(Incarnation, bool),
     /// A crashed backend restarts.
     Restart(Incarnation),
-    /// A draining backend migrates its next session; the duration remains for all migrations.
+    /// A draining backend migrates its next session; the duration is the time left for all
+    /// remaining migrations.
     MigrateNext(Incarnation, Duration),
     /// A draining backend stops.
     Stop(Incarnation),
--- a/testbed/src/simulated_network/network.rs
+++ b/testbed/src/simulated_network/network.rs
@@ -42,8 +42,8 @@
     seed_members: usize,
 }
 
-/// The number of datagrams that wait for a paused process, as in the buffer of a socket; further
-/// ones are lost.
+/// The maximum number of datagrams that wait for a paused process, as in the buffer of a socket;
+/// further ones are lost.
 const MAX_INBOX_DATAGRAMS: usize = 256;
 const PORT: u16 = 7_946;
 
@@ -270,7 +270,8 @@
         self.schedule_wake(number);
     }
 
-    /// Passes received messages to the leases of a process, and sends what it has to send.
+    /// Passes received messages to the leases of a process, and sends the lease messages and
+    /// datagrams that the process has to send.
     fn process_output(&mut self, number: usize) {
         self.handle_events(number);
         self.send_lease_messages(number);
--- a/testbed/tests/faulty_relays/cluster_invariants.rs
+++ b/testbed/tests/faulty_relays/cluster_invariants.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn concurrent_attempts_establish_a_session_at_two_backends() {
+fn session_established_by_concurrent_attempts_at_two_backends_is_a_violation() {
     let (_, events) = Scenario::new(RelayFault::ConcurrentAttempts).run();
     let violated = violated_invariants(&events, &ClusterLimits::default());
     assert!(violated.contains(&ClusterInvariant::OneBackendPerSession));
--- a/testbed/tests/faulty_relays/faulty_relay.rs
+++ b/testbed/tests/faulty_relays/faulty_relay.rs
@@ -23,14 +23,14 @@
     DelaysMessages,
     AltersMessages,
     KeepsOrphans,
-    SendsOwnRequest,
+    SendsMalformedRequest,
     ConcurrentAttempts,
     RetriesNonIdempotent,
     RejectsNonIdempotent,
     RetriesOutOfScope,
     RetriesTooLate,
     IgnoresDrains,
-    OverloadsNewest,
+    OverloadsLastBackend,
 }
 
 /// A relay with one fault, which polls its discovery agent until it is stopped.
@@ -133,7 +133,7 @@
                 .collect(),
         };
         match self.fault {
-            RelayFault::OverloadsNewest => candidates.last().copied(),
+            RelayFault::OverloadsLastBackend => candidates.last().copied(),
             _ => {
                 let number = self.next_backend.fetch_add(1, Ordering::Relaxed);
                 candidates.get(number % candidates.len().max(1)).copied()
@@ -231,7 +231,7 @@
         timeout: Duration,
     ) -> io::Result<(String, Option<Upstream>)> {
         let request = match self.fault {
-            RelayFault::SendsOwnRequest => "OPEN me please\r\n",
+            RelayFault::SendsMalformedRequest => "OPEN me please\r\n",
             _ => request,
         };
         stream.set_nodelay(true)?;
--- a/testbed/tests/faulty_relays/invariants.rs
+++ b/testbed/tests/faulty_relays/invariants.rs
@@ -190,7 +190,7 @@
             "received a message that it had not sent",
             RelayFault::AltersMessages,
         ),
-        violated("no client sent", RelayFault::SendsOwnRequest),
+        violated("no client sent", RelayFault::SendsMalformedRequest),
         RelayCase::violated(
             1,
             "its backend had closed it",
@@ -251,12 +251,12 @@
         RelayCase::violated(
             4,
             overloaded,
-            with_cold_restart(RelayFault::OverloadsNewest, 1, 20.0),
+            with_cold_restart(RelayFault::OverloadsLastBackend, 1, 20.0),
         ),
         RelayCase::violated(
             4,
             overloaded,
-            with_cold_restart(RelayFault::OverloadsNewest, 3, 20.0),
+            with_cold_restart(RelayFault::OverloadsLastBackend, 3, 20.0),
         ),
     ]
 }
--- a/testbed/tests/relay_observer.rs
+++ b/testbed/tests/relay_observer.rs
@@ -15,7 +15,7 @@
 const NOT_HELD: &str = "400 held by another";
 /// The number of lease requests that the second relay refuses before it answers by its script, so
 /// that the first relay has certainly been asked before.
-const REFUSALS_BEFORE_LATER_SCRIPT: usize = 12;
+const REFUSALS_BEFORE_SCRIPT: usize = 12;
 const MEMBERS_OF_0: &[&str] = &["relay-0", "relay-1"];
 const MEMBERS_OF_1: &[&str] = &["relay-1", "relay-0"];
 
@@ -39,9 +39,12 @@
         }
     }
 
-    const fn later(leases: &'static [&'static str], members: &'static [&'static str]) -> Script {
+    const fn after_refusals(
+        leases: &'static [&'static str],
+        members: &'static [&'static str],
+    ) -> Script {
         Script {
-            refusals: REFUSALS_BEFORE_LATER_SCRIPT,
+            refusals: REFUSALS_BEFORE_SCRIPT,
             leases,
             members,
         }
@@ -125,7 +128,7 @@
         "the second holds the lease while the last answer of the first is still valid",
         [
             Script::new(&["200 held 1 5000", NOT_HELD], MEMBERS_OF_0),
-            Script::later(&["200 held 2 900"], MEMBERS_OF_1),
+            Script::after_refusals(&["200 held 2 900"], MEMBERS_OF_1),
         ],
         Some(ClusterInvariant::SingleLeaseHolder),
     ),
@@ -133,7 +136,7 @@
         "the second later holds the lease with the same epoch",
         [
             Script::new(&["200 held 7 1", NOT_HELD], MEMBERS_OF_0),
-            Script::later(&["200 held 7 1"], MEMBERS_OF_1),
+            Script::after_refusals(&["200 held 7 1"], MEMBERS_OF_1),
         ],
         Some(ClusterInvariant::IncreasingEpochs),
     ),
@@ -141,7 +144,7 @@
         "the second later holds the lease with a lower epoch",
         [
             Script::new(&["200 held 7 1", NOT_HELD], MEMBERS_OF_0),
-            Script::later(&["200 held 6 1"], MEMBERS_OF_1),
+            Script::after_refusals(&["200 held 6 1"], MEMBERS_OF_1),
         ],
         Some(ClusterInvariant::IncreasingEpochs),
     ),
@@ -165,7 +168,7 @@
         "the second holds the lease after the first",
         [
             Script::new(&["200 held 1 1", NOT_HELD], MEMBERS_OF_0),
-            Script::later(&["200 held 2 1"], MEMBERS_OF_1),
+            Script::after_refusals(&["200 held 2 1"], MEMBERS_OF_1),
         ],
         None,
     ),
