--- a/cli/src/demo.rs
+++ b/cli/src/demo.rs
@@ -42,19 +42,19 @@
         &stop,
         &mut on_progress,
     );
-    let rules_kept = outcome
+    let passed = outcome
         .as_ref()
         .is_ok_and(|outcome| outcome.summary.passed());
-    if rules_kept {
-        // The files help only to examine a broken rule. Failing to remove them does no harm.
+    if passed {
+        // The files help only to examine a failed run. Failing to remove them does no harm.
         let _ = std::fs::remove_dir_all(&folder);
     }
     let summary = outcome.map_err(CommandError::failed)?.summary;
     println!("{}", summary.headline());
-    if !rules_kept {
+    if !passed {
         println!("{}", summary.report_text());
         return Err(CommandError::Failed(format!(
-            "a rule was broken; the results of the run are in {}",
+            "a rule was broken or a relay failed; the results of the run are in {}",
             folder.display()
         )));
     }
--- a/cli/src/experiment/mod.rs
+++ b/cli/src/experiment/mod.rs
@@ -24,7 +24,7 @@
     Count {
         /// Folder with the relays' logs (`.log`).
         folder: PathBuf,
-        /// Length of each interval that is counted, in seconds.
+        /// Length of the spans in which events are counted, in seconds.
         #[arg(long, default_value_t = 2.0)]
         span: f64,
     },
--- a/cli/src/experiment/run.rs
+++ b/cli/src/experiment/run.rs
@@ -77,10 +77,10 @@
         }
     }
     // `passed` leaves out the rules of a baseline, which isn't expected to keep them.
-    let broken_runs = summaries.iter().filter(|summary| !summary.passed()).count();
-    if broken_runs > 0 {
+    let failed_runs = summaries.iter().filter(|summary| !summary.passed()).count();
+    if failed_runs > 0 {
         return Err(CommandError::Failed(format!(
-            "{broken_runs} of {} runs broke a rule",
+            "{failed_runs} of {} runs broke a rule or had a relay failure",
             summaries.len()
         )));
     }
--- a/cli/src/experiment/saturate.rs
+++ b/cli/src/experiment/saturate.rs
@@ -17,19 +17,19 @@
         .map(|(rate, _)| *rate)
         .fold(0.0, f64::max);
     println!(
-        "the testbed is in time up to {best:.0} set-ups per second, without a relay in between"
+        "the testbed is fast enough up to {best:.0} set-ups per second, without a relay in between"
     );
     Ok(())
 }
 
 fn print_step(rate: f64, summary: &Summary) {
     let lateness = if summary.testbed_was_late {
-        "  too late"
+        "  TOO SLOW"
     } else {
         ""
     };
     println!(
-        "{rate:8.0} set-ups per second requested: {:8.0} done, connects late by {:8.2} ms (p99), busiest thread {:3.0}% busy{lateness}",
+        "{rate:8.0} set-ups per second requested: {:8.0} done, connect delay p99 {:8.2} ms, busiest thread {:3.0}% busy{lateness}",
         summary.accepted as f64 / STEP_SECONDS,
         summary.testbed_connect_delay.p99,
         summary.testbed_busy_share * 100.0,
--- a/cli/src/experiment/scale.rs
+++ b/cli/src/experiment/scale.rs
@@ -41,7 +41,7 @@
     /// Number of relays in a rack.
     #[arg(long, default_value_t = 20)]
     rack: usize,
-    /// Fault to inject after the calm fleet was measured.
+    /// Fault to inject after the calm fleet has been measured.
     #[arg(long, value_enum, default_value_t = FaultName::Relay)]
     fault: FaultName,
     /// Seconds for which the calm fleet is measured.
@@ -50,7 +50,7 @@
     /// Seconds for which a region stays cut off after both sides have agreed on their members.
     #[arg(long, default_value_t = 60)]
     cut: u64,
-    /// Share of datagrams that are lost; needs `--simulated`.
+    /// Share of datagrams that are lost, from 0 to 0.9; needs `--simulated`.
     #[arg(long, default_value_t = 0.0)]
     loss: f64,
     /// Seed of the run's random draws.
@@ -185,8 +185,12 @@
 }
 
 fn save(outcome: &Outcome, table: &str, folder: &Path) -> Result<(), CommandError> {
-    let failed =
-        |error: std::io::Error| CommandError::Failed(format!("{}: {error}", folder.display()));
+    let failed = |error: std::io::Error| {
+        CommandError::Failed(format!(
+            "results can't be written to {}: {error}",
+            folder.display()
+        ))
+    };
     std::fs::create_dir_all(folder).map_err(failed)?;
     std::fs::write(folder.join("scale.txt"), table).map_err(failed)?;
     std::fs::write(folder.join("scale.json"), outcome.json()).map_err(failed)
--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -49,9 +49,9 @@
 impl std::fmt::Display for PeersError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
-            PeersError::Unreachable(error) => error.fmt(f),
+            PeersError::Unreachable(error) => write!(f, "no answer from the admin port: {error}"),
             PeersError::Refused(reason) => f.write_str(reason),
-            PeersError::Malformed(error) => error.fmt(f),
+            PeersError::Malformed(error) => write!(f, "the answer is not valid JSON: {error}"),
         }
     }
 }
--- a/cli/tests/command/mistakes.rs
+++ b/cli/tests/command/mistakes.rs
@@ -167,7 +167,7 @@
                 "1",
             ],
             1,
-            "303 processes; 200 at most",
+            "303 processes, but at most 200 are allowed",
         ),
         (
             &["experiment", "slope", "--at", "10"],
--- a/experiments/src/compare/figures.rs
+++ b/experiments/src/compare/figures.rs
@@ -38,7 +38,9 @@
     less("failed or unanswered", |summary| {
         (summary.failed + summary.unanswered) as f64
     }),
-    less("connection lost", |summary| summary.connections_lost as f64),
+    less("connections lost", |summary| {
+        summary.connections_lost as f64
+    }),
     less("sessions migrated", |summary| summary.migrated as f64),
     less("clients that gave up", |summary| summary.gave_up as f64),
     less("set-up p50, ms", |summary| summary.setup_delays.p50),
--- a/experiments/src/count/log_line.rs
+++ b/experiments/src/count/log_line.rs
@@ -32,7 +32,8 @@
     ("withdraw", "cancel"),
 ];
 
-/// Former keys of event fields with their present keys, for the same reason.
+/// Former keys of event fields, which relays built before December 2026 write, with their present
+/// keys.
 const FORMER_KEYS: &[(&str, &str)] = &[
     ("box", "backend"),
     ("held", "connections"),
--- a/experiments/src/plan/action.rs
+++ b/experiments/src/plan/action.rs
@@ -18,7 +18,7 @@
     Reload(RelayIndex),
     /// Gives a relay the next of the scenario's operator configurations.
     SwapOperatorConfig(RelayIndex),
-    /// Starts a successor of a relay process, which shuts down meanwhile.
+    /// Starts a successor of a relay's process, and asks that process to shut down.
     HotRestart(RelayIndex),
     Ban(RelayIndex, BackendIndex),
     Unban(RelayIndex, BackendIndex),
--- a/experiments/src/report/series.rs
+++ b/experiments/src/report/series.rs
@@ -89,7 +89,7 @@
             AnswerKind::Rejected => ("rejected", ORANGE),
             AnswerKind::FailedOrNone => ("failed or unanswered", RED),
             AnswerKind::Migrated => ("migrated", BLUE),
-            AnswerKind::ConnectionLost => ("connection lost", PURPLE),
+            AnswerKind::ConnectionLost => ("connections lost", PURPLE),
         };
         Series {
             name: name.into(),
--- a/experiments/src/run/descriptors.rs
+++ b/experiments/src/run/descriptors.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns the maximum number of concurrent sessions if each set-up takes its handshake target.
-/// Unless the run is of little use anyway, few set-ups take much longer.
+/// In a run with usable results, few set-ups take much longer.
 fn max_sessions(plan: &Plan) -> u64 {
     let mut changes: Vec<(Instant, i64)> = Vec::new();
     for arrival in &plan.arrivals {
--- a/experiments/src/run/director.rs
+++ b/experiments/src/run/director.rs
@@ -23,9 +23,10 @@
 /// The interval between measurements of the relays' costs.
 const MEASURE_INTERVAL: Duration = Duration::from_millis(500);
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(1_000);
-/// A relay that shuts down is killed after the longest answer timeout of a client plus this time...
+/// The time that a relay has to shut down before it is killed, besides the longest answer timeout
+/// of a client.
 const STOP_GRACE: Duration = Duration::from_millis(1_000);
-/// ...but at most this part of the answer timeout is waited for.
+/// The most of a client's answer timeout that is added to a relay's time to shut down.
 const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
 /// The time that clients have to leave at the end, besides the longest answer timeout.
 const CLIENTS_LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(8);
--- a/experiments/src/run/relay_actions.rs
+++ b/experiments/src/run/relay_actions.rs
@@ -100,7 +100,10 @@
             return;
         };
         if let Err(error) = process.replace_operator_config(&text) {
-            let text = format!("an operator configuration can't be written: {error}");
+            let text = format!(
+                "operator configuration of relay {} can't be written: {error}",
+                relay.0
+            );
             self.record(Observation::Note { text });
         }
     }
--- a/experiments/src/scale/assignment.rs
+++ b/experiments/src/scale/assignment.rs
@@ -110,7 +110,8 @@
         }
         let assigned = self.assigned_subjects(&seen);
         for subject in assigned.difference(&self.claimed) {
-            // An error means too many claims, and that hardly any other relay is alive.
+            // An error means that this member has too many claims, because hardly any other relay is
+            // alive.
             let _ = leases.acquire(&subject_name(*subject), now + CLAIM_TIME, now);
         }
         for subject in self.claimed.difference(&assigned) {
--- a/experiments/src/scale/budget.rs
+++ b/experiments/src/scale/budget.rs
@@ -61,7 +61,7 @@
 }
 
 impl Budget {
-    /// Returns whether a text is meant as a budget, which is whether it has a `[budget]` table.
+    /// Returns whether a text is meant as a budget: whether it has a `[budget]` table.
     pub fn is_budget(text: &str) -> bool {
         text.lines().any(|line| line.trim() == "[budget]")
     }
--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -70,7 +70,7 @@
     pub calm_s: u64,
     /// Seconds that a region stays cut off once both sides have converged.
     pub cut_s: u64,
-    /// Probability that a datagram is lost, from 0 to 1. Over simulated links only.
+    /// Probability that a datagram is lost, from 0 to 0.9. Over simulated links only.
     pub loss: f64,
     /// Seed of the random number generators.
     pub seed: u64,
--- a/experiments/src/scale/error.rs
+++ b/experiments/src/scale/error.rs
@@ -58,7 +58,9 @@
 #[derive(Debug, Error)]
 pub enum MachineError {
     /// The fleet needs too many processes.
-    #[error("the fleet needs {needed} processes; {allowed} at most: raise --each-process")]
+    #[error(
+        "the fleet needs {needed} processes, but at most {allowed} are allowed: raise --each-process"
+    )]
     Processes {
         /// Number of processes that the fleet needs.
         needed: usize,
@@ -67,8 +69,8 @@
     },
     /// The machine has too little memory.
     #[error(
-        "{needed_mib} MiB are needed for {relays} hollow relays; half of this machine's memory \
-         is {half_mib} MiB"
+        "{needed_mib} MiB are needed for {relays} hollow relays, but at most half of this \
+         machine's memory, {half_mib} MiB, may be used"
     )]
     Memory {
         /// Memory that the fleet needs, in MiB.
--- a/experiments/src/scale/ownership_observer.rs
+++ b/experiments/src/scale/ownership_observer.rs
@@ -3,9 +3,9 @@
 use serde::{Deserialize, Serialize};
 use thistlecroft::time::Instant;
 
-/// A holding of a subject, from the first to the last observation of its owner with it. Every
-/// holding has an epoch of its own, so the lease was not lost between two observations with one
-/// epoch.
+/// A time span in which a member was observed to own a subject under one epoch of its lease. Each
+/// grant of a lease has an epoch of its own, so the member did not lose the lease between the first
+/// and the last observation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Holding {
     /// The subject.
--- a/experiments/src/scale/protocol.rs
+++ b/experiments/src/scale/protocol.rs
@@ -42,11 +42,13 @@
 pub(super) struct Status {
     /// Number of live members in this process.
     pub living: usize,
-    /// Least number of members that any of them sees as alive or suspected, itself included.
+    /// Least number of members that a live member of this process sees as alive or suspected, itself
+    /// included.
     pub sees_least: usize,
-    /// Most members that any of them sees as alive or suspected, itself included.
+    /// Greatest number of members that a live member of this process sees as alive or suspected,
+    /// itself included.
     pub sees_most: usize,
-    /// Number of subjects that they own.
+    /// Number of subjects that the live members of this process own.
     pub owned: usize,
     /// Longest delay of a timer so far, in microseconds.
     pub late_us: u64,
--- a/experiments/src/scale/real_relays.rs
+++ b/experiments/src/scale/real_relays.rs
@@ -90,7 +90,8 @@
         })
     }
 
-    /// Claims a lease at each relay, so that it renews its sessions as hollow relays do.
+    /// Claims a lease at each real relay, so that the relay renews its lease sessions as hollow
+    /// relays do.
     pub(super) fn keep_leases(&self) {
         for number in 0..self.count {
             self.cluster
--- a/experiments/src/scale/slope/mod.rs
+++ b/experiments/src/scale/slope/mod.rs
@@ -48,7 +48,7 @@
     fn label(self) -> &'static str {
         match self {
             Variable::Relays => "relays",
-            Variable::Subjects => "subjects a relay",
+            Variable::Subjects => "subjects per relay",
             Variable::Voters => "voters",
         }
     }
--- a/experiments/src/scale/worker/mod.rs
+++ b/experiments/src/scale/worker/mod.rs
@@ -26,7 +26,7 @@
     Instant::from_micros(time.tv_sec as u64 * 1_000_000 + time.tv_nsec as u64 / 1_000)
 }
 
-/// Runs hollow relays as commands on standard input say, until `Stop` or the end of the input.
+/// Runs hollow relays as commands on standard input direct, until `Stop` or the end of the input.
 ///
 /// # Errors
 /// Returns an error if a system call fails.
@@ -82,9 +82,11 @@
 struct Worker {
     poller: Arc<Poller>,
     config: Option<ScaleConfig>,
+    /// Members that have not started yet, with their sockets.
     bound: Vec<(usize, UdpSocket)>,
     relays: Vec<HollowRelay>,
     observer: OwnershipObserver,
+    /// Longest delay of a timer so far.
     max_delay: Duration,
     next_status: Instant,
     next_second: Instant,
--- a/experiments/src/scenario/error.rs
+++ b/experiments/src/scenario/error.rs
@@ -45,27 +45,27 @@
     }
 
     fn at(file: &str, text: &str, at: Range<usize>, reason: String) -> MalformedScenario {
-        let place = Place::of(text, at);
+        let position = KeyPosition::of(text, at);
         MalformedScenario {
             file: file.into(),
-            line: place.line,
-            key: place.key,
+            line: position.line,
+            key: position.key,
             reason,
         }
     }
 }
 
 /// A position in a TOML file.
-pub(crate) struct Place {
+pub(crate) struct KeyPosition {
     /// The line, counted from 1.
     pub(crate) line: usize,
     /// The key, prefixed with its table.
     pub(crate) key: String,
 }
 
-impl Place {
+impl KeyPosition {
     /// Returns the position of the byte range `at`.
-    pub(crate) fn of(text: &str, at: Range<usize>) -> Place {
+    pub(crate) fn of(text: &str, at: Range<usize>) -> KeyPosition {
         let start = at.start.min(text.len());
         let index = text[..start].matches('\n').count();
         let lines: Vec<&str> = text.lines().collect();
@@ -85,7 +85,7 @@
             (None, Some(key)) => key,
             (None, None) => "top level".into(),
         };
-        Place {
+        KeyPosition {
             line: index + 1,
             key,
         }
--- a/experiments/src/scenario/fleet_tables.rs
+++ b/experiments/src/scenario/fleet_tables.rs
@@ -31,11 +31,11 @@
     pub warm_up_initial_share: f64,
     /// The time after which a started backend has its whole capacity.
     pub warm_up: DurationText,
-    /// A backend that is warming up fails when it is asked for more than this multiple of its
-    /// share...
+    /// A backend that is warming up fails when the load of its attempts is more than this multiple of
+    /// what its share of the capacity can take within `warm_up_overload_window`.
     #[serde(rename = "cold_factor")]
     pub warm_up_overload_factor: f64,
-    /// ...within this window.
+    /// The length of the window over which the load of attempts is summed.
     #[serde(rename = "cold_window")]
     pub warm_up_overload_window: DurationText,
     /// The time in which a backend can accept as many connections as fill it. The default is the
@@ -173,10 +173,10 @@
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClusterLimitsTable {
-    /// The maximum number of established sessions of all relays together...
+    /// The maximum number of established sessions of all relays together.
     #[serde(rename = "at_once")]
     pub max_sessions: Option<usize>,
-    /// ...and the longest time for which there may be more.
+    /// The longest time for which there may be more than `max_sessions`.
     #[serde(rename = "over_for")]
     pub max_excess_time: Option<DurationText>,
     /// The maximum number of attempts of all relays within any second.
--- a/experiments/src/summary/mod.rs
+++ b/experiments/src/summary/mod.rs
@@ -132,7 +132,8 @@
     /// The number of clients that gave up.
     #[serde(rename = "lost")]
     pub gave_up: u64,
-    /// The number of connections that could not be established.
+    /// The number of clients' connections that were not accepted, or were reset before the client
+    /// had written its first line.
     #[serde(rename = "never_taken")]
     pub failed_connects: usize,
     /// The number of lines that came back changed or out of order.
@@ -163,7 +164,7 @@
     /// The maximum number of attempts of one session.
     #[serde(rename = "most_dials")]
     pub max_attempts: usize,
-    /// The maximum number of established sessions.
+    /// The maximum number of sessions that were established at one time.
     #[serde(rename = "most_standing")]
     pub max_established: usize,
     /// The standard deviation of the backends' loads divided by their mean, averaged over the run.
--- a/experiments/src/summary/text.rs
+++ b/experiments/src/summary/text.rs
@@ -97,7 +97,7 @@
             ""
         };
         format!(
-            "  testbed     connect delay p99 {:.1} ms, busy {:.0}% of its time{lateness}",
+            "  testbed     connect delay p99 {:.1} ms, busiest thread {:.0}% busy{lateness}",
             self.testbed_connect_delay.p99,
             self.testbed_busy_share * 100.0,
         )
