--- a/relay/tests/helper/relay.rs
+++ b/relay/tests/helper/relay.rs
@@ -161,21 +161,58 @@
         client
     }
 
-    /// Suspends the process, and waits until it is suspended.
+    /// Suspends the process, and waits until it is suspended. It may be stopped at any point of its
+    /// event loop, also between a check and the act that depends on it.
     pub(crate) fn suspend(&self) {
         self.signal("STOP");
-        let path = format!("/proc/{}/stat", self.child.id());
         wait_for("the suspension of the relay", || {
-            let text = std::fs::read_to_string(&path).unwrap();
-            text.rsplit(')')
-                .next()
-                .unwrap()
-                .trim_start()
-                .starts_with('T')
-                .then_some(())
+            (self.process_state() == 'T').then_some(())
+        });
+    }
+
+    /// Suspends the process while it polls for events, so that it has completed a turn of its event
+    /// loop and each check that it makes after `SIGCONT` sees what happened in between. The process
+    /// may run for a moment before it is suspended.
+    pub(crate) fn suspend_while_polling(&self) {
+        wait_for("a suspension of the relay while it polls", || {
+            let polling_call = self.polling_call()?;
+            self.suspend();
+            if self.system_call().as_ref() == Some(&polling_call) {
+                return Some(());
+            }
+            self.signal("CONT");
+            None
         });
     }
 
+    /// Returns the number of the system call in which the relay polls: its only thread sleeps
+    /// nowhere else. Returns none if the relay did not sleep.
+    fn polling_call(&self) -> Option<String> {
+        let is_sleeping = || self.process_state() == 'S';
+        is_sleeping()
+            .then(|| self.system_call())
+            .flatten()
+            .filter(|_| is_sleeping())
+    }
+
+    /// Returns the number of the system call in which the process is blocked or stopped; none if it
+    /// is running or is not in a system call.
+    fn system_call(&self) -> Option<String> {
+        let path = format!("/proc/{}/syscall", self.child.id());
+        let text = std::fs::read_to_string(path).unwrap();
+        let number = text.split_whitespace().next().unwrap();
+        number.parse::<u32>().is_ok().then(|| number.into())
+    }
+
+    /// Returns the letter for the state of the process in `/proc/PID/stat`.
+    fn process_state(&self) -> char {
+        let path = format!("/proc/{}/stat", self.child.id());
+        let text = std::fs::read_to_string(path).unwrap();
+        // The name of the program, in parentheses, may contain any character.
+        let fields = text.rsplit(')').next().unwrap();
+        fields.trim_start().chars().next().unwrap()
+    }
+
     /// Waits until a counter has at least this value.
     pub(crate) fn wait_for_counter(&self, name: &str, minimum: u32) {
         wait_for(name, || {
--- a/relay/tests/session/placement.rs
+++ b/relay/tests/session/placement.rs
@@ -265,7 +265,9 @@
         clients.push(client);
     }
     relay.wait_for_counter("dials_full", CLIENTS);
-    relay.suspend();
+    // Each client now waits in backoff, or its next attempt is connected: no attempt is between the
+    // check of its client and its `connect`.
+    relay.suspend_while_polling();
     for (index, client) in clients.into_iter().enumerate() {
         if index % 2 == 0 {
             reset_on_close(client.lines.get_ref());
