--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -2,7 +2,7 @@
 use self::DiscoveryFailure::*;
 use crate::helper::*;
 use std::io::Write;
-use std::net::{TcpListener, TcpStream};
+use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Starts a relay and an agent with an open watch at generation 7. Nothing listens at the address
@@ -334,7 +334,7 @@
 }
 
 fn assert_watched_in_time_after(failure: DiscoveryFailure) {
-    let mut agent = DiscoveryAgent::new();
+    let mut agent = DiscoveryAgent::at(unused_address());
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_settings(agent.address, "null", &[]);
@@ -354,10 +354,7 @@
     let mut unanswered_requests = Vec::new();
     if let Some(at) = refused_at {
         relay.wait_for_counter("list_failures", 8);
-        agent = DiscoveryAgent {
-            listener: TcpListener::bind(at).unwrap(),
-            address: at,
-        };
+        agent = DiscoveryAgent::at(at);
     } else {
         // The first request follows an answered watch immediately; from the fourth request on,
         // delays have their maximum.
--- a/relay/tests/helper/discovery.rs
+++ b/relay/tests/helper/discovery.rs
@@ -85,7 +85,14 @@
 
 impl DiscoveryAgent {
     pub(crate) fn new() -> DiscoveryAgent {
-        let listener = TcpListener::bind("127.0.0.1:0").unwrap();
+        DiscoveryAgent::at("127.0.0.1:0".parse().unwrap())
+    }
+
+    /// Starts an agent at this address. An address that is bound again after its agent has ended
+    /// must be an [`unused_address`]: a port of the kernel's choice may be given to another process
+    /// in between.
+    pub(crate) fn at(address: SocketAddr) -> DiscoveryAgent {
+        let listener = TcpListener::bind(address).unwrap();
         DiscoveryAgent {
             address: listener.local_addr().unwrap(),
             listener,
--- a/relay/tests/session/descriptors.rs
+++ b/relay/tests/session/descriptors.rs
@@ -1,6 +1,5 @@
 //! Tests of sessions when file descriptors run out.
 use crate::helper::*;
-use std::net::TcpListener;
 use std::time::{Duration, Instant};
 
 #[test]
@@ -120,7 +119,7 @@
 fn idle_clients_at_descriptor_limit_block_neither_clients_nor_discovery() {
     let (known, known_received) = start_backend(BackendBehavior::Echo);
     let (listed, listed_received) = start_backend(BackendBehavior::Echo);
-    let (relay_address, agent_address) = (unused_address(), DiscoveryAgent::new().address);
+    let (relay_address, agent_address) = (unused_address(), unused_address());
     let relay = start_relay_with_config(
         relay_address,
         config(
@@ -149,10 +148,7 @@
     assert!(next_received(&known_received).starts_with("OPEN"));
     relay.reload_with("\"cores\":1.0", "\"cores\":1.5");
     relay.wait_for_log("limits");
-    let agent = DiscoveryAgent {
-        listener: TcpListener::bind(agent_address).unwrap(),
-        address: agent_address,
-    };
+    let agent = DiscoveryAgent::at(agent_address);
     let (watch, _) = agent.accept_request();
     send(
         &watch,
