--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -28,8 +28,11 @@
 
 #[test]
 fn lost_watch_is_opened_again_from_the_last_generation() {
-    let (one, one_received) = start_backend(BackendBehavior::Echo);
-    let (two, two_received) = start_backend(BackendBehavior::Echo);
+    // All sessions below are opened within a second, so the relay estimates the load from one
+    // health check and the sessions placed since. With a load of 0.25 from 3 sessions, the second
+    // backend would have no room for the eighth.
+    let (one, one_received) = start_backend(BackendBehavior::EchoWithLowLoad);
+    let (two, two_received) = start_backend(BackendBehavior::EchoWithLowLoad);
     let whole = endpoint_list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
     let drains = endpoint_list(8, false, &[("one", one, "Terminating")]);
     // The pieces split the head, chunk sizes and endpoints.
--- a/relay/tests/helper/backend.rs
+++ b/relay/tests/helper/backend.rs
@@ -12,6 +12,9 @@
 pub(crate) enum BackendBehavior {
     /// Accepts, then sends each line back and answers the client's end with `BYE`.
     Echo,
+    /// Echoes; answers health checks with a load so low that dozens of sessions have room whatever
+    /// the order in which its reports arrive.
+    EchoWithLowLoad,
     /// Accepts with an answer that is sent in pieces, then echoes.
     AcceptInPieces,
     /// Answers with this text and closes the connection.
@@ -65,6 +68,7 @@
         let _ = sender.send(std::mem::take(&mut line));
         let load = match behavior {
             BackendBehavior::ReportsHighLatency => "0.7",
+            BackendBehavior::EchoWithLowLoad => "0.02",
             _ => "0.25",
         };
         out.write_all(format!("PONG inflight=3,x0={load}\r\n").as_bytes())?;
