--- a/relay/tests/discovery/watch.rs
+++ b/relay/tests/discovery/watch.rs
@@ -2,7 +2,7 @@
 use self::DiscoveryFailure::*;
 use crate::helper::*;
 use std::io::Write;
-use std::net::{TcpListener, TcpStream};
+use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
 /// Starts a relay and an agent with an open watch at generation 7. Nothing listens at the address
@@ -28,8 +28,11 @@
 
 #[test]
 fn lost_watch_is_opened_again_from_the_last_generation() {
-    let (one, one_received) = start_backend(BackendBehavior::Echo);
-    let (two, two_received) = start_backend(BackendBehavior::Echo);
+    // All sessions below are opened within a second, so the relay estimates the load from one
+    // health check and the sessions placed since. With a load of 0.25 from 3 sessions, the second
+    // backend would have no room for the eighth.
+    let (one, one_received) = start_backend(BackendBehavior::EchoWithLowLoad);
+    let (two, two_received) = start_backend(BackendBehavior::EchoWithLowLoad);
     let whole = endpoint_list(7, true, &[("one", one, "Ready"), ("two", two, "Ready")]);
     let drains = endpoint_list(8, false, &[("one", one, "Terminating")]);
     // The pieces split the head, chunk sizes and endpoints.
@@ -334,7 +337,7 @@
 }
 
 fn assert_watched_in_time_after(failure: DiscoveryFailure) {
-    let mut agent = DiscoveryAgent::new();
+    let mut agent = DiscoveryAgent::at(unused_address());
     let (one, one_received) = start_backend(BackendBehavior::Echo);
     let (two, two_received) = start_backend(BackendBehavior::Echo);
     let relay = start_relay_with_settings(agent.address, "null", &[]);
@@ -354,10 +357,7 @@
     let mut unanswered_requests = Vec::new();
     if let Some(at) = refused_at {
         relay.wait_for_counter("list_failures", 8);
-        agent = DiscoveryAgent {
-            listener: TcpListener::bind(at).unwrap(),
-            address: at,
-        };
+        agent = DiscoveryAgent::at(at);
     } else {
         // The first request follows an answered watch immediately; from the fourth request on,
         // delays have their maximum.
