--- a/cli/tests/command/logging.rs
+++ b/cli/tests/command/logging.rs
@@ -1,5 +1,6 @@
 //! Tests of the log of `thistlecroft serve`.
 use crate::helper::{relay_configuration, start, test_folder};
+use crate::unused_address::unused_address;
 
 #[test]
 fn json_log_has_one_object_per_line_except_for_the_final_error() {
@@ -23,10 +24,7 @@
         lines.last().unwrap().starts_with("thistlecroft: "),
         "{lines:?}"
     );
-    // Uses another address: a process that another test is just starting may still hold the first
-    // one for a moment.
-    let free_address = thistlecroft_testbed::relay_process::free_address(901).unwrap();
-    std::fs::write(&config, relay_configuration(&free_address.to_string())).unwrap();
+    std::fs::write(&config, relay_configuration(&unused_address().to_string())).unwrap();
     let (mut child, mut lines) = start(&[
         "serve",
         "--log-format",
--- a/cli/tests/command/operator_config.rs
+++ b/cli/tests/command/operator_config.rs
@@ -1,6 +1,7 @@
 //! Tests of the operator configuration: checking it, printing its effective values, comparing two
 //! versions, and reloading it in a running relay.
 use crate::helper::{decode, relay_configuration, run, start, test_folder};
+use crate::unused_address::unused_address;
 use rustix::process::{Pid, Signal, kill_process};
 use std::path::PathBuf;
 
@@ -11,12 +12,12 @@
 }
 
 impl Files {
-    /// Creates the folder; the relay listens at the loopback address with the given number.
-    fn new(name: &str, address_number: usize) -> Files {
+    /// Creates the folder and the relay's configuration.
+    fn new(name: &str) -> Files {
         let folder = test_folder(name);
         let config = folder.join("config.json");
-        let listen = thistlecroft_testbed::relay_process::free_address(address_number).unwrap();
-        std::fs::write(&config, relay_configuration(&listen.to_string())).unwrap();
+        let listen = unused_address().to_string();
+        std::fs::write(&config, relay_configuration(&listen)).unwrap();
         Files {
             config: config.to_string_lossy().into_owned(),
             folder,
@@ -74,7 +75,7 @@
 
 #[test]
 fn valid_config_with_effective_flag_prints_its_values_and_origins() {
-    let files = Files::new("operator-config-shown", 900);
+    let files = Files::new("operator-config-shown");
     let CheckOutput { code, stdout, .. } =
         check(&[&files.old(), "--config", &files.config, "--effective"]);
     assert_eq!(code, Some(0));
@@ -93,7 +94,7 @@
 
 #[test]
 fn two_versions_with_against_flag_print_the_changed_values() {
-    let files = Files::new("operator-config-compared", 902);
+    let files = Files::new("operator-config-compared");
     let (old, new) = (files.old(), files.new_version());
     let CheckOutput { code, stdout, .. } =
         check(&["--against", &old, &new, "--config", &files.config]);
@@ -110,7 +111,7 @@
 
 #[test]
 fn invalid_config_prints_one_line_per_error_and_no_relay_starts() {
-    let files = Files::new("operator-config-errors", 903);
+    let files = Files::new("operator-config-errors");
     let invalid = files.write(
         "bad.toml",
         &route("dials = 0\nbse = \"1s\"\ndial_timeout = \"9s\""),
@@ -140,7 +141,7 @@
 /// invalid changes nothing.
 #[test]
 fn running_relay_on_sighup_applies_only_valid_files() {
-    let files = Files::new("operator-config-reload", 904);
+    let files = Files::new("operator-config-reload");
     let (old, new, unsuitable) = (files.old(), files.new_version(), files.unsuitable());
     let (mut child, mut lines) = start(&["serve", "--config", &files.config, "--charter", &old]);
     let pid = Pid::from_raw(child.id() as i32).unwrap();
--- a/cli/tests/command/peers.rs
+++ b/cli/tests/command/peers.rs
@@ -1,7 +1,8 @@
 //! Tests of `thistlecroft peers`, and of `thistlecroft check` for relays with peers.
 use crate::helper::{TIMEOUT, decode, relay_configuration, run, start, test_folder};
+use crate::unused_address::unused_address;
 use rustix::process::{Pid, Signal, kill_process};
-use std::net::{SocketAddr, TcpListener, UdpSocket};
+use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Instant;
 
@@ -36,10 +37,7 @@
 impl LoneRelay {
     fn new(name: &str) -> LoneRelay {
         let folder = test_folder(name);
-        let [listen, admin] = ["127.0.0.9:0", "127.0.0.10:0"]
-            .map(|address| TcpListener::bind(address).unwrap().local_addr().unwrap());
-        let peers = UdpSocket::bind("127.0.0.9:0").unwrap();
-        let peers = peers.local_addr().unwrap();
+        let [listen, admin, peers] = [(); 3].map(|()| unused_address());
         let config = relay_configuration(&listen.to_string());
         let mut config: serde_json::Value = serde_json::from_str(&config).unwrap();
         config["admin_addr"] = admin.to_string().into();
--- a/cli/tests/golden.rs
+++ b/cli/tests/golden.rs
@@ -2,6 +2,7 @@
 //! command, its environment variables, exit codes and output, and the files that it writes.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
+mod unused_address;
 
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,8 +10,9 @@
 use std::io::{BufRead, BufReader, Write as _};
 use std::net::{TcpListener, TcpStream};
 use std::path::{Path, PathBuf};
-use std::process::{Command, Output, Stdio};
-use std::time::Duration;
+use std::process::{Child, Command, Output, Stdio};
+use std::time::{Duration, Instant};
+use unused_address::unused_address;
 
 const INPUTS: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/input");
 const REPOSITORY: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/..");
@@ -341,8 +343,16 @@
     assert_unchanged("scenario_names.txt", &(names.join("\n") + "\n"));
 }
 
+/// Waits until the process exits, at most for [`TIMEOUT`].
+fn wait_for_exit(process: &mut Child) {
+    let deadline = Instant::now() + TIMEOUT;
+    while process.try_wait().unwrap().is_none() && Instant::now() < deadline {
+        std::thread::sleep(Duration::from_millis(5));
+    }
+}
+
 /// Starts a relay, returns the first line that it logs, and kills it. The wait for the line is
-/// limited by [`TIMEOUT`].
+/// limited by [`TIMEOUT`]. Panics with the relay's exit status if its log ends before any line.
 fn first_logged_line(mut relay: Command) -> String {
     let mut relay = relay.stderr(Stdio::piped()).spawn().unwrap();
     let mut log = BufReader::new(relay.stderr.take().unwrap());
@@ -354,9 +364,17 @@
         let _ = sender.send(read);
     });
     let line = receiver.recv_timeout(TIMEOUT);
+    let has_log_ended = matches!(&line, Ok(Ok(line)) if line.is_empty());
+    if has_log_ended {
+        wait_for_exit(&mut relay);
+    }
     relay.kill().unwrap();
-    relay.wait().unwrap();
+    let status = relay.wait().unwrap();
     reader.join().unwrap();
+    assert!(
+        !has_log_ended,
+        "the log ended before its first line: {status}"
+    );
     line.expect("a log line before the timeout").unwrap()
 }
 
@@ -364,9 +382,7 @@
 fn serving_relay_with_json_log_writes_the_recorded_keys() {
     let folder = test_folder("log");
     let config = std::fs::read_to_string(Path::new(INPUTS).join("config.json")).unwrap();
-    let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let address = listener.local_addr().unwrap().to_string();
-    drop(listener);
+    let address = unused_address().to_string();
     let path = folder.join("config.json");
     std::fs::write(&path, config.replace("127.0.0.1:9000", &address)).unwrap();
     let path = path.to_string_lossy().into_owned();
