--- a/cli/src/experiment/scale.rs
+++ b/cli/src/experiment/scale.rs
@@ -26,10 +26,10 @@
     /// Term of a lease in milliseconds.
     #[arg(long, default_value_t = 10_000)]
     term: u64,
-    /// Most bytes per second that a relay sends.
+    /// Maximum number of bytes per second that a relay sends.
     #[arg(long, default_value_t = 9_000)]
     rate: u32,
-    /// Most bytes per second that a voter sends.
+    /// Maximum number of bytes per second that a voter sends.
     #[arg(long, default_value_t = 262_144)]
     voter_rate: u32,
     /// Number of zones.
@@ -41,13 +41,14 @@
     /// Number of relays in a rack.
     #[arg(long, default_value_t = 20)]
     rack: usize,
-    /// Fault to inject after the calm fleet has been measured.
+    /// Fault to inject after the fleet has been measured without one.
     #[arg(long, value_enum, default_value_t = FaultName::Relay)]
     fault: FaultName,
-    /// Seconds for which the calm fleet is measured.
+    /// Seconds for which the fleet is measured before the fault.
     #[arg(long, default_value_t = 20)]
     calm: u64,
-    /// Seconds for which a region stays cut off after both sides have agreed on their members.
+    /// Seconds for which the first region stays cut off after both sides have agreed on their
+    /// members.
     #[arg(long, default_value_t = 60)]
     cut: u64,
     /// Share of datagrams that are lost, from 0 to 0.9; needs `--simulated`.
--- a/cli/src/peers.rs
+++ b/cli/src/peers.rs
@@ -150,6 +150,7 @@
         let observers_by_state = reported_states.entry(id).or_default();
         observers_by_state.entry(state).or_default().insert(relay);
     };
+    // Each relay counts as seeing itself alive, for which the state in the answers is "here".
     record(relay, "here");
     for peer in peer_entries(answer) {
         record(field(peer, "id"), field(peer, "standing"));
