--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -127,7 +127,7 @@
 /// Measures the time from a relay's death until the first and until all others declare it dead.
 fn measure_death(network: &mut SimulatedNetwork, trial: Trial, measured: &mut Measurements) {
     let victim = trial.size - 1;
-    let dead = network.hosts[victim].node.me().clone();
+    let dead = network.hosts[victim].node.identity().clone();
     network.kill(victim);
     let has_noticed = |host: &Host| host.node.state_of(&dead) == Some(MemberState::Dead);
     let timeout = trial.period * MAX_WAIT_PERIODS;
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -65,7 +65,7 @@
 
     /// Returns whether `from` is another process with this process's name.
     pub(super) fn is_duplicate(&self, from: &Identity) -> bool {
-        from.name == self.me.name && from.run != self.me.run
+        from.name == self.identity.name && from.run != self.identity.run
     }
 
     pub(super) fn receive_remembered(
@@ -76,7 +76,7 @@
         now: Instant,
     ) {
         self.voter.note_remembered(from, established, epoch);
-        self.voter.try_establish(&self.me, &self.config, now);
+        self.voter.try_establish(&self.identity, &self.config, now);
     }
 
     /// Handles a request as a voter, whether from another process or from this one.
@@ -105,7 +105,7 @@
             _ => None,
         };
         let Some(answer) = answer else { return };
-        if *from == self.me {
+        if *from == self.identity {
             self.own_answers.push_back(answer);
         } else {
             self.send(Recipients::Process(from.clone()), &answer);
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -99,7 +99,7 @@
     /// Updates since when a majority of each set is known to use this generation.
     pub(super) fn refresh_settled(&mut self, now: Instant) {
         let (known, current) = (&self.voter.generations, self.config.electorate.generation);
-        let is_own = |name: &str| *name == *self.me.name;
+        let is_own = |name: &str| *name == *self.identity.name;
         let settled = self
             .config
             .electorate
--- a/leases/src/manager/mod.rs
+++ b/leases/src/manager/mod.rs
@@ -59,7 +59,7 @@
 /// other processes and answers to queries come out.
 #[derive(Clone, Debug)]
 pub struct Leases {
-    me: Identity,
+    identity: Identity,
     config: LeaseConfig,
     quorums: Quorums,
     voter: Voter,
@@ -92,9 +92,9 @@
 const NEVER: Instant = Instant::from_micros(u64::MAX);
 
 impl Leases {
-    /// Creates the leases of a process that has just started.
-    pub fn new(me: Identity, config: LeaseConfig, now: Instant) -> Leases {
-        let (voter, rng) = (Voter::new(me.run, now), Rng::from_seed(me.run));
+    /// Creates the leases of a process that has just started, and that others know by `identity`.
+    pub fn new(identity: Identity, config: LeaseConfig, now: Instant) -> Leases {
+        let (voter, rng) = (Voter::new(identity.run, now), Rng::from_seed(identity.run));
         let links = config
             .electorate
             .all_voters()
@@ -103,7 +103,7 @@
         let mut leases = Leases {
             quorums: config.electorate.quorums(),
             update_budget: f64::from(config.update_rate) * BURST_SECONDS,
-            me,
+            identity,
             config,
             voter,
             links,
@@ -165,7 +165,7 @@
             self.send_legacy(Recipients::Voter(voter), &legacy);
         }
         self.send(Recipients::Share { index, count }, &message);
-        self.voter.try_establish(&self.me, &self.config, now);
+        self.voter.try_establish(&self.identity, &self.config, now);
     }
 
     /// Advances claims and sends requests until nothing more can be done at `now`.
@@ -179,8 +179,8 @@
             let Some(answer) = self.own_answers.pop_front() else {
                 break;
             };
-            let me = self.me.clone();
-            self.receive_answer(&me, answer, now);
+            let identity = self.identity.clone();
+            self.receive_answer(&identity, answer, now);
         }
     }
 }
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -73,7 +73,7 @@
         self.config
             .electorate
             .all_voters()
-            .any(|name| *name == self.me.name)
+            .any(|name| *name == self.identity.name)
     }
 
     /// Returns the counters and sizes for reports.
--- a/leases/src/manager/requests.rs
+++ b/leases/src/manager/requests.rs
@@ -59,7 +59,7 @@
             return;
         }
         self.refill_budget(now);
-        let is_own = self.links[voter].voter == self.me.name;
+        let is_own = self.links[voter].voter == self.identity.name;
         let is_renewal = self.links[voter].next_renewal <= now;
         if is_renewal {
             let rejected = std::mem::take(&mut self.links[voter].rejected);
@@ -81,7 +81,7 @@
         let message = self.start_request(voter, changes, now);
         self.send(Recipients::Voter(self.links[voter].voter.clone()), &message);
         if is_own {
-            self.receive_as_voter(&self.me.clone(), message, now);
+            self.receive_as_voter(&self.identity.clone(), message, now);
         }
     }
 
--- a/leases/src/voter/recall.rs
+++ b/leases/src/voter/recall.rs
@@ -67,12 +67,17 @@
     /// Marks the voter as established once its silence is over and it is certain to know the
     /// highest epoch. That is so when all other voters have answered, or when so many established
     /// voters have answered that every majority includes one of them.
-    pub(crate) fn try_establish(&mut self, me: &Identity, config: &LeaseConfig, now: Instant) {
+    pub(crate) fn try_establish(
+        &mut self,
+        identity: &Identity,
+        config: &LeaseConfig,
+        now: Instant,
+    ) {
         if self.established || self.is_silent(config, now) {
             return;
         }
         let is_certain = |set: &[CompactString]| {
-            let others = set.iter().filter(|name| **name != me.name);
+            let others = set.iter().filter(|name| **name != identity.name);
             let count_in = |answered: &BTreeSet<CompactString>| {
                 others
                     .clone()
--- a/peers/src/node/commands.rs
+++ b/peers/src/node/commands.rs
@@ -21,12 +21,12 @@
         now: Instant,
     ) -> bool {
         let state = &mut self.shared_state;
-        let is_accepted = state.announce(&self.me, kind, subject, value, now);
+        let is_accepted = state.announce(&self.identity, kind, subject, value, now);
         if is_accepted {
             self.gossip.add(Update::Entry(EntryKey {
                 kind,
                 subject: subject.to_vec(),
-                owner: self.me.clone(),
+                owner: self.identity.clone(),
             }));
         }
         is_accepted
@@ -35,7 +35,7 @@
     /// Withdraws an entry. This process forgets the entry at once. Other processes forget it when
     /// it expires, since it is no longer refreshed.
     pub fn withdraw(&mut self, kind: EntryKind, subject: &[u8]) {
-        self.shared_state.withdraw(&self.me, kind, subject);
+        self.shared_state.withdraw(&self.identity, kind, subject);
     }
 
     /// Sends a message of a protocol above membership to one process. Returns false if the process
@@ -65,7 +65,7 @@
         self.address = address;
         self.seeds.retain(|seed| *seed != address);
         self.incarnation += 1;
-        self.gossip.add(Update::Member(self.me.clone()));
+        self.gossip.add(Update::Member(self.identity.clone()));
         self.next_gossip = now;
     }
 
--- a/peers/src/node/mod.rs
+++ b/peers/src/node/mod.rs
@@ -79,7 +79,7 @@
 /// One process among its peers.
 #[derive(Clone, Debug)]
 pub struct Node {
-    me: Identity,
+    identity: Identity,
     address: SocketAddr,
     seeds: Vec<SocketAddr>,
     codec: DatagramCodec,
@@ -124,7 +124,7 @@
     /// joins the fleet through the relays at `seeds`, among which its own address is ignored.
     /// `seed` seeds the random numbers.
     pub fn new(
-        me: Identity,
+        identity: Identity,
         address: SocketAddr,
         seeds: Vec<SocketAddr>,
         config: &NodeConfig,
@@ -135,7 +135,7 @@
         // A random delay, so that relays that start together do not probe at the same moments.
         let first_round = now + config.timing.probe_interval * rng.unit_f64();
         Node {
-            me,
+            identity,
             address,
             seeds: seeds.into_iter().filter(|seed| *seed != address).collect(),
             codec: DatagramCodec::new(&config.secret, &config.fleet),
--- a/peers/src/node/probing.rs
+++ b/peers/src/node/probing.rs
@@ -211,7 +211,7 @@
             address: member.address,
             incarnation: member.incarnation,
             state: MemberState::Suspect,
-            accuser: Some(self.me.clone()),
+            accuser: Some(self.identity.clone()),
         };
         self.merge(&record, now);
     }
--- a/peers/src/node/queries.rs
+++ b/peers/src/node/queries.rs
@@ -8,8 +8,8 @@
 
 impl Node {
     /// Returns the identity of this process.
-    pub fn me(&self) -> &Identity {
-        &self.me
+    pub fn identity(&self) -> &Identity {
+        &self.identity
     }
 
     /// Returns the state that relays share by gossip.
@@ -55,7 +55,7 @@
         };
         let is_missing = |(id, member): &(&Identity, &Member)| {
             matches!(member.state, MemberState::Suspect | MemberState::Dead)
-                && id.name != self.me.name
+                && id.name != self.identity.name
                 && !has_live_run(&id.name)
         };
         self.members.members().filter(is_missing).count()
--- a/peers/src/node/receiving.rs
+++ b/peers/src/node/receiving.rs
@@ -19,7 +19,7 @@
             Ok(datagram) => datagram,
             Err(rejection) => return self.count_rejection(rejection, source),
         };
-        if datagram.from == self.me {
+        if datagram.from == self.identity {
             return;
         }
         let is_new = self
@@ -89,7 +89,7 @@
 
     fn handle_body(&mut self, body: Body, from: &Identity, address: SocketAddr, now: Instant) {
         match body {
-            Body::Ping { probe, to } if to == self.me => {
+            Body::Ping { probe, to } if to == self.identity => {
                 self.send(
                     address,
                     Some(from),
@@ -149,7 +149,7 @@
 
     /// Merges an opinion about a member, and spreads it if it is new.
     pub(super) fn merge(&mut self, record: &MemberRecord, now: Instant) {
-        if record.id == self.me {
+        if record.id == self.identity {
             return self.refute(record, now);
         }
         match self.members.merge(record, &self.timing, now) {
@@ -178,14 +178,14 @@
         self.events.push(Event::Refuted {
             incarnation: self.incarnation,
         });
-        self.gossip.add(Update::Member(self.me.clone()));
+        self.gossip.add(Update::Member(self.identity.clone()));
         self.next_gossip = now;
     }
 
     fn merge_entry(&mut self, entry: &Entry, now: Instant) {
         // This process is the authority on its own entries: others must not restore a withdrawn
         // one.
-        if entry.owner == self.me || !self.shared_state.merge(entry, now) {
+        if entry.owner == self.identity || !self.shared_state.merge(entry, now) {
             return;
         }
         let key = entry.key();
--- a/peers/src/node/sending.rs
+++ b/peers/src/node/sending.rs
@@ -79,7 +79,7 @@
     ) -> Datagram {
         self.serial += 1;
         Datagram {
-            from: self.me.clone(),
+            from: self.identity.clone(),
             address: self.address,
             incarnation: self.incarnation,
             serial: self.serial,
@@ -135,7 +135,9 @@
 
     fn content_of(&self, update: &Update, now: Instant) -> Option<UpdateContent> {
         match update {
-            Update::Member(id) if *id == self.me => Some(UpdateContent::Member(self.own_record())),
+            Update::Member(id) if *id == self.identity => {
+                Some(UpdateContent::Member(self.own_record()))
+            }
             Update::Member(id) => self.members.record(id).map(UpdateContent::Member),
             Update::Entry(key) => {
                 let entry = self.shared_state.entry(key, now);
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -117,7 +117,7 @@
             self.gossip.remove(&Update::Entry(key.clone()));
             self.report_entry_changed(key);
         }
-        for key in self.shared_state.entries_to_refresh(&self.me, now) {
+        for key in self.shared_state.entries_to_refresh(&self.identity, now) {
             self.shared_state.refresh(&key, now);
             self.gossip.add(Update::Entry(key));
         }
@@ -138,7 +138,7 @@
 
     /// Returns a digest of everything that two members have to agree on.
     pub(super) fn digest(&self) -> u64 {
-        let own = (&self.me, self.incarnation, MemberState::Alive);
+        let own = (&self.identity, self.incarnation, MemberState::Alive);
         let others = self
             .members
             .live()
@@ -154,7 +154,7 @@
     /// Returns the record of this process itself.
     pub(super) fn own_record(&self) -> MemberRecord {
         MemberRecord {
-            id: self.me.clone(),
+            id: self.identity.clone(),
             address: self.address,
             incarnation: self.incarnation,
             state: MemberState::Alive,
--- a/peers/src/node/ticking.rs
+++ b/peers/src/node/ticking.rs
@@ -40,7 +40,7 @@
                 continue;
             };
             record.state = MemberState::Dead;
-            record.accuser = Some(self.me.clone());
+            record.accuser = Some(self.identity.clone());
             self.merge(&record, now);
         }
     }
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -269,12 +269,12 @@
     fleet.run_for(PROBE_INTERVAL * 6.0);
     let now = fleet.now;
     assert!(fleet.nodes[0].announce(EntryKind::Ban, b"10.0.0.9:80", b"by hand", now));
-    let second = fleet.nodes[1].me().clone();
+    let second = fleet.nodes[1].identity().clone();
     fleet.nodes[0].send_message(&second, 2, b"lease".to_vec(), now);
     fleet.run_for(PROBE_INTERVAL * 4.0);
     fleet.down = Some(2);
     fleet.run_for(PROBE_INTERVAL * 20.0);
-    let third = fleet.nodes[2].me().clone();
+    let third = fleet.nodes[2].identity().clone();
     assert_eq!(fleet.nodes[0].state_of(&third), Some(MemberState::Dead));
     let now = fleet.now;
     fleet.nodes[1].leave(now);
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -70,7 +70,7 @@
         let mut network = joined_network(count, seed);
         network.kill(1);
         let bound = config().timing.detection_bound(count, 0);
-        let dead = network.hosts[1].node.me().clone();
+        let dead = network.hosts[1].node.identity().clone();
         let gone =
             |host: &Host| !host.alive || host.node.state_of(&dead) == Some(MemberState::Dead);
         let duration = network.run_until(bound, |network| network.hosts.iter().all(gone));
@@ -215,7 +215,7 @@
 fn suspicion_from_before_a_pause_does_not_expire_in_it() {
     let mut network = joined_network(6, 12);
     network.partition(&[4], &[0, 1, 2, 3, 5]);
-    let accused = network.hosts[4].node.me().clone();
+    let accused = network.hosts[4].node.identity().clone();
     let suspects = |network: &SimulatedNetwork| {
         network.hosts[2].node.state_of(&accused) == Some(MemberState::Suspect)
     };
@@ -248,7 +248,7 @@
 #[test]
 fn restart_within_the_suspicion_timeout_replaces_the_old_process() {
     let mut network = joined_network(5, 3);
-    let old = network.hosts[1].node.me().clone();
+    let old = network.hosts[1].node.identity().clone();
     network.kill(1);
     network.run_for(PROBE_INTERVAL);
     network.restart(1);
--- a/relay/src/peers/view.rs
+++ b/relay/src/peers/view.rs
@@ -129,8 +129,8 @@
             heard_ms: member.last_received.map(|at| millis_since(at, now)),
         });
         MembersView {
-            me: node.me().to_string(),
-            name: node.me().name.to_string(),
+            me: node.identity().to_string(),
+            name: node.identity().name.to_string(),
             health: node.health(),
             unreachable: node.unreachable_count(),
             facts: node.shared_state().len(),
