--- a/src/balancer/backend_state.rs
+++ b/src/balancer/backend_state.rs
@@ -128,7 +128,7 @@
     }
 
     /// Returns the latest load report, unless it is too old.
-    pub(super) fn report(&self, now: Instant) -> Option<LoadReport> {
+    pub(super) fn recent_report(&self, now: Instant) -> Option<LoadReport> {
         // Listed weights that change say more than a report that is no longer fresh.
         let max_age = if self.endpoint.weight == 1.0 {
             REPORT_MAX_AGE
@@ -146,7 +146,7 @@
     /// the list may be far behind when a relay starts.
     pub(super) fn reported_load(&self, now: Instant) -> Option<f64> {
         let change = (self.statistics.weight_at_report / self.endpoint.weight).clamp(0.5, 2.0);
-        self.report(now)
+        self.recent_report(now)
             .and_then(|report| report.load.or(report.connections))
             .map(|load| load * change)
     }
--- a/src/balancer/fleet_load.rs
+++ b/src/balancer/fleet_load.rs
@@ -104,7 +104,8 @@
     fn sum_reports(&self, now: Instant) -> ReportSums {
         let mut sums = ReportSums::default();
         for (_, backend) in self.ready_backends() {
-            let (Some(report), Some(load)) = (backend.report(now), backend.reported_load(now))
+            let (Some(report), Some(load)) =
+                (backend.recent_report(now), backend.reported_load(now))
             else {
                 continue;
             };
@@ -124,7 +125,7 @@
         let holds_connections = |backend: &Backend| {
             backend.connections > 0 || backend.endpoint.state == EndpointState::Ready
         };
-        let warm: Vec<u32> = self
+        let warm_connections: Vec<u32> = self
             .backends
             .iter()
             .filter(|&(&backend_id, backend)| {
@@ -132,7 +133,8 @@
             })
             .map(|(_, backend)| backend.connections)
             .collect();
-        f64::from(warm.iter().sum::<u32>() * self.deployment.relay_count) / warm.len().max(1) as f64
+        f64::from(warm_connections.iter().sum::<u32>() * self.deployment.relay_count)
+            / warm_connections.len().max(1) as f64
     }
 
     /// Returns the share of the connections that depart by themselves within a second.
--- a/src/balancer/rebalancing.rs
+++ b/src/balancer/rebalancing.rs
@@ -99,8 +99,9 @@
     /// costs more than a migration. More connections at once would fill the zone on the basis of
     /// old reports.
     pub(super) fn return_to_local_zone(&mut self, now: Instant, driver: &mut dyn Driver) {
-        let is_worth_it = self.deployment.cross_zone_cost > self.deployment.migration_cost;
-        if self.sessions.len() < MIN_SESSIONS_TO_RETURN || !is_worth_it {
+        let costs_more_than_migration =
+            self.deployment.cross_zone_cost > self.deployment.migration_cost;
+        if self.sessions.len() < MIN_SESSIONS_TO_RETURN || !costs_more_than_migration {
             return;
         }
         let crossing_sessions = self.stable_sessions_in_other_zones(now);
--- a/src/balancer/selection.rs
+++ b/src/balancer/selection.rs
@@ -26,8 +26,8 @@
     fleet: FleetLoad,
     /// Number of backends that the members of the group fill.
     group_span: f64,
-    /// The load of the fleet is unknown and cannot be asked for, so the group is spread over as
-    /// many backends as its members fill.
+    /// Whether the group is spread over as many backends as its members fill, because the load of
+    /// the fleet is unknown and cannot be asked for.
     spreads_group: bool,
 }
 
@@ -236,7 +236,7 @@
     fn is_presumed_free(&self, now: Instant, backend_id: BackendId) -> bool {
         let is_warm = self.slow_start_turn(now, backend_id).is_none();
         let could_be_checked = self.deployment.may_check_health && is_warm;
-        self.backends[&backend_id].report(now).is_none() && !could_be_checked
+        self.backends[&backend_id].recent_report(now).is_none() && !could_be_checked
     }
 
     fn rank_below_hot(&self, now: Instant, backend_id: BackendId) -> Rank {
@@ -254,8 +254,8 @@
         mut candidates: Vec<Candidate>,
         context: &SelectionContext,
     ) -> Option<Vec<Candidate>> {
-        let first = candidates.iter().map(|candidate| candidate.rank).min()?;
-        candidates.retain(|candidate| candidate.rank == first);
+        let best_rank = candidates.iter().map(|candidate| candidate.rank).min()?;
+        candidates.retain(|candidate| candidate.rank == best_rank);
         if context.spreads_group {
             candidates.truncate(1 + context.group_span as usize);
         }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -1,8 +1,9 @@
 //! Slow start: how relays take turns at a backend that is warming up.
 //!
-//! Every relay knows when a backend started. Its age is divided into turns as long as the window of
-//! the slow-start rule. Each turn belongs to as many relays as the budget of the rule allows; the
-//! relays agree on them without exchanging messages.
+//! The slow-start rule ([`SlowStart`](crate::deployment::SlowStart)) limits how many requests all
+//! relays together may send to a backend within a window. Every relay knows when a backend started,
+//! and divides its age into turns as long as that window. Each turn belongs to as many relays as the
+//! rule allows requests; the relays agree on them without exchanging messages.
 use super::Balancer;
 use super::fleet_load::FleetLoad;
 use crate::ids::BackendId;
@@ -10,8 +11,9 @@
 
 /// Share of the rule's limit that relays use, since any window overlaps two turns.
 const BUDGET_SHARE: f64 = 0.5;
-/// `BUDGET_SHARE` where groups share work and loads are reported. The cost of groups lowers an
-/// estimate that is based on loads, and the rule does not count that cost.
+/// `BUDGET_SHARE` where groups share work and loads are reported. Reported loads include the cost of
+/// groups, which the rule does not count, so the number of connections that fill a backend is
+/// underestimated.
 const BUDGET_SHARE_WITH_GROUPS: f64 = 1.25;
 /// Maximum number of relays that get a turn for each relay expected to use it. It is bounded since
 /// all of them may use it.
--- a/src/balancer/traffic.rs
+++ b/src/balancer/traffic.rs
@@ -14,7 +14,8 @@
 const CONNECT_TIME_WEIGHT: f64 = 0.5;
 /// Weight of each observed session in the typical load of its route.
 const ROUTE_LOAD_WEIGHT: f64 = 0.05;
-/// Connection time that is assumed together with the assumed departures, in warm-ups.
+/// Connection time that is added to the observed one when the departure rate is computed, as a
+/// multiple of the warm-up time. It keeps the rate low while little connection time is observed.
 const PRIOR_WARM_UPS: f64 = 3.0;
 
 /// Decaying counts and moving averages.
@@ -57,8 +58,8 @@
     }
 
     pub(super) fn record_load(&mut self, route: RouteId, load: f64) {
-        let typical = self.route_loads.entry(route).or_insert(load);
-        *typical += (load - *typical) * ROUTE_LOAD_WEIGHT;
+        let typical_load = self.route_loads.entry(route).or_insert(load);
+        *typical_load += (load - *typical_load) * ROUTE_LOAD_WEIGHT;
     }
 
     /// Forgets the loads of routes, whose numbers may stand for other rows now.
--- a/src/ids.rs
+++ b/src/ids.rs
@@ -1,4 +1,5 @@
-//! Small indices that stand for a protocol's names inside the balancer.
+//! Integer ids of sessions, backends, routes, zones and cells. The embedding protocol maps its own
+//! names to them.
 
 /// A session of this process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
--- a/src/route_limits/mod.rs
+++ b/src/route_limits/mod.rs
@@ -154,10 +154,10 @@
 
     fn relay_allowance(&mut self, now: Instant) -> Option<Allowance> {
         let budget = self.retry_budget?;
-        let is_free_here = now >= self.free_from;
+        let may_use_free = now >= self.free_from;
         let limit = WindowLimit {
             length: budget.window.as_micros(),
-            free: if is_free_here { budget.free } else { 0.0 },
+            free: if may_use_free { budget.free } else { 0.0 },
             share: budget.share,
         };
         Some(self.relay_window.allowance(now.as_micros(), limit))
--- a/src/route_limits/tests.rs
+++ b/src/route_limits/tests.rs
@@ -25,23 +25,23 @@
 
 #[test]
 fn open_sessions_of_rows_with_same_id_share_limit() {
-    let (mut limits, wide, narrow) = (
+    let (mut limits, three_allowed, two_allowed) = (
         RouteLimits::default(),
         route(1, Some(3), None),
         route(1, Some(2), None),
     );
     assert!(
-        [&wide, &wide, &wide]
+        [&three_allowed, &three_allowed, &three_allowed]
             .into_iter()
             .all(|route| limits.open_session(route))
     );
     // The limit is now below the number of open sessions: no session may open before enough have
     // closed.
-    assert!(!limits.open_session(&narrow));
+    assert!(!limits.open_session(&two_allowed));
     for (closed, opens) in [(2, false), (2, true)] {
-        (0..closed).for_each(|_| limits.close_session(&wide));
+        (0..closed).for_each(|_| limits.close_session(&three_allowed));
         assert_eq!(
-            limits.open_session(&narrow),
+            limits.open_session(&two_allowed),
             opens,
             "after {closed} more sessions have closed"
         );
@@ -80,9 +80,9 @@
             "{burst} retries in a burst"
         );
     }
-    let (mut limits, plain) = (RouteLimits::default(), route(0, None, None));
-    limits.record_arrival(NOW, &plain);
-    assert!((0..100).all(|_| limits.try_spend(NOW, &plain, ExtraAttempt::Retry)));
+    let (mut limits, unlimited) = (RouteLimits::default(), route(0, None, None));
+    limits.record_arrival(NOW, &unlimited);
+    assert!((0..100).all(|_| limits.try_spend(NOW, &unlimited, ExtraAttempt::Retry)));
 }
 
 #[test]
@@ -91,12 +91,13 @@
     limits.record_arrival(NOW, &route);
     let delay = |limits: &RouteLimits| limits.hedge_delay(&route).map(|delay| delay.as_millis());
     assert_eq!(delay(&limits), Some(200), "no connect time is known yet");
-    for (took, expected) in [(5, 20), (50, 50), (900, 200), (30, 30)] {
-        (0..100).for_each(|_| limits.record_connect_time(&route, Duration::from_millis(took)));
+    for (connect_time, expected) in [(5, 20), (50, 50), (900, 200), (30, 30)] {
+        (0..100)
+            .for_each(|_| limits.record_connect_time(&route, Duration::from_millis(connect_time)));
         assert_eq!(
             delay(&limits),
             Some(expected),
-            "all attempts took {took} ms"
+            "all attempts took {connect_time} ms"
         );
     }
     (0..12).for_each(|_| limits.record_connect_time(&route, Duration::from_millis(100)));
