--- a/tests/attempts.rs
+++ b/tests/attempts.rs
@@ -45,7 +45,7 @@
         (NON_IDEMPOTENT, AttemptOutcome::Unreachable, rejected),
         (NON_IDEMPOTENT, AttemptOutcome::NotSent, rejected),
     ];
-    for (idempotency, outcome, may_reject) in cases {
+    for (idempotency, outcome, is_rejected) in cases {
         let mut harness = Harness::new(
             with_route(|route| route.max_attempts = 1, deployment(idempotency)),
             &ready_endpoints(4),
@@ -56,11 +56,16 @@
         harness.end(1, 0, outcome, false);
         harness.advance(ms(10_000));
         let answers = harness.answers(1);
-        assert_eq!(answers.len(), 1, "{idempotency:?} {outcome:?}: {answers:?}");
+        assert_eq!(
+            answers.len(),
+            1,
+            "{idempotency:?} {outcome:?}: answers {answers:?}"
+        );
         assert_eq!(
             matches!(answers[0], Action::Reject(..)),
-            may_reject,
-            "{idempotency:?} {outcome:?}"
+            is_rejected,
+            "{idempotency:?} {outcome:?}: answered with {:?}",
+            answers[0]
         );
     }
 }
@@ -99,11 +104,15 @@
             harness.end(id, 0, outcome, false);
             harness.advance(ms(2_000));
             let attempts = harness.attempts(id);
-            assert_eq!(attempts.len() > 1, may_retry, "{idempotency:?} {outcome:?}");
+            assert_eq!(
+                attempts.len() > 1,
+                may_retry,
+                "{idempotency:?} {outcome:?}: attempts {attempts:?}"
+            );
             assert_eq!(
                 harness.answers(id).is_empty(),
                 may_retry,
-                "{idempotency:?} {outcome:?}"
+                "{idempotency:?} {outcome:?}: a session that is not retried is answered"
             );
             if let Some(second) = attempts.get(1) {
                 zones_differed |= first % 2 != second.backend % 2;
@@ -112,7 +121,7 @@
         assert_eq!(
             zones_differed,
             may_retry && !same_zone,
-            "{idempotency:?} {outcome:?}"
+            "{idempotency:?} {outcome:?}: whether any retry went to another zone"
         );
     }
 }
@@ -190,10 +199,14 @@
         let start = harness.now;
         harness.arrive(1, arrival(9, 0, ms(timeout)));
         for attempt in 0..3 {
-            let Some(&Target { timeout: given, .. }) = harness.attempts(1).get(attempt) else {
+            let Some(&Target {
+                timeout: attempt_timeout,
+                ..
+            }) = harness.attempts(1).get(attempt)
+            else {
                 break;
             };
-            harness.advance(given);
+            harness.advance(attempt_timeout);
             harness.end(1, attempt as u32, outcome, false);
             harness.advance(Duration::ZERO);
             while harness.answers(1).is_empty() && harness.attempts(1).len() == attempt + 1 {
@@ -204,7 +217,11 @@
                 );
             }
         }
-        assert_eq!(harness.answers(1).len(), 1, "{timeout} ms, {outcome:?}");
+        assert_eq!(
+            harness.answers(1).len(),
+            1,
+            "{timeout} ms, {outcome:?}: number of answers"
+        );
         assert!(
             harness.now.duration_since(start) <= ms(timeout),
             "{timeout} ms, {outcome:?}: answered late"
@@ -239,7 +256,7 @@
 fn attempt_timeout_follows_slow_connects() {
     // Each case: how long attempts take in milliseconds, how they end if they fail, and whether
     // later ones may take longer.
-    for (took, outcome, longer) in [
+    for (connect_time, outcome, is_longer) in [
         (20, None, false),
         (250, None, true),
         (300, Some(AttemptOutcome::TimedOut), true),
@@ -247,20 +264,20 @@
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(6));
         for id in 1..40 {
             harness.arrive(id, arrival(0, 0, ms(60_000)));
-            harness.advance(ms(took));
+            harness.advance(ms(connect_time));
             match outcome {
                 Some(outcome) => harness.end(id, 0, outcome, true),
                 None => harness.establish(id, 0),
             }
         }
-        let given = harness
+        let attempt_timeout = harness
             .arrive(99, arrival(0, 0, ms(60_000)))
             .unwrap()
             .timeout;
         assert_eq!(
-            given > ms(300),
-            longer,
-            "{took} ms, {outcome:?}: timeout {given:?}"
+            attempt_timeout > ms(300),
+            is_longer,
+            "attempts took {connect_time} ms, {outcome:?}: timeout of the next {attempt_timeout:?}"
         );
     }
 }
--- a/tests/bans.rs
+++ b/tests/bans.rs
@@ -30,40 +30,46 @@
     .collect()
 }
 
+/// Changes the endpoint list or the ban while a backend is banned.
+type ChangeWhileBanned = fn(&mut Harness);
+
+const CHANGES_WHILE_BANNED: [(&str, ChangeWhileBanned); 7] = [
+    ("no change", |_| {}),
+    ("listed as ready", |harness| {
+        harness.update(endpoint(BANNED, EndpointState::Ready, None))
+    }),
+    ("a complete list", |harness| {
+        harness
+            .balancer
+            .update_endpoints(UpdateKind::Snapshot, &ready_endpoints(3))
+    }),
+    ("a cached list", |harness| {
+        harness
+            .balancer
+            .update_endpoints(UpdateKind::CachedSnapshot, &ready_endpoints(3))
+    }),
+    ("removed and back", |harness| {
+        harness.update(endpoint(BANNED, EndpointState::Removed, None));
+        harness.update(endpoint(BANNED, EndpointState::Ready, None));
+    }),
+    ("a later start", |harness| {
+        harness.update(endpoint(BANNED, EndpointState::Ready, Some(harness.now)));
+    }),
+    ("a second ban", |harness| ban(harness, true)),
+];
+
 #[test]
 fn ban_outlasts_endpoint_lists() {
     let harness = || Harness::new(deployment(IDEMPOTENT), &ready_endpoints(3));
-    let later = Some(Instant::from_micros(99_000_000));
-    type WhileBanned = fn(&mut Harness);
-    let cases: [(&str, WhileBanned); 7] = [
-        ("no change", |_| {}),
-        ("listed as ready", |harness| {
-            harness.update(endpoint(BANNED, EndpointState::Ready, None))
-        }),
-        ("a complete list", |harness| {
-            harness
-                .balancer
-                .update_endpoints(UpdateKind::Snapshot, &ready_endpoints(3))
-        }),
-        ("a cached list", |harness| {
-            harness
-                .balancer
-                .update_endpoints(UpdateKind::CachedSnapshot, &ready_endpoints(3))
-        }),
-        ("removed and back", |harness| {
-            harness.update(endpoint(BANNED, EndpointState::Removed, None));
-            harness.update(endpoint(BANNED, EndpointState::Ready, None));
-        }),
-        ("a later start", |harness| {
-            harness.update(endpoint(BANNED, EndpointState::Ready, Some(harness.now)));
-        }),
-        ("a second ban", |harness| ban(harness, true)),
-    ];
-    for (name, while_banned) in cases {
+    let listed_start = Some(Instant::from_micros(99_000_000));
+    for (name, change) in CHANGES_WHILE_BANNED {
         let mut harness = harness();
         ban(&mut harness, true);
-        while_banned(&mut harness);
-        assert!(!placed_at(&mut harness, 1, 60).contains(&BANNED), "{name}");
+        change(&mut harness);
+        assert!(
+            !placed_at(&mut harness, 1, 60).contains(&BANNED),
+            "{name}: no session goes to the banned backend"
+        );
         assert!(
             !harness
                 .recorder
@@ -73,8 +79,11 @@
         );
         // Lifting the ban once undoes any number of bans.
         ban(&mut harness, false);
-        harness.update(endpoint(BANNED, EndpointState::Ready, later));
-        assert!(placed_at(&mut harness, 100, 60).contains(&BANNED), "{name}");
+        harness.update(endpoint(BANNED, EndpointState::Ready, listed_start));
+        assert!(
+            placed_at(&mut harness, 100, 60).contains(&BANNED),
+            "{name}: sessions go to the backend again after its ban"
+        );
     }
     // The backend is used again only when both the ban and the draining have ended, in whatever
     // order.
@@ -111,7 +120,7 @@
         let attempts = harness.attempts(id);
         assert!(
             attempts.len() == 2 && attempts[1].backend != backend,
-            "{attempts:?}"
+            "one retry, at another backend than {backend}: {attempts:?}"
         );
     }
     // If the banned backend is the only one, the session is answered once.
@@ -130,15 +139,15 @@
 fn backend_after_ban_warms_up_and_forgets_failures() {
     // Each case: the start that was listed before the ban, the start that is listed after it, and
     // how long the backend warms up once the ban is lifted, in milliseconds.
-    let (before, during) = (
+    let (start_before_ban, start_during_ban) = (
         Some(Instant::from_micros(20_000_000)),
         Some(Instant::from_micros(104_000_000)),
     );
     let cases = [
         (None, None, 10_000),
-        (before, None, 10_000),
-        (None, during, 4_000),
-        (before, during, 4_000),
+        (start_before_ban, None, 10_000),
+        (None, start_during_ban, 4_000),
+        (start_before_ban, start_during_ban, 4_000),
     ];
     for (listed, listed_after, warm_up) in cases {
         let mut harness = Harness::new(
@@ -158,7 +167,7 @@
         }
         // While the backend warms up it gets one session per turn of two seconds, whatever it held
         // before. It is not ejected: the first session goes there.
-        let count = |harness: &mut Harness, from: u32| {
+        let placed_of_eight = |harness: &mut Harness, from: u32| {
             (from..from + 8)
                 .filter(|&id| {
                     harness
@@ -168,19 +177,19 @@
                 .count()
         };
         assert_eq!(
-            count(&mut harness, 100),
+            placed_of_eight(&mut harness, 100),
             1,
             "listed {listed:?}, then {listed_after:?}"
         );
         harness.advance(ms(warm_up - 100));
         assert_eq!(
-            count(&mut harness, 200),
+            placed_of_eight(&mut harness, 200),
             1,
             "listed {listed:?}, then {listed_after:?}: still warming up"
         );
         harness.advance(ms(200));
         assert_eq!(
-            count(&mut harness, 300),
+            placed_of_eight(&mut harness, 300),
             8,
             "listed {listed:?}, then {listed_after:?}: warm"
         );
--- a/tests/endpoints.rs
+++ b/tests/endpoints.rs
@@ -43,30 +43,35 @@
         let used: BTreeSet<u32> = (1..60)
             .filter_map(|id| Some(harness.arrive(id, arrival(0, 0, ms(4_800)))?.backend))
             .collect();
-        assert_eq!(used, expected.iter().copied().collect(), "{name}");
+        assert_eq!(
+            used,
+            expected.iter().copied().collect(),
+            "{name}: backends used"
+        );
         let answered = (1..60)
             .filter(|&id| !harness.answers(id).is_empty())
             .count();
-        assert_eq!(answered, if expected.is_empty() { 59 } else { 0 }, "{name}");
+        let expected_answers = if expected.is_empty() { 59 } else { 0 };
+        assert_eq!(answered, expected_answers, "{name}: sessions answered");
     }
 }
 
 #[test]
 fn discovery_failure_subscribes_again_in_time() {
     for failures in 1..8 {
-        let polled = Deployment {
+        let deployment = Deployment {
             poll_within: Some(ms(8_000)),
             ..deployment(IDEMPOTENT)
         };
-        let mut harness = Harness::new(polled, &ready_endpoints(3));
-        let count = |harness: &Harness| harness.count(Action::Subscribe);
+        let mut harness = Harness::new(deployment, &ready_endpoints(3));
+        let subscriptions = |harness: &Harness| harness.count(Action::Subscribe);
         for failure in 1..=failures {
-            assert_eq!(count(&harness), failure);
+            assert_eq!(subscriptions(&harness), failure);
             harness
                 .balancer
                 .discovery_failed(harness.now, &mut harness.recorder);
             harness.advance(ms(4_000));
         }
-        assert_eq!(count(&harness), failures + 1);
+        assert_eq!(subscriptions(&harness), failures + 1);
     }
 }
--- a/tests/health.rs
+++ b/tests/health.rs
@@ -147,7 +147,7 @@
         assert_eq!(
             placed_at(&mut harness, 0, 100..112) > 0,
             selected,
-            "{latency} ms"
+            "messages take {latency} ms: whether the backend is selected"
         );
     }
 }
@@ -199,9 +199,9 @@
         (10, 2, 0..=0),
         (800, 0, 2..=6),
     ];
-    for (latency, failed, expected) in cases {
+    for (latency, failed_checks, expected) in cases {
         let mut harness = four_backends();
-        for _ in 0..failed {
+        for _ in 0..failed_checks {
             harness.fail_health_check(0);
         }
         observe_latency(&mut harness, 0, latency);
@@ -209,21 +209,22 @@
         let migrated = harness.migrations();
         assert!(
             expected.contains(&migrated),
-            "{latency} ms, {failed} failed: {migrated} migrated"
+            "latency {latency} ms, {failed_checks} failed health checks: {migrated} migrated"
         );
-        let others = |action: &&Action| matches!(action, Action::Migrate(id) if id % 4 != 0);
+        let is_elsewhere = |action: &&Action| matches!(action, Action::Migrate(id) if id % 4 != 0);
         assert_eq!(
-            harness.recorder.actions.iter().filter(others).count(),
+            harness.recorder.actions.iter().filter(is_elsewhere).count(),
             0,
             "connections of other backends stay"
         );
     }
 }
 
-/// The start of a backend according to a list that comes after its connections have ended.
+/// What the endpoint list says of a backend's start after its connections have ended.
 #[derive(Clone, Copy)]
-enum Listed {
-    Not,
+enum ListedStart {
+    /// The list is not updated.
+    NotUpdated,
     WithoutStart,
     MillisAgo(u64),
 }
@@ -245,16 +246,16 @@
 #[test]
 fn broken_connections_imply_restart() {
     use AttemptOutcome::{Ok, Reset};
-    use Listed::{MillisAgo, Not, WithoutStart};
+    use ListedStart::{MillisAgo, NotUpdated, WithoutStart};
     // Each case: how many connections of backend 0 depart before, how the others end, how many of
     // them do not end, the list afterwards, and whether the backend counts as warming up.
     let cases = [
-        ("all broke", 0, Reset, 0, Not, true),
+        ("all broke", 0, Reset, 0, NotUpdated, true),
         ("an older start", 0, Reset, 0, MillisAgo(60_000), true),
         ("no start listed", 0, Reset, 0, WithoutStart, true),
-        ("one did not break", 0, Reset, 1, Not, false),
-        ("nine departed before", 9, Reset, 0, Not, false),
-        ("all departed", 0, Ok, 0, Not, false),
+        ("one did not break", 0, Reset, 1, NotUpdated, false),
+        ("nine departed before", 9, Reset, 0, NotUpdated, false),
+        ("all departed", 0, Ok, 0, NotUpdated, false),
         ("a newer start", 0, Reset, 0, MillisAgo(1), true),
     ];
     for (case, departed, outcome, unbroken, listed, warms_up) in cases {
@@ -268,9 +269,9 @@
         }
         let started_at = match listed {
             MillisAgo(age) => Some(harness.now - ms(age)),
-            Not | WithoutStart => None,
+            NotUpdated | WithoutStart => None,
         };
-        if !matches!(listed, Not) {
+        if !matches!(listed, NotUpdated) {
             harness.update(endpoint(0, EndpointState::Ready, started_at));
         }
         harness.advance(ms(100));
@@ -297,15 +298,15 @@
         (true, 3.0, 5, false, false),
         (false, 3.0, 5, true, false),
     ];
-    for (is_observed, load, latency, has_own, selected) in cases {
-        let plain = Deployment {
+    for (is_observed, load, latency, has_own_connections, selected) in cases {
+        let deployment = Deployment {
             groups_share_work: false,
             observes_latency: is_observed,
             ..deployment(IDEMPOTENT)
         };
-        let mut harness = Harness::new(plain, &ready_endpoints(4));
+        let mut harness = Harness::new(deployment, &ready_endpoints(4));
         (0..40)
-            .filter(|id| has_own || id % 4 != 0)
+            .filter(|id| has_own_connections || id % 4 != 0)
             .for_each(|id| harness.inherit(id, id % 4));
         harness.advance(ms(20_000));
         for _ in 0..3 {
@@ -315,7 +316,7 @@
             harness.advance(ms(100));
         }
         let case = format!(
-            "latency observed {is_observed}, load {load}, {latency} ms, own connections {has_own}"
+            "latency observed {is_observed}, load {load}, {latency} ms, own connections {has_own_connections}"
         );
         assert_eq!(placed_at(&mut harness, 0, 100..106) > 0, selected, "{case}");
     }
@@ -325,16 +326,24 @@
 fn overdue_response_migrates_and_counts_failure() {
     // Each case: how long a response is overdue, in milliseconds, and whether the client is
     // migrated.
-    for (waited, migrated) in [(250, false), (750, false), (1_000, true), (5_000, true)] {
+    for (waited, is_migrated) in [(250, false), (750, false), (1_000, true), (5_000, true)] {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(4));
         let backend = harness.arrive(1, arrival(1, 0, ms(1_000))).unwrap().backend;
         harness.establish(1, 0);
         harness.response_overdue(1, ms(waited));
-        assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
+        assert_eq!(
+            harness.migrations(),
+            usize::from(is_migrated),
+            "overdue for {waited} ms"
+        );
         // Repeating the event, or reporting it for an unknown session, migrates no client.
         harness.response_overdue(1, ms(waited));
         harness.response_overdue(9, ms(waited));
-        assert_eq!(harness.migrations(), usize::from(migrated), "{waited} ms");
+        assert_eq!(
+            harness.migrations(),
+            usize::from(is_migrated),
+            "overdue for {waited} ms"
+        );
         // One more consecutive failure ejects the backend.
         harness.fail_health_check(backend);
         let selected = (10..30).any(|id| {
@@ -344,7 +353,10 @@
                 .backend
                 == backend
         });
-        assert_eq!(selected, !migrated, "{waited} ms");
+        assert_eq!(
+            selected, !is_migrated,
+            "overdue for {waited} ms: whether the backend is selected afterwards"
+        );
     }
 }
 
@@ -352,7 +364,7 @@
 fn overdue_response_of_ejected_backend_migrates_all() {
     // Each case: how many health checks of backend 1 fail, how long a response is overdue in
     // milliseconds, and how many of its three connections are migrated.
-    for (failed, waited, migrated) in [
+    for (failed_checks, waited, migrated) in [
         (0, 250, 0),
         (1, 250, 0),
         (2, 250, 3),
@@ -363,19 +375,19 @@
         for id in 0..12 {
             harness.inherit(id, id % 4);
         }
-        for _ in 0..failed {
+        for _ in 0..failed_checks {
             harness.fail_health_check(1);
         }
         harness.response_overdue(5, ms(waited));
         assert_eq!(
             harness.migrations(),
             migrated,
-            "{failed} failed, overdue for {waited} ms"
+            "{failed_checks} failed health checks, overdue for {waited} ms"
         );
         let elsewhere = |action: &Action| matches!(action, Action::Migrate(id) if id % 4 != 1);
         assert!(
             !harness.recorder.actions.iter().any(elsewhere),
-            "{failed} failed, overdue for {waited} ms"
+            "{failed_checks} failed health checks, overdue for {waited} ms"
         );
     }
 }
--- a/tests/health_checks.rs
+++ b/tests/health_checks.rs
@@ -9,7 +9,7 @@
     // Each case: the connections that a relay holds, the cost of a health check, and how many it
     // may send in 20 seconds. It always sends at least one in five seconds, and at most one to each
     // backend every two seconds.
-    for (held, cost, expected) in [
+    for (connections, cost, expected) in [
         (0, 0.002, 4..=5),
         (3, 0.002, 5..=13),
         (60, 0.002, 50..=300),
@@ -22,12 +22,12 @@
             },
             &ready_endpoints(30),
         );
-        (0..held).for_each(|id| harness.inherit(id, id % 30));
+        (0..connections).for_each(|id| harness.inherit(id, id % 30));
         harness.advance(ms(20_000));
         let sent = harness.health_checks_since(0).len();
         assert!(
             expected.contains(&sent),
-            "{held} connections, cost {cost}: {sent} sent"
+            "{connections} connections, cost {cost}: {sent} sent"
         );
     }
 }
@@ -36,27 +36,28 @@
 fn health_checks_prefer_own_connections() {
     // Each case: the backends at which this relay has connections, and how many of four hundred
     // health checks go there. A relay with connections at most backends checks all of them alike.
-    let many: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7];
-    for (held, expected) in [
+    let most_backends: &[u32] = &[0, 1, 2, 3, 4, 5, 6, 7];
+    for (backends_with_connections, expected) in [
         (&[][..], 0..=0),
         (&[3], 190..=260),
         (&[0, 3, 5], 220..=310),
-        (many, 235..=300),
+        (most_backends, 235..=300),
     ] {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(12));
-        held.iter()
+        backends_with_connections
+            .iter()
             .for_each(|&backend| harness.inherit(backend, backend));
         while harness.health_checks_since(0).len() < 400 {
             harness.advance(ms(500));
         }
         let checked = harness.health_checks_since(0);
-        let at_held = checked
+        let checks_there = checked
             .iter()
-            .filter(|backend| held.contains(backend))
+            .filter(|backend| backends_with_connections.contains(backend))
             .count();
         assert!(
-            expected.contains(&at_held),
-            "connections at {held:?}: {at_held} health checks there"
+            expected.contains(&checks_there),
+            "connections at {backends_with_connections:?}: {checks_there} health checks there"
         );
     }
 }
--- a/tests/hedging.rs
+++ b/tests/hedging.rs
@@ -132,11 +132,26 @@
             let expected = usize::from(sequence.cancelled.contains(&attempt));
             // At shutdown each step cancels the attempt again, which the driver ignores.
             let cancelled = harness.count(Action::Cancel(1, attempt)).min(1);
-            assert_eq!(cancelled, expected, "{events:?}: attempt {attempt}");
+            assert_eq!(
+                cancelled, expected,
+                "{events:?}: whether attempt {attempt} is cancelled"
+            );
         }
-        assert_eq!(harness.answers(1).len(), sequence.answers, "{events:?}");
-        assert_eq!(harness.count(Action::Release(1)), 1, "{events:?}");
-        assert_eq!(harness.attempts(1).len(), 2, "{events:?}");
+        assert_eq!(
+            harness.answers(1).len(),
+            sequence.answers,
+            "{events:?}: number of answers"
+        );
+        assert_eq!(
+            harness.count(Action::Release(1)),
+            1,
+            "{events:?}: the session is released once"
+        );
+        assert_eq!(
+            harness.attempts(1).len(),
+            2,
+            "{events:?}: number of attempts"
+        );
     }
 }
 
@@ -152,7 +167,7 @@
     let attempts = harness.attempts(1);
     assert!(
         attempts.len() == 2 && attempts[1].backend != first,
-        "{attempts:?}"
+        "the hedge goes to another backend than {first}: {attempts:?}"
     );
     harness
 }
@@ -259,7 +274,11 @@
                 continue;
             }
             harness.advance(ms(250));
-            assert_eq!(harness.attempts(1).len(), case.attempts, "{name}");
+            assert_eq!(
+                harness.attempts(1).len(),
+                case.attempts,
+                "{name}: number of attempts"
+            );
             checked += 1;
         }
         assert!(checked > 0, "{name}: every seed was skipped");
--- a/tests/rebalancing.rs
+++ b/tests/rebalancing.rs
@@ -14,25 +14,26 @@
         (40, 0.1, 0.5, false),
         (6, 0.1, 0.1, false),
     ];
-    for (held, cost, load, any_migrated) in cases {
-        let priced = Deployment {
+    for (connections, cost, load, any_migrated) in cases {
+        let deployment = Deployment {
             cross_zone_cost: cost,
             migration_cost: 0.01,
             ..deployment(IDEMPOTENT)
         };
-        let mut harness = Harness::new(priced, &ready_endpoints(8));
-        (0..held).for_each(|id| harness.inherit(id, id % 8));
-        (0..8).for_each(|backend| harness.report(backend, Some(f64::from(held)), Some(load)));
+        let mut harness = Harness::new(deployment, &ready_endpoints(8));
+        (0..connections).for_each(|id| harness.inherit(id, id % 8));
+        (0..8)
+            .for_each(|backend| harness.report(backend, Some(f64::from(connections)), Some(load)));
         harness.advance(ms(3_000));
         let migrated = harness.migrations();
         assert_eq!(
             migrated > 0,
             any_migrated,
-            "{held} connections, cost {cost}, load {load}: {migrated} migrated"
+            "{connections} connections, cost {cost}, load {load}: {migrated} migrated"
         );
         assert!(
             migrated <= 7,
-            "{held} connections, cost {cost}, load {load}: {migrated} migrated, not one at a time"
+            "{connections} connections, cost {cost}, load {load}: {migrated} migrated, not one at a time"
         );
     }
 }
@@ -73,7 +74,7 @@
         harness.advance(ms(600));
         assert!(
             expected.contains(&harness.migrations()),
-            "load {load}, latency {latency} ms, age {established_for:?} ms: {} migrated",
+            "load {load}, latency {latency} ms, established for {established_for:?} ms: {} migrated",
             harness.migrations()
         );
     }
--- a/tests/route_limits.rs
+++ b/tests/route_limits.rs
@@ -60,7 +60,7 @@
         |route| (route.limits_id, route.max_sessions) = (1, Some(2)),
         deployment(IDEMPOTENT),
     );
-    let wide = deployment.routes[0];
+    let old_route = deployment.routes[0];
     let mut harness = Harness::new(deployment.clone(), &ready_endpoints(4));
     for id in 0..4 {
         harness.arrive(id, arrival(u64::from(id) + 1, 0, ms(4_000)));
@@ -72,18 +72,18 @@
     }
     // In the new table the route allows fewer sessions and one attempt, and it comes after another
     // row.
-    let narrow = Route {
+    let new_route = Route {
         max_sessions: Some(1),
         max_attempts: 1,
-        ..wide
+        ..old_route
     };
     let unlimited = Route {
         limits_id: 0,
         max_sessions: None,
-        ..wide
+        ..old_route
     };
     harness.balancer.reconfigure(Deployment {
-        routes: vec![unlimited, narrow],
+        routes: vec![unlimited, new_route],
         ..deployment
     });
     harness.arrive(10, arrival_of(RouteId(1), 10));
--- a/tests/selection.rs
+++ b/tests/selection.rs
@@ -38,8 +38,10 @@
     // Each case: the reported loads, where a session without a group goes, and where a session of a
     // group goes whose order begins with backend 1. A group is opened elsewhere only if the
     // difference in load is worth it.
-    for (loads, alone, grouped) in [([0.5, 0.1], 1, 1), ([0.1, 0.5], 0, 1), ([0.1, 0.95], 0, 0)] {
-        for (group, expected) in [(0, alone), (4, grouped)] {
+    for (loads, without_group, with_group) in
+        [([0.5, 0.1], 1, 1), ([0.1, 0.5], 0, 1), ([0.1, 0.95], 0, 0)]
+    {
+        for (group, expected) in [(0, without_group), (4, with_group)] {
             let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(2));
             (0..2).for_each(|backend| {
                 harness.report(backend, Some(99.0), Some(loads[backend as usize]))
@@ -94,13 +96,13 @@
     for (connections, load, placed) in [(4.0, 0.4, 4), (8.0, 0.4, 8), (2.0, 0.75, 1)] {
         let mut harness = Harness::new(deployment(IDEMPOTENT), &ready_endpoints(1));
         harness.report(0, Some(connections), Some(load));
-        let served = |id: &u32| {
+        let is_placed = |id: &u32| {
             harness
                 .arrive(*id, arrival(u64::from(*id) + 1, 0, ms(1_000)))
                 .is_some()
         };
         assert_eq!(
-            (0..20).filter(served).count(),
+            (0..20).filter(is_placed).count(),
             placed,
             "reported connections {connections}, load {load}"
         );
@@ -116,7 +118,7 @@
             weight,
             ..endpoint(backend, EndpointState::Ready, None)
         };
-        let mut at_idle = 0;
+        let mut at_backend_1 = 0;
         for id in 1..40 {
             let mut harness = Harness::with_seed(
                 deployment(IDEMPOTENT),
@@ -130,12 +132,13 @@
             harness.report(1, Some(30.0), Some(0.01));
             harness.advance(ms(15_000));
             harness.report(0, Some(30.0), Some(0.3));
-            at_idle += u32::from(harness.arrive(1, arrival(0, 0, ms(4_800))).unwrap().backend == 1);
+            at_backend_1 +=
+                u32::from(harness.arrive(1, arrival(0, 0, ms(4_800))).unwrap().backend == 1);
         }
         assert_eq!(
-            at_idle > 20,
+            at_backend_1 > 20,
             idle_wins,
-            "weight {weight}: {at_idle} of 39 sessions go to backend 1"
+            "weight {weight}: {at_backend_1} of 39 sessions go to backend 1"
         );
     }
 }
@@ -176,11 +179,11 @@
         (0.72, true, false),
         (0.85, false, false),
     ] {
-        let plain = Deployment {
+        let base_deployment = Deployment {
             groups_share_work: false,
             ..deployment(IDEMPOTENT)
         };
-        let route = plain.routes[0];
+        let route = base_deployment.routes[0];
         let routes = vec![
             Route {
                 priority_weight: 3.0,
@@ -191,7 +194,13 @@
                 ..route
             },
         ];
-        let mut harness = Harness::new(Deployment { routes, ..plain }, &ready_endpoints(6));
+        let mut harness = Harness::new(
+            Deployment {
+                routes,
+                ..base_deployment
+            },
+            &ready_endpoints(6),
+        );
         let session = |id: u32| Arrival {
             route: RouteId((id % 2) as u16),
             ..arrival(u64::from(id) + 1, 0, ms(4_800))
--- a/tests/shutdown.rs
+++ b/tests/shutdown.rs
@@ -34,7 +34,10 @@
             .arrive(200, arrival(200, 0, ms(60_000)))
             .unwrap()
             .timeout;
-        assert!(attempt_timeout < ms(timeout), "{attempt_timeout:?}");
+        assert!(
+            attempt_timeout < ms(timeout),
+            "an attempt during a shutdown of {timeout} ms may take {attempt_timeout:?}"
+        );
         harness.establish(200, 0);
         harness.advance(ms(timeout / 4));
         assert!(
--- a/tests/slow_start_fleet.rs
+++ b/tests/slow_start_fleet.rs
@@ -140,7 +140,7 @@
         };
         let mut fleet = Fleet::new(relays, &deployment);
         fleet.rng = Rng::from_seed(seed);
-        hold_full_backends(&mut fleet, relays);
+        fill_five_backends(&mut fleet, relays);
         let started_at = fleet.now();
         let restarted: Vec<_> = (5..BACKENDS)
             .map(|backend| endpoint(backend, EndpointState::Ready, Some(started_at)))
@@ -148,7 +148,7 @@
         fleet.update_endpoints(UpdateKind::Delta, &restarted);
         fleet.placements.clear();
         for _ in 0..90 {
-            fleet.advance(ms(100), five_full_backends);
+            fleet.advance(ms(100), load_while_five_are_full);
             for _ in 0..sessions_a_second / 10 {
                 fleet.arrive();
             }
@@ -166,9 +166,9 @@
     }
 }
 
-/// Gives each relay its part of the 33 connections that each of five backends holds, but at least
-/// one connection. Up to two connections depart each second.
-fn hold_full_backends(fleet: &mut Fleet, relays: u32) {
+/// Fills the first five backends: gives each relay its part of the 33 connections that each of them
+/// holds, but at least one connection. Up to two connections depart each second.
+fn fill_five_backends(fleet: &mut Fleet, relays: u32) {
     let each = (165 / relays).max(1);
     let mut id = FIRST_INHERITED;
     for relay in &mut fleet.relays {
@@ -178,14 +178,15 @@
         }
     }
     for _ in 0..20 {
-        fleet.advance(ms(500), five_full_backends);
+        fleet.advance(ms(500), load_while_five_are_full);
         let relay = fleet.rng.below(u64::from(relays)) as usize;
         let first = FIRST_INHERITED + relay as u32 * each;
         fleet.relays[relay].end(first, 0, AttemptOutcome::Ok, true);
     }
 }
 
-fn five_full_backends(backend: u32) -> Load {
+/// Returns the load that a backend reports while the first five are full and the others empty.
+fn load_while_five_are_full(backend: u32) -> Load {
     let (connections, share) = if backend < 5 {
         (33.0, 0.95)
     } else {
--- a/tests/slow_start_window.rs
+++ b/tests/slow_start_window.rs
@@ -45,9 +45,10 @@
     mean: f64,
 }
 
-/// Whether the backends of a deployment report loads and share the work of groups.
+/// A variant of the deployment: whether backends report loads, and whether connections of one group
+/// share work.
 #[derive(Clone, Copy)]
-struct LoadSharing {
+struct DeploymentVariant {
     reports_load: bool,
     groups_share_work: bool,
 }
@@ -81,7 +82,7 @@
 }
 
 impl Simulation {
-    fn new(relay_count: u32, seed: u64, load_sharing: LoadSharing) -> Simulation {
+    fn new(relay_count: u32, seed: u64, variant: DeploymentVariant) -> Simulation {
         let deployment = Deployment {
             slow_start: SlowStart {
                 initial_share: INITIAL_SHARE,
@@ -90,9 +91,9 @@
                 window: ms(3_000),
             },
             relay_count,
-            may_check_health: load_sharing.reports_load,
-            reports_load: load_sharing.reports_load,
-            groups_share_work: load_sharing.groups_share_work,
+            may_check_health: variant.reports_load,
+            reports_load: variant.reports_load,
+            groups_share_work: variant.groups_share_work,
             health_check_cost: 0.001,
             ..deployment(IDEMPOTENT)
         };
@@ -282,13 +283,13 @@
     // least share of the limit that is used on average.
     for (relays, seeds, least) in [(3, 25, 0.3), (20, 25, 0.4), (30, 18, 0.4), (350, 2, 0.3)] {
         for (reports_load, groups_share_work) in [(false, true), (false, false), (true, false)] {
-            let load_sharing = LoadSharing {
+            let variant = DeploymentVariant {
                 reports_load,
                 groups_share_work,
             };
             let usages: Vec<Usage> = (1..=seeds)
                 .map(|seed| {
-                    let mut simulation = Simulation::new(relays, seed, load_sharing);
+                    let mut simulation = Simulation::new(relays, seed, variant);
                     simulation.run();
                     simulation.usage()
                 })
