--- a/leases/src/claim.rs
+++ b/leases/src/claim.rs
@@ -120,7 +120,7 @@
 
     /// Returns when the claim has to be checked even if no message arrives.
     pub(crate) fn due(&self) -> Instant {
-        let own = match self.stage {
+        let stage_due = match self.stage {
             Stage::Attaching {
                 deadline: Some(deadline),
             }
@@ -131,7 +131,7 @@
         };
         match self.stage {
             Stage::Releasing => Instant::from_micros(u64::MAX),
-            _ => own.min(self.wanted_until),
+            _ => stage_due.min(self.wanted_until),
         }
     }
 
--- a/leases/src/electorate.rs
+++ b/leases/src/electorate.rs
@@ -45,7 +45,7 @@
 
     /// Returns the same sets, with voters by their index in [`Electorate::all_voters`].
     pub(crate) fn quorums(&self) -> Quorums {
-        let position = |name: &CompactString| self.all_voters().position(|one| one == name);
+        let position = |name: &CompactString| self.all_voters().position(|voter| voter == name);
         let set = |names: &[CompactString]| names.iter().filter_map(position).collect();
         let mut sets: Vec<VoterSet> = vec![set(&self.voters)];
         if !self.previous_voters.is_empty() {
@@ -160,15 +160,19 @@
         granted: VoterSet,
         until: impl Fn(usize) -> Option<Instant>,
     ) -> Option<Instant> {
-        let of_set = |set: &VoterSet| {
+        let granted_by_majority_until = |set: &VoterSet| {
             let mut times: Vec<Instant> = granted
                 .intersection(*set)
                 .iter()
                 .filter_map(&until)
                 .collect();
-            times.sort_unstable_by(|one, other| other.cmp(one));
+            times.sort_unstable_by(|time, other| other.cmp(time));
             times.get(set.count() / 2).copied()
         };
-        self.sets.iter().map(of_set).min().flatten()
+        self.sets
+            .iter()
+            .map(granted_by_majority_until)
+            .min()
+            .flatten()
     }
 }
--- a/leases/src/legacy.rs
+++ b/leases/src/legacy.rs
@@ -54,18 +54,20 @@
         /// The round in which the subject was granted.
         round: u32,
     },
-    /// The sender has started without any state, or asks how far a change of voters has come.
+    /// Asks for the generation and the highest epoch of the receiver: sent by a voter that has
+    /// started without any state, by any process that waits for a change of voters to settle, and to
+    /// find out whether a voter that does not answer knows only this protocol.
     Recall {
         /// The sender's generation.
         generation: u32,
-        /// The sender has started and may not vote yet.
+        /// Whether the sender is a voter that has started and may not vote yet.
         starting: bool,
     },
     /// The answer to [`LegacyMessage::Recall`].
     Remembered {
         /// The sender's generation.
         generation: u32,
-        /// The sender is a voter that knows the highest epoch of its electorate.
+        /// Whether the sender is a voter that knows the highest epoch of its electorate.
         established: bool,
         /// The highest epoch known to the sender.
         epoch: u64,
--- a/leases/src/manager/answers.rs
+++ b/leases/src/manager/answers.rs
@@ -270,16 +270,19 @@
         // The request is kept until it times out, since another process with the voter's name may
         // still grant it.
         let requested = request.changes.attach.clone();
-        let note = |claim: &mut Claim| {
+        let set_reason = |claim: &mut Claim| {
             if !matches!(claim.stage, Stage::Holding { .. }) {
                 claim.reason = Some(reason.clone());
             }
         };
         if requested.is_empty() {
-            self.claims.values_mut().for_each(note);
+            self.claims.values_mut().for_each(set_reason);
         } else {
             for subject in &requested {
-                self.claims.get_mut(subject).into_iter().for_each(note);
+                self.claims
+                    .get_mut(subject)
+                    .into_iter()
+                    .for_each(set_reason);
             }
         }
     }
@@ -322,9 +325,9 @@
     /// Sets [`RejectionReason::OlderProtocol`] as the reason of claims without one, if the voter
     /// answers only in the legacy protocol.
     pub(super) fn note_older_voter(&mut self, from: &Identity) {
-        let unanswered =
+        let is_unanswered =
             |link: &Link| link.voter == from.name && link.unanswered >= LEGACY_CHECK_AFTER_REQUESTS;
-        if self.links.iter().any(unanswered) {
+        if self.links.iter().any(is_unanswered) {
             for claim in self.claims.values_mut() {
                 if claim.reason.is_none() {
                     claim.reason = Some(RejectionReason::OlderProtocol);
--- a/leases/src/manager/change.rs
+++ b/leases/src/manager/change.rs
@@ -67,14 +67,14 @@
                 here: old.generation,
             });
         }
-        let same = |one: &[CompactString], other: &[CompactString]| {
-            one.len() == other.len() && one.iter().all(|name| other.contains(name))
+        let has_same_names = |names: &[CompactString], other_names: &[CompactString]| {
+            names.len() == other_names.len() && names.iter().all(|name| other_names.contains(name))
         };
         let begins_change =
-            old.previous_voters.is_empty() && same(&new.previous_voters, &old.voters);
+            old.previous_voters.is_empty() && has_same_names(&new.previous_voters, &old.voters);
         let ends_change = !old.previous_voters.is_empty()
             && new.previous_voters.is_empty()
-            && same(&new.voters, &old.voters);
+            && has_same_names(&new.voters, &old.voters);
         match (begins_change, ends_change, old.previous_voters.is_empty()) {
             (false, false, true) => Err(ChangeError::VotersBeforeMissing {
                 voters: old.voters.clone(),
@@ -91,19 +91,23 @@
     /// everything that a majority of the previous voters alone had granted has expired. Outside a
     /// change of voters, a majority that uses this generation is enough.
     pub fn is_settled(&self, now: Instant) -> bool {
-        let joint = !self.config.electorate.previous_voters.is_empty();
-        self.settled_since
-            .is_some_and(|since| !joint || now.duration_since(since) >= self.config.settling_time())
+        let is_joint = !self.config.electorate.previous_voters.is_empty();
+        self.settled_since.is_some_and(|since| {
+            !is_joint || now.duration_since(since) >= self.config.settling_time()
+        })
     }
 
     /// Updates since when a majority of each set is known to use this generation.
     pub(super) fn refresh_settled(&mut self, now: Instant) {
-        let (known, current) = (&self.voter.generations, self.config.electorate.generation);
-        let is_own = |name: &str| *name == *self.identity.name;
-        let settled = self
-            .config
-            .electorate
-            .has_quorum(|name| is_own(name) || known.get(name).is_some_and(|one| *one >= current));
+        let generations = &self.voter.generations;
+        let current_generation = self.config.electorate.generation;
+        let is_own_name = |name: &str| *name == *self.identity.name;
+        let settled = self.config.electorate.has_quorum(|name| {
+            is_own_name(name)
+                || generations
+                    .get(name)
+                    .is_some_and(|generation| *generation >= current_generation)
+        });
         match (settled, self.settled_since) {
             (true, None) => self.settled_since = Some(now),
             (false, Some(_)) => self.settled_since = None,
--- a/leases/src/manager/queries.rs
+++ b/leases/src/manager/queries.rs
@@ -108,10 +108,10 @@
 
     /// Returns the subjects that this process wants to hold.
     pub fn subjects(&self) -> impl Iterator<Item = &[u8]> {
-        let wanted = |(_, claim): &(&Subject, &Claim)| claim.stage != Stage::Releasing;
+        let is_wanted = |(_, claim): &(&Subject, &Claim)| claim.stage != Stage::Releasing;
         self.claims
             .iter()
-            .filter(wanted)
+            .filter(is_wanted)
             .map(|(subject, _)| subject.as_slice())
     }
 
--- a/leases/src/message.rs
+++ b/leases/src/message.rs
@@ -25,8 +25,8 @@
     /// Opens a session (`session: None`) or renews one, and changes which subjects are attached to
     /// it.
     Update(Update),
-    /// The session is valid for another term from the receipt of the update, with everything that
-    /// is attached to it.
+    /// The voter carried out an update. The session is valid for another term from the receipt of
+    /// the update, with everything that is attached to it.
     Updated(Updated),
     /// The voter rejected the whole update.
     Rejected {
@@ -46,18 +46,19 @@
         /// Subjects that stay attached until the session lapses.
         keep: Vec<Subject>,
     },
-    /// The sender has started without any state, or asks how far a change of voters has come.
+    /// Asks for the generation and the highest epoch of the receiver: sent by a voter that has
+    /// started without any state, and by any process that waits for a change of voters to settle.
     Recall {
         /// The sender's generation.
         generation: u32,
-        /// The sender has started and may not vote yet.
+        /// Whether the sender is a voter that has started and may not vote yet.
         starting: bool,
     },
     /// The answer to [`Message::Recall`].
     Remembered {
         /// The sender's generation.
         generation: u32,
-        /// The sender is a voter that knows the highest epoch of its electorate.
+        /// Whether the sender is a voter that knows the highest epoch of its electorate.
         established: bool,
         /// The highest epoch known to the sender.
         epoch: u64,
@@ -101,7 +102,7 @@
 /// Why a voter does not grant a request.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RejectionReason {
-    /// The subject is attached to the session of another process.
+    /// The subject is attached to the session of another process, the holder.
     Held {
         /// The holder.
         by: Identity,
--- a/leases/src/voter/mod.rs
+++ b/leases/src/voter/mod.rs
@@ -130,7 +130,7 @@
         let sequence = update.sequence;
         self.generations
             .insert(from.name.clone(), update.generation);
-        let rejected = |reason| {
+        let reject = |reason| {
             Some(Message::Rejected {
                 generation,
                 sequence,
@@ -140,11 +140,11 @@
         // This voter does not know a newer electorate, and grants of an older one may not count
         // towards a valid majority any more.
         if update.generation != generation {
-            return rejected(RejectionReason::Generation { here: generation });
+            return reject(RejectionReason::Generation { here: generation });
         }
         self.epoch = self.epoch.max(update.epoch);
         if self.retired || !self.established || self.is_silent(config, now) {
-            return rejected(RejectionReason::Silent);
+            return reject(RejectionReason::Silent);
         }
         self.drop_lapsed_sessions(config, now);
         let current = self.current_sessions.get(from).copied();
@@ -153,7 +153,7 @@
         }
         let token = match self.resolve_session(from, update.session, current, config, now) {
             Ok(token) => token,
-            Err(reason) => return rejected(reason),
+            Err(reason) => return reject(reason),
         };
         let session = CurrentSession { token, sequence };
         self.current_sessions.insert(from.clone(), session);
