--- a/leases/tests/epochs.rs
+++ b/leases/tests/epochs.rs
@@ -70,7 +70,7 @@
         let update = self
             .requests
             .remove(voter)
-            .unwrap_or_else(|| panic!("{voter} got no request"));
+            .unwrap_or_else(|| panic!("voter {voter} has no pending request"));
         let session = update.session.unwrap_or(SessionToken(7));
         let (generation, sequence, rejected) = (1, update.sequence, Vec::new());
         let answer = Updated {
@@ -88,7 +88,7 @@
         let update = self
             .requests
             .remove(voter)
-            .unwrap_or_else(|| panic!("{voter} got no request"));
+            .unwrap_or_else(|| panic!("voter {voter} has no pending request"));
         self.answer(
             voter,
             Message::Rejected {
--- a/leases/tests/legacy.rs
+++ b/leases/tests/legacy.rs
@@ -7,7 +7,8 @@
 use thistlecroft_leases::{ClaimState, Leases, Recipients, RejectionReason, VoterStatus, legacy};
 use thistlecroft_peers::Identity;
 
-const REMEMBERED: LegacyMessage = LegacyMessage::Remembered {
+/// The answer of an older process to a recall.
+const RECALL_ANSWER: LegacyMessage = LegacyMessage::Remembered {
     generation: 1,
     established: true,
     epoch: 41,
@@ -26,11 +27,11 @@
 ) -> Vec<LegacyMessage> {
     voter.receive(from, legacy::CHANNEL, &message.encode(), at(ms));
     let outgoing = voter.take_outgoing().into_iter();
-    let answers = outgoing.filter(|one| {
-        one.channel == legacy::CHANNEL && one.to == Recipients::Process(from.clone())
+    let answers = outgoing.filter(|outgoing| {
+        outgoing.channel == legacy::CHANNEL && outgoing.to == Recipients::Process(from.clone())
     });
     answers
-        .filter_map(|one| LegacyMessage::decode(&one.bytes))
+        .filter_map(|outgoing| LegacyMessage::decode(&outgoing.bytes))
         .collect()
 }
 
@@ -44,17 +45,17 @@
     let sent = voter
         .take_outgoing()
         .into_iter()
-        .filter(|one| one.channel == legacy::CHANNEL);
+        .filter(|outgoing| outgoing.channel == legacy::CHANNEL);
     let recall = LegacyMessage::Recall {
         generation: 1,
         starting: true,
     };
     assert!(
-        sent.filter_map(|one| LegacyMessage::decode(&one.bytes))
+        sent.filter_map(|outgoing| LegacyMessage::decode(&outgoing.bytes))
             .any(|message| message == recall)
     );
     // The voter stays silent for a term after the older process's answer, and adopts its epoch.
-    legacy_answers(&mut voter, &older_namesake, &REMEMBERED, 1_500);
+    legacy_answers(&mut voter, &older_namesake, &RECALL_ANSWER, 1_500);
     voter.tick(at(2_100));
     assert_eq!(voter.voter_status(at(2_100)), VoterStatus::Silent);
     voter.tick(at(3_500));
@@ -100,7 +101,12 @@
             let recall = (outgoing.channel == legacy::CHANNEL)
                 .then(|| LegacyMessage::decode(&outgoing.bytes));
             if let Some(Some(LegacyMessage::Recall { .. })) = recall {
-                process.receive(&older_voter, legacy::CHANNEL, &REMEMBERED.encode(), at(ms));
+                process.receive(
+                    &older_voter,
+                    legacy::CHANNEL,
+                    &RECALL_ANSWER.encode(),
+                    at(ms),
+                );
             }
         }
     }
--- a/leases/tests/sessions.rs
+++ b/leases/tests/sessions.rs
@@ -48,7 +48,7 @@
         });
         assert!(
             owned.is_some(),
-            "seed {seed}: {} owned",
+            "seed {seed}: {} of 40 subjects are held",
             total_held(&network)
         );
         let before = (held(&network, 3), held(&network, 4));
@@ -56,7 +56,7 @@
         assert_eq!(
             (held(&network, 3), held(&network, 4)),
             before,
-            "seed {seed}"
+            "seed {seed}: a subject changed its holder or epoch"
         );
     }
 }
@@ -82,13 +82,16 @@
         let moved = checker.wait_until(&mut network, TERM * 2.0, |network| {
             held_count(network, 4) == 20
         });
-        assert!(moved.is_some(), "seed {seed}");
+        assert!(
+            moved.is_some(),
+            "seed {seed}: the released subjects have no new holder"
+        );
         let rest = held(&network, 3);
         assert!(
             all[20..]
                 .iter()
                 .all(|subject| rest.get(subject) == before.get(subject)),
-            "seed {seed}"
+            "seed {seed}: a subject that was not released was lost or has a new epoch"
         );
         assert_eq!(rest.len(), 40);
     }
@@ -127,7 +130,7 @@
             held(&network, 3)
                 .iter()
                 .all(|(subject, epoch)| *epoch > before[subject]),
-            "seed {seed}"
+            "seed {seed}: an epoch did not grow"
         );
         // The subjects were still attached, so none was sent again.
         assert_eq!(
@@ -165,7 +168,7 @@
         });
         assert!(
             partial.is_some_and(|_| held_count(&network, 4) < 600),
-            "seed {seed}: in the middle of the takeover"
+            "seed {seed}: the takeover has not begun, or is complete already"
         );
         let voter = seed as usize % 3;
         network.kill(voter);
@@ -174,13 +177,21 @@
         let taken = checker.wait_until(&mut network, TERM * 6.0, |network| {
             held_count(network, 4) == 600
         });
-        assert!(taken.is_some(), "seed {seed}: {}", held_count(&network, 4));
+        assert!(
+            taken.is_some(),
+            "seed {seed}: {} of 600 subjects taken over",
+            held_count(&network, 4)
+        );
         // Everything was attached again at the restarted voter, so another one may fail now.
         checker.check_for(&mut network, TERM * 4.0, &[]);
         let before = held(&network, 4);
         network.kill((voter + 1) % 3);
         checker.check_for(&mut network, TERM * 2.0, &[]);
-        assert_eq!(held(&network, 4), before, "seed {seed}");
+        assert_eq!(
+            held(&network, 4),
+            before,
+            "seed {seed}: a holding depended on the lost voter"
+        );
     }
 }
 
@@ -203,7 +214,11 @@
         network.kill(1);
         network.kill(2);
         checker.check_for(&mut network, TERM * 1.1, &[]);
-        assert_eq!(total_held(&network), 0, "seed {seed}");
+        assert_eq!(
+            total_held(&network),
+            0,
+            "seed {seed}: held without a majority of voters"
+        );
         network.restart(1);
         network.restart(2);
         checker
@@ -215,13 +230,13 @@
             held(&network, 3)
                 .iter()
                 .all(|(subject, epoch)| *epoch > before.0[subject]),
-            "seed {seed}"
+            "seed {seed}: an epoch of r3 did not grow"
         );
         assert!(
             held(&network, 4)
                 .iter()
                 .all(|(subject, epoch)| *epoch > before.1[subject]),
-            "seed {seed}"
+            "seed {seed}: an epoch of r4 did not grow"
         );
     }
 }
@@ -250,7 +265,7 @@
         }
         network.heal_partitions();
         checker.check_for(&mut network, TERM * 3.0, &[]);
-        assert_eq!(total_held(&network), 30, "seed {seed}");
+        assert_eq!(total_held(&network), 30, "seed {seed}: subjects held");
     }
 }
 
@@ -377,7 +392,7 @@
         assert_eq!(
             change(&mut network, 3, &last),
             Err(ChangeError::NotSettled),
-            "seed {seed}"
+            "seed {seed}: the last step comes too early"
         );
         acquire(&mut network, 4, &all);
         let began = network.now;
@@ -452,10 +467,13 @@
             // The rate, a burst of half a second, one message that may exceed the budget, and the
             // traffic of membership.
             let limit = u64::from(rate) * 3 / 2 + 1_200 + membership_bytes;
-            assert!(bytes <= limit, "{bytes} bytes in a second at {rate}");
+            assert!(
+                bytes <= limit,
+                "{bytes} bytes in a second at an update rate of {rate}"
+            );
             assert!(
                 network.now.duration_since(began) < Duration::from_millis(120_000),
-                "{rate}"
+                "update rate {rate}: the takeover takes more than two minutes"
             );
         }
         // Each subject with its length byte, and the overhead of the messages, at three voters.
@@ -465,7 +483,7 @@
         let took = network.now.duration_since(began).as_secs_f64();
         assert!(
             took <= expected * 1.2 + 2.0,
-            "{rate}: {took} s, {expected} by the formula"
+            "update rate {rate}: the takeover took {took} s, expected {expected} s"
         );
     }
 }
@@ -489,7 +507,10 @@
         )
     );
     let error = AcquireError::TooManyClaims.to_string();
-    assert!(error.contains("8192"), "{error}");
+    assert!(
+        error.contains("8192"),
+        "the error does not name the limit: {error}"
+    );
 }
 
 #[test]
@@ -502,13 +523,16 @@
     let answer = |voter: &mut Leases, from: &Identity, update: Update| {
         voter.receive_message(from, Message::Update(update), at(2_000));
         let answers = voter.take_outgoing();
-        match answers.first().and_then(|one| Message::decode(&one.bytes)) {
+        match answers
+            .first()
+            .and_then(|outgoing| Message::decode(&outgoing.bytes))
+        {
             Some(Message::Updated(updated)) => updated,
-            other => panic!("{other:?}"),
+            other => panic!("the voter did not carry out the update: {other:?}"),
         }
     };
-    let each = MAX_CLAIMS;
-    for relay in 0..=MAX_VOTER_SUBJECTS / each {
+    let subjects_per_relay = MAX_CLAIMS;
+    for relay in 0..=MAX_VOTER_SUBJECTS / subjects_per_relay {
         let from = Identity::new(&format!("a{relay}"), 1);
         let empty = Update {
             generation: 1,
@@ -519,7 +543,7 @@
             attach: vec![],
         };
         let session = Some(answer(&mut voter, &from, empty.clone()).session);
-        let attach: Vec<Vec<u8>> = (0..each)
+        let attach: Vec<Vec<u8>> = (0..subjects_per_relay)
             .map(|index| format!("{relay}-{index}").into_bytes())
             .collect();
         for (sequence, attach) in (2..).zip(attach.chunks(128)) {
@@ -530,8 +554,9 @@
                 ..empty.clone()
             };
             let rejected = answer(&mut voter, &from, update).rejected;
-            let full = relay == MAX_VOTER_SUBJECTS / each;
-            assert_eq!(rejected.len(), if full { 128 } else { 0 }, "relay {relay}");
+            let is_full = relay == MAX_VOTER_SUBJECTS / subjects_per_relay;
+            let expected = if is_full { 128 } else { 0 };
+            assert_eq!(rejected.len(), expected, "relay {relay}: subjects rejected");
             assert!(
                 rejected
                     .iter()
@@ -542,6 +567,6 @@
     let counts = voter.counts();
     assert_eq!(
         (counts.voter_subjects, counts.voter_full),
-        (MAX_VOTER_SUBJECTS, each as u64)
+        (MAX_VOTER_SUBJECTS, subjects_per_relay as u64)
     );
 }
--- a/leases/tests/single_subject.rs
+++ b/leases/tests/single_subject.rs
@@ -36,7 +36,11 @@
             (host.alive && !paused.contains(&index)).then(|| (host.name.clone(), held.epoch))
         };
         let all: Vec<(String, u64)> = network.hosts.iter().enumerate().filter_map(acts).collect();
-        assert!(all.len() <= 1, "{all:?} at {:?}", network.now);
+        assert!(
+            all.len() <= 1,
+            "several processes hold the subject at {:?}: {all:?}",
+            network.now
+        );
         let Some((name, epoch)) = all.into_iter().next() else {
             return;
         };
@@ -45,7 +49,7 @@
         if self.last_holding != now {
             assert!(
                 epoch > self.last_epoch,
-                "epoch {epoch} after {}",
+                "the epoch did not grow: {epoch} after {}",
                 self.last_epoch
             );
             (self.last_holding, self.last_epoch) = (now, epoch);
@@ -74,13 +78,14 @@
     }
 }
 
-fn held_by(network: &SimulatedNetwork) -> Option<usize> {
+/// Returns the index of the process that may act on the subject now.
+fn holder_index(network: &SimulatedNetwork) -> Option<usize> {
     network.hosts.iter().position(|host| {
         host.alive
             && host
                 .leases
                 .as_ref()
-                .is_some_and(|one| one.held(SUBJECT, host.clock(network.now)).is_some())
+                .is_some_and(|leases| leases.held(SUBJECT, host.clock(network.now)).is_some())
     })
 }
 
@@ -148,16 +153,16 @@
                 });
             }
             checker.check_for(&mut network, TERM * 3.0, &[]);
-            let holder = held_by(&network).expect("a process holds the subject");
+            let holder = holder_index(&network).expect("a process holds the subject");
             lose(&mut network, holder);
             let paused: &[usize] = if *what == "paused" { &[holder] } else { &[] };
             checker.check_for(&mut network, *within, paused);
-            let next = held_by(&network).filter(|next| *next != holder);
+            let next = holder_index(&network).filter(|next| *next != holder);
             assert!(
                 next.is_some() || *what == "paused" && checker.holdings == 2,
-                "{what}, seed {seed}"
+                "{what}, seed {seed}: no other process holds the subject"
             );
-            assert_eq!(checker.holdings, 2, "{what}, seed {seed}");
+            assert_eq!(checker.holdings, 2, "{what}, seed {seed}: holdings");
             if *what == "paused" {
                 network.run_for(TERM * 10.0);
                 network.resume(holder);
@@ -177,7 +182,7 @@
         let mut checker = HolderChecker::default();
         acquire_everywhere(&mut network);
         checker.check_for(&mut network, TERM * 3.0, &[]);
-        let holder = held_by(&network).expect("a process holds the subject");
+        let holder = holder_index(&network).expect("a process holds the subject");
         // The holder is on the side of the minority.
         let other = (holder + 1) % 5;
         let rest: Vec<usize> = (0..5)
@@ -186,8 +191,11 @@
         network.partition(&[holder, other], &rest);
         // All three voters of the majority have to grant the lease to the same one of them.
         checker.check_for(&mut network, TERM * 4.0, &[]);
-        let next = held_by(&network).expect("the majority has a new holder");
-        assert!(rest.contains(&next), "seed {seed}");
+        let next = holder_index(&network).expect("the majority has a new holder");
+        assert!(
+            rest.contains(&next),
+            "seed {seed}: r{next} is not in the majority"
+        );
         let before = checker.steps_held.clone();
         checker.check_for(&mut network, TERM * 20.0, &[]);
         for index in [holder, other] {
@@ -195,7 +203,7 @@
             assert_eq!(
                 checker.steps_held.get(&name),
                 before.get(&name),
-                "seed {seed}"
+                "seed {seed}: {name} acts without a majority"
             );
         }
         network.heal_partitions();
@@ -225,7 +233,10 @@
         (0..3).for_each(|voter| network.restart(voter));
         acquire_everywhere(&mut network);
         checker.check_for(&mut network, TERM * 4.0, &[]);
-        assert!(held_by(&network).is_some(), "seed {seed}");
+        assert!(
+            holder_index(&network).is_some(),
+            "seed {seed}: no process holds the subject after the restarts"
+        );
     }
 }
 
@@ -277,7 +288,10 @@
                 checker.check(&network, &[]);
             }
         }
-        assert!(checker.holdings > 0, "seed {seed}");
+        assert!(
+            checker.holdings > 0,
+            "seed {seed}: no process ever held the subject"
+        );
     }
 }
 
@@ -299,16 +313,14 @@
         let mut result = Ok(());
         network.with_host(index, |host, now| {
             let changed = host.leases.as_mut().unwrap().change_config(to.clone(), now);
-            result = changed.map_err(|fault| fault.to_string());
+            result = changed.map_err(|error| error.to_string());
         });
         result
     };
     // One process changes late, and no step may be skipped.
-    let skipped = change(&mut network, 0, &last).unwrap_err();
-    assert!(
-        skipped.contains("generation: must be 2, the next after the current 1"),
-        "{skipped}"
-    );
+    let error = change(&mut network, 0, &last).unwrap_err();
+    let expected = "generation: must be 2, the next after the current 1";
+    assert!(error.contains(expected), "a step was skipped: {error}");
     let wrong_previous_voters = LeaseConfig {
         electorate: electorate(2, &["r3", "r4"], &["r0"]),
         ..config(&VOTERS, UPDATE_RATE)
@@ -331,17 +343,20 @@
         checker.check_for(&mut network, TERM * 0.4, &[]);
     }
     checker.check_for(&mut network, TERM * 3.0, &[]);
-    assert!(held_by(&network).is_some());
+    assert!(holder_index(&network).is_some());
     for index in 0..5 {
         assert_eq!(change(&mut network, index, &last), Ok(()), "r{index}");
         checker.check_for(&mut network, TERM * 0.4, &[]);
     }
     checker.check_for(&mut network, TERM * 3.0, &[]);
-    assert!(held_by(&network).is_some());
+    assert!(holder_index(&network).is_some());
     network.kill(0);
     network.kill(1);
     checker.check_for(&mut network, TERM * 4.0, &[]);
-    assert!(held_by(&network).is_some(), "no previous voter is needed");
+    assert!(
+        holder_index(&network).is_some(),
+        "no previous voter is needed"
+    );
 }
 
 #[test]
--- a/leases/tests/voter.rs
+++ b/leases/tests/voter.rs
@@ -30,17 +30,52 @@
         let answers = self.leases.take_outgoing();
         let to_sender = answers
             .into_iter()
-            .find(|one| one.to == Recipients::Process(from.clone()));
-        to_sender.and_then(|one| Message::decode(&one.bytes))
+            .find(|outgoing| outgoing.to == Recipients::Process(from.clone()));
+        to_sender.and_then(|outgoing| Message::decode(&outgoing.bytes))
     }
 
     /// Opens a session at the voter.
     fn session(&mut self, from: &Identity, sequence: u32, ms: u64) -> SessionToken {
         match self.answer(from, update(sequence, None, &[], &[]), ms) {
             Some(Message::Updated(updated)) => updated.session,
-            other => panic!("{other:?}"),
+            other => panic!("the voter opened no session: {other:?}"),
         }
     }
+
+    /// Opens a session for a process of this name.
+    fn client(&mut self, name: &str, sequence: u32, ms: u64) -> Client {
+        let identity = Identity::new(name, 1);
+        let session = self.session(&identity, sequence, ms);
+        Client { identity, session }
+    }
+
+    fn attach(
+        &mut self,
+        client: &Client,
+        sequence: u32,
+        subjects: &[&[u8]],
+        ms: u64,
+    ) -> Option<Message> {
+        let request = update(sequence, Some(client.session), subjects, &[]);
+        self.answer(&client.identity, request, ms)
+    }
+
+    fn detach(
+        &mut self,
+        client: &Client,
+        sequence: u32,
+        subjects: &[&[u8]],
+        ms: u64,
+    ) -> Option<Message> {
+        let request = update(sequence, Some(client.session), &[], subjects);
+        self.answer(&client.identity, request, ms)
+    }
+}
+
+/// A process and its session at the voter.
+struct Client {
+    identity: Identity,
+    session: SessionToken,
 }
 
 fn at(ms: u64) -> Instant {
@@ -65,7 +100,8 @@
     })
 }
 
-fn is_attached(answer: Option<Message>) -> bool {
+/// Returns whether the voter carried out the whole request.
+fn is_carried_out(answer: Option<Message>) -> bool {
     matches!(answer, Some(Message::Updated(updated)) if updated.rejected.is_empty())
 }
 
@@ -82,80 +118,54 @@
 #[test]
 fn late_repeated_or_unknown_requests_change_nothing() {
     let mut voter = VoterHarness::new();
-    let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
-    let early = voter.answer(&one, update(1, None, &[], &[]), 1_999);
+    let early_request = update(1, None, &[], &[]);
+    let early_answer = voter.answer(&Identity::new("a", 1), early_request, 1_999);
     assert!(
-        is_rejected_for(early, &RejectionReason::Silent),
+        is_rejected_for(early_answer, &RejectionReason::Silent),
         "the voter may have granted leases before its start"
     );
-    let session = voter.session(&one, 2, 2_000);
-    assert!(is_attached(voter.answer(
-        &one,
-        update(5, Some(session), &[SUBJECT], &[]),
-        2_000
-    )));
+    let first = voter.client("a", 2, 2_000);
+    assert!(is_carried_out(voter.attach(&first, 5, &[SUBJECT], 2_000)));
     // A detachment with an earlier sequence number arrives late, and one with the same number as
     // the last request.
-    assert_eq!(
-        voter.answer(&one, update(4, Some(session), &[], &[SUBJECT]), 2_010),
-        None
-    );
-    assert_eq!(
-        voter.answer(&one, update(5, Some(session), &[], &[SUBJECT]), 2_010),
-        None
-    );
-    let others = voter.session(&other, 1, 2_020);
-    assert!(is_held_by_another(voter.answer(
-        &other,
-        update(2, Some(others), &[SUBJECT], &[]),
+    assert_eq!(voter.detach(&first, 4, &[SUBJECT], 2_010), None);
+    assert_eq!(voter.detach(&first, 5, &[SUBJECT], 2_010), None);
+    let second = voter.client("b", 1, 2_020);
+    assert!(is_held_by_another(voter.attach(
+        &second,
+        2,
+        &[SUBJECT],
         2_020
     )));
     // A detachment by another process frees nothing, with its own token or with the holder's.
-    assert!(is_attached(voter.answer(
-        &other,
-        update(3, Some(others), &[], &[SUBJECT]),
-        2_030
-    )));
-    let stolen = voter.answer(&other, update(4, Some(session), &[], &[SUBJECT]), 2_030);
-    assert!(is_rejected_for(stolen, &RejectionReason::UnknownSession));
-    assert!(is_held_by_another(voter.answer(
-        &other,
-        update(5, Some(others), &[SUBJECT], &[]),
+    assert!(is_carried_out(voter.detach(&second, 3, &[SUBJECT], 2_030)));
+    let with_token_of_first = update(4, Some(first.session), &[], &[SUBJECT]);
+    let answer = voter.answer(&second.identity, with_token_of_first, 2_030);
+    assert!(is_rejected_for(answer, &RejectionReason::UnknownSession));
+    assert!(is_held_by_another(voter.attach(
+        &second,
+        5,
+        &[SUBJECT],
         2_040
     )));
-    assert!(is_attached(voter.answer(
-        &one,
-        update(6, Some(session), &[], &[SUBJECT]),
-        2_050
-    )));
-    assert!(is_attached(voter.answer(
-        &other,
-        update(6, Some(others), &[SUBJECT], &[]),
-        2_060
-    )));
+    assert!(is_carried_out(voter.detach(&first, 6, &[SUBJECT], 2_050)));
+    assert!(is_carried_out(voter.attach(&second, 6, &[SUBJECT], 2_060)));
     // An attachment that was sent before a detachment arrives after it and changes nothing.
-    assert_eq!(
-        voter.answer(&one, update(3, Some(session), &[b"late"], &[]), 2_070),
-        None
-    );
-    assert!(is_attached(voter.answer(
-        &other,
-        update(7, Some(others), &[b"late"], &[]),
-        2_080
-    )));
+    assert_eq!(voter.attach(&first, 3, &[b"late"], 2_070), None);
+    assert!(is_carried_out(voter.attach(&second, 7, &[b"late"], 2_080)));
 }
 
 #[test]
 fn request_of_another_generation_is_rejected() {
     let mut voter = VoterHarness::new();
-    let one = Identity::new("a", 1);
-    let session = voter.session(&one, 2, 2_000);
+    let client = Identity::new("a", 1);
+    let session = voter.session(&client, 2, 2_000);
     for generation in [0, 2] {
         let Message::Update(mut other) = update(9, Some(session), &[], &[]) else {
             unreachable!()
         };
         other.generation = generation;
-        let answer = voter.answer(&one, Message::Update(other), 2_090);
+        let answer = voter.answer(&client, Message::Update(other), 2_090);
         assert!(is_rejected_for(
             answer,
             &RejectionReason::Generation { here: 1 }
@@ -171,53 +181,52 @@
 #[test]
 fn lapsed_session_is_renewable_only_while_complete() {
     let mut voter = VoterHarness::new();
-    let (one, other) = (Identity::new("a", 1), Identity::new("b", 1));
-    let session = voter.session(&one, 1, 2_000);
-    assert!(is_attached(voter.answer(
-        &one,
-        update(2, Some(session), &[SUBJECT, b"more"], &[]),
+    let first = voter.client("a", 1, 2_000);
+    assert!(is_carried_out(voter.attach(
+        &first,
+        2,
+        &[SUBJECT, b"more"],
         2_000
     )));
-    let others = voter.session(&other, 1, 2_000);
+    let second = voter.client("b", 1, 2_000);
     // The session lapsed at 4,000 ms, but no subject of it was taken, so its token is still valid.
-    assert!(is_attached(voter.answer(
-        &one,
-        update(3, Some(session), &[], &[]),
+    let renewal = update(3, Some(first.session), &[], &[]);
+    assert!(is_carried_out(voter.answer(
+        &first.identity,
+        renewal,
         4_500
     )));
-    assert!(is_held_by_another(voter.answer(
-        &other,
-        update(2, Some(others), &[SUBJECT], &[]),
+    assert!(is_held_by_another(voter.attach(
+        &second,
+        2,
+        &[SUBJECT],
         6_499
     )));
     // The session lapses again at 6,500 ms and another process takes one of its two subjects, so
     // its token is no longer valid.
-    assert!(is_attached(voter.answer(
-        &other,
-        update(3, Some(others), &[SUBJECT], &[]),
-        6_500
-    )));
-    let renewed = voter.answer(&one, update(4, Some(session), &[], &[]), 6_510);
-    assert!(is_rejected_for(renewed, &RejectionReason::UnknownSession));
-    let anew = voter.session(&one, 5, 6_520);
-    assert_ne!(anew, session);
-    let both = voter.answer(&one, update(6, Some(anew), &[SUBJECT, b"more"], &[]), 6_530);
-    assert!(matches!(both, Some(Message::Updated(updated)) if updated.rejected.len() == 1));
+    assert!(is_carried_out(voter.attach(&second, 3, &[SUBJECT], 6_500)));
+    let late_renewal = update(4, Some(first.session), &[], &[]);
+    let answer = voter.answer(&first.identity, late_renewal, 6_510);
+    assert!(is_rejected_for(answer, &RejectionReason::UnknownSession));
+    let reopened = voter.client("a", 5, 6_520);
+    assert_ne!(reopened.session, first.session);
+    let answer = voter.attach(&reopened, 6, &[SUBJECT, b"more"], 6_530);
+    assert!(matches!(answer, Some(Message::Updated(updated)) if updated.rejected.len() == 1));
 }
 
 #[test]
 fn one_of_two_processes_with_the_same_name_votes() {
-    let me = Identity::new("r0", 1);
-    let mut voter = VoterHarness {
-        leases: Leases::new(me.clone(), config(&["r0"], UPDATE_RATE), at(0)),
+    let old_process = Identity::new("r0", 1);
+    let mut old_voter = VoterHarness {
+        leases: Leases::new(old_process.clone(), config(&["r0"], UPDATE_RATE), at(0)),
     };
-    let one = Identity::new("a", 1);
-    voter.session(&one, 1, 2_000);
+    let client = Identity::new("a", 1);
+    old_voter.session(&client, 1, 2_000);
     // When another process with the voter's name starts, the voter stops voting. The new process is
     // silent for a term after the last message from the old one.
-    let next = Identity::new("r0", 2);
-    voter.answer(
-        &next,
+    let new_process = Identity::new("r0", 2);
+    old_voter.answer(
+        &new_process,
         Message::Recall {
             generation: 1,
             starting: true,
@@ -225,14 +234,14 @@
         2_100,
     );
     assert!(is_rejected_for(
-        voter.answer(&one, update(2, None, &[], &[]), 2_110),
+        old_voter.answer(&client, update(2, None, &[], &[]), 2_110),
         &RejectionReason::Silent
     ));
-    let mut next = VoterHarness {
-        leases: Leases::new(next, config(&["r0"], UPDATE_RATE), at(2_100)),
+    let mut new_voter = VoterHarness {
+        leases: Leases::new(new_process, config(&["r0"], UPDATE_RATE), at(2_100)),
     };
-    next.answer(
-        &me,
+    new_voter.answer(
+        &old_process,
         Message::Remembered {
             generation: 1,
             established: true,
@@ -241,10 +250,13 @@
         2_500,
     );
     assert!(is_rejected_for(
-        next.answer(&one, update(3, None, &[], &[]), 4_400),
+        new_voter.answer(&client, update(3, None, &[], &[]), 4_400),
         &RejectionReason::Silent
     ));
-    let answer = next.answer(&one, update(4, None, &[], &[]), 4_500);
+    let answer = new_voter.answer(&client, update(4, None, &[], &[]), 4_500);
     assert!(matches!(answer, Some(Message::Updated(updated)) if updated.epoch == 9));
-    assert_eq!(next.leases.state(SUBJECT, at(4_500)), ClaimState::Unwanted);
+    assert_eq!(
+        new_voter.leases.state(SUBJECT, at(4_500)),
+        ClaimState::Unwanted
+    );
 }
