--- a/peers/src/identity.rs
+++ b/peers/src/identity.rs
@@ -39,8 +39,8 @@
 pub enum MemberState {
     /// The member answers probes.
     Alive,
-    /// Some relay got no answer from the member. Other relays may prepare, but none acts in its
-    /// place.
+    /// Some relay got no answer from the member. Other relays may prepare to take over its duties,
+    /// but none does so yet.
     Suspect,
     /// The member did not refute a suspicion in time. Others may take over its duties if they hold
     /// the leases.
--- a/peers/src/members.rs
+++ b/peers/src/members.rs
@@ -120,7 +120,7 @@
 pub(crate) struct MemberList {
     members: BTreeMap<Identity, Member>,
     /// The number of members that are alive or suspect.
-    live: usize,
+    live_count: usize,
     suspects: BTreeSet<Identity>,
 }
 
@@ -146,7 +146,7 @@
     }
 
     pub(crate) fn live_count(&self) -> usize {
-        self.live
+        self.live_count
     }
 
     /// Returns the members that are alive or suspect.
@@ -162,7 +162,7 @@
         let accuser = member
             .suspicion
             .as_ref()
-            .and_then(|one| one.accusers.first().cloned());
+            .and_then(|suspicion| suspicion.accusers.first().cloned());
         let (address, incarnation, state) = (member.address, member.incarnation, member.state);
         Some(MemberRecord {
             id: id.clone(),
@@ -180,12 +180,13 @@
         timing: &ProtocolTiming,
         now: Instant,
     ) -> MergeOutcome {
-        let is_live =
-            |member: Option<&Member>| member.is_some_and(|one| one.state <= MemberState::Suspect);
+        let is_live = |member: Option<&Member>| {
+            member.is_some_and(|member| member.state <= MemberState::Suspect)
+        };
         let was_live = is_live(self.members.get(&record.id));
-        let merged = self.merge_opinion(record, self.live + 1, timing, now);
+        let merged = self.merge_opinion(record, self.live_count + 1, timing, now);
         let member = self.members.get(&record.id);
-        self.live = self.live + usize::from(is_live(member)) - usize::from(was_live);
+        self.live_count = self.live_count + usize::from(is_live(member)) - usize::from(was_live);
         if member.is_some_and(|member| member.suspicion.is_some()) {
             self.suspects.insert(record.id.clone());
         } else {
@@ -228,7 +229,10 @@
 
     /// Returns the members whose suspicion has timed out.
     pub(crate) fn expired_suspicions(&self, now: Instant) -> Vec<Identity> {
-        let is_expired = |id: &&Identity| self.suspicion(id).is_some_and(|one| one.until() <= now);
+        let is_expired = |id: &&Identity| {
+            self.suspicion(id)
+                .is_some_and(|suspicion| suspicion.until() <= now)
+        };
         self.suspects.iter().filter(is_expired).cloned().collect()
     }
 
@@ -251,7 +255,7 @@
             member
                 .suspicion
                 .iter_mut()
-                .for_each(|one| one.started = one.started + by);
+                .for_each(|suspicion| suspicion.started = suspicion.started + by);
         }
     }
 
--- a/peers/src/node/sync.rs
+++ b/peers/src/node/sync.rs
@@ -46,22 +46,22 @@
 impl Node {
     /// Contacts seeds and dead members: as many as there are seeds while no member is alive, and
     /// one at a time after that.
-    pub(super) fn contact_missing(&mut self, now: Instant) {
+    pub(super) fn contact_seeds_and_dead_members(&mut self, now: Instant) {
         if now < self.next_contact {
             return;
         }
         let is_alone = self.addresses_in_state(MemberState::Alive).next().is_none();
         let intervals = if is_alone { 1.0 } else { CONTACT_INTERVAL };
         self.next_contact = now + self.timing.probe_interval * intervals;
-        let mut missing = self.missing_addresses();
+        let mut addresses = self.unreached_addresses();
         let digest = self.digest();
         let count = if is_alone { self.seeds.len().max(1) } else { 1 };
         for _ in 0..count.min(MAX_CONTACTS) {
-            if missing.is_empty() {
+            if addresses.is_empty() {
                 return;
             }
-            let index = self.rng.below(missing.len() as u64) as usize;
-            let address = missing.swap_remove(index);
+            let index = self.rng.below(addresses.len() as u64) as usize;
+            let address = addresses.swap_remove(index);
             // A datagram to a dead member carries the opinion that the member is dead, so that the
             // member can refute it.
             let id = self.member_with_address(address).cloned();
@@ -89,16 +89,16 @@
     }
 
     /// Returns the addresses of seeds and dead members at which no member is alive.
-    fn missing_addresses(&self) -> Vec<SocketAddr> {
+    fn unreached_addresses(&self) -> Vec<SocketAddr> {
         let alive: BTreeSet<SocketAddr> = self.addresses_in_state(MemberState::Alive).collect();
         let seeds = self.seeds.iter().copied();
-        let mut missing: Vec<SocketAddr> = seeds
+        let mut addresses: Vec<SocketAddr> = seeds
             .chain(self.addresses_in_state(MemberState::Dead))
             .collect();
-        missing.retain(|address| !alive.contains(address));
-        missing.sort_unstable();
-        missing.dedup();
-        missing
+        addresses.retain(|address| !alive.contains(address));
+        addresses.sort_unstable();
+        addresses.dedup();
+        addresses
     }
 
     /// Once per sync interval, removes expired members and entries, refreshes this process's own
--- a/peers/src/node/ticking.rs
+++ b/peers/src/node/ticking.rs
@@ -27,7 +27,7 @@
         self.expire_suspicions(now);
         self.expire_indirect_probes(now);
         self.request_missing_chunks(now);
-        self.contact_missing(now);
+        self.contact_seeds_and_dead_members(now);
         self.sync_and_expire(now);
         if !self.gossip.is_empty() && now >= self.next_gossip {
             self.spread_gossip(now);
--- a/peers/src/snapshots.rs
+++ b/peers/src/snapshots.rs
@@ -145,7 +145,10 @@
 
     /// Returns when missing chunks have to be requested next.
     pub(crate) fn next_request(&self) -> Option<Instant> {
-        let unfinished = self.incoming.values().filter(|one| !one.is_finished());
+        let unfinished = self
+            .incoming
+            .values()
+            .filter(|incoming| !incoming.is_finished());
         unfinished.map(|incoming| incoming.request_at).min()
     }
 }
--- a/peers/src/wire.rs
+++ b/peers/src/wire.rs
@@ -171,7 +171,9 @@
         let difference = expected
             .iter()
             .zip(tag)
-            .fold(0, |difference, (one, other)| difference | (one ^ other));
+            .fold(0, |difference, (expected, actual)| {
+                difference | (expected ^ actual)
+            });
         if difference != 0 {
             return Err(Rejection::Foreign);
         }
--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -153,7 +153,9 @@
     let mut recording = format!("format: {FORMAT}\n");
     let kinds = datagrams_of_each_kind();
     let records = datagrams_with_each_record();
-    let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
+    let kinds = kinds
+        .into_iter()
+        .map(|(name, datagram)| (name.to_string(), datagram));
     for (name, datagram) in kinds.chain(records) {
         let bytes = codec
             .encode(&datagram)
@@ -169,7 +171,9 @@
     let codec = DatagramCodec::new(SECRET, FLEET);
     let kinds = datagrams_of_each_kind();
     let records = datagrams_with_each_record();
-    let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
+    let kinds = kinds
+        .into_iter()
+        .map(|(name, datagram)| (name.to_string(), datagram));
     let expected: Vec<(String, Datagram)> = kinds.chain(records).collect();
     let recording = include_str!("golden/datagrams.txt");
     let lines: Vec<&str> = recording.lines().skip(1).collect();
@@ -241,8 +245,8 @@
                 let at = self.now.as_micros() / 1_000;
                 let from = address(sender as u8 + 1);
                 writeln!(self.recording, "{at} ms {from} {to} {}", hex(&bytes)).unwrap();
-                let receiver = (0..self.nodes.len()).find(|one| address(*one as u8 + 1) == to);
-                if let Some(receiver) = receiver.filter(|one| self.down != Some(*one)) {
+                let receiver = (0..self.nodes.len()).find(|index| address(*index as u8 + 1) == to);
+                if let Some(receiver) = receiver.filter(|index| self.down != Some(*index)) {
                     self.nodes[receiver].receive(&bytes, from, self.now);
                 }
             }
--- a/peers/tests/membership.rs
+++ b/peers/tests/membership.rs
@@ -60,7 +60,10 @@
             PROBE_INTERVAL * 40.0,
             SimulatedNetwork::membership_is_consistent,
         );
-        assert!(duration.is_some(), "{count} relays");
+        assert!(
+            duration.is_some(),
+            "{count} relays do not all see each other"
+        );
     }
 }
 
@@ -71,14 +74,17 @@
         network.kill(1);
         let bound = config().timing.detection_bound(count, 0);
         let dead = network.hosts[1].node.identity().clone();
-        let gone =
+        let sees_death =
             |host: &Host| !host.alive || host.node.state_of(&dead) == Some(MemberState::Dead);
-        let duration = network.run_until(bound, |network| network.hosts.iter().all(gone));
-        assert!(duration.is_some(), "{count} relays, {bound:?}");
+        let duration = network.run_until(bound, |network| network.hosts.iter().all(sees_death));
+        assert!(
+            duration.is_some(),
+            "{count} relays: not all see the death within {bound:?}"
+        );
         let seen = states_seen_of(&network, "r1");
         assert!(
             seen.contains(&MemberState::Suspect) && seen.contains(&MemberState::Dead),
-            "{seen:?}"
+            "{count} relays: states seen of r1 {seen:?}"
         );
         let others = network
             .hosts
@@ -144,14 +150,14 @@
 
 #[test]
 fn partial_partitions_and_losses_end_in_the_documented_states() {
-    for (what, change_links, gone) in LINK_FAULTS {
+    for (fault, change_links, dead) in LINK_FAULTS {
         for seed in 1..=4 {
             let mut network = joined_network(5, seed);
             change_links(&mut network);
             network.run_for(config().timing.detection_bound(5, 8));
             let connected: BTreeSet<String> = (0..5)
                 .map(|number| format!("r{number}"))
-                .filter(|name| !gone.contains(&name.as_str()))
+                .filter(|name| !dead.contains(&name.as_str()))
                 .collect();
             let rest = network
                 .hosts
@@ -165,16 +171,20 @@
                     .members()
                     .filter(|view| view.state >= MemberState::Dead);
                 let found: Vec<&str> = views.map(|view| view.id.name.as_str()).collect();
-                assert_eq!(&found, gone, "{what}, seed {seed}, seen by {}", host.name);
+                assert_eq!(
+                    &found, dead,
+                    "{fault}, seed {seed}: members that {} regards as dead",
+                    host.name
+                );
             }
             // Helpers reach the target of every probe, so no member is even suspected.
-            if gone.is_empty() && network.default_link_fault.loss == 0.0 {
+            if dead.is_empty() && network.default_link_fault.loss == 0.0 {
                 let suspected = network
                     .hosts
                     .iter()
                     .map(|host| host.node.counts.suspected)
                     .sum::<u64>();
-                assert_eq!(suspected, 0, "{what}, seed {seed}");
+                assert_eq!(suspected, 0, "{fault}, seed {seed}: members suspected");
             }
         }
     }
@@ -182,7 +192,7 @@
 
 #[test]
 fn paused_process_declares_nobody_dead_and_returns_by_refutation() {
-    for (pause, gone) in [
+    for (pause, is_declared_dead) in [
         (Duration::from_millis(1_000), false),
         (Duration::from_millis(20_000), true),
     ] {
@@ -194,20 +204,23 @@
             PROBE_INTERVAL * 60.0,
             SimulatedNetwork::membership_is_consistent,
         );
-        assert!(duration.is_some(), "{pause:?}");
+        assert!(
+            duration.is_some(),
+            "pause of {pause:?}: the members do not all see each other afterwards"
+        );
         assert_eq!(
             states_seen_of(&network, "r2").contains(&MemberState::Dead),
-            gone,
-            "{pause:?}"
+            is_declared_dead,
+            "pause of {pause:?}: whether r2 was declared dead"
         );
         // No process regarded any other process as dead.
         for name in ["r0", "r1", "r3", "r4", "r5"] {
             assert!(
                 !states_seen_of(&network, name).contains(&MemberState::Dead),
-                "{name}, {pause:?}"
+                "pause of {pause:?}: {name} was declared dead"
             );
         }
-        assert!(!gone || network.hosts[2].node.incarnation() > 0);
+        assert!(!is_declared_dead || network.hosts[2].node.incarnation() > 0);
     }
 }
 
@@ -221,7 +234,7 @@
     };
     network
         .run_until(PROBE_INTERVAL * 20.0, suspects)
-        .expect("suspected");
+        .expect("r2 suspects r4");
     network.pause(2);
     // All others receive the refutation of r4. The paused r2 does not, not even after the pause.
     network.heal_partitions();
@@ -241,14 +254,14 @@
         later
             .iter()
             .all(|change| change.id != accused || change.state != MemberState::Dead),
-        "{later:?}"
+        "r2 declared r4 dead: {later:?}"
     );
 }
 
 #[test]
 fn restart_within_the_suspicion_timeout_replaces_the_old_process() {
     let mut network = joined_network(5, 3);
-    let old = network.hosts[1].node.identity().clone();
+    let old_process = network.hosts[1].node.identity().clone();
     network.kill(1);
     network.run_for(PROBE_INTERVAL);
     network.restart(1);
@@ -260,7 +273,7 @@
                 .filter(|host| host.name != "r1")
                 .all(|host| {
                     host.node
-                        .state_of(&old)
+                        .state_of(&old_process)
                         .is_some_and(|state| state >= MemberState::Dead)
                 })
     });
@@ -325,9 +338,9 @@
         now,
     );
     let codec = DatagramCodec::new(b"of the test", "test");
-    let you = Identity::new("you", 2);
+    let member = Identity::new("you", 2);
     let record = |incarnation, state| MemberRecord {
-        id: you.clone(),
+        id: member.clone(),
         address,
         incarnation,
         state,
@@ -348,16 +361,16 @@
         };
         node.receive(&codec.encode(&datagram).unwrap(), address, now);
     };
-    receive(&mut node, &you, Vec::new());
-    assert_eq!(node.state_of(&you), Some(MemberState::Alive));
+    receive(&mut node, &member, Vec::new());
+    assert_eq!(node.state_of(&member), Some(MemberState::Alive));
     // A dead member may come back with a higher incarnation; one that has left may not.
     let other = Identity::new("other", 3);
     receive(&mut node, &other, vec![record(0, MemberState::Dead)]);
     receive(&mut node, &other, vec![record(0, MemberState::Alive)]);
-    assert_eq!(node.state_of(&you), Some(MemberState::Dead));
+    assert_eq!(node.state_of(&member), Some(MemberState::Dead));
     receive(&mut node, &other, vec![record(1, MemberState::Alive)]);
-    assert_eq!(node.state_of(&you), Some(MemberState::Alive));
-    receive(&mut node, &you, vec![record(1, MemberState::Left)]);
+    assert_eq!(node.state_of(&member), Some(MemberState::Alive));
+    receive(&mut node, &member, vec![record(1, MemberState::Left)]);
     for records in [
         vec![],
         vec![record(1, MemberState::Alive)],
@@ -365,8 +378,12 @@
         vec![record(9, MemberState::Alive)],
     ] {
         receive(&mut node, &other, records.clone());
-        receive(&mut node, &you, Vec::new());
-        assert_eq!(node.state_of(&you), Some(MemberState::Left), "{records:?}");
+        receive(&mut node, &member, Vec::new());
+        assert_eq!(
+            node.state_of(&member),
+            Some(MemberState::Left),
+            "state after {records:?}"
+        );
     }
 }
 
@@ -377,17 +394,17 @@
     network.with_host(3, |host, now| {
         assert!(host.node.announce(EntryKind::Ban, b"box-1", b"out", now))
     });
-    let known = |network: &SimulatedNetwork| {
-        let has = |host: &Host| {
+    let is_known_everywhere = |network: &SimulatedNetwork| {
+        let has_entry = |host: &Host| {
             host.node
                 .shared_state()
                 .of_kind(EntryKind::Ban, host.clock(network.now))
                 .any(|entry| entry.value == b"out")
         };
-        network.hosts.iter().all(has)
+        network.hosts.iter().all(has_entry)
     };
     let duration = network
-        .run_until(PROBE_INTERVAL * 20.0, known)
+        .run_until(PROBE_INTERVAL * 20.0, is_known_everywhere)
         .expect("all members have the entry");
     // A member that was partitioned off gets a later entry by a sync, with an age that includes the
     // time since its announcement.
@@ -397,7 +414,7 @@
     });
     network.run_for(PROBE_INTERVAL * 30.0);
     network.heal_partitions();
-    let has = |network: &SimulatedNetwork| {
+    let has_later_entry = |network: &SimulatedNetwork| {
         let host = &network.hosts[20];
         host.node
             .shared_state()
@@ -405,8 +422,10 @@
             .any(|entry| entry.age >= PROBE_INTERVAL * 30.0)
     };
     assert!(
-        network.run_until(PROBE_INTERVAL * 60.0, has).is_some(),
-        "after {duration:?}"
+        network
+            .run_until(PROBE_INTERVAL * 60.0, has_later_entry)
+            .is_some(),
+        "r20 does not get the later entry; all had the first one after {duration:?}"
     );
 }
 
@@ -430,7 +449,7 @@
             .of_kind(EntryKind::Ejection, now)
             .map(|entry| entry.subject)
             .collect();
-        assert_eq!(subjects, [b"c"], "{}", host.name);
+        assert_eq!(subjects, [b"c"], "entries at {}", host.name);
     }
 }
 
@@ -449,10 +468,13 @@
     }
     network.default_link_fault.loss = 0.3;
     let late = network.start("late", 1.0);
-    let whole = |network: &SimulatedNetwork| network.hosts[late].node.shared_state().len() == 200;
+    let is_complete =
+        |network: &SimulatedNetwork| network.hosts[late].node.shared_state().len() == 200;
     assert!(
-        network.run_until(PROBE_INTERVAL * 150.0, whole).is_some(),
-        "{}",
+        network
+            .run_until(PROBE_INTERVAL * 150.0, is_complete)
+            .is_some(),
+        "{} of 200 entries arrived",
         network.hosts[late].node.shared_state().len()
     );
 }
@@ -569,15 +591,15 @@
             node.counts.malformed
         }),
     ];
-    for (what, bytes, count) in cases {
+    for (case, bytes, count) in cases {
         let mut node = node();
         node.receive(bytes, source(), START);
         assert_eq!(
             (count(&node), node.counts.received, node.members().count()),
             (1, 0, 0),
-            "{what}"
+            "{case}: datagrams rejected for this reason, datagrams accepted, members"
         );
-        assert!(node.take_datagrams().is_empty(), "{what}");
+        assert!(node.take_datagrams().is_empty(), "{case}: the node answers");
     }
 }
 
@@ -610,6 +632,6 @@
         (70, false),
     ];
     for (serial, is_accepted) in serials {
-        assert_eq!(window.accept(serial), is_accepted, "{serial}");
+        assert_eq!(window.accept(serial), is_accepted, "serial {serial}");
     }
 }
--- a/peers/tests/shared_state.rs
+++ b/peers/tests/shared_state.rs
@@ -47,15 +47,15 @@
     fn merge_is_independent_of_order_and_repetition(entries in prop::collection::vec(entry(), 1..60), order in any::<u64>()) {
         let expected = merged(entries.iter());
         let mut rng = thistlecroft::random::Rng::from_seed(order);
-        let mut other: Vec<&Entry> = entries.iter().chain(entries.iter().filter(|entry| entry.epoch % 2 == 0)).collect();
-        for index in (1..other.len()).rev() {
-            other.swap(index, rng.below(index as u64 + 1) as usize);
+        let mut shuffled: Vec<&Entry> = entries.iter().chain(entries.iter().filter(|entry| entry.epoch % 2 == 0)).collect();
+        for index in (1..shuffled.len()).rev() {
+            shuffled.swap(index, rng.below(index as u64 + 1) as usize);
         }
-        prop_assert_eq!(&expected, &merged(other.into_iter()));
+        prop_assert_eq!(&expected, &merged(shuffled.into_iter()));
         // Merging each half separately and then both results gives the same table.
-        let (one, two) = entries.split_at(entries.len() / 2);
-        let (one, two) = (merged(one.iter()), merged(two.iter()));
-        prop_assert_eq!(&expected, &merged(two.iter().chain(one.iter())));
+        let (first_half, second_half) = entries.split_at(entries.len() / 2);
+        let (first_half, second_half) = (merged(first_half.iter()), merged(second_half.iter()));
+        prop_assert_eq!(&expected, &merged(second_half.iter().chain(first_half.iter())));
     }
 }
 
@@ -74,18 +74,18 @@
     assert_eq!(forward.len(), MAX_ENTRIES);
     assert_eq!(forward, merged(entries.iter().rev()));
     let mut table = SharedState::new(Duration::from_millis(1_000));
-    let me = Identity::new("me", 1);
+    let owner = Identity::new("me", 1);
     for number in 0..MAX_OWN_ENTRIES as u32 {
-        assert!(table.announce(&me, EntryKind::Note, &number.to_be_bytes(), b"", NOW));
+        assert!(table.announce(&owner, EntryKind::Note, &number.to_be_bytes(), b"", NOW));
     }
-    assert!(!table.announce(&me, EntryKind::Note, b"one more", b"", NOW));
+    assert!(!table.announce(&owner, EntryKind::Note, b"one more", b"", NOW));
     assert!(
-        table.announce(&me, EntryKind::Note, &7_u32.to_be_bytes(), b"again", NOW),
+        table.announce(&owner, EntryKind::Note, &7_u32.to_be_bytes(), b"again", NOW),
         "an owner may change any of its entries"
     );
     assert!(
-        !table.announce(&me, EntryKind::Note, &[0; 49], b"", NOW),
-        "too long"
+        !table.announce(&owner, EntryKind::Note, &[0; 49], b"", NOW),
+        "a subject that is too long is rejected"
     );
     assert_eq!(table.rejected, 2);
 }
@@ -96,20 +96,20 @@
         SharedState::new(Duration::from_millis(1_000)),
         SharedState::new(Duration::from_millis(1_000)),
     );
-    let me = Identity::new("me", 1);
-    let pass = |own: &SharedState, other: &mut SharedState| {
+    let owner = Identity::new("me", 1);
+    let send_entry = |own: &SharedState, other: &mut SharedState| {
         let key = own.keys().next().unwrap().clone();
         other.merge(&own.entry(&key, NOW).unwrap(), NOW)
     };
     assert!(
-        own.announce(&me, EntryKind::Ban, b"b", b"out", NOW)
-            && own.announce(&me, EntryKind::Ban, b"b", b"z", NOW)
+        own.announce(&owner, EntryKind::Ban, b"b", b"out", NOW)
+            && own.announce(&owner, EntryKind::Ban, b"b", b"z", NOW)
     );
-    assert!(pass(&own, &mut other));
-    assert!(own.withdraw(&me, EntryKind::Ban, b"b"));
-    assert!(own.announce(&me, EntryKind::Ban, b"b", b"a", NOW));
+    assert!(send_entry(&own, &mut other));
+    assert!(own.withdraw(&owner, EntryKind::Ban, b"b"));
+    assert!(own.announce(&owner, EntryKind::Ban, b"b", b"a", NOW));
     assert!(
-        pass(&own, &mut other),
+        send_entry(&own, &mut other),
         "a later announcement replaces a greater value"
     );
     assert_eq!(
@@ -121,8 +121,8 @@
 #[test]
 fn entry_has_an_age_and_expires_by_it() {
     let mut table = SharedState::new(Duration::from_millis(1_000));
-    let me = Identity::new("me", 1);
-    assert!(table.announce(&me, EntryKind::Ejection, b"b", b"x", NOW));
+    let owner = Identity::new("me", 1);
+    assert!(table.announce(&owner, EntryKind::Ejection, b"b", b"x", NOW));
     let at = |secs: u64| NOW + Duration::from_millis(secs * 1_000);
     assert_eq!(
         table
@@ -132,9 +132,9 @@
             .age,
         Duration::from_millis(7_000)
     );
-    assert!(table.entries_to_refresh(&me, at(19)).is_empty());
+    assert!(table.entries_to_refresh(&owner, at(19)).is_empty());
     assert_eq!(
-        table.entries_to_refresh(&me, at(20)).len(),
+        table.entries_to_refresh(&owner, at(20)).len(),
         1,
         "refreshed after a third of its time to live"
     );
