--- a/src/deployment.rs
+++ b/src/deployment.rs
@@ -8,9 +8,9 @@
 pub enum DeduplicationScope {
     /// All backends.
     All,
-    /// The backends in the zone of the first one.
+    /// The backends in the zone of the backend where the request may have run first.
     Zone,
-    /// The backends in the cell of the first one.
+    /// The backends in the cell of the backend where the request may have run first.
     Cell,
 }
 
@@ -38,7 +38,7 @@
 pub struct Route {
     /// Rows with the same number share their limits and counts; 0 for sessions without a route.
     pub limits_id: u32,
-    /// A handshake that completes within this time has its full worth.
+    /// A session has its full worth if its handshake completes within this time.
     pub handshake_objective: Duration,
     /// Whether a request may be sent again.
     pub idempotency: Idempotency,
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -24,6 +24,7 @@
     },
     /// Cancels an attempt: the session and the number of the attempt.
     Cancel(u32, u32),
+    /// Rejects a session: its number and the `Retry-After` of the rejection.
     Reject(u32, Option<Duration>),
     Fail(u32),
     Migrate(u32),
