--- a/peers/tests/golden.rs
+++ b/peers/tests/golden.rs
@@ -153,7 +153,9 @@
     let mut recording = format!("format: {FORMAT}\n");
     let kinds = datagrams_of_each_kind();
     let records = datagrams_with_each_record();
-    let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
+    let kinds = kinds
+        .into_iter()
+        .map(|(name, datagram)| (name.to_string(), datagram));
     for (name, datagram) in kinds.chain(records) {
         let bytes = codec
             .encode(&datagram)
@@ -169,7 +171,9 @@
     let codec = DatagramCodec::new(SECRET, FLEET);
     let kinds = datagrams_of_each_kind();
     let records = datagrams_with_each_record();
-    let kinds = kinds.into_iter().map(|(name, one)| (name.to_string(), one));
+    let kinds = kinds
+        .into_iter()
+        .map(|(name, datagram)| (name.to_string(), datagram));
     let expected: Vec<(String, Datagram)> = kinds.chain(records).collect();
     let recording = include_str!("golden/datagrams.txt");
     let lines: Vec<&str> = recording.lines().skip(1).collect();
@@ -241,8 +245,8 @@
                 let at = self.now.as_micros() / 1_000;
                 let from = address(sender as u8 + 1);
                 writeln!(self.recording, "{at} ms {from} {to} {}", hex(&bytes)).unwrap();
-                let receiver = (0..self.nodes.len()).find(|one| address(*one as u8 + 1) == to);
-                if let Some(receiver) = receiver.filter(|one| self.down != Some(*one)) {
+                let receiver = (0..self.nodes.len()).find(|index| address(*index as u8 + 1) == to);
+                if let Some(receiver) = receiver.filter(|index| self.down != Some(*index)) {
                     self.nodes[receiver].receive(&bytes, from, self.now);
                 }
             }
@@ -269,12 +273,12 @@
     fleet.run_for(PROBE_INTERVAL * 6.0);
     let now = fleet.now;
     assert!(fleet.nodes[0].announce(EntryKind::Ban, b"10.0.0.9:80", b"by hand", now));
-    let second = fleet.nodes[1].me().clone();
+    let second = fleet.nodes[1].identity().clone();
     fleet.nodes[0].send_message(&second, 2, b"lease".to_vec(), now);
     fleet.run_for(PROBE_INTERVAL * 4.0);
     fleet.down = Some(2);
     fleet.run_for(PROBE_INTERVAL * 20.0);
-    let third = fleet.nodes[2].me().clone();
+    let third = fleet.nodes[2].identity().clone();
     assert_eq!(fleet.nodes[0].state_of(&third), Some(MemberState::Dead));
     let now = fleet.now;
     fleet.nodes[1].leave(now);
