--- a/experiments/src/run/director.rs
+++ b/experiments/src/run/director.rs
@@ -26,8 +26,9 @@
 /// The time that a relay has to shut down before it is killed, besides the longest answer timeout
 /// of a client.
 const STOP_GRACE: Duration = Duration::from_millis(1_000);
-/// The most of a client's answer timeout that is added to a relay's time to shut down.
-const MAX_CLIENT_WAIT: Duration = Duration::from_millis(3_000);
+/// The longest answer timeout for which a relay is given time to shut down; a longer one counts as
+/// this.
+const MAX_ANSWER_TIMEOUT_AT_STOP: Duration = Duration::from_millis(3_000);
 /// The time that clients have to leave at the end, besides the longest answer timeout.
 const CLIENTS_LEAVE_TIMEOUT: std::time::Duration = std::time::Duration::from_secs(8);
 
@@ -196,15 +197,17 @@
         self.progress.relays = running.count();
     }
 
-    fn longest_client_wait(&self) -> Duration {
+    fn longest_answer_timeout(&self) -> Duration {
         let profiles = self.plan.traffic.profiles.iter();
-        let waits = profiles.map(|profile| profile.answer_timeout);
-        waits.max().unwrap_or_default()
+        let timeouts = profiles.map(|profile| profile.answer_timeout);
+        timeouts.max().unwrap_or_default()
     }
 
     /// Returns the time that a relay has to shut down.
     fn stop_timeout(&self) -> Duration {
-        self.longest_client_wait().min(MAX_CLIENT_WAIT) + STOP_GRACE
+        self.longest_answer_timeout()
+            .min(MAX_ANSWER_TIMEOUT_AT_STOP)
+            + STOP_GRACE
     }
 
     pub(super) fn stop_deadline(&self) -> Instant {
@@ -246,7 +249,7 @@
     fn wait_for_clients(&mut self) {
         let is_gone = |event: &&RecordedEvent| matches!(&event.observation, Observation::Note { text } if text == ALL_CLIENTS_GONE);
         let threads = self.load_generators.len();
-        let timeout = to_std(self.longest_client_wait()) + CLIENTS_LEAVE_TIMEOUT;
+        let timeout = to_std(self.longest_answer_timeout()) + CLIENTS_LEAVE_TIMEOUT;
         let all_gone = self.log.wait_until(timeout, |events| {
             events.iter().rev().filter(is_gone).count() == threads
         });
--- a/experiments/src/scenario/validation.rs
+++ b/experiments/src/scenario/validation.rs
@@ -14,7 +14,8 @@
 const MAX_THREADS: usize = 16;
 /// Arrivals per second.
 const MAX_RATE: f64 = 1e6;
-const MAX_CLIENT_WAIT: Duration = Duration::from_millis(600_000);
+/// The longest answer timeout that a scenario may give a listener.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(600_000);
 
 /// An invalid value, with its position in the text.
 pub(super) struct InvalidValue {
@@ -180,7 +181,7 @@
     if min.is_nan() || min < 0.0 || max.is_nan() || max < min {
         return Err("load: must be [minimum, maximum], both 0 or more".into());
     }
-    if listener.answer_timeout.0 > MAX_CLIENT_WAIT
+    if listener.answer_timeout.0 > MAX_ANSWER_TIMEOUT
         || listener.answer_timeout < listener.handshake_target
     {
         return Err("wait: must be between the handshake target and ten minutes".into());
