--- a/experiments/src/plan/mod.rs
+++ b/experiments/src/plan/mod.rs
@@ -13,7 +13,7 @@
 use thistlecroft::random::Rng;
 use thistlecroft::time::{Duration, Instant};
 use thistlecroft_testbed::cluster_invariants::ClusterLimits;
-use thistlecroft_testbed::invariant_checker::PlatformRules;
+use thistlecroft_testbed::invariant_checker::DeploymentProperties;
 use thistlecroft_testbed::relay_process::FleetConfig;
 use thistlecroft_testbed::simulated_backends::BackendPlan;
 use thistlecroft_testbed::traffic::{Arrival, Burst, Traffic, draw_arrivals};
@@ -46,7 +46,7 @@
     pub(crate) marks: Vec<FaultMark>,
     pub(crate) backends: BackendPlan,
     pub(crate) fleet_config: FleetConfig,
-    pub(crate) rules: PlatformRules,
+    pub(crate) deployment: DeploymentProperties,
     pub(crate) cluster_limits: ClusterLimits,
     /// The end of arrivals.
     pub(crate) end: Instant,
@@ -79,7 +79,7 @@
             arrivals,
             actions,
             marks,
-            rules: platform_rules(scenario, &backends),
+            deployment: deployment_properties(scenario, &backends),
             backends,
             fleet_config: testbed_config::fleet_config(scenario),
             cluster_limits: cluster_limits(scenario),
@@ -111,10 +111,10 @@
     }
 }
 
-fn platform_rules(scenario: &Scenario, backends: &BackendPlan) -> PlatformRules {
+fn deployment_properties(scenario: &Scenario, backends: &BackendPlan) -> DeploymentProperties {
     let listeners = scenario.listeners.iter();
     let specs = backends.backends.iter();
-    PlatformRules {
+    DeploymentProperties {
         idempotency: listeners
             .map(|listener| testbed_config::idempotency(listener.get_ref()))
             .collect(),
--- a/experiments/src/run/mod.rs
+++ b/experiments/src/run/mod.rs
@@ -65,7 +65,7 @@
     let mut director = Director::open(scenario, &plan, target, folder)?;
     let is_complete = director.execute(stop, on_progress);
     let recorded = director.close();
-    let rules = check_invariants(&recorded.events, &plan.rules);
+    let rules = check_invariants(&recorded.events, &plan.deployment);
     let violations = check_cluster_invariants(&recorded.events, &plan.cluster_limits);
     let length = recorded.events.last().map_or(Duration::ZERO, |last| {
         last.at.duration_since(Instant::default())
--- a/testbed/src/invariant_checker/checker.rs
+++ b/testbed/src/invariant_checker/checker.rs
@@ -1,6 +1,6 @@
 //! The state of a check and the reporting of violations.
 use super::history::{BackendHistory, Excuses, FORWARDING_LIMIT, SessionHistory};
-use super::result::{CheckResult, Invariant, PlatformRules, Violation};
+use super::result::{CheckResult, DeploymentProperties, Invariant, Violation};
 use super::timeline::{Subject, describe};
 use crate::event_recorder::{BackendIndex, Observation, RecordedEvent, SessionId};
 use std::collections::BTreeMap;
@@ -11,7 +11,7 @@
 
 /// Checks the recorded events of one run.
 pub(super) struct InvariantChecker<'a> {
-    pub(super) rules: &'a PlatformRules,
+    pub(super) deployment: &'a DeploymentProperties,
     events: &'a [RecordedEvent],
     pub(super) sessions: BTreeMap<SessionId, SessionHistory>,
     pub(super) backends: BTreeMap<BackendIndex, BackendHistory>,
@@ -25,9 +25,9 @@
 }
 
 impl<'a> InvariantChecker<'a> {
-    pub(super) fn new(events: &'a [RecordedEvent], rules: &'a PlatformRules) -> Self {
+    pub(super) fn new(events: &'a [RecordedEvent], deployment: &'a DeploymentProperties) -> Self {
         let mut checker = InvariantChecker {
-            rules,
+            deployment,
             events,
             sessions: BTreeMap::new(),
             backends: BTreeMap::new(),
--- a/testbed/src/invariant_checker/drains_and_bans.rs
+++ b/testbed/src/invariant_checker/drains_and_bans.rs
@@ -88,7 +88,7 @@
             return;
         };
         let lateness = self.excuses.max_testbed_delay(first_byte_at, at);
-        let limit = excluded_since + self.rules.drain_grace + SOCKET_SLACK + lateness;
+        let limit = excluded_since + self.deployment.drain_grace + SOCKET_SLACK + lateness;
         if first_byte_at <= limit || self.excuses.was_paused(Some(relay), excluded_since, at) {
             return;
         }
--- a/testbed/src/invariant_checker/mod.rs
+++ b/testbed/src/invariant_checker/mod.rs
@@ -14,4 +14,4 @@
 mod warm_up_overload;
 
 pub use replay::check_invariants;
-pub use result::{AttemptTotals, CheckResult, PlatformRules, Violation};
+pub use result::{AttemptTotals, CheckResult, DeploymentProperties, Violation};
--- a/testbed/src/invariant_checker/replay.rs
+++ b/testbed/src/invariant_checker/replay.rs
@@ -1,13 +1,17 @@
 //! The steps of a check: first each event in turn, then each session as a whole.
 use super::checker::InvariantChecker;
 use super::history::{AttemptEnd, AttemptHistory, SessionHistory};
-use super::result::{AttemptTotals, CheckResult, PlatformRules};
+use super::result::{AttemptTotals, CheckResult, DeploymentProperties};
 use crate::event_recorder::{BackendIndex, Observation, RecordedEvent, SessionId};
 use thistlecroft::time::Instant;
 
-/// Checks the invariants by the events of a run, which must be in chronological order.
-pub fn check_invariants(events: &[RecordedEvent], rules: &PlatformRules) -> CheckResult {
-    let mut checker = InvariantChecker::new(events, rules);
+/// Checks whether the recorded events of a run keep the invariants. The events must be in
+/// chronological order.
+pub fn check_invariants(
+    events: &[RecordedEvent],
+    deployment: &DeploymentProperties,
+) -> CheckResult {
+    let mut checker = InvariantChecker::new(events, deployment);
     for event in events {
         checker.replay(event.at, &event.observation);
     }
--- a/testbed/src/invariant_checker/result.rs
+++ b/testbed/src/invariant_checker/result.rs
@@ -1,10 +1,10 @@
-//! The platform's rules, and the result of checking a run against them.
+//! The properties of a deployment on which the invariants depend, and the result of a check.
 use thistlecroft::deployment::Idempotency;
 use thistlecroft::time::{Duration, Instant};
 
-/// The platform's settings that the checker of a run needs.
+/// The properties of the deployment under test on which the invariants depend.
 #[derive(Clone, Debug)]
-pub struct PlatformRules {
+pub struct DeploymentProperties {
     /// Which sessions may be attempted again, by listener.
     pub idempotency: Vec<Idempotency>,
     /// Whether hedged attempts are allowed, by listener; they are not for a listener without an
@@ -13,7 +13,7 @@
     /// The time for which new sessions may still reach a backend after its drain or stop was
     /// announced.
     pub drain_grace: Duration,
-    /// Zone and cell of each backend, for the scope of idempotency keys.
+    /// Zone and cell of each backend, by index. They decide which backends share idempotency keys.
     pub backend_locations: Vec<(String, u16)>,
 }
 
--- a/testbed/src/invariant_checker/single_effect.rs
+++ b/testbed/src/invariant_checker/single_effect.rs
@@ -17,7 +17,7 @@
         session: SessionId,
         history: &SessionHistory,
     ) {
-        if self.rules.hedged.get(history.listener) == Some(&true) {
+        if self.deployment.hedged.get(history.listener) == Some(&true) {
             return;
         }
         for pair in history.attempts.windows(2) {
@@ -60,7 +60,7 @@
             .filter(|attempt| attempt.received_at > first.received_at)
             .collect();
         let was_rejected = matches!(history.answer, Some((_, Answer::Rejected(_))));
-        let finding = match self.rules.idempotency.get(history.listener) {
+        let finding = match self.deployment.idempotency.get(history.listener) {
             Some(Idempotency::NonIdempotent) => check_non_idempotent(first, &later, was_rejected),
             Some(Idempotency::Keyed { scope, window }) => {
                 self.check_keyed(first, &later, was_rejected, *scope, *window)
@@ -112,7 +112,8 @@
         one: BackendIndex,
         other: BackendIndex,
     ) -> bool {
-        let location = |index: BackendIndex| self.rules.backend_locations.get(usize::from(index.0));
+        let location =
+            |index: BackendIndex| self.deployment.backend_locations.get(usize::from(index.0));
         let zone = |index| location(index).map(|(zone, _)| zone);
         match scope {
             DeduplicationScope::All => true,
--- a/testbed/tests/faulty_relays/invariants.rs
+++ b/testbed/tests/faulty_relays/invariants.rs
@@ -8,7 +8,9 @@
 use thistlecroft_testbed::event_recorder::{
     Answer, BackendIndex, Lifecycle, Observation, RecordedEvent, RelayIndex, Reply, SessionId,
 };
-use thistlecroft_testbed::invariant_checker::{CheckResult, PlatformRules, check_invariants};
+use thistlecroft_testbed::invariant_checker::{
+    CheckResult, DeploymentProperties, check_invariants,
+};
 use thistlecroft_testbed::simulated_backends::{AgentFault, BackendCommand, BackendFault};
 
 const ALL_BACKENDS: [BackendIndex; 3] = [BackendIndex(0), BackendIndex(1), BackendIndex(2)];
@@ -340,13 +342,13 @@
 }
 
 fn check_with_two_seconds_of_grace(events: &[RecordedEvent]) -> CheckResult {
-    let rules = PlatformRules {
+    let deployment = DeploymentProperties {
         idempotency: vec![Idempotency::Idempotent],
         hedged: vec![false],
         drain_grace: Duration::from_millis(2_000),
         backend_locations: vec![("a".into(), 0); 3],
     };
-    check_invariants(events, &rules)
+    check_invariants(events, &deployment)
 }
 
 #[test]
--- a/testbed/tests/faulty_relays/scenario.rs
+++ b/testbed/tests/faulty_relays/scenario.rs
@@ -9,7 +9,9 @@
 use thistlecroft_testbed::event_recorder::{
     Observation, RecordedEvent, RelayIndex, event_recorder,
 };
-use thistlecroft_testbed::invariant_checker::{CheckResult, PlatformRules, check_invariants};
+use thistlecroft_testbed::invariant_checker::{
+    CheckResult, DeploymentProperties, check_invariants,
+};
 use thistlecroft_testbed::load_generator::{
     ALL_CLIENTS_GONE, ClientDistribution, LoadCommand, LoadGenerator, LoadPlan, RelayEndpoint,
 };
@@ -57,7 +59,7 @@
         let (recorder, mut log) = event_recorder();
         let clock = Stopwatch::start();
         let backend_plan = self.backend_plan();
-        let rules = self.rules(&backend_plan);
+        let deployment = self.deployment(&backend_plan);
         let backends = SimulatedBackends::open(backend_plan, clock, recorder.clone()).unwrap();
         let begin = Instant::from_micros(clock.now().as_micros() + LEAD_TIME_MICROSECONDS);
         let end = begin + Duration::from_millis(self.duration_ms);
@@ -81,7 +83,7 @@
         backends.event_loop.close();
         relays.iter().for_each(|relay| relay.stop());
         let events = log.into_sorted();
-        (check_invariants(&events, &rules), events)
+        (check_invariants(&events, &deployment), events)
     }
 
     fn backend_plan(&self) -> BackendPlan {
@@ -115,9 +117,9 @@
         }
     }
 
-    fn rules(&self, plan: &BackendPlan) -> PlatformRules {
+    fn deployment(&self, plan: &BackendPlan) -> DeploymentProperties {
         let location = |backend: &BackendSpec| (backend.zone.clone(), backend.cell);
-        PlatformRules {
+        DeploymentProperties {
             idempotency: vec![self.idempotency],
             hedged: vec![false],
             drain_grace: Duration::from_millis(500),
