--- a/relay/tests/peers/boundaries.rs
+++ b/relay/tests/peers/boundaries.rs
@@ -25,9 +25,9 @@
         .expect("the unknown format is logged");
     // A relay of another fleet starts at the address of a relay that has left.
     assert!(cluster.stop(4, BUSY_MACHINE_MARGIN));
-    let other = cluster
-        .operator_config(4)
-        .replace("fleet = \"rig\"", "fleet = \"other\"");
+    let config = cluster.operator_config(4);
+    let other = config.replace("fleet = \"test\"", "fleet = \"other\"");
+    assert_ne!(other, config, "the configuration names the fleet `test`");
     cluster.start_with_config(4, other).unwrap();
     cluster
         .wait_until(BUSY_MACHINE_MARGIN, |cluster| {
--- a/testbed/src/relay_process/config.rs
+++ b/testbed/src/relay_process/config.rs
@@ -91,7 +91,7 @@
             _ => format!("voters = [{}]\n", quoted_list(voters)),
         };
         format!(
-            "\n[peers]\nfleet = \"rig\"\nlisten = \"{}\"\nadvertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{voters}period = \"{}us\"\nlease = \"{}us\"\n",
+            "\n[peers]\nfleet = \"test\"\nlisten = \"{}\"\nadvertise = \"{}\"\nkey_file = \"{}\"\nseeds = [{}]\n{voters}period = \"{}us\"\nlease = \"{}us\"\n",
             relay_address.bind,
             relay_address.public,
             self.key_file.display(),
