--- a/experiments/src/report/mod.rs
+++ b/experiments/src/report/mod.rs
@@ -22,7 +22,7 @@
 pub enum ReportError {
     /// A chart can't be drawn.
     #[error("chart can't be drawn: {0}")]
-    Plot(#[from] DrawingAreaErrorKind<io::Error>),
+    Chart(#[from] DrawingAreaErrorKind<io::Error>),
     /// There are no totals of the load generator.
     #[error("report: no totals of the load generator")]
     NoLoadTotals,
@@ -35,7 +35,7 @@
     marks: &[FaultMark],
     load_totals: &[LoadTotals],
 ) -> Result<String, ReportError> {
-    let plots = plots(events, marks, load_totals)?;
+    let charts = charts(events, marks, load_totals)?;
     let color = if summary.passed() {
         PASSED_COLOR
     } else {
@@ -47,13 +47,13 @@
          pre{{background:#f6f6f6;padding:1em;overflow-x:auto;font-size:13px}}h1{{font-size:22px}}\
          .line{{font-size:18px;color:{color}}}svg{{max-width:100%;height:auto}}</style>\
          <h1>{name}: {target}, seed {seed}</h1><p class=\"line\">{line}</p>\
-         <pre>{page}</pre>{plots}</html>\n",
+         <pre>{page}</pre>{charts}</html>\n",
         name = escape(&summary.scenario),
         target = escape(&summary.target),
         seed = summary.seed,
         line = escape(&summary.headline()),
         page = escape(&summary.report_text()),
-        plots = plots.join("\n"),
+        charts = charts.join("\n"),
     ))
 }
 
@@ -63,7 +63,7 @@
         .replace('>', "&gt;")
 }
 
-fn plots(
+fn charts(
     events: &[RecordedEvent],
     marks: &[FaultMark],
     load_totals: &[LoadTotals],
@@ -84,7 +84,7 @@
     for other in others {
         totals.add(other);
     }
-    let mut plots = vec![
+    let mut charts = vec![
         over_time(
             "Answers over time",
             "per second",
@@ -102,14 +102,14 @@
     ];
     let costs = series::relay_costs(events);
     if !costs.cpu.is_empty() {
-        plots.push(over_time("CPU of each relay", "% of a core", &costs.cpu)?);
-        plots.push(over_time(
+        charts.push(over_time("CPU of each relay", "% of a core", &costs.cpu)?);
+        charts.push(over_time(
             "Resident memory of each relay",
             "MB",
             &costs.memory,
         )?);
     }
-    Ok(plots)
+    Ok(charts)
 }
 
 /// Returns the end of the time axis in seconds. It is at least 1, even for a run of no length.
--- a/experiments/src/report/series.rs
+++ b/experiments/src/report/series.rs
@@ -48,12 +48,12 @@
     backends.chain([mean]).collect()
 }
 
-/// The kinds of outcomes that are drawn, in the order of the legend.
+/// The outcomes of sessions that are drawn, in the order of the legend.
 #[derive(Clone, Copy)]
 enum AnswerKind {
     Accepted,
     Rejected,
-    FailedOrNone,
+    FailedOrUnanswered,
     Migrated,
     ConnectionLost,
 }
@@ -62,7 +62,7 @@
     const ALL: [AnswerKind; 5] = [
         AnswerKind::Accepted,
         AnswerKind::Rejected,
-        AnswerKind::FailedOrNone,
+        AnswerKind::FailedOrUnanswered,
         AnswerKind::Migrated,
         AnswerKind::ConnectionLost,
     ];
@@ -72,10 +72,10 @@
             Observation::Answered { answer, .. } => match answer {
                 Answer::Accepted => AnswerKind::Accepted,
                 Answer::Rejected(_) => AnswerKind::Rejected,
-                Answer::Failed => AnswerKind::FailedOrNone,
+                Answer::Failed => AnswerKind::FailedOrUnanswered,
             },
             Observation::AnswerTimedOut { .. } | Observation::ClosedUnanswered { .. } => {
-                AnswerKind::FailedOrNone
+                AnswerKind::FailedOrUnanswered
             }
             Observation::Migrated { .. } => AnswerKind::Migrated,
             Observation::ConnectionLost { .. } => AnswerKind::ConnectionLost,
@@ -87,7 +87,7 @@
         let (name, color) = match self {
             AnswerKind::Accepted => ("accepted", GREEN),
             AnswerKind::Rejected => ("rejected", ORANGE),
-            AnswerKind::FailedOrNone => ("failed or unanswered", RED),
+            AnswerKind::FailedOrUnanswered => ("failed or unanswered", RED),
             AnswerKind::Migrated => ("migrated", BLUE),
             AnswerKind::ConnectionLost => ("connections lost", PURPLE),
         };
@@ -175,7 +175,7 @@
         .collect()
 }
 
-/// Returns quantile curves of the delays of set-ups and lines for each listener.
+/// Returns quantile curves of the delays of set-ups and of messages for each listener.
 pub(super) fn delays(totals: &LoadTotals) -> Vec<Series> {
     let mut series = Vec::new();
     for (number, listener) in totals.listeners.iter().enumerate() {
--- a/experiments/src/run/mod.rs
+++ b/experiments/src/run/mod.rs
@@ -65,8 +65,8 @@
     let mut director = Director::open(scenario, &plan, target, folder)?;
     let is_complete = director.execute(stop, on_progress);
     let recorded = director.close();
-    let rules = check_invariants(&recorded.events, &plan.deployment);
-    let violations = check_cluster_invariants(&recorded.events, &plan.cluster_limits);
+    let check_result = check_invariants(&recorded.events, &plan.deployment);
+    let cluster_violations = check_cluster_invariants(&recorded.events, &plan.cluster_limits);
     let length = recorded.events.last().map_or(Duration::ZERO, |last| {
         last.at.duration_since(Instant::default())
     });
@@ -79,8 +79,8 @@
         length,
         crashes: recorded.crashes,
         events: &recorded.events,
-        rules: &rules,
-        violations: &violations,
+        check_result: &check_result,
+        cluster_violations: &cluster_violations,
         load_totals: &recorded.load_totals,
         backend_totals: recorded.backend_totals,
     });
--- a/experiments/src/summary/findings.rs
+++ b/experiments/src/summary/findings.rs
@@ -31,8 +31,8 @@
     pub(crate) length: Duration,
     pub(crate) crashes: usize,
     pub(crate) events: &'a [RecordedEvent],
-    pub(crate) rules: &'a CheckResult,
-    pub(crate) violations: &'a [ClusterViolation],
+    pub(crate) check_result: &'a CheckResult,
+    pub(crate) cluster_violations: &'a [ClusterViolation],
     /// The totals of each thread of the load generator, at least one.
     pub(crate) load_totals: &'a [LoadTotals],
     pub(crate) backend_totals: BackendTotals,
@@ -40,13 +40,13 @@
 
 /// Computes the summary of a run.
 pub(crate) fn summarize(findings: &Findings) -> Summary {
-    let load = LoadTotalsOfRun::new(findings.load_totals);
+    let load = CombinedLoadTotals::new(findings.load_totals);
     let testbed = TestbedFigures::new(findings, &load.totals);
     let loads = LoadFigures::new(findings.events);
     let relays = relay_costs(findings.events);
     let cpu_s: f64 = relays.iter().map(|relay| relay.cpu_s).sum();
     let message_latency = load.histogram(|listener| &listener.message_latency);
-    let rules = findings.rules;
+    let check_result = findings.check_result;
     Summary {
         scenario: findings.scenario.into(),
         target: findings.target.into(),
@@ -54,13 +54,13 @@
         seed: findings.seed,
         complete: findings.is_complete,
         length_s: seconds_of(findings.length),
-        violation_counts: rules.violation_counts,
-        first_violations: first_violations(rules),
-        cluster_violations: cluster_violations(findings.violations),
+        violation_counts: check_result.violation_counts,
+        first_violations: first_violations(check_result),
+        cluster_violations: cluster_violations(findings.cluster_violations),
         crashes: findings.crashes,
-        sessions: rules.sessions,
-        answered: rules.answered,
-        excused: rules.excused,
+        sessions: check_result.sessions,
+        answered: check_result.answered,
+        excused: check_result.excused,
         accepted: load.sum(|listener| listener.accepted),
         rejected: load.sum(|listener| listener.rejected),
         failed: load.sum(|listener| listener.failed),
@@ -78,14 +78,15 @@
                 .max(MIN_DIVISOR),
         setup_delays: Delays::new(&load.histogram(|listener| &listener.setup_latency)),
         message_delays: Delays::new(&message_latency),
-        listeners: listener_summaries(&load.totals, rules),
-        attempts: rules.attempts,
-        attempts_per_session: rules.attempts as f64 / (rules.sessions as f64).max(1.0),
-        max_attempts: rules.max_attempts,
+        listeners: listener_summaries(&load.totals, check_result),
+        attempts: check_result.attempts,
+        attempts_per_session: check_result.attempts as f64
+            / (check_result.sessions as f64).max(1.0),
+        max_attempts: check_result.max_attempts,
         max_established: loads.max_sessions,
         load_spread: loads.mean_spread,
         max_load: loads.max_load,
-        warm_up_budget_used: rules.max_warm_up_budget_used,
+        warm_up_budget_used: check_result.max_warm_up_budget_used,
         cpu_us_per_message: cpu_s * MICROS_PER_SECOND / (message_latency.len() as f64).max(1.0),
         relays,
         testbed_longest_turn_ms: testbed.longest_turn_ms,
@@ -100,17 +101,17 @@
 }
 
 /// The sum of the totals of all threads of the load generator.
-struct LoadTotalsOfRun {
+struct CombinedLoadTotals {
     totals: LoadTotals,
 }
 
-impl LoadTotalsOfRun {
-    fn new(of_threads: &[LoadTotals]) -> LoadTotalsOfRun {
-        let mut totals = of_threads[0].clone();
-        for other in &of_threads[1..] {
+impl CombinedLoadTotals {
+    fn new(by_thread: &[LoadTotals]) -> CombinedLoadTotals {
+        let mut totals = by_thread[0].clone();
+        for other in &by_thread[1..] {
             totals.add(other);
         }
-        LoadTotalsOfRun { totals }
+        CombinedLoadTotals { totals }
     }
 
     fn sum(&self, count: fn(&ListenerTotals) -> u64) -> u64 {
@@ -172,11 +173,11 @@
     at.as_micros() as f64 / MICROS_PER_SECOND
 }
 
-fn first_violations(rules: &CheckResult) -> Vec<ViolationSummary> {
-    let first = rules.first_violations.iter().flatten();
+fn first_violations(check_result: &CheckResult) -> Vec<ViolationSummary> {
+    let first = check_result.first_violations.iter().flatten();
     first
         .map(|violation| ViolationSummary {
-            rule: violation.invariant,
+            invariant: violation.invariant,
             at_s: seconds_at(violation.at),
             description: violation.description.clone(),
             timeline: violation.timeline.clone(),
@@ -204,10 +205,14 @@
     events.iter().filter(is_failed).count()
 }
 
-fn listener_summaries(load: &LoadTotals, rules: &CheckResult) -> Vec<ListenerSummary> {
+fn listener_summaries(load: &LoadTotals, check_result: &CheckResult) -> Vec<ListenerSummary> {
     let rows = load.listeners.iter().enumerate();
     rows.map(|(number, totals)| {
-        let attempts = rules.listeners.get(number).cloned().unwrap_or_default();
+        let attempts = check_result
+            .listeners
+            .get(number)
+            .cloned()
+            .unwrap_or_default();
         listener_summary(totals, &attempts)
     })
     .collect()
--- a/experiments/src/summary/mod.rs
+++ b/experiments/src/summary/mod.rs
@@ -34,7 +34,7 @@
     /// The time from when a client was due until its session was accepted.
     #[serde(rename = "set_up")]
     pub setup_delays: Delays,
-    /// The time from sending a line to its return.
+    /// The time from sending a message to receiving its echo.
     #[serde(rename = "lines")]
     pub message_delays: Delays,
     /// The maximum number of attempts of one session.
@@ -63,17 +63,18 @@
     pub last_resident_mb: f64,
 }
 
-/// The first violation of a rule.
+/// The first violation of an invariant.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ViolationSummary {
-    /// The rule's number, from 1.
-    pub rule: usize,
+    /// The invariant's number, from 1.
+    #[serde(rename = "rule")]
+    pub invariant: usize,
     /// The time of the violation in seconds since the run began.
     pub at_s: f64,
     /// A description of the violation.
     #[serde(rename = "what")]
     pub description: String,
-    /// The events that led to it.
+    /// Descriptions of the events that led to the violation.
     #[serde(rename = "story")]
     pub timeline: Vec<String>,
 }
@@ -94,14 +95,14 @@
     pub complete: bool,
     /// The run's length in seconds.
     pub length_s: f64,
-    /// The number of violations of each rule.
+    /// The number of violations of each invariant that binds a single relay.
     #[serde(rename = "rules")]
     pub violation_counts: [usize; 4],
-    /// The first violation of each rule.
+    /// The first violation of each of these invariants.
     #[serde(rename = "first_breaks")]
     pub first_violations: Vec<ViolationSummary>,
-    /// For each violated limit of the whole cluster: its name, the number of violations, and a
-    /// description of the first.
+    /// For each violated invariant of the relays together: its name, the number of violations, and
+    /// a description of the first.
     #[serde(default, rename = "together")]
     pub cluster_violations: BTreeMap<String, (usize, String)>,
     /// The number of failures of relays: crashes, late shutdowns, and starts or admin commands that
@@ -133,10 +134,10 @@
     #[serde(rename = "lost")]
     pub gave_up: u64,
     /// The number of clients' connections that were not accepted, or were reset before the client
-    /// had written its first line.
+    /// had written its whole request.
     #[serde(rename = "never_taken")]
     pub failed_connects: usize,
-    /// The number of lines that came back changed or out of order.
+    /// The number of lines that clients received in place of the echo of their next message.
     #[serde(rename = "wrong_lines")]
     pub mismatched_messages: u64,
     /// The number of misbehaving clients.
@@ -150,7 +151,7 @@
     /// The time from when a client was due until its session was accepted.
     #[serde(rename = "set_up")]
     pub setup_delays: Delays,
-    /// The time from sending a line to its return.
+    /// The time from sending a message to receiving its echo.
     #[serde(rename = "lines")]
     pub message_delays: Delays,
     /// The figures of each listener.
@@ -177,7 +178,7 @@
     pub warm_up_budget_used: f64,
     /// The costs of each relay.
     pub relays: Vec<RelaySummary>,
-    /// The CPU time of all relays divided by the number of returned lines, in microseconds.
+    /// The CPU time of all relays divided by the number of echoed messages, in microseconds.
     #[serde(rename = "cpu_us_a_line")]
     pub cpu_us_per_message: f64,
     /// The time from when clients were due until they connected.
@@ -195,10 +196,10 @@
 }
 
 impl Summary {
-    /// Returns true if no rule was violated and no relay failed. Violations by a baseline don't
+    /// Returns true if no invariant was violated and no relay failed. Violations by a baseline don't
     /// count.
     pub fn passed(&self) -> bool {
-        let rules_kept = self.violation_counts == [0; 4] && self.cluster_violations.is_empty();
-        (rules_kept || self.baseline) && self.crashes == 0
+        let invariants_kept = self.violation_counts == [0; 4] && self.cluster_violations.is_empty();
+        (invariants_kept || self.baseline) && self.crashes == 0
     }
 }
--- a/experiments/src/summary/text.rs
+++ b/experiments/src/summary/text.rs
@@ -8,31 +8,31 @@
         let mut failures: Vec<String> = (1..)
             .zip(self.violation_counts)
             .filter(|(_, count)| *count > 0)
-            .map(|(rule, count)| format!("rule {rule} broken {count} times"))
+            .map(|(invariant, count)| format!("rule {invariant} broken {count} times"))
             .collect();
         failures.extend(
             self.cluster_violations
                 .iter()
-                .map(|(rule, (count, first))| {
-                    format!("{rule}: broken {count} times, first: {first}")
+                .map(|(invariant, (count, first))| {
+                    format!("{invariant}: broken {count} times, first: {first}")
                 }),
         );
         if self.crashes > 0 {
             failures.push(format!("{} relay failures", self.crashes));
         }
-        let rules = if failures.is_empty() {
+        let verdict = if failures.is_empty() {
             "rules kept".into()
         } else {
             failures.join(", ")
         };
         let interrupted = if self.complete { "" } else { " (interrupted)" };
         format!(
-            "answered {} of {required}, {rules}{interrupted}",
+            "answered {} of {required}, {verdict}{interrupted}",
             self.answered
         )
     }
 
-    /// Returns all figures, one line for each group, and the first violation of each rule.
+    /// Returns all figures, one line for each group, and the first violation of each invariant.
     pub fn report_text(&self) -> String {
         let mut lines = vec![format!(
             "{} / {} / seed {}: {}",
@@ -53,7 +53,7 @@
         for first in &self.first_violations {
             lines.push(format!(
                 "  rule {} first broken at {:.3} s: {}",
-                first.rule, first.at_s, first.description
+                first.invariant, first.at_s, first.description
             ));
             lines.extend(first.timeline.iter().map(|event| format!("    {event}")));
         }
