--- a/experiments/src/membership/simulated.rs
+++ b/experiments/src/membership/simulated.rs
@@ -5,16 +5,17 @@
 use thistlecroft_peers::{EntryKind, MemberState, NodeConfig, ProtocolTiming};
 use thistlecroft_testbed::simulated_network::{Host, SimulatedNetwork};
 
-/// Most bytes that a relay sends per second.
+/// The maximum number of bytes that a relay sends per second.
 const MAX_BYTES_PER_SECOND: u32 = 32_768;
-/// Number of relays whose addresses a new relay is given.
+/// The number of relays whose addresses a new relay is given to join the fleet.
 const SEED_COUNT: usize = 3;
-/// Probe periods between the join of all relays and the measurement of the calm fleet.
+/// Probe periods between the join of all relays and the measurement of the calm fleet, in which no
+/// relay starts or stops.
 const SETTLING_PERIODS: f64 = 60.0;
 /// The calm fleet is measured for this many probe periods divided by its size, so that each size
 /// yields about as many samples.
 const CALM_RELAY_PERIODS: f64 = 24_000.0;
-/// Least and most probe periods of the measurement of the calm fleet.
+/// The minimum and maximum number of probe periods for which the calm fleet is measured.
 const CALM_PERIOD_LIMITS: (f64, f64) = (60.0, 600.0);
 
 /// Runs the trials over simulated links, as many at a time as there are cores. Results are in the
--- a/experiments/src/membership/table.rs
+++ b/experiments/src/membership/table.rs
@@ -3,9 +3,9 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 
-const HEAD: &str = "relays  loss  all see all    fact known     first gone     all gone       bound  \
+const HEADER: &str = "relays  loss  all see all    fact known     first gone     all gone       bound  \
     suspicions/h  false gone/h  bytes a period  CPU us/s\n";
-const FOOT: &str = "times in periods, the middle and the worst of the seeds; rates an hour, summed \
+const FOOTER: &str = "times in periods, the middle and the worst of the seeds; rates an hour, summed \
     over all observers, at a period of a second\n";
 
 /// Loss rates are grouped in steps of a thousandth.
@@ -23,7 +23,7 @@
 /// Returns a table with one line for each size and loss rate, over all seeds.
 pub fn table(results: &[(Trial, Measurements)]) -> String {
     let groups: BTreeSet<Group> = results.iter().map(|(trial, _)| group_of(trial)).collect();
-    let mut table = HEAD.to_string();
+    let mut table = HEADER.to_string();
     for group in groups {
         let in_group = results
             .iter()
@@ -32,7 +32,7 @@
             .collect();
         table += &Row(in_group).line(group);
     }
-    table + FOOT
+    table + FOOTER
 }
 
 /// The results of the trials of one group.
--- a/experiments/src/scale/config.rs
+++ b/experiments/src/scale/config.rs
@@ -18,7 +18,7 @@
 const MAX_RELAYS: usize = 4_000;
 const MAX_VOTERS: usize = 7;
 const MAX_REAL_RELAYS: usize = 24;
-/// Most seed addresses that a member is started with.
+/// The maximum number of seed addresses that a member is started with.
 pub(super) const MAX_SEEDS: usize = 3;
 
 /// The fault that is injected into the calm fleet.
@@ -29,7 +29,7 @@
     None,
     /// One relay is killed.
     Relay,
-    /// A rack is killed: relays that stand together in one zone.
+    /// All relays of one rack are killed. A rack lies within one zone.
     Rack,
     /// All members of one zone are killed, voters included.
     Zone,
@@ -52,9 +52,9 @@
     pub period_ms: u64,
     /// The term of a lease in milliseconds.
     pub term_ms: u64,
-    /// Most bytes that a relay sends per second.
+    /// The maximum number of bytes that a relay sends per second.
     pub rate: u32,
-    /// Most bytes that a voter sends per second.
+    /// The maximum number of bytes that a voter sends per second.
     pub voter_rate: u32,
     /// Number of zones.
     pub zones: usize,
@@ -105,7 +105,7 @@
         Duration::from_millis(self.term_ms)
     }
 
-    /// Returns the most bytes that a member of this role sends per second.
+    /// Returns the maximum number of bytes that a member of this role sends per second.
     pub fn max_rate(&self, role: Role) -> u32 {
         match role {
             Role::Voter => self.voter_rate,
--- a/experiments/src/scale/meter.rs
+++ b/experiments/src/scale/meter.rs
@@ -69,9 +69,9 @@
     pub sent_of_worst: f64,
     /// Bytes per second received by the member that received most in the phase.
     pub received_of_worst: f64,
-    /// Most bytes that any member sent in one second.
+    /// The greatest number of bytes that any member sent in one second.
     pub sent_worst_second: u64,
-    /// Most bytes that any member received in one second.
+    /// The greatest number of bytes that any member received in one second.
     pub received_worst_second: u64,
     /// Datagrams that the members did not send because of the rate limit.
     pub held_back: u64,
--- a/experiments/src/scale/ownership_observer.rs
+++ b/experiments/src/scale/ownership_observer.rs
@@ -20,12 +20,12 @@
     pub last_us: u64,
 }
 
-/// Records what members hold. The times of all observations must be of one clock.
+/// Records which members hold which subjects. The times of all observations must be of one clock.
 #[derive(Clone, Debug, Default)]
 pub struct OwnershipObserver {
-    /// For each subject: the latest holding of each member that was observed with it.
+    /// For each subject: the latest holding of each member that was observed to hold it.
     latest: Vec<Vec<Holding>>,
-    /// Holdings that were followed by another of the same subject and member.
+    /// Holdings that were followed by another holding of the same subject by the same member.
     previous: Vec<Holding>,
 }
 
--- a/experiments/src/scale/processes/fleet.rs
+++ b/experiments/src/scale/processes/fleet.rs
@@ -124,9 +124,9 @@
                 self.processes[number].status = status;
                 Ok(None)
             }
-            Answer::Failed { why } => Err(ScaleError::ProcessFailed {
+            Answer::Failed { reason } => Err(ScaleError::ProcessFailed {
                 process: number,
-                reason: why,
+                reason,
             }),
             other => Ok(Some(other)),
         }
@@ -153,10 +153,10 @@
     fn is_consistent(&self, size: usize) -> bool {
         let active = || {
             let statuses = self.processes.iter().map(|process| process.status);
-            statuses.filter(|status| status.living > 0)
+            statuses.filter(|status| status.live_members > 0)
         };
-        let living: usize = active().map(|status| status.living).sum();
-        living + self.config.real_relays == size
+        let live_members: usize = active().map(|status| status.live_members).sum();
+        live_members + self.config.real_relays == size
             && active().all(|status| status.sees_least == size && status.sees_most == size)
     }
 
@@ -206,7 +206,7 @@
 
     fn convergence_line(&self, elapsed: f64, size: usize) -> String {
         let statuses = self.processes.iter().map(|process| process.status);
-        let active = statuses.filter(|status| status.living > 0);
+        let active = statuses.filter(|status| status.live_members > 0);
         let least = active.map(|status| status.sees_least).min().unwrap_or(0);
         let owned = self.owned_subjects();
         format!(
--- a/experiments/src/scale/slope/mod.rs
+++ b/experiments/src/scale/slope/mod.rs
@@ -1,5 +1,5 @@
-//! Measures what the figures of a run grow with: the same run at several sizes and seeds, and a
-//! straight line through the medians of each figure.
+//! Measures how the figures of a run grow with its size: the same run is repeated at several sizes
+//! and seeds, and a straight line is fitted to the medians of each figure.
 mod figures;
 mod line;
 mod table;
@@ -16,7 +16,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Fewest points through which a line is fitted.
+/// The minimum number of points through which a line is fitted.
 const MIN_POINTS: usize = 3;
 
 /// The quantity that is varied between runs.
--- a/experiments/src/scale/worker/hollow_relay.rs
+++ b/experiments/src/scale/worker/hollow_relay.rs
@@ -10,7 +10,7 @@
 use thistlecroft_peers::wire::MAX_DATAGRAM_BYTES;
 use thistlecroft_peers::{Event as PeerEvent, Identity, Node};
 
-/// Most datagrams that are read from one socket before other sockets have their turn.
+/// The maximum number of datagrams that are read from one socket before the other sockets are read.
 const MAX_DATAGRAMS_PER_TURN: usize = 64;
 
 pub(super) struct HollowRelay {
--- a/experiments/src/scale/worker/mod.rs
+++ b/experiments/src/scale/worker/mod.rs
@@ -46,7 +46,7 @@
     let result = worker.serve(&commands);
     if let Err(error) = &result {
         send_answer(&Answer::Failed {
-            why: error.to_string(),
+            reason: error.to_string(),
         });
     }
     Ok(result?)
@@ -155,7 +155,7 @@
             return;
         }
         let mut status = Status {
-            living: self.relays.len(),
+            live_members: self.relays.len(),
             sees_least: usize::MAX,
             ..Status::default()
         };
