--- a/experiments/src/compare/read.rs
+++ b/experiments/src/compare/read.rs
@@ -34,7 +34,7 @@
 /// Returns the summary of the run in a folder, or those of all runs below it, ordered by path.
 ///
 /// # Errors
-/// A folder or summary can't be read, or there is no run.
+/// Returns an error if a folder or summary can't be read, or if there is no run.
 pub fn read(folder: &Path) -> Result<Vec<Summary>, ReadError> {
     let mut summaries = Vec::new();
     read_below(folder, MAX_DEPTH, &mut summaries)?;
--- a/experiments/src/count/mod.rs
+++ b/experiments/src/count/mod.rs
@@ -1,5 +1,5 @@
-//! Counts events over the debug logs of a whole fleet, one file per relay: the events of all relays
-//! together in each time span, and the reports of and attempts at each backend. The sums show
+//! Counts events in the debug logs of a whole fleet, one file per relay: the events of all relays
+//! together in each time span, and the load reports and attempts of each backend. The sums show
 //! problems that are too small to be seen in the log of a single relay.
 mod log_line;
 
@@ -59,7 +59,8 @@
     /// Reads every `.log` file of a folder and counts its events in spans of `span_s` seconds.
     ///
     /// # Errors
-    /// The span is not positive, the folder or a file can't be read, or there is no event to count.
+    /// Returns an error if the span is not positive, the folder or a file can't be read, or there
+    /// is no event to count.
     pub fn read(folder: &Path, span_s: f64) -> Result<Counts, CountError> {
         if span_s.is_nan() || span_s <= 0.0 {
             return Err(CountError::EmptySpan);
--- a/experiments/src/membership/processes.rs
+++ b/experiments/src/membership/processes.rs
@@ -10,8 +10,8 @@
 
 const MAX_VOTERS: usize = 3;
 const LEASE_TERM: Duration = Duration::from_millis(2_000);
-/// Probe periods in which gossip about the start ends and voters begin to grant leases, which they do
-/// not in the first lease term after their start.
+/// Probe periods in which gossip about the start ends and voters begin to grant leases, which they
+/// do not in the first lease term after their start.
 const SETTLING_PERIODS: f64 = 30.0;
 /// How long traffic, suspicions and CPU time are measured while no relay starts or stops.
 const CALM_TIME: Duration = Duration::from_millis(10_000);
--- a/experiments/src/membership/table.rs
+++ b/experiments/src/membership/table.rs
@@ -3,9 +3,11 @@
 use hdrhistogram::Histogram;
 use std::collections::BTreeSet;
 
-const HEADER: &str = "relays  loss  all see all    fact known     first gone     all gone       bound  \
+const HEADER: &str = "\
+    relays  loss  all see all    fact known     first gone     all gone       bound  \
     suspicions/h  false gone/h  bytes a period  CPU us/s\n";
-const FOOTER: &str = "times in periods, the middle and the worst of the seeds; rates an hour, summed \
+const FOOTER: &str = "\
+    times in periods, the middle and the worst of the seeds; rates an hour, summed \
     over all observers, at a period of a second\n";
 
 /// Loss rates are grouped in steps of a thousandth.
--- a/experiments/src/plan/testbed_config.rs
+++ b/experiments/src/plan/testbed_config.rs
@@ -55,8 +55,8 @@
             priority_weight: row.priority_weight,
         });
     let rate = match &table.rate {
-        Rate::Even(rate) => vec![(PLAN_START, *rate)],
-        Rate::Steps(steps) => steps
+        Rate::Constant(rate) => vec![(PLAN_START, *rate)],
+        Rate::Interpolated(points) => points
             .iter()
             .map(|(at, rate)| (PLAN_START + at.0, *rate))
             .collect(),
@@ -107,7 +107,7 @@
         announcement_delay: (fleet.announcement_delay[0].0, fleet.announcement_delay[1].0),
         setup_store: fleet
             .store_concurrency
-            .map(|lanes| (lanes, fleet.store_time.0)),
+            .map(|concurrency| (concurrency, fleet.store_time.0)),
         report_interval: fleet.report_interval.0,
         reports_load: fleet.reports_load,
         seed,
--- a/experiments/src/run/mod.rs
+++ b/experiments/src/run/mod.rs
@@ -50,7 +50,7 @@
 /// the run early; its results are written and marked as interrupted.
 ///
 /// # Errors
-/// The testbed can't be set up, or the results can't be written.
+/// Returns an error if the testbed can't be set up or the results can't be written.
 pub fn run(
     scenario: &Scenario,
     target: &RunTarget,
--- a/experiments/src/run/progress.rs
+++ b/experiments/src/run/progress.rs
@@ -21,7 +21,7 @@
     pub failed: usize,
     /// The number of sessions that were asked to migrate.
     pub migrated: usize,
-    /// The number of sessions that backends hold.
+    /// The number of established sessions.
     pub established: usize,
     /// The backends; `None` for one that does not run.
     pub backends: Vec<Option<BackendProgress>>,
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Counts the sessions that backends held in the last round of reports.
+    /// Counts the sessions that were established at backends in the last round of load reports.
     pub(super) fn count_established(&mut self, events: &[RecordedEvent]) {
         let recent = &events[events.len().saturating_sub(RECENT_EVENTS)..];
         let rounds = rounds(recent);
--- a/experiments/src/run/relay_actions.rs
+++ b/experiments/src/run/relay_actions.rs
@@ -280,7 +280,8 @@
                 Some(RelayEnd::Crashed(status)) => {
                     self.record_failure(format!("relay {number} crashed: {status}"));
                 }
-                // The relay itself caused the loss of the sessions that it still held.
+                // No `RelayKilled` is recorded, which would excuse the loss of the relay's
+                // remaining sessions: the relay itself has caused it.
                 Some(RelayEnd::Overdue) => {
                     self.record_failure(format!(
                         "relay {number} did not shut down in time and was killed"
--- a/experiments/src/saturate.rs
+++ b/experiments/src/saturate.rs
@@ -47,7 +47,7 @@
 /// of each step.
 ///
 /// # Errors
-/// The run of a step failed.
+/// Returns an error if the run of a step fails.
 pub fn saturate(
     folder: &Path,
     stop: &AtomicBool,
@@ -58,7 +58,7 @@
     let mut steps = Vec::new();
     let mut rate = FIRST_RATE;
     for step in 0..MAX_STEPS {
-        scenario.traffic.rate = Rate::Even(rate);
+        scenario.traffic.rate = Rate::Constant(rate);
         let folder = folder.join(format!("step-{step}"));
         let outcome = run(&scenario, &target, 1, &folder, stop, &mut |_| {})?;
         on_step(rate, &outcome.summary);
--- a/experiments/src/scale/processes/fleet.rs
+++ b/experiments/src/scale/processes/fleet.rs
@@ -116,8 +116,8 @@
         Ok(())
     }
 
-    /// Saves a status, for which it returns `None`. Returns `Failed` as an error and any other answer
-    /// unchanged.
+    /// Saves a status, for which it returns `None`. Returns `Failed` as an error and any other
+    /// answer unchanged.
     fn save_status(&mut self, number: usize, answer: Answer) -> Result<Option<Answer>, ScaleError> {
         match answer {
             Answer::Status(status) => {
--- a/experiments/src/scale/protocol.rs
+++ b/experiments/src/scale/protocol.rs
@@ -49,11 +49,11 @@
     /// Number of live members in this process.
     #[serde(rename = "living")]
     pub live_members: usize,
-    /// The smallest number of members that a live member of this process sees as alive or suspected, itself
-    /// included.
+    /// The smallest number of members that a live member of this process sees as alive or
+    /// suspected, itself included.
     pub sees_least: usize,
-    /// The greatest number of members that a live member of this process sees as alive or suspected,
-    /// itself included.
+    /// The greatest number of members that a live member of this process sees as alive or
+    /// suspected, itself included.
     pub sees_most: usize,
     /// Number of subjects that the live members of this process own.
     pub owned: usize,
--- a/experiments/src/scenario/duration_text.rs
+++ b/experiments/src/scenario/duration_text.rs
@@ -17,7 +17,7 @@
 /// Parses a number with a unit as a duration.
 ///
 /// # Errors
-/// The text is not a number followed by a known unit.
+/// Returns an error if the text is not a number followed by a known unit.
 pub fn parse_duration(text: &str) -> Result<Duration, InvalidDuration> {
     Duration::parse(text).ok_or_else(|| InvalidDuration(text.into()))
 }
--- a/experiments/src/scenario/fleet_tables.rs
+++ b/experiments/src/scenario/fleet_tables.rs
@@ -17,7 +17,7 @@
     pub zones: Vec<String>,
     /// The load at which a backend is full.
     pub capacity: f64,
-    /// The maximum number of connections of a backend.
+    /// The maximum number of sessions of a backend.
     #[serde(rename = "most")]
     pub max_sessions: usize,
     /// The time that a session's set-up takes at a backend.
@@ -31,15 +31,15 @@
     pub warm_up_initial_share: f64,
     /// The time after which a started backend has its whole capacity.
     pub warm_up: DurationText,
-    /// A backend that is warming up fails when the load of its attempts is more than this multiple of
-    /// what its share of the capacity can take within `warm_up_overload_window`.
+    /// A backend that is warming up fails when the load of its attempts is more than this multiple
+    /// of what its share of the capacity can take within `warm_up_overload_window`.
     #[serde(rename = "cold_factor")]
     pub warm_up_overload_factor: f64,
     /// The length of the window over which the load of attempts is summed.
     #[serde(rename = "cold_window")]
     pub warm_up_overload_window: DurationText,
-    /// The time in which a backend can accept as many connections as fill it. The default is the
-    /// mean lifetime of sessions, or the warm-up if that is longer.
+    /// The time in which a backend can accept as many sessions as fill its capacity. The default is
+    /// the mean lifetime of sessions, or the warm-up if that is longer.
     #[serde(rename = "turnover")]
     pub turnover_time: Option<DurationText>,
     /// The interval between load reports of a backend.
@@ -169,7 +169,8 @@
     }
 }
 
-/// The `[together]` table: limits for all relays together, besides the rules for each relay.
+/// The `[together]` table: limits for all relays together, besides the invariants that bind each
+/// relay alone.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ClusterLimitsTable {
--- a/experiments/src/scenario/mod.rs
+++ b/experiments/src/scenario/mod.rs
@@ -44,7 +44,7 @@
     /// The listeners, one for each kind of session.
     #[serde(rename = "listener")]
     pub listeners: Vec<Spanned<ListenerTable>>,
-    /// Limits for all relays together, besides the rules for each relay.
+    /// Limits for all relays together, besides the invariants that bind each relay alone.
     #[serde(default, rename = "together")]
     pub cluster_limits: ClusterLimitsTable,
     /// The faults, in the order of the file.
@@ -63,7 +63,7 @@
     /// Parses a scenario; `file` is the name that errors show.
     ///
     /// # Errors
-    /// The first error in the text.
+    /// Returns the first error in the text.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, MalformedScenario> {
         let mut scenario: Scenario = toml::from_str(text)
             .map_err(|error| MalformedScenario::from_toml(file, text, &error))?;
@@ -79,7 +79,7 @@
     /// Reads and parses a scenario file.
     ///
     /// # Errors
-    /// The file can't be read, or the first error in its text.
+    /// Returns an error if the file can't be read, or else the first error in its text.
     pub fn read(file: &str) -> Result<Scenario, ScenarioError> {
         let text = std::fs::read_to_string(file).map_err(|source| ScenarioError::Unreadable {
             file: file.into(),
--- a/experiments/src/scenario/traffic_tables.rs
+++ b/experiments/src/scenario/traffic_tables.rs
@@ -13,23 +13,23 @@
     pub client_keys: u64,
     /// The number of groups from which arrivals draw; without it, clients have no group.
     pub groups: Option<u64>,
-    /// The number of times that a client tries again after its first try.
+    /// The maximum number of retries of a client whose request was rejected or failed.
     #[serde(default = "default_retries")]
     pub retries: u32,
     /// The share of clients that wait for the retry-after time of a rejection, from 0 to 1.
     #[serde(default = "default_retry_after_share", rename = "heeds")]
     pub retry_after_share: f64,
-    /// The time that a client waits before it tries again.
+    /// The mean time that a client waits before a retry, unless it waits for a retry-after time.
     #[serde(default = "default_backoff", rename = "back_off")]
     pub backoff: DurationText,
     /// The minimum and maximum time after which a client reconnects when its session was migrated
     /// or its connection lost.
     #[serde(default = "default_reconnect_delay", rename = "rejoin")]
     pub reconnect_delay: [DurationText; 2],
-    /// The share of clients that leave before they get an answer, from 0 to 1.
+    /// The share of clients that leave if their answer doesn't come soon enough, from 0 to 1.
     #[serde(default, rename = "impatient")]
     pub impatient_share: f64,
-    /// The interval between lines that a client sends.
+    /// The interval between two messages of a client.
     #[serde(default = "two_seconds", rename = "beat")]
     pub message_interval: DurationText,
     /// The number of threads over which clients are distributed.
@@ -70,9 +70,9 @@
 )]
 pub enum Rate {
     /// A constant rate.
-    Even(f64),
+    Constant(f64),
     /// The rates at given times, with linear changes between them.
-    Steps(Vec<(DurationText, f64)>),
+    Interpolated(Vec<(DurationText, f64)>),
 }
 
 /// A `[[listener]]` table: a kind of session.
@@ -87,9 +87,10 @@
     /// The time that clients wait for an answer.
     #[serde(rename = "wait")]
     pub answer_timeout: DurationText,
-    /// An answer within this time counts in full.
+    /// The latency objective of establishing a session, which the settings tell the relays.
     pub handshake_target: DurationText,
-    /// A line that returns within this time counts in full.
+    /// The latency objective of messages. A message that is echoed within this time counts as
+    /// served.
     pub message_target: DurationText,
     /// The minimum and maximum load of a session.
     #[serde(default = "default_load_range", rename = "load")]
@@ -97,7 +98,7 @@
     /// The mean lifetime of a session.
     #[serde(rename = "life")]
     pub mean_lifetime: DurationText,
-    /// The weight of a well-served second.
+    /// The weight of the listener's sessions relative to those of other listeners.
     #[serde(default = "default_weight", rename = "utility")]
     pub priority_weight: f64,
     /// Whether the listener's requests may be repeated.
--- a/experiments/src/scenario/validation.rs
+++ b/experiments/src/scenario/validation.rs
@@ -125,11 +125,11 @@
     if traffic.threads == 0 || traffic.threads > MAX_THREADS {
         return text.invalid("traffic", "threads", "must be between 1 and 16");
     }
-    let steps = match &traffic.rate {
-        Rate::Even(rate) => vec![(DurationText::default(), *rate)],
-        Rate::Steps(steps) => steps.clone(),
+    let points = match &traffic.rate {
+        Rate::Constant(rate) => vec![(DurationText::default(), *rate)],
+        Rate::Interpolated(points) => points.clone(),
     };
-    if !steps
+    if !points
         .iter()
         .all(|&(_, rate)| (0.0..=MAX_RATE).contains(&rate))
     {
@@ -139,7 +139,7 @@
             "must be between 0 and 1000000 per second",
         );
     }
-    if steps.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
+    if points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
         return text.invalid("traffic", "rate", "times must increase");
     }
     Ok(())
--- a/experiments/src/summary/mod.rs
+++ b/experiments/src/summary/mod.rs
@@ -196,8 +196,8 @@
 }
 
 impl Summary {
-    /// Returns true if no invariant was violated and no relay failed. Violations by a baseline don't
-    /// count.
+    /// Returns true if no invariant was violated and no relay failed. Violations by a baseline
+    /// don't count.
     pub fn passed(&self) -> bool {
         let invariants_kept = self.violation_counts == [0; 4] && self.cluster_violations.is_empty();
         (invariants_kept || self.baseline) && self.crashes == 0
--- a/operator_config/src/lib.rs
+++ b/operator_config/src/lib.rs
@@ -47,7 +47,8 @@
     /// Parses the text of `file`, whose name appears in errors only.
     ///
     /// # Errors
-    /// All errors that the text has without regard to a deployment, in the order of the file.
+    /// Returns all errors that the text has without regard to a deployment, in the order of the
+    /// file.
     pub fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
         parsing::parse(file, text)
     }
@@ -56,8 +57,8 @@
     /// where the file has no section `[peers]`.
     ///
     /// # Errors
-    /// All errors in the section: values out of range, and a section that the deployment does not
-    /// permit.
+    /// Returns all errors in the section: values out of range, and a section that the deployment
+    /// does not permit.
     pub fn peers_config(
         &self,
         context: &RelayContext,
@@ -71,7 +72,8 @@
     /// Resolves the routes of this file for the settings of a deployment, with defaults filled in.
     ///
     /// # Errors
-    /// All unknown names and broken rules, or else the errors of [`OperatorConfig::peers_config`].
+    /// Returns all unknown names and broken rules, or else the errors of
+    /// [`OperatorConfig::peers_config`].
     pub fn resolve(
         &self,
         context: &RelayContext,
--- a/operator_config/src/parsing.rs
+++ b/operator_config/src/parsing.rs
@@ -16,7 +16,7 @@
 /// Parses a whole file.
 ///
 /// # Errors
-/// All errors in the text, sorted by location.
+/// Returns all errors in the text, sorted by location.
 pub(crate) fn parse(file: &str, text: &str) -> Result<OperatorConfig, Vec<ConfigError>> {
     let mut parser = Parser {
         file,
--- a/operator_config/src/peers.rs
+++ b/operator_config/src/peers.rs
@@ -51,7 +51,7 @@
 /// Checks a section and fills in defaults.
 ///
 /// # Errors
-/// All errors of the section.
+/// Returns all errors of the section.
 pub(crate) fn resolve(
     section: &PeersSection,
     context: &RelayContext,
--- a/operator_config/src/rules/mod.rs
+++ b/operator_config/src/rules/mod.rs
@@ -13,7 +13,7 @@
 /// Checks all routes of a file.
 ///
 /// # Errors
-/// All violations of the rules, sorted by location.
+/// Returns all violations of the rules, sorted by location.
 pub(crate) fn check(
     routes: &[RouteSection],
     context: &RelayContext,
--- a/settings/src/invariants.rs
+++ b/settings/src/invariants.rs
@@ -57,7 +57,7 @@
     /// missing one of the two is zero.
     ///
     /// # Errors
-    /// A value is negative or not finite, or the budget has no window.
+    /// Returns an error if a value is negative or not finite, or if the budget has no window.
     pub(crate) fn retry_budget(&self) -> Result<Option<RetryBudget>, SettingsError> {
         let (free, share) = (self.retry_budget_free, self.retry_budget_share);
         check_not_negative(RETRY_BUDGET_FREE, free)?;
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -50,7 +50,7 @@
 /// Parses settings.
 ///
 /// # Errors
-/// The first error in the text.
+/// Returns the first error in the text.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
     let text: text::SettingsText = serde_json::from_slice(text)?;
     text.try_into()
