--- a/testbed/src/cluster_invariants/sessions.rs
+++ b/testbed/src/cluster_invariants/sessions.rs
@@ -7,18 +7,19 @@
 use thistlecroft::time::Instant;
 
 pub(super) fn check(events: &[RecordedEvent], limits: &ClusterLimits) -> Vec<ClusterViolation> {
-    let mut history = SessionHistory {
+    let mut tracker = SessionTracker {
         allows_takeover: limits.allows_takeover,
-        ..SessionHistory::default()
+        ..SessionTracker::default()
     };
     for event in events {
-        history.replay(event.at, &event.observation);
+        tracker.replay(event.at, &event.observation);
     }
-    history.violations
+    tracker.violations
 }
 
+/// What the events so far have shown of all sessions, and the violations found in them.
 #[derive(Default)]
-struct SessionHistory {
+struct SessionTracker {
     allows_takeover: bool,
     relay_of: BTreeMap<SessionId, RelayIndex>,
     killed_at: BTreeMap<RelayIndex, Instant>,
@@ -29,7 +30,7 @@
     violations: Vec<ClusterViolation>,
 }
 
-impl SessionHistory {
+impl SessionTracker {
     fn replay(&mut self, at: Instant, observation: &Observation) {
         match observation {
             Observation::SessionRequested {
--- a/testbed/src/event_recorder/observation.rs
+++ b/testbed/src/event_recorder/observation.rs
@@ -311,7 +311,7 @@
         /// The relay.
         relay: RelayIndex,
     },
-    /// A relay was killed or ended unexpectedly.
+    /// The run killed a relay's process.
     RelayKilled {
         /// The relay.
         relay: RelayIndex,
@@ -337,7 +337,7 @@
         from: RelayIndex,
         /// The receiving relay.
         to: RelayIndex,
-        /// The fault's name in scenarios.
+        /// The name of the fault in recorded events, such as `cut` or `bent`.
         name: &'static str,
         /// Whether the fault is active from now on.
         #[serde(rename = "on")]
@@ -389,7 +389,7 @@
     /// The testbed ran out of file descriptors, so that later failures are not the relays' fault.
     #[serde(rename = "tool-exhausted")]
     TestbedExhausted,
-    /// A note of the run itself.
+    /// Free text about the run, or about a line that a backend could not parse.
     #[serde(rename = "mark")]
     Note {
         /// The text of the note.
--- a/testbed/src/simulated_backends/listener.rs
+++ b/testbed/src/simulated_backends/listener.rs
@@ -118,9 +118,9 @@
         Some(Protocol::TCP),
     )?;
     socket.set_reuse_address(true)?;
-    socket
-        .bind(&address.into())
-        .map_err(|error| io::Error::new(error.kind(), format!("binding to {address}: {error}")))?;
+    socket.bind(&address.into()).map_err(|error| {
+        io::Error::new(error.kind(), format!("can't bind to {address}: {error}"))
+    })?;
     socket.listen(BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
--- a/testbed/src/traffic.rs
+++ b/testbed/src/traffic.rs
@@ -24,14 +24,14 @@
     pub priority_weight: f64,
 }
 
-/// Additional arrivals, spread evenly over a time.
+/// Additional arrivals, spread evenly over a period.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Burst {
     /// When the first client arrives.
     pub begin: Instant,
     /// The number of clients.
     pub clients: usize,
-    /// The time over which they arrive.
+    /// The time over which the clients arrive.
     pub duration: Duration,
 }
 
@@ -44,7 +44,7 @@
     pub rate: Vec<(Instant, f64)>,
     /// Arrivals in addition to the rate.
     pub bursts: Vec<Burst>,
-    /// The number of different keys.
+    /// The number of different keys that requests carry.
     pub keys: u64,
     /// The number of groups; `None` if clients belong to no group.
     pub groups: Option<u64>,
