--- a/adapter/src/tests.rs
+++ b/adapter/src/tests.rs
@@ -181,7 +181,8 @@
     batch(1, 0, &[start_record], settings.as_bytes())
 }
 
-/// Asserts that each input, after its name, ends the program with an error that contains the text.
+/// Asserts that each case, of a name, an input and a text, ends the program with an error that
+/// contains the text.
 fn assert_rejected(cases: &[(&str, Vec<u8>, &str)]) {
     for (name, input, expected) in cases {
         let error = replies(input).unwrap_err();
--- a/experiments/src/plan/action.rs
+++ b/experiments/src/plan/action.rs
@@ -8,7 +8,9 @@
 /// An action on a part of the testbed.
 #[derive(Clone, Debug)]
 pub(crate) enum Action {
+    /// Sends a command to the simulated backends.
     Backends(BackendCommand),
+    /// Sends a command to the load generator.
     Load(LoadCommand),
     /// Kills a relay and starts it again after the given time, if any.
     Kill(RelayIndex, Option<Duration>),
--- a/experiments/src/saturate.rs
+++ b/experiments/src/saturate.rs
@@ -14,7 +14,7 @@
 const MAX_STEPS: usize = 12;
 
 const SCENARIO: &str = r#"
-about = "connections that live for a second, set up as fast as they come"
+about = "clients that stay connected for a second, at a rate that grows with each step"
 length = "4s"
 [fleet]
 boxes = 20
--- a/relay/src/service/reconfiguration.rs
+++ b/relay/src/service/reconfiguration.rs
@@ -195,6 +195,6 @@
     ProtocolSettings {
         listeners: settings.listeners.clone(),
         has_groups: settings.deployment.groups_share_work,
-        load_reports_latency: settings.notes_carry_latency,
+        load_reports_latency: settings.connection_value_is_latency,
     }
 }
--- a/settings/src/extensions.rs
+++ b/settings/src/extensions.rs
@@ -28,7 +28,7 @@
 
     /// Returns whether the one value that backends report for a connection is the latency of its
     /// messages.
-    pub(crate) fn notes_carry_latency(&self) -> bool {
+    pub(crate) fn connection_value_is_latency(&self) -> bool {
         self.reports_latency && !self.reports_load
     }
 }
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -44,7 +44,7 @@
     pub may_use_peers: bool,
     /// Whether the value that backends report for a connection is the latency of its messages, in
     /// milliseconds, instead of its load.
-    pub notes_carry_latency: bool,
+    pub connection_value_is_latency: bool,
 }
 
 /// Parses settings.
--- a/settings/src/text.rs
+++ b/settings/src/text.rs
@@ -66,7 +66,7 @@
             backend_idle_timeout: text.permissions.backend_idle_timeout(),
             drain_grace: text.invariants.drain_grace(),
             may_use_peers: text.permissions.peers,
-            notes_carry_latency: text.extensions.notes_carry_latency(),
+            connection_value_is_latency: text.extensions.connection_value_is_latency(),
             listeners: text
                 .listeners
                 .into_iter()
--- a/settings/tests/golden.rs
+++ b/settings/tests/golden.rs
@@ -149,7 +149,7 @@
         )
         + &format!(
             "{:?} {} {}",
-            settings.drain_grace, settings.may_use_peers, settings.notes_carry_latency
+            settings.drain_grace, settings.may_use_peers, settings.connection_value_is_latency
         )
         + &format!("{:?} {:?}", fields.connections, fields.load)
         + &format!("{}", fields.weight(7.0));
