--- a/experiments/src/scenario/validation.rs
+++ b/experiments/src/scenario/validation.rs
@@ -14,7 +14,8 @@
 const MAX_THREADS: usize = 16;
 /// Arrivals per second.
 const MAX_RATE: f64 = 1e6;
-const MAX_CLIENT_WAIT: Duration = Duration::from_millis(600_000);
+/// The longest answer timeout that a scenario may give a listener.
+const MAX_ANSWER_TIMEOUT: Duration = Duration::from_millis(600_000);
 
 /// An invalid value, with its position in the text.
 pub(super) struct InvalidValue {
@@ -124,11 +125,11 @@
     if traffic.threads == 0 || traffic.threads > MAX_THREADS {
         return text.invalid("traffic", "threads", "must be between 1 and 16");
     }
-    let steps = match &traffic.rate {
-        Rate::Even(rate) => vec![(DurationText::default(), *rate)],
-        Rate::Steps(steps) => steps.clone(),
+    let points = match &traffic.rate {
+        Rate::Constant(rate) => vec![(DurationText::default(), *rate)],
+        Rate::Interpolated(points) => points.clone(),
     };
-    if !steps
+    if !points
         .iter()
         .all(|&(_, rate)| (0.0..=MAX_RATE).contains(&rate))
     {
@@ -138,7 +139,7 @@
             "must be between 0 and 1000000 per second",
         );
     }
-    if steps.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
+    if points.windows(2).any(|pair| pair[0].0 >= pair[1].0) {
         return text.invalid("traffic", "rate", "times must increase");
     }
     Ok(())
@@ -180,7 +181,7 @@
     if min.is_nan() || min < 0.0 || max.is_nan() || max < min {
         return Err("load: must be [minimum, maximum], both 0 or more".into());
     }
-    if listener.answer_timeout.0 > MAX_CLIENT_WAIT
+    if listener.answer_timeout.0 > MAX_ANSWER_TIMEOUT
         || listener.answer_timeout < listener.handshake_target
     {
         return Err("wait: must be between the handshake target and ten minutes".into());
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -44,13 +44,13 @@
     pub may_use_peers: bool,
     /// Whether the value that backends report for a connection is the latency of its messages, in
     /// milliseconds, instead of its load.
-    pub notes_carry_latency: bool,
+    pub connection_value_is_latency: bool,
 }
 
 /// Parses settings.
 ///
 /// # Errors
-/// The first error in the text.
+/// Returns the first error in the text.
 pub fn parse(text: &[u8]) -> Result<Settings, SettingsError> {
     let text: text::SettingsText = serde_json::from_slice(text)?;
     text.try_into()
