--- a/cli/tests/command/main.rs
+++ b/cli/tests/command/main.rs
@@ -7,5 +7,5 @@
 mod operator_config;
 mod peers;
 mod scale;
-#[path = "../unused_address/mod.rs"]
+#[path = "../../../tests/unused_address/mod.rs"]
 mod unused_address;
--- a/cli/tests/golden.rs
+++ b/cli/tests/golden.rs
@@ -2,6 +2,7 @@
 //! command, its environment variables, exit codes and output, and the files that it writes.
 #[path = "../../tests/golden_file/mod.rs"]
 mod golden_file;
+#[path = "../../tests/unused_address/mod.rs"]
 mod unused_address;
 
 use serde_json::Value;
--- a/cli/tests/unused_address/mod.rs
+++ b/tests/unused_address/mod.rs
@@ -1,4 +1,4 @@
-//! Addresses for relays that tests start.
+//! Loopback addresses for tests.
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU16, Ordering};
 
@@ -9,8 +9,8 @@
 const FIRST_PORT: u32 = 8_080;
 const PORTS: u32 = 16_384;
 
-/// Returns an address at which nothing listens, and which no outgoing connection can take before
-/// the relay listens there.
+/// Returns an address at which nothing listens, and which no outgoing connection can take
+/// meanwhile.
 ///
 /// It is unique to the process and the call: the process id is split over address and port.
 pub(crate) fn unused_address() -> SocketAddr {
